--- a/crates/agent/src/agent_core/control.rs
+++ b/crates/agent/src/agent_core/control.rs
@@ -52,8 +52,8 @@
             Some(frame::Body::ShardReply(reply)) => self.shard_reply(now, &reply, out),
             Some(frame::Body::QuotaReply(reply)) => self.quota_reply(now, &reply, out),
             Some(frame::Body::QuotaRecall(recall)) => self.quota.recall(&recall),
-            Some(frame::Body::LoadPicture(picture)) if self.proxy.greeted() => {
-                send_proxy(local_frame::Body::LoadPicture(picture), out);
+            Some(frame::Body::LoadSnapshot(picture)) if self.proxy.greeted() => {
+                send_proxy(local_frame::Body::LoadSnapshot(picture), out);
             }
             Some(frame::Body::HelloReply(reply)) => {
                 self.feeds.set_data_shards(now, reply.data_shards);
@@ -72,7 +72,7 @@
     ) {
         self.feeds.set_data_shards(now, reply.data_shards);
         // A node that is out of touch may know an old list of members, and may not know sessions.
-        if !self.link.confirmed(now, reply.in_touch) {
+        if !self.link.confirmed(now, reply.has_quorum) {
             self.leave(now, out);
             return;
         }
@@ -116,7 +116,7 @@
     /// Whether the configuration is older than what the proxy has shown: after a restart the agent
     /// itself remembers nothing, but its proxy does.
     fn is_behind_proxy(&self) -> bool {
-        self.revision() < self.proxy.shown_revision()
+        self.revision() < self.proxy.applied_revision()
     }
 
     fn pass_on(&mut self, event: FeedEvent, out: &mut Vec<AgentOutput>) {
@@ -147,7 +147,7 @@
         }
         let acknowledged = &mut self.counters.settles_acknowledged;
         if let Some(answer) = self.settles.reply(now, reply, acknowledged) {
-            send_proxy(local_frame::Body::SettleReply(answer), out);
+            send_proxy(local_frame::Body::ResolveClaimReply(answer), out);
         }
     }
 
--- a/crates/agent/src/agent_core/mod.rs
+++ b/crates/agent/src/agent_core/mod.rs
@@ -17,7 +17,7 @@
 use crate::options::AgentOptions;
 use crate::output::AgentOutput;
 use crate::proxy_link::ProxyLink;
-use crate::quota::QuotaDesk;
+use crate::quota::QuotaClient;
 use crate::registry::{Confirmation, RegistryOverlay, RegistryPace};
 use crate::session::Session;
 
@@ -32,7 +32,7 @@
     feeds: Feeds,
     proxy: ProxyLink,
     overlay: RegistryOverlay,
-    quota: QuotaDesk,
+    quota: QuotaClient,
     claims: ClaimDesk,
     settles: SettleDesk,
     counters: AgentCounters,
@@ -64,7 +64,7 @@
             feeds: Feeds::new(now),
             proxy: ProxyLink::default(),
             overlay: RegistryOverlay::default(),
-            quota: QuotaDesk::default(),
+            quota: QuotaClient::default(),
             claims: ClaimDesk::default(),
             settles: SettleDesk::default(),
             counters: AgentCounters::default(),
--- a/crates/agent/src/agent_core/proxy.rs
+++ b/crates/agent/src/agent_core/proxy.rs
@@ -2,8 +2,8 @@
 
 use millford_api::internal::{LoadReport, frame};
 use millford_api::local::{
-    LocalClaim, LocalFrame, LocalQuotaAsk, LocalQuotaRelease, LocalQuotaReply, LocalSettle,
-    ProxyStreams, local_frame,
+    LocalClaim, LocalFrame, LocalQuotaRelease, LocalQuotaReply, LocalQuotaRequest,
+    LocalResolveClaim, ProxyStreams, local_frame,
 };
 use millford_api::state::{StateItem, state_value};
 use millford_core::{MonotonicTime, ShardId, service_key};
@@ -22,13 +22,13 @@
         match frame.body {
             Some(local_frame::Body::ProxyHello(_)) => self.greet(out),
             Some(local_frame::Body::OpenStreams(streams)) => self.open_streams(now, streams),
-            Some(local_frame::Body::Shown(shown)) => self.proxy.shown(shown.revision),
-            Some(local_frame::Body::QuotaAsk(ask)) => self.quota_ask(now, &ask, out),
+            Some(local_frame::Body::Applied(shown)) => self.proxy.shown(shown.revision),
+            Some(local_frame::Body::QuotaRequest(ask)) => self.quota_ask(now, &ask, out),
             Some(local_frame::Body::QuotaRelease(release)) => {
                 self.quota_release(now, &release, out);
             }
             Some(local_frame::Body::Claim(claim)) => self.claim(now, claim),
-            Some(local_frame::Body::Settle(settle)) => self.settle(now, settle, out),
+            Some(local_frame::Body::ResolveClaim(settle)) => self.settle(now, settle, out),
             Some(local_frame::Body::LoadReport(report)) => self.load_report(report, out),
             // The rest goes from the agent to the proxy.
             _ => {}
@@ -53,7 +53,12 @@
         self.quota.take_over(now, &counts);
     }
 
-    fn quota_ask(&mut self, now: MonotonicTime, ask: &LocalQuotaAsk, out: &mut Vec<AgentOutput>) {
+    fn quota_ask(
+        &mut self,
+        now: MonotonicTime,
+        ask: &LocalQuotaRequest,
+        out: &mut Vec<AgentOutput>,
+    ) {
         let limited = self.limits_streams(&ask.tenant);
         let answers = self.quota.ask(now, ask, limited);
         answer_quota(answers, out);
@@ -89,11 +94,16 @@
         self.claims.submit(now, id, claim);
     }
 
-    fn settle(&mut self, now: MonotonicTime, settle: LocalSettle, out: &mut Vec<AgentOutput>) {
+    fn settle(
+        &mut self,
+        now: MonotonicTime,
+        settle: LocalResolveClaim,
+        out: &mut Vec<AgentOutput>,
+    ) {
         let id = self.new_id();
         if let Some(refusal) = self.settles.submit(now, id, settle) {
             self.counters.settles_dropped += 1;
-            send_proxy(local_frame::Body::SettleReply(refusal), out);
+            send_proxy(local_frame::Body::ResolveClaimReply(refusal), out);
         }
     }
 
--- a/crates/agent/src/agent_core/tick.rs
+++ b/crates/agent/src/agent_core/tick.rs
@@ -105,7 +105,7 @@
             member: self.session.member().to_owned(),
             epoch: self.session.epoch(),
             sequence: self.heartbeat_sequence,
-            shown_revision: self.proxy.shown_revision(),
+            applied_revision: self.proxy.applied_revision(),
         };
         self.send(frame::Body::Heartbeat(heartbeat), out);
     }
@@ -134,7 +134,7 @@
 
     fn send_status(&mut self, now: MonotonicTime, out: &mut Vec<AgentOutput>) {
         let status = AgentStatus {
-            in_touch: self.in_touch(),
+            connected: self.in_touch(),
             session_epoch: self.session.epoch(),
             data_shards: self.feeds.layout().map_or(0, |layout| layout.data_shards()),
             complete: self.feeds.complete(),
--- a/crates/agent/src/daemon/driver.rs
+++ b/crates/agent/src/daemon/driver.rs
@@ -10,7 +10,7 @@
 use crate::agent_core::AgentCore;
 use crate::daemon::control_connection::ControlConnection;
 use crate::daemon::event_queues::{EventQueues, EventSources};
-use crate::daemon::proxy_outlet::ProxyOutlet;
+use crate::daemon::proxy_sender::ProxySender;
 use crate::daemon::report::{AgentReport, SharedReport};
 use crate::daemon::saved_members::SavedMembers;
 use crate::daemon::traffic_meter::TrafficMeter;
@@ -23,7 +23,7 @@
 const LINK_LOG: PartLog = PartLog::new("LINK");
 
 /// What a driver works with.
-pub struct DriverParts {
+pub struct DriverComponents {
     /// Identity and starting points.
     pub options: AgentOptions,
     /// Where connections put their events.
@@ -31,7 +31,7 @@
     /// Where the driver takes them from.
     pub sources: EventSources,
     /// The proxy's outlet, whenever it changes.
-    pub outlets: mpsc::Receiver<Option<ProxyOutlet>>,
+    pub outlets: mpsc::Receiver<Option<ProxySender>>,
     /// The service registry, if there is one to read.
     pub registry: Option<SharedRegistry>,
     /// Keeps the list of control nodes.
@@ -45,9 +45,9 @@
 /// One agent at work.
 pub struct Driver {
     core: AgentCore,
-    parts: DriverParts,
+    parts: DriverComponents,
     connection: Option<ControlConnection>,
-    outlet: Option<ProxyOutlet>,
+    outlet: Option<ProxySender>,
     registry_read: Option<tokio::task::JoinHandle<()>>,
     stopped: bool,
 }
@@ -55,7 +55,7 @@
 impl Driver {
     /// An agent that begins to work with [`Self::run`].
     #[must_use]
-    pub fn new(parts: DriverParts) -> Self {
+    pub fn new(parts: DriverComponents) -> Self {
         let core = AgentCore::new(&parts.options, monotonic_now());
         Self {
             core,
--- a/crates/agent/src/daemon/event_queues.rs
+++ b/crates/agent/src/daemon/event_queues.rs
@@ -51,7 +51,7 @@
                 frame::Body::QuotaReply(_)
                 | frame::Body::QuotaRecall(_)
                 | frame::Body::ShardReply(_)
-                | frame::Body::LoadPicture(_),
+                | frame::Body::LoadSnapshot(_),
             ) => &self.traffic,
             _ => &self.state,
         };
@@ -63,7 +63,7 @@
     /// A frame of the proxy.
     pub async fn proxy_frame(&self, frame: LocalFrame) -> bool {
         let queue = match frame.body {
-            Some(local_frame::Body::ProxyHello(_) | local_frame::Body::Shown(_)) => &self.state,
+            Some(local_frame::Body::ProxyHello(_) | local_frame::Body::Applied(_)) => &self.state,
             _ => &self.traffic,
         };
         let input = AgentInput::ProxyFrame(Box::new(frame));
--- a/crates/agent/src/daemon/local_listener.rs
+++ b/crates/agent/src/daemon/local_listener.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 
 use crate::daemon::event_queues::EventQueues;
-use crate::daemon::proxy_outlet::{ProxyFrames, ProxyOutlet};
+use crate::daemon::proxy_sender::{ProxyFrames, ProxySender};
 use crate::input::AgentInput;
 
 const LOG: PartLog = PartLog::new("LOCAL");
@@ -17,7 +17,7 @@
 pub async fn serve(
     listener: TcpListener,
     queues: EventQueues,
-    outlets: mpsc::Sender<Option<ProxyOutlet>>,
+    outlets: mpsc::Sender<Option<ProxySender>>,
 ) {
     let mut present: Option<tokio::task::JoinHandle<()>> = None;
     loop {
@@ -45,12 +45,12 @@
 async fn converse(
     stream: TcpStream,
     queues: EventQueues,
-    outlets: mpsc::Sender<Option<ProxyOutlet>>,
+    outlets: mpsc::Sender<Option<ProxySender>>,
 ) {
     let Ok((reader, writer)) = millford_transport::accept::<LocalFrame>(stream) else {
         return;
     };
-    let (outlet, frames) = ProxyOutlet::new();
+    let (outlet, frames) = ProxySender::new();
     if outlets.send(Some(outlet)).await.is_err() {
         return;
     }
--- a/crates/agent/src/daemon/proxy_outlet.rs
+++ b/crates/agent/src/daemon/proxy_sender.rs
@@ -11,7 +11,7 @@
 
 /// Sending ends: state and replies wait apart, and state is written first.
 #[derive(Clone, Debug)]
-pub struct ProxyOutlet {
+pub struct ProxySender {
     state: mpsc::Sender<LocalFrame>,
     traffic: mpsc::Sender<LocalFrame>,
 }
@@ -23,7 +23,7 @@
     traffic: mpsc::Receiver<LocalFrame>,
 }
 
-impl ProxyOutlet {
+impl ProxySender {
     /// Both queues.
     #[must_use]
     pub fn new() -> (Self, ProxyFrames) {
--- a/crates/agent/src/daemon/run.rs
+++ b/crates/agent/src/daemon/run.rs
@@ -10,7 +10,7 @@
 use tokio::sync::mpsc;
 
 use crate::daemon::agent_settings::AgentSettings;
-use crate::daemon::driver::{Driver, DriverParts};
+use crate::daemon::driver::{Driver, DriverComponents};
 use crate::daemon::event_queues::EventQueues;
 use crate::daemon::report::SharedReport;
 use crate::daemon::saved_members::SavedMembers;
@@ -98,7 +98,7 @@
     let (outlet_sender, outlets) = mpsc::channel(OUTLETS_LENGTH);
     let meter = Arc::new(TrafficMeter::default());
     let report = SharedReport::default();
-    let parts = DriverParts {
+    let parts = DriverComponents {
         options: options_of(&settings, saved_members.as_ref(), local_address.to_string()),
         queues: queues.clone(),
         sources,
@@ -120,7 +120,7 @@
 }
 
 /// The driver has a thread of its own, with nothing of the HTTP server on it.
-fn start_driver(parts: DriverParts) -> Result<tokio::task::JoinHandle<()>, StartError> {
+fn start_driver(parts: DriverComponents) -> Result<tokio::task::JoinHandle<()>, StartError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/agent/src/daemon/traffic_meter.rs
+++ b/crates/agent/src/daemon/traffic_meter.rs
@@ -90,7 +90,7 @@
         Some(frame::Body::QuotaReply(_)) => "quota reply",
         Some(frame::Body::QuotaRecall(_)) => "quota recall",
         Some(frame::Body::LoadReport(_)) => "load report",
-        Some(frame::Body::LoadPicture(_)) => "load picture",
+        Some(frame::Body::LoadSnapshot(_)) => "load picture",
         Some(frame::Body::Subscribe(_)) => "subscribe",
         _ => "other",
     }
--- a/crates/agent/src/forward/claims.rs
+++ b/crates/agent/src/forward/claims.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use millford_api::command::{Claim, RunOutcome, SettleClaim, command};
+use millford_api::command::{Claim, ResolveClaim, RunOutcome, command};
 use millford_api::internal::{ShardReply, ShardRequest};
 use millford_api::local::{LocalClaim, LocalClaimReply};
 use millford_core::{Duration, MonotonicTime, ResultCode, ShardLayout, tenant_key};
@@ -24,7 +24,7 @@
     /// Refusal for the proxy; the call was not run and will not be.
     pub reply: LocalClaimReply,
     /// Sets the claim free again, should it have been recorded.
-    pub settle: SettleClaim,
+    pub settle: ResolveClaim,
 }
 
 /// Sends claims again, under the same attempt id, until they are answered or out of time.
@@ -116,7 +116,7 @@
             code: ResultCode::ClaimUnavailable.number(),
             result: None,
         },
-        settle: SettleClaim {
+        settle: ResolveClaim {
             tenant: pending.claim.tenant,
             request_id: pending.claim.request_id,
             attempt_id: pending.claim.attempt_id,
--- a/crates/agent/src/forward/settles.rs
+++ b/crates/agent/src/forward/settles.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use millford_api::command::{SettleClaim, command};
+use millford_api::command::{ResolveClaim, command};
 use millford_api::internal::{ShardReply, ShardRequest};
-use millford_api::local::{LocalSettle, LocalSettleReply};
+use millford_api::local::{LocalResolveClaim, LocalResolveClaimReply};
 use millford_core::{MonotonicTime, ResultCode, ShardLayout, tenant_key};
 
 use crate::forward::answer::{command_result, propose};
@@ -20,7 +20,7 @@
 struct PendingSettle {
     /// Number of the proxy's request; none for a claim that the agent itself gave up.
     local_id: Option<u64>,
-    settle: SettleClaim,
+    settle: ResolveClaim,
     send_at: MonotonicTime,
 }
 
@@ -36,11 +36,11 @@
         &mut self,
         now: MonotonicTime,
         id: u64,
-        local: LocalSettle,
-    ) -> Option<LocalSettleReply> {
-        let settle = local.settle?;
+        local: LocalResolveClaim,
+    ) -> Option<LocalResolveClaimReply> {
+        let settle = local.resolution?;
         if self.pending.len() >= MAX_SETTLES {
-            return Some(LocalSettleReply {
+            return Some(LocalResolveClaimReply {
                 request_id: local.request_id,
                 code: ResultCode::ControlTimeout.number(),
             });
@@ -50,7 +50,7 @@
     }
 
     /// Takes a settlement of a claim that the agent gave up, unless the queue is full.
-    pub fn submit_abandoned(&mut self, now: MonotonicTime, id: u64, settle: SettleClaim) {
+    pub fn submit_abandoned(&mut self, now: MonotonicTime, id: u64, settle: ResolveClaim) {
         if self.pending.len() < MAX_SETTLES {
             self.add(now, id, None, settle);
         }
@@ -73,7 +73,7 @@
             propose(
                 shard,
                 *id,
-                command::Kind::SettleClaim(pending.settle.clone()),
+                command::Kind::ResolveClaim(pending.settle.clone()),
             )
         })
         .collect()
@@ -86,7 +86,7 @@
         now: MonotonicTime,
         reply: &ShardReply,
         acknowledged: &mut u64,
-    ) -> Option<LocalSettleReply> {
+    ) -> Option<LocalResolveClaimReply> {
         let pending = self.pending.get_mut(&reply.request_id)?;
         let Some(result) = command_result(reply) else {
             pending.send_at = now + CLAIM_RETRY;
@@ -96,7 +96,7 @@
         let done = self.pending.remove(&reply.request_id)?;
         *acknowledged += 1;
         let request_id = done.local_id?;
-        Some(LocalSettleReply { request_id, code })
+        Some(LocalResolveClaimReply { request_id, code })
     }
 
     /// Number of settlements that wait.
@@ -118,7 +118,7 @@
         oldest.map(|pending| pending.send_at).min()
     }
 
-    fn add(&mut self, now: MonotonicTime, id: u64, local_id: Option<u64>, settle: SettleClaim) {
+    fn add(&mut self, now: MonotonicTime, id: u64, local_id: Option<u64>, settle: ResolveClaim) {
         let pending = PendingSettle {
             local_id,
             settle,
--- a/crates/agent/src/proxy_link.rs
+++ b/crates/agent/src/proxy_link.rs
@@ -16,7 +16,7 @@
 pub struct ProxyLink {
     greeted: bool,
     sent: BTreeMap<ShardId, FeedPosition>,
-    shown_revision: u64,
+    applied_revision: u64,
     status: Option<AgentStatus>,
     status_at: MonotonicTime,
 }
@@ -44,13 +44,13 @@
 
     /// The proxy shows this configuration revision.
     pub fn shown(&mut self, revision: u64) {
-        self.shown_revision = self.shown_revision.max(revision);
+        self.applied_revision = self.applied_revision.max(revision);
     }
 
     /// The newest configuration revision that the proxy has shown.
     #[must_use]
-    pub fn shown_revision(&self) -> u64 {
-        self.shown_revision
+    pub fn applied_revision(&self) -> u64 {
+        self.applied_revision
     }
 
     /// The whole state of one shard, with what the registry retires.
--- a/crates/agent/src/quota/desk.rs
+++ b/crates/agent/src/quota/desk.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use millford_api::internal::{QuotaRecall, QuotaReply, QuotaRequest};
-use millford_api::local::{LocalQuotaAsk, LocalQuotaRelease, LocalQuotaReply};
+use millford_api::local::{LocalQuotaRelease, LocalQuotaReply, LocalQuotaRequest};
 use millford_core::{Duration, MonotonicTime, ResultCode, ShardId, ShardLayout, tenant_key};
 
 use crate::quota::ask_sent::AskSent;
@@ -16,7 +16,7 @@
 
 /// The slices of every tenant with work on this node.
 #[derive(Clone, Debug, Default)]
-pub struct QuotaDesk {
+pub struct QuotaClient {
     slices: BTreeMap<String, TenantSlice>,
     /// Tenants whose slice may have something to do at a tick.
     active: BTreeSet<String>,
@@ -25,7 +25,7 @@
     tally: QuotaTally,
 }
 
-impl QuotaDesk {
+impl QuotaClient {
     /// How asks were answered so far.
     #[must_use]
     pub fn tally(&self) -> QuotaTally {
@@ -48,7 +48,7 @@
     pub fn ask(
         &mut self,
         now: MonotonicTime,
-        ask: &LocalQuotaAsk,
+        ask: &LocalQuotaRequest,
         limited_streams: bool,
     ) -> Vec<LocalQuotaReply> {
         let waiter = Waiter {
@@ -117,7 +117,7 @@
             request_id: reply.request_id,
         };
         let mut answers = Vec::new();
-        for ask in &sent.request.asks {
+        for ask in &sent.request.tenants {
             let grant = reply.grants.iter().find(|grant| grant.tenant == ask.tenant);
             let slice = self.slice(now, &ask.tenant);
             match grant {
@@ -183,11 +183,11 @@
                 request_id: *next_id,
                 member: member.to_owned(),
                 epoch,
-                asks: Vec::with_capacity(tenants.len()),
+                tenants: Vec::with_capacity(tenants.len()),
             };
             for tenant in tenants {
                 let ask = self.slice(now, &tenant).ask(now, &tenant, *next_id);
-                request.asks.push(ask);
+                request.tenants.push(ask);
             }
             self.last_sent.insert(shard, now);
             self.requests.sent(now, request.clone());
@@ -266,13 +266,13 @@
         let Some(sent) = self.requests.take(request_id) else {
             return;
         };
-        for ask in &sent.request.asks {
+        for ask in &sent.request.tenants {
             self.slice(now, &ask.tenant).unanswered(now, ask);
         }
     }
 
     fn forget(&mut self, now: MonotonicTime, request: &QuotaRequest) {
-        for ask in &request.asks {
+        for ask in &request.tenants {
             self.slice(now, &ask.tenant).lost(ask);
         }
     }
--- a/crates/agent/src/quota/mod.rs
+++ b/crates/agent/src/quota/mod.rs
@@ -10,7 +10,7 @@
 pub mod tenant_slice;
 pub mod waiter;
 
-pub use desk::QuotaDesk;
+pub use desk::QuotaClient;
 pub use lease::TokenLease;
 pub use quota_tally::QuotaTally;
 pub use request_book::RequestBook;
--- a/crates/agent/src/quota/request_book.rs
+++ b/crates/agent/src/quota/request_book.rs
@@ -23,7 +23,7 @@
         let age = now.since(self.sent_at).as_millis();
         let age = u32::try_from(age).unwrap_or(u32::MAX);
         let mut request = self.request.clone();
-        for ask in request.asks.iter_mut().filter(|ask| ask.waiting > 0) {
+        for ask in request.tenants.iter_mut().filter(|ask| ask.waiting > 0) {
             ask.oldest_wait_ms = ask.oldest_wait_ms.saturating_add(age);
         }
         request
@@ -57,7 +57,7 @@
     #[must_use]
     pub fn returns_tokens(&self, request_id: u64) -> bool {
         let entry = self.requests.get(&request_id);
-        let mut asks = entry.into_iter().flat_map(|entry| &entry.request.asks);
+        let mut asks = entry.into_iter().flat_map(|entry| &entry.request.tenants);
         asks.any(|ask| ask.returned_tokens > 0)
     }
 
--- a/crates/agent/src/quota/tenant_slice.rs
+++ b/crates/agent/src/quota/tenant_slice.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use millford_api::internal::{QuotaAsk, QuotaGrant};
+use millford_api::internal::{QuotaGrant, TenantQuotaRequest};
 use millford_core::{Duration, MonotonicTime, ResultCode};
 
 use crate::quota::ask_sent::AskSent;
@@ -203,17 +203,17 @@
     }
 
     fn slots_missing(&self, now: MonotonicTime) -> bool {
-        let waiting = self.slots_wanted() > self.slots.in_use();
+        let waiting = self.slots_requested() > self.slots.in_use();
         waiting && self.under_way == 0 && !self.slots.is_free(now)
     }
 
-    fn slots_wanted(&self) -> u32 {
+    fn slots_requested(&self) -> u32 {
         let waiting = self.waiters.iter().filter(|waiter| waiter.needs_slot);
         self.slots.in_use() + u32::try_from(waiting.count()).unwrap_or(u32::MAX)
     }
 
     /// The ask to send now in request `request_id`. What it gives back is gone from here.
-    pub fn ask(&mut self, now: MonotonicTime, tenant: &str, request_id: u64) -> QuotaAsk {
+    pub fn ask(&mut self, now: MonotonicTime, tenant: &str, request_id: u64) -> TenantQuotaRequest {
         if self.recalled {
             self.to_return += self.tokens(now).saturating_sub(self.tokens_kept());
             self.drop_tokens(now);
@@ -222,13 +222,13 @@
         let tokens = self.tokens_missing(now);
         self.outstanding += tokens;
         self.under_way += 1;
-        let slots_wanted = self.slots_wanted();
-        self.slots.asked(now, slots_wanted, request_id);
-        QuotaAsk {
+        let slots_requested = self.slots_requested();
+        self.slots.asked(now, slots_requested, request_id);
+        TenantQuotaRequest {
             tenant: tenant.to_owned(),
             tokens,
             returned_tokens: std::mem::take(&mut self.to_return),
-            slots_wanted,
+            slots_requested,
             slots_in_use: self.slots.in_use(),
             oldest_wait_ms: self.oldest_wait_ms(now),
             waiting: u32::try_from(self.waiters.len()).unwrap_or(u32::MAX),
@@ -265,7 +265,7 @@
         &mut self,
         now: MonotonicTime,
         sent: AskSent,
-        ask: &QuotaAsk,
+        ask: &TenantQuotaRequest,
         grant: &QuotaGrant,
     ) -> Vec<SliceAnswer> {
         self.answered(ask);
@@ -287,7 +287,7 @@
             answers.extend(self.refuse(refused, code, grant.retry_after_ms, |_| true));
         }
         if grant.slots_refused {
-            let missing = ask.slots_wanted.saturating_sub(grant.slots);
+            let missing = ask.slots_requested.saturating_sub(grant.slots);
             let code = ResultCode::StreamLimit;
             answers.extend(self.refuse(missing, code, grant.retry_after_ms, |waiter| {
                 waiter.needs_slot
@@ -297,18 +297,18 @@
     }
 
     /// An ask is given up: its answer would come too late to be used.
-    pub fn lost(&mut self, ask: &QuotaAsk) {
+    pub fn lost(&mut self, ask: &TenantQuotaRequest) {
         self.answered(ask);
     }
 
     /// An ask was not processed: the next one waits a moment.
-    pub fn unanswered(&mut self, now: MonotonicTime, ask: &QuotaAsk) {
+    pub fn unanswered(&mut self, now: MonotonicTime, ask: &TenantQuotaRequest) {
         self.answered(ask);
         self.ask_after = now + QUOTA_RETRY;
         self.slots.report_again(self.ask_after);
     }
 
-    fn answered(&mut self, ask: &QuotaAsk) {
+    fn answered(&mut self, ask: &TenantQuotaRequest) {
         self.outstanding = self.outstanding.saturating_sub(ask.tokens);
         self.under_way = self.under_way.saturating_sub(1);
     }
--- a/crates/agent/tests/fail_over.rs
+++ b/crates/agent/tests/fail_over.rs
@@ -167,8 +167,8 @@
     fleet.restart_agent(&ADDRESSES);
     assert!(!fleet.core.complete());
     fleet.link_proxy();
-    let shown = millford_api::local::ProxyShown { revision: 2 };
-    fleet.proxy_sends(local_frame::Body::Shown(shown));
+    let shown = millford_api::local::ProxyApplied { revision: 2 };
+    fleet.proxy_sends(local_frame::Body::Applied(shown));
     fleet.run(3_000);
     assert_eq!(fleet.at(), ahead);
     assert_eq!(fleet.core.revision(), 2);
--- a/crates/agent/tests/open_streams.rs
+++ b/crates/agent/tests/open_streams.rs
@@ -2,15 +2,15 @@
 
 use std::collections::BTreeMap;
 
-use millford_agent::quota::QuotaDesk;
+use millford_agent::quota::QuotaClient;
 use millford_api::internal::{QuotaGrant, QuotaReply, QuotaRequest};
-use millford_api::local::LocalQuotaAsk;
+use millford_api::local::LocalQuotaRequest;
 use millford_core::{Duration, MonotonicTime, ShardLayout};
 
 const TENANT: &str = "library";
 
-fn ask(request_id: u64) -> LocalQuotaAsk {
-    LocalQuotaAsk {
+fn ask(request_id: u64) -> LocalQuotaRequest {
+    LocalQuotaRequest {
         request_id,
         tenant: TENANT.to_owned(),
         stream: true,
@@ -19,13 +19,13 @@
     }
 }
 
-fn requests(desk: &mut QuotaDesk, now: MonotonicTime, next_id: &mut u64) -> Vec<QuotaRequest> {
+fn requests(desk: &mut QuotaClient, now: MonotonicTime, next_id: &mut u64) -> Vec<QuotaRequest> {
     desk.requests(now, ShardLayout::new(1), "front-1", 1, next_id)
 }
 
 /// A desk with one admitted stream.
-fn desk_with_a_stream(now: MonotonicTime, next_id: &mut u64) -> QuotaDesk {
-    let mut desk = QuotaDesk::default();
+fn desk_with_a_stream(now: MonotonicTime, next_id: &mut u64) -> QuotaClient {
+    let mut desk = QuotaClient::default();
     assert!(desk.ask(now, &ask(1), true).is_empty());
     let sent = requests(&mut desk, now, next_id);
     let reply = QuotaReply {
@@ -63,12 +63,12 @@
 fn a_restarted_agent_learns_the_open_streams_and_tells_the_leader() {
     let now = MonotonicTime::from_millis(10_000);
     let mut next_id = 0;
-    let mut desk = QuotaDesk::default();
+    let mut desk = QuotaClient::default();
     desk.take_over(now, &BTreeMap::from([(TENANT.to_owned(), 3)]));
     assert_eq!(desk.slots_in_use(), 3);
     let later = now + Duration::from_secs(2);
     let _ = desk.tick(later);
     let told = requests(&mut desk, later, &mut next_id);
-    assert_eq!(told[0].asks[0].slots_in_use, 3);
-    assert_eq!(told[0].asks[0].slots_wanted, 3);
+    assert_eq!(told[0].tenants[0].slots_in_use, 3);
+    assert_eq!(told[0].tenants[0].slots_requested, 3);
 }
--- a/crates/agent/tests/quota_ages.rs
+++ b/crates/agent/tests/quota_ages.rs
@@ -1,18 +1,18 @@
 //! Ages of asks and of grants: what an ask waited before it came here counts, and a grant says until
 //! when it may be used.
 
-use millford_agent::quota::QuotaDesk;
+use millford_agent::quota::QuotaClient;
 use millford_api::internal::{QuotaGrant, QuotaReply, QuotaRequest};
-use millford_api::local::LocalQuotaAsk;
+use millford_api::local::LocalQuotaRequest;
 use millford_core::{Duration, MonotonicTime, ResultCode, ShardLayout};
 
 const TENANT: &str = "t";
 const START: MonotonicTime = MonotonicTime::from_millis(10_000);
 const LEASE_MS: u32 = 1_000;
 
-fn desk_with_ask(waited_ms: u32) -> QuotaDesk {
-    let mut desk = QuotaDesk::default();
-    let ask = LocalQuotaAsk {
+fn desk_with_ask(waited_ms: u32) -> QuotaClient {
+    let mut desk = QuotaClient::default();
+    let ask = LocalQuotaRequest {
         request_id: 7,
         tenant: TENANT.to_owned(),
         stream: false,
@@ -23,7 +23,7 @@
     desk
 }
 
-fn request(desk: &mut QuotaDesk, now: MonotonicTime) -> QuotaRequest {
+fn request(desk: &mut QuotaClient, now: MonotonicTime) -> QuotaRequest {
     let mut id = 0;
     let requests = desk.requests(now, ShardLayout::new(1), "node", 1, &mut id);
     requests
@@ -40,7 +40,7 @@
 fn what_an_ask_waited_at_a_former_agent_is_told_to_the_leader() {
     let mut desk = desk_with_ask(4_000);
     let request = request(&mut desk, after(30));
-    assert_eq!(request.asks[0].oldest_wait_ms, 4_030);
+    assert_eq!(request.tenants[0].oldest_wait_ms, 4_030);
 }
 
 #[test]
--- a/crates/agent/tests/quota_and_claims.rs
+++ b/crates/agent/tests/quota_and_claims.rs
@@ -3,11 +3,12 @@
 mod support;
 
 use millford_agent::AgentInput;
-use millford_api::command::{Claim, RunOutcome, SettleClaim};
+use millford_api::command::{Claim, ResolveClaim, RunOutcome};
 use millford_api::config::Quota;
 use millford_api::internal::{QuotaRecall, frame};
 use millford_api::local::{
-    LocalClaim, LocalQuotaAsk, LocalQuotaRelease, LocalQuotaReply, LocalSettle, local_frame,
+    LocalClaim, LocalQuotaRelease, LocalQuotaReply, LocalQuotaRequest, LocalResolveClaim,
+    local_frame,
 };
 use millford_core::ResultCode;
 use support::{Fleet, tenant};
@@ -34,7 +35,7 @@
 }
 
 fn ask(fleet: &mut Fleet, request_id: u64, stream: bool, timeout_ms: u32) {
-    fleet.proxy_sends(local_frame::Body::QuotaAsk(LocalQuotaAsk {
+    fleet.proxy_sends(local_frame::Body::QuotaRequest(LocalQuotaRequest {
         request_id,
         tenant: "t".to_owned(),
         stream,
@@ -283,9 +284,9 @@
         control.silent = true;
     }
     for id in 0..20 {
-        fleet.proxy_sends(local_frame::Body::Settle(LocalSettle {
+        fleet.proxy_sends(local_frame::Body::ResolveClaim(LocalResolveClaim {
             request_id: id,
-            settle: Some(SettleClaim {
+            resolution: Some(ResolveClaim {
                 tenant: "t".to_owned(),
                 request_id: format!("order-{id}"),
                 attempt_id: "attempt".to_owned(),
--- a/crates/agent/tests/quota_hot_tenant.rs
+++ b/crates/agent/tests/quota_hot_tenant.rs
@@ -4,10 +4,10 @@
 #[path = "support/quota_post.rs"]
 mod quota_post;
 
-use millford_agent::quota::QuotaDesk;
+use millford_agent::quota::QuotaClient;
 use millford_api::config::Quota;
-use millford_api::local::{LocalQuotaAsk, LocalQuotaReply};
-use millford_control_state::quota::{QuotaLedger, QuotaOptions};
+use millford_api::local::{LocalQuotaReply, LocalQuotaRequest};
+use millford_control_state::quota::{QuotaLeases, QuotaOptions};
 use millford_core::{Duration, MonotonicTime, ResultCode, ShardId, ShardLayout};
 use quota_post::{Parcel, Post, name_of};
 use rand::rngs::SmallRng;
@@ -38,8 +38,8 @@
 struct Rig {
     now: MonotonicTime,
     random: SmallRng,
-    ledger: QuotaLedger,
-    desks: Vec<QuotaDesk>,
+    ledger: QuotaLeases,
+    desks: Vec<QuotaClient>,
     ids: Vec<u64>,
     post: Post,
     asked: Vec<MonotonicTime>,
@@ -50,7 +50,7 @@
     /// The leader took over at 10 s.
     fn new(seed: u64) -> Self {
         let now = MonotonicTime::from_millis(10_000);
-        let mut ledger = QuotaLedger::new(ShardId(1), QuotaOptions::default());
+        let mut ledger = QuotaLeases::new(ShardId(1), QuotaOptions::default());
         ledger.lead(now, 1);
         let quota = Quota {
             requests_per_second: RATE,
@@ -62,7 +62,7 @@
             now,
             random: SmallRng::seed_from_u64(seed),
             ledger,
-            desks: vec![QuotaDesk::default(); NODES],
+            desks: vec![QuotaClient::default(); NODES],
             ids: vec![0; NODES],
             post: Post::default(),
             asked: Vec::new(),
@@ -100,11 +100,11 @@
 
     fn call(&mut self) {
         let node = self.random.random_range(0..NODES);
-        let ask = LocalQuotaAsk {
+        let ask = LocalQuotaRequest {
             request_id: self.asked.len() as u64,
             tenant: TENANT.to_owned(),
             timeout_ms: TIMEOUT_MS,
-            ..LocalQuotaAsk::default()
+            ..LocalQuotaRequest::default()
         };
         self.asked.push(self.now);
         let replies = self.desks[node].ask(self.now, &ask, false);
--- a/crates/agent/tests/quota_over_nodes.rs
+++ b/crates/agent/tests/quota_over_nodes.rs
@@ -4,10 +4,10 @@
 #[path = "support/quota_post.rs"]
 mod quota_post;
 
-use millford_agent::quota::QuotaDesk;
+use millford_agent::quota::QuotaClient;
 use millford_api::config::Quota;
-use millford_api::local::{LocalQuotaAsk, LocalQuotaRelease, LocalQuotaReply};
-use millford_control_state::quota::{QuotaLedger, QuotaOptions};
+use millford_api::local::{LocalQuotaRelease, LocalQuotaReply, LocalQuotaRequest};
+use millford_control_state::quota::{QuotaLeases, QuotaOptions};
 use millford_core::{Duration, MonotonicTime, ShardId, ShardLayout};
 use quickcheck::{QuickCheck, TestResult};
 use quota_post::{Parcel, Post, name_of};
@@ -36,8 +36,8 @@
     now: MonotonicTime,
     random: SmallRng,
     weather: Weather,
-    ledger: QuotaLedger,
-    desks: Vec<QuotaDesk>,
+    ledger: QuotaLeases,
+    desks: Vec<QuotaClient>,
     ids: Vec<u64>,
     post: Post,
     granted: Vec<MonotonicTime>,
@@ -49,7 +49,7 @@
 
 impl Rig {
     fn new(seed: u64, weather: Weather) -> Self {
-        let mut ledger = QuotaLedger::new(ShardId(1), QuotaOptions::default());
+        let mut ledger = QuotaLeases::new(ShardId(1), QuotaOptions::default());
         ledger.lead(MonotonicTime::ZERO, 1);
         let quota = Quota {
             requests_per_second: RATE,
@@ -63,7 +63,7 @@
             random: SmallRng::seed_from_u64(seed),
             weather,
             ledger,
-            desks: vec![QuotaDesk::default(); NODES],
+            desks: vec![QuotaClient::default(); NODES],
             ids: vec![0; NODES],
             post: Post::default(),
             granted: Vec::new(),
@@ -104,7 +104,7 @@
         };
         if self.random.random_bool(chance) {
             self.asked += 1;
-            let ask = LocalQuotaAsk {
+            let ask = LocalQuotaRequest {
                 request_id: self.asked,
                 tenant: TENANT.to_owned(),
                 stream: true,
--- a/crates/agent/tests/support/control_stand_in.rs
+++ b/crates/agent/tests/support/control_stand_in.rs
@@ -11,7 +11,7 @@
     ShardRequest, feed_message, frame, shard_reply, shard_request,
 };
 use millford_api::state::{ControlMember, StateItem};
-use millford_control_state::quota::{QuotaLedger, QuotaOptions, QuotaOutput};
+use millford_control_state::quota::{QuotaLeases, QuotaOptions, QuotaOutput};
 use millford_core::{MonotonicTime, ResultCode, ShardId, ShardLayout, tenant_key};
 use millford_feed::{FeedPosition, FeedPublisher};
 
@@ -20,11 +20,11 @@
 /// What the cluster as a whole knows.
 pub struct SharedShards {
     pub vacant: bool,
-    pub ledgers: BTreeMap<u32, QuotaLedger>,
+    pub ledgers: BTreeMap<u32, QuotaLeases>,
     pub sessions: BTreeMap<String, u64>,
     pub next_epoch: u64,
     pub claims: Vec<millford_api::command::Claim>,
-    pub settles: Vec<millford_api::command::SettleClaim>,
+    pub settles: Vec<millford_api::command::ResolveClaim>,
     pub closed: Vec<String>,
 }
 
@@ -32,7 +32,7 @@
     pub fn new(now: MonotonicTime) -> Self {
         let mut ledgers = BTreeMap::new();
         for shard in 1..=DATA_SHARDS {
-            let mut ledger = QuotaLedger::new(ShardId(shard), QuotaOptions::default());
+            let mut ledger = QuotaLeases::new(ShardId(shard), QuotaOptions::default());
             ledger.lead(now, 1);
             ledgers.insert(shard, ledger);
         }
@@ -56,7 +56,7 @@
     /// Every shard's leader is lost.
     pub fn lose_leaders(&mut self) {
         self.vacant = true;
-        self.ledgers.values_mut().for_each(QuotaLedger::resign);
+        self.ledgers.values_mut().for_each(QuotaLeases::resign);
     }
 
     /// New leaders are elected.
@@ -99,7 +99,7 @@
                 };
                 Some(command_result::Kind::Claim(granted))
             }
-            command::Kind::SettleClaim(settle) => {
+            command::Kind::ResolveClaim(settle) => {
                 self.settles.push(settle);
                 None
             }
@@ -196,7 +196,7 @@
         frame::Body::HeartbeatReply(HeartbeatReply {
             sequence: heartbeat.sequence,
             session_alive: known == Some(&heartbeat.epoch),
-            in_touch: self.in_touch,
+            has_quorum: self.in_touch,
             members: self.members.clone(),
             data_shards: DATA_SHARDS,
         })
--- a/crates/api/src/operator/status_body.rs
+++ b/crates/api/src/operator/status_body.rs
@@ -34,8 +34,9 @@
     pub operator_address: String,
     /// Zone.
     pub zone: String,
-    /// Whether the answering node is in touch with it.
-    pub in_touch: bool,
+    /// Whether the answering node is connected to it.
+    #[serde(rename = "in_touch")]
+    pub connected: bool,
 }
 
 /// One shard.
@@ -68,8 +69,9 @@
     pub zone: String,
     /// Address.
     pub address: String,
-    /// Configuration revision that the member shows.
-    pub shown_revision: u64,
+    /// Configuration revision that the member has applied.
+    #[serde(rename = "shown_revision")]
+    pub applied_revision: u64,
 }
 
 /// Replicas of one pool.
--- a/crates/control-state/examples/state_cost.rs
+++ b/crates/control-state/examples/state_cost.rs
@@ -6,9 +6,9 @@
 
 use millford_api::command::{Claim, Command, command::Kind};
 use millford_api::config::Quota;
-use millford_api::internal::{QuotaAsk, QuotaRequest};
+use millford_api::internal::{QuotaRequest, TenantQuotaRequest};
 use millford_control_state::ShardMachine;
-use millford_control_state::quota::{QuotaLedger, QuotaOptions};
+use millford_control_state::quota::{QuotaLeases, QuotaOptions};
 use millford_core::{MonotonicTime, ShardId};
 
 /// Claims at each step of the measurement.
@@ -73,7 +73,7 @@
     let mut kept = Vec::new();
     for count in TENANT_STEPS {
         let before = resident_bytes();
-        let mut ledger = QuotaLedger::new(ShardId(1), QuotaOptions::default());
+        let mut ledger = QuotaLeases::new(ShardId(1), QuotaOptions::default());
         ledger.lead(MonotonicTime::ZERO, 1);
         let now = MonotonicTime::from_millis(3_600_000);
         for number in 0..count {
@@ -110,19 +110,19 @@
 }
 
 fn request(number: u64, tenants: u64) -> QuotaRequest {
-    let ask = QuotaAsk {
+    let ask = TenantQuotaRequest {
         tenant: tenant(number % tenants),
         tokens: 1,
-        slots_wanted: 1,
+        slots_requested: 1,
         slots_in_use: 1,
-        ..QuotaAsk::default()
+        ..TenantQuotaRequest::default()
     };
     QuotaRequest {
         shard: 1,
         request_id: number + 1,
         member: format!("agent-{}", number / tenants),
         epoch: 1,
-        asks: vec![ask],
+        tenants: vec![ask],
     }
 }
 
--- a/crates/control-state/src/machine/catalogue.rs
+++ b/crates/control-state/src/machine/catalogue.rs
@@ -13,7 +13,7 @@
 /// Standing drain orders by the backend's key; the backends themselves are public items.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Catalogue {
-    drains: BTreeMap<String, DrainOrder>,
+    drain_orders: BTreeMap<String, DrainOrder>,
 }
 
 impl Catalogue {
@@ -26,7 +26,7 @@
         for backend_id in &update.removals {
             let key = keys::backend(&update.service, backend_id);
             // A replacement has a new id, so a drain order ends with its backend.
-            self.drains.remove(&key);
+            self.drain_orders.remove(&key);
             changes.extend(state.delete(&key));
         }
         Applied::changed(changes)
@@ -41,7 +41,7 @@
         let mut backend = present.clone();
         if order.drain {
             let drain = self
-                .drains
+                .drain_orders
                 .entry(key.clone())
                 .or_insert_with(|| DrainOrder {
                     service: order.service.clone(),
@@ -49,7 +49,7 @@
                     declared_state: backend.state,
                 });
             backend.state = drained_state(drain.declared_state);
-        } else if let Some(lifted) = self.drains.remove(&key) {
+        } else if let Some(lifted) = self.drain_orders.remove(&key) {
             backend.state = lifted.declared_state;
         }
         let change = state.set(key, Kind::Backend(backend));
@@ -64,7 +64,7 @@
                 continue;
             };
             let mut backend = backend.clone();
-            if let Some(drain) = self.drains.get(&key) {
+            if let Some(drain) = self.drain_orders.get(&key) {
                 backend.state = drain.declared_state;
             }
             backends.insert(backend.id.clone(), backend);
@@ -73,13 +73,13 @@
     }
 
     /// The drain orders in the order of their keys.
-    pub(crate) fn drains(&self) -> impl Iterator<Item = &DrainOrder> {
-        self.drains.values()
+    pub(crate) fn drain_orders(&self) -> impl Iterator<Item = &DrainOrder> {
+        self.drain_orders.values()
     }
 
     /// Replaces the drain orders, for a restore.
-    pub(crate) fn replace(&mut self, drains: Vec<DrainOrder>) {
-        self.drains = drains
+    pub(crate) fn replace(&mut self, drain_orders: Vec<DrainOrder>) {
+        self.drain_orders = drain_orders
             .into_iter()
             .map(|drain| (keys::backend(&drain.service, &drain.backend_id), drain))
             .collect();
@@ -93,7 +93,7 @@
     ) -> Option<StateItem> {
         let key = keys::backend(service, &backend.id);
         let mut backend = backend.clone();
-        if let Some(drain) = self.drains.get_mut(&key) {
+        if let Some(drain) = self.drain_orders.get_mut(&key) {
             drain.declared_state = backend.state;
             backend.state = drained_state(drain.declared_state);
         }
--- a/crates/control-state/src/machine/claim_table.rs
+++ b/crates/control-state/src/machine/claim_table.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use millford_api::command::{Claim, ClaimRecord, ClaimResult, RunOutcome, SettleClaim};
+use millford_api::command::{Claim, ClaimRecord, ClaimResult, ResolveClaim, RunOutcome};
 use millford_core::ResultCode;
 
 use super::applied::Applied;
@@ -55,7 +55,7 @@
     ///
     /// An attempt that gives up before its claim was answered settles as not run; the mark keeps
     /// the claim, should it still arrive, from being granted to an attempt that has ended.
-    pub(crate) fn settle(&mut self, settle: &SettleClaim, now_ms: u64) -> Applied {
+    pub(crate) fn settle(&mut self, settle: &ResolveClaim, now_ms: u64) -> Applied {
         let key = key_hash(&settle.tenant, &settle.request_id);
         match self.claims.get_mut(&key) {
             Some(known) => settle_known(known, settle),
@@ -126,7 +126,7 @@
     }
 }
 
-fn settle_known(known: &mut KeptClaim, settle: &SettleClaim) {
+fn settle_known(known: &mut KeptClaim, settle: &ResolveClaim) {
     let open = known.outcome == RunOutcome::RunUnknown;
     if open && known.attempt == attempt_hash(&settle.attempt_id) {
         known.outcome = settle.outcome();
--- a/crates/control-state/src/machine/kept_claim.rs
+++ b/crates/control-state/src/machine/kept_claim.rs
@@ -1,6 +1,6 @@
 //! One claim as the shard keeps it.
 
-use millford_api::command::{Claim, ClaimRecord, RunOutcome, SettleClaim};
+use millford_api::command::{Claim, ClaimRecord, ResolveClaim, RunOutcome};
 
 use super::short_hash::ShortHash;
 
@@ -25,7 +25,7 @@
     }
 
     /// The mark of an attempt that gave up before its claim arrived.
-    pub(super) fn abandoned(settle: &SettleClaim, now_ms: u64) -> Self {
+    pub(super) fn abandoned(settle: &ResolveClaim, now_ms: u64) -> Self {
         Self {
             attempt: attempt_hash(&settle.attempt_id),
             digest: ShortHash::default(),
--- a/crates/control-state/src/machine/shard_machine.rs
+++ b/crates/control-state/src/machine/shard_machine.rs
@@ -159,7 +159,7 @@
         match kind {
             Kind::PutConfig(order) => self.put_config(order),
             Kind::Claim(claim) => self.claims.claim(claim, self.shard_time_ms),
-            Kind::SettleClaim(settle) => self.claims.settle(settle, self.shard_time_ms),
+            Kind::ResolveClaim(settle) => self.claims.settle(settle, self.shard_time_ms),
             Kind::OpenSession(open) => self.sessions.open(&mut self.public, open),
             Kind::CloseSession(close) => self.sessions.close(&mut self.public, close),
             Kind::UpdateBackends(update) => self.catalogue.update(&mut self.public, update),
--- a/crates/control-state/src/machine/snapshot.rs
+++ b/crates/control-state/src/machine/snapshot.rs
@@ -25,7 +25,7 @@
             sessions: self.sessions.sessions().values().cloned().collect(),
             shard_time_ms: self.shard_time_ms,
             next_epoch: self.sessions.last_epoch() + 1,
-            drains: self.catalogue.drains().cloned().collect(),
+            drain_orders: self.catalogue.drain_orders().cloned().collect(),
             config_source: self.config_source.clone(),
         };
         snapshot.encode_to_vec()
@@ -51,7 +51,7 @@
         self.claims = claims;
         let last_epoch = snapshot.next_epoch.saturating_sub(1);
         self.sessions.replace(snapshot.sessions, last_epoch);
-        self.catalogue.replace(snapshot.drains);
+        self.catalogue.replace(snapshot.drain_orders);
         self.config_source = snapshot.config_source;
         Ok(())
     }
--- a/crates/control-state/src/quota/ledger.rs
+++ b/crates/control-state/src/quota/ledger.rs
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 
 use millford_api::config::Quota;
-use millford_api::internal::{QuotaAsk, QuotaReply, QuotaRequest};
+use millford_api::internal::{QuotaReply, QuotaRequest, TenantQuotaRequest};
 use millford_core::{MonotonicTime, ResultCode, ShardId};
 
 use super::account::LEASE_MARGIN;
@@ -36,14 +36,14 @@
 
 /// Quotas of a shard's tenants. A tenant costs memory beyond its limits only while it is in use.
 #[derive(Clone, Debug)]
-pub struct QuotaLedger {
+pub struct QuotaLeases {
     shard: ShardId,
     options: QuotaOptions,
     limits: BTreeMap<String, Quota>,
     leadership: Option<Leadership>,
 }
 
-impl QuotaLedger {
+impl QuotaLeases {
     /// A ledger that does not lead yet.
     #[must_use]
     pub fn new(shard: ShardId, options: QuotaOptions) -> Self {
@@ -144,7 +144,7 @@
         }
         let mut reply = empty_reply(request, ResultCode::Ok, leadership.term);
         let mut outputs = Vec::new();
-        for ask in &request.asks {
+        for ask in &request.tenants {
             let context = AskContext {
                 shard,
                 now,
@@ -176,7 +176,12 @@
 }
 
 impl Leadership {
-    fn ask(&mut self, context: AskContext<'_>, ask: &QuotaAsk, quota: Option<&Quota>) -> Turn {
+    fn ask(
+        &mut self,
+        context: AskContext<'_>,
+        ask: &TenantQuotaRequest,
+        quota: Option<&Quota>,
+    ) -> Turn {
         let Some(quota) = quota else {
             return unknown_tenant(ask, context.options);
         };
--- a/crates/control-state/src/quota/mod.rs
+++ b/crates/control-state/src/quota/mod.rs
@@ -18,6 +18,6 @@
 mod slots;
 mod tenant_account;
 
-pub use ledger::QuotaLedger;
+pub use ledger::QuotaLeases;
 pub use options::{QUOTA_LEASE, QuotaOptions, STEP_DOWN_BOUND};
 pub use output::QuotaOutput;
--- a/crates/control-state/src/quota/tenant_account.rs
+++ b/crates/control-state/src/quota/tenant_account.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use millford_api::config::Quota;
-use millford_api::internal::{QuotaAsk, QuotaGrant, QuotaRecall, QuotaRequest};
+use millford_api::internal::{QuotaGrant, QuotaRecall, QuotaRequest, TenantQuotaRequest};
 use millford_core::{Duration, MonotonicTime, ShardId};
 
 use super::account::{TokenAccount, TokenAnswer, TokenAsk};
@@ -52,7 +52,7 @@
     pub(super) fn answer(
         &mut self,
         context: AskContext<'_>,
-        ask: &QuotaAsk,
+        ask: &TenantQuotaRequest,
         quota: &Quota,
     ) -> Turn {
         let tokens = self.answer_tokens(context, ask);
@@ -122,7 +122,7 @@
         (removed || self.tokens.is_idle()) && self.slots.is_empty()
     }
 
-    fn answer_tokens(&mut self, context: AskContext<'_>, ask: &QuotaAsk) -> TokenAnswer {
+    fn answer_tokens(&mut self, context: AskContext<'_>, ask: &TenantQuotaRequest) -> TokenAnswer {
         let token_ask = TokenAsk {
             member: &context.request.member,
             epoch: context.request.epoch,
@@ -137,14 +137,14 @@
     fn answer_slots(
         &mut self,
         context: AskContext<'_>,
-        ask: &QuotaAsk,
+        ask: &TenantQuotaRequest,
         quota: &Quota,
     ) -> SlotAnswer {
         let slot_ask = SlotAsk {
             member: &context.request.member,
             epoch: context.request.epoch,
             request_id: context.request.request_id,
-            wanted: u64::from(ask.slots_wanted),
+            wanted: u64::from(ask.slots_requested),
             in_use: u64::from(ask.slots_in_use),
         };
         let limit = u64::from(quota.concurrent_streams);
@@ -155,11 +155,11 @@
 }
 
 /// The configuration that names the tenant has not reached this leader; nothing is refused for it.
-pub(super) fn unknown_tenant(ask: &QuotaAsk, options: &QuotaOptions) -> Turn {
+pub(super) fn unknown_tenant(ask: &TenantQuotaRequest, options: &QuotaOptions) -> Turn {
     let grant = QuotaGrant {
         tenant: ask.tenant.clone(),
         lease_ms: millis(options.lease),
-        slots: ask.slots_in_use.min(ask.slots_wanted),
+        slots: ask.slots_in_use.min(ask.slots_requested),
         retry_after_ms: millis(UNKNOWN_TENANT_WAIT),
         ..QuotaGrant::default()
     };
--- a/crates/control-state/tests/claims.rs
+++ b/crates/control-state/tests/claims.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use millford_api::command::{
-    AdvanceClock, Claim, ClaimResult, RunOutcome, SettleClaim, command::Kind, command_result,
+    AdvanceClock, Claim, ClaimResult, ResolveClaim, RunOutcome, command::Kind, command_result,
 };
 use millford_control_state::ShardMachine;
 use millford_control_state::machine::CLAIM_RETENTION_MS;
@@ -21,7 +21,7 @@
     }
 
     fn settle(&mut self, attempt: &str, outcome: RunOutcome) {
-        let applied = self.apply_kind(Kind::SettleClaim(settle(attempt, outcome)));
+        let applied = self.apply_kind(Kind::ResolveClaim(settle(attempt, outcome)));
         assert_eq!(applied.result.code, 0);
     }
 
@@ -39,8 +39,8 @@
     }
 }
 
-fn settle(attempt: &str, outcome: RunOutcome) -> SettleClaim {
-    SettleClaim {
+fn settle(attempt: &str, outcome: RunOutcome) -> ResolveClaim {
+    ResolveClaim {
         tenant: "library".to_owned(),
         request_id: "request".to_owned(),
         attempt_id: attempt.to_owned(),
--- a/crates/control-state/tests/quota_outage.rs
+++ b/crates/control-state/tests/quota_outage.rs
@@ -1,8 +1,8 @@
 //! What waited while there was no leader is not held against its tenant.
 
 use millford_api::config::Quota;
-use millford_api::internal::{QuotaAsk, QuotaGrant, QuotaReply, QuotaRequest};
-use millford_control_state::quota::{QuotaLedger, QuotaOptions, QuotaOutput};
+use millford_api::internal::{QuotaGrant, QuotaReply, QuotaRequest, TenantQuotaRequest};
+use millford_control_state::quota::{QuotaLeases, QuotaOptions, QuotaOutput};
 use millford_core::{MonotonicTime, ResultCode, ShardId};
 
 const RATE: u32 = 10;
@@ -19,27 +19,27 @@
 }
 
 fn answer(
-    ledger: &mut QuotaLedger,
+    ledger: &mut QuotaLeases,
     now: MonotonicTime,
     member: &str,
     waiting: u32,
     oldest_wait_ms: u32,
 ) -> QuotaGrant {
-    let ask = QuotaAsk {
+    let ask = TenantQuotaRequest {
         tokens: waiting,
         waiting,
         oldest_wait_ms,
-        ..QuotaAsk::default()
+        ..TenantQuotaRequest::default()
     };
     answer_to(ledger, now, member, 1, ask)
 }
 
 fn answer_to(
-    ledger: &mut QuotaLedger,
+    ledger: &mut QuotaLeases,
     now: MonotonicTime,
     member: &str,
     request_id: u64,
-    ask: QuotaAsk,
+    ask: TenantQuotaRequest,
 ) -> QuotaGrant {
     reply_to(ledger, now, member, request_id, ask)
         .grants
@@ -47,18 +47,18 @@
 }
 
 fn reply_to(
-    ledger: &mut QuotaLedger,
+    ledger: &mut QuotaLeases,
     now: MonotonicTime,
     member: &str,
     request_id: u64,
-    ask: QuotaAsk,
+    ask: TenantQuotaRequest,
 ) -> QuotaReply {
     let request = QuotaRequest {
         shard: 1,
         request_id,
         member: member.to_owned(),
         epoch: 1,
-        asks: vec![QuotaAsk {
+        tenants: vec![TenantQuotaRequest {
             tenant: "tenant".to_owned(),
             ..ask
         }],
@@ -72,8 +72,8 @@
 }
 
 /// A ledger that leads from this moment and knows the tenant's quota.
-fn led_ledger(elected: MonotonicTime) -> QuotaLedger {
-    let mut ledger = QuotaLedger::new(ShardId(1), QuotaOptions::default());
+fn led_ledger(elected: MonotonicTime) -> QuotaLeases {
+    let mut ledger = QuotaLeases::new(ShardId(1), QuotaOptions::default());
     let quota = Quota {
         requests_per_second: RATE,
         burst: BURST,
@@ -107,11 +107,11 @@
 fn what_waits_under_other_asks_is_not_forgotten() {
     let mut ledger = led_ledger(MonotonicTime::ZERO);
     let mut ask = |at_ms: u64, request_id: u64, tokens: u32, waiting: u32| {
-        let ask = QuotaAsk {
+        let ask = TenantQuotaRequest {
             tokens,
             waiting,
             oldest_wait_ms: OUTAGE_MS,
-            ..QuotaAsk::default()
+            ..TenantQuotaRequest::default()
         };
         let now = MonotonicTime::from_millis(at_ms);
         answer_to(&mut ledger, now, "front-1", request_id, ask)
@@ -134,13 +134,13 @@
 fn an_ask_that_was_given_up_is_not_counted_again() {
     let mut ledger = led_ledger(MonotonicTime::ZERO);
     let start_ms = 120_000;
-    let steady = |ledger: &mut QuotaLedger, step: u64| {
+    let steady = |ledger: &mut QuotaLeases, step: u64| {
         let now = MonotonicTime::from_millis(start_ms + step * 100);
         ledger.tick(now);
-        let ask = QuotaAsk {
+        let ask = TenantQuotaRequest {
             tokens: 1,
             waiting: 1,
-            ..QuotaAsk::default()
+            ..TenantQuotaRequest::default()
         };
         answer_to(ledger, now, "front-1", 10 + step, ask)
     };
@@ -149,11 +149,11 @@
     }
     // Sent before the first of them, passed on by the relay only now.
     let now = MonotonicTime::from_millis(start_ms + 4_000);
-    let crowd = QuotaAsk {
+    let crowd = TenantQuotaRequest {
         tokens: BURST * 3,
         waiting: BURST * 3,
         oldest_wait_ms: OUTAGE_MS,
-        ..QuotaAsk::default()
+        ..TenantQuotaRequest::default()
     };
     let late = reply_to(&mut ledger, now, "front-1", 5, crowd);
     assert_eq!(late.code, ResultCode::ControlTimeout.number());
@@ -169,10 +169,10 @@
 #[test]
 fn a_request_answered_long_ago_is_not_processed_twice() {
     let mut ledger = led_ledger(MonotonicTime::ZERO);
-    let ask = QuotaAsk {
+    let ask = TenantQuotaRequest {
         tokens: 1,
         waiting: 1,
-        ..QuotaAsk::default()
+        ..TenantQuotaRequest::default()
     };
     let first = MonotonicTime::from_millis(120_000);
     assert_eq!(
--- a/crates/control-state/tests/quota_slots.rs
+++ b/crates/control-state/tests/quota_slots.rs
@@ -3,15 +3,15 @@
 use std::collections::BTreeMap;
 
 use millford_api::config::Quota;
-use millford_api::internal::{QuotaAsk, QuotaGrant, QuotaReply, QuotaRequest};
-use millford_control_state::quota::{QuotaLedger, QuotaOptions, QuotaOutput};
+use millford_api::internal::{QuotaGrant, QuotaReply, QuotaRequest, TenantQuotaRequest};
+use millford_control_state::quota::{QuotaLeases, QuotaOptions, QuotaOutput};
 use millford_core::{MonotonicTime, ResultCode, ShardId};
 use quickcheck::quickcheck;
 
 const HOUR_MS: u64 = 3_600_000;
 
 struct Leader {
-    ledger: QuotaLedger,
+    ledger: QuotaLeases,
     now_ms: u64,
     next_request: u64,
     recalled: Vec<String>,
@@ -20,7 +20,7 @@
 impl Leader {
     /// A ledger that has led for an hour, with one tenant.
     fn new(concurrent_streams: u32) -> Self {
-        let mut ledger = QuotaLedger::new(ShardId(1), QuotaOptions::default());
+        let mut ledger = QuotaLeases::new(ShardId(1), QuotaOptions::default());
         ledger.lead(MonotonicTime::ZERO, 1);
         let quota = Quota {
             requests_per_second: 100,
@@ -40,14 +40,14 @@
         MonotonicTime::from_millis(self.now_ms)
     }
 
-    fn send(&mut self, member: &str, epoch: u64, ask: QuotaAsk) -> QuotaReply {
+    fn send(&mut self, member: &str, epoch: u64, ask: TenantQuotaRequest) -> QuotaReply {
         self.next_request += 1;
         let request = QuotaRequest {
             shard: 1,
             request_id: self.next_request,
             member: member.to_owned(),
             epoch,
-            asks: vec![ask],
+            tenants: vec![ask],
         };
         self.deliver(&request)
     }
@@ -69,20 +69,20 @@
     }
 
     fn slots_of(&mut self, member: &str, epoch: u64, wanted: u32, in_use: u32) -> QuotaGrant {
-        let ask = QuotaAsk {
+        let ask = TenantQuotaRequest {
             tenant: "library".to_owned(),
-            slots_wanted: wanted,
+            slots_requested: wanted,
             slots_in_use: in_use,
-            ..QuotaAsk::default()
+            ..TenantQuotaRequest::default()
         };
         self.send(member, epoch, ask).grants.remove(0)
     }
 
     fn tokens(&mut self, member: &str, tokens: u32) -> QuotaGrant {
-        let ask = QuotaAsk {
+        let ask = TenantQuotaRequest {
             tenant: "library".to_owned(),
             tokens,
-            ..QuotaAsk::default()
+            ..TenantQuotaRequest::default()
         };
         self.send(member, 1, ask).grants.remove(0)
     }
@@ -143,10 +143,10 @@
     leader.slots("a", 1, 1);
     let again = leader.tokens("b", 60 - b.tokens);
     assert_eq!((again.tokens, again.refused), (0, false));
-    let ask = QuotaAsk {
+    let ask = TenantQuotaRequest {
         tenant: "library".to_owned(),
         returned_tokens: 60 - b.tokens,
-        ..QuotaAsk::default()
+        ..TenantQuotaRequest::default()
     };
     leader.send("a", 1, ask);
     assert_eq!(leader.tokens("b", 60 - b.tokens).tokens, 60 - b.tokens);
@@ -184,9 +184,9 @@
     let mut leader = Leader::new(4);
     leader.slots("a", 4, 4);
     leader.tokens("b", 1);
-    let ask = QuotaAsk {
+    let ask = TenantQuotaRequest {
         tenant: "other".to_owned(),
-        ..QuotaAsk::default()
+        ..TenantQuotaRequest::default()
     };
     leader.send("a", 2, ask);
     assert!(leader.slots("b", 1, 0).slots_refused);
@@ -198,10 +198,10 @@
 fn an_older_epoch_is_fenced() {
     let mut leader = Leader::new(4);
     leader.slots_of("a", 2, 1, 1);
-    let ask = QuotaAsk {
+    let ask = TenantQuotaRequest {
         tenant: "library".to_owned(),
         tokens: 1,
-        ..QuotaAsk::default()
+        ..TenantQuotaRequest::default()
     };
     let reply = leader.send("a", 1, ask);
     assert_eq!(reply.code, ResultCode::EpochFenced.number());
@@ -211,17 +211,17 @@
 #[test]
 fn a_resent_request_gets_the_same_answer() {
     let mut leader = Leader::new(4);
-    let ask = QuotaAsk {
+    let ask = TenantQuotaRequest {
         tenant: "library".to_owned(),
         tokens: 60,
-        ..QuotaAsk::default()
+        ..TenantQuotaRequest::default()
     };
     let request = QuotaRequest {
         shard: 1,
         request_id: 77,
         member: "a".to_owned(),
         epoch: 1,
-        asks: vec![ask],
+        tenants: vec![ask],
     };
     let first = leader.deliver(&request);
     leader.now_ms += 1;
@@ -237,9 +237,9 @@
         request_id: 1,
         member: "a".to_owned(),
         epoch: 1,
-        asks: vec![QuotaAsk {
+        tenants: vec![TenantQuotaRequest {
             tenant: "library".to_owned(),
-            ..QuotaAsk::default()
+            ..TenantQuotaRequest::default()
         }],
     };
     leader.next_request = 1;
@@ -265,10 +265,10 @@
 fn without_leadership_nothing_is_lent() {
     let mut leader = Leader::new(4);
     leader.ledger.resign();
-    let ask = QuotaAsk {
+    let ask = TenantQuotaRequest {
         tenant: "library".to_owned(),
         tokens: 1,
-        ..QuotaAsk::default()
+        ..TenantQuotaRequest::default()
     };
     let reply = leader.send("a", 1, ask);
     assert_eq!(reply.code, ResultCode::NotLeader.number());
@@ -277,10 +277,10 @@
 #[test]
 fn an_unknown_tenant_waits_for_its_configuration() {
     let mut leader = Leader::new(4);
-    let ask = QuotaAsk {
+    let ask = TenantQuotaRequest {
         tenant: "new".to_owned(),
         tokens: 1,
-        ..QuotaAsk::default()
+        ..TenantQuotaRequest::default()
     };
     let grant = leader.send("a", 1, ask).grants.remove(0);
     assert_eq!((grant.tokens, grant.refused), (0, false));
@@ -364,11 +364,11 @@
         request_id: leader.next_request,
         member: "a".to_owned(),
         epoch: 1,
-        asks: vec![QuotaAsk {
+        tenants: vec![TenantQuotaRequest {
             tenant: "library".to_owned(),
-            slots_wanted: 4,
+            slots_requested: 4,
             slots_in_use: 2,
-            ..QuotaAsk::default()
+            ..TenantQuotaRequest::default()
         }],
     };
     assert_eq!(leader.slots("a", 0, 0).slots, 0);
--- a/crates/control-state/tests/support/desk_world.rs
+++ b/crates/control-state/tests/support/desk_world.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use millford_agent::quota::QuotaDesk;
+use millford_agent::quota::QuotaClient;
 use millford_api::config::Quota;
 use millford_api::internal::{QuotaRecall, QuotaReply, QuotaRequest};
-use millford_api::local::{LocalQuotaAsk, LocalQuotaRelease, LocalQuotaReply};
-use millford_control_state::quota::{QuotaLedger, QuotaOptions, QuotaOutput, STEP_DOWN_BOUND};
+use millford_api::local::{LocalQuotaRelease, LocalQuotaReply, LocalQuotaRequest};
+use millford_control_state::quota::{QuotaLeases, QuotaOptions, QuotaOutput, STEP_DOWN_BOUND};
 use millford_core::{MonotonicTime, ResultCode, ShardLayout, tenant_key};
 
 use crate::random::Random;
@@ -55,8 +55,8 @@
     quota: Quota,
     random: Random,
     now_ms: u64,
-    desks: Vec<QuotaDesk>,
-    leaders: Vec<QuotaLedger>,
+    desks: Vec<QuotaClient>,
+    leaders: Vec<QuotaLeases>,
     /// Which leader each desk's requests are forwarded to.
     forwards_to: Vec<usize>,
     next_id: Vec<u64>,
@@ -75,7 +75,7 @@
             quota,
             random: Random(seed),
             now_ms: 0,
-            desks: vec![QuotaDesk::default(); desks],
+            desks: vec![QuotaClient::default(); desks],
             leaders: Vec::new(),
             forwards_to: vec![0; desks],
             next_id: vec![0; desks],
@@ -99,7 +99,7 @@
         self.next_call += 1;
         self.outcome.arrived += 1;
         self.streams.insert(self.next_call, stream);
-        let ask = LocalQuotaAsk {
+        let ask = LocalQuotaRequest {
             request_id: self.next_call,
             tenant: TENANT.to_owned(),
             stream,
@@ -144,7 +144,7 @@
             self.take(desk, replies);
             self.send_requests(desk);
         }
-        let open = self.desks.iter().map(QuotaDesk::slots_in_use).sum();
+        let open = self.desks.iter().map(QuotaClient::slots_in_use).sum();
         self.outcome.most_streams = self.outcome.most_streams.max(open);
     }
 
@@ -221,7 +221,7 @@
 
     fn add_leader(&mut self) {
         let shard = ShardLayout::new(1).shard_of(&tenant_key(TENANT));
-        let mut ledger = QuotaLedger::new(shard, QuotaOptions::default());
+        let mut ledger = QuotaLeases::new(shard, QuotaOptions::default());
         ledger.lead(self.now(), self.leaders.len() as u64 + 1);
         ledger.set_quota(self.now(), TENANT, Some(self.quota));
         self.leaders.push(ledger);
--- a/crates/control-state/tests/support/quota_world.rs
+++ b/crates/control-state/tests/support/quota_world.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use millford_api::config::Quota;
-use millford_api::internal::{QuotaAsk, QuotaReply, QuotaRequest};
-use millford_control_state::quota::{QuotaLedger, QuotaOptions, STEP_DOWN_BOUND};
+use millford_api::internal::{QuotaReply, QuotaRequest, TenantQuotaRequest};
+use millford_control_state::quota::{QuotaLeases, QuotaOptions, STEP_DOWN_BOUND};
 use millford_core::{MonotonicTime, ResultCode, ShardId};
 
 use crate::quota_event::{Event, to_event};
@@ -58,7 +58,7 @@
     events: BTreeMap<(u64, u64), Event>,
     sequence: u64,
     now: u64,
-    leaders: Vec<QuotaLedger>,
+    leaders: Vec<QuotaLeases>,
     nodes: Vec<Node>,
     /// When each request was first answered by each leader.
     lent_at: BTreeMap<(usize, String, u64, u64), u64>,
@@ -180,18 +180,18 @@
         let now = self.now;
         let node = &mut self.nodes[index];
         node.next_request += 1;
-        let ask = QuotaAsk {
+        let ask = TenantQuotaRequest {
             tenant: TENANT.to_owned(),
             tokens: u32::try_from(wanted).expect("small"),
             returned_tokens: u32::try_from(returned).expect("small"),
-            ..QuotaAsk::default()
+            ..TenantQuotaRequest::default()
         };
         let request = QuotaRequest {
             shard: 1,
             request_id: node.next_request,
             member: index.to_string(),
             epoch: node.epoch,
-            asks: vec![ask],
+            tenants: vec![ask],
         };
         if wanted > 0 {
             node.in_flight = Some(Ask {
@@ -244,7 +244,7 @@
             return;
         }
         let ask = node.in_flight.take().expect("just found");
-        let wanted = u64::from(ask.request.asks[0].tokens);
+        let wanted = u64::from(ask.request.tenants[0].tokens);
         let grant = &reply.grants[0];
         let tokens = u64::from(grant.tokens);
         let until = ask.sent_at + LEASE_MICROS;
@@ -339,7 +339,7 @@
     }
 
     fn add_leader(&mut self) {
-        let mut ledger = QuotaLedger::new(ShardId(1), QuotaOptions::default());
+        let mut ledger = QuotaLeases::new(ShardId(1), QuotaOptions::default());
         let now = MonotonicTime::from_micros(self.now);
         ledger.lead(now, self.leaders.len() as u64 + 1);
         ledger.set_quota(now, TENANT, Some(self.quota));
--- a/crates/control/src/gateway/agents.rs
+++ b/crates/control/src/gateway/agents.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use millford_api::internal::{Heartbeat, SessionTouch};
+use millford_api::internal::{Heartbeat, SessionRenewal};
 use millford_core::{Duration, MonotonicTime, ShardId, ShardLayout, session_key};
 
 use crate::link::LinkId;
@@ -14,7 +14,7 @@
 struct Heard {
     link: Option<LinkId>,
     epoch: u64,
-    shown_revision: u64,
+    applied_revision: u64,
     heard: bool,
     closed: bool,
 }
@@ -51,7 +51,7 @@
         }
         entry.link = link;
         entry.heard = true;
-        entry.shown_revision = heartbeat.shown_revision;
+        entry.applied_revision = heartbeat.applied_revision;
         !entry.closed
     }
 
@@ -62,7 +62,7 @@
     }
 
     /// The leader says that these sessions do not exist any more.
-    pub fn closed(&mut self, touched: &[SessionTouch], closed_members: &[String]) {
+    pub fn closed(&mut self, touched: &[SessionRenewal], closed_members: &[String]) {
         for touch in touched {
             let Some(entry) = self.members.get_mut(&touch.member) else {
                 continue;
@@ -82,17 +82,17 @@
     }
 
     /// Sessions heard since the last call, by shard.
-    pub fn take_touches(&mut self, layout: ShardLayout) -> BTreeMap<ShardId, Vec<SessionTouch>> {
-        let mut touches: BTreeMap<ShardId, Vec<SessionTouch>> = BTreeMap::new();
+    pub fn take_touches(&mut self, layout: ShardLayout) -> BTreeMap<ShardId, Vec<SessionRenewal>> {
+        let mut touches: BTreeMap<ShardId, Vec<SessionRenewal>> = BTreeMap::new();
         for (member, entry) in &mut self.members {
             if !std::mem::take(&mut entry.heard) {
                 continue;
             }
             let shard = layout.shard_of(&session_key(member));
-            touches.entry(shard).or_default().push(SessionTouch {
+            touches.entry(shard).or_default().push(SessionRenewal {
                 member: member.clone(),
                 epoch: entry.epoch,
-                shown_revision: entry.shown_revision,
+                applied_revision: entry.applied_revision,
             });
         }
         touches
@@ -127,7 +127,7 @@
         Self {
             link: None,
             epoch,
-            shown_revision: 0,
+            applied_revision: 0,
             heard: false,
             closed: false,
         }
--- a/crates/control/src/gateway/feeds.rs
+++ b/crates/control/src/gateway/feeds.rs
@@ -26,7 +26,7 @@
             ShardOutput::PublicChange(items) => self.public_change(now, shard, items),
             ShardOutput::Standing(standing) => self.standing_changed(now, standing),
             ShardOutput::Picture(picture) => {
-                self.tell_all_agents(&frame::Body::LoadPicture(picture));
+                self.tell_all_agents(&frame::Body::LoadSnapshot(picture));
             }
             ShardOutput::Note(note) => self.note(note),
             ShardOutput::Failed(code) => {
--- a/crates/control/src/gateway/frames.rs
+++ b/crates/control/src/gateway/frames.rs
@@ -37,7 +37,7 @@
             Body::QuotaRecall(recall) => {
                 self.recall_own_agent(&recall);
             }
-            Body::LoadPicture(_) => self.tell_own_agents(&body),
+            Body::LoadSnapshot(_) => self.tell_own_agents(&body),
             // These only ever go from control nodes to agents.
             Body::Feed(_) | Body::HeartbeatReply(_) | Body::QuotaReply(_) => {}
         }
--- a/crates/control/src/gateway/member_list.rs
+++ b/crates/control/src/gateway/member_list.rs
@@ -32,7 +32,7 @@
 
     /// Number of the configuration that this node's replica shows; 0 when unknown.
     #[must_use]
-    pub fn shown_revision(&self) -> u64 {
+    pub fn applied_revision(&self) -> u64 {
         let mut items = self.configuration.iter();
         let head = items.find(|item| item.key == keys::CONFIG_HEAD);
         let kind = head.and_then(|item| item.value.as_ref()?.kind.as_ref());
--- a/crates/control/src/gateway/operators.rs
+++ b/crates/control/src/gateway/operators.rs
@@ -232,7 +232,7 @@
             } else {
                 String::new()
             },
-            revision: self.members.shown_revision(),
+            revision: self.members.applied_revision(),
             members,
             ..StatusReply::default()
         }
--- a/crates/control/src/gateway/pending.rs
+++ b/crates/control/src/gateway/pending.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use millford_api::internal::{SessionTouch, ShardReply, ShardRequest};
+use millford_api::internal::{SessionRenewal, ShardReply, ShardRequest};
 use millford_core::{Duration, MonotonicTime, NodeId, ResultCode, ShardId};
 
 use crate::link::LinkId;
@@ -25,7 +25,7 @@
         request: u64,
     },
     /// This node's own report of heartbeats.
-    Touch(Vec<SessionTouch>),
+    Touch(Vec<SessionRenewal>),
     /// This node's own session.
     OwnSession,
     /// This node checks the list of control nodes.
--- a/crates/control/src/gateway/sessions.rs
+++ b/crates/control/src/gateway/sessions.rs
@@ -2,7 +2,7 @@
 
 use millford_api::command::{Command, OpenSession, command, command_result};
 use millford_api::internal::{
-    Heartbeat, HeartbeatReply, SessionTouch, ShardReply, ShardRequest, TouchSessions, frame,
+    Heartbeat, HeartbeatReply, RenewSessions, SessionRenewal, ShardReply, ShardRequest, frame,
     shard_reply, shard_request,
 };
 use millford_api::state::ControlMember;
@@ -65,7 +65,7 @@
         let reply = HeartbeatReply {
             sequence: heartbeat.sequence,
             session_alive,
-            in_touch: self.is_in_touch(),
+            has_quorum: self.is_in_touch(),
             members: self.members_for_agent(now, link),
             data_shards: self.file.data_shards,
         };
@@ -80,16 +80,16 @@
         self.next_touch = now + TOUCH_PERIOD;
         self.touch_own_session(now);
         for (shard, touches) in self.agents.take_touches(self.layout()) {
-            let kind = shard_request::Kind::TouchSessions(TouchSessions {
-                touches: touches.clone(),
+            let kind = shard_request::Kind::RenewSessions(RenewSessions {
+                renewals: touches.clone(),
             });
             let request = request_to(shard, kind);
             self.submit(now, Origin::Touch(touches), request, AGENT_PATIENCE);
         }
     }
 
-    pub(super) fn touch_answered(&mut self, touched: &[SessionTouch], reply: &ShardReply) {
-        if let Some(shard_reply::Kind::Touched(reply)) = &reply.kind {
+    pub(super) fn touch_answered(&mut self, touched: &[SessionRenewal], reply: &ShardReply) {
+        if let Some(shard_reply::Kind::RenewedSessions(reply)) = &reply.kind {
             self.agents.closed(touched, &reply.closed_members);
         }
     }
@@ -118,7 +118,7 @@
             member,
             epoch: self.own_session.epoch,
             sequence: 0,
-            shown_revision: self.members.shown_revision(),
+            applied_revision: self.members.applied_revision(),
         };
         self.agents.heartbeat(None, &heartbeat);
     }
--- a/crates/control/src/operator/status.rs
+++ b/crates/control/src/operator/status.rs
@@ -7,15 +7,15 @@
 
 use crate::shard::ShardStanding;
 
-/// A control node, and whether the answering node hears from it.
+/// A control node, and whether the answering node is connected to it.
 #[must_use]
-pub fn member_body(member: &ControlMember, in_touch: bool) -> MemberBody {
+pub fn member_body(member: &ControlMember, connected: bool) -> MemberBody {
     MemberBody {
         node: NodeId(member.node_id).to_string(),
         internal_address: member.internal_address.clone(),
         operator_address: member.operator_address.clone(),
         zone: member.zone.clone(),
-        in_touch,
+        connected,
     }
 }
 
@@ -59,7 +59,7 @@
         epoch: status.epoch,
         zone: status.zone.clone(),
         address: status.address.clone(),
-        shown_revision: status.shown_revision,
+        applied_revision: status.applied_revision,
     }
 }
 
--- a/crates/control/src/shard/core.rs
+++ b/crates/control/src/shard/core.rs
@@ -18,7 +18,7 @@
 use super::output::ShardOutput;
 use super::placement_role::PlacementRole;
 use super::proposals::{Proposals, Purpose};
-use super::quota_desk::QuotaDesk;
+use super::quota_desk::QuotaService;
 use super::reads::Reads;
 use super::repair::Repair;
 use super::standing::ShardStanding;
@@ -67,7 +67,7 @@
     pub(super) repair: Repair,
     pub(super) members: MemberView,
     pub(super) catalogue: CatalogueDuty,
-    pub(super) quota: QuotaDesk,
+    pub(super) quota: QuotaService,
     pub(super) placement: PlacementRole,
     pub(super) upkeep: Upkeep,
     pub(super) standing: ShardStanding,
@@ -99,7 +99,7 @@
             },
             members: MemberView::default(),
             catalogue: CatalogueDuty::default(),
-            quota: QuotaDesk::new(shard),
+            quota: QuotaService::new(shard),
             placement: PlacementRole::default(),
             upkeep: Upkeep::new(now),
             standing: ShardStanding::unknown(shard),
@@ -306,7 +306,7 @@
 
 fn standing_of(shard: ShardId, status: &ReplicaStatus, now: MonotonicTime) -> ShardStanding {
     let leads = status.role == Role::Leader;
-    let heard = status.leader_heard;
+    let heard = status.leader_contact;
     let heard_lately = heard.is_some_and(|heard| now.since(heard) < OUT_OF_TOUCH);
     let member = status.role != Role::Learner;
     // A replica that hears its leader and cannot store what it says would feed an old state.
--- a/crates/control/src/shard/output.rs
+++ b/crates/control/src/shard/output.rs
@@ -1,6 +1,6 @@
 //! What a shard's core wants done.
 
-use millford_api::internal::{FeedMessage, LoadPicture, QuotaRecall, QuotaReply, ShardReply};
+use millford_api::internal::{FeedMessage, LoadSnapshot, QuotaRecall, QuotaReply, ShardReply};
 use millford_api::replication::ReplicationMessage;
 use millford_api::state::StateItem;
 use millford_core::ResultCode;
@@ -48,7 +48,7 @@
     /// The replica's role or touch changed.
     Standing(ShardStanding),
     /// Load of all nodes together, for the agents.
-    Picture(LoadPicture),
+    Picture(LoadSnapshot),
     /// Something worth a line in the log.
     Note(NodeNote),
     /// The replica cannot go on.
--- a/crates/control/src/shard/placement_role.rs
+++ b/crates/control/src/shard/placement_role.rs
@@ -4,7 +4,7 @@
 
 use millford_api::command::{SetPlacement, command};
 use millford_api::config::Pool;
-use millford_api::internal::{LoadPicture, LoadReport};
+use millford_api::internal::{LoadReport, LoadSnapshot};
 use millford_api::state::{Backend, PoolPlacement, state_value};
 use millford_control_state::keys;
 use millford_core::{MonotonicTime, ShardId};
@@ -89,7 +89,7 @@
             if loads.is_empty() {
                 continue;
             }
-            let picture = LoadPicture {
+            let picture = LoadSnapshot {
                 service: service.clone(),
                 epoch,
                 loads,
--- a/crates/control/src/shard/quota_desk.rs
+++ b/crates/control/src/shard/quota_desk.rs
@@ -2,7 +2,7 @@
 
 use millford_api::internal::{QuotaReply, QuotaRequest};
 use millford_api::state::{StateItem, state_value};
-use millford_control_state::quota::{QuotaLedger, QuotaOptions, QuotaOutput};
+use millford_control_state::quota::{QuotaLeases, QuotaOptions, QuotaOutput};
 use millford_core::{MonotonicTime, ResultCode, ShardId};
 use millford_replication::QUORUM_TIMEOUT;
 
@@ -15,17 +15,17 @@
 
 /// Ledger and waiting requests.
 #[derive(Debug)]
-pub struct QuotaDesk {
-    pub(super) ledger: QuotaLedger,
+pub struct QuotaService {
+    pub(super) ledger: QuotaLeases,
     outputs: Vec<QuotaOutput>,
 }
 
-impl QuotaDesk {
+impl QuotaService {
     /// A desk that does not lead yet.
     #[must_use]
     pub fn new(shard: ShardId) -> Self {
         Self {
-            ledger: QuotaLedger::new(shard, QuotaOptions::default()),
+            ledger: QuotaLeases::new(shard, QuotaOptions::default()),
             outputs: Vec::new(),
         }
     }
@@ -75,7 +75,7 @@
     /// A successor may lend a full lease after its election. This leader must have stopped by then,
     /// also when its thread was late, or when it waits patiently for its first answers.
     fn may_lend(&self, now: MonotonicTime) -> bool {
-        let heard = self.replica.status().leader_heard;
+        let heard = self.replica.status().leader_contact;
         heard.is_some_and(|heard| now.since(heard) < QUORUM_TIMEOUT)
     }
 
--- a/crates/control/src/shard/serving.rs
+++ b/crates/control/src/shard/serving.rs
@@ -2,8 +2,8 @@
 
 use millford_api::command::{Command, command, command_result};
 use millford_api::internal::{
-    SessionStatus, ShardReply, ShardRequest, ShardStatus, StateSnapshot, TouchReply, TouchSessions,
-    shard_reply, shard_request,
+    RenewSessions, RenewSessionsReply, SessionStatus, ShardReply, ShardRequest, ShardStatus,
+    StateSnapshot, shard_reply, shard_request,
 };
 use millford_api::state::StateItem;
 use millford_control_state::Applied;
@@ -38,7 +38,7 @@
             }
             Some(Kind::ReadIndex(_)) => self.read(now, ReadPurpose::Index { ticket }),
             Some(Kind::Status(_)) => self.read(now, ReadPurpose::Status { ticket }),
-            Some(Kind::TouchSessions(touch)) => self.touch(now, ticket, &touch),
+            Some(Kind::RenewSessions(touch)) => self.touch(now, ticket, &touch),
             None => self.refuse(ticket, ResultCode::ProtocolViolation),
         }
     }
@@ -164,18 +164,18 @@
         }
     }
 
-    fn touch(&mut self, now: MonotonicTime, ticket: Ticket, touch: &TouchSessions) {
+    fn touch(&mut self, now: MonotonicTime, ticket: Ticket, touch: &RenewSessions) {
         let mut closed_members = Vec::new();
-        for touch in &touch.touches {
-            let alive = self
-                .sessions
-                .touch(now, &touch.member, touch.epoch, touch.shown_revision);
+        for touch in &touch.renewals {
+            let alive =
+                self.sessions
+                    .touch(now, &touch.member, touch.epoch, touch.applied_revision);
             if !alive {
                 closed_members.push(touch.member.clone());
             }
         }
-        let reply = TouchReply { closed_members };
-        self.reply_ok(ticket, shard_reply::Kind::Touched(reply));
+        let reply = RenewSessionsReply { closed_members };
+        self.reply_ok(ticket, shard_reply::Kind::RenewedSessions(reply));
     }
 
     fn state_under(&self, prefix: &str) -> StateSnapshot {
@@ -213,7 +213,7 @@
                     epoch: record.epoch,
                     zone: record.zone.clone(),
                     address: record.address.clone(),
-                    shown_revision: self.sessions.shown_revision(&record.member),
+                    applied_revision: self.sessions.applied_revision(&record.member),
                 })
                 .collect(),
         }
--- a/crates/control/src/shard/upkeep.rs
+++ b/crates/control/src/shard/upkeep.rs
@@ -83,7 +83,7 @@
 impl ShardCore {
     pub(super) fn tick(&mut self, now: MonotonicTime) {
         if let Some(lost) = self.upkeep.lost_time(now) {
-            self.replica.forgive_stall(now, lost);
+            self.replica.defer_election_deadline(now, lost);
         }
         self.replica.tick(now);
         self.tick_subscriptions(now);
--- a/crates/control/tests/feed.rs
+++ b/crates/control/tests/feed.rs
@@ -17,7 +17,7 @@
         .collect()
 }
 
-fn shown_revision(agent: &TestAgent) -> u64 {
+fn applied_revision(agent: &TestAgent) -> u64 {
     let head = agent.view.items().get("config/head");
     match head.and_then(|head| head.kind.as_ref()) {
         Some(Kind::ConfigHead(head)) => head.revision,
@@ -104,7 +104,7 @@
         for _ in 0..100 {
             cluster.run(Duration::from_millis(20));
             agent.receive(&mut cluster);
-            let shown = shown_revision(&agent);
+            let shown = applied_revision(&agent);
             assert!(
                 shown == 0 || shown == 2,
                 "seed {seed}: revision {shown} is old"
@@ -113,7 +113,7 @@
                 agent.move_to(&mut cluster, &cut);
             }
         }
-        assert_eq!(shown_revision(&agent), 2, "seed {seed}");
+        assert_eq!(applied_revision(&agent), 2, "seed {seed}");
     }
 }
 
@@ -136,7 +136,7 @@
         cluster.run(Duration::from_millis(60));
         // The support panics when a message is older than what is shown.
         agent.receive(&mut cluster);
-        let now_shown = shown_revision(&agent);
+        let now_shown = applied_revision(&agent);
         assert!(now_shown >= shown);
         shown = now_shown;
     }
--- a/crates/control/tests/support/agent.rs
+++ b/crates/control/tests/support/agent.rs
@@ -114,7 +114,7 @@
             member: self.name.clone(),
             epoch: self.epoch,
             sequence: 1,
-            shown_revision: 0,
+            applied_revision: 0,
         };
         self.send(cluster, frame::Body::Heartbeat(heartbeat));
     }
--- a/crates/control/tests/work.rs
+++ b/crates/control/tests/work.rs
@@ -5,9 +5,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use millford_api::command::{Claim, RunOutcome, SettleClaim, command, command_result};
+use millford_api::command::{Claim, ResolveClaim, RunOutcome, command, command_result};
 use millford_api::internal::{
-    Frame, LoadReport, QuotaAsk, QuotaReply, QuotaRequest, ReplicaLoad, frame, shard_reply,
+    Frame, LoadReport, QuotaReply, QuotaRequest, ReplicaLoad, TenantQuotaRequest, frame,
+    shard_reply,
 };
 use millford_api::state::{BackendState, state_value::Kind};
 use millford_control::{NodeInput, OperatorReply, OperatorRequest, RegistryEntry, RegistryView};
@@ -191,7 +192,7 @@
         // Asked at once, while the shard has no leader: the answer waits for the election.
         let refused = granted(&mut agents[other], &mut cluster, "third");
         assert_eq!(refused, (false, RunOutcome::RunUnknown), "seed {seed}");
-        let settle = command::Kind::SettleClaim(SettleClaim {
+        let settle = command::Kind::ResolveClaim(ResolveClaim {
             tenant: "a".to_owned(),
             request_id: "request".to_owned(),
             attempt_id: "first".to_owned(),
@@ -211,10 +212,10 @@
         request_id,
         member: agent.name.clone(),
         epoch: 1,
-        asks: vec![QuotaAsk {
+        tenants: vec![TenantQuotaRequest {
             tenant: "a".to_owned(),
             tokens: 4,
-            ..QuotaAsk::default()
+            ..TenantQuotaRequest::default()
         }],
     };
     let body = Some(frame::Body::QuotaRequest(request));
@@ -318,7 +319,7 @@
     for agent in &agents {
         let frames = cluster.take_frames(&agent.end);
         let mut pictures = frames.into_iter().filter_map(|frame| match frame.body {
-            Some(frame::Body::LoadPicture(picture)) => Some(picture),
+            Some(frame::Body::LoadSnapshot(picture)) => Some(picture),
             _ => None,
         });
         let picture = pictures
--- a/crates/ctl/src/command/status.rs
+++ b/crates/ctl/src/command/status.rs
@@ -64,14 +64,14 @@
 }
 
 fn add_member(text: &mut String, member: &MemberBody) {
-    let touch = if member.in_touch {
+    let contact = if member.connected {
         "in touch"
     } else {
         "OUT OF TOUCH"
     };
     let _ = writeln!(
         text,
-        "  {} zone {} internal {} operator {} {touch}",
+        "  {} zone {} internal {} operator {} {contact}",
         member.node, member.zone, member.internal_address, member.operator_address
     );
 }
@@ -90,7 +90,7 @@
 }
 
 fn add_session(text: &mut String, session: &SessionBody, revision: u64) {
-    let behind = if session.shown_revision < revision {
+    let behind = if session.applied_revision < revision {
         " BEHIND"
     } else {
         ""
@@ -98,7 +98,7 @@
     let _ = writeln!(
         text,
         "  {} zone {} {} epoch {} shows {}{behind}",
-        session.member, session.zone, session.address, session.epoch, session.shown_revision
+        session.member, session.zone, session.address, session.epoch, session.applied_revision
     );
 }
 
--- a/crates/experiments/src/fleet/control.rs
+++ b/crates/experiments/src/fleet/control.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use millford_api::internal::LoadPicture;
+use millford_api::internal::LoadSnapshot;
 use millford_api::state::{BackendState, PoolPlacement, ReplicaState};
 use millford_backend_model::RunRequest;
 use millford_core::{Duration, MonotonicTime};
@@ -33,7 +33,7 @@
                 self.placer.observe(self.now, &member, &report.loads);
             }
         }
-        let picture = LoadPicture {
+        let picture = LoadSnapshot {
             service: self.options.pool.name.clone(),
             epoch: EPOCH,
             loads: self.placer.picture(self.now),
@@ -45,7 +45,7 @@
             }
         }
         for proxy in &mut self.proxies {
-            proxy.board.merge_picture(&picture);
+            proxy.board.merge_snapshot(&picture);
             let others = open.iter().zip(&proxy.own_open);
             proxy.others_open = others.map(|(total, own)| total - own).collect();
         }
--- a/crates/experiments/src/fleet/proxy_node.rs
+++ b/crates/experiments/src/fleet/proxy_node.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use millford_routing::{
-    Affinity, BackendHealth, Candidate, CostBook, LoadBoard, ModelRequest, ReplicaKey, RetryBudget,
-    ServingPool, ServingReplica, choose, rendezvous,
+    Affinity, BackendHealth, Candidate, CostEstimates, LoadTable, ModelRequest, ReplicaKey,
+    RetryBudget, ServingPool, ServingReplica, choose, rendezvous,
 };
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -19,9 +19,9 @@
 #[derive(Debug)]
 pub struct ProxyNode {
     /// Work in flight by replica: the real board of the routing crate.
-    pub board: Arc<LoadBoard>,
+    pub board: Arc<LoadTable>,
     /// Learned costs: the real book of the routing crate.
-    pub costs: CostBook,
+    pub costs: CostEstimates,
     /// Ejections: the real health of the routing crate.
     pub health: BackendHealth,
     /// Budget for second sends.
@@ -65,7 +65,7 @@
     pub fn new(hosts: usize) -> Self {
         Self {
             board: Arc::default(),
-            costs: CostBook::default(),
+            costs: CostEstimates::default(),
             health: BackendHealth::default(),
             budget: RetryBudget::default(),
             own_open: vec![0; hosts],
--- a/crates/experiments/src/fleet/request.rs
+++ b/crates/experiments/src/fleet/request.rs
@@ -1,7 +1,7 @@
 //! One simulated request.
 
 use millford_core::MonotonicTime;
-use millford_routing::LoadTicket;
+use millford_routing::InFlightGuard;
 
 use crate::fleet::workload::Prompt;
 
@@ -48,5 +48,5 @@
     /// Streams on the replica before it, as the proxy knew.
     pub streams_at_start: u32,
     /// Counts it on the proxy's load board.
-    pub ticket: LoadTicket,
+    pub ticket: InFlightGuard,
 }
--- a/crates/experiments/src/quota_age/owner_fleet.rs
+++ b/crates/experiments/src/quota_age/owner_fleet.rs
@@ -150,10 +150,10 @@
         }
         let why = match self.owner_to_ask(zone, node, &[]) {
             Some(_) => Alone::AnswerLost,
-            None => Alone::OwnersGone,
+            None => Alone::OwnersUnreachable,
         };
         let node = &mut self.nodes[zone][node];
-        node.known.admit_alone(self.now, why, REQUEST)?;
+        node.known.admit_degraded(self.now, why, REQUEST)?;
         node.uncharged += i64::try_from(REQUEST).expect("small");
         Ok(())
     }
--- a/crates/forward/src/exchange/exchange_task.rs
+++ b/crates/forward/src/exchange/exchange_task.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use millford_api::exchange::ProxyNews;
+use millford_api::exchange::PeerMessage;
 use millford_core::time::monotonic_now;
 use millford_core::{Duration, MonotonicTime};
 use millford_settings::PartLog;
@@ -184,7 +184,7 @@
         &self,
         node: &ForwardNode<P>,
         from: SocketAddr,
-        news: &ProxyNews,
+        news: &PeerMessage,
     ) -> bool {
         let table = node.state.table();
         let shared = &node.shared_quotas;
@@ -197,7 +197,7 @@
         from: SocketAddr,
         bytes: &[u8],
     ) {
-        let Ok(news) = ProxyNews::decode(bytes) else {
+        let Ok(news) = PeerMessage::decode(bytes) else {
             LOG.debug("A datagram is no news of a proxy.");
             return;
         };
@@ -229,7 +229,7 @@
     shared_parts::tell(&node.peers, &ring, node.directory.take_news());
 }
 
-async fn send_to_all(socket: &UdpSocket, news: &ProxyNews, addresses: &[SocketAddr]) {
+async fn send_to_all(socket: &UdpSocket, news: &PeerMessage, addresses: &[SocketAddr]) {
     let bytes = news.encode_to_vec();
     for address in addresses {
         // A datagram that cannot be sent is as good as lost: the next one makes it good.
--- a/crates/forward/src/exchange/news.rs
+++ b/crates/forward/src/exchange/news.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use millford_api::config::TokenQuota;
-use millford_api::exchange::{ProxyNews, TenantUsage};
+use millford_api::exchange::{PeerMessage, TenantUsage};
 use millford_core::{Duration, MonotonicTime};
 use millford_routing::RoutingTable;
 
@@ -43,7 +43,7 @@
         node: &ForwardNode<P>,
         now: MonotonicTime,
         whole: bool,
-    ) -> Option<ProxyNews> {
+    ) -> Option<PeerMessage> {
         let mut levels = node.quotas.levels(now);
         levels.retain(|level| {
             let changed = self.told.get(&level.tenant) != Some(&level.used_tokens);
@@ -64,7 +64,7 @@
         ring: &OwnerRing,
         now: MonotonicTime,
         whole: bool,
-    ) -> Vec<(SocketAddr, ProxyNews)> {
+    ) -> Vec<(SocketAddr, PeerMessage)> {
         let mut by_owner = ByOwner::default();
         for level in node.quotas.levels(now) {
             let known = self.told.get(&level.tenant) == Some(&level.used_tokens);
@@ -98,7 +98,7 @@
         &mut self,
         node: &ForwardNode<P>,
         levels: Vec<TenantLevel>,
-    ) -> Option<ProxyNews> {
+    ) -> Option<PeerMessage> {
         if levels.is_empty() {
             return None;
         }
@@ -111,18 +111,22 @@
                 .max(1),
         });
         self.sequence += 1;
-        Some(ProxyNews {
+        Some(PeerMessage {
             member: node.name.clone(),
             boot_id: self.boot_id,
             sequence: self.sequence,
             usage: usage.collect(),
-            ..ProxyNews::default()
+            ..PeerMessage::default()
         })
     }
 }
 
 /// Takes in a peer's counts.
-pub fn take_news<P: ForwardProtocol>(node: &ForwardNode<P>, now: MonotonicTime, news: &ProxyNews) {
+pub fn take_news<P: ForwardProtocol>(
+    node: &ForwardNode<P>,
+    now: MonotonicTime,
+    news: &PeerMessage,
+) {
     let table = node.state.table();
     let (ring, _) = node.peers.ring(&table);
     let zone = news.is_owner.then(|| {
--- a/crates/forward/src/exchange/peer_table.rs
+++ b/crates/forward/src/exchange/peer_table.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use millford_api::exchange::ProxyNews;
+use millford_api::exchange::PeerMessage;
 
 #[derive(Debug, Default)]
 struct Peer {
@@ -18,7 +18,7 @@
 
 impl PeerTable {
     /// Takes news. False: they are older than what is known, and nothing of them counts.
-    pub fn take(&mut self, news: &ProxyNews) -> bool {
+    pub fn take(&mut self, news: &PeerMessage) -> bool {
         let peer = self.peers.entry(news.member.clone()).or_default();
         let same_start = peer.boot_id == news.boot_id;
         if same_start && news.sequence <= peer.sequence {
--- a/crates/forward/src/load/shared_load.rs
+++ b/crates/forward/src/load/shared_load.rs
@@ -6,11 +6,11 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use millford_api::exchange::{
-    BackendWork, LoadAnswer, LoadQuestion, ProxyNews, ReplicaWork, WorkUpdate,
+    BackendInFlight, InFlightUpdate, LoadReply, LoadRequest, PeerMessage, ReplicaInFlight,
 };
 use millford_core::time::monotonic_now;
 use millford_core::{Duration, MonotonicTime};
-use millford_routing::{LoadBoard, ReplicaCounts, ReplicaKey};
+use millford_routing::{LoadTable, ReplicaCounts, ReplicaKey};
 
 use crate::load::work_ledger::WorkLedger;
 use crate::owners::peer_link::{Asked, lock};
@@ -34,13 +34,13 @@
         &self,
         link: &PeerLink,
         ring: &OwnerRing,
-        board: &LoadBoard,
+        board: &LoadTable,
         backend_ids: &BTreeSet<String>,
     ) {
         let now = monotonic_now();
         let mut updates = ByOwner::default();
         for id in backend_ids {
-            let work = BackendWork {
+            let work = BackendInFlight {
                 backend_id: id.clone(),
                 replicas: own_replicas(board, id),
             };
@@ -49,7 +49,7 @@
             }
         }
         for told in updates {
-            let update = WorkUpdate {
+            let update = InFlightUpdate {
                 sequence: self.sequence.fetch_add(1, Ordering::Relaxed) + 1,
                 backends: told.items,
             };
@@ -58,7 +58,7 @@
                 continue;
             }
             let mut datagram = link.datagram();
-            datagram.work_update = Some(update);
+            datagram.in_flight_update = Some(update);
             link.send(told.address, &datagram);
         }
     }
@@ -75,7 +75,7 @@
         &self,
         link: &PeerLink,
         ring: &OwnerRing,
-        board: &LoadBoard,
+        board: &LoadTable,
         backend_ids: &[&str],
     ) -> Pending {
         let now = monotonic_now();
@@ -94,7 +94,7 @@
             }
         }
         link.send_questions(wanted, |id, backend_ids, datagram| {
-            datagram.load_question = Some(LoadQuestion { id, backend_ids });
+            datagram.load_request = Some(LoadRequest { id, backend_ids });
         })
     }
 
@@ -113,20 +113,20 @@
     pub fn receive(
         &self,
         link: &PeerLink,
-        board: &LoadBoard,
+        board: &LoadTable,
         from: SocketAddr,
-        datagram: &ProxyNews,
+        datagram: &PeerMessage,
     ) -> bool {
         let now = monotonic_now();
-        if let Some(update) = &datagram.work_update {
+        if let Some(update) = &datagram.in_flight_update {
             lock(&self.ledger).take(now, &datagram.member, datagram.boot_id, update);
             return true;
         }
-        if let Some(question) = &datagram.load_question {
+        if let Some(question) = &datagram.load_request {
             self.answer(now, link, from, &datagram.member, question);
             return true;
         }
-        let Some(answer) = &datagram.load_answer else {
+        let Some(answer) = &datagram.load_reply else {
             return false;
         };
         for work in &answer.backends {
@@ -148,21 +148,21 @@
         link: &PeerLink,
         from: SocketAddr,
         member: &str,
-        question: &LoadQuestion,
+        question: &LoadRequest,
     ) {
         let ledger = lock(&self.ledger);
         let ids = question.backend_ids.iter();
         let backends = ids.map(|id| ledger.others(now, id, member)).collect();
         drop(ledger);
         let mut datagram = link.datagram();
-        datagram.load_answer = Some(LoadAnswer {
+        datagram.load_reply = Some(LoadReply {
             id: question.id,
             backends,
         });
         link.send(from, &datagram);
     }
 
-    fn take_counts(&self, now: MonotonicTime, board: &LoadBoard, work: &BackendWork) {
+    fn take_counts(&self, now: MonotonicTime, board: &LoadTable, work: &BackendInFlight) {
         let counts = work.replicas.iter().map(|replica| {
             let key = ReplicaKey {
                 backend_id: work.backend_id.clone(),
@@ -182,9 +182,9 @@
     }
 }
 
-fn own_replicas(board: &LoadBoard, backend_id: &str) -> Vec<ReplicaWork> {
+fn own_replicas(board: &LoadTable, backend_id: &str) -> Vec<ReplicaInFlight> {
     let work = board.own_work_on(backend_id).into_iter();
-    work.map(|(key, counts)| ReplicaWork {
+    work.map(|(key, counts)| ReplicaInFlight {
         pool: key.pool,
         model: key.model,
         version: key.version,
--- a/crates/forward/src/load/work_ledger.rs
+++ b/crates/forward/src/load/work_ledger.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use millford_api::exchange::{BackendWork, ReplicaWork, WorkUpdate};
+use millford_api::exchange::{BackendInFlight, InFlightUpdate, ReplicaInFlight};
 use millford_core::{Duration, MonotonicTime};
 
 /// Nodes repeat unchanged work at this period: what a lost update said is then made good.
@@ -17,7 +17,7 @@
     boot_id: u64,
     sequence: u64,
     heard: MonotonicTime,
-    replicas: Vec<ReplicaWork>,
+    replicas: Vec<ReplicaInFlight>,
 }
 
 /// Work by backend and node. Every entry is absolute, so that updates may be lost, repeated and
@@ -29,7 +29,13 @@
 
 impl WorkLedger {
     /// Takes a node's update. What is older than what is known is passed over.
-    pub fn take(&mut self, now: MonotonicTime, member: &str, boot_id: u64, update: &WorkUpdate) {
+    pub fn take(
+        &mut self,
+        now: MonotonicTime,
+        member: &str,
+        boot_id: u64,
+        update: &InFlightUpdate,
+    ) {
         for work in &update.backends {
             let members = self.backends.entry(work.backend_id.clone()).or_default();
             let known = members.get(member);
@@ -50,8 +56,8 @@
 
     /// What all nodes but `except` have in flight on a backend, summed by replica.
     #[must_use]
-    pub fn others(&self, now: MonotonicTime, backend_id: &str, except: &str) -> BackendWork {
-        let mut sums: BTreeMap<(&str, &str, &str), ReplicaWork> = BTreeMap::new();
+    pub fn others(&self, now: MonotonicTime, backend_id: &str, except: &str) -> BackendInFlight {
+        let mut sums: BTreeMap<(&str, &str, &str), ReplicaInFlight> = BTreeMap::new();
         let members = self.backends.get(backend_id).into_iter().flatten();
         let live = members
             .filter(|(member, work)| *member != except && now.since(work.heard) < WORK_KEPT_FOR);
@@ -72,7 +78,7 @@
                 }
             }
         }
-        BackendWork {
+        BackendInFlight {
             backend_id: backend_id.to_owned(),
             replicas: sums.into_values().collect(),
         }
--- a/crates/forward/src/own_protocol.rs
+++ b/crates/forward/src/own_protocol.rs
@@ -3,7 +3,7 @@
 use http::header::{AUTHORIZATION, HeaderName};
 use http::{HeaderMap, HeaderValue};
 use millford_core::Duration;
-use millford_routing::PromptPart;
+use millford_routing::PrefixBlock;
 
 use crate::protocol::{AnswerFacts, Dispatch, ForwardProtocol, RequestFacts};
 
@@ -50,7 +50,7 @@
             model: text(headers, MODEL).unwrap_or_default().to_owned(),
             prompt_tokens,
             output_tokens,
-            parts: prompt_parts(text(headers, PROMPT_PARTS)),
+            parts: prefix_blocks(text(headers, PROMPT_PARTS)),
             resume_after: number(headers, LAST_EVENT),
         }
     }
@@ -122,17 +122,17 @@
 
 /// Parts as `ID:TOKENS` by commas, the id in hexadecimal. A list with a fault counts as absent.
 #[must_use]
-pub fn prompt_parts(value: Option<&str>) -> Vec<PromptPart> {
+pub fn prefix_blocks(value: Option<&str>) -> Vec<PrefixBlock> {
     let Some(value) = value else {
         return Vec::new();
     };
-    let parts: Option<Vec<PromptPart>> = value.split(',').map(prompt_part).collect();
+    let parts: Option<Vec<PrefixBlock>> = value.split(',').map(prompt_part).collect();
     parts.unwrap_or_default()
 }
 
-fn prompt_part(text: &str) -> Option<PromptPart> {
+fn prompt_part(text: &str) -> Option<PrefixBlock> {
     let (id, tokens) = text.trim().split_once(':')?;
-    Some(PromptPart {
+    Some(PrefixBlock {
         id: u64::from_str_radix(id, 16).ok()?,
         tokens: tokens.parse().ok()?,
     })
--- a/crates/forward/src/owners/owner_ring.rs
+++ b/crates/forward/src/owners/owner_ring.rs
@@ -65,7 +65,7 @@
 
     /// The owners of a prompt part's places.
     #[must_use]
-    pub fn owners_of_part(&self, part: u64) -> Vec<&Owner> {
+    pub fn owners_of_block(&self, part: u64) -> Vec<&Owner> {
         self.owners(xxh3_64(&part.to_le_bytes()))
     }
 
--- a/crates/forward/src/owners/peer_link.rs
+++ b/crates/forward/src/owners/peer_link.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 
-use millford_api::exchange::ProxyNews;
+use millford_api::exchange::PeerMessage;
 use millford_core::MonotonicTime;
 use millford_core::time::monotonic_now;
 use millford_routing::RoutingTable;
@@ -137,7 +137,7 @@
     pub fn send_questions<T>(
         &self,
         wanted: ByOwner<'_, T>,
-        write: impl Fn(u64, Vec<T>, &mut ProxyNews),
+        write: impl Fn(u64, Vec<T>, &mut PeerMessage),
     ) -> Pending {
         let now = monotonic_now();
         let mut pending = Vec::new();
@@ -182,16 +182,16 @@
 
     /// An empty datagram of this node.
     #[must_use]
-    pub fn datagram(&self) -> ProxyNews {
-        ProxyNews {
+    pub fn datagram(&self) -> PeerMessage {
+        PeerMessage {
             member: self.member.clone(),
             boot_id: self.boot_id,
-            ..ProxyNews::default()
+            ..PeerMessage::default()
         }
     }
 
     /// A datagram that cannot be sent is as good as lost: what is told is repeated, questions time out.
-    pub fn send(&self, address: SocketAddr, datagram: &ProxyNews) {
+    pub fn send(&self, address: SocketAddr, datagram: &PeerMessage) {
         if let Some(socket) = self.socket.get() {
             let _ = socket.try_send_to(&datagram.encode_to_vec(), address);
         }
--- a/crates/forward/src/owners/questions.rs
+++ b/crates/forward/src/owners/questions.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use millford_api::exchange::PartHolders;
+use millford_api::exchange::BlockBackends;
 use millford_core::{Duration, MonotonicTime};
 use tokio::sync::oneshot;
 
@@ -23,7 +23,7 @@
     /// Counts of backends, which are on the board already.
     Counts,
     /// The backends that keep some parts.
-    Holders(Vec<PartHolders>),
+    Holders(Vec<BlockBackends>),
     /// The decision on a request of a tenant; nothing where the owner knows of no quota.
     Quota(Option<Grant>),
 }
--- a/crates/forward/src/parts/mod.rs
+++ b/crates/forward/src/parts/mod.rs
@@ -2,4 +2,4 @@
 
 pub mod shared_parts;
 
-pub use shared_parts::HoldersByPart;
+pub use shared_parts::BackendsByBlock;
--- a/crates/forward/src/parts/shared_parts.rs
+++ b/crates/forward/src/parts/shared_parts.rs
@@ -4,11 +4,11 @@
 use std::net::SocketAddr;
 
 use millford_api::exchange::{
-    PartAnswer, PartHolders, PartQuestion, PartUpdate, PromptPlace, ProxyNews,
+    BlockBackends, BlockLocation, BlockReply, BlockRequest, BlockUpdate, PeerMessage,
 };
 use millford_core::MonotonicTime;
 use millford_core::time::monotonic_now;
-use millford_routing::{PartPlace, PromptDirectory, PromptPart};
+use millford_routing::{CachedBlock, PrefixBlock, PromptDirectory};
 
 use crate::owners::peer_link::Asked;
 use crate::owners::{Answer, ByOwner, OwnerRing, PeerLink, Pending};
@@ -17,27 +17,29 @@
 pub const MOST_HOLDERS: usize = 8;
 
 /// The backends that keep each of some parts, as far as this node knows.
-pub type HoldersByPart = BTreeMap<u64, Vec<String>>;
+pub type BackendsByBlock = BTreeMap<u64, Vec<String>>;
 
 /// Tells the parts' owners which places this node used.
-pub fn tell(link: &PeerLink, ring: &OwnerRing, places: Vec<PartPlace>) {
+pub fn tell(link: &PeerLink, ring: &OwnerRing, locations: Vec<CachedBlock>) {
     let mut updates = ByOwner::default();
-    for place in places {
-        for owner in ring.owners_of_part(place.part) {
+    for location in locations {
+        for owner in ring.owners_of_block(location.block) {
             if owner.name == link.member() {
                 continue;
             }
-            let place = PromptPlace {
-                part: place.part,
-                backend_id: place.backend_id.clone(),
-                tokens: place.tokens,
+            let location = BlockLocation {
+                block: location.block,
+                backend_id: location.backend_id.clone(),
+                tokens: location.tokens,
             };
-            updates.add(owner, place);
+            updates.add(owner, location);
         }
     }
     for told in updates {
         let mut datagram = link.datagram();
-        datagram.part_update = Some(PartUpdate { places: told.items });
+        datagram.block_update = Some(BlockUpdate {
+            locations: told.items,
+        });
         link.send(told.address, &datagram);
     }
 }
@@ -48,46 +50,46 @@
     link: &PeerLink,
     ring: &OwnerRing,
     directory: &PromptDirectory,
-    parts: &[PromptPart],
+    blocks: &[PrefixBlock],
     among: &[&str],
-    known: &mut HoldersByPart,
+    known: &mut BackendsByBlock,
 ) -> Pending {
     let now = monotonic_now();
-    take_own(directory, parts, among, known);
+    take_own(directory, blocks, among, known);
     let mut wanted = ByOwner::default();
-    for part in parts {
-        if let Asked::Peer(owner) = link.asked(now, &ring.owners_of_part(part.id)) {
-            wanted.add(owner, part.id);
+    for block in blocks {
+        if let Asked::Peer(owner) = link.asked(now, &ring.owners_of_block(block.id)) {
+            wanted.add(owner, block.id);
         }
     }
-    link.send_questions(wanted, |id, parts, datagram| {
+    link.send_questions(wanted, |id, blocks, datagram| {
         let among = among.iter().map(|id| (*id).to_owned()).collect();
-        datagram.part_question = Some(PartQuestion { id, parts, among });
+        datagram.block_request = Some(BlockRequest { id, blocks, among });
     })
 }
 
 /// Adds what this node knows itself to what is known.
 pub fn take_own(
     directory: &PromptDirectory,
-    parts: &[PromptPart],
+    blocks: &[PrefixBlock],
     among: &[&str],
-    known: &mut HoldersByPart,
+    known: &mut BackendsByBlock,
 ) {
     let now = monotonic_now();
-    for part in parts {
-        let holders = directory.newest_holders(now, part.id, among, MOST_HOLDERS);
-        merge(known, part.id, holders);
+    for block in blocks {
+        let holders = directory.newest_holders(now, block.id, among, MOST_HOLDERS);
+        merge(known, block.id, holders);
     }
 }
 
 /// Adds what owners answered to what is known.
-pub fn take_answers(known: &mut HoldersByPart, answers: Vec<Answer>) {
+pub fn take_answers(known: &mut BackendsByBlock, answers: Vec<Answer>) {
     for answer in answers {
-        let Answer::Holders(parts) = answer else {
+        let Answer::Holders(blocks) = answer else {
             continue;
         };
-        for holders in parts {
-            merge(known, holders.part, holders.backend_ids);
+        for holders in blocks {
+            merge(known, holders.block, holders.backend_ids);
         }
     }
 }
@@ -97,51 +99,51 @@
     link: &PeerLink,
     directory: &PromptDirectory,
     from: SocketAddr,
-    datagram: &ProxyNews,
+    datagram: &PeerMessage,
 ) -> bool {
     let now = monotonic_now();
-    if let Some(update) = &datagram.part_update {
-        for place in &update.places {
-            let place = PartPlace {
-                part: place.part,
-                backend_id: place.backend_id.clone(),
-                tokens: place.tokens,
+    if let Some(update) = &datagram.block_update {
+        for location in &update.locations {
+            let location = CachedBlock {
+                block: location.block,
+                backend_id: location.backend_id.clone(),
+                tokens: location.tokens,
             };
-            directory.told(now, &place);
+            directory.told(now, &location);
         }
         return true;
     }
-    if let Some(question) = &datagram.part_question {
+    if let Some(request) = &datagram.block_request {
         let mut answer = link.datagram();
-        answer.part_answer = Some(answer_to(now, directory, question));
+        answer.block_reply = Some(answer_to(now, directory, request));
         link.send(from, &answer);
         return true;
     }
-    let Some(answer) = &datagram.part_answer else {
+    let Some(answer) = &datagram.block_reply else {
         return false;
     };
-    link.answered(now, answer.id, Answer::Holders(answer.parts.clone()));
+    link.answered(now, answer.id, Answer::Holders(answer.blocks.clone()));
     true
 }
 
 fn answer_to(
     now: MonotonicTime,
     directory: &PromptDirectory,
-    question: &PartQuestion,
-) -> PartAnswer {
-    let among: Vec<&str> = question.among.iter().map(String::as_str).collect();
-    let parts = question.parts.iter().map(|part| PartHolders {
-        part: *part,
-        backend_ids: directory.newest_holders(now, *part, &among, MOST_HOLDERS),
+    request: &BlockRequest,
+) -> BlockReply {
+    let among: Vec<&str> = request.among.iter().map(String::as_str).collect();
+    let blocks = request.blocks.iter().map(|block| BlockBackends {
+        block: *block,
+        backend_ids: directory.newest_holders(now, *block, &among, MOST_HOLDERS),
     });
-    PartAnswer {
-        id: question.id,
-        parts: parts.collect(),
+    BlockReply {
+        id: request.id,
+        blocks: blocks.collect(),
     }
 }
 
-fn merge(known: &mut HoldersByPart, part: u64, backend_ids: Vec<String>) {
-    let holders = known.entry(part).or_default();
+fn merge(known: &mut BackendsByBlock, block: u64, backend_ids: Vec<String>) {
+    let holders = known.entry(block).or_default();
     for id in backend_ids {
         if !holders.contains(&id) {
             holders.push(id);
--- a/crates/forward/src/protocol.rs
+++ b/crates/forward/src/protocol.rs
@@ -2,7 +2,7 @@
 
 use http::{HeaderMap, HeaderValue};
 use millford_core::Duration;
-use millford_routing::PromptPart;
+use millford_routing::PrefixBlock;
 
 /// What a caller's headers say about a request. Everything is optional: what cannot be read counts
 /// as absent.
@@ -21,7 +21,7 @@
     /// Most tokens of the answer.
     pub output_tokens: Option<u64>,
     /// Parts of the prompt in order. The last one is the request's or its session's own.
-    pub parts: Vec<PromptPart>,
+    pub parts: Vec<PrefixBlock>,
     /// The event after which the caller wants to take a stream up again.
     pub resume_after: Option<u64>,
 }
--- a/crates/forward/src/quota/known_level.rs
+++ b/crates/forward/src/quota/known_level.rs
@@ -21,7 +21,7 @@
     /// An answer did not come in time. The other nodes of the zone have theirs.
     AnswerLost,
     /// No owner that this zone asks has answered lately: all its nodes decide alone.
-    OwnersGone,
+    OwnersUnreachable,
 }
 
 impl Alone {
@@ -30,7 +30,7 @@
     pub fn name(self) -> &'static str {
         match self {
             Alone::AnswerLost => "answer_lost",
-            Alone::OwnersGone => "owners_gone",
+            Alone::OwnersUnreachable => "owners_gone",
         }
     }
 }
@@ -109,7 +109,7 @@
     ///
     /// # Errors
     /// The time until something is left.
-    pub fn admit_alone(
+    pub fn admit_degraded(
         &mut self,
         now: MonotonicTime,
         why: Alone,
@@ -121,7 +121,7 @@
         let zone_usual = passed * usual * self.fleet.zone_share();
         let nodes_alone = match why {
             Alone::AnswerLost => 1,
-            Alone::OwnersGone => self.fleet.in_zone.max(1),
+            Alone::OwnersUnreachable => self.fleet.in_zone.max(1),
         };
         let zone_admitted = self.admitted_alone * nodes_alone as f64;
         let left = unspent.min(self.figures.burst) + zone_usual - zone_admitted;
--- a/crates/forward/src/quota/shared_quotas.rs
+++ b/crates/forward/src/quota/shared_quotas.rs
@@ -6,7 +6,7 @@
 use std::sync::Mutex;
 
 use millford_api::config::{Tenant, TokenQuota};
-use millford_api::exchange::{ProxyNews, QuotaAnswer, QuotaQuestion};
+use millford_api::exchange::{AdmissionReply, AdmissionRequest, PeerMessage};
 use millford_core::time::monotonic_now;
 use millford_core::{Duration, MonotonicTime};
 use millford_routing::RoutingTable;
@@ -124,9 +124,9 @@
         let now = monotonic_now();
         let why = match owner_to_ask(now, link, ring, zone, &tenant.name, &[]) {
             Some(_) => Alone::AnswerLost,
-            None => Alone::OwnersGone,
+            None => Alone::OwnersUnreachable,
         };
-        self.admit_alone(now, wanted, why)
+        self.admit_degraded(now, wanted, why)
     }
 
     /// Asks an owner. Nothing: its answer did not come in time.
@@ -160,7 +160,7 @@
     /// Requests that this node decided on without an answer so far.
     #[must_use]
     pub fn decided_alone(&self) -> u64 {
-        let reasons = [Alone::AnswerLost, Alone::OwnersGone].map(Alone::name);
+        let reasons = [Alone::AnswerLost, Alone::OwnersUnreachable].map(Alone::name);
         let counts = reasons.map(|reason| self.decided_alone.with_label_values(&[reason]).get());
         counts.iter().sum()
     }
@@ -172,16 +172,16 @@
         table: &RoutingTable,
         quotas: &TenantQuotas,
         from: SocketAddr,
-        datagram: &ProxyNews,
+        datagram: &PeerMessage,
     ) -> bool {
         let now = monotonic_now();
-        if let Some(question) = &datagram.quota_question {
+        if let Some(question) = &datagram.admission_request {
             let mut reply = link.datagram();
-            reply.quota_answer = Some(answer_to(now, table, quotas, question));
+            reply.admission_reply = Some(answer_to(now, table, quotas, question));
             link.send(from, &reply);
             return true;
         }
-        let Some(answer) = &datagram.quota_answer else {
+        let Some(answer) = &datagram.admission_reply else {
             return false;
         };
         let grant = grant_of(answer);
@@ -230,7 +230,7 @@
     ) -> Result<(), Duration> {
         let Some(grant) = grant else {
             // The owner has not heard of the quota yet.
-            return self.admit_alone(now, wanted, Alone::AnswerLost);
+            return self.admit_degraded(now, wanted, Alone::AnswerLost);
         };
         self.change(now, wanted, |asking| {
             asking.known.take(now, wanted.quota, wanted.fleet, &grant);
@@ -238,7 +238,7 @@
         grant.decision
     }
 
-    fn admit_alone(
+    fn admit_degraded(
         &self,
         now: MonotonicTime,
         wanted: Wanted<'_>,
@@ -246,7 +246,7 @@
     ) -> Result<(), Duration> {
         self.decided_alone.with_label_values(&[why.name()]).inc();
         self.change(now, wanted, |asking| {
-            asking.known.admit_alone(now, why, wanted.tokens)?;
+            asking.known.admit_degraded(now, why, wanted.tokens)?;
             asking.uncharged = asking.uncharged.saturating_add(tokens_of(wanted.tokens));
             Ok(())
         })
@@ -296,13 +296,13 @@
     let mut questions = ByOwner::default();
     questions.add(owner, wanted.tenant.to_owned());
     link.send_questions(questions, |id, tenants, datagram| {
-        let question = tenants.into_iter().next().map(|tenant| QuotaQuestion {
+        let question = tenants.into_iter().next().map(|tenant| AdmissionRequest {
             id,
             tenant,
             tokens: wanted.tokens,
             uncharged_tokens,
         });
-        datagram.quota_question = question;
+        datagram.admission_request = question;
     })
 }
 
@@ -310,20 +310,20 @@
     now: MonotonicTime,
     table: &RoutingTable,
     quotas: &TenantQuotas,
-    question: &QuotaQuestion,
-) -> QuotaAnswer {
+    question: &AdmissionRequest,
+) -> AdmissionReply {
     let tenant = table.tenant_named(&question.tenant);
     let grant = tenant
         .and_then(|tenant| quotas.grant(now, tenant, question.tokens, question.uncharged_tokens));
     let Some(grant) = grant else {
-        return QuotaAnswer {
+        return AdmissionReply {
             id: question.id,
             unlimited: true,
-            ..QuotaAnswer::default()
+            ..AdmissionReply::default()
         };
     };
     let wait = grant.decision.err().unwrap_or_default();
-    QuotaAnswer {
+    AdmissionReply {
         id: question.id,
         unlimited: false,
         admitted: grant.decision.is_ok(),
@@ -333,7 +333,7 @@
     }
 }
 
-fn grant_of(answer: &QuotaAnswer) -> Option<Grant> {
+fn grant_of(answer: &AdmissionReply) -> Option<Grant> {
     let wait = Duration::from_micros(answer.retry_after_us);
     (!answer.unlimited).then_some(Grant {
         decision: if answer.admitted { Ok(()) } else { Err(wait) },
--- a/crates/forward/src/request/attempt.rs
+++ b/crates/forward/src/request/attempt.rs
@@ -8,7 +8,7 @@
 use millford_core::MonotonicTime;
 use millford_core::time::monotonic_now;
 use millford_core::{Duration, ResultCode};
-use millford_routing::{EjectionReason, LoadTicket};
+use millford_routing::{EjectionReason, InFlightGuard};
 
 use crate::backend::connection::SendError;
 use crate::backend::connection_pools::{AcquireError, Lease};
@@ -33,7 +33,7 @@
     /// Where it comes from.
     pub target: Target,
     /// Counts the request.
-    pub ticket: LoadTicket,
+    pub ticket: InFlightGuard,
     /// The connection.
     pub lease: Lease,
     /// What the headers say.
--- a/crates/forward/src/request/candidates.rs
+++ b/crates/forward/src/request/candidates.rs
@@ -1,12 +1,12 @@
 //! Which backends are looked at for a request, and what of its prompt each of them keeps.
 
-use millford_routing::{ModelRequest, PromptPart, ServingPool, ServingReplica, rendezvous};
+use millford_routing::{ModelRequest, PrefixBlock, ServingPool, ServingReplica, rendezvous};
 use rand::Rng;
 use rand::seq::SliceRandom;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::node::ForwardNode;
-use crate::parts::HoldersByPart;
+use crate::parts::BackendsByBlock;
 use crate::protocol::ForwardProtocol;
 use crate::request::plan::Plan;
 
@@ -74,8 +74,8 @@
 /// The beginnings that many prompts have in common are soon kept everywhere; what is to stay in one
 /// place is the part that few prompts share.
 pub fn read_again(
-    special: Option<&PromptPart>,
-    holders: &HoldersByPart,
+    special: Option<&PrefixBlock>,
+    holders: &BackendsByBlock,
     candidates: &[&ServingReplica],
 ) -> Vec<u64> {
     let Some(special) = special else {
@@ -104,20 +104,20 @@
     again.collect()
 }
 
-fn is_kept(holders: &HoldersByPart, part: u64, backend_id: &str) -> bool {
+fn is_kept(holders: &BackendsByBlock, part: u64, backend_id: &str) -> bool {
     let holders = holders.get(&part);
     holders.is_some_and(|holders| holders.iter().any(|holder| holder == backend_id))
 }
 
 /// Tokens of the parts that a backend keeps, each with all parts before it.
-pub fn cached_tokens(parts: &[PromptPart], holders: &HoldersByPart, backend_id: &str) -> u64 {
+pub fn cached_tokens(parts: &[PrefixBlock], holders: &BackendsByBlock, backend_id: &str) -> u64 {
     let kept = parts
         .iter()
         .take_while(|part| is_kept(holders, part.id, backend_id));
     kept.map(|part| u64::from(part.tokens)).sum()
 }
 
-fn home_of(part: &PromptPart, ids: &[&str]) -> Option<usize> {
+fn home_of(part: &PrefixBlock, ids: &[&str]) -> Option<usize> {
     let key = xxh3_64(&part.id.to_be_bytes());
     let scores = ids
         .iter()
--- a/crates/forward/src/request/choose.rs
+++ b/crates/forward/src/request/choose.rs
@@ -1,13 +1,13 @@
 //! Which backend gets a request.
 
 use millford_core::time::monotonic_now;
-use millford_routing::{PromptPart, ReplicaKey, ServingPool, ServingReplica};
+use millford_routing::{PrefixBlock, ReplicaKey, ServingPool, ServingReplica};
 use rand::Rng;
 
 use crate::mechanism::Mechanism;
 use crate::node::ForwardNode;
 use crate::owners::{OwnerRing, Pending};
-use crate::parts::HoldersByPart;
+use crate::parts::BackendsByBlock;
 use crate::parts::shared_parts as parts;
 use crate::protocol::ForwardProtocol;
 use crate::request::candidates::{cached_tokens, read_again, shortlist, usable};
@@ -80,7 +80,7 @@
         Some((special, general)) if follows_parts => (Some(special), general),
         _ => (None, [].as_slice()),
     };
-    let mut holders = HoldersByPart::new();
+    let mut holders = BackendsByBlock::new();
     if let Some(special) = special {
         let pending = ask_holders(
             node,
@@ -109,9 +109,9 @@
 fn ask_holders<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     ring: &OwnerRing,
-    wanted: &[PromptPart],
+    wanted: &[PrefixBlock],
     among: &[&str],
-    holders: &mut HoldersByPart,
+    holders: &mut BackendsByBlock,
 ) -> Pending {
     let directory = &node.directory;
     if !node.mechanisms.has(Mechanism::SharedParts) {
@@ -156,7 +156,7 @@
     candidates: &[&'a ServingReplica],
     again: &[u64],
     shortlist: &[usize],
-    holders: &HoldersByPart,
+    holders: &BackendsByBlock,
 ) -> Option<Estimate<'a>> {
     let costs = &node.state.costs;
     let prompt = plan.prompt_tokens();
@@ -234,7 +234,7 @@
 
 /// The parts that other requests may share: all but the last, which is the request's own.
 #[must_use]
-pub fn shared_parts(plan: &Plan) -> &[PromptPart] {
+pub fn shared_parts(plan: &Plan) -> &[PrefixBlock] {
     match plan.facts.parts.split_last() {
         Some((_, shared)) => shared,
         None => &[],
--- a/crates/forward/src/request/relay.rs
+++ b/crates/forward/src/request/relay.rs
@@ -13,7 +13,7 @@
 use millford_core::time::monotonic_now;
 use millford_core::{Duration, MonotonicTime};
 use millford_decisions::Ending;
-use millford_routing::LoadTicket;
+use millford_routing::InFlightGuard;
 use tokio::time::Sleep;
 
 use crate::backend::Lease;
@@ -93,7 +93,7 @@
 struct OpenedParts {
     lease: Option<Lease>,
     keep_alive: Option<Duration>,
-    ticket: LoadTicket,
+    ticket: InFlightGuard,
     sent: MonotonicTime,
     queued_tokens: u64,
     streams: u32,
--- a/crates/forward/tests/load_counts.rs
+++ b/crates/forward/tests/load_counts.rs
@@ -2,27 +2,27 @@
 
 use std::collections::BTreeMap;
 
-use millford_api::exchange::{BackendWork, ReplicaWork, WorkUpdate};
+use millford_api::exchange::{BackendInFlight, InFlightUpdate, ReplicaInFlight};
 use millford_api::state::ProxyMember;
 use millford_core::{Duration, MonotonicTime};
 use millford_forward::load::WorkLedger;
 use millford_forward::owners::{Answer, OwnerRing, Questions, RoundTrip};
 use quickcheck::quickcheck;
 
-fn update(sequence: u64, work: &[(&str, u64)]) -> WorkUpdate {
-    let backends = work.iter().map(|(backend, tokens)| BackendWork {
+fn update(sequence: u64, work: &[(&str, u64)]) -> InFlightUpdate {
+    let backends = work.iter().map(|(backend, tokens)| BackendInFlight {
         backend_id: (*backend).to_owned(),
         replicas: match tokens {
             0 => Vec::new(),
-            _ => vec![ReplicaWork {
+            _ => vec![ReplicaInFlight {
                 model: "m".to_owned(),
                 prefill_tokens: *tokens,
                 decode_streams: 1,
-                ..ReplicaWork::default()
+                ..ReplicaInFlight::default()
             }],
         },
     });
-    WorkUpdate {
+    InFlightUpdate {
         sequence,
         backends: backends.collect(),
     }
@@ -63,20 +63,20 @@
 fn sums_are_kept_apart_by_model() {
     let mut ledger = WorkLedger::default();
     let now = MonotonicTime::from_millis(1000);
-    let of = |model: &str, prefill_tokens| ReplicaWork {
+    let of = |model: &str, prefill_tokens| ReplicaInFlight {
         model: model.to_owned(),
         prefill_tokens,
-        ..ReplicaWork::default()
+        ..ReplicaInFlight::default()
     };
     for (member, replicas) in [
         ("node-1", vec![of("m", 1), of("n", 10)]),
         ("node-2", vec![of("n", 20)]),
     ] {
-        let backends = vec![BackendWork {
+        let backends = vec![BackendInFlight {
             backend_id: "a".to_owned(),
             replicas,
         }];
-        let update = WorkUpdate {
+        let update = InFlightUpdate {
             sequence: 1,
             backends,
         };
--- a/crates/forward/tests/owners.rs
+++ b/crates/forward/tests/owners.rs
@@ -8,7 +8,7 @@
 use millford_core::time::monotonic_now;
 use millford_forward::parts::shared_parts;
 use millford_forward::{ForwardNode, MillfordProtocol};
-use millford_routing::{LoadTicket, PromptPart, ReplicaKey};
+use millford_routing::{InFlightGuard, PrefixBlock, ReplicaKey};
 use support::backend::{Step, StubBackend, signed};
 use support::caller::{call, request};
 use support::node::{Setup, TestNode};
@@ -20,7 +20,7 @@
 /// an owner that is gone takes its time.
 const MOST_QUESTIONS: u32 = 2000;
 
-fn start_work(node: &TestNode, backend: &str, tokens: u64) -> LoadTicket {
+fn start_work(node: &TestNode, backend: &str, tokens: u64) -> InFlightGuard {
     node.node.state.board.start(key(backend), tokens)
 }
 
@@ -106,7 +106,7 @@
     let backend = StubBackend::start(vec![Step::Hang]).await;
     let setup = Setup::with(|_| {});
     let nodes = TestNode::start_fleet(6, &setup, &[&backend]).await;
-    let _tickets: Vec<LoadTicket> = nodes
+    let _tickets: Vec<InFlightGuard> = nodes
         .iter()
         .map(|node| start_work(node, BACKENDS[0], 10))
         .collect();
@@ -137,7 +137,7 @@
 async fn a_part_that_one_node_sent_is_known_to_all() {
     let backend = StubBackend::start(vec![Step::Hang]).await;
     let nodes = TestNode::start_fleet(6, &Setup::with(|_| {}), &[&backend]).await;
-    let parts: Vec<PromptPart> = (1..20).map(|id| PromptPart { id, tokens: 100 }).collect();
+    let parts: Vec<PrefixBlock> = (1..20).map(|id| PrefixBlock { id, tokens: 100 }).collect();
     let sender = &nodes[0].node;
     sender
         .directory
--- a/crates/forward/tests/peers.rs
+++ b/crates/forward/tests/peers.rs
@@ -1,14 +1,14 @@
 //! News of peers: the newest ones count, restarts begin anew.
 
-use millford_api::exchange::ProxyNews;
+use millford_api::exchange::PeerMessage;
 use millford_forward::exchange::PeerTable;
 
-fn news(boot_id: u64, sequence: u64) -> ProxyNews {
-    ProxyNews {
+fn news(boot_id: u64, sequence: u64) -> PeerMessage {
+    PeerMessage {
         member: "node-2".to_owned(),
         boot_id,
         sequence,
-        ..ProxyNews::default()
+        ..PeerMessage::default()
     }
 }
 
--- a/crates/membership/src/session_table.rs
+++ b/crates/membership/src/session_table.rs
@@ -21,7 +21,7 @@
 struct LiveSession {
     epoch: u64,
     last_heard: MonotonicTime,
-    shown_revision: u64,
+    applied_revision: u64,
     closing: bool,
 }
 
@@ -73,7 +73,7 @@
         let session = LiveSession {
             epoch,
             last_heard: now,
-            shown_revision: 0,
+            applied_revision: 0,
             closing: false,
         };
         self.sessions.insert(member.to_owned(), session);
@@ -93,7 +93,7 @@
         now: MonotonicTime,
         member: &str,
         epoch: u64,
-        shown_revision: u64,
+        applied_revision: u64,
     ) -> bool {
         let Some(session) = self.sessions.get_mut(member) else {
             return false;
@@ -102,7 +102,7 @@
             return false;
         }
         session.last_heard = now;
-        session.shown_revision = session.shown_revision.max(shown_revision);
+        session.applied_revision = session.applied_revision.max(applied_revision);
         true
     }
 
@@ -144,9 +144,9 @@
 
     /// Configuration revision that the member last said it shows; 0 when unknown.
     #[must_use]
-    pub fn shown_revision(&self, member: &str) -> u64 {
+    pub fn applied_revision(&self, member: &str) -> u64 {
         let session = self.sessions.get(member);
-        session.map_or(0, |session| session.shown_revision)
+        session.map_or(0, |session| session.applied_revision)
     }
 
     /// Number of sessions.
--- a/crates/membership/tests/session_table.rs
+++ b/crates/membership/tests/session_table.rs
@@ -75,5 +75,5 @@
     table.opened(at(0), "agent", 1);
     table.touch(at(1), "agent", 1, 7);
     table.touch(at(2), "agent", 1, 6);
-    assert_eq!(table.shown_revision("agent"), 7);
+    assert_eq!(table.applied_revision("agent"), 7);
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod version;
 
 pub use cost::{BandwidthAttribution, CostModel, LineFit, ModelCost};
-pub use load::{LoadPicture, ReplicaWork};
+pub use load::{LoadSnapshot, ReplicaWork};
 pub use options::PlacerOptions;
 pub use placer::Placer;
 pub use plan::{Move, MoveReason, PlanOutcome};
--- a/crates/placement/src/load/load_picture.rs
+++ b/crates/placement/src/load/load_snapshot.rs
@@ -13,7 +13,7 @@
 /// Members report what changed, and repeat what has not at longer intervals. A count that is reported as zero
 /// stays as zero until it ages out, so that those who read the picture learn that the work has ended.
 #[derive(Clone, Debug)]
-pub struct LoadPicture {
+pub struct LoadSnapshot {
     stale_after: Duration,
     members: BTreeMap<String, BTreeMap<ReplicaKey, ReportedWork>>,
 }
@@ -24,7 +24,7 @@
     work: ReplicaWork,
 }
 
-impl LoadPicture {
+impl LoadSnapshot {
     /// An empty picture; a reported count holds for `stale_after`.
     #[must_use]
     pub fn new(stale_after: Duration) -> Self {
--- a/crates/placement/src/load/mod.rs
+++ b/crates/placement/src/load/mod.rs
@@ -1,9 +1,9 @@
 //! Work in flight, per replica, over all nodes.
 
-pub mod load_picture;
+pub mod load_snapshot;
 pub mod replica_work;
 pub mod smoothed_load;
 
-pub use load_picture::LoadPicture;
+pub use load_snapshot::LoadSnapshot;
 pub use replica_work::ReplicaWork;
 pub use smoothed_load::{SmoothedLoad, SmoothedWork};
--- a/crates/placement/src/placer.rs
+++ b/crates/placement/src/placer.rs
@@ -8,7 +8,7 @@
 use millford_core::MonotonicTime;
 
 use crate::cost::{BandwidthAttribution, BandwidthObservation, CostModel};
-use crate::load::{LoadPicture, SmoothedLoad};
+use crate::load::{LoadSnapshot, SmoothedLoad};
 use crate::options::PlacerOptions;
 use crate::plan::bandwidth::{PressureClock, weigh};
 use crate::plan::draft::Draft;
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 pub struct Placer {
     options: PlacerOptions,
-    picture: LoadPicture,
+    picture: LoadSnapshot,
     costs: CostModel,
     bandwidth: BandwidthAttribution,
     pending: Vec<PendingSample>,
@@ -51,7 +51,7 @@
     #[must_use]
     pub fn new(options: PlacerOptions) -> Self {
         Self {
-            picture: LoadPicture::new(options.member_stale_after),
+            picture: LoadSnapshot::new(options.member_stale_after),
             costs: CostModel::default(),
             bandwidth: BandwidthAttribution::new(
                 options.prior_stream_gbps,
--- a/crates/proxy/src/control/frame_handler.rs
+++ b/crates/proxy/src/control/frame_handler.rs
@@ -5,13 +5,13 @@
 
 use millford_api::command::RunOutcome;
 use millford_api::local::{
-    AgentStatus, LocalClaimReply, LocalFrame, LocalQuotaReply, ProxyShown, local_frame,
+    AgentStatus, LocalClaimReply, LocalFrame, LocalQuotaReply, ProxyApplied, local_frame,
 };
 use millford_core::{Duration, ResultCode};
 
 use crate::control::control_view::{ControlView, ViewOutcome};
 use crate::proxy_state::ProxyState;
-use crate::request::message::{ClaimAnswer, QuotaAnswer};
+use crate::request::message::{AdmissionReply, ClaimAnswer};
 
 /// What a frame asks its carrier to do.
 #[derive(Clone, Debug, PartialEq)]
@@ -27,7 +27,7 @@
         /// Number of the ask.
         request_id: u64,
         /// The decision.
-        answer: QuotaAnswer,
+        answer: AdmissionReply,
         /// How long a grant may be used, counted from when the ask was sent.
         use_within: Option<Duration>,
     },
@@ -51,7 +51,7 @@
     state: Arc<ProxyState>,
     view: ControlView,
     complete: bool,
-    shown_revision: u64,
+    applied_revision: u64,
 }
 
 impl FrameHandler {
@@ -62,7 +62,7 @@
             state,
             view: ControlView::default(),
             complete: false,
-            shown_revision: 0,
+            applied_revision: 0,
         }
     }
 
@@ -76,11 +76,11 @@
             Some(local_frame::Body::Status(status)) => self.status(status),
             Some(local_frame::Body::QuotaReply(reply)) => quota_outcome(&reply),
             Some(local_frame::Body::ClaimReply(reply)) => claim_outcome(&reply),
-            Some(local_frame::Body::SettleReply(reply)) => FrameOutcome::Settled {
+            Some(local_frame::Body::ResolveClaimReply(reply)) => FrameOutcome::Settled {
                 request_id: reply.request_id,
             },
-            Some(local_frame::Body::LoadPicture(picture)) => {
-                self.state.board.merge_picture(&picture);
+            Some(local_frame::Body::LoadSnapshot(picture)) => {
+                self.state.board.merge_snapshot(&picture);
                 FrameOutcome::Nothing
             }
             _ => FrameOutcome::Nothing,
@@ -93,7 +93,7 @@
         let revision = table.revision();
         // The view of each shard never goes back, so the revision cannot either; this holds even
         // if an agent were wrong.
-        if revision < self.shown_revision {
+        if revision < self.applied_revision {
             return None;
         }
         let known = |id: &str| table.pools().any(|pool| pool.backend(id).is_some());
@@ -102,8 +102,8 @@
         let ids = backends.map(|backend| backend.id.as_str());
         self.state.health.watch(ids);
         self.state.set_table(table);
-        let newly_shown = revision > self.shown_revision;
-        self.shown_revision = revision;
+        let newly_shown = revision > self.applied_revision;
+        self.applied_revision = revision;
         self.become_ready();
         newly_shown.then(|| self.shown_frame())
     }
@@ -112,8 +112,8 @@
     #[must_use]
     pub fn shown_frame(&self) -> LocalFrame {
         LocalFrame {
-            body: Some(local_frame::Body::Shown(ProxyShown {
-                revision: self.shown_revision,
+            body: Some(local_frame::Body::Applied(ProxyApplied {
+                revision: self.applied_revision,
             })),
         }
     }
@@ -123,14 +123,14 @@
         self.state
             .metrics
             .agent_in_touch
-            .set(i64::from(status.in_touch));
+            .set(i64::from(status.connected));
         self.become_ready();
         FrameOutcome::Nothing
     }
 
     /// Ready once every shard was confirmed and a configuration is shown; it stays so.
     fn become_ready(&mut self) {
-        if self.complete && self.shown_revision > 0 {
+        if self.complete && self.applied_revision > 0 {
             self.state.set_ready();
         }
     }
@@ -146,9 +146,9 @@
 
 fn quota_outcome(reply: &LocalQuotaReply) -> FrameOutcome {
     let answer = if reply.granted {
-        QuotaAnswer::Granted
+        AdmissionReply::Granted
     } else {
-        QuotaAnswer::Refused {
+        AdmissionReply::Refused {
             code: ResultCode::from_number(reply.code)
                 .filter(|code| *code != ResultCode::Ok)
                 .unwrap_or(ResultCode::QuotaUnavailable),
--- a/crates/proxy/src/control/send_times.rs
+++ b/crates/proxy/src/control/send_times.rs
@@ -30,7 +30,7 @@
     /// time. Other frames stay as they are.
     pub fn renew(&mut self, now: MonotonicTime, frame: &mut LocalFrame) {
         self.last = now;
-        let Some(local_frame::Body::QuotaAsk(ask)) = &mut frame.body else {
+        let Some(local_frame::Body::QuotaRequest(ask)) = &mut frame.body else {
             return;
         };
         let waited = millis(now.since(self.first));
--- a/crates/proxy/src/daemon/agent_link.rs
+++ b/crates/proxy/src/daemon/agent_link.rs
@@ -4,9 +4,10 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use millford_api::command::{Claim, SettleClaim};
+use millford_api::command::{Claim, ResolveClaim};
 use millford_api::local::{
-    LocalClaim, LocalFrame, LocalQuotaAsk, LocalQuotaRelease, LocalSettle, ProxyHello, local_frame,
+    LocalClaim, LocalFrame, LocalQuotaRelease, LocalQuotaRequest, LocalResolveClaim, ProxyHello,
+    local_frame,
 };
 use millford_core::Duration;
 use millford_core::time::monotonic_now;
@@ -18,14 +19,14 @@
 use crate::daemon::held_streams::HeldStreams;
 use crate::daemon::outstanding::Outstanding;
 use crate::proxy_state::ProxyState;
-use crate::request::message::{ClaimAnswer, QuotaAnswer, QuotaAsk, QuotaRelease};
+use crate::request::message::{AdmissionReply, AdmissionRequest, ClaimAnswer, QuotaRelease};
 
 /// The requests' side of the link.
 #[derive(Clone, Debug)]
 pub struct AgentLink {
     frames: mpsc::UnboundedSender<LocalFrame>,
     next_id: Arc<AtomicU64>,
-    pub(super) quotas: Outstanding<QuotaAnswer>,
+    pub(super) quotas: Outstanding<AdmissionReply>,
     pub(super) claims: Outstanding<ClaimAnswer>,
     pub(super) settles: Outstanding<()>,
     pub(super) held: HeldStreams,
@@ -54,9 +55,9 @@
 
 impl AgentLink {
     /// Asks for one admission. A restart of the agent within the timeout only delays it.
-    pub async fn ask_quota(&self, ask: QuotaAsk) -> QuotaAnswer {
+    pub async fn ask_quota(&self, ask: AdmissionRequest) -> AdmissionReply {
         let request_id = self.fresh_id();
-        let body = local_frame::Body::QuotaAsk(LocalQuotaAsk {
+        let body = local_frame::Body::QuotaRequest(LocalQuotaRequest {
             request_id,
             tenant: ask.tenant,
             stream: ask.stream,
@@ -67,7 +68,7 @@
         self.send(body);
         let answer = tokio::time::timeout(ask.timeout, asked.answer()).await;
         let answer = answer.unwrap_or_else(|_| asked.stop());
-        answer.unwrap_or(QuotaAnswer::Refused {
+        answer.unwrap_or(AdmissionReply::Refused {
             code: millford_core::ResultCode::QuotaUnavailable,
             retry_after_ms: 0,
         })
@@ -98,11 +99,11 @@
     }
 
     /// Records an outcome. Sent again on a new connection until it is acknowledged.
-    pub fn settle(&self, settle: SettleClaim) {
+    pub fn settle(&self, settle: ResolveClaim) {
         let request_id = self.fresh_id();
-        let body = local_frame::Body::Settle(LocalSettle {
+        let body = local_frame::Body::ResolveClaim(LocalResolveClaim {
             request_id,
-            settle: Some(settle),
+            resolution: Some(settle),
         });
         self.settles.keep(request_id, frame(body.clone()));
         self.send(body);
@@ -121,19 +122,20 @@
     pub(super) fn answer_quota(
         &self,
         request_id: u64,
-        answer: QuotaAnswer,
+        answer: AdmissionReply,
         use_within: Option<Duration>,
     ) {
         let mut held = self.held.lock();
         let Some(asked) = self.asked_quota(request_id) else {
             return;
         };
-        if answer == QuotaAnswer::Granted && self.ask_again_if_late(request_id, use_within, &asked)
+        if answer == AdmissionReply::Granted
+            && self.ask_again_if_late(request_id, use_within, &asked)
         {
             return;
         }
         let unclaimed = self.quotas.give(request_id, answer);
-        if answer != QuotaAnswer::Granted {
+        if answer != AdmissionReply::Granted {
             return;
         }
         let release = QuotaRelease {
@@ -152,7 +154,7 @@
         &self,
         request_id: u64,
         use_within: Option<Duration>,
-        asked: &LocalQuotaAsk,
+        asked: &LocalQuotaRequest,
     ) -> bool {
         let now = monotonic_now();
         let is_late = |times: &SendTimes| times.is_late(now, use_within);
@@ -174,9 +176,9 @@
         true
     }
 
-    fn asked_quota(&self, request_id: u64) -> Option<LocalQuotaAsk> {
+    fn asked_quota(&self, request_id: u64) -> Option<LocalQuotaRequest> {
         match self.quotas.frame(request_id)?.body {
-            Some(local_frame::Body::QuotaAsk(ask)) => Some(ask),
+            Some(local_frame::Body::QuotaRequest(ask)) => Some(ask),
             _ => None,
         }
     }
--- a/crates/proxy/src/daemon/environment.rs
+++ b/crates/proxy/src/daemon/environment.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use millford_api::command::{Claim, SettleClaim};
+use millford_api::command::{Claim, ResolveClaim};
 use millford_core::time::monotonic_now;
 use millford_core::{Duration, MonotonicTime};
 use rand::Rng;
@@ -12,7 +12,7 @@
 use crate::proxy_state::ProxyState;
 use crate::request::environment::RequestEnvironment;
 use crate::request::message::{
-    BackendRequest, ClaimAnswer, DispatchError, QuotaAnswer, QuotaAsk, QuotaRelease,
+    AdmissionReply, AdmissionRequest, BackendRequest, ClaimAnswer, DispatchError, QuotaRelease,
     WithdrawAnswer, WithdrawRequest,
 };
 
@@ -46,7 +46,7 @@
         rand::rng().random()
     }
 
-    async fn ask_quota(&self, ask: QuotaAsk) -> QuotaAnswer {
+    async fn ask_quota(&self, ask: AdmissionRequest) -> AdmissionReply {
         self.agent.ask_quota(ask).await
     }
 
@@ -58,7 +58,7 @@
         self.agent.claim(claim, timeout).await
     }
 
-    fn settle(&self, settle: SettleClaim) {
+    fn settle(&self, settle: ResolveClaim) {
         self.agent.settle(settle);
     }
 
--- a/crates/proxy/src/proxy_metrics.rs
+++ b/crates/proxy/src/proxy_metrics.rs
@@ -39,7 +39,7 @@
     /// Requests in progress.
     pub open_requests: IntGauge,
     /// Configuration revision shown.
-    pub shown_revision: IntGauge,
+    pub applied_revision: IntGauge,
     /// Whether the agent is in touch with the control plane.
     pub agent_in_touch: IntGauge,
     /// Dropped answers by cause.
@@ -90,7 +90,7 @@
             ),
             open_streams: gauge(&registry, "open_streams", "Streams open to callers."),
             open_requests: gauge(&registry, "open_requests", "Requests in progress."),
-            shown_revision: gauge(&registry, "shown_revision", "Configuration revision shown."),
+            applied_revision: gauge(&registry, "shown_revision", "Configuration revision shown."),
             agent_in_touch: gauge(
                 &registry,
                 "agent_in_touch",
--- a/crates/proxy/src/proxy_state.rs
+++ b/crates/proxy/src/proxy_state.rs
@@ -5,7 +5,7 @@
 
 use arc_swap::ArcSwap;
 use millford_routing::{
-    BackendHealth, CostBook, EjectionReason, FairQueues, LoadBoard, RetryBudget, RoutingTable,
+    BackendHealth, CostEstimates, EjectionReason, FairQueues, LoadTable, RetryBudget, RoutingTable,
 };
 
 use crate::limits::RequestLimits;
@@ -19,9 +19,9 @@
     draining: AtomicBool,
     stopping: AtomicBool,
     /// Work in flight.
-    pub board: Arc<LoadBoard>,
+    pub board: Arc<LoadTable>,
     /// Learned costs.
-    pub costs: CostBook,
+    pub costs: CostEstimates,
     /// Budget of second sends.
     pub budget: RetryBudget,
     /// Ejected backends.
@@ -44,7 +44,7 @@
             draining: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
             board: Arc::default(),
-            costs: CostBook::default(),
+            costs: CostEstimates::default(),
             budget: RetryBudget::default(),
             health: BackendHealth::default(),
             queues: FairQueues::default(),
@@ -62,7 +62,7 @@
     /// Puts a newer table in force.
     pub fn set_table(&self, table: RoutingTable) {
         self.metrics
-            .shown_revision
+            .applied_revision
             .set(clamp_to_i64(table.revision()));
         self.table.store(Arc::new(table));
     }
--- a/crates/proxy/src/request/attempt.rs
+++ b/crates/proxy/src/request/attempt.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use millford_core::{MonotonicTime, ResultCode};
-use millford_routing::{EjectionReason, LoadTicket};
+use millford_routing::{EjectionReason, InFlightGuard};
 
 use crate::request::choose_backend::ChosenReplica;
 use crate::request::environment::{BackendAnswer, RequestEnvironment};
@@ -23,7 +23,7 @@
     /// Run that it starts or continues.
     pub run: String,
     /// Counts it in the load board.
-    pub ticket: LoadTicket,
+    pub ticket: InFlightGuard,
     /// When it started.
     pub started: MonotonicTime,
     /// Uncached prompt tokens on the backend at the start, its own included.
--- a/crates/proxy/src/request/claim_hold.rs
+++ b/crates/proxy/src/request/claim_hold.rs
@@ -1,6 +1,6 @@
 //! The claim of a request that may run only once.
 
-use millford_api::command::{Claim, RunOutcome, SettleClaim};
+use millford_api::command::{Claim, ResolveClaim, RunOutcome};
 use millford_core::{MonotonicTime, ResultCode, RunState};
 
 use crate::request::environment::RequestEnvironment;
@@ -40,7 +40,7 @@
 
     /// Records what became of the run.
     pub fn settle<E: RequestEnvironment>(&self, environment: &E, outcome: RunOutcome) {
-        environment.settle(SettleClaim {
+        environment.settle(ResolveClaim {
             tenant: self.claim.tenant.clone(),
             request_id: self.claim.request_id.clone(),
             attempt_id: self.claim.attempt_id.clone(),
--- a/crates/proxy/src/request/environment.rs
+++ b/crates/proxy/src/request/environment.rs
@@ -3,13 +3,13 @@
 use std::future::Future;
 
 use bytes::Bytes;
-use millford_api::command::{Claim, SettleClaim};
+use millford_api::command::{Claim, ResolveClaim};
 use millford_core::{Duration, MonotonicTime};
 
 use crate::proxy_state::ProxyState;
 use crate::request::message::{
-    AnswerError, AnswerHead, BackendRequest, ClaimAnswer, DispatchError, QuotaAnswer, QuotaAsk,
-    QuotaRelease, WithdrawAnswer, WithdrawRequest,
+    AdmissionReply, AdmissionRequest, AnswerError, AnswerHead, BackendRequest, ClaimAnswer,
+    DispatchError, QuotaRelease, WithdrawAnswer, WithdrawRequest,
 };
 
 /// Clock, randomness, agent and backends of one proxy.
@@ -33,7 +33,7 @@
     fn random(&self) -> u64;
 
     /// Asks the agent to admit one request of a tenant. Resolves within the ask's timeout.
-    fn ask_quota(&self, ask: QuotaAsk) -> impl Future<Output = QuotaAnswer> + Send;
+    fn ask_quota(&self, ask: AdmissionRequest) -> impl Future<Output = AdmissionReply> + Send;
 
     /// Gives a stream slot or an unused token back.
     fn release_quota(&self, release: QuotaRelease);
@@ -42,7 +42,7 @@
     fn claim(&self, claim: Claim, timeout: Duration) -> impl Future<Output = ClaimAnswer> + Send;
 
     /// Records what became of a claimed run; the agent repeats it until it is acknowledged.
-    fn settle(&self, settle: SettleClaim);
+    fn settle(&self, settle: ResolveClaim);
 
     /// Opens a new connection, sends the request and reads the head of the answer.
     ///
--- a/crates/proxy/src/request/message.rs
+++ b/crates/proxy/src/request/message.rs
@@ -118,7 +118,7 @@
 
 /// One request of a tenant wants to be admitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct QuotaAsk {
+pub struct AdmissionRequest {
     /// Tenant.
     pub tenant: String,
     /// Whether a stream slot is needed too.
@@ -129,7 +129,7 @@
 
 /// The agent's decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum QuotaAnswer {
+pub enum AdmissionReply {
     /// The request may go.
     Granted,
     /// The request may not go.
--- a/crates/proxy/src/request/quota_hold.rs
+++ b/crates/proxy/src/request/quota_hold.rs
@@ -3,7 +3,7 @@
 use millford_core::{MonotonicTime, ResultCode};
 
 use crate::request::environment::RequestEnvironment;
-use crate::request::message::{QuotaAnswer, QuotaAsk, QuotaRelease};
+use crate::request::message::{AdmissionReply, AdmissionRequest, QuotaRelease};
 use crate::request::refusal::Refusal;
 
 /// One admitted request of a tenant.
@@ -26,19 +26,19 @@
         if timeout.is_zero() {
             return Err(Refusal::not_run(ResultCode::DeadlineBeforeSend));
         }
-        let ask = QuotaAsk {
+        let ask = AdmissionRequest {
             tenant: tenant.to_owned(),
             stream,
             timeout,
         };
         match environment.ask_quota(ask).await {
-            QuotaAnswer::Granted => Ok(Self {
+            AdmissionReply::Granted => Ok(Self {
                 environment,
                 tenant: tenant.to_owned(),
                 stream,
                 used: false,
             }),
-            QuotaAnswer::Refused {
+            AdmissionReply::Refused {
                 code,
                 retry_after_ms,
             } => Err(quota_refusal(code, retry_after_ms)),
--- a/crates/proxy/tests/bad_inputs/main.rs
+++ b/crates/proxy/tests/bad_inputs/main.rs
@@ -9,14 +9,14 @@
 
 use cases::{body_cases, header_cases, headers, path_cases};
 use futures::future::pending;
-use millford_api::command::{Claim, SettleClaim};
+use millford_api::command::{Claim, ResolveClaim};
 use millford_core::time::monotonic_now;
 use millford_core::{Duration, MonotonicTime};
 use millford_proxy::daemon::server::{HttpLimits, service};
 use millford_proxy::proxy_state::ProxyState;
 use millford_proxy::request::environment::RequestEnvironment;
 use millford_proxy::request::message::{
-    BackendRequest, ClaimAnswer, DispatchError, QuotaAnswer, QuotaAsk, QuotaRelease,
+    AdmissionReply, AdmissionRequest, BackendRequest, ClaimAnswer, DispatchError, QuotaRelease,
     WithdrawAnswer, WithdrawRequest,
 };
 use support::environment::ScriptedAnswer;
@@ -51,8 +51,8 @@
         4
     }
 
-    async fn ask_quota(&self, _ask: QuotaAsk) -> QuotaAnswer {
-        QuotaAnswer::Granted
+    async fn ask_quota(&self, _ask: AdmissionRequest) -> AdmissionReply {
+        AdmissionReply::Granted
     }
 
     fn release_quota(&self, _release: QuotaRelease) {}
@@ -61,7 +61,7 @@
         ClaimAnswer::Granted
     }
 
-    fn settle(&self, _settle: SettleClaim) {}
+    fn settle(&self, _settle: ResolveClaim) {}
 
     async fn dispatch(&self, request: BackendRequest) -> Result<ScriptedAnswer, DispatchError> {
         if request.path.contains("never") {
--- a/crates/proxy/tests/capacity.rs
+++ b/crates/proxy/tests/capacity.rs
@@ -138,7 +138,7 @@
 }
 
 /// Fills every backend with so much prefill that the first token would come too late.
-fn fill(environment: &ScriptedEnvironment) -> Vec<millford_routing::LoadTicket> {
+fn fill(environment: &ScriptedEnvironment) -> Vec<millford_routing::InFlightGuard> {
     let state = environment.state();
     let fill = |id: &str| {
         let key = millford_routing::ReplicaKey {
--- a/crates/proxy/tests/daemon_path.rs
+++ b/crates/proxy/tests/daemon_path.rs
@@ -137,7 +137,7 @@
     let settled = || {
         let received = proxy.agent_received.lock().expect("received");
         let mut frames = received.iter();
-        frames.any(|body| matches!(body, local_frame::Body::Settle(_)))
+        frames.any(|body| matches!(body, local_frame::Body::ResolveClaim(_)))
     };
     until("the claim is settled", settled).await;
 }
--- a/crates/proxy/tests/run_state.rs
+++ b/crates/proxy/tests/run_state.rs
@@ -5,7 +5,7 @@
 use millford_api::command::RunOutcome;
 use millford_core::{Duration, MonotonicTime, ResultCode};
 use millford_proxy::request::environment::RequestEnvironment as _;
-use millford_proxy::request::message::{ClaimAnswer, QuotaAnswer, WithdrawAnswer};
+use millford_proxy::request::message::{AdmissionReply, ClaimAnswer, WithdrawAnswer};
 use support::fixture::{Fixture, keyed_request, request, serve, serve_leaving};
 use support::script::{AnswerScript, Script, Step, pieces, plain, status, stream};
 
@@ -279,7 +279,7 @@
 #[test]
 fn a_refused_quota_sends_nothing() {
     let environment = Fixture::default().environment();
-    environment.answer_quota(QuotaAnswer::Refused {
+    environment.answer_quota(AdmissionReply::Refused {
         code: ResultCode::QuotaExceeded,
         retry_after_ms: 130,
     });
--- a/crates/proxy/tests/send_times.rs
+++ b/crates/proxy/tests/send_times.rs
@@ -1,6 +1,6 @@
 //! Asks that are sent again say how long they waited, and old grants are not used.
 
-use millford_api::local::{LocalFrame, LocalQuotaAsk, local_frame};
+use millford_api::local::{LocalFrame, LocalQuotaRequest, local_frame};
 use millford_core::{Duration, MonotonicTime};
 use millford_proxy::control::send_times::SendTimes;
 
@@ -10,8 +10,8 @@
     START + Duration::from_millis(millis)
 }
 
-fn ask() -> LocalQuotaAsk {
-    LocalQuotaAsk {
+fn ask() -> LocalQuotaRequest {
+    LocalQuotaRequest {
         request_id: 1,
         tenant: "t".to_owned(),
         stream: true,
@@ -24,15 +24,15 @@
 fn an_ask_sent_again_states_its_age_and_the_time_left() {
     let mut times = SendTimes::at(START);
     let mut frame = LocalFrame {
-        body: Some(local_frame::Body::QuotaAsk(ask())),
+        body: Some(local_frame::Body::QuotaRequest(ask())),
     };
     times.renew(after(1_200), &mut frame);
-    let expected = LocalQuotaAsk {
+    let expected = LocalQuotaRequest {
         timeout_ms: 1_800,
         waited_ms: 1_200,
         ..ask()
     };
-    assert_eq!(frame.body, Some(local_frame::Body::QuotaAsk(expected)));
+    assert_eq!(frame.body, Some(local_frame::Body::QuotaRequest(expected)));
 }
 
 #[test]
--- a/crates/proxy/tests/support/environment.rs
+++ b/crates/proxy/tests/support/environment.rs
@@ -5,13 +5,13 @@
 
 use bytes::Bytes;
 use futures::future::pending;
-use millford_api::command::{Claim, SettleClaim};
+use millford_api::command::{Claim, ResolveClaim};
 use millford_core::{Duration, MonotonicTime};
 use millford_proxy::proxy_state::ProxyState;
 use millford_proxy::request::environment::{BackendAnswer, RequestEnvironment};
 use millford_proxy::request::message::{
-    AnswerError, AnswerHead, BackendRequest, ClaimAnswer, DispatchError, QuotaAnswer, QuotaAsk,
-    QuotaRelease, WithdrawAnswer, WithdrawRequest,
+    AdmissionReply, AdmissionRequest, AnswerError, AnswerHead, BackendRequest, ClaimAnswer,
+    DispatchError, QuotaRelease, WithdrawAnswer, WithdrawRequest,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -32,8 +32,8 @@
     pub dispatches: Vec<Dispatch>,
     pub withdrawals: Vec<WithdrawRequest>,
     pub claims: Vec<Claim>,
-    pub settles: Vec<SettleClaim>,
-    pub quota_asks: Vec<QuotaAsk>,
+    pub settles: Vec<ResolveClaim>,
+    pub quota_asks: Vec<AdmissionRequest>,
     pub quota_releases: Vec<QuotaRelease>,
 }
 
@@ -42,7 +42,7 @@
     by_backend: BTreeMap<String, VecDeque<Script>>,
     /// Used when a backend's own scripts are used up.
     usual: Script,
-    quota: QuotaAnswer,
+    quota: AdmissionReply,
     claim: ClaimAnswer,
     withdrawal: WithdrawAnswer,
     withdrawal_delay: Duration,
@@ -63,7 +63,7 @@
         let scripts = Scripts {
             by_backend: BTreeMap::new(),
             usual: whole_stream(0, 5),
-            quota: QuotaAnswer::Granted,
+            quota: AdmissionReply::Granted,
             claim: ClaimAnswer::Granted,
             withdrawal: WithdrawAnswer::Unknown,
             withdrawal_delay: Duration::ZERO,
@@ -89,7 +89,7 @@
         queue.or_default().push_back(script);
     }
 
-    pub fn answer_quota(&self, answer: QuotaAnswer) {
+    pub fn answer_quota(&self, answer: AdmissionReply) {
         self.scripts().quota = answer;
     }
 
@@ -156,7 +156,7 @@
         self.scripts().random.random()
     }
 
-    async fn ask_quota(&self, ask: QuotaAsk) -> QuotaAnswer {
+    async fn ask_quota(&self, ask: AdmissionRequest) -> AdmissionReply {
         self.recorded().quota_asks.push(ask);
         self.scripts().quota
     }
@@ -170,7 +170,7 @@
         self.scripts().claim
     }
 
-    fn settle(&self, settle: SettleClaim) {
+    fn settle(&self, settle: ResolveClaim) {
         self.recorded().settles.push(settle);
     }
 
--- a/crates/proxy/tests/support/stub_agent.rs
+++ b/crates/proxy/tests/support/stub_agent.rs
@@ -7,8 +7,8 @@
 use millford_api::command::ClaimResult;
 use millford_api::internal::StateSnapshot;
 use millford_api::local::{
-    AgentStatus, LocalClaimReply, LocalFrame, LocalQuotaReply, LocalSettleReply, ProxyShown,
-    local_frame,
+    AgentStatus, LocalClaimReply, LocalFrame, LocalQuotaReply, LocalResolveClaimReply,
+    ProxyApplied, local_frame,
 };
 use millford_api::state::StateItem;
 use millford_transport::accept;
@@ -33,7 +33,7 @@
 
 /// A frame at which the stub ends the connection, as a dying agent does.
 pub fn hang_up() -> local_frame::Body {
-    local_frame::Body::Shown(ProxyShown { revision: u64::MAX })
+    local_frame::Body::Applied(ProxyApplied { revision: u64::MAX })
 }
 
 async fn serve(stream: TcpStream, items: Vec<StateItem>, received: Received) {
@@ -64,17 +64,19 @@
                 ..Default::default()
             }),
             local_frame::Body::Status(AgentStatus {
-                in_touch: true,
+                connected: true,
                 session_epoch: 1,
                 data_shards: 1,
                 complete: true,
             }),
         ],
-        local_frame::Body::QuotaAsk(ask) => vec![local_frame::Body::QuotaReply(LocalQuotaReply {
-            request_id: ask.request_id,
-            granted: true,
-            ..LocalQuotaReply::default()
-        })],
+        local_frame::Body::QuotaRequest(ask) => {
+            vec![local_frame::Body::QuotaReply(LocalQuotaReply {
+                request_id: ask.request_id,
+                granted: true,
+                ..LocalQuotaReply::default()
+            })]
+        }
         local_frame::Body::Claim(claim) => vec![local_frame::Body::ClaimReply(LocalClaimReply {
             request_id: claim.request_id,
             code: 0,
@@ -83,11 +85,13 @@
                 ..ClaimResult::default()
             }),
         })],
-        local_frame::Body::Settle(settle) => {
-            vec![local_frame::Body::SettleReply(LocalSettleReply {
-                request_id: settle.request_id,
-                code: 0,
-            })]
+        local_frame::Body::ResolveClaim(settle) => {
+            vec![local_frame::Body::ResolveClaimReply(
+                LocalResolveClaimReply {
+                    request_id: settle.request_id,
+                    code: 0,
+                },
+            )]
         }
         _ => Vec::new(),
     }
--- a/crates/replication/src/append_receiving.rs
+++ b/crates/replication/src/append_receiving.rs
@@ -73,7 +73,7 @@
         let reply = AppendReply {
             accepted,
             match_index: index,
-            read_round: request.read_round,
+            read_sequence: request.read_sequence,
             previous_index: request.previous_index,
         };
         self.send(to, Body::AppendReply(reply));
--- a/crates/replication/src/append_sending.rs
+++ b/crates/replication/src/append_sending.rs
@@ -108,7 +108,7 @@
             previous_term,
             entries,
             commit_index: self.commit_index,
-            read_round: self.last_read_round(),
+            read_sequence: self.last_read_round(),
         };
         self.send(node, Body::AppendRequest(request));
     }
--- a/crates/replication/src/debug.rs
+++ b/crates/replication/src/debug.rs
@@ -64,7 +64,7 @@
             .field("next_index", &self.next_index)
             .field("in_flight", &self.in_flight)
             .field("sent_commit", &self.sent_commit)
-            .field("read_round", &self.read_round)
+            .field("read_round", &self.read_sequence)
             .finish_non_exhaustive()
     }
 }
--- a/crates/replication/src/election.rs
+++ b/crates/replication/src/election.rs
@@ -33,7 +33,7 @@
     ///
     /// Never by more than a whole time-out from now: a leader that was stopped steps down on the first
     /// message that it takes, and a timer that is set then is not part of the stall.
-    pub fn forgive_stall(&mut self, now: MonotonicTime, lost: Duration) {
+    pub fn defer_election_deadline(&mut self, now: MonotonicTime, lost: Duration) {
         self.advance_clock(now);
         let whole = self
             .patience
@@ -149,7 +149,7 @@
             self.adopt_term(term);
         }
         self.leader = leader;
-        self.leader_heard = Some(self.now);
+        self.leader_contact = Some(self.now);
         self.removed = false;
         self.patience.clear();
         self.reset_election_timer();
@@ -158,7 +158,7 @@
     /// Whether a leader was heard from so lately that a vote could only disturb it.
     pub(crate) fn hears_leader(&self, now: MonotonicTime) -> bool {
         let shortest = self.options.timing.election_timeout_min;
-        let heard = self.leader_heard;
+        let heard = self.leader_contact;
         self.is_leader()
             || self.leader.is_some() && heard.is_some_and(|at| now.since(at) < shortest)
     }
--- a/crates/replication/src/inspection.rs
+++ b/crates/replication/src/inspection.rs
@@ -46,7 +46,7 @@
             role: self.role(),
             term: self.term,
             leader: self.leader,
-            leader_heard: self.quorum_heard().or(self.leader_heard),
+            leader_contact: self.quorum_heard().or(self.leader_contact),
             commit_index: self.commit_index,
             last_index: self.storage.last_index(),
             snapshot_index: self.snapshot_index(),
--- a/crates/replication/src/message_check.rs
+++ b/crates/replication/src/message_check.rs
@@ -19,7 +19,7 @@
         Some(Body::VoteReply(_) | Body::TimeoutNow(_)) => true,
         Some(Body::AppendRequest(request)) => append_is_plausible(request, message.term),
         Some(Body::AppendReply(reply)) => {
-            fits(&[reply.match_index, reply.read_round, reply.previous_index])
+            fits(&[reply.match_index, reply.read_sequence, reply.previous_index])
         }
         Some(Body::SnapshotChunk(chunk)) => chunk_is_plausible(chunk, message.term),
         Some(Body::SnapshotReply(reply)) => fits(&[reply.last_index, reply.next_position]),
@@ -37,7 +37,7 @@
         request.previous_index,
         request.previous_term,
         request.commit_index,
-        request.read_round,
+        request.read_sequence,
     ];
     let mut previous = (request.previous_index, request.previous_term);
     fits(&numbers)
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -40,7 +40,7 @@
     /// Highest commit index sent.
     pub sent_commit: u64,
     /// Highest read round answered.
-    pub read_round: u64,
+    pub read_sequence: u64,
     /// When the last message of the present term came.
     pub last_heard: MonotonicTime,
 }
@@ -54,7 +54,7 @@
             next_index,
             in_flight: VecDeque::new(),
             sent_commit: 0,
-            read_round: 0,
+            read_sequence: 0,
             last_heard: now,
         }
     }
--- a/crates/replication/src/reads.rs
+++ b/crates/replication/src/reads.rs
@@ -53,7 +53,7 @@
             if voter == own {
                 return last_round;
             }
-            state.peers.get(&voter).map_or(0, |peer| peer.read_round)
+            state.peers.get(&voter).map_or(0, |peer| peer.read_sequence)
         });
         while let Some(round) = state.rounds.pop_front_if(|round| round.round <= confirmed) {
             let index = round.index;
--- a/crates/replication/src/replies.rs
+++ b/crates/replication/src/replies.rs
@@ -17,7 +17,7 @@
             return;
         };
         // A refusal confirms the leadership as well: it is of the present term.
-        peer.read_round = peer.read_round.max(reply.read_round.min(last_round));
+        peer.read_sequence = peer.read_sequence.max(reply.read_sequence.min(last_round));
         if !reply.accepted {
             refused(peer, &reply);
         } else if reply.match_index <= last_index {
--- a/crates/replication/src/status.rs
+++ b/crates/replication/src/status.rs
@@ -15,7 +15,7 @@
     pub leader: NodeId,
     /// When the leader was last heard from; `None` before the first time. On the leader: when a
     /// quorum was last heard from.
-    pub leader_heard: Option<MonotonicTime>,
+    pub leader_contact: Option<MonotonicTime>,
     /// Last committed index.
     pub commit_index: u64,
     /// Last index of the log.
--- a/crates/replication/tests/implausible_messages.rs
+++ b/crates/replication/tests/implausible_messages.rs
@@ -55,12 +55,12 @@
             previous_term: number(generator),
             entries: vec![entry(generator), entry(generator)],
             commit_index: number(generator),
-            read_round: number(generator),
+            read_sequence: number(generator),
         }),
         3 => Body::AppendReply(AppendReply {
             accepted: flag(generator),
             match_index: number(generator),
-            read_round: number(generator),
+            read_sequence: number(generator),
             previous_index: number(generator),
         }),
         4 => Body::SnapshotChunk(SnapshotChunk {
--- a/crates/replication/tests/outage_orders.rs
+++ b/crates/replication/tests/outage_orders.rs
@@ -175,7 +175,7 @@
             let term = replica.status().term;
             replica.step(now, waiting_reply(peer, node, term));
         }
-        replica.forgive_stall(now, now.since(self.stopped_at));
+        replica.defer_election_deadline(now, now.since(self.stopped_at));
         replica.tick(now);
     }
 
--- a/crates/replication/tests/slow_elections.rs
+++ b/crates/replication/tests/slow_elections.rs
@@ -69,7 +69,7 @@
         let (mut simulation, leader, follower) = led_group(seed);
         let late = simulation.now + LATE;
         let replica = simulation.replica(follower).expect("runs");
-        replica.forgive_stall(late, LATE);
+        replica.defer_election_deadline(late, LATE);
         replica.tick(late);
         assert_eq!(replica.status().leader, leader, "seed {seed}");
         // A leader that stays silent is missed all the same.
@@ -89,7 +89,7 @@
         let term = replica.status().term;
         replica.step(late, waiting_reply(follower, leader, term));
         assert_eq!(replica.status().role, Role::Follower, "seed {seed}");
-        replica.forgive_stall(late, STOPPED);
+        replica.defer_election_deadline(late, STOPPED);
         replica.tick(late);
         replica.tick(late + SECOND * 2);
         assert_eq!(replica.status().role, Role::PreCandidate, "seed {seed}");
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -2,7 +2,7 @@
 
 use millford_core::Duration;
 
-use crate::cost_book::CostBook;
+use crate::cost_estimates::CostEstimates;
 
 /// What admission knows about the backend that a request would go to.
 #[derive(Clone, Copy, Debug)]
@@ -16,7 +16,7 @@
 impl AdmissionEstimate {
     /// Estimated time to the first token.
     #[must_use]
-    pub fn first_token(&self, model: &str, costs: &CostBook) -> Duration {
+    pub fn first_token(&self, model: &str, costs: &CostEstimates) -> Duration {
         let tokens = self.queued_tokens.saturating_add(self.own_tokens);
         let millis = costs.first_token_ms(model, tokens);
         Duration::from_secs_f64(millis.max(0.0) / 1000.0)
@@ -25,7 +25,7 @@
     /// Whether the first token would come within `limit`. An idle backend always admits:
     /// refusing there would not make the next attempt any faster.
     #[must_use]
-    pub fn admits(&self, model: &str, costs: &CostBook, limit: Duration) -> bool {
+    pub fn admits(&self, model: &str, costs: &CostEstimates, limit: Duration) -> bool {
         self.queued_tokens == 0 || self.first_token(model, costs) <= limit
     }
 }
--- a/crates/routing/src/cost_book.rs
+++ b/crates/routing/src/cost_estimates.rs
@@ -49,11 +49,11 @@
 
 /// The costs of all models seen by this node.
 #[derive(Debug, Default)]
-pub struct CostBook {
+pub struct CostEstimates {
     models: Mutex<BTreeMap<String, ModelCost>>,
 }
 
-impl CostBook {
+impl CostEstimates {
     /// A first token came `first_token_ms` after a request with this many uncached prompt tokens,
     /// its own and those queued before it on the backend.
     pub fn add_first_token(&self, model: &str, uncached_tokens: u64, first_token_ms: f64) {
--- a/crates/routing/src/load_ticket.rs
+++ b/crates/routing/src/in_flight_guard.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::load_board::{LoadBoard, ReplicaCounts};
+use crate::load_table::{LoadTable, ReplicaCounts};
 use crate::replica_key::ReplicaKey;
 
 /// What a request is counted as.
@@ -15,15 +15,15 @@
 
 /// Counts one request until it is dropped, on whatever path the request ends.
 #[derive(Debug)]
-pub struct LoadTicket {
-    board: Arc<LoadBoard>,
+pub struct InFlightGuard {
+    board: Arc<LoadTable>,
     key: ReplicaKey,
     uncached_tokens: u64,
     phase: Phase,
 }
 
-impl LoadTicket {
-    pub(crate) fn new(board: Arc<LoadBoard>, key: ReplicaKey, uncached_tokens: u64) -> Self {
+impl InFlightGuard {
+    pub(crate) fn new(board: Arc<LoadTable>, key: ReplicaKey, uncached_tokens: u64) -> Self {
         Self {
             board,
             key,
@@ -61,7 +61,7 @@
     }
 }
 
-impl Drop for LoadTicket {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let (tokens, phase) = (self.uncached_tokens, self.phase);
         self.board
--- a/crates/routing/src/load_board.rs
+++ b/crates/routing/src/load_table.rs
@@ -4,12 +4,12 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use millford_api::internal::{CostSample, LoadPicture, LoadReport, ReplicaLoad};
+use millford_api::internal::{CostSample, LoadReport, LoadSnapshot, ReplicaLoad};
 use tokio::sync::Notify;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::cost_book::CostBook;
-use crate::load_ticket::LoadTicket;
+use crate::cost_estimates::CostEstimates;
+use crate::in_flight_guard::InFlightGuard;
 use crate::replica_key::ReplicaKey;
 
 /// Number of shards; a power of two.
@@ -47,7 +47,7 @@
 
 /// Counts of this node's work in flight, with what the other nodes reported.
 #[derive(Debug)]
-pub struct LoadBoard {
+pub struct LoadTable {
     shards: Vec<Mutex<BoardShard>>,
     /// Whether the other nodes themselves tell what they have in flight.
     follows_peers: AtomicBool,
@@ -56,7 +56,7 @@
     change: Notify,
 }
 
-impl Default for LoadBoard {
+impl Default for LoadTable {
     fn default() -> Self {
         let shards = (0..BOARD_SHARDS).map(|_| Mutex::default());
         Self {
@@ -68,12 +68,12 @@
     }
 }
 
-impl LoadBoard {
+impl LoadTable {
     /// Counts a request with this many uncached prompt tokens until the ticket is dropped.
     #[must_use]
-    pub fn start(self: &Arc<Self>, key: ReplicaKey, uncached_tokens: u64) -> LoadTicket {
+    pub fn start(self: &Arc<Self>, key: ReplicaKey, uncached_tokens: u64) -> InFlightGuard {
         self.change_own(&key, |own| own.prefill_tokens += uncached_tokens);
-        LoadTicket::new(Arc::clone(self), key, uncached_tokens)
+        InFlightGuard::new(Arc::clone(self), key, uncached_tokens)
     }
 
     /// Counts of one replica, all nodes together.
@@ -87,7 +87,7 @@
     ///
     /// Each model's work counts at that model's own cost.
     #[must_use]
-    pub fn backend_load(&self, backend_id: &str, cores: u32, costs: &CostBook) -> f64 {
+    pub fn backend_load(&self, backend_id: &str, cores: u32, costs: &CostEstimates) -> f64 {
         let shard = self.lock(backend_id);
         let of_backend = shard
             .range(first_key(backend_id)..)
@@ -194,7 +194,7 @@
     }
 
     /// Takes in what all nodes together have in flight; this node's last report is part of it.
-    pub fn merge_picture(&self, picture: &LoadPicture) {
+    pub fn merge_snapshot(&self, picture: &LoadSnapshot) {
         if self.follows_peers.load(Ordering::Relaxed) {
             return;
         }
--- a/crates/routing/src/prompt_directory.rs
+++ b/crates/routing/src/prompt_directory.rs
@@ -17,7 +17,7 @@
 
 /// One part of a prompt: its identity includes its place, so that equal ids are equal parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PromptPart {
+pub struct PrefixBlock {
     /// Identity of the part.
     pub id: u64,
     /// Its length.
@@ -26,9 +26,9 @@
 
 /// A part that a backend has read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PartPlace {
+pub struct CachedBlock {
     /// Identity of the part.
-    pub part: u64,
+    pub block: u64,
     /// The backend.
     pub backend_id: String,
     /// Length of the part.
@@ -51,7 +51,7 @@
 #[derive(Debug)]
 pub struct PromptDirectory {
     shards: Vec<Mutex<HashMap<u64, Readings>>>,
-    news: Mutex<Vec<PartPlace>>,
+    news: Mutex<Vec<CachedBlock>>,
     has_news: Notify,
 }
 
@@ -68,17 +68,23 @@
 
 impl PromptDirectory {
     /// This node sends a prompt with these parts to a backend. `shared` of them may come again.
-    pub fn sent(&self, now: MonotonicTime, backend_id: &str, parts: &[PromptPart], shared: usize) {
-        for (index, part) in parts.iter().enumerate() {
+    pub fn sent(
+        &self,
+        now: MonotonicTime,
+        backend_id: &str,
+        blocks: &[PrefixBlock],
+        shared: usize,
+    ) {
+        for (index, block) in blocks.iter().enumerate() {
             let tell = index < shared;
-            self.note(now, backend_id, *part, tell);
+            self.note(now, backend_id, *block, tell);
         }
     }
 
     /// Another node tells where a part was read.
-    pub fn told(&self, now: MonotonicTime, place: &PartPlace) {
-        let mut shard = self.lock(place.part);
-        let readings = shard.entry(place.part).or_default();
+    pub fn told(&self, now: MonotonicTime, place: &CachedBlock) {
+        let mut shard = self.lock(place.block);
+        let readings = shard.entry(place.block).or_default();
         let reading = readings.entry(place.backend_id.clone()).or_insert(Reading {
             last_used: now,
             last_told: Some(now),
@@ -93,12 +99,12 @@
     pub fn newest_holders(
         &self,
         now: MonotonicTime,
-        part: u64,
+        block: u64,
         among: &[&str],
         most: usize,
     ) -> Vec<String> {
-        let shard = self.lock(part);
-        let readings = shard.get(&part).into_iter().flatten();
+        let shard = self.lock(block);
+        let readings = shard.get(&block).into_iter().flatten();
         let mut holders: Vec<(MonotonicTime, &String)> = readings
             .filter(|(_, reading)| now.since(reading.last_used) < REMEMBERED_FOR)
             .filter(|(id, _)| among.is_empty() || among.contains(&id.as_str()))
@@ -111,7 +117,7 @@
 
     /// Places to tell the other nodes, once each.
     #[must_use]
-    pub fn take_news(&self) -> Vec<PartPlace> {
+    pub fn take_news(&self) -> Vec<CachedBlock> {
         let mut news = self.news.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut *news)
     }
@@ -132,13 +138,13 @@
         }
     }
 
-    fn note(&self, now: MonotonicTime, backend_id: &str, part: PromptPart, tell: bool) {
-        let mut shard = self.lock(part.id);
-        let readings = shard.entry(part.id).or_default();
+    fn note(&self, now: MonotonicTime, backend_id: &str, block: PrefixBlock, tell: bool) {
+        let mut shard = self.lock(block.id);
+        let readings = shard.entry(block.id).or_default();
         let reading = readings.entry(backend_id.to_owned()).or_insert(Reading {
             last_used: now,
             last_told: None,
-            tokens: part.tokens,
+            tokens: block.tokens,
         });
         reading.last_used = now;
         let due = reading
@@ -149,8 +155,8 @@
             let tokens = reading.tokens;
             drop(shard);
             let mut news = self.news.lock().unwrap_or_else(PoisonError::into_inner);
-            news.push(PartPlace {
-                part: part.id,
+            news.push(CachedBlock {
+                block: block.id,
                 backend_id: backend_id.to_owned(),
                 tokens,
             });
@@ -158,8 +164,8 @@
         }
     }
 
-    fn lock(&self, part: u64) -> MutexGuard<'_, HashMap<u64, Readings>> {
-        let slot = usize::try_from(part % DIRECTORY_SHARDS as u64).unwrap_or_default();
+    fn lock(&self, block: u64) -> MutexGuard<'_, HashMap<u64, Readings>> {
+        let slot = usize::try_from(block % DIRECTORY_SHARDS as u64).unwrap_or_default();
         self.shards[slot]
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/crates/routing/tests/forward_table.rs
+++ b/crates/routing/tests/forward_table.rs
@@ -7,7 +7,7 @@
 use millford_api::state::{ProxyMember, StateValue};
 use millford_core::{Duration, MonotonicTime};
 use millford_routing::{
-    BackendHealth, LoadBoard, PartPlace, PromptDirectory, PromptPart, ReplicaCounts, ReplicaKey,
+    BackendHealth, CachedBlock, LoadTable, PrefixBlock, PromptDirectory, ReplicaCounts, ReplicaKey,
     RoutingTable,
 };
 use quickcheck::quickcheck;
@@ -81,19 +81,19 @@
 fn parts_are_known_where_they_were_sent_and_forgotten_in_time() {
     let directory = PromptDirectory::default();
     let at = MonotonicTime::from_millis;
-    let parts = [
-        PromptPart { id: 1, tokens: 10 },
-        PromptPart { id: 2, tokens: 20 },
-        PromptPart { id: 3, tokens: 30 },
+    let blocks = [
+        PrefixBlock { id: 1, tokens: 10 },
+        PrefixBlock { id: 2, tokens: 20 },
+        PrefixBlock { id: 3, tokens: 30 },
     ];
-    directory.sent(at(0), "b-1", &parts, 2);
-    let told = PartPlace {
-        part: 2,
+    directory.sent(at(0), "b-1", &blocks, 2);
+    let told = CachedBlock {
+        block: 2,
         backend_id: "b-2".to_owned(),
         tokens: 20,
     };
     directory.told(at(1000), &told);
-    let holders = |now: u64, part: u64| directory.newest_holders(at(now), part, &[], 8);
+    let holders = |now: u64, block: u64| directory.newest_holders(at(now), block, &[], 8);
     assert_eq!(holders(2000, 1), ["b-1"]);
     assert_eq!(holders(2000, 2), ["b-2", "b-1"], "the newest first");
     assert_eq!(holders(2000, 3), ["b-1"]);
@@ -105,21 +105,21 @@
     let news: Vec<u64> = directory
         .take_news()
         .iter()
-        .map(|place| place.part)
+        .map(|place| place.block)
         .collect();
     assert_eq!(news, [1, 2], "what nobody shares is not told");
     assert!(directory.take_news().is_empty());
     assert_eq!(holders(25_500, 1), Vec::<String>::new());
     assert_eq!(holders(25_500, 2), ["b-2"]);
     directory.expire(at(60_000));
-    for part in 1..4 {
-        assert_eq!(holders(1000, part), Vec::<String>::new());
+    for block in 1..4 {
+        assert_eq!(holders(1000, block), Vec::<String>::new());
     }
 }
 
 #[test]
 fn work_told_by_peers_replaces_the_pictures() {
-    let board = Arc::new(LoadBoard::default());
+    let board = Arc::new(LoadTable::default());
     board.follow_peers();
     let key = ReplicaKey {
         backend_id: "b-1".to_owned(),
@@ -135,7 +135,7 @@
     };
     assert_eq!(board.take_changed(), BTreeSet::from(["b-1".to_owned()]));
     board.set_others("b-1", &BTreeMap::from([(key.clone(), theirs)]));
-    board.merge_picture(&millford_api::internal::LoadPicture::default());
+    board.merge_snapshot(&millford_api::internal::LoadSnapshot::default());
     assert_eq!(board.counts(&key).prefill_tokens, 150);
     let own = board.own_work_on("b-1");
     assert_eq!(own.len(), 1);
--- a/crates/routing/tests/load.rs
+++ b/crates/routing/tests/load.rs
@@ -2,11 +2,12 @@
 
 use std::sync::Arc;
 
-use millford_api::internal::{LoadPicture, ReplicaLoad};
+use millford_api::internal::{LoadSnapshot, ReplicaLoad};
 use millford_core::{Duration, MonotonicTime};
-use millford_routing::load_board::ReplicaCounts;
+use millford_routing::load_table::ReplicaCounts;
 use millford_routing::{
-    AdmissionEstimate, BackendHealth, CostBook, EjectionReason, FairQueue, LoadBoard, ReplicaKey,
+    AdmissionEstimate, BackendHealth, CostEstimates, EjectionReason, FairQueue, LoadTable,
+    ReplicaKey,
 };
 use quickcheck::quickcheck;
 
@@ -22,7 +23,7 @@
 quickcheck! {
     /// Whatever a request went through, its end leaves nothing behind.
     fn ended_requests_leave_no_count(phases: Vec<(u8, u16)>) -> bool {
-        let board: Arc<LoadBoard> = Arc::default();
+        let board: Arc<LoadTable> = Arc::default();
         let mut tickets = Vec::new();
         for (phase, tokens) in phases {
             let mut ticket = board.start(key("b", "saga"), u64::from(tokens));
@@ -40,7 +41,7 @@
 
     /// The fit of a straight line finds the line.
     fn a_line_is_found(base: u8, slope: u8) -> bool {
-        let costs = CostBook::default();
+        let costs = CostEstimates::default();
         let (base, slope) = (f64::from(base), f64::from(slope) / 100.0);
         for tokens in (0..4000u64).step_by(100) {
             costs.add_first_token("saga", tokens, base + slope * tokens as f64);
@@ -52,7 +53,7 @@
 
 #[test]
 fn reports_hold_only_what_changed() {
-    let board: Arc<LoadBoard> = Arc::default();
+    let board: Arc<LoadTable> = Arc::default();
     let ticket = board.start(key("b1", "saga"), 100);
     let reports = board.take_reports();
     assert_eq!(reports.len(), 1);
@@ -66,10 +67,10 @@
 
 #[test]
 fn the_picture_adds_the_other_nodes_without_counting_this_one_twice() {
-    let board: Arc<LoadBoard> = Arc::default();
+    let board: Arc<LoadTable> = Arc::default();
     let _ticket = board.start(key("b1", "saga"), 100);
     let _ = board.take_reports();
-    board.merge_picture(&LoadPicture {
+    board.merge_snapshot(&LoadSnapshot {
         service: "models".to_owned(),
         epoch: 1,
         loads: vec![ReplicaLoad {
@@ -87,12 +88,12 @@
 
 #[test]
 fn a_heavy_model_weighs_more_than_a_light_one() {
-    let costs = CostBook::default();
+    let costs = CostEstimates::default();
     for tokens in (0..4000u64).step_by(100) {
         costs.add_first_token("heavy", tokens, 2.0 * tokens as f64);
         costs.add_first_token("light", tokens, 0.01 * tokens as f64);
     }
-    let board: Arc<LoadBoard> = Arc::default();
+    let board: Arc<LoadTable> = Arc::default();
     let _heavy = board.start(key("b1", "heavy"), 1000);
     let _light: Vec<_> = (0..5)
         .map(|_| board.start(key("b2", "light"), 1000))
@@ -104,7 +105,7 @@
 
 #[test]
 fn an_idle_backend_always_admits() {
-    let costs = CostBook::default();
+    let costs = CostEstimates::default();
     let estimate = AdmissionEstimate {
         queued_tokens: 0,
         own_tokens: 10_000_000,
@@ -179,7 +180,7 @@
 /// The placement role forgets counts that are not refreshed: a long stream must show again and again.
 #[test]
 fn unchanged_work_is_reported_again_and_idle_replicas_are_not() {
-    let board = std::sync::Arc::new(millford_routing::LoadBoard::default());
+    let board = std::sync::Arc::new(millford_routing::LoadTable::default());
     let key = millford_routing::ReplicaKey {
         pool: "pool".to_owned(),
         backend_id: "b1".to_owned(),
--- a/crates/scale/src/exchange/traffic.rs
+++ b/crates/scale/src/exchange/traffic.rs
@@ -10,7 +10,7 @@
 use millford_forward::request::choose::{choose, shared_parts};
 use millford_forward::request::plan::Plan;
 use millford_forward::request::serve::admit;
-use millford_routing::PromptPart;
+use millford_routing::PrefixBlock;
 use rand::Rng;
 
 use super::proxy_fleet::{HollowForward, MODEL, POOL, TENANTS, route, tenant_name};
@@ -87,7 +87,7 @@
 }
 
 /// A beginning that many prompts share, a part that few share, and the request's own.
-fn parts() -> Vec<PromptPart> {
+fn parts() -> Vec<PrefixBlock> {
     let mut random = rand::rng();
     let special = random.random_range(0..SPECIAL_PARTS);
     let ids = [
@@ -95,7 +95,7 @@
         GENERAL_PARTS + special,
         random.random(),
     ];
-    let part = |id| PromptPart {
+    let part = |id| PrefixBlock {
         id,
         tokens: PART_TOKENS,
     };
--- a/crates/scale/src/hollow/hollow_node.rs
+++ b/crates/scale/src/hollow/hollow_node.rs
@@ -5,7 +5,7 @@
 use millford_agent::AgentOptions;
 use millford_agent::daemon::report::SharedReport;
 use millford_agent::daemon::{
-    AgentReport, Driver, DriverParts, EventQueues, ProxyOutlet, TrafficMeter,
+    AgentReport, Driver, DriverComponents, EventQueues, ProxySender, TrafficMeter,
 };
 use tokio::runtime::Handle;
 use tokio::sync::mpsc;
@@ -44,11 +44,11 @@
         counts: Arc<TrafficCounts>,
     ) -> Self {
         let (queues, sources) = EventQueues::new();
-        let (outlet, frames) = ProxyOutlet::new();
+        let (outlet, frames) = ProxySender::new();
         let (outlet_sender, outlets) = mpsc::channel(1);
         let meter = Arc::new(TrafficMeter::default());
         let report = SharedReport::default();
-        let parts = DriverParts {
+        let parts = DriverComponents {
             options: options(number, seeds, shape.seed),
             queues: queues.clone(),
             sources,
--- a/crates/scale/src/hollow/hollow_proxy.rs
+++ b/crates/scale/src/hollow/hollow_proxy.rs
@@ -6,15 +6,15 @@
 
 use millford_agent::AgentInput;
 use millford_agent::daemon::EventQueues;
-use millford_agent::daemon::proxy_outlet::ProxyFrames;
-use millford_api::command::{Claim, RunOutcome, SettleClaim};
+use millford_agent::daemon::proxy_sender::ProxyFrames;
+use millford_api::command::{Claim, ResolveClaim, RunOutcome};
 use millford_api::local::{
-    LocalClaim, LocalFrame, LocalQuotaAsk, LocalQuotaRelease, LocalSettle, ProxyHello, ProxyShown,
-    local_frame,
+    LocalClaim, LocalFrame, LocalQuotaRelease, LocalQuotaRequest, LocalResolveClaim, ProxyApplied,
+    ProxyHello, local_frame,
 };
 use millford_api::state::{StateItem, state_value};
-use millford_routing::load_board::LoadBoard;
-use millford_routing::load_ticket::LoadTicket;
+use millford_routing::in_flight_guard::InFlightGuard;
+use millford_routing::load_table::LoadTable;
 use millford_routing::replica_key::ReplicaKey;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -33,7 +33,7 @@
 
 struct OpenStream {
     tenant: String,
-    ticket: LoadTicket,
+    ticket: InFlightGuard,
     first_piece_at: Instant,
     ends_at: Instant,
 }
@@ -44,7 +44,7 @@
     queues: EventQueues,
     board: Arc<ShownBoard>,
     counts: Arc<TrafficCounts>,
-    load: Arc<LoadBoard>,
+    load: Arc<LoadTable>,
     random: SmallRng,
     asked: BTreeMap<u64, (Instant, String)>,
     streams: Vec<OpenStream>,
@@ -67,7 +67,7 @@
             queues,
             board,
             counts,
-            load: Arc::new(LoadBoard::default()),
+            load: Arc::new(LoadTable::default()),
             asked: BTreeMap::new(),
             streams: Vec::new(),
             next_id: 0,
@@ -128,7 +128,7 @@
                 let granted = reply.result.is_some_and(|result| result.granted);
                 self.counts.claim_answered(granted);
             }
-            Some(local_frame::Body::LoadPicture(picture)) => self.load.merge_picture(&picture),
+            Some(local_frame::Body::LoadSnapshot(picture)) => self.load.merge_snapshot(&picture),
             _ => {}
         }
     }
@@ -144,7 +144,7 @@
         self.board.arrived(revision);
         let first = self.shown == 0;
         self.shown = revision;
-        self.send(local_frame::Body::Shown(ProxyShown { revision }))
+        self.send(local_frame::Body::Applied(ProxyApplied { revision }))
             .await;
         if first {
             // The streams that would be open had the traffic been steady for long.
@@ -158,14 +158,14 @@
         let tenant = self.draw_tenant();
         self.next_id += 1;
         self.asked.insert(self.next_id, (now, tenant.clone()));
-        let ask = LocalQuotaAsk {
+        let ask = LocalQuotaRequest {
             request_id: self.next_id,
             tenant,
             stream: true,
             timeout_ms: millis(ASK_TIMEOUT),
             waited_ms: 0,
         };
-        self.send(local_frame::Body::QuotaAsk(ask)).await;
+        self.send(local_frame::Body::QuotaRequest(ask)).await;
     }
 
     /// A few large tenants dominate: the square of an even number falls low most often.
@@ -212,15 +212,15 @@
         }))
         .await;
         self.next_id += 1;
-        let settle = SettleClaim {
+        let settle = ResolveClaim {
             tenant: tenant.to_owned(),
             request_id: request_id.clone(),
             attempt_id: request_id,
             outcome: RunOutcome::RunCompleted.into(),
         };
-        self.send(local_frame::Body::Settle(LocalSettle {
+        self.send(local_frame::Body::ResolveClaim(LocalResolveClaim {
             request_id: self.next_id,
-            settle: Some(settle),
+            resolution: Some(settle),
         }))
         .await;
     }
--- a/crates/simulation/src/world/proxy/agent_desk.rs
+++ b/crates/simulation/src/world/proxy/agent_desk.rs
@@ -2,13 +2,15 @@
 
 use futures::channel::oneshot;
 use futures::future::{Either, select};
-use millford_api::command::{Claim, SettleClaim};
+use millford_api::command::{Claim, ResolveClaim};
 use millford_api::local::{
-    LocalClaim, LocalFrame, LocalQuotaAsk, LocalQuotaRelease, LocalSettle, local_frame,
+    LocalClaim, LocalFrame, LocalQuotaRelease, LocalQuotaRequest, LocalResolveClaim, local_frame,
 };
 use millford_core::{Duration, MonotonicTime, ResultCode};
 use millford_proxy::control::frame_handler::FrameOutcome;
-use millford_proxy::request::message::{ClaimAnswer, QuotaAnswer, QuotaAsk, QuotaRelease};
+use millford_proxy::request::message::{
+    AdmissionReply, AdmissionRequest, ClaimAnswer, QuotaRelease,
+};
 
 use crate::history::CallNumber;
 use crate::world::defect::Defect;
@@ -21,7 +23,7 @@
 pub struct AgentDesk {
     /// A planted defect, if any.
     pub defect: Option<Defect>,
-    quotas: Asks<QuotaAnswer>,
+    quotas: Asks<AdmissionReply>,
     claims: Asks<ClaimAnswer>,
     settles: Asks<()>,
 }
@@ -32,23 +34,23 @@
         &self,
         port: &SharedPort,
         call: CallNumber,
-        ask: QuotaAsk,
-    ) -> QuotaAnswer {
+        ask: AdmissionRequest,
+    ) -> AdmissionReply {
         let answer = match self.planted_answer(port) {
             Some(answer) => answer,
             None => self.ask_agent(port, ask).await,
         };
-        if answer == QuotaAnswer::Granted {
+        if answer == AdmissionReply::Granted {
             lock(port).actions.push(ProxyAction::Admitted(call));
         }
         answer
     }
 
-    fn planted_answer(&self, port: &SharedPort) -> Option<QuotaAnswer> {
+    fn planted_answer(&self, port: &SharedPort) -> Option<AdmissionReply> {
         match self.defect {
-            Some(Defect::GrantsAll) => Some(QuotaAnswer::Granted),
+            Some(Defect::GrantsAll) => Some(AdmissionReply::Granted),
             Some(Defect::RefusesSome) if lock(port).random().is_multiple_of(5) => {
-                Some(QuotaAnswer::Refused {
+                Some(AdmissionReply::Refused {
                     code: ResultCode::QuotaExceeded,
                     retry_after_ms: 0,
                 })
@@ -57,9 +59,9 @@
         }
     }
 
-    async fn ask_agent(&self, port: &SharedPort, ask: QuotaAsk) -> QuotaAnswer {
+    async fn ask_agent(&self, port: &SharedPort, ask: AdmissionRequest) -> AdmissionReply {
         let request_id = lock(port).next_number();
-        let body = local_frame::Body::QuotaAsk(LocalQuotaAsk {
+        let body = local_frame::Body::QuotaRequest(LocalQuotaRequest {
             request_id,
             tenant: ask.tenant,
             stream: ask.stream,
@@ -71,7 +73,7 @@
             .ask(lock(port).now, request_id, frame(body.clone()));
         send(port, body);
         let answer = within(port, ask.timeout, asked).await;
-        answer.unwrap_or(QuotaAnswer::Refused {
+        answer.unwrap_or(AdmissionReply::Refused {
             code: ResultCode::QuotaUnavailable,
             retry_after_ms: 0,
         })
@@ -109,11 +111,11 @@
     }
 
     /// Records an outcome until it is acknowledged.
-    pub fn settle(&self, port: &SharedPort, settle: SettleClaim) {
+    pub fn settle(&self, port: &SharedPort, settle: ResolveClaim) {
         let request_id = lock(port).next_number();
-        let body = local_frame::Body::Settle(LocalSettle {
+        let body = local_frame::Body::ResolveClaim(LocalResolveClaim {
             request_id,
-            settle: Some(settle),
+            resolution: Some(settle),
         });
         self.settles
             .keep(lock(port).now, request_id, frame(body.clone()));
@@ -128,15 +130,15 @@
                 answer,
                 use_within,
             } => {
-                if answer == QuotaAnswer::Granted
+                if answer == AdmissionReply::Granted
                     && self.ask_again_if_late(port, request_id, use_within)
                 {
                     return;
                 }
                 let unclaimed = self.quotas.answered(request_id, answer);
-                if let Some(local_frame::Body::QuotaAsk(ask)) =
+                if let Some(local_frame::Body::QuotaRequest(ask)) =
                     unclaimed.and_then(|frame| frame.body)
-                    && answer == QuotaAnswer::Granted
+                    && answer == AdmissionReply::Granted
                 {
                     let body = local_frame::Body::QuotaRelease(LocalQuotaRelease {
                         tenant: ask.tenant,
@@ -164,7 +166,8 @@
     ) -> bool {
         let now = lock(port).now;
         let renewed = self.quotas.renew_late(now, request_id, use_within);
-        let Some(local_frame::Body::QuotaAsk(ask)) = renewed.and_then(|frame| frame.body) else {
+        let Some(local_frame::Body::QuotaRequest(ask)) = renewed.and_then(|frame| frame.body)
+        else {
             return false;
         };
         if ask.stream {
@@ -176,7 +179,7 @@
             };
             send(port, local_frame::Body::QuotaRelease(release));
         }
-        send(port, local_frame::Body::QuotaAsk(ask));
+        send(port, local_frame::Body::QuotaRequest(ask));
         true
     }
 
--- a/crates/simulation/src/world/proxy/environment.rs
+++ b/crates/simulation/src/world/proxy/environment.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 
 use futures::channel::{mpsc, oneshot};
-use millford_api::command::{Claim, SettleClaim};
+use millford_api::command::{Claim, ResolveClaim};
 use millford_core::{Duration, MonotonicTime};
 use millford_proxy::proxy_state::ProxyState;
 use millford_proxy::request::environment::RequestEnvironment;
 use millford_proxy::request::message::{
-    BackendRequest, ClaimAnswer, DispatchError, QuotaAnswer, QuotaAsk, QuotaRelease,
+    AdmissionReply, AdmissionRequest, BackendRequest, ClaimAnswer, DispatchError, QuotaRelease,
     WithdrawAnswer, WithdrawRequest,
 };
 
@@ -71,7 +71,7 @@
         lock(&self.port).random()
     }
 
-    async fn ask_quota(&self, ask: QuotaAsk) -> QuotaAnswer {
+    async fn ask_quota(&self, ask: AdmissionRequest) -> AdmissionReply {
         self.agent.ask_quota(&self.port, self.call, ask).await
     }
 
@@ -83,7 +83,7 @@
         self.agent.claim(&self.port, claim, timeout).await
     }
 
-    fn settle(&self, settle: SettleClaim) {
+    fn settle(&self, settle: ResolveClaim) {
         self.agent.settle(&self.port, settle);
     }
 
