--- a/crates/control/tests/feed.rs
+++ b/crates/control/tests/feed.rs
@@ -78,7 +78,7 @@
         .last_heartbeat
         .clone()
         .expect("a heartbeat's answer");
-    assert!(!reply.in_touch);
+    assert!(!reply.has_quorum);
     // A newcomer gets no state, however old.
     let mut newcomer = TestAgent::connect(&mut cluster, "newcomer", "node-1", ShardId(0));
     cluster.run(Duration::from_secs(3));
@@ -223,7 +223,7 @@
         follow(&mut cluster, &mut agents, LONGEST_HOLD);
         for agent in &agents {
             let reply = agent.last_heartbeat.as_ref();
-            let in_touch = reply.map(|reply| reply.in_touch);
+            let in_touch = reply.map(|reply| reply.has_quorum);
             assert_eq!(in_touch, Some(true), "seed {seed}, {}", agent.name);
         }
     }
@@ -241,7 +241,7 @@
     agent.heartbeat(&mut cluster);
     follow(&mut cluster, std::slice::from_mut(&mut agent), LONGEST_HOLD);
     let reply = agent.last_heartbeat.clone().expect("an answer");
-    assert!(!reply.in_touch);
+    assert!(!reply.has_quorum);
     // Later heartbeats are answered at once.
     agent.last_heartbeat = None;
     agent.heartbeat(&mut cluster);
@@ -250,7 +250,7 @@
         std::slice::from_mut(&mut agent),
         Duration::from_millis(40),
     );
-    assert!(agent.last_heartbeat.is_some_and(|reply| !reply.in_touch));
+    assert!(agent.last_heartbeat.is_some_and(|reply| !reply.has_quorum));
 }
 
 /// The cut lies between two nodes: both are in touch with the third.
