--- /dev/null
+++ b/crates/api/tests/wire/local.rs
@@ -0,0 +1,233 @@
+//! Samples of the messages of the package `millford.local`.
+
+use millford_api::local;
+
+use crate::sample::{Sample, Samples, Values};
+
+/// Adds a sample of each message; one of each kind where a message is one of several.
+pub fn add(samples: &mut Samples) {
+    samples.add("millford.local.LocalFrame.proxy_hello", |values| {
+        local::LocalFrame {
+            body: Some(local::local_frame::Body::ProxyHello(values.next())),
+        }
+    });
+    samples.add("millford.local.LocalFrame.snapshot", |values| {
+        local::LocalFrame {
+            body: Some(local::local_frame::Body::Snapshot(values.next())),
+        }
+    });
+    samples.add("millford.local.LocalFrame.change", |values| {
+        local::LocalFrame {
+            body: Some(local::local_frame::Body::Change(values.next())),
+        }
+    });
+    samples.add("millford.local.LocalFrame.status", |values| {
+        local::LocalFrame {
+            body: Some(local::local_frame::Body::Status(values.next())),
+        }
+    });
+    samples.add("millford.local.LocalFrame.claim", |values| {
+        local::LocalFrame {
+            body: Some(local::local_frame::Body::Claim(values.next())),
+        }
+    });
+    samples.add("millford.local.LocalFrame.claim_reply", |values| {
+        local::LocalFrame {
+            body: Some(local::local_frame::Body::ClaimReply(values.next())),
+        }
+    });
+    samples.add("millford.local.LocalFrame.settle", |values| {
+        local::LocalFrame {
+            body: Some(local::local_frame::Body::Settle(values.next())),
+        }
+    });
+    samples.add("millford.local.LocalFrame.quota_ask", |values| {
+        local::LocalFrame {
+            body: Some(local::local_frame::Body::QuotaAsk(values.next())),
+        }
+    });
+    samples.add("millford.local.LocalFrame.quota_reply", |values| {
+        local::LocalFrame {
+            body: Some(local::local_frame::Body::QuotaReply(values.next())),
+        }
+    });
+    samples.add("millford.local.LocalFrame.quota_release", |values| {
+        local::LocalFrame {
+            body: Some(local::local_frame::Body::QuotaRelease(values.next())),
+        }
+    });
+    samples.add("millford.local.LocalFrame.load_report", |values| {
+        local::LocalFrame {
+            body: Some(local::local_frame::Body::LoadReport(values.next())),
+        }
+    });
+    samples.add("millford.local.LocalFrame.load_picture", |values| {
+        local::LocalFrame {
+            body: Some(local::local_frame::Body::LoadPicture(values.next())),
+        }
+    });
+    samples.add("millford.local.LocalFrame.shown", |values| {
+        local::LocalFrame {
+            body: Some(local::local_frame::Body::Shown(values.next())),
+        }
+    });
+    samples.add("millford.local.LocalFrame.settle_reply", |values| {
+        local::LocalFrame {
+            body: Some(local::local_frame::Body::SettleReply(values.next())),
+        }
+    });
+    samples.add("millford.local.LocalFrame.open_streams", |values| {
+        local::LocalFrame {
+            body: Some(local::local_frame::Body::OpenStreams(values.next())),
+        }
+    });
+    samples.add("millford.local.ProxyHello", local::ProxyHello::sample);
+    samples.add("millford.local.ProxyStreams", local::ProxyStreams::sample);
+    samples.add("millford.local.TenantStreams", local::TenantStreams::sample);
+    samples.add("millford.local.AgentStatus", local::AgentStatus::sample);
+    samples.add("millford.local.LocalClaim", local::LocalClaim::sample);
+    samples.add(
+        "millford.local.LocalClaimReply",
+        local::LocalClaimReply::sample,
+    );
+    samples.add("millford.local.LocalSettle", local::LocalSettle::sample);
+    samples.add(
+        "millford.local.LocalSettleReply",
+        local::LocalSettleReply::sample,
+    );
+    samples.add("millford.local.LocalQuotaAsk", local::LocalQuotaAsk::sample);
+    samples.add(
+        "millford.local.LocalQuotaReply",
+        local::LocalQuotaReply::sample,
+    );
+    samples.add(
+        "millford.local.LocalQuotaRelease",
+        local::LocalQuotaRelease::sample,
+    );
+    samples.add("millford.local.ProxyShown", local::ProxyShown::sample);
+}
+
+impl Sample for local::LocalFrame {
+    fn sample(values: &mut Values) -> Self {
+        local::LocalFrame {
+            body: Some(local::local_frame::Body::ProxyHello(values.next())),
+        }
+    }
+}
+
+impl Sample for local::ProxyHello {
+    fn sample(values: &mut Values) -> Self {
+        local::ProxyHello {
+            boot_id: values.next(),
+            caller_address: values.next(),
+        }
+    }
+}
+
+impl Sample for local::ProxyStreams {
+    fn sample(values: &mut Values) -> Self {
+        local::ProxyStreams {
+            tenants: values.next(),
+        }
+    }
+}
+
+impl Sample for local::TenantStreams {
+    fn sample(values: &mut Values) -> Self {
+        local::TenantStreams {
+            tenant: values.next(),
+            streams: values.next(),
+        }
+    }
+}
+
+impl Sample for local::AgentStatus {
+    fn sample(values: &mut Values) -> Self {
+        local::AgentStatus {
+            in_touch: values.next(),
+            session_epoch: values.next(),
+            data_shards: values.next(),
+            complete: values.next(),
+        }
+    }
+}
+
+impl Sample for local::LocalClaim {
+    fn sample(values: &mut Values) -> Self {
+        local::LocalClaim {
+            request_id: values.next(),
+            claim: values.next(),
+            timeout_ms: values.next(),
+        }
+    }
+}
+
+impl Sample for local::LocalClaimReply {
+    fn sample(values: &mut Values) -> Self {
+        local::LocalClaimReply {
+            request_id: values.next(),
+            code: values.next(),
+            result: values.next(),
+        }
+    }
+}
+
+impl Sample for local::LocalSettle {
+    fn sample(values: &mut Values) -> Self {
+        local::LocalSettle {
+            request_id: values.next(),
+            settle: values.next(),
+        }
+    }
+}
+
+impl Sample for local::LocalSettleReply {
+    fn sample(values: &mut Values) -> Self {
+        local::LocalSettleReply {
+            request_id: values.next(),
+            code: values.next(),
+        }
+    }
+}
+
+impl Sample for local::LocalQuotaAsk {
+    fn sample(values: &mut Values) -> Self {
+        local::LocalQuotaAsk {
+            request_id: values.next(),
+            tenant: values.next(),
+            stream: values.next(),
+            timeout_ms: values.next(),
+            waited_ms: values.next(),
+        }
+    }
+}
+
+impl Sample for local::LocalQuotaReply {
+    fn sample(values: &mut Values) -> Self {
+        local::LocalQuotaReply {
+            request_id: values.next(),
+            granted: values.next(),
+            code: values.next(),
+            retry_after_ms: values.next(),
+            use_within_ms: values.next(),
+        }
+    }
+}
+
+impl Sample for local::LocalQuotaRelease {
+    fn sample(values: &mut Values) -> Self {
+        local::LocalQuotaRelease {
+            tenant: values.next(),
+            stream: values.next(),
+            unused: values.next(),
+        }
+    }
+}
+
+impl Sample for local::ProxyShown {
+    fn sample(values: &mut Values) -> Self {
+        local::ProxyShown {
+            revision: values.next(),
+        }
+    }
+}
