--- a/crates/api/tests/wire/command.rs
+++ b/crates/api/tests/wire/command.rs
@@ -18,7 +18,7 @@
     });
     samples.add("millford.command.Command.settle_claim", |values| {
         command::Command {
-            kind: Some(command::command::Kind::SettleClaim(values.next())),
+            kind: Some(command::command::Kind::ResolveClaim(values.next())),
         }
     });
     samples.add("millford.command.Command.open_session", |values| {
@@ -87,7 +87,10 @@
     );
     samples.add("millford.command.Claim", command::Claim::sample);
     samples.add("millford.command.ClaimResult", command::ClaimResult::sample);
-    samples.add("millford.command.SettleClaim", command::SettleClaim::sample);
+    samples.add(
+        "millford.command.SettleClaim",
+        command::ResolveClaim::sample,
+    );
     samples.add("millford.command.OpenSession", command::OpenSession::sample);
     samples.add(
         "millford.command.OpenSessionResult",
@@ -196,9 +199,9 @@
     }
 }
 
-impl Sample for command::SettleClaim {
+impl Sample for command::ResolveClaim {
     fn sample(values: &mut Values) -> Self {
-        command::SettleClaim {
+        command::ResolveClaim {
             tenant: values.next(),
             request_id: values.next(),
             attempt_id: values.next(),
@@ -335,7 +338,7 @@
             sessions: values.next(),
             shard_time_ms: values.next(),
             next_epoch: values.next(),
-            drains: values.next(),
+            drain_orders: values.next(),
             config_source: values.next(),
         }
     }
--- a/crates/api/tests/wire/exchange.rs
+++ b/crates/api/tests/wire/exchange.rs
@@ -6,99 +6,105 @@
 
 /// Adds a sample of each message; one of each kind where a message is one of several.
 pub fn add(samples: &mut Samples) {
-    samples.add("millford.exchange.ProxyNews", exchange::ProxyNews::sample);
-    samples.add("millford.exchange.WorkUpdate", exchange::WorkUpdate::sample);
+    samples.add("millford.exchange.ProxyNews", exchange::PeerMessage::sample);
+    samples.add(
+        "millford.exchange.WorkUpdate",
+        exchange::InFlightUpdate::sample,
+    );
     samples.add(
         "millford.exchange.BackendWork",
-        exchange::BackendWork::sample,
+        exchange::BackendInFlight::sample,
     );
     samples.add(
         "millford.exchange.LoadQuestion",
-        exchange::LoadQuestion::sample,
+        exchange::LoadRequest::sample,
     );
-    samples.add("millford.exchange.LoadAnswer", exchange::LoadAnswer::sample);
+    samples.add("millford.exchange.LoadAnswer", exchange::LoadReply::sample);
     samples.add(
         "millford.exchange.TenantUsage",
         exchange::TenantUsage::sample,
     );
     samples.add(
         "millford.exchange.QuotaQuestion",
-        exchange::QuotaQuestion::sample,
+        exchange::AdmissionRequest::sample,
     );
     samples.add(
         "millford.exchange.QuotaAnswer",
-        exchange::QuotaAnswer::sample,
+        exchange::AdmissionReply::sample,
     );
     samples.add(
         "millford.exchange.ReplicaWork",
-        exchange::ReplicaWork::sample,
+        exchange::ReplicaInFlight::sample,
     );
     samples.add(
         "millford.exchange.PromptPlace",
-        exchange::PromptPlace::sample,
+        exchange::BlockLocation::sample,
+    );
+    samples.add(
+        "millford.exchange.PartUpdate",
+        exchange::BlockUpdate::sample,
     );
-    samples.add("millford.exchange.PartUpdate", exchange::PartUpdate::sample);
     samples.add(
         "millford.exchange.PartQuestion",
-        exchange::PartQuestion::sample,
+        exchange::BlockRequest::sample,
     );
-    samples.add("millford.exchange.PartAnswer", exchange::PartAnswer::sample);
+    samples.add("millford.exchange.PartAnswer", exchange::BlockReply::sample);
     samples.add(
         "millford.exchange.PartHolders",
-        exchange::PartHolders::sample,
+        exchange::BlockBackends::sample,
     );
 }
 
-impl Sample for exchange::ProxyNews {
+impl Sample for exchange::PeerMessage {
     fn sample(values: &mut Values) -> Self {
-        exchange::ProxyNews {
+        exchange::PeerMessage {
             member: values.next(),
             boot_id: values.next(),
             sequence: values.next(),
             usage: values.next(),
-            work_update: values.next(),
-            load_question: values.next(),
-            load_answer: values.next(),
-            part_update: values.next(),
-            part_question: values.next(),
-            part_answer: values.next(),
-            quota_question: values.next(),
-            quota_answer: values.next(),
+            in_flight_update: values.next(),
+            load_request: values.next(),
+            load_reply: values.next(),
+            block_update: values.next(),
+            block_request: values.next(),
+            block_reply: values.next(),
+            admission_request: values.next(),
+            admission_reply: values.next(),
             is_owner: values.next(),
         }
     }
 }
 
-impl Sample for exchange::WorkUpdate {
+impl Sample for exchange::InFlightUpdate {
     fn sample(values: &mut Values) -> Self {
-        exchange::WorkUpdate {
+        exchange::InFlightUpdate {
             sequence: values.next(),
             backends: values.next(),
         }
     }
 }
 
-impl Sample for exchange::BackendWork {
+impl Sample for exchange::BackendInFlight {
     fn sample(values: &mut Values) -> Self {
-        exchange::BackendWork {
+        exchange::BackendInFlight {
             backend_id: values.next(),
             replicas: values.next(),
         }
     }
 }
 
-impl Sample for exchange::LoadQuestion {
+impl Sample for exchange::LoadRequest {
     fn sample(values: &mut Values) -> Self {
-        exchange::LoadQuestion {
+        exchange::LoadRequest {
             id: values.next(),
             backend_ids: values.next(),
         }
     }
 }
 
-impl Sample for exchange::LoadAnswer {
+impl Sample for exchange::LoadReply {
     fn sample(values: &mut Values) -> Self {
-        exchange::LoadAnswer {
+        exchange::LoadReply {
             id: values.next(),
             backends: values.next(),
         }
@@ -116,9 +122,9 @@
     }
 }
 
-impl Sample for exchange::QuotaQuestion {
+impl Sample for exchange::AdmissionRequest {
     fn sample(values: &mut Values) -> Self {
-        exchange::QuotaQuestion {
+        exchange::AdmissionRequest {
             id: values.next(),
             tenant: values.next(),
             tokens: values.next(),
@@ -127,9 +133,9 @@
     }
 }
 
-impl Sample for exchange::QuotaAnswer {
+impl Sample for exchange::AdmissionReply {
     fn sample(values: &mut Values) -> Self {
-        exchange::QuotaAnswer {
+        exchange::AdmissionReply {
             id: values.next(),
             unlimited: values.next(),
             admitted: values.next(),
@@ -140,9 +146,9 @@
     }
 }
 
-impl Sample for exchange::ReplicaWork {
+impl Sample for exchange::ReplicaInFlight {
     fn sample(values: &mut Values) -> Self {
-        exchange::ReplicaWork {
+        exchange::ReplicaInFlight {
             pool: values.next(),
             model: values.next(),
             version: values.next(),
@@ -153,47 +159,47 @@
     }
 }
 
-impl Sample for exchange::PromptPlace {
+impl Sample for exchange::BlockLocation {
     fn sample(values: &mut Values) -> Self {
-        exchange::PromptPlace {
-            part: values.next(),
+        exchange::BlockLocation {
+            block: values.next(),
             backend_id: values.next(),
             tokens: values.next(),
         }
     }
 }
 
-impl Sample for exchange::PartUpdate {
+impl Sample for exchange::BlockUpdate {
     fn sample(values: &mut Values) -> Self {
-        exchange::PartUpdate {
-            places: values.next(),
+        exchange::BlockUpdate {
+            locations: values.next(),
         }
     }
 }
 
-impl Sample for exchange::PartQuestion {
+impl Sample for exchange::BlockRequest {
     fn sample(values: &mut Values) -> Self {
-        exchange::PartQuestion {
+        exchange::BlockRequest {
             id: values.next(),
-            parts: values.next(),
+            blocks: values.next(),
             among: values.next(),
         }
     }
 }
 
-impl Sample for exchange::PartAnswer {
+impl Sample for exchange::BlockReply {
     fn sample(values: &mut Values) -> Self {
-        exchange::PartAnswer {
+        exchange::BlockReply {
             id: values.next(),
-            parts: values.next(),
+            blocks: values.next(),
         }
     }
 }
 
-impl Sample for exchange::PartHolders {
+impl Sample for exchange::BlockBackends {
     fn sample(values: &mut Values) -> Self {
-        exchange::PartHolders {
-            part: values.next(),
+        exchange::BlockBackends {
+            block: values.next(),
             backend_ids: values.next(),
         }
     }
--- a/crates/api/tests/wire/internal.rs
+++ b/crates/api/tests/wire/internal.rs
@@ -74,7 +74,7 @@
     });
     samples.add("millford.internal.Frame.load_picture", |values| {
         internal::Frame {
-            body: Some(internal::frame::Body::LoadPicture(values.next())),
+            body: Some(internal::frame::Body::LoadSnapshot(values.next())),
         }
     });
     samples.add("millford.internal.Frame.relayed_quota_request", |values| {
@@ -121,7 +121,7 @@
         internal::ShardRequest {
             shard: values.next(),
             request_id: values.next(),
-            kind: Some(internal::shard_request::Kind::TouchSessions(values.next())),
+            kind: Some(internal::shard_request::Kind::RenewSessions(values.next())),
             hops: values.next(),
         }
     });
@@ -137,11 +137,11 @@
     samples.add("millford.internal.ReadIndex", internal::ReadIndex::sample);
     samples.add(
         "millford.internal.TouchSessions",
-        internal::TouchSessions::sample,
+        internal::RenewSessions::sample,
     );
     samples.add(
         "millford.internal.SessionTouch",
-        internal::SessionTouch::sample,
+        internal::SessionRenewal::sample,
     );
     samples.add(
         "millford.internal.ShardStatusRequest",
@@ -180,7 +180,7 @@
             request_id: values.next(),
             code: values.next(),
             leader_hint: values.next(),
-            kind: Some(internal::shard_reply::Kind::Touched(values.next())),
+            kind: Some(internal::shard_reply::Kind::RenewedSessions(values.next())),
         }
     });
     samples.add("millford.internal.ShardReply.status", |values| {
@@ -192,7 +192,10 @@
             kind: Some(internal::shard_reply::Kind::Status(values.next())),
         }
     });
-    samples.add("millford.internal.TouchReply", internal::TouchReply::sample);
+    samples.add(
+        "millford.internal.TouchReply",
+        internal::RenewSessionsReply::sample,
+    );
     samples.add(
         "millford.internal.ShardStatus",
         internal::ShardStatus::sample,
@@ -258,13 +261,16 @@
     samples.add("millford.internal.CostSample", internal::CostSample::sample);
     samples.add(
         "millford.internal.LoadPicture",
-        internal::LoadPicture::sample,
+        internal::LoadSnapshot::sample,
     );
     samples.add(
         "millford.internal.QuotaRequest",
         internal::QuotaRequest::sample,
     );
-    samples.add("millford.internal.QuotaAsk", internal::QuotaAsk::sample);
+    samples.add(
+        "millford.internal.QuotaAsk",
+        internal::TenantQuotaRequest::sample,
+    );
     samples.add("millford.internal.QuotaReply", internal::QuotaReply::sample);
     samples.add("millford.internal.QuotaGrant", internal::QuotaGrant::sample);
     samples.add(
@@ -347,20 +353,20 @@
     }
 }
 
-impl Sample for internal::TouchSessions {
+impl Sample for internal::RenewSessions {
     fn sample(values: &mut Values) -> Self {
-        internal::TouchSessions {
-            touches: values.next(),
+        internal::RenewSessions {
+            renewals: values.next(),
         }
     }
 }
 
-impl Sample for internal::SessionTouch {
+impl Sample for internal::SessionRenewal {
     fn sample(values: &mut Values) -> Self {
-        internal::SessionTouch {
+        internal::SessionRenewal {
             member: values.next(),
             epoch: values.next(),
-            shown_revision: values.next(),
+            applied_revision: values.next(),
         }
     }
 }
@@ -383,9 +389,9 @@
     }
 }
 
-impl Sample for internal::TouchReply {
+impl Sample for internal::RenewSessionsReply {
     fn sample(values: &mut Values) -> Self {
-        internal::TouchReply {
+        internal::RenewSessionsReply {
             closed_members: values.next(),
         }
     }
@@ -412,7 +418,7 @@
             epoch: values.next(),
             zone: values.next(),
             address: values.next(),
-            shown_revision: values.next(),
+            applied_revision: values.next(),
         }
     }
 }
@@ -482,7 +488,7 @@
             member: values.next(),
             epoch: values.next(),
             sequence: values.next(),
-            shown_revision: values.next(),
+            applied_revision: values.next(),
         }
     }
 }
@@ -492,7 +498,7 @@
         internal::HeartbeatReply {
             sequence: values.next(),
             session_alive: values.next(),
-            in_touch: values.next(),
+            has_quorum: values.next(),
             members: values.next(),
             data_shards: values.next(),
         }
@@ -538,9 +544,9 @@
     }
 }
 
-impl Sample for internal::LoadPicture {
+impl Sample for internal::LoadSnapshot {
     fn sample(values: &mut Values) -> Self {
-        internal::LoadPicture {
+        internal::LoadSnapshot {
             service: values.next(),
             epoch: values.next(),
             loads: values.next(),
@@ -555,18 +561,18 @@
             request_id: values.next(),
             member: values.next(),
             epoch: values.next(),
-            asks: values.next(),
+            tenants: values.next(),
         }
     }
 }
 
-impl Sample for internal::QuotaAsk {
+impl Sample for internal::TenantQuotaRequest {
     fn sample(values: &mut Values) -> Self {
-        internal::QuotaAsk {
+        internal::TenantQuotaRequest {
             tenant: values.next(),
             tokens: values.next(),
             returned_tokens: values.next(),
-            slots_wanted: values.next(),
+            slots_requested: values.next(),
             slots_in_use: values.next(),
             oldest_wait_ms: values.next(),
             waiting: values.next(),
--- a/crates/api/tests/wire/local.rs
+++ b/crates/api/tests/wire/local.rs
@@ -38,12 +38,12 @@
     });
     samples.add("millford.local.LocalFrame.settle", |values| {
         local::LocalFrame {
-            body: Some(local::local_frame::Body::Settle(values.next())),
+            body: Some(local::local_frame::Body::ResolveClaim(values.next())),
         }
     });
     samples.add("millford.local.LocalFrame.quota_ask", |values| {
         local::LocalFrame {
-            body: Some(local::local_frame::Body::QuotaAsk(values.next())),
+            body: Some(local::local_frame::Body::QuotaRequest(values.next())),
         }
     });
     samples.add("millford.local.LocalFrame.quota_reply", |values| {
@@ -63,17 +63,17 @@
     });
     samples.add("millford.local.LocalFrame.load_picture", |values| {
         local::LocalFrame {
-            body: Some(local::local_frame::Body::LoadPicture(values.next())),
+            body: Some(local::local_frame::Body::LoadSnapshot(values.next())),
         }
     });
     samples.add("millford.local.LocalFrame.shown", |values| {
         local::LocalFrame {
-            body: Some(local::local_frame::Body::Shown(values.next())),
+            body: Some(local::local_frame::Body::Applied(values.next())),
         }
     });
     samples.add("millford.local.LocalFrame.settle_reply", |values| {
         local::LocalFrame {
-            body: Some(local::local_frame::Body::SettleReply(values.next())),
+            body: Some(local::local_frame::Body::ResolveClaimReply(values.next())),
         }
     });
     samples.add("millford.local.LocalFrame.open_streams", |values| {
@@ -90,12 +90,18 @@
         "millford.local.LocalClaimReply",
         local::LocalClaimReply::sample,
     );
-    samples.add("millford.local.LocalSettle", local::LocalSettle::sample);
+    samples.add(
+        "millford.local.LocalSettle",
+        local::LocalResolveClaim::sample,
+    );
     samples.add(
         "millford.local.LocalSettleReply",
-        local::LocalSettleReply::sample,
+        local::LocalResolveClaimReply::sample,
+    );
+    samples.add(
+        "millford.local.LocalQuotaAsk",
+        local::LocalQuotaRequest::sample,
     );
-    samples.add("millford.local.LocalQuotaAsk", local::LocalQuotaAsk::sample);
     samples.add(
         "millford.local.LocalQuotaReply",
         local::LocalQuotaReply::sample,
@@ -104,7 +110,7 @@
         "millford.local.LocalQuotaRelease",
         local::LocalQuotaRelease::sample,
     );
-    samples.add("millford.local.ProxyShown", local::ProxyShown::sample);
+    samples.add("millford.local.ProxyShown", local::ProxyApplied::sample);
 }
 
 impl Sample for local::LocalFrame {
@@ -144,7 +150,7 @@
 impl Sample for local::AgentStatus {
     fn sample(values: &mut Values) -> Self {
         local::AgentStatus {
-            in_touch: values.next(),
+            connected: values.next(),
             session_epoch: values.next(),
             data_shards: values.next(),
             complete: values.next(),
@@ -172,27 +178,27 @@
     }
 }
 
-impl Sample for local::LocalSettle {
+impl Sample for local::LocalResolveClaim {
     fn sample(values: &mut Values) -> Self {
-        local::LocalSettle {
+        local::LocalResolveClaim {
             request_id: values.next(),
-            settle: values.next(),
+            resolution: values.next(),
         }
     }
 }
 
-impl Sample for local::LocalSettleReply {
+impl Sample for local::LocalResolveClaimReply {
     fn sample(values: &mut Values) -> Self {
-        local::LocalSettleReply {
+        local::LocalResolveClaimReply {
             request_id: values.next(),
             code: values.next(),
         }
     }
 }
 
-impl Sample for local::LocalQuotaAsk {
+impl Sample for local::LocalQuotaRequest {
     fn sample(values: &mut Values) -> Self {
-        local::LocalQuotaAsk {
+        local::LocalQuotaRequest {
             request_id: values.next(),
             tenant: values.next(),
             stream: values.next(),
@@ -224,9 +230,9 @@
     }
 }
 
-impl Sample for local::ProxyShown {
+impl Sample for local::ProxyApplied {
     fn sample(values: &mut Values) -> Self {
-        local::ProxyShown {
+        local::ProxyApplied {
             revision: values.next(),
         }
     }
--- a/crates/api/tests/wire/replication.rs
+++ b/crates/api/tests/wire/replication.rs
@@ -217,7 +217,7 @@
             previous_term: values.next(),
             entries: values.next(),
             commit_index: values.next(),
-            read_round: values.next(),
+            read_sequence: values.next(),
         }
     }
 }
@@ -227,7 +227,7 @@
         replication::AppendReply {
             accepted: values.next(),
             match_index: values.next(),
-            read_round: values.next(),
+            read_sequence: values.next(),
             previous_index: values.next(),
         }
     }
