--- a/crates/replication/src/append_receiving.rs
+++ b/crates/replication/src/append_receiving.rs
@@ -8,7 +8,7 @@
 impl Replica {
     pub(crate) fn on_append_request(&mut self, from: NodeId, request: AppendRequest) {
         if !self.holds(request.previous_index, request.previous_term) {
-            let hint = self.back_off_hint(request.previous_index);
+            let hint = self.conflict_hint(request.previous_index);
             self.reply_append(from, &request, false, hint);
             return;
         }
@@ -56,7 +56,7 @@
 
     /// Where the leader should try next: before the whole term that conflicts, but not before what
     /// is committed.
-    fn back_off_hint(&self, previous_index: u64) -> u64 {
+    fn conflict_hint(&self, previous_index: u64) -> u64 {
         let last_index = self.storage.last_index();
         if previous_index > last_index {
             return last_index;
@@ -80,7 +80,7 @@
     }
 
     /// Tells a leader of an older term the present one.
-    pub(crate) fn refuse_old_leader(&mut self, from: NodeId) {
+    pub(crate) fn reject_stale_leader(&mut self, from: NodeId) {
         self.send(from, Body::AppendReply(AppendReply::default()));
     }
 }
--- a/crates/replication/src/append_sending.rs
+++ b/crates/replication/src/append_sending.rs
@@ -4,7 +4,7 @@
 use millford_core::NodeId;
 
 use crate::Replica;
-use crate::progress::{Progress, SendState};
+use crate::progress::{Progress, ProgressState};
 use crate::role::RoleState;
 
 impl Replica {
@@ -14,14 +14,14 @@
         let Some(state) = self.leader_state() else {
             return;
         };
-        let message_due = std::mem::take(&mut state.message_due);
+        let broadcast_due = std::mem::take(&mut state.broadcast_due);
         let nodes: Vec<NodeId> = state.peers.keys().copied().collect();
         for node in nodes {
-            self.send_to_peer(node, message_due);
+            self.send_to_peer(node, broadcast_due);
         }
     }
 
-    fn send_to_peer(&mut self, node: NodeId, message_due: bool) {
+    fn send_to_peer(&mut self, node: NodeId, broadcast_due: bool) {
         // Taken out while messages are made, and put back after.
         let Some(mut peer) = self.take_peer(node) else {
             return;
@@ -30,9 +30,9 @@
             self.start_snapshot(&mut peer);
         }
         match &mut peer.state {
-            SendState::Probe { .. } => self.send_probe(node, &mut peer, message_due),
-            SendState::Replicate => self.send_entries(node, &mut peer, message_due),
-            SendState::Snapshot(_) => self.send_chunk(node, &mut peer, message_due),
+            ProgressState::Probe { .. } => self.send_probe(node, &mut peer, broadcast_due),
+            ProgressState::Replicate => self.send_entries(node, &mut peer, broadcast_due),
+            ProgressState::Snapshot(_) => self.send_chunk(node, &mut peer, broadcast_due),
         }
         if let Some(state) = self.leader_state() {
             state.peers.insert(node, peer);
@@ -44,18 +44,18 @@
     }
 
     fn needs_snapshot(&self, peer: &Progress) -> bool {
-        let receives = matches!(peer.state, SendState::Snapshot(_));
+        let receives = matches!(peer.state, ProgressState::Snapshot(_));
         let previous = peer.next_index - 1;
         let is_compacted = peer.next_index < self.storage.first_index();
         !receives && (is_compacted || self.storage.term_at(previous).is_none())
     }
 
     /// One message at a time until the match is known; again at each heartbeat.
-    fn send_probe(&mut self, node: NodeId, peer: &mut Progress, message_due: bool) {
-        let SendState::Probe { waiting } = &mut peer.state else {
+    fn send_probe(&mut self, node: NodeId, peer: &mut Progress, broadcast_due: bool) {
+        let ProgressState::Probe { waiting } = &mut peer.state else {
             return;
         };
-        if *waiting && !message_due {
+        if *waiting && !broadcast_due {
             return;
         }
         *waiting = true;
@@ -64,7 +64,7 @@
     }
 
     /// Everything that fits the window, else an empty message when one is due.
-    fn send_entries(&mut self, node: NodeId, peer: &mut Progress, message_due: bool) {
+    fn send_entries(&mut self, node: NodeId, peer: &mut Progress, broadcast_due: bool) {
         let last_index = self.storage.synced_index();
         let mut is_sent = false;
         while peer.next_index <= last_index
@@ -75,12 +75,12 @@
                 break;
             };
             let previous_index = peer.next_index - 1;
-            peer.sent_entries(last);
+            peer.record_sent_entries(last);
             self.send_append(node, peer, previous_index, entries);
             is_sent = true;
         }
-        let commit_due = peer.sent_commit < self.commit_index;
-        if !is_sent && (message_due || commit_due) {
+        let commit_due = peer.sent_commit_index < self.commit_index;
+        if !is_sent && (broadcast_due || commit_due) {
             self.send_append(node, peer, peer.next_index - 1, Vec::new());
         }
     }
@@ -102,20 +102,20 @@
         let Some(previous_term) = self.storage.term_at(previous_index) else {
             return;
         };
-        peer.sent_commit = self.commit_index;
+        peer.sent_commit_index = self.commit_index;
         let request = AppendRequest {
             previous_index,
             previous_term,
             entries,
             commit_index: self.commit_index,
-            read_sequence: self.last_read_round(),
+            read_sequence: self.current_read_sequence(),
         };
         self.send(node, Body::AppendRequest(request));
     }
 
-    fn last_read_round(&self) -> u64 {
+    fn current_read_sequence(&self) -> u64 {
         match &self.role {
-            RoleState::Leader(state) => state.last_round,
+            RoleState::Leader(state) => state.last_read_sequence,
             _ => 0,
         }
     }
--- a/crates/replication/src/commit.rs
+++ b/crates/replication/src/commit.rs
@@ -30,24 +30,24 @@
     /// Whether the leader has committed an entry of its own term.
     pub(crate) fn has_committed_own_term(&self) -> bool {
         match &self.role {
-            RoleState::Leader(state) => self.commit_index >= state.term_start,
+            RoleState::Leader(state) => self.commit_index >= state.term_start_index,
             _ => false,
         }
     }
 
     /// A leader whose own removal is committed hands over and steps down.
-    pub(crate) fn leave_if_removed(&mut self) {
+    pub(crate) fn step_down_if_removed(&mut self) {
         let is_committed = self.configurations.latest_index() <= self.commit_index;
         if !self.is_leader() || self.is_voter() || !is_committed {
             return;
         }
-        if let Some(successor) = self.best_voter() {
+        if let Some(successor) = self.most_up_to_date_voter() {
             self.send(successor, Body::TimeoutNow(TimeoutNow {}));
         }
         self.step_down();
     }
 
-    fn best_voter(&self) -> Option<NodeId> {
+    fn most_up_to_date_voter(&self) -> Option<NodeId> {
         let RoleState::Leader(state) = &self.role else {
             return None;
         };
@@ -56,7 +56,7 @@
             .peers
             .iter()
             .filter(|(node, _)| configuration.is_voter(**node));
-        let best = voters.max_by_key(|(_, peer)| (peer.match_index, peer.last_heard));
+        let best = voters.max_by_key(|(_, peer)| (peer.match_index, peer.last_contact));
         best.map(|(node, _)| *node)
     }
 }
--- a/crates/replication/src/configuration.rs
+++ b/crates/replication/src/configuration.rs
@@ -70,7 +70,7 @@
 
 /// A configuration and the log index that set it.
 #[derive(Clone, Debug)]
-pub struct NumberedConfiguration {
+pub struct IndexedConfiguration {
     pub index: u64,
     pub configuration: Configuration,
 }
@@ -79,13 +79,13 @@
 #[derive(Clone, Debug)]
 pub struct ConfigurationHistory {
     /// Ordered by index; never empty.
-    items: Vec<NumberedConfiguration>,
+    items: Vec<IndexedConfiguration>,
 }
 
 impl ConfigurationHistory {
     /// Starts with the configuration of a snapshot, or the empty one at index 0.
     pub fn new(index: u64, configuration: Configuration) -> Self {
-        let first = NumberedConfiguration {
+        let first = IndexedConfiguration {
             index,
             configuration,
         };
@@ -95,7 +95,7 @@
     /// Notes an appended entry if it carries a configuration.
     pub fn note(&mut self, entry: &LogEntry) {
         if let Some(Payload::Voters(set)) = &entry.payload {
-            self.items.push(NumberedConfiguration {
+            self.items.push(IndexedConfiguration {
                 index: entry.index,
                 configuration: Configuration::from(set),
             });
@@ -133,7 +133,7 @@
     }
 
     /// The configuration as of an index.
-    pub fn as_of(&self, index: u64) -> &NumberedConfiguration {
+    pub fn as_of(&self, index: u64) -> &IndexedConfiguration {
         let found = self.items.iter().rev().find(|item| item.index <= index);
         found.unwrap_or(&self.items[0])
     }
--- a/crates/replication/src/debug.rs
+++ b/crates/replication/src/debug.rs
@@ -18,7 +18,7 @@
             .field("voted_for", &self.voted_for)
             .field("role", &self.role)
             .field("leader", &self.leader)
-            .field("hears_leader", &self.hears_leader(self.now))
+            .field("hears_leader", &self.has_leader_contact(self.now))
             .field("commit_index", &self.commit_index)
             .field("delivered_index", &self.delivered_index)
             .field("removed", &self.removed)
@@ -35,11 +35,11 @@
         formatter
             .debug_struct("LeaderState")
             .field("peers", &self.peers)
-            .field("term_start", &self.term_start)
-            .field("message_due", &self.message_due)
-            .field("new_reads", &self.new_reads)
+            .field("term_start", &self.term_start_index)
+            .field("message_due", &self.broadcast_due)
+            .field("new_reads", &self.queued_reads)
             .field("rounds", &self.rounds)
-            .field("last_round", &self.last_round)
+            .field("last_round", &self.last_read_sequence)
             .field("transfer", &self.transfer)
             .finish_non_exhaustive()
     }
@@ -63,7 +63,7 @@
             .field("match_index", &self.match_index)
             .field("next_index", &self.next_index)
             .field("in_flight", &self.in_flight)
-            .field("sent_commit", &self.sent_commit)
+            .field("sent_commit", &self.sent_commit_index)
             .field("read_round", &self.read_sequence)
             .finish_non_exhaustive()
     }
--- a/crates/replication/src/election.rs
+++ b/crates/replication/src/election.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 
 use crate::Replica;
-use crate::ballot::Ballot;
+use crate::vote_tally::VoteTally;
 use crate::role::RoleState;
 
 impl Replica {
@@ -17,8 +17,8 @@
         }
         if self.is_leader() {
             self.tick_leader();
-        } else if self.now >= self.election_at {
-            self.patience.round_failed();
+        } else if self.now >= self.election_deadline {
+            self.election_backoff.record_failed_election();
             self.reset_election_timer();
             self.leader = NodeId::NONE;
             if self.may_campaign() {
@@ -36,13 +36,13 @@
     pub fn defer_election_deadline(&mut self, now: MonotonicTime, lost: Duration) {
         self.advance_clock(now);
         let whole = self
-            .patience
-            .stretch(self.options.timing.election_timeout_max);
-        self.election_at = (self.election_at + lost).min(self.now + whole);
+            .election_backoff
+            .extend(self.options.timing.election_timeout_max);
+        self.election_deadline = (self.election_deadline + lost).min(self.now + whole);
     }
 
     fn may_campaign(&self) -> bool {
-        let has_space = self.full_until.is_none_or(|until| self.now >= until);
+        let has_space = self.disk_full_until.is_none_or(|until| self.now >= until);
         self.is_voter() && !self.removed && has_space
     }
 
@@ -51,14 +51,14 @@
         let shortest = timing.election_timeout_min;
         let longest = timing.election_timeout_max;
         let timeout = self.random.random_range(shortest..=longest);
-        self.election_at = self.now + self.patience.stretch(timeout);
+        self.election_deadline = self.now + self.election_backoff.extend(timeout);
     }
 
     /// Asks whether an election would succeed, without raising the term: a replica that was cut off
     /// does not depose a leader that the others follow.
     fn start_pre_vote(&mut self) {
-        let ballot = Ballot::new(self.options.node);
-        self.role = RoleState::PreCandidate(ballot);
+        let vote_tally = VoteTally::new(self.options.node);
+        self.role = RoleState::PreCandidate(vote_tally);
         self.request_votes(true, false);
         self.count_votes();
     }
@@ -69,7 +69,7 @@
         self.voted_for = self.options.node;
         self.leader = NodeId::NONE;
         self.reset_election_timer();
-        self.role = RoleState::Candidate(Ballot::new(self.options.node));
+        self.role = RoleState::Candidate(VoteTally::new(self.options.node));
         self.request_votes(false, transfer);
         self.count_votes();
     }
@@ -91,25 +91,25 @@
     }
 
     pub(crate) fn on_vote_reply(&mut self, from: NodeId, term: u64, reply: VoteReply) {
-        self.patience.note_other();
+        self.election_backoff.record_contested();
         // A granted pre-vote names the term that would follow and must not be taken over.
         let names_future_term = reply.pre_vote && reply.granted;
         if term > self.term && !names_future_term {
             self.adopt_term(term);
         }
         if reply.removed && !self.is_leader() {
-            self.note_removed();
+            self.record_removed();
             return;
         }
         if !reply.granted {
             return;
         }
         match &mut self.role {
-            RoleState::PreCandidate(ballot) if reply.pre_vote && term == self.term + 1 => {
-                ballot.grant(from);
+            RoleState::PreCandidate(vote_tally) if reply.pre_vote && term == self.term + 1 => {
+                vote_tally.grant(from);
             }
-            RoleState::Candidate(ballot) if !reply.pre_vote && term == self.term => {
-                ballot.grant(from);
+            RoleState::Candidate(vote_tally) if !reply.pre_vote && term == self.term => {
+                vote_tally.grant(from);
             }
             _ => return,
         }
@@ -119,16 +119,16 @@
     fn count_votes(&mut self) {
         let configuration = self.configurations.latest();
         match &self.role {
-            RoleState::PreCandidate(ballot) if ballot.is_won(configuration) => {
+            RoleState::PreCandidate(vote_tally) if vote_tally.is_won(configuration) => {
                 self.start_election(false);
             }
-            RoleState::Candidate(ballot) if ballot.is_won(configuration) => self.become_leader(),
+            RoleState::Candidate(vote_tally) if vote_tally.is_won(configuration) => self.become_leader(),
             _ => {}
         }
     }
 
     /// A voter with a newer committed configuration does not know this replica any more.
-    fn note_removed(&mut self) {
+    fn record_removed(&mut self) {
         self.removed = true;
         self.role = RoleState::Follower;
     }
@@ -151,12 +151,12 @@
         self.leader = leader;
         self.leader_contact = Some(self.now);
         self.removed = false;
-        self.patience.clear();
+        self.election_backoff.clear();
         self.reset_election_timer();
     }
 
     /// Whether a leader was heard from so lately that a vote could only disturb it.
-    pub(crate) fn hears_leader(&self, now: MonotonicTime) -> bool {
+    pub(crate) fn has_leader_contact(&self, now: MonotonicTime) -> bool {
         let shortest = self.options.timing.election_timeout_min;
         let heard = self.leader_contact;
         self.is_leader()
--- a/crates/replication/src/patience.rs
+++ b/crates/replication/src/election_backoff.rs
@@ -3,14 +3,14 @@
 use millford_core::Duration;
 
 /// Most doublings of the election time-outs: 2 to 4 s with the usual times.
-const MOST_DOUBLINGS: u32 = 2;
+const MAX_DOUBLINGS: u32 = 2;
 
 /// The time-out of a replica that has not heard of any leader since it was opened is divided by this.
 ///
 /// After a loss of power nobody leads, and whoever waits for the usual time keeps the whole group
 /// without service. A replica that comes back alone disturbs nobody: its pre-vote is refused by those
 /// who hear a leader.
-const FRESH_DIVISOR: u32 = 8;
+const INITIAL_TIMEOUT_DIVISOR: u32 = 8;
 
 /// Rounds that failed although others were there.
 ///
@@ -18,38 +18,38 @@
 /// arrive, and the next one makes them worthless. Longer time-outs let one round end. A replica
 /// whose peers are silent does not wait longer: it must be quick once they are back.
 #[derive(Debug, Default)]
-pub(crate) struct Patience {
-    failed_rounds: u32,
+pub(crate) struct ElectionBackoff {
+    failed_elections: u32,
     contested: bool,
     /// A leader was known since the replica was opened.
-    knew_leader: bool,
+    has_known_leader: bool,
 }
 
-impl Patience {
+impl ElectionBackoff {
     /// Another replica took part in the election.
-    pub(crate) fn note_other(&mut self) {
+    pub(crate) fn record_contested(&mut self) {
         self.contested = true;
     }
 
     /// The round ended without a leader.
-    pub(crate) fn round_failed(&mut self) {
+    pub(crate) fn record_failed_election(&mut self) {
         let contested = std::mem::take(&mut self.contested);
-        self.failed_rounds = if contested { self.failed_rounds + 1 } else { 0 };
+        self.failed_elections = if contested { self.failed_elections + 1 } else { 0 };
     }
 
     /// There is a leader that works.
     pub(crate) fn clear(&mut self) {
         *self = Self {
-            knew_leader: true,
+            has_known_leader: true,
             ..Self::default()
         };
     }
 
     /// A time-out with the patience that was learned.
-    pub(crate) fn stretch(&self, timeout: Duration) -> Duration {
-        if !self.knew_leader && self.failed_rounds == 0 {
-            return timeout / FRESH_DIVISOR;
+    pub(crate) fn extend(&self, timeout: Duration) -> Duration {
+        if !self.has_known_leader && self.failed_elections == 0 {
+            return timeout / INITIAL_TIMEOUT_DIVISOR;
         }
-        timeout * (1 << self.failed_rounds.min(MOST_DOUBLINGS))
+        timeout * (1 << self.failed_elections.min(MAX_DOUBLINGS))
     }
 }
--- a/crates/replication/src/refusal.rs
+++ b/crates/replication/src/error.rs
@@ -62,7 +62,7 @@
     NotVoter,
     /// The voter was not heard from lately.
     #[error("the voter is out of touch")]
-    OutOfTouch,
+    TargetUnreachable,
     /// A transfer is under way.
     #[error("a transfer is under way")]
     Transferring,
--- a/crates/replication/src/flush.rs
+++ b/crates/replication/src/flush.rs
@@ -4,7 +4,7 @@
 use millford_core::MonotonicTime;
 use millford_storage::StorageError;
 
-use crate::options::FULL_DISK_PAUSE;
+use crate::options::FULL_DISK_CAMPAIGN_BACKOFF;
 use crate::{Ready, Replica};
 
 impl Replica {
@@ -19,13 +19,13 @@
         }
         let stored = self.store_hard_state().and_then(|()| self.storage.sync());
         if let Err(error) = stored {
-            self.note_storage_error(error);
+            self.record_storage_error(error);
         }
         if let Some(error) = &self.failure {
             return Err(error.clone());
         }
         if self.storage_full {
-            self.give_up_unsynced();
+            self.discard_unsynced();
         }
         self.lead();
         Ok(self.take_ready())
@@ -45,7 +45,7 @@
     }
 
     /// Notes an error of the storage: a full disk passes, anything else is final.
-    pub(crate) fn note_storage_error(&mut self, error: StorageError) {
+    pub(crate) fn record_storage_error(&mut self, error: StorageError) {
         if error.is_full() {
             self.storage_full = true;
         } else {
@@ -60,14 +60,14 @@
 
     /// After a write that found no space: nothing that was not stored may leave or count. The
     /// replica stops leading, and what it had acknowledged before stays on its disk.
-    fn give_up_unsynced(&mut self) {
+    fn discard_unsynced(&mut self) {
         self.storage.drop_unsynced();
         let last_index = self.storage.last_index();
         self.configurations.truncate_from(last_index + 1);
         self.commit_index = self.commit_index.min(last_index);
         self.outbox.clear();
         self.step_down();
-        self.full_until = Some(self.now + FULL_DISK_PAUSE);
+        self.disk_full_until = Some(self.now + FULL_DISK_CAMPAIGN_BACKOFF);
     }
 
     /// Work of a leader after the sync.
@@ -77,13 +77,13 @@
         }
         self.advance_commit();
         if self.has_committed_own_term() {
-            self.patience.clear();
+            self.election_backoff.clear();
         }
-        self.begin_read_round();
+        self.begin_read_batch();
         self.confirm_reads();
         self.advance_transfer();
         self.send_to_peers();
-        self.leave_if_removed();
+        self.step_down_if_removed();
     }
 
     fn take_ready(&mut self) -> Ready {
--- a/crates/replication/src/inspection.rs
+++ b/crates/replication/src/inspection.rs
@@ -2,7 +2,7 @@
 
 use millford_storage::ReplicaStorage;
 
-use crate::progress::SendState;
+use crate::progress::ProgressState;
 use crate::role::RoleState;
 use crate::{PeerStatus, Replica, ReplicaStatus, Role};
 
@@ -46,7 +46,7 @@
             role: self.role(),
             term: self.term,
             leader: self.leader,
-            leader_contact: self.quorum_heard().or(self.leader_contact),
+            leader_contact: self.quorum_contact().or(self.leader_contact),
             commit_index: self.commit_index,
             last_index: self.storage.last_index(),
             snapshot_index: self.snapshot_index(),
@@ -55,7 +55,7 @@
             learners: configuration.learners.iter().copied().collect(),
             configuration_committed: self.configurations.latest_index() <= self.commit_index,
             removed: self.is_removed(),
-            storage_full: self.full_until.is_some_and(|until| self.now < until),
+            storage_full: self.disk_full_until.is_some_and(|until| self.now < until),
             leads_confirmed: self.has_committed_own_term(),
             peers: self.peer_statuses(),
         }
@@ -80,9 +80,9 @@
             node: *node,
             is_voter: configuration.is_voter(*node),
             match_index: peer.match_index,
-            last_heard: peer.last_heard,
+            last_contact: peer.last_contact,
             caught_up: self.is_caught_up(peer),
-            receives_snapshot: matches!(peer.state, SendState::Snapshot(_)),
+            receives_snapshot: matches!(peer.state, ProgressState::Snapshot(_)),
         });
         statuses.collect()
     }
--- a/crates/replication/src/leader_state.rs
+++ b/crates/replication/src/leader_state.rs
@@ -9,7 +9,7 @@
 
 /// Reads that wait for the same round.
 #[derive(Debug)]
-pub struct ReadRound {
+pub struct ReadBatch {
     pub round: u64,
     /// Commit index when the round began.
     pub index: u64,
@@ -31,31 +31,31 @@
     /// Every other replica of the configuration in force.
     pub peers: BTreeMap<NodeId, Progress>,
     /// Index of the first entry of the own term.
-    pub term_start: u64,
+    pub term_start_index: u64,
     /// When the next heartbeat is due.
-    pub heartbeat_at: MonotonicTime,
+    pub next_heartbeat: MonotonicTime,
     /// Whether every replica gets a message at the next flush.
-    pub message_due: bool,
+    pub broadcast_due: bool,
     /// Reads that wait for a round to begin.
-    pub new_reads: Vec<u64>,
+    pub queued_reads: Vec<u64>,
     /// Rounds under way, oldest first.
-    pub rounds: VecDeque<ReadRound>,
+    pub rounds: VecDeque<ReadBatch>,
     /// Number of the last round that began.
-    pub last_round: u64,
+    pub last_read_sequence: u64,
     pub transfer: Option<Transfer>,
 }
 
 impl LeaderState {
-    /// State of a new leader whose first entry is `term_start`.
-    pub fn new(term_start: u64, now: MonotonicTime) -> Self {
+    /// State of a new leader whose first entry is `term_start_index`.
+    pub fn new(term_start_index: u64, now: MonotonicTime) -> Self {
         Self {
             peers: BTreeMap::new(),
-            term_start,
-            heartbeat_at: now,
-            message_due: true,
-            new_reads: Vec::new(),
+            term_start_index,
+            next_heartbeat: now,
+            broadcast_due: true,
+            queued_reads: Vec::new(),
             rounds: VecDeque::new(),
-            last_round: 0,
+            last_read_sequence: 0,
             transfer: None,
         }
     }
--- a/crates/replication/src/leadership.rs
+++ b/crates/replication/src/leadership.rs
@@ -39,9 +39,9 @@
     pub(crate) fn step_down(&mut self) {
         let previous = std::mem::replace(&mut self.role, RoleState::Follower);
         if let RoleState::Leader(state) = previous {
-            self.patience.round_failed();
+            self.election_backoff.record_failed_election();
             self.lost_leadership = true;
-            self.failed_reads.extend(state.new_reads);
+            self.failed_reads.extend(state.queued_reads);
             for round in state.rounds {
                 self.failed_reads.extend(round.requests);
             }
@@ -58,9 +58,9 @@
             return;
         };
         state.transfer = state.transfer.filter(|transfer| now < transfer.deadline);
-        if now >= state.heartbeat_at {
-            state.heartbeat_at = now + heartbeat;
-            state.message_due = true;
+        if now >= state.next_heartbeat {
+            state.next_heartbeat = now + heartbeat;
+            state.broadcast_due = true;
         }
     }
 
@@ -69,43 +69,43 @@
     /// stopped do not count as fresh.
     pub(crate) fn check_quorum(&mut self) {
         // The first answers to a new leader take as long as the election's messages took.
-        let timeout = self.patience.stretch(self.options.timing.quorum_timeout);
-        if self.is_leader() && !self.hears_quorum_of(self.configurations.latest(), timeout) {
+        let timeout = self.election_backoff.extend(self.options.timing.quorum_timeout);
+        if self.is_leader() && !self.has_quorum_contact(self.configurations.latest(), timeout) {
             self.step_down();
         }
     }
 
     /// Whether a quorum of a configuration, this replica included, was heard from within a time.
-    pub(crate) fn hears_quorum_of(&self, configuration: &Configuration, within: Duration) -> bool {
+    pub(crate) fn has_quorum_contact(&self, configuration: &Configuration, within: Duration) -> bool {
         let RoleState::Leader(state) = &self.role else {
             return false;
         };
         configuration.is_quorum(|voter| {
             let peer = state.peers.get(&voter);
-            let hears = peer.is_some_and(|peer| self.now.since(peer.last_heard) < within);
+            let hears = peer.is_some_and(|peer| self.now.since(peer.last_contact) < within);
             voter == self.options.node || hears
         })
     }
 
     /// On a leader: the latest time at which a quorum had been heard from since.
-    pub(crate) fn quorum_heard(&self) -> Option<MonotonicTime> {
+    pub(crate) fn quorum_contact(&self) -> Option<MonotonicTime> {
         let RoleState::Leader(state) = &self.role else {
             return None;
         };
         let micros = self.configurations.latest().quorum_value(|voter| {
             let peer = state.peers.get(&voter);
-            let heard = peer.map_or(self.now, |peer| peer.last_heard);
+            let heard = peer.map_or(self.now, |peer| peer.last_contact);
             heard.as_micros()
         });
         Some(MonotonicTime::from_micros(micros))
     }
 
     /// Notes that a replica answered in the present term.
-    pub(crate) fn note_heard(&mut self, from: NodeId) {
+    pub(crate) fn record_contact(&mut self, from: NodeId) {
         let now = self.now;
         let state = self.leader_state();
         if let Some(peer) = state.and_then(|state| state.peers.get_mut(&from)) {
-            peer.last_heard = now;
+            peer.last_contact = now;
         }
     }
 }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -15,7 +15,7 @@
 
 mod append_receiving;
 mod append_sending;
-mod ballot;
+mod vote_tally;
 mod bootstrap;
 mod commit;
 mod configuration;
@@ -29,11 +29,11 @@
 mod membership;
 mod message_check;
 mod options;
-mod patience;
+mod election_backoff;
 mod progress;
 mod reads;
 mod ready;
-mod refusal;
+mod error;
 mod replica;
 mod replies;
 mod role;
@@ -48,7 +48,7 @@
 
 pub use options::{Limits, QUORUM_TIMEOUT, ReplicaOptions, TICK, Timing};
 pub use ready::{ConfirmedRead, Ready, RestoredSnapshot};
-pub use refusal::{ChangeRefused, NotLeader, OpenError, SnapshotRefused, TransferRefused};
+pub use error::{ChangeRefused, NotLeader, OpenError, SnapshotRefused, TransferRefused};
 pub use replica::Replica;
 pub use role::Role;
 pub use status::{PeerStatus, ReplicaStatus};
--- a/crates/replication/src/membership.rs
+++ b/crates/replication/src/membership.rs
@@ -4,8 +4,8 @@
 use millford_core::{Duration, NodeId};
 
 use crate::configuration::Configuration;
-use crate::options::FRESH_HEARTBEATS;
-use crate::progress::{Progress, SendState};
+use crate::options::CONTACT_MAX_AGE_HEARTBEATS;
+use crate::progress::{Progress, ProgressState};
 use crate::role::RoleState;
 use crate::{ChangeRefused, Replica, VoterChange};
 
@@ -56,15 +56,15 @@
             }
             VoterChange::Remove(node) => remove(&mut configuration, node)?,
         }
-        if !self.hears_quorum_of(&configuration, self.fresh()) {
+        if !self.has_quorum_contact(&configuration, self.contact_max_age()) {
             return Err(ChangeRefused::NoQuorum);
         }
         Ok(configuration)
     }
 
     /// Longest age of an answer that a change may count on.
-    fn fresh(&self) -> Duration {
-        self.options.timing.heartbeat * FRESH_HEARTBEATS
+    fn contact_max_age(&self) -> Duration {
+        self.options.timing.heartbeat * CONTACT_MAX_AGE_HEARTBEATS
     }
 
     fn align_peers(&mut self) {
@@ -74,7 +74,7 @@
         let configuration = self.configurations.latest().clone();
         if let Some(state) = self.leader_state() {
             state.align_peers(&configuration, own, next_index, now);
-            state.message_due = true;
+            state.broadcast_due = true;
         }
     }
 
@@ -88,9 +88,9 @@
 
     /// Whether a replica was heard from lately and lacks no more than one message brings.
     pub(crate) fn is_caught_up(&self, peer: &Progress) -> bool {
-        let follows = matches!(peer.state, SendState::Replicate);
+        let follows = matches!(peer.state, ProgressState::Replicate);
         let lag = self.commit_index.saturating_sub(peer.match_index);
-        let hears = self.now.since(peer.last_heard) < self.fresh();
+        let hears = self.now.since(peer.last_contact) < self.contact_max_age();
         follows && hears && lag <= self.options.limits.promotion_lag
     }
 }
--- a/crates/replication/src/message_check.rs
+++ b/crates/replication/src/message_check.rs
@@ -8,7 +8,7 @@
 };
 
 /// Terms and indices stay below, so that sums with them cannot overflow.
-const LARGEST_NUMBER: u64 = u64::MAX / 4;
+const MAX_NUMBER: u64 = u64::MAX / 4;
 
 /// Whether a correct replica could have sent the message.
 pub fn is_plausible(message: &ReplicationMessage) -> bool {
@@ -29,7 +29,7 @@
 }
 
 fn fits(numbers: &[u64]) -> bool {
-    numbers.iter().all(|number| *number <= LARGEST_NUMBER)
+    numbers.iter().all(|number| *number <= MAX_NUMBER)
 }
 
 fn append_is_plausible(request: &AppendRequest, term: u64) -> bool {
--- a/crates/replication/src/options.rs
+++ b/crates/replication/src/options.rs
@@ -21,10 +21,10 @@
 
 /// A change of the voters needs answers that are no older than this many heartbeats: a change that
 /// counts on a voter whose disk was just lost may never be committed, nor taken back.
-pub const FRESH_HEARTBEATS: u32 = 2;
+pub const CONTACT_MAX_AGE_HEARTBEATS: u32 = 2;
 
 /// After its disk was full, a replica does not campaign for this long.
-pub const FULL_DISK_PAUSE: Duration = Duration::from_secs(2);
+pub const FULL_DISK_CAMPAIGN_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Times of a replica group; the same on all replicas of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -7,7 +7,7 @@
 
 /// How entries are sent to a replica.
 #[derive(Debug)]
-pub enum SendState {
+pub enum ProgressState {
     /// The match is unknown: one message at a time.
     Probe {
         /// Whether a message is under way.
@@ -30,7 +30,7 @@
 
 /// Progress of one replica.
 pub struct Progress {
-    pub state: SendState,
+    pub state: ProgressState,
     /// Last index known to be durable there.
     pub match_index: u64,
     /// Next index to send.
@@ -38,24 +38,24 @@
     /// Last index of each message with entries that is under way.
     pub(crate) in_flight: VecDeque<u64>,
     /// Highest commit index sent.
-    pub sent_commit: u64,
+    pub sent_commit_index: u64,
     /// Highest read round answered.
     pub read_sequence: u64,
     /// When the last message of the present term came.
-    pub last_heard: MonotonicTime,
+    pub last_contact: MonotonicTime,
 }
 
 impl Progress {
     /// Progress of a replica of which nothing is known yet.
     pub fn new(next_index: u64, now: MonotonicTime) -> Self {
         Self {
-            state: SendState::Probe { waiting: false },
+            state: ProgressState::Probe { waiting: false },
             match_index: 0,
             next_index,
             in_flight: VecDeque::new(),
-            sent_commit: 0,
+            sent_commit_index: 0,
             read_sequence: 0,
-            last_heard: now,
+            last_contact: now,
         }
     }
 
@@ -65,7 +65,7 @@
     }
 
     /// Notes a message with entries up to `last_index`.
-    pub fn sent_entries(&mut self, last_index: u64) {
+    pub fn record_sent_entries(&mut self, last_index: u64) {
         self.in_flight.push_back(last_index);
         self.next_index = last_index + 1;
     }
@@ -84,14 +84,14 @@
 
     /// Goes back to probing at `next_index`.
     pub fn probe(&mut self, next_index: u64) {
-        self.state = SendState::Probe { waiting: false };
+        self.state = ProgressState::Probe { waiting: false };
         self.next_index = next_index.max(self.match_index + 1);
         self.in_flight.clear();
     }
 
     /// Begins to send without waiting for each answer.
     pub fn replicate(&mut self) {
-        self.state = SendState::Replicate;
+        self.state = ProgressState::Replicate;
         self.next_index = self.match_index + 1;
         self.in_flight.clear();
     }
@@ -99,7 +99,7 @@
     /// Begins to send a snapshot.
     pub fn send_snapshot(&mut self, snapshot: Snapshot) {
         self.in_flight.clear();
-        self.state = SendState::Snapshot(SnapshotTransfer {
+        self.state = ProgressState::Snapshot(SnapshotTransfer {
             snapshot,
             position: 0,
             sent_at: None,
--- a/crates/replication/src/reads.rs
+++ b/crates/replication/src/reads.rs
@@ -1,6 +1,6 @@
 //! Confirmed reads: proof that this replica still leads, at an index.
 
-use crate::leader_state::ReadRound;
+use crate::leader_state::ReadBatch;
 use crate::ready::ConfirmedRead;
 use crate::role::RoleState;
 use crate::{NotLeader, Replica};
@@ -12,7 +12,7 @@
         let Some(state) = self.leader_state() else {
             return Err(hint);
         };
-        state.new_reads.push(request);
+        state.queued_reads.push(request);
         Ok(())
     }
 
@@ -20,7 +20,7 @@
     ///
     /// Not before an entry of the own term is committed: until then the commit index may lag behind
     /// what earlier leaders acknowledged.
-    pub(crate) fn begin_read_round(&mut self) {
+    pub(crate) fn begin_read_batch(&mut self) {
         if !self.has_committed_own_term() {
             return;
         }
@@ -28,14 +28,14 @@
         let Some(state) = self.leader_state() else {
             return;
         };
-        if state.new_reads.is_empty() {
+        if state.queued_reads.is_empty() {
             return;
         }
-        state.last_round += 1;
-        state.message_due = true;
-        let requests = std::mem::take(&mut state.new_reads);
-        state.rounds.push_back(ReadRound {
-            round: state.last_round,
+        state.last_read_sequence += 1;
+        state.broadcast_due = true;
+        let requests = std::mem::take(&mut state.queued_reads);
+        state.rounds.push_back(ReadBatch {
+            round: state.last_read_sequence,
             index,
             requests,
         });
@@ -48,10 +48,10 @@
         let RoleState::Leader(state) = &mut self.role else {
             return;
         };
-        let last_round = state.last_round;
+        let last_read_sequence = state.last_read_sequence;
         let confirmed = self.configurations.latest().quorum_value(|voter| {
             if voter == own {
-                return last_round;
+                return last_read_sequence;
             }
             state.peers.get(&voter).map_or(0, |peer| peer.read_sequence)
         });
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -11,7 +11,7 @@
 use crate::bootstrap::bootstrap;
 use crate::configuration::{Configuration, ConfigurationHistory};
 use crate::incoming_snapshot::IncomingSnapshot;
-use crate::patience::Patience;
+use crate::election_backoff::ElectionBackoff;
 use crate::ready::{ConfirmedRead, RestoredSnapshot};
 use crate::role::RoleState;
 use crate::{NotLeader, OpenError, ReplicaOptions};
@@ -30,8 +30,8 @@
     pub(crate) role: RoleState,
     pub(crate) leader: NodeId,
     pub(crate) leader_contact: Option<MonotonicTime>,
-    pub(crate) election_at: MonotonicTime,
-    pub(crate) patience: Patience,
+    pub(crate) election_deadline: MonotonicTime,
+    pub(crate) election_backoff: ElectionBackoff,
     pub(crate) configurations: ConfigurationHistory,
     pub(crate) commit_index: u64,
     /// Last index that a flush has handed out as committed or restored.
@@ -39,7 +39,7 @@
     pub(crate) removed: bool,
     pub(crate) incoming: Option<IncomingSnapshot>,
     /// No campaign before this time, after the disk was full.
-    pub(crate) full_until: Option<MonotonicTime>,
+    pub(crate) disk_full_until: Option<MonotonicTime>,
     /// An error of the storage that the replica does not survive.
     pub(crate) failure: Option<StorageError>,
     // Results for the next flush.
@@ -90,14 +90,14 @@
             role: RoleState::Follower,
             leader: NodeId::NONE,
             leader_contact: None,
-            election_at: now,
-            patience: Patience::default(),
+            election_deadline: now,
+            election_backoff: ElectionBackoff::default(),
             configurations,
             commit_index: snapshot_index,
             delivered_index: snapshot_index,
             removed: false,
             incoming: None,
-            full_until: None,
+            disk_full_until: None,
             failure: None,
             outbox: Vec::new(),
             restored,
@@ -113,12 +113,12 @@
     /// Appends a command to the log, on the leader only. The entry is committed when it comes back
     /// in [`crate::Ready::committed`] with this index and the present term.
     pub fn propose(&mut self, command: Vec<u8>) -> Result<u64, NotLeader> {
-        self.check_takes_proposals()?;
+        self.check_accepts_proposals()?;
         Ok(self.append_own(Payload::Command(command)))
     }
 
     /// The leader takes proposals unless it is handing over.
-    fn check_takes_proposals(&self) -> Result<(), NotLeader> {
+    fn check_accepts_proposals(&self) -> Result<(), NotLeader> {
         match &self.role {
             RoleState::Leader(state) => match state.transfer {
                 None => Ok(()),
--- a/crates/replication/src/replies.rs
+++ b/crates/replication/src/replies.rs
@@ -4,7 +4,7 @@
 use millford_core::NodeId;
 
 use crate::Replica;
-use crate::progress::{Progress, SendState};
+use crate::progress::{Progress, ProgressState};
 
 impl Replica {
     pub(crate) fn on_append_reply(&mut self, from: NodeId, reply: AppendReply) {
@@ -12,12 +12,12 @@
         let Some(state) = self.leader_state() else {
             return;
         };
-        let last_round = state.last_round;
+        let last_read_sequence = state.last_read_sequence;
         let Some(peer) = state.peers.get_mut(&from) else {
             return;
         };
         // A refusal confirms the leadership as well: it is of the present term.
-        peer.read_sequence = peer.read_sequence.max(reply.read_sequence.min(last_round));
+        peer.read_sequence = peer.read_sequence.max(reply.read_sequence.min(last_read_sequence));
         if !reply.accepted {
             refused(peer, &reply);
         } else if reply.match_index <= last_index {
@@ -29,9 +29,9 @@
 fn accepted(peer: &mut Progress, match_index: u64) {
     peer.accepted(match_index);
     match &peer.state {
-        SendState::Probe { .. } => peer.replicate(),
-        SendState::Replicate => {}
-        SendState::Snapshot(transfer) => {
+        ProgressState::Probe { .. } => peer.replicate(),
+        ProgressState::Replicate => {}
+        ProgressState::Snapshot(transfer) => {
             if peer.match_index >= transfer.snapshot.meta.index {
                 peer.replicate();
             }
@@ -41,9 +41,9 @@
 
 fn refused(peer: &mut Progress, reply: &AppendReply) {
     let is_late = match &peer.state {
-        SendState::Probe { .. } => reply.previous_index + 1 != peer.next_index,
-        SendState::Replicate => reply.previous_index <= peer.match_index,
-        SendState::Snapshot(_) => true,
+        ProgressState::Probe { .. } => reply.previous_index + 1 != peer.next_index,
+        ProgressState::Replicate => reply.previous_index <= peer.match_index,
+        ProgressState::Snapshot(_) => true,
     };
     if is_late {
         return;
--- a/crates/replication/src/role.rs
+++ b/crates/replication/src/role.rs
@@ -1,6 +1,6 @@
 //! Roles of a replica.
 
-use crate::ballot::Ballot;
+use crate::vote_tally::VoteTally;
 use crate::leader_state::LeaderState;
 
 /// Role of a replica, for its owner.
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub(crate) enum RoleState {
     Follower,
-    PreCandidate(Ballot),
-    Candidate(Ballot),
+    PreCandidate(VoteTally),
+    Candidate(VoteTally),
     Leader(Box<LeaderState>),
 }
--- a/crates/replication/src/snapshot_receiving.rs
+++ b/crates/replication/src/snapshot_receiving.rs
@@ -24,8 +24,8 @@
             return;
         };
         if incoming.next_position() != chunk.position {
-            let wanted = incoming.next_position();
-            self.reply_snapshot(from, chunk.last_index, wanted, false);
+            let desired = incoming.next_position();
+            self.reply_snapshot(from, chunk.last_index, desired, false);
             return;
         }
         incoming.data.extend_from_slice(&chunk.data);
@@ -53,7 +53,7 @@
             .store_hard_state()
             .and_then(|()| self.storage.install_snapshot(meta, data.clone()));
         if let Err(error) = stored {
-            self.note_storage_error(error);
+            self.record_storage_error(error);
             return false;
         }
         self.configurations = read_configurations(&self.storage);
--- a/crates/replication/src/snapshot_sending.rs
+++ b/crates/replication/src/snapshot_sending.rs
@@ -4,7 +4,7 @@
 use millford_core::{MonotonicTime, NodeId};
 
 use crate::Replica;
-use crate::progress::{Progress, SendState, SnapshotTransfer};
+use crate::progress::{Progress, ProgressState, SnapshotTransfer};
 
 /// A chunk that was not answered within this many heartbeats is sent again.
 const RESEND_HEARTBEATS: u32 = 3;
@@ -17,14 +17,14 @@
     }
 
     /// Sends the next chunk unless one is under way, and a heartbeat when one is due.
-    pub(crate) fn send_chunk(&mut self, node: NodeId, peer: &mut Progress, message_due: bool) {
-        if message_due {
+    pub(crate) fn send_chunk(&mut self, node: NodeId, peer: &mut Progress, broadcast_due: bool) {
+        if broadcast_due {
             // Index 0 matches always: the message keeps the leadership and confirms reads.
             self.send_append(node, peer, 0, Vec::new());
         }
         let now = self.now;
         let resend_after = self.options.timing.heartbeat * RESEND_HEARTBEATS;
-        let SendState::Snapshot(transfer) = &mut peer.state else {
+        let ProgressState::Snapshot(transfer) = &mut peer.state else {
             return;
         };
         let is_waiting = transfer
@@ -59,7 +59,7 @@
         let Some(peer) = state.and_then(|state| state.peers.get_mut(&from)) else {
             return;
         };
-        let SendState::Snapshot(transfer) = &mut peer.state else {
+        let ProgressState::Snapshot(transfer) = &mut peer.state else {
             return;
         };
         if transfer.snapshot.meta.index != reply.last_index {
--- a/crates/replication/src/status.rs
+++ b/crates/replication/src/status.rs
@@ -50,7 +50,7 @@
     /// Last index known to be durable there.
     pub match_index: u64,
     /// When it was last heard from in this term; the start of the term before the first time.
-    pub last_heard: MonotonicTime,
+    pub last_contact: MonotonicTime,
     /// Whether it has caught up, so that a learner may be promoted.
     pub caught_up: bool,
     /// Whether it receives a snapshot.
--- a/crates/replication/src/step.rs
+++ b/crates/replication/src/step.rs
@@ -56,7 +56,7 @@
     /// an older one is told the present term, so that it steps down.
     fn accept_leader(&mut self, from: NodeId, term: u64) -> bool {
         if term < self.term {
-            self.refuse_old_leader(from);
+            self.reject_stale_leader(from);
             return false;
         }
         if term == self.term && self.is_leader() {
@@ -76,7 +76,7 @@
         if term < self.term {
             return false;
         }
-        self.note_heard(from);
+        self.record_contact(from);
         true
     }
 }
--- a/crates/replication/src/transfer.rs
+++ b/crates/replication/src/transfer.rs
@@ -25,8 +25,8 @@
         }
         let peer = state.peers.get(&to).filter(|_| is_voter);
         let peer = peer.ok_or(TransferRefused::NotVoter)?;
-        if now.since(peer.last_heard) >= quorum_timeout {
-            return Err(TransferRefused::OutOfTouch);
+        if now.since(peer.last_contact) >= quorum_timeout {
+            return Err(TransferRefused::TargetUnreachable);
         }
         state.transfer = Some(Transfer {
             to,
--- a/crates/replication/src/vote_receiving.rs
+++ b/crates/replication/src/vote_receiving.rs
@@ -12,15 +12,15 @@
     /// and the candidate counts only the voters of its own configuration.
     pub(crate) fn on_vote_request(&mut self, from: NodeId, term: u64, request: VoteRequest) {
         if term < self.term {
-            self.refuse_vote(from, &request);
+            self.reject_vote(from, &request);
             return;
         }
-        if self.hears_leader(self.now) && !request.transfer {
+        if self.has_leader_contact(self.now) && !request.transfer {
             // Neither the term nor the vote changes while a leader is heard.
-            self.tell_removed(from, &request);
+            self.notify_if_removed(from, &request);
             return;
         }
-        self.patience.note_other();
+        self.election_backoff.record_contested();
         if request.pre_vote {
             self.answer_pre_vote(from, term, &request);
         } else {
@@ -30,7 +30,7 @@
 
     fn answer_pre_vote(&mut self, from: NodeId, term: u64, request: &VoteRequest) {
         if term == self.term || !self.is_up_to_date(request) {
-            self.refuse_vote(from, request);
+            self.reject_vote(from, request);
             return;
         }
         let reply = VoteReply {
@@ -47,7 +47,7 @@
         }
         let is_free = !self.voted_for.is_some() || self.voted_for == from;
         if !is_free || !self.is_up_to_date(request) {
-            self.refuse_vote(from, request);
+            self.reject_vote(from, request);
             return;
         }
         // Durable before the reply leaves: the flush stores term and vote first.
@@ -67,25 +67,25 @@
         (request.last_term, request.last_index) >= own
     }
 
-    fn refuse_vote(&mut self, from: NodeId, request: &VoteRequest) {
+    fn reject_vote(&mut self, from: NodeId, request: &VoteRequest) {
         let reply = VoteReply {
             granted: false,
             pre_vote: request.pre_vote,
-            removed: self.knows_removed(from, request),
+            removed: self.is_known_removed(from, request),
         };
         self.send(from, Body::VoteReply(reply));
     }
 
-    fn tell_removed(&mut self, from: NodeId, request: &VoteRequest) {
-        if self.knows_removed(from, request) {
-            self.refuse_vote(from, request);
+    fn notify_if_removed(&mut self, from: NodeId, request: &VoteRequest) {
+        if self.is_known_removed(from, request) {
+            self.reject_vote(from, request);
         }
     }
 
     /// Whether the sender is not in the committed configuration and cannot know it: the
     /// configuration's entry is newer than the sender's whole log. A replica that was added later
     /// has a newer log or will be contacted by the leader that added it.
-    fn knows_removed(&self, sender: NodeId, request: &VoteRequest) -> bool {
+    fn is_known_removed(&self, sender: NodeId, request: &VoteRequest) -> bool {
         let committed = self.configurations.as_of(self.commit_index);
         if committed.index == 0 || committed.configuration.contains(sender) {
             return false;
--- a/crates/replication/src/ballot.rs
+++ b/crates/replication/src/vote_tally.rs
@@ -8,11 +8,11 @@
 
 /// Nodes that granted their vote in one election or pre-vote.
 #[derive(Debug, Default)]
-pub struct Ballot {
+pub struct VoteTally {
     granted: BTreeSet<NodeId>,
 }
 
-impl Ballot {
+impl VoteTally {
     /// A ballot with the candidate's own vote.
     pub fn new(candidate: NodeId) -> Self {
         Self {
--- a/crates/replication/tests/disks.rs
+++ b/crates/replication/tests/disks.rs
@@ -2,7 +2,7 @@
 
 mod group;
 
-use group::network::Weather;
+use group::network::NetworkConditions;
 use group::simulation::{Defect, Simulation};
 use group::support::crash_disk::{CrashDisk, Faults};
 use millford_core::{Duration, MonotonicTime, NodeId, ShardId};
@@ -12,7 +12,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 fn started(seed: u64) -> (Simulation, NodeId) {
-    let mut simulation = Simulation::new(seed, 3, Weather::CALM, Defect::None);
+    let mut simulation = Simulation::new(seed, 3, NetworkConditions::CALM, Defect::None);
     simulation.run_for(SECOND * 3);
     let leader = simulation.leaders()[0];
     (simulation, leader)
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_leader_whose_disk_is_full_gives_way_and_comes_back_as_follower() {
+fn a_leader_whose_disk_is_full_steps_down_and_returns_as_follower() {
     let (mut simulation, leader) = started(1);
     set_space(&simulation, leader, Some(10));
     propose(&mut simulation, leader);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_snapshot_that_finds_no_space_leaves_the_replica_running() {
+fn a_snapshot_that_finds_no_space_does_not_stop_the_replica() {
     let (mut simulation, leader) = started(2);
     set_space(&simulation, leader, Some(0));
     let applied = simulation.machines[&leader].applied_index;
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_replica_whose_sync_failed_is_dead_and_says_nothing_more() {
+fn a_replica_whose_sync_failed_is_dead_and_sends_nothing_more() {
     let (mut simulation, leader) = started(3);
     let disk = simulation.machines[&leader].disk.clone();
     disk.set_faults(Faults {
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn another_identity_may_not_use_the_disk() {
+fn storage_of_another_identity_is_rejected() {
     let disk = CrashDisk::default();
     let open = |node: u64| {
         let boxed = Box::new(disk.clone());
--- a/crates/replication/tests/earlier_terms.rs
+++ b/crates/replication/tests/earlier_terms.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn an_entry_that_only_an_older_term_wrote_is_not_committed_by_counting() {
+fn an_entry_of_an_earlier_term_is_not_committed_by_counting_replicas() {
     let mut world = old_entry_on_a_quorum();
     let old = entry_term(&world, A, 2);
     // The probe, its refusal, and the old entry until C holds it.
@@ -56,7 +56,7 @@
 fn deliver_between(world: &mut World, left: usize, right: usize) {
     let pair = [group::world::NODES[left], group::world::NODES[right]];
     let place = world
-        .under_way
+        .in_transit
         .iter()
         .position(|message| pair.contains(&message.from) && pair.contains(&message.to));
     world.act(Action::Deliver(place.expect("a message is under way")));
--- a/crates/replication/tests/first_elections.rs
+++ b/crates/replication/tests/first_elections.rs
@@ -2,7 +2,7 @@
 
 mod group;
 
-use group::network::Weather;
+use group::network::NetworkConditions;
 use group::simulation::{Defect, Simulation};
 use millford_core::{Duration, NodeId};
 
@@ -18,18 +18,18 @@
 }
 
 #[test]
-fn a_group_that_starts_together_leads_soon() {
+fn a_group_that_starts_together_elects_a_leader_quickly() {
     for seed in 0..50 {
-        let mut simulation = Simulation::new(seed, 3, Weather::CALM, Defect::None);
+        let mut simulation = Simulation::new(seed, 3, NetworkConditions::CALM, Defect::None);
         let waited = time_to_lead(&mut simulation);
         assert!(waited <= SOON, "seed {seed}: {waited:?}");
     }
 }
 
 #[test]
-fn a_group_that_lost_power_leads_soon_after_it_is_back() {
+fn a_group_that_lost_power_elects_a_leader_quickly_after_restart() {
     for seed in 0..50 {
-        let mut simulation = Simulation::new(seed, 3, Weather::CALM, Defect::None);
+        let mut simulation = Simulation::new(seed, 3, NetworkConditions::CALM, Defect::None);
         simulation.run_for(SECOND * 3);
         let nodes: Vec<NodeId> = simulation.machines.keys().copied().collect();
         for node in &nodes {
@@ -46,9 +46,9 @@
 }
 
 #[test]
-fn a_replica_that_comes_back_alone_does_not_depose_the_leader() {
+fn a_single_restarted_replica_does_not_depose_the_leader() {
     for seed in 0..50 {
-        let mut simulation = Simulation::new(seed, 3, Weather::CALM, Defect::None);
+        let mut simulation = Simulation::new(seed, 3, NetworkConditions::CALM, Defect::None);
         simulation.run_for(SECOND * 3);
         let leader = simulation.leaders()[0];
         let term = simulation.replica(leader).expect("runs").status().term;
--- a/crates/replication/tests/group/chaos.rs
+++ b/crates/replication/tests/group/chaos.rs
@@ -8,32 +8,32 @@
 use rand::seq::IndexedRandom;
 
 use super::machine::Machine;
-use super::network::Weather;
+use super::network::NetworkConditions;
 use super::simulation::{Defect, Simulation};
 use super::support::crash_disk::Faults;
 
 /// Longest time to be whole again after all faults have ended.
-const RECOVERY: Duration = Duration::from_secs(12);
+const RECOVERY_DEADLINE: Duration = Duration::from_secs(12);
 /// Longest time that a lost machine's messages are under way.
-const UNDER_WAY: Duration = Duration::from_millis(500);
+const IN_TRANSIT: Duration = Duration::from_millis(500);
 /// Time between two proposals while the group recovers.
-const GOAL_EVERY: Duration = Duration::from_secs(1);
+const GOAL_INTERVAL: Duration = Duration::from_secs(1);
 /// Time between two steps of repair.
-const REPAIR_EVERY: u32 = 40;
+const REPAIR_INTERVAL_STEPS: u32 = 40;
 
 impl Simulation {
     /// Random work and faults for a number of rounds, checks throughout. `fault_rate` is the
     /// probability of a fault in a round.
-    pub fn run_chaos(&mut self, rounds: u32, wanted_voters: usize, fault_rate: f64) {
+    pub fn run_chaos(&mut self, rounds: u32, desired_voters: usize, fault_rate: f64) {
         for round in 0..rounds {
             self.step();
             self.work();
-            if round % REPAIR_EVERY == 0 {
+            if round % REPAIR_INTERVAL_STEPS == 0 {
                 self.check_logs();
-                self.repair(wanted_voters);
+                self.repair(desired_voters);
             }
             if self.random.random_bool(fault_rate) {
-                self.fault();
+                self.inject_fault();
             }
         }
     }
@@ -59,7 +59,7 @@
             self.transfer();
         }
         if self.random.random_bool(0.001) {
-            self.remove_healthy();
+            self.remove_any_member();
         }
     }
 
@@ -74,11 +74,11 @@
     }
 
     /// Removes some member; repair brings it back later, with its old disk and identity.
-    fn remove_healthy(&mut self) {
+    fn remove_any_member(&mut self) {
         let target = self.any_node();
         for leader in self.leaders() {
-            let voters = self.machines[&leader].known_voters.clone();
-            let is_whole = !self.loss_is_fresh()
+            let voters = self.machines[&leader].flushed_voters.clone();
+            let is_whole = !self.has_recent_loss()
                 && voters.iter().all(|voter| self.machines.contains_key(voter));
             let Some(replica) = self.replica(leader) else {
                 continue;
@@ -96,17 +96,17 @@
         *nodes.choose(&mut self.random).expect("machines")
     }
 
-    fn fault(&mut self) {
+    fn inject_fault(&mut self) {
         let node = self.any_node();
         match self.random.random_range(0..14) {
             0 => self.lose_power(node),
             1 => self.kill(node),
             2 | 3 | 11 | 12 => self.start(node),
-            4 => self.fail_soon(node),
-            5 => self.cut_off(node),
+            4 => self.inject_disk_failure(node),
+            5 => self.partition(node),
             6 | 13 => self.network.cut.clear(),
             7 => self.freeze(node),
-            8 => self.fill_disk(node),
+            8 => self.inject_full_disk(node),
             9 => self.free_disks(),
             _ => self.replace(node),
         }
@@ -125,7 +125,7 @@
 
     /// The process dies; the machine, and what the disk has not synced yet, stays.
     fn kill(&mut self, node: NodeId) {
-        let faults = self.standing_faults();
+        let faults = self.planted_faults();
         if let Some(machine) = self.machines.get_mut(&node) {
             machine.replica = None;
             machine.disk.set_faults(faults);
@@ -133,22 +133,22 @@
     }
 
     /// The disk fails within the next operations, in the middle of a flush perhaps.
-    fn fail_soon(&mut self, node: NodeId) {
+    fn inject_disk_failure(&mut self, node: NodeId) {
         let left = self.random.random_range(0..6);
         let faults = Faults {
             operations_left: Some(left),
-            ..self.standing_faults()
+            ..self.planted_faults()
         };
         if let Some(machine) = self.machines.get_mut(&node) {
             machine.disk.set_faults(faults);
         }
     }
 
-    fn fill_disk(&mut self, node: NodeId) {
+    fn inject_full_disk(&mut self, node: NodeId) {
         let space = self.random.random_range(0..400);
         let faults = Faults {
             space_left: Some(space),
-            ..self.standing_faults()
+            ..self.planted_faults()
         };
         if let Some(machine) = self.machines.get_mut(&node) {
             machine.disk.set_faults(faults);
@@ -156,14 +156,14 @@
     }
 
     fn free_disks(&mut self) {
-        let faults = self.standing_faults();
+        let faults = self.planted_faults();
         for machine in self.machines.values_mut() {
             machine.disk.set_faults(faults);
         }
     }
 
     /// Cuts a node off, both ways or one way.
-    fn cut_off(&mut self, node: NodeId) {
+    fn partition(&mut self, node: NodeId) {
         let others: Vec<NodeId> = self
             .machines
             .keys()
@@ -194,20 +194,20 @@
             return;
         }
         if self.defect == Defect::ReusedIdentity {
-            self.wipe_in_place(node);
+            self.wipe_and_restart(node);
             return;
         }
         if let Some(machine) = self.machines.remove(&node) {
             let now = self.now;
             let voter_sets = machine.voter_sets();
-            self.lost_voters
+            self.lost_voter_sets
                 .extend(voter_sets.into_iter().map(|voters| (now, voters)));
         }
         self.add_machine(None);
     }
 
     /// The planted defect: an identity starts again on an empty disk.
-    fn wipe_in_place(&mut self, node: NodeId) {
+    fn wipe_and_restart(&mut self, node: NodeId) {
         if let Some(machine) = self.machines.get_mut(&node) {
             machine.replica = None;
             machine.disk.wipe();
@@ -220,8 +220,8 @@
     /// Those of machines that were lost just now count as well: the last messages of a leader may
     /// still be under way and bring its configuration to others.
     fn can_lose(&self, node: NodeId) -> bool {
-        let is_recent = |at: MonotonicTime| self.now.since(at) < UNDER_WAY;
-        let lost = self.lost_voters.iter().filter(|(at, _)| is_recent(*at));
+        let is_recent = |at: MonotonicTime| self.now.since(at) < IN_TRANSIT;
+        let lost = self.lost_voter_sets.iter().filter(|(at, _)| is_recent(*at));
         let machines = self.machines.values();
         let held = machines.flat_map(Machine::voter_sets);
         let lost = lost.map(|(_, voters)| voters.clone());
@@ -237,39 +237,39 @@
 
     /// Ends all faults; then the group must take a proposal and bring it to every voter. The times
     /// are noted.
-    pub fn recover(&mut self, wanted_voters: usize) {
+    pub fn recover(&mut self, desired_voters: usize) {
         self.network.cut.clear();
-        self.network.weather = Weather::CALM;
+        self.network.conditions = NetworkConditions::CALM;
         self.free_disks();
         let now = self.now;
         for machine in self.machines.values_mut() {
             machine.frozen_until = now;
         }
         let start = self.now;
-        let end = start + RECOVERY;
+        let end = start + RECOVERY_DEADLINE;
         let mut goal = None;
         let mut next_goal = self.now;
         while self.now < end {
             self.start_stopped();
             self.step();
-            self.repair(wanted_voters);
+            self.repair(desired_voters);
             let is_due = goal.is_none_or(|_| self.now >= next_goal);
-            if self.history.leaderless.is_none() && self.has_confirmed_leader() {
-                self.history.leaderless = Some(self.now.since(start));
+            if self.history.time_to_leader.is_none() && self.has_confirmed_leader() {
+                self.history.time_to_leader = Some(self.now.since(start));
             }
             if is_due {
                 // Again now and then: a leader that is deposed takes its proposals with it.
                 goal = self.propose_goal().or(goal);
-                next_goal = self.now + GOAL_EVERY;
+                next_goal = self.now + GOAL_INTERVAL;
             }
-            if goal.is_some_and(|goal| self.all_voters_applied(goal, wanted_voters)) {
-                self.history.recovery = Some(self.now.since(start));
+            if goal.is_some_and(|goal| self.all_voters_applied(goal, desired_voters)) {
+                self.history.time_to_recovery = Some(self.now.since(start));
                 return;
             }
         }
         let goal = goal.unwrap_or(0);
         let states = self.describe();
-        let text = format!("not whole {RECOVERY:?} after the faults, goal {goal}:{states}");
+        let text = format!("not whole {RECOVERY_DEADLINE:?} after the faults, goal {goal}:{states}");
         self.history.violations.push(text);
     }
 
@@ -311,16 +311,16 @@
         goal
     }
 
-    fn all_voters_applied(&self, goal: u64, wanted_voters: usize) -> bool {
+    fn all_voters_applied(&self, goal: u64, desired_voters: usize) -> bool {
         let leaders = self.leaders();
         let [leader] = leaders.as_slice() else {
             return false;
         };
-        let voters = &self.machines[leader].known_voters;
+        let voters = &self.machines[leader].flushed_voters;
         let is_applied = |voter: &NodeId| {
             let machine = self.machines.get(voter);
             machine.is_some_and(|machine| machine.applied_index >= goal)
         };
-        voters.len() == wanted_voters && voters.iter().all(is_applied)
+        voters.len() == desired_voters && voters.iter().all(is_applied)
     }
 }
--- a/crates/replication/tests/group/history.rs
+++ b/crates/replication/tests/group/history.rs
@@ -37,9 +37,9 @@
     pub elections: u64,
     pub snapshots_received: u64,
     /// After all faults: time until a leader had committed an entry of its own term.
-    pub leaderless: Option<Duration>,
+    pub time_to_leader: Option<Duration>,
     /// After all faults: time until the group was whole and all voters had applied a new entry.
-    pub recovery: Option<Duration>,
+    pub time_to_recovery: Option<Duration>,
     pub violations: Vec<String>,
 }
 
@@ -59,7 +59,7 @@
     }
 
     /// Election safety: at most one leader in a term.
-    pub fn note_leader(&mut self, node: NodeId, term: u64) {
+    pub fn record_leader(&mut self, node: NodeId, term: u64) {
         let known = *self.leaders.entry(term).or_insert(node);
         if known != node {
             self.violate(format!("leaders {known} and {node} in term {term}"));
@@ -80,7 +80,7 @@
     }
 
     /// Committed entries never change, on any replica.
-    pub fn note_committed(&mut self, node: NodeId, entry: &LogEntry, digest: Digest) {
+    pub fn record_committed(&mut self, node: NodeId, entry: &LogEntry, digest: Digest) {
         let fact = CommittedEntry {
             term: entry.term,
             digest,
@@ -92,7 +92,7 @@
     }
 
     /// A snapshot is the state of the committed entries.
-    pub fn note_restored(&mut self, node: NodeId, index: u64, digest: Digest) {
+    pub fn record_restored(&mut self, node: NodeId, index: u64, digest: Digest) {
         let known = self.committed.get(&index).map(|entry| entry.digest);
         if known.is_some_and(|known| known != digest) {
             self.violate(format!("{node} restored another state of {index}"));
@@ -100,11 +100,11 @@
     }
 
     /// A read must see everything that was committed when it was asked for.
-    pub fn note_read_asked(&mut self, request: u64) {
+    pub fn record_read_requested(&mut self, request: u64) {
         self.reads.insert(request, self.committed_index());
     }
 
-    pub fn note_read_confirmed(&mut self, node: NodeId, read: &ConfirmedRead, applied: u64) {
+    pub fn record_read_confirmed(&mut self, node: NodeId, read: &ConfirmedRead, applied: u64) {
         self.confirmed_reads += 1;
         let required = self.reads.get(&read.request).copied().unwrap_or(u64::MAX);
         if read.index < required || applied < read.index {
@@ -116,7 +116,7 @@
     }
 
     /// One vote per identity and term: told by what leaves a machine.
-    pub fn note_sent(&mut self, message: &ReplicationMessage) {
+    pub fn record_sent(&mut self, message: &ReplicationMessage) {
         let node = NodeId(message.from);
         let candidate = match &message.body {
             Some(Body::VoteRequest(VoteRequest {
--- a/crates/replication/tests/group/machine.rs
+++ b/crates/replication/tests/group/machine.rs
@@ -14,8 +14,8 @@
 /// Small, so that segments, chunks and windows end often.
 const STORAGE: StorageOptions = StorageOptions {
     segment_bytes: 600,
-    kept_entries: 6,
-    kept_bytes: 150,
+    retained_entries: 6,
+    retained_bytes: 150,
 };
 pub const LIMITS: Limits = Limits {
     append_bytes: 200,
@@ -25,7 +25,7 @@
 };
 
 /// An answer to a leader, as one may wait while its process is stopped.
-pub fn waiting_reply(from: NodeId, to: NodeId, term: u64) -> ReplicationMessage {
+pub fn queued_reply(from: NodeId, to: NodeId, term: u64) -> ReplicationMessage {
     ReplicationMessage {
         shard: SHARD.0,
         from: from.0,
@@ -48,9 +48,9 @@
     /// No ticks and messages before this time: the process is stopped.
     pub frozen_until: MonotonicTime,
     /// Voters as of the last flush.
-    pub known_voters: Vec<NodeId>,
+    pub flushed_voters: Vec<NodeId>,
     /// Voters of the last flush that was tried: a failed one may have written them.
-    pub tried_voters: Vec<NodeId>,
+    pub attempted_voters: Vec<NodeId>,
 }
 
 impl Machine {
@@ -64,8 +64,8 @@
             limits: LIMITS,
             initial_voters,
             frozen_until: MonotonicTime::ZERO,
-            known_voters: Vec::new(),
-            tried_voters: Vec::new(),
+            flushed_voters: Vec::new(),
+            attempted_voters: Vec::new(),
         }
     }
 
@@ -89,7 +89,7 @@
     /// Every set of voters that the disk or the process may hold.
     pub fn voter_sets(&self) -> Vec<Vec<NodeId>> {
         let in_memory = self.replica.as_ref().map(|replica| replica.status().voters);
-        let mut voter_sets = vec![self.known_voters.clone(), self.tried_voters.clone()];
+        let mut voter_sets = vec![self.flushed_voters.clone(), self.attempted_voters.clone()];
         voter_sets.extend(in_memory);
         voter_sets
     }
@@ -97,12 +97,12 @@
     /// Flushes and applies. A dead replica is dropped.
     pub fn flush(&mut self, now: MonotonicTime, history: &mut History) -> Option<Ready> {
         let replica = self.replica.as_mut()?;
-        self.tried_voters = replica.status().voters;
+        self.attempted_voters = replica.status().voters;
         let result = replica.flush(now);
-        self.note_flush(result, history)
+        self.record_flush(result, history)
     }
 
-    fn note_flush(
+    fn record_flush(
         &mut self,
         result: Result<Ready, StorageError>,
         history: &mut History,
@@ -114,16 +114,16 @@
         self.apply(&ready, history);
         let replica = self.replica.as_ref()?;
         let status = replica.status();
-        self.known_voters.clone_from(&status.voters);
+        self.flushed_voters.clone_from(&status.voters);
         if ready.became_leader && status.leader == self.node {
-            history.note_leader(self.node, status.term);
+            history.record_leader(self.node, status.term);
             history.check_new_leader(self.node, replica);
         }
         for message in &ready.messages {
-            history.note_sent(message);
+            history.record_sent(message);
         }
         for read in &ready.confirmed_reads {
-            history.note_read_confirmed(self.node, read, self.applied_index);
+            history.record_read_confirmed(self.node, read, self.applied_index);
         }
         Some(ready)
     }
@@ -133,7 +133,7 @@
             let bytes: [u8; 8] = snapshot.data[..8].try_into().expect("eight bytes");
             self.digest = Digest::from_le_bytes(bytes);
             self.applied_index = snapshot.index;
-            history.note_restored(self.node, snapshot.index, self.digest);
+            history.record_restored(self.node, snapshot.index, self.digest);
             history.snapshots_received += 1;
         }
         for entry in &ready.committed {
@@ -149,7 +149,7 @@
         );
         self.applied_index = entry.index;
         self.digest = extend(self.digest, entry);
-        history.note_committed(self.node, entry, self.digest);
+        history.record_committed(self.node, entry, self.digest);
     }
 
     /// Saves a snapshot of the applied state; several chunks long.
--- a/crates/replication/tests/group/network.rs
+++ b/crates/replication/tests/group/network.rs
@@ -9,24 +9,24 @@
 
 /// Probabilities and delays.
 #[derive(Clone, Copy, Debug)]
-pub struct Weather {
+pub struct NetworkConditions {
     pub loss: f64,
-    pub repetition: f64,
-    pub longest_delay: Duration,
+    pub duplication: f64,
+    pub max_delay: Duration,
 }
 
-impl Weather {
-    pub const CALM: Weather = Weather {
+impl NetworkConditions {
+    pub const CALM: NetworkConditions = NetworkConditions {
         loss: 0.0,
-        repetition: 0.0,
-        longest_delay: Duration::from_millis(4),
+        duplication: 0.0,
+        max_delay: Duration::from_millis(4),
     };
 }
 
 /// Messages under way.
 #[derive(Debug)]
 pub struct Network {
-    pub weather: Weather,
+    pub conditions: NetworkConditions,
     /// Directed links that deliver nothing.
     pub cut: BTreeSet<(NodeId, NodeId)>,
     due: BTreeMap<(MonotonicTime, u64), ReplicationMessage>,
@@ -34,9 +34,9 @@
 }
 
 impl Network {
-    pub fn new(weather: Weather) -> Self {
+    pub fn new(conditions: NetworkConditions) -> Self {
         Self {
-            weather,
+            conditions,
             cut: BTreeSet::new(),
             due: BTreeMap::new(),
             next_number: 0,
@@ -44,17 +44,17 @@
     }
 
     pub fn send(&mut self, now: MonotonicTime, message: ReplicationMessage, random: &mut StdRng) {
-        if self.weather.loss > 0.0 && random.random_bool(self.weather.loss) {
+        if self.conditions.loss > 0.0 && random.random_bool(self.conditions.loss) {
             return;
         }
-        if self.weather.repetition > 0.0 && random.random_bool(self.weather.repetition) {
+        if self.conditions.duplication > 0.0 && random.random_bool(self.conditions.duplication) {
             self.enqueue(now, message.clone(), random);
         }
         self.enqueue(now, message, random);
     }
 
     fn enqueue(&mut self, now: MonotonicTime, message: ReplicationMessage, random: &mut StdRng) {
-        let longest = self.weather.longest_delay;
+        let longest = self.conditions.max_delay;
         let delay = random.random_range(Duration::from_micros(100)..=longest);
         self.due.insert((now + delay, self.next_number), message);
         self.next_number += 1;
--- a/crates/replication/tests/group/repair.rs
+++ b/crates/replication/tests/group/repair.rs
@@ -10,12 +10,12 @@
 const REPLACE_AFTER: Duration = Duration::from_millis(1500);
 /// Longest time that the leader may still count on a disk that is lost: the age of an answer that a
 /// change accepts, and an answer on its way.
-const FRESH_LOSS: Duration = Duration::from_millis(500);
+const RECENT_LOSS: Duration = Duration::from_millis(500);
 
 impl Simulation {
     /// One step of repair on every replica that believes to lead.
-    pub fn repair(&mut self, wanted_voters: usize) {
-        if self.loss_is_fresh() {
+    pub fn repair(&mut self, desired_voters: usize) {
+        if self.has_recent_loss() {
             return;
         }
         for leader in self.leaders() {
@@ -23,7 +23,7 @@
                 continue;
             };
             let status = replica.status();
-            let Some(change) = self.wanted_change(&status, wanted_voters) else {
+            let Some(change) = self.desired_change(&status, desired_voters) else {
                 continue;
             };
             if let Some(replica) = self.replica(leader) {
@@ -33,32 +33,32 @@
         }
     }
 
-    fn wanted_change(&self, status: &ReplicaStatus, wanted: usize) -> Option<VoterChange> {
+    fn desired_change(&self, status: &ReplicaStatus, desired: usize) -> Option<VoterChange> {
         let silent = status
             .peers
             .iter()
-            .filter(|peer| self.now.since(peer.last_heard) >= REPLACE_AFTER);
+            .filter(|peer| self.now.since(peer.last_contact) >= REPLACE_AFTER);
         // Learners first: one that never catches up must not stand in a spare's way.
         let lost = silent.min_by_key(|peer| peer.is_voter);
         if let Some(learner) = lost.filter(|peer| !peer.is_voter) {
             return Some(VoterChange::Remove(learner.node));
         }
-        if status.voters.len() > wanted {
+        if status.voters.len() > desired {
             let any = status.peers.iter().find(|peer| peer.is_voter);
             return lost.or(any).map(|peer| VoterChange::Remove(peer.node));
         }
-        if lost.is_none() && status.voters.len() == wanted {
+        if lost.is_none() && status.voters.len() == desired {
             return None;
         }
         let ready = status
             .peers
             .iter()
             .find(|peer| !peer.is_voter && peer.caught_up);
-        let removed_first = lost.filter(|_| self.removes_first && status.voters.len() == wanted);
+        let removed_first = lost.filter(|_| self.removes_before_promotion && status.voters.len() == desired);
         match (ready, removed_first) {
             (Some(_), Some(lost)) => Some(VoterChange::Remove(lost.node)),
             (Some(ready), None) => Some(VoterChange::Promote(ready.node)),
-            _ if status.learners.is_empty() => self.spare(status).map(VoterChange::AddLearner),
+            _ if status.learners.is_empty() => self.standby(status).map(VoterChange::AddLearner),
             _ => None,
         }
     }
@@ -66,13 +66,13 @@
     /// Whether a disk was lost so lately that the leader may still count on it. A change that is
     /// made then, when the group is at the limit of what it bears, can end it: this is the limit
     /// of changes by one voter, and the runs stay within it.
-    pub fn loss_is_fresh(&self) -> bool {
-        let latest = self.lost_voters.last().map(|(at, _)| *at);
-        latest.is_some_and(|at| self.now.since(at) < FRESH_LOSS)
+    pub fn has_recent_loss(&self) -> bool {
+        let latest = self.lost_voter_sets.last().map(|(at, _)| *at);
+        latest.is_some_and(|at| self.now.since(at) < RECENT_LOSS)
     }
 
     /// A running machine outside the group.
-    fn spare(&self, status: &ReplicaStatus) -> Option<NodeId> {
+    fn standby(&self, status: &ReplicaStatus) -> Option<NodeId> {
         let is_outside =
             |node: &NodeId| !status.voters.contains(node) && !status.learners.contains(node);
         let running = self
--- a/crates/replication/tests/group/simulation.rs
+++ b/crates/replication/tests/group/simulation.rs
@@ -11,13 +11,13 @@
 
 use super::history::History;
 use super::machine::Machine;
-use super::network::{Network, Weather};
+use super::network::{Network, NetworkConditions};
 
 /// Time between two rounds of the loop.
 const STEP: Duration = Duration::from_millis(5);
 
 /// Longest simulated time that a test waits for something.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
 /// Faults of the program that a run plants, to show that the checks find them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -47,28 +47,28 @@
     pub history: History,
     pub defect: Defect,
     /// Whether repair removes a lost voter before it promotes the spare, or after.
-    pub removes_first: bool,
+    pub removes_before_promotion: bool,
     pub next_node: u64,
     pub next_request: u64,
     /// Voters that machines knew when their disks were lost.
-    pub lost_voters: Vec<(MonotonicTime, Vec<NodeId>)>,
+    pub lost_voter_sets: Vec<(MonotonicTime, Vec<NodeId>)>,
     next_tick: MonotonicTime,
 }
 
 impl Simulation {
     /// A new group of `size` voters, all started.
-    pub fn new(seed: u64, size: u64, weather: Weather, defect: Defect) -> Self {
+    pub fn new(seed: u64, size: u64, conditions: NetworkConditions, defect: Defect) -> Self {
         let mut simulation = Self {
             now: MonotonicTime::ZERO,
             random: StdRng::seed_from_u64(seed),
             machines: BTreeMap::new(),
-            network: Network::new(weather),
+            network: Network::new(conditions),
             history: History::default(),
             defect,
-            removes_first: seed.is_multiple_of(2),
+            removes_before_promotion: seed.is_multiple_of(2),
             next_node: 1,
             next_request: 1,
-            lost_voters: Vec::new(),
+            lost_voter_sets: Vec::new(),
             next_tick: MonotonicTime::ZERO,
         };
         let voters = VoterSet {
@@ -86,13 +86,13 @@
         let node = NodeId(self.next_node);
         self.next_node += 1;
         let machine = Machine::new(node, initial_voters);
-        machine.disk.set_faults(self.standing_faults());
+        machine.disk.set_faults(self.planted_faults());
         self.machines.insert(node, machine);
         self.start(node);
         node
     }
 
-    pub fn standing_faults(&self) -> super::support::crash_disk::Faults {
+    pub fn planted_faults(&self) -> super::support::crash_disk::Faults {
         super::support::crash_disk::Faults {
             lie_about_sync: self.defect == Defect::LyingSyncs,
             lie_about_replace: self.defect == Defect::LyingReplaces,
@@ -138,7 +138,7 @@
 
     /// Runs until something holds; fails after a time that is ample for everything.
     pub fn run_until(&mut self, holds: impl Fn(&Simulation) -> bool) {
-        let end = self.now + LONGEST_WAIT;
+        let end = self.now + MAX_WAIT;
         while !holds(self) {
             assert!(self.now < end, "it never came about");
             self.step();
@@ -237,13 +237,13 @@
         };
         if skips_round && replica.status().role == Role::Leader {
             let index = replica.status().commit_index;
-            self.history.note_read_asked(request);
+            self.history.record_read_requested(request);
             let read = millford_replication::ConfirmedRead { request, index };
-            self.history.note_read_confirmed(node, &read, index);
+            self.history.record_read_confirmed(node, &read, index);
             return;
         }
         if replica.read_index(request).is_ok() {
-            self.history.note_read_asked(request);
+            self.history.record_read_requested(request);
         }
     }
 
--- a/crates/replication/tests/group/world.rs
+++ b/crates/replication/tests/group/world.rs
@@ -36,7 +36,7 @@
 pub struct World {
     pub machines: Vec<Machine>,
     clocks: [MonotonicTime; 3],
-    pub under_way: Vec<ReplicationMessage>,
+    pub in_transit: Vec<ReplicationMessage>,
     pub history: History,
     /// A crash also loses the vote: the planted defect.
     forgets_votes: bool,
@@ -52,7 +52,7 @@
         let mut world = Self {
             machines: machines.into(),
             clocks: [MonotonicTime::ZERO; 3],
-            under_way: Vec::new(),
+            in_transit: Vec::new(),
             history: History::default(),
             forgets_votes,
         };
@@ -83,10 +83,10 @@
             Action::Crash(position) => self.crash(position),
             Action::Propose(position) => self.propose(position),
             Action::Deliver(place) => {
-                let message = self.under_way.remove(place);
+                let message = self.in_transit.remove(place);
                 self.deliver(message);
             }
-            Action::Repeat(place) => self.deliver(self.under_way[place].clone()),
+            Action::Repeat(place) => self.deliver(self.in_transit[place].clone()),
         }
         self.check_logs();
     }
@@ -130,7 +130,7 @@
     fn flush(&mut self, position: usize) {
         let now = self.clocks[position];
         let ready = self.machines[position].flush(now, &mut self.history);
-        self.under_way
+        self.in_transit
             .extend(ready.expect("the disk is whole").messages);
     }
 
@@ -149,7 +149,7 @@
             format!("{:?}", machine.replica).hash(&mut hasher);
         }
         let mut messages: Vec<Vec<u8>> =
-            self.under_way.iter().map(Message::encode_to_vec).collect();
+            self.in_transit.iter().map(Message::encode_to_vec).collect();
         messages.sort_unstable();
         messages.hash(&mut hasher);
         self.history.facts().hash(&mut hasher);
@@ -167,14 +167,14 @@
         let is_between = |message: &ReplicationMessage| {
             pair.contains(&message.from) && pair.contains(&message.to)
         };
-        while let Some(place) = self.under_way.iter().position(is_between) {
+        while let Some(place) = self.in_transit.iter().position(is_between) {
             self.act(Action::Deliver(place));
         }
     }
 
     /// Loses what is under way, then times a replica out, with one other in reach, until it leads.
     pub fn elect(&mut self, candidate: usize, voter: usize) {
-        self.under_way.clear();
+        self.in_transit.clear();
         // The voter has not heard of its leader for as long either.
         self.clocks[voter] = self.clocks[voter] + TIMEOUT;
         let pair = [NODES[candidate], NODES[voter]];
@@ -184,7 +184,7 @@
                 return;
             }
             let place = self
-                .under_way
+                .in_transit
                 .iter()
                 .position(|message| pair.contains(&message.from) && pair.contains(&message.to));
             self.act(place.map_or(Action::Timeout(candidate), Action::Deliver));
--- a/crates/replication/tests/implausible_messages.rs
+++ b/crates/replication/tests/implausible_messages.rs
@@ -2,7 +2,7 @@
 
 mod group;
 
-use group::network::Weather;
+use group::network::NetworkConditions;
 use group::simulation::{Defect, Simulation};
 use millford_api::replication::{
     AppendReply, AppendRequest, LogEntry, ReplicationMessage, SnapshotChunk, SnapshotReply,
@@ -98,7 +98,7 @@
 
 quickcheck! {
     fn no_message_makes_a_replica_panic(messages: Vec<AnyMessage>) -> bool {
-        let mut simulation = Simulation::new(1, 3, Weather::CALM, Defect::None);
+        let mut simulation = Simulation::new(1, 3, NetworkConditions::CALM, Defect::None);
         simulation.run_for(Duration::from_secs(2));
         let now = simulation.now;
         let replica = simulation.replica(NodeId(1)).expect("runs");
@@ -116,8 +116,8 @@
 }
 
 #[test]
-fn what_no_correct_replica_sends_is_ignored() {
-    let mut simulation = Simulation::new(1, 3, Weather::CALM, Defect::None);
+fn messages_that_no_correct_replica_sends_are_ignored() {
+    let mut simulation = Simulation::new(1, 3, NetworkConditions::CALM, Defect::None);
     simulation.run_for(Duration::from_secs(2));
     let now = simulation.now;
     let replica = simulation.replica(NodeId(1)).expect("runs");
--- a/crates/replication/tests/leadership.rs
+++ b/crates/replication/tests/leadership.rs
@@ -2,7 +2,7 @@
 
 mod group;
 
-use group::network::Weather;
+use group::network::NetworkConditions;
 use group::simulation::{Defect, Simulation};
 use millford_core::{Duration, NodeId};
 use millford_replication::{ReplicaStatus, TransferRefused};
@@ -12,7 +12,7 @@
 const FAILOVER: Duration = Duration::from_millis(2500);
 
 fn started(seed: u64) -> (Simulation, NodeId) {
-    let mut simulation = Simulation::new(seed, 3, Weather::CALM, Defect::None);
+    let mut simulation = Simulation::new(seed, 3, NetworkConditions::CALM, Defect::None);
     simulation.run_for(SECOND * 3);
     let leader = simulation.leaders()[0];
     (simulation, leader)
@@ -27,7 +27,7 @@
     nodes.filter(|other| *other != node).collect()
 }
 
-fn cut_off(simulation: &mut Simulation, node: NodeId) {
+fn partition(simulation: &mut Simulation, node: NodeId) {
     for other in others(simulation, node) {
         simulation.network.cut.insert((node, other));
         simulation.network.cut.insert((other, node));
@@ -35,10 +35,10 @@
 }
 
 #[test]
-fn a_leader_that_is_cut_off_steps_down_before_another_is_elected() {
+fn a_partitioned_leader_steps_down_before_another_is_elected() {
     for seed in 0..50 {
         let (mut simulation, leader) = started(seed);
-        cut_off(&mut simulation, leader);
+        partition(&mut simulation, leader);
         let end = simulation.now + FAILOVER;
         while simulation.now < end {
             simulation.step();
@@ -51,11 +51,11 @@
 }
 
 #[test]
-fn a_follower_that_was_cut_off_does_not_depose_the_leader() {
+fn a_partitioned_follower_that_returns_does_not_depose_the_leader() {
     let (mut simulation, leader) = started(1);
     let term = status(&mut simulation, leader).term;
     let follower = others(&simulation, leader)[0];
-    cut_off(&mut simulation, follower);
+    partition(&mut simulation, follower);
     simulation.run_for(SECOND * 20);
     simulation.network.cut.clear();
     simulation.run_for(SECOND * 3);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_frozen_leader_does_not_answer_reads_when_it_wakes() {
+fn a_frozen_leader_answers_no_reads_when_it_resumes() {
     let (mut simulation, leader) = started(2);
     simulation
         .machines
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn the_leadership_is_handed_over_without_an_election_timeout() {
+fn leadership_is_transferred_without_an_election_timeout() {
     let (mut simulation, leader) = started(4);
     let target = others(&simulation, leader)[1];
     let replica = simulation.replica(leader).expect("runs");
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_transfer_that_fails_ends_by_itself() {
+fn a_failed_transfer_expires() {
     let (mut simulation, leader) = started(6);
     let target = others(&simulation, leader)[0];
     simulation
@@ -139,5 +139,5 @@
         .replica(leader)
         .expect("runs")
         .transfer_leadership(target);
-    assert_eq!(refused, Err(TransferRefused::OutOfTouch));
+    assert_eq!(refused, Err(TransferRefused::TargetUnreachable));
 }
--- a/crates/replication/tests/membership.rs
+++ b/crates/replication/tests/membership.rs
@@ -2,7 +2,7 @@
 
 mod group;
 
-use group::network::Weather;
+use group::network::NetworkConditions;
 use group::simulation::{Defect, Simulation};
 use millford_core::{Duration, NodeId};
 use millford_replication::{ChangeRefused, ReplicaStatus, Role, VoterChange};
@@ -10,7 +10,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 fn started(size: u64) -> (Simulation, NodeId) {
-    let mut simulation = Simulation::new(5, size, Weather::CALM, Defect::None);
+    let mut simulation = Simulation::new(5, size, NetworkConditions::CALM, Defect::None);
     simulation.run_for(SECOND * 3);
     let leader = only_leader(&simulation);
     (simulation, leader)
@@ -61,11 +61,11 @@
         .find(|node| **node != leader)
         .expect("other");
     simulation.machines.remove(&lost);
-    let spare = simulation.add_machine(None);
-    change(&mut simulation, leader, VoterChange::AddLearner(spare)).expect("added");
+    let standby = simulation.add_machine(None);
+    change(&mut simulation, leader, VoterChange::AddLearner(standby)).expect("added");
     simulation.run_for(SECOND);
-    assert_eq!(status(&mut simulation, spare).role, Role::Learner);
-    change(&mut simulation, leader, VoterChange::Promote(spare)).expect("promoted");
+    assert_eq!(status(&mut simulation, standby).role, Role::Learner);
+    change(&mut simulation, leader, VoterChange::Promote(standby)).expect("promoted");
     simulation.run_for(SECOND);
     change(&mut simulation, leader, VoterChange::Remove(lost)).expect("removed");
     simulation.run_for(SECOND);
@@ -80,24 +80,24 @@
 }
 
 #[test]
-fn one_change_at_a_time_and_not_before_an_entry_of_the_own_term() {
-    let mut simulation = Simulation::new(5, 3, Weather::CALM, Defect::None);
-    let spare = simulation.add_machine(None);
+fn one_change_at_a_time_and_none_before_an_entry_of_the_own_term_is_committed() {
+    let mut simulation = Simulation::new(5, 3, NetworkConditions::CALM, Defect::None);
+    let standby = simulation.add_machine(None);
     simulation.run_until(|simulation| !simulation.leaders().is_empty());
     let leader = only_leader(&simulation);
-    let add = VoterChange::AddLearner(spare);
+    let add = VoterChange::AddLearner(standby);
     assert_eq!(
         change(&mut simulation, leader, add),
         Err(ChangeRefused::TermNotCommitted)
     );
     simulation.run_for(SECOND);
     change(&mut simulation, leader, add).expect("added");
-    let remove = VoterChange::Remove(spare);
+    let remove = VoterChange::Remove(standby);
     assert_eq!(
         change(&mut simulation, leader, remove),
         Err(ChangeRefused::ChangePending)
     );
-    let promote = VoterChange::Promote(spare);
+    let promote = VoterChange::Promote(standby);
     assert_eq!(
         change(&mut simulation, leader, promote),
         Err(ChangeRefused::ChangePending)
@@ -109,14 +109,14 @@
 }
 
 #[test]
-fn a_learner_out_of_touch_is_not_promoted() {
+fn an_unreachable_learner_is_not_promoted() {
     let (mut simulation, leader) = started(3);
-    let spare = simulation.add_machine(None);
-    change(&mut simulation, leader, VoterChange::AddLearner(spare)).expect("added");
+    let standby = simulation.add_machine(None);
+    change(&mut simulation, leader, VoterChange::AddLearner(standby)).expect("added");
     simulation.run_for(SECOND);
-    simulation.lose_power(spare);
+    simulation.lose_power(standby);
     simulation.run_for(SECOND);
-    let promote = VoterChange::Promote(spare);
+    let promote = VoterChange::Promote(standby);
     assert_eq!(
         change(&mut simulation, leader, promote),
         Err(ChangeRefused::NotCaughtUp)
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_change_that_would_leave_no_quorum_in_touch_is_refused() {
+fn a_change_that_would_leave_no_reachable_quorum_is_rejected() {
     let (mut simulation, leader) = started(3);
     let mut others = simulation
         .machines
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_removed_leader_hands_over_and_does_not_come_back() {
+fn a_removed_leader_transfers_leadership_and_does_not_return() {
     let (mut simulation, leader) = started(3);
     propose(&mut simulation, leader, 3);
     change(&mut simulation, leader, VoterChange::Remove(leader)).expect("appended");
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_voter_that_was_removed_while_cut_off_learns_it_and_disturbs_nobody() {
+fn a_voter_removed_while_partitioned_learns_of_it_and_disrupts_nobody() {
     let (mut simulation, leader) = started(3);
     let cut = *simulation
         .machines
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_change_that_a_new_leader_replaces_is_taken_back() {
+fn a_change_that_a_new_leader_overwrites_is_rolled_back() {
     let (mut simulation, leader) = started(3);
     let others: Vec<NodeId> = simulation
         .machines
--- a/crates/replication/tests/model_check.rs
+++ b/crates/replication/tests/model_check.rs
@@ -24,9 +24,9 @@
 /// What may happen next, given what has happened.
 fn actions(world: &World, path: &[Action], bounds: Bounds) -> Vec<Action> {
     let count = |kind: fn(&Action) -> bool| path.iter().filter(|action| kind(action)).count();
-    let mut actions: Vec<Action> = (0..world.under_way.len()).map(Action::Deliver).collect();
+    let mut actions: Vec<Action> = (0..world.in_transit.len()).map(Action::Deliver).collect();
     if count(|action| matches!(action, Action::Repeat(_))) < bounds.repeats {
-        actions.extend((0..world.under_way.len()).map(Action::Repeat));
+        actions.extend((0..world.in_transit.len()).map(Action::Repeat));
     }
     let positions = 0..NODES.len();
     if count(|action| matches!(action, Action::Timeout(_))) < bounds.timeouts {
@@ -121,7 +121,7 @@
 fn settled(first: Action) -> Vec<Action> {
     let mut path = vec![first];
     for _ in 0..SETTLING_DELIVERIES {
-        if World::run(&path, false).under_way.is_empty() {
+        if World::run(&path, false).in_transit.is_empty() {
             return path;
         }
         path.push(Action::Deliver(0));
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn repeated_messages_from_the_start() {
+fn duplicated_messages_from_the_start() {
     let bounds = Bounds {
         depth: depth(8),
         timeouts: 2,
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_change_of_leaders_with_an_entry_half_replicated() {
+fn a_leader_change_with_an_entry_half_replicated() {
     let bounds = Bounds {
         depth: depth(6),
         timeouts: 3,
--- a/crates/replication/tests/outage_orders.rs
+++ b/crates/replication/tests/outage_orders.rs
@@ -6,8 +6,8 @@
 
 mod group;
 
-use group::machine::waiting_reply;
-use group::network::Weather;
+use group::machine::queued_reply;
+use group::network::NetworkConditions;
 use group::simulation::{Defect, Simulation};
 use millford_core::{Duration, MonotonicTime, NodeId};
 
@@ -173,7 +173,7 @@
         let replica = machine.replica.as_mut().expect("runs");
         if matches!(self.variant.first, First::Message) {
             let term = replica.status().term;
-            replica.step(now, waiting_reply(peer, node, term));
+            replica.step(now, queued_reply(peer, node, term));
         }
         replica.defer_election_deadline(now, now.since(self.stopped_at));
         replica.tick(now);
@@ -199,7 +199,7 @@
 
 /// Plays one order; the time until the group serves again.
 fn time_to_serve(order: &[Event], position: usize, variant: Variant) -> Duration {
-    let mut simulation = Simulation::new(7, 3, Weather::CALM, Defect::None);
+    let mut simulation = Simulation::new(7, 3, NetworkConditions::CALM, Defect::None);
     simulation.run_for(SETTLED);
     let leader = simulation.leaders()[0];
     let mut others = simulation.machines.keys().filter(|node| **node != leader);
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn two_voters_that_are_left_serve_again_after_any_order_of_events() {
+fn the_two_remaining_voters_serve_again_after_any_order_of_events() {
     let orders = orders();
     assert_eq!(orders.len(), 30);
     let mut worst = Duration::ZERO;
--- a/crates/replication/tests/planted_defects.rs
+++ b/crates/replication/tests/planted_defects.rs
@@ -2,7 +2,7 @@
 
 mod group;
 
-use group::network::Weather;
+use group::network::NetworkConditions;
 use group::simulation::{Defect, Simulation};
 use millford_core::Duration;
 
@@ -12,22 +12,22 @@
 const HIGH_FAULT_RATE: f64 = 0.05;
 const SIZE: u64 = 3;
 
-const WEATHER: Weather = Weather {
+const WEATHER: NetworkConditions = NetworkConditions {
     loss: 0.1,
-    repetition: 0.05,
-    longest_delay: Duration::from_millis(60),
+    duplication: 0.05,
+    max_delay: Duration::from_millis(60),
 };
 /// Slow messages make elections long, so that a restart falls into one.
-const SLOW: Weather = Weather {
+const SLOW: NetworkConditions = NetworkConditions {
     loss: 0.1,
-    repetition: 0.05,
-    longest_delay: Duration::from_millis(400),
+    duplication: 0.05,
+    max_delay: Duration::from_millis(400),
 };
 
 /// Whether one of the first seeds shows a violation that holds the words.
-fn is_caught(defect: Defect, weather: Weather, fault_rate: f64, words: &str) -> bool {
+fn is_caught(defect: Defect, conditions: NetworkConditions, fault_rate: f64, words: &str) -> bool {
     (0..SEEDS).any(|seed| {
-        let mut simulation = Simulation::new(seed, SIZE, weather, defect);
+        let mut simulation = Simulation::new(seed, SIZE, conditions, defect);
         simulation.run_chaos(ROUNDS, usize::try_from(SIZE).expect("small"), fault_rate);
         let violations = &simulation.history.violations;
         violations.iter().any(|violation| violation.contains(words))
--- a/crates/replication/tests/random_group.rs
+++ b/crates/replication/tests/random_group.rs
@@ -4,7 +4,7 @@
 
 mod group;
 
-use group::network::Weather;
+use group::network::NetworkConditions;
 use group::simulation::{Defect, Simulation};
 use millford_core::Duration;
 
@@ -21,29 +21,29 @@
     [0.002, 0.005, 0.01, 0.03][usize::try_from(seed / 16 % 4).expect("small")]
 }
 
-fn weather(seed: u64) -> Weather {
+fn conditions(seed: u64) -> NetworkConditions {
     let loss = [0.0, 0.02, 0.1, 0.3];
     let delays = [5, 20, 60, 200];
     let choice = |step: u64| usize::try_from(seed / step % 4).expect("small");
-    Weather {
+    NetworkConditions {
         loss: loss[choice(1)],
-        repetition: 0.05,
-        longest_delay: Duration::from_millis(delays[choice(4)]),
+        duplication: 0.05,
+        max_delay: Duration::from_millis(delays[choice(4)]),
     }
 }
 
 fn run(seed: u64, size: u64) -> Simulation {
-    let mut simulation = Simulation::new(seed, size, weather(seed), Defect::None);
-    let wanted = usize::try_from(size).expect("small");
-    simulation.run_chaos(ROUNDS, wanted, fault_rate(seed));
-    simulation.recover(wanted);
+    let mut simulation = Simulation::new(seed, size, conditions(seed), Defect::None);
+    let desired = usize::try_from(size).expect("small");
+    simulation.run_chaos(ROUNDS, desired, fault_rate(seed));
+    simulation.recover(desired);
     simulation
 }
 
 fn sweep(size: u64) {
     let first = number("MILLFORD_FIRST_SEED", 0);
     let count = number("MILLFORD_SEEDS", SEEDS);
-    let (mut leaderless, mut recovery) = (None, None);
+    let (mut time_to_leader, mut time_to_recovery) = (None, None);
     let (mut entries, mut elections, mut reads, mut snapshots) = (0, 0, 0, 0);
     for seed in first..first + count {
         let simulation = run(seed, size);
@@ -57,29 +57,29 @@
         elections += history.elections;
         reads += history.confirmed_reads;
         snapshots += history.snapshots_received;
-        leaderless = leaderless.max(history.leaderless);
-        recovery = recovery.max(history.recovery);
+        time_to_leader = time_to_leader.max(history.time_to_leader);
+        time_to_recovery = time_to_recovery.max(history.time_to_recovery);
     }
     println!(
         "size {size}: {count} seeds, {entries} entries, {elections} elections, \
          {reads} confirmed reads, {snapshots} restored snapshots; after the faults, worst: \
-         confirmed leader {leaderless:?}, whole {recovery:?}"
+         confirmed leader {time_to_leader:?}, whole {time_to_recovery:?}"
     );
     assert!(entries > count && elections > count && reads > count && snapshots > 0);
 }
 
 #[test]
-fn three_voters_keep_the_rules() {
+fn three_voters_keep_the_safety_invariants() {
     sweep(3);
 }
 
 #[test]
-fn five_voters_keep_the_rules() {
+fn five_voters_keep_the_safety_invariants() {
     sweep(5);
 }
 
 #[test]
-fn the_same_seed_gives_the_same_run() {
+fn the_same_seed_produces_the_same_run() {
     let facts = |simulation: &Simulation| {
         let machines = simulation.machines.values();
         let digests: Vec<u64> = machines.map(|machine| machine.digest).collect();
--- a/crates/replication/tests/replica_rules.rs
+++ b/crates/replication/tests/replica_rules.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_vote_request_changes_nothing_while_a_leader_is_heard() {
+fn a_vote_request_changes_nothing_while_there_is_contact_with_a_leader() {
     let mut replica = open(&CrashDisk::default(), &[1, 2, 3]);
     let heartbeat = AppendRequest {
         previous_index: 1,
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_change_that_found_no_space_is_forgotten() {
+fn a_configuration_change_that_found_no_space_is_discarded() {
     let disk = CrashDisk::default();
     let mut replica = open(&disk, &[1]);
     replica.tick(START + Duration::from_secs(2));
--- a/crates/replication/tests/slow_elections.rs
+++ b/crates/replication/tests/slow_elections.rs
@@ -2,8 +2,8 @@
 
 mod group;
 
-use group::machine::waiting_reply;
-use group::network::Weather;
+use group::machine::queued_reply;
+use group::network::NetworkConditions;
 use group::simulation::{Defect, Simulation};
 use millford_core::{Duration, NodeId};
 use millford_replication::Role;
@@ -17,10 +17,10 @@
 /// The users' bound for the return of service.
 const RETURN: Duration = Duration::from_secs(12);
 /// A busy machine: a message and the sync before it take this long at most.
-const SLOW: Weather = Weather {
+const SLOW: NetworkConditions = NetworkConditions {
     loss: 0.0,
-    repetition: 0.0,
-    longest_delay: Duration::from_millis(1000),
+    duplication: 0.0,
+    max_delay: Duration::from_millis(1000),
 };
 
 fn has_working_leader(simulation: &mut Simulation) -> bool {
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_leader_is_found_in_time_although_answers_are_slower_than_the_timeouts() {
+fn a_leader_is_elected_in_time_although_replies_are_slower_than_the_timeouts() {
     let times = (0..SEEDS).map(time_to_lead);
     let mut times: Vec<Duration> = times.collect();
     times.sort();
@@ -55,7 +55,7 @@
 
 /// A group of three with a leader, and one of its followers.
 fn led_group(seed: u64) -> (Simulation, NodeId, NodeId) {
-    let mut simulation = Simulation::new(seed, 3, Weather::CALM, Defect::None);
+    let mut simulation = Simulation::new(seed, 3, NetworkConditions::CALM, Defect::None);
     simulation.run_for(SECOND * 3);
     let leader = simulation.leaders()[0];
     let mut nodes = simulation.machines.keys().copied();
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_replica_that_ran_late_does_not_campaign_before_it_heard_its_queue() {
+fn a_stalled_replica_does_not_campaign_before_it_has_processed_its_queue() {
     for seed in 0..SEEDS {
         let (mut simulation, leader, follower) = led_group(seed);
         let late = simulation.now + LATE;
@@ -81,13 +81,13 @@
 /// The first thing that a stopped leader takes may be a message: it steps down and sets its timer anew, at a
 /// time that is no part of the stall.
 #[test]
-fn a_leader_that_was_stopped_and_steps_down_on_a_message_campaigns_in_time() {
+fn a_stalled_leader_that_steps_down_on_a_message_campaigns_in_time() {
     for seed in 0..SEEDS {
         let (mut simulation, leader, follower) = led_group(seed);
         let late = simulation.now + STOPPED;
         let replica = simulation.replica(leader).expect("runs");
         let term = replica.status().term;
-        replica.step(late, waiting_reply(follower, leader, term));
+        replica.step(late, queued_reply(follower, leader, term));
         assert_eq!(replica.status().role, Role::Follower, "seed {seed}");
         replica.defer_election_deadline(late, STOPPED);
         replica.tick(late);
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -24,12 +24,12 @@
     },
     /// Data that was synced is damaged. The replica must not run on it: its owner clears the
     /// folder and starts a new replica under a new identity.
-    #[error("{name} is corrupt at byte {position}: {reason}")]
+    #[error("{name} is corrupt at byte {offset}: {reason}")]
     Corrupt {
         /// File name.
         name: String,
         /// Position in the file, in bytes.
-        position: u64,
+        offset: u64,
         /// What is wrong.
         reason: String,
     },
@@ -48,10 +48,10 @@
 
     /// A [`StorageError::Corrupt`].
     #[must_use]
-    pub fn corrupt(name: &str, position: usize, reason: &str) -> Self {
+    pub fn corrupt(name: &str, offset: usize, reason: &str) -> Self {
         StorageError::Corrupt {
             name: name.to_owned(),
-            position: position as u64,
+            offset: offset as u64,
             reason: reason.to_owned(),
         }
     }
--- a/crates/storage/src/file_disk.rs
+++ b/crates/storage/src/file_disk.rs
@@ -13,7 +13,7 @@
 /// Files of one folder, written and synced for real.
 #[derive(Debug)]
 pub struct FileDisk {
-    folder: PathBuf,
+    directory: PathBuf,
     /// Files open for appending.
     open: BTreeMap<String, OpenFile>,
 }
@@ -27,26 +27,26 @@
 
 impl FileDisk {
     /// Opens the folder, creates it when absent and removes files that were never renamed.
-    pub fn open(folder: impl AsRef<Path>) -> Result<Self, StorageError> {
-        let folder = folder.as_ref().to_path_buf();
+    pub fn open(directory: impl AsRef<Path>) -> Result<Self, StorageError> {
+        let directory = directory.as_ref().to_path_buf();
         let disk = Self {
-            folder,
+            directory,
             open: BTreeMap::new(),
         };
-        disk.create_folder()?;
+        disk.create_directory()?;
         disk.remove_temporary_files()?;
         // A rename or removal of an earlier process may be visible and not durable yet. What is
         // read from here on must not disappear: it may be a vote.
-        let name = disk.folder.display().to_string();
-        sync_folder(&disk.folder).map_err(|error| failed("sync", &name, &error))?;
+        let name = disk.directory.display().to_string();
+        sync_directory(&disk.directory).map_err(|error| failed("sync", &name, &error))?;
         Ok(disk)
     }
 
     /// A new folder must survive a crash with everything that is synced into it.
-    fn create_folder(&self) -> Result<(), StorageError> {
-        let name = self.folder.display().to_string();
+    fn create_directory(&self) -> Result<(), StorageError> {
+        let name = self.directory.display().to_string();
         let mut missing = Vec::new();
-        let mut path = self.folder.as_path();
+        let mut path = self.directory.as_path();
         while !path.exists() {
             missing.push(path);
             match path.parent() {
@@ -54,32 +54,32 @@
                 _ => break,
             }
         }
-        fs::create_dir_all(&self.folder).map_err(|error| translate("create", &name, &error))?;
+        fs::create_dir_all(&self.directory).map_err(|error| write_error("create", &name, &error))?;
         for created in missing {
             let parent = match created.parent() {
                 Some(parent) if parent != Path::new("") => parent,
                 _ => Path::new("."),
             };
-            sync_folder(parent).map_err(|error| translate("sync", &name, &error))?;
+            sync_directory(parent).map_err(|error| write_error("sync", &name, &error))?;
         }
         Ok(())
     }
 
     fn remove_temporary_files(&self) -> Result<(), StorageError> {
-        for name in self.all_names()? {
+        for name in self.file_names()? {
             if name.ends_with(TEMPORARY_SUFFIX) {
                 let path = self.path(&name);
-                fs::remove_file(path).map_err(|error| translate("remove", &name, &error))?;
+                fs::remove_file(path).map_err(|error| write_error("remove", &name, &error))?;
             }
         }
         Ok(())
     }
 
-    fn all_names(&self) -> Result<Vec<String>, StorageError> {
-        let folder_name = self.folder.display().to_string();
-        let failed = |error: io::Error| translate("list", &folder_name, &error);
+    fn file_names(&self) -> Result<Vec<String>, StorageError> {
+        let directory_name = self.directory.display().to_string();
+        let failed = |error: io::Error| write_error("list", &directory_name, &error);
         let mut names = Vec::new();
-        for item in fs::read_dir(&self.folder).map_err(failed)? {
+        for item in fs::read_dir(&self.directory).map_err(failed)? {
             let item = item.map_err(failed)?;
             if item.file_type().map_err(failed)?.is_file() {
                 names.push(item.file_name().to_string_lossy().into_owned());
@@ -89,7 +89,7 @@
     }
 
     fn path(&self, name: &str) -> PathBuf {
-        self.folder.join(name)
+        self.directory.join(name)
     }
 
     fn open_for_append(&mut self, name: &str) -> io::Result<&mut OpenFile> {
@@ -111,11 +111,11 @@
     }
 
     fn sync_file(&mut self, name: &str) -> io::Result<()> {
-        let folder = self.folder.clone();
+        let directory = self.directory.clone();
         let open = self.open_for_append(name)?;
         open.file.sync_data()?;
         if open.is_new {
-            sync_folder(&folder)?;
+            sync_directory(&directory)?;
             open.is_new = false;
         }
         Ok(())
@@ -124,7 +124,7 @@
 
 impl Disk for FileDisk {
     fn list(&self) -> Result<Vec<String>, StorageError> {
-        let mut names = self.all_names()?;
+        let mut names = self.file_names()?;
         names.retain(|name| !name.ends_with(TEMPORARY_SUFFIX));
         Ok(names)
     }
@@ -133,7 +133,7 @@
         match fs::read(self.path(name)) {
             Ok(bytes) => Ok(Some(bytes)),
             Err(error) if error.kind() == ErrorKind::NotFound => Ok(None),
-            Err(error) => Err(translate("read", name, &error)),
+            Err(error) => Err(write_error("read", name, &error)),
         }
     }
 
@@ -141,7 +141,7 @@
         let written = self
             .open_for_append(name)
             .and_then(|open| open.file.write_all(bytes));
-        written.map_err(|error| translate("append", name, &error))
+        written.map_err(|error| write_error("append", name, &error))
     }
 
     fn sync(&mut self, name: &str) -> Result<(), StorageError> {
@@ -154,9 +154,9 @@
         self.open.remove(name);
         // Until the rename the old file stands, so no space here is no damage.
         self.write_temporary(&temporary, bytes)
-            .map_err(|error| translate("write", name, &error))?;
+            .map_err(|error| write_error("write", name, &error))?;
         fs::rename(&temporary, self.path(name)).map_err(|error| failed("rename", name, &error))?;
-        sync_folder(&self.folder).map_err(|error| failed("sync", name, &error))
+        sync_directory(&self.directory).map_err(|error| failed("sync", name, &error))
     }
 
     fn truncate(&mut self, name: &str, len: u64) -> Result<(), StorageError> {
@@ -173,16 +173,16 @@
             Err(error) if error.kind() == ErrorKind::NotFound => return Ok(()),
             Err(error) => return Err(failed("remove", name, &error)),
         }
-        sync_folder(&self.folder).map_err(|error| failed("sync", name, &error))
+        sync_directory(&self.directory).map_err(|error| failed("sync", name, &error))
     }
 }
 
-fn sync_folder(folder: &Path) -> io::Result<()> {
-    File::open(folder)?.sync_all()
+fn sync_directory(directory: &Path) -> io::Result<()> {
+    File::open(directory)?.sync_all()
 }
 
 /// An error of a write, where no space is told apart.
-fn translate(operation: &'static str, name: &str, error: &io::Error) -> StorageError {
+fn write_error(operation: &'static str, name: &str, error: &io::Error) -> StorageError {
     let full = matches!(
         error.kind(),
         ErrorKind::StorageFull | ErrorKind::QuotaExceeded | ErrorKind::FileTooLarge
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -15,7 +15,7 @@
 mod disk;
 mod error;
 mod file_disk;
-mod keystream;
+mod whitening;
 mod log;
 mod log_recovery;
 mod options;
--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -86,15 +86,15 @@
     }
 
     /// First entry to keep when a snapshot covers everything up to `covered`.
-    pub(crate) fn kept_from(&self, covered: u64, options: &StorageOptions) -> u64 {
+    pub(crate) fn first_retained_index(&self, covered: u64, options: &StorageOptions) -> u64 {
         let mut first = covered + 1;
         let mut bytes = 0;
-        while covered + 1 - first < options.kept_entries {
+        while covered + 1 - first < options.retained_entries {
             let Some(entry) = self.entry(first - 1) else {
                 break;
             };
             bytes += entry.encoded_len();
-            if bytes > options.kept_bytes {
+            if bytes > options.retained_bytes {
                 break;
             }
             first -= 1;
@@ -166,7 +166,7 @@
             return Err(undo_append(disk, segment, error));
         }
         disk.sync(&segment.name)?;
-        for end in encoded.ends {
+        for end in encoded.record_ends {
             segment.push(end);
         }
         self.synced_index += batch.len() as u64;
@@ -196,8 +196,8 @@
             disk.remove(&self.segments[0].name)?;
             self.segments.remove(0);
         }
-        let upto = index.min(self.synced_index + 1);
-        while self.first_index < upto && self.entries.pop_front().is_some() {
+        let first_remaining = index.min(self.synced_index + 1);
+        while self.first_index < first_remaining && self.entries.pop_front().is_some() {
             self.first_index += 1;
         }
         Ok(())
--- a/crates/storage/src/log_recovery.rs
+++ b/crates/storage/src/log_recovery.rs
@@ -57,13 +57,13 @@
     };
     let mut log = SegmentedLog::empty(options, first_index);
     let last_position = first_indices.len() - 1;
-    for (position, first) in first_indices.into_iter().enumerate() {
+    for (offset, first) in first_indices.into_iter().enumerate() {
         let segment = Segment::new(first);
         if first != log.last_index() + 1 {
             let reason = "the segment before it does not reach up to it";
             return Err(StorageError::corrupt(&segment.name, 0, reason));
         }
-        let recovered = recover_segment(disk, segment, position == last_position)?;
+        let recovered = recover_segment(disk, segment, offset == last_position)?;
         log.append(recovered.entries);
         log.segments.push(recovered.segment);
     }
--- a/crates/storage/src/options.rs
+++ b/crates/storage/src/options.rs
@@ -4,10 +4,10 @@
 pub const DEFAULT_SEGMENT_BYTES: u64 = 4 * 1024 * 1024;
 
 /// Entries kept behind a snapshot, so that a replica that is a little behind needs no snapshot.
-pub const DEFAULT_KEPT_ENTRIES: u64 = 2_000;
+pub const DEFAULT_RETAINED_ENTRIES: u64 = 2_000;
 
 /// Bytes of entries kept behind a snapshot: a few large entries must not fill memory.
-pub const DEFAULT_KEPT_BYTES: usize = 8 * 1024 * 1024;
+pub const DEFAULT_RETAINED_BYTES: usize = 8 * 1024 * 1024;
 
 /// Sizes of a replica's storage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,17 +15,17 @@
     /// A segment that has reached this many bytes is closed.
     pub segment_bytes: u64,
     /// Most entries kept behind the snapshot.
-    pub kept_entries: u64,
+    pub retained_entries: u64,
     /// Most bytes of entries kept behind the snapshot.
-    pub kept_bytes: usize,
+    pub retained_bytes: usize,
 }
 
 impl Default for StorageOptions {
     fn default() -> Self {
         Self {
             segment_bytes: DEFAULT_SEGMENT_BYTES,
-            kept_entries: DEFAULT_KEPT_ENTRIES,
-            kept_bytes: DEFAULT_KEPT_BYTES,
+            retained_entries: DEFAULT_RETAINED_ENTRIES,
+            retained_bytes: DEFAULT_RETAINED_BYTES,
         }
     }
 }
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -1,6 +1,6 @@
 //! Log records: one entry each, with a checksum of its own for the header and for the body.
 //!
-//! Layout, before whitening (see [`crate::keystream`]), little endian:
+//! Layout, before whitening (see [`crate::whitening`]), little endian:
 //! body length (4), batch start (4), checksum of the body (4), checksum of the header (4), body,
 //! zeros up to a multiple of eight bytes. The batch start is the position in the segment up to
 //! which everything had been synced when the record was written.
@@ -8,7 +8,7 @@
 use millford_api::replication::LogEntry;
 use prost::Message;
 
-use crate::keystream::{self, WORD_BYTES};
+use crate::whitening::{self, WORD_BYTES};
 
 /// Bytes of a record's header.
 pub const HEADER_BYTES: usize = 16;
@@ -25,13 +25,13 @@
 
 /// What stands at a position of a segment.
 #[derive(Debug)]
-pub enum RecordRead {
+pub enum RecordAt {
     /// A whole entry; the next record begins at `end`.
     Entry { entry: LogEntry, end: usize },
     /// The bytes end within the record.
     Short,
     /// A checksum is wrong, or the body is no entry.
-    Bad,
+    Corrupt,
 }
 
 /// Appends one entry as a record. `buffer` will stand at `base` in its segment.
@@ -43,38 +43,38 @@
     buffer.resize(start + record_bytes(body_bytes), 0);
     let body_checksum = crc32c::crc32c(&buffer[start + HEADER_BYTES..]);
     write_header(&mut buffer[start..], body_bytes, batch_start, body_checksum);
-    keystream::apply(base + start, &mut buffer[start..]);
+    whitening::apply(base + start, &mut buffer[start..]);
 }
 
-/// Reads the record at `position`, which must not be past the end.
-pub fn read(segment: &[u8], position: usize) -> RecordRead {
-    if segment.len() - position < HEADER_BYTES {
-        return RecordRead::Short;
+/// Reads the record at `offset`, which must not be past the end.
+pub fn read(segment: &[u8], offset: usize) -> RecordAt {
+    if segment.len() - offset < HEADER_BYTES {
+        return RecordAt::Short;
     }
-    let Some(header) = read_header(segment, position) else {
-        return RecordRead::Bad;
+    let Some(header) = read_header(segment, offset) else {
+        return RecordAt::Corrupt;
     };
-    let end = position + record_bytes(header.body_bytes);
+    let end = offset + record_bytes(header.body_bytes);
     if end > segment.len() {
-        return RecordRead::Short;
+        return RecordAt::Short;
     }
-    let body_start = position + HEADER_BYTES;
+    let body_start = offset + HEADER_BYTES;
     let mut body = segment[body_start..end].to_vec();
-    keystream::apply(body_start, &mut body);
+    whitening::apply(body_start, &mut body);
     if crc32c::crc32c(&body) != header.body_checksum {
-        return RecordRead::Bad;
+        return RecordAt::Corrupt;
     }
     match LogEntry::decode(&body[..header.body_bytes]) {
-        Ok(entry) => RecordRead::Entry { entry, end },
-        Err(_) => RecordRead::Bad,
+        Ok(entry) => RecordAt::Entry { entry, end },
+        Err(_) => RecordAt::Corrupt,
     }
 }
 
-/// The header at `position` if it is whole and its checksum is right.
-pub fn read_header(segment: &[u8], position: usize) -> Option<RecordHeader> {
-    let whitened = segment.get(position..position + HEADER_BYTES)?;
+/// The header at `offset` if it is whole and its checksum is right.
+pub fn read_header(segment: &[u8], offset: usize) -> Option<RecordHeader> {
+    let whitened = segment.get(offset..offset + HEADER_BYTES)?;
     let mut header = whitened.to_vec();
-    keystream::apply(position, &mut header);
+    whitening::apply(offset, &mut header);
     let word = |at: usize| {
         let bytes = [header[at], header[at + 1], header[at + 2], header[at + 3]];
         u32::from_le_bytes(bytes)
--- a/crates/storage/src/replica_storage.rs
+++ b/crates/storage/src/replica_storage.rs
@@ -64,7 +64,7 @@
         self.check_usable()?;
         let body = hard_state.encode_to_vec();
         let result = checked_file::replace(self.disk.as_mut(), HARD_STATE_FILE, &body);
-        self.note_failure(result)?;
+        self.record_failure(result)?;
         self.hard_state = Some(hard_state);
         Ok(())
     }
@@ -127,7 +127,7 @@
     pub fn truncate_from(&mut self, index: u64) -> Result<(), StorageError> {
         self.check_usable()?;
         let result = self.log.truncate_from(self.disk.as_mut(), index);
-        self.note_failure(result)
+        self.record_failure(result)
     }
 
     /// Makes everything appended durable with one fsync.
@@ -139,7 +139,7 @@
         if result.is_err() {
             self.log.drop_unsynced();
         }
-        self.note_failure(result)
+        self.record_failure(result)
     }
 
     /// Drops the entries that are not durable.
@@ -157,8 +157,8 @@
     pub fn save_snapshot(&mut self, meta: SnapshotMeta, data: Vec<u8>) -> Result<(), StorageError> {
         let index = meta.index;
         self.write_snapshot(meta, data)?;
-        let kept_from = self.log.kept_from(index, &self.options);
-        self.compact(kept_from)
+        let first_retained_index = self.log.first_retained_index(index, &self.options);
+        self.compact(first_retained_index)
     }
 
     /// Stores a snapshot received from the leader. The log is kept if it holds the snapshot's last
@@ -178,7 +178,7 @@
             return Ok(());
         }
         let result = self.log.clear(self.disk.as_mut(), index + 1);
-        self.note_failure(result)
+        self.record_failure(result)
     }
 
     /// Removes log entries before `index`, which a snapshot must cover.
@@ -188,7 +188,7 @@
         let result = self
             .log
             .compact_before(self.disk.as_mut(), index.min(covered + 1));
-        self.note_failure(result)
+        self.record_failure(result)
     }
 
     fn write_snapshot(&mut self, meta: SnapshotMeta, data: Vec<u8>) -> Result<(), StorageError> {
@@ -198,7 +198,7 @@
             data: Arc::from(data),
         };
         let result = snapshot::save(self.disk.as_mut(), &snapshot);
-        self.note_failure(result)?;
+        self.record_failure(result)?;
         self.snapshot = Some(snapshot);
         Ok(())
     }
@@ -211,7 +211,7 @@
     }
 
     /// After any error but a full disk, what the disk holds is unknown: nothing is tried again.
-    fn note_failure(&mut self, result: Result<(), StorageError>) -> Result<(), StorageError> {
+    fn record_failure(&mut self, result: Result<(), StorageError>) -> Result<(), StorageError> {
         if result.as_ref().is_err_and(|error| !error.is_full()) {
             self.failed = true;
         }
--- a/crates/storage/src/segment.rs
+++ b/crates/storage/src/segment.rs
@@ -4,8 +4,8 @@
 
 use crate::record;
 
-const PREFIX: &str = "log-";
-const SUFFIX: &str = ".v1";
+const FILE_PREFIX: &str = "log-";
+const FILE_SUFFIX: &str = ".v1";
 
 /// A segment's file and where its records stand.
 #[derive(Clone, Debug)]
@@ -15,7 +15,7 @@
     /// Index of the first entry.
     pub first_index: u64,
     /// Start of each record; the records are on disk and synced.
-    starts: Vec<u64>,
+    record_offsets: Vec<u64>,
     /// Bytes of all records.
     bytes: u64,
 }
@@ -24,22 +24,22 @@
     /// An empty segment that begins at `first_index`.
     pub fn new(first_index: u64) -> Self {
         Self {
-            name: format!("{PREFIX}{first_index:020}{SUFFIX}"),
+            name: format!("{FILE_PREFIX}{first_index:020}{FILE_SUFFIX}"),
             first_index,
-            starts: Vec::new(),
+            record_offsets: Vec::new(),
             bytes: 0,
         }
     }
 
     /// The first index in a segment's file name; `None` for other files.
     pub fn first_index_of(name: &str) -> Option<u64> {
-        let digits = name.strip_prefix(PREFIX)?.strip_suffix(SUFFIX)?;
+        let digits = name.strip_prefix(FILE_PREFIX)?.strip_suffix(FILE_SUFFIX)?;
         digits.parse().ok()
     }
 
     /// Index of the last entry; one less than the first when empty.
     pub fn last_index(&self) -> u64 {
-        self.first_index + self.starts.len() as u64 - 1
+        self.first_index + self.record_offsets.len() as u64 - 1
     }
 
     /// Bytes of the records.
@@ -51,26 +51,26 @@
     pub fn encode(&self, entries: &[LogEntry]) -> EncodedBatch {
         let base = usize::try_from(self.bytes).unwrap_or(usize::MAX);
         let mut buffer = Vec::new();
-        let mut ends = Vec::with_capacity(entries.len());
+        let mut record_ends = Vec::with_capacity(entries.len());
         for entry in entries {
             record::encode(entry, base, base, &mut buffer);
-            ends.push(self.bytes + buffer.len() as u64);
+            record_ends.push(self.bytes + buffer.len() as u64);
         }
-        EncodedBatch { buffer, ends }
+        EncodedBatch { buffer, record_ends }
     }
 
     /// Notes a record that ends at `end`, after it has been synced or read.
     pub fn push(&mut self, end: u64) {
-        self.starts.push(self.bytes);
+        self.record_offsets.push(self.bytes);
         self.bytes = end;
     }
 
     /// Forgets the records from `index` on and returns the bytes that stay.
     pub fn truncate_from(&mut self, index: u64) -> u64 {
         let kept = usize::try_from(index.saturating_sub(self.first_index)).unwrap_or(usize::MAX);
-        if let Some(start) = self.starts.get(kept) {
+        if let Some(start) = self.record_offsets.get(kept) {
             self.bytes = *start;
-            self.starts.truncate(kept);
+            self.record_offsets.truncate(kept);
         }
         self.bytes
     }
@@ -80,5 +80,5 @@
 #[derive(Debug)]
 pub struct EncodedBatch {
     pub buffer: Vec<u8>,
-    pub ends: Vec<u64>,
+    pub record_ends: Vec<u64>,
 }
--- a/crates/storage/src/segment_recovery.rs
+++ b/crates/storage/src/segment_recovery.rs
@@ -3,8 +3,8 @@
 
 use millford_api::replication::LogEntry;
 
-use crate::keystream::WORD_BYTES;
-use crate::record::{self, RecordRead};
+use crate::whitening::WORD_BYTES;
+use crate::record::{self, RecordAt};
 use crate::segment::Segment;
 use crate::{Disk, StorageError};
 
@@ -25,25 +25,25 @@
 ) -> Result<RecoveredSegment, StorageError> {
     let bytes = disk.read(&segment.name)?.unwrap_or_default();
     let mut entries = Vec::new();
-    let mut position = 0;
-    while position < bytes.len() {
-        let RecordRead::Entry { entry, end } = record::read(&bytes, position) else {
+    let mut offset = 0;
+    while offset < bytes.len() {
+        let RecordAt::Entry { entry, end } = record::read(&bytes, offset) else {
             break;
         };
-        check_index(&segment, &entry, position)?;
+        check_index(&segment, &entry, offset)?;
         segment.push(end as u64);
         entries.push(entry);
-        position = end;
+        offset = end;
     }
-    if position < bytes.len() {
-        let torn = is_last && is_torn(&bytes, position);
+    if offset < bytes.len() {
+        let torn = is_last && is_torn_write(&bytes, offset);
         if !torn {
             let reason = "a record is damaged";
-            return Err(StorageError::corrupt(&segment.name, position, reason));
+            return Err(StorageError::corrupt(&segment.name, offset, reason));
         }
     }
     if is_last && !bytes.is_empty() {
-        make_durable(disk, &segment, &bytes[..position])?;
+        make_durable(disk, &segment, &bytes[..offset])?;
     }
     Ok(RecoveredSegment { segment, entries })
 }
@@ -62,39 +62,39 @@
     disk.sync(&segment.name)
 }
 
-fn check_index(segment: &Segment, entry: &LogEntry, position: usize) -> Result<(), StorageError> {
+fn check_index(segment: &Segment, entry: &LogEntry, offset: usize) -> Result<(), StorageError> {
     if entry.index == segment.last_index() + 1 {
         return Ok(());
     }
     let reason = "an entry has the wrong index";
-    Err(StorageError::corrupt(&segment.name, position, reason))
+    Err(StorageError::corrupt(&segment.name, offset, reason))
 }
 
-/// Whether the bytes from `position` on, which begin with no whole record, are an unsynced tail.
+/// Whether the bytes from `offset` on, which begin with no whole record, are an unsynced tail.
 ///
 /// A write that was cut leaves a short record or lost sectors. Any other fault, such as a flipped
 /// bit, may have hit entries that were synced and acknowledged; cutting them would lose them
 /// silently, so it is damage.
-fn is_torn(bytes: &[u8], position: usize) -> bool {
-    if was_synced(bytes, position) {
+fn is_torn_write(bytes: &[u8], offset: usize) -> bool {
+    if was_synced(bytes, offset) {
         return false;
     }
-    match record::read(bytes, position) {
-        RecordRead::Short => true,
-        RecordRead::Entry { .. } | RecordRead::Bad => has_lost_sector(bytes, position),
+    match record::read(bytes, offset) {
+        RecordAt::Short => true,
+        RecordAt::Entry { .. } | RecordAt::Corrupt => has_lost_sector(bytes, offset),
     }
 }
 
-/// Whether a later record tells that the bytes at `position` had been synced before it was written.
-fn was_synced(bytes: &[u8], position: usize) -> bool {
-    (position..bytes.len())
+/// Whether a later record tells that the bytes at `offset` had been synced before it was written.
+fn was_synced(bytes: &[u8], offset: usize) -> bool {
+    (offset..bytes.len())
         .step_by(WORD_BYTES)
         .filter_map(|candidate| record::read_header(bytes, candidate))
-        .any(|header| header.batch_start > position)
+        .any(|header| header.batch_start > offset)
 }
 
-fn has_lost_sector(bytes: &[u8], position: usize) -> bool {
-    let mut start = position;
+fn has_lost_sector(bytes: &[u8], offset: usize) -> bool {
+    let mut start = offset;
     while start < bytes.len() {
         let sector_end = (start / SECTOR_BYTES + 1) * SECTOR_BYTES;
         let end = sector_end.min(bytes.len());
--- a/crates/storage/src/snapshot.rs
+++ b/crates/storage/src/snapshot.rs
@@ -7,7 +7,7 @@
 
 use crate::{Disk, StorageError, checked_file};
 
-const PREFIX: &str = "snapshot-";
+const FILE_PREFIX: &str = "snapshot-";
 
 /// What a snapshot covers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -60,11 +60,11 @@
 }
 
 fn file_name(index: u64) -> String {
-    format!("{PREFIX}{index:020}")
+    format!("{FILE_PREFIX}{index:020}")
 }
 
 fn index_of(name: &str) -> Option<u64> {
-    name.strip_prefix(PREFIX)?.parse().ok()
+    name.strip_prefix(FILE_PREFIX)?.parse().ok()
 }
 
 /// A snapshot file holds one chunk message that is the whole snapshot.
--- a/crates/storage/src/keystream.rs
+++ b/crates/storage/src/whitening.rs
@@ -9,13 +9,13 @@
 pub const WORD_BYTES: usize = 8;
 
 /// Constant of the splitmix64 generator.
-const STEP: u64 = 0x9e37_79b9_7f4a_7c15;
+const SPLITMIX64_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Whitens or restores `bytes`, which stand at `position` of their segment.
-/// `position` must be a multiple of [`WORD_BYTES`].
-pub fn apply(position: usize, bytes: &mut [u8]) {
-    debug_assert!(position.is_multiple_of(WORD_BYTES));
-    let first_word = (position / WORD_BYTES) as u64;
+/// Whitens or restores `bytes`, which stand at `offset` of their segment.
+/// `offset` must be a multiple of [`WORD_BYTES`].
+pub fn apply(offset: usize, bytes: &mut [u8]) {
+    debug_assert!(offset.is_multiple_of(WORD_BYTES));
+    let first_word = (offset / WORD_BYTES) as u64;
     for (word, chunk) in (first_word..).zip(bytes.chunks_mut(WORD_BYTES)) {
         let mask = word_mask(word).to_le_bytes();
         for (byte, mask_byte) in chunk.iter_mut().zip(mask) {
@@ -25,7 +25,7 @@
 }
 
 fn word_mask(word: u64) -> u64 {
-    let mut value = word.wrapping_add(1).wrapping_mul(STEP);
+    let mut value = word.wrapping_add(1).wrapping_mul(SPLITMIX64_INCREMENT);
     value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     value ^ (value >> 31)
--- a/crates/storage/tests/crash_points.rs
+++ b/crates/storage/tests/crash_points.rs
@@ -10,8 +10,8 @@
 
 const OPTIONS: StorageOptions = StorageOptions {
     segment_bytes: 300,
-    kept_entries: 3,
-    kept_bytes: usize::MAX,
+    retained_entries: 3,
+    retained_bytes: usize::MAX,
 };
 const TEARS: u64 = 12;
 /// Within the log, at its end and behind it.
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn what_was_read_after_a_kill_survives_a_power_failure() {
+fn entries_read_after_a_kill_survive_a_power_failure() {
     let disk = CrashDisk::default();
     let mut storage = ReplicaStorage::open(Box::new(disk.clone()), OPTIONS).expect("empty disk");
     storage
--- a/crates/storage/tests/disk_faults.rs
+++ b/crates/storage/tests/disk_faults.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_full_disk_keeps_what_was_synced_and_goes_on_later() {
+fn a_full_disk_keeps_synced_entries_and_accepts_new_ones_once_there_is_space() {
     let batch = [command(2, 1, &[1; 300]), command(3, 1, &[2; 300])];
     for space in 0..600 {
         let disk = CrashDisk::default();
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn one_sync_serves_a_whole_batch() {
+fn one_sync_makes_a_complete_batch_durable() {
     let disk = CrashDisk::default();
     let mut storage = started(&disk);
     let before = disk.syncs();
@@ -79,9 +79,9 @@
 }
 
 #[test]
-fn real_files_survive_reopening_and_a_cut() {
-    let folder = tempfile::tempdir().expect("folder");
-    let path = folder.path().join("shard").join("0");
+fn real_files_survive_reopening_and_truncation() {
+    let directory = tempfile::tempdir().expect("folder");
+    let path = directory.path().join("shard").join("0");
     let mut storage = open(FileDisk::open(&path).expect("folder"));
     storage
         .set_hard_state(HardState::default())
@@ -105,11 +105,11 @@
 }
 
 #[test]
-fn compaction_removes_segments_and_keeps_some_entries() {
+fn compaction_removes_segments_and_retains_some_entries() {
     let options = StorageOptions {
         segment_bytes: 500,
-        kept_entries: 10,
-        kept_bytes: usize::MAX,
+        retained_entries: 10,
+        retained_bytes: usize::MAX,
     };
     let disk = CrashDisk::default();
     let boxed = Box::new(disk.clone());
@@ -140,11 +140,11 @@
 }
 
 #[test]
-fn large_entries_are_not_kept_behind_a_snapshot() {
+fn large_entries_are_not_retained_behind_a_snapshot() {
     let options = StorageOptions {
         segment_bytes: 500,
-        kept_entries: 10,
-        kept_bytes: 250,
+        retained_entries: 10,
+        retained_bytes: 250,
     };
     let boxed = Box::new(CrashDisk::default());
     let mut storage = ReplicaStorage::open(boxed, options).expect("empty disk");
@@ -164,19 +164,19 @@
 
 #[test]
 fn a_file_without_space_is_reported_as_full() {
-    let folder = tempfile::tempdir().expect("folder");
-    let mut disk = FileDisk::open(folder.path()).expect("folder");
-    std::os::unix::fs::symlink("/dev/full", folder.path().join("full")).expect("link");
+    let directory = tempfile::tempdir().expect("folder");
+    let mut disk = FileDisk::open(directory.path()).expect("folder");
+    std::os::unix::fs::symlink("/dev/full", directory.path().join("full")).expect("link");
     let result = disk.append("full", b"bytes");
     assert!(result.expect_err("no space").is_full());
 }
 
 quickcheck! {
-    fn what_is_written_is_read_back(bodies: Vec<(Vec<u8>, u8)>, segment_bytes: u16) -> bool {
+    fn written_entries_are_read_back(bodies: Vec<(Vec<u8>, u8)>, segment_bytes: u16) -> bool {
         let options = StorageOptions {
             segment_bytes: u64::from(segment_bytes) + 1,
-            kept_entries: 0,
-            kept_bytes: usize::MAX,
+            retained_entries: 0,
+            retained_bytes: usize::MAX,
         };
         let disk = CrashDisk::default();
         let boxed = Box::new(disk.clone());
--- a/crates/storage/tests/recovery_damage.rs
+++ b/crates/storage/tests/recovery_damage.rs
@@ -10,8 +10,8 @@
 const ALL: u64 = u64::MAX;
 const SMALL_SEGMENTS: StorageOptions = StorageOptions {
     segment_bytes: 60,
-    kept_entries: 0,
-    kept_bytes: usize::MAX,
+    retained_entries: 0,
+    retained_bytes: usize::MAX,
 };
 
 fn open(disk: &CrashDisk, options: StorageOptions) -> Result<ReplicaStorage, StorageError> {
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_cut_at_any_byte_keeps_a_prefix() {
+fn a_log_truncated_at_any_byte_recovers_a_prefix() {
     let disk = written(StorageOptions::default());
     let name = disk.names("log-").remove(0);
     let bytes = disk.bytes(&name);
@@ -76,28 +76,28 @@
 }
 
 #[test]
-fn a_flip_at_any_byte_of_the_log_is_damage() {
+fn a_flip_at_any_byte_of_the_log_is_corruption() {
     let disk = written(SMALL_SEGMENTS);
     let names = disk.names("log-");
     assert!(names.len() > 2);
     for name in names {
-        assert_every_flip_is_damage(&disk, &name, SMALL_SEGMENTS);
+        assert_every_flip_is_corruption(&disk, &name, SMALL_SEGMENTS);
     }
 }
 
 #[test]
-fn a_flip_at_any_byte_of_the_last_synced_batch_is_damage() {
+fn a_flip_at_any_byte_of_the_last_synced_batch_is_corruption() {
     let disk = written(StorageOptions::default());
     let name = disk.names("log-").remove(0);
-    assert_every_flip_is_damage(&disk, &name, StorageOptions::default());
+    assert_every_flip_is_corruption(&disk, &name, StorageOptions::default());
 }
 
-fn assert_every_flip_is_damage(disk: &CrashDisk, name: &str, options: StorageOptions) {
+fn assert_every_flip_is_corruption(disk: &CrashDisk, name: &str, options: StorageOptions) {
     let bytes = disk.bytes(name);
-    for position in 0..bytes.len() {
-        for mask in [0x01, 0x80, 0xff, bytes[position]] {
+    for offset in 0..bytes.len() {
+        for mask in [0x01, 0x80, 0xff, bytes[offset]] {
             let mut flipped = bytes.clone();
-            flipped[position] ^= mask;
+            flipped[offset] ^= mask;
             if mask == 0 {
                 continue;
             }
@@ -105,13 +105,13 @@
             damaged.set_bytes(name, flipped);
             let result = open(&damaged, options);
             let is_damage = matches!(result, Err(StorageError::Corrupt { .. }));
-            assert!(is_damage, "{name} byte {position} mask {mask:#x}");
+            assert!(is_damage, "{name} byte {offset} mask {mask:#x}");
         }
     }
 }
 
 #[test]
-fn a_cut_before_the_last_segment_is_damage() {
+fn a_truncated_sealed_segment_is_corruption() {
     let disk = written(SMALL_SEGMENTS);
     let name = disk.names("log-").remove(0);
     let bytes = disk.bytes(&name);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_lost_sector_is_torn_only_in_the_last_batch() {
+fn a_lost_sector_is_a_torn_write_only_in_the_last_batch() {
     let disk = CrashDisk::default();
     let mut storage = open(&disk, StorageOptions::default()).expect("empty disk");
     storage.set_hard_state(hard_state()).expect("hard state");
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn any_damage_of_hard_state_or_snapshot_is_reported() {
+fn any_corruption_of_hard_state_or_snapshot_is_reported() {
     let disk = written(StorageOptions::default());
     let mut storage = open(&disk, StorageOptions::default()).expect("clean");
     let meta = SnapshotMeta {
@@ -170,7 +170,7 @@
         .expect("snapshot");
     let snapshot_name = disk.names("snapshot-").remove(0);
     for name in ["hard-state", &snapshot_name] {
-        assert_every_flip_is_damage(&disk, name, StorageOptions::default());
+        assert_every_flip_is_corruption(&disk, name, StorageOptions::default());
         let bytes = disk.bytes(name);
         for cut in 0..bytes.len() {
             let damaged = disk.copy();
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_missing_segment_or_hard_state_is_damage() {
+fn a_missing_segment_or_hard_state_is_corruption() {
     let disk = written(SMALL_SEGMENTS);
     let names = disk.names("log-");
     let (_, removable) = names.split_last().expect("segments");
