--- a/crates/control/src/shard/upkeep.rs
+++ b/crates/control/src/shard/upkeep.rs
@@ -218,7 +218,7 @@
     peer: Option<&PeerStatus>,
     now: MonotonicTime,
 ) -> ReplicaView {
-    let heard = peer.map_or(now, |peer| peer.last_heard);
+    let heard = peer.map_or(now, |peer| peer.last_contact);
     ReplicaView {
         node,
         last_heard: heard,
--- a/crates/replication/src/append_receiving.rs
+++ b/crates/replication/src/append_receiving.rs
@@ -1,41 +1,51 @@
-//! Entries that come from the leader.
+//! Entries that come from the leader (Raft thesis, section 3.5).
 
 use millford_api::replication::{AppendReply, AppendRequest, LogEntry, replication_message::Body};
 use millford_core::NodeId;
 
 use crate::Replica;
 
+/// Outcome of a leader's message for the follower's log.
+#[derive(Clone, Copy, Debug)]
+enum AppendOutcome {
+    /// The log agrees with the leader's up to this index.
+    Accepted { match_index: u64 },
+    /// The log does not agree; the leader should try again behind this index.
+    Rejected { conflict_hint: u64 },
+}
+
 impl Replica {
     pub(crate) fn on_append_request(&mut self, from: NodeId, request: AppendRequest) {
-        if !self.holds(request.previous_index, request.previous_term) {
-            let hint = self.conflict_hint(request.previous_index);
-            self.reply_append(from, &request, false, hint);
+        if !self.log_matches(request.previous_index, request.previous_term) {
+            let conflict_hint = self.conflict_hint(request.previous_index);
+            let outcome = AppendOutcome::Rejected { conflict_hint };
+            self.reply_append(from, &request, outcome);
             return;
         }
-        let last_matching = request.previous_index + request.entries.len() as u64;
-        let answer = AppendRequest {
+        let match_index = request.previous_index + request.entries.len() as u64;
+        let header = AppendRequest {
             entries: Vec::new(),
             ..request
         };
-        if !self.store(request.entries) {
+        if !self.store_entries(request.entries) {
             return;
         }
         // Only up to what this message proves to match: what follows may be of another leader.
-        let committed = answer.commit_index.min(last_matching);
+        let committed = header.commit_index.min(match_index);
         self.commit_index = self.commit_index.max(committed);
         // The reply leaves after the flush has synced the entries.
-        self.reply_append(from, &answer, true, last_matching);
+        self.reply_append(from, &header, AppendOutcome::Accepted { match_index });
     }
 
     /// Whether the log agrees with the leader's up to an entry. Committed entries agree always.
-    fn holds(&self, index: u64, term: u64) -> bool {
+    fn log_matches(&self, index: u64, term: u64) -> bool {
         index <= self.commit_index || self.storage.term_at(index) == Some(term)
     }
 
     /// Stores the entries that are new and drops those that conflict. False if the storage failed.
-    fn store(&mut self, entries: Vec<LogEntry>) -> bool {
+    fn store_entries(&mut self, entries: Vec<LogEntry>) -> bool {
         let mut new_entries = entries;
-        new_entries.retain(|entry| !self.holds(entry.index, entry.term));
+        new_entries.retain(|entry| !self.log_matches(entry.index, entry.term));
         let Some(first) = new_entries.first() else {
             return true;
         };
@@ -48,7 +58,7 @@
             self.configurations.truncate_from(first_index);
         }
         for entry in &new_entries {
-            self.configurations.note(entry);
+            self.configurations.record(entry);
         }
         self.storage.append(new_entries);
         true
@@ -61,25 +71,29 @@
         if previous_index > last_index {
             return last_index;
         }
-        let conflicting = self.storage.term_at(previous_index);
+        let conflicting_term = self.storage.term_at(previous_index);
         let mut hint = previous_index - 1;
-        while hint > self.commit_index && self.storage.term_at(hint) == conflicting {
+        while hint > self.commit_index && self.storage.term_at(hint) == conflicting_term {
             hint -= 1;
         }
         hint
     }
 
-    fn reply_append(&mut self, to: NodeId, request: &AppendRequest, accepted: bool, index: u64) {
+    fn reply_append(&mut self, to: NodeId, request: &AppendRequest, outcome: AppendOutcome) {
+        let (accepted, match_index) = match outcome {
+            AppendOutcome::Accepted { match_index } => (true, match_index),
+            AppendOutcome::Rejected { conflict_hint } => (false, conflict_hint),
+        };
         let reply = AppendReply {
             accepted,
-            match_index: index,
+            match_index,
             read_sequence: request.read_sequence,
             previous_index: request.previous_index,
         };
         self.send(to, Body::AppendReply(reply));
     }
 
-    /// Tells a leader of an older term the present one.
+    /// Tells a leader of an older term the present one, so that it steps down.
     pub(crate) fn reject_stale_leader(&mut self, from: NodeId) {
         self.send(from, Body::AppendReply(AppendReply::default()));
     }
--- a/crates/replication/src/append_sending.rs
+++ b/crates/replication/src/append_sending.rs
@@ -1,4 +1,4 @@
-//! Entries that a leader sends.
+//! Entries that a leader sends (Raft thesis, sections 3.5 and 10.2.2).
 
 use millford_api::replication::{AppendRequest, LogEntry, replication_message::Body};
 use millford_core::NodeId;
@@ -44,44 +44,44 @@
     }
 
     fn needs_snapshot(&self, peer: &Progress) -> bool {
-        let receives = matches!(peer.state, ProgressState::Snapshot(_));
-        let previous = peer.next_index - 1;
-        let is_compacted = peer.next_index < self.storage.first_index();
-        !receives && (is_compacted || self.storage.term_at(previous).is_none())
+        let previous_index = peer.next_index() - 1;
+        let is_compacted = peer.next_index() < self.storage.first_index();
+        let is_missing = is_compacted || self.storage.term_at(previous_index).is_none();
+        !peer.receives_snapshot() && is_missing
     }
 
-    /// One message at a time until the match is known; again at each heartbeat.
+    /// One message at a time until the matching index is known; again at each heartbeat.
     fn send_probe(&mut self, node: NodeId, peer: &mut Progress, broadcast_due: bool) {
-        let ProgressState::Probe { waiting } = &mut peer.state else {
+        let ProgressState::Probe { awaiting_reply } = &mut peer.state else {
             return;
         };
-        if *waiting && !broadcast_due {
+        if *awaiting_reply && !broadcast_due {
             return;
         }
-        *waiting = true;
-        let entries = self.entries_from(peer.next_index);
-        self.send_append(node, peer, peer.next_index - 1, entries);
+        *awaiting_reply = true;
+        let entries = self.entries_from(peer.next_index());
+        self.send_append(node, peer, peer.next_index() - 1, entries);
     }
 
     /// Everything that fits the window, else an empty message when one is due.
     fn send_entries(&mut self, node: NodeId, peer: &mut Progress, broadcast_due: bool) {
         let last_index = self.storage.synced_index();
         let mut is_sent = false;
-        while peer.next_index <= last_index
+        while peer.next_index() <= last_index
             && peer.in_flight() < self.options.limits.appends_in_flight
         {
-            let entries = self.entries_from(peer.next_index);
+            let entries = self.entries_from(peer.next_index());
             let Some(last) = entries.last().map(|entry| entry.index) else {
                 break;
             };
-            let previous_index = peer.next_index - 1;
+            let previous_index = peer.next_index() - 1;
             peer.record_sent_entries(last);
             self.send_append(node, peer, previous_index, entries);
             is_sent = true;
         }
-        let commit_due = peer.sent_commit_index < self.commit_index;
+        let commit_due = peer.sent_commit_index() < self.commit_index;
         if !is_sent && (broadcast_due || commit_due) {
-            self.send_append(node, peer, peer.next_index - 1, Vec::new());
+            self.send_append(node, peer, peer.next_index() - 1, Vec::new());
         }
     }
 
@@ -102,20 +102,20 @@
         let Some(previous_term) = self.storage.term_at(previous_index) else {
             return;
         };
-        peer.sent_commit_index = self.commit_index;
+        peer.record_sent_commit(self.commit_index);
         let request = AppendRequest {
             previous_index,
             previous_term,
             entries,
             commit_index: self.commit_index,
-            read_sequence: self.current_read_sequence(),
+            read_sequence: self.last_read_sequence(),
         };
         self.send(node, Body::AppendRequest(request));
     }
 
-    fn current_read_sequence(&self) -> u64 {
+    fn last_read_sequence(&self) -> u64 {
         match &self.role {
-            RoleState::Leader(state) => state.last_read_sequence,
+            RoleState::Leader(state) => state.reads.last_sequence(),
             _ => 0,
         }
     }
--- a/crates/replication/src/bootstrap.rs
+++ b/crates/replication/src/bootstrap.rs
@@ -9,9 +9,12 @@
 
 /// Writes the first entry of a group, the same on each of its first replicas.
 ///
-/// The hard state comes first: a log without one counts as damage. Storage whose log is empty and
-/// whose hard state is still the first one comes from a crash between the two writes.
-pub fn bootstrap(
+/// The hard state comes first: a log without one counts as corruption. Storage whose log is empty
+/// and whose hard state is still the first one is the result of a crash between the two writes.
+///
+/// # Errors
+/// Any error of the storage.
+pub(crate) fn bootstrap(
     node: NodeId,
     voters: &VoterSet,
     storage: &mut ReplicaStorage,
@@ -21,8 +24,8 @@
         voted_for: NodeId::NONE.0,
         node: node.0,
     };
-    let untouched = storage.is_empty() || storage.hard_state() == Some(first_state);
-    if !untouched || storage.last_index() > 0 {
+    let is_pristine = storage.is_empty() || storage.hard_state() == Some(first_state);
+    if !is_pristine || storage.last_index() > 0 {
         return Ok(());
     }
     storage.set_hard_state(first_state)?;
--- a/crates/replication/src/commit.rs
+++ b/crates/replication/src/commit.rs
@@ -1,4 +1,4 @@
-//! What a leader may take as committed.
+//! What a leader may take as committed (Raft thesis, section 3.6.2).
 
 use millford_api::replication::{TimeoutNow, replication_message::Body};
 use millford_core::NodeId;
@@ -14,16 +14,17 @@
         };
         let own = self.options.node;
         let synced_index = self.storage.synced_index();
-        let held = self.configurations.latest().quorum_value(|voter| {
+        let quorum_index = self.configurations.latest().quorum_value(|voter| {
             if voter == own {
                 return synced_index;
             }
-            state.peers.get(&voter).map_or(0, |peer| peer.match_index)
+            state.peers.get(&voter).map_or(0, |peer| peer.match_index())
         });
         // An entry of an earlier term that a quorum holds can still be replaced by a later leader;
         // it is committed only together with an entry of the own term.
-        if held > self.commit_index && self.storage.term_at(held) == Some(self.term) {
-            self.commit_index = held;
+        let is_own_term = self.storage.term_at(quorum_index) == Some(self.term);
+        if quorum_index > self.commit_index && is_own_term {
+            self.commit_index = quorum_index;
         }
     }
 
@@ -35,7 +36,7 @@
         }
     }
 
-    /// A leader whose own removal is committed hands over and steps down.
+    /// A leader whose own removal is committed hands the leadership over and steps down.
     pub(crate) fn step_down_if_removed(&mut self) {
         let is_committed = self.configurations.latest_index() <= self.commit_index;
         if !self.is_leader() || self.is_voter() || !is_committed {
@@ -56,7 +57,7 @@
             .peers
             .iter()
             .filter(|(node, _)| configuration.is_voter(**node));
-        let best = voters.max_by_key(|(_, peer)| (peer.match_index, peer.last_contact));
+        let best = voters.max_by_key(|(_, peer)| (peer.match_index(), peer.last_contact()));
         best.map(|(node, _)| *node)
     }
 }
--- a/crates/replication/src/debug.rs
+++ b/crates/replication/src/debug.rs
@@ -4,7 +4,7 @@
 use std::fmt::{Debug, Formatter, Result};
 
 use crate::Replica;
-use crate::leader_state::{LeaderState, Transfer};
+use crate::leader_state::{LeaderState, LeaderTransfer};
 use crate::progress::{Progress, SnapshotTransfer};
 
 impl Debug for Replica {
@@ -18,11 +18,11 @@
             .field("voted_for", &self.voted_for)
             .field("role", &self.role)
             .field("leader", &self.leader)
-            .field("hears_leader", &self.has_leader_contact(self.now))
+            .field("has_leader_contact", &self.has_leader_contact(self.now))
             .field("commit_index", &self.commit_index)
             .field("delivered_index", &self.delivered_index)
             .field("removed", &self.removed)
-            .field("incoming", &self.incoming)
+            .field("incoming_snapshot", &self.incoming_snapshot)
             .field("configurations", &self.configurations)
             .field("synced_index", &storage.synced_index())
             .field("log", &log)
@@ -35,22 +35,20 @@
         formatter
             .debug_struct("LeaderState")
             .field("peers", &self.peers)
-            .field("term_start", &self.term_start_index)
-            .field("message_due", &self.broadcast_due)
-            .field("new_reads", &self.queued_reads)
-            .field("rounds", &self.rounds)
-            .field("last_round", &self.last_read_sequence)
+            .field("term_start_index", &self.term_start_index)
+            .field("broadcast_due", &self.broadcast_due)
+            .field("reads", &self.reads)
             .field("transfer", &self.transfer)
             .finish_non_exhaustive()
     }
 }
 
-impl Debug for Transfer {
+impl Debug for LeaderTransfer {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> Result {
         formatter
-            .debug_struct("Transfer")
-            .field("to", &self.to)
-            .field("asked", &self.asked)
+            .debug_struct("LeaderTransfer")
+            .field("target", &self.target)
+            .field("timeout_now_sent", &self.timeout_now_sent)
             .finish_non_exhaustive()
     }
 }
@@ -60,11 +58,11 @@
         formatter
             .debug_struct("Progress")
             .field("state", &self.state)
-            .field("match_index", &self.match_index)
-            .field("next_index", &self.next_index)
-            .field("in_flight", &self.in_flight)
-            .field("sent_commit", &self.sent_commit_index)
-            .field("read_round", &self.read_sequence)
+            .field("match_index", &self.match_index())
+            .field("next_index", &self.next_index())
+            .field("in_flight", &self.in_flight_last_indices())
+            .field("sent_commit_index", &self.sent_commit_index())
+            .field("read_sequence", &self.read_sequence())
             .finish_non_exhaustive()
     }
 }
@@ -74,7 +72,7 @@
         formatter
             .debug_struct("SnapshotTransfer")
             .field("index", &self.snapshot.meta.index)
-            .field("position", &self.position)
+            .field("offset", &self.offset)
             .finish_non_exhaustive()
     }
 }
--- a/crates/replication/src/election.rs
+++ b/crates/replication/src/election.rs
@@ -1,15 +1,28 @@
-//! Elections: timers, pre-votes and votes of the candidate's side.
+//! Elections: ticks, pre-votes and votes on the candidate's side (Raft thesis, sections 3.4 and 9.6).
 
 use millford_api::replication::{VoteReply, VoteRequest, replication_message::Body};
 use millford_core::{Duration, MonotonicTime, NodeId};
-use rand::Rng;
 
 use crate::Replica;
-use crate::vote_tally::VoteTally;
 use crate::role::RoleState;
+use crate::vote_tally::VoteTally;
+
+/// Why a replica asks for votes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Campaign {
+    /// Finds out whether an election would succeed, without raising the term.
+    PreVote,
+    /// An election in a new term.
+    Election,
+    /// An election that the leader asked for: voters grant it although they have contact with a
+    /// leader.
+    Transfer,
+}
 
 impl Replica {
     /// Lets time pass: elections, heartbeats and step-down. Messages leave with the next flush.
+    ///
+    /// Expected every [`crate::TICK`].
     pub fn tick(&mut self, now: MonotonicTime) {
         self.advance_clock(now);
         if self.failure.is_some() {
@@ -17,8 +30,8 @@
         }
         if self.is_leader() {
             self.tick_leader();
-        } else if self.now >= self.election_deadline {
-            self.election_backoff.record_failed_election();
+        } else if self.election_timer.is_expired(self.now) {
+            self.election_timer.backoff.record_failed_election();
             self.reset_election_timer();
             self.leader = NodeId::NONE;
             if self.may_campaign() {
@@ -27,18 +40,15 @@
         }
     }
 
-    /// The owner did not run for this long until now: what the leader sent meanwhile may still wait, so
-    /// the time is not the leader's silence. Only the wish to campaign is put off; what this replica
-    /// tells of its leader, and a leader's check of its quorum, go by real time.
+    /// Defers the election after a stall of this process.
     ///
-    /// Never by more than a whole time-out from now: a leader that was stopped steps down on the first
-    /// message that it takes, and a timer that is set then is not part of the stall.
-    pub fn defer_election_deadline(&mut self, now: MonotonicTime, lost: Duration) {
+    /// The owner did not run for `stalled_time` until now: what the leader sent meanwhile may still be
+    /// queued, so this time is no sign that the leader is unresponsive. Only the campaign is put off;
+    /// the reported contact with the leader, and a leader's check of its quorum, go by real time.
+    pub fn defer_election_deadline(&mut self, now: MonotonicTime, stalled_time: Duration) {
         self.advance_clock(now);
-        let whole = self
-            .election_backoff
-            .extend(self.options.timing.election_timeout_max);
-        self.election_deadline = (self.election_deadline + lost).min(self.now + whole);
+        self.election_timer
+            .defer(self.now, stalled_time, &self.options.timing);
     }
 
     fn may_campaign(&self) -> bool {
@@ -47,40 +57,42 @@
     }
 
     pub(crate) fn reset_election_timer(&mut self) {
-        let timing = &self.options.timing;
-        let shortest = timing.election_timeout_min;
-        let longest = timing.election_timeout_max;
-        let timeout = self.random.random_range(shortest..=longest);
-        self.election_deadline = self.now + self.election_backoff.extend(timeout);
+        self.election_timer.reset(self.now, &self.options.timing);
     }
 
-    /// Asks whether an election would succeed, without raising the term: a replica that was cut off
-    /// does not depose a leader that the others follow.
+    /// Asks whether an election would succeed, without raising the term: a replica that was
+    /// partitioned does not depose a leader that the others follow.
     fn start_pre_vote(&mut self) {
-        let vote_tally = VoteTally::new(self.options.node);
-        self.role = RoleState::PreCandidate(vote_tally);
-        self.request_votes(true, false);
+        let tally = VoteTally::new(self.options.node);
+        self.role = RoleState::PreCandidate(tally);
+        self.request_votes(Campaign::PreVote);
         self.count_votes();
     }
 
     /// Raises the term and asks for votes.
-    pub(crate) fn start_election(&mut self, transfer: bool) {
+    pub(crate) fn start_election(&mut self, campaign: Campaign) {
         self.term += 1;
         self.voted_for = self.options.node;
         self.leader = NodeId::NONE;
         self.reset_election_timer();
         self.role = RoleState::Candidate(VoteTally::new(self.options.node));
-        self.request_votes(false, transfer);
+        self.request_votes(campaign);
         self.count_votes();
     }
 
-    fn request_votes(&mut self, pre_vote: bool, transfer: bool) {
-        let term = if pre_vote { self.term + 1 } else { self.term };
+    fn request_votes(&mut self, campaign: Campaign) {
+        let is_pre_vote = campaign == Campaign::PreVote;
+        let term = if is_pre_vote {
+            self.term + 1
+        } else {
+            self.term
+        };
+        let last = self.last_position();
         let request = VoteRequest {
-            last_index: self.storage.last_index(),
-            last_term: self.last_term(),
-            pre_vote,
-            transfer,
+            last_index: last.index,
+            last_term: last.term,
+            pre_vote: is_pre_vote,
+            transfer: campaign == Campaign::Transfer,
         };
         let voters = self.configurations.latest().voters.clone();
         for voter in voters {
@@ -91,8 +103,8 @@
     }
 
     pub(crate) fn on_vote_reply(&mut self, from: NodeId, term: u64, reply: VoteReply) {
-        self.election_backoff.record_contested();
-        // A granted pre-vote names the term that would follow and must not be taken over.
+        self.election_timer.backoff.record_contested();
+        // A granted pre-vote names the term that would follow and must not be adopted.
         let names_future_term = reply.pre_vote && reply.granted;
         if term > self.term && !names_future_term {
             self.adopt_term(term);
@@ -105,11 +117,11 @@
             return;
         }
         match &mut self.role {
-            RoleState::PreCandidate(vote_tally) if reply.pre_vote && term == self.term + 1 => {
-                vote_tally.grant(from);
+            RoleState::PreCandidate(tally) if reply.pre_vote && term == self.term + 1 => {
+                tally.record_grant(from);
             }
-            RoleState::Candidate(vote_tally) if !reply.pre_vote && term == self.term => {
-                vote_tally.grant(from);
+            RoleState::Candidate(tally) if !reply.pre_vote && term == self.term => {
+                tally.record_grant(from);
             }
             _ => return,
         }
@@ -119,24 +131,25 @@
     fn count_votes(&mut self) {
         let configuration = self.configurations.latest();
         match &self.role {
-            RoleState::PreCandidate(vote_tally) if vote_tally.is_won(configuration) => {
-                self.start_election(false);
+            RoleState::PreCandidate(tally) if tally.is_won(configuration) => {
+                self.start_election(Campaign::Election);
             }
-            RoleState::Candidate(vote_tally) if vote_tally.is_won(configuration) => self.become_leader(),
+            RoleState::Candidate(tally) if tally.is_won(configuration) => self.become_leader(),
             _ => {}
         }
     }
 
-    /// A voter with a newer committed configuration does not know this replica any more.
+    /// A voter with a newer committed configuration says that this replica is no member any more.
     fn record_removed(&mut self) {
         self.removed = true;
         self.role = RoleState::Follower;
     }
 
-    /// Takes over a newer term, as follower without a known leader.
+    /// Adopts a newer term, as follower without a known leader.
     pub(crate) fn adopt_term(&mut self, term: u64) {
         if term > self.term {
             self.term = term;
+            // A vote belongs to its term.
             self.voted_for = NodeId::NONE;
         }
         self.step_down();
@@ -151,15 +164,15 @@
         self.leader = leader;
         self.leader_contact = Some(self.now);
         self.removed = false;
-        self.election_backoff.clear();
+        self.election_timer.backoff.record_leader();
         self.reset_election_timer();
     }
 
-    /// Whether a leader was heard from so lately that a vote could only disturb it.
+    /// Whether the last contact with a leader is so recent that a vote could only disrupt it.
     pub(crate) fn has_leader_contact(&self, now: MonotonicTime) -> bool {
         let shortest = self.options.timing.election_timeout_min;
-        let heard = self.leader_contact;
+        let contact = self.leader_contact;
         self.is_leader()
-            || self.leader.is_some() && heard.is_some_and(|at| now.since(at) < shortest)
+            || self.leader.is_some() && contact.is_some_and(|at| now.since(at) < shortest)
     }
 }
--- a/crates/replication/src/error.rs
+++ b/crates/replication/src/error.rs
@@ -1,10 +1,10 @@
-//! Why a replica refuses a call.
+//! Why a replica rejects a request of its owner.
 
 use millford_core::NodeId;
 use millford_storage::StorageError;
 use thiserror::Error;
 
-/// Only the leader takes this call.
+/// Only the leader accepts this request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("this replica does not lead the group")]
 pub struct NotLeader {
@@ -12,9 +12,9 @@
     pub hint: NodeId,
 }
 
-/// Why a change of the voters is refused.
+/// Why a change of the voters is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum ChangeRefused {
+pub enum VoterChangeError {
     /// Only the leader changes voters.
     #[error("this replica does not lead the group")]
     NotLeader {
@@ -33,44 +33,44 @@
     /// Only a learner can be promoted.
     #[error("the node is no learner")]
     NotLearner,
-    /// The learner lacks entries or is out of touch.
+    /// The learner lacks entries or is unreachable.
     #[error("the learner has not caught up")]
     NotCaughtUp,
-    /// The changed group would have no quorum of voters that were heard from lately, and could
+    /// The changed group would have no quorum of voters that were in contact lately, and could
     /// not even commit the change.
-    #[error("the changed group would have no quorum in touch")]
+    #[error("the changed group would have no reachable quorum")]
     NoQuorum,
     /// The last voter cannot be removed.
     #[error("the last voter cannot be removed")]
     LastVoter,
-    /// The leadership is being handed over.
-    #[error("the leadership is being handed over")]
-    Transferring,
+    /// The leadership is being transferred.
+    #[error("the leadership is being transferred")]
+    TransferInProgress,
 }
 
-/// Why a transfer of the leadership is refused.
+/// Why a transfer of the leadership is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum TransferRefused {
-    /// Only the leader hands over.
+pub enum TransferError {
+    /// Only the leader transfers the leadership.
     #[error("this replica does not lead the group")]
     NotLeader {
         /// The leader, as far as known.
         hint: NodeId,
     },
-    /// Only another voter can take over.
+    /// Only another voter can become leader.
     #[error("the node is no other voter")]
     NotVoter,
-    /// The voter was not heard from lately.
-    #[error("the voter is out of touch")]
+    /// There was no contact with the voter lately.
+    #[error("the voter is unreachable")]
     TargetUnreachable,
-    /// A transfer is under way.
-    #[error("a transfer is under way")]
-    Transferring,
+    /// A transfer is in progress.
+    #[error("a transfer is in progress")]
+    InProgress,
 }
 
-/// Why a snapshot is refused.
+/// Why a snapshot is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum SnapshotRefused {
+pub enum SnapshotError {
     /// The index was not delivered as committed yet.
     #[error("the index has not been delivered yet")]
     NotDelivered,
--- a/crates/replication/src/flush.rs
+++ b/crates/replication/src/flush.rs
@@ -10,27 +10,31 @@
 impl Replica {
     /// Makes durable what came in since the last flush, then returns what may leave.
     ///
+    /// # Errors
     /// An error is final: the replica must be dropped, and whether its last writes are durable is
     /// unknown. A full disk is no error: see [`Ready::storage_full`].
     pub fn flush(&mut self, now: MonotonicTime) -> Result<Ready, StorageError> {
         self.advance_clock(now);
-        if let Some(error) = &self.failure {
-            return Err(error.clone());
-        }
+        self.check_alive()?;
+        // Term and vote first: no message of a term may leave before they are durable, and a log
+        // without them counts as corruption.
         let stored = self.store_hard_state().and_then(|()| self.storage.sync());
         if let Err(error) = stored {
             self.record_storage_error(error);
         }
-        if let Some(error) = &self.failure {
-            return Err(error.clone());
-        }
-        if self.storage_full {
+        self.check_alive()?;
+        if self.pending.storage_full {
             self.discard_unsynced();
         }
-        self.lead();
+        self.advance_leader();
         Ok(self.take_ready())
     }
 
+    /// The error that the replica did not survive, if any.
+    pub(crate) fn check_alive(&self) -> Result<(), StorageError> {
+        self.failure.clone().map_or(Ok(()), Err)
+    }
+
     /// Stores term and vote if they changed.
     pub(crate) fn store_hard_state(&mut self) -> Result<(), StorageError> {
         let hard_state = HardState {
@@ -44,10 +48,10 @@
         self.storage.set_hard_state(hard_state)
     }
 
-    /// Notes an error of the storage: a full disk passes, anything else is final.
+    /// Records an error of the storage: a full disk passes, anything else is final.
     pub(crate) fn record_storage_error(&mut self, error: StorageError) {
         if error.is_full() {
-            self.storage_full = true;
+            self.pending.storage_full = true;
         } else {
             self.fail(error);
         }
@@ -65,19 +69,19 @@
         let last_index = self.storage.last_index();
         self.configurations.truncate_from(last_index + 1);
         self.commit_index = self.commit_index.min(last_index);
-        self.outbox.clear();
+        self.pending.messages.clear();
         self.step_down();
         self.disk_full_until = Some(self.now + FULL_DISK_CAMPAIGN_BACKOFF);
     }
 
     /// Work of a leader after the sync.
-    fn lead(&mut self) {
+    fn advance_leader(&mut self) {
         if !self.is_leader() {
             return;
         }
         self.advance_commit();
         if self.has_committed_own_term() {
-            self.election_backoff.clear();
+            self.election_timer.backoff.record_leader();
         }
         self.begin_read_batch();
         self.confirm_reads();
@@ -87,15 +91,10 @@
     }
 
     fn take_ready(&mut self) -> Ready {
+        let committed = self.take_committed();
         Ready {
-            restored: self.restored.take(),
-            committed: self.take_committed(),
-            messages: std::mem::take(&mut self.outbox),
-            confirmed_reads: std::mem::take(&mut self.confirmed_reads),
-            failed_reads: std::mem::take(&mut self.failed_reads),
-            became_leader: std::mem::take(&mut self.became_leader),
-            lost_leadership: std::mem::take(&mut self.lost_leadership),
-            storage_full: std::mem::take(&mut self.storage_full),
+            committed,
+            ..std::mem::take(&mut self.pending)
         }
     }
 
--- a/crates/replication/src/incoming_snapshot.rs
+++ b/crates/replication/src/incoming_snapshot.rs
@@ -3,38 +3,56 @@
 use millford_api::replication::SnapshotChunk;
 use millford_core::NodeId;
 
+use crate::log_position::LogPosition;
+
 /// Chunks received so far, in memory; a restart begins anew.
 #[derive(Debug)]
-pub struct IncomingSnapshot {
-    pub leader: NodeId,
-    pub term: u64,
-    pub last_index: u64,
-    pub last_term: u64,
-    pub data: Vec<u8>,
+pub(crate) struct IncomingSnapshot {
+    leader: NodeId,
+    /// Term of the leader that sends it.
+    leader_term: u64,
+    /// Last entry that the snapshot covers.
+    last: LogPosition,
+    data: Vec<u8>,
 }
 
 impl IncomingSnapshot {
     /// An empty transfer of the snapshot that a chunk belongs to.
-    pub fn new(leader: NodeId, term: u64, chunk: &SnapshotChunk) -> Self {
+    pub(crate) fn new(leader: NodeId, leader_term: u64, chunk: &SnapshotChunk) -> Self {
         Self {
             leader,
-            term,
-            last_index: chunk.last_index,
-            last_term: chunk.last_term,
+            leader_term,
+            last: last_position_of(chunk),
             data: Vec::new(),
         }
     }
 
     /// Whether a chunk belongs to this snapshot. Two leaders may write the same state as different
     /// bytes, for instance in different versions, so their chunks are never put together.
-    pub fn matches(&self, leader: NodeId, term: u64, chunk: &SnapshotChunk) -> bool {
-        let is_same_sender = self.leader == leader && self.term == term;
-        let is_same_index = self.last_index == chunk.last_index;
-        is_same_sender && is_same_index && self.last_term == chunk.last_term
+    pub(crate) fn matches(&self, leader: NodeId, leader_term: u64, chunk: &SnapshotChunk) -> bool {
+        let is_same_sender = self.leader == leader && self.leader_term == leader_term;
+        is_same_sender && self.last == last_position_of(chunk)
     }
 
-    /// Position at which the next chunk must begin.
-    pub fn next_position(&self) -> u64 {
+    /// Offset at which the next chunk must begin, in bytes.
+    pub(crate) fn next_offset(&self) -> u64 {
         self.data.len() as u64
     }
+
+    /// Appends the bytes of the next chunk.
+    pub(crate) fn append(&mut self, bytes: &[u8]) {
+        self.data.extend_from_slice(bytes);
+    }
+
+    /// The bytes received so far.
+    pub(crate) fn into_data(self) -> Vec<u8> {
+        self.data
+    }
+}
+
+fn last_position_of(chunk: &SnapshotChunk) -> LogPosition {
+    LogPosition {
+        term: chunk.last_term,
+        index: chunk.last_index,
+    }
 }
--- a/crates/replication/src/inspection.rs
+++ b/crates/replication/src/inspection.rs
@@ -1,8 +1,7 @@
-//! What a replica tells its owner about itself.
+//! What a replica reports of itself to its owner.
 
 use millford_storage::ReplicaStorage;
 
-use crate::progress::ProgressState;
 use crate::role::RoleState;
 use crate::{PeerStatus, Replica, ReplicaStatus, Role};
 
@@ -32,7 +31,7 @@
         self.has_committed_own_term()
     }
 
-    /// What the replica holds.
+    /// Durable state of the replica.
     #[must_use]
     pub fn storage(&self) -> &ReplicaStorage {
         &self.storage
@@ -46,7 +45,7 @@
             role: self.role(),
             term: self.term,
             leader: self.leader,
-            leader_contact: self.quorum_contact().or(self.leader_contact),
+            leader_contact: self.last_quorum_contact().or(self.leader_contact),
             commit_index: self.commit_index,
             last_index: self.storage.last_index(),
             snapshot_index: self.snapshot_index(),
@@ -61,13 +60,13 @@
         }
     }
 
-    /// Told so by a voter, or known from the own committed log. A learner whose first snapshot is
+    /// Reported by a voter, or known from the own committed log. A learner whose first snapshot is
     /// older than its addition was no member yet, so it is not taken for removed.
     fn is_removed(&self) -> bool {
         let node = self.options.node;
         let committed = &self.configurations.as_of(self.commit_index).configuration;
-        let is_out = !committed.contains(node) && !self.configurations.latest().contains(node);
-        self.removed || is_out && self.configurations.ever_contained(node)
+        let is_outside = !committed.contains(node) && !self.configurations.latest().contains(node);
+        self.removed || is_outside && self.configurations.ever_contained(node)
     }
 
     fn peer_statuses(&self) -> Vec<PeerStatus> {
@@ -79,10 +78,10 @@
         let statuses = peers.map(|(node, peer)| PeerStatus {
             node: *node,
             is_voter: configuration.is_voter(*node),
-            match_index: peer.match_index,
-            last_contact: peer.last_contact,
+            match_index: peer.match_index(),
+            last_contact: peer.last_contact(),
             caught_up: self.is_caught_up(peer),
-            receives_snapshot: matches!(peer.state, ProgressState::Snapshot(_)),
+            receives_snapshot: peer.receives_snapshot(),
         });
         statuses.collect()
     }
--- a/crates/replication/src/leadership.rs
+++ b/crates/replication/src/leadership.rs
@@ -1,4 +1,4 @@
-//! Becoming leader, staying leader, stepping down.
+//! Becoming leader, staying leader, stepping down (Raft thesis, sections 6.2 and 6.4).
 
 use millford_api::replication::{Empty, log_entry::Payload};
 use millford_core::{Duration, MonotonicTime, NodeId};
@@ -30,8 +30,8 @@
         self.role = RoleState::Leader(Box::new(state));
         self.leader = self.options.node;
         self.removed = false;
-        self.became_leader = true;
-        self.incoming = None;
+        self.pending.became_leader = true;
+        self.incoming_snapshot = None;
         self.append_own(Payload::Empty(Empty {}));
     }
 
@@ -39,12 +39,10 @@
     pub(crate) fn step_down(&mut self) {
         let previous = std::mem::replace(&mut self.role, RoleState::Follower);
         if let RoleState::Leader(state) = previous {
-            self.election_backoff.record_failed_election();
-            self.lost_leadership = true;
-            self.failed_reads.extend(state.queued_reads);
-            for round in state.rounds {
-                self.failed_reads.extend(round.requests);
-            }
+            self.election_timer.backoff.record_failed_election();
+            self.pending.lost_leadership = true;
+            let unconfirmed = state.reads.into_requests();
+            self.pending.failed_reads.extend(unconfirmed);
             self.reset_election_timer();
         }
         self.leader = NodeId::NONE;
@@ -64,48 +62,54 @@
         }
     }
 
-    /// Steps down when cut off: the others may elect another leader, and nobody should wait for this
-    /// one. Done before any message is taken, so that answers which waited while the process was
-    /// stopped do not count as fresh.
+    /// Steps down when partitioned from the quorum: the others may elect another leader, and nobody
+    /// should wait for this one. Done before any message is taken, so that replies which waited while
+    /// the process was stopped do not count as recent.
     pub(crate) fn check_quorum(&mut self) {
-        // The first answers to a new leader take as long as the election's messages took.
-        let timeout = self.election_backoff.extend(self.options.timing.quorum_timeout);
+        // The first replies to a new leader take as long as the election's messages took.
+        let quorum_timeout = self.options.timing.quorum_timeout;
+        let timeout = self.election_timer.backoff.extend(quorum_timeout);
         if self.is_leader() && !self.has_quorum_contact(self.configurations.latest(), timeout) {
             self.step_down();
         }
     }
 
-    /// Whether a quorum of a configuration, this replica included, was heard from within a time.
-    pub(crate) fn has_quorum_contact(&self, configuration: &Configuration, within: Duration) -> bool {
+    /// Whether a quorum of a configuration, this replica included, was in contact within `max_age`.
+    pub(crate) fn has_quorum_contact(
+        &self,
+        configuration: &Configuration,
+        max_age: Duration,
+    ) -> bool {
         let RoleState::Leader(state) = &self.role else {
             return false;
         };
         configuration.is_quorum(|voter| {
             let peer = state.peers.get(&voter);
-            let hears = peer.is_some_and(|peer| self.now.since(peer.last_contact) < within);
-            voter == self.options.node || hears
+            let has_contact =
+                peer.is_some_and(|peer| self.now.since(peer.last_contact()) < max_age);
+            voter == self.options.node || has_contact
         })
     }
 
-    /// On a leader: the latest time at which a quorum had been heard from since.
-    pub(crate) fn quorum_contact(&self) -> Option<MonotonicTime> {
+    /// On a leader: the latest time since which a quorum has been in contact.
+    pub(crate) fn last_quorum_contact(&self) -> Option<MonotonicTime> {
         let RoleState::Leader(state) = &self.role else {
             return None;
         };
         let micros = self.configurations.latest().quorum_value(|voter| {
             let peer = state.peers.get(&voter);
-            let heard = peer.map_or(self.now, |peer| peer.last_contact);
-            heard.as_micros()
+            let contact = peer.map_or(self.now, |peer| peer.last_contact());
+            contact.as_micros()
         });
         Some(MonotonicTime::from_micros(micros))
     }
 
-    /// Notes that a replica answered in the present term.
+    /// A replica answered in the present term.
     pub(crate) fn record_contact(&mut self, from: NodeId) {
         let now = self.now;
         let state = self.leader_state();
         if let Some(peer) = state.and_then(|state| state.peers.get_mut(&from)) {
-            peer.last_contact = now;
+            peer.record_contact(now);
         }
     }
 }
--- a/crates/replication/src/membership.rs
+++ b/crates/replication/src/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of the group, one node at a time.
+//! Changes of the group, one node at a time (Raft thesis, sections 4.1 and 4.2).
 
 use millford_api::replication::{VoterSet, log_entry::Payload};
 use millford_core::{Duration, NodeId};
@@ -7,62 +7,75 @@
 use crate::options::CONTACT_MAX_AGE_HEARTBEATS;
 use crate::progress::{Progress, ProgressState};
 use crate::role::RoleState;
-use crate::{ChangeRefused, Replica, VoterChange};
+use crate::{Replica, VoterChange, VoterChangeError};
 
 impl Replica {
     /// Appends a configuration that differs by one node. It is in force at once, and committed when
     /// the entry of the returned index is.
     ///
     /// Quorums of configurations that differ by one voter overlap; those of two changes need not.
-    /// So a change is refused while an earlier one is not committed, and also before the leader has
+    /// So a change is rejected while an earlier one is not committed, and also before the leader has
     /// committed an entry of its own term, since it may not know of an earlier leader's change.
-    pub fn change_voters(&mut self, change: VoterChange) -> Result<u64, ChangeRefused> {
+    ///
+    /// # Errors
+    /// A [`VoterChangeError`] that says which condition does not hold; nothing was appended.
+    pub fn change_voters(&mut self, change: VoterChange) -> Result<u64, VoterChangeError> {
         self.check_change_allowed()?;
-        let configuration = self.changed(change)?;
+        let configuration = self.changed_configuration(change)?;
         let set = VoterSet::from(&configuration);
         let index = self.append_own(Payload::Voters(set));
         self.align_peers();
         Ok(index)
     }
 
-    fn check_change_allowed(&self) -> Result<(), ChangeRefused> {
+    fn check_change_allowed(&self) -> Result<(), VoterChangeError> {
         let RoleState::Leader(state) = &self.role else {
-            return Err(ChangeRefused::NotLeader { hint: self.leader });
+            return Err(VoterChangeError::NotLeader { hint: self.leader });
         };
         if state.transfer.is_some() {
-            return Err(ChangeRefused::Transferring);
+            return Err(VoterChangeError::TransferInProgress);
         }
         if !self.has_committed_own_term() {
-            return Err(ChangeRefused::TermNotCommitted);
+            return Err(VoterChangeError::TermNotCommitted);
         }
         if self.configurations.latest_index() > self.commit_index {
-            return Err(ChangeRefused::ChangePending);
+            return Err(VoterChangeError::ChangePending);
         }
         Ok(())
     }
 
-    fn changed(&self, change: VoterChange) -> Result<Configuration, ChangeRefused> {
+    fn changed_configuration(
+        &self,
+        change: VoterChange,
+    ) -> Result<Configuration, VoterChangeError> {
         let mut configuration = self.configurations.latest().clone();
         match change {
             VoterChange::AddLearner(node) => add_learner(&mut configuration, node)?,
-            VoterChange::Promote(node) => {
-                if !configuration.learners.remove(&node) {
-                    return Err(ChangeRefused::NotLearner);
-                }
-                if !self.has_caught_up(node) {
-                    return Err(ChangeRefused::NotCaughtUp);
-                }
-                configuration.voters.insert(node);
-            }
+            VoterChange::Promote(node) => self.promote(&mut configuration, node)?,
             VoterChange::Remove(node) => remove(&mut configuration, node)?,
         }
         if !self.has_quorum_contact(&configuration, self.contact_max_age()) {
-            return Err(ChangeRefused::NoQuorum);
+            return Err(VoterChangeError::NoQuorum);
         }
         Ok(configuration)
     }
 
-    /// Longest age of an answer that a change may count on.
+    fn promote(
+        &self,
+        configuration: &mut Configuration,
+        node: NodeId,
+    ) -> Result<(), VoterChangeError> {
+        if !configuration.learners.remove(&node) {
+            return Err(VoterChangeError::NotLearner);
+        }
+        if !self.has_caught_up(node) {
+            return Err(VoterChangeError::NotCaughtUp);
+        }
+        configuration.voters.insert(node);
+        Ok(())
+    }
+
+    /// Longest age of the last contact with a replica that a change may count on.
     fn contact_max_age(&self) -> Duration {
         self.options.timing.heartbeat * CONTACT_MAX_AGE_HEARTBEATS
     }
@@ -86,32 +99,32 @@
         peer.is_some_and(|peer| self.is_caught_up(peer))
     }
 
-    /// Whether a replica was heard from lately and lacks no more than one message brings.
+    /// Whether a replica was in contact lately and lacks no more than one message brings.
     pub(crate) fn is_caught_up(&self, peer: &Progress) -> bool {
-        let follows = matches!(peer.state, ProgressState::Replicate);
-        let lag = self.commit_index.saturating_sub(peer.match_index);
-        let hears = self.now.since(peer.last_contact) < self.contact_max_age();
-        follows && hears && lag <= self.options.limits.promotion_lag
+        let replicates = matches!(peer.state, ProgressState::Replicate);
+        let lag = self.commit_index.saturating_sub(peer.match_index());
+        let has_contact = self.now.since(peer.last_contact()) < self.contact_max_age();
+        replicates && has_contact && lag <= self.options.limits.promotion_lag
     }
 }
 
-fn add_learner(configuration: &mut Configuration, node: NodeId) -> Result<(), ChangeRefused> {
+fn add_learner(configuration: &mut Configuration, node: NodeId) -> Result<(), VoterChangeError> {
     if !node.is_some() || configuration.contains(node) {
-        return Err(ChangeRefused::NoDifference);
+        return Err(VoterChangeError::NoDifference);
     }
     configuration.learners.insert(node);
     Ok(())
 }
 
-fn remove(configuration: &mut Configuration, node: NodeId) -> Result<(), ChangeRefused> {
+fn remove(configuration: &mut Configuration, node: NodeId) -> Result<(), VoterChangeError> {
     if configuration.learners.remove(&node) {
         return Ok(());
     }
     if !configuration.voters.remove(&node) {
-        return Err(ChangeRefused::NoDifference);
+        return Err(VoterChangeError::NoDifference);
     }
     if configuration.voters.is_empty() {
-        return Err(ChangeRefused::LastVoter);
+        return Err(VoterChangeError::LastVoter);
     }
     Ok(())
 }
--- a/crates/replication/src/message_check.rs
+++ b/crates/replication/src/message_check.rs
@@ -1,4 +1,4 @@
-//! Which messages a replica takes at all.
+//! Which messages a replica processes at all.
 //!
 //! Peers are trusted to follow the protocol, not to be of the same version or free of faults: what
 //! could not have been sent by a correct replica is ignored, as if it had been lost.
@@ -7,11 +7,13 @@
     AppendRequest, LogEntry, ReplicationMessage, SnapshotChunk, replication_message::Body,
 };
 
-/// Terms and indices stay below, so that sums with them cannot overflow.
+use crate::log_position::LogPosition;
+
+/// Largest term, index, offset or sequence that is accepted, so that sums with them cannot overflow.
 const MAX_NUMBER: u64 = u64::MAX / 4;
 
 /// Whether a correct replica could have sent the message.
-pub fn is_plausible(message: &ReplicationMessage) -> bool {
+pub(crate) fn is_plausible(message: &ReplicationMessage) -> bool {
     let body_is_plausible = match &message.body {
         Some(Body::VoteRequest(request)) => {
             fits(&[request.last_index, request.last_term]) && request.last_term <= message.term
@@ -39,21 +41,26 @@
         request.commit_index,
         request.read_sequence,
     ];
-    let mut previous = (request.previous_index, request.previous_term);
+    let mut previous = LogPosition {
+        term: request.previous_term,
+        index: request.previous_index,
+    };
     fits(&numbers)
         && request.entries.iter().all(|entry| {
             let follows = entry_follows(entry, previous, term);
-            previous = (entry.index, entry.term);
+            previous = LogPosition {
+                term: entry.term,
+                index: entry.index,
+            };
             follows
         })
 }
 
-/// Indices have no gap and terms do not fall. An entry without a payload is of a kind that only a
+/// Whether an entry may follow another one: indices have no gap and terms do not fall. An entry without a payload is of a kind that only a
 /// newer version knows: storing it would lose it.
-fn entry_follows(entry: &LogEntry, previous: (u64, u64), term: u64) -> bool {
-    let (previous_index, previous_term) = previous;
-    let is_next = entry.index == previous_index.saturating_add(1);
-    let is_ordered = entry.term >= previous_term && entry.term <= term;
+fn entry_follows(entry: &LogEntry, previous: LogPosition, term: u64) -> bool {
+    let is_next = entry.index == previous.index.saturating_add(1);
+    let is_ordered = entry.term >= previous.term && entry.term <= term;
     is_next && is_ordered && entry.payload.is_some()
 }
 
--- a/crates/replication/src/options.rs
+++ b/crates/replication/src/options.rs
@@ -1,4 +1,4 @@
-//! Settings of a replica.
+//! Options of a replica.
 
 use millford_api::replication::VoterSet;
 use millford_core::time::Duration;
@@ -7,35 +7,35 @@
 /// How often the owner calls [`crate::Replica::tick`].
 pub const TICK: Duration = Duration::from_millis(20);
 
-/// Longest time between two messages of a leader to a replica.
-pub const HEARTBEAT: Duration = Duration::from_millis(100);
+/// Longest time between two messages of a leader to a replica (heartbeat interval).
+pub(crate) const HEARTBEAT: Duration = Duration::from_millis(100);
 
 /// Shortest time without a leader before an election begins.
-pub const ELECTION_TIMEOUT_MIN: Duration = Duration::from_millis(500);
+pub(crate) const ELECTION_TIMEOUT_MIN: Duration = Duration::from_millis(500);
 
 /// Longest time without a leader before an election begins.
-pub const ELECTION_TIMEOUT_MAX: Duration = Duration::from_millis(1000);
+pub(crate) const ELECTION_TIMEOUT_MAX: Duration = Duration::from_millis(1000);
 
-/// A leader that has not heard from a quorum for this long steps down.
+/// A leader without contact with a quorum for this long steps down.
 pub const QUORUM_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A change of the voters needs answers that are no older than this many heartbeats: a change that
-/// counts on a voter whose disk was just lost may never be committed, nor taken back.
-pub const CONTACT_MAX_AGE_HEARTBEATS: u32 = 2;
+/// A change of the voters counts on contacts that are no older than this many heartbeats: a change
+/// that counts on a voter whose disk was just lost may never be committed, nor rolled back.
+pub(crate) const CONTACT_MAX_AGE_HEARTBEATS: u32 = 2;
 
 /// After its disk was full, a replica does not campaign for this long.
-pub const FULL_DISK_CAMPAIGN_BACKOFF: Duration = Duration::from_secs(2);
+pub(crate) const FULL_DISK_CAMPAIGN_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Times of a replica group; the same on all replicas of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// Longest time between two messages of a leader to a replica.
+    /// Longest time between two messages of a leader to a replica (heartbeat interval).
     pub heartbeat: Duration,
     /// Shortest time without a leader before an election begins.
     pub election_timeout_min: Duration,
     /// Longest time without a leader before an election begins.
     pub election_timeout_max: Duration,
-    /// A leader that has not heard from a quorum for this long steps down.
+    /// A leader without contact with a quorum for this long steps down.
     pub quorum_timeout: Duration,
 }
 
@@ -50,12 +50,12 @@
     }
 }
 
-/// Limits on what is sent and not yet answered.
+/// Limits on messages and on what is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Bytes of entries in one message.
     pub append_bytes: usize,
-    /// Messages with entries that a replica has not answered yet.
+    /// Messages with entries in flight to a replica.
     pub appends_in_flight: usize,
     /// Bytes of a snapshot in one message.
     pub snapshot_chunk_bytes: usize,
@@ -74,7 +74,7 @@
     }
 }
 
-/// Everything a replica is opened with, besides its storage.
+/// Everything that a replica is opened with, besides its storage.
 #[derive(Clone, Debug)]
 pub struct ReplicaOptions {
     /// Identity of this node, minted on the disk that the storage lies on.
@@ -93,7 +93,7 @@
 }
 
 impl ReplicaOptions {
-    /// Usual times and limits, no first configuration.
+    /// Default timing and limits, no first configuration.
     #[must_use]
     pub fn new(node: NodeId, shard: ShardId, seed: u64) -> Self {
         Self {
--- a/crates/replication/src/reads.rs
+++ b/crates/replication/src/reads.rs
@@ -1,22 +1,23 @@
-//! Confirmed reads: proof that this replica still leads, at an index.
+//! Confirmed reads: proof that this replica still leads, at an index (`ReadIndex`, Raft thesis,
+//! section 6.4).
 
-use crate::leader_state::ReadBatch;
-use crate::ready::ConfirmedRead;
 use crate::role::RoleState;
 use crate::{NotLeader, Replica};
 
 impl Replica {
-    /// Asks for a confirmed read. The number comes back in a flush, confirmed or failed.
+    /// Requests a confirmed read. `request` comes back in a flush, in [`crate::Ready::confirmed_reads`]
+    /// or [`crate::Ready::failed_reads`].
+    ///
+    /// # Errors
+    /// [`NotLeader`] when this replica does not lead.
     pub fn read_index(&mut self, request: u64) -> Result<(), NotLeader> {
-        let hint = self.not_leader();
-        let Some(state) = self.leader_state() else {
-            return Err(hint);
-        };
-        state.queued_reads.push(request);
+        let not_leader = self.not_leader();
+        let state = self.leader_state().ok_or(not_leader)?;
+        state.reads.push(request);
         Ok(())
     }
 
-    /// Begins a round for the reads that came since the last one.
+    /// Begins a broadcast for the reads that were requested since the last one.
     ///
     /// Not before an entry of the own term is committed: until then the commit index may lag behind
     /// what earlier leaders acknowledged.
@@ -25,41 +26,33 @@
             return;
         }
         let index = self.commit_index;
-        let Some(state) = self.leader_state() else {
-            return;
-        };
-        if state.queued_reads.is_empty() {
-            return;
+        if let Some(state) = self.leader_state()
+            && state.reads.begin_batch(index)
+        {
+            state.broadcast_due = true;
         }
-        state.last_read_sequence += 1;
-        state.broadcast_due = true;
-        let requests = std::mem::take(&mut state.queued_reads);
-        state.rounds.push_back(ReadBatch {
-            round: state.last_read_sequence,
-            index,
-            requests,
-        });
     }
 
-    /// Confirms the rounds that a quorum has answered. Who answered in this term after the round
-    /// began had not helped to elect a newer leader before it began.
+    /// Confirms the reads whose broadcast a quorum has answered.
+    ///
+    /// A replica that answered in this term after the broadcast began had not helped to elect a newer
+    /// leader before it began; so no newer leader can have committed anything by then.
     pub(crate) fn confirm_reads(&mut self) {
         let own = self.options.node;
         let RoleState::Leader(state) = &mut self.role else {
             return;
         };
-        let last_read_sequence = state.last_read_sequence;
-        let confirmed = self.configurations.latest().quorum_value(|voter| {
+        let last_sequence = state.reads.last_sequence();
+        let answered = self.configurations.latest().quorum_value(|voter| {
             if voter == own {
-                return last_read_sequence;
+                return last_sequence;
             }
-            state.peers.get(&voter).map_or(0, |peer| peer.read_sequence)
+            state
+                .peers
+                .get(&voter)
+                .map_or(0, |peer| peer.read_sequence())
         });
-        while let Some(round) = state.rounds.pop_front_if(|round| round.round <= confirmed) {
-            let index = round.index;
-            let reads = round.requests.into_iter();
-            self.confirmed_reads
-                .extend(reads.map(|request| ConfirmedRead { request, index }));
-        }
+        let confirmed = state.reads.take_confirmed(answered);
+        self.pending.confirmed_reads.extend(confirmed);
     }
 }
--- a/crates/replication/src/ready.rs
+++ b/crates/replication/src/ready.rs
@@ -16,12 +16,12 @@
     pub confirmed_reads: Vec<ConfirmedRead>,
     /// Reads that this replica cannot confirm any more.
     pub failed_reads: Vec<u64>,
-    /// The replica became leader since the last flush.
+    /// Whether the replica became leader since the last flush.
     pub became_leader: bool,
-    /// The replica lost the leadership since the last flush. The fate of its uncommitted proposals
+    /// Whether the replica lost the leadership since the last flush. The fate of its uncommitted proposals
     /// is open: they may still be committed by the next leader.
     pub lost_leadership: bool,
-    /// The disk had no space: what came in since the last flush was not stored and not answered.
+    /// Whether the disk had no space: what came in since the last flush was neither stored nor answered.
     pub storage_full: bool,
 }
 
@@ -32,14 +32,14 @@
     pub index: u64,
     /// Term of that entry.
     pub term: u64,
-    /// Bytes given to [`crate::Replica::save_snapshot`], here or on another replica.
+    /// Bytes passed to [`crate::Replica::save_snapshot`], here or on another replica.
     pub data: Vec<u8>,
 }
 
 /// A read that a quorum confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfirmedRead {
-    /// Number given to [`crate::Replica::read_index`].
+    /// Number passed to [`crate::Replica::read_index`].
     pub request: u64,
     /// The state as of this index, or later, answers the read.
     pub index: u64,
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -1,20 +1,19 @@
-//! The replica: its state, how it is opened, and the calls of its owner.
+//! The replica: its state, how it is opened, and proposals.
 
 use millford_api::replication::{
     LogEntry, ReplicationMessage, log_entry::Payload, replication_message::Body,
 };
 use millford_core::{MonotonicTime, NodeId};
 use millford_storage::{ReplicaStorage, StorageError};
-use rand::SeedableRng;
-use rand::rngs::StdRng;
 
 use crate::bootstrap::bootstrap;
 use crate::configuration::{Configuration, ConfigurationHistory};
+use crate::election_timer::ElectionTimer;
 use crate::incoming_snapshot::IncomingSnapshot;
-use crate::election_backoff::ElectionBackoff;
-use crate::ready::{ConfirmedRead, RestoredSnapshot};
+use crate::log_position::LogPosition;
+use crate::ready::RestoredSnapshot;
 use crate::role::RoleState;
-use crate::{NotLeader, OpenError, ReplicaOptions};
+use crate::{NotLeader, OpenError, Ready, ReplicaOptions};
 
 /// One replica of a shard's group.
 ///
@@ -23,37 +22,39 @@
 pub struct Replica {
     pub(crate) options: ReplicaOptions,
     pub(crate) storage: ReplicaStorage,
-    pub(crate) random: StdRng,
+    /// The latest time that the owner passed in.
     pub(crate) now: MonotonicTime,
+    /// Term and vote as they will be stored by the next flush.
     pub(crate) term: u64,
     pub(crate) voted_for: NodeId,
     pub(crate) role: RoleState,
+    /// The leader of the present term; [`NodeId::NONE`] while it is unknown.
     pub(crate) leader: NodeId,
+    /// When the last message of a leader came.
     pub(crate) leader_contact: Option<MonotonicTime>,
-    pub(crate) election_deadline: MonotonicTime,
-    pub(crate) election_backoff: ElectionBackoff,
+    pub(crate) election_timer: ElectionTimer,
     pub(crate) configurations: ConfigurationHistory,
+    /// Last index known to be committed.
     pub(crate) commit_index: u64,
     /// Last index that a flush has handed out as committed or restored.
     pub(crate) delivered_index: u64,
+    /// A voter reported that the committed configuration does not hold this replica any more.
     pub(crate) removed: bool,
-    pub(crate) incoming: Option<IncomingSnapshot>,
+    pub(crate) incoming_snapshot: Option<IncomingSnapshot>,
     /// No campaign before this time, after the disk was full.
     pub(crate) disk_full_until: Option<MonotonicTime>,
     /// An error of the storage that the replica does not survive.
     pub(crate) failure: Option<StorageError>,
-    // Results for the next flush.
-    pub(crate) outbox: Vec<ReplicationMessage>,
-    pub(crate) restored: Option<RestoredSnapshot>,
-    pub(crate) confirmed_reads: Vec<ConfirmedRead>,
-    pub(crate) failed_reads: Vec<u64>,
-    pub(crate) became_leader: bool,
-    pub(crate) lost_leadership: bool,
-    pub(crate) storage_full: bool,
+    /// Results that the next flush hands out. `committed` is filled by the flush itself.
+    pub(crate) pending: Ready,
 }
 
 impl Replica {
     /// Opens a replica on its storage. Empty storage begins with the options' first configuration.
+    ///
+    /// # Errors
+    /// [`OpenError::NodeIdMissing`] and [`OpenError::ForeignStorage`] when the identity does not fit;
+    /// [`OpenError::Storage`] when the first entry cannot be stored.
     pub fn open(
         options: ReplicaOptions,
         mut storage: ReplicaStorage,
@@ -82,7 +83,7 @@
         let snapshot_index = restored.as_ref().map_or(0, |snapshot| snapshot.index);
         let configurations = read_configurations(&storage);
         Self {
-            random: StdRng::seed_from_u64(options.seed),
+            election_timer: ElectionTimer::new(options.seed, now),
             options,
             now,
             term: hard_state.term.max(last_term),
@@ -90,39 +91,39 @@
             role: RoleState::Follower,
             leader: NodeId::NONE,
             leader_contact: None,
-            election_deadline: now,
-            election_backoff: ElectionBackoff::default(),
             configurations,
             commit_index: snapshot_index,
             delivered_index: snapshot_index,
             removed: false,
-            incoming: None,
+            incoming_snapshot: None,
             disk_full_until: None,
             failure: None,
-            outbox: Vec::new(),
-            restored,
-            confirmed_reads: Vec::new(),
-            failed_reads: Vec::new(),
-            became_leader: false,
-            lost_leadership: false,
-            storage_full: false,
+            pending: Ready {
+                restored,
+                ..Ready::default()
+            },
             storage,
         }
     }
 
     /// Appends a command to the log, on the leader only. The entry is committed when it comes back
     /// in [`crate::Ready::committed`] with this index and the present term.
+    ///
+    /// # Errors
+    /// [`NotLeader`] when this replica does not lead or is transferring the leadership.
     pub fn propose(&mut self, command: Vec<u8>) -> Result<u64, NotLeader> {
         self.check_accepts_proposals()?;
         Ok(self.append_own(Payload::Command(command)))
     }
 
-    /// The leader takes proposals unless it is handing over.
+    /// The leader accepts proposals unless it is transferring the leadership.
     fn check_accepts_proposals(&self) -> Result<(), NotLeader> {
         match &self.role {
             RoleState::Leader(state) => match state.transfer {
                 None => Ok(()),
-                Some(transfer) => Err(NotLeader { hint: transfer.to }),
+                Some(transfer) => Err(NotLeader {
+                    hint: transfer.target,
+                }),
             },
             _ => Err(self.not_leader()),
         }
@@ -140,7 +141,7 @@
             payload: Some(payload),
         };
         let index = entry.index;
-        self.configurations.note(&entry);
+        self.configurations.record(&entry);
         self.storage.append([entry]);
         index
     }
@@ -152,7 +153,7 @@
 
     /// Queues a message of another term: pre-votes speak of the term that would follow.
     pub(crate) fn send_with_term(&mut self, to: NodeId, term: u64, body: Body) {
-        self.outbox.push(ReplicationMessage {
+        self.pending.messages.push(ReplicationMessage {
             shard: self.options.shard.0,
             from: self.options.node.0,
             to: to.0,
@@ -161,7 +162,7 @@
         });
     }
 
-    /// Time only moves forward, also when calls come with times that were read in another order.
+    /// Time only moves forward, also when the owner passes times that were read in another order.
     pub(crate) fn advance_clock(&mut self, now: MonotonicTime) {
         self.now = self.now.max(now);
     }
@@ -170,8 +171,13 @@
         self.configurations.latest().is_voter(self.options.node)
     }
 
-    pub(crate) fn last_term(&self) -> u64 {
-        self.storage.term_at(self.storage.last_index()).unwrap_or(0)
+    /// Term and index of the last entry, or of the snapshot when the log is empty.
+    pub(crate) fn last_position(&self) -> LogPosition {
+        let index = self.storage.last_index();
+        LogPosition {
+            term: self.storage.term_at(index).unwrap_or(0),
+            index,
+        }
     }
 }
 
@@ -197,7 +203,7 @@
     };
     for index in history.latest_index() + 1..=storage.last_index() {
         if let Some(entry) = storage.entry(index) {
-            history.note(entry);
+            history.record(entry);
         }
     }
     history
--- a/crates/replication/src/replies.rs
+++ b/crates/replication/src/replies.rs
@@ -1,4 +1,4 @@
-//! Answers to a leader's entries.
+//! Replies of the other replicas to a leader's entries.
 
 use millford_api::replication::AppendReply;
 use millford_core::NodeId;
@@ -12,47 +12,47 @@
         let Some(state) = self.leader_state() else {
             return;
         };
-        let last_read_sequence = state.last_read_sequence;
+        let last_sequence = state.reads.last_sequence();
         let Some(peer) = state.peers.get_mut(&from) else {
             return;
         };
-        // A refusal confirms the leadership as well: it is of the present term.
-        peer.read_sequence = peer.read_sequence.max(reply.read_sequence.min(last_read_sequence));
+        // A rejection confirms the leadership as well: it is of the present term.
+        peer.record_read_sequence(reply.read_sequence.min(last_sequence));
         if !reply.accepted {
-            refused(peer, &reply);
+            on_rejected(peer, &reply);
         } else if reply.match_index <= last_index {
-            accepted(peer, reply.match_index);
+            on_accepted(peer, reply.match_index);
         }
     }
 }
 
-fn accepted(peer: &mut Progress, match_index: u64) {
-    peer.accepted(match_index);
+fn on_accepted(peer: &mut Progress, match_index: u64) {
+    peer.record_match(match_index);
     match &peer.state {
-        ProgressState::Probe { .. } => peer.replicate(),
+        ProgressState::Probe { .. } => peer.become_replicate(),
         ProgressState::Replicate => {}
         ProgressState::Snapshot(transfer) => {
-            if peer.match_index >= transfer.snapshot.meta.index {
-                peer.replicate();
+            if peer.match_index() >= transfer.snapshot.meta.index {
+                peer.become_replicate();
             }
         }
     }
 }
 
-fn refused(peer: &mut Progress, reply: &AppendReply) {
-    let is_late = match &peer.state {
-        ProgressState::Probe { .. } => reply.previous_index + 1 != peer.next_index,
-        ProgressState::Replicate => reply.previous_index <= peer.match_index,
+fn on_rejected(peer: &mut Progress, reply: &AppendReply) {
+    let is_stale = match &peer.state {
+        ProgressState::Probe { .. } => reply.previous_index + 1 != peer.next_index(),
+        ProgressState::Replicate => reply.previous_index <= peer.match_index(),
         ProgressState::Snapshot(_) => true,
     };
-    if is_late {
+    if is_stale {
         return;
     }
-    if reply.previous_index <= peer.match_index {
-        // The replica denies what it acknowledged: its disk lost synced data. Asking again at once
-        // would only repeat the answer; the next heartbeat does.
+    if reply.previous_index <= peer.match_index() {
+        // The replica denies what it acknowledged: its disk lost synced data. Probing again at once
+        // would only repeat the reply; the next heartbeat does.
         return;
     }
     let hint = reply.match_index.min(reply.previous_index - 1);
-    peer.probe(hint + 1);
+    peer.become_probe(hint + 1);
 }
--- a/crates/replication/src/role.rs
+++ b/crates/replication/src/role.rs
@@ -1,7 +1,7 @@
 //! Roles of a replica.
 
-use crate::vote_tally::VoteTally;
 use crate::leader_state::LeaderState;
+use crate::vote_tally::VoteTally;
 
 /// Role of a replica, for its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/replication/src/snapshot_receiving.rs
+++ b/crates/replication/src/snapshot_receiving.rs
@@ -13,36 +13,39 @@
     pub(crate) fn on_snapshot_chunk(&mut self, from: NodeId, chunk: SnapshotChunk) {
         if chunk.last_index <= self.commit_index {
             // Everything that the snapshot covers is held already.
-            self.reply_snapshot(from, chunk.last_index, 0, true);
+            self.reply_installed(from, chunk.last_index, 0);
             return;
         }
-        let term = self.term;
-        let known = self.incoming.take();
-        let known = known.filter(|incoming| incoming.matches(from, term, &chunk));
-        self.incoming = known.or_else(|| Some(IncomingSnapshot::new(from, term, &chunk)));
-        let Some(incoming) = &mut self.incoming else {
-            return;
-        };
-        if incoming.next_position() != chunk.position {
-            let desired = incoming.next_position();
-            self.reply_snapshot(from, chunk.last_index, desired, false);
-            return;
+        let mut incoming = self.take_incoming(from, &chunk);
+        if incoming.next_offset() == chunk.position {
+            incoming.append(&chunk.data);
+            if chunk.last {
+                self.finish_snapshot(from, &chunk, incoming);
+                return;
+            }
         }
-        incoming.data.extend_from_slice(&chunk.data);
-        let next_position = incoming.next_position();
-        if !chunk.last {
-            self.reply_snapshot(from, chunk.last_index, next_position, false);
-            return;
-        }
-        let data = std::mem::take(&mut incoming.data);
-        self.incoming = None;
-        if self.install(&chunk, data) {
-            self.reply_snapshot(from, chunk.last_index, next_position, true);
+        self.request_chunk(from, chunk.last_index, incoming.next_offset());
+        self.incoming_snapshot = Some(incoming);
+    }
+
+    /// The transfer that a chunk belongs to, or a new one. Chunks of another one are dropped.
+    fn take_incoming(&mut self, from: NodeId, chunk: &SnapshotChunk) -> IncomingSnapshot {
+        let term = self.term;
+        let known = self.incoming_snapshot.take();
+        let known = known.filter(|incoming| incoming.matches(from, term, chunk));
+        known.unwrap_or_else(|| IncomingSnapshot::new(from, term, chunk))
+    }
+
+    fn finish_snapshot(&mut self, from: NodeId, chunk: &SnapshotChunk, incoming: IncomingSnapshot) {
+        let next_offset = incoming.next_offset();
+        if self.install_snapshot(chunk, incoming.into_data()) {
+            self.reply_installed(from, chunk.last_index, next_offset);
         }
     }
 
-    /// Replaces the log's beginning, and the owner's state, by a whole snapshot.
-    fn install(&mut self, chunk: &SnapshotChunk, data: Vec<u8>) -> bool {
+    /// Replaces the log's beginning, and the owner's state, by a complete snapshot. False if the
+    /// storage failed.
+    fn install_snapshot(&mut self, chunk: &SnapshotChunk, data: Vec<u8>) -> bool {
         let meta = SnapshotMeta {
             index: chunk.last_index,
             term: chunk.last_term,
@@ -59,7 +62,7 @@
         self.configurations = read_configurations(&self.storage);
         self.commit_index = chunk.last_index;
         self.delivered_index = chunk.last_index;
-        self.restored = Some(RestoredSnapshot {
+        self.pending.restored = Some(RestoredSnapshot {
             index: chunk.last_index,
             term: chunk.last_term,
             data,
@@ -67,11 +70,21 @@
         true
     }
 
-    fn reply_snapshot(&mut self, to: NodeId, last_index: u64, next_position: u64, installed: bool) {
+    fn reply_installed(&mut self, to: NodeId, last_index: u64, next_position: u64) {
+        let reply = SnapshotReply {
+            last_index,
+            next_position,
+            installed: true,
+        };
+        self.send(to, Body::SnapshotReply(reply));
+    }
+
+    /// Asks for the chunk that begins at an offset.
+    fn request_chunk(&mut self, to: NodeId, last_index: u64, next_position: u64) {
         let reply = SnapshotReply {
             last_index,
             next_position,
-            installed,
+            installed: false,
         };
         self.send(to, Body::SnapshotReply(reply));
     }
--- a/crates/replication/src/snapshot_saving.rs
+++ b/crates/replication/src/snapshot_saving.rs
@@ -2,26 +2,29 @@
 
 use millford_storage::SnapshotMeta;
 
-use crate::{Replica, SnapshotRefused};
+use crate::{Replica, SnapshotError};
 
 impl Replica {
     /// Stores a snapshot of the owner's state, which has applied everything up to `applied_index`,
     /// and compacts the log behind it.
+    ///
+    /// # Errors
+    /// [`SnapshotError::NotDelivered`] and [`SnapshotError::Outdated`] when the index is not one to
+    /// save; [`SnapshotError::Storage`] when it could not be stored, after which the replica is dead
+    /// unless the disk was merely full.
     pub fn save_snapshot(
         &mut self,
         applied_index: u64,
         data: Vec<u8>,
-    ) -> Result<(), SnapshotRefused> {
-        if let Some(error) = &self.failure {
-            return Err(error.clone().into());
-        }
+    ) -> Result<(), SnapshotError> {
+        self.check_alive()?;
         if applied_index > self.delivered_index {
-            return Err(SnapshotRefused::NotDelivered);
+            return Err(SnapshotError::NotDelivered);
         }
         let newest = self.snapshot_index();
         let term = self.storage.term_at(applied_index);
         let Some(term) = term.filter(|_| applied_index > newest) else {
-            return Err(SnapshotRefused::Outdated);
+            return Err(SnapshotError::Outdated);
         };
         let as_of = self.configurations.as_of(applied_index);
         let meta = SnapshotMeta {
--- a/crates/replication/src/snapshot_sending.rs
+++ b/crates/replication/src/snapshot_sending.rs
@@ -1,4 +1,5 @@
-//! Snapshots that a leader sends to a replica whose entries are compacted away.
+//! Snapshots that a leader sends to a replica whose entries are compacted away (Raft thesis,
+//! section 5.1).
 
 use millford_api::replication::{SnapshotChunk, SnapshotReply, replication_message::Body};
 use millford_core::{MonotonicTime, NodeId};
@@ -12,11 +13,11 @@
 impl Replica {
     pub(crate) fn start_snapshot(&self, peer: &mut Progress) {
         if let Some(snapshot) = self.storage.snapshot() {
-            peer.send_snapshot(snapshot.clone());
+            peer.become_snapshot(snapshot.clone());
         }
     }
 
-    /// Sends the next chunk unless one is under way, and a heartbeat when one is due.
+    /// Sends the next chunk unless one is in flight, and a heartbeat when one is due.
     pub(crate) fn send_chunk(&mut self, node: NodeId, peer: &mut Progress, broadcast_due: bool) {
         if broadcast_due {
             // Index 0 matches always: the message keeps the leadership and confirms reads.
@@ -27,10 +28,10 @@
         let ProgressState::Snapshot(transfer) = &mut peer.state else {
             return;
         };
-        let is_waiting = transfer
+        let is_in_flight = transfer
             .sent_at
             .is_some_and(|sent_at| now.since(sent_at) < resend_after);
-        if is_waiting {
+        if is_in_flight {
             return;
         }
         let chunk = self.next_chunk(transfer, now);
@@ -40,7 +41,7 @@
     fn next_chunk(&self, transfer: &mut SnapshotTransfer, now: MonotonicTime) -> SnapshotChunk {
         transfer.sent_at = Some(now);
         let data = &transfer.snapshot.data;
-        let start = usize::try_from(transfer.position).unwrap_or(usize::MAX);
+        let start = usize::try_from(transfer.offset).unwrap_or(usize::MAX);
         let start = start.min(data.len());
         let end = (start + self.options.limits.snapshot_chunk_bytes).min(data.len());
         SnapshotChunk {
@@ -66,10 +67,10 @@
             return;
         }
         if reply.installed {
-            peer.accepted(reply.last_index);
-            peer.replicate();
-        } else if transfer.position != reply.next_position {
-            transfer.position = reply.next_position;
+            peer.record_match(reply.last_index);
+            peer.become_replicate();
+        } else if transfer.offset != reply.next_position {
+            transfer.offset = reply.next_position;
             transfer.sent_at = None;
         }
     }
--- a/crates/replication/src/status.rs
+++ b/crates/replication/src/status.rs
@@ -1,4 +1,4 @@
-//! What a replica tells its owner about itself.
+//! Status of a replica, for its owner.
 
 use millford_core::{MonotonicTime, NodeId};
 
@@ -13,8 +13,8 @@
     pub term: u64,
     /// The leader as far as known; [`NodeId::NONE`] otherwise.
     pub leader: NodeId,
-    /// When the leader was last heard from; `None` before the first time. On the leader: when a
-    /// quorum was last heard from.
+    /// Last contact with the leader; `None` before the first. On the leader: last contact with a
+    /// quorum.
     pub leader_contact: Option<MonotonicTime>,
     /// Last committed index.
     pub commit_index: u64,
@@ -30,11 +30,12 @@
     pub learners: Vec<NodeId>,
     /// Whether the configuration in force is committed.
     pub configuration_committed: bool,
-    /// The group's committed configuration does not hold this replica any more.
+    /// Whether the group's committed configuration does not hold this replica any more.
     pub removed: bool,
-    /// The disk was full a moment ago: the replica stores nothing and falls behind.
+    /// Whether the disk was full lately: the replica stores nothing and falls behind.
     pub storage_full: bool,
-    /// On a leader: its first entry is committed, so that reads and changes are taken.
+    /// On a leader: whether its first entry is committed, so that it serves reads and membership
+    /// changes.
     pub leads_confirmed: bool,
     /// On a leader: the other replicas.
     pub peers: Vec<PeerStatus>,
@@ -49,7 +50,7 @@
     pub is_voter: bool,
     /// Last index known to be durable there.
     pub match_index: u64,
-    /// When it was last heard from in this term; the start of the term before the first time.
+    /// Last contact in this term; the start of the term before the first.
     pub last_contact: MonotonicTime,
     /// Whether it has caught up, so that a learner may be promoted.
     pub caught_up: bool,
--- a/crates/replication/src/step.rs
+++ b/crates/replication/src/step.rs
@@ -1,4 +1,5 @@
-//! Messages that come in, and how their terms are judged.
+//! Messages that come in, and how their terms are compared with the own one (Raft thesis,
+//! section 3.3).
 
 use millford_api::replication::{ReplicationMessage, replication_message::Body};
 use millford_core::{MonotonicTime, NodeId};
@@ -7,17 +8,17 @@
 use crate::message_check::is_plausible;
 
 impl Replica {
-    /// Takes a message of another replica. Answers leave with the next flush.
+    /// Processes a message of another replica. Replies leave with the next flush.
     ///
-    /// Messages may be lost, repeated, late or out of order; implausible ones are ignored.
+    /// Messages may be lost, duplicated, late or out of order; implausible ones are ignored.
     pub fn step(&mut self, now: MonotonicTime, message: ReplicationMessage) {
         self.advance_clock(now);
-        let is_ours = message.shard == self.options.shard.0
+        let is_addressed_here = message.shard == self.options.shard.0
             && message.to == self.options.node.0
             && message.from != self.options.node.0
             && message.from != NodeId::NONE.0
             && is_plausible(&message);
-        if self.failure.is_some() || !is_ours {
+        if self.failure.is_some() || !is_addressed_here {
             return;
         }
         self.check_quorum();
@@ -52,22 +53,22 @@
         }
     }
 
-    /// Whether a leader's message is of the present term. A newer term is taken over; the sender of
-    /// an older one is told the present term, so that it steps down.
+    /// Whether a leader's message is of the present term. A newer term is adopted; the sender of an
+    /// older one is sent the present term, so that it steps down.
     fn accept_leader(&mut self, from: NodeId, term: u64) -> bool {
         if term < self.term {
             self.reject_stale_leader(from);
             return false;
         }
         if term == self.term && self.is_leader() {
-            // Two leaders of one term cannot exist; the message is damaged.
+            // Two leaders of one term cannot exist; the message is corrupt.
             return false;
         }
         self.follow(term, from);
         true
     }
 
-    /// Whether an answer is of the present term. A newer term is taken over.
+    /// Whether a reply is of the present term. A newer term is adopted.
     fn accept_reply(&mut self, from: NodeId, term: u64) -> bool {
         if term > self.term {
             self.adopt_term(term);
--- a/crates/replication/src/transfer.rs
+++ b/crates/replication/src/transfer.rs
@@ -1,42 +1,48 @@
-//! Handing the leadership to another voter.
+//! Transfer of the leadership to another voter (Raft thesis, section 3.10).
 
 use millford_api::replication::{TimeoutNow, replication_message::Body};
 use millford_core::NodeId;
 
-use crate::leader_state::Transfer;
+use crate::election::Campaign;
+use crate::leader_state::LeaderTransfer;
 use crate::role::RoleState;
-use crate::{Replica, TransferRefused};
+use crate::{Replica, TransferError};
 
 impl Replica {
-    /// Hands the leadership to a voter: once it holds the whole log, it is asked to campaign.
-    /// Proposals are refused until then; they are taken again if it has not succeeded within the
-    /// shortest election timeout.
-    pub fn transfer_leadership(&mut self, to: NodeId) -> Result<(), TransferRefused> {
+    /// Transfers the leadership to a voter: once it holds the complete log, it is asked to campaign.
+    ///
+    /// Proposals are rejected until then; they are accepted again if the transfer has not succeeded
+    /// within the shortest election timeout.
+    ///
+    /// # Errors
+    /// A [`TransferError`] when this replica does not lead, a transfer is in progress already, or the
+    /// target is no reachable voter.
+    pub fn transfer_leadership(&mut self, target: NodeId) -> Result<(), TransferError> {
         let deadline = self.now + self.options.timing.election_timeout_min;
         let quorum_timeout = self.options.timing.quorum_timeout;
         let now = self.now;
         let hint = self.leader;
-        let is_voter = self.configurations.latest().is_voter(to);
+        let is_voter = self.configurations.latest().is_voter(target);
         let Some(state) = self.leader_state() else {
-            return Err(TransferRefused::NotLeader { hint });
+            return Err(TransferError::NotLeader { hint });
         };
         if state.transfer.is_some() {
-            return Err(TransferRefused::Transferring);
+            return Err(TransferError::InProgress);
         }
-        let peer = state.peers.get(&to).filter(|_| is_voter);
-        let peer = peer.ok_or(TransferRefused::NotVoter)?;
-        if now.since(peer.last_contact) >= quorum_timeout {
-            return Err(TransferRefused::TargetUnreachable);
+        let peer = state.peers.get(&target).filter(|_| is_voter);
+        let peer = peer.ok_or(TransferError::NotVoter)?;
+        if now.since(peer.last_contact()) >= quorum_timeout {
+            return Err(TransferError::TargetUnreachable);
         }
-        state.transfer = Some(Transfer {
-            to,
+        state.transfer = Some(LeaderTransfer {
+            target,
             deadline,
-            asked: false,
+            timeout_now_sent: false,
         });
         Ok(())
     }
 
-    /// Asks the other voter to campaign once it holds everything.
+    /// Asks the target of a transfer to campaign once it holds the complete log.
     pub(crate) fn advance_transfer(&mut self) {
         let last_index = self.storage.last_index();
         let Some(state) = self.leader_state() else {
@@ -45,23 +51,23 @@
         let Some(mut transfer) = state.transfer else {
             return;
         };
-        let peer = state.peers.get(&transfer.to);
-        let holds_all = peer.is_some_and(|peer| peer.match_index == last_index);
-        if transfer.asked || !holds_all {
+        let peer = state.peers.get(&transfer.target);
+        let holds_complete_log = peer.is_some_and(|peer| peer.match_index() == last_index);
+        if transfer.timeout_now_sent || !holds_complete_log {
             return;
         }
-        transfer.asked = true;
+        transfer.timeout_now_sent = true;
         state.transfer = Some(transfer);
-        self.send(transfer.to, Body::TimeoutNow(TimeoutNow {}));
+        self.send(transfer.target, Body::TimeoutNow(TimeoutNow {}));
     }
 
-    /// The leader asks this replica to campaign. A late or repeated message costs an election and
+    /// The leader asks this replica to campaign. A late or duplicated message costs an election and
     /// no safety.
     pub(crate) fn on_timeout_now(&mut self, from: NodeId, term: u64) {
         let is_current = term == self.term && self.leader == from;
         let is_follower = matches!(self.role, RoleState::Follower);
         if is_current && is_follower && self.is_voter() {
-            self.start_election(true);
+            self.start_election(Campaign::Transfer);
         }
     }
 }
--- a/crates/replication/src/vote_receiving.rs
+++ b/crates/replication/src/vote_receiving.rs
@@ -1,9 +1,10 @@
-//! Votes of the voter's side.
+//! Votes on the voter's side (Raft thesis, sections 3.4, 4.2.3 and 9.6).
 
 use millford_api::replication::{VoteReply, VoteRequest, replication_message::Body};
 use millford_core::NodeId;
 
 use crate::Replica;
+use crate::log_position::LogPosition;
 
 impl Replica {
     /// Answers a request for a vote or pre-vote.
@@ -16,11 +17,12 @@
             return;
         }
         if self.has_leader_contact(self.now) && !request.transfer {
-            // Neither the term nor the vote changes while a leader is heard.
+            // Neither the term nor the vote changes while there is contact with a leader: a candidate
+            // that the leader does not reach cannot depose it.
             self.notify_if_removed(from, &request);
             return;
         }
-        self.election_backoff.record_contested();
+        self.election_timer.backoff.record_contested();
         if request.pre_vote {
             self.answer_pre_vote(from, term, &request);
         } else {
@@ -45,6 +47,7 @@
         if term > self.term {
             self.adopt_term(term);
         }
+        // One vote a term: election safety rests on it.
         let is_free = !self.voted_for.is_some() || self.voted_for == from;
         if !is_free || !self.is_up_to_date(request) {
             self.reject_vote(from, request);
@@ -61,10 +64,10 @@
         self.send(from, Body::VoteReply(reply));
     }
 
-    /// Whether the candidate's log holds everything that the own log may have acknowledged.
+    /// Whether the candidate's log holds every entry that this replica may have acknowledged. A
+    /// candidate that a quorum finds up to date holds every committed entry (leader completeness).
     fn is_up_to_date(&self, request: &VoteRequest) -> bool {
-        let own = (self.last_term(), self.storage.last_index());
-        (request.last_term, request.last_index) >= own
+        last_position_of(request) >= self.last_position()
     }
 
     fn reject_vote(&mut self, from: NodeId, request: &VoteRequest) {
@@ -93,6 +96,17 @@
         let Some(term) = self.storage.term_at(committed.index) else {
             return false;
         };
-        (term, committed.index) > (request.last_term, request.last_index)
+        let configuration_position = LogPosition {
+            term,
+            index: committed.index,
+        };
+        configuration_position > last_position_of(request)
+    }
+}
+
+fn last_position_of(request: &VoteRequest) -> LogPosition {
+    LogPosition {
+        term: request.last_term,
+        index: request.last_index,
     }
 }
--- a/crates/replication/src/voter_change.rs
+++ b/crates/replication/src/voter_change.rs
@@ -9,6 +9,6 @@
     AddLearner(NodeId),
     /// A learner that has caught up becomes a voter.
     Promote(NodeId),
-    /// A voter or learner leaves the group.
+    /// A voter or learner is removed from the group.
     Remove(NodeId),
 }
--- a/crates/replication/tests/disks.rs
+++ b/crates/replication/tests/disks.rs
@@ -6,7 +6,7 @@
 use group::simulation::{Defect, Simulation};
 use group::support::crash_disk::{CrashDisk, Faults};
 use millford_core::{Duration, MonotonicTime, NodeId, ShardId};
-use millford_replication::{OpenError, Replica, ReplicaOptions, SnapshotRefused};
+use millford_replication::{OpenError, Replica, ReplicaOptions, SnapshotError};
 use millford_storage::{ReplicaStorage, StorageError, StorageOptions};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -61,17 +61,17 @@
     let refused = replica.save_snapshot(applied, vec![1; 100]);
     assert!(matches!(
         refused,
-        Err(SnapshotRefused::Storage(StorageError::Full { .. }))
+        Err(SnapshotError::Storage(StorageError::Full { .. }))
     ));
     let ahead = replica.save_snapshot(applied + 1, Vec::new());
-    assert_eq!(ahead, Err(SnapshotRefused::NotDelivered));
+    assert_eq!(ahead, Err(SnapshotError::NotDelivered));
     set_space(&simulation, leader, None);
     let replica = simulation.replica(leader).expect("runs");
     replica
         .save_snapshot(applied, vec![1; 100])
         .expect("space again");
     let again = replica.save_snapshot(applied, vec![1; 100]);
-    assert_eq!(again, Err(SnapshotRefused::Outdated));
+    assert_eq!(again, Err(SnapshotError::Outdated));
 }
 
 #[test]
--- a/crates/replication/tests/group/chaos.rs
+++ b/crates/replication/tests/group/chaos.rs
@@ -269,7 +269,8 @@
         }
         let goal = goal.unwrap_or(0);
         let states = self.describe();
-        let text = format!("not whole {RECOVERY_DEADLINE:?} after the faults, goal {goal}:{states}");
+        let text =
+            format!("not whole {RECOVERY_DEADLINE:?} after the faults, goal {goal}:{states}");
         self.history.violations.push(text);
     }
 
--- a/crates/replication/tests/group/repair.rs
+++ b/crates/replication/tests/group/repair.rs
@@ -54,7 +54,8 @@
             .peers
             .iter()
             .find(|peer| !peer.is_voter && peer.caught_up);
-        let removed_first = lost.filter(|_| self.removes_before_promotion && status.voters.len() == desired);
+        let removed_first =
+            lost.filter(|_| self.removes_before_promotion && status.voters.len() == desired);
         match (ready, removed_first) {
             (Some(_), Some(lost)) => Some(VoterChange::Remove(lost.node)),
             (Some(ready), None) => Some(VoterChange::Promote(ready.node)),
--- a/crates/replication/tests/leadership.rs
+++ b/crates/replication/tests/leadership.rs
@@ -5,7 +5,7 @@
 use group::network::NetworkConditions;
 use group::simulation::{Defect, Simulation};
 use millford_core::{Duration, NodeId};
-use millford_replication::{ReplicaStatus, TransferRefused};
+use millford_replication::{ReplicaStatus, TransferError};
 
 const SECOND: Duration = Duration::from_secs(1);
 /// Check of the quorum, one election timeout, one more round.
@@ -107,7 +107,7 @@
     let target = others(&simulation, leader)[1];
     let replica = simulation.replica(leader).expect("runs");
     let unknown = replica.transfer_leadership(NodeId(99));
-    assert_eq!(unknown, Err(TransferRefused::NotVoter));
+    assert_eq!(unknown, Err(TransferError::NotVoter));
     replica.transfer_leadership(target).expect("begins");
     replica
         .propose(b"refused".to_vec())
@@ -139,5 +139,5 @@
         .replica(leader)
         .expect("runs")
         .transfer_leadership(target);
-    assert_eq!(refused, Err(TransferRefused::TargetUnreachable));
+    assert_eq!(refused, Err(TransferError::TargetUnreachable));
 }
--- a/crates/replication/tests/membership.rs
+++ b/crates/replication/tests/membership.rs
@@ -5,7 +5,7 @@
 use group::network::NetworkConditions;
 use group::simulation::{Defect, Simulation};
 use millford_core::{Duration, NodeId};
-use millford_replication::{ChangeRefused, ReplicaStatus, Role, VoterChange};
+use millford_replication::{ReplicaStatus, Role, VoterChange, VoterChangeError};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -26,7 +26,7 @@
     simulation: &mut Simulation,
     leader: NodeId,
     change: VoterChange,
-) -> Result<u64, ChangeRefused> {
+) -> Result<u64, VoterChangeError> {
     let replica = simulation.replica(leader).expect("runs");
     replica.change_voters(change)
 }
@@ -88,19 +88,19 @@
     let add = VoterChange::AddLearner(standby);
     assert_eq!(
         change(&mut simulation, leader, add),
-        Err(ChangeRefused::TermNotCommitted)
+        Err(VoterChangeError::TermNotCommitted)
     );
     simulation.run_for(SECOND);
     change(&mut simulation, leader, add).expect("added");
     let remove = VoterChange::Remove(standby);
     assert_eq!(
         change(&mut simulation, leader, remove),
-        Err(ChangeRefused::ChangePending)
+        Err(VoterChangeError::ChangePending)
     );
     let promote = VoterChange::Promote(standby);
     assert_eq!(
         change(&mut simulation, leader, promote),
-        Err(ChangeRefused::ChangePending)
+        Err(VoterChangeError::ChangePending)
     );
     simulation.run_for(SECOND);
     change(&mut simulation, leader, promote).expect("caught up");
@@ -119,7 +119,7 @@
     let promote = VoterChange::Promote(standby);
     assert_eq!(
         change(&mut simulation, leader, promote),
-        Err(ChangeRefused::NotCaughtUp)
+        Err(VoterChangeError::NotCaughtUp)
     );
 }
 
@@ -137,7 +137,7 @@
     let remove = VoterChange::Remove(healthy);
     assert_eq!(
         change(&mut simulation, leader, remove),
-        Err(ChangeRefused::NoQuorum)
+        Err(VoterChangeError::NoQuorum)
     );
     change(&mut simulation, leader, VoterChange::Remove(lost)).expect("the lost one may go");
 }
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -8,11 +8,11 @@
     /// The disk reported an error.
     #[error("{operation} of {name} failed: {reason}")]
     Io {
-        /// What was tried.
+        /// The operation that failed.
         operation: &'static str,
         /// File name.
         name: String,
-        /// The system's words.
+        /// The system's error message.
         reason: String,
     },
     /// The disk is full. Nothing that was synced before is lost, and the operation may be tried
@@ -23,12 +23,12 @@
         name: String,
     },
     /// Data that was synced is damaged. The replica must not run on it: its owner clears the
-    /// folder and starts a new replica under a new identity.
+    /// directory and starts a new replica under a new identity.
     #[error("{name} is corrupt at byte {offset}: {reason}")]
     Corrupt {
         /// File name.
         name: String,
-        /// Position in the file, in bytes.
+        /// Offset in the file, in bytes.
         offset: u64,
         /// What is wrong.
         reason: String,
--- a/crates/storage/src/file_disk.rs
+++ b/crates/storage/src/file_disk.rs
@@ -1,4 +1,4 @@
-//! A disk made of real files in one folder.
+//! A disk made of real files in one directory.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
@@ -7,15 +7,15 @@
 
 use crate::{Disk, StorageError};
 
-/// Ending of files that are being written and not yet renamed.
+/// Ending of the names of files that are being written and not yet renamed.
 const TEMPORARY_SUFFIX: &str = ".tmp";
 
-/// Files of one folder, written and synced for real.
+/// Files of one directory of the operating system.
 #[derive(Debug)]
 pub struct FileDisk {
     directory: PathBuf,
     /// Files open for appending.
-    open: BTreeMap<String, OpenFile>,
+    open_files: BTreeMap<String, OpenFile>,
 }
 
 #[derive(Debug)]
@@ -26,23 +26,26 @@
 }
 
 impl FileDisk {
-    /// Opens the folder, creates it when absent and removes files that were never renamed.
+    /// Opens the directory, creates it when absent and removes files that were never renamed.
+    ///
+    /// # Errors
+    /// [`StorageError::Full`] when there is no space for the directory, else [`StorageError::Io`].
     pub fn open(directory: impl AsRef<Path>) -> Result<Self, StorageError> {
         let directory = directory.as_ref().to_path_buf();
         let disk = Self {
             directory,
-            open: BTreeMap::new(),
+            open_files: BTreeMap::new(),
         };
         disk.create_directory()?;
         disk.remove_temporary_files()?;
         // A rename or removal of an earlier process may be visible and not durable yet. What is
         // read from here on must not disappear: it may be a vote.
         let name = disk.directory.display().to_string();
-        sync_directory(&disk.directory).map_err(|error| failed("sync", &name, &error))?;
+        sync_directory(&disk.directory).map_err(|error| io_error("sync", &name, &error))?;
         Ok(disk)
     }
 
-    /// A new folder must survive a crash with everything that is synced into it.
+    /// A new directory must survive a crash with everything that is synced into it.
     fn create_directory(&self) -> Result<(), StorageError> {
         let name = self.directory.display().to_string();
         let mut missing = Vec::new();
@@ -54,7 +57,8 @@
                 _ => break,
             }
         }
-        fs::create_dir_all(&self.directory).map_err(|error| write_error("create", &name, &error))?;
+        fs::create_dir_all(&self.directory)
+            .map_err(|error| write_error("create", &name, &error))?;
         for created in missing {
             let parent = match created.parent() {
                 Some(parent) if parent != Path::new("") => parent,
@@ -77,11 +81,11 @@
 
     fn file_names(&self) -> Result<Vec<String>, StorageError> {
         let directory_name = self.directory.display().to_string();
-        let failed = |error: io::Error| write_error("list", &directory_name, &error);
+        let list_error = |error: io::Error| write_error("list", &directory_name, &error);
         let mut names = Vec::new();
-        for item in fs::read_dir(&self.directory).map_err(failed)? {
-            let item = item.map_err(failed)?;
-            if item.file_type().map_err(failed)?.is_file() {
+        for item in fs::read_dir(&self.directory).map_err(list_error)? {
+            let item = item.map_err(list_error)?;
+            if item.file_type().map_err(list_error)?.is_file() {
                 names.push(item.file_name().to_string_lossy().into_owned());
             }
         }
@@ -93,13 +97,14 @@
     }
 
     fn open_for_append(&mut self, name: &str) -> io::Result<&mut OpenFile> {
-        if !self.open.contains_key(name) {
+        if !self.open_files.contains_key(name) {
             let path = self.path(name);
             let is_new = !path.exists();
             let file = OpenOptions::new().create(true).append(true).open(path)?;
-            self.open.insert(name.to_owned(), OpenFile { file, is_new });
+            self.open_files
+                .insert(name.to_owned(), OpenFile { file, is_new });
         }
-        self.open
+        self.open_files
             .get_mut(name)
             .ok_or_else(|| io::Error::from(ErrorKind::NotFound))
     }
@@ -146,34 +151,35 @@
 
     fn sync(&mut self, name: &str) -> Result<(), StorageError> {
         self.sync_file(name)
-            .map_err(|error| failed("sync", name, &error))
+            .map_err(|error| io_error("sync", name, &error))
     }
 
     fn replace(&mut self, name: &str, bytes: &[u8]) -> Result<(), StorageError> {
         let temporary = self.path(&format!("{name}{TEMPORARY_SUFFIX}"));
-        self.open.remove(name);
+        self.open_files.remove(name);
         // Until the rename the old file stands, so no space here is no damage.
         self.write_temporary(&temporary, bytes)
             .map_err(|error| write_error("write", name, &error))?;
-        fs::rename(&temporary, self.path(name)).map_err(|error| failed("rename", name, &error))?;
-        sync_directory(&self.directory).map_err(|error| failed("sync", name, &error))
+        fs::rename(&temporary, self.path(name))
+            .map_err(|error| io_error("rename", name, &error))?;
+        sync_directory(&self.directory).map_err(|error| io_error("sync", name, &error))
     }
 
     fn truncate(&mut self, name: &str, len: u64) -> Result<(), StorageError> {
-        let cut = self
+        let truncated = self
             .open_for_append(name)
             .and_then(|open| open.file.set_len(len));
-        cut.map_err(|error| failed("truncate", name, &error))
+        truncated.map_err(|error| io_error("truncate", name, &error))
     }
 
     fn remove(&mut self, name: &str) -> Result<(), StorageError> {
-        self.open.remove(name);
+        self.open_files.remove(name);
         match fs::remove_file(self.path(name)) {
             Ok(()) => {}
             Err(error) if error.kind() == ErrorKind::NotFound => return Ok(()),
-            Err(error) => return Err(failed("remove", name, &error)),
+            Err(error) => return Err(io_error("remove", name, &error)),
         }
-        sync_directory(&self.directory).map_err(|error| failed("sync", name, &error))
+        sync_directory(&self.directory).map_err(|error| io_error("sync", name, &error))
     }
 }
 
@@ -181,22 +187,22 @@
     File::open(directory)?.sync_all()
 }
 
-/// An error of a write, where no space is told apart.
+/// An error of a write, where lack of space is told from other causes.
 fn write_error(operation: &'static str, name: &str, error: &io::Error) -> StorageError {
-    let full = matches!(
+    let is_full = matches!(
         error.kind(),
         ErrorKind::StorageFull | ErrorKind::QuotaExceeded | ErrorKind::FileTooLarge
     );
-    if full {
+    if is_full {
         return StorageError::Full {
             name: name.to_owned(),
         };
     }
-    failed(operation, name, error)
+    io_error(operation, name, error)
 }
 
 /// An error after which the file's state is unknown, whatever its kind.
-fn failed(operation: &'static str, name: &str, error: &io::Error) -> StorageError {
+fn io_error(operation: &'static str, name: &str, error: &io::Error) -> StorageError {
     StorageError::Io {
         operation,
         name: name.to_owned(),
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! Order of writes that recovery relies on:
 //! - the hard state is written before the first log entry or snapshot of a replica;
-//! - a segment is synced whole before the next one is created, so that only the last segment can
+//! - a segment is synced completely before the next one is created, so that only the last segment can
 //!   have a torn tail;
 //! - a snapshot is durable before any log entry that it covers is removed;
 //! - a truncation is durable before anything is appended behind it.
@@ -15,7 +15,6 @@
 mod disk;
 mod error;
 mod file_disk;
-mod whitening;
 mod log;
 mod log_recovery;
 mod options;
@@ -24,6 +23,7 @@
 mod segment;
 mod segment_recovery;
 mod snapshot;
+mod whitening;
 
 pub use disk::Disk;
 pub use error::StorageError;
--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -9,6 +9,7 @@
 use prost::Message;
 
 use crate::segment::Segment;
+use crate::segment_recovery::RecoveredSegment;
 use crate::{Disk, StorageError, StorageOptions};
 
 /// The log. Entry `first_index` is the first in memory; what came before is in a snapshot.
@@ -16,10 +17,10 @@
 pub struct SegmentedLog {
     options: StorageOptions,
     /// On disk, oldest first, contiguous; the last one is appended to.
-    pub(crate) segments: Vec<Segment>,
-    pub(crate) entries: VecDeque<LogEntry>,
-    pub(crate) first_index: u64,
-    pub(crate) synced_index: u64,
+    segments: Vec<Segment>,
+    entries: VecDeque<LogEntry>,
+    first_index: u64,
+    synced_index: u64,
 }
 
 impl SegmentedLog {
@@ -34,6 +35,18 @@
         }
     }
 
+    /// Adds a segment that was read after a restart; it must continue the log. Its entries are durable.
+    pub(crate) fn push_recovered(&mut self, recovered: RecoveredSegment) {
+        self.append(recovered.entries);
+        self.segments.push(recovered.segment);
+        self.synced_index = self.last_index();
+    }
+
+    /// File name of the oldest segment.
+    pub(crate) fn first_segment_name(&self) -> Option<&str> {
+        self.segments.first().map(|segment| segment.name.as_str())
+    }
+
     /// Index of the first entry in memory.
     #[must_use]
     pub fn first_index(&self) -> u64 {
@@ -85,7 +98,7 @@
         result
     }
 
-    /// First entry to keep when a snapshot covers everything up to `covered`.
+    /// First entry to retain when a snapshot covers everything up to `covered`.
     pub(crate) fn first_retained_index(&self, covered: u64, options: &StorageOptions) -> u64 {
         let mut first = covered + 1;
         let mut bytes = 0;
@@ -110,15 +123,16 @@
         }
     }
 
-    /// Drops the entries from `index` on. What was on disk is cut durably before this returns, so
-    /// that no later append can end up behind bytes that should be gone.
+    /// Drops the entries from `index` on. What was on disk is truncated durably before this returns,
+    /// so that no later append can end up behind bytes that should have been removed.
     pub(crate) fn truncate_from(
         &mut self,
         disk: &mut dyn Disk,
         index: u64,
     ) -> Result<(), StorageError> {
-        let kept = usize::try_from(index.saturating_sub(self.first_index)).unwrap_or(usize::MAX);
-        self.entries.truncate(kept);
+        let remaining =
+            usize::try_from(index.saturating_sub(self.first_index)).unwrap_or(usize::MAX);
+        self.entries.truncate(remaining);
         if index > self.synced_index {
             return Ok(());
         }
@@ -137,13 +151,14 @@
 
     /// Drops what is not durable, after a write that found no space.
     pub(crate) fn drop_unsynced(&mut self) {
-        let kept = (self.synced_index + 1).saturating_sub(self.first_index);
+        let remaining = (self.synced_index + 1).saturating_sub(self.first_index);
         self.entries
-            .truncate(usize::try_from(kept).unwrap_or(usize::MAX));
+            .truncate(usize::try_from(remaining).unwrap_or(usize::MAX));
     }
 
     /// Makes every entry durable with one fsync (more only when segments fill up on the way).
     ///
+    /// # Errors
     /// After [`StorageError::Full`] the file is as it was before; after any other error its state
     /// is unknown.
     pub(crate) fn sync(&mut self, disk: &mut dyn Disk) -> Result<(), StorageError> {
@@ -174,7 +189,7 @@
     }
 
     /// Begins a new segment when there is none or the last one is full. The last one is synced
-    /// whole: every batch is synced before the next one begins.
+    /// completely: every batch is synced before the next one begins.
     fn open_segment(&mut self, first_index: u64) {
         let full = match self.segments.last() {
             None => true,
@@ -191,7 +206,7 @@
         disk: &mut dyn Disk,
         index: u64,
     ) -> Result<(), StorageError> {
-        // The last segment stays, so that its name keeps telling where the log goes on.
+        // The last segment stays, so that its name still records where the log continues.
         while self.segments.len() > 1 && self.segments[0].last_index() < index {
             disk.remove(&self.segments[0].name)?;
             self.segments.remove(0);
@@ -206,7 +221,7 @@
     /// Removes everything; the next entry will be `first_index`.
     ///
     /// Newest first: what a crash leaves is a prefix of the old log, which recovery recognises as
-    /// not reaching the snapshot. A suffix could be taken for what follows the snapshot.
+    /// not reaching the snapshot. A suffix could be mistaken for what follows the snapshot.
     pub(crate) fn clear(
         &mut self,
         disk: &mut dyn Disk,
@@ -220,7 +235,7 @@
     }
 }
 
-/// Takes back a batch that found no space. If that fails too, the error is final.
+/// Rolls back a batch that found no space. If that fails too, the error is final.
 fn undo_append(disk: &mut dyn Disk, segment: &Segment, error: StorageError) -> StorageError {
     if !error.is_full() {
         return error;
--- a/crates/storage/src/log_recovery.rs
+++ b/crates/storage/src/log_recovery.rs
@@ -1,11 +1,14 @@
 //! Reading the whole log after a restart.
 
 use crate::segment::Segment;
-use crate::segment_recovery::recover as recover_segment;
+use crate::segment_recovery::{SegmentKind, recover as recover_segment};
 use crate::{Disk, SegmentedLog, SnapshotMeta, StorageError, StorageOptions};
 
-/// Reads all segments and brings the log in line with the snapshot.
-pub fn recover(
+/// Reads all segments and reconciles the log with the snapshot.
+///
+/// # Errors
+/// [`StorageError::Corrupt`] when synced entries are damaged or missing; any error of the disk.
+pub(crate) fn recover(
     disk: &mut dyn Disk,
     options: StorageOptions,
     snapshot: Option<&SnapshotMeta>,
@@ -14,7 +17,7 @@
     let Some(meta) = snapshot else {
         return check_start(log, 0);
     };
-    if follows(&log, meta) {
+    if continues(&log, meta) {
         return check_start(log, meta.index);
     }
     // A crash came between the installed snapshot and the removal of the log that it replaced.
@@ -22,9 +25,9 @@
     Ok(log)
 }
 
-/// Whether the log goes on from the snapshot: it holds the snapshot's last entry, or it begins
-/// right behind it.
-fn follows(log: &SegmentedLog, meta: &SnapshotMeta) -> bool {
+/// Whether the log continues the snapshot: it holds the snapshot's last entry, or it begins right
+/// behind it.
+fn continues(log: &SegmentedLog, meta: &SnapshotMeta) -> bool {
     if log.first_index() > meta.index {
         return true;
     }
@@ -37,9 +40,9 @@
     if log.first_index() <= snapshot_index + 1 {
         return Ok(log);
     }
-    let name = log.segments.first().map(|segment| segment.name.as_str());
+    let name = log.first_segment_name().unwrap_or("log");
     let reason = "entries are missing before this segment";
-    Err(StorageError::corrupt(name.unwrap_or("log"), 0, reason))
+    Err(StorageError::corrupt(name, 0, reason))
 }
 
 fn read_segments(
@@ -56,17 +59,19 @@
         return Ok(SegmentedLog::empty(options, 1));
     };
     let mut log = SegmentedLog::empty(options, first_index);
-    let last_position = first_indices.len() - 1;
-    for (offset, first) in first_indices.into_iter().enumerate() {
+    let last = first_indices.len() - 1;
+    for (ordinal, first) in first_indices.into_iter().enumerate() {
         let segment = Segment::new(first);
         if first != log.last_index() + 1 {
             let reason = "the segment before it does not reach up to it";
             return Err(StorageError::corrupt(&segment.name, 0, reason));
         }
-        let recovered = recover_segment(disk, segment, offset == last_position)?;
-        log.append(recovered.entries);
-        log.segments.push(recovered.segment);
+        let kind = if ordinal == last {
+            SegmentKind::Active
+        } else {
+            SegmentKind::Sealed
+        };
+        log.push_recovered(recover_segment(disk, segment, kind)?);
     }
-    log.synced_index = log.last_index();
     Ok(log)
 }
--- a/crates/storage/src/replica_storage.rs
+++ b/crates/storage/src/replica_storage.rs
@@ -8,6 +8,7 @@
 use crate::snapshot::{self, Snapshot, SnapshotMeta};
 use crate::{Disk, SegmentedLog, StorageError, StorageOptions, checked_file, log_recovery};
 
+/// File of the hard state: term, vote and identity.
 const HARD_STATE_FILE: &str = "hard-state";
 
 /// Durable state of one replica.
@@ -21,10 +22,11 @@
 }
 
 impl ReplicaStorage {
-    /// Reads what the disk holds and cuts a torn tail.
+    /// Reads what the disk holds and truncates a torn tail.
     ///
+    /// # Errors
     /// [`StorageError::Corrupt`] means that synced data is damaged or missing: the owner must not
-    /// run this identity any more. It clears the folder and starts empty under a new identity,
+    /// run this identity any more. It clears the directory and starts empty under a new identity,
     /// which joins as a learner.
     pub fn open(mut disk: Box<dyn Disk>, options: StorageOptions) -> Result<Self, StorageError> {
         let hard_state = read_hard_state(disk.as_ref())?;
@@ -60,6 +62,9 @@
     }
 
     /// Stores term and vote; durable on return.
+    ///
+    /// # Errors
+    /// Any error of the disk; all but [`StorageError::Full`] are final.
     pub fn set_hard_state(&mut self, hard_state: HardState) -> Result<(), StorageError> {
         self.check_usable()?;
         let body = hard_state.encode_to_vec();
@@ -124,6 +129,9 @@
     }
 
     /// Drops the entries from `index` on, durably.
+    ///
+    /// # Errors
+    /// Any error of the disk; all but [`StorageError::Full`] are final.
     pub fn truncate_from(&mut self, index: u64) -> Result<(), StorageError> {
         self.check_usable()?;
         let result = self.log.truncate_from(self.disk.as_mut(), index);
@@ -132,7 +140,9 @@
 
     /// Makes everything appended durable with one fsync.
     ///
-    /// On [`StorageError::Full`] the entries that are not durable are dropped.
+    /// # Errors
+    /// Any error of the disk; all but [`StorageError::Full`] are final. The entries that are not durable
+    /// are dropped.
     pub fn sync(&mut self) -> Result<(), StorageError> {
         self.check_usable()?;
         let result = self.log.sync(self.disk.as_mut());
@@ -154,6 +164,9 @@
     }
 
     /// Stores a snapshot of this replica's own state and compacts the log behind it.
+    ///
+    /// # Errors
+    /// Any error of the disk; all but [`StorageError::Full`] are final.
     pub fn save_snapshot(&mut self, meta: SnapshotMeta, data: Vec<u8>) -> Result<(), StorageError> {
         let index = meta.index;
         self.write_snapshot(meta, data)?;
@@ -161,20 +174,23 @@
         self.compact(first_retained_index)
     }
 
-    /// Stores a snapshot received from the leader. The log is kept if it holds the snapshot's last
-    /// entry, else it is dropped whole.
+    /// Stores a snapshot received from the leader. The log is retained if it holds the snapshot's last
+    /// entry, else it is dropped completely.
+    ///
+    /// # Errors
+    /// Any error of the disk; all but [`StorageError::Full`] are final.
     pub fn install_snapshot(
         &mut self,
         meta: SnapshotMeta,
         data: Vec<u8>,
     ) -> Result<(), StorageError> {
         let index = meta.index;
-        let keeps_log = self
+        let retains_log = self
             .log
             .entry(index)
             .is_some_and(|entry| entry.term == meta.term);
         self.write_snapshot(meta, data)?;
-        if keeps_log {
+        if retains_log {
             return Ok(());
         }
         let result = self.log.clear(self.disk.as_mut(), index + 1);
@@ -182,9 +198,12 @@
     }
 
     /// Removes log entries before `index`, which a snapshot must cover.
+    ///
+    /// # Errors
+    /// Any error of the disk; all but [`StorageError::Full`] are final.
     pub fn compact(&mut self, index: u64) -> Result<(), StorageError> {
         self.check_usable()?;
-        let covered = self.snapshot.as_ref().map_or(0, |kept| kept.meta.index);
+        let covered = self.snapshot.as_ref().map_or(0, |newest| newest.meta.index);
         let result = self
             .log
             .compact_before(self.disk.as_mut(), index.min(covered + 1));
@@ -210,7 +229,7 @@
         Ok(())
     }
 
-    /// After any error but a full disk, what the disk holds is unknown: nothing is tried again.
+    /// After any error but a full disk, what the disk holds is unknown: nothing is retried.
     fn record_failure(&mut self, result: Result<(), StorageError>) -> Result<(), StorageError> {
         if result.as_ref().is_err_and(|error| !error.is_full()) {
             self.failed = true;
--- a/crates/storage/src/segment_recovery.rs
+++ b/crates/storage/src/segment_recovery.rs
@@ -1,27 +1,40 @@
-//! Reading a segment after a restart: which bytes are whole records, and whether the rest is a
-//! torn tail or damage.
+//! Reading a segment after a restart: which bytes are complete records, and whether the rest is a
+//! torn write or corruption.
 
 use millford_api::replication::LogEntry;
 
-use crate::whitening::WORD_BYTES;
 use crate::record::{self, RecordAt};
 use crate::segment::Segment;
+use crate::whitening::WORD_BYTES;
 use crate::{Disk, StorageError};
 
-/// A disk writes sectors whole; a lost one reads as zeros.
+/// A disk writes each sector completely or not at all; a lost one reads as zeros.
 const SECTOR_BYTES: usize = 512;
 
+/// Whether a segment was still appended to when the process ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum SegmentKind {
+    /// A newer segment exists: this one had been synced completely before.
+    Sealed,
+    /// The last segment, which may end with a torn write.
+    Active,
+}
+
 /// A segment as it was read.
-pub struct RecoveredSegment {
-    pub segment: Segment,
-    pub entries: Vec<LogEntry>,
+pub(crate) struct RecoveredSegment {
+    pub(crate) segment: Segment,
+    pub(crate) entries: Vec<LogEntry>,
 }
 
-/// Reads a segment. Only the last one may have a torn tail, which is cut; what stays is durable.
-pub fn recover(
+/// Reads a segment. Only the active one may have a torn tail, which is truncated; what remains is
+/// durable.
+///
+/// # Errors
+/// [`StorageError::Corrupt`] when synced bytes are damaged; any error of the disk.
+pub(crate) fn recover(
     disk: &mut dyn Disk,
     mut segment: Segment,
-    is_last: bool,
+    kind: SegmentKind,
 ) -> Result<RecoveredSegment, StorageError> {
     let bytes = disk.read(&segment.name)?.unwrap_or_default();
     let mut entries = Vec::new();
@@ -36,13 +49,13 @@
         offset = end;
     }
     if offset < bytes.len() {
-        let torn = is_last && is_torn_write(&bytes, offset);
-        if !torn {
+        let is_torn = kind == SegmentKind::Active && is_torn_write(&bytes, offset);
+        if !is_torn {
             let reason = "a record is damaged";
             return Err(StorageError::corrupt(&segment.name, offset, reason));
         }
     }
-    if is_last && !bytes.is_empty() {
+    if kind == SegmentKind::Active && !bytes.is_empty() {
         make_durable(disk, &segment, &bytes[..offset])?;
     }
     Ok(RecoveredSegment { segment, entries })
@@ -56,8 +69,8 @@
         Err(error) if error.is_full() => {}
         result => return result,
     }
-    // No space for a copy: the file itself is cut and synced. The cut is durable before anything is
-    // appended, else old and new bytes could mix after a crash.
+    // No space for a copy: the file itself is truncated and synced. The truncation is durable before
+    // anything is appended, else old and new bytes could mix after a crash.
     disk.truncate(&segment.name, bytes.len() as u64)?;
     disk.sync(&segment.name)
 }
@@ -70,22 +83,22 @@
     Err(StorageError::corrupt(&segment.name, offset, reason))
 }
 
-/// Whether the bytes from `offset` on, which begin with no whole record, are an unsynced tail.
+/// Whether the bytes from `offset` on, which begin with no complete record, are an unsynced tail.
 ///
-/// A write that was cut leaves a short record or lost sectors. Any other fault, such as a flipped
-/// bit, may have hit entries that were synced and acknowledged; cutting them would lose them
-/// silently, so it is damage.
+/// A torn write leaves a truncated record or lost sectors. Any other fault, such as a flipped bit,
+/// may have hit entries that were synced and acknowledged; truncating the log there would lose them
+/// silently, so it is corruption.
 fn is_torn_write(bytes: &[u8], offset: usize) -> bool {
     if was_synced(bytes, offset) {
         return false;
     }
     match record::read(bytes, offset) {
-        RecordAt::Short => true,
+        RecordAt::Truncated => true,
         RecordAt::Entry { .. } | RecordAt::Corrupt => has_lost_sector(bytes, offset),
     }
 }
 
-/// Whether a later record tells that the bytes at `offset` had been synced before it was written.
+/// Whether a later record proves that the bytes at `offset` had been synced before it was written.
 fn was_synced(bytes: &[u8], offset: usize) -> bool {
     (offset..bytes.len())
         .step_by(WORD_BYTES)
--- a/crates/storage/src/snapshot.rs
+++ b/crates/storage/src/snapshot.rs
@@ -7,6 +7,7 @@
 
 use crate::{Disk, StorageError, checked_file};
 
+/// Beginning of a snapshot's file name; the index follows in twenty digits.
 const FILE_PREFIX: &str = "snapshot-";
 
 /// What a snapshot covers.
@@ -25,19 +26,25 @@
 pub struct Snapshot {
     /// What it covers.
     pub meta: SnapshotMeta,
-    /// The state machine's bytes, shared with transfers that are under way.
+    /// The state machine's bytes, shared with the transfers to other replicas.
     pub data: Arc<[u8]>,
 }
 
 /// Writes a snapshot, then removes the older ones. Durable on return.
-pub fn save(disk: &mut dyn Disk, snapshot: &Snapshot) -> Result<(), StorageError> {
+///
+/// # Errors
+/// Any error of the disk.
+pub(crate) fn save(disk: &mut dyn Disk, snapshot: &Snapshot) -> Result<(), StorageError> {
     let name = file_name(snapshot.meta.index);
     checked_file::replace(disk, &name, &encode(snapshot))?;
     remove_before(disk, snapshot.meta.index)
 }
 
 /// The newest snapshot. Older ones, left by a crash between save and removal, are removed.
-pub fn recover(disk: &mut dyn Disk) -> Result<Option<Snapshot>, StorageError> {
+///
+/// # Errors
+/// [`StorageError::Corrupt`] when the newest snapshot is damaged; any error of the disk.
+pub(crate) fn recover(disk: &mut dyn Disk) -> Result<Option<Snapshot>, StorageError> {
     let names = disk.list()?;
     let newest = names.iter().filter_map(|name| index_of(name)).max();
     let Some(index) = newest else {
@@ -67,7 +74,7 @@
     name.strip_prefix(FILE_PREFIX)?.parse().ok()
 }
 
-/// A snapshot file holds one chunk message that is the whole snapshot.
+/// A snapshot file holds one chunk message with the complete snapshot.
 fn encode(snapshot: &Snapshot) -> Vec<u8> {
     let chunk = SnapshotChunk {
         last_index: snapshot.meta.index,
--- a/crates/storage/src/whitening.rs
+++ b/crates/storage/src/whitening.rs
@@ -6,14 +6,15 @@
 //! that are written as zeros occur by chance only, once in 2^64.
 
 /// Bytes per word of the stream; records are aligned to it.
-pub const WORD_BYTES: usize = 8;
+pub(crate) const WORD_BYTES: usize = 8;
 
-/// Constant of the splitmix64 generator.
+/// Increment of the splitmix64 generator (Steele, Lea and Flood, 2014).
 const SPLITMIX64_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Whitens or restores `bytes`, which stand at `offset` of their segment.
+/// Whitens or restores `bytes`, which are stored at `offset` of their segment.
+///
 /// `offset` must be a multiple of [`WORD_BYTES`].
-pub fn apply(offset: usize, bytes: &mut [u8]) {
+pub(crate) fn apply(offset: usize, bytes: &mut [u8]) {
     debug_assert!(offset.is_multiple_of(WORD_BYTES));
     let first_word = (offset / WORD_BYTES) as u64;
     for (word, chunk) in (first_word..).zip(bytes.chunks_mut(WORD_BYTES)) {
