--- a/crates/replication/tests/disks.rs
+++ b/crates/replication/tests/disks.rs
@@ -2,22 +2,13 @@
 
 mod group;
 
-use group::network::NetworkConditions;
-use group::simulation::{Defect, Simulation};
+use group::fixture::{SECOND, group_with_leader};
+use group::simulation::Simulation;
 use group::support::crash_disk::{CrashDisk, Faults};
-use millford_core::{Duration, MonotonicTime, NodeId, ShardId};
+use millford_core::{MonotonicTime, NodeId, ShardId};
 use millford_replication::{OpenError, Replica, ReplicaOptions, SnapshotError};
 use millford_storage::{ReplicaStorage, StorageError, StorageOptions};
 
-const SECOND: Duration = Duration::from_secs(1);
-
-fn started(seed: u64) -> (Simulation, NodeId) {
-    let mut simulation = Simulation::new(seed, 3, NetworkConditions::CALM, Defect::None);
-    simulation.run_for(SECOND * 3);
-    let leader = simulation.leaders()[0];
-    (simulation, leader)
-}
-
 fn set_space(simulation: &Simulation, node: NodeId, space_left: Option<u64>) {
     simulation.machines[&node].disk.set_faults(Faults {
         space_left,
@@ -26,13 +17,13 @@
 }
 
 fn propose(simulation: &mut Simulation, node: NodeId) {
-    let replica = simulation.replica(node).expect("runs");
+    let replica = simulation.running_replica(node);
     replica.propose(b"command".to_vec()).expect("leads");
 }
 
 #[test]
 fn a_leader_whose_disk_is_full_steps_down_and_returns_as_follower() {
-    let (mut simulation, leader) = started(1);
+    let (mut simulation, leader) = group_with_leader(1, 3);
     set_space(&simulation, leader, Some(10));
     propose(&mut simulation, leader);
     simulation.step();
@@ -54,10 +45,10 @@
 
 #[test]
 fn a_snapshot_that_finds_no_space_does_not_stop_the_replica() {
-    let (mut simulation, leader) = started(2);
+    let (mut simulation, leader) = group_with_leader(2, 3);
     set_space(&simulation, leader, Some(0));
     let applied = simulation.machines[&leader].applied_index;
-    let replica = simulation.replica(leader).expect("runs");
+    let replica = simulation.running_replica(leader);
     let refused = replica.save_snapshot(applied, vec![1; 100]);
     assert!(matches!(
         refused,
@@ -66,7 +57,7 @@
     let ahead = replica.save_snapshot(applied + 1, Vec::new());
     assert_eq!(ahead, Err(SnapshotError::NotDelivered));
     set_space(&simulation, leader, None);
-    let replica = simulation.replica(leader).expect("runs");
+    let replica = simulation.running_replica(leader);
     replica
         .save_snapshot(applied, vec![1; 100])
         .expect("space again");
@@ -76,7 +67,7 @@
 
 #[test]
 fn a_replica_whose_sync_failed_is_dead_and_sends_nothing_more() {
-    let (mut simulation, leader) = started(3);
+    let (mut simulation, leader) = group_with_leader(3, 3);
     let disk = simulation.machines[&leader].disk.clone();
     disk.set_faults(Faults {
         fail_sync: true,
@@ -84,7 +75,7 @@
     });
     propose(&mut simulation, leader);
     let now = simulation.now;
-    let replica = simulation.replica(leader).expect("runs");
+    let replica = simulation.running_replica(leader);
     assert!(matches!(replica.flush(now), Err(StorageError::Io { .. })));
     let syncs = disk.syncs();
     replica.tick(now + SECOND);
--- a/crates/replication/tests/earlier_terms.rs
+++ b/crates/replication/tests/earlier_terms.rs
@@ -55,9 +55,9 @@
 /// Delivers one message between two replicas.
 fn deliver_between(world: &mut World, left: usize, right: usize) {
     let pair = [group::world::NODES[left], group::world::NODES[right]];
-    let place = world
+    let index = world
         .in_transit
         .iter()
         .position(|message| pair.contains(&message.from) && pair.contains(&message.to));
-    world.act(Action::Deliver(place.expect("a message is under way")));
+    world.act(Action::Deliver(index.expect("a message is in transit")));
 }
--- a/crates/replication/tests/first_elections.rs
+++ b/crates/replication/tests/first_elections.rs
@@ -1,36 +1,33 @@
-//! After a loss of power a group leads again soon; a replica that comes back alone disturbs nobody.
+//! After a loss of power a group elects a leader quickly; a replica that restarts alone disrupts nobody.
 
 mod group;
 
-use group::network::NetworkConditions;
-use group::simulation::{Defect, Simulation};
+use group::fixture::{SECOND, group_with_leader, new_group};
+use group::simulation::Simulation;
 use millford_core::{Duration, NodeId};
 
-/// Longest time from the start of all replicas to a leader. The usual time-outs alone begin at 500 ms.
-const SOON: Duration = Duration::from_millis(450);
+/// Longest time from the start of all replicas to a leader. The default timeouts alone begin at 500 ms.
+const QUICKLY: Duration = Duration::from_millis(450);
 
-const SECOND: Duration = Duration::from_secs(1);
-
-fn time_to_lead(simulation: &mut Simulation) -> Duration {
-    let begun = simulation.now;
+fn time_to_leader(simulation: &mut Simulation) -> Duration {
+    let start = simulation.now;
     simulation.run_until(|simulation| !simulation.leaders().is_empty());
-    simulation.now.since(begun)
+    simulation.now.since(start)
 }
 
 #[test]
 fn a_group_that_starts_together_elects_a_leader_quickly() {
     for seed in 0..50 {
-        let mut simulation = Simulation::new(seed, 3, NetworkConditions::CALM, Defect::None);
-        let waited = time_to_lead(&mut simulation);
-        assert!(waited <= SOON, "seed {seed}: {waited:?}");
+        let mut simulation = new_group(seed, 3);
+        let taken = time_to_leader(&mut simulation);
+        assert!(taken <= QUICKLY, "seed {seed}: {taken:?}");
     }
 }
 
 #[test]
 fn a_group_that_lost_power_elects_a_leader_quickly_after_restart() {
     for seed in 0..50 {
-        let mut simulation = Simulation::new(seed, 3, NetworkConditions::CALM, Defect::None);
-        simulation.run_for(SECOND * 3);
+        let (mut simulation, _) = group_with_leader(seed, 3);
         let nodes: Vec<NodeId> = simulation.machines.keys().copied().collect();
         for node in &nodes {
             simulation.lose_power(*node);
@@ -39,8 +36,8 @@
         for node in &nodes {
             simulation.start(*node);
         }
-        let waited = time_to_lead(&mut simulation);
-        assert!(waited <= SOON, "seed {seed}: {waited:?}");
+        let taken = time_to_leader(&mut simulation);
+        assert!(taken <= QUICKLY, "seed {seed}: {taken:?}");
         simulation.check_logs();
     }
 }
@@ -48,23 +45,14 @@
 #[test]
 fn a_single_restarted_replica_does_not_depose_the_leader() {
     for seed in 0..50 {
-        let mut simulation = Simulation::new(seed, 3, NetworkConditions::CALM, Defect::None);
-        simulation.run_for(SECOND * 3);
-        let leader = simulation.leaders()[0];
-        let term = simulation.replica(leader).expect("runs").status().term;
-        let nodes: Vec<NodeId> = simulation.machines.keys().copied().collect();
-        let follower = nodes
-            .into_iter()
-            .find(|node| *node != leader)
-            .expect("three");
+        let (mut simulation, leader) = group_with_leader(seed, 3);
+        let term = simulation.status(leader).term;
+        let follower = simulation.others(leader)[0];
         simulation.lose_power(follower);
         simulation.run_for(SECOND);
         simulation.start(follower);
         simulation.run_for(SECOND * 2);
         assert_eq!(simulation.leaders(), [leader], "seed {seed}");
-        assert_eq!(
-            simulation.replica(leader).expect("runs").status().term,
-            term
-        );
+        assert_eq!(simulation.status(leader).term, term);
     }
 }
--- a/crates/replication/tests/group/chaos.rs
+++ b/crates/replication/tests/group/chaos.rs
@@ -12,23 +12,23 @@
 use super::simulation::{Defect, Simulation};
 use super::support::crash_disk::Faults;
 
-/// Longest time to be whole again after all faults have ended.
+/// Longest time until the group is complete again after all faults have ended.
 const RECOVERY_DEADLINE: Duration = Duration::from_secs(12);
-/// Longest time that a lost machine's messages are under way.
+/// Longest time that a lost machine's messages are in transit.
 const IN_TRANSIT: Duration = Duration::from_millis(500);
 /// Time between two proposals while the group recovers.
 const GOAL_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between two steps of repair.
+/// Steps of the simulation between two steps of repair.
 const REPAIR_INTERVAL_STEPS: u32 = 40;
 
 impl Simulation {
-    /// Random work and faults for a number of rounds, checks throughout. `fault_rate` is the
-    /// probability of a fault in a round.
-    pub fn run_chaos(&mut self, rounds: u32, desired_voters: usize, fault_rate: f64) {
-        for round in 0..rounds {
+    /// Random work and faults for a number of steps, checks throughout. `fault_rate` is the
+    /// probability of a fault in a step.
+    pub fn run_chaos(&mut self, steps: u32, desired_voters: usize, fault_rate: f64) {
+        for step in 0..steps {
             self.step();
             self.work();
-            if round % REPAIR_INTERVAL_STEPS == 0 {
+            if step % REPAIR_INTERVAL_STEPS == 0 {
                 self.check_logs();
                 self.repair(desired_voters);
             }
@@ -67,7 +67,7 @@
         let target = self.any_node();
         for leader in self.leaders() {
             if let Some(replica) = self.replica(leader) {
-                // Refused unless the target is another voter in touch.
+                // Refused unless the target is another voter that is reachable.
                 let _ = replica.transfer_leadership(target);
             }
         }
@@ -78,14 +78,14 @@
         let target = self.any_node();
         for leader in self.leaders() {
             let voters = self.machines[&leader].flushed_voters.clone();
-            let is_whole = !self.has_recent_loss()
+            let is_complete = !self.has_recent_loss()
                 && voters.iter().all(|voter| self.machines.contains_key(voter));
             let Some(replica) = self.replica(leader) else {
                 continue;
             };
             // Not while a disk is lost: two of three would be left, one of them lost for good.
-            if is_whole && voters.len() > 2 {
-                // Refused when another change is under way.
+            if is_complete && voters.len() > 2 {
+                // Refused when another change is in progress.
                 let _ = replica.change_voters(VoterChange::Remove(target));
             }
         }
@@ -104,7 +104,7 @@
             2 | 3 | 11 | 12 => self.start(node),
             4 => self.inject_disk_failure(node),
             5 => self.partition(node),
-            6 | 13 => self.network.cut.clear(),
+            6 | 13 => self.network.heal(),
             7 => self.freeze(node),
             8 => self.inject_full_disk(node),
             9 => self.free_disks(),
@@ -162,21 +162,16 @@
         }
     }
 
-    /// Cuts a node off, both ways or one way.
+    /// Partitions a node from all others, in both directions or in one.
     fn partition(&mut self, node: NodeId) {
-        let others: Vec<NodeId> = self
-            .machines
-            .keys()
-            .copied()
-            .filter(|other| *other != node)
-            .collect();
+        let others = self.others(node);
         let direction = self.random.random_range(0..3);
         for other in others {
             if direction != 0 {
-                self.network.cut.insert((node, other));
+                self.network.block(node, other);
             }
             if direction != 1 {
-                self.network.cut.insert((other, node));
+                self.network.block(other, node);
             }
         }
     }
@@ -188,7 +183,7 @@
         }
     }
 
-    /// Wipes a machine for good and adds an empty one, if the group can bear the loss.
+    /// Loses a machine for good and adds an empty one, if the group tolerates the loss.
     fn replace(&mut self, node: NodeId) {
         if !self.can_lose(node) {
             return;
@@ -218,7 +213,7 @@
     /// Whether every configuration that some machine holds keeps a quorum of disks without `node`.
     ///
     /// Those of machines that were lost just now count as well: the last messages of a leader may
-    /// still be under way and bring its configuration to others.
+    /// still be in transit and bring its configuration to others.
     fn can_lose(&self, node: NodeId) -> bool {
         let is_recent = |at: MonotonicTime| self.now.since(at) < IN_TRANSIT;
         let lost = self.lost_voter_sets.iter().filter(|(at, _)| is_recent(*at));
@@ -236,9 +231,9 @@
     }
 
     /// Ends all faults; then the group must take a proposal and bring it to every voter. The times
-    /// are noted.
+    /// are recorded.
     pub fn recover(&mut self, desired_voters: usize) {
-        self.network.cut.clear();
+        self.network.heal();
         self.network.conditions = NetworkConditions::CALM;
         self.free_disks();
         let now = self.now;
@@ -270,7 +265,7 @@
         let goal = goal.unwrap_or(0);
         let states = self.describe();
         let text =
-            format!("not whole {RECOVERY_DEADLINE:?} after the faults, goal {goal}:{states}");
+            format!("not complete {RECOVERY_DEADLINE:?} after the faults, goal {goal}:{states}");
         self.history.violations.push(text);
     }
 
--- a/crates/replication/tests/group/history.rs
+++ b/crates/replication/tests/group/history.rs
@@ -38,7 +38,7 @@
     pub snapshots_received: u64,
     /// After all faults: time until a leader had committed an entry of its own term.
     pub time_to_leader: Option<Duration>,
-    /// After all faults: time until the group was whole and all voters had applied a new entry.
+    /// After all faults: time until the group was complete and all voters had applied a new entry.
     pub time_to_recovery: Option<Duration>,
     pub violations: Vec<String>,
 }
@@ -99,7 +99,7 @@
         }
     }
 
-    /// A read must see everything that was committed when it was asked for.
+    /// A read must see everything that was committed when it was requested.
     pub fn record_read_requested(&mut self, request: u64) {
         self.reads.insert(request, self.committed_index());
     }
@@ -115,7 +115,7 @@
         }
     }
 
-    /// One vote per identity and term: told by what leaves a machine.
+    /// One vote per identity and term, judged by what leaves a machine.
     pub fn record_sent(&mut self, message: &ReplicationMessage) {
         let node = NodeId(message.from);
         let candidate = match &message.body {
--- a/crates/replication/tests/group/machine.rs
+++ b/crates/replication/tests/group/machine.rs
@@ -24,7 +24,7 @@
     promotion_lag: 2,
 };
 
-/// An answer to a leader, as one may wait while its process is stopped.
+/// A reply to a leader, as one may be queued while its process is stopped.
 pub fn queued_reply(from: NodeId, to: NodeId, term: u64) -> ReplicationMessage {
     ReplicationMessage {
         shard: SHARD.0,
@@ -49,7 +49,7 @@
     pub frozen_until: MonotonicTime,
     /// Voters as of the last flush.
     pub flushed_voters: Vec<NodeId>,
-    /// Voters of the last flush that was tried: a failed one may have written them.
+    /// Voters of the last attempted flush: a failed one may have written them.
     pub attempted_voters: Vec<NodeId>,
 }
 
@@ -162,7 +162,7 @@
         }
     }
 
-    /// The power fails: the process is gone, and so is what was not synced.
+    /// The power fails: the process ends, and what was not synced is lost.
     pub fn lose_power(&mut self, seed: u64) {
         self.replica = None;
         self.disk.crash(seed);
--- a/crates/replication/tests/group/network.rs
+++ b/crates/replication/tests/group/network.rs
@@ -1,4 +1,4 @@
-//! A network that loses, delays, reorders and repeats messages.
+//! A network that loses, delays, reorders and duplicates messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,7 +7,7 @@
 use rand::Rng;
 use rand::rngs::StdRng;
 
-/// Probabilities and delays.
+/// Probabilities of faults, and the longest delay.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkConditions {
     pub loss: f64,
@@ -16,6 +16,7 @@
 }
 
 impl NetworkConditions {
+    /// A network without faults and with short delays.
     pub const CALM: NetworkConditions = NetworkConditions {
         loss: 0.0,
         duplication: 0.0,
@@ -23,26 +24,38 @@
     };
 }
 
-/// Messages under way.
+/// Messages in transit.
 #[derive(Debug)]
 pub struct Network {
     pub conditions: NetworkConditions,
     /// Directed links that deliver nothing.
-    pub cut: BTreeSet<(NodeId, NodeId)>,
-    due: BTreeMap<(MonotonicTime, u64), ReplicationMessage>,
-    next_number: u64,
+    blocked_links: BTreeSet<(NodeId, NodeId)>,
+    /// By the time when they are due; the sequence keeps the order of messages that are due together.
+    in_transit: BTreeMap<(MonotonicTime, u64), ReplicationMessage>,
+    next_sequence: u64,
 }
 
 impl Network {
     pub fn new(conditions: NetworkConditions) -> Self {
         Self {
             conditions,
-            cut: BTreeSet::new(),
-            due: BTreeMap::new(),
-            next_number: 0,
+            blocked_links: BTreeSet::new(),
+            in_transit: BTreeMap::new(),
+            next_sequence: 0,
         }
     }
 
+    /// Blocks one direction of a link.
+    pub fn block(&mut self, from: NodeId, to: NodeId) {
+        self.blocked_links.insert((from, to));
+    }
+
+    /// Ends all partitions.
+    pub fn heal(&mut self) {
+        self.blocked_links.clear();
+    }
+
+    /// Takes a message; the network may lose, duplicate or delay it.
     pub fn send(&mut self, now: MonotonicTime, message: ReplicationMessage, random: &mut StdRng) {
         if self.conditions.loss > 0.0 && random.random_bool(self.conditions.loss) {
             return;
@@ -54,22 +67,23 @@
     }
 
     fn enqueue(&mut self, now: MonotonicTime, message: ReplicationMessage, random: &mut StdRng) {
-        let longest = self.conditions.max_delay;
-        let delay = random.random_range(Duration::from_micros(100)..=longest);
-        self.due.insert((now + delay, self.next_number), message);
-        self.next_number += 1;
+        let max_delay = self.conditions.max_delay;
+        let delay = random.random_range(Duration::from_micros(100)..=max_delay);
+        self.in_transit
+            .insert((now + delay, self.next_sequence), message);
+        self.next_sequence += 1;
     }
 
-    /// The next message that is due, unless its link is cut.
+    /// The next message that is due, unless its link is blocked.
     pub fn receive(&mut self, now: MonotonicTime) -> Option<ReplicationMessage> {
         loop {
-            let first = self.due.first_entry()?;
+            let first = self.in_transit.first_entry()?;
             if first.key().0 > now {
                 return None;
             }
             let message = first.remove();
             let link = (NodeId(message.from), NodeId(message.to));
-            if !self.cut.contains(&link) {
+            if !self.blocked_links.contains(&link) {
                 return Some(message);
             }
         }
--- a/crates/replication/tests/group/repair.rs
+++ b/crates/replication/tests/group/repair.rs
@@ -1,4 +1,4 @@
-//! The owner's part of repair, as the control node does it: spares become learners, lost voters
+//! The owner's part of repair, as the control node does it: standby machines become learners, lost voters
 //! are removed, learners are promoted.
 
 use millford_core::{Duration, NodeId};
@@ -6,10 +6,10 @@
 
 use super::simulation::Simulation;
 
-/// A voter that was silent for this long counts as lost when a spare is ready.
+/// A voter that was unresponsive for this long counts as lost when a standby is ready.
 const REPLACE_AFTER: Duration = Duration::from_millis(1500);
-/// Longest time that the leader may still count on a disk that is lost: the age of an answer that a
-/// change accepts, and an answer on its way.
+/// Longest time that the leader may still count on a disk that is lost: the age of a contact that a
+/// change accepts, and a reply in transit.
 const RECENT_LOSS: Duration = Duration::from_millis(500);
 
 impl Simulation {
@@ -34,12 +34,12 @@
     }
 
     fn desired_change(&self, status: &ReplicaStatus, desired: usize) -> Option<VoterChange> {
-        let silent = status
+        let unresponsive = status
             .peers
             .iter()
             .filter(|peer| self.now.since(peer.last_contact) >= REPLACE_AFTER);
-        // Learners first: one that never catches up must not stand in a spare's way.
-        let lost = silent.min_by_key(|peer| peer.is_voter);
+        // Learners first: one that never catches up must not block a standby.
+        let lost = unresponsive.min_by_key(|peer| peer.is_voter);
         if let Some(learner) = lost.filter(|peer| !peer.is_voter) {
             return Some(VoterChange::Remove(learner.node));
         }
@@ -65,7 +65,7 @@
     }
 
     /// Whether a disk was lost so lately that the leader may still count on it. A change that is
-    /// made then, when the group is at the limit of what it bears, can end it: this is the limit
+    /// made then, when the group is at the limit of what it tolerates, can end it: this is the limit
     /// of changes by one voter, and the runs stay within it.
     pub fn has_recent_loss(&self) -> bool {
         let latest = self.lost_voter_sets.last().map(|(at, _)| *at);
--- a/crates/replication/tests/group/simulation.rs
+++ b/crates/replication/tests/group/simulation.rs
@@ -2,18 +2,21 @@
 
 use std::collections::BTreeMap;
 
-use millford_api::replication::VoterSet;
+use millford_api::replication::{
+    ReplicationMessage, VoterSet, log_entry::Payload, replication_message::Body,
+};
 use millford_core::{Duration, MonotonicTime, NodeId};
-use millford_replication::{OpenError, Replica, Role, TICK};
-use millford_storage::StorageError;
+use millford_replication::{ConfirmedRead, OpenError, Replica, Role, TICK};
+use millford_storage::{ReplicaStorage, StorageError, StorageOptions};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
 use super::history::History;
 use super::machine::Machine;
 use super::network::{Network, NetworkConditions};
+use super::support::crash_disk::Faults;
 
-/// Time between two rounds of the loop.
+/// Simulated time of one step.
 const STEP: Duration = Duration::from_millis(5);
 
 /// Longest simulated time that a test waits for something.
@@ -32,9 +35,9 @@
     ForgottenVotes,
     /// A wiped disk comes back under its old identity.
     ReusedIdentity,
-    /// Reads are answered without asking the others.
+    /// Reads are answered without a quorum's confirmation.
     UnconfirmedReads,
-    /// Commands change on the way.
+    /// Commands change in transit.
     AlteredCommands,
 }
 
@@ -46,7 +49,7 @@
     pub network: Network,
     pub history: History,
     pub defect: Defect,
-    /// Whether repair removes a lost voter before it promotes the spare, or after.
+    /// Whether repair removes a lost voter before it promotes the standby, or after.
     pub removes_before_promotion: bool,
     pub next_node: u64,
     pub next_request: u64,
@@ -92,8 +95,9 @@
         node
     }
 
-    pub fn planted_faults(&self) -> super::support::crash_disk::Faults {
-        super::support::crash_disk::Faults {
+    /// Disk faults that last: those of the planted defect.
+    pub fn planted_faults(&self) -> Faults {
+        Faults {
             lie_about_sync: self.defect == Defect::LyingSyncs,
             lie_about_replace: self.defect == Defect::LyingReplaces,
             ..Default::default()
@@ -140,12 +144,12 @@
     pub fn run_until(&mut self, holds: impl Fn(&Simulation) -> bool) {
         let end = self.now + MAX_WAIT;
         while !holds(self) {
-            assert!(self.now < end, "it never came about");
+            assert!(self.now < end, "the condition never held");
             self.step();
         }
     }
 
-    /// One round: deliveries and ticks, each followed by a flush or not, then the rest flushed.
+    /// One step: deliveries and ticks, each followed by a flush or not, then the rest flushed.
     pub fn step(&mut self) {
         self.now = self.now + STEP;
         while let Some(message) = self.network.receive(self.now) {
@@ -161,7 +165,7 @@
         }
     }
 
-    fn deliver(&mut self, message: millford_api::replication::ReplicationMessage) {
+    fn deliver(&mut self, message: ReplicationMessage) {
         let node = NodeId(message.to);
         let now = self.now;
         let machine = self.machines.get_mut(&node);
@@ -227,18 +231,18 @@
         machine.replica.as_mut()
     }
 
-    /// Asks a replica for a confirmed read.
+    /// Requests a confirmed read.
     pub fn read(&mut self, node: NodeId) {
         let request = self.next_request;
         self.next_request += 1;
-        let skips_round = self.defect == Defect::UnconfirmedReads;
+        let skips_quorum = self.defect == Defect::UnconfirmedReads;
         let Some(replica) = self.replica(node) else {
             return;
         };
-        if skips_round && replica.status().role == Role::Leader {
+        if skips_quorum && replica.status().role == Role::Leader {
             let index = replica.status().commit_index;
             self.history.record_read_requested(request);
-            let read = millford_replication::ConfirmedRead { request, index };
+            let read = ConfirmedRead { request, index };
             self.history.record_read_confirmed(node, &read, index);
             return;
         }
@@ -263,9 +267,9 @@
 
 /// The planted defect: a restarted replica does not know whom it voted for.
 pub fn forget_vote(machine: &Machine) {
-    let options = millford_storage::StorageOptions::default();
+    let options = StorageOptions::default();
     let disk = Box::new(machine.disk.clone());
-    let Ok(mut storage) = millford_storage::ReplicaStorage::open(disk, options) else {
+    let Ok(mut storage) = ReplicaStorage::open(disk, options) else {
         return;
     };
     if let Some(mut state) = storage.hard_state() {
@@ -274,8 +278,7 @@
     }
 }
 
-fn alter(message: &mut millford_api::replication::ReplicationMessage) {
-    use millford_api::replication::{log_entry::Payload, replication_message::Body};
+fn alter(message: &mut ReplicationMessage) {
     let Some(Body::AppendRequest(request)) = &mut message.body else {
         return;
     };
--- a/crates/replication/tests/group/world.rs
+++ b/crates/replication/tests/group/world.rs
@@ -14,7 +14,7 @@
 
 /// The replicas.
 pub const NODES: [u64; 3] = [1, 2, 3];
-/// Longer than any election timeout, and longer than a quorum may be silent.
+/// Longer than any election timeout, and longer than a quorum may be unresponsive.
 const TIMEOUT: Duration = Duration::from_secs(4);
 
 /// More actions than an election takes, a refused first one included.
@@ -26,10 +26,10 @@
     Timeout(usize),
     Crash(usize),
     Propose(usize),
-    /// Delivers a message, by its place among those under way.
+    /// Delivers a message, by its position among those in transit.
     Deliver(usize),
-    /// Delivers a message and keeps it under way.
-    Repeat(usize),
+    /// Delivers a message and keeps it in transit.
+    Duplicate(usize),
 }
 
 /// The group.
@@ -66,7 +66,7 @@
         let machine = &mut self.machines[position];
         machine
             .start(self.clocks[position], NODES[position])
-            .expect("the disk is whole");
+            .expect("the disk is intact");
     }
 
     pub fn run(path: &[Action], forgets_votes: bool) -> Self {
@@ -82,11 +82,11 @@
             Action::Timeout(position) => self.time_out(position),
             Action::Crash(position) => self.crash(position),
             Action::Propose(position) => self.propose(position),
-            Action::Deliver(place) => {
-                let message = self.in_transit.remove(place);
+            Action::Deliver(index) => {
+                let message = self.in_transit.remove(index);
                 self.deliver(message);
             }
-            Action::Repeat(place) => self.deliver(self.in_transit[place].clone()),
+            Action::Duplicate(index) => self.deliver(self.in_transit[index].clone()),
         }
         self.check_logs();
     }
@@ -131,7 +131,7 @@
         let now = self.clocks[position];
         let ready = self.machines[position].flush(now, &mut self.history);
         self.in_transit
-            .extend(ready.expect("the disk is whole").messages);
+            .extend(ready.expect("the disk is intact").messages);
     }
 
     fn check_logs(&mut self) {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// A number that is the same for the same situation.
+    /// A digest that is the same for the same situation.
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for machine in &self.machines {
@@ -161,21 +161,21 @@
         replica.is_some_and(|replica| replica.role() == Role::Leader)
     }
 
-    /// Delivers what is under way between two replicas, until nothing is; the rest stays.
+    /// Delivers what is in transit between two replicas, until nothing is; the rest stays.
     pub fn exchange(&mut self, left: usize, right: usize) {
         let pair = [NODES[left], NODES[right]];
         let is_between = |message: &ReplicationMessage| {
             pair.contains(&message.from) && pair.contains(&message.to)
         };
-        while let Some(place) = self.in_transit.iter().position(is_between) {
-            self.act(Action::Deliver(place));
+        while let Some(index) = self.in_transit.iter().position(is_between) {
+            self.act(Action::Deliver(index));
         }
     }
 
-    /// Loses what is under way, then times a replica out, with one other in reach, until it leads.
+    /// Loses what is in transit, then times a replica out, with one other in reach, until it leads.
     pub fn elect(&mut self, candidate: usize, voter: usize) {
         self.in_transit.clear();
-        // The voter has not heard of its leader for as long either.
+        // The voter has had no contact with its leader for as long either.
         self.clocks[voter] = self.clocks[voter] + TIMEOUT;
         let pair = [NODES[candidate], NODES[voter]];
         self.act(Action::Timeout(candidate));
@@ -183,11 +183,11 @@
             if self.leads(candidate) {
                 return;
             }
-            let place = self
+            let index = self
                 .in_transit
                 .iter()
                 .position(|message| pair.contains(&message.from) && pair.contains(&message.to));
-            self.act(place.map_or(Action::Timeout(candidate), Action::Deliver));
+            self.act(index.map_or(Action::Timeout(candidate), Action::Deliver));
         }
         panic!("replica {candidate} is not elected");
     }
--- a/crates/replication/tests/implausible_messages.rs
+++ b/crates/replication/tests/implausible_messages.rs
@@ -2,8 +2,7 @@
 
 mod group;
 
-use group::network::NetworkConditions;
-use group::simulation::{Defect, Simulation};
+use group::fixture::new_group;
 use millford_api::replication::{
     AppendReply, AppendRequest, LogEntry, ReplicationMessage, SnapshotChunk, SnapshotReply,
     TimeoutNow, VoteReply, VoteRequest, VoterSet, log_entry::Payload, replication_message::Body,
@@ -98,10 +97,10 @@
 
 quickcheck! {
     fn no_message_makes_a_replica_panic(messages: Vec<AnyMessage>) -> bool {
-        let mut simulation = Simulation::new(1, 3, NetworkConditions::CALM, Defect::None);
+        let mut simulation = new_group(1, 3);
         simulation.run_for(Duration::from_secs(2));
         let now = simulation.now;
-        let replica = simulation.replica(NodeId(1)).expect("runs");
+        let replica = simulation.running_replica(NodeId(1));
         for AnyMessage(message) in messages {
             replica.step(now, message);
             replica.flush(now).expect("the disk works");
@@ -117,10 +116,10 @@
 
 #[test]
 fn messages_that_no_correct_replica_sends_are_ignored() {
-    let mut simulation = Simulation::new(1, 3, NetworkConditions::CALM, Defect::None);
+    let mut simulation = new_group(1, 3);
     simulation.run_for(Duration::from_secs(2));
     let now = simulation.now;
-    let replica = simulation.replica(NodeId(1)).expect("runs");
+    let replica = simulation.running_replica(NodeId(1));
     let before = format!("{replica:?}");
     let term = replica.status().term + 1;
     let last = replica.status().last_index;
--- a/crates/replication/tests/membership.rs
+++ b/crates/replication/tests/membership.rs
@@ -2,16 +2,17 @@
 
 mod group;
 
-use group::network::NetworkConditions;
-use group::simulation::{Defect, Simulation};
+use group::fixture::{SECOND, group_with_leader, new_group};
+use group::simulation::Simulation;
 use millford_core::{Duration, NodeId};
-use millford_replication::{ReplicaStatus, Role, VoterChange, VoterChangeError};
+use millford_replication::{Role, VoterChange, VoterChangeError};
 
-const SECOND: Duration = Duration::from_secs(1);
+/// Seed of every group here.
+const SEED: u64 = 5;
 
+/// A group and its only leader.
 fn started(size: u64) -> (Simulation, NodeId) {
-    let mut simulation = Simulation::new(5, size, NetworkConditions::CALM, Defect::None);
-    simulation.run_for(SECOND * 3);
+    let (simulation, _) = group_with_leader(SEED, size);
     let leader = only_leader(&simulation);
     (simulation, leader)
 }
@@ -27,17 +28,13 @@
     leader: NodeId,
     change: VoterChange,
 ) -> Result<u64, VoterChangeError> {
-    let replica = simulation.replica(leader).expect("runs");
+    let replica = simulation.running_replica(leader);
     replica.change_voters(change)
 }
 
-fn status(simulation: &mut Simulation, node: NodeId) -> ReplicaStatus {
-    simulation.replica(node).expect("runs").status()
-}
-
 fn propose(simulation: &mut Simulation, leader: NodeId, count: u64) {
     for number in 0..count {
-        let replica = simulation.replica(leader).expect("runs");
+        let replica = simulation.running_replica(leader);
         replica
             .propose(number.to_le_bytes().to_vec())
             .expect("leads");
@@ -55,16 +52,12 @@
         .get_mut(&leader)
         .expect("machine")
         .save_snapshot();
-    let lost = *simulation
-        .machines
-        .keys()
-        .find(|node| **node != leader)
-        .expect("other");
+    let lost = simulation.others(leader)[0];
     simulation.machines.remove(&lost);
     let standby = simulation.add_machine(None);
     change(&mut simulation, leader, VoterChange::AddLearner(standby)).expect("added");
     simulation.run_for(SECOND);
-    assert_eq!(status(&mut simulation, standby).role, Role::Learner);
+    assert_eq!(simulation.status(standby).role, Role::Learner);
     change(&mut simulation, leader, VoterChange::Promote(standby)).expect("promoted");
     simulation.run_for(SECOND);
     change(&mut simulation, leader, VoterChange::Remove(lost)).expect("removed");
@@ -74,14 +67,14 @@
     simulation.run_for(SECOND * 4);
     let next = only_leader(&simulation);
     propose(&mut simulation, next, 5);
-    assert!(status(&mut simulation, next).commit_index > 60);
+    assert!(simulation.status(next).commit_index > 60);
     assert_eq!(simulation.history.snapshots_received, 1);
     assert_eq!(simulation.history.violations, Vec::<String>::new());
 }
 
 #[test]
 fn one_change_at_a_time_and_none_before_an_entry_of_the_own_term_is_committed() {
-    let mut simulation = Simulation::new(5, 3, NetworkConditions::CALM, Defect::None);
+    let mut simulation = new_group(SEED, 3);
     let standby = simulation.add_machine(None);
     simulation.run_until(|simulation| !simulation.leaders().is_empty());
     let leader = only_leader(&simulation);
@@ -105,7 +98,7 @@
     simulation.run_for(SECOND);
     change(&mut simulation, leader, promote).expect("caught up");
     simulation.run_for(SECOND);
-    assert_eq!(status(&mut simulation, leader).voters.len(), 4);
+    assert_eq!(simulation.status(leader).voters.len(), 4);
 }
 
 #[test]
@@ -126,12 +119,8 @@
 #[test]
 fn a_change_that_would_leave_no_reachable_quorum_is_rejected() {
     let (mut simulation, leader) = started(3);
-    let mut others = simulation
-        .machines
-        .keys()
-        .copied()
-        .filter(|node| *node != leader);
-    let (lost, healthy) = (others.next().expect("other"), others.next().expect("other"));
+    let others = simulation.others(leader);
+    let (lost, healthy) = (others[0], others[1]);
     simulation.lose_power(lost);
     simulation.run_for(SECOND);
     let remove = VoterChange::Remove(healthy);
@@ -139,7 +128,8 @@
         change(&mut simulation, leader, remove),
         Err(VoterChangeError::NoQuorum)
     );
-    change(&mut simulation, leader, VoterChange::Remove(lost)).expect("the lost one may go");
+    change(&mut simulation, leader, VoterChange::Remove(lost))
+        .expect("the lost voter may be removed");
 }
 
 #[test]
@@ -150,64 +140,52 @@
     simulation.run_for(Duration::from_millis(300));
     let next = only_leader(&simulation);
     assert_ne!(next, leader);
-    let term = status(&mut simulation, next).term;
+    let term = simulation.status(next).term;
     simulation.run_for(SECOND * 5);
-    assert_eq!(status(&mut simulation, next).term, term);
-    assert!(status(&mut simulation, leader).removed);
+    assert_eq!(simulation.status(next).term, term);
+    assert!(simulation.status(leader).removed);
     assert_eq!(simulation.history.violations, Vec::<String>::new());
 }
 
 #[test]
 fn a_voter_removed_while_partitioned_learns_of_it_and_disrupts_nobody() {
     let (mut simulation, leader) = started(3);
-    let cut = *simulation
-        .machines
-        .keys()
-        .find(|node| **node != leader)
-        .expect("other");
-    let others: Vec<NodeId> = simulation.machines.keys().copied().collect();
-    for other in others {
-        simulation.network.cut.insert((cut, other));
-        simulation.network.cut.insert((other, cut));
-    }
+    let partitioned = simulation.others(leader)[0];
+    simulation.isolate(partitioned);
     simulation.run_for(SECOND);
-    change(&mut simulation, leader, VoterChange::Remove(cut)).expect("removed");
+    change(&mut simulation, leader, VoterChange::Remove(partitioned)).expect("removed");
     simulation.run_for(SECOND * 3);
-    let term = status(&mut simulation, leader).term;
-    simulation.network.cut.clear();
+    let term = simulation.status(leader).term;
+    simulation.network.heal();
     simulation.run_for(SECOND * 3);
-    assert_eq!(status(&mut simulation, leader).term, term);
+    assert_eq!(simulation.status(leader).term, term);
     assert_eq!(only_leader(&simulation), leader);
-    let removed = status(&mut simulation, cut);
+    let removed = simulation.status(partitioned);
     assert!(removed.removed);
     assert_eq!(removed.role, Role::Follower);
     // It may come back with its old disk and identity.
-    change(&mut simulation, leader, VoterChange::AddLearner(cut)).expect("added");
+    change(
+        &mut simulation,
+        leader,
+        VoterChange::AddLearner(partitioned),
+    )
+    .expect("added");
     simulation.run_for(SECOND);
-    change(&mut simulation, leader, VoterChange::Promote(cut)).expect("promoted");
+    change(&mut simulation, leader, VoterChange::Promote(partitioned)).expect("promoted");
     simulation.run_for(SECOND);
-    assert!(!status(&mut simulation, cut).removed);
+    assert!(!simulation.status(partitioned).removed);
 }
 
 #[test]
 fn a_change_that_a_new_leader_overwrites_is_rolled_back() {
     let (mut simulation, leader) = started(3);
-    let others: Vec<NodeId> = simulation
-        .machines
-        .keys()
-        .copied()
-        .filter(|node| *node != leader)
-        .collect();
-    for other in &others {
-        simulation.network.cut.insert((leader, *other));
-        simulation.network.cut.insert((*other, leader));
-    }
+    simulation.isolate(leader);
     change(&mut simulation, leader, VoterChange::AddLearner(NodeId(77))).expect("appended");
     simulation.run_for(SECOND * 4);
-    simulation.network.cut.clear();
+    simulation.network.heal();
     simulation.run_for(SECOND * 2);
-    let back = status(&mut simulation, leader);
-    assert_eq!(back.learners, Vec::new());
-    assert!(back.configuration_committed);
+    let returned = simulation.status(leader);
+    assert_eq!(returned.learners, Vec::new());
+    assert!(returned.configuration_committed);
     assert_eq!(simulation.history.violations, Vec::<String>::new());
 }
--- a/crates/replication/tests/model_check.rs
+++ b/crates/replication/tests/model_check.rs
@@ -18,15 +18,15 @@
     timeouts: usize,
     crashes: usize,
     proposals: usize,
-    repeats: usize,
+    duplicates: usize,
 }
 
 /// What may happen next, given what has happened.
 fn actions(world: &World, path: &[Action], bounds: Bounds) -> Vec<Action> {
     let count = |kind: fn(&Action) -> bool| path.iter().filter(|action| kind(action)).count();
     let mut actions: Vec<Action> = (0..world.in_transit.len()).map(Action::Deliver).collect();
-    if count(|action| matches!(action, Action::Repeat(_))) < bounds.repeats {
-        actions.extend((0..world.in_transit.len()).map(Action::Repeat));
+    if count(|action| matches!(action, Action::Duplicate(_))) < bounds.duplicates {
+        actions.extend((0..world.in_transit.len()).map(Action::Duplicate));
     }
     let positions = 0..NODES.len();
     if count(|action| matches!(action, Action::Timeout(_))) < bounds.timeouts {
@@ -67,7 +67,7 @@
             if !seen.insert((world.fingerprint(), budget(&path, prefix.len()))) {
                 continue;
             }
-            findings.note(&world, &path);
+            findings.record(&world, &path);
             if findings.violation.is_some() {
                 return findings;
             }
@@ -90,7 +90,7 @@
             Action::Timeout(_) => used[0] += 1,
             Action::Crash(_) => used[1] += 1,
             Action::Propose(_) => used[2] += 1,
-            Action::Repeat(_) => used[3] += 1,
+            Action::Duplicate(_) => used[3] += 1,
             Action::Deliver(_) => {}
         }
     }
@@ -98,7 +98,7 @@
 }
 
 impl Findings {
-    fn note(&mut self, world: &World, path: &[Action]) {
+    fn record(&mut self, world: &World, path: &[Action]) {
         self.situations += 1;
         self.elected += usize::from(world.history.elections > 0);
         self.committed += usize::from(world.history.committed_index() > 1);
@@ -115,12 +115,12 @@
 }
 
 /// More deliveries than an election and its first entry take.
-const SETTLING_DELIVERIES: usize = 40;
+const STABILISING_DELIVERIES: usize = 40;
 
-/// Times one replica out and delivers everything until nothing is under way.
-fn settled(first: Action) -> Vec<Action> {
+/// Times one replica out and delivers everything until nothing is in transit.
+fn stable(first: Action) -> Vec<Action> {
     let mut path = vec![first];
-    for _ in 0..SETTLING_DELIVERIES {
+    for _ in 0..STABILISING_DELIVERIES {
         if World::run(&path, false).in_transit.is_empty() {
             return path;
         }
@@ -129,9 +129,9 @@
     panic!("the group does not come to rest");
 }
 
-/// A settled leader whose next proposal has reached one of the two others, unanswered.
+/// A stable leader whose next proposal has reached one of the two others, unanswered.
 fn half_replicated() -> Vec<Action> {
-    let mut path = settled(Action::Timeout(0));
+    let mut path = stable(Action::Timeout(0));
     path.extend([Action::Propose(0), Action::Deliver(0)]);
     path
 }
@@ -149,7 +149,7 @@
         timeouts: 2,
         crashes: 1,
         proposals: 1,
-        repeats: 0,
+        duplicates: 0,
     };
     assert_holds(&explore(&[], bounds, false));
 }
@@ -161,7 +161,7 @@
         timeouts: 2,
         crashes: 0,
         proposals: 1,
-        repeats: 1,
+        duplicates: 1,
     };
     assert_holds(&explore(&[], bounds, false));
 }
@@ -173,7 +173,7 @@
         timeouts: 3,
         crashes: 1,
         proposals: 1,
-        repeats: 0,
+        duplicates: 0,
     };
     assert_holds(&explore(&half_replicated(), bounds, false));
 }
@@ -185,7 +185,7 @@
         timeouts: 2,
         crashes: 1,
         proposals: 0,
-        repeats: 0,
+        duplicates: 0,
     };
     let violation = explore(&[], bounds, true).violation.expect("found");
     assert!(violation.contains("voted for"), "{violation}");
--- a/crates/replication/tests/outage_orders.rs
+++ b/crates/replication/tests/outage_orders.rs
@@ -1,71 +1,72 @@
-//! Every order of a cut, a stop and a lost disk over one group of three voters: once the cut has ended and
-//! the stopped process goes on, two voters are left, and they must serve again in time.
+//! Every order of a partition, a stalled process and a lost disk over one group of three voters: once the
+//! partition has healed and the stalled process has resumed, two voters remain, and they must serve again in
+//! time.
 //!
-//! One voter is cut off and reached again, another one is stopped and goes on, the third loses its disk for
-//! good; each of them may have been the leader. What was committed stays, whatever the order.
+//! One voter is partitioned and heals, another one stalls and resumes, the third loses its disk for good;
+//! each of them may have been the leader. What was committed stays, whatever the order.
 
 mod group;
 
+use group::fixture::group_with_leader;
 use group::machine::queued_reply;
-use group::network::NetworkConditions;
-use group::simulation::{Defect, Simulation};
+use group::simulation::Simulation;
 use millford_core::{Duration, MonotonicTime, NodeId};
 
-/// The users' bound for the return of service.
-const RETURN: Duration = Duration::from_secs(12);
-/// Settles the first leader.
-const SETTLED: Duration = Duration::from_secs(3);
-/// Times between two events: shorter than an election, and longer than several.
-const PAUSES: [Duration; 2] = [Duration::from_millis(400), Duration::from_secs(4)];
+/// Seed of the simulation.
+const SEED: u64 = 7;
+/// The required bound for the return of service.
+const RECOVERY_BOUND: Duration = Duration::from_secs(12);
+/// Delays before each event: shorter than an election, and longer than several.
+const DELAYS: [Duration; 2] = [Duration::from_millis(400), Duration::from_secs(4)];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Event {
-    Cut,
+    Partition,
     Heal,
-    Stop,
-    GoOn,
+    Stall,
+    Resume,
     LoseDisk,
 }
 
-/// Which links of the voter that is cut off fail.
+/// Which links of the partitioned voter fail.
 #[derive(Clone, Copy, Debug)]
-enum Cut {
-    BothWays,
-    /// It hears nobody, and is heard.
-    Inward,
+enum Direction {
+    Both,
+    /// It receives nothing; what it sends arrives.
+    Inbound,
 }
 
-/// What a process that was stopped takes first.
+/// First input of a process that resumes.
 #[derive(Clone, Copy, Debug)]
-enum First {
+enum FirstInput {
     Message,
     Tick,
 }
 
-/// Who is struck by what.
+/// Which node gets which fault.
 #[derive(Clone, Copy, Debug)]
-struct Struck {
-    cut_off: NodeId,
-    stopped: NodeId,
+struct Assignment {
+    partitioned: NodeId,
+    stalled: NodeId,
     wiped: NodeId,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Variant {
-    pause: Duration,
-    cut: Cut,
-    first: First,
+    delay: Duration,
+    direction: Direction,
+    first_input: FirstInput,
 }
 
 const EVENTS: [Event; 5] = [
-    Event::Cut,
+    Event::Partition,
     Event::Heal,
-    Event::Stop,
-    Event::GoOn,
+    Event::Stall,
+    Event::Resume,
     Event::LoseDisk,
 ];
 
-/// All orders in which a thing begins before it ends.
+/// All orders in which a fault begins before it ends.
 fn orders() -> Vec<Vec<Event>> {
     let mut orders = vec![Vec::new()];
     for _ in 0..EVENTS.len() {
@@ -80,9 +81,9 @@
 fn longer_by_one(order: &[Event]) -> Vec<Vec<Event>> {
     let has = |event: Event| order.contains(&event);
     let may_follow = |event: &Event| match event {
-        Event::Heal => has(Event::Cut),
-        Event::GoOn => has(Event::Stop),
-        Event::Cut | Event::Stop | Event::LoseDisk => true,
+        Event::Heal => has(Event::Partition),
+        Event::Resume => has(Event::Stall),
+        Event::Partition | Event::Stall | Event::LoseDisk => true,
     };
     let next = EVENTS.iter().filter(|event| !has(**event));
     let longer = next.filter(|event| may_follow(event)).map(|event| {
@@ -93,16 +94,16 @@
     longer.collect()
 }
 
-/// Every way to strike three voters.
-fn assignments(nodes: [NodeId; 3]) -> Vec<Struck> {
+/// Every way to assign the faults to three voters.
+fn assignments(nodes: [NodeId; 3]) -> Vec<Assignment> {
     let mut all = Vec::new();
-    for cut_off in nodes {
-        for stopped in nodes {
+    for partitioned in nodes {
+        for stalled in nodes {
             for wiped in nodes {
-                if cut_off != stopped && stopped != wiped && cut_off != wiped {
-                    all.push(Struck {
-                        cut_off,
-                        stopped,
+                if partitioned != stalled && stalled != wiped && partitioned != wiped {
+                    all.push(Assignment {
+                        partitioned,
+                        stalled,
                         wiped,
                     });
                 }
@@ -114,68 +115,72 @@
 
 fn variants() -> Vec<Variant> {
     let mut all = Vec::new();
-    for pause in PAUSES {
-        for cut in [Cut::BothWays, Cut::Inward] {
-            for first in [First::Message, First::Tick] {
-                all.push(Variant { pause, cut, first });
+    for delay in DELAYS {
+        for direction in [Direction::Both, Direction::Inbound] {
+            for first_input in [FirstInput::Message, FirstInput::Tick] {
+                all.push(Variant {
+                    delay,
+                    direction,
+                    first_input,
+                });
             }
         }
     }
     all
 }
 
-/// A process that does not run until it is told to.
-const UNTIL_TOLD: Duration = Duration::from_secs(100_000);
+/// A stall that only the test ends.
+const UNTIL_RESUMED: Duration = Duration::from_secs(100_000);
 
 struct Outage {
     simulation: Simulation,
-    struck: Struck,
+    assignment: Assignment,
     variant: Variant,
-    stopped_at: MonotonicTime,
+    stalled_at: MonotonicTime,
 }
 
 impl Outage {
     fn apply(&mut self, event: Event) {
         match event {
-            Event::Cut => self.cut(),
-            Event::Heal => self.simulation.network.cut.clear(),
-            Event::Stop => self.stop(),
-            Event::GoOn => self.go_on(),
+            Event::Partition => self.partition(),
+            Event::Heal => self.simulation.network.heal(),
+            Event::Stall => self.stall(),
+            Event::Resume => self.resume(),
             Event::LoseDisk => {
-                self.simulation.machines.remove(&self.struck.wiped);
+                self.simulation.machines.remove(&self.assignment.wiped);
             }
         }
     }
 
-    fn cut(&mut self) {
-        let node = self.struck.cut_off;
-        for other in [self.struck.stopped, self.struck.wiped] {
-            self.simulation.network.cut.insert((other, node));
-            if matches!(self.variant.cut, Cut::BothWays) {
-                self.simulation.network.cut.insert((node, other));
+    fn partition(&mut self) {
+        let node = self.assignment.partitioned;
+        for other in [self.assignment.stalled, self.assignment.wiped] {
+            self.simulation.network.block(other, node);
+            if matches!(self.variant.direction, Direction::Both) {
+                self.simulation.network.block(node, other);
             }
         }
     }
 
-    fn stop(&mut self) {
-        self.stopped_at = self.simulation.now;
-        let until = self.simulation.now + UNTIL_TOLD;
-        let machine = self.simulation.machines.get_mut(&self.struck.stopped);
+    fn stall(&mut self) {
+        self.stalled_at = self.simulation.now;
+        let until = self.simulation.now + UNTIL_RESUMED;
+        let machine = self.simulation.machines.get_mut(&self.assignment.stalled);
         machine.expect("not wiped").frozen_until = until;
     }
 
-    /// As a shard's core: a tick first forgives the stall.
-    fn go_on(&mut self) {
+    /// As the owner does it: a tick defers the election deadline first.
+    fn resume(&mut self) {
         let now = self.simulation.now;
-        let (node, peer) = (self.struck.stopped, self.struck.cut_off);
+        let (node, peer) = (self.assignment.stalled, self.assignment.partitioned);
         let machine = self.simulation.machines.get_mut(&node).expect("not wiped");
         machine.frozen_until = MonotonicTime::ZERO;
         let replica = machine.replica.as_mut().expect("runs");
-        if matches!(self.variant.first, First::Message) {
+        if matches!(self.variant.first_input, FirstInput::Message) {
             let term = replica.status().term;
             replica.step(now, queued_reply(peer, node, term));
         }
-        replica.defer_election_deadline(now, now.since(self.stopped_at));
+        replica.defer_election_deadline(now, now.since(self.stalled_at));
         replica.tick(now);
     }
 
@@ -199,24 +204,22 @@
 
 /// Plays one order; the time until the group serves again.
 fn time_to_serve(order: &[Event], position: usize, variant: Variant) -> Duration {
-    let mut simulation = Simulation::new(7, 3, NetworkConditions::CALM, Defect::None);
-    simulation.run_for(SETTLED);
-    let leader = simulation.leaders()[0];
-    let mut others = simulation.machines.keys().filter(|node| **node != leader);
-    let nodes = [leader, *others.next().unwrap(), *others.next().unwrap()];
+    let (simulation, leader) = group_with_leader(SEED, 3);
+    let others = simulation.others(leader);
+    let nodes = [leader, others[0], others[1]];
     let mut outage = Outage {
-        stopped_at: simulation.now,
-        struck: assignments(nodes)[position],
+        stalled_at: simulation.now,
+        assignment: assignments(nodes)[position],
         simulation,
         variant,
     };
     for event in order {
         outage.propose();
-        outage.simulation.run_for(variant.pause);
+        outage.simulation.run_for(variant.delay);
         outage.apply(*event);
     }
     let start = outage.simulation.now;
-    while !outage.serves() && outage.simulation.now.since(start) < RETURN * 2 {
+    while !outage.serves() && outage.simulation.now.since(start) < RECOVERY_BOUND * 2 {
         outage.simulation.step();
     }
     let taken = outage.simulation.now.since(start);
@@ -239,8 +242,8 @@
             for variant in variants() {
                 let taken = time_to_serve(order, position, variant);
                 assert!(
-                    taken < RETURN,
-                    "{taken:?} after {order:?}, strike {position}, {variant:?}"
+                    taken < RECOVERY_BOUND,
+                    "{taken:?} after {order:?}, assignment {position}, {variant:?}"
                 );
                 worst = worst.max(taken);
             }
--- a/crates/replication/tests/planted_defects.rs
+++ b/crates/replication/tests/planted_defects.rs
@@ -7,7 +7,7 @@
 use millford_core::Duration;
 
 const SEEDS: u64 = 2000;
-const ROUNDS: u32 = 6000;
+const STEPS: u32 = 6000;
 const FAULT_RATE: f64 = 0.01;
 const HIGH_FAULT_RATE: f64 = 0.05;
 const SIZE: u64 = 3;
@@ -28,7 +28,7 @@
 fn is_caught(defect: Defect, conditions: NetworkConditions, fault_rate: f64, words: &str) -> bool {
     (0..SEEDS).any(|seed| {
         let mut simulation = Simulation::new(seed, SIZE, conditions, defect);
-        simulation.run_chaos(ROUNDS, usize::try_from(SIZE).expect("small"), fault_rate);
+        simulation.run_chaos(STEPS, usize::try_from(SIZE).expect("small"), fault_rate);
         let violations = &simulation.history.violations;
         violations.iter().any(|violation| violation.contains(words))
     })
--- a/crates/replication/tests/random_group.rs
+++ b/crates/replication/tests/random_group.rs
@@ -1,4 +1,4 @@
-//! Random work under random faults: the group's rules hold throughout, and it is whole again after.
+//! Random work under random faults: the safety invariants hold throughout, and the group recovers after.
 //!
 //! `MILLFORD_SEEDS=N` and `MILLFORD_FIRST_SEED=S` choose another range of seeds.
 
@@ -9,7 +9,7 @@
 use millford_core::Duration;
 
 const SEEDS: u64 = 300;
-const ROUNDS: u32 = 6000;
+const STEPS: u32 = 6000;
 
 fn number(name: &str, default: u64) -> u64 {
     let text = std::env::var(name).ok();
@@ -35,7 +35,7 @@
 fn run(seed: u64, size: u64) -> Simulation {
     let mut simulation = Simulation::new(seed, size, conditions(seed), Defect::None);
     let desired = usize::try_from(size).expect("small");
-    simulation.run_chaos(ROUNDS, desired, fault_rate(seed));
+    simulation.run_chaos(STEPS, desired, fault_rate(seed));
     simulation.recover(desired);
     simulation
 }
@@ -63,7 +63,7 @@
     println!(
         "size {size}: {count} seeds, {entries} entries, {elections} elections, \
          {reads} confirmed reads, {snapshots} restored snapshots; after the faults, worst: \
-         confirmed leader {time_to_leader:?}, whole {time_to_recovery:?}"
+         confirmed leader {time_to_leader:?}, recovered {time_to_recovery:?}"
     );
     assert!(entries > count && elections > count && reads > count && snapshots > 0);
 }
--- a/crates/replication/tests/replica_rules.rs
+++ b/crates/replication/tests/replica_rules.rs
@@ -1,4 +1,4 @@
-//! Rules of one replica, message by message.
+//! Behaviour of one replica, message by message.
 
 mod group;
 
@@ -25,6 +25,27 @@
     Replica::open(options, storage, START).expect("opens")
 }
 
+/// A reply to a vote request.
+#[derive(Debug, PartialEq, Eq)]
+struct SentVote {
+    candidate: u64,
+    granted: bool,
+}
+
+fn granted(candidate: u64) -> SentVote {
+    SentVote {
+        candidate,
+        granted: true,
+    }
+}
+
+fn rejected(candidate: u64) -> SentVote {
+    SentVote {
+        candidate,
+        granted: false,
+    }
+}
+
 fn message(from: u64, term: u64, body: Body) -> ReplicationMessage {
     ReplicationMessage {
         shard: 0,
@@ -45,15 +66,18 @@
     message(from, term, Body::VoteRequest(request))
 }
 
-/// The votes that a step lets leave: candidate and whether it is granted.
-fn votes(replica: &mut Replica, request: ReplicationMessage) -> Vec<(u64, bool)> {
+/// Replies to a vote request that leave after it.
+fn vote_replies(replica: &mut Replica, request: ReplicationMessage) -> Vec<SentVote> {
     replica.step(START, request);
     let ready: Ready = replica.flush(START).expect("the disk works");
     let votes = ready
         .messages
         .into_iter()
         .filter_map(|message| match message.body {
-            Some(Body::VoteReply(VoteReply { granted, .. })) => Some((message.to, granted)),
+            Some(Body::VoteReply(VoteReply { granted, .. })) => Some(SentVote {
+                candidate: message.to,
+                granted,
+            }),
             _ => None,
         });
     votes.collect()
@@ -63,14 +87,26 @@
 fn a_vote_given_in_a_known_term_survives_a_power_failure() {
     let disk = CrashDisk::default();
     let mut replica = open(&disk, &[1, 2, 3]);
-    // The term becomes known by a request that is refused; the vote alone is new after that.
-    assert_eq!(votes(&mut replica, vote_request(2, 5, 0)), [(2, false)]);
-    assert_eq!(votes(&mut replica, vote_request(3, 5, 1)), [(3, true)]);
+    // The term becomes known by a request that is rejected; only the vote is new after that.
+    assert_eq!(
+        vote_replies(&mut replica, vote_request(2, 5, 0)),
+        [rejected(2)]
+    );
+    assert_eq!(
+        vote_replies(&mut replica, vote_request(3, 5, 1)),
+        [granted(3)]
+    );
     drop(replica);
     disk.crash(1);
     let mut replica = open(&disk, &[1, 2, 3]);
-    assert_eq!(votes(&mut replica, vote_request(2, 5, 9)), [(2, false)]);
-    assert_eq!(votes(&mut replica, vote_request(3, 5, 1)), [(3, true)]);
+    assert_eq!(
+        vote_replies(&mut replica, vote_request(2, 5, 9)),
+        [rejected(2)]
+    );
+    assert_eq!(
+        vote_replies(&mut replica, vote_request(3, 5, 1)),
+        [granted(3)]
+    );
 }
 
 #[test]
@@ -83,14 +119,14 @@
     };
     replica.step(START, message(2, 2, Body::AppendRequest(heartbeat)));
     replica.flush(START).expect("the disk works");
-    assert_eq!(votes(&mut replica, vote_request(3, 7, 9)), []);
+    assert_eq!(vote_replies(&mut replica, vote_request(3, 7, 9)), []);
     assert_eq!(replica.term(), 2);
-    // The old leader itself asked the candidate to campaign.
-    let mut asked = vote_request(3, 7, 9);
-    if let Some(Body::VoteRequest(request)) = &mut asked.body {
+    // The old leader itself requested the campaign.
+    let mut transfer = vote_request(3, 7, 9);
+    if let Some(Body::VoteRequest(request)) = &mut transfer.body {
         request.transfer = true;
     }
-    assert_eq!(votes(&mut replica, asked), [(3, true)]);
+    assert_eq!(vote_replies(&mut replica, transfer), [granted(3)]);
     assert_eq!(replica.term(), 7);
 }
 
--- a/crates/replication/tests/slow_elections.rs
+++ b/crates/replication/tests/slow_elections.rs
@@ -1,7 +1,8 @@
-//! Elections among replicas whose messages and syncs are slow, or that run late.
+//! Elections among replicas whose messages and syncs are slow, or whose process was stalled.
 
 mod group;
 
+use group::fixture::{SECOND, group_with_leader};
 use group::machine::queued_reply;
 use group::network::NetworkConditions;
 use group::simulation::{Defect, Simulation};
@@ -9,13 +10,12 @@
 use millford_replication::Role;
 
 const SEEDS: u64 = 100;
-const SECOND: Duration = Duration::from_secs(1);
 /// How long the thread of a replica did not run.
-const LATE: Duration = Duration::from_secs(2);
-/// A process that was stopped, as long as the users' pages speak of.
-const STOPPED: Duration = Duration::from_secs(20);
-/// The users' bound for the return of service.
-const RETURN: Duration = Duration::from_secs(12);
+const STALL: Duration = Duration::from_secs(2);
+/// The longest time that the requirements say a process may be stopped.
+const LONG_STALL: Duration = Duration::from_secs(20);
+/// The required bound for the return of service.
+const RECOVERY_BOUND: Duration = Duration::from_secs(12);
 /// A busy machine: a message and the sync before it take this long at most.
 const SLOW: NetworkConditions = NetworkConditions {
     loss: 0.0,
@@ -47,7 +47,7 @@
     times.sort();
     let worst = *times.last().expect("seeds");
     assert!(
-        worst <= RETURN,
+        worst <= RECOVERY_BOUND,
         "half {:?}, worst {worst:?}",
         times[times.len() / 2]
     );
@@ -55,11 +55,8 @@
 
 /// A group of three with a leader, and one of its followers.
 fn led_group(seed: u64) -> (Simulation, NodeId, NodeId) {
-    let mut simulation = Simulation::new(seed, 3, NetworkConditions::CALM, Defect::None);
-    simulation.run_for(SECOND * 3);
-    let leader = simulation.leaders()[0];
-    let mut nodes = simulation.machines.keys().copied();
-    let follower = nodes.find(|node| *node != leader).expect("three");
+    let (simulation, leader) = group_with_leader(seed, 3);
+    let follower = simulation.others(leader)[0];
     (simulation, leader, follower)
 }
 
@@ -67,31 +64,31 @@
 fn a_stalled_replica_does_not_campaign_before_it_has_processed_its_queue() {
     for seed in 0..SEEDS {
         let (mut simulation, leader, follower) = led_group(seed);
-        let late = simulation.now + LATE;
-        let replica = simulation.replica(follower).expect("runs");
-        replica.defer_election_deadline(late, LATE);
-        replica.tick(late);
+        let resumed_at = simulation.now + STALL;
+        let replica = simulation.running_replica(follower);
+        replica.defer_election_deadline(resumed_at, STALL);
+        replica.tick(resumed_at);
         assert_eq!(replica.status().leader, leader, "seed {seed}");
-        // A leader that stays silent is missed all the same.
-        replica.tick(late + SECOND * 2);
+        // A leader that stays unresponsive is still detected.
+        replica.tick(resumed_at + SECOND * 2);
         assert_eq!(replica.status().role, Role::PreCandidate, "seed {seed}");
     }
 }
 
-/// The first thing that a stopped leader takes may be a message: it steps down and sets its timer anew, at a
+/// The first input of a stalled leader may be a message: it steps down and resets its election timer, at a
 /// time that is no part of the stall.
 #[test]
 fn a_stalled_leader_that_steps_down_on_a_message_campaigns_in_time() {
     for seed in 0..SEEDS {
         let (mut simulation, leader, follower) = led_group(seed);
-        let late = simulation.now + STOPPED;
-        let replica = simulation.replica(leader).expect("runs");
+        let resumed_at = simulation.now + LONG_STALL;
+        let replica = simulation.running_replica(leader);
         let term = replica.status().term;
-        replica.step(late, queued_reply(follower, leader, term));
+        replica.step(resumed_at, queued_reply(follower, leader, term));
         assert_eq!(replica.status().role, Role::Follower, "seed {seed}");
-        replica.defer_election_deadline(late, STOPPED);
-        replica.tick(late);
-        replica.tick(late + SECOND * 2);
+        replica.defer_election_deadline(resumed_at, LONG_STALL);
+        replica.tick(resumed_at);
+        replica.tick(resumed_at + SECOND * 2);
         assert_eq!(replica.status().role, Role::PreCandidate, "seed {seed}");
     }
 }
