--- a/crates/control/src/daemon/registry_watch.rs
+++ b/crates/control/src/daemon/registry_watch.rs
@@ -36,7 +36,7 @@
         }
         match registry.read().await {
             Ok(view) => {
-                period = poll_period(view.calls);
+                period = poll_period(view.requests);
                 if std::mem::take(&mut failing) {
                     REGISTRY.info("The registry answers again.");
                 }
--- a/crates/registry/src/http_registry.rs
+++ b/crates/registry/src/http_registry.rs
@@ -1,4 +1,4 @@
-//! Reads a service registry that speaks `docs/REGISTRY-PROTOCOL.md`.
+//! Client of a service registry that implements `docs/REGISTRY-PROTOCOL.md`.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 use hyper_util::rt::TokioExecutor;
 
 use crate::error::RegistryError;
-use crate::service_registry::{Reading, ServiceRegistry};
+use crate::service_registry::{ReadFuture, ServiceRegistry};
 use crate::view::RegistryView;
 
-/// Largest list that is read, in bytes.
+/// Largest list that is accepted, in bytes.
 const MAX_LIST_BYTES: usize = 16 * 1024 * 1024;
 
-/// Longest time for one reading.
+/// Longest time for one read.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Client of one registry.
@@ -26,7 +26,7 @@
 }
 
 impl HttpRegistry {
-    /// A client of the registry at this address, IP and port.
+    /// A client of the registry at this address: IP and port.
     #[must_use]
     pub fn new(address: &str) -> Self {
         Self {
@@ -35,34 +35,34 @@
         }
     }
 
-    async fn read_in_time(&self) -> Result<RegistryView, RegistryError> {
-        let reading = tokio::time::timeout(READ_TIMEOUT, self.read_unbounded());
-        let mut view = reading.await.map_err(|_| RegistryError::Late)??;
-        view.calls = 1;
+    async fn read_with_timeout(&self) -> Result<RegistryView, RegistryError> {
+        let list = tokio::time::timeout(READ_TIMEOUT, self.read_list());
+        let mut view = list.await.map_err(|_| RegistryError::Timeout)??;
+        view.requests = 1;
         if view.backends.is_empty() {
             return Err(RegistryError::Empty);
         }
         Ok(view)
     }
 
-    async fn read_unbounded(&self) -> Result<RegistryView, RegistryError> {
+    async fn read_list(&self) -> Result<RegistryView, RegistryError> {
         let request = Request::get(format!("http://{}/v1/backends", self.address))
             .body(Empty::new())
-            .map_err(|error| RegistryError::Unreachable(error.to_string()))?;
+            .map_err(RegistryError::unreachable)?;
         let response = self.client.request(request).await;
-        let response = response.map_err(|error| RegistryError::Unreachable(error.to_string()))?;
+        let response = response.map_err(RegistryError::unreachable)?;
         if response.status() != StatusCode::OK {
             return Err(RegistryError::Status(response.status()));
         }
         let body = Limited::new(response.into_body(), MAX_LIST_BYTES).collect();
         let body = body.await;
-        let body = body.map_err(|error| RegistryError::Unreachable(error.to_string()))?;
+        let body = body.map_err(RegistryError::unreachable)?;
         Ok(serde_json::from_slice(&body.to_bytes())?)
     }
 }
 
 impl ServiceRegistry for HttpRegistry {
-    fn read(&self) -> Reading<'_> {
-        Box::pin(self.read_in_time())
+    fn read(&self) -> ReadFuture<'_> {
+        Box::pin(self.read_with_timeout())
     }
 }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,11 +1,12 @@
-//! The service registry as millford reads it: a trait, what a reading gives, and a client.
+//! The service registry as millford reads it: a trait, the view that a read returns, and a client over
+//! HTTP.
 
-pub mod error;
-pub mod http_registry;
-pub mod service_registry;
-pub mod view;
+mod error;
+mod http_registry;
+mod service_registry;
+mod view;
 
-pub use error::RegistryError;
+pub use error::{BoxError, RegistryError};
 pub use http_registry::HttpRegistry;
-pub use service_registry::{Reading, ServiceRegistry, SharedRegistry};
+pub use service_registry::{ReadFuture, ServiceRegistry, SharedRegistry};
 pub use view::{RegistryDeclaration, RegistryEntry, RegistryView};
--- a/crates/registry/src/service_registry.rs
+++ b/crates/registry/src/service_registry.rs
@@ -1,4 +1,4 @@
-//! What a service registry has to be able to do.
+//! The interface between millford and a service registry.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -7,15 +7,15 @@
 use crate::error::RegistryError;
 use crate::view::RegistryView;
 
-/// One reading under way.
-pub type Reading<'a> =
+/// One read in progress.
+pub type ReadFuture<'a> =
     Pin<Box<dyn Future<Output = Result<RegistryView, RegistryError>> + Send + 'a>>;
 
 /// A registry that several parts of a process may read.
 pub type SharedRegistry = Arc<dyn ServiceRegistry>;
 
-/// Lists the backends. Its list trails reality.
+/// Lists the backends. The list is eventually consistent: it lags behind the backends' real state.
 pub trait ServiceRegistry: Send + Sync {
-    /// Reads the whole list once. A list that is incomplete in any way is an error, never a view.
-    fn read(&self) -> Reading<'_>;
+    /// Reads the complete list once. A list that is incomplete in any way is an error, never a view.
+    fn read(&self) -> ReadFuture<'_>;
 }
--- a/crates/registry/src/view.rs
+++ b/crates/registry/src/view.rs
@@ -1,4 +1,4 @@
-//! One reading of the service registry.
+//! What one read of the service registry returns.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 /// One backend as the registry lists it.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct RegistryEntry {
-    /// Identity; a replacement has a new one.
+    /// Identity; a replaced backend gets a new one.
     pub id: String,
     /// IP address and port.
     pub address: String,
@@ -30,7 +30,7 @@
     /// What the backend can serve.
     #[serde(default)]
     pub declarations: Vec<RegistryDeclaration>,
-    /// Load that the backend reported, by model. It comes late.
+    /// Load that the backend reported, by model; [`RegistryEntry::load_age_ms`] old.
     #[serde(default)]
     pub load: BTreeMap<String, f64>,
     /// Age of the reported load, in milliseconds.
@@ -47,10 +47,10 @@
     /// Model version.
     #[serde(default)]
     pub version: String,
-    /// Stage.
+    /// Pipeline stage, as the platform names it.
     #[serde(default)]
     pub stage: String,
-    /// Adapters.
+    /// Names of the loaded adapters.
     #[serde(default)]
     pub adapters: Vec<String>,
 }
@@ -60,14 +60,13 @@
 pub struct RegistryView {
     /// The backends.
     pub backends: Vec<RegistryEntry>,
-    /// Calls that the reading took: a registry may give its list in pages.
+    /// Requests that the read took: a registry may return its list in pages.
     #[serde(skip)]
-    pub calls: u32,
+    pub requests: u32,
 }
 
 impl RegistryEntry {
-    /// The state that the registry gives the backend. One that is not known is no reason to take
-    /// work away.
+    /// The state that the registry reports. An unknown one is no reason to stop using the backend.
     #[must_use]
     pub fn backend_state(&self) -> BackendState {
         match self.state.as_str() {
--- a/crates/transport/src/codec.rs
+++ b/crates/transport/src/codec.rs
@@ -6,7 +6,7 @@
 use prost::Message;
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// Largest frame accepted, in bytes: a snapshot of the planned size fits with room to spare.
+/// Largest frame that is accepted, in bytes; well above the largest planned snapshot.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
 /// Why a connection ended.
@@ -20,7 +20,7 @@
     Decode(#[from] prost::DecodeError),
 }
 
-/// Codec for one message type.
+/// Codec for one message type: a four-byte big-endian length, then the message.
 pub struct MessageCodec<M> {
     frames: LengthDelimitedCodec,
     message: PhantomData<fn() -> M>,
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -16,6 +16,9 @@
 pub type FramedWriter<M> = FramedWrite<OwnedWriteHalf, MessageCodec<M>>;
 
 /// Opens a connection within `timeout`.
+///
+/// # Errors
+/// [`TransportError::Io`] when the connection fails or `timeout` passes.
 pub async fn connect<M: prost::Message + Default>(
     address: SocketAddr,
     timeout: Duration,
@@ -27,7 +30,11 @@
     accept(stream)
 }
 
-/// Wraps a socket that a listener accepted.
+/// Frames the messages of a socket that a listener accepted. Disables Nagle's algorithm: messages are
+/// small and latency matters.
+///
+/// # Errors
+/// [`TransportError::Io`] when the socket is closed already.
 pub fn accept<M: prost::Message + Default>(
     stream: TcpStream,
 ) -> Result<(FramedReader<M>, FramedWriter<M>), TransportError> {
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -3,8 +3,8 @@
 //! A frame is a four-byte big-endian length and a protocol message. Each side treats a frame
 //! that is too long or cannot be decoded as the end of the connection.
 
-pub mod codec;
-pub mod connection;
+mod codec;
+mod connection;
 
 pub use codec::{MAX_FRAME_BYTES, MessageCodec, TransportError};
 pub use connection::{FramedReader, FramedWriter, accept, connect};
