--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -8,11 +8,11 @@
     /// The disk reported an error.
     #[error("{operation} of {name} failed: {reason}")]
     Io {
-        /// What was tried.
+        /// The operation that failed.
         operation: &'static str,
         /// File name.
         name: String,
-        /// The system's words.
+        /// The system's error message.
         reason: String,
     },
     /// The disk is full. Nothing that was synced before is lost, and the operation may be tried
@@ -23,13 +23,13 @@
         name: String,
     },
     /// Data that was synced is damaged. The replica must not run on it: its owner clears the
-    /// folder and starts a new replica under a new identity.
-    #[error("{name} is corrupt at byte {position}: {reason}")]
+    /// directory and starts a new replica under a new identity.
+    #[error("{name} is corrupt at byte {offset}: {reason}")]
     Corrupt {
         /// File name.
         name: String,
-        /// Position in the file, in bytes.
-        position: u64,
+        /// Offset in the file, in bytes.
+        offset: u64,
         /// What is wrong.
         reason: String,
     },
@@ -48,10 +48,10 @@
 
     /// A [`StorageError::Corrupt`].
     #[must_use]
-    pub fn corrupt(name: &str, position: usize, reason: &str) -> Self {
+    pub fn corrupt(name: &str, offset: usize, reason: &str) -> Self {
         StorageError::Corrupt {
             name: name.to_owned(),
-            position: position as u64,
+            offset: offset as u64,
             reason: reason.to_owned(),
         }
     }
