--- a/crates/control-state/src/document/check_forward.rs
+++ b/crates/control-state/src/document/check_forward.rs
@@ -16,17 +16,17 @@
 ) {
     faults.count("forward_routes", routes.len(), limits::MAX_FORWARD_ROUTES);
     let mut names = BTreeMap::new();
-    let mut places: BTreeMap<(String, &str), usize> = BTreeMap::new();
+    let mut locations: BTreeMap<(String, &str), usize> = BTreeMap::new();
     for (index, route) in routes.iter().enumerate() {
         let path = format!("forward_routes[{index}]");
         check_name(format!("{path}.name"), &route.name, &mut names, faults);
         check_prefix(&path, route, faults);
-        let place = (route.host.to_ascii_lowercase(), route.path_prefix.as_str());
-        if let Some(first) = places.get(&place) {
+        let location = (route.host.to_ascii_lowercase(), route.path_prefix.as_str());
+        if let Some(first) = locations.get(&location) {
             let text = format!("forward_routes[{first}] has the same host and path prefix");
             faults.add(format!("{path}.path_prefix"), text);
         } else {
-            places.insert(place, index);
+            locations.insert(location, index);
         }
         check_pools_of(&path, route, pools, faults);
         check_behaviour(&path, route, faults);
--- a/crates/control-state/src/document/check_route.rs
+++ b/crates/control-state/src/document/check_route.rs
@@ -21,10 +21,10 @@
         let path = format!("routes[{index}]");
         check_name(format!("{path}.name"), &route.name, &mut names, faults);
         check_match(&path, route.r#match.as_ref(), faults);
-        check_reached(&path, index, route, &mut matches, faults);
+        check_reachable(&path, index, route, &mut matches, faults);
         check_pool_of(&path, route, pools, faults);
         check_times(&path, route, faults);
-        check_second_sends(&path, route, faults);
+        check_redispatch(&path, route, faults);
     }
 }
 
@@ -70,7 +70,7 @@
 }
 
 /// Of two routes with the same match the second would never be reached.
-fn check_reached<'document>(
+fn check_reachable<'document>(
     path: &str,
     index: usize,
     route: &'document Route,
@@ -155,7 +155,7 @@
 }
 
 /// A request that may not be repeated is sent once: neither hedged nor resumed elsewhere.
-fn check_second_sends(path: &str, route: &Route, faults: &mut FaultList) {
+fn check_redispatch(path: &str, route: &Route, faults: &mut FaultList) {
     if route.hedge.is_some() && !route.repeatable {
         let text = "a route that is not repeatable cannot be hedged";
         faults.add(format!("{path}.hedge"), text);
--- a/crates/control-state/src/machine/claim_table.rs
+++ b/crates/control-state/src/machine/claim_table.rs
@@ -6,8 +6,8 @@
 use millford_core::ResultCode;
 
 use super::applied::Applied;
-use super::kept_claim::{KeptClaim, attempt_hash, digest_hash, key_hash};
 use super::short_hash::ShortHash;
+use super::stored_claim::{StoredClaim, attempt_hash, digest_hash, key_hash};
 
 /// How long a claim is kept, in milliseconds of shard time: one day.
 ///
@@ -24,7 +24,7 @@
 /// Every claim that is still kept, by the hash of tenant and request id.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClaimTable {
-    claims: BTreeMap<ShortHash, KeptClaim>,
+    claims: BTreeMap<ShortHash, StoredClaim>,
     /// Oldest first: shard time never goes back.
     ages: VecDeque<ClaimAge>,
 }
@@ -55,12 +55,12 @@
     ///
     /// An attempt that gives up before its claim was answered settles as not run; the mark keeps
     /// the claim, should it still arrive, from being granted to an attempt that has ended.
-    pub(crate) fn settle(&mut self, settle: &ResolveClaim, now_ms: u64) -> Applied {
-        let key = key_hash(&settle.tenant, &settle.request_id);
+    pub(crate) fn resolve(&mut self, resolve: &ResolveClaim, now_ms: u64) -> Applied {
+        let key = key_hash(&resolve.tenant, &resolve.request_id);
         match self.claims.get_mut(&key) {
-            Some(known) => settle_known(known, settle),
-            None if settle.outcome() == RunOutcome::RunNotRun => {
-                self.insert(key, KeptClaim::abandoned(settle, now_ms));
+            Some(known) => resolve_stored(known, resolve),
+            None if resolve.outcome() == RunOutcome::RunNotRun => {
+                self.insert(key, StoredClaim::abandoned(resolve, now_ms));
             }
             None => {}
         }
@@ -68,7 +68,7 @@
     }
 
     /// Drops the claims that are older than [`CLAIM_RETENTION_MS`].
-    pub(crate) fn drop_old(&mut self, now_ms: u64) {
+    pub(crate) fn drop_expired(&mut self, now_ms: u64) {
         let horizon = now_ms.saturating_sub(CLAIM_RETENTION_MS);
         while let Some(oldest) = self.ages.front().copied() {
             if oldest.claimed_at_ms >= horizon {
@@ -99,7 +99,7 @@
         let mut ages = Vec::with_capacity(records.len());
         for record in records {
             let key = ShortHash::from_bytes(&record.key)?;
-            claims.insert(key, KeptClaim::from_record(record)?);
+            claims.insert(key, StoredClaim::from_record(record)?);
             ages.push(ClaimAge {
                 claimed_at_ms: record.claimed_at_ms,
                 key,
@@ -113,11 +113,11 @@
     }
 
     fn grant(&mut self, key: ShortHash, claim: &Claim, now_ms: u64) -> Applied {
-        self.insert(key, KeptClaim::granted(claim, now_ms));
+        self.insert(key, StoredClaim::granted(claim, now_ms));
         answer(true, RunOutcome::RunUnknown)
     }
 
-    fn insert(&mut self, key: ShortHash, claim: KeptClaim) {
+    fn insert(&mut self, key: ShortHash, claim: StoredClaim) {
         self.claims.insert(key, claim);
         self.ages.push_back(ClaimAge {
             claimed_at_ms: claim.claimed_at_ms,
@@ -126,10 +126,10 @@
     }
 }
 
-fn settle_known(known: &mut KeptClaim, settle: &ResolveClaim) {
+fn resolve_stored(known: &mut StoredClaim, resolve: &ResolveClaim) {
     let open = known.outcome == RunOutcome::RunUnknown;
-    if open && known.attempt == attempt_hash(&settle.attempt_id) {
-        known.outcome = settle.outcome();
+    if open && known.attempt == attempt_hash(&resolve.attempt_id) {
+        known.outcome = resolve.outcome();
     }
 }
 
--- a/crates/control-state/src/machine/configuration.rs
+++ b/crates/control-state/src/machine/configuration.rs
@@ -11,13 +11,13 @@
 use millford_core::ResultCode;
 
 use super::applied::Applied;
-use super::order_record::{OrderFate, OrderRecord};
+use super::order_history::{OrderHistory, OrderStatus};
 use super::public_state::PublicState;
 use crate::document;
 use crate::keys;
 
 /// Revision in force; 0 before the first order.
-pub(crate) fn present_revision(state: &PublicState) -> u64 {
+pub(crate) fn current_revision(state: &PublicState) -> u64 {
     match state.get(keys::CONFIG_HEAD) {
         Some(Kind::ConfigHead(head)) => head.revision,
         _ => 0,
@@ -25,35 +25,39 @@
 }
 
 /// Accepts, acknowledges again or refuses an order.
-pub(crate) fn put(state: &mut PublicState, record: &mut OrderRecord, order: &PutConfig) -> Applied {
-    let present = present_revision(state);
-    match record.fate(order) {
-        OrderFate::Repeated { revision } => Applied::order(ResultCode::Ok, revision, true),
-        OrderFate::IdReused => Applied::order(ResultCode::OrderIdReused, present, false),
+pub(crate) fn put(
+    state: &mut PublicState,
+    record: &mut OrderHistory,
+    order: &PutConfig,
+) -> Applied {
+    let present = current_revision(state);
+    match record.status(order) {
+        OrderStatus::Repeated { revision } => Applied::order(ResultCode::Ok, revision, true),
+        OrderStatus::IdReused => Applied::order(ResultCode::OrderIdReused, present, false),
         // Replicas apply orders one after the other, so of two on one base the second finds the
         // base used: exactly one wins.
-        OrderFate::New if order.base_revision != present => {
+        OrderStatus::New if order.base_revision != present => {
             Applied::order(ResultCode::RevisionConflict, present, false)
         }
         // Numbers only grow, so that no node ever takes an older configuration for a newer one.
-        OrderFate::New if order.revision != 0 && order.revision <= present => {
+        OrderStatus::New if order.revision != 0 && order.revision <= present => {
             Applied::order(ResultCode::RevisionNotAbove, present, false)
         }
-        OrderFate::New if order.revision != 0 => accept(state, record, order, order.revision),
-        OrderFate::New => accept(state, record, order, present + 1),
+        OrderStatus::New if order.revision != 0 => accept(state, record, order, order.revision),
+        OrderStatus::New => accept(state, record, order, present + 1),
     }
 }
 
 fn accept(
     state: &mut PublicState,
-    record: &mut OrderRecord,
+    record: &mut OrderHistory,
     order: &PutConfig,
     revision: u64,
 ) -> Applied {
     let empty = Document::default();
-    let wanted = order.document.as_ref().unwrap_or(&empty);
+    let desired = order.document.as_ref().unwrap_or(&empty);
     let mut applied = Applied::order(ResultCode::Ok, revision, false);
-    applied.changes = replace(state, wanted, revision, &order.digest);
+    applied.changes = replace(state, desired, revision, &order.digest);
     record.add(AcceptedOrder {
         order_id: order.order_id.clone(),
         base_revision: order.base_revision,
@@ -66,11 +70,11 @@
 /// Brings the items to the wanted document; gives only what differs.
 fn replace(
     state: &mut PublicState,
-    wanted: &Document,
+    desired: &Document,
     revision: u64,
     digest: &[u8],
 ) -> Vec<StateItem> {
-    let mut items = document::items(wanted);
+    let mut items = document::items(desired);
     let head = ConfigHead {
         revision,
         digest: digest.to_vec(),
--- a/crates/control-state/src/machine/order_record.rs
+++ b/crates/control-state/src/machine/order_history.rs
@@ -8,11 +8,11 @@
 ///
 /// An order that is resent after as many later ones is no longer known. It is refused then as a
 /// conflict, because its base is used; it is never accepted a second time.
-pub const ORDER_RECORD_LIMIT: usize = 4096;
+pub const ORDER_HISTORY_LIMIT: usize = 4096;
 
 /// What the record says about an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum OrderFate {
+pub(crate) enum OrderStatus {
     /// Not seen before.
     New,
     /// Accepted before as this revision.
@@ -23,32 +23,32 @@
 
 /// Bounded record, by the revision that each order got.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct OrderRecord {
+pub(crate) struct OrderHistory {
     by_revision: BTreeMap<u64, AcceptedOrder>,
     revision_by_id: BTreeMap<String, u64>,
     revision_by_base: BTreeMap<u64, u64>,
 }
 
-impl OrderRecord {
+impl OrderHistory {
     /// Looks the order up. One without an id is the same as the accepted order on its base when
     /// their digests agree; a base has at most one accepted order.
-    pub(crate) fn fate(&self, order: &PutConfig) -> OrderFate {
+    pub(crate) fn status(&self, order: &PutConfig) -> OrderStatus {
         if order.order_id.is_empty() {
-            return self.fate_by_base(order);
+            return self.status_by_base(order);
         }
         let Some(revision) = self.revision_by_id.get(&order.order_id) else {
-            return OrderFate::New;
+            return OrderStatus::New;
         };
         let same = self
             .by_revision
             .get(revision)
             .is_some_and(|known| is_same(known, order));
         if same {
-            OrderFate::Repeated {
+            OrderStatus::Repeated {
                 revision: *revision,
             }
         } else {
-            OrderFate::IdReused
+            OrderStatus::IdReused
         }
     }
 
@@ -61,7 +61,7 @@
         self.revision_by_base
             .insert(order.base_revision, order.revision);
         self.by_revision.insert(order.revision, order);
-        while self.by_revision.len() > ORDER_RECORD_LIMIT {
+        while self.by_revision.len() > ORDER_HISTORY_LIMIT {
             self.drop_oldest();
         }
     }
@@ -71,16 +71,16 @@
         self.by_revision.values()
     }
 
-    fn fate_by_base(&self, order: &PutConfig) -> OrderFate {
+    fn status_by_base(&self, order: &PutConfig) -> OrderStatus {
         let known = self
             .revision_by_base
             .get(&order.base_revision)
             .and_then(|revision| self.by_revision.get(revision));
         match known {
-            Some(known) if known.digest == order.digest => OrderFate::Repeated {
+            Some(known) if known.digest == order.digest => OrderStatus::Repeated {
                 revision: known.revision,
             },
-            _ => OrderFate::New,
+            _ => OrderStatus::New,
         }
     }
 
--- a/crates/control-state/src/machine/shard_machine.rs
+++ b/crates/control-state/src/machine/shard_machine.rs
@@ -11,7 +11,7 @@
 use super::claim_table::ClaimTable;
 use super::configuration;
 use super::control_members;
-use super::order_record::OrderRecord;
+use super::order_history::OrderHistory;
 use super::placements;
 use super::public_state::PublicState;
 use super::session_registry::SessionRegistry;
@@ -23,7 +23,7 @@
     pub(super) applied_index: u64,
     pub(super) applied_term: u64,
     pub(super) public: PublicState,
-    pub(super) orders: OrderRecord,
+    pub(super) orders: OrderHistory,
     pub(super) claims: ClaimTable,
     pub(super) sessions: SessionRegistry,
     pub(super) catalogue: Catalogue,
@@ -40,7 +40,7 @@
             applied_index: 0,
             applied_term: 0,
             public: PublicState::default(),
-            orders: OrderRecord::default(),
+            orders: OrderHistory::default(),
             claims: ClaimTable::default(),
             sessions: SessionRegistry::default(),
             catalogue: Catalogue::default(),
@@ -95,7 +95,7 @@
     /// Number of the configuration in force; 0 before the first order.
     #[must_use]
     pub fn revision(&self) -> u64 {
-        configuration::present_revision(&self.public)
+        configuration::current_revision(&self.public)
     }
 
     /// The configuration's document as the operator sent it; empty if it came in the usual form.
@@ -159,7 +159,7 @@
         match kind {
             Kind::PutConfig(order) => self.put_config(order),
             Kind::Claim(claim) => self.claims.claim(claim, self.shard_time_ms),
-            Kind::ResolveClaim(settle) => self.claims.settle(settle, self.shard_time_ms),
+            Kind::ResolveClaim(resolve) => self.claims.resolve(resolve, self.shard_time_ms),
             Kind::OpenSession(open) => self.sessions.open(&mut self.public, open),
             Kind::CloseSession(close) => self.sessions.close(&mut self.public, close),
             Kind::UpdateBackends(update) => self.catalogue.update(&mut self.public, update),
@@ -186,7 +186,7 @@
 
     fn advance_clock(&mut self, elapsed_ms: u64) -> Applied {
         self.shard_time_ms = self.shard_time_ms.saturating_add(elapsed_ms);
-        self.claims.drop_old(self.shard_time_ms);
+        self.claims.drop_expired(self.shard_time_ms);
         Applied::code(ResultCode::Ok)
     }
 }
--- a/crates/control-state/src/machine/snapshot.rs
+++ b/crates/control-state/src/machine/snapshot.rs
@@ -6,7 +6,7 @@
 use millford_api::state::{StateItem, StateValue};
 use prost::Message;
 
-use super::order_record::OrderRecord;
+use super::order_history::OrderHistory;
 use super::restore_error::RestoreError;
 use super::shard_machine::ShardMachine;
 use crate::machine::claim_table::ClaimTable;
@@ -44,7 +44,7 @@
         self.applied_term = snapshot.applied_term;
         self.shard_time_ms = snapshot.shard_time_ms;
         self.public.replace(items);
-        self.orders = OrderRecord::default();
+        self.orders = OrderHistory::default();
         for order in snapshot.orders {
             self.orders.add(order);
         }
--- a/crates/control-state/src/machine/kept_claim.rs
+++ b/crates/control-state/src/machine/stored_claim.rs
@@ -6,14 +6,14 @@
 
 /// Outcome of a claimed run and what it takes to know the claim again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct KeptClaim {
+pub(super) struct StoredClaim {
     pub(super) attempt: ShortHash,
     pub(super) digest: ShortHash,
     pub(super) outcome: RunOutcome,
     pub(super) claimed_at_ms: u64,
 }
 
-impl KeptClaim {
+impl StoredClaim {
     /// A claim that is granted now.
     pub(super) fn granted(claim: &Claim, now_ms: u64) -> Self {
         Self {
@@ -25,9 +25,9 @@
     }
 
     /// The mark of an attempt that gave up before its claim arrived.
-    pub(super) fn abandoned(settle: &ResolveClaim, now_ms: u64) -> Self {
+    pub(super) fn abandoned(resolve: &ResolveClaim, now_ms: u64) -> Self {
         Self {
-            attempt: attempt_hash(&settle.attempt_id),
+            attempt: attempt_hash(&resolve.attempt_id),
             digest: ShortHash::default(),
             outcome: RunOutcome::RunNotRun,
             claimed_at_ms: now_ms,
--- a/crates/control-state/src/planner/document_changes.rs
+++ b/crates/control-state/src/planner/document_changes.rs
@@ -12,7 +12,7 @@
 use crate::document;
 
 /// Digits of a key's hash that a plan shows: enough to tell keys apart, too few to search by.
-const SHOWN_HASH_DIGITS: usize = 8;
+const DISPLAYED_HASH_DIGITS: usize = 8;
 
 /// One item before and after.
 struct ItemChange {
@@ -39,14 +39,14 @@
             items: Vec::new(),
         };
         let mut old = document::items(before);
-        for (key, wanted) in document::items(after) {
+        for (key, desired) in document::items(after) {
             let present = old.remove(&key);
-            if present.as_ref() != Some(&wanted) {
-                changes.note(key, present, Some(wanted));
+            if present.as_ref() != Some(&desired) {
+                changes.record(key, present, Some(desired));
             }
         }
-        for (key, gone) in old {
-            changes.note(key, Some(gone), None);
+        for (key, removed) in old {
+            changes.record(key, Some(removed), None);
         }
         changes.sort();
         changes
@@ -64,7 +64,7 @@
             for (hash, change) in removed.chain(added) {
                 moves.push(KeyMove {
                     tenant: name.to_owned(),
-                    key_hash_prefix: hash.chars().take(SHOWN_HASH_DIGITS).collect(),
+                    key_hash_prefix: hash.chars().take(DISPLAYED_HASH_DIGITS).collect(),
                     change,
                 });
             }
@@ -100,7 +100,7 @@
         self.items.iter().map(item_bytes).sum()
     }
 
-    fn note(&mut self, key: String, before: Option<Kind>, after: Option<Kind>) {
+    fn record(&mut self, key: String, before: Option<Kind>, after: Option<Kind>) {
         let list = match after.as_ref().or(before.as_ref()) {
             Some(Kind::Route(_) | Kind::ForwardRoute(_)) => Some(&mut self.routes),
             Some(Kind::Pool(_)) => Some(&mut self.pools),
--- a/crates/control-state/src/planner/session_moves.rs
+++ b/crates/control-state/src/planner/session_moves.rs
@@ -58,8 +58,8 @@
     let Some(pool) = table.pool(&route.pool) else {
         return Vec::new();
     };
-    let wanted = route.requirement(&ModelRequest::default());
-    let candidates = pool.candidates(&wanted).into_iter();
+    let desired = route.requirement(&ModelRequest::default());
+    let candidates = pool.candidates(&desired).into_iter();
     let mut homes: Vec<Home> = candidates
         .map(|replica| Home {
             backend_id: replica.backend.id.clone(),
--- a/crates/control-state/src/quota/bucket.rs
+++ b/crates/control-state/src/quota/bucket.rs
@@ -1,203 +1,198 @@
-//! Token bucket of one tenant, kept twice: what may be lent, and what is certainly used up.
+//! Token bucket of one tenant, counted twice: what may be granted, and what may be unspent at most.
 
 use millford_api::config::Quota;
 use millford_core::{Duration, MonotonicTime};
 
-/// Millionths of a token in one token. With microseconds, rates stay whole numbers.
-pub(super) const MICRO: u64 = 1_000_000;
-
-/// Longest time without a leader for which the requests that came meanwhile are not refused.
-const LONGEST_VACANCY: Duration = Duration::from_secs(5);
-
-/// When a leader may lend, and when its buckets may be full.
-///
-/// A new leader does not know what its predecessor lent. From `start` on the predecessor lends
-/// nothing more, so buckets refill from nothing from there on. Until `full_after` the
-/// predecessor's spare tokens, at most half of a burst, may still be spent; until then a bucket
-/// holds at most the other half.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct Takeover {
-    pub(super) start: MonotonicTime,
-    pub(super) full_after: MonotonicTime,
-    /// From then on the predecessor's unknown lending no longer keeps the leader from refusing. A
-    /// tenant is wronged by that only if it used its whole rate from `start` until then.
-    pub(super) doubt_ends: MonotonicTime,
-}
+use super::takeover::Takeover;
+
+/// Microtokens in one token. With times in microseconds, rates stay whole numbers.
+pub(super) const MICROTOKENS_PER_TOKEN: u64 = 1_000_000;
+
+/// Longest time without a leader for which the requests that arrived meanwhile are not refused.
+const MAX_VACANCY: Duration = Duration::from_secs(5);
+
+/// When to retry under a quota whose rate is 0.
+const RETRY_WITHOUT_RATE: Duration = Duration::from_secs(60);
 
-/// Largest part of a burst that may be lent as spare tokens at any time, in whole tokens.
-pub(super) fn spare_limit(burst: u32) -> u64 {
+/// Largest part of a burst that may be granted as surplus tokens at any time, in whole tokens.
+pub(super) fn surplus_limit(burst: u32) -> u64 {
     u64::from(burst) / 2
 }
 
-/// Bucket in millionths of a token.
+/// Bucket in microtokens; the rate is in tokens a second, which is microtokens a microsecond.
 #[derive(Clone, Debug)]
 pub(super) struct Bucket {
     rate: u64,
     burst: u64,
-    spare_limit: u64,
+    surplus_limit: u64,
     takeover: Takeover,
-    updated: MonotonicTime,
-    /// May be lent. `free` and the spare tokens at the nodes together are never more than `burst`.
-    free: u64,
+    updated_at: MonotonicTime,
+    /// May be granted. Invariant: `available` and the surplus tokens at the nodes together are
+    /// never more than `burst`.
+    available: u64,
     /// At least as much as would be there if every token whose fate is unknown had not been spent,
     /// and nothing had been taken out yet for the requests that wait.
     optimistic: u64,
-    /// Requests that wait. A bucket that had served them when they came would have refilled since,
-    /// so the optimistic count may exceed the burst by their number.
+    /// Requests that wait. A bucket that had served them when they arrived would have refilled
+    /// since, so the optimistic count may exceed the burst by their number.
     waiting: u64,
 }
 
 impl Bucket {
     /// The bucket of a tenant that has not been seen since the leader's takeover, at `now`.
     pub(super) fn new(quota: &Quota, takeover: Takeover, now: MonotonicTime) -> Self {
-        let burst = u64::from(quota.burst) * MICRO;
-        let rate = u64::from(quota.requests_per_second);
+        let burst = u64::from(quota.burst) * MICROTOKENS_PER_TOKEN;
         let mut bucket = Self {
-            rate,
+            rate: u64::from(quota.requests_per_second),
             burst,
-            spare_limit: spare_limit(quota.burst) * MICRO,
+            surplus_limit: surplus_limit(quota.burst) * MICROTOKENS_PER_TOKEN,
             takeover,
-            updated: takeover.start,
-            free: 0,
+            updated_at: takeover.grants_from,
+            available: 0,
             optimistic: burst,
             waiting: 0,
         };
-        if now < takeover.full_after {
-            // Requests that came while there was no leader wait in the nodes.
-            bucket.optimistic += bucket.earned(LONGEST_VACANCY);
+        if now < takeover.predecessor_leases_end {
+            // Requests that arrived while there was no leader wait in the nodes.
+            bucket.optimistic += bucket.accrued(MAX_VACANCY);
         }
         bucket.refill(now, 0);
         bucket
     }
 
-    /// Brings the bucket to `now`; `spare` is the upper bound of spare tokens at the nodes.
-    pub(super) fn refill(&mut self, now: MonotonicTime, spare: u64) {
-        if now <= self.updated {
+    /// Brings the bucket to `now`; `surplus` is the upper bound of surplus microtokens at the nodes.
+    pub(super) fn refill(&mut self, now: MonotonicTime, surplus: u64) {
+        if now <= self.updated_at {
             return;
         }
-        let turn = self.takeover.full_after;
-        if self.updated < turn {
-            let until = now.min(turn);
-            let cap = self.burst - self.spare_limit;
-            self.add_time(until, cap, spare);
+        let leases_end = self.takeover.predecessor_leases_end;
+        if self.updated_at < leases_end {
+            // Safety: until then the predecessor's surplus tokens, up to `surplus_limit`, may still
+            // be spent beside this bucket's.
+            let limit = self.burst - self.surplus_limit;
+            self.accrue_until(now.min(leases_end), limit, surplus);
         }
-        let ends = self.takeover.doubt_ends;
-        let doubt_ends_now = self.updated < ends && ends <= now;
-        self.add_time(now, self.burst, spare);
-        if doubt_ends_now {
-            self.optimistic = self.optimistic.min(self.free + spare);
+        let uncertainty_ends = self.takeover.uncertainty_ends;
+        let uncertainty_ends_now = self.updated_at < uncertainty_ends && uncertainty_ends <= now;
+        self.accrue_until(now, self.burst, surplus);
+        if uncertainty_ends_now {
+            self.optimistic = self.optimistic.min(self.available + surplus);
         }
-        if now >= turn {
-            self.cut_optimistic();
+        if now >= leases_end {
+            self.limit_optimistic();
         }
     }
 
-    /// Whole tokens that may be lent.
-    pub(super) fn lendable(&self) -> u64 {
-        self.free / MICRO
+    /// Whole tokens that may be granted.
+    pub(super) fn available_tokens(&self) -> u64 {
+        self.available / MICROTOKENS_PER_TOKEN
     }
 
     /// Whole tokens by the optimistic count.
     pub(super) fn optimistic_tokens(&self) -> u64 {
-        self.optimistic / MICRO
+        self.optimistic / MICROTOKENS_PER_TOKEN
     }
 
-    /// Whole tokens that the rate gives in a time.
-    pub(super) fn tokens_earned(&self, time: Duration) -> u64 {
-        self.earned(time) / MICRO
+    /// Whole tokens that the rate yields in a time.
+    pub(super) fn tokens_accrued(&self, time: Duration) -> u64 {
+        self.accrued(time) / MICROTOKENS_PER_TOKEN
     }
 
     /// Whether nothing is missing.
     pub(super) fn is_full(&self) -> bool {
-        self.free == self.burst
+        self.available == self.burst
     }
 
-    /// Takes tokens out for a node; at most [`Bucket::lendable`].
-    pub(super) fn lend(&mut self, tokens: u64) {
-        self.free = self.free.saturating_sub(tokens * MICRO);
-        self.optimistic = self.optimistic.saturating_sub(tokens * MICRO);
+    /// Takes tokens out for a node; at most [`Bucket::available_tokens`].
+    pub(super) fn grant(&mut self, tokens: u64) {
+        let microtokens = tokens * MICROTOKENS_PER_TOKEN;
+        self.available = self.available.saturating_sub(microtokens);
+        self.optimistic = self.optimistic.saturating_sub(microtokens);
     }
 
-    /// Takes requests out of the optimistic count that are refused although it would do for them.
-    pub(super) fn forgo(&mut self, requests: u64) {
-        self.optimistic = self.optimistic.saturating_sub(requests * MICRO);
+    /// Takes requests out of the optimistic count that are refused although it covers them.
+    pub(super) fn deduct_refused(&mut self, requests: u64) {
+        let microtokens = requests * MICROTOKENS_PER_TOKEN;
+        self.optimistic = self.optimistic.saturating_sub(microtokens);
     }
 
-    /// Puts spare tokens back. They counted against the burst all the time, so all come back.
-    pub(super) fn return_spare(&mut self, tokens: u64, spare_left: u64) {
-        let room = self.burst.saturating_sub(spare_left);
-        self.free = (self.free + tokens * MICRO).min(room);
-        self.add_optimistic(tokens * MICRO);
+    /// Puts surplus tokens back. They counted against the burst all the time, so all come back.
+    pub(super) fn return_surplus(&mut self, tokens: u64, remaining_surplus: u64) {
+        let microtokens = tokens * MICROTOKENS_PER_TOKEN;
+        let capacity = self.burst.saturating_sub(remaining_surplus);
+        self.available = (self.available + microtokens).min(capacity);
+        self.add_optimistic(microtokens);
     }
 
-    /// Puts tokens back that were lent for a waiting request `age` ago and not spent.
+    /// Puts tokens back that were granted for a waiting request `age` ago and not spent.
     ///
-    /// They did not count against the burst meanwhile. A bucket that had never lent them would be
-    /// fuller by at least their number less what was refilled since, so that much may come back
-    /// without its ever holding more than such a bucket would.
-    pub(super) fn return_asked(&mut self, tokens: u64, age: Duration, spare: u64) {
-        let back = (tokens * MICRO).saturating_sub(self.earned(age));
-        let room = self.burst.saturating_sub(spare);
-        self.free = (self.free + back).min(room.max(self.free));
-        self.add_optimistic(tokens * MICRO);
+    /// They did not count against the burst meanwhile. A bucket that had never granted them would
+    /// be fuller by at least their number less what was refilled since, so that much may come back
+    /// without its ever containing more than such a bucket would.
+    pub(super) fn return_requested(&mut self, tokens: u64, age: Duration, surplus: u64) {
+        let microtokens = tokens * MICROTOKENS_PER_TOKEN;
+        let returned = microtokens.saturating_sub(self.accrued(age));
+        let capacity = self.burst.saturating_sub(surplus);
+        self.available = (self.available + returned).min(capacity.max(self.available));
+        self.add_optimistic(microtokens);
     }
 
-    /// Counts tokens of unknown fate as unspent where it is judged whether to refuse.
-    pub(super) fn doubt(&mut self, tokens: u64) {
-        self.add_optimistic(tokens * MICRO);
+    /// Counts tokens of unknown fate as unspent where it is decided whether to refuse.
+    pub(super) fn add_uncertain(&mut self, tokens: u64) {
+        self.add_optimistic(tokens * MICROTOKENS_PER_TOKEN);
     }
 
-    /// Notes how many requests wait at the nodes.
+    /// Sets how many requests wait at the nodes.
     pub(super) fn set_waiting(&mut self, requests: u64) {
-        self.waiting = requests * MICRO;
+        self.waiting = requests * MICROTOKENS_PER_TOKEN;
     }
 
-    /// Time until the next whole token may be lent.
-    pub(super) fn until_next(&self, now: MonotonicTime) -> Duration {
-        let wait = self.takeover.start.since(now);
-        let missing = MICRO.saturating_sub(self.free % MICRO);
+    /// Time until the next whole token may be granted.
+    pub(super) fn until_next_token(&self, now: MonotonicTime) -> Duration {
+        let until_grants = self.takeover.grants_from.since(now);
+        let missing = MICROTOKENS_PER_TOKEN.saturating_sub(self.available % MICROTOKENS_PER_TOKEN);
         match missing.checked_div(self.rate) {
-            Some(micros) => wait + Duration::from_micros(micros + 1),
-            None => Duration::from_secs(60),
+            Some(micros) => until_grants + Duration::from_micros(micros + 1),
+            None => RETRY_WITHOUT_RATE,
         }
     }
 
-    /// Goes over to another quota. Tokens of a larger burst are there at once.
-    pub(super) fn change(&mut self, quota: &Quota, spare: u64) {
-        let burst = u64::from(quota.burst) * MICRO;
-        let more = burst.saturating_sub(self.burst);
+    /// Switches to another quota. Tokens of a larger burst are there at once.
+    pub(super) fn set_quota(&mut self, quota: &Quota, surplus: u64) {
+        let burst = u64::from(quota.burst) * MICROTOKENS_PER_TOKEN;
+        let added = burst.saturating_sub(self.burst);
         self.rate = u64::from(quota.requests_per_second);
         self.burst = burst;
-        self.spare_limit = spare_limit(quota.burst) * MICRO;
-        self.free = (self.free + more).min(burst.saturating_sub(spare));
-        self.optimistic = (self.optimistic + more).min(burst + self.waiting);
+        self.surplus_limit = surplus_limit(quota.burst) * MICROTOKENS_PER_TOKEN;
+        self.available = (self.available + added).min(burst.saturating_sub(surplus));
+        self.optimistic = (self.optimistic + added).min(burst + self.waiting);
     }
 
-    fn add_time(&mut self, until: MonotonicTime, cap: u64, spare: u64) {
-        if until <= self.updated {
+    fn accrue_until(&mut self, until: MonotonicTime, limit: u64, surplus: u64) {
+        if until <= self.updated_at {
             return;
         }
-        let earned = self.earned(until.since(self.updated));
-        let room = cap.saturating_sub(spare);
-        self.free = (self.free + earned).min(room.max(self.free));
-        self.add_optimistic(earned);
-        self.updated = until;
+        let accrued = self.accrued(until.since(self.updated_at));
+        let capacity = limit.saturating_sub(surplus);
+        self.available = (self.available + accrued).min(capacity.max(self.available));
+        self.add_optimistic(accrued);
+        self.updated_at = until;
     }
 
-    fn earned(&self, time: Duration) -> u64 {
+    fn accrued(&self, time: Duration) -> u64 {
         let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
         self.rate.saturating_mul(micros)
     }
 
-    /// An exact bucket never holds more than a burst beside the requests not yet taken out.
-    /// Requests that were given up stop to count, or their number would stay in the count.
-    fn cut_optimistic(&mut self) {
+    /// An exact bucket never contains more than a burst beside the requests not yet taken out.
+    /// Requests that were given up stop counting, or their number would stay in the count.
+    fn limit_optimistic(&mut self) {
         self.optimistic = self.optimistic.min(self.burst + self.waiting);
     }
 
-    fn add_optimistic(&mut self, micro_tokens: u64) {
-        let cap = self.burst + self.waiting;
-        let more = self.optimistic.saturating_add(micro_tokens).min(cap);
-        self.optimistic = self.optimistic.max(more);
+    fn add_optimistic(&mut self, microtokens: u64) {
+        let limit = self.burst + self.waiting;
+        let raised = self.optimistic.saturating_add(microtokens).min(limit);
+        self.optimistic = self.optimistic.max(raised);
     }
 }
--- a/crates/control-state/src/quota/mod.rs
+++ b/crates/control-state/src/quota/mod.rs
@@ -1,23 +1,30 @@
-//! Quotas of tenants, held by the leader of the tenant's shard and lent to the nodes in slices.
+//! Quotas of tenants, kept by the leader of the tenant's shard and leased to the nodes.
 //!
-//! # What holds
-//! Counted from the moment of lending for tokens that a waiting request asked for, and from the
-//! moment of spending for spare ones, a tenant's requests in any window are at most its burst and
-//! what its rate gives in that window, over all nodes, lost nodes, lost replies and changes of
+//! # Guarantee
+//! Counted from the moment of granting for tokens that a waiting request requested, and from the
+//! moment of spending for surplus ones, a tenant's requests in any window are at most its burst and
+//! what its rate yields in that window, over all nodes, lost nodes, lost replies and changes of
 //! leader included. A tenant under that is never refused; at worst its requests wait while idle
-//! slices are called back. The argument stands at the code: [`account`] for one leader,
-//! [`ledger`] for the change of leaders.
+//! tokens are recalled. The argument stands at the code: `token_account` for one leader,
+//! `leases` for the change of leaders, `slot_leases` for stream slots.
 
-mod account;
 mod bucket;
-mod ledger;
-mod member_slice;
+mod demand_window;
+mod leases;
+mod member_lease;
 mod options;
+mod outage_credit;
 mod output;
-mod replies;
-mod slots;
+mod recall;
+mod reply_cache;
+mod slot_leases;
+mod takeover;
 mod tenant_account;
+mod token_account;
 
-pub use ledger::QuotaLeases;
-pub use options::{QUOTA_LEASE, QuotaOptions, STEP_DOWN_BOUND};
+pub use leases::QuotaLeases;
+pub use options::{
+    INACTIVE_SLOT_TIMEOUT, QUOTA_LEASE, QuotaOptions, RECALL_RETRY_DELAY, STEP_DOWN_BOUND,
+    SWEEP_INTERVAL, TAKEOVER_UNCERTAINTY,
+};
 pub use output::QuotaOutput;
--- a/crates/control-state/src/quota/output.rs
+++ b/crates/control-state/src/quota/output.rs
@@ -1,24 +1,33 @@
-//! What the ledger wants sent.
+//! Messages that the quota leases send.
 
 use millford_api::internal::{QuotaRecall, QuotaReply};
 
 /// A message to one node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum QuotaOutput {
-    /// Answer to a request of the member.
+    /// Reply to a request of the member.
     Reply {
         /// Name of the agent.
         member: String,
-        /// The answer.
+        /// The reply.
         reply: QuotaReply,
     },
-    /// Idle slices are wanted back; the node answers with an ask that returns them.
+    /// Idle tokens and slots are recalled; the node responds with a request that returns them.
     Recall {
         /// Name of the agent.
         member: String,
-        /// Epoch of the session that holds the slices.
+        /// Epoch of the session that the lease was granted to.
         epoch: u64,
         /// The recall.
         recall: QuotaRecall,
     },
 }
+
+impl QuotaOutput {
+    /// Name of the agent that the message is for.
+    pub(super) fn member(&self) -> &str {
+        match self {
+            QuotaOutput::Reply { member, .. } | QuotaOutput::Recall { member, .. } => member,
+        }
+    }
+}
--- /dev/null
+++ b/crates/control-state/src/quota/recall.rs
@@ -0,0 +1,19 @@
+//! Recalls of what lies idle at the nodes.
+
+use millford_core::{Duration, MonotonicTime};
+
+/// A node that is to return what it does not use.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) struct RecallTarget {
+    pub(super) member: String,
+    pub(super) epoch: u64,
+}
+
+/// Whether a recall is due that was last sent at `sent_at`, if ever.
+pub(super) fn is_recall_due(
+    sent_at: Option<MonotonicTime>,
+    now: MonotonicTime,
+    retry_delay: Duration,
+) -> bool {
+    sent_at.is_none_or(|sent| now.since(sent) >= retry_delay)
+}
--- /dev/null
+++ b/crates/control-state/src/quota/slot_leases.rs
@@ -0,0 +1,226 @@
+//! Stream slots of one tenant: which node may use how many.
+//!
+//! # Why the limit holds
+//! A node is charged with the larger of what it may hold and what it uses, until its next request,
+//! or until it has been unresponsive for so long that its streams are taken to have ended. A node's
+//! request states how many slots it keeps; it gives the others up when it sends the request, before
+//! the leader can grant them again. A new leader grants nothing beyond what is in use until every
+//! lease of its predecessor has ended; each connected node renews within that time and so reports
+//! what it uses.
+
+use std::collections::BTreeMap;
+
+use millford_core::{Duration, MonotonicTime};
+
+use super::options::QuotaOptions;
+use super::recall::{RecallTarget, is_recall_due};
+
+/// Lease times after which a restarted node has claimed again what it still uses, and after which
+/// no older request of a node arrives any more.
+const GRACE_LEASES: u32 = 2;
+
+/// The slot part of a node's request.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct SlotRequest<'request> {
+    pub(super) member: &'request str,
+    pub(super) epoch: u64,
+    /// Grows with each request of the session; an older one than the last changes nothing.
+    pub(super) request_id: u64,
+    pub(super) requested: u64,
+    pub(super) in_use: u64,
+}
+
+/// What the slots of a tenant are limited by.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct SlotLimit {
+    /// Streams of the tenant over all nodes; unlimited when absent.
+    pub(super) slots: Option<u64>,
+    /// When the leases of a former leader have certainly ended.
+    pub(super) predecessor_leases_end: MonotonicTime,
+}
+
+/// What the node may hold.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct SlotGrant {
+    pub(super) slots: u64,
+    pub(super) refused: bool,
+    pub(super) retry_after: Duration,
+    /// Idle slots of other nodes are to be recalled.
+    pub(super) recall: bool,
+}
+
+#[derive(Clone, Debug)]
+struct SlotLease {
+    epoch: u64,
+    request_id: u64,
+    granted: u64,
+    /// What the node may believe to hold: a smaller grant may never reach it.
+    may_hold: u64,
+    in_use: u64,
+    renewed_at: MonotonicTime,
+    /// Set when a newer process of the member has appeared: what that one does not claim soon is
+    /// given up.
+    superseded_at: Option<MonotonicTime>,
+    recall_sent_at: Option<MonotonicTime>,
+}
+
+impl SlotLease {
+    fn charge(&self) -> u64 {
+        self.may_hold.max(self.in_use)
+    }
+
+    fn has_ended(&self, now: MonotonicTime, options: &QuotaOptions) -> bool {
+        // A lease of nothing stays for as long as older requests of the node may still arrive: one
+        // that was resent would otherwise be taken for a new one.
+        let timeout = match self.charge() {
+            0 => options.lease * GRACE_LEASES,
+            _ => options.inactive_slot_timeout,
+        };
+        let timed_out = now.since(self.renewed_at) >= timeout;
+        let superseded = self
+            .superseded_at
+            .is_some_and(|since| now.since(since) >= options.lease * GRACE_LEASES);
+        timed_out || superseded
+    }
+
+    fn may_return_slots(&self, now: MonotonicTime, options: &QuotaOptions) -> bool {
+        let live = now.since(self.renewed_at) < options.lease;
+        live && self.granted > self.in_use
+    }
+}
+
+/// Leases of one tenant's slots by member.
+#[derive(Clone, Debug, Default)]
+pub(super) struct SlotLeases {
+    leases: BTreeMap<String, SlotLease>,
+}
+
+impl SlotLeases {
+    /// Renews, raises or lowers what a node holds.
+    pub(super) fn handle(
+        &mut self,
+        now: MonotonicTime,
+        request: SlotRequest<'_>,
+        limit: SlotLimit,
+        options: &QuotaOptions,
+    ) -> SlotGrant {
+        self.expire(now, options);
+        if let Some(unchanged) = self.grant_for_outdated(request) {
+            return unchanged;
+        }
+        let capacity = match limit.slots {
+            None => u64::MAX,
+            Some(_) if now < limit.predecessor_leases_end => 0,
+            Some(slots) => slots.saturating_sub(self.charged_to_others(request.member)),
+        };
+        // Streams in use are never cut off, also when the limit was lowered.
+        let in_use = request.in_use.min(request.requested);
+        let slots = request.requested.min(capacity).max(in_use);
+        self.record_grant(now, request, slots);
+        let mut grant = SlotGrant {
+            slots,
+            ..SlotGrant::default()
+        };
+        if slots < request.requested {
+            self.decide_missing(now, request.member, limit, options, &mut grant);
+        }
+        grant
+    }
+
+    /// Members whose idle slots are to be recalled now.
+    pub(super) fn start_recalls(
+        &mut self,
+        now: MonotonicTime,
+        options: &QuotaOptions,
+    ) -> Vec<RecallTarget> {
+        let mut targets = Vec::new();
+        for (member, lease) in &mut self.leases {
+            let due = is_recall_due(lease.recall_sent_at, now, options.recall_retry_delay);
+            if due && lease.may_return_slots(now, options) {
+                lease.recall_sent_at = Some(now);
+                targets.push(RecallTarget {
+                    member: member.clone(),
+                    epoch: lease.epoch,
+                });
+            }
+        }
+        targets
+    }
+
+    /// A newer process of the member has appeared.
+    pub(super) fn supersede(&mut self, now: MonotonicTime, member: &str, epoch: u64) {
+        if let Some(lease) = self.leases.get_mut(member)
+            && lease.epoch < epoch
+            && lease.superseded_at.is_none()
+        {
+            lease.superseded_at = Some(now);
+        }
+    }
+
+    /// Drops the leases that ended.
+    pub(super) fn expire(&mut self, now: MonotonicTime, options: &QuotaOptions) {
+        self.leases
+            .retain(|_, lease| !lease.has_ended(now, options));
+    }
+
+    /// Whether there is no lease.
+    pub(super) fn is_empty(&self) -> bool {
+        self.leases.is_empty()
+    }
+
+    /// What a request older than the last one is answered with: it changes nothing.
+    fn grant_for_outdated(&self, request: SlotRequest<'_>) -> Option<SlotGrant> {
+        let lease = self.leases.get(request.member)?;
+        let outdated = lease.epoch == request.epoch && lease.request_id > request.request_id;
+        outdated.then(|| SlotGrant {
+            slots: lease.granted,
+            ..SlotGrant::default()
+        })
+    }
+
+    fn charged_to_others(&self, member: &str) -> u64 {
+        let others = self.leases.iter().filter(|(name, _)| *name != member);
+        others.map(|(_, lease)| lease.charge()).sum()
+    }
+
+    fn record_grant(&mut self, now: MonotonicTime, request: SlotRequest<'_>, granted: u64) {
+        let former = self.leases.get(request.member);
+        let renewed = former.filter(|lease| lease.epoch == request.epoch);
+        // Safety: the node gave up what it does not request when it sent the request, and no more
+        // than that; that it is granted less it learns only if the reply arrives.
+        let kept = renewed.map_or(0, |lease| lease.may_hold.min(request.requested));
+        let lease = SlotLease {
+            epoch: request.epoch,
+            request_id: request.request_id,
+            granted,
+            may_hold: granted.max(kept),
+            in_use: request.in_use,
+            renewed_at: now,
+            superseded_at: None,
+            recall_sent_at: None,
+        };
+        self.leases.insert(request.member.to_owned(), lease);
+    }
+
+    fn decide_missing(
+        &self,
+        now: MonotonicTime,
+        member: &str,
+        limit: SlotLimit,
+        options: &QuotaOptions,
+        grant: &mut SlotGrant,
+    ) {
+        if now < limit.predecessor_leases_end {
+            grant.retry_after = limit.predecessor_leases_end.since(now);
+            return;
+        }
+        let mut others = self.leases.iter().filter(|(name, _)| *name != member);
+        if others.any(|(_, lease)| lease.may_return_slots(now, options)) {
+            grant.recall = true;
+            grant.retry_after = options.recall_retry_delay;
+        } else {
+            grant.refused = true;
+            grant.retry_after = options.lease;
+        }
+    }
+}
--- a/crates/control-state/src/quota/tenant_account.rs
+++ b/crates/control-state/src/quota/tenant_account.rs
@@ -6,28 +6,30 @@
 use millford_api::internal::{QuotaGrant, QuotaRecall, QuotaRequest, TenantQuotaRequest};
 use millford_core::{Duration, MonotonicTime, ShardId};
 
-use super::account::{TokenAccount, TokenAnswer, TokenAsk};
-use super::bucket::Takeover;
 use super::options::QuotaOptions;
 use super::output::QuotaOutput;
-use super::slots::{Holder, SlotAnswer, SlotAsk, SlotTable};
+use super::recall::RecallTarget;
+use super::slot_leases::{SlotGrant, SlotLeases, SlotLimit, SlotRequest};
+use super::takeover::Takeover;
+use super::token_account::{TokenAccount, TokenGrant, TokenRequest};
 
-/// When to ask again for a tenant that this leader has not heard of: its configuration is on its way.
-const UNKNOWN_TENANT_WAIT: Duration = Duration::from_millis(50);
+/// When to retry for a tenant that this leader does not know: its configuration is on its way.
+const UNKNOWN_TENANT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What an ask is answered with, besides the tenant's own account.
+/// What a request is handled with, besides the tenant's own account.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct AskContext<'ask> {
+pub(super) struct RequestContext<'request> {
     pub(super) shard: ShardId,
     pub(super) now: MonotonicTime,
     pub(super) takeover: Takeover,
-    pub(super) options: &'ask QuotaOptions,
-    pub(super) request: &'ask QuotaRequest,
+    pub(super) options: &'request QuotaOptions,
+    /// The whole request, of which each tenant's part is handled on its own.
+    pub(super) request: &'request QuotaRequest,
 }
 
-/// One tenant's part of an answer.
+/// One tenant's part of a reply, with the recalls that go out beside it.
 #[derive(Debug)]
-pub(super) struct Turn {
+pub(super) struct TenantReply {
     pub(super) grant: QuotaGrant,
     pub(super) recalls: Vec<QuotaOutput>,
 }
@@ -36,151 +38,159 @@
 #[derive(Clone, Debug)]
 pub(super) struct TenantAccount {
     tokens: TokenAccount,
-    slots: SlotTable,
+    slots: SlotLeases,
 }
 
 impl TenantAccount {
-    /// The account of a tenant that holds nothing yet.
+    /// The account of a tenant without grants.
     pub(super) fn new(quota: &Quota, takeover: Takeover, now: MonotonicTime) -> Self {
         Self {
             tokens: TokenAccount::new(quota, takeover, now),
-            slots: SlotTable::default(),
+            slots: SlotLeases::default(),
         }
     }
 
-    /// Answers one node's ask.
-    pub(super) fn answer(
+    /// Handles one node's request for the tenant.
+    pub(super) fn handle(
         &mut self,
-        context: AskContext<'_>,
-        ask: &TenantQuotaRequest,
+        context: RequestContext<'_>,
+        request: &TenantQuotaRequest,
         quota: &Quota,
-    ) -> Turn {
-        let tokens = self.answer_tokens(context, ask);
-        let slots = self.answer_slots(context, ask, quota);
+    ) -> TenantReply {
+        let tokens = self.handle_tokens(context, request);
+        let slots = self.handle_slots(context, request, quota);
         let mut recalls = Vec::new();
         if tokens.recall || slots.recall {
-            let asker = &context.request.member;
-            recalls = self.recalls(context.shard, context.now, &ask.tenant, context.options);
-            recalls.retain(|output| !is_for(output, asker));
+            let requester = &context.request.member;
+            recalls =
+                self.start_recalls(context.shard, context.now, &request.tenant, context.options);
+            recalls.retain(|recall| recall.member() != requester);
         }
         let grant = QuotaGrant {
-            tenant: ask.tenant.clone(),
-            tokens: narrow(tokens.tokens),
-            slots: narrow(slots.slots),
+            tenant: request.tenant.clone(),
+            tokens: saturate(tokens.tokens),
+            slots: saturate(slots.slots),
             lease_ms: millis(context.options.lease),
             retry_after_ms: millis(tokens.retry_after.max(slots.retry_after)),
             refused: tokens.refused > 0,
             slots_refused: slots.refused,
-            refused_tokens: narrow(tokens.refused),
+            refused_tokens: saturate(tokens.refused),
         };
-        Turn { grant, recalls }
+        TenantReply { grant, recalls }
     }
 
-    /// Goes over to another quota.
-    pub(super) fn change(&mut self, now: MonotonicTime, quota: &Quota, options: &QuotaOptions) {
-        self.tokens.change(now, quota, options);
+    /// Switches to another quota.
+    pub(super) fn set_quota(&mut self, now: MonotonicTime, quota: &Quota, options: &QuotaOptions) {
+        self.tokens.set_quota(now, quota, options);
     }
 
-    /// Recalls to every holder of idle tokens or slots, one for each.
-    pub(super) fn recalls(
+    /// Recalls to every node with idle tokens or slots, one for each.
+    pub(super) fn start_recalls(
         &mut self,
         shard: ShardId,
         now: MonotonicTime,
         tenant: &str,
         options: &QuotaOptions,
     ) -> Vec<QuotaOutput> {
-        let mut holders = self.tokens.recall(now, options.recall_wait);
-        holders.extend(self.slots.recall(now, options));
-        let mut told = BTreeSet::new();
-        holders.retain(|holder| told.insert(holder.member.clone()));
-        let to_output = |holder: Holder| QuotaOutput::Recall {
+        let mut targets = self.tokens.start_recalls(now, options);
+        targets.extend(self.slots.start_recalls(now, options));
+        let mut notified = BTreeSet::new();
+        targets.retain(|target| notified.insert(target.member.clone()));
+        let to_output = |target: RecallTarget| QuotaOutput::Recall {
             recall: QuotaRecall {
                 shard: shard.0,
                 tenant: tenant.to_owned(),
-                member: holder.member.clone(),
+                member: target.member.clone(),
             },
-            member: holder.member,
-            epoch: holder.epoch,
+            member: target.member,
+            epoch: target.epoch,
         };
-        holders.into_iter().map(to_output).collect()
+        targets.into_iter().map(to_output).collect()
     }
 
-    /// A newer process of the member has shown up.
+    /// A newer process of the member has appeared.
     pub(super) fn supersede(&mut self, now: MonotonicTime, member: &str, epoch: u64) {
         self.slots.supersede(now, member, epoch);
     }
 
-    /// Whether a fresh account would be the same. The tokens of a removed tenant do not matter.
-    pub(super) fn is_idle(
-        &mut self,
-        now: MonotonicTime,
-        removed: bool,
-        options: &QuotaOptions,
-    ) -> bool {
+    /// Brings the account to `now`.
+    pub(super) fn advance(&mut self, now: MonotonicTime, options: &QuotaOptions) {
         self.tokens.advance(now, options);
         self.slots.expire(now, options);
-        (removed || self.tokens.is_idle()) && self.slots.is_empty()
     }
 
-    fn answer_tokens(&mut self, context: AskContext<'_>, ask: &TenantQuotaRequest) -> TokenAnswer {
-        let token_ask = TokenAsk {
+    /// Whether a new account would be the same. The tokens of a removed tenant do not matter.
+    pub(super) fn is_idle(&self, tenant: TenantPresence) -> bool {
+        let tokens_idle = tenant == TenantPresence::Removed || self.tokens.is_idle();
+        tokens_idle && self.slots.is_empty()
+    }
+
+    fn handle_tokens(
+        &mut self,
+        context: RequestContext<'_>,
+        request: &TenantQuotaRequest,
+    ) -> TokenGrant {
+        let token_request = TokenRequest {
             member: &context.request.member,
             epoch: context.request.epoch,
-            wanted: u64::from(ask.tokens),
-            waiting: u64::from(ask.waiting),
-            returned: u64::from(ask.returned_tokens),
-            oldest_wait: Duration::from_millis(u64::from(ask.oldest_wait_ms)),
+            requested: u64::from(request.tokens),
+            waiting: u64::from(request.waiting),
+            returned: u64::from(request.returned_tokens),
+            oldest_wait: Duration::from_millis(u64::from(request.oldest_wait_ms)),
         };
-        self.tokens.ask(context.now, token_ask, context.options)
+        self.tokens
+            .handle(context.now, token_request, context.options)
     }
 
-    fn answer_slots(
+    fn handle_slots(
         &mut self,
-        context: AskContext<'_>,
-        ask: &TenantQuotaRequest,
+        context: RequestContext<'_>,
+        request: &TenantQuotaRequest,
         quota: &Quota,
-    ) -> SlotAnswer {
-        let slot_ask = SlotAsk {
+    ) -> SlotGrant {
+        let slot_request = SlotRequest {
             member: &context.request.member,
             epoch: context.request.epoch,
             request_id: context.request.request_id,
-            wanted: u64::from(ask.slots_requested),
-            in_use: u64::from(ask.slots_in_use),
+            requested: u64::from(request.slots_requested),
+            in_use: u64::from(request.slots_in_use),
+        };
+        let limit = SlotLimit {
+            slots: (quota.concurrent_streams > 0).then_some(u64::from(quota.concurrent_streams)),
+            predecessor_leases_end: context.takeover.predecessor_leases_end,
         };
-        let limit = u64::from(quota.concurrent_streams);
-        let settled_at = context.takeover.full_after;
         self.slots
-            .ask(context.now, slot_ask, limit, settled_at, context.options)
+            .handle(context.now, slot_request, limit, context.options)
     }
 }
 
-/// The configuration that names the tenant has not reached this leader; nothing is refused for it.
-pub(super) fn unknown_tenant(ask: &TenantQuotaRequest, options: &QuotaOptions) -> Turn {
+/// Whether the configuration still names a tenant.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum TenantPresence {
+    Configured,
+    Removed,
+}
+
+/// The reply for a tenant whose configuration has not reached this leader: nothing is refused.
+pub(super) fn unknown_tenant(request: &TenantQuotaRequest, options: &QuotaOptions) -> TenantReply {
     let grant = QuotaGrant {
-        tenant: ask.tenant.clone(),
+        tenant: request.tenant.clone(),
         lease_ms: millis(options.lease),
-        slots: ask.slots_in_use.min(ask.slots_requested),
-        retry_after_ms: millis(UNKNOWN_TENANT_WAIT),
+        slots: request.slots_in_use.min(request.slots_requested),
+        retry_after_ms: millis(UNKNOWN_TENANT_RETRY_DELAY),
         ..QuotaGrant::default()
     };
-    Turn {
+    TenantReply {
         grant,
         recalls: Vec::new(),
     }
 }
 
-fn is_for(output: &QuotaOutput, name: &str) -> bool {
-    match output {
-        QuotaOutput::Recall { member, .. } => member == name,
-        QuotaOutput::Reply { .. } => false,
-    }
-}
-
-fn narrow(number: u64) -> u32 {
+fn saturate(number: u64) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
 
-/// Whole milliseconds, rounded up: asking again earlier would be in vain.
+/// Whole milliseconds, rounded up: retrying earlier would be in vain.
 fn millis(duration: Duration) -> u32 {
     let rounded = duration.as_micros().div_ceil(1000);
     u32::try_from(rounded).unwrap_or(u32::MAX)
--- a/crates/control-state/tests/orders.rs
+++ b/crates/control-state/tests/orders.rs
@@ -4,7 +4,7 @@
 
 use millford_api::command::{PutConfigResult, command_result::Kind};
 use millford_api::config::Document;
-use millford_control_state::machine::ORDER_RECORD_LIMIT;
+use millford_control_state::machine::ORDER_HISTORY_LIMIT;
 use millford_control_state::{Applied, ShardMachine, document};
 use millford_core::{ResultCode, ShardId};
 use support::{Machine, order, sound_document, tenant};
@@ -107,7 +107,7 @@
 #[test]
 fn the_record_is_bounded_and_a_forgotten_order_is_never_accepted_twice() {
     let mut machine = Machine::new(ShardId::CONFIGURATION);
-    let limit = ORDER_RECORD_LIMIT as u64;
+    let limit = ORDER_HISTORY_LIMIT as u64;
     let empty = Document::default();
     for base in 0..=limit {
         machine.put(base, &format!("order-{base}"), &empty);
--- a/crates/control/src/gateway/greetings.rs
+++ b/crates/control/src/gateway/greetings.rs
@@ -5,7 +5,7 @@
 use millford_api::internal::{Hello, HelloReply, frame};
 use millford_api::state::ControlMember;
 use millford_core::{MonotonicTime, NodeId};
-use millford_membership::SeedAnswer;
+use millford_membership::SeedResponse;
 
 use super::Gateway;
 use super::dialer::DialAction;
@@ -71,11 +71,11 @@
         let address = self.dialer.answered(now, link, identity);
         self.learn_from(sender, reply.cluster_id, &reply.known);
         if let (Some(formation), Some(address)) = (&mut self.formation, address) {
-            let answer = SeedAnswer {
+            let answer = SeedResponse {
                 member: sender.clone(),
                 cluster_id: reply.cluster_id,
             };
-            formation.answered(now, &address, answer);
+            formation.record_response(now, &address, answer);
         }
         // A node without replicas may itself have joined a moment ago; only one that holds state
         // speaks for the cluster.
@@ -97,7 +97,7 @@
         let mut changed = self.directory.introduce(sender);
         for member in known {
             if self.is_other(member) {
-                changed |= self.directory.hear_of(member);
+                changed |= self.directory.learn_of(member);
             }
         }
         if changed {
--- a/crates/control/src/gateway/mod.rs
+++ b/crates/control/src/gateway/mod.rs
@@ -222,7 +222,7 @@
         self.unsubscribe_everywhere(link);
         let address = self.dialer.closed(now, link);
         if let (Some(formation), Some(address)) = (&mut self.formation, address) {
-            formation.lost(&address);
+            formation.record_disconnect(&address);
         }
     }
 
--- a/crates/control/src/shard/serving.rs
+++ b/crates/control/src/shard/serving.rs
@@ -169,7 +169,7 @@
         for touch in &touch.renewals {
             let alive =
                 self.sessions
-                    .touch(now, &touch.member, touch.epoch, touch.applied_revision);
+                    .renew(now, &touch.member, touch.epoch, touch.applied_revision);
             if !alive {
                 closed_members.push(touch.member.clone());
             }
--- a/crates/feed/src/change_ring.rs
+++ b/crates/feed/src/change_ring.rs
@@ -4,24 +4,23 @@
 
 use millford_api::internal::StateChange;
 
-/// Most changes kept.
+/// Most changes retained.
 const MAX_CHANGES: usize = 4096;
 
-/// Most items kept over all changes, so that large changes do not fill the memory.
+/// Most items retained over all changes, so that large changes do not fill the memory.
 const MAX_ITEMS: usize = 65_536;
 
 /// Recent changes in order, complete from a floor on.
 #[derive(Clone, Debug, Default)]
-pub struct ChangeRing {
+pub(crate) struct ChangeRing {
     floor: u64,
     changes: VecDeque<StateChange>,
     items: usize,
 }
 
 impl ChangeRing {
-    /// An empty ring that knows every change after `floor`.
-    #[must_use]
-    pub fn starting_at(floor: u64) -> Self {
+    /// An empty ring that is complete for the changes after `floor`.
+    pub(crate) fn starting_at(floor: u64) -> Self {
         Self {
             floor,
             ..Self::default()
@@ -29,19 +28,17 @@
     }
 
     /// A state at this offset or later can be brought up to date from the ring.
-    #[must_use]
-    pub fn floor(&self) -> u64 {
+    pub(crate) fn floor(&self) -> u64 {
         self.floor
     }
 
     /// Offset of the newest change, or the floor.
-    #[must_use]
-    pub fn last_offset(&self) -> u64 {
+    pub(crate) fn last_offset(&self) -> u64 {
         self.changes.back().map_or(self.floor, |last| last.offset)
     }
 
     /// Adds the newest change and drops the oldest ones above the limits.
-    pub fn push(&mut self, change: StateChange) {
+    pub(crate) fn push(&mut self, change: StateChange) {
         self.items += change.items.len();
         self.changes.push_back(change);
         while self.changes.len() > MAX_CHANGES || self.items > MAX_ITEMS {
@@ -53,9 +50,8 @@
         }
     }
 
-    /// The changes after `offset`, or none if some of them are gone.
-    #[must_use]
-    pub fn after(&self, offset: u64) -> Option<impl Iterator<Item = &StateChange>> {
+    /// The changes after `offset`, or none if some of them were dropped.
+    pub(crate) fn after(&self, offset: u64) -> Option<impl Iterator<Item = &StateChange>> {
         if offset < self.floor {
             return None;
         }
--- a/crates/feed/src/position.rs
+++ b/crates/feed/src/position.rs
@@ -1,4 +1,4 @@
-//! Place of a shard's public state in the shard's log.
+//! Position of a shard's public state in the shard's log.
 
 use millford_api::internal::{FeedProgress, StateChange, StateSnapshot, Subscribe};
 
--- a/crates/feed/src/publisher.rs
+++ b/crates/feed/src/publisher.rs
@@ -12,26 +12,31 @@
 
 use crate::change_ring::ChangeRing;
 use crate::delivery::{FeedDelivery, SubscriberId};
-use crate::follower::Follower;
 use crate::position::FeedPosition;
-use crate::state_snapshot::state_snapshot;
+use crate::shard_state::ShardState;
+use crate::subscriber_state::SubscriberState;
 use crate::term_history::TermHistory;
 
 /// Turns the applied entries of one shard's replica into messages for its subscribers.
 ///
 /// The owner calls it for committed entries only and serves a [`Subscribe`] only while the replica
-/// is in touch with a quorum and has applied everything that was committed when the subscription
-/// came in (a confirmed read). The publisher itself judges neither.
+/// has a quorum and has applied everything that was committed when the subscription arrived (a
+/// confirmed read). The publisher itself decides neither.
 #[derive(Clone, Debug)]
 pub struct FeedPublisher {
-    shard: ShardId,
-    position: FeedPosition,
-    items: BTreeMap<String, StateValue>,
+    state: ShardState,
     recent: ChangeRing,
     terms: TermHistory,
-    subscribers: BTreeMap<SubscriberId, Follower>,
-    /// The whole state as last encoded, and the position that it holds.
-    packed: Option<(FeedPosition, Bytes)>,
+    subscribers: BTreeMap<SubscriberId, SubscriberState>,
+    /// The snapshot as last encoded.
+    encoded: Option<EncodedSnapshot>,
+}
+
+/// A snapshot as bytes, and the position that it was taken at.
+#[derive(Clone, Debug)]
+struct EncodedSnapshot {
+    position: FeedPosition,
+    bytes: Bytes,
 }
 
 impl FeedPublisher {
@@ -39,98 +44,94 @@
     #[must_use]
     pub fn new(shard: ShardId) -> Self {
         Self {
-            shard,
-            position: FeedPosition::START,
-            items: BTreeMap::new(),
+            state: ShardState::new(shard),
             recent: ChangeRing::default(),
             terms: TermHistory::starting_at(FeedPosition::START),
             subscribers: BTreeMap::new(),
-            packed: None,
+            encoded: None,
         }
     }
 
     /// Position of the last applied entry.
     #[must_use]
     pub fn position(&self) -> FeedPosition {
-        self.position
+        self.state.position()
     }
 
     /// The public state at [`Self::position`].
     #[must_use]
     pub fn items(&self) -> &BTreeMap<String, StateValue> {
-        &self.items
-    }
-
-    /// The present subscribers.
-    pub fn subscribers(&self) -> impl Iterator<Item = SubscriberId> {
-        self.subscribers.keys().copied()
+        self.state.items()
     }
 
-    /// Takes over the whole public state after the replica restored a snapshot at `position`.
+    /// Replaces the public state after the replica restored a snapshot at `position`.
     ///
-    /// Every subscriber gets the new state whole.
+    /// Every subscriber gets the complete new state.
     pub fn restore(
         &mut self,
         position: FeedPosition,
         items: impl IntoIterator<Item = StateItem>,
     ) -> Vec<FeedDelivery> {
-        self.position = position;
-        self.items.clear();
-        self.store(items);
+        self.state.set_position(position);
+        self.state.replace(items);
         self.recent = ChangeRing::starting_at(position.offset);
         self.terms = TermHistory::starting_at(position);
-        self.packed = None;
-        let snapshot = self.snapshot(position);
+        self.encoded = None;
+        let snapshot = self.snapshot_message(position);
         let mut deliveries = self.deliver(&snapshot);
-        deliveries.append(&mut self.release_waiting());
+        deliveries.append(&mut self.release_reached());
         deliveries
     }
 
-    /// Takes the entry applied at `position` and the items that it changed, often none.
+    /// Publishes the entry applied at `position` and the items that it changed, often none.
     ///
     /// To be called for every applied entry, in order. An entry at or before the present position
     /// (delivered again after a restart) is ignored.
     pub fn apply(&mut self, position: FeedPosition, changed: Vec<StateItem>) -> Vec<FeedDelivery> {
-        if position.offset <= self.position.offset {
+        if position.offset <= self.position().offset {
             return Vec::new();
         }
-        self.position = position;
+        self.state.set_position(position);
         self.terms.record(position);
         if changed.is_empty() {
-            return self.release_waiting();
+            return self.release_reached();
         }
+        for item in &changed {
+            self.state.set(item);
+        }
+        self.encoded = None;
         let change = StateChange {
             previous_offset: self.recent.last_offset(),
             term: position.term,
             offset: position.offset,
-            items: changed.clone(),
-            shard: self.shard.0,
+            items: changed,
+            shard: self.state.shard().0,
         };
-        self.store(changed);
-        self.packed = None;
         self.recent.push(change.clone());
         self.terms.trim(self.recent.floor());
         let message = self.message(feed_message::Kind::Change(change));
         let mut deliveries = self.deliver(&message);
-        deliveries.append(&mut self.release_waiting());
+        deliveries.append(&mut self.release_reached());
         deliveries
     }
 
     /// Adds a subscriber, or moves it, and returns what brings it up to date.
     ///
-    /// A subscriber that has shown more than this replica applied gets nothing until the replica
-    /// has caught up: an older state is never sent.
+    /// A subscriber that has applied more than this replica gets nothing until the replica has
+    /// caught up: an older state is never sent.
     pub fn subscribe(
         &mut self,
         subscriber: SubscriberId,
         subscribe: &Subscribe,
     ) -> Vec<FeedMessage> {
         let from = FeedPosition::from(subscribe);
-        if from > self.position {
-            self.subscribers.insert(subscriber, Follower::Waiting(from));
+        if from > self.position() {
+            self.subscribers
+                .insert(subscriber, SubscriberState::Ahead(from));
             return Vec::new();
         }
-        self.subscribers.insert(subscriber, Follower::Following);
+        self.subscribers
+            .insert(subscriber, SubscriberState::Following);
         self.catch_up(from)
     }
 
@@ -141,13 +142,13 @@
 
     /// Confirms the present position to every subscriber that is not ahead of it.
     ///
-    /// To be called only while in touch with a quorum.
+    /// To be called only while the replica has a quorum.
     #[must_use]
     pub fn progress(&self) -> Vec<FeedDelivery> {
         self.deliver(&self.progress_message())
     }
 
-    /// Tells every subscriber that the quorum is lost, and forgets them.
+    /// Notifies every subscriber that the quorum is lost, and removes them all.
     pub fn stale(&mut self) -> Vec<FeedDelivery> {
         let message = self.message(feed_message::Kind::Stale(FeedStale {}));
         let subscribers = std::mem::take(&mut self.subscribers);
@@ -160,40 +161,40 @@
             .collect()
     }
 
-    /// The whole public state.
+    /// The complete public state.
     #[must_use]
     pub fn state(&self) -> StateSnapshot {
-        state_snapshot(self.shard, self.position, &self.items)
+        self.state.snapshot()
     }
 
     fn catch_up(&mut self, from: FeedPosition) -> Vec<FeedMessage> {
-        // A subscriber that holds nothing gets the state whole: taken change by change it would
-        // pass through older revisions, which a restarted node must never show.
-        let holds_something = from != FeedPosition::START || self.position == FeedPosition::START;
-        let known = holds_something && self.terms.contains(from);
+        // A subscriber without any state gets a snapshot: brought up change by change it would pass
+        // through older revisions, which a restarted node must never apply.
+        let has_state = from != FeedPosition::START || self.position() == FeedPosition::START;
+        let known = has_state && self.terms.contains(from);
         let changes = self.changes_after(from.offset).filter(|_| known);
         let Some(mut messages) = changes else {
-            return self.whole_state(from);
+            return self.snapshot_messages(from);
         };
         messages.push(self.progress_message());
         messages
     }
 
-    /// The whole state, and a progress message when it was encoded some entries ago.
-    fn whole_state(&mut self, from: FeedPosition) -> Vec<FeedMessage> {
-        let mut messages = vec![self.snapshot(from)];
-        let packed_at = self.packed.as_ref().map(|(position, _)| *position);
-        if packed_at != Some(self.position) {
+    /// A snapshot, and a progress message when it was encoded some entries ago.
+    fn snapshot_messages(&mut self, from: FeedPosition) -> Vec<FeedMessage> {
+        let mut messages = vec![self.snapshot_message(from)];
+        let encoded_at = self.encoded.as_ref().map(|encoded| encoded.position);
+        if encoded_at != Some(self.position()) {
             messages.push(self.progress_message());
         }
         messages
     }
 
-    /// The changes after `offset`, if they are known and smaller than the whole state.
+    /// The changes after `offset`, if they are known and smaller than a snapshot.
     fn changes_after(&self, offset: u64) -> Option<Vec<FeedMessage>> {
         let changes: Vec<&StateChange> = self.recent.after(offset)?.collect();
         let items: usize = changes.iter().map(|change| change.items.len()).sum();
-        if items > self.items.len() {
+        if items > self.items().len() {
             return None;
         }
         let kinds = changes
@@ -203,15 +204,16 @@
     }
 
     /// Brings up to date the subscribers that were ahead of this replica until now.
-    fn release_waiting(&mut self) -> Vec<FeedDelivery> {
-        let position = self.position;
-        let waiting = self.subscribers.iter();
-        let released: Vec<(SubscriberId, FeedPosition)> = waiting
+    fn release_reached(&mut self) -> Vec<FeedDelivery> {
+        let position = self.position();
+        let subscribers = self.subscribers.iter();
+        let reached: Vec<(SubscriberId, FeedPosition)> = subscribers
             .filter_map(|(subscriber, state)| Some((*subscriber, state.reached(position)?)))
             .collect();
         let mut deliveries = Vec::new();
-        for (subscriber, from) in released {
-            self.subscribers.insert(subscriber, Follower::Following);
+        for (subscriber, from) in reached {
+            self.subscribers
+                .insert(subscriber, SubscriberState::Following);
             let messages = self.catch_up(from);
             deliveries.extend(messages.into_iter().map(|message| FeedDelivery {
                 subscriber,
@@ -222,9 +224,9 @@
     }
 
     fn deliver(&self, message: &FeedMessage) -> Vec<FeedDelivery> {
-        let present = self.subscribers.iter();
-        present
-            .filter(|(_, state)| **state == Follower::Following)
+        self.subscribers
+            .iter()
+            .filter(|(_, state)| **state == SubscriberState::Following)
             .map(|(subscriber, _)| FeedDelivery {
                 subscriber: *subscriber,
                 message: message.clone(),
@@ -232,41 +234,36 @@
             .collect()
     }
 
-    fn store(&mut self, items: impl IntoIterator<Item = StateItem>) {
-        for item in items {
-            match item.value {
-                Some(value) => self.items.insert(item.key, value),
-                None => self.items.remove(&item.key),
-            };
-        }
-    }
-
-    /// The whole state, encoded once for however many subscribers: encoding it for each would keep
-    /// the replica's thread from its heartbeats when many nodes start at once.
+    /// The complete state, encoded once for however many subscribers: encoding it for each would
+    /// delay the heartbeats of the replica's thread when many nodes start at once.
     ///
     /// Entries that change nothing public leave the encoded state as it is; the progress message
     /// that follows brings a view on from its position. It must not be older than `from`.
-    fn snapshot(&mut self, from: FeedPosition) -> FeedMessage {
-        let reusable = self.packed.take().filter(|(position, _)| *position >= from);
-        let (position, packed) = reusable.unwrap_or_else(|| {
-            let packed = Bytes::from(self.state().encode_to_vec());
-            (self.position, packed)
-        });
-        self.packed = Some((position, packed.clone()));
-        self.message(feed_message::Kind::PackedSnapshot(packed))
+    fn snapshot_message(&mut self, from: FeedPosition) -> FeedMessage {
+        let reusable = self.encoded.take();
+        let encoded = reusable
+            .filter(|encoded| encoded.position >= from)
+            .unwrap_or_else(|| EncodedSnapshot {
+                position: self.position(),
+                bytes: Bytes::from(self.state().encode_to_vec()),
+            });
+        let bytes = encoded.bytes.clone();
+        self.encoded = Some(encoded);
+        self.message(feed_message::Kind::PackedSnapshot(bytes))
     }
 
     fn progress_message(&self) -> FeedMessage {
+        let position = self.position();
         self.message(feed_message::Kind::Progress(FeedProgress {
-            term: self.position.term,
-            offset: self.position.offset,
+            term: position.term,
+            offset: position.offset,
             last_change_offset: self.recent.last_offset(),
         }))
     }
 
     fn message(&self, kind: feed_message::Kind) -> FeedMessage {
         FeedMessage {
-            shard: self.shard.0,
+            shard: self.state.shard().0,
             kind: Some(kind),
         }
     }
--- a/crates/feed/src/term_history.rs
+++ b/crates/feed/src/term_history.rs
@@ -4,43 +4,47 @@
 
 use crate::position::FeedPosition;
 
-/// First offset of each term, from a floor on.
+/// Term by the first offset of each run of entries of one term, from a floor on.
 ///
-/// Tells whether a subscriber's position lies in this replica's history. It differs only after a
-/// forced recovery, which may have dropped entries that the subscriber has shown.
+/// Decides whether a subscriber's position lies in this replica's history. It lies outside only after
+/// a forced recovery, which may have dropped entries that the subscriber has applied.
 #[derive(Clone, Debug, Default)]
-pub struct TermHistory {
-    first_offsets: BTreeMap<u64, u64>,
+pub(crate) struct TermHistory {
+    terms_by_first_offset: BTreeMap<u64, u64>,
 }
 
 impl TermHistory {
     /// A history that starts at `position`.
-    #[must_use]
-    pub fn starting_at(position: FeedPosition) -> Self {
-        let first_offsets = BTreeMap::from([(position.offset, position.term)]);
-        Self { first_offsets }
+    pub(crate) fn starting_at(position: FeedPosition) -> Self {
+        let terms_by_first_offset = BTreeMap::from([(position.offset, position.term)]);
+        Self {
+            terms_by_first_offset,
+        }
     }
 
-    /// Notes that the entry at `position` was applied.
-    pub fn record(&mut self, position: FeedPosition) {
-        let last = self.first_offsets.last_key_value();
+    /// Records that the entry at `position` was applied.
+    pub(crate) fn record(&mut self, position: FeedPosition) {
+        let last = self.terms_by_first_offset.last_key_value();
         if last.is_none_or(|(_, term)| *term != position.term) {
-            self.first_offsets.insert(position.offset, position.term);
+            self.terms_by_first_offset
+                .insert(position.offset, position.term);
         }
     }
 
     /// Whether the entry at `position` belongs to this history.
-    #[must_use]
-    pub fn contains(&self, position: FeedPosition) -> bool {
-        let run = self.first_offsets.range(..=position.offset).next_back();
+    pub(crate) fn contains(&self, position: FeedPosition) -> bool {
+        let run = self
+            .terms_by_first_offset
+            .range(..=position.offset)
+            .next_back();
         run.is_some_and(|(_, term)| *term == position.term)
     }
 
-    /// Forgets runs that ended before `floor`.
-    pub fn trim(&mut self, floor: u64) {
-        let Some((&start, _)) = self.first_offsets.range(..=floor).next_back() else {
+    /// Drops runs that ended before `floor`.
+    pub(crate) fn trim(&mut self, floor: u64) {
+        let Some((&start, _)) = self.terms_by_first_offset.range(..=floor).next_back() else {
             return;
         };
-        self.first_offsets = self.first_offsets.split_off(&start);
+        self.terms_by_first_offset = self.terms_by_first_offset.split_off(&start);
     }
 }
--- a/crates/membership/src/formation.rs
+++ b/crates/membership/src/formation.rs
@@ -5,63 +5,79 @@
 use millford_api::state::ControlMember;
 use millford_core::{Duration, MonotonicTime, NodeId};
 
-/// Age after which a seed's answer no longer counts as an answer.
-pub const ANSWER_FRESH: Duration = Duration::from_millis(1500);
+/// Age after which a seed's response no longer counts.
+pub const RESPONSE_VALIDITY: Duration = Duration::from_millis(1500);
 
-/// What a seed said about itself.
+/// What a seed reported about itself.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SeedAnswer {
-    /// Who answered.
+pub struct SeedResponse {
+    /// The node that responded.
     pub member: ControlMember,
-    /// 0: the seed holds no cluster state.
+    /// Identity of the cluster that the seed belongs to; 0: the seed has no cluster state.
     pub cluster_id: u64,
 }
 
 /// What an empty node should do now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FormationDecision {
-    /// Keep asking: a seed is silent, or a smaller identity forms.
+    /// Keep sending requests: a seed has not responded, or a smaller identity forms.
     Wait,
     /// This node forms the cluster of these members.
     Form(Vec<ControlMember>),
-    /// A seed holds state: join that cluster.
+    /// A seed has cluster state: join that cluster.
     Join {
         /// The cluster's identity.
         cluster_id: u64,
     },
 }
 
-/// Collects the seeds' answers while this node is empty.
+#[derive(Clone, Debug)]
+struct ReceivedResponse {
+    received_at: MonotonicTime,
+    response: SeedResponse,
+}
+
+impl ReceivedResponse {
+    fn is_valid(&self, now: MonotonicTime) -> bool {
+        now.since(self.received_at) <= RESPONSE_VALIDITY
+    }
+}
+
+/// Collects the seeds' responses while this node is empty.
 ///
-/// Safety: a cluster forms only when every seed answers and all are empty. A node whose disk was
-/// wiped, beside seeds that hold state, therefore never forms a second cluster; and since all
+/// Safety: a cluster forms only when every seed responds and all are empty. A node whose disk was
+/// wiped, beside seeds that have state, therefore never forms a second cluster; and since all
 /// see the same identities, only the smallest one forms.
 #[derive(Debug)]
 pub struct Formation {
     own: ControlMember,
     seeds: Vec<String>,
-    answers: BTreeMap<String, (MonotonicTime, SeedAnswer)>,
+    responses: BTreeMap<String, ReceivedResponse>,
 }
 
 impl Formation {
-    /// For the empty node `own`, which begins at the addresses `seeds`.
+    /// For the empty node `own`, which is configured with the addresses `seeds`.
     #[must_use]
     pub fn new(own: ControlMember, seeds: Vec<String>) -> Self {
         Self {
             own,
             seeds,
-            answers: BTreeMap::new(),
+            responses: BTreeMap::new(),
         }
     }
 
-    /// A node at `address` answered.
-    pub fn answered(&mut self, now: MonotonicTime, address: &str, answer: SeedAnswer) {
-        self.answers.insert(address.to_owned(), (now, answer));
+    /// The node at `address` responded.
+    pub fn record_response(&mut self, now: MonotonicTime, address: &str, response: SeedResponse) {
+        let received = ReceivedResponse {
+            received_at: now,
+            response,
+        };
+        self.responses.insert(address.to_owned(), received);
     }
 
-    /// The connection to `address` was lost: its answer may be out of date.
-    pub fn lost(&mut self, address: &str) {
-        self.answers.remove(address);
+    /// The connection to `address` was lost: its response may be out of date.
+    pub fn record_disconnect(&mut self, address: &str) {
+        self.responses.remove(address);
     }
 
     /// What to do now.
@@ -80,14 +96,15 @@
         FormationDecision::Form(members.into_values().collect())
     }
 
+    /// The cluster of the first seed, by address, that belongs to one.
     fn formed_cluster(&self, now: MonotonicTime) -> Option<u64> {
-        let mut fresh = self.fresh(now);
-        fresh
-            .find(|answer| answer.cluster_id != 0)
-            .map(|answer| answer.cluster_id)
+        let valid = self.responses.values().filter(|known| known.is_valid(now));
+        valid
+            .map(|known| known.response.cluster_id)
+            .find(|cluster_id| *cluster_id != 0)
     }
 
-    /// Every seed's member by identity, once all answered and all are empty.
+    /// Every seed's member by identity, once all responded and all are empty.
     fn empty_members(&self, now: MonotonicTime) -> Option<BTreeMap<NodeId, ControlMember>> {
         let mut members = BTreeMap::new();
         for seed in &self.seeds {
@@ -104,15 +121,7 @@
         if seed == self.own.internal_address {
             return Some(self.own.clone());
         }
-        let (heard, answer) = self.answers.get(seed)?;
-        let fresh = now.since(*heard) <= ANSWER_FRESH;
-        fresh.then(|| answer.member.clone())
-    }
-
-    fn fresh(&self, now: MonotonicTime) -> impl Iterator<Item = &SeedAnswer> {
-        self.answers
-            .values()
-            .filter(move |(heard, _)| now.since(*heard) <= ANSWER_FRESH)
-            .map(|(_, answer)| answer)
+        let known = self.responses.get(seed)?;
+        known.is_valid(now).then(|| known.response.member.clone())
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod replica_group;
 pub mod session_table;
 
-pub use formation::{Formation, FormationDecision, SeedAnswer};
+pub use formation::{Formation, FormationDecision, SeedResponse};
 pub use member_directory::MemberDirectory;
 pub use replica_group::replica_group;
 pub use session_table::{ExpiredSession, SessionTable};
--- a/crates/membership/src/member_directory.rs
+++ b/crates/membership/src/member_directory.rs
@@ -5,7 +5,7 @@
 use millford_api::state::ControlMember;
 use millford_core::NodeId;
 
-/// Known control nodes by identity. Learned from seeds, greetings and the replicated list.
+/// Known control nodes by identity, learned from seeds, handshakes and the replicated membership.
 ///
 /// One address belongs to one identity: a machine whose disk was wiped comes back under a new
 /// identity, and the old one must not be dialled there any more.
@@ -16,7 +16,7 @@
 }
 
 impl MemberDirectory {
-    /// Takes in a node that introduced itself. Returns whether anything changed.
+    /// Records a node that introduced itself. Returns whether anything changed.
     pub fn introduce(&mut self, member: &ControlMember) -> bool {
         let identity = NodeId(member.node_id);
         if !identity.is_some() || self.removed.contains(&identity) {
@@ -30,8 +30,9 @@
         true
     }
 
-    /// Takes in a node that another one told of. What a node said itself goes before hearsay.
-    pub fn hear_of(&mut self, member: &ControlMember) -> bool {
+    /// Records a node that another one reported. What a node reported about itself takes precedence.
+    /// Returns whether anything changed.
+    pub fn learn_of(&mut self, member: &ControlMember) -> bool {
         let identity = NodeId(member.node_id);
         let known = self.members.contains_key(&identity);
         let address_taken = self.at_address(&member.internal_address).is_some();
@@ -41,7 +42,7 @@
         self.introduce(member)
     }
 
-    /// The cluster removed this identity for good.
+    /// The cluster removed this identity for good. Returns whether it was known.
     pub fn remove(&mut self, identity: NodeId) -> bool {
         self.removed.insert(identity);
         self.members.remove(&identity).is_some()
@@ -59,7 +60,7 @@
         self.members.get(&identity)
     }
 
-    /// Identity that was last seen at this internal address.
+    /// Identity that was last known at this internal address.
     #[must_use]
     pub fn at_address(&self, address: &str) -> Option<NodeId> {
         let mut entries = self.members.iter();
--- a/crates/membership/src/replica_group.rs
+++ b/crates/membership/src/replica_group.rs
@@ -1,10 +1,14 @@
-//! Which nodes hold the first replicas of a shard.
+//! Which nodes get the first replicas of a shard.
 
 use millford_core::{NodeId, ShardId};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The `size` nodes of `nodes` that hold a shard, by rendezvous hashing: every node computes the
-/// same group, and each pair of node and shard has its own rank, so that shards spread out.
+/// The `size` nodes of `nodes` that get a replica of a shard, in order of identity; all of them when
+/// there are no more.
+///
+/// By rendezvous hashing (Thaler and Ravishankar, "A name-based mapping scheme for rendezvous", 1996):
+/// every node computes the same group, and each pair of node and shard has its own rank, so that
+/// shards spread out.
 #[must_use]
 pub fn replica_group(nodes: &[NodeId], shard: ShardId, size: usize) -> Vec<NodeId> {
     let mut ranked: Vec<NodeId> = nodes.to_vec();
--- a/crates/membership/src/session_table.rs
+++ b/crates/membership/src/session_table.rs
@@ -1,4 +1,6 @@
 //! Liveness of a shard's sessions, as its leader sees it.
+//!
+//! Heartbeats renew a session's lease; a session without one for a whole lease expires.
 
 use std::collections::BTreeMap;
 
@@ -8,24 +10,24 @@
 /// Time without a heartbeat after which a session expires.
 pub const SESSION_LEASE: Duration = Duration::from_secs(3);
 
-/// A session that the leader has not heard from for a whole lease.
+/// A session from which the leader has received no heartbeat for a whole lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExpiredSession {
     /// Name of the agent or control node.
     pub member: String,
-    /// Epoch of the session to close; a newer one is not touched.
+    /// Epoch of the session to close; a newer one stays.
     pub epoch: u64,
 }
 
 #[derive(Clone, Debug)]
 struct LiveSession {
     epoch: u64,
-    last_heard: MonotonicTime,
+    last_contact: MonotonicTime,
     applied_revision: u64,
     closing: bool,
 }
 
-/// Leader-local table of when each replicated session was heard from last.
+/// Leader-local table of when each replicated session was renewed last.
 ///
 /// Heartbeats are not replicated, so a new leader knows nothing of them: it gives every session
 /// a full lease from its election. Only the leader's monotonic clock is used.
@@ -52,10 +54,10 @@
     }
 
     /// Starts over after an election: every replicated session gets a full lease.
-    pub fn lead<'a>(
+    pub fn lead<'records>(
         &mut self,
         now: MonotonicTime,
-        records: impl Iterator<Item = &'a SessionRecord>,
+        records: impl Iterator<Item = &'records SessionRecord>,
     ) {
         self.sessions.clear();
         for record in records {
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Forgets everything when leadership is lost.
+    /// Drops everything when leadership is lost.
     pub fn clear(&mut self) {
         self.sessions.clear();
     }
@@ -72,7 +74,7 @@
     pub fn opened(&mut self, now: MonotonicTime, member: &str, epoch: u64) {
         let session = LiveSession {
             epoch,
-            last_heard: now,
+            last_contact: now,
             applied_revision: 0,
             closing: false,
         };
@@ -81,14 +83,13 @@
 
     /// A session was closed. A newer session of the same member stays.
     pub fn closed(&mut self, member: &str, epoch: u64) {
-        let matches = self.epoch(member) == Some(epoch);
-        if matches {
+        if self.epoch(member) == Some(epoch) {
             self.sessions.remove(member);
         }
     }
 
-    /// A heartbeat arrived. False: there is no such session.
-    pub fn touch(
+    /// A heartbeat arrived. Returns false when there is no such session.
+    pub fn renew(
         &mut self,
         now: MonotonicTime,
         member: &str,
@@ -101,12 +102,12 @@
         if session.epoch != epoch || session.closing {
             return false;
         }
-        session.last_heard = now;
+        session.last_contact = now;
         session.applied_revision = session.applied_revision.max(applied_revision);
         true
     }
 
-    /// Sessions whose lease ran out, each named once.
+    /// Sessions whose lease expired, each returned once.
     ///
     /// From here on the session refuses heartbeats: its closing is on the way to the log, and
     /// what was granted to it may be given to others once that is committed.
@@ -115,7 +116,7 @@
         let expired = self
             .sessions
             .iter_mut()
-            .filter(|(_, session)| !session.closing && now.since(session.last_heard) >= lease);
+            .filter(|(_, session)| !session.closing && now.since(session.last_contact) >= lease);
         expired
             .map(|(member, session)| {
                 session.closing = true;
@@ -127,7 +128,7 @@
             .collect()
     }
 
-    /// The closing of an expired session could not be proposed; it is named again later.
+    /// The closing of an expired session could not be proposed; it is returned again later.
     pub fn reopen_expired(&mut self, member: &str, epoch: u64) {
         if let Some(session) = self.sessions.get_mut(member)
             && session.epoch == epoch
@@ -142,7 +143,7 @@
         self.sessions.get(member).map(|session| session.epoch)
     }
 
-    /// Configuration revision that the member last said it shows; 0 when unknown.
+    /// Configuration revision that the member last reported as applied; 0 when unknown.
     #[must_use]
     pub fn applied_revision(&self, member: &str) -> u64 {
         let session = self.sessions.get(member);
--- a/crates/membership/tests/members.rs
+++ b/crates/membership/tests/members.rs
@@ -2,9 +2,9 @@
 
 use millford_api::state::ControlMember;
 use millford_core::{MonotonicTime, NodeId, ShardId};
-use millford_membership::formation::ANSWER_FRESH;
+use millford_membership::formation::RESPONSE_VALIDITY;
 use millford_membership::{
-    Formation, FormationDecision, MemberDirectory, SeedAnswer, replica_group,
+    Formation, FormationDecision, MemberDirectory, SeedResponse, replica_group,
 };
 
 fn member(node_id: u64, address: &str) -> ControlMember {
@@ -15,8 +15,8 @@
     }
 }
 
-fn empty(node_id: u64, address: &str) -> SeedAnswer {
-    SeedAnswer {
+fn empty(node_id: u64, address: &str) -> SeedResponse {
+    SeedResponse {
         member: member(node_id, address),
         cluster_id: 0,
     }
@@ -31,9 +31,9 @@
 #[test]
 fn only_the_smallest_identity_forms_and_only_with_every_seed() {
     let mut smallest = Formation::new(member(1, "a:1"), seeds());
-    smallest.answered(NOW, "b:1", empty(2, "b:1"));
+    smallest.record_response(NOW, "b:1", empty(2, "b:1"));
     assert_eq!(smallest.decide(NOW), FormationDecision::Wait);
-    smallest.answered(NOW, "c:1", empty(3, "c:1"));
+    smallest.record_response(NOW, "c:1", empty(3, "c:1"));
     let FormationDecision::Form(members) = smallest.decide(NOW) else {
         panic!("it forms");
     };
@@ -41,32 +41,32 @@
     assert_eq!(identities, [1, 2, 3]);
 
     let mut larger = Formation::new(member(2, "b:1"), seeds());
-    larger.answered(NOW, "a:1", empty(1, "a:1"));
-    larger.answered(NOW, "c:1", empty(3, "c:1"));
+    larger.record_response(NOW, "a:1", empty(1, "a:1"));
+    larger.record_response(NOW, "c:1", empty(3, "c:1"));
     assert_eq!(larger.decide(NOW), FormationDecision::Wait);
 }
 
 #[test]
 fn an_old_or_lost_answer_does_not_count() {
     let mut formation = Formation::new(member(1, "a:1"), seeds());
-    formation.answered(NOW, "b:1", empty(2, "b:1"));
-    let later = NOW + ANSWER_FRESH + ANSWER_FRESH;
-    formation.answered(later, "c:1", empty(3, "c:1"));
+    formation.record_response(NOW, "b:1", empty(2, "b:1"));
+    let later = NOW + RESPONSE_VALIDITY + RESPONSE_VALIDITY;
+    formation.record_response(later, "c:1", empty(3, "c:1"));
     assert_eq!(formation.decide(later), FormationDecision::Wait);
-    formation.answered(later, "b:1", empty(2, "b:1"));
-    formation.lost("c:1");
+    formation.record_response(later, "b:1", empty(2, "b:1"));
+    formation.record_disconnect("c:1");
     assert_eq!(formation.decide(later), FormationDecision::Wait);
 }
 
 #[test]
 fn one_seed_with_state_makes_the_node_join() {
     let mut formation = Formation::new(member(1, "a:1"), seeds());
-    formation.answered(NOW, "b:1", empty(2, "b:1"));
-    let formed = SeedAnswer {
+    formation.record_response(NOW, "b:1", empty(2, "b:1"));
+    let formed = SeedResponse {
         cluster_id: 77,
         ..empty(3, "c:1")
     };
-    formation.answered(NOW, "c:1", formed);
+    formation.record_response(NOW, "c:1", formed);
     assert_eq!(
         formation.decide(NOW),
         FormationDecision::Join { cluster_id: 77 }
@@ -76,8 +76,8 @@
 #[test]
 fn two_seeds_with_one_identity_never_form() {
     let mut formation = Formation::new(member(1, "a:1"), seeds());
-    formation.answered(NOW, "b:1", empty(2, "b:1"));
-    formation.answered(NOW, "c:1", empty(2, "c:1"));
+    formation.record_response(NOW, "b:1", empty(2, "b:1"));
+    formation.record_response(NOW, "c:1", empty(2, "c:1"));
     assert_eq!(formation.decide(NOW), FormationDecision::Wait);
 }
 
@@ -85,7 +85,7 @@
 fn a_node_that_is_no_seed_never_forms() {
     let mut formation = Formation::new(member(1, "d:1"), seeds());
     for (address, identity) in [("a:1", 2), ("b:1", 3), ("c:1", 4)] {
-        formation.answered(NOW, address, empty(identity, address));
+        formation.record_response(NOW, address, empty(identity, address));
     }
     assert_eq!(formation.decide(NOW), FormationDecision::Wait);
 }
@@ -104,12 +104,12 @@
 fn hearsay_changes_nothing_that_is_known_and_a_removed_node_stays_out() {
     let mut directory = MemberDirectory::default();
     directory.introduce(&member(1, "a:1"));
-    assert!(!directory.hear_of(&member(1, "b:1")), "it said so itself");
+    assert!(!directory.learn_of(&member(1, "b:1")), "it said so itself");
     assert!(
-        !directory.hear_of(&member(2, "a:1")),
+        !directory.learn_of(&member(2, "a:1")),
         "the address is taken"
     );
-    assert!(directory.hear_of(&member(2, "b:1")));
+    assert!(directory.learn_of(&member(2, "b:1")));
     directory.remove(NodeId(2));
     assert!(!directory.introduce(&member(2, "b:1")));
     assert!(directory.is_removed(NodeId(2)));
--- a/crates/membership/tests/session_table.rs
+++ b/crates/membership/tests/session_table.rs
@@ -29,12 +29,12 @@
 fn a_session_expires_after_a_whole_lease_of_silence_and_is_named_once() {
     let mut table = SessionTable::new(Duration::from_secs(3));
     table.opened(at(0), "agent", 1);
-    assert!(table.touch(at(1000), "agent", 1, 5));
+    assert!(table.renew(at(1000), "agent", 1, 5));
     assert!(table.take_expired(at(3999)).is_empty());
     assert_eq!(table.take_expired(at(4000)), [expired("agent", 1)]);
     assert!(table.take_expired(at(9000)).is_empty());
     assert!(
-        !table.touch(at(4001), "agent", 1, 5),
+        !table.renew(at(4001), "agent", 1, 5),
         "its closing is on the way"
     );
 }
@@ -45,7 +45,7 @@
     let records = [record("a", 1), record("b", 2)];
     table.lead(at(60_000), records.iter());
     assert!(table.take_expired(at(62_999)).is_empty());
-    assert!(table.touch(at(62_999), "b", 2, 0));
+    assert!(table.renew(at(62_999), "b", 2, 0));
     assert_eq!(table.take_expired(at(63_000)), [expired("a", 1)]);
 }
 
@@ -53,7 +53,7 @@
 fn another_epoch_neither_lives_nor_closes() {
     let mut table = SessionTable::default();
     table.opened(at(0), "agent", 2);
-    assert!(!table.touch(at(1), "agent", 1, 0), "fenced");
+    assert!(!table.renew(at(1), "agent", 1, 0), "fenced");
     table.closed("agent", 1);
     assert_eq!(table.epoch("agent"), Some(2));
     table.closed("agent", 2);
@@ -73,7 +73,7 @@
 fn a_shown_revision_never_steps_back() {
     let mut table = SessionTable::default();
     table.opened(at(0), "agent", 1);
-    table.touch(at(1), "agent", 1, 7);
-    table.touch(at(2), "agent", 1, 6);
+    table.renew(at(1), "agent", 1, 7);
+    table.renew(at(2), "agent", 1, 6);
     assert_eq!(table.applied_revision("agent"), 7);
 }
