--- a/crates/control-state/src/document/canonical.rs
+++ b/crates/control-state/src/document/canonical.rs
@@ -16,18 +16,10 @@
     for tenant in &mut document.tenants {
         tenant.key_hashes.sort();
     }
-    document
-        .routes
-        .sort_by(|left, right| left.name.cmp(&right.name));
-    document
-        .forward_routes
-        .sort_by(|left, right| left.name.cmp(&right.name));
-    document
-        .pools
-        .sort_by(|left, right| left.name.cmp(&right.name));
-    document
-        .tenants
-        .sort_by(|left, right| left.name.cmp(&right.name));
+    sort_by_name(&mut document.routes, |route| &route.name);
+    sort_by_name(&mut document.forward_routes, |route| &route.name);
+    sort_by_name(&mut document.pools, |pool| &pool.name);
+    sort_by_name(&mut document.tenants, |tenant| &tenant.name);
     document
 }
 
@@ -51,3 +43,7 @@
     selector.adapters.sort();
     selector.adapters.dedup();
 }
+
+fn sort_by_name<T>(entries: &mut [T], name: fn(&T) -> &str) {
+    entries.sort_by(|left, right| name(left).cmp(name(right)));
+}
--- a/crates/control-state/src/document/check_forward.rs
+++ b/crates/control-state/src/document/check/forward_route.rs
@@ -4,9 +4,16 @@
 
 use millford_api::config::{ForwardRoute, HttpLimits, Pool};
 
-use super::check::check_name;
+use super::super::limits;
 use super::fault_list::FaultList;
-use super::limits;
+use super::names::UniqueNames;
+
+/// What a forwarding route matches requests by; the host in lower case.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct RouteLocation<'document> {
+    host: String,
+    path_prefix: &'document str,
+}
 
 /// Checks every forwarding route, alone and against the others and the pools.
 pub(super) fn check_forward_routes(
@@ -14,26 +21,29 @@
     pools: &BTreeMap<&str, &Pool>,
     faults: &mut FaultList,
 ) {
-    faults.count("forward_routes", routes.len(), limits::MAX_FORWARD_ROUTES);
-    let mut names = BTreeMap::new();
-    let mut locations: BTreeMap<(String, &str), usize> = BTreeMap::new();
+    faults.check_count("forward_routes", routes.len(), limits::MAX_FORWARD_ROUTES);
+    let mut names = UniqueNames::default();
+    let mut index_by_location: BTreeMap<RouteLocation<'_>, usize> = BTreeMap::new();
     for (index, route) in routes.iter().enumerate() {
         let path = format!("forward_routes[{index}]");
-        check_name(format!("{path}.name"), &route.name, &mut names, faults);
+        names.check(format!("{path}.name"), &route.name, faults);
         check_prefix(&path, route, faults);
-        let location = (route.host.to_ascii_lowercase(), route.path_prefix.as_str());
-        if let Some(first) = locations.get(&location) {
+        let location = RouteLocation {
+            host: route.host.to_ascii_lowercase(),
+            path_prefix: &route.path_prefix,
+        };
+        if let Some(first) = index_by_location.get(&location) {
             let text = format!("forward_routes[{first}] has the same host and path prefix");
             faults.add(format!("{path}.path_prefix"), text);
         } else {
-            locations.insert(location, index);
+            index_by_location.insert(location, index);
         }
-        check_pools_of(&path, route, pools, faults);
+        check_weighted_pools(&path, route, pools, faults);
         check_behaviour(&path, route, faults);
     }
 }
 
-/// Checks the limits of callers' HTTP connections.
+/// Checks the limits of clients' HTTP connections.
 pub(super) fn check_http_limits(limits: Option<&HttpLimits>, faults: &mut FaultList) {
     let Some(limits) = limits else {
         return;
@@ -62,28 +72,28 @@
     }
 }
 
-fn check_pools_of(
+fn check_weighted_pools(
     path: &str,
     route: &ForwardRoute,
     pools: &BTreeMap<&str, &Pool>,
     faults: &mut FaultList,
 ) {
     let field = format!("{path}.pools");
-    faults.count(
+    faults.check_count(
         field.clone(),
         route.pools.len(),
         limits::MAX_POOLS_PER_ROUTE,
     );
-    for (index, share) in route.pools.iter().enumerate() {
-        if !pools.contains_key(share.pool.as_str()) {
-            let text = format!("no pool is named \"{}\"", share.pool);
+    for (index, weighted) in route.pools.iter().enumerate() {
+        if !pools.contains_key(weighted.pool.as_str()) {
+            let text = format!("no pool is named \"{}\"", weighted.pool);
             faults.add(format!("{field}[{index}].pool"), text);
         }
     }
     let total: u64 = route
         .pools
         .iter()
-        .map(|share| u64::from(share.weight))
+        .map(|weighted| u64::from(weighted.weight))
         .sum();
     if total == 0 {
         faults.add(field, "the weights add up to 0");
--- a/crates/control-state/src/document/check_pool.rs
+++ b/crates/control-state/src/document/check/pool.rs
@@ -1,20 +1,18 @@
 //! Rules of pools.
 
-use std::collections::BTreeMap;
-
 use millford_api::config::{Pool, Selector};
 
-use super::check::{check_label, check_name};
-use super::fault_list::FaultList;
-use super::limits;
+use super::super::limits;
+use super::fault_list::{FaultList, Unit};
+use super::names::{UniqueNames, check_label};
 
 /// Checks every pool.
 pub(super) fn check_pools(pools: &[Pool], faults: &mut FaultList) {
-    faults.count("pools", pools.len(), limits::MAX_POOLS);
-    let mut names = BTreeMap::new();
+    faults.check_count("pools", pools.len(), limits::MAX_POOLS);
+    let mut names = UniqueNames::default();
     for (index, pool) in pools.iter().enumerate() {
         let path = format!("pools[{index}]");
-        check_name(format!("{path}.name"), &pool.name, &mut names, faults);
+        names.check(format!("{path}.name"), &pool.name, faults);
         if let Some(selector) = &pool.selector {
             check_selector(&path, selector, faults);
         }
@@ -39,7 +37,7 @@
     }
     let adapters_path = format!("{path}.selector.adapters");
     let adapters = &selector.adapters;
-    faults.count(adapters_path.clone(), adapters.len(), limits::MAX_ADAPTERS);
+    faults.check_count(adapters_path.clone(), adapters.len(), limits::MAX_ADAPTERS);
     for (index, adapter) in adapters.iter().enumerate() {
         let adapter_path = format!("{adapters_path}[{index}]");
         if adapter.is_empty() {
@@ -52,27 +50,31 @@
 
 fn check_ranges(path: &str, pool: &Pool, faults: &mut FaultList) {
     let drain_path = format!("{path}.drain_ms");
-    faults.range(drain_path, pool.drain_ms, limits::DRAIN_MS, " ms");
+    let milliseconds = Unit::Milliseconds;
+    faults.check_range(drain_path, pool.drain_ms, &limits::DRAIN_MS, milliseconds);
     let percentages = [
         ("bandwidth_ceiling_percent", pool.bandwidth_ceiling_percent),
         ("transition_budget_percent", pool.transition_budget_percent),
     ];
     for (field, value) in percentages {
-        faults.range(
-            format!("{path}.{field}"),
-            value,
-            limits::PERCENT,
-            " percent",
-        );
+        let field_path = format!("{path}.{field}");
+        faults.check_range(field_path, value, &limits::PERCENT, Unit::Percent);
     }
     let deferral_path = format!("{path}.longest_deferral_ms");
-    let deferral = pool.longest_deferral_ms;
-    faults.range(deferral_path, deferral, limits::LONGEST_DEFERRAL_MS, " ms");
+    faults.check_range(
+        deferral_path,
+        pool.longest_deferral_ms,
+        &limits::LONGEST_DEFERRAL_MS,
+        milliseconds,
+    );
 }
 
 /// A pool that selects one version cannot be moved to another.
 fn check_target(path: &str, pool: &Pool, faults: &mut FaultList) {
-    let selected = pool.selector.as_ref().map_or("", |found| &found.version);
+    let selected = pool
+        .selector
+        .as_ref()
+        .map_or("", |selector| &selector.version);
     let target = &pool.target_version;
     if !selected.is_empty() && !target.is_empty() && selected != target {
         let text = format!("the selector takes version \"{selected}\" only");
--- a/crates/control-state/src/document/check_route.rs
+++ b/crates/control-state/src/document/check/route.rs
@@ -4,9 +4,32 @@
 
 use millford_api::config::{Pool, Resume, Route, RouteMatch, Selector};
 
-use super::check::{check_label, check_name};
-use super::fault_list::FaultList;
-use super::limits;
+use super::super::limits;
+use super::fault_list::{FaultList, Unit};
+use super::names::{UniqueNames, check_label};
+
+/// What a route matches requests by. A route without a match takes the same as one with an empty
+/// match.
+#[derive(Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+struct MatchKey<'document> {
+    model: &'document str,
+    version: &'document str,
+    stage: &'document str,
+    adapter: &'document str,
+    path_prefix: &'document str,
+}
+
+impl<'document> From<&'document RouteMatch> for MatchKey<'document> {
+    fn from(route_match: &'document RouteMatch) -> Self {
+        Self {
+            model: &route_match.model,
+            version: &route_match.version,
+            stage: &route_match.stage,
+            adapter: &route_match.adapter,
+            path_prefix: &route_match.path_prefix,
+        }
+    }
+}
 
 /// Checks every route, alone and against the others and the pools.
 pub(super) fn check_routes(
@@ -14,15 +37,15 @@
     pools: &BTreeMap<&str, &Pool>,
     faults: &mut FaultList,
 ) {
-    faults.count("routes", routes.len(), limits::MAX_ROUTES);
-    let mut names = BTreeMap::new();
-    let mut matches: BTreeMap<Vec<&str>, usize> = BTreeMap::new();
+    faults.check_count("routes", routes.len(), limits::MAX_ROUTES);
+    let mut names = UniqueNames::default();
+    let mut index_by_match = BTreeMap::new();
     for (index, route) in routes.iter().enumerate() {
         let path = format!("routes[{index}]");
-        check_name(format!("{path}.name"), &route.name, &mut names, faults);
+        names.check(format!("{path}.name"), &route.name, faults);
         check_match(&path, route.r#match.as_ref(), faults);
-        check_reachable(&path, index, route, &mut matches, faults);
-        check_pool_of(&path, route, pools, faults);
+        check_reachable(&path, index, route, &mut index_by_match, faults);
+        check_pool_reference(&path, route, pools, faults);
         check_times(&path, route, faults);
         check_redispatch(&path, route, faults);
     }
@@ -74,35 +97,31 @@
     path: &str,
     index: usize,
     route: &'document Route,
-    matches: &mut BTreeMap<Vec<&'document str>, usize>,
+    index_by_match: &mut BTreeMap<MatchKey<'document>, usize>,
     faults: &mut FaultList,
 ) {
-    let key = match_key(route.r#match.as_ref());
-    match matches.get(&key) {
+    let key = route
+        .r#match
+        .as_ref()
+        .map(MatchKey::from)
+        .unwrap_or_default();
+    match index_by_match.get(&key) {
         Some(first) => faults.add(
             format!("{path}.match"),
             format!("never reached: routes[{first}] has the same match"),
         ),
         None => {
-            matches.insert(key, index);
+            index_by_match.insert(key, index);
         }
     }
 }
 
-fn match_key(route_match: Option<&RouteMatch>) -> Vec<&str> {
-    let Some(route_match) = route_match else {
-        return vec![""; 5];
-    };
-    vec![
-        &route_match.model,
-        &route_match.version,
-        &route_match.stage,
-        &route_match.adapter,
-        &route_match.path_prefix,
-    ]
-}
-
-fn check_pool_of(path: &str, route: &Route, pools: &BTreeMap<&str, &Pool>, faults: &mut FaultList) {
+fn check_pool_reference(
+    path: &str,
+    route: &Route,
+    pools: &BTreeMap<&str, &Pool>,
+    faults: &mut FaultList,
+) {
     let field_path = format!("{path}.pool");
     if route.pool.is_empty() {
         faults.add(field_path, "a route names its pool");
@@ -131,10 +150,10 @@
         ("version", &route_match.version, &selector.version),
         ("stage", &route_match.stage, &selector.stage),
     ];
-    for (field, wanted, selected) in pairs {
-        if !wanted.is_empty() && !selected.is_empty() && wanted != selected {
+    for (field, matched, selected) in pairs {
+        if !matched.is_empty() && !selected.is_empty() && matched != selected {
             let text =
-                format!("the pool selects {field} \"{selected}\", the route takes \"{wanted}\"");
+                format!("the pool selects {field} \"{selected}\", the route takes \"{matched}\"");
             faults.add(path.clone(), text);
         }
     }
@@ -142,7 +161,12 @@
 
 fn check_times(path: &str, route: &Route, faults: &mut FaultList) {
     let deadline_path = format!("{path}.deadline_ms");
-    faults.range(deadline_path, route.deadline_ms, limits::DEADLINE_MS, " ms");
+    faults.check_range(
+        deadline_path,
+        route.deadline_ms,
+        &limits::DEADLINE_MS,
+        Unit::Milliseconds,
+    );
     let Some(hedge) = &route.hedge else {
         return;
     };
@@ -150,11 +174,16 @@
     if limits::HEDGE_DELAY_MS.contains(&hedge.delay_ms) && hedge.delay_ms >= route.deadline_ms {
         faults.add(delay_path, "the hedge comes after the deadline");
     } else {
-        faults.range(delay_path, hedge.delay_ms, limits::HEDGE_DELAY_MS, " ms");
+        faults.check_range(
+            delay_path,
+            hedge.delay_ms,
+            &limits::HEDGE_DELAY_MS,
+            Unit::Milliseconds,
+        );
     }
 }
 
-/// A request that may not be repeated is sent once: neither hedged nor resumed elsewhere.
+/// A request that is not repeatable is dispatched at most once: neither hedged nor resumed elsewhere.
 fn check_redispatch(path: &str, route: &Route, faults: &mut FaultList) {
     if route.hedge.is_some() && !route.repeatable {
         let text = "a route that is not repeatable cannot be hedged";
--- a/crates/control-state/src/document/check_tenant.rs
+++ b/crates/control-state/src/document/check/tenant.rs
@@ -4,22 +4,22 @@
 
 use millford_api::config::{Quota, Tenant};
 
-use super::check::check_name;
-use super::fault_list::FaultList;
-use super::limits;
+use super::super::limits;
+use super::fault_list::{FaultList, Unit};
+use super::names::UniqueNames;
 
-/// Length of a SHA-256 in hexadecimal.
+/// Length of a SHA-256 digest in hexadecimal digits.
 const HASH_LENGTH: usize = 64;
 
 /// Checks every tenant.
 pub(super) fn check_tenants(tenants: &[Tenant], faults: &mut FaultList) {
-    faults.count("tenants", tenants.len(), limits::MAX_TENANTS);
-    let mut names = BTreeMap::new();
-    let mut hashes = BTreeMap::new();
+    faults.check_count("tenants", tenants.len(), limits::MAX_TENANTS);
+    let mut names = UniqueNames::default();
+    let mut path_by_hash = BTreeMap::new();
     for (index, tenant) in tenants.iter().enumerate() {
         let path = format!("tenants[{index}]");
-        check_name(format!("{path}.name"), &tenant.name, &mut names, faults);
-        check_keys(&path, tenant, &mut hashes, faults);
+        names.check(format!("{path}.name"), &tenant.name, faults);
+        check_keys(&path, tenant, &mut path_by_hash, faults);
         // A tenant whose tokens are limited needs no limit on its requests.
         if tenant.quota.is_some() || tenant.token_quota.is_none() {
             check_quota(&path, tenant.quota.as_ref(), faults);
@@ -31,21 +31,21 @@
 fn check_keys<'document>(
     path: &str,
     tenant: &'document Tenant,
-    seen: &mut BTreeMap<&'document str, String>,
+    path_by_hash: &mut BTreeMap<&'document str, String>,
     faults: &mut FaultList,
 ) {
     let keys_path = format!("{path}.key_hashes");
     let hashes = &tenant.key_hashes;
-    faults.count(keys_path.clone(), hashes.len(), limits::MAX_KEYS_PER_TENANT);
+    faults.check_count(keys_path.clone(), hashes.len(), limits::MAX_KEYS_PER_TENANT);
     for (index, hash) in hashes.iter().enumerate() {
         let hash_path = format!("{keys_path}[{index}]");
         if !is_hash(hash) {
             let text = "not a SHA-256 in lower-case hexadecimal (64 digits)";
             faults.add(hash_path, text);
-        } else if let Some(first) = seen.get(hash.as_str()) {
+        } else if let Some(first) = path_by_hash.get(hash.as_str()) {
             faults.add(hash_path, format!("the same key is already at {first}"));
         } else {
-            seen.insert(hash, hash_path);
+            path_by_hash.insert(hash, hash_path);
         }
     }
 }
@@ -69,7 +69,7 @@
         ),
     ];
     for (field, value, range) in fields {
-        faults.range(format!("{path}.quota.{field}"), value, range, "");
+        faults.check_range(format!("{path}.quota.{field}"), value, &range, Unit::None);
     }
 }
 
--- a/crates/control-state/src/document/fault.rs
+++ b/crates/control-state/src/document/fault.rs
@@ -4,7 +4,7 @@
 
 use millford_core::ResultCode;
 
-/// Where a document is wrong, and how.
+/// Where a document is invalid, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// Path of the field, such as `routes[0].pool`; empty for the document as a whole.
@@ -12,13 +12,13 @@
     /// [`ResultCode::BadJson`], [`ResultCode::BadField`] (missing, unknown or of a wrong type) or
     /// [`ResultCode::DocumentInvalid`] (well formed, but against a rule).
     pub code: ResultCode,
-    /// One sentence for people.
+    /// One sentence for operators.
     pub text: String,
 }
 
 impl Fault {
-    /// The code that an answer with these faults carries: that of the first kind of fault that
-    /// keeps the document from being read at all, else [`ResultCode::DocumentInvalid`].
+    /// The code of a response with these faults: that of the first kind of fault that keeps the
+    /// document from being read at all, else [`ResultCode::DocumentInvalid`].
     #[must_use]
     pub fn overall(faults: &[Fault]) -> ResultCode {
         let any = |code| faults.iter().any(|fault| fault.code == code);
--- a/crates/control-state/src/document/items.rs
+++ b/crates/control-state/src/document/items.rs
@@ -32,7 +32,7 @@
     items
 }
 
-/// The document that these items of the public state hold; other items are passed over.
+/// The document that these items of the public state make up; other items are ignored.
 #[must_use]
 pub fn document_of<'items>(values: impl IntoIterator<Item = &'items StateValue>) -> Document {
     let mut document = Document::default();
--- a/crates/control-state/src/document/limits.rs
+++ b/crates/control-state/src/document/limits.rs
@@ -6,7 +6,7 @@
 pub const MAX_ROUTES: usize = 1_000;
 /// Most forwarding routes.
 pub const MAX_FORWARD_ROUTES: usize = 20_000;
-/// Most pools that share one forwarding route.
+/// Most weighted pools of one forwarding route.
 pub const MAX_POOLS_PER_ROUTE: usize = 32;
 /// Most pools.
 pub const MAX_POOLS: usize = 500;
@@ -26,7 +26,7 @@
 pub const MAX_ORDER_ID_LENGTH: usize = 128;
 /// Deadline of a route, in milliseconds.
 pub const DEADLINE_MS: RangeInclusive<u32> = 100..=3_600_000;
-/// Silence before a hedged request, in milliseconds.
+/// Time without a response before a hedged request, in milliseconds.
 pub const HEDGE_DELAY_MS: RangeInclusive<u32> = 10..=60_000;
 /// Time to drain, in milliseconds.
 pub const DRAIN_MS: RangeInclusive<u32> = 0..=60_000;
--- a/crates/control-state/src/document/mod.rs
+++ b/crates/control-state/src/document/mod.rs
@@ -1,13 +1,8 @@
-//! The operators' document: reading, checking, canonical form and the items it is kept as.
+//! The operators' document: reading, checking, canonical form and the items it is stored as.
 
 mod canonical;
 mod check;
-mod check_forward;
-mod check_pool;
-mod check_route;
-mod check_tenant;
 mod fault;
-mod fault_list;
 mod items;
 pub mod limits;
 mod order;
--- a/crates/control-state/src/document/order.rs
+++ b/crates/control-state/src/document/order.rs
@@ -10,7 +10,7 @@
 use super::check::check;
 use super::fault::Fault;
 use super::limits::MAX_ORDER_ID_LENGTH;
-use super::parse::{faults_of, misplaced_lists_in, read};
+use super::parse::{document_faults, misplaced_lists_in, read};
 
 /// Body of `PUT /v1/config`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
@@ -18,14 +18,14 @@
 pub struct Order {
     /// Revision that the document was built on.
     pub base_revision: u64,
-    /// Chosen by the operator, so that a resent order is known again; may be left out.
+    /// Chosen by the operator, so that a resent order is recognized; may be left out.
     #[serde(default)]
     pub order_id: String,
-    /// The whole configuration.
+    /// The complete configuration.
     pub document: Document,
 }
 
-/// Reads and checks an order and gives the command to propose, its digest included.
+/// Reads and checks an order and returns the command to propose, its digest included.
 ///
 /// # Errors
 /// Every fault of the order and its document; paths of the document begin with `document`.
@@ -50,7 +50,7 @@
 fn unreadable(json: &[u8], first: Fault) -> Vec<Fault> {
     let value: Value = serde_json::from_slice(json).unwrap_or(Value::Null);
     let mut faults = match value.get("document") {
-        Some(document) => faults_of(document, "document"),
+        Some(document) => document_faults(document, "document"),
         None => Vec::new(),
     };
     if !first.path.starts_with("document") || faults.is_empty() {
--- a/crates/control-state/src/document/parse.rs
+++ b/crates/control-state/src/document/parse.rs
@@ -17,6 +17,23 @@
     "adapters",
 ];
 
+/// What a position in a document may hold besides a plain value.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Expected {
+    List,
+    Object,
+}
+
+impl Expected {
+    fn of_field(field: &str) -> Self {
+        if LIST_FIELDS.contains(&field) {
+            Self::List
+        } else {
+            Self::Object
+        }
+    }
+}
+
 /// Reads a document. It is not checked yet: see [`super::check`].
 ///
 /// # Errors
@@ -24,10 +41,11 @@
 pub fn parse(json: &[u8]) -> Result<Document, Vec<Fault>> {
     let document = read(json, "").map_err(|first| {
         let all = match serde_json::from_slice::<Value>(json) {
-            Ok(value) => faults_of(&value, ""),
+            Ok(value) => document_faults(&value, ""),
             Err(_) => Vec::new(),
         };
-        // A fault that a second look does not find, such as a field given twice, stands alone.
+        // A fault that reading entry by entry does not find, such as a duplicate field, is reported
+        // alone.
         if all.is_empty() { vec![first] } else { all }
     })?;
     let misplaced = misplaced_lists_in(json);
@@ -38,28 +56,31 @@
     }
 }
 
-/// Lists where an object belongs. The JSON library would read them as the object's fields by their
+/// Lists where an object is expected. serde would read them as the object's fields by their
 /// position, which no operator means.
 pub(super) fn misplaced_lists_in(json: &[u8]) -> Vec<Fault> {
     let mut faults = Vec::new();
     if let Ok(value) = serde_json::from_slice::<Value>(json) {
-        find_misplaced_lists("", &value, false, &mut faults);
+        find_misplaced_lists("", &value, Expected::Object, &mut faults);
     }
     faults
 }
 
-fn find_misplaced_lists(path: &str, value: &Value, may_be_list: bool, faults: &mut Vec<Fault>) {
+fn find_misplaced_lists(path: &str, value: &Value, expected: Expected, faults: &mut Vec<Fault>) {
     match value {
-        Value::Array(_) if !may_be_list => faults.push(bad_field(path, "expected an object")),
+        Value::Array(_) if expected == Expected::Object => {
+            faults.push(bad_field(path, "expected an object"));
+        }
         Value::Array(entries) => {
             for (index, entry) in entries.iter().enumerate() {
-                find_misplaced_lists(&format!("{path}[{index}]"), entry, false, faults);
+                let entry_path = format!("{path}[{index}]");
+                find_misplaced_lists(&entry_path, entry, Expected::Object, faults);
             }
         }
         Value::Object(fields) => {
             for (field, value) in fields {
-                let may_be_list = LIST_FIELDS.contains(&field.as_str());
-                find_misplaced_lists(&join(path, field), value, may_be_list, faults);
+                let expected = Expected::of_field(field);
+                find_misplaced_lists(&join(path, field), value, expected, faults);
             }
         }
         _ => {}
@@ -70,7 +91,7 @@
 pub(super) fn read<T: DeserializeOwned>(json: &[u8], prefix: &str) -> Result<T, Fault> {
     let mut reader = serde_json::Deserializer::from_slice(json);
     let value =
-        serde_path_to_error::deserialize(&mut reader).map_err(|error| fault(prefix, &error))?;
+        serde_path_to_error::deserialize(&mut reader).map_err(|error| to_fault(prefix, &error))?;
     reader.end().map_err(|error| Fault {
         path: prefix.to_owned(),
         code: ResultCode::BadJson,
@@ -80,7 +101,7 @@
 }
 
 /// Every entry of a document that cannot be read; `prefix` is put before the paths.
-pub(super) fn faults_of(document: &Value, prefix: &str) -> Vec<Fault> {
+pub(super) fn document_faults(document: &Value, prefix: &str) -> Vec<Fault> {
     let Value::Object(fields) = document else {
         return vec![bad_field(prefix, "expected an object")];
     };
@@ -116,10 +137,10 @@
 
 fn value_faults<T: DeserializeOwned>(path: &str, value: &Value) -> Option<Fault> {
     let read = serde_path_to_error::deserialize::<_, T>(value);
-    read.err().map(|error| fault(path, &error))
+    read.err().map(|error| to_fault(path, &error))
 }
 
-fn fault(prefix: &str, error: &serde_path_to_error::Error<serde_json::Error>) -> Fault {
+fn to_fault(prefix: &str, error: &serde_path_to_error::Error<serde_json::Error>) -> Fault {
     let inner = error.inner();
     let code = if inner.is_data() {
         ResultCode::BadField
@@ -128,7 +149,7 @@
     };
     let relative = error.path().to_string();
     let path = match relative.as_str() {
-        // "?" stands for a place that the broken text does not tell; the sentence has the line.
+        // "?" stands for a position that the broken text does not reveal; the text has the line.
         "." | "?" => prefix.to_owned(),
         _ => join(prefix, &relative),
     };
--- a/crates/control-state/src/keys.rs
+++ b/crates/control-state/src/keys.rs
@@ -1,8 +1,8 @@
 //! Keys of the public state that the feed carries.
 
-/// Key of the number and digest of the configuration in force.
+/// Key of the revision and digest of the current configuration.
 pub const CONFIG_HEAD: &str = "config/head";
-/// Key of the limits of callers' HTTP connections.
+/// Key of the limits of clients' HTTP connections.
 pub const HTTP_LIMITS: &str = "config/limits";
 /// Prefix of every key of the configuration.
 pub const CONFIG_PREFIX: &str = "config/";
@@ -25,7 +25,7 @@
     format!("config/forward/{name}")
 }
 
-/// Key of a proxy's address for news of other proxies.
+/// Key of a proxy's address for messages of other proxies.
 #[must_use]
 pub fn proxy_member(member: &str) -> String {
     format!("proxy/{member}")
@@ -43,7 +43,7 @@
     format!("config/tenant/{name}")
 }
 
-/// Key of a control member; the number is written in hexadecimal, as logs show it.
+/// Key of a control member; the identity is written in hexadecimal, as in logs.
 #[must_use]
 pub fn control_member(node_id: u64) -> String {
     format!("control/{node_id:016x}")
--- a/crates/control-state/src/machine/applied.rs
+++ b/crates/control-state/src/machine/applied.rs
@@ -1,4 +1,4 @@
-//! What one committed command did.
+//! The outcome of one committed command.
 
 use millford_api::command::{
     ClaimResult, CommandResult, OpenSessionResult, PutConfigResult, command_result,
@@ -9,7 +9,7 @@
 /// Result for the proposer and the items of the public state that changed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Applied {
-    /// Answer to the proposer.
+    /// Reply to the proposer.
     pub result: CommandResult,
     /// Changed items only, in the order of their keys; an absent value is a deletion.
     pub changes: Vec<StateItem>,
@@ -28,16 +28,24 @@
         applied
     }
 
-    /// Answer to an order.
-    pub(crate) fn order(code: ResultCode, revision: u64, repeated_order: bool) -> Self {
-        let result = PutConfigResult {
-            revision,
-            repeated_order,
-        };
-        Self::with_kind(code, Some(command_result::Kind::PutConfig(result)))
+    /// Reply to an order that is accepted now, with these changes.
+    pub(crate) fn accepted_order(revision: u64, changes: Vec<StateItem>) -> Self {
+        let mut applied = Self::order(ResultCode::Ok, revision, false);
+        applied.changes = changes;
+        applied
+    }
+
+    /// Reply to an order that was accepted earlier as `revision`.
+    pub(crate) fn repeated_order(revision: u64) -> Self {
+        Self::order(ResultCode::Ok, revision, true)
     }
 
-    /// Whether this is the answer to an order that was accepted now, not earlier.
+    /// Reply to a refused order; `revision` is the current one.
+    pub(crate) fn refused_order(code: ResultCode, revision: u64) -> Self {
+        Self::order(code, revision, false)
+    }
+
+    /// Whether this is the reply to an order that was accepted now, not earlier.
     pub(crate) fn is_accepted_order(&self) -> bool {
         let accepted = self.result.code == ResultCode::Ok.number();
         match &self.result.kind {
@@ -46,12 +54,12 @@
         }
     }
 
-    /// Answer to a claim.
-    pub(crate) fn claim(code: ResultCode, result: ClaimResult) -> Self {
-        Self::with_kind(code, Some(command_result::Kind::Claim(result)))
+    /// Reply to a claim.
+    pub(crate) fn claim(result: ClaimResult) -> Self {
+        Self::with_kind(ResultCode::Ok, Some(command_result::Kind::Claim(result)))
     }
 
-    /// Answer to an opened session.
+    /// Reply to an opened session.
     pub(crate) fn session(epoch: u64) -> Self {
         let result = OpenSessionResult { epoch };
         Self::with_kind(
@@ -60,6 +68,14 @@
         )
     }
 
+    fn order(code: ResultCode, revision: u64, repeated_order: bool) -> Self {
+        let result = PutConfigResult {
+            revision,
+            repeated_order,
+        };
+        Self::with_kind(code, Some(command_result::Kind::PutConfig(result)))
+    }
+
     fn with_kind(code: ResultCode, kind: Option<command_result::Kind>) -> Self {
         let result = CommandResult {
             code: code.number(),
--- a/crates/control-state/src/machine/catalogue.rs
+++ b/crates/control-state/src/machine/catalogue.rs
@@ -10,14 +10,14 @@
 use super::public_state::PublicState;
 use crate::keys;
 
-/// Standing drain orders by the backend's key; the backends themselves are public items.
+/// Drain orders that are in effect, by the backend's key; the backends themselves are public items.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Catalogue {
     drain_orders: BTreeMap<String, DrainOrder>,
 }
 
 impl Catalogue {
-    /// Takes over what the service registry shows.
+    /// Adopts what the service registry reports.
     pub(crate) fn update(&mut self, state: &mut PublicState, update: &UpdateBackends) -> Applied {
         let mut changes = Vec::new();
         for backend in &update.upserts {
@@ -32,13 +32,13 @@
         Applied::changed(changes)
     }
 
-    /// Puts a drain order on a backend or lifts it.
+    /// Sets or lifts a backend's drain order.
     pub(crate) fn drain(&mut self, state: &mut PublicState, order: &DrainBackend) -> Applied {
         let key = keys::backend(&order.service, &order.backend_id);
-        let Some(Kind::Backend(present)) = state.get(&key) else {
+        let Some(Kind::Backend(current)) = state.get(&key) else {
             return Applied::code(ResultCode::BackendUnknown);
         };
-        let mut backend = present.clone();
+        let mut backend = current.clone();
         if order.drain {
             let drain = self
                 .drain_orders
@@ -101,7 +101,7 @@
     }
 }
 
-/// State of a backend under a drain order: never more available than the registry says.
+/// State of a backend under a drain order: never more available than the registry reports.
 fn drained_state(declared: i32) -> i32 {
     if declared == i32::from(BackendState::BackendGone) {
         return declared;
--- a/crates/control-state/src/machine/claim_table.rs
+++ b/crates/control-state/src/machine/claim_table.rs
@@ -6,10 +6,11 @@
 use millford_core::ResultCode;
 
 use super::applied::Applied;
+use super::restore_error::RestoreError;
 use super::short_hash::ShortHash;
 use super::stored_claim::{StoredClaim, attempt_hash, digest_hash, key_hash};
 
-/// How long a claim is kept, in milliseconds of shard time: one day.
+/// How long a claim is retained, in milliseconds of shard time: one day.
 ///
 /// A request id that is used again after that is a new request.
 pub const CLAIM_RETENTION_MS: u64 = 24 * 60 * 60 * 1000;
@@ -21,7 +22,7 @@
     key: ShortHash,
 }
 
-/// Every claim that is still kept, by the hash of tenant and request id.
+/// Every retained claim, by the hash of tenant and request id.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClaimTable {
     claims: BTreeMap<ShortHash, StoredClaim>,
@@ -30,10 +31,10 @@
 }
 
 impl ClaimTable {
-    /// Grants the run to the first claim, and again to the same attempt while it is unsettled.
+    /// Grants the run to the first claim, and again to the same attempt while it is unresolved.
     ///
-    /// At most one attempt id is ever granted while an earlier one may have run: a second attempt
-    /// is granted only after the first was settled as not run.
+    /// Safety: at most one attempt id is ever granted while an earlier one may have run. A second
+    /// attempt is granted only after the first was resolved as not run.
     pub(crate) fn claim(&mut self, claim: &Claim, now_ms: u64) -> Applied {
         let key = key_hash(&claim.tenant, &claim.request_id);
         let Some(known) = self.claims.get(&key) else {
@@ -48,13 +49,13 @@
             return Applied::code(ResultCode::IdempotencyKeyReused);
         }
         let granted = same_attempt && outcome == RunOutcome::RunUnknown;
-        answer(granted, outcome)
+        reply(granted, outcome)
     }
 
-    /// Records what became of a granted attempt. The first settlement stands.
+    /// Records the outcome of a granted attempt. The first resolution stands.
     ///
-    /// An attempt that gives up before its claim was answered settles as not run; the mark keeps
-    /// the claim, should it still arrive, from being granted to an attempt that has ended.
+    /// An attempt that gives up before its claim was answered resolves it as not run; the tombstone
+    /// keeps the claim, should it still arrive, from being granted to an attempt that has ended.
     pub(crate) fn resolve(&mut self, resolve: &ResolveClaim, now_ms: u64) -> Applied {
         let key = key_hash(&resolve.tenant, &resolve.request_id);
         match self.claims.get_mut(&key) {
@@ -75,8 +76,8 @@
                 return;
             }
             self.ages.pop_front();
-            let kept = self.claims.get(&oldest.key);
-            if kept.is_some_and(|kept| kept.claimed_at_ms == oldest.claimed_at_ms) {
+            let stored = self.claims.get(&oldest.key);
+            if stored.is_some_and(|stored| stored.claimed_at_ms == oldest.claimed_at_ms) {
                 self.claims.remove(&oldest.key);
             }
         }
@@ -90,23 +91,26 @@
     /// The claims in the order of their keys, for a snapshot.
     pub(crate) fn records(&self) -> Vec<ClaimRecord> {
         let claims = self.claims.iter();
-        claims.map(|(key, kept)| kept.to_record(*key)).collect()
+        claims.map(|(key, stored)| stored.to_record(*key)).collect()
     }
 
-    /// The table of a snapshot; nothing when a record is malformed.
-    pub(crate) fn from_records(records: &[ClaimRecord]) -> Option<Self> {
+    /// The table of a snapshot.
+    ///
+    /// # Errors
+    /// [`RestoreError::MalformedClaim`] when a hash of a record has the wrong length.
+    pub(crate) fn from_records(records: &[ClaimRecord]) -> Result<Self, RestoreError> {
         let mut claims = BTreeMap::new();
         let mut ages = Vec::with_capacity(records.len());
         for record in records {
-            let key = ShortHash::from_bytes(&record.key)?;
-            claims.insert(key, StoredClaim::from_record(record)?);
+            let key = ShortHash::try_from(record.key.as_slice())?;
+            claims.insert(key, StoredClaim::try_from(record)?);
             ages.push(ClaimAge {
                 claimed_at_ms: record.claimed_at_ms,
                 key,
             });
         }
         ages.sort_unstable();
-        Some(Self {
+        Ok(Self {
             claims,
             ages: ages.into(),
         })
@@ -114,7 +118,7 @@
 
     fn grant(&mut self, key: ShortHash, claim: &Claim, now_ms: u64) -> Applied {
         self.insert(key, StoredClaim::granted(claim, now_ms));
-        answer(true, RunOutcome::RunUnknown)
+        reply(true, RunOutcome::RunUnknown)
     }
 
     fn insert(&mut self, key: ShortHash, claim: StoredClaim) {
@@ -127,16 +131,16 @@
 }
 
 fn resolve_stored(known: &mut StoredClaim, resolve: &ResolveClaim) {
-    let open = known.outcome == RunOutcome::RunUnknown;
-    if open && known.attempt == attempt_hash(&resolve.attempt_id) {
+    let unresolved = known.outcome == RunOutcome::RunUnknown;
+    if unresolved && known.attempt == attempt_hash(&resolve.attempt_id) {
         known.outcome = resolve.outcome();
     }
 }
 
-fn answer(granted: bool, outcome: RunOutcome) -> Applied {
+fn reply(granted: bool, outcome: RunOutcome) -> Applied {
     let result = ClaimResult {
         granted,
         outcome: outcome.into(),
     };
-    Applied::claim(ResultCode::Ok, result)
+    Applied::claim(result)
 }
--- a/crates/control-state/src/machine/configuration.rs
+++ b/crates/control-state/src/machine/configuration.rs
@@ -1,7 +1,7 @@
 //! Orders of operators: one winner for each base revision.
 //!
-//! The machine does not check the document again: replicas of two releases might judge it
-//! differently and so come apart. The node that takes the order checks it before it proposes it.
+//! The machine does not check the document again: replicas of two releases might decide differently
+//! and so diverge. The node that receives the order checks it before it proposes it.
 
 use std::collections::BTreeSet;
 
@@ -16,7 +16,7 @@
 use crate::document;
 use crate::keys;
 
-/// Revision in force; 0 before the first order.
+/// The current revision; 0 before the first order.
 pub(crate) fn current_revision(state: &PublicState) -> u64 {
     match state.get(keys::CONFIG_HEAD) {
         Some(Kind::ConfigHead(head)) => head.revision,
@@ -27,47 +27,47 @@
 /// Accepts, acknowledges again or refuses an order.
 pub(crate) fn put(
     state: &mut PublicState,
-    record: &mut OrderHistory,
+    history: &mut OrderHistory,
     order: &PutConfig,
 ) -> Applied {
-    let present = current_revision(state);
-    match record.status(order) {
-        OrderStatus::Repeated { revision } => Applied::order(ResultCode::Ok, revision, true),
-        OrderStatus::IdReused => Applied::order(ResultCode::OrderIdReused, present, false),
-        // Replicas apply orders one after the other, so of two on one base the second finds the
-        // base used: exactly one wins.
-        OrderStatus::New if order.base_revision != present => {
-            Applied::order(ResultCode::RevisionConflict, present, false)
+    let current = current_revision(state);
+    match history.status(order) {
+        OrderStatus::Repeated { revision } => Applied::repeated_order(revision),
+        OrderStatus::IdReused => Applied::refused_order(ResultCode::OrderIdReused, current),
+        // Safety: replicas apply orders one after the other, so of two on one base the second finds
+        // the base used: exactly one wins.
+        OrderStatus::New if order.base_revision != current => {
+            Applied::refused_order(ResultCode::RevisionConflict, current)
         }
-        // Numbers only grow, so that no node ever takes an older configuration for a newer one.
-        OrderStatus::New if order.revision != 0 && order.revision <= present => {
-            Applied::order(ResultCode::RevisionNotAbove, present, false)
+        // Safety: revisions only grow, so that no node ever takes an older configuration for a newer
+        // one.
+        OrderStatus::New if order.revision != 0 && order.revision <= current => {
+            Applied::refused_order(ResultCode::RevisionNotAbove, current)
         }
-        OrderStatus::New if order.revision != 0 => accept(state, record, order, order.revision),
-        OrderStatus::New => accept(state, record, order, present + 1),
+        OrderStatus::New if order.revision != 0 => accept(state, history, order, order.revision),
+        OrderStatus::New => accept(state, history, order, current + 1),
     }
 }
 
 fn accept(
     state: &mut PublicState,
-    record: &mut OrderHistory,
+    history: &mut OrderHistory,
     order: &PutConfig,
     revision: u64,
 ) -> Applied {
     let empty = Document::default();
     let desired = order.document.as_ref().unwrap_or(&empty);
-    let mut applied = Applied::order(ResultCode::Ok, revision, false);
-    applied.changes = replace(state, desired, revision, &order.digest);
-    record.add(AcceptedOrder {
+    let changes = replace(state, desired, revision, &order.digest);
+    history.add(AcceptedOrder {
         order_id: order.order_id.clone(),
         base_revision: order.base_revision,
         digest: order.digest.clone(),
         revision,
     });
-    applied
+    Applied::accepted_order(revision, changes)
 }
 
-/// Brings the items to the wanted document; gives only what differs.
+/// Brings the items to the desired document; returns only what differs.
 fn replace(
     state: &mut PublicState,
     desired: &Document,
@@ -80,10 +80,10 @@
         digest: digest.to_vec(),
     };
     items.insert(keys::CONFIG_HEAD.to_owned(), Kind::ConfigHead(head));
-    let kept: BTreeSet<&String> = items.keys().collect();
+    let retained: BTreeSet<&String> = items.keys().collect();
     let mut changes = Vec::new();
     for key in state.keys_under(keys::CONFIG_PREFIX) {
-        if !kept.contains(&key) {
+        if !retained.contains(&key) {
             changes.extend(state.delete(&key));
         }
     }
--- a/crates/control-state/src/machine/order_history.rs
+++ b/crates/control-state/src/machine/order_history.rs
@@ -4,13 +4,14 @@
 
 use millford_api::command::{AcceptedOrder, PutConfig};
 
-/// Accepted orders that are remembered. At the planned 710 changes a day that is more than five days.
+/// Number of accepted orders that are retained. At the planned 710 changes a day that is more than
+/// five days.
 ///
-/// An order that is resent after as many later ones is no longer known. It is refused then as a
+/// An order that is resent after as many later ones is no longer recognized. It is refused then as a
 /// conflict, because its base is used; it is never accepted a second time.
 pub const ORDER_HISTORY_LIMIT: usize = 4096;
 
-/// What the record says about an order.
+/// Whether the history contains an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OrderStatus {
     /// Not seen before.
@@ -21,7 +22,7 @@
     IdReused,
 }
 
-/// Bounded record, by the revision that each order got.
+/// Bounded history, by the revision that each order got.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OrderHistory {
     by_revision: BTreeMap<u64, AcceptedOrder>,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The remembered orders, oldest first.
+    /// The retained orders, oldest first.
     pub(crate) fn orders(&self) -> impl Iterator<Item = &AcceptedOrder> {
         self.by_revision.values()
     }
@@ -95,6 +96,17 @@
     }
 }
 
+/// The history of a snapshot, oldest first.
+impl FromIterator<AcceptedOrder> for OrderHistory {
+    fn from_iter<I: IntoIterator<Item = AcceptedOrder>>(orders: I) -> Self {
+        let mut history = Self::default();
+        for order in orders {
+            history.add(order);
+        }
+        history
+    }
+}
+
 fn is_same(known: &AcceptedOrder, order: &PutConfig) -> bool {
     known.base_revision == order.base_revision && known.digest == order.digest
 }
--- a/crates/control-state/src/machine/placements.rs
+++ b/crates/control-state/src/machine/placements.rs
@@ -7,23 +7,23 @@
 use super::public_state::PublicState;
 use crate::keys;
 
-/// Takes a placement unless its epoch is older than the one in force.
+/// Sets a placement unless its epoch is older than the current one.
 ///
-/// Two nodes may believe that they hold the role; only the one elected last gets through, because
-/// its epoch is the larger one in every replica's order of commands.
+/// Safety: two nodes may believe that they have the role; only the one elected last gets through,
+/// because its epoch is the larger one in every replica's order of commands.
 pub(crate) fn set(state: &mut PublicState, placement: Option<&PoolPlacement>) -> Applied {
     let Some(placement) = placement else {
         return Applied::code(ResultCode::ProtocolViolation);
     };
     let key = keys::placement(&placement.pool);
-    if placement.epoch < epoch_in_force(state, &key) {
+    if placement.epoch < current_epoch(state, &key) {
         return Applied::code(ResultCode::EpochFenced);
     }
     let change = state.set(key, Kind::Placement(placement.clone()));
     Applied::changed(change.into_iter().collect())
 }
 
-fn epoch_in_force(state: &PublicState, key: &str) -> u64 {
+fn current_epoch(state: &PublicState, key: &str) -> u64 {
     match state.get(key) {
         Some(Kind::Placement(placement)) => placement.epoch,
         _ => 0,
--- a/crates/control-state/src/machine/public_state.rs
+++ b/crates/control-state/src/machine/public_state.rs
@@ -31,7 +31,7 @@
             .collect()
     }
 
-    /// Sets a key; gives the change, or nothing when the value is the same already.
+    /// Sets a key; returns the change, or nothing when the value is the same already.
     pub(crate) fn set(&mut self, key: String, kind: state_value::Kind) -> Option<StateItem> {
         let value = StateValue { kind: Some(kind) };
         if self.items.get(&key) == Some(&value) {
@@ -44,7 +44,7 @@
         })
     }
 
-    /// Deletes a key; gives the change, or nothing when it was not there.
+    /// Deletes a key; returns the change, or nothing when it was absent.
     pub(crate) fn delete(&mut self, key: &str) -> Option<StateItem> {
         self.items.remove(key)?;
         Some(StateItem {
--- a/crates/control-state/src/machine/session_registry.rs
+++ b/crates/control-state/src/machine/session_registry.rs
@@ -18,10 +18,11 @@
 }
 
 impl SessionRegistry {
-    /// Opens a session. Resent by the same process, it gives the same epoch again; another process
+    /// Opens a session. Resent by the same process, it returns the same epoch again; another process
     /// of that member gets a new epoch, which fences whatever the old one was granted.
     ///
-    /// A member whose proxy exchanges news is listed for the other proxies while the session is open.
+    /// A member whose proxy exchanges messages with its peers is published to them while the session
+    /// is open.
     pub(crate) fn open(&mut self, state: &mut PublicState, open: &OpenSession) -> Applied {
         let epoch = match self.sessions.get(&open.member) {
             Some(known) if known.boot_id == open.boot_id => known.epoch,
@@ -36,7 +37,7 @@
         };
         self.sessions.insert(open.member.clone(), record);
         let mut applied = Applied::session(epoch);
-        applied.changes = list_proxy(state, open).into_iter().collect();
+        applied.changes = publish_proxy(state, open).into_iter().collect();
         applied
     }
 
@@ -49,8 +50,8 @@
             return Applied::code(ResultCode::EpochFenced);
         }
         self.sessions.remove(&close.member);
-        let unlisted = state.delete(&keys::proxy_member(&close.member));
-        Applied::changed(unlisted.into_iter().collect())
+        let unpublished = state.delete(&keys::proxy_member(&close.member));
+        Applied::changed(unpublished.into_iter().collect())
     }
 
     /// Every open session by member.
@@ -58,7 +59,7 @@
         &self.sessions
     }
 
-    /// The last epoch given out; 0 before the first.
+    /// The last epoch assigned; 0 before the first.
     pub(crate) fn last_epoch(&self) -> u64 {
         self.last_epoch
     }
@@ -78,7 +79,7 @@
     }
 }
 
-fn list_proxy(state: &mut PublicState, open: &OpenSession) -> Option<StateItem> {
+fn publish_proxy(state: &mut PublicState, open: &OpenSession) -> Option<StateItem> {
     let key = keys::proxy_member(&open.member);
     if open.exchange_address.is_empty() {
         return state.delete(&key);
--- a/crates/control-state/src/machine/shard_machine.rs
+++ b/crates/control-state/src/machine/shard_machine.rs
@@ -50,7 +50,7 @@
     }
 
     /// Applies the committed command at `index`. An index that was applied already is a mistake of
-    /// the caller and changes nothing.
+    /// the caller: it changes nothing and results in [`ResultCode::ProtocolViolation`].
     pub fn apply(&mut self, index: u64, term: u64, command: &Command) -> Applied {
         if index <= self.applied_index {
             return Applied::code(ResultCode::ProtocolViolation);
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Notes an entry without a command, such as the first one of a leader.
+    /// Records an entry without a command, such as the first one of a leader.
     pub fn skip(&mut self, index: u64, term: u64) {
         self.applied_index = self.applied_index.max(index);
         self.applied_term = self.applied_term.max(term);
@@ -92,13 +92,14 @@
         self.public.items()
     }
 
-    /// Number of the configuration in force; 0 before the first order.
+    /// Revision of the current configuration; 0 before the first order.
     #[must_use]
     pub fn revision(&self) -> u64 {
         configuration::current_revision(&self.public)
     }
 
-    /// The configuration's document as the operator sent it; empty if it came in the usual form.
+    /// The configuration's document as the operator sent it; empty if it was sent in the product's
+    /// own form.
     #[must_use]
     pub fn config_source(&self) -> &[u8] {
         &self.config_source
@@ -122,13 +123,13 @@
         self.shard_time_ms
     }
 
-    /// Number of claims that are kept.
+    /// Number of retained claims.
     #[must_use]
     pub fn claim_count(&self) -> usize {
         self.claims.len()
     }
 
-    /// The command that brings a service's catalogue to what the registry shows, or nothing when
+    /// The command that brings a service's catalogue to what the registry reports, or nothing when
     /// they agree. Drain orders are no difference: the registry does not know of them.
     #[must_use]
     pub fn catalogue_difference(
@@ -136,14 +137,14 @@
         service: &str,
         registry: &[Backend],
     ) -> Option<UpdateBackends> {
-        let mut present = self.catalogue.declared(&self.public, service);
+        let mut known = self.catalogue.declared(&self.public, service);
         let mut upserts = Vec::new();
         for backend in registry {
-            if present.remove(&backend.id).as_ref() != Some(backend) {
+            if known.remove(&backend.id).as_ref() != Some(backend) {
                 upserts.push(backend.clone());
             }
         }
-        let removals: Vec<String> = present.into_keys().collect();
+        let removals: Vec<String> = known.into_keys().collect();
         if upserts.is_empty() && removals.is_empty() {
             return None;
         }
@@ -175,7 +176,7 @@
         }
     }
 
-    /// The source is kept beside the items: nodes need it for nothing but reading it back.
+    /// The source is stored beside the items: nodes need it for nothing but reading it back.
     fn put_config(&mut self, order: &PutConfig) -> Applied {
         let applied = configuration::put(&mut self.public, &mut self.orders, order);
         if applied.is_accepted_order() {
--- a/crates/control-state/src/machine/short_hash.rs
+++ b/crates/control-state/src/machine/short_hash.rs
@@ -1,8 +1,10 @@
-//! Hash in the place of a name that is only compared.
+//! Short hash in place of a value that is only compared for equality.
+
+use std::array::TryFromSliceError;
 
 use sha2::{Digest, Sha256};
 
-/// Bytes of the hash.
+/// Length of the hash in bytes.
 const LENGTH: usize = 16;
 
 /// First half of a SHA-256.
@@ -13,26 +15,31 @@
 pub(super) struct ShortHash([u8; LENGTH]);
 
 impl ShortHash {
-    /// Hash of several parts; the length of each counts, so that no two lists look the same.
-    pub(super) fn of(parts: &[&[u8]]) -> Self {
+    /// Hash of several fields; the length of each is hashed too, so that no two lists collide by
+    /// their concatenation.
+    pub(super) fn of(fields: &[&[u8]]) -> Self {
         let mut hasher = Sha256::new();
-        for part in parts {
-            hasher.update((part.len() as u64).to_le_bytes());
-            hasher.update(part);
+        for field in fields {
+            hasher.update((field.len() as u64).to_le_bytes());
+            hasher.update(field);
         }
-        let whole = hasher.finalize();
+        let digest = hasher.finalize();
         let mut short = [0; LENGTH];
-        short.copy_from_slice(&whole[..LENGTH]);
+        short.copy_from_slice(&digest[..LENGTH]);
         Self(short)
     }
 
-    /// The hash with these bytes, as a snapshot holds it.
-    pub(super) fn from_bytes(bytes: &[u8]) -> Option<Self> {
-        Some(Self(bytes.try_into().ok()?))
-    }
-
     /// The bytes, for a snapshot.
     pub(super) fn to_bytes(self) -> Vec<u8> {
         self.0.to_vec()
     }
 }
+
+/// The hash with these bytes, as a snapshot stores it; an error when their number is wrong.
+impl TryFrom<&[u8]> for ShortHash {
+    type Error = TryFromSliceError;
+
+    fn try_from(bytes: &[u8]) -> Result<Self, Self::Error> {
+        bytes.try_into().map(Self)
+    }
+}
--- a/crates/control-state/src/machine/snapshot.rs
+++ b/crates/control-state/src/machine/snapshot.rs
@@ -6,14 +6,14 @@
 use millford_api::state::{StateItem, StateValue};
 use prost::Message;
 
+use super::claim_table::ClaimTable;
 use super::order_history::OrderHistory;
 use super::restore_error::RestoreError;
 use super::shard_machine::ShardMachine;
-use crate::machine::claim_table::ClaimTable;
 
 impl ShardMachine {
-    /// The whole state as bytes. All collections are ordered, so replicas with the same state
-    /// write the same bytes.
+    /// The complete state as bytes. All collections are ordered, so replicas with the same state
+    /// encode the same bytes.
     #[must_use]
     pub fn snapshot(&self) -> Vec<u8> {
         let snapshot = MachineSnapshot {
@@ -31,23 +31,19 @@
         snapshot.encode_to_vec()
     }
 
-    /// Replaces the whole state by that of a snapshot; on an error nothing changes.
+    /// Replaces the complete state by that of a snapshot; on an error nothing changes.
     ///
     /// # Errors
     /// [`RestoreError`] when the bytes are not a snapshot.
     pub fn restore(&mut self, data: &[u8]) -> Result<(), RestoreError> {
         let snapshot = MachineSnapshot::decode(data)?;
         let items = decode_items(snapshot.public_state)?;
-        let claims =
-            ClaimTable::from_records(&snapshot.claims).ok_or(RestoreError::MalformedClaim)?;
+        let claims = ClaimTable::from_records(&snapshot.claims)?;
         self.applied_index = snapshot.applied_index;
         self.applied_term = snapshot.applied_term;
         self.shard_time_ms = snapshot.shard_time_ms;
         self.public.replace(items);
-        self.orders = OrderHistory::default();
-        for order in snapshot.orders {
-            self.orders.add(order);
-        }
+        self.orders = OrderHistory::from_iter(snapshot.orders);
         self.claims = claims;
         let last_epoch = snapshot.next_epoch.saturating_sub(1);
         self.sessions.replace(snapshot.sessions, last_epoch);
@@ -65,12 +61,11 @@
 }
 
 fn decode_items(items: Vec<StateItem>) -> Result<BTreeMap<String, StateValue>, RestoreError> {
-    let mut decoded = BTreeMap::new();
-    for item in items {
-        let Some(value) = item.value else {
-            return Err(RestoreError::ItemWithoutValue { key: item.key });
-        };
-        decoded.insert(item.key, value);
-    }
-    Ok(decoded)
+    items
+        .into_iter()
+        .map(|item| match item.value {
+            Some(value) => Ok((item.key, value)),
+            None => Err(RestoreError::ItemWithoutValue { key: item.key }),
+        })
+        .collect()
 }
--- a/crates/control-state/src/machine/stored_claim.rs
+++ b/crates/control-state/src/machine/stored_claim.rs
@@ -1,10 +1,12 @@
-//! One claim as the shard keeps it.
+//! One claim as the shard stores it.
+
+use std::array::TryFromSliceError;
 
 use millford_api::command::{Claim, ClaimRecord, ResolveClaim, RunOutcome};
 
 use super::short_hash::ShortHash;
 
-/// Outcome of a claimed run and what it takes to know the claim again.
+/// Outcome of a claimed run, and what it takes to recognize the claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct StoredClaim {
     pub(super) attempt: ShortHash,
@@ -24,7 +26,7 @@
         }
     }
 
-    /// The mark of an attempt that gave up before its claim arrived.
+    /// The tombstone of an attempt that gave up before its claim arrived.
     pub(super) fn abandoned(resolve: &ResolveClaim, now_ms: u64) -> Self {
         Self {
             attempt: attempt_hash(&resolve.attempt_id),
@@ -44,12 +46,16 @@
             claimed_at_ms: self.claimed_at_ms,
         }
     }
+}
+
+/// The claim of a snapshot's record; an error when a hash has the wrong length.
+impl TryFrom<&ClaimRecord> for StoredClaim {
+    type Error = TryFromSliceError;
 
-    /// The claim of a snapshot's record; nothing when a hash has the wrong length.
-    pub(super) fn from_record(record: &ClaimRecord) -> Option<Self> {
-        Some(Self {
-            attempt: ShortHash::from_bytes(&record.attempt)?,
-            digest: ShortHash::from_bytes(&record.digest)?,
+    fn try_from(record: &ClaimRecord) -> Result<Self, Self::Error> {
+        Ok(Self {
+            attempt: ShortHash::try_from(record.attempt.as_slice())?,
+            digest: ShortHash::try_from(record.digest.as_slice())?,
             outcome: record.outcome(),
             claimed_at_ms: record.claimed_at_ms,
         })
--- a/crates/control-state/src/planner/catalogue.rs
+++ b/crates/control-state/src/planner/catalogue.rs
@@ -1,4 +1,4 @@
-//! Backends and placements that a plan is worked out against.
+//! Backends and placements that a plan is computed against.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use crate::keys;
 use crate::selection::selects;
 
-/// Every known backend, whichever pool it is in, and the placements in force.
+/// Every known backend, whichever pool it is in, and the current placements.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlanCatalogue {
     /// Backends by identity.
@@ -19,7 +19,7 @@
 }
 
 impl PlanCatalogue {
-    /// Takes the backends and placements out of the public state of the data shards.
+    /// The backends and placements in the public state of the data shards; other items are ignored.
     #[must_use]
     pub fn from_values<'values>(values: impl IntoIterator<Item = &'values StateValue>) -> Self {
         let mut catalogue = Self::default();
@@ -36,19 +36,19 @@
         catalogue
     }
 
-    /// Adds a backend, for instance one of the registry that no pool takes now.
+    /// Adds a backend, for instance one of the registry that no pool selects now.
     pub fn add_backend(&mut self, backend: Backend) {
         self.backends.insert(backend.id.clone(), backend);
     }
 
-    /// The backends that a pool takes.
+    /// The backends that a pool selects.
     pub(super) fn members(&self, pool: &Pool) -> impl Iterator<Item = &Backend> {
         let selector = pool.selector.as_ref();
         let backends = self.backends.values();
         backends.filter(move |backend| selects(selector, backend))
     }
 
-    /// The items that all shards would hold under this document.
+    /// The items that all shards together would contain under this document.
     pub(super) fn items(&self, document: &Document) -> BTreeMap<String, StateValue> {
         let mut kinds = document::items(document);
         for pool in &document.pools {
--- a/crates/control-state/src/planner/document_changes.rs
+++ b/crates/control-state/src/planner/document_changes.rs
@@ -11,7 +11,7 @@
 
 use crate::document;
 
-/// Digits of a key's hash that a plan shows: enough to tell keys apart, too few to search by.
+/// Digits of a key's hash that a plan displays: enough to tell keys apart, too few to search by.
 const DISPLAYED_HASH_DIGITS: usize = 8;
 
 /// One item before and after.
@@ -21,6 +21,19 @@
     after: Option<Kind>,
 }
 
+/// A tenant before and after; at least one of them is present.
+struct TenantChange<'changes> {
+    before: Option<&'changes Tenant>,
+    after: Option<&'changes Tenant>,
+}
+
+impl TenantChange<'_> {
+    fn name(&self) -> &str {
+        let tenant = self.before.or(self.after);
+        tenant.map_or("", |tenant| &tenant.name)
+    }
+}
+
 /// Everything that differs between two documents.
 pub(super) struct DocumentChanges {
     pub(super) routes: Vec<NamedChange>,
@@ -30,7 +43,7 @@
 }
 
 impl DocumentChanges {
-    /// Compares the items that the documents are kept as.
+    /// Compares the items that the documents are stored as.
     pub(super) fn between(before: &Document, after: &Document) -> Self {
         let mut changes = Self {
             routes: Vec::new(),
@@ -39,10 +52,10 @@
             items: Vec::new(),
         };
         let mut old = document::items(before);
-        for (key, desired) in document::items(after) {
-            let present = old.remove(&key);
-            if present.as_ref() != Some(&desired) {
-                changes.record(key, present, Some(desired));
+        for (key, new) in document::items(after) {
+            let former = old.remove(&key);
+            if former.as_ref() != Some(&new) {
+                changes.record(key, former, Some(new));
             }
         }
         for (key, removed) in old {
@@ -55,15 +68,14 @@
     /// Keys that become valid or are revoked.
     pub(super) fn keys(&self) -> Vec<KeyMove> {
         let mut moves = Vec::new();
-        for (before, after) in self.tenants() {
-            let old = key_set(before);
-            let new = key_set(after);
-            let name = before.or(after).map_or("", |tenant| &tenant.name);
+        for tenant in self.tenants() {
+            let old = key_set(tenant.before);
+            let new = key_set(tenant.after);
             let removed = old.difference(&new).map(|hash| (hash, ChangeKind::Removed));
             let added = new.difference(&old).map(|hash| (hash, ChangeKind::Added));
             for (hash, change) in removed.chain(added) {
                 moves.push(KeyMove {
-                    tenant: name.to_owned(),
+                    tenant: tenant.name().to_owned(),
                     key_hash_prefix: hash.chars().take(DISPLAYED_HASH_DIGITS).collect(),
                     change,
                 });
@@ -74,32 +86,27 @@
 
     /// Quotas that change, new and removed tenants included.
     pub(super) fn quotas(&self) -> Vec<QuotaMove> {
-        let mut moves = Vec::new();
-        for (before, after) in self.tenants() {
-            let old = before.and_then(|tenant| tenant.quota);
-            let new = after.and_then(|tenant| tenant.quota);
-            if old != new {
-                let name = before.or(after).map_or("", |tenant| &tenant.name);
-                moves.push(QuotaMove {
-                    tenant: name.to_owned(),
-                    before: old,
-                    after: new,
-                });
-            }
-        }
-        moves
+        self.tenants()
+            .map(|tenant| QuotaMove {
+                tenant: tenant.name().to_owned(),
+                before: tenant.before.and_then(|before| before.quota),
+                after: tenant.after.and_then(|after| after.quota),
+            })
+            .filter(|quota| quota.before != quota.after)
+            .collect()
     }
 
-    /// Items that the change sends to every node.
+    /// Number of items that the change sends to every node.
     pub(super) fn item_count(&self) -> u64 {
         self.items.len() as u64
     }
 
-    /// Their size in bytes.
+    /// Encoded size of these items in bytes.
     pub(super) fn item_bytes(&self) -> u64 {
         self.items.iter().map(item_bytes).sum()
     }
 
+    /// Adds an item and, for one that operators know by name, its named change.
     fn record(&mut self, key: String, before: Option<Kind>, after: Option<Kind>) {
         let list = match after.as_ref().or(before.as_ref()) {
             Some(Kind::Route(_) | Kind::ForwardRoute(_)) => Some(&mut self.routes),
@@ -120,14 +127,12 @@
         }
     }
 
-    fn tenants(&self) -> impl Iterator<Item = (Option<&Tenant>, Option<&Tenant>)> {
-        let pairs = self.items.iter().map(|item| {
-            (
-                tenant_of(item.before.as_ref()),
-                tenant_of(item.after.as_ref()),
-            )
+    fn tenants(&self) -> impl Iterator<Item = TenantChange<'_>> {
+        let changes = self.items.iter().map(|item| TenantChange {
+            before: tenant_of(item.before.as_ref()),
+            after: tenant_of(item.after.as_ref()),
         });
-        pairs.filter(|(before, after)| before.is_some() || after.is_some())
+        changes.filter(|tenant| tenant.before.is_some() || tenant.after.is_some())
     }
 }
 
@@ -158,23 +163,23 @@
 }
 
 fn changed_fields(before: &Kind, after: &Kind) -> Vec<String> {
-    let before = fields_of(before);
-    let after = fields_of(after);
+    let before = fields_by_name(before);
+    let after = fields_by_name(after);
     let changed = |field: &&String| before.get(*field) != after.get(*field);
     after.keys().filter(changed).cloned().collect()
 }
 
-fn fields_of(kind: &Kind) -> BTreeMap<String, Value> {
+fn fields_by_name(kind: &Kind) -> BTreeMap<String, Value> {
     match kind {
-        Kind::Route(route) => object(route),
-        Kind::ForwardRoute(route) => object(route),
-        Kind::Pool(pool) => object(pool),
-        Kind::Tenant(tenant) => object(tenant),
+        Kind::Route(route) => json_fields(route),
+        Kind::ForwardRoute(route) => json_fields(route),
+        Kind::Pool(pool) => json_fields(pool),
+        Kind::Tenant(tenant) => json_fields(tenant),
         _ => BTreeMap::new(),
     }
 }
 
-fn object(value: &impl Serialize) -> BTreeMap<String, Value> {
+fn json_fields(value: &impl Serialize) -> BTreeMap<String, Value> {
     match serde_json::to_value(value) {
         Ok(Value::Object(fields)) => fields.into_iter().collect(),
         _ => BTreeMap::new(),
--- a/crates/control-state/src/planner/mod.rs
+++ b/crates/control-state/src/planner/mod.rs
@@ -1,4 +1,4 @@
-//! What a change of configuration moves, worked out without applying it.
+//! What a change of configuration moves, computed without applying it.
 //!
 //! The same functions decide here and in the fleet: the items of a document, the selection of a
 //! pool's backends, and the routing table with its rendezvous homes.
--- a/crates/control-state/src/planner/plan.rs
+++ b/crates/control-state/src/planner/plan.rs
@@ -1,4 +1,4 @@
-//! The whole plan.
+//! The complete plan.
 
 use millford_api::config::Document;
 use millford_api::operator::Plan;
--- a/crates/control-state/src/planner/replica_moves.rs
+++ b/crates/control-state/src/planner/replica_moves.rs
@@ -19,10 +19,10 @@
     let none = BTreeSet::new();
     let mut moves = Vec::new();
     for pool in pools {
-        let left = old.get(pool).unwrap_or(&none);
-        let right = new.get(pool).unwrap_or(&none);
-        let removed = left.difference(right).map(|id| (id, ChangeKind::Removed));
-        let added = right.difference(left).map(|id| (id, ChangeKind::Added));
+        let before = old.get(pool).unwrap_or(&none);
+        let after = new.get(pool).unwrap_or(&none);
+        let removed = before.difference(after).map(|id| (id, ChangeKind::Removed));
+        let added = after.difference(before).map(|id| (id, ChangeKind::Added));
         for (backend_id, change) in removed.chain(added) {
             moves.push(ReplicaMove {
                 pool: pool.to_owned(),
--- a/crates/control-state/src/planner/session_moves.rs
+++ b/crates/control-state/src/planner/session_moves.rs
@@ -9,21 +9,21 @@
 
 use super::catalogue::PlanCatalogue;
 
-/// A backend that may be the home of a route's sessions.
+/// A backend that may be the home of a route's sessions, by rendezvous hashing.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Home {
+struct SessionHome {
     backend_id: String,
     weight_milli: u32,
 }
 
-/// From one backend to another.
+/// From one backend to another; an empty id stands for no backend.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Move {
+struct HomeChange {
     from: String,
     to: String,
 }
 
-/// Sessions whose home changes, for each route that stands before and after.
+/// Sessions whose home changes, for each route that exists before and after.
 pub(super) fn session_moves(
     before: &Document,
     after: &Document,
@@ -32,36 +32,36 @@
 ) -> Vec<SessionMove> {
     let old_items = catalogue.items(before);
     let new_items = catalogue.items(after);
-    let old_table = table(&old_items);
-    let new_table = table(&new_items);
+    let old_table = routing_table(&old_items);
+    let new_table = routing_table(&new_items);
     let mut moves = Vec::new();
     for route in new_table.routes().iter().filter(|route| !route.is_lookup()) {
         let old_route = old_table.routes().iter().find(|old| old.name == route.name);
         let Some(old_route) = old_route else {
             continue;
         };
-        let old_homes = homes(&old_table, old_route);
-        let new_homes = homes(&new_table, route);
+        let old_homes = session_homes(&old_table, old_route);
+        let new_homes = session_homes(&new_table, route);
         if old_homes != new_homes {
-            moves.extend(moves_of(&route.name, &old_homes, &new_homes, sessions));
+            moves.extend(moves_between(&route.name, &old_homes, &new_homes, sessions));
         }
     }
     moves.sort_by(|left, right| left.route.cmp(&right.route));
     moves
 }
 
-fn table(items: &BTreeMap<String, StateValue>) -> RoutingTable {
+fn routing_table(items: &BTreeMap<String, StateValue>) -> RoutingTable {
     RoutingTable::build(items.iter().map(|(key, value)| (key.as_str(), value)))
 }
 
-fn homes(table: &RoutingTable, route: &RouteEntry) -> Vec<Home> {
+fn session_homes(table: &RoutingTable, route: &RouteEntry) -> Vec<SessionHome> {
     let Some(pool) = table.pool(&route.pool) else {
         return Vec::new();
     };
-    let desired = route.requirement(&ModelRequest::default());
-    let candidates = pool.candidates(&desired).into_iter();
-    let mut homes: Vec<Home> = candidates
-        .map(|replica| Home {
+    let requirement = route.requirement(&ModelRequest::default());
+    let candidates = pool.candidates(&requirement).into_iter();
+    let mut homes: Vec<SessionHome> = candidates
+        .map(|replica| SessionHome {
             backend_id: replica.backend.id.clone(),
             weight_milli: replica.weight_milli,
         })
@@ -70,35 +70,37 @@
     homes
 }
 
-fn moves_of(
+fn moves_between(
     route: &str,
-    old_homes: &[Home],
-    new_homes: &[Home],
+    old_homes: &[SessionHome],
+    new_homes: &[SessionHome],
     sessions: &[u64],
 ) -> Vec<SessionMove> {
-    let mut counts: BTreeMap<Move, u64> = BTreeMap::new();
+    let mut counts: BTreeMap<HomeChange, u64> = BTreeMap::new();
     for session in sessions {
-        let from = home_of(*session, old_homes);
-        let to = home_of(*session, new_homes);
+        let from = best_home(*session, old_homes);
+        let to = best_home(*session, new_homes);
         if from != to {
-            *counts.entry(Move { from, to }).or_default() += 1;
+            *counts.entry(HomeChange { from, to }).or_default() += 1;
         }
     }
     let sampled = sessions.len() as u64;
-    let to_move = |(way, moved): (Move, u64)| SessionMove {
-        route: route.to_owned(),
-        from: way.from,
-        to: way.to,
-        moved,
-        sampled,
-    };
-    counts.into_iter().map(to_move).collect()
+    counts
+        .into_iter()
+        .map(|(change, moved)| SessionMove {
+            route: route.to_owned(),
+            from: change.from,
+            to: change.to,
+            moved,
+            sampled,
+        })
+        .collect()
 }
 
 /// The first home in rendezvous order; empty when no backend serves the route.
-fn home_of(session: u64, homes: &[Home]) -> String {
+fn best_home(session: u64, homes: &[SessionHome]) -> String {
     let score =
-        |home: &Home| rendezvous::score(session, &home.backend_id, home.weight_milli.max(1));
+        |home: &SessionHome| rendezvous::score(session, &home.backend_id, home.weight_milli.max(1));
     let best = homes
         .iter()
         .max_by(|left, right| score(left).total_cmp(&score(right)));
--- a/crates/control-state/src/planner/warnings.rs
+++ b/crates/control-state/src/planner/warnings.rs
@@ -1,4 +1,4 @@
-//! What is allowed and yet likely not meant.
+//! Changes that are allowed and yet likely unintended.
 
 use std::collections::BTreeMap;
 
--- a/crates/control-state/src/selection.rs
+++ b/crates/control-state/src/selection.rs
@@ -1,10 +1,10 @@
-//! Which backends belong to a pool.
+//! Which backends a pool selects.
 
 use millford_api::config::Selector;
 use millford_api::state::{Backend, Declaration};
 
-/// Whether a pool's selector takes a backend: one of its declarations must fit. An absent selector
-/// takes every backend.
+/// Whether a pool's selector selects a backend: one of its declarations must match. An absent
+/// selector selects every backend.
 #[must_use]
 pub fn selects(selector: Option<&Selector>, backend: &Backend) -> bool {
     let Some(selector) = selector else {
@@ -13,24 +13,24 @@
     if !selector.service.is_empty() && selector.service != backend.service {
         return false;
     }
-    let names_labels = !selector.model.is_empty()
+    let has_labels = !selector.model.is_empty()
         || !selector.version.is_empty()
         || !selector.stage.is_empty()
         || !selector.adapters.is_empty();
-    // A backend that declares nothing, such as a plain lookup server, fits only a selector that
-    // names no label.
-    if !names_labels {
+    // A backend that declares nothing, such as a plain lookup server, is selected only by a selector
+    // without labels.
+    if !has_labels {
         return true;
     }
     let mut declarations = backend.declarations.iter();
-    declarations.any(|declaration| fits(selector, declaration))
+    declarations.any(|declaration| matches(selector, declaration))
 }
 
-fn fits(selector: &Selector, declaration: &Declaration) -> bool {
-    let takes = |wanted: &str, declared: &str| wanted.is_empty() || wanted == declared;
+fn matches(selector: &Selector, declaration: &Declaration) -> bool {
+    let accepts = |selected: &str, declared: &str| selected.is_empty() || selected == declared;
     let mut adapters = selector.adapters.iter();
-    takes(&selector.model, &declaration.model)
-        && takes(&selector.version, &declaration.version)
-        && takes(&selector.stage, &declaration.stage)
+    accepts(&selector.model, &declaration.model)
+        && accepts(&selector.version, &declaration.version)
+        && accepts(&selector.stage, &declaration.stage)
         && adapters.all(|adapter| declaration.adapters.contains(adapter))
 }
