--- a/crates/control/src/daemon/dialling.rs
+++ b/crates/control/src/daemon/connections.rs
@@ -98,8 +98,8 @@
         link,
         writer: sender,
     });
-    let told = queue.send(GatewayEvent::Input(NodeInput::LinkOpened { link, peer }));
-    if opened.is_err() || told.is_err() {
+    let announced = queue.send(GatewayEvent::Input(NodeInput::LinkOpened { link, peer }));
+    if opened.is_err() || announced.is_err() {
         return;
     }
     tokio::select! {
--- a/crates/control/src/daemon/notes.rs
+++ b/crates/control/src/daemon/event_log.rs
@@ -1,57 +1,57 @@
 //! Events of the node as log lines.
 
 use super::{CONTROL, MEMBERS, PLACEMENT, SHARD};
-use crate::node_output::NodeNote;
-use crate::shard::move_notes::words_of;
+use crate::node_output::NodeEvent;
+use crate::shard::move_events::describe;
 
 /// Writes an event to the log.
-pub fn log_note(note: &NodeNote) {
-    match note {
-        NodeNote::IdentityMinted(node) => {
+pub fn log_event(event: &NodeEvent) {
+    match event {
+        NodeEvent::IdentityMinted(node) => {
             MEMBERS.info(format!("The disk is empty; this node is {node} now."));
         }
-        NodeNote::ClusterFormed(cluster) => {
+        NodeEvent::ClusterFormed(cluster) => {
             MEMBERS.info(format!("Formed cluster {cluster:016x}."));
         }
-        NodeNote::JoinedAsSpare(cluster) => {
-            MEMBERS.info(format!("Joined cluster {cluster:016x} as a spare."));
+        NodeEvent::JoinedAsStandby(cluster) => {
+            MEMBERS.info(format!("Joined cluster {cluster:016x} as a standby."));
         }
-        NodeNote::StartedOver(node) => {
+        NodeEvent::StartedOver(node) => {
             MEMBERS.warn(format!("This node starts over empty, as {node}."));
         }
-        NodeNote::Leader {
+        NodeEvent::Leader {
             shard,
             leader,
             term,
         } => SHARD.info(format!("Node {leader} leads shard {shard} in term {term}.")),
-        NodeNote::OutOfTouch(shard) => {
-            SHARD.warn(format!("Shard {shard} is out of touch with its quorum."));
+        NodeEvent::LostQuorum(shard) => {
+            SHARD.warn(format!("Shard {shard} lost its quorum."));
         }
-        NodeNote::VotersChange {
+        NodeEvent::VotersChange {
             shard,
             change,
             node,
         } => SHARD.info(format!("Shard {shard}: {change} {node}.")),
-        NodeNote::MemberRemoved(node) => {
+        NodeEvent::MemberRemoved(node) => {
             MEMBERS.warn(format!(
-                "Control node {node} is silent and taken off the list."
+                "Control node {node} timed out and was removed from the membership."
             ));
         }
-        NodeNote::ConfigurationAccepted(revision) => {
-            CONTROL.info(format!("Revision {revision} is in force."));
+        NodeEvent::ConfigurationAccepted(revision) => {
+            CONTROL.info(format!("Revision {revision} applied."));
         }
-        NodeNote::ReplicaFailed { shard, code } => {
+        NodeEvent::ReplicaFailed { shard, code } => {
             SHARD.error(format!("The replica of shard {shard} stopped: {code}"));
         }
-        NodeNote::Placement {
+        NodeEvent::Placement {
             pool,
             replica,
             reason,
-        } => PLACEMENT.info(format!("Pool {pool}: {replica} {}.", words_of(*reason))),
-        NodeNote::MorePlacements { pool, more } => {
+        } => PLACEMENT.info(format!("Pool {pool}: {replica} {}.", describe(*reason))),
+        NodeEvent::MorePlacements { pool, more } => {
             PLACEMENT.info(format!("Pool {pool}: {more} more moves."));
         }
-        NodeNote::RecoveryForced(shard) => SHARD.error(format!(
+        NodeEvent::RecoveryForced(shard) => SHARD.error(format!(
             "FORCED RECOVERY: this node is the only voter of shard {shard}; orders may be lost."
         )),
     }
--- a/crates/control/src/daemon/gateway_thread.rs
+++ b/crates/control/src/daemon/gateway_thread.rs
@@ -11,9 +11,9 @@
 use millford_storage::StorageError;
 use tokio::sync::{mpsc as async_mpsc, oneshot};
 
-use super::dialling::Connector;
+use super::connections::Connector;
 use super::event::{GatewayEvent, GatewayQueue, Generation};
-use super::notes::log_note;
+use super::event_log::log_event;
 use super::shard_thread::ShardThread;
 use super::shared::NodeShared;
 use crate::folders;
@@ -73,7 +73,7 @@
             last_request: 0,
             last_generation: 0,
         };
-        thread.carry_out(first);
+        thread.execute(first);
         Ok(thread)
     }
 
@@ -155,19 +155,19 @@
             return;
         }
         super::STORE.error(format!("A shard cannot be opened: {error}."));
-        super::leave_with(code_of(error));
+        super::exit_with(code_of(error));
     }
 
     fn input(&mut self, input: GatewayInput) {
         let outputs = self.gateway.handle(monotonic_now(), input);
-        self.carry_out(outputs);
+        self.execute(outputs);
     }
 
-    fn carry_out(&mut self, outputs: Vec<GatewayOutput>) {
+    fn execute(&mut self, outputs: Vec<GatewayOutput>) {
         for output in outputs {
             match output {
-                GatewayOutput::Node(output) => self.carry_out_node(output),
-                GatewayOutput::Shard { shard, input } => self.tell_shard(shard, input),
+                GatewayOutput::Node(output) => self.execute_node_output(output),
+                GatewayOutput::Shard { shard, input } => self.send_to_shard(shard, input),
                 GatewayOutput::StartShard {
                     shard,
                     identity,
@@ -182,7 +182,7 @@
         }
     }
 
-    fn carry_out_node(&mut self, output: NodeOutput) {
+    fn execute_node_output(&mut self, output: NodeOutput) {
         match output {
             NodeOutput::Send { link, frame } => self.send(link, frame),
             NodeOutput::Connect { link, address } => self.connector.connect(link, address),
@@ -195,8 +195,8 @@
                     let _ = answer.send(reply);
                 }
             }
-            NodeOutput::Note(note) => log_note(&note),
-            NodeOutput::Fatal { code } => super::leave_with(code),
+            NodeOutput::Event(event) => log_event(&event),
+            NodeOutput::Fatal { code } => super::exit_with(code),
         }
     }
 
@@ -211,7 +211,7 @@
         }
     }
 
-    fn tell_shard(&mut self, shard: ShardId, input: ShardInput) {
+    fn send_to_shard(&mut self, shard: ShardId, input: ShardInput) {
         if let Some(thread) = self.shards.get(&shard) {
             thread.send(input);
         }
@@ -247,7 +247,7 @@
             }
             Err(error) => {
                 super::CONTROL.error(format!("A thread cannot be started: {error}."));
-                super::leave_with(ResultCode::StartFailed);
+                super::exit_with(ResultCode::StartFailed);
             }
         }
     }
@@ -259,7 +259,7 @@
         for shard in (0..=folders::HIGHEST_SHARD).map(ShardId) {
             let mut disk = (self.folders)(&shard_folder(shard));
             if let Err(error) = folders::clear(disk.as_mut()) {
-                super::leave_with(code_of(&error));
+                super::exit_with(code_of(&error));
             }
         }
     }
--- a/crates/control/src/daemon/mod.rs
+++ b/crates/control/src/daemon/mod.rs
@@ -3,10 +3,10 @@
 //! Threads: one for the gateway, one for each shard (it blocks in fsync), and tokio's for sockets
 //! and HTTP. They talk through queues only.
 
-pub mod dialling;
+pub mod connections;
 pub mod event;
+pub mod event_log;
 pub mod gateway_thread;
-pub mod notes;
 pub mod operator_http;
 pub mod registry_watch;
 pub mod run;
@@ -37,8 +37,8 @@
 /// Exit status of a process that cannot go on.
 const FATAL_EXIT_STATUS: i32 = 3;
 
-/// Ends the process: it cannot keep what it would promise.
-fn leave_with(code: ResultCode) -> ! {
-    CONTROL.error(format!("Leaving: {code}"));
+/// Ends the process: it cannot keep what it would guarantee.
+fn exit_with(code: ResultCode) -> ! {
+    CONTROL.error(format!("Exiting: {code}"));
     std::process::exit(FATAL_EXIT_STATUS);
 }
--- a/crates/control/src/daemon/operator_http/port.rs
+++ b/crates/control/src/daemon/operator_http/port.rs
@@ -10,10 +10,10 @@
 use crate::daemon::event::{GatewayEvent, GatewayQueue};
 use crate::daemon::shared::NodeShared;
 use crate::operator::{OperatorFailure, OperatorReply, OperatorRequest};
-use crate::timing::OPERATOR_PATIENCE;
+use crate::timing::OPERATOR_REQUEST_TIMEOUT;
 
 /// Added to the gateway's own patience before HTTP gives up on it.
-const GATEWAY_MARGIN: Duration = Duration::from_secs(2);
+const GATEWAY_REPLY_MARGIN: Duration = Duration::from_secs(2);
 
 /// Asks the gateway on behalf of operators.
 #[derive(Clone)]
@@ -47,7 +47,7 @@
     }
 
     /// Asks and waits for the answer.
-    pub async fn ask(&self, body: OperatorRequest) -> OperatorReply {
+    pub async fn request(&self, body: OperatorRequest) -> OperatorReply {
         let changes = matches!(
             body,
             OperatorRequest::PutConfig(_) | OperatorRequest::Drain { .. }
@@ -57,7 +57,7 @@
         if sent.is_err() {
             return OperatorReply::Failed(OperatorFailure::new(ResultCode::NoLeader));
         }
-        let limit = OPERATOR_PATIENCE + GATEWAY_MARGIN;
+        let limit = OPERATOR_REQUEST_TIMEOUT + GATEWAY_REPLY_MARGIN;
         match tokio::time::timeout(limit, reply).await {
             Ok(Ok(reply)) => reply,
             _ => OperatorReply::Failed(OperatorFailure::new(if changes {
--- a/crates/control/src/daemon/operator_http/requests.rs
+++ b/crates/control/src/daemon/operator_http/requests.rs
@@ -30,7 +30,7 @@
         return answer::of_failure(&OperatorFailure::new(ResultCode::OperatorKeyWrong));
     }
     match read(method, &segments, headers, body).await {
-        Ok(request) => answer::of_reply(&port.ask(request).await),
+        Ok(request) => answer::of_reply(&port.request(request).await),
         Err(failure) => answer::of_failure(&failure),
     }
 }
@@ -58,7 +58,7 @@
     if !shared.is_formed() {
         return answer::of_failure(&OperatorFailure::new(ResultCode::NotFormed));
     }
-    if !shared.is_in_touch() {
+    if !shared.has_quorum() {
         return answer::of_failure(&OperatorFailure::new(ResultCode::NoLeader));
     }
     answer::text("text/plain", "ready\n".to_owned())
@@ -99,7 +99,7 @@
 
 fn read_plan(json: &[u8]) -> Result<OperatorRequest, OperatorFailure> {
     let mut body: serde_json::Map<String, Value> = body::parse(json)?;
-    let Some(wanted) = body.remove("document") else {
+    let Some(desired) = body.remove("document") else {
         let text = "the document is missing";
         return Err(body::one_fault(ResultCode::BadField, "document", text));
     };
@@ -107,13 +107,13 @@
         let text = "unknown field";
         return Err(body::one_fault(ResultCode::BadField, unknown, text));
     }
-    let json = wanted.to_string();
-    let wanted = document::parse(json.as_bytes()).map_err(under_document)?;
-    let faults = document::check(&wanted);
+    let json = desired.to_string();
+    let desired = document::parse(json.as_bytes()).map_err(under_document)?;
+    let faults = document::check(&desired);
     if !faults.is_empty() {
         return Err(under_document(faults));
     }
-    Ok(OperatorRequest::Plan(wanted))
+    Ok(OperatorRequest::Plan(desired))
 }
 
 fn under_document(mut faults: Vec<document::Fault>) -> OperatorFailure {
--- a/crates/control/src/daemon/registry_watch.rs
+++ b/crates/control/src/daemon/registry_watch.rs
@@ -12,20 +12,20 @@
 use crate::node_input::NodeInput;
 
 /// Shortest period of the polls.
-const POLL_PERIOD: Duration = Duration::from_millis(500);
+const MIN_POLL_PERIOD: Duration = Duration::from_millis(500);
 
 /// Longest period of the polls: with what the registry itself trails, a backend that leaves is known in time.
-const POLL_CEILING: Duration = Duration::from_millis(1000);
+const MAX_POLL_PERIOD: Duration = Duration::from_millis(1000);
 
 /// Time for each call that a reading takes: a registry bounds the calls of all readers together, and the
 /// pages of its list grow with the fleet.
-const PERIOD_OF_CALL: Duration = Duration::from_millis(150);
+const PERIOD_PER_REQUEST: Duration = Duration::from_millis(150);
 
 /// Reads the registry until the process ends, while this node leads a shard: only leaders compare
 /// the catalogue with it, and a registry may bound or price its readings. Failures are logged once
 /// each time they begin.
 pub async fn watch(registry: SharedRegistry, queue: GatewayQueue, shared: Arc<NodeShared>) {
-    let mut period = POLL_PERIOD;
+    let mut period = MIN_POLL_PERIOD;
     let mut next_poll = Instant::now();
     let mut failing = false;
     loop {
@@ -38,7 +38,7 @@
             Ok(view) => {
                 period = poll_period(view.calls);
                 if std::mem::take(&mut failing) {
-                    REGISTRY.info("The registry answers again.");
+                    REGISTRY.info("Registry reads succeed again.");
                 }
                 let input = NodeInput::Registry(Arc::new(view));
                 if queue.send(GatewayEvent::Input(input)).is_err() {
@@ -47,7 +47,9 @@
             }
             Err(error) if !failing => {
                 failing = true;
-                REGISTRY.warn(format!("Going on with the last list: {error}."));
+                REGISTRY.warn(format!(
+                    "Registry read failed, continuing with the last view: {error}."
+                ));
             }
             Err(_) => {}
         }
@@ -57,5 +59,5 @@
 /// Time between two polls when a reading takes so many calls.
 #[must_use]
 pub fn poll_period(calls: u32) -> Duration {
-    (PERIOD_OF_CALL * calls).clamp(POLL_PERIOD, POLL_CEILING)
+    (PERIOD_PER_REQUEST * calls).clamp(MIN_POLL_PERIOD, MAX_POLL_PERIOD)
 }
--- a/crates/control/src/daemon/run.rs
+++ b/crates/control/src/daemon/run.rs
@@ -16,7 +16,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 use super::CONTROL;
-use super::dialling::{Connector, listen};
+use super::connections::{Connector, listen};
 use super::event::{GatewayEvent, GatewayQueue};
 use super::gateway_thread::GatewayThread;
 use super::operator_http::{self, OperatorPort};
@@ -28,7 +28,7 @@
 use crate::options::ControlOptions;
 
 /// Longest time for leaderships to be handed over at the end.
-const HAND_OVER_LIMIT: Duration = Duration::from_millis(1500);
+const LEADERSHIP_TRANSFER_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Why the daemon could not start.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
@@ -159,7 +159,7 @@
     tokio::spawn((adapters.operators)(operator, port));
     println!("millford-control ready internal={internal_address} operator={operator_address}");
     wait_for_end().await?;
-    leave(&queue, &shared).await;
+    shut_down(&queue, &shared).await;
     Ok(())
 }
 
@@ -200,7 +200,7 @@
             Ok(disk) => Box::new(disk),
             Err(error) => {
                 CONTROL.error(format!("Folder {name} cannot be opened: {error}."));
-                super::leave_with(ResultCode::DiskFailed)
+                super::exit_with(ResultCode::DiskFailed)
             }
         }
     }))
@@ -221,12 +221,12 @@
 }
 
 /// Hands leaderships over, so that the others need no election time-out.
-async fn leave(queue: &GatewayQueue, shared: &NodeShared) {
-    CONTROL.info("Leaving: handing leaderships over.");
-    let _ = queue.send(GatewayEvent::Input(NodeInput::Leave));
-    let limit = Instant::now() + HAND_OVER_LIMIT;
+async fn shut_down(queue: &GatewayQueue, shared: &NodeShared) {
+    CONTROL.info("Shutting down: transferring leaderships.");
+    let _ = queue.send(GatewayEvent::Input(NodeInput::Shutdown));
+    let limit = Instant::now() + LEADERSHIP_TRANSFER_TIMEOUT;
     while shared.leads() > 0 && Instant::now() < limit {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    CONTROL.info("Left.");
+    CONTROL.info("Shut down.");
 }
--- a/crates/control/src/daemon/shard_thread.rs
+++ b/crates/control/src/daemon/shard_thread.rs
@@ -13,7 +13,7 @@
 /// Most inputs that one flush covers.
 const BATCH: usize = 1024;
 
-enum Order {
+enum ThreadMessage {
     Input(Box<ShardInput>),
     Stop,
 }
@@ -22,7 +22,7 @@
 pub struct ShardThread {
     /// Number of the thread.
     pub generation: Generation,
-    queue: Sender<Order>,
+    queue: Sender<ThreadMessage>,
     handle: JoinHandle<()>,
 }
 
@@ -33,11 +33,11 @@
         generation: Generation,
         gateway: GatewayQueue,
     ) -> std::io::Result<Self> {
-        let (queue, orders) = mpsc::channel();
+        let (queue, messages) = mpsc::channel();
         let name = format!("shard-{}", options.shard);
         let handle = std::thread::Builder::new()
             .name(name)
-            .spawn(move || run(options, generation, &orders, &gateway))?;
+            .spawn(move || run(options, generation, &messages, &gateway))?;
         Ok(Self {
             generation,
             queue,
@@ -47,12 +47,12 @@
 
     /// Queues an input. A thread that ended has told why already.
     pub fn send(&self, input: ShardInput) {
-        let _ = self.queue.send(Order::Input(Box::new(input)));
+        let _ = self.queue.send(ThreadMessage::Input(Box::new(input)));
     }
 
     /// Ends the thread; its folder is closed on return.
     pub fn stop(self) {
-        let _ = self.queue.send(Order::Stop);
+        let _ = self.queue.send(ThreadMessage::Stop);
         let _ = self.handle.join();
     }
 }
@@ -60,7 +60,7 @@
 fn run(
     options: ShardCoreOptions,
     generation: Generation,
-    orders: &Receiver<Order>,
+    messages: &Receiver<ThreadMessage>,
     gateway: &GatewayQueue,
 ) {
     let shard = options.shard;
@@ -73,7 +73,7 @@
     };
     let mut next_tick = Instant::now() + TICK;
     loop {
-        if !take_batch(&mut core, orders, &mut next_tick) {
+        if !take_batch(&mut core, messages, &mut next_tick) {
             return;
         }
         let outputs = core.flush(monotonic_now());
@@ -92,17 +92,21 @@
 }
 
 /// Takes what is queued, or waits for it until the next tick. False: the thread ends.
-fn take_batch(core: &mut ShardCore, orders: &Receiver<Order>, next_tick: &mut Instant) -> bool {
+fn take_batch(
+    core: &mut ShardCore,
+    messages: &Receiver<ThreadMessage>,
+    next_tick: &mut Instant,
+) -> bool {
     let wait = next_tick.saturating_duration_since(Instant::now());
-    match orders.recv_timeout(wait) {
-        Ok(Order::Input(input)) => core.handle(monotonic_now(), *input),
-        Ok(Order::Stop) | Err(RecvTimeoutError::Disconnected) => return false,
+    match messages.recv_timeout(wait) {
+        Ok(ThreadMessage::Input(input)) => core.handle(monotonic_now(), *input),
+        Ok(ThreadMessage::Stop) | Err(RecvTimeoutError::Disconnected) => return false,
         Err(RecvTimeoutError::Timeout) => {}
     }
     for _ in 0..BATCH {
-        match orders.try_recv() {
-            Ok(Order::Input(input)) => core.handle(monotonic_now(), *input),
-            Ok(Order::Stop) => return false,
+        match messages.try_recv() {
+            Ok(ThreadMessage::Input(input)) => core.handle(monotonic_now(), *input),
+            Ok(ThreadMessage::Stop) => return false,
             Err(_) => break,
         }
     }
--- a/crates/control/src/daemon/shared.rs
+++ b/crates/control/src/daemon/shared.rs
@@ -10,7 +10,7 @@
 /// State of the node for readiness, metrics and a clean end.
 pub struct NodeShared {
     formed: AtomicBool,
-    in_touch: AtomicBool,
+    has_quorum: AtomicBool,
     leads: AtomicUsize,
     leads_services: AtomicUsize,
     registry: Registry,
@@ -19,7 +19,7 @@
 
 struct Gauges {
     formed: IntGauge,
-    in_touch: IntGauge,
+    has_quorum: IntGauge,
     leaderships: IntGauge,
     links: IntGauge,
     requests: IntGauge,
@@ -39,7 +39,7 @@
         let gauges = Gauges::register(&registry)?;
         Ok(Self {
             formed: AtomicBool::new(false),
-            in_touch: AtomicBool::new(false),
+            has_quorum: AtomicBool::new(false),
             leads: AtomicUsize::new(0),
             leads_services: AtomicUsize::new(0),
             registry,
@@ -50,32 +50,35 @@
     /// Takes over the gateway's present state.
     pub fn publish(&self, gateway: &Gateway, links: usize) {
         let formed = gateway.cluster_id() != 0;
-        let in_touch = gateway.is_in_touch();
-        let standings = gateway.standings();
-        let leads = standings.values().filter(|standing| standing.leads).count();
+        let has_quorum = gateway.has_quorum();
+        let replica_statuses = gateway.replica_statuses();
+        let leads = replica_statuses
+            .values()
+            .filter(|replica| replica.leads)
+            .count();
         self.formed.store(formed, Ordering::Relaxed);
-        self.in_touch.store(in_touch, Ordering::Relaxed);
+        self.has_quorum.store(has_quorum, Ordering::Relaxed);
         self.leads.store(leads, Ordering::Relaxed);
-        let data = standings
+        let data = replica_statuses
             .values()
-            .filter(|standing| standing.leads && standing.shard != ShardId::CONFIGURATION);
+            .filter(|replica| replica.leads && replica.shard != ShardId::CONFIGURATION);
         self.leads_services.store(data.count(), Ordering::Relaxed);
         self.gauges.formed.set(formed.into());
-        self.gauges.in_touch.set(in_touch.into());
+        self.gauges.has_quorum.set(has_quorum.into());
         self.gauges.leaderships.set(to_gauge(leads));
         self.gauges.links.set(to_gauge(links));
         self.gauges
             .requests
             .set(to_gauge(gateway.pending_requests()));
-        for standing in standings.values() {
-            let shard = standing.shard.to_string();
+        for replica in replica_statuses.values() {
+            let shard = replica.shard.to_string();
             let labels = &[shard.as_str()];
             let gauge =
                 |gauge: &IntGaugeVec, value: i64| gauge.with_label_values(labels).set(value);
-            gauge(&self.gauges.term, signed(standing.term));
-            gauge(&self.gauges.commit_index, signed(standing.commit_index));
-            gauge(&self.gauges.shard_in_touch, standing.in_touch.into());
-            gauge(&self.gauges.leads, standing.leads.into());
+            gauge(&self.gauges.term, signed(replica.term));
+            gauge(&self.gauges.commit_index, signed(replica.commit_index));
+            gauge(&self.gauges.shard_in_touch, replica.has_quorum.into());
+            gauge(&self.gauges.leads, replica.leads.into());
         }
     }
 
@@ -87,8 +90,8 @@
 
     /// Whether the node is in touch with the configuration shard's quorum.
     #[must_use]
-    pub fn is_in_touch(&self) -> bool {
-        self.in_touch.load(Ordering::Relaxed)
+    pub fn has_quorum(&self) -> bool {
+        self.has_quorum.load(Ordering::Relaxed)
     }
 
     /// Number of shards that this node leads.
@@ -114,7 +117,7 @@
     fn register(registry: &Registry) -> Result<Self, prometheus::Error> {
         Ok(Self {
             formed: gauge(registry, "formed", "Whether the node belongs to a cluster.")?,
-            in_touch: gauge(registry, "in_touch", "Whether agents can be served.")?,
+            has_quorum: gauge(registry, "in_touch", "Whether agents can be served.")?,
             leaderships: gauge(registry, "leaderships", "Shards that this node leads.")?,
             links: gauge(registry, "links", "Open links.")?,
             requests: gauge(
--- a/crates/control/src/gateway/agents.rs
+++ b/crates/control/src/gateway/agents.rs
@@ -8,20 +8,20 @@
 use crate::link::LinkId;
 
 /// The list of control nodes is sent again after this long, though unchanged.
-const LIST_REPEATED_AFTER: Duration = Duration::from_secs(10);
+const MEMBER_LIST_REPEAT_PERIOD: Duration = Duration::from_secs(10);
 
 #[derive(Debug)]
-struct Heard {
+struct MemberSession {
     link: Option<LinkId>,
     epoch: u64,
     applied_revision: u64,
-    heard: bool,
+    renewal_due: bool,
     closed: bool,
 }
 
 /// Which list of control nodes was last sent on a link.
 #[derive(Debug, Default)]
-pub struct ListSent {
+pub struct SentMemberList {
     digest: u64,
     at: MonotonicTime,
 }
@@ -29,8 +29,8 @@
 /// Sessions heard here, to be passed on to the leaders of their shards.
 #[derive(Debug, Default)]
 pub struct AgentTable {
-    members: BTreeMap<String, Heard>,
-    lists: BTreeMap<LinkId, ListSent>,
+    members: BTreeMap<String, MemberSession>,
+    lists: BTreeMap<LinkId, SentMemberList>,
 }
 
 impl AgentTable {
@@ -42,15 +42,15 @@
         let entry = self
             .members
             .entry(heartbeat.member.clone())
-            .or_insert_with(|| Heard::new(heartbeat.epoch));
+            .or_insert_with(|| MemberSession::new(heartbeat.epoch));
         if heartbeat.epoch < entry.epoch {
             return false;
         }
         if heartbeat.epoch > entry.epoch {
-            *entry = Heard::new(heartbeat.epoch);
+            *entry = MemberSession::new(heartbeat.epoch);
         }
         entry.link = link;
-        entry.heard = true;
+        entry.renewal_due = true;
         entry.applied_revision = heartbeat.applied_revision;
         !entry.closed
     }
@@ -62,13 +62,13 @@
     }
 
     /// The leader says that these sessions do not exist any more.
-    pub fn closed(&mut self, touched: &[SessionRenewal], closed_members: &[String]) {
-        for touch in touched {
-            let Some(entry) = self.members.get_mut(&touch.member) else {
+    pub fn closed(&mut self, renewed: &[SessionRenewal], closed_members: &[String]) {
+        for renewal in renewed {
+            let Some(entry) = self.members.get_mut(&renewal.member) else {
                 continue;
             };
-            let named = closed_members.contains(&touch.member);
-            if named && entry.epoch == touch.epoch {
+            let named = closed_members.contains(&renewal.member);
+            if named && entry.epoch == renewal.epoch {
                 entry.closed = true;
             }
         }
@@ -82,30 +82,31 @@
     }
 
     /// Sessions heard since the last call, by shard.
-    pub fn take_touches(&mut self, layout: ShardLayout) -> BTreeMap<ShardId, Vec<SessionRenewal>> {
-        let mut touches: BTreeMap<ShardId, Vec<SessionRenewal>> = BTreeMap::new();
+    pub fn take_renewals(&mut self, layout: ShardLayout) -> BTreeMap<ShardId, Vec<SessionRenewal>> {
+        let mut renewals: BTreeMap<ShardId, Vec<SessionRenewal>> = BTreeMap::new();
         for (member, entry) in &mut self.members {
-            if !std::mem::take(&mut entry.heard) {
+            if !std::mem::take(&mut entry.renewal_due) {
                 continue;
             }
             let shard = layout.shard_of(&session_key(member));
-            touches.entry(shard).or_default().push(SessionRenewal {
+            renewals.entry(shard).or_default().push(SessionRenewal {
                 member: member.clone(),
                 epoch: entry.epoch,
                 applied_revision: entry.applied_revision,
             });
         }
-        touches
+        renewals
     }
 
     /// Whether a list of control nodes is due on a link: when it changed, and now and then, so
     /// that heartbeats stay small.
-    pub fn list_due(&mut self, now: MonotonicTime, link: LinkId, digest: u64) -> bool {
+    pub fn member_list_due(&mut self, now: MonotonicTime, link: LinkId, digest: u64) -> bool {
         let sent = self.lists.get(&link);
-        let known = sent
-            .is_some_and(|sent| sent.digest == digest && now.since(sent.at) < LIST_REPEATED_AFTER);
+        let known = sent.is_some_and(|sent| {
+            sent.digest == digest && now.since(sent.at) < MEMBER_LIST_REPEAT_PERIOD
+        });
         if !known {
-            self.lists.insert(link, ListSent { digest, at: now });
+            self.lists.insert(link, SentMemberList { digest, at: now });
         }
         !known
     }
@@ -122,13 +123,13 @@
     }
 }
 
-impl Heard {
+impl MemberSession {
     fn new(epoch: u64) -> Self {
         Self {
             link: None,
             epoch,
             applied_revision: 0,
-            heard: false,
+            renewal_due: false,
             closed: false,
         }
     }
--- a/crates/control/src/gateway/balance.rs
+++ b/crates/control/src/gateway/balance.rs
@@ -12,7 +12,7 @@
 
 /// How long leaderships must have stayed as they are. A handover costs the shard's quotas a short
 /// wait, so none follows a disturbance at once.
-const BALANCE_AFTER: Duration = Duration::from_secs(15);
+const STABLE_BEFORE_BALANCE: Duration = Duration::from_secs(15);
 
 /// A node hands over when it leads at least this many shards more than another.
 const SURPLUS: usize = 2;
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub struct Balance {
     leaders: BTreeMap<ShardId, NodeId>,
-    changed: MonotonicTime,
+    changed_at: MonotonicTime,
     next_check: MonotonicTime,
 }
 
@@ -31,7 +31,7 @@
     pub fn new(now: MonotonicTime) -> Self {
         Self {
             leaders: BTreeMap::new(),
-            changed: now,
+            changed_at: now,
             next_check: now,
         }
     }
@@ -45,34 +45,38 @@
         }
         self.balance.next_check = now + BALANCE_PERIOD;
         let leaders: BTreeMap<ShardId, NodeId> = self
-            .standings
+            .replica_statuses
             .iter()
-            .map(|(shard, standing)| (*shard, standing.leader))
+            .map(|(shard, replica)| (*shard, replica.leader))
             .collect();
         if leaders != self.balance.leaders {
             self.balance.leaders = leaders;
-            self.balance.changed = now;
+            self.balance.changed_at = now;
             return;
         }
-        if now.since(self.balance.changed) < BALANCE_AFTER || self.leaving.is_some() {
+        if now.since(self.balance.changed_at) < STABLE_BEFORE_BALANCE || self.decommission.is_some()
+        {
             return;
         }
-        if let Some((shard, to)) = self.handover() {
-            self.tell_shard(shard, ShardInput::HandOver { to });
+        if let Some((shard, to)) = self.next_transfer() {
+            self.send_to_shard(shard, ShardInput::TransferLeadership { to });
         }
     }
 
     /// A shard that this node leads, and the voter that leads the fewest.
-    fn handover(&self) -> Option<(ShardId, NodeId)> {
+    fn next_transfer(&self) -> Option<(ShardId, NodeId)> {
         let own = self.file.identity();
         let led_by = |node: NodeId| {
             let leaders = self.balance.leaders.values();
             leaders.filter(|leader| **leader == node).count()
         };
-        let led = self.standings.values().filter(|standing| standing.leads);
-        let moves = led.flat_map(|standing| {
-            let voters = standing.voters.iter();
-            voters.map(move |voter| (standing.shard, *voter))
+        let led = self
+            .replica_statuses
+            .values()
+            .filter(|replica| replica.leads);
+        let moves = led.flat_map(|replica| {
+            let voters = replica.voters.iter();
+            voters.map(move |voter| (replica.shard, *voter))
         });
         let moves = moves.filter(|(_, voter)| self.view.get(*voter).connected);
         let (shard, voter) = moves.min_by_key(|(shard, voter)| (led_by(*voter), *shard))?;
--- a/crates/control/src/gateway/cluster.rs
+++ b/crates/control/src/gateway/cluster.rs
@@ -12,18 +12,18 @@
 use super::node_file::NodeFile;
 use super::sessions::OwnSession;
 use super::{Gateway, GatewayOutput, mint};
-use crate::node_output::NodeNote;
-use crate::shard::{ShardInput, ShardStanding};
+use crate::node_output::NodeEvent;
+use crate::shard::{ShardInput, ShardReplicaStatus};
 
 /// Longest time that a removed node keeps replicas that may still be counted on.
-const LEAVING_LIMIT: Duration = Duration::from_secs(30);
+const DECOMMISSION_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A removed node first lets its links and standings come up to date.
-const LEAVING_PAUSE: Duration = Duration::from_secs(2);
+const DECOMMISSION_MIN_DELAY: Duration = Duration::from_secs(2);
 
 /// A node that the cluster removed, until none of its replicas is counted on any more.
 #[derive(Debug)]
-pub struct Leaving {
+pub struct Decommission {
     since: MonotonicTime,
 }
 
@@ -35,7 +35,7 @@
             self.outputs.push(GatewayOutput::EraseShards);
             self.file.store(self.disk.as_mut())?;
             let identity = self.file.identity();
-            self.note(NodeNote::IdentityMinted(identity));
+            self.record_event(NodeEvent::IdentityMinted(identity));
         }
         for removed in &self.file.removed {
             self.directory.remove(NodeId(*removed));
@@ -81,7 +81,7 @@
 
     /// A replica of this node is wanted by the shard's leader.
     pub(super) fn adopt_shard(&mut self, shard: ShardId) -> bool {
-        if !self.file.is_formed() || self.leaving.is_some() {
+        if !self.file.is_formed() || self.decommission.is_some() {
             return false;
         }
         self.file.shards.push(shard.0);
@@ -94,24 +94,24 @@
 
     /// The cluster removed this identity. Its replicas stay until nobody counts on them: leaving
     /// earlier could take the quorum of a shard whose repair is not finished.
-    pub(super) fn begin_leaving(&mut self, now: MonotonicTime) {
-        if self.leaving.is_some() {
+    pub(super) fn begin_decommission(&mut self, now: MonotonicTime) {
+        if self.decommission.is_some() {
             return;
         }
-        self.leaving = Some(Leaving { since: now });
-        self.tell_every_shard(&ShardInput::Leave);
+        self.decommission = Some(Decommission { since: now });
+        self.send_to_every_shard(&ShardInput::Shutdown);
     }
 
     /// Starts over once no group holds a replica of this node any more.
-    pub(super) fn tick_leaving(&mut self, now: MonotonicTime) {
-        let Some(leaving) = &self.leaving else {
+    pub(super) fn tick_decommission(&mut self, now: MonotonicTime) {
+        let Some(decommission) = &self.decommission else {
             return;
         };
-        let waited = now.since(leaving.since);
-        let mut standings = self.standings.values();
-        let all_gone = standings.all(|standing| standing.removed);
-        let not_needed = waited >= LEAVING_PAUSE && self.is_dispensable();
-        if all_gone || not_needed || waited >= LEAVING_LIMIT {
+        let waited = now.since(decommission.since);
+        let mut replica_statuses = self.replica_statuses.values();
+        let all_removed = replica_statuses.all(|replica| replica.removed);
+        let not_needed = waited >= DECOMMISSION_MIN_DELAY && self.is_dispensable();
+        if all_removed || not_needed || waited >= DECOMMISSION_TIMEOUT {
             self.start_over(now);
         }
     }
@@ -123,19 +123,19 @@
     /// identity in its place, which it could not do for as long as this one stays.
     fn is_dispensable(&self) -> bool {
         let own = self.file.identity();
-        self.standings.values().all(|standing| {
-            let votes = standing.voters.contains(&own);
-            let mut others = standing.voters.iter().filter(|voter| **voter != own);
+        self.replica_statuses.values().all(|replica| {
+            let votes = replica.voters.contains(&own);
+            let mut others = replica.voters.iter().filter(|voter| **voter != own);
             !votes || others.all(|voter| self.links.to_node(*voter).is_some())
         })
     }
 
     /// Starts again as an empty node under a new identity, in the same cluster.
     pub(super) fn start_over(&mut self, now: MonotonicTime) {
-        self.leaving = None;
+        self.decommission = None;
         self.outputs.push(GatewayOutput::EraseShards);
-        self.standings.clear();
-        self.stalls.clear();
+        self.replica_statuses.clear();
+        self.stall_detector.clear();
         let former = self.file.node_id;
         self.directory.remove(NodeId(former));
         self.file.removed.push(former);
@@ -152,8 +152,8 @@
         self.members = MemberList::default();
         self.members.check_soon(now);
         let identity = self.file.identity();
-        self.note(NodeNote::StartedOver(identity));
-        self.dialer.greet_soon(now);
+        self.record_event(NodeEvent::StartedOver(identity));
+        self.dialer.schedule_hellos(now);
     }
 
     pub(super) fn is_founder(&self, identity: NodeId) -> bool {
@@ -170,7 +170,7 @@
         if !self.adopt_cluster(&form) {
             return;
         }
-        self.note(NodeNote::ClusterFormed(form.cluster_id));
+        self.record_event(NodeEvent::ClusterFormed(form.cluster_id));
         self.send_to_every_node(&frame::Body::FormCluster(form));
     }
 
@@ -237,7 +237,7 @@
         }
         self.formation = None;
         self.members.check_soon(now);
-        self.note(NodeNote::JoinedAsSpare(reply.cluster_id));
+        self.record_event(NodeEvent::JoinedAsStandby(reply.cluster_id));
     }
 
     fn start_shard(&mut self, shard: ShardId) {
@@ -255,7 +255,8 @@
 
     fn start_shard_with(&mut self, shard: ShardId, voters: Vec<NodeId>) {
         let identity = self.file.identity();
-        self.standings.insert(shard, ShardStanding::unknown(shard));
+        self.replica_statuses
+            .insert(shard, ShardReplicaStatus::unknown(shard));
         self.outputs.push(GatewayOutput::StartShard {
             shard,
             identity,
@@ -263,9 +264,9 @@
             data_shards: self.file.data_shards,
         });
         let configuration = self.members.configuration().to_vec();
-        self.tell_shard(shard, ShardInput::Configuration(configuration));
+        self.send_to_shard(shard, ShardInput::Configuration(configuration));
         let view = self.view.clone();
-        self.tell_shard(shard, ShardInput::Members(view));
+        self.send_to_shard(shard, ShardInput::Members(view));
     }
 
     /// The nodes known, for messages to agents.
--- a/crates/control/src/gateway/dialer.rs
+++ b/crates/control/src/gateway/dialer.rs
@@ -6,7 +6,9 @@
 use millford_core::{MonotonicTime, NodeId};
 
 use crate::link::LinkId;
-use crate::timing::{DIAL_CEILING, DIAL_FIRST, HELLO_PERIOD, PEER_SILENCE};
+use crate::timing::{
+    DIAL_BACKOFF_INITIAL, DIAL_BACKOFF_MAX, HELLO_PERIOD, PEER_INACTIVITY_TIMEOUT,
+};
 
 /// What the dialer wants done.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -14,7 +16,7 @@
     /// Open a connection.
     Connect(LinkId, String),
     /// Greet the control node on an open link.
-    Greet(LinkId),
+    SendHello(LinkId),
     /// The node behind the link is silent: close it.
     Close(LinkId),
 }
@@ -25,7 +27,7 @@
     open: bool,
     peer: Option<NodeId>,
     last_heard: MonotonicTime,
-    next_greeting: MonotonicTime,
+    next_hello: MonotonicTime,
     next_attempt: MonotonicTime,
     backoff: Backoff,
 }
@@ -37,9 +39,9 @@
             open: false,
             peer: None,
             last_heard: now,
-            next_greeting: now,
+            next_hello: now,
             next_attempt: now,
-            backoff: Backoff::new(DIAL_FIRST, DIAL_CEILING),
+            backoff: Backoff::new(DIAL_BACKOFF_INITIAL, DIAL_BACKOFF_MAX),
         }
     }
 
@@ -59,9 +61,9 @@
 
 impl Dialer {
     /// Brings the connections in line with the wanted addresses and keeps them alive.
-    pub fn tick(&mut self, now: MonotonicTime, wanted: &BTreeSet<String>) -> Vec<DialAction> {
-        let mut actions = self.drop_unwanted(wanted);
-        for address in wanted {
+    pub fn tick(&mut self, now: MonotonicTime, desired: &BTreeSet<String>) -> Vec<DialAction> {
+        let mut actions = self.drop_undesired(desired);
+        for address in desired {
             let dials = &mut self.dials;
             let dial = dials
                 .entry(address.clone())
@@ -77,7 +79,7 @@
         if let Some(dial) = self.find(link) {
             dial.open = true;
             dial.last_heard = now;
-            dial.next_greeting = now;
+            dial.next_hello = now;
         }
     }
 
@@ -109,14 +111,16 @@
     #[must_use]
     pub fn is_connected(&self, now: MonotonicTime, node: NodeId) -> bool {
         self.dials.values().any(|dial| {
-            dial.open && dial.peer == Some(node) && now.since(dial.last_heard) < PEER_SILENCE
+            dial.open
+                && dial.peer == Some(node)
+                && now.since(dial.last_heard) < PEER_INACTIVITY_TIMEOUT
         })
     }
 
     /// Greets everyone at once, for news that should not wait.
-    pub fn greet_soon(&mut self, now: MonotonicTime) {
+    pub fn schedule_hellos(&mut self, now: MonotonicTime) {
         for dial in self.dials.values_mut() {
-            dial.next_greeting = now;
+            dial.next_hello = now;
         }
     }
 
@@ -125,10 +129,10 @@
         dials.find(|dial| dial.link == Some(link))
     }
 
-    fn drop_unwanted(&mut self, wanted: &BTreeSet<String>) -> Vec<DialAction> {
+    fn drop_undesired(&mut self, desired: &BTreeSet<String>) -> Vec<DialAction> {
         let mut closed = Vec::new();
         self.dials.retain(|address, dial| {
-            let keep = wanted.contains(address);
+            let keep = desired.contains(address);
             if !keep {
                 closed.extend(dial.link.map(DialAction::Close));
             }
@@ -155,13 +159,13 @@
         dial.peer = None;
         return Some(DialAction::Connect(link, address.to_owned()));
     };
-    if now.since(dial.last_heard) >= PEER_SILENCE {
+    if now.since(dial.last_heard) >= PEER_INACTIVITY_TIMEOUT {
         dial.fail(now);
         return Some(DialAction::Close(link));
     }
-    if dial.open && now >= dial.next_greeting {
-        dial.next_greeting = now + HELLO_PERIOD;
-        return Some(DialAction::Greet(link));
+    if dial.open && now >= dial.next_hello {
+        dial.next_hello = now + HELLO_PERIOD;
+        return Some(DialAction::SendHello(link));
     }
     None
 }
--- a/crates/control/src/gateway/early_heartbeats.rs
+++ b/crates/control/src/gateway/early_heartbeats.rs
@@ -6,7 +6,7 @@
 use millford_core::MonotonicTime;
 
 use crate::link::LinkId;
-use crate::timing::EARLY_HEARTBEAT_HOLD;
+use crate::timing::EARLY_HEARTBEAT_TIMEOUT;
 
 /// Heartbeats of agents that wait for this node's first quorum.
 ///
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub struct EarlyHeartbeats {
     until: MonotonicTime,
-    over: bool,
+    closed: bool,
     waiting: BTreeMap<LinkId, Heartbeat>,
 }
 
@@ -26,8 +26,8 @@
     #[must_use]
     pub fn new(now: MonotonicTime) -> Self {
         Self {
-            until: now + EARLY_HEARTBEAT_HOLD,
-            over: false,
+            until: now + EARLY_HEARTBEAT_TIMEOUT,
+            closed: false,
             waiting: BTreeMap::new(),
         }
     }
@@ -35,11 +35,11 @@
     /// Whether answers still wait for the first quorum.
     #[must_use]
     pub fn is_open(&self) -> bool {
-        !self.over
+        !self.closed
     }
 
     /// Keeps the newest heartbeat of a link.
-    pub fn keep(&mut self, link: LinkId, heartbeat: &Heartbeat) {
+    pub fn defer(&mut self, link: LinkId, heartbeat: &Heartbeat) {
         self.waiting.insert(link, heartbeat.clone());
     }
 
@@ -49,9 +49,9 @@
     }
 
     /// The heartbeats to answer now, once the node is in touch or the time is over.
-    pub fn release(&mut self, now: MonotonicTime, in_touch: bool) -> BTreeMap<LinkId, Heartbeat> {
-        self.over |= in_touch || now >= self.until;
-        match self.over {
+    pub fn release(&mut self, now: MonotonicTime, has_quorum: bool) -> BTreeMap<LinkId, Heartbeat> {
+        self.closed |= has_quorum || now >= self.until;
+        match self.closed {
             true => std::mem::take(&mut self.waiting),
             false => BTreeMap::new(),
         }
--- a/crates/control/src/gateway/feeds.rs
+++ b/crates/control/src/gateway/feeds.rs
@@ -5,8 +5,8 @@
 
 use super::Gateway;
 use crate::link::LinkId;
-use crate::node_output::{NodeNote, NodeOutput};
-use crate::shard::{ShardInput, ShardOutput, ShardStanding};
+use crate::node_output::{NodeEvent, NodeOutput};
+use crate::shard::{ShardInput, ShardOutput, ShardReplicaStatus};
 
 impl Gateway {
     pub(super) fn handle_shard(&mut self, now: MonotonicTime, shard: ShardId, output: ShardOutput) {
@@ -15,24 +15,30 @@
                 let to = millford_core::NodeId(message.to);
                 self.send_to_node(to, frame::Body::Replication(message));
             }
-            ShardOutput::Reply { ticket, reply } => self.handle_reply(now, ticket, reply),
-            ShardOutput::Quota { ticket, reply } => self.handle_quota_reply(ticket, reply),
+            ShardOutput::Reply {
+                correlation_id,
+                reply,
+            } => self.handle_reply(now, correlation_id, reply),
+            ShardOutput::Quota {
+                correlation_id,
+                reply,
+            } => self.handle_quota_reply(correlation_id, reply),
             ShardOutput::Recall(recall) => self.recall(recall),
-            ShardOutput::AskLeader { read } => self.ask_leader(now, shard, read),
+            ShardOutput::ConfirmRead { read } => self.confirm_read_at_leader(now, shard, read),
             ShardOutput::Feed {
                 subscriber,
                 message,
             } => self.feed(subscriber, message),
             ShardOutput::PublicChange(items) => self.public_change(now, shard, items),
-            ShardOutput::Standing(standing) => self.standing_changed(now, standing),
-            ShardOutput::Picture(picture) => {
-                self.tell_all_agents(&frame::Body::LoadSnapshot(picture));
+            ShardOutput::ReplicaStatus(replica) => self.replica_status_changed(now, replica),
+            ShardOutput::LoadSnapshot(picture) => {
+                self.send_to_all_agents(&frame::Body::LoadSnapshot(picture));
             }
-            ShardOutput::Note(note) => self.note(note),
+            ShardOutput::Event(record_event) => self.record_event(record_event),
             ShardOutput::Failed(code) => {
                 // What the disk holds is unknown. A new process reads it again; if none comes, a
                 // spare takes this node's place.
-                self.note(NodeNote::ReplicaFailed { shard, code });
+                self.record_event(NodeEvent::ReplicaFailed { shard, code });
                 self.emit(NodeOutput::Fatal { code });
             }
         }
@@ -40,9 +46,9 @@
 
     pub(super) fn subscribe(&mut self, link: LinkId, subscribe: Subscribe) {
         let shard = ShardId(subscribe.shard);
-        if self.standings.contains_key(&shard) {
+        if self.replica_statuses.contains_key(&shard) {
             let subscriber = link;
-            self.tell_shard(
+            self.send_to_shard(
                 shard,
                 ShardInput::Subscribe {
                     subscriber,
@@ -59,7 +65,7 @@
     }
 
     pub(super) fn unsubscribe_everywhere(&mut self, link: LinkId) {
-        self.tell_every_shard(&ShardInput::Unsubscribe { subscriber: link });
+        self.send_to_every_shard(&ShardInput::Unsubscribe { subscriber: link });
     }
 
     fn feed(&mut self, link: LinkId, message: FeedMessage) {
@@ -79,7 +85,7 @@
     /// Tells the agent if it is linked here; an empty name means every agent.
     pub(super) fn recall_own_agent(&mut self, recall: &QuotaRecall) -> bool {
         if recall.member.is_empty() {
-            self.tell_own_agents(&frame::Body::QuotaRecall(recall.clone()));
+            self.send_to_own_agents(&frame::Body::QuotaRecall(recall.clone()));
             return false;
         }
         let Some(link) = self.agents.link_of(&recall.member) else {
@@ -90,28 +96,28 @@
     }
 
     /// To the agents of this node and, through the other control nodes, to all others.
-    fn tell_all_agents(&mut self, body: &frame::Body) {
-        self.tell_own_agents(body);
+    fn send_to_all_agents(&mut self, body: &frame::Body) {
+        self.send_to_own_agents(body);
         self.send_to_every_node(body);
     }
 
-    fn standing_changed(&mut self, now: MonotonicTime, standing: ShardStanding) {
-        let shard = standing.shard;
-        self.stalls.heard(now, shard);
-        let Some(former) = self.standings.insert(shard, standing.clone()) else {
+    fn replica_status_changed(&mut self, now: MonotonicTime, replica: ShardReplicaStatus) {
+        let shard = replica.shard;
+        self.stall_detector.record_report(now, shard);
+        let Some(former) = self.replica_statuses.insert(shard, replica.clone()) else {
             // A core that was stopped in the meantime.
-            self.standings.remove(&shard);
+            self.replica_statuses.remove(&shard);
             return;
         };
-        if standing.leads && !former.leads {
-            self.note(NodeNote::Leader {
+        if replica.leads && !former.leads {
+            self.record_event(NodeEvent::Leader {
                 shard,
-                leader: standing.leader,
-                term: standing.term,
+                leader: replica.leader,
+                term: replica.term,
             });
         }
-        if former.in_touch && !standing.in_touch {
-            self.note(NodeNote::OutOfTouch(shard));
+        if former.has_quorum && !replica.has_quorum {
+            self.record_event(NodeEvent::LostQuorum(shard));
         }
         self.answer_early_heartbeats(now);
     }
--- a/crates/control/src/gateway/frames.rs
+++ b/crates/control/src/gateway/frames.rs
@@ -37,7 +37,7 @@
             Body::QuotaRecall(recall) => {
                 self.recall_own_agent(&recall);
             }
-            Body::LoadSnapshot(_) => self.tell_own_agents(&body),
+            Body::LoadSnapshot(_) => self.send_to_own_agents(&body),
             // These only ever go from control nodes to agents.
             Body::Feed(_) | Body::HeartbeatReply(_) | Body::QuotaReply(_) => {}
         }
@@ -49,13 +49,13 @@
             return;
         }
         let shard = ShardId(message.shard);
-        if !self.standings.contains_key(&shard) {
+        if !self.replica_statuses.contains_key(&shard) {
             let fills = fills_a_replica(&message);
             if !fills || !self.adopt_shard(shard) {
                 return;
             }
         }
-        self.tell_shard(shard, ShardInput::Replication(message));
+        self.send_to_shard(shard, ShardInput::Replication(message));
     }
 
     fn handle_shard_request(&mut self, now: MonotonicTime, link: LinkId, request: ShardRequest) {
@@ -71,22 +71,22 @@
     fn handle_load(&mut self, link: LinkId, report: LoadReport) {
         self.links.set_agent(link);
         let shard = ShardId(report.shard);
-        let Some(standing) = self.standings.get(&shard) else {
+        let Some(replica) = self.replica_statuses.get(&shard) else {
             return;
         };
-        if standing.leads {
-            self.tell_shard(shard, ShardInput::Load(report));
+        if replica.leads {
+            self.send_to_shard(shard, ShardInput::Load(report));
             return;
         }
         // Passed on once only, so that no report travels in circles.
         let from_agent = self.links.peer(link) == LinkPeer::Agent;
-        if from_agent && standing.leader.is_some() {
-            let leader = standing.leader;
+        if from_agent && replica.leader.is_some() {
+            let leader = replica.leader;
             self.send_to_node(leader, frame::Body::LoadReport(report));
         }
     }
 
-    pub(super) fn tell_own_agents(&mut self, body: &frame::Body) {
+    pub(super) fn send_to_own_agents(&mut self, body: &frame::Body) {
         let links: Vec<LinkId> = self.links.agents().collect();
         for link in links {
             self.send(link, body.clone());
--- a/crates/control/src/gateway/greetings.rs
+++ b/crates/control/src/gateway/handshakes.rs
@@ -15,20 +15,20 @@
 impl Gateway {
     /// Opens and closes connections, and greets.
     pub(super) fn tick_dialer(&mut self, now: MonotonicTime) {
-        let wanted = self.wanted_addresses();
-        for action in self.dialer.tick(now, &wanted) {
+        let desired = self.desired_addresses();
+        for action in self.dialer.tick(now, &desired) {
             match action {
                 DialAction::Connect(link, address) => {
                     self.emit(NodeOutput::Connect { link, address });
                 }
-                DialAction::Greet(link) => self.greet(link),
-                DialAction::Close(link) => self.close_dialled(link),
+                DialAction::SendHello(link) => self.send_hello(link),
+                DialAction::Close(link) => self.close_outgoing(link),
             }
         }
     }
 
     /// Sends the greeting of this node.
-    pub(super) fn greet(&mut self, link: LinkId) {
+    pub(super) fn send_hello(&mut self, link: LinkId) {
         let hello = Hello {
             sender: Some(self.own_member()),
             cluster_id: self.file.cluster_id,
@@ -84,7 +84,7 @@
         }
         let same_cluster = reply.cluster_id == self.file.cluster_id;
         if reply.removed && same_cluster && self.file.is_formed() {
-            self.begin_leaving(now);
+            self.begin_decommission(now);
         }
     }
 
@@ -101,12 +101,12 @@
             }
         }
         if changed {
-            self.keep_directory();
+            self.persist_directory();
         }
     }
 
     /// Writes the known nodes to the disk when they changed.
-    pub(super) fn keep_directory(&mut self) {
+    pub(super) fn persist_directory(&mut self) {
         let members = self.directory.to_vec();
         if !self.file.is_formed() || members == self.file.members {
             return;
@@ -120,24 +120,24 @@
         member.node_id != self.file.node_id && !own_address
     }
 
-    fn wanted_addresses(&self) -> BTreeSet<String> {
+    fn desired_addresses(&self) -> BTreeSet<String> {
         let known = self.directory.iter();
-        let mut wanted: BTreeSet<String> = known
+        let mut desired: BTreeSet<String> = known
             .map(|member| member.internal_address.clone())
             .collect();
-        wanted.extend(self.options.seeds.iter().cloned());
-        wanted.remove(&self.options.internal_address);
-        wanted
+        desired.extend(self.options.seeds.iter().cloned());
+        desired.remove(&self.options.internal_address);
+        desired
     }
 
-    fn close_dialled(&mut self, link: LinkId) {
+    fn close_outgoing(&mut self, link: LinkId) {
         self.links.close(link);
         self.emit(NodeOutput::Close { link });
     }
 
-    fn hello_reply(&self, asking: NodeId, asking_cluster: u64) -> frame::Body {
-        let holds_state = !self.standings.is_empty();
-        let same_cluster = asking_cluster == self.file.cluster_id;
+    fn hello_reply(&self, requester: NodeId, requester_cluster: u64) -> frame::Body {
+        let holds_state = !self.replica_statuses.is_empty();
+        let same_cluster = requester_cluster == self.file.cluster_id;
         frame::Body::HelloReply(HelloReply {
             sender: Some(self.own_member()),
             cluster_id: self.file.cluster_id,
@@ -147,7 +147,7 @@
             } else {
                 0
             },
-            removed: same_cluster && self.directory.is_removed(asking),
+            removed: same_cluster && self.directory.is_removed(requester),
         })
     }
 }
--- a/crates/control/src/gateway/member_list.rs
+++ b/crates/control/src/gateway/member_list.rs
@@ -11,8 +11,8 @@
 use super::Gateway;
 use super::pending::Origin;
 use super::sessions::request_to;
-use crate::shard::{MemberStanding, MemberView, ShardInput};
-use crate::timing::{OPERATOR_PATIENCE, REGISTRATION_PERIOD};
+use crate::shard::{MemberStatus, MemberView, ShardInput};
+use crate::timing::{OPERATOR_REQUEST_TIMEOUT, REGISTRATION_PERIOD};
 
 /// What the configuration shard lists, and the configuration for the other shards.
 #[derive(Debug, Default)]
@@ -47,7 +47,7 @@
         self.next_check = now;
     }
 
-    fn keep_configuration(&mut self, items: &[StateItem]) {
+    fn cache_configuration(&mut self, items: &[StateItem]) {
         let changed: BTreeSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
         self.configuration
             .retain(|known| !changed.contains(known.key.as_str()));
@@ -61,13 +61,13 @@
 impl Gateway {
     /// Makes sure that the cluster lists this node under its present addresses.
     pub(super) fn tick_member_list(&mut self, now: MonotonicTime) {
-        if !self.file.is_formed() || self.leaving.is_some() || now < self.members.next_check {
+        if !self.file.is_formed() || self.decommission.is_some() || now < self.members.next_check {
             return;
         }
         self.members.next_check = now + REGISTRATION_PERIOD;
         let own = self.own_member();
         let listed = self.members.registered.get(&self.file.identity()) == Some(&own);
-        let holds_list = self.standings.contains_key(&ShardId::CONFIGURATION);
+        let holds_list = self.replica_statuses.contains_key(&ShardId::CONFIGURATION);
         if !holds_list {
             // Without a replica of the list, the leader is asked.
             let read = shard_request::Kind::ReadState(ReadState {
@@ -89,8 +89,8 @@
     /// Whether the list that this node has is the present one. Until then it may have been removed
     /// from it without knowing, and must not put itself back.
     fn knows_member_list(&self) -> bool {
-        match self.standings.get(&ShardId::CONFIGURATION) {
-            Some(standing) => standing.in_touch,
+        match self.replica_statuses.get(&ShardId::CONFIGURATION) {
+            Some(replica) => replica.has_quorum,
             None => self.members.read_from_leader,
         }
     }
@@ -108,14 +108,14 @@
         for item in &items {
             self.control_item(now, item);
         }
-        self.keep_directory();
-        self.members.keep_configuration(&items);
+        self.persist_directory();
+        self.members.cache_configuration(&items);
         let configuration: Vec<StateItem> = items
             .into_iter()
             .filter(|item| item.key.starts_with(keys::CONFIG_PREFIX))
             .collect();
         if !configuration.is_empty() {
-            self.tell_every_shard(&ShardInput::Configuration(configuration));
+            self.send_to_every_shard(&ShardInput::Configuration(configuration));
         }
     }
 
@@ -125,7 +125,7 @@
         for item in &state.items {
             self.control_item(now, item);
         }
-        self.keep_directory();
+        self.persist_directory();
     }
 
     /// Tells every shard's leader which nodes are there.
@@ -138,7 +138,7 @@
             return;
         }
         self.view = view.clone();
-        self.tell_every_shard(&ShardInput::Members(view));
+        self.send_to_every_shard(&ShardInput::Members(view));
     }
 
     fn register(&mut self, now: MonotonicTime, own: ControlMember) {
@@ -149,9 +149,9 @@
         };
         let kind = shard_request::Kind::Propose(command);
         let request = request_to(ShardId::CONFIGURATION, kind);
-        self.submit(now, Origin::Registration, request, OPERATOR_PATIENCE);
+        self.submit(now, Origin::Registration, request, OPERATOR_REQUEST_TIMEOUT);
         // The next check leaves the answer time to arrive.
-        self.members.next_check = now + OPERATOR_PATIENCE;
+        self.members.next_check = now + OPERATOR_REQUEST_TIMEOUT;
     }
 
     /// The registration of this node was answered.
@@ -184,7 +184,7 @@
     fn member_unlisted(&mut self, now: MonotonicTime, node: NodeId) {
         self.members.registered.remove(&node);
         if node == self.file.identity() {
-            self.begin_leaving(now);
+            self.begin_decommission(now);
             return;
         }
         self.directory.remove(node);
@@ -202,12 +202,12 @@
         let mut view = MemberView::default();
         for node in listed.chain(known).chain(removed).chain([own]) {
             let connected = node == own || self.dialer.is_connected(now, node);
-            let standing = MemberStanding {
+            let replica = MemberStatus {
                 registered: self.members.registered.contains_key(&node),
                 connected,
                 removed: self.directory.is_removed(node),
             };
-            view.members.insert(node, standing);
+            view.members.insert(node, replica);
         }
         view
     }
--- a/crates/control/src/gateway/mod.rs
+++ b/crates/control/src/gateway/mod.rs
@@ -10,18 +10,18 @@
 pub mod early_heartbeats;
 pub mod feeds;
 pub mod frames;
-pub mod greetings;
+pub mod handshakes;
 pub mod input;
 pub mod links;
 pub mod member_list;
 pub mod node_file;
 pub mod operator_answers;
-pub mod operator_desk;
 pub mod operators;
 pub mod pending;
+pub mod pending_operator_requests;
 pub mod requests;
 pub mod sessions;
-pub mod stalls;
+pub mod stall_detector;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -37,22 +37,22 @@
 
 use crate::link::LinkId;
 use crate::node_input::NodeInput;
-use crate::node_output::{NodeNote, NodeOutput};
+use crate::node_output::{NodeEvent, NodeOutput};
 use crate::options::ControlOptions;
-use crate::shard::{MemberView, ShardInput, ShardStanding};
+use crate::shard::{MemberView, ShardInput, ShardReplicaStatus};
 use agents::AgentTable;
 use balance::Balance;
-use cluster::Leaving;
+use cluster::Decommission;
 use dialer::Dialer;
 use early_heartbeats::EarlyHeartbeats;
 use links::LinkTable;
 use member_list::MemberList;
 use node_file::NodeFile;
-use operator_desk::OperatorDesk;
 use pending::PendingRequests;
+use pending_operator_requests::PendingOperatorRequests;
 use requests::QuotaRelay;
 use sessions::OwnSession;
-use stalls::Stalls;
+use stall_detector::StallDetector;
 
 pub use input::{GatewayInput, GatewayOutput};
 
@@ -63,24 +63,24 @@
     disk: Box<dyn Disk>,
     file: NodeFile,
     formation: Option<Formation>,
-    leaving: Option<Leaving>,
+    decommission: Option<Decommission>,
     directory: MemberDirectory,
     members: MemberList,
     links: LinkTable,
     dialer: Dialer,
-    standings: BTreeMap<ShardId, ShardStanding>,
-    stalls: Stalls,
+    replica_statuses: BTreeMap<ShardId, ShardReplicaStatus>,
+    stall_detector: StallDetector,
     pending: PendingRequests,
     quota: QuotaRelay,
     agents: AgentTable,
     early_heartbeats: EarlyHeartbeats,
     own_session: OwnSession,
-    desk: OperatorDesk,
+    operator_requests: PendingOperatorRequests,
     view: MemberView,
     /// The service registry as last read.
     registry: Option<Arc<RegistryView>>,
     balance: Balance,
-    next_touch: MonotonicTime,
+    next_renewal: MonotonicTime,
     outputs: Vec<GatewayOutput>,
 }
 
@@ -106,23 +106,23 @@
             disk,
             file,
             formation: None,
-            leaving: None,
+            decommission: None,
             directory: MemberDirectory::default(),
             members: MemberList::default(),
             links: LinkTable::default(),
             dialer: Dialer::default(),
-            standings: BTreeMap::new(),
-            stalls: Stalls::default(),
+            replica_statuses: BTreeMap::new(),
+            stall_detector: StallDetector::default(),
             pending: PendingRequests::default(),
             quota: QuotaRelay::default(),
             agents: AgentTable::default(),
             early_heartbeats: EarlyHeartbeats::new(now),
             own_session,
-            desk: OperatorDesk::default(),
+            operator_requests: PendingOperatorRequests::default(),
             view: MemberView::default(),
             registry: None,
             balance: Balance::new(now),
-            next_touch: now,
+            next_renewal: now,
             outputs: Vec::new(),
         };
         gateway.start(minted)?;
@@ -155,19 +155,22 @@
 
     /// Standing of each replica that this node holds.
     #[must_use]
-    pub fn standings(&self) -> &BTreeMap<ShardId, ShardStanding> {
-        &self.standings
+    pub fn replica_statuses(&self) -> &BTreeMap<ShardId, ShardReplicaStatus> {
+        &self.replica_statuses
     }
 
     /// Whether agents can be served: every shard is held here and the configuration shard is in
     /// touch with its quorum.
     #[must_use]
-    pub fn is_in_touch(&self) -> bool {
-        let held = self.standings.values().filter(|standing| !standing.removed);
+    pub fn has_quorum(&self) -> bool {
+        let held = self
+            .replica_statuses
+            .values()
+            .filter(|replica| !replica.removed);
         let complete = self.file.is_formed() && held.count() == self.shard_count();
-        let configuration = self.standings.get(&ShardId::CONFIGURATION);
-        let in_touch = configuration.is_some_and(|standing| standing.in_touch);
-        complete && in_touch && !self.stalls.any()
+        let configuration = self.replica_statuses.get(&ShardId::CONFIGURATION);
+        let has_quorum = configuration.is_some_and(|replica| replica.has_quorum);
+        complete && has_quorum && !self.stall_detector.any_stalled()
     }
 
     /// Number of requests that wait for a leader.
@@ -184,24 +187,24 @@
             NodeInput::Operator { request, body } => self.handle_operator(now, request, body),
             NodeInput::Registry(view) => {
                 self.registry = Some(view.clone());
-                self.tell_every_shard(&ShardInput::Registry(view));
+                self.send_to_every_shard(&ShardInput::Registry(view));
             }
             NodeInput::Tick => self.tick(now),
-            NodeInput::Leave => self.tell_every_shard(&ShardInput::Leave),
+            NodeInput::Shutdown => self.send_to_every_shard(&ShardInput::Shutdown),
         }
     }
 
     fn tick(&mut self, now: MonotonicTime) {
-        self.stalls.tick(now);
+        self.stall_detector.tick(now);
         self.tick_dialer(now);
         self.tick_formation(now);
         self.tick_member_list(now);
-        self.tick_leaving(now);
+        self.tick_decommission(now);
         self.answer_early_heartbeats(now);
         self.tick_sessions(now);
         self.push_member_view(now);
         self.tick_balance(now);
-        self.settle_overdue(now);
+        self.complete_overdue(now);
         self.quota.expire(now);
     }
 
@@ -209,7 +212,7 @@
         self.links.open(link);
         if link.is_outgoing() {
             self.dialer.opened(now, link);
-            self.greet(link);
+            self.send_hello(link);
         }
     }
 
@@ -247,8 +250,8 @@
         self.outputs.push(GatewayOutput::Node(output));
     }
 
-    fn note(&mut self, note: NodeNote) {
-        self.emit(NodeOutput::Note(note));
+    fn record_event(&mut self, record_event: NodeEvent) {
+        self.emit(NodeOutput::Event(record_event));
     }
 
     fn send(&mut self, link: LinkId, body: frame::Body) {
@@ -272,14 +275,14 @@
         }
     }
 
-    fn tell_shard(&mut self, shard: ShardId, input: ShardInput) {
+    fn send_to_shard(&mut self, shard: ShardId, input: ShardInput) {
         self.outputs.push(GatewayOutput::Shard { shard, input });
     }
 
-    fn tell_every_shard(&mut self, input: &ShardInput) {
-        let shards: Vec<ShardId> = self.standings.keys().copied().collect();
+    fn send_to_every_shard(&mut self, input: &ShardInput) {
+        let shards: Vec<ShardId> = self.replica_statuses.keys().copied().collect();
         for shard in shards {
-            self.tell_shard(shard, input.clone());
+            self.send_to_shard(shard, input.clone());
         }
     }
 
--- a/crates/control/src/gateway/operator_answers.rs
+++ b/crates/control/src/gateway/operator_answers.rs
@@ -120,7 +120,7 @@
 /// new, against what the service registry lists.
 #[must_use]
 pub fn plan(
-    wanted: &Document,
+    desired: &Document,
     replies: &[ShardReply],
     registry: Option<&RegistryView>,
 ) -> OperatorReply {
@@ -140,7 +140,7 @@
     let sessions = sample_sessions(SAMPLED_SESSIONS);
     OperatorReply::Plan(Box::new(PlanReply {
         revision: present.revision,
-        plan: planner::plan(&present.document, wanted, &catalogue, &sessions),
+        plan: planner::plan(&present.document, desired, &catalogue, &sessions),
     }))
 }
 
--- a/crates/control/src/gateway/operators.rs
+++ b/crates/control/src/gateway/operators.rs
@@ -10,15 +10,15 @@
 
 use super::Gateway;
 use super::operator_answers as answers;
-use super::operator_desk::DeskEntry;
 use super::pending::Origin;
+use super::pending_operator_requests::PendingOperatorRequest;
 use super::sessions::request_to;
 use crate::node_output::NodeOutput;
 use crate::operator::status::{leaderless_body, member_body, session_body, shard_body};
 use crate::operator::{OperatorFailure, OperatorReply, OperatorRequest};
 use crate::shard::ShardInput;
-use crate::shard::upkeep::command_of;
-use crate::timing::{OPERATOR_PATIENCE, STATUS_PATIENCE};
+use crate::shard::maintenance::command_of;
+use crate::timing::{OPERATOR_REQUEST_TIMEOUT, STATUS_REQUEST_TIMEOUT};
 
 impl Gateway {
     /// An operator asks.
@@ -34,9 +34,9 @@
         }
         match &body {
             OperatorRequest::PutConfig(order) => self.put_config(now, request, order.clone()),
-            OperatorRequest::GetConfig => self.ask_configuration(now, request, body),
-            OperatorRequest::Plan(_) => self.ask_everything(now, request, body),
-            OperatorRequest::Status => self.ask_status(now, request),
+            OperatorRequest::GetConfig => self.fetch_configuration(now, request, body),
+            OperatorRequest::Plan(_) => self.fetch_all_states(now, request, body),
+            OperatorRequest::Status => self.fetch_status(now, request),
             OperatorRequest::Drain { .. } => self.drain(now, request, body),
             OperatorRequest::Recover { survivors } => self.recover(request, survivors),
         }
@@ -44,7 +44,7 @@
 
     /// A shard answered.
     pub(super) fn operator_answered(&mut self, request: u64, reply: ShardReply) {
-        if let Some(entry) = self.desk.answered(request, reply) {
+        if let Some(entry) = self.operator_requests.answered(request, reply) {
             let reply = self.conclude(entry);
             self.emit(NodeOutput::OperatorReply { request, reply });
         }
@@ -57,31 +57,32 @@
             source: Vec::new(),
             ..order.clone()
         });
-        self.desk.open(request, body, 1);
+        self.operator_requests.open(request, body, 1);
         let command = command_of(command::Kind::PutConfig(order));
         let kind = shard_request::Kind::Propose(command);
-        self.ask(now, request, ShardId::CONFIGURATION, kind);
+        self.submit_operator_request(now, request, ShardId::CONFIGURATION, kind);
     }
 
-    fn ask_configuration(&mut self, now: MonotonicTime, request: u64, body: OperatorRequest) {
-        self.desk.open(request, body, 1);
+    fn fetch_configuration(&mut self, now: MonotonicTime, request: u64, body: OperatorRequest) {
+        self.operator_requests.open(request, body, 1);
         let kind = shard_request::Kind::ReadState(ReadState {
             key_prefix: keys::CONFIG_PREFIX.to_owned(),
             with_source: true,
         });
-        self.ask(now, request, ShardId::CONFIGURATION, kind);
+        self.submit_operator_request(now, request, ShardId::CONFIGURATION, kind);
     }
 
     /// Reads the public state of every shard.
-    fn ask_everything(&mut self, now: MonotonicTime, request: u64, body: OperatorRequest) {
-        self.desk.open(request, body, self.shard_count());
+    fn fetch_all_states(&mut self, now: MonotonicTime, request: u64, body: OperatorRequest) {
+        self.operator_requests
+            .open(request, body, self.shard_count());
         for shard in self.layout().all() {
-            self.ask(now, request, shard, read_under(""));
+            self.submit_operator_request(now, request, shard, read_under(""));
         }
     }
 
     /// Asks every shard twice: for its status and for its public state.
-    fn ask_status(&mut self, now: MonotonicTime, request: u64) {
+    fn fetch_status(&mut self, now: MonotonicTime, request: u64) {
         if !self.file.is_formed() {
             let status = self.status_head();
             let reply = OperatorReply::Status(Box::new(status));
@@ -89,11 +90,17 @@
             return;
         }
         let answers = self.shard_count() * 2;
-        self.desk.open(request, OperatorRequest::Status, answers);
+        self.operator_requests
+            .open(request, OperatorRequest::Status, answers);
         for shard in self.layout().all() {
             let status = shard_request::Kind::Status(ShardStatusRequest {});
             let origin = Origin::Operator { request };
-            self.submit(now, origin, request_to(shard, status), STATUS_PATIENCE);
+            self.submit(
+                now,
+                origin,
+                request_to(shard, status),
+                STATUS_REQUEST_TIMEOUT,
+            );
             let prefix = if shard == ShardId::CONFIGURATION {
                 keys::CONFIG_HEAD
             } else {
@@ -101,7 +108,7 @@
             };
             let origin = Origin::Operator { request };
             let read = request_to(shard, read_under(prefix));
-            self.submit(now, origin, read, STATUS_PATIENCE);
+            self.submit(now, origin, read, STATUS_REQUEST_TIMEOUT);
         }
     }
 
@@ -120,8 +127,8 @@
             backend_id: backend_id.clone(),
             drain: *drain,
         }));
-        self.desk.open(request, body, 1);
-        self.ask(now, request, shard, shard_request::Kind::Propose(command));
+        self.operator_requests.open(request, body, 1);
+        self.submit_operator_request(now, request, shard, shard_request::Kind::Propose(command));
     }
 
     /// Makes this node's replicas the only voters of the shards that have lost their quorum.
@@ -129,7 +136,7 @@
         let reply = match self.recoverable(survivors) {
             Ok(shards) => {
                 for shard in &shards {
-                    self.tell_shard(*shard, ShardInput::ForceRecovery);
+                    self.send_to_shard(*shard, ShardInput::ForceRecovery);
                 }
                 OperatorReply::Recovery(RecoveryReply {
                     shards: shards.iter().map(|shard| shard.0).collect(),
@@ -153,30 +160,41 @@
         if let Some(unknown) = unknown {
             return Err(format!("survivor {unknown} is not known"));
         }
-        let lost = self.standings.values().filter(|standing| {
-            let voters = standing.voters.iter();
+        let lost = self.replica_statuses.values().filter(|replica| {
+            let voters = replica.voters.iter();
             let reachable = voters.filter(|voter| self.view.get(**voter).connected);
-            !standing.in_touch && reachable.count() <= standing.voters.len() / 2
+            !replica.has_quorum && reachable.count() <= replica.voters.len() / 2
         });
-        let lost: Vec<ShardId> = lost.map(|standing| standing.shard).collect();
+        let lost: Vec<ShardId> = lost.map(|replica| replica.shard).collect();
         if lost.is_empty() {
             return Err("a quorum of every shard held here is reachable".to_owned());
         }
         Ok(lost)
     }
 
-    fn ask(&mut self, now: MonotonicTime, request: u64, shard: ShardId, kind: shard_request::Kind) {
+    fn submit_operator_request(
+        &mut self,
+        now: MonotonicTime,
+        request: u64,
+        shard: ShardId,
+        kind: shard_request::Kind,
+    ) {
         let origin = Origin::Operator { request };
-        self.submit(now, origin, request_to(shard, kind), OPERATOR_PATIENCE);
+        self.submit(
+            now,
+            origin,
+            request_to(shard, kind),
+            OPERATOR_REQUEST_TIMEOUT,
+        );
     }
 
-    fn conclude(&self, entry: DeskEntry) -> OperatorReply {
+    fn conclude(&self, entry: PendingOperatorRequest) -> OperatorReply {
         match &entry.body {
             OperatorRequest::PutConfig(_) => answers::order(&entry.replies),
             OperatorRequest::GetConfig => answers::configuration(&entry.replies),
-            OperatorRequest::Plan(wanted) => {
+            OperatorRequest::Plan(desired) => {
                 let registry = self.registry.as_deref();
-                answers::plan(wanted, &entry.replies, registry)
+                answers::plan(desired, &entry.replies, registry)
             }
             OperatorRequest::Status => self.status_reply(&entry.replies),
             OperatorRequest::Drain {
@@ -204,11 +222,11 @@
             }
         }
         // What this node's own replicas know of the shards whose leader did not answer.
-        let silent = self
-            .standings
+        let unanswered = self
+            .replica_statuses
             .values()
-            .filter(|standing| !answered.contains(&standing.shard.0));
-        status.shards.extend(silent.map(leaderless_body));
+            .filter(|replica| !answered.contains(&replica.shard.0));
+        status.shards.extend(unanswered.map(leaderless_body));
         status.shards.sort_by_key(|shard| shard.shard);
         status
             .sessions
--- a/crates/control/src/gateway/pending.rs
+++ b/crates/control/src/gateway/pending.rs
@@ -6,7 +6,7 @@
 use millford_core::{Duration, MonotonicTime, NodeId, ResultCode, ShardId};
 
 use crate::link::LinkId;
-use crate::shard::input::Ticket;
+use crate::shard::input::CorrelationId;
 use crate::timing::{RESEND, RETRY_HINTED, RETRY_NO_LEADER};
 
 /// Who waits for the answer.
@@ -25,7 +25,7 @@
         request: u64,
     },
     /// This node's own report of heartbeats.
-    Touch(Vec<SessionRenewal>),
+    SessionRenewals(Vec<SessionRenewal>),
     /// This node's own session.
     OwnSession,
     /// This node checks the list of control nodes.
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// Number for the answer.
-    pub ticket: Ticket,
+    pub correlation_id: CorrelationId,
     /// The request; its number is the ticket.
     pub request: ShardRequest,
     /// The leader that the last answer named.
@@ -65,7 +65,7 @@
 
 /// A request that is answered.
 #[derive(Clone, Debug)]
-pub struct Settled {
+pub struct CompletedRequest {
     /// Who waits.
     pub origin: Origin,
     /// The answer.
@@ -78,10 +78,10 @@
 /// harmless (order id, attempt id, boot id, epoch).
 #[derive(Debug, Default)]
 pub struct PendingRequests {
-    next: Ticket,
-    pending: BTreeMap<Ticket, Pending>,
+    next: CorrelationId,
+    pending: BTreeMap<CorrelationId, Pending>,
     /// No request is due before this time.
-    quiet_until: MonotonicTime,
+    next_due: MonotonicTime,
 }
 
 impl PendingRequests {
@@ -91,9 +91,9 @@
         now: MonotonicTime,
         origin: Origin,
         request: ShardRequest,
-        patience: Duration,
-    ) -> Ticket {
-        self.insert(now, origin, request, patience, false)
+        timeout: Duration,
+    ) -> CorrelationId {
+        self.insert(now, origin, request, timeout, false)
     }
 
     /// Takes a request that another node forwarded: it is tried on this node only, once, so that
@@ -103,9 +103,9 @@
         now: MonotonicTime,
         origin: Origin,
         request: ShardRequest,
-        patience: Duration,
-    ) -> Ticket {
-        self.insert(now, origin, request, patience, true)
+        timeout: Duration,
+    ) -> CorrelationId {
+        self.insert(now, origin, request, timeout, true)
     }
 
     /// Number of requests under way.
@@ -121,7 +121,7 @@
     }
 
     /// A number for an answer that is kept elsewhere.
-    pub fn next_ticket(&mut self) -> Ticket {
+    pub fn next_correlation_id(&mut self) -> CorrelationId {
         self.next += 1;
         self.next
     }
@@ -130,21 +130,21 @@
     pub fn answer(
         &mut self,
         now: MonotonicTime,
-        ticket: Ticket,
+        correlation_id: CorrelationId,
         reply: ShardReply,
-    ) -> Option<Settled> {
-        let pending = self.pending.get_mut(&ticket)?;
+    ) -> Option<CompletedRequest> {
+        let pending = self.pending.get_mut(&correlation_id)?;
         let retry = is_misdirected(reply.code) && !pending.single && now < pending.deadline;
         if retry {
             pending.hint = NodeId(reply.leader_hint);
             let named = pending.hint.is_some();
             let delay = if named { RETRY_HINTED } else { RETRY_NO_LEADER };
             pending.next_attempt = now + delay;
-            self.quiet_until = self.quiet_until.min(now + delay);
+            self.next_due = self.next_due.min(now + delay);
             return None;
         }
-        let pending = self.pending.remove(&ticket)?;
-        Some(Settled {
+        let pending = self.pending.remove(&correlation_id)?;
+        Some(CompletedRequest {
             origin: pending.origin,
             reply,
         })
@@ -152,18 +152,18 @@
 
     /// Requests that are due now; each is due again later unless answered.
     pub fn take_due(&mut self, now: MonotonicTime) -> Vec<Attempt> {
-        if now < self.quiet_until {
+        if now < self.next_due {
             return Vec::new();
         }
         let due = self
             .pending
             .iter_mut()
             .filter(|(_, pending)| pending.next_attempt <= now && !pending.is_spent());
-        let attempts = due.map(|(ticket, pending)| {
+        let attempts = due.map(|(correlation_id, pending)| {
             pending.next_attempt = now + RESEND;
             pending.attempts += 1;
             Attempt {
-                ticket: *ticket,
+                correlation_id: *correlation_id,
                 request: pending.request.clone(),
                 hint: pending.hint,
                 attempts: pending.attempts - 1,
@@ -172,32 +172,32 @@
         let attempts = attempts.collect();
         let open = self.pending.values().filter(|pending| !pending.is_spent());
         let next = open.map(|pending| pending.next_attempt).min();
-        self.quiet_until = next.unwrap_or(now + RESEND);
+        self.next_due = next.unwrap_or(now + RESEND);
         attempts
     }
 
     /// No node could be found for the attempt: it is due again soon.
-    pub fn postpone(&mut self, now: MonotonicTime, ticket: Ticket) {
-        if let Some(pending) = self.pending.get_mut(&ticket) {
+    pub fn postpone(&mut self, now: MonotonicTime, correlation_id: CorrelationId) {
+        if let Some(pending) = self.pending.get_mut(&correlation_id) {
             pending.next_attempt = now + RETRY_NO_LEADER;
             pending.hint = NodeId::NONE;
-            self.quiet_until = self.quiet_until.min(pending.next_attempt);
+            self.next_due = self.next_due.min(pending.next_attempt);
         }
     }
 
     /// Removes the requests whose time is over, with the answer that says so.
-    pub fn take_overdue(&mut self, now: MonotonicTime) -> Vec<Settled> {
-        let overdue: Vec<Ticket> = self
+    pub fn take_overdue(&mut self, now: MonotonicTime) -> Vec<CompletedRequest> {
+        let overdue: Vec<CorrelationId> = self
             .pending
             .iter()
             .filter(|(_, pending)| pending.deadline <= now)
-            .map(|(ticket, _)| *ticket)
+            .map(|(correlation_id, _)| *correlation_id)
             .collect();
         let removed = overdue
             .into_iter()
-            .filter_map(|ticket| self.pending.remove(&ticket));
+            .filter_map(|correlation_id| self.pending.remove(&correlation_id));
         removed
-            .map(|pending| Settled {
+            .map(|pending| CompletedRequest {
                 reply: refusal(&pending.request, ResultCode::ControlTimeout, NodeId::NONE),
                 origin: pending.origin,
             })
@@ -216,23 +216,23 @@
         now: MonotonicTime,
         origin: Origin,
         mut request: ShardRequest,
-        patience: Duration,
+        timeout: Duration,
         single: bool,
-    ) -> Ticket {
-        let ticket = self.next_ticket();
-        request.request_id = ticket;
+    ) -> CorrelationId {
+        let correlation_id = self.next_correlation_id();
+        request.request_id = correlation_id;
         let pending = Pending {
             origin,
             request,
-            deadline: now + patience,
+            deadline: now + timeout,
             next_attempt: now,
             hint: NodeId::NONE,
             attempts: 0,
             single,
         };
-        self.pending.insert(ticket, pending);
-        self.quiet_until = self.quiet_until.min(now);
-        ticket
+        self.pending.insert(correlation_id, pending);
+        self.next_due = self.next_due.min(now);
+        correlation_id
     }
 }
 
--- a/crates/control/src/gateway/operator_desk.rs
+++ b/crates/control/src/gateway/pending_operator_requests.rs
@@ -8,7 +8,7 @@
 
 /// One request and the answers that came in.
 #[derive(Debug)]
-pub struct DeskEntry {
+pub struct PendingOperatorRequest {
     /// What was asked.
     pub body: OperatorRequest,
     /// The answers.
@@ -18,14 +18,14 @@
 
 /// Requests by number.
 #[derive(Debug, Default)]
-pub struct OperatorDesk {
-    entries: BTreeMap<u64, DeskEntry>,
+pub struct PendingOperatorRequests {
+    entries: BTreeMap<u64, PendingOperatorRequest>,
 }
 
-impl OperatorDesk {
+impl PendingOperatorRequests {
     /// A request waits for this many answers.
     pub fn open(&mut self, request: u64, body: OperatorRequest, answers: usize) {
-        let entry = DeskEntry {
+        let entry = PendingOperatorRequest {
             body,
             replies: Vec::new(),
             missing: answers,
@@ -34,7 +34,7 @@
     }
 
     /// An answer came in. Gives the request once it was the last one.
-    pub fn answered(&mut self, request: u64, reply: ShardReply) -> Option<DeskEntry> {
+    pub fn answered(&mut self, request: u64, reply: ShardReply) -> Option<PendingOperatorRequest> {
         let entry = self.entries.get_mut(&request)?;
         entry.replies.push(reply);
         entry.missing = entry.missing.saturating_sub(1);
--- a/crates/control/src/gateway/requests.rs
+++ b/crates/control/src/gateway/requests.rs
@@ -8,13 +8,13 @@
 };
 use millford_core::{Duration, MonotonicTime, NodeId, ResultCode, ShardId};
 
-use super::pending::{Attempt, Origin, Settled, shard_of};
+use super::pending::{Attempt, CompletedRequest, Origin, shard_of};
 use super::sessions::request_to;
 use super::{Gateway, is_ok};
 use crate::link::LinkId;
 use crate::shard::ShardInput;
-use crate::shard::input::Ticket;
-use crate::timing::{AGENT_PATIENCE, QUOTA_PATIENCE, READ_PATIENCE};
+use crate::shard::input::CorrelationId;
+use crate::timing::{AGENT_REQUEST_TIMEOUT, QUOTA_REQUEST_TIMEOUT, READ_CONFIRMATION_TIMEOUT};
 
 /// A forwarded request is not forwarded again.
 const MAX_HOPS: u32 = 1;
@@ -31,7 +31,7 @@
 /// under the same number, which the leader answers with the same grant.
 #[derive(Debug, Default)]
 pub struct QuotaRelay {
-    waiters: BTreeMap<Ticket, QuotaWaiter>,
+    waiters: BTreeMap<CorrelationId, QuotaWaiter>,
 }
 
 impl QuotaRelay {
@@ -53,9 +53,9 @@
         now: MonotonicTime,
         origin: Origin,
         request: ShardRequest,
-        patience: Duration,
+        timeout: Duration,
     ) {
-        self.pending.submit(now, origin, request, patience);
+        self.pending.submit(now, origin, request, timeout);
     }
 
     /// Takes a request from a link.
@@ -66,9 +66,10 @@
         };
         if request.hops >= MAX_HOPS {
             self.pending
-                .submit_forwarded(now, origin, request, AGENT_PATIENCE);
+                .submit_forwarded(now, origin, request, AGENT_REQUEST_TIMEOUT);
         } else {
-            self.pending.submit(now, origin, request, AGENT_PATIENCE);
+            self.pending
+                .submit(now, origin, request, AGENT_REQUEST_TIMEOUT);
         }
     }
 
@@ -80,23 +81,33 @@
     }
 
     /// An answer from a shard of this node or from another node.
-    pub(super) fn handle_reply(&mut self, now: MonotonicTime, ticket: Ticket, reply: ShardReply) {
-        if let Some(settled) = self.pending.answer(now, ticket, reply) {
-            self.settle(now, settled);
+    pub(super) fn handle_reply(
+        &mut self,
+        now: MonotonicTime,
+        correlation_id: CorrelationId,
+        reply: ShardReply,
+    ) {
+        if let Some(completed) = self.pending.answer(now, correlation_id, reply) {
+            self.complete(now, completed);
         }
     }
 
     /// Answers what waited too long.
-    pub(super) fn settle_overdue(&mut self, now: MonotonicTime) {
-        for settled in self.pending.take_overdue(now) {
-            self.settle(now, settled);
+    pub(super) fn complete_overdue(&mut self, now: MonotonicTime) {
+        for completed in self.pending.take_overdue(now) {
+            self.complete(now, completed);
         }
     }
 
     /// A replica wants its leader to confirm a read.
-    pub(super) fn ask_leader(&mut self, now: MonotonicTime, shard: ShardId, read: u64) {
+    pub(super) fn confirm_read_at_leader(&mut self, now: MonotonicTime, shard: ShardId, read: u64) {
         let request = request_to(shard, shard_request::Kind::ReadIndex(ReadIndex {}));
-        self.submit(now, Origin::Read { read }, request, READ_PATIENCE);
+        self.submit(
+            now,
+            Origin::Read { read },
+            request,
+            READ_CONFIRMATION_TIMEOUT,
+        );
     }
 
     /// An agent asks for quota.
@@ -107,23 +118,29 @@
         request: QuotaRequest,
     ) {
         self.links.set_agent(link);
-        let ticket = self.wait_for_quota(now, link, None);
+        let correlation_id = self.wait_for_quota(now, link, None);
         let shard = ShardId(request.shard);
-        let standing = self.standings.get(&shard);
-        if standing.is_some_and(|standing| standing.leads) {
-            self.tell_shard(shard, ShardInput::Quota { ticket, request });
+        let replica = self.replica_statuses.get(&shard);
+        if replica.is_some_and(|replica| replica.leads) {
+            self.send_to_shard(
+                shard,
+                ShardInput::Quota {
+                    correlation_id,
+                    request,
+                },
+            );
             return;
         }
-        let leader = standing.map_or(NodeId::NONE, |standing| standing.leader);
+        let leader = replica.map_or(NodeId::NONE, |replica| replica.leader);
         let request_id = request.request_id;
         let relayed = RelayedQuotaRequest {
-            relay_id: ticket,
+            relay_id: correlation_id,
             request: Some(request),
         };
         let sent = self.send_to_node(leader, frame::Body::RelayedQuotaRequest(relayed));
         if !sent {
             let reply = quota_refusal(shard, request_id, ResultCode::NoLeader);
-            self.handle_quota_reply(ticket, reply);
+            self.handle_quota_reply(correlation_id, reply);
         }
     }
 
@@ -137,19 +154,25 @@
         let Some(request) = relayed.request else {
             return;
         };
-        let ticket = self.wait_for_quota(now, link, Some(relayed.relay_id));
+        let correlation_id = self.wait_for_quota(now, link, Some(relayed.relay_id));
         let shard = ShardId(request.shard);
-        if self.standings.contains_key(&shard) {
-            self.tell_shard(shard, ShardInput::Quota { ticket, request });
+        if self.replica_statuses.contains_key(&shard) {
+            self.send_to_shard(
+                shard,
+                ShardInput::Quota {
+                    correlation_id,
+                    request,
+                },
+            );
             return;
         }
         let reply = quota_refusal(shard, request.request_id, ResultCode::ShardUnknown);
-        self.handle_quota_reply(ticket, reply);
+        self.handle_quota_reply(correlation_id, reply);
     }
 
     /// An answer to a quota request that waits here.
-    pub(super) fn handle_quota_reply(&mut self, ticket: Ticket, reply: QuotaReply) {
-        let Some(waiter) = self.quota.waiters.remove(&ticket) else {
+    pub(super) fn handle_quota_reply(&mut self, correlation_id: CorrelationId, reply: QuotaReply) {
+        let Some(waiter) = self.quota.waiters.remove(&correlation_id) else {
             return;
         };
         let body = match waiter.relay_id {
@@ -167,32 +190,38 @@
         now: MonotonicTime,
         link: LinkId,
         relay_id: Option<u64>,
-    ) -> Ticket {
-        let ticket = self.pending.next_ticket();
+    ) -> CorrelationId {
+        let correlation_id = self.pending.next_correlation_id();
         let waiter = QuotaWaiter {
             link,
             relay_id,
-            deadline: now + QUOTA_PATIENCE,
+            deadline: now + QUOTA_REQUEST_TIMEOUT,
         };
-        self.quota.waiters.insert(ticket, waiter);
-        ticket
+        self.quota.waiters.insert(correlation_id, waiter);
+        correlation_id
     }
 
     fn send_attempt(&mut self, now: MonotonicTime, attempt: Attempt) {
         let shard = shard_of(&attempt.request);
-        let ticket = attempt.ticket;
+        let correlation_id = attempt.correlation_id;
         let forwarded = attempt.request.hops >= MAX_HOPS;
-        let standing = self.standings.get(&shard);
-        let leads = standing.is_some_and(|standing| standing.leads);
-        if leads || forwarded && standing.is_some() {
+        let replica = self.replica_statuses.get(&shard);
+        let leads = replica.is_some_and(|replica| replica.leads);
+        if leads || forwarded && replica.is_some() {
             let request = attempt.request;
-            self.tell_shard(shard, ShardInput::Request { ticket, request });
+            self.send_to_shard(
+                shard,
+                ShardInput::Request {
+                    correlation_id,
+                    request,
+                },
+            );
             return;
         }
         if forwarded {
             let code = ResultCode::ShardUnknown;
             let reply = super::pending::refusal(&attempt.request, code, NodeId::NONE);
-            self.handle_reply(now, ticket, reply);
+            self.handle_reply(now, correlation_id, reply);
             return;
         }
         let mut request = attempt.request.clone();
@@ -201,7 +230,7 @@
         let body = frame::Body::ShardRequest(request);
         let sent = target.is_some_and(|node| self.send_to_node(node, body));
         if !sent {
-            self.pending.postpone(now, ticket);
+            self.pending.postpone(now, correlation_id);
         }
     }
 
@@ -209,8 +238,8 @@
     /// node's replica knows, else the connected nodes in turn.
     fn target_of(&self, shard: ShardId, attempt: &Attempt) -> Option<NodeId> {
         let own = self.file.identity();
-        let known = self.standings.get(&shard);
-        let known = known.map_or(NodeId::NONE, |standing| standing.leader);
+        let known = self.replica_statuses.get(&shard);
+        let known = known.map_or(NodeId::NONE, |replica| replica.leader);
         let named = [attempt.hint, known];
         let named = named
             .into_iter()
@@ -218,7 +247,7 @@
         if named.is_some() {
             return named;
         }
-        if self.standings.contains_key(&shard) {
+        if self.replica_statuses.contains_key(&shard) {
             // A replica here will learn the leader; asking around would only add load.
             return None;
         }
@@ -228,15 +257,15 @@
         nodes.get(turn).copied()
     }
 
-    fn settle(&mut self, now: MonotonicTime, settled: Settled) {
-        let Settled { origin, mut reply } = settled;
+    fn complete(&mut self, now: MonotonicTime, completed: CompletedRequest) {
+        let CompletedRequest { origin, mut reply } = completed;
         match origin {
             Origin::Link { link, request_id } => {
                 reply.request_id = request_id;
                 self.send(link, frame::Body::ShardReply(reply));
             }
             Origin::Operator { request } => self.operator_answered(request, reply),
-            Origin::Touch(touched) => self.touch_answered(&touched, &reply),
+            Origin::SessionRenewals(renewed) => self.renewals_answered(&renewed, &reply),
             Origin::OwnSession => self.own_session_answered(&reply),
             Origin::Registration => self.registration_answered(now),
             Origin::MemberList => {
@@ -254,8 +283,8 @@
             _ => None,
         };
         let shard = ShardId(reply.shard);
-        if self.standings.contains_key(&shard) {
-            self.tell_shard(shard, ShardInput::LeaderIndex { read, index });
+        if self.replica_statuses.contains_key(&shard) {
+            self.send_to_shard(shard, ShardInput::LeaderIndex { read, index });
         }
     }
 }
--- a/crates/control/src/gateway/sessions.rs
+++ b/crates/control/src/gateway/sessions.rs
@@ -12,7 +12,7 @@
 use super::Gateway;
 use super::pending::Origin;
 use crate::link::LinkId;
-use crate::timing::{AGENT_PATIENCE, TOUCH_PERIOD};
+use crate::timing::{AGENT_REQUEST_TIMEOUT, RENEWAL_PERIOD};
 
 /// This node's session with the control plane.
 #[derive(Debug)]
@@ -42,8 +42,8 @@
         heartbeat: &Heartbeat,
     ) {
         self.links.set_agent(link);
-        if self.early_heartbeats.is_open() && !self.is_in_touch() {
-            self.early_heartbeats.keep(link, heartbeat);
+        if self.early_heartbeats.is_open() && !self.has_quorum() {
+            self.early_heartbeats.defer(link, heartbeat);
             return;
         }
         self.answer_heartbeat(now, link, heartbeat);
@@ -54,8 +54,8 @@
         if !self.early_heartbeats.is_open() {
             return;
         }
-        let in_touch = self.is_in_touch();
-        for (link, heartbeat) in self.early_heartbeats.release(now, in_touch) {
+        let has_quorum = self.has_quorum();
+        for (link, heartbeat) in self.early_heartbeats.release(now, has_quorum) {
             self.answer_heartbeat(now, link, &heartbeat);
         }
     }
@@ -65,7 +65,7 @@
         let reply = HeartbeatReply {
             sequence: heartbeat.sequence,
             session_alive,
-            has_quorum: self.is_in_touch(),
+            has_quorum: self.has_quorum(),
             members: self.members_for_agent(now, link),
             data_shards: self.file.data_shards,
         };
@@ -74,23 +74,28 @@
 
     /// Passes heartbeats on to the leaders of the sessions' shards.
     pub(super) fn tick_sessions(&mut self, now: MonotonicTime) {
-        if !self.file.is_formed() || now < self.next_touch {
+        if !self.file.is_formed() || now < self.next_renewal {
             return;
         }
-        self.next_touch = now + TOUCH_PERIOD;
-        self.touch_own_session(now);
-        for (shard, touches) in self.agents.take_touches(self.layout()) {
+        self.next_renewal = now + RENEWAL_PERIOD;
+        self.renew_own_session(now);
+        for (shard, renewals) in self.agents.take_renewals(self.layout()) {
             let kind = shard_request::Kind::RenewSessions(RenewSessions {
-                renewals: touches.clone(),
+                renewals: renewals.clone(),
             });
             let request = request_to(shard, kind);
-            self.submit(now, Origin::Touch(touches), request, AGENT_PATIENCE);
+            self.submit(
+                now,
+                Origin::SessionRenewals(renewals),
+                request,
+                AGENT_REQUEST_TIMEOUT,
+            );
         }
     }
 
-    pub(super) fn touch_answered(&mut self, touched: &[SessionRenewal], reply: &ShardReply) {
+    pub(super) fn renewals_answered(&mut self, renewed: &[SessionRenewal], reply: &ShardReply) {
         if let Some(shard_reply::Kind::RenewedSessions(reply)) = &reply.kind {
-            self.agents.closed(touched, &reply.closed_members);
+            self.agents.closed(renewed, &reply.closed_members);
         }
     }
 
@@ -104,8 +109,8 @@
         }
     }
 
-    fn touch_own_session(&mut self, now: MonotonicTime) {
-        if self.leaving.is_some() || self.own_session.opening {
+    fn renew_own_session(&mut self, now: MonotonicTime) {
+        if self.decommission.is_some() || self.own_session.opening {
             return;
         }
         let member = self.own_session_name();
@@ -137,7 +142,7 @@
             kind: Some(command::Kind::OpenSession(open)),
         };
         let request = request_to(shard, shard_request::Kind::Propose(command));
-        self.submit(now, Origin::OwnSession, request, AGENT_PATIENCE);
+        self.submit(now, Origin::OwnSession, request, AGENT_REQUEST_TIMEOUT);
     }
 
     fn own_session_name(&self) -> String {
@@ -149,7 +154,7 @@
         let mut members = self.directory().to_vec();
         members.push(self.own_member());
         let digest = xxh3_64(format!("{members:?}").as_bytes());
-        if !self.agents.list_due(now, link, digest) {
+        if !self.agents.member_list_due(now, link, digest) {
             members.clear();
         }
         members
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -20,6 +20,6 @@
 pub use millford_registry::{RegistryEntry, RegistryView};
 pub use node::ControlNode;
 pub use node_input::NodeInput;
-pub use node_output::{NodeNote, NodeOutput};
+pub use node_output::{NodeEvent, NodeOutput};
 pub use operator::{OperatorReply, OperatorRequest};
 pub use options::ControlOptions;
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -34,7 +34,7 @@
     gateway: Gateway,
     cores: BTreeMap<ShardId, ShardCore>,
     /// Shards that were told something, while a batch is taken.
-    batched: Option<BTreeSet<ShardId>>,
+    batch: Option<BTreeSet<ShardId>>,
     queue: VecDeque<GatewayOutput>,
     outputs: Vec<NodeOutput>,
 }
@@ -53,7 +53,7 @@
             folders,
             gateway,
             cores: BTreeMap::new(),
-            batched: None,
+            batch: None,
             queue: first.into(),
             outputs: Vec::new(),
         };
@@ -70,11 +70,11 @@
     /// Takes inputs that waited while the disk was busy, all with one flush of each shard, as the
     /// shards' threads of the daemon do.
     pub fn handle_batch(&mut self, now: MonotonicTime, inputs: Vec<NodeInput>) -> Vec<NodeOutput> {
-        self.batched = Some(BTreeSet::new());
+        self.batch = Some(BTreeSet::new());
         for input in inputs {
             self.take_input(now, input);
         }
-        for shard in self.batched.take().unwrap_or_default() {
+        for shard in self.batch.take().unwrap_or_default() {
             self.flush_core(now, shard);
         }
         self.run_queue(now);
@@ -103,14 +103,14 @@
         if matches!(input, NodeInput::Tick) {
             self.tick_cores(now);
         }
-        self.tell_gateway(now, GatewayInput::Node(input));
+        self.send_to_gateway(now, GatewayInput::Node(input));
         self.run_queue(now);
     }
 
     fn tick_cores(&mut self, now: MonotonicTime) {
         let shards: Vec<ShardId> = self.cores.keys().copied().collect();
         for shard in shards {
-            self.tell_core(now, shard, ShardInput::Tick);
+            self.send_to_core(now, shard, ShardInput::Tick);
         }
     }
 
@@ -118,7 +118,7 @@
         while let Some(output) = self.queue.pop_front() {
             match output {
                 GatewayOutput::Node(output) => self.outputs.push(output),
-                GatewayOutput::Shard { shard, input } => self.tell_core(now, shard, input),
+                GatewayOutput::Shard { shard, input } => self.send_to_core(now, shard, input),
                 GatewayOutput::StartShard {
                     shard,
                     identity,
@@ -133,19 +133,19 @@
         }
     }
 
-    fn tell_gateway(&mut self, now: MonotonicTime, input: GatewayInput) {
+    fn send_to_gateway(&mut self, now: MonotonicTime, input: GatewayInput) {
         let outputs = self.gateway.handle(now, input);
         self.queue.extend(outputs);
     }
 
-    fn tell_core(&mut self, now: MonotonicTime, shard: ShardId, input: ShardInput) {
+    fn send_to_core(&mut self, now: MonotonicTime, shard: ShardId, input: ShardInput) {
         let Some(core) = self.cores.get_mut(&shard) else {
             return;
         };
         core.handle(now, input);
-        match &mut self.batched {
-            Some(touched) => {
-                touched.insert(shard);
+        match &mut self.batch {
+            Some(pending_flush) => {
+                pending_flush.insert(shard);
             }
             None => self.flush_core(now, shard),
         }
@@ -159,7 +159,7 @@
     }
 
     fn take_from_core(&mut self, now: MonotonicTime, shard: ShardId, output: ShardOutput) {
-        self.tell_gateway(now, GatewayInput::Shard { shard, output });
+        self.send_to_gateway(now, GatewayInput::Shard { shard, output });
     }
 
     fn start(
@@ -186,7 +186,7 @@
                 self.cores.insert(shard, core);
             }
             Err(StorageError::Corrupt { .. }) => {
-                self.tell_gateway(now, GatewayInput::StorageCorrupt);
+                self.send_to_gateway(now, GatewayInput::StorageCorrupt);
             }
             Err(error) => {
                 let code = code_of(&error);
--- a/crates/control/src/node_input.rs
+++ b/crates/control/src/node_input.rs
@@ -42,5 +42,5 @@
     /// [`crate::timing::TICK`] passed.
     Tick,
     /// The process leaves: hand over what can be handed over.
-    Leave,
+    Shutdown,
 }
--- a/crates/control/src/node_output.rs
+++ b/crates/control/src/node_output.rs
@@ -37,7 +37,7 @@
         reply: OperatorReply,
     },
     /// Something worth a line in the log.
-    Note(NodeNote),
+    Event(NodeEvent),
     /// The node cannot go on; the process ends.
     Fatal {
         /// Why.
@@ -47,13 +47,13 @@
 
 /// An event for the log and the simulator's trace.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NodeNote {
+pub enum NodeEvent {
     /// An identity was minted on an empty disk.
     IdentityMinted(NodeId),
     /// The cluster was formed.
     ClusterFormed(u64),
     /// This node joined a formed cluster without replicas.
-    JoinedAsSpare(u64),
+    JoinedAsStandby(u64),
     /// The cluster removed this node; it starts over under a new identity.
     StartedOver(NodeId),
     /// A shard has this leader now.
@@ -66,7 +66,7 @@
         term: u64,
     },
     /// This replica lost touch with the shard's quorum.
-    OutOfTouch(ShardId),
+    LostQuorum(ShardId),
     /// A leader changes the voters of its shard.
     VotersChange {
         /// The shard.
--- a/crates/control/src/operator/status.rs
+++ b/crates/control/src/operator/status.rs
@@ -5,7 +5,7 @@
 use millford_api::state::{ControlMember, PoolPlacement, Replica, ReplicaState};
 use millford_core::NodeId;
 
-use crate::shard::ShardStanding;
+use crate::shard::ShardReplicaStatus;
 
 /// A control node, and whether the answering node is connected to it.
 #[must_use]
@@ -40,14 +40,14 @@
 
 /// A shard whose leader did not answer, as this node's own replica knows it.
 #[must_use]
-pub fn leaderless_body(standing: &ShardStanding) -> ShardBody {
+pub fn leaderless_body(replica: &ShardReplicaStatus) -> ShardBody {
     ShardBody {
-        shard: standing.shard.0,
+        shard: replica.shard.0,
         leader: String::new(),
-        term: standing.term,
-        commit_index: standing.commit_index,
-        voters: standing.voters.iter().map(NodeId::to_string).collect(),
-        learners: standing.learners.iter().map(NodeId::to_string).collect(),
+        term: replica.term,
+        commit_index: replica.commit_index,
+        voters: replica.voters.iter().map(NodeId::to_string).collect(),
+        learners: replica.learners.iter().map(NodeId::to_string).collect(),
     }
 }
 
--- a/crates/control/src/shard/catalogue.rs
+++ b/crates/control/src/shard/catalogue.rs
@@ -12,19 +12,19 @@
 use millford_registry::RegistryView;
 
 use super::core::ShardCore;
+use super::maintenance::command_of;
 use super::proposals::Purpose;
-use super::upkeep::command_of;
 
 /// What the leader compares the catalogue with.
 #[derive(Debug, Default)]
-pub struct CatalogueDuty {
+pub struct CatalogueReconciler {
     /// The configuration's pools by name.
     pub(super) pools: BTreeMap<String, Pool>,
     registry: Option<Arc<RegistryView>>,
     due: bool,
 }
 
-impl CatalogueDuty {
+impl CatalogueReconciler {
     /// The registry was read.
     pub fn registry(&mut self, view: Arc<RegistryView>) {
         self.registry = Some(view);
@@ -82,8 +82,8 @@
                 self.catalogue.check_soon();
                 continue;
             }
-            let wanted = self.wanted_backends(&service, &registry);
-            if let Some(update) = self.machine.catalogue_difference(&service, &wanted) {
+            let desired = self.desired_backends(&service, &registry);
+            if let Some(update) = self.machine.catalogue_difference(&service, &desired) {
                 let command = command_of(command::Kind::UpdateBackends(update));
                 self.propose(&command, purpose);
             }
@@ -109,7 +109,7 @@
         pools.chain(left).collect()
     }
 
-    fn wanted_backends(&self, service: &str, registry: &RegistryView) -> Vec<Backend> {
+    fn desired_backends(&self, service: &str, registry: &RegistryView) -> Vec<Backend> {
         let Some(pool) = self.catalogue.pools.get(service) else {
             return Vec::new();
         };
--- a/crates/control/src/shard/core.rs
+++ b/crates/control/src/shard/core.rs
@@ -12,20 +12,20 @@
 use millford_storage::{Disk, ReplicaStorage, StorageError, StorageOptions};
 use prost::Message;
 
-use super::catalogue::CatalogueDuty;
+use super::catalogue::CatalogueReconciler;
 use super::input::ShardInput;
+use super::maintenance::MaintenanceSchedule;
 use super::members::MemberView;
 use super::output::ShardOutput;
-use super::placement_role::PlacementRole;
+use super::placement_controller::PlacementController;
 use super::proposals::{Proposals, Purpose};
-use super::quota_desk::QuotaService;
+use super::quota_service::QuotaService;
 use super::reads::Reads;
 use super::repair::Repair;
-use super::standing::ShardStanding;
+use super::replica_status::ShardReplicaStatus;
 use super::subscriptions::Subscriptions;
-use super::upkeep::Upkeep;
 use crate::link::LinkId;
-use crate::timing::OUT_OF_TOUCH;
+use crate::timing::QUORUM_CONTACT_TIMEOUT;
 
 /// Opens the disk of a shard, again after a forced recovery.
 pub type DiskOpener = Arc<dyn Fn() -> Box<dyn Disk> + Send + Sync>;
@@ -66,11 +66,11 @@
     pub(super) subscriptions: Subscriptions,
     pub(super) repair: Repair,
     pub(super) members: MemberView,
-    pub(super) catalogue: CatalogueDuty,
+    pub(super) catalogue: CatalogueReconciler,
     pub(super) quota: QuotaService,
-    pub(super) placement: PlacementRole,
-    pub(super) upkeep: Upkeep,
-    pub(super) standing: ShardStanding,
+    pub(super) placement: PlacementController,
+    pub(super) maintenance: MaintenanceSchedule,
+    pub(super) reported_status: ShardReplicaStatus,
     pub(super) outputs: Vec<ShardOutput>,
     pub(super) snapshot_index: u64,
     /// Bytes of the entries that were applied since the last snapshot.
@@ -98,11 +98,11 @@
                 voters: options.voters_per_shard,
             },
             members: MemberView::default(),
-            catalogue: CatalogueDuty::default(),
+            catalogue: CatalogueReconciler::default(),
             quota: QuotaService::new(shard),
-            placement: PlacementRole::default(),
-            upkeep: Upkeep::new(now),
-            standing: ShardStanding::unknown(shard),
+            placement: PlacementController::default(),
+            maintenance: MaintenanceSchedule::new(now),
+            reported_status: ShardReplicaStatus::unknown(shard),
             outputs: Vec::new(),
             snapshot_index: 0,
             bytes_since_snapshot: 0,
@@ -119,8 +119,14 @@
         match input {
             ShardInput::Tick => self.tick(now),
             ShardInput::Replication(message) => self.replica.step(now, message),
-            ShardInput::Request { ticket, request } => self.request(now, ticket, request),
-            ShardInput::Quota { ticket, request } => self.ask_quota(now, ticket, &request),
+            ShardInput::Request {
+                correlation_id,
+                request,
+            } => self.request(now, correlation_id, request),
+            ShardInput::Quota {
+                correlation_id,
+                request,
+            } => self.request_quota(now, correlation_id, &request),
             ShardInput::Load(report) => self.load_report(now, &report),
             ShardInput::Subscribe {
                 subscriber,
@@ -132,8 +138,8 @@
             ShardInput::Configuration(items) => self.configuration(now, &items),
             ShardInput::Members(view) => self.members = view,
             ShardInput::ForceRecovery => self.force_recovery(now),
-            ShardInput::HandOver { to } => self.hand_over_to(to),
-            ShardInput::Leave => self.hand_over(),
+            ShardInput::TransferLeadership { to } => self.transfer_leadership_to(to),
+            ShardInput::Shutdown => self.transfer_leadership(),
         }
     }
 
@@ -168,8 +174,8 @@
 
     /// Role and touch, as last told to the gateway.
     #[must_use]
-    pub fn standing(&self) -> &ShardStanding {
-        &self.standing
+    pub fn reported_status(&self) -> &ShardReplicaStatus {
+        &self.reported_status
     }
 
     fn take_ready(&mut self, now: MonotonicTime, ready: Ready) {
@@ -195,7 +201,7 @@
         }
         self.serve_ready_reads();
         self.take_snapshot();
-        self.update_standing(now);
+        self.update_status(now);
     }
 
     /// Proposes a command of this core or of a request. False: this replica does not lead.
@@ -214,7 +220,7 @@
         let term = self.replica.status().term;
         self.quota.ledger.lead(now, term);
         self.placement.lead(now);
-        self.upkeep.lead(now);
+        self.maintenance.lead(now);
         self.catalogue.check_soon();
     }
 
@@ -223,23 +229,24 @@
         self.quota.ledger.resign();
         self.placement.stop();
         for purpose in self.proposals.take_all() {
-            if let Purpose::Request(ticket) = purpose {
-                self.refuse(ticket, ResultCode::NotLeader);
+            if let Purpose::Request(correlation_id) = purpose {
+                self.refuse(correlation_id, ResultCode::NotLeader);
             }
         }
-        self.restart_reads(now);
+        self.retry_unconfirmed_reads(now);
     }
 
     /// Tells the gateway when role or touch changed, and regularly, so that a stalled disk shows.
-    fn update_standing(&mut self, now: MonotonicTime) {
+    fn update_status(&mut self, now: MonotonicTime) {
         let status = self.replica.status();
-        let standing = standing_of(self.options.shard, &status, now);
-        let out_of_touch = self.standing.in_touch && !standing.in_touch;
-        let due = self.upkeep.standing_due(now);
-        if standing.differs(&self.standing) || due {
-            self.outputs.push(ShardOutput::Standing(standing.clone()));
+        let reported_status = status_of(self.options.shard, &status, now);
+        let out_of_touch = self.reported_status.has_quorum && !reported_status.has_quorum;
+        let due = self.maintenance.status_due(now);
+        if reported_status.differs(&self.reported_status) || due {
+            self.outputs
+                .push(ShardOutput::ReplicaStatus(reported_status.clone()));
         }
-        self.standing = standing;
+        self.reported_status = reported_status;
         if out_of_touch {
             let deliveries = self.publisher.stale();
             self.deliver(deliveries);
@@ -255,16 +262,16 @@
     }
 
     /// Leaves leadership to another voter, if there is one that holds everything.
-    fn hand_over(&mut self) {
+    fn transfer_leadership(&mut self) {
         let status = self.replica.status();
         let mut peers = status.peers.iter();
         let successor = peers.find(|peer| peer.is_voter && peer.caught_up);
         if let Some(node) = successor.map(|successor| successor.node) {
-            self.hand_over_to(node);
+            self.transfer_leadership_to(node);
         }
     }
 
-    fn hand_over_to(&mut self, node: NodeId) {
+    fn transfer_leadership_to(&mut self, node: NodeId) {
         // A refusal leaves things as they are; a leader that goes all the same is missed and
         // replaced by an election, as after a crash.
         let _ = self.replica.transfer_leadership(node);
@@ -274,10 +281,10 @@
         self.failed = true;
         let deliveries = self.publisher.stale();
         self.deliver(deliveries);
-        self.standing.leads = false;
-        self.standing.in_touch = false;
+        self.reported_status.leads = false;
+        self.reported_status.has_quorum = false;
         self.outputs
-            .push(ShardOutput::Standing(self.standing.clone()));
+            .push(ShardOutput::ReplicaStatus(self.reported_status.clone()));
         self.outputs.push(ShardOutput::Failed(code_of(error)));
     }
 }
@@ -304,20 +311,20 @@
     })
 }
 
-fn standing_of(shard: ShardId, status: &ReplicaStatus, now: MonotonicTime) -> ShardStanding {
+fn status_of(shard: ShardId, status: &ReplicaStatus, now: MonotonicTime) -> ShardReplicaStatus {
     let leads = status.role == Role::Leader;
     let heard = status.leader_contact;
-    let heard_lately = heard.is_some_and(|heard| now.since(heard) < OUT_OF_TOUCH);
+    let heard_lately = heard.is_some_and(|heard| now.since(heard) < QUORUM_CONTACT_TIMEOUT);
     let member = status.role != Role::Learner;
     // A replica that hears its leader and cannot store what it says would feed an old state.
     let stores = !status.storage_full;
-    ShardStanding {
+    ShardReplicaStatus {
         shard,
         leads,
         leader: status.leader,
         term: status.term,
         // A leader that has not heard a quorum for this long may have a successor already.
-        in_touch: heard_lately && member && stores && !status.removed,
+        has_quorum: heard_lately && member && stores && !status.removed,
         removed: status.removed,
         voters: status.voters.clone(),
         learners: status.learners.clone(),
--- a/crates/control/src/shard/feeding.rs
+++ b/crates/control/src/shard/feeding.rs
@@ -8,10 +8,10 @@
 use super::reads::ReadPurpose;
 use super::subscriptions::DueSubscription;
 use crate::link::LinkId;
-use crate::timing::OUT_OF_TOUCH;
+use crate::timing::QUORUM_CONTACT_TIMEOUT;
 
 /// Longest time for a replica to apply what the leader confirmed before agents go elsewhere.
-const CATCH_UP_PATIENCE: Duration = Duration::from_secs(5);
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl ShardCore {
     /// An agent wants the feed. It is answered only after the leader confirmed how far the shard
@@ -67,7 +67,7 @@
 
     /// Confirms the present position to every agent, while in touch.
     pub(super) fn confirm_progress(&mut self, now: MonotonicTime) {
-        if self.standing.in_touch && self.upkeep.progress_due(now) {
+        if self.reported_status.has_quorum && self.maintenance.progress_due(now) {
             let deliveries = self.publisher.progress();
             self.deliver(deliveries);
         }
@@ -76,11 +76,11 @@
     fn retry_subscription(&mut self, now: MonotonicTime, due: &DueSubscription) {
         let subscriber = due.subscriber;
         let catching_up = self.reads.is_confirmed_for(subscriber);
-        if catching_up && due.waited < CATCH_UP_PATIENCE {
+        if catching_up && due.waited < CATCH_UP_TIMEOUT {
             return;
         }
         self.reads.forget_subscriber(subscriber);
-        if due.waited < OUT_OF_TOUCH {
+        if due.waited < QUORUM_CONTACT_TIMEOUT {
             self.confirm_subscription(now, subscriber);
             return;
         }
@@ -94,12 +94,12 @@
 
     fn confirm_subscription(&mut self, now: MonotonicTime, subscriber: LinkId) {
         let purpose = ReadPurpose::Subscribe { subscriber };
-        if self.standing.leads {
+        if self.reported_status.leads {
             self.read(now, purpose);
             return;
         }
         let read = self.reads.start(purpose);
-        self.outputs.push(ShardOutput::AskLeader { read });
+        self.outputs.push(ShardOutput::ConfirmRead { read });
     }
 
     fn feed(&mut self, subscriber: LinkId, message: FeedMessage) {
--- a/crates/control/src/shard/input.rs
+++ b/crates/control/src/shard/input.rs
@@ -12,7 +12,7 @@
 use crate::link::LinkId;
 
 /// Number under which the gateway remembers who is to be answered.
-pub type Ticket = u64;
+pub type CorrelationId = u64;
 
 /// One input of a shard's core.
 #[derive(Clone, Debug)]
@@ -24,14 +24,14 @@
     /// A request to the shard's leader.
     Request {
         /// For the answer.
-        ticket: Ticket,
+        correlation_id: CorrelationId,
         /// The request.
         request: ShardRequest,
     },
     /// An agent asks for quota.
     Quota {
         /// For the answer.
-        ticket: Ticket,
+        correlation_id: CorrelationId,
         /// The request.
         request: QuotaRequest,
     },
@@ -65,10 +65,10 @@
     /// An operator forces recovery: this replica becomes the only voter.
     ForceRecovery,
     /// Hand leadership to this voter.
-    HandOver {
+    TransferLeadership {
         /// The voter.
         to: NodeId,
     },
     /// The process leaves: hand leadership over if possible.
-    Leave,
+    Shutdown,
 }
--- a/crates/control/src/shard/picture_feed.rs
+++ b/crates/control/src/shard/load_snapshot_publisher.rs
@@ -5,7 +5,7 @@
 use millford_api::internal::ReplicaLoad;
 use millford_core::{Duration, MonotonicTime};
 
-use crate::timing::{PICTURE_PERIOD, PICTURE_PERIOD_SMALL};
+use crate::timing::{LOAD_SNAPSHOT_PERIOD, LOAD_SNAPSHOT_PERIOD_SMALL};
 
 /// Bytes a second that a shard's pictures may cost each node. With six data shards, pictures take
 /// 3 of the 8 KB a second that a node has for control.
@@ -18,10 +18,10 @@
 const SMALL_SITE: usize = 16;
 
 /// The whole picture is sent again after this long, for nodes that came since.
-const WHOLE_AFTER: Duration = Duration::from_secs(10);
+const FULL_SNAPSHOT_PERIOD: Duration = Duration::from_secs(10);
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct PictureKey {
+struct ReplicaLoadKey {
     backend_id: String,
     model: String,
     version: String,
@@ -29,19 +29,19 @@
 
 #[derive(Debug, Default)]
 struct Sent {
-    loads: BTreeMap<PictureKey, ReplicaLoad>,
-    whole_at: MonotonicTime,
+    loads: BTreeMap<ReplicaLoadKey, ReplicaLoad>,
+    full_at: MonotonicTime,
 }
 
 /// What was sent last for each service.
 #[derive(Debug, Default)]
-pub struct PictureFeed {
+pub struct LoadSnapshotPublisher {
     services: BTreeMap<String, Sent>,
     next: MonotonicTime,
     small: bool,
 }
 
-impl PictureFeed {
+impl LoadSnapshotPublisher {
     /// Whether pictures are to be sent now.
     #[must_use]
     pub fn is_due(&self, now: MonotonicTime) -> bool {
@@ -59,9 +59,9 @@
     pub fn sent(&mut self, now: MonotonicTime, bytes: usize) {
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
         let (rate, period) = if self.small {
-            (BYTES_PER_SECOND_SMALL, PICTURE_PERIOD_SMALL)
+            (BYTES_PER_SECOND_SMALL, LOAD_SNAPSHOT_PERIOD_SMALL)
         } else {
-            (BYTES_PER_SECOND, PICTURE_PERIOD)
+            (BYTES_PER_SECOND, LOAD_SNAPSHOT_PERIOD)
         };
         let paced = Duration::from_millis(bytes.saturating_mul(1000) / rate);
         self.next = now + paced.max(period);
@@ -76,34 +76,34 @@
         loads: Vec<ReplicaLoad>,
     ) -> Vec<ReplicaLoad> {
         let sent = self.services.entry(service.to_owned()).or_default();
-        let present: BTreeMap<PictureKey, ReplicaLoad> = loads
+        let present: BTreeMap<ReplicaLoadKey, ReplicaLoad> = loads
             .into_iter()
             .map(|load| (key_of(&load), load))
             .collect();
-        let gone = sent.loads.keys().filter(|key| !present.contains_key(*key));
-        let mut difference: Vec<ReplicaLoad> = gone.map(idle).collect();
-        let whole = now.since(sent.whole_at) >= WHOLE_AFTER;
-        if whole {
-            sent.whole_at = now;
+        let removed = sent.loads.keys().filter(|key| !present.contains_key(*key));
+        let mut difference: Vec<ReplicaLoad> = removed.map(idle).collect();
+        let full = now.since(sent.full_at) >= FULL_SNAPSHOT_PERIOD;
+        if full {
+            sent.full_at = now;
         }
         let changed = present
             .iter()
-            .filter(|(key, load)| whole || sent.loads.get(key) != Some(*load));
+            .filter(|(key, load)| full || sent.loads.get(key) != Some(*load));
         difference.extend(changed.map(|(_, load)| load.clone()));
         sent.loads = present;
         difference
     }
 }
 
-fn key_of(load: &ReplicaLoad) -> PictureKey {
-    PictureKey {
+fn key_of(load: &ReplicaLoad) -> ReplicaLoadKey {
+    ReplicaLoadKey {
         backend_id: load.backend_id.clone(),
         model: load.model.clone(),
         version: load.version.clone(),
     }
 }
 
-fn idle(key: &PictureKey) -> ReplicaLoad {
+fn idle(key: &ReplicaLoadKey) -> ReplicaLoad {
     ReplicaLoad {
         backend_id: key.backend_id.clone(),
         model: key.model.clone(),
--- a/crates/control/src/shard/upkeep.rs
+++ b/crates/control/src/shard/maintenance.rs
@@ -8,41 +8,41 @@
 use super::output::ShardOutput;
 use super::proposals::Purpose;
 use super::repair::{GroupView, RepairStep, ReplicaView};
-use crate::node_output::NodeNote;
+use crate::node_output::NodeEvent;
 use crate::timing::{CLOCK_PERIOD, PROGRESS_PERIOD};
 
 /// Period at which the gateway hears of the replica although nothing changed.
-const STANDING_PERIOD: Duration = Duration::from_millis(250);
+const STATUS_PERIOD: Duration = Duration::from_millis(250);
 
 /// Shortest time between a change that was refused and the next try.
 const REPAIR_PERIOD: Duration = Duration::from_millis(100);
 
 /// A longer time between two ticks counts as this long for elections.
-const LONGEST_GAP: Duration = Duration::from_millis(100);
+const MAX_TICK_GAP: Duration = Duration::from_millis(100);
 
 /// When the regular duties are due.
 #[derive(Debug)]
-pub struct Upkeep {
+pub struct MaintenanceSchedule {
     last_tick: MonotonicTime,
-    next_standing: MonotonicTime,
+    next_status: MonotonicTime,
     next_progress: MonotonicTime,
     next_clock: MonotonicTime,
     next_repair: MonotonicTime,
     /// Since when each control node is not heard from.
-    pub(super) silent_since: std::collections::BTreeMap<NodeId, MonotonicTime>,
+    pub(super) unresponsive_since: std::collections::BTreeMap<NodeId, MonotonicTime>,
 }
 
-impl Upkeep {
+impl MaintenanceSchedule {
     /// Duties of a core that starts now.
     #[must_use]
     pub fn new(now: MonotonicTime) -> Self {
         Self {
             last_tick: now,
-            next_standing: now,
+            next_status: now,
             next_progress: now + PROGRESS_PERIOD,
             next_clock: now + CLOCK_PERIOD,
             next_repair: now,
-            silent_since: std::collections::BTreeMap::new(),
+            unresponsive_since: std::collections::BTreeMap::new(),
         }
     }
 
@@ -50,20 +50,20 @@
     pub fn lead(&mut self, now: MonotonicTime) {
         self.next_clock = now + CLOCK_PERIOD;
         self.next_repair = now;
-        self.silent_since.clear();
+        self.unresponsive_since.clear();
     }
 
     /// The time since the last tick in which the core did not run: its thread waited for a processor
     /// or the disk. Short gaps are none, so that a core that is always late still campaigns.
-    pub fn lost_time(&mut self, now: MonotonicTime) -> Option<Duration> {
+    pub fn stalled_time(&mut self, now: MonotonicTime) -> Option<Duration> {
         let previous = std::mem::replace(&mut self.last_tick, now);
         let gap = now.since(previous);
-        (gap > LONGEST_GAP).then(|| gap - LONGEST_GAP)
+        (gap > MAX_TICK_GAP).then(|| gap - MAX_TICK_GAP)
     }
 
     /// Whether the gateway is to hear of the replica.
-    pub fn standing_due(&mut self, now: MonotonicTime) -> bool {
-        is_due(&mut self.next_standing, now, STANDING_PERIOD)
+    pub fn status_due(&mut self, now: MonotonicTime) -> bool {
+        is_due(&mut self.next_status, now, STATUS_PERIOD)
     }
 
     /// Whether the agents are to get a confirmation.
@@ -82,7 +82,7 @@
 
 impl ShardCore {
     pub(super) fn tick(&mut self, now: MonotonicTime) {
-        if let Some(lost) = self.upkeep.lost_time(now) {
+        if let Some(lost) = self.maintenance.stalled_time(now) {
             self.replica.defer_election_deadline(now, lost);
         }
         self.replica.tick(now);
@@ -116,7 +116,7 @@
 
     /// Replaces voters that are lost, one change at a time.
     fn repair_group(&mut self, now: MonotonicTime) {
-        if now < self.upkeep.next_repair {
+        if now < self.maintenance.next_repair {
             return;
         }
         let status = self.replica.status();
@@ -139,15 +139,15 @@
         };
         if self.replica.change_voters(change).is_err() {
             // Decided again a little later, on what then is.
-            self.upkeep.next_repair = now + REPAIR_PERIOD;
+            self.maintenance.next_repair = now + REPAIR_PERIOD;
             return;
         }
-        let note = NodeNote::VotersChange {
+        let event = NodeEvent::VotersChange {
             shard: self.options.shard,
             change: name,
             node,
         };
-        self.outputs.push(ShardOutput::Note(note));
+        self.outputs.push(ShardOutput::Event(event));
     }
 
     /// The configuration shard's leader takes control nodes off the list that are silent and whose
@@ -158,17 +158,21 @@
         }
         let status = self.replica.status();
         let members = self.members.members.clone();
-        for (node, standing) in members {
-            let silent = standing.registered && !standing.connected;
-            if !silent {
-                self.upkeep.silent_since.remove(&node);
+        for (node, member) in members {
+            let unresponsive = member.registered && !member.connected;
+            if !unresponsive {
+                self.maintenance.unresponsive_since.remove(&node);
                 continue;
             }
-            let since = *self.upkeep.silent_since.entry(node).or_insert(now);
+            let since = *self
+                .maintenance
+                .unresponsive_since
+                .entry(node)
+                .or_insert(now);
             let replaced = !status.voters.contains(&node) && !status.learners.contains(&node);
             let overdue = now.since(since) >= self.repair.replace_after;
             if replaced && overdue {
-                self.upkeep.silent_since.remove(&node);
+                self.maintenance.unresponsive_since.remove(&node);
                 self.remove_member(node);
             }
         }
@@ -177,21 +181,21 @@
     fn remove_member(&mut self, node: NodeId) {
         let remove = RemoveControlMember { node_id: node.0 };
         let command = command_of(command::Kind::RemoveControlMember(remove));
-        if self.propose(&command, Purpose::Upkeep) {
-            let note = NodeNote::MemberRemoved(node);
-            self.outputs.push(ShardOutput::Note(note));
+        if self.propose(&command, Purpose::Maintenance) {
+            let event = NodeEvent::MemberRemoved(node);
+            self.outputs.push(ShardOutput::Event(event));
         }
     }
 
     /// Lets the shard's own time advance, by which old claims are dropped.
     fn advance_clock(&mut self, now: MonotonicTime) {
-        if !is_due(&mut self.upkeep.next_clock, now, CLOCK_PERIOD) {
+        if !is_due(&mut self.maintenance.next_clock, now, CLOCK_PERIOD) {
             return;
         }
         let period = u64::try_from(CLOCK_PERIOD.as_millis()).unwrap_or(u64::MAX);
         let advance = AdvanceClock { elapsed_ms: period };
         let command = command_of(command::Kind::AdvanceClock(advance));
-        self.propose(&command, Purpose::Upkeep);
+        self.propose(&command, Purpose::Maintenance);
     }
 }
 
--- a/crates/control/src/shard/members.rs
+++ b/crates/control/src/shard/members.rs
@@ -6,7 +6,7 @@
 
 /// One control node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct MemberStanding {
+pub struct MemberStatus {
     /// The configuration shard lists it.
     pub registered: bool,
     /// This node hears from it.
@@ -19,13 +19,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MemberView {
     /// The nodes.
-    pub members: BTreeMap<NodeId, MemberStanding>,
+    pub members: BTreeMap<NodeId, MemberStatus>,
 }
 
 impl MemberView {
     /// Standing of a node; unknown nodes are neither registered nor connected.
     #[must_use]
-    pub fn get(&self, node: NodeId) -> MemberStanding {
+    pub fn get(&self, node: NodeId) -> MemberStatus {
         self.members.get(&node).copied().unwrap_or_default()
     }
 
@@ -33,7 +33,7 @@
     pub fn candidates(&self) -> impl Iterator<Item = NodeId> {
         self.members
             .iter()
-            .filter(|(_, standing)| standing.registered && standing.connected && !standing.removed)
+            .filter(|(_, member)| member.registered && member.connected && !member.removed)
             .map(|(node, _)| *node)
     }
 }
--- a/crates/control/src/shard/move_notes.rs
+++ b/crates/control/src/shard/move_events.rs
@@ -4,54 +4,54 @@
 
 use millford_placement::{Move, MoveReason, ReplicaKey};
 
-use crate::node_output::NodeNote;
+use crate::node_output::NodeEvent;
 
 /// Most moves of one plan that are named one by one; the rest are counted.
-const MOST_NAMED: usize = 8;
+const MAX_NAMED_MOVES: usize = 8;
 
 /// What each pool's last plan said, so that a move that is put off for long is told once.
 #[derive(Debug, Default)]
-pub struct MoveNotes {
-    told: BTreeMap<String, BTreeSet<(ReplicaKey, MoveReason)>>,
+pub struct MoveEvents {
+    reported: BTreeMap<String, BTreeSet<(ReplicaKey, MoveReason)>>,
 }
 
-impl MoveNotes {
+impl MoveEvents {
     /// Events for what a plan says and the pool's plan before it did not say.
-    pub fn of_plan(&mut self, pool: &str, moves: &[Move]) -> Vec<NodeNote> {
+    pub fn of_plan(&mut self, pool: &str, moves: &[Move]) -> Vec<NodeEvent> {
         let present: BTreeSet<(ReplicaKey, MoveReason)> = moves
             .iter()
             .map(|step| (step.replica.clone(), step.reason))
             .collect();
-        let before = self.told.insert(pool.to_owned(), present.clone());
+        let before = self.reported.insert(pool.to_owned(), present.clone());
         let before = before.unwrap_or_default();
         let fresh: Vec<&(ReplicaKey, MoveReason)> = present.difference(&before).collect();
-        let named = fresh.iter().take(MOST_NAMED);
-        let mut notes: Vec<NodeNote> = named
-            .map(|(replica, reason)| NodeNote::Placement {
+        let named = fresh.iter().take(MAX_NAMED_MOVES);
+        let mut events: Vec<NodeEvent> = named
+            .map(|(replica, reason)| NodeEvent::Placement {
                 pool: pool.to_owned(),
                 replica: replica.to_string(),
                 reason: *reason,
             })
             .collect();
-        let more = fresh.len().saturating_sub(MOST_NAMED);
+        let more = fresh.len().saturating_sub(MAX_NAMED_MOVES);
         if more > 0 {
-            notes.push(NodeNote::MorePlacements {
+            events.push(NodeEvent::MorePlacements {
                 pool: pool.to_owned(),
                 more,
             });
         }
-        notes
+        events
     }
 
     /// Forgets pools that are not this shard's any more.
     pub fn retain(&mut self, is_owned: impl Fn(&String) -> bool) {
-        self.told.retain(|pool, _| is_owned(pool));
+        self.reported.retain(|pool, _| is_owned(pool));
     }
 }
 
 /// The reason as the end of a sentence.
 #[must_use]
-pub fn words_of(reason: MoveReason) -> &'static str {
+pub fn describe(reason: MoveReason) -> &'static str {
     match reason {
         MoveReason::Fenced => "is left alone, as a later leader places it",
         MoveReason::Placed => "takes new work",
@@ -59,7 +59,7 @@
         MoveReason::Drained => "is empty and removed",
         MoveReason::DrainTimedOut => "is removed with work still open",
         MoveReason::BandwidthRelief => "gets less work, for its memory bandwidth",
-        MoveReason::BandwidthExceeded => "is over its memory bandwidth, with no room elsewhere",
+        MoveReason::BandwidthExceeded => "is over its memory bandwidth, with no capacity elsewhere",
         MoveReason::TransitionStep => "starts with the new version",
         MoveReason::TransitionForced => "starts with the new version, deferred for too long",
         MoveReason::TransitionDeferred => "waits with the new version for lower load",
--- a/crates/control/src/shard/output.rs
+++ b/crates/control/src/shard/output.rs
@@ -5,10 +5,10 @@
 use millford_api::state::StateItem;
 use millford_core::ResultCode;
 
-use super::input::Ticket;
-use super::standing::ShardStanding;
+use super::input::CorrelationId;
+use super::replica_status::ShardReplicaStatus;
 use crate::link::LinkId;
-use crate::node_output::NodeNote;
+use crate::node_output::NodeEvent;
 
 /// One output of a shard's core.
 #[derive(Clone, Debug)]
@@ -18,21 +18,21 @@
     /// Answer to a request.
     Reply {
         /// Of the request.
-        ticket: Ticket,
+        correlation_id: CorrelationId,
         /// The answer.
         reply: ShardReply,
     },
     /// Answer to a quota request.
     Quota {
         /// Of the request.
-        ticket: Ticket,
+        correlation_id: CorrelationId,
         /// The answer.
         reply: QuotaReply,
     },
     /// Ask nodes for idle quota.
     Recall(QuotaRecall),
     /// Ask the leader to confirm a read of this replica.
-    AskLeader {
+    ConfirmRead {
         /// Number of the read.
         read: u64,
     },
@@ -46,11 +46,11 @@
     /// Public items changed in this replica.
     PublicChange(Vec<StateItem>),
     /// The replica's role or touch changed.
-    Standing(ShardStanding),
+    ReplicaStatus(ShardReplicaStatus),
     /// Load of all nodes together, for the agents.
-    Picture(LoadSnapshot),
+    LoadSnapshot(LoadSnapshot),
     /// Something worth a line in the log.
-    Note(NodeNote),
+    Event(NodeEvent),
     /// The replica cannot go on.
     Failed(ResultCode),
 }
--- a/crates/control/src/shard/placement_role.rs
+++ b/crates/control/src/shard/placement_controller.rs
@@ -12,28 +12,28 @@
 use prost::Message;
 
 use super::core::ShardCore;
-use super::move_notes::MoveNotes;
+use super::load_snapshot_publisher::LoadSnapshotPublisher;
+use super::maintenance::command_of;
+use super::move_events::MoveEvents;
 use super::output::ShardOutput;
-use super::picture_feed::PictureFeed;
 use super::proposals::Purpose;
-use super::upkeep::command_of;
 use crate::timing::PLACEMENT_PERIOD;
 
 /// Placers of the pools that this shard owns, on its leader only.
 #[derive(Debug, Default)]
-pub struct PlacementRole {
+pub struct PlacementController {
     placers: BTreeMap<String, Placer>,
-    pictures: PictureFeed,
-    move_notes: MoveNotes,
+    load_snapshots: LoadSnapshotPublisher,
+    move_events: MoveEvents,
     next_plan: MonotonicTime,
 }
 
-impl PlacementRole {
+impl PlacementController {
     /// The replica leads from now on. What the predecessor learned is learned again from reports.
     pub fn lead(&mut self, now: MonotonicTime) {
         self.placers.clear();
-        self.move_notes = MoveNotes::default();
-        self.pictures = PictureFeed::default();
+        self.move_events = MoveEvents::default();
+        self.load_snapshots = LoadSnapshotPublisher::default();
         self.next_plan = now + PLACEMENT_PERIOD;
     }
 
@@ -53,7 +53,7 @@
 impl ShardCore {
     /// A node's load on a service of this shard.
     pub(super) fn load_report(&mut self, now: MonotonicTime, report: &LoadReport) {
-        if !self.standing.leads {
+        if !self.reported_status.leads {
             return;
         }
         let placers = &mut self.placement.placers;
@@ -67,8 +67,8 @@
         if self.options.shard == ShardId::CONFIGURATION {
             return;
         }
-        if self.placement.pictures.is_due(now) {
-            self.send_pictures(now);
+        if self.placement.load_snapshots.is_due(now) {
+            self.publish_load_snapshots(now);
         }
         if now >= self.placement.next_plan {
             self.placement.next_plan = now + PLACEMENT_PERIOD;
@@ -76,8 +76,8 @@
         }
     }
 
-    fn send_pictures(&mut self, now: MonotonicTime) {
-        let epoch = self.standing.term;
+    fn publish_load_snapshots(&mut self, now: MonotonicTime) {
+        let epoch = self.reported_status.term;
         let mut bytes = 0;
         let mut backends = BTreeSet::new();
         let mut nodes = 0;
@@ -85,7 +85,10 @@
             let loads = placer.picture(now);
             backends.extend(loads.iter().map(|load| load.backend_id.clone()));
             nodes = nodes.max(placer.members());
-            let loads = self.placement.pictures.difference(now, service, loads);
+            let loads = self
+                .placement
+                .load_snapshots
+                .difference(now, service, loads);
             if loads.is_empty() {
                 continue;
             }
@@ -95,17 +98,19 @@
                 loads,
             };
             bytes += picture.encoded_len();
-            self.outputs.push(ShardOutput::Picture(picture));
+            self.outputs.push(ShardOutput::LoadSnapshot(picture));
         }
-        self.placement.pictures.set_site(backends.len(), nodes);
-        self.placement.pictures.sent(now, bytes);
+        self.placement
+            .load_snapshots
+            .set_site(backends.len(), nodes);
+        self.placement.load_snapshots.sent(now, bytes);
     }
 
     fn plan_placements(&mut self, now: MonotonicTime) {
         let pools = self.own_pools();
         let owned = |name: &String| pools.iter().any(|pool| pool.name == *name);
         self.placement.placers.retain(|name, _| owned(name));
-        self.placement.move_notes.retain(owned);
+        self.placement.move_events.retain(owned);
         for pool in pools {
             let purpose = Purpose::Placement(pool.name.clone());
             if !self.proposals.contains(&purpose) {
@@ -119,18 +124,18 @@
     fn plan_pool(&mut self, now: MonotonicTime, pool: &Pool, purpose: Purpose) {
         let backends = self.backends_of(&pool.name);
         let current = self.placement_of(&pool.name);
-        let epoch = self.standing.term;
+        let epoch = self.reported_status.term;
         let placers = &mut self.placement.placers;
         let placer = placers
             .entry(pool.name.clone())
             .or_insert_with(|| Placer::new(PlacerOptions::default()));
         let outcome = placer.plan(now, epoch, pool, &backends, current.as_ref());
-        let notes = self
+        let events = self
             .placement
-            .move_notes
+            .move_events
             .of_plan(&pool.name, &outcome.reasons);
-        let notes = notes.into_iter().map(ShardOutput::Note);
-        self.outputs.extend(notes);
+        let events = events.into_iter().map(ShardOutput::Event);
+        self.outputs.extend(events);
         let Some(placement) = outcome.placement else {
             return;
         };
--- a/crates/control/src/shard/proposals.rs
+++ b/crates/control/src/shard/proposals.rs
@@ -2,25 +2,25 @@
 
 use std::collections::BTreeMap;
 
-use super::input::Ticket;
+use super::input::CorrelationId;
 
 /// Why a command was proposed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Purpose {
     /// Somebody waits for the result.
-    Request(Ticket),
+    Request(CorrelationId),
     /// The leader's own: difference of the catalogue of a service.
     Catalogue(String),
     /// The leader's own: placement of a pool.
     Placement(String),
     /// The leader's own: removal of a dead control node, or an advance of the shard's clock.
-    Upkeep,
+    Maintenance,
     /// The leader's own: closing of an expired session.
     Expiry,
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingProposal {
     term: u64,
     purpose: Purpose,
 }
@@ -28,31 +28,32 @@
 /// Proposals by log index.
 #[derive(Debug, Default)]
 pub struct Proposals {
-    waiting: BTreeMap<u64, Waiting>,
+    pending: BTreeMap<u64, PendingProposal>,
 }
 
 impl Proposals {
     /// A command was appended at `index` under `term`.
     pub fn insert(&mut self, index: u64, term: u64, purpose: Purpose) {
-        self.waiting.insert(index, Waiting { term, purpose });
+        self.pending
+            .insert(index, PendingProposal { term, purpose });
     }
 
     /// The entry at `index` was applied. Names the purpose only if the entry is the one proposed:
     /// another term means that another leader's entry took its place.
     pub fn take(&mut self, index: u64, term: u64) -> Option<Purpose> {
-        let waiting = self.waiting.remove(&index)?;
-        (waiting.term == term).then_some(waiting.purpose)
+        let pending = self.pending.remove(&index)?;
+        (pending.term == term).then_some(pending.purpose)
     }
 
     /// Leadership was lost: the fate of everything that waits is unknown here.
     pub fn take_all(&mut self) -> Vec<Purpose> {
-        let waiting = std::mem::take(&mut self.waiting);
-        waiting.into_values().map(|entry| entry.purpose).collect()
+        let pending = std::mem::take(&mut self.pending);
+        pending.into_values().map(|entry| entry.purpose).collect()
     }
 
     /// Whether a proposal with this purpose waits.
     #[must_use]
     pub fn contains(&self, purpose: &Purpose) -> bool {
-        self.waiting.values().any(|entry| entry.purpose == *purpose)
+        self.pending.values().any(|entry| entry.purpose == *purpose)
     }
 }
--- a/crates/control/src/shard/quota_desk.rs
+++ b/crates/control/src/shard/quota_service.rs
@@ -7,7 +7,7 @@
 use millford_replication::QUORUM_TIMEOUT;
 
 use super::core::ShardCore;
-use super::input::Ticket;
+use super::input::CorrelationId;
 use super::output::ShardOutput;
 
 /// Prefix of the tenants' keys in the configuration.
@@ -49,22 +49,33 @@
 
 impl ShardCore {
     /// An agent asks for quota.
-    pub(super) fn ask_quota(&mut self, now: MonotonicTime, ticket: Ticket, request: &QuotaRequest) {
-        if !self.may_lend(now) {
+    pub(super) fn request_quota(
+        &mut self,
+        now: MonotonicTime,
+        correlation_id: CorrelationId,
+        request: &QuotaRequest,
+    ) {
+        if !self.may_grant(now) {
             let reply = QuotaReply {
                 shard: request.shard,
                 request_id: request.request_id,
                 code: ResultCode::NotLeader.number(),
                 ..QuotaReply::default()
             };
-            self.outputs.push(ShardOutput::Quota { ticket, reply });
+            self.outputs.push(ShardOutput::Quota {
+                correlation_id,
+                reply,
+            });
             return;
         }
         let outputs = self.quota.ledger.handle(now, request);
         for output in outputs {
             match output {
                 QuotaOutput::Reply { reply, .. } => {
-                    self.outputs.push(ShardOutput::Quota { ticket, reply });
+                    self.outputs.push(ShardOutput::Quota {
+                        correlation_id,
+                        reply,
+                    });
                 }
                 recall @ QuotaOutput::Recall { .. } => self.quota.outputs.push(recall),
             }
@@ -74,7 +85,7 @@
 
     /// A successor may lend a full lease after its election. This leader must have stopped by then,
     /// also when its thread was late, or when it waits patiently for its first answers.
-    fn may_lend(&self, now: MonotonicTime) -> bool {
+    fn may_grant(&self, now: MonotonicTime) -> bool {
         let heard = self.replica.status().leader_contact;
         heard.is_some_and(|heard| now.since(heard) < QUORUM_TIMEOUT)
     }
--- a/crates/control/src/shard/reads.rs
+++ b/crates/control/src/shard/reads.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::input::Ticket;
+use super::input::CorrelationId;
 use crate::link::LinkId;
 
 /// What is done once a read is confirmed.
@@ -11,7 +11,7 @@
     /// Answer with public items.
     State {
         /// Who asked.
-        ticket: Ticket,
+        correlation_id: CorrelationId,
         /// Keys that start with this.
         prefix: String,
         /// With the configuration's document as the operator sent it.
@@ -20,12 +20,12 @@
     /// Answer with the index itself.
     Index {
         /// Who asked.
-        ticket: Ticket,
+        correlation_id: CorrelationId,
     },
     /// Answer with the shard's status.
     Status {
         /// Who asked.
-        ticket: Ticket,
+        correlation_id: CorrelationId,
     },
     /// Open an agent's feed.
     Subscribe {
--- a/crates/control/src/shard/recovery.rs
+++ b/crates/control/src/shard/recovery.rs
@@ -9,7 +9,7 @@
 
 use super::core::{ShardCore, ShardCoreOptions, open_replica};
 use super::output::ShardOutput;
-use crate::node_output::NodeNote;
+use crate::node_output::NodeEvent;
 
 impl ShardCore {
     /// Makes this replica the only voter of its group, on an operator's word.
@@ -29,8 +29,8 @@
         self.machine = ShardMachine::new(self.options.shard);
         self.publisher = FeedPublisher::new(self.options.shard);
         self.snapshot_index = 0;
-        let note = NodeNote::RecoveryForced(self.options.shard);
-        self.outputs.push(ShardOutput::Note(note));
+        let event = NodeEvent::RecoveryForced(self.options.shard);
+        self.outputs.push(ShardOutput::Event(event));
     }
 }
 
@@ -47,14 +47,14 @@
         voted_for: options.identity.0,
         node: options.identity.0,
     })?;
-    let alone = VoterSet {
+    let single_voter = VoterSet {
         voters: vec![options.identity.0],
         learners: Vec::new(),
     };
     storage.append([LogEntry {
         index: storage.last_index() + 1,
         term,
-        payload: Some(Payload::Voters(alone)),
+        payload: Some(Payload::Voters(single_voter)),
     }]);
     storage.sync()
 }
--- a/crates/control/src/shard/repair.rs
+++ b/crates/control/src/shard/repair.rs
@@ -91,8 +91,8 @@
     }
 
     fn is_lost(&self, now: MonotonicTime, replica: &ReplicaView, members: &MemberView) -> bool {
-        let silent = now.since(replica.last_heard) >= self.replace_after;
-        silent || members.get(replica.node).removed
+        let unresponsive = now.since(replica.last_heard) >= self.replace_after;
+        unresponsive || members.get(replica.node).removed
     }
 
     fn without_learner(
@@ -106,7 +106,7 @@
             return None;
         }
         let votes = |node: &NodeId| group.voters.iter().any(|voter| voter.node == *node);
-        let spare = members.candidates().find(|node| !votes(node));
-        spare.map(RepairStep::AddLearner)
+        let standby = members.candidates().find(|node| !votes(node));
+        standby.map(RepairStep::AddLearner)
     }
 }
--- a/crates/control/src/shard/standing.rs
+++ b/crates/control/src/shard/replica_status.rs
@@ -4,7 +4,7 @@
 
 /// Role and touch of one replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ShardStanding {
+pub struct ShardReplicaStatus {
     /// The shard.
     pub shard: ShardId,
     /// This replica leads.
@@ -14,7 +14,7 @@
     /// The replica's term.
     pub term: u64,
     /// In touch with the shard's quorum, directly or through its leader.
-    pub in_touch: bool,
+    pub has_quorum: bool,
     /// The group does not hold this replica any more.
     pub removed: bool,
     /// The replicas that vote, in this replica's log.
@@ -25,7 +25,7 @@
     pub commit_index: u64,
 }
 
-impl ShardStanding {
+impl ShardReplicaStatus {
     /// Standing of a replica that knows nothing yet.
     #[must_use]
     pub fn unknown(shard: ShardId) -> Self {
@@ -34,7 +34,7 @@
             leads: false,
             leader: NodeId::NONE,
             term: 0,
-            in_touch: false,
+            has_quorum: false,
             removed: false,
             voters: Vec::new(),
             learners: Vec::new(),
@@ -44,8 +44,8 @@
 
     /// Whether the two differ in more than the committed index.
     #[must_use]
-    pub fn differs(&self, other: &ShardStanding) -> bool {
-        let same_index = ShardStanding {
+    pub fn differs(&self, other: &ShardReplicaStatus) -> bool {
+        let same_index = ShardReplicaStatus {
             commit_index: other.commit_index,
             ..self.clone()
         };
--- a/crates/control/src/shard/serving.rs
+++ b/crates/control/src/shard/serving.rs
@@ -10,57 +10,62 @@
 use millford_core::{MonotonicTime, NodeId, ResultCode};
 
 use super::core::ShardCore;
-use super::input::Ticket;
+use super::input::CorrelationId;
 use super::output::ShardOutput;
 use super::proposals::Purpose;
 use super::reads::ReadPurpose;
-use crate::node_output::NodeNote;
+use crate::node_output::NodeEvent;
 
 impl ShardCore {
     /// A request to the shard's leader.
-    pub(super) fn request(&mut self, now: MonotonicTime, ticket: Ticket, request: ShardRequest) {
+    pub(super) fn request(
+        &mut self,
+        now: MonotonicTime,
+        correlation_id: CorrelationId,
+        request: ShardRequest,
+    ) {
         use shard_request::Kind;
         if !self.leads() {
-            self.refuse(ticket, ResultCode::NotLeader);
+            self.refuse(correlation_id, ResultCode::NotLeader);
             return;
         }
         match request.kind {
-            Some(Kind::Propose(command)) => self.propose_request(ticket, &command),
+            Some(Kind::Propose(command)) => self.propose_request(correlation_id, &command),
             Some(Kind::ReadState(read)) => {
                 self.read(
                     now,
                     ReadPurpose::State {
-                        ticket,
+                        correlation_id,
                         prefix: read.key_prefix,
                         with_source: read.with_source,
                     },
                 );
             }
-            Some(Kind::ReadIndex(_)) => self.read(now, ReadPurpose::Index { ticket }),
-            Some(Kind::Status(_)) => self.read(now, ReadPurpose::Status { ticket }),
-            Some(Kind::RenewSessions(touch)) => self.touch(now, ticket, &touch),
-            None => self.refuse(ticket, ResultCode::ProtocolViolation),
+            Some(Kind::ReadIndex(_)) => self.read(now, ReadPurpose::Index { correlation_id }),
+            Some(Kind::Status(_)) => self.read(now, ReadPurpose::Status { correlation_id }),
+            Some(Kind::RenewSessions(touch)) => self.touch(now, correlation_id, &touch),
+            None => self.refuse(correlation_id, ResultCode::ProtocolViolation),
         }
     }
 
     /// Answers with a code only. A wrong leader is named if the right one is known.
-    pub(super) fn refuse(&mut self, ticket: Ticket, code: ResultCode) {
+    pub(super) fn refuse(&mut self, correlation_id: CorrelationId, code: ResultCode) {
         let leader = self.replica.status().leader;
         let hint = if leader == self.options.identity {
             NodeId::NONE
         } else {
             leader
         };
-        self.reply_code(ticket, code.number(), hint, None);
+        self.reply_code(correlation_id, code.number(), hint, None);
     }
 
     /// The proposal with this purpose was applied.
     pub(super) fn proposal_applied(&mut self, purpose: Purpose, applied: Applied) {
-        self.note_accepted(&applied);
-        if let Purpose::Request(ticket) = purpose {
+        self.record_accepted(&applied);
+        if let Purpose::Request(correlation_id) = purpose {
             let code = applied.result.code;
             let kind = shard_reply::Kind::Result(applied.result);
-            self.reply_code(ticket, code, NodeId::NONE, Some(kind));
+            self.reply_code(correlation_id, code, NodeId::NONE, Some(kind));
         }
     }
 
@@ -112,7 +117,7 @@
     }
 
     /// Leadership was lost: reads of others go back to them, feeds are asked for again.
-    pub(super) fn restart_reads(&mut self, now: MonotonicTime) {
+    pub(super) fn retry_unconfirmed_reads(&mut self, now: MonotonicTime) {
         for read in self.reads.take_unconfirmed() {
             self.retry_read(now, read.purpose);
         }
@@ -127,9 +132,11 @@
 
     fn retry_read(&mut self, now: MonotonicTime, purpose: ReadPurpose) {
         match purpose {
-            ReadPurpose::State { ticket, .. }
-            | ReadPurpose::Index { ticket }
-            | ReadPurpose::Status { ticket } => self.refuse(ticket, ResultCode::NotLeader),
+            ReadPurpose::State { correlation_id, .. }
+            | ReadPurpose::Index { correlation_id }
+            | ReadPurpose::Status { correlation_id } => {
+                self.refuse(correlation_id, ResultCode::NotLeader)
+            }
             ReadPurpose::Subscribe { subscriber } => self.subscriptions.failed(now, subscriber),
         }
     }
@@ -137,7 +144,7 @@
     fn serve(&mut self, purpose: ReadPurpose, index: u64) {
         match purpose {
             ReadPurpose::State {
-                ticket,
+                correlation_id,
                 prefix,
                 with_source,
             } => {
@@ -145,26 +152,26 @@
                 if with_source {
                     state.config_source = self.machine.config_source().to_vec();
                 }
-                self.reply_ok(ticket, shard_reply::Kind::State(state));
+                self.reply_ok(correlation_id, shard_reply::Kind::State(state));
             }
-            ReadPurpose::Index { ticket } => {
-                self.reply_ok(ticket, shard_reply::Kind::ReadIndex(index));
+            ReadPurpose::Index { correlation_id } => {
+                self.reply_ok(correlation_id, shard_reply::Kind::ReadIndex(index));
             }
-            ReadPurpose::Status { ticket } => {
+            ReadPurpose::Status { correlation_id } => {
                 let status = shard_reply::Kind::Status(self.shard_status());
-                self.reply_ok(ticket, status);
+                self.reply_ok(correlation_id, status);
             }
             ReadPurpose::Subscribe { subscriber } => self.open_feed(subscriber),
         }
     }
 
-    fn propose_request(&mut self, ticket: Ticket, command: &Command) {
-        if !self.propose(command, Purpose::Request(ticket)) {
-            self.refuse(ticket, ResultCode::NotLeader);
+    fn propose_request(&mut self, correlation_id: CorrelationId, command: &Command) {
+        if !self.propose(command, Purpose::Request(correlation_id)) {
+            self.refuse(correlation_id, ResultCode::NotLeader);
         }
     }
 
-    fn touch(&mut self, now: MonotonicTime, ticket: Ticket, touch: &RenewSessions) {
+    fn touch(&mut self, now: MonotonicTime, correlation_id: CorrelationId, touch: &RenewSessions) {
         let mut closed_members = Vec::new();
         for touch in &touch.renewals {
             let alive =
@@ -175,7 +182,7 @@
             }
         }
         let reply = RenewSessionsReply { closed_members };
-        self.reply_ok(ticket, shard_reply::Kind::RenewedSessions(reply));
+        self.reply_ok(correlation_id, shard_reply::Kind::RenewedSessions(reply));
     }
 
     fn state_under(&self, prefix: &str) -> StateSnapshot {
@@ -219,35 +226,43 @@
         }
     }
 
-    fn note_accepted(&mut self, applied: &Applied) {
+    fn record_accepted(&mut self, applied: &Applied) {
         let succeeded = applied.result.code == ResultCode::Ok.number();
         if let Some(command_result::Kind::PutConfig(result)) = &applied.result.kind
             && succeeded
             && !result.repeated_order
         {
-            let note = NodeNote::ConfigurationAccepted(result.revision);
-            self.outputs.push(ShardOutput::Note(note));
+            let event = NodeEvent::ConfigurationAccepted(result.revision);
+            self.outputs.push(ShardOutput::Event(event));
         }
     }
 
-    fn reply_ok(&mut self, ticket: Ticket, kind: shard_reply::Kind) {
-        self.reply_code(ticket, ResultCode::Ok.number(), NodeId::NONE, Some(kind));
+    fn reply_ok(&mut self, correlation_id: CorrelationId, kind: shard_reply::Kind) {
+        self.reply_code(
+            correlation_id,
+            ResultCode::Ok.number(),
+            NodeId::NONE,
+            Some(kind),
+        );
     }
 
     fn reply_code(
         &mut self,
-        ticket: Ticket,
+        correlation_id: CorrelationId,
         code: u32,
         leader_hint: NodeId,
         kind: Option<shard_reply::Kind>,
     ) {
         let reply = ShardReply {
             shard: self.options.shard.0,
-            request_id: ticket,
+            request_id: correlation_id,
             code,
             leader_hint: leader_hint.0,
             kind,
         };
-        self.outputs.push(ShardOutput::Reply { ticket, reply });
+        self.outputs.push(ShardOutput::Reply {
+            correlation_id,
+            reply,
+        });
     }
 }
--- a/crates/control/src/shard/subscriptions.rs
+++ b/crates/control/src/shard/subscriptions.rs
@@ -6,13 +6,13 @@
 use millford_core::{Duration, MonotonicTime};
 
 use crate::link::LinkId;
-use crate::timing::READ_PATIENCE;
+use crate::timing::READ_CONFIRMATION_TIMEOUT;
 
 /// Delay before a failed read of a subscription is tried again.
 const RETRY: Duration = Duration::from_millis(60);
 
 #[derive(Clone, Debug)]
-struct Waiting {
+struct PendingSubscription {
     subscribe: Subscribe,
     since: MonotonicTime,
     retry_at: MonotonicTime,
@@ -30,7 +30,7 @@
 /// Waiting subscriptions by the agent's link.
 #[derive(Debug, Default)]
 pub struct Subscriptions {
-    waiting: BTreeMap<LinkId, Waiting>,
+    pending: BTreeMap<LinkId, PendingSubscription>,
 }
 
 impl Subscriptions {
@@ -38,39 +38,39 @@
     /// asked first: else one that asks every second would never be told to go elsewhere.
     pub fn insert(&mut self, now: MonotonicTime, subscriber: LinkId, subscribe: Subscribe) {
         let since = self
-            .waiting
+            .pending
             .get(&subscriber)
-            .map_or(now, |waiting| waiting.since);
-        let waiting = Waiting {
+            .map_or(now, |pending| pending.since);
+        let pending = PendingSubscription {
             subscribe,
             since,
-            retry_at: now + READ_PATIENCE,
+            retry_at: now + READ_CONFIRMATION_TIMEOUT,
         };
-        self.waiting.insert(subscriber, waiting);
+        self.pending.insert(subscriber, pending);
     }
 
     /// The read failed: it is due again soon.
     pub fn failed(&mut self, now: MonotonicTime, subscriber: LinkId) {
-        if let Some(waiting) = self.waiting.get_mut(&subscriber) {
-            waiting.retry_at = now + RETRY;
+        if let Some(pending) = self.pending.get_mut(&subscriber) {
+            pending.retry_at = now + RETRY;
         }
     }
 
     /// The subscription is served, refused or given up.
     pub fn remove(&mut self, subscriber: LinkId) -> Option<Subscribe> {
-        let waiting = self.waiting.remove(&subscriber)?;
-        Some(waiting.subscribe)
+        let pending = self.pending.remove(&subscriber)?;
+        Some(pending.subscribe)
     }
 
     /// Subscriptions whose read is to be asked for again; each is due again later.
     pub fn take_due(&mut self, now: MonotonicTime) -> Vec<DueSubscription> {
-        let waiting = self.waiting.iter_mut();
-        let due = waiting.filter(|(_, waiting)| waiting.retry_at <= now);
-        due.map(|(subscriber, waiting)| {
-            waiting.retry_at = now + READ_PATIENCE;
+        let pending = self.pending.iter_mut();
+        let due = pending.filter(|(_, pending)| pending.retry_at <= now);
+        due.map(|(subscriber, pending)| {
+            pending.retry_at = now + READ_CONFIRMATION_TIMEOUT;
             DueSubscription {
                 subscriber: *subscriber,
-                waited: now.since(waiting.since),
+                waited: now.since(pending.since),
             }
         })
         .collect()
--- a/crates/control/src/timing.rs
+++ b/crates/control/src/timing.rs
@@ -6,22 +6,22 @@
 pub const TICK: Duration = Duration::from_millis(20);
 
 /// Without contact with a shard's leader for this long, a replica stops feeding agents.
-pub const OUT_OF_TOUCH: Duration = Duration::from_millis(1000);
+pub const QUORUM_CONTACT_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// A node that starts keeps heartbeats of agents for up to this long until it has a quorum: an
 /// election after a common start takes less. Shorter than an agent bears a silent node.
-pub const EARLY_HEARTBEAT_HOLD: Duration = Duration::from_millis(600);
+pub const EARLY_HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Period of greetings to every known control node.
 pub const HELLO_PERIOD: Duration = Duration::from_millis(400);
 
 /// A control node that answered no greeting for this long counts as not connected.
-pub const PEER_SILENCE: Duration = Duration::from_millis(1500);
+pub const PEER_INACTIVITY_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// First and longest delay between attempts to reach a control node.
-pub const DIAL_FIRST: Duration = Duration::from_millis(100);
-/// See [`DIAL_FIRST`].
-pub const DIAL_CEILING: Duration = Duration::from_millis(1000);
+pub const DIAL_BACKOFF_INITIAL: Duration = Duration::from_millis(100);
+/// See [`DIAL_BACKOFF_INITIAL`].
+pub const DIAL_BACKOFF_MAX: Duration = Duration::from_millis(1000);
 
 /// Delay before a request is tried again when no leader is known.
 pub const RETRY_NO_LEADER: Duration = Duration::from_millis(50);
@@ -33,22 +33,22 @@
 pub const RESEND: Duration = Duration::from_millis(700);
 
 /// How long a request of an agent is tried.
-pub const AGENT_PATIENCE: Duration = Duration::from_millis(2000);
+pub const AGENT_REQUEST_TIMEOUT: Duration = Duration::from_millis(2000);
 
 /// How long an operator's request is tried.
-pub const OPERATOR_PATIENCE: Duration = Duration::from_millis(5000);
+pub const OPERATOR_REQUEST_TIMEOUT: Duration = Duration::from_millis(5000);
 
 /// How long a status request may wait for a shard without a leader.
-pub const STATUS_PATIENCE: Duration = Duration::from_millis(1000);
+pub const STATUS_REQUEST_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// How long a replica waits for its leader to confirm a read.
-pub const READ_PATIENCE: Duration = Duration::from_millis(600);
+pub const READ_CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// How long an agent's quota request may be under way to the leader.
-pub const QUOTA_PATIENCE: Duration = Duration::from_millis(1000);
+pub const QUOTA_REQUEST_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Period at which heartbeats heard are passed on to the leaders of the sessions' shards.
-pub const TOUCH_PERIOD: Duration = Duration::from_millis(250);
+pub const RENEWAL_PERIOD: Duration = Duration::from_millis(250);
 
 /// Period at which a node checks that the cluster lists it.
 pub const REGISTRATION_PERIOD: Duration = Duration::from_millis(1000);
@@ -63,10 +63,10 @@
 pub const PLACEMENT_PERIOD: Duration = Duration::from_millis(1000);
 
 /// Period of the load picture that agents get back.
-pub const PICTURE_PERIOD: Duration = Duration::from_millis(500);
+pub const LOAD_SNAPSHOT_PERIOD: Duration = Duration::from_millis(500);
 
-/// As [`PICTURE_PERIOD`], at a small site.
-pub const PICTURE_PERIOD_SMALL: Duration = Duration::from_millis(250);
+/// As [`LOAD_SNAPSHOT_PERIOD`], at a small site.
+pub const LOAD_SNAPSHOT_PERIOD_SMALL: Duration = Duration::from_millis(250);
 
 /// Log entries after which a snapshot of the shard is taken.
 pub const SNAPSHOT_ENTRIES: u64 = 512;
--- a/crates/control/tests/chosen_documents.rs
+++ b/crates/control/tests/chosen_documents.rs
@@ -8,7 +8,7 @@
 use millford_control::{OperatorReply, OperatorRequest};
 use millford_core::ResultCode;
 use support::Cluster;
-use support::orders::{document, led, order};
+use support::orders::{cluster_with_leaders, document, order};
 
 /// An order for a document of about this many bytes, in a form of its own.
 fn sourced(base: u64, revision: u64, bytes: usize) -> OperatorRequest {
@@ -26,7 +26,7 @@
 }
 
 fn put(cluster: &mut Cluster, address: &str, order: OperatorRequest) -> Result<u64, ResultCode> {
-    let request = cluster.ask(address, order);
+    let request = cluster.request(address, order);
     match cluster.answer(request) {
         OperatorReply::Order(reply) => Ok(reply.revision),
         OperatorReply::Failed(failure) => Err(failure.code),
@@ -35,7 +35,7 @@
 }
 
 fn read(cluster: &mut Cluster, address: &str) -> (u64, Vec<u8>) {
-    let request = cluster.ask(address, OperatorRequest::GetConfig);
+    let request = cluster.request(address, OperatorRequest::GetConfig);
     match cluster.answer(request) {
         OperatorReply::Config(reply) => (reply.revision, reply.source),
         other => panic!("no configuration: {other:?}"),
@@ -44,7 +44,7 @@
 
 #[test]
 fn what_was_sent_is_read_back_at_any_node() {
-    let mut cluster = led(3, 5);
+    let mut cluster = cluster_with_leaders(3, 5);
     assert_eq!(put(&mut cluster, "node-1", sourced(0, 7, 10)), Ok(7));
     assert_eq!(
         put(&mut cluster, "node-2", sourced(7, 7, 11)),
@@ -65,7 +65,7 @@
 
 #[test]
 fn hundreds_of_large_changes_survive_a_restart_of_everything() {
-    let mut cluster = led(3, 6);
+    let mut cluster = cluster_with_leaders(3, 6);
     let mut base = 0;
     for step in 1..=300 {
         let revision = base + 1 + step % 5;
@@ -81,7 +81,7 @@
     for address in ["node-1", "node-2", "node-3"] {
         cluster.boot(address);
     }
-    cluster.run_until(Duration::from_secs(12), "leaders", Cluster::is_led);
+    cluster.run_until(Duration::from_secs(12), "leaders", Cluster::has_leaders);
     let (revision, source) = read(&mut cluster, "node-2");
     assert_eq!(
         (revision, source.len()),
--- a/crates/control/tests/parts.rs
+++ b/crates/control/tests/components.rs
@@ -4,14 +4,14 @@
 
 use millford_api::internal::{ReplicaLoad, ShardRequest};
 use millford_control::LinkId;
-use millford_control::NodeNote;
+use millford_control::NodeEvent;
 use millford_control::gateway::pending::{Origin, PendingRequests, refusal};
-use millford_control::gateway::stalls::Stalls;
-use millford_control::shard::move_notes::MoveNotes;
-use millford_control::shard::picture_feed::PictureFeed;
+use millford_control::gateway::stall_detector::StallDetector;
+use millford_control::shard::load_snapshot_publisher::LoadSnapshotPublisher;
+use millford_control::shard::maintenance::MaintenanceSchedule;
+use millford_control::shard::move_events::MoveEvents;
 use millford_control::shard::repair::{GroupView, Repair, RepairStep, ReplicaView};
-use millford_control::shard::upkeep::Upkeep;
-use millford_control::shard::{MemberStanding, MemberView};
+use millford_control::shard::{MemberStatus, MemberView};
 use millford_core::{MonotonicTime, NodeId, ResultCode, ShardId};
 use millford_placement::{Move, MoveReason, ReplicaKey};
 
@@ -24,23 +24,23 @@
     MonotonicTime::from_millis(millis)
 }
 
-fn replica(node: u64, heard: u64, caught_up: bool) -> ReplicaView {
+fn replica(node: u64, record_report: u64, caught_up: bool) -> ReplicaView {
     ReplicaView {
         node: NodeId(node),
-        last_heard: at(heard),
+        last_heard: at(record_report),
         caught_up,
     }
 }
 
-fn members(spares: &[u64]) -> MemberView {
+fn members(standbys: &[u64]) -> MemberView {
     let mut view = MemberView::default();
-    for node in [1, 2, 3].iter().chain(spares) {
-        let standing = MemberStanding {
+    for node in [1, 2, 3].iter().chain(standbys) {
+        let reported_status = MemberStatus {
             registered: true,
             connected: true,
             removed: false,
         };
-        view.members.insert(NodeId(*node), standing);
+        view.members.insert(NodeId(*node), reported_status);
     }
     view
 }
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_learner_catches_up_before_the_lost_voter_goes_and_votes_after() {
+fn a_learner_catches_up_before_the_lost_voter_is_removed_and_is_promoted_after() {
     let mut group = GroupView {
         voters: vec![
             replica(1, 10_000, true),
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn nothing_is_changed_without_a_spare_or_without_a_loss() {
+fn no_repair_without_a_standby_or_without_a_lost_voter() {
     let lost = GroupView {
         voters: vec![
             replica(1, 10_000, true),
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_learner_goes_when_the_voter_came_back_or_when_it_is_lost_itself() {
+fn a_learner_is_removed_when_the_voter_returned_or_the_learner_is_lost() {
     let voters = vec![
         replica(1, 10_000, true),
         replica(2, 9_900, true),
@@ -120,17 +120,20 @@
 }
 
 #[test]
-fn a_core_that_stays_silent_counts_as_stalled_until_it_is_heard() {
-    let mut stalls = Stalls::default();
-    stalls.heard(at(0), ShardId(0));
-    stalls.heard(at(900), ShardId(1));
-    stalls.tick(at(999));
-    assert!(!stalls.any());
-    stalls.tick(at(1000));
-    assert!(stalls.any(), "shard 0 is silent for a second");
-    stalls.heard(at(1010), ShardId(0));
-    stalls.tick(at(1020));
-    assert!(!stalls.any());
+fn a_core_without_reports_counts_as_stalled_until_the_next_report() {
+    let mut stall_detector = StallDetector::default();
+    stall_detector.record_report(at(0), ShardId(0));
+    stall_detector.record_report(at(900), ShardId(1));
+    stall_detector.tick(at(999));
+    assert!(!stall_detector.any_stalled());
+    stall_detector.tick(at(1000));
+    assert!(
+        stall_detector.any_stalled(),
+        "shard 0 is silent for a second"
+    );
+    stall_detector.record_report(at(1010), ShardId(0));
+    stall_detector.tick(at(1020));
+    assert!(!stall_detector.any_stalled());
 }
 
 fn load(backend: &str, streams: u32) -> ReplicaLoad {
@@ -143,8 +146,8 @@
 }
 
 #[test]
-fn a_picture_carries_differences_and_lists_what_is_gone_as_idle() {
-    let mut feed = PictureFeed::default();
+fn a_load_snapshot_carries_differences_and_lists_removed_replicas_as_idle() {
+    let mut feed = LoadSnapshotPublisher::default();
     let first = feed.difference(at(20_000), "pool", vec![load("a", 1), load("b", 2)]);
     assert_eq!(first.len(), 2);
     let second = feed.difference(at(20_500), "pool", vec![load("a", 1), load("b", 3)]);
@@ -156,8 +159,8 @@
 }
 
 #[test]
-fn large_pictures_are_sent_more_rarely() {
-    let mut feed = PictureFeed::default();
+fn large_load_snapshots_are_published_less_often() {
+    let mut feed = LoadSnapshotPublisher::default();
     feed.sent(at(0), 100);
     assert!(feed.is_due(at(500)));
     feed.sent(at(1000), 100_000);
@@ -165,8 +168,8 @@
 }
 
 #[test]
-fn pictures_of_a_small_site_come_sooner_within_their_budget() {
-    let mut feed = PictureFeed::default();
+fn load_snapshots_of_a_small_site_are_published_more_often_within_budget() {
+    let mut feed = LoadSnapshotPublisher::default();
     feed.set_site(16, 16);
     feed.sent(at(0), 100);
     assert!(!feed.is_due(at(249)));
@@ -189,36 +192,40 @@
         request_id: 77,
     };
     let request = ShardRequest::default();
-    let patience = Duration::from_secs(2);
+    let timeout = Duration::from_secs(2);
     if forwarded {
-        requests.submit_forwarded(at(0), origin, request, patience)
+        requests.submit_forwarded(at(0), origin, request, timeout)
     } else {
-        requests.submit(at(0), origin, request, patience)
+        requests.submit(at(0), origin, request, timeout)
     }
 }
 
 #[test]
-fn a_misdirected_request_goes_to_the_named_leader_and_a_forwarded_one_back() {
+fn a_misdirected_request_is_retried_at_the_hinted_leader_and_a_forwarded_one_is_returned() {
     let mut requests = PendingRequests::default();
-    let ticket = submitted(&mut requests, false);
+    let correlation_id = submitted(&mut requests, false);
     assert_eq!(requests.take_due(at(0)).len(), 1);
     let wrong = refusal(&ShardRequest::default(), ResultCode::NotLeader, NodeId(5));
-    assert!(requests.answer(at(10), ticket, wrong.clone()).is_none());
+    assert!(
+        requests
+            .answer(at(10), correlation_id, wrong.clone())
+            .is_none()
+    );
     let again = requests.take_due(at(100));
     assert_eq!((again.len(), again[0].hint), (1, NodeId(5)));
 
     let mut requests = PendingRequests::default();
-    let ticket = submitted(&mut requests, true);
+    let correlation_id = submitted(&mut requests, true);
     assert_eq!(requests.take_due(at(0)).len(), 1);
     assert!(requests.take_due(at(1500)).is_empty(), "tried once only");
-    let settled = requests
-        .answer(at(1510), ticket, wrong)
+    let completed = requests
+        .answer(at(1510), correlation_id, wrong)
         .expect("it goes back");
-    assert_eq!(settled.reply.leader_hint, 5);
+    assert_eq!(completed.reply.leader_hint, 5);
 }
 
 #[test]
-fn a_request_without_an_answer_is_sent_again_and_given_up_at_its_deadline() {
+fn a_request_without_a_reply_is_resent_and_times_out_at_its_deadline() {
     let mut requests = PendingRequests::default();
     submitted(&mut requests, false);
     assert_eq!(requests.take_due(at(0)).len(), 1);
@@ -232,7 +239,7 @@
 }
 
 #[test]
-fn moves_are_told_once_and_a_great_plan_is_counted() {
+fn moves_are_reported_once_and_a_large_plan_is_counted() {
     let moves_of = |count: usize| -> Vec<Move> {
         let steps = (0..count).map(|number| Move {
             replica: ReplicaKey::new(&format!("b{number:02}"), "m", "1"),
@@ -240,16 +247,16 @@
         });
         steps.collect()
     };
-    let mut notes = MoveNotes::default();
-    assert_eq!(notes.of_plan("pool", &moves_of(2)).len(), 2);
+    let mut node_events = MoveEvents::default();
+    assert_eq!(node_events.of_plan("pool", &moves_of(2)).len(), 2);
     assert!(
-        notes.of_plan("pool", &moves_of(2)).is_empty(),
+        node_events.of_plan("pool", &moves_of(2)).is_empty(),
         "told already"
     );
-    assert!(notes.of_plan("pool", &[]).is_empty());
-    let many = notes.of_plan("pool", &moves_of(50));
+    assert!(node_events.of_plan("pool", &[]).is_empty());
+    let many = node_events.of_plan("pool", &moves_of(50));
     assert_eq!(many.len(), 9);
-    let rest = NodeNote::MorePlacements {
+    let rest = NodeEvent::MorePlacements {
         pool: "pool".to_owned(),
         more: 42,
     };
@@ -257,11 +264,11 @@
 }
 
 #[test]
-fn time_in_which_the_core_did_not_run_is_lost_beyond_a_short_gap() {
-    let mut upkeep = Upkeep::new(at(0));
-    assert_eq!(upkeep.lost_time(at(20)), None);
-    assert_eq!(upkeep.lost_time(at(120)), None, "late, but it runs");
-    let lost = upkeep.lost_time(at(1120));
+fn stalled_time_is_the_tick_gap_beyond_its_maximum() {
+    let mut maintenance = MaintenanceSchedule::new(at(0));
+    assert_eq!(maintenance.stalled_time(at(20)), None);
+    assert_eq!(maintenance.stalled_time(at(120)), None, "late, but it runs");
+    let lost = maintenance.stalled_time(at(1120));
     assert_eq!(lost, Some(Duration::from_millis(900)));
-    assert_eq!(upkeep.lost_time(at(1140)), None, "told once");
+    assert_eq!(maintenance.stalled_time(at(1140)), None, "told once");
 }
--- a/crates/control/tests/daemon.rs
+++ b/crates/control/tests/daemon.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use support::daemons::{Daemon, KEY, free_addresses, three, wait_for};
+use support::daemons::{Daemon, KEY, free_addresses, start_three, wait_for};
 use support::http;
 
 const DOCUMENT: &str = r#"{"routes":[{"name":"r","match":{"model":"m"},"pool":"p","repeatable":true,"deadline_ms":1000}],"pools":[{"name":"p","selector":{"model":"m"},"drain_ms":1000}],"tenants":[]}"#;
@@ -18,20 +18,20 @@
 }
 
 #[test]
-fn a_cluster_takes_orders_loses_a_machine_and_gets_another() {
-    let mut nodes = three();
+fn a_cluster_accepts_orders_over_the_loss_and_replacement_of_a_machine() {
+    let mut nodes = start_three();
     wait_until_ready(&nodes);
-    let accepted = nodes[2].ask("PUT", "/v1/config", &order(0, "one"));
+    let accepted = nodes[2].request("PUT", "/v1/config", &order(0, "one"));
     assert_eq!(
         accepted.json(),
         serde_json::json!({"revision": 1, "repeated": false})
     );
-    let resent = nodes[0].ask("PUT", "/v1/config", &order(0, "one"));
+    let resent = nodes[0].request("PUT", "/v1/config", &order(0, "one"));
     assert_eq!(
         resent.json(),
         serde_json::json!({"revision": 1, "repeated": true})
     );
-    let conflict = nodes[1].ask("PUT", "/v1/config", &order(0, "two"));
+    let conflict = nodes[1].request("PUT", "/v1/config", &order(0, "two"));
     assert_eq!((conflict.status, conflict.code()), (409, 4002));
     assert_eq!(conflict.json()["revision"], 1);
 
@@ -43,19 +43,21 @@
     wait_for("the new machine's readiness", || new.is_ready());
     nodes[1].kill();
     wait_for("service on the two that are left", || {
-        new.ask("GET", "/v1/config", "").status == 200
+        new.request("GET", "/v1/config", "").status == 200
     });
-    assert_eq!(new.ask("GET", "/v1/config", "").json()["revision"], 1);
-    let accepted = nodes[2].ask("PUT", "/v1/config", &order(1, "three"));
+    assert_eq!(new.request("GET", "/v1/config", "").json()["revision"], 1);
+    let accepted = nodes[2].request("PUT", "/v1/config", &order(1, "three"));
     assert_eq!(accepted.json()["revision"], 2);
 }
 
 #[test]
 fn a_rolling_and_a_full_restart_keep_the_configuration_and_end_cleanly() {
-    let mut nodes = three();
+    let mut nodes = start_three();
     wait_until_ready(&nodes);
     assert_eq!(
-        nodes[0].ask("PUT", "/v1/config", &order(0, "one")).status,
+        nodes[0]
+            .request("PUT", "/v1/config", &order(0, "one"))
+            .status,
         200
     );
     for node in &mut nodes {
@@ -70,18 +72,21 @@
         node.start();
     }
     wait_until_ready(&nodes);
-    let shown = nodes[1].ask("GET", "/v1/config", "").json();
+    let shown = nodes[1].request("GET", "/v1/config", "").json();
     assert_eq!(shown["revision"], 1);
     assert_eq!(shown["document"]["routes"][0]["name"], "r");
 }
 
 #[test]
 fn every_path_of_the_interface_is_served_and_bad_inputs_get_their_codes() {
-    let nodes = three();
+    let nodes = start_three();
     wait_until_ready(&nodes);
     let node = &nodes[0];
-    assert_eq!(node.ask("PUT", "/v1/config", &order(0, "one")).status, 200);
-    let plan = node.ask(
+    assert_eq!(
+        node.request("PUT", "/v1/config", &order(0, "one")).status,
+        200
+    );
+    let plan = node.request(
         "POST",
         "/v1/plan",
         r#"{"document":{"routes":[],"pools":[],"tenants":[]}}"#,
@@ -89,9 +94,9 @@
     assert_eq!(plan.status, 200, "{}", plan.body);
     assert_eq!(plan.json()["plan"]["routes"][0]["change"], "removed");
     let status: millford_api::operator::StatusReply =
-        serde_json::from_str(&node.ask("GET", "/v1/status", "").body).expect("a status");
+        serde_json::from_str(&node.request("GET", "/v1/status", "").body).expect("a status");
     assert_eq!((status.members.len(), status.shards.len()), (3, 7));
-    let metrics = node.ask("GET", "/metrics", "");
+    let metrics = node.request("GET", "/metrics", "");
     assert!(
         metrics.body.contains("millford_control_in_touch 1"),
         "{}",
@@ -198,7 +203,7 @@
         ("PUT", "/metrics", "{}", 405, 1010),
     ];
     for (method, path, body, status, code) in cases {
-        let answer = node.ask(method, path, body);
+        let answer = node.request(method, path, body);
         let got = (answer.status, answer.code());
         assert_eq!(
             got,
--- a/crates/control/tests/faults.rs
+++ b/crates/control/tests/faults.rs
@@ -8,7 +8,7 @@
 use millford_core::ShardId;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use support::orders::{document, led, order};
+use support::orders::{cluster_with_leaders, document, order};
 use support::{Cluster, TestAgent};
 
 /// Seeds that every run covers.
@@ -45,8 +45,8 @@
         let address = &running[random.random_range(0..running.len())];
         self.sent += 1;
         let id = format!("order-{}", self.sent);
-        let wanted = document(&[&id]);
-        self.waiting = Some(cluster.ask(address, order(self.revision, &id, wanted)));
+        let desired = document(&[&id]);
+        self.waiting = Some(cluster.request(address, order(self.revision, &id, desired)));
     }
 
     fn take(&mut self, reply: OperatorReply) {
@@ -88,10 +88,10 @@
 }
 
 /// Every shard has three voters, all of them running and reachable.
-fn is_whole(cluster: &Cluster) -> bool {
+fn is_fully_replicated(cluster: &Cluster) -> bool {
     let up: Vec<_> = running(cluster)
         .iter()
-        .filter(|address| !cluster.cut.contains(*address))
+        .filter(|address| !cluster.partitioned.contains(*address))
         .map(|address| cluster.identity(address))
         .collect();
     (0..=2).all(|shard| {
@@ -101,7 +101,7 @@
 }
 
 /// One fault or one recovery. A disk is lost only while everything else is whole.
-fn disturb(cluster: &mut Cluster, random: &mut StdRng) {
+fn inject_fault(cluster: &mut Cluster, random: &mut StdRng) {
     let up = running(cluster);
     let down = stopped(cluster);
     match random.random_range(0..10) {
@@ -109,40 +109,40 @@
         3..=5 if !down.is_empty() => cluster.boot(&down[random.random_range(0..down.len())]),
         6 if !up.is_empty() => {
             cluster
-                .cut
+                .partitioned
                 .insert(up[random.random_range(0..up.len())].clone());
         }
-        7 => cluster.cut.clear(),
-        8 if is_whole(cluster) && !up.is_empty() => {
+        7 => cluster.partitioned.clear(),
+        8 if is_fully_replicated(cluster) && !up.is_empty() => {
             let victim = up[random.random_range(0..up.len())].clone();
             cluster.kill(&victim);
             cluster.machines[&victim].disk.wipe();
             cluster.boot(&victim);
-            settle(cluster);
+            finish_operator_requests(cluster);
         }
-        9 if is_whole(cluster) && up.len() == 3 && cluster.machines.len() < 6 => {
+        9 if is_fully_replicated(cluster) && up.len() == 3 && cluster.machines.len() < 6 => {
             let victim = up[random.random_range(0..up.len())].clone();
             cluster.kill(&victim);
             let address = format!("node-{}", cluster.machines.len() + 1);
             cluster.boot(&address);
-            settle(cluster);
+            finish_operator_requests(cluster);
         }
         _ => {}
     }
 }
 
 /// Lets the repair of a lost disk finish.
-fn settle(cluster: &mut Cluster) {
-    cluster.run_until(Duration::from_secs(20), "whole again", is_whole);
+fn finish_operator_requests(cluster: &mut Cluster) {
+    cluster.run_until(Duration::from_secs(20), "whole again", is_fully_replicated);
 }
 
 fn run(seed: u64) {
     let mut random = StdRng::seed_from_u64(seed);
-    let mut cluster = led(3, seed);
+    let mut cluster = cluster_with_leaders(3, seed);
     let mut operators = Operators::default();
     let mut agent = TestAgent::connect(&mut cluster, "agent", "node-1", ShardId(0));
     for _ in 0..FAULTS {
-        disturb(&mut cluster, &mut random);
+        inject_fault(&mut cluster, &mut random);
         for _ in 0..random.random_range(1..6) {
             operators.act(&mut cluster, &mut random);
             cluster.run(Duration::from_millis(100));
@@ -158,7 +158,7 @@
     heal(&mut cluster);
     // A spare that has not joined yet rightly answers that it is in no cluster.
     let voter = cluster.leader(ShardId(0)).expect("a leader");
-    let request = cluster.ask(&voter, OperatorRequest::GetConfig);
+    let request = cluster.request(&voter, OperatorRequest::GetConfig);
     let OperatorReply::Config(reply) = cluster.answer(request) else {
         panic!("seed {seed}: no configuration after all is well");
     };
@@ -183,20 +183,24 @@
 }
 
 fn heal(cluster: &mut Cluster) {
-    cluster.cut.clear();
+    cluster.partitioned.clear();
     for address in stopped(cluster) {
         cluster.boot(&address);
     }
     cluster.run_until(
         Duration::from_secs(12),
         "service after all is well",
-        Cluster::is_led,
+        Cluster::has_leaders,
+    );
+    cluster.run_until(
+        Duration::from_secs(40),
+        "whole after all is well",
+        is_fully_replicated,
     );
-    cluster.run_until(Duration::from_secs(40), "whole after all is well", is_whole);
 }
 
 #[test]
-fn acknowledged_orders_survive_random_faults_and_no_agent_steps_back() {
+fn acknowledged_orders_survive_random_faults_and_no_agent_sees_an_older_state() {
     for seed in 1..=SEEDS {
         run(seed);
     }
--- a/crates/control/tests/feed.rs
+++ b/crates/control/tests/feed.rs
@@ -6,7 +6,7 @@
 
 use millford_api::state::state_value::Kind;
 use millford_core::{ShardId, ShardLayout, session_key};
-use support::orders::{accept, document, led};
+use support::orders::{accept, cluster_with_leaders, document};
 use support::{Cluster, TestAgent};
 
 const NODES: [&str; 3] = ["node-1", "node-2", "node-3"];
@@ -43,8 +43,8 @@
 }
 
 #[test]
-fn an_accepted_order_reaches_every_agent_and_a_revoked_key_is_gone_everywhere() {
-    let mut cluster = led(3, 1);
+fn an_accepted_order_reaches_every_agent_and_a_revoked_key_is_removed_everywhere() {
+    let mut cluster = cluster_with_leaders(3, 1);
     let mut agents = agents_everywhere(&mut cluster);
     accept(&mut cluster, "node-2", 0, "one", document(&["a", "b"]));
     let accepted = cluster.now;
@@ -62,8 +62,8 @@
 }
 
 #[test]
-fn a_node_that_lost_the_quorum_says_so_within_a_second_and_a_half() {
-    let mut cluster = led(3, 2);
+fn a_node_that_lost_its_quorum_reports_it_within_1500_ms() {
+    let mut cluster = cluster_with_leaders(3, 2);
     let mut agents = agents_everywhere(&mut cluster);
     accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
     follow(&mut cluster, &mut agents, Duration::from_millis(300));
@@ -88,19 +88,19 @@
 }
 
 #[test]
-fn a_node_back_from_a_long_cut_serves_nothing_stale() {
+fn a_node_serves_nothing_stale_after_a_long_partition() {
     for seed in 1..=10 {
-        let mut cluster = led(3, seed);
+        let mut cluster = cluster_with_leaders(3, seed);
         accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
         cluster.run(Duration::from_millis(200));
-        let cut = cluster.leader(ShardId(0)).expect("a leader");
-        cluster.cut.insert(cut.clone());
+        let partitioned = cluster.leader(ShardId(0)).expect("a leader");
+        cluster.partitioned.insert(partitioned.clone());
         // Shorter than the time after which it is replaced, so that it comes back as a voter.
         cluster.run(Duration::from_secs(3));
         let other = cluster.leader(ShardId(0)).expect("another leader");
         accept(&mut cluster, &other, 1, "two", document(&["a", "b"]));
-        cluster.cut.clear();
-        let mut agent = TestAgent::connect(&mut cluster, "agent", &cut, ShardId(0));
+        cluster.partitioned.clear();
+        let mut agent = TestAgent::connect(&mut cluster, "agent", &partitioned, ShardId(0));
         for _ in 0..100 {
             cluster.run(Duration::from_millis(20));
             agent.receive(&mut cluster);
@@ -110,7 +110,7 @@
                 "seed {seed}: revision {shown} is old"
             );
             if agent.stale {
-                agent.move_to(&mut cluster, &cut);
+                agent.move_to(&mut cluster, &partitioned);
             }
         }
         assert_eq!(applied_revision(&agent), 2, "seed {seed}");
@@ -118,8 +118,8 @@
 }
 
 #[test]
-fn an_agent_that_moves_between_nodes_never_steps_back() {
-    let mut cluster = led(3, 3);
+fn an_agent_that_changes_nodes_never_sees_an_older_state() {
+    let mut cluster = cluster_with_leaders(3, 3);
     let mut agent = TestAgent::connect(&mut cluster, "agent", "node-1", ShardId(0));
     let mut shown = 0;
     for base in 0..30u64 {
@@ -144,12 +144,12 @@
 }
 
 #[test]
-fn a_session_lives_on_heartbeats_over_a_change_of_leader_and_expires_without() {
-    let mut cluster = led(3, 4);
+fn heartbeats_keep_a_session_over_a_leader_change_and_it_expires_without() {
+    let mut cluster = cluster_with_leaders(3, 4);
     let mut agent = TestAgent::connect(&mut cluster, "agent", "node-1", ShardId(0));
     agent.open_session(&mut cluster, 1);
     let first = agent.epoch;
-    agent.beat_for(&mut cluster, Duration::from_secs(8));
+    agent.heartbeat_for(&mut cluster, Duration::from_secs(8));
     assert!(
         agent
             .last_heartbeat
@@ -162,7 +162,7 @@
     if leader != "node-1" {
         cluster.kill(&leader);
     }
-    agent.beat_for(&mut cluster, Duration::from_secs(8));
+    agent.heartbeat_for(&mut cluster, Duration::from_secs(8));
     assert!(
         agent
             .last_heartbeat
@@ -172,7 +172,7 @@
     );
     // Silence longer than the lease: the session is closed, and the next heartbeat says so.
     cluster.run(Duration::from_secs(5));
-    agent.beat_for(&mut cluster, Duration::from_secs(1));
+    agent.heartbeat_for(&mut cluster, Duration::from_secs(1));
     assert!(
         !agent
             .last_heartbeat
@@ -189,7 +189,7 @@
 
 #[test]
 fn a_resent_open_gives_the_same_epoch_and_a_restart_a_new_one() {
-    let mut cluster = led(3, 5);
+    let mut cluster = cluster_with_leaders(3, 5);
     let mut agent = TestAgent::connect(&mut cluster, "agent", "node-1", ShardId(0));
     agent.open_session(&mut cluster, 1);
     let first = agent.epoch;
@@ -205,9 +205,9 @@
 const LONGEST_HOLD: Duration = Duration::from_millis(640);
 
 #[test]
-fn an_agent_of_a_fleet_that_starts_again_is_not_sent_away() {
+fn early_heartbeats_of_a_restarting_fleet_are_answered_with_quorum() {
     for seed in 0..20 {
-        let mut cluster = led(3, seed);
+        let mut cluster = cluster_with_leaders(3, seed);
         cluster.run(Duration::from_secs(1));
         for node in NODES {
             cluster.kill(node);
@@ -223,15 +223,15 @@
         follow(&mut cluster, &mut agents, LONGEST_HOLD);
         for agent in &agents {
             let reply = agent.last_heartbeat.as_ref();
-            let in_touch = reply.map(|reply| reply.has_quorum);
-            assert_eq!(in_touch, Some(true), "seed {seed}, {}", agent.name);
+            let has_quorum = reply.map(|reply| reply.has_quorum);
+            assert_eq!(has_quorum, Some(true), "seed {seed}, {}", agent.name);
         }
     }
 }
 
 #[test]
-fn a_node_that_starts_alone_says_soon_that_it_is_out_of_touch() {
-    let mut cluster = led(3, 1);
+fn a_node_that_starts_without_peers_soon_reports_no_quorum() {
+    let mut cluster = cluster_with_leaders(3, 1);
     for node in NODES {
         cluster.kill(node);
     }
@@ -255,16 +255,18 @@
 
 /// The cut lies between two nodes: both are in touch with the third.
 #[test]
-fn a_replica_that_does_not_hear_its_leader_opens_no_feed() {
-    let mut cluster = led(3, 3);
+fn a_replica_without_leader_contact_opens_no_feed() {
+    let mut cluster = cluster_with_leaders(3, 3);
     cluster.run(Duration::from_secs(1));
     let leader = cluster.leader(ShardId(0)).expect("a leader");
     let deaf = NODES
         .into_iter()
         .find(|node| *node != leader)
         .expect("a follower");
-    cluster.cut_pairs.insert((leader.clone(), deaf.to_owned()));
-    cluster.cut_pairs.insert((deaf.to_owned(), leader));
+    cluster
+        .partitioned_pairs
+        .insert((leader.clone(), deaf.to_owned()));
+    cluster.partitioned_pairs.insert((deaf.to_owned(), leader));
     cluster.run(Duration::from_secs(5));
     let mut agent = TestAgent::connect(&mut cluster, "agent", deaf, ShardId(0));
     let limit = Duration::from_millis(1500);
@@ -275,8 +277,8 @@
 /// Agents subscribe again every second while a shard is not confirmed. That must not begin the wait
 /// anew: the node is as deaf as before, and the agent would stay with it.
 #[test]
-fn an_agent_that_subscribes_again_is_still_told_to_go_elsewhere() {
-    let mut cluster = led(3, 3);
+fn repeated_subscriptions_without_confirmation_are_answered_as_stale() {
+    let mut cluster = cluster_with_leaders(3, 3);
     cluster.run(Duration::from_secs(1));
     cluster.kill("node-2");
     cluster.kill("node-3");
