--- a/crates/control/tests/formation.rs
+++ b/crates/control/tests/formation.rs
@@ -4,14 +4,14 @@
 
 use std::time::Duration;
 
-use millford_control::{NodeNote, OperatorReply, OperatorRequest};
+use millford_control::{NodeEvent, OperatorReply, OperatorRequest};
 use millford_core::ShardId;
 use support::Cluster;
 
 fn formed(cluster: &Cluster) -> usize {
-    let notes = cluster.notes.iter();
-    notes
-        .filter(|(_, note)| matches!(note, NodeNote::ClusterFormed(_)))
+    let node_events = cluster.node_events.iter();
+    node_events
+        .filter(|(_, note)| matches!(note, NodeEvent::ClusterFormed(_)))
         .count()
 }
 
@@ -19,7 +19,7 @@
 fn three_empty_nodes_form_one_cluster_under_many_seeds() {
     for seed in 1..=30 {
         let mut cluster = Cluster::start(3, seed);
-        cluster.run_until(Duration::from_secs(4), "leaders", Cluster::is_led);
+        cluster.run_until(Duration::from_secs(4), "leaders", Cluster::has_leaders);
         assert_eq!(formed(&cluster), 1, "seed {seed}");
         assert_eq!(cluster.voters(ShardId(0)).len(), 3, "seed {seed}");
     }
@@ -34,14 +34,14 @@
     cluster.run(Duration::from_secs(20));
     assert_eq!(formed(&cluster), 0);
     cluster.boot("node-3");
-    cluster.run_until(Duration::from_secs(4), "leaders", Cluster::is_led);
+    cluster.run_until(Duration::from_secs(4), "leaders", Cluster::has_leaders);
     assert_eq!(formed(&cluster), 1);
 }
 
 #[test]
 fn a_wiped_node_beside_formed_ones_joins_and_never_forms() {
     let mut cluster = Cluster::start(3, 3);
-    cluster.run_until(Duration::from_secs(4), "leaders", Cluster::is_led);
+    cluster.run_until(Duration::from_secs(4), "leaders", Cluster::has_leaders);
     let former = cluster.identity("node-2");
     cluster.kill("node-2");
     cluster.machines["node-2"].disk.wipe();
@@ -53,23 +53,22 @@
         former,
         "a wiped disk is a new identity"
     );
-    let joined = cluster
-        .notes
-        .iter()
-        .any(|(address, note)| address == "node-2" && matches!(note, NodeNote::JoinedAsSpare(_)));
+    let joined = cluster.node_events.iter().any(|(address, note)| {
+        address == "node-2" && matches!(note, NodeEvent::JoinedAsStandby(_))
+    });
     assert!(joined);
 }
 
 #[test]
-fn a_founder_that_missed_the_forming_takes_its_place() {
+fn a_founder_that_missed_the_formation_still_joins_as_founder() {
     let mut cluster = Cluster::start(3, 5);
     cluster.run_until(Duration::from_secs(4), "the forming", |cluster| {
         formed(cluster) == 1
     });
     let (former, _) = cluster
-        .notes
+        .node_events
         .iter()
-        .find(|(_, note)| matches!(note, NodeNote::ClusterFormed(_)))
+        .find(|(_, note)| matches!(note, NodeEvent::ClusterFormed(_)))
         .unwrap()
         .clone();
     // The frames of the forming are still under way: one founder dies before it gets its own.
@@ -83,17 +82,17 @@
     cluster.kill(&missed);
     cluster.run(Duration::from_secs(2));
     cluster.boot(&missed);
-    cluster.run_until(Duration::from_secs(4), "leaders", Cluster::is_led);
+    cluster.run_until(Duration::from_secs(4), "leaders", Cluster::has_leaders);
     assert_eq!(cluster.identity(&missed), identity);
     cluster.run(Duration::from_secs(1));
-    assert!(cluster.node(&missed).gateway().is_in_touch());
+    assert!(cluster.node(&missed).gateway().has_quorum());
 }
 
 #[test]
-fn an_unformed_node_says_so() {
+fn an_unformed_node_refuses_requests_as_not_formed() {
     let mut cluster = Cluster::empty(vec!["node-1".to_owned(), "node-2".to_owned()], 1);
     cluster.boot("node-1");
-    let request = cluster.ask("node-1", OperatorRequest::GetConfig);
+    let request = cluster.request("node-1", OperatorRequest::GetConfig);
     let reply = cluster.answer(request);
     let OperatorReply::Failed(failure) = reply else {
         panic!("an answer: {reply:?}");
@@ -102,9 +101,9 @@
 }
 
 #[test]
-fn all_nodes_restart_and_go_on() {
+fn a_cluster_serves_again_after_all_nodes_restart() {
     let mut cluster = Cluster::start(3, 9);
-    cluster.run_until(Duration::from_secs(4), "leaders", Cluster::is_led);
+    cluster.run_until(Duration::from_secs(4), "leaders", Cluster::has_leaders);
     let identities: Vec<_> = (1..=3)
         .map(|n| cluster.identity(&format!("node-{n}")))
         .collect();
@@ -115,7 +114,7 @@
     for n in 1..=3 {
         cluster.boot(&format!("node-{n}"));
     }
-    cluster.run_until(Duration::from_secs(4), "leaders", Cluster::is_led);
+    cluster.run_until(Duration::from_secs(4), "leaders", Cluster::has_leaders);
     let after: Vec<_> = (1..=3)
         .map(|n| cluster.identity(&format!("node-{n}")))
         .collect();
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -7,7 +7,7 @@
 use millford_control::{OperatorReply, OperatorRequest};
 use millford_core::{ResultCode, ShardId};
 use support::Cluster;
-use support::orders::{accept, document, led, order, revision};
+use support::orders::{accept, cluster_with_leaders, document, order, revision};
 
 fn code_of(reply: &OperatorReply) -> ResultCode {
     match reply {
@@ -18,15 +18,15 @@
 
 #[test]
 fn an_order_at_any_node_is_accepted_and_read_at_any_node() {
-    let mut cluster = led(3, 1);
+    let mut cluster = cluster_with_leaders(3, 1);
     for (base, address) in ["node-1", "node-2", "node-3"].into_iter().enumerate() {
-        let wanted = document(&[&format!("tenant-{base}")]);
+        let desired = document(&[&format!("tenant-{base}")]);
         accept(
             &mut cluster,
             address,
             base as u64,
             &format!("order-{base}"),
-            wanted,
+            desired,
         );
     }
     for address in ["node-1", "node-2", "node-3"] {
@@ -37,9 +37,9 @@
 #[test]
 fn of_two_racing_operators_exactly_one_wins() {
     for seed in 1..=20 {
-        let mut cluster = led(3, seed);
-        let first = cluster.ask("node-1", order(0, "one", document(&["a"])));
-        let second = cluster.ask("node-2", order(0, "two", document(&["b"])));
+        let mut cluster = cluster_with_leaders(3, seed);
+        let first = cluster.request("node-1", order(0, "one", document(&["a"])));
+        let second = cluster.request("node-2", order(0, "two", document(&["b"])));
         let replies = [cluster.answer(first), cluster.answer(second)];
         let mut codes = replies.each_ref().map(code_of);
         codes.sort();
@@ -63,9 +63,9 @@
 #[test]
 fn an_order_whose_answer_is_lost_is_acknowledged_again_elsewhere() {
     for seed in 1..=20 {
-        let mut cluster = led(3, seed);
+        let mut cluster = cluster_with_leaders(3, seed);
         let leader = cluster.leader(ShardId(0)).expect("a leader");
-        let lost = cluster.ask(&leader, order(0, "one", document(&["a"])));
+        let lost = cluster.request(&leader, order(0, "one", document(&["a"])));
         // The leader dies a moment after it took the order: accepted or not, nobody knows.
         cluster.run(Duration::from_millis(20 * (seed % 3)));
         cluster.kill(&leader);
@@ -82,7 +82,7 @@
 
 #[test]
 fn three_hundred_orders_survive_snapshots_and_a_full_restart() {
-    let mut cluster = led(3, 4);
+    let mut cluster = cluster_with_leaders(3, 4);
     for base in 0..700 {
         let address = ["node-1", "node-2", "node-3"][base as usize % 3];
         let name = format!("tenant-{base}");
@@ -110,7 +110,7 @@
         cluster.boot(&format!("node-{n}"));
     }
     let restarted = cluster.now;
-    cluster.run_until(Duration::from_secs(12), "leaders", Cluster::is_led);
+    cluster.run_until(Duration::from_secs(12), "leaders", Cluster::has_leaders);
     assert_eq!(revision(&mut cluster, "node-2"), 700);
     assert!(cluster.now.since(restarted) < Duration::from_secs(12));
     // The first order is still known.
@@ -126,15 +126,15 @@
 
 #[test]
 fn a_node_without_quorum_does_not_answer_a_read() {
-    let mut cluster = led(3, 6);
+    let mut cluster = cluster_with_leaders(3, 6);
     accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
     let leader = cluster.leader(ShardId(0)).expect("a leader");
-    cluster.cut.insert(leader.clone());
+    cluster.partitioned.insert(leader.clone());
     cluster.run(Duration::from_secs(2));
-    let request = cluster.ask(&leader, OperatorRequest::GetConfig);
+    let request = cluster.request(&leader, OperatorRequest::GetConfig);
     let reply = cluster.answer(request);
     assert_eq!(code_of(&reply), ResultCode::ControlTimeout);
-    let request = cluster.ask(&leader, order(1, "two", document(&["b"])));
+    let request = cluster.request(&leader, order(1, "two", document(&["b"])));
     let reply = cluster.answer(request);
     assert_eq!(code_of(&reply), ResultCode::OrderUncertain);
     // The others went on meanwhile.
--- a/crates/control/tests/registry_watch.rs
+++ b/crates/control/tests/registry_watch.rs
@@ -5,7 +5,7 @@
 use millford_control::daemon::registry_watch::poll_period;
 
 #[test]
-fn a_list_of_many_pages_is_read_less_often_and_never_too_seldom() {
+fn the_poll_period_grows_with_the_pages_up_to_its_maximum() {
     assert_eq!(poll_period(0), Duration::from_millis(500));
     assert_eq!(poll_period(1), Duration::from_millis(500));
     assert_eq!(poll_period(3), Duration::from_millis(500));
--- a/crates/control/tests/repair.rs
+++ b/crates/control/tests/repair.rs
@@ -4,12 +4,12 @@
 
 use std::time::Duration;
 
-use millford_control::{NodeNote, OperatorReply, OperatorRequest};
+use millford_control::{NodeEvent, OperatorReply, OperatorRequest};
 use millford_core::{ResultCode, ShardId};
 use support::Cluster;
-use support::orders::{accept, document, led, revision};
+use support::orders::{accept, cluster_with_leaders, document, revision};
 
-fn whole(cluster: &Cluster, addresses: &[&str]) -> bool {
+fn is_fully_replicated(cluster: &Cluster, addresses: &[&str]) -> bool {
     let mut expected: Vec<_> = addresses
         .iter()
         .map(|address| cluster.identity(address))
@@ -18,63 +18,60 @@
     (0..=2).all(|shard| cluster.voters(ShardId(shard)) == expected)
 }
 
-fn wait_until_whole(cluster: &mut Cluster, addresses: &[&str]) {
+fn wait_until_fully_replicated(cluster: &mut Cluster, addresses: &[&str]) {
     cluster.run_until(Duration::from_secs(12), "the repair", |cluster| {
-        whole(cluster, addresses)
+        is_fully_replicated(cluster, addresses)
     });
 }
 
 #[test]
-fn an_empty_node_at_a_new_address_takes_the_place_of_a_lost_one() {
+fn an_empty_node_at_a_new_address_replaces_a_lost_one() {
     for seed in 1..=10 {
-        let mut cluster = led(3, seed);
+        let mut cluster = cluster_with_leaders(3, seed);
         accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
         cluster.kill("node-1");
         cluster.boot("node-4");
-        wait_until_whole(&mut cluster, &["node-2", "node-3", "node-4"]);
+        wait_until_fully_replicated(&mut cluster, &["node-2", "node-3", "node-4"]);
         cluster.run(Duration::from_secs(2));
         assert_eq!(revision(&mut cluster, "node-4"), 1, "seed {seed}");
-        assert!(
-            cluster.node("node-4").gateway().is_in_touch(),
-            "seed {seed}"
-        );
+        assert!(cluster.node("node-4").gateway().has_quorum(), "seed {seed}");
     }
 }
 
 #[test]
 fn a_second_loss_right_after_the_repair_is_survived() {
     for seed in 1..=10 {
-        let mut cluster = led(3, seed);
+        let mut cluster = cluster_with_leaders(3, seed);
         accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
         cluster.kill("node-1");
         cluster.boot("node-4");
-        wait_until_whole(&mut cluster, &["node-2", "node-3", "node-4"]);
+        wait_until_fully_replicated(&mut cluster, &["node-2", "node-3", "node-4"]);
         cluster.kill("node-2");
-        cluster.run_until(Duration::from_secs(12), "leaders", Cluster::is_led);
+        cluster.run_until(Duration::from_secs(12), "leaders", Cluster::has_leaders);
         assert_eq!(revision(&mut cluster, "node-4"), 1, "seed {seed}");
         accept(&mut cluster, "node-3", 1, "two", document(&["b"]));
         cluster.boot("node-5");
-        wait_until_whole(&mut cluster, &["node-3", "node-4", "node-5"]);
+        wait_until_fully_replicated(&mut cluster, &["node-3", "node-4", "node-5"]);
         assert_eq!(revision(&mut cluster, "node-5"), 2, "seed {seed}");
     }
 }
 
 #[test]
 fn a_wiped_node_is_replaced_by_itself_under_a_new_identity() {
-    let mut cluster = led(3, 2);
+    let mut cluster = cluster_with_leaders(3, 2);
     accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
     let former = cluster.identity("node-3");
     cluster.kill("node-3");
     cluster.machines["node-3"].disk.wipe();
     cluster.boot("node-3");
-    wait_until_whole(&mut cluster, &["node-1", "node-2", "node-3"]);
+    wait_until_fully_replicated(&mut cluster, &["node-1", "node-2", "node-3"]);
     assert_ne!(cluster.identity("node-3"), former);
     assert_eq!(revision(&mut cluster, "node-3"), 1);
 }
 
 #[test]
-fn a_corrupt_log_makes_a_new_identity_that_is_filled_by_the_others() {
-    let mut cluster = led(3, 3);
+fn a_corrupt_log_leads_to_a_new_identity_filled_by_its_peers() {
+    let mut cluster = cluster_with_leaders(3, 3);
     for base in 0..20 {
         accept(
             &mut cluster,
@@ -88,48 +85,54 @@
     cluster.kill("node-3");
     cluster.machines["node-3"].disk.damage("shard-0");
     cluster.boot("node-3");
-    wait_until_whole(&mut cluster, &["node-1", "node-2", "node-3"]);
+    wait_until_fully_replicated(&mut cluster, &["node-1", "node-2", "node-3"]);
     assert_ne!(cluster.identity("node-3"), former);
     assert_eq!(revision(&mut cluster, "node-3"), 20);
 }
 
 #[test]
-fn a_removed_node_that_returns_starts_over_as_a_spare() {
-    let mut cluster = led(3, 4);
+fn a_removed_node_that_returns_starts_over_as_a_standby() {
+    let mut cluster = cluster_with_leaders(3, 4);
     let former = cluster.identity("node-1");
     cluster.kill("node-1");
     cluster.boot("node-4");
-    wait_until_whole(&mut cluster, &["node-2", "node-3", "node-4"]);
+    wait_until_fully_replicated(&mut cluster, &["node-2", "node-3", "node-4"]);
     cluster.run(Duration::from_secs(3));
     cluster.boot("node-1");
     cluster.run(Duration::from_secs(3));
     assert_ne!(cluster.identity("node-1"), former);
-    assert!(whole(&cluster, &["node-2", "node-3", "node-4"]));
+    assert!(is_fully_replicated(
+        &cluster,
+        &["node-2", "node-3", "node-4"]
+    ));
     // It is of use again.
     cluster.kill("node-3");
-    wait_until_whole(&mut cluster, &["node-1", "node-2", "node-4"]);
+    wait_until_fully_replicated(&mut cluster, &["node-1", "node-2", "node-4"]);
 }
 
 #[test]
-fn a_cut_node_without_a_spare_stays_a_voter() {
-    let mut cluster = led(3, 5);
-    cluster.cut.insert("node-2".to_owned());
+fn a_partitioned_node_without_a_standby_stays_a_voter() {
+    let mut cluster = cluster_with_leaders(3, 5);
+    cluster.partitioned.insert("node-2".to_owned());
     cluster.run(Duration::from_secs(25));
-    cluster.cut.clear();
+    cluster.partitioned.clear();
     cluster.run(Duration::from_secs(3));
-    assert!(whole(&cluster, &["node-1", "node-2", "node-3"]));
-    assert!(cluster.node("node-2").gateway().is_in_touch());
+    assert!(is_fully_replicated(
+        &cluster,
+        &["node-1", "node-2", "node-3"]
+    ));
+    assert!(cluster.node("node-2").gateway().has_quorum());
 }
 
 #[test]
-fn members_found_later_are_kept_over_a_restart_when_the_seeds_are_gone() {
-    let mut cluster = led(3, 6);
+fn members_learned_later_survive_a_restart_without_reachable_seeds() {
+    let mut cluster = cluster_with_leaders(3, 6);
     cluster.kill("node-1");
     cluster.boot("node-4");
-    wait_until_whole(&mut cluster, &["node-2", "node-3", "node-4"]);
+    wait_until_fully_replicated(&mut cluster, &["node-2", "node-3", "node-4"]);
     cluster.kill("node-2");
     cluster.boot("node-5");
-    wait_until_whole(&mut cluster, &["node-3", "node-4", "node-5"]);
+    wait_until_fully_replicated(&mut cluster, &["node-3", "node-4", "node-5"]);
     cluster.kill("node-3");
     cluster.run(Duration::from_secs(3));
     // No seed is left. The others know each other from their disks.
@@ -139,18 +142,18 @@
     for address in ["node-4", "node-5"] {
         cluster.boot(address);
     }
-    cluster.run_until(Duration::from_secs(12), "leaders", Cluster::is_led);
+    cluster.run_until(Duration::from_secs(12), "leaders", Cluster::has_leaders);
 }
 
 #[test]
-fn forced_recovery_needs_a_lost_quorum_and_then_goes_on_alone() {
-    let mut cluster = led(3, 7);
+fn forced_recovery_needs_a_lost_quorum_and_leaves_a_single_voter() {
+    let mut cluster = cluster_with_leaders(3, 7);
     accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
     let own = cluster.identity("node-1");
     let recover = OperatorRequest::Recover {
         survivors: vec![own],
     };
-    let request = cluster.ask("node-1", recover.clone());
+    let request = cluster.request("node-1", recover.clone());
     let OperatorReply::Failed(failure) = cluster.answer(request) else {
         panic!("a recovery beside a quorum");
     };
@@ -158,23 +161,23 @@
     cluster.kill("node-2");
     cluster.kill("node-3");
     cluster.run(Duration::from_secs(3));
-    let request = cluster.ask("node-1", recover);
+    let request = cluster.request("node-1", recover);
     let OperatorReply::Recovery(reply) = cluster.answer(request) else {
         panic!("no recovery");
     };
     assert_eq!(reply.shards, [0, 1, 2]);
-    cluster.run_until(Duration::from_secs(4), "leaders", Cluster::is_led);
+    cluster.run_until(Duration::from_secs(4), "leaders", Cluster::has_leaders);
     assert_eq!(revision(&mut cluster, "node-1"), 1);
     accept(&mut cluster, "node-1", 1, "two", document(&["b"]));
     let forced = cluster
-        .notes
+        .node_events
         .iter()
-        .filter(|(_, note)| matches!(note, NodeNote::RecoveryForced(_)));
+        .filter(|(_, note)| matches!(note, NodeEvent::RecoveryForced(_)));
     assert_eq!(forced.count(), 3);
     // Empty machines make it whole again.
     cluster.boot("node-4");
     cluster.boot("node-5");
-    wait_until_whole(&mut cluster, &["node-1", "node-4", "node-5"]);
+    wait_until_fully_replicated(&mut cluster, &["node-1", "node-4", "node-5"]);
 }
 
 /// A cluster of five machines, formed by three of them, with groups of five.
@@ -184,24 +187,24 @@
     for address in FIVE {
         cluster.boot(address);
     }
-    cluster.run_until(Duration::from_secs(12), "leaders", Cluster::is_led);
+    cluster.run_until(Duration::from_secs(12), "leaders", Cluster::has_leaders);
     cluster
 }
 
 const FIVE: [&str; 5] = ["node-1", "node-2", "node-3", "node-4", "node-5"];
 
 #[test]
-fn groups_grow_to_five_voters_and_bear_the_loss_of_any_two_disks() {
+fn groups_grow_to_five_voters_and_tolerate_the_loss_of_any_two_disks() {
     for (first, second) in [(0, 1), (1, 2), (0, 2), (3, 4), (2, 3)] {
         let mut cluster = five_voters(first as u64 + 10);
-        wait_until_whole(&mut cluster, &FIVE);
+        wait_until_fully_replicated(&mut cluster, &FIVE);
         accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
         cluster.kill(FIVE[first]);
         cluster.kill(FIVE[second]);
         let mut left = FIVE.iter().enumerate();
         let left = left.find(|(place, _)| *place != first && *place != second);
         let (_, survivor) = left.expect("three are left");
-        cluster.run_until(Duration::from_secs(12), "leaders", Cluster::is_led);
+        cluster.run_until(Duration::from_secs(12), "leaders", Cluster::has_leaders);
         assert_eq!(revision(&mut cluster, survivor), 1, "{first} and {second}");
     }
 }
--- a/crates/control/tests/work.rs
+++ b/crates/control/tests/services.rs
@@ -14,7 +14,7 @@
 use millford_control::{NodeInput, OperatorReply, OperatorRequest, RegistryEntry, RegistryView};
 use millford_core::{ResultCode, ShardId, ShardLayout, service_key, tenant_key};
 use millford_registry::RegistryDeclaration;
-use support::orders::{accept, document, led};
+use support::orders::{accept, cluster_with_leaders, document};
 use support::{Cluster, TestAgent};
 
 fn layout() -> ShardLayout {
@@ -66,8 +66,8 @@
 }
 
 #[test]
-fn the_registry_s_changes_reach_agents_at_every_node_and_an_operator_can_drain() {
-    let mut cluster = led(3, 1);
+fn registry_changes_reach_agents_at_every_node_and_an_operator_can_drain() {
+    let mut cluster = cluster_with_leaders(3, 1);
     accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
     let mut agents = ["node-1", "node-2", "node-3"].map(|node| follow_service(&mut cluster, node));
     read_registry(
@@ -75,14 +75,14 @@
         vec![entry("m1", "active"), entry("m2", "active")],
     );
     let expect =
-        |cluster: &mut Cluster, agents: &mut [TestAgent], wanted: &[(&str, BackendState)]| {
+        |cluster: &mut Cluster, agents: &mut [TestAgent], desired: &[(&str, BackendState)]| {
             for agent in agents {
                 agent.receive(cluster);
-                let wanted: Vec<_> = wanted
+                let desired: Vec<_> = desired
                     .iter()
                     .map(|(id, state)| ((*id).to_owned(), *state))
                     .collect();
-                assert_eq!(states(agent), wanted, "{}", agent.name);
+                assert_eq!(states(agent), desired, "{}", agent.name);
             }
         };
     use BackendState::{BackendActive, BackendDraining};
@@ -107,7 +107,7 @@
         backend_id: "m2".to_owned(),
         drain: true,
     };
-    let request = cluster.ask("node-3", drain);
+    let request = cluster.request("node-3", drain);
     assert!(matches!(cluster.answer(request), OperatorReply::Drain(_)));
     // The registry knows nothing of the order and does not undo it.
     read_registry(&mut cluster, vec![entry("m2", "active")]);
@@ -117,7 +117,7 @@
         backend_id: "m9".to_owned(),
         drain: true,
     };
-    let request = cluster.ask("node-1", unknown);
+    let request = cluster.request("node-1", unknown);
     let OperatorReply::Failed(failure) = cluster.answer(request) else {
         panic!("an unknown backend was drained");
     };
@@ -125,8 +125,8 @@
 }
 
 #[test]
-fn the_registry_goes_on_after_the_leader_of_the_service_died() {
-    let mut cluster = led(3, 2);
+fn registry_changes_are_applied_after_the_leader_of_the_service_failed() {
+    let mut cluster = cluster_with_leaders(3, 2);
     accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
     read_registry(&mut cluster, vec![entry("m1", "active")]);
     let shard = layout().shard_of(&service_key("pool"));
@@ -138,7 +138,7 @@
     };
     let mut agent = follow_service(&mut cluster, survivor);
     cluster.kill(&leader);
-    cluster.run_until(Duration::from_secs(4), "leaders", Cluster::is_led);
+    cluster.run_until(Duration::from_secs(4), "leaders", Cluster::has_leaders);
     read_registry(&mut cluster, vec![entry("m1", "draining")]);
     agent.receive(&mut cluster);
     assert_eq!(
@@ -172,7 +172,7 @@
 #[test]
 fn a_claim_is_granted_to_one_attempt_whichever_node_and_leader_takes_it() {
     for seed in 1..=10 {
-        let mut cluster = led(3, seed);
+        let mut cluster = cluster_with_leaders(3, seed);
         let mut agents = ["node-1", "node-2", "node-3"].map(|node| {
             TestAgent::connect(&mut cluster, &format!("agent-{node}"), node, ShardId(0))
         });
@@ -205,7 +205,7 @@
     }
 }
 
-fn ask_quota(cluster: &mut Cluster, agent: &mut TestAgent, request_id: u64) -> QuotaReply {
+fn request_quota(cluster: &mut Cluster, agent: &mut TestAgent, request_id: u64) -> QuotaReply {
     let shard = layout().shard_of(&tenant_key("a"));
     let request = QuotaRequest {
         shard: shard.0,
@@ -230,8 +230,8 @@
 }
 
 #[test]
-fn quota_holds_over_agents_at_all_nodes_together() {
-    let mut cluster = led(3, 3);
+fn a_quota_limits_the_agents_at_all_nodes_together() {
+    let mut cluster = cluster_with_leaders(3, 3);
     accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
     cluster.run(Duration::from_secs(6));
     let mut agents = ["node-1", "node-2", "node-3"]
@@ -240,7 +240,7 @@
     let mut tokens = 0;
     for round in 0..12u64 {
         let agent = &mut agents[round as usize % 3];
-        let reply = ask_quota(&mut cluster, agent, round + 1);
+        let reply = request_quota(&mut cluster, agent, round + 1);
         assert_eq!(reply.code, 0, "{reply:?}");
         assert_eq!(reply.request_id, round + 1);
         tokens += reply.grants[0].tokens;
@@ -253,14 +253,14 @@
         tokens >= 20,
         "a tenant under its quota gets its burst: {tokens}"
     );
-    let last = ask_quota(&mut cluster, &mut agents[0], 99);
+    let last = request_quota(&mut cluster, &mut agents[0], 99);
     assert!(last.grants[0].refused || last.grants[0].retry_after_ms > 0);
 }
 
 #[test]
 fn a_leader_that_does_not_know_the_tenant_yet_does_not_refuse_it() {
     for seed in 1..=40 {
-        let mut cluster = led(3, seed);
+        let mut cluster = cluster_with_leaders(3, seed);
         accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
         for address in ["node-1", "node-2", "node-3"] {
             cluster.kill(address);
@@ -274,7 +274,7 @@
         let mut lent = 0;
         for round in 1..=90 {
             let agent = &mut agents[round as usize % 3];
-            let reply = ask_quota(&mut cluster, agent, round);
+            let reply = request_quota(&mut cluster, agent, round);
             for grant in &reply.grants {
                 assert!(!grant.refused, "seed {seed}, round {round}: {reply:?}");
                 lent += grant.tokens;
@@ -288,8 +288,8 @@
 }
 
 #[test]
-fn load_reports_come_back_as_one_picture_at_every_node_and_a_placement_is_set() {
-    let mut cluster = led(3, 4);
+fn load_reports_return_as_one_load_snapshot_at_every_node_and_a_placement_is_set() {
+    let mut cluster = cluster_with_leaders(3, 4);
     accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
     read_registry(
         &mut cluster,
@@ -318,11 +318,11 @@
     cluster.run(Duration::from_millis(800));
     for agent in &agents {
         let frames = cluster.take_frames(&agent.end);
-        let mut pictures = frames.into_iter().filter_map(|frame| match frame.body {
+        let mut load_snapshots = frames.into_iter().filter_map(|frame| match frame.body {
             Some(frame::Body::LoadSnapshot(picture)) => Some(picture),
             _ => None,
         });
-        let picture = pictures
+        let picture = load_snapshots
             .next_back()
             .unwrap_or_else(|| panic!("no picture for {}", agent.name));
         let load = picture
@@ -350,13 +350,13 @@
 }
 
 #[test]
-fn leaderships_spread_over_the_nodes_again_after_one_was_away() {
-    let mut cluster = led(3, 8);
+fn leaderships_are_rebalanced_after_a_node_returned() {
+    let mut cluster = cluster_with_leaders(3, 8);
     cluster.kill("node-1");
     cluster.kill("node-2");
     cluster.run(Duration::from_secs(1));
     cluster.boot("node-2");
-    cluster.run_until(Duration::from_secs(4), "leaders", Cluster::is_led);
+    cluster.run_until(Duration::from_secs(4), "leaders", Cluster::has_leaders);
     cluster.boot("node-1");
     cluster.run(Duration::from_secs(60));
     let leaders: std::collections::BTreeSet<_> = (0..=2)
--- a/crates/control/tests/support/agent.rs
+++ b/crates/control/tests/support/agent.rs
@@ -76,11 +76,11 @@
     pub fn reply(&mut self, cluster: &mut Cluster) -> ShardReply {
         for _ in 0..200 {
             self.receive(cluster);
-            let wanted = self.next_request;
+            let desired = self.next_request;
             let place = self
                 .replies
                 .iter()
-                .position(|reply| reply.request_id == wanted);
+                .position(|reply| reply.request_id == desired);
             if let Some(place) = place {
                 return self.replies.remove(place);
             }
@@ -120,7 +120,7 @@
     }
 
     /// Heartbeats for a time, as an agent does.
-    pub fn beat_for(&mut self, cluster: &mut Cluster, time: Duration) {
+    pub fn heartbeat_for(&mut self, cluster: &mut Cluster, time: Duration) {
         let beats = time.as_millis() / 250;
         for _ in 0..beats {
             self.heartbeat(cluster);
--- a/crates/control/tests/support/cluster.rs
+++ b/crates/control/tests/support/cluster.rs
@@ -5,7 +5,7 @@
 
 use millford_api::internal::Frame;
 use millford_control::{
-    ControlNode, ControlOptions, LinkId, NodeInput, NodeNote, NodeOutput, OperatorReply,
+    ControlNode, ControlOptions, LinkId, NodeEvent, NodeInput, NodeOutput, OperatorReply,
     OperatorRequest, PeerKind,
 };
 use millford_core::{MonotonicTime, NodeId, ShardId};
@@ -40,20 +40,20 @@
 pub struct Cluster {
     pub now: MonotonicTime,
     pub machines: BTreeMap<String, Machine>,
-    pub notes: Vec<(String, NodeNote)>,
+    pub node_events: Vec<(String, NodeEvent)>,
     pub replies: BTreeMap<u64, OperatorReply>,
     /// Frames that arrived at ends that are no node: test agents read them.
     pub inbox: BTreeMap<End, VecDeque<Frame>>,
     /// Addresses whose frames are lost, in both directions.
-    pub cut: BTreeSet<String>,
+    pub partitioned: BTreeSet<String>,
     /// Pairs of nodes: what the first sends to the second is lost.
-    pub cut_pairs: BTreeSet<(String, String)>,
+    pub partitioned_pairs: BTreeSet<(String, String)>,
     seeds: Vec<String>,
     seed: u64,
     boots: u64,
     events: BTreeMap<(MonotonicTime, u64), Event>,
     order: u64,
-    others: BTreeMap<End, End>,
+    peer_ends: BTreeMap<End, End>,
     last_link: u64,
     last_request: u64,
     replace_after: Duration,
@@ -76,17 +76,17 @@
         Self {
             now: MonotonicTime::from_millis(1000),
             machines: BTreeMap::new(),
-            notes: Vec::new(),
+            node_events: Vec::new(),
             replies: BTreeMap::new(),
             inbox: BTreeMap::new(),
-            cut: BTreeSet::new(),
-            cut_pairs: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
+            partitioned_pairs: BTreeSet::new(),
             seeds,
             seed,
             boots: 0,
             events: BTreeMap::new(),
             order: 0,
-            others: BTreeMap::new(),
+            peer_ends: BTreeMap::new(),
             last_link: 0,
             last_request: 0,
             replace_after: Duration::from_secs(5),
@@ -145,7 +145,7 @@
     pub fn kill(&mut self, address: &str) {
         self.machines.get_mut(address).expect("a machine").node = None;
         let ends: Vec<End> = self
-            .others
+            .peer_ends
             .keys()
             .filter(|end| end.address == address)
             .cloned()
@@ -170,14 +170,14 @@
             assert!(
                 self.now < end,
                 "not within {limit:?}: {what}; last notes {:#?}",
-                self.notes.iter().rev().take(24).collect::<Vec<_>>()
+                self.node_events.iter().rev().take(24).collect::<Vec<_>>()
             );
             self.step();
         }
     }
 
     /// Whether every shard has a leader on a running node that reaches a quorum.
-    pub fn is_led(&self) -> bool {
+    pub fn has_leaders(&self) -> bool {
         (0..=2).all(|shard| self.leader(ShardId(shard)).is_some())
     }
 
@@ -186,7 +186,7 @@
         let nodes = self.machines.iter().filter_map(|(address, machine)| {
             let core = machine.node.as_ref()?.core(shard)?;
             let status = core.status();
-            let confirmed = status.leads_confirmed && core.standing().leads;
+            let confirmed = status.leads_confirmed && core.reported_status().leads;
             confirmed.then(|| (status.term, address.clone()))
         });
         nodes.max().map(|(_, address)| address)
@@ -216,7 +216,7 @@
     }
 
     /// Sends an operator's request; the answer is awaited with [`Cluster::answer`].
-    pub fn ask(&mut self, address: &str, body: OperatorRequest) -> u64 {
+    pub fn request(&mut self, address: &str, body: OperatorRequest) -> u64 {
         self.last_request += 1;
         let request = self.last_request;
         self.input(address, NodeInput::Operator { request, body });
@@ -250,10 +250,10 @@
 
     /// Closes a link at both ends.
     pub fn close(&mut self, end: &End) {
-        let Some(other) = self.others.remove(end) else {
+        let Some(other) = self.peer_ends.remove(end) else {
             return;
         };
-        self.others.remove(&other);
+        self.peer_ends.remove(&other);
         self.schedule(Event::Closed(other));
     }
 
@@ -272,7 +272,7 @@
         };
         let outputs = node.handle(now, input);
         for output in outputs {
-            self.carry_out(address, output);
+            self.execute(address, output);
         }
     }
 
@@ -284,7 +284,7 @@
             }
             let ((time, _), event) = entry.remove_entry();
             self.now = self.now.max(time);
-            self.happen(event);
+            self.deliver(event);
         }
         self.now = next_tick;
         let addresses: Vec<String> = self.machines.keys().cloned().collect();
@@ -293,10 +293,10 @@
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn deliver(&mut self, event: Event) {
         match event {
             Event::Frame(end, frame) => {
-                if !self.others.contains_key(&end) || self.cut.contains(&end.address) {
+                if !self.peer_ends.contains_key(&end) || self.partitioned.contains(&end.address) {
                     return;
                 }
                 let frame = *frame;
@@ -318,7 +318,7 @@
         }
     }
 
-    fn carry_out(&mut self, address: &str, output: NodeOutput) {
+    fn execute(&mut self, address: &str, output: NodeOutput) {
         let end = |link| End {
             address: address.to_owned(),
             link,
@@ -330,7 +330,7 @@
             NodeOutput::OperatorReply { request, reply } => {
                 self.replies.insert(request, reply);
             }
-            NodeOutput::Note(note) => self.notes.push((address.to_owned(), note)),
+            NodeOutput::Event(event) => self.node_events.push((address.to_owned(), event)),
             NodeOutput::Fatal { code } => panic!("{address} gave up: {code}"),
         }
     }
@@ -340,7 +340,7 @@
             .machines
             .get(to)
             .is_some_and(|machine| machine.node.is_some());
-        let reachable = !self.cut.contains(to) && !self.cut.contains(&near.address);
+        let reachable = !self.partitioned.contains(to) && !self.partitioned.contains(&near.address);
         if !running || !reachable {
             self.schedule(Event::Closed(near));
             return;
@@ -358,18 +358,18 @@
     }
 
     fn join(&mut self, near: End, far: End) {
-        self.others.insert(near.clone(), far.clone());
-        self.others.insert(far.clone(), near.clone());
+        self.peer_ends.insert(near.clone(), far.clone());
+        self.peer_ends.insert(far.clone(), near.clone());
         self.schedule(Event::Opened(far, PeerKind::Incoming));
         self.schedule(Event::Opened(near, PeerKind::Outgoing));
     }
 
     fn post(&mut self, from: &End, frame: Frame) {
-        let Some(to) = self.others.get(from).cloned() else {
+        let Some(to) = self.peer_ends.get(from).cloned() else {
             return;
         };
         let pair = (from.address.clone(), to.address.clone());
-        if !self.cut.contains(&from.address) && !self.cut_pairs.contains(&pair) {
+        if !self.partitioned.contains(&from.address) && !self.partitioned_pairs.contains(&pair) {
             self.schedule(Event::Frame(to, Box::new(frame)));
         }
     }
--- a/crates/control/tests/support/daemons.rs
+++ b/crates/control/tests/support/daemons.rs
@@ -30,7 +30,7 @@
 }
 
 /// Three control nodes that are each other's seeds, started.
-pub fn three() -> Vec<Daemon> {
+pub fn start_three() -> Vec<Daemon> {
     let addresses = free_addresses(6);
     let seeds = addresses[..3].to_vec();
     let nodes =
@@ -128,7 +128,7 @@
     }
 
     /// A request with the operator's key and a JSON body.
-    pub fn ask(&self, method: &str, path: &str, body: &str) -> Answer {
+    pub fn request(&self, method: &str, path: &str, body: &str) -> Answer {
         let key = format!("Authorization: Bearer {KEY}");
         let headers = [key.as_str(), "Content-Type: application/json"];
         http::request(&self.operator, method, path, &headers, body)
--- a/crates/control/tests/support/orders.rs
+++ b/crates/control/tests/support/orders.rs
@@ -37,19 +37,19 @@
     }
 }
 
-pub fn order(base: u64, id: &str, wanted: Document) -> OperatorRequest {
+pub fn order(base: u64, id: &str, desired: Document) -> OperatorRequest {
     OperatorRequest::PutConfig(PutConfig {
         base_revision: base,
         order_id: id.to_owned(),
-        digest: document::digest(&wanted),
-        document: Some(wanted),
+        digest: document::digest(&desired),
+        document: Some(desired),
         ..Default::default()
     })
 }
 
 /// Sends an order and expects it to be accepted under this number.
-pub fn accept(cluster: &mut Cluster, address: &str, base: u64, id: &str, wanted: Document) {
-    let request = cluster.ask(address, order(base, id, wanted));
+pub fn accept(cluster: &mut Cluster, address: &str, base: u64, id: &str, desired: Document) {
+    let request = cluster.request(address, order(base, id, desired));
     match cluster.answer(request) {
         OperatorReply::Order(reply) => assert_eq!(reply.revision, base + 1),
         other => panic!("order {id}: {other:?}"),
@@ -58,7 +58,7 @@
 
 /// Revision that a confirmed read at this node gives.
 pub fn revision(cluster: &mut Cluster, address: &str) -> u64 {
-    let request = cluster.ask(address, OperatorRequest::GetConfig);
+    let request = cluster.request(address, OperatorRequest::GetConfig);
     match cluster.answer(request) {
         OperatorReply::Config(reply) => reply.revision,
         other => panic!("no configuration: {other:?}"),
@@ -66,9 +66,9 @@
 }
 
 /// A formed cluster with leaders everywhere.
-pub fn led(nodes: usize, seed: u64) -> Cluster {
+pub fn cluster_with_leaders(nodes: usize, seed: u64) -> Cluster {
     let mut cluster = Cluster::start(nodes, seed);
-    cluster.run_until(Duration::from_secs(4), "leaders", Cluster::is_led);
+    cluster.run_until(Duration::from_secs(4), "leaders", Cluster::has_leaders);
     cluster.run(Duration::from_secs(1));
     cluster
 }
--- a/crates/simulation/src/world/control_driver.rs
+++ b/crates/simulation/src/world/control_driver.rs
@@ -277,7 +277,7 @@
                     Event::Operator(OperatorEvent::Answer { request }),
                 );
             }
-            NodeOutput::Note(note) => {
+            NodeOutput::Event(note) => {
                 let now = self.now();
                 self.recorder
                     .note(now, || format!("control {number}: {note:?}"));
--- a/crates/simulation/src/world/targets.rs
+++ b/crates/simulation/src/world/targets.rs
@@ -74,7 +74,7 @@
         let mut leaders = self.controls.iter().filter(|(_, control)| {
             let node = control.node.as_ref();
             node.is_some_and(|node| {
-                let standing = node.gateway().standings().get(&shard);
+                let standing = node.gateway().replica_statuses().get(&shard);
                 standing.is_some_and(|standing| standing.leader == node.identity())
             })
         });
@@ -91,9 +91,9 @@
         let Some(nodes) = nodes else { return false };
         let identities: Vec<_> = nodes.iter().map(|node| node.identity()).collect();
         nodes.iter().all(|node| {
-            let standings = node.gateway().standings();
-            !standings.is_empty()
-                && standings.values().all(|standing| {
+            let replica_statuses = node.gateway().replica_statuses();
+            !replica_statuses.is_empty()
+                && replica_statuses.values().all(|standing| {
                     standing.voters.len() >= 3
                         && standing.voters.iter().all(|it| identities.contains(it))
                 })
