--- a/crates/settings/src/command_line.rs
+++ b/crates/settings/src/command_line.rs
@@ -7,6 +7,9 @@
 use crate::key::{KeyKind, SettingsKey};
 use crate::reader::{self, Settings, SettingsText};
 
+/// Exit status of a process whose settings have faults.
+pub const FAULT_EXIT_STATUS: i32 = 2;
+
 /// Name and purpose of a daemon, for its command line.
 #[derive(Clone, Copy, Debug)]
 pub struct DaemonCommand {
@@ -18,7 +21,7 @@
     pub version: &'static str,
 }
 
-/// What a command line asks for.
+/// What a command line requests.
 #[derive(Debug)]
 pub enum Invocation<S> {
     /// Run with these settings.
@@ -29,22 +32,22 @@
 
 impl DaemonCommand {
     /// Reads the command line (without the program name) and the settings file that it names.
+    ///
+    /// # Errors
+    /// A flag or argument is not valid, the file cannot be read, or the settings have faults.
     pub fn parse<S: Settings>(&self, arguments: &[String]) -> Result<Invocation<S>, SettingsError> {
         let options = daemon_options(S::KEYS);
-        let matches = options.parse(arguments).map_err(|error| bad_flag(&error))?;
+        let matches = options.parse(arguments)?;
         if let Some(free) = matches.free.first() {
-            return Err(SettingsError::BadFlag {
-                message: format!("unexpected argument \"{free}\""),
-            });
+            let argument = free.clone();
+            return Err(SettingsError::UnexpectedArgument { argument });
         }
         if matches.opt_present("help") {
             return Ok(Invocation::Print(self.help(&options)));
         }
         if matches.opt_present("version") {
-            return Ok(Invocation::Print(format!(
-                "{} {}",
-                self.program, self.version
-            )));
+            let text = format!("{} {}", self.program, self.version);
+            return Ok(Invocation::Print(text));
         }
         let file = match matches.opt_str("settings") {
             Some(path) => SettingsText::read(&path)?,
@@ -57,9 +60,8 @@
         Ok(Invocation::Run(settings))
     }
 
-    /// Reads the process's own command line; prints and leaves when nothing is to be run.
-    ///
-    /// A fault is printed with its place and ends the process with [`FAULT_EXIT_STATUS`].
+    /// Reads the process's own command line. Ends the process with status 0 when it only prints, and
+    /// with [`FAULT_EXIT_STATUS`] after an error, which is printed with its place.
     pub fn parse_or_exit<S: Settings>(&self) -> S {
         let arguments: Vec<String> = std::env::args().skip(1).collect();
         match self.parse(&arguments) {
@@ -82,9 +84,7 @@
     }
 }
 
-/// Exit status of a process whose settings have faults.
-pub const FAULT_EXIT_STATUS: i32 = 2;
-
+/// The flags that every daemon has, and one for each key.
 fn daemon_options(keys: &[SettingsKey]) -> Options {
     let mut options = Options::new();
     options.optopt("s", "settings", "settings file in TOML", "FILE");
@@ -103,6 +103,7 @@
     options
 }
 
+/// The values given by flags, as a settings file would hold them.
 fn flag_table(keys: &[SettingsKey], matches: &Matches) -> Result<Table, SettingsError> {
     let mut table = Table::new();
     for key in keys {
@@ -114,30 +115,25 @@
 }
 
 fn flag_value(key: &SettingsKey, text: &str) -> Result<Value, SettingsError> {
-    let wrong = |expected: &str| SettingsError::BadFlag {
-        message: format!("--{} takes {expected}, not \"{text}\"", key.flag_name()),
+    let invalid = |expected| SettingsError::FlagValue {
+        flag: key.flag_name(),
+        expected,
+        value: text.to_owned(),
     };
     match key.kind {
         KeyKind::Text => Ok(Value::String(text.to_owned())),
         KeyKind::Number => text
             .parse()
             .map(Value::Integer)
-            .map_err(|_| wrong("a whole number")),
+            .map_err(|_| invalid("a whole number")),
         KeyKind::Flag => text
             .parse()
             .map(Value::Boolean)
-            .map_err(|_| wrong("true or false")),
+            .map_err(|_| invalid("true or false")),
         KeyKind::List => {
-            let parts = text.split(',').filter(|part| !part.is_empty());
-            Ok(Value::Array(
-                parts.map(|part| Value::String(part.to_owned())).collect(),
-            ))
+            let elements = text.split(',').filter(|element| !element.is_empty());
+            let elements = elements.map(|element| Value::String(element.to_owned()));
+            Ok(Value::Array(elements.collect()))
         }
     }
 }
-
-fn bad_flag(error: &getopts::Fail) -> SettingsError {
-    SettingsError::BadFlag {
-        message: error.to_string(),
-    }
-}
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the command line and the settings file, with the place of the fault.
+//! Errors of the command line and the settings file, with their place.
 
 use miette::{Diagnostic, NamedSource, SourceSpan};
 use millford_core::ResultCode;
@@ -13,9 +13,9 @@
     pub path: String,
     /// Line of the fault, from 1.
     pub line: usize,
-    /// What is wrong.
+    /// The parser's description of the fault.
     pub message: String,
-    /// The file's text.
+    /// Text of the file.
     #[source_code]
     pub text: NamedSource<String>,
     /// Place of the fault.
@@ -46,13 +46,32 @@
         /// One line for each fault.
         list: String,
     },
-    /// A flag is unknown or its value is wrong.
-    #[error("{message}")]
+    /// A flag is unknown, repeated or lacks its value.
+    #[error(transparent)]
+    #[diagnostic(code(settings_invalid_7001), help("run with --help to see every flag"))]
+    Flag(#[from] getopts::Fail),
+    /// An argument is no flag.
+    #[error("unexpected argument \"{argument}\"")]
     #[diagnostic(code(settings_invalid_7001), help("run with --help to see every flag"))]
-    BadFlag {
-        /// What is wrong.
-        message: String,
+    UnexpectedArgument {
+        /// The argument.
+        argument: String,
     },
+    /// The value of a flag has the wrong type.
+    #[error("--{flag} takes {expected}, not \"{value}\"")]
+    #[diagnostic(code(settings_invalid_7001), help("run with --help to see every flag"))]
+    FlagValue {
+        /// Name of the flag, without the leading dashes.
+        flag: String,
+        /// What the flag takes.
+        expected: &'static str,
+        /// Value as given.
+        value: String,
+    },
+    /// The values of the flags do not fit the settings, for instance a number out of its range.
+    #[error("{}", .0.message())]
+    #[diagnostic(code(settings_invalid_7001), help("run with --help to see every flag"))]
+    FlagRange(Box<toml::de::Error>),
 }
 
 impl SettingsError {
--- a/crates/settings/src/fault.rs
+++ b/crates/settings/src/fault.rs
@@ -1,11 +1,11 @@
-//! A settings value that is missing or out of range.
+//! Settings values that are missing or out of range.
 
 /// One fault found after the settings were read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsFault {
     /// Key at fault.
     pub key: &'static str,
-    /// What is wrong, as a short sentence.
+    /// Description of the fault, as a short sentence.
     pub text: String,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Adds a fault for each value that is not an IP address with a port.
+/// Adds a fault for each value that is not an IP address with a port, empty ones included.
 pub fn require_addresses(faults: &mut Vec<SettingsFault>, values: &[(&'static str, &str)]) {
     for (key, value) in values {
         if value.parse::<std::net::SocketAddr>().is_err() {
@@ -38,3 +38,10 @@
         }
     }
 }
+
+/// As [`require_addresses`], for a value that may be empty.
+pub fn check_optional_address(faults: &mut Vec<SettingsFault>, key: &'static str, value: &str) {
+    if !value.is_empty() {
+        require_addresses(faults, &[(key, value)]);
+    }
+}
--- a/crates/settings/src/key.rs
+++ b/crates/settings/src/key.rs
@@ -25,6 +25,11 @@
 }
 
 impl SettingsKey {
+    /// Least severe level of log lines; every daemon has it.
+    pub const LOG_LEVEL: Self = Self::text("log_level", "error, warn, info, debug or trace");
+    /// Form of log lines; every daemon has it.
+    pub const LOG_FORMAT: Self = Self::text("log_format", "text or json");
+
     /// A key that holds text.
     #[must_use]
     pub const fn text(name: &'static str, help: &'static str) -> Self {
--- a/crates/settings/src/logging.rs
+++ b/crates/settings/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs: short sentences with a fixed prefix for each part.
+//! Logs of a daemon: one sentence a line, with a fixed prefix for each part.
 
 use std::fmt::Display;
 use std::sync::Arc;
@@ -27,7 +27,17 @@
     pub format: LogFormat,
 }
 
-/// Reads a level by name: `error`, `warn`, `info`, `debug` or `trace`.
+impl LogOptions {
+    /// Options from the values of the settings. A level that is not known counts as `info`.
+    #[must_use]
+    pub fn new(level_name: &str, format: LogFormat) -> Self {
+        let level = parse_level(level_name).unwrap_or(Level::Info);
+        Self { level, format }
+    }
+}
+
+/// Reads a level by name: `error`, `warn`, `info`, `debug` or `trace`. An
+/// empty name is `info`; an unknown one gives none.
 #[must_use]
 pub fn parse_level(name: &str) -> Option<Level> {
     match name {
@@ -43,7 +53,7 @@
 /// Sends the process's logs to standard error.
 ///
 /// # Errors
-/// Fails only when the logger cannot be built.
+/// The logger cannot be built.
 pub fn init(options: LogOptions) -> Result<(), spdlog::Error> {
     let sink: Arc<dyn Sink> = match options.format {
         LogFormat::Text => {
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -28,6 +28,9 @@
 
 impl SettingsText {
     /// Reads the file at `path`.
+    ///
+    /// # Errors
+    /// The file cannot be read, or is not UTF-8.
     pub fn read(path: &str) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Unreadable {
             path: path.to_owned(),
@@ -49,12 +52,11 @@
         self.text.lines().position(assigns).map(|line| line + 1)
     }
 
+    /// The parser's error with its place in the file.
     fn invalid(&self, error: &toml::de::Error) -> SettingsError {
         let span = error.span().unwrap_or(0..0);
-        let line = self.text[..span.start.min(self.text.len())]
-            .matches('\n')
-            .count()
-            + 1;
+        let before = &self.text[..span.start.min(self.text.len())];
+        let line = before.matches('\n').count() + 1;
         SettingsError::InvalidFile(Box::new(InvalidFile {
             path: self.path.clone(),
             line,
@@ -66,17 +68,17 @@
 }
 
 /// Reads and checks settings: the file first, `flags` over it.
+///
+/// # Errors
+/// The file is not valid, a flag is out of range, or [`Settings::faults`] finds any.
 pub fn read<S: Settings>(file: &SettingsText, flags: Table) -> Result<S, SettingsError> {
-    // Read once by itself, so that a fault of the file is reported with its place.
+    // Parsed by itself first, so that a fault of the file is reported with its place.
     toml::from_str::<S>(&file.text).map_err(|error| file.invalid(&error))?;
     let mut merged: Table = toml::from_str(&file.text).map_err(|error| file.invalid(&error))?;
     merged.extend(flags);
-    let settings: S =
-        merged
-            .try_into()
-            .map_err(|error: toml::de::Error| SettingsError::BadFlag {
-                message: error.message().to_owned(),
-            })?;
+    let settings: S = merged
+        .try_into()
+        .map_err(|error| SettingsError::FlagRange(Box::new(error)))?;
     let faults = settings.faults();
     if faults.is_empty() {
         return Ok(settings);
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn flags_go_over_the_file() {
+fn flags_override_the_file() {
     let file = file_with("zone = \"a\"\naddress = \"127.0.0.1:1\"\nlimit = 3\n");
     let path = file.path().to_str().expect("path");
     let parsed = parse(&["--settings", path, "--zone", "b", "--seeds", "x,y"]);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn wrong_flags_are_refused() {
+fn invalid_flags_are_refused() {
     for arguments in [
         vec!["--limit", "many"],
         vec!["--limit", "-1", "--zone", "a", "--address", "127.0.0.1:1"],
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn help_version_and_check_print_and_leave() {
+fn help_version_and_check_only_print() {
     let good = ["--zone", "a", "--address", "127.0.0.1:1"];
     for (flag, expected) in [
         ("--help", "--seeds"),
