--- a/crates/agent/src/agent_core/control.rs
+++ b/crates/agent/src/agent_core/control.rs
@@ -1,4 +1,4 @@
-//! What the control node sends.
+//! Inputs from the control node.
 
 use millford_api::internal::{
     FeedMessage, Frame, HeartbeatReply, QuotaReply, ShardReply, feed_message, frame,
@@ -7,6 +7,7 @@
 use millford_core::{MonotonicTime, ResultCode, ShardId};
 use millford_feed::FeedOutcome;
 
+use super::proxy::send_quota_replies;
 use super::{AgentCore, send_proxy};
 use crate::feeds::FeedEvent;
 use crate::input::ControlLinkId;
@@ -19,24 +20,24 @@
         link: ControlLinkId,
         out: &mut Vec<AgentOutput>,
     ) {
-        if !self.link.connected(now, link) {
+        if !self.link.connection_established(now, link) {
             out.push(AgentOutput::CloseControl { link });
             return;
         }
         self.counters.links_up += 1;
-        self.heartbeat_at = now;
+        self.heartbeats.expedite(now);
         self.session.link_up(now);
         self.feeds.link_up(now);
         self.quota.link_up(now);
         self.claims.link_up(now);
-        self.settles.link_up(now);
+        self.resolver.link_up(now);
     }
 
     pub(super) fn link_down(&mut self, now: MonotonicTime, link: ControlLinkId) {
         if self.link.is_up(link) {
             self.counters.fail_overs += 1;
         }
-        self.link.lost(now, link);
+        self.link.connection_lost(now, link);
     }
 
     pub(super) fn control_frame(
@@ -45,20 +46,20 @@
         frame: Frame,
         out: &mut Vec<AgentOutput>,
     ) {
-        self.link.heard(now);
+        self.link.record_received(now);
         match frame.body {
             Some(frame::Body::HeartbeatReply(reply)) => self.heartbeat_reply(now, &reply, out),
             Some(frame::Body::Feed(message)) => self.feed(now, message, out),
             Some(frame::Body::ShardReply(reply)) => self.shard_reply(now, &reply, out),
             Some(frame::Body::QuotaReply(reply)) => self.quota_reply(now, &reply, out),
             Some(frame::Body::QuotaRecall(recall)) => self.quota.recall(&recall),
-            Some(frame::Body::LoadSnapshot(picture)) if self.proxy.greeted() => {
-                send_proxy(local_frame::Body::LoadSnapshot(picture), out);
+            Some(frame::Body::LoadSnapshot(snapshot)) if self.proxy.handshake_done() => {
+                send_proxy(local_frame::Body::LoadSnapshot(snapshot), out);
             }
             Some(frame::Body::HelloReply(reply)) => {
                 self.feeds.set_data_shards(now, reply.data_shards);
             }
-            // Frames between control nodes are nothing to an agent; a newer control node may send
+            // Frames between control nodes do not concern an agent; a newer control node may send
             // kinds that this agent does not know.
             _ => {}
         }
@@ -71,16 +72,16 @@
         out: &mut Vec<AgentOutput>,
     ) {
         self.feeds.set_data_shards(now, reply.data_shards);
-        // A node that is out of touch may know an old list of members, and may not know sessions.
-        if !self.link.confirmed(now, reply.has_quorum) {
-            self.leave(now, out);
+        // A node that lost its quorum may know an old list of members, and may not know sessions.
+        if !self.link.record_quorum_contact(now, reply.has_quorum) {
+            self.fail_over(now, out);
             return;
         }
-        if self.link.learn(&reply.members) {
+        if self.link.update_members(&reply.members) {
             out.push(AgentOutput::SaveMembers(reply.members.clone()));
         }
-        if !reply.session_alive && reply.sequence >= self.session_sequence {
-            self.session.gone(now);
+        if !reply.session_alive && self.heartbeats.named_session(reply.sequence) {
+            self.session.closed_by_control(now);
         }
     }
 
@@ -93,8 +94,8 @@
         match &event.outcome {
             FeedOutcome::Stale => {
                 self.counters.feed_stale += 1;
-                if self.feeds.may_move(now, shard) {
-                    self.leave(now, out);
+                if self.feeds.may_fail_over(now, shard) {
+                    self.fail_over(now, out);
                 }
                 return;
             }
@@ -103,29 +104,30 @@
             FeedOutcome::Unchanged => {}
         }
         if shard == ShardId::CONFIGURATION && self.is_behind_proxy() {
-            self.feeds.deny(now, shard);
+            self.feeds.revoke_confirmation(now, shard);
             if ends_catch_up {
                 self.counters.feed_stale += 1;
-                self.leave(now, out);
+                self.fail_over(now, out);
             }
             return;
         }
-        self.pass_on(event, out);
+        self.forward_to_proxy(event, out);
     }
 
-    /// Whether the configuration is older than what the proxy has shown: after a restart the agent
+    /// Whether the configuration is older than what the proxy has applied: after a restart the agent
     /// itself remembers nothing, but its proxy does.
     fn is_behind_proxy(&self) -> bool {
         self.revision() < self.proxy.applied_revision()
     }
 
-    fn pass_on(&mut self, event: FeedEvent, out: &mut Vec<AgentOutput>) {
+    fn forward_to_proxy(&mut self, event: FeedEvent, out: &mut Vec<AgentOutput>) {
         let Some(view) = self.feeds.view(event.shard) else {
             return;
         };
+        let overlay = self.registry.overlay();
         let frame = match event.outcome {
-            _ if event.first_confirmation => self.proxy.whole(view, &self.overlay),
-            FeedOutcome::Changed(items) => self.proxy.change(view, items, &self.overlay),
+            _ if event.first_confirmation => self.proxy.snapshot_frame(view, overlay),
+            FeedOutcome::Changed(items) => self.proxy.change_frame(view, items, overlay),
             _ => None,
         };
         out.extend(frame.map(|frame| AgentOutput::SendProxy(Box::new(frame))));
@@ -138,31 +140,30 @@
         }
         if self.session.reply(now, reply) {
             self.counters.sessions_opened += 1;
-            self.session_sequence = self.heartbeat_sequence + 1;
+            self.heartbeats.session_opened();
             self.quota.session_changed(now);
         }
         if let Some(answer) = self.claims.reply(now, reply) {
             self.counters.claims_answered += 1;
             send_proxy(local_frame::Body::ClaimReply(answer), out);
         }
-        let acknowledged = &mut self.counters.settles_acknowledged;
-        if let Some(answer) = self.settles.reply(now, reply, acknowledged) {
+        let acknowledged = &mut self.counters.resolutions_acknowledged;
+        if let Some(answer) = self.resolver.reply(now, reply, acknowledged) {
             send_proxy(local_frame::Body::ResolveClaimReply(answer), out);
         }
     }
 
     fn quota_reply(&mut self, now: MonotonicTime, reply: &QuotaReply, out: &mut Vec<AgentOutput>) {
+        // The session may be gone: the answer to a heartbeat tells.
         let fenced = [ResultCode::EpochFenced, ResultCode::SessionClosed];
         if fenced.iter().any(|code| reply.code == code.number()) {
-            self.heartbeat_at = now;
-        }
-        for answer in self.quota.reply(now, reply) {
-            send_proxy(local_frame::Body::QuotaReply(answer), out);
+            self.heartbeats.expedite(now);
         }
+        send_quota_replies(self.quota.reply(now, reply), out);
     }
 
     fn is_close_reply(&self, reply: &ShardReply) -> bool {
-        self.stopping
-            .is_some_and(|stopping| stopping.request == reply.request_id)
+        let shutdown = self.shutdown;
+        shutdown.is_some_and(|shutdown| shutdown.request_id == reply.request_id)
     }
 }
--- a/crates/agent/src/agent_core/mod.rs
+++ b/crates/agent/src/agent_core/mod.rs
@@ -1,4 +1,7 @@
 //! The agent's decisions.
+//!
+//! [`AgentCore`] routes each input to the part that owns the state concerned, and sends on what that
+//! part returns: the link, the session, the feeds, the quota leases, the claims, the registry.
 
 mod control;
 mod proxy;
@@ -9,19 +12,20 @@
 use millford_api::state::{StateValue, state_value};
 use millford_core::{MonotonicTime, ShardId};
 
+use crate::claims::{ClaimClient, ClaimResolver};
 use crate::counters::AgentCounters;
 use crate::feeds::Feeds;
-use crate::forward::{ClaimDesk, SettleDesk};
+use crate::heartbeat::HeartbeatSchedule;
 use crate::input::AgentInput;
-use crate::link::{AddressBook, ControlLink, LinkAction};
+use crate::link::{ControlLink, EndpointList};
 use crate::options::AgentOptions;
 use crate::output::AgentOutput;
 use crate::proxy_link::ProxyLink;
 use crate::quota::QuotaClient;
-use crate::registry::{Confirmation, RegistryOverlay, RegistryPace};
+use crate::registry::RegistryFallback;
 use crate::session::Session;
 
-/// Key of the configuration's number in the public state of the configuration shard.
+/// Key of the configuration's revision in the public state of the configuration shard.
 const CONFIG_HEAD_KEY: &str = "config/head";
 
 /// One agent: takes inputs with the time, returns what is to be done. Holds no socket and no clock.
@@ -29,27 +33,24 @@
 pub struct AgentCore {
     link: ControlLink,
     session: Session,
+    heartbeats: HeartbeatSchedule,
     feeds: Feeds,
     proxy: ProxyLink,
-    overlay: RegistryOverlay,
+    registry: RegistryFallback,
     quota: QuotaClient,
-    claims: ClaimDesk,
-    settles: SettleDesk,
+    claims: ClaimClient,
+    resolver: ClaimResolver,
     counters: AgentCounters,
-    next_id: u64,
-    heartbeat_at: MonotonicTime,
-    heartbeat_sequence: u64,
-    /// First heartbeat that named the open session: answers to earlier ones say nothing about it.
-    session_sequence: u64,
-    registry_pace: RegistryPace,
-    confirmation: Confirmation,
-    stopping: Option<Stopping>,
+    /// Last id given to a request; ids grow over all shards and kinds.
+    last_request_id: u64,
+    shutdown: Option<Shutdown>,
 }
 
+/// The closing of the session before the process ends.
 #[derive(Clone, Copy, Debug)]
-struct Stopping {
-    request: u64,
-    give_up_at: MonotonicTime,
+struct Shutdown {
+    request_id: u64,
+    deadline: MonotonicTime,
 }
 
 impl AgentCore {
@@ -57,24 +58,20 @@
     #[must_use]
     pub fn new(options: &AgentOptions, now: MonotonicTime) -> Self {
         let addresses = options.control_addresses.clone();
-        let book = AddressBook::new(addresses, options.random_seed);
+        let endpoints = EndpointList::new(addresses, options.random_seed);
         Self {
-            link: ControlLink::new(book, now),
+            link: ControlLink::new(endpoints, now),
             session: Session::new(options, now),
+            heartbeats: HeartbeatSchedule::new(now),
             feeds: Feeds::new(now),
             proxy: ProxyLink::default(),
-            overlay: RegistryOverlay::default(),
+            registry: RegistryFallback::new(&options.name, now),
             quota: QuotaClient::default(),
-            claims: ClaimDesk::default(),
-            settles: SettleDesk::default(),
+            claims: ClaimClient::default(),
+            resolver: ClaimResolver::default(),
             counters: AgentCounters::default(),
-            next_id: 0,
-            heartbeat_at: now,
-            heartbeat_sequence: 0,
-            session_sequence: 0,
-            registry_pace: RegistryPace::new(&options.name, now),
-            confirmation: Confirmation::missing(now),
-            stopping: None,
+            last_request_id: 0,
+            shutdown: None,
         }
     }
 
@@ -86,7 +83,7 @@
             AgentInput::LinkDown { link } => self.link_down(now, link),
             AgentInput::LinkAlive { link } => {
                 if self.link.is_up(link) {
-                    self.link.heard(now);
+                    self.link.record_received(now);
                 }
             }
             AgentInput::ControlFrame { link, frame } => {
@@ -94,29 +91,26 @@
                     self.control_frame(now, *frame, &mut out);
                 }
             }
-            AgentInput::ProxyUp => {
-                self.proxy.reset();
-                self.quota.drop_waiting();
-            }
+            AgentInput::ProxyUp => self.reset_proxy(),
             AgentInput::ProxyDown => {
-                self.proxy.reset();
-                self.quota.drop_waiting();
-                self.claims.drop_all();
+                self.reset_proxy();
+                self.claims.cancel_all();
             }
             AgentInput::ProxyFrame(frame) => self.proxy_frame(now, *frame, &mut out),
             AgentInput::Registry(view) => self.registry_view(now, &view, &mut out),
-            AgentInput::RegistryFailed => self.registry_pace.failed(now),
+            AgentInput::RegistryFailed => self.registry.record_failure(now),
             AgentInput::Tick => {}
-            AgentInput::Stop => self.stop(now, &mut out),
+            AgentInput::Stop => self.shut_down(now, &mut out),
         }
         self.advance(now, &mut out);
         out
     }
 
-    /// Whether the present control node is in touch with the quorum of the configuration shard.
+    /// Whether the agent is connected to a control node that has contact with the quorum of the
+    /// configuration shard.
     #[must_use]
-    pub fn in_touch(&self) -> bool {
-        self.link.in_touch_since().is_some()
+    pub fn is_connected(&self) -> bool {
+        self.link.has_quorum_contact()
     }
 
     /// Whether every shard's state was confirmed since the agent started.
@@ -131,7 +125,7 @@
         self.session.epoch()
     }
 
-    /// The configuration revision that the agent holds.
+    /// The newest configuration revision that the agent received; 0 before the first.
     #[must_use]
     pub fn revision(&self) -> u64 {
         let view = self.feeds.view(ShardId::CONFIGURATION);
@@ -145,45 +139,50 @@
         &self.feeds
     }
 
-    /// Whether the proxy is linked.
+    /// Whether the proxy is connected and has completed its handshake.
     #[must_use]
-    pub fn proxy_linked(&self) -> bool {
-        self.proxy.greeted()
+    pub fn proxy_connected(&self) -> bool {
+        self.proxy.handshake_done()
     }
 
     /// Counts since the start.
     #[must_use]
     pub fn counters(&self) -> AgentCounters {
-        let tally = self.quota.tally();
+        let counts = self.quota.counts();
         AgentCounters {
-            quota_granted: tally.granted,
-            quota_refused: tally.refused,
-            quota_unavailable: tally.unavailable,
+            quota_granted: counts.granted,
+            quota_refused: counts.refused,
+            quota_unavailable: counts.unavailable,
             ..self.counters
         }
     }
 
-    /// Quota tokens lent to this node and not spent, over all tenants.
+    /// Quota tokens leased to this node and not spent, over all tenants. For tests.
     #[must_use]
-    pub fn quota_tokens_held(&self, now: MonotonicTime) -> u32 {
-        self.quota.tokens_held(now)
+    pub fn available_quota_tokens(&self, now: MonotonicTime) -> u32 {
+        self.quota.available_tokens(now)
     }
 
-    /// Settlements that wait to be recorded.
+    /// Number of claim outcomes that wait to be recorded.
     #[must_use]
-    pub fn settles_waiting(&self) -> usize {
-        self.settles.len()
+    pub fn pending_resolutions(&self) -> usize {
+        self.resolver.len()
+    }
+
+    fn next_request_id(&mut self) -> u64 {
+        self.last_request_id += 1;
+        self.last_request_id
     }
 
-    fn new_id(&mut self) -> u64 {
-        self.next_id += 1;
-        self.next_id
+    /// Nothing was sent on the proxy's connection yet, and nobody waits for answers of a former one.
+    fn reset_proxy(&mut self) {
+        self.proxy.reset();
+        self.quota.cancel_waiting();
     }
 
-    fn leave(&mut self, now: MonotonicTime, out: &mut Vec<AgentOutput>) {
-        if let Some(LinkAction::Close(link)) = self.link.leave(now) {
-            self.counters.fail_overs += 1;
-            out.push(AgentOutput::CloseControl { link });
+    fn fail_over(&mut self, now: MonotonicTime, out: &mut Vec<AgentOutput>) {
+        if let Some(action) = self.link.fail_over(now) {
+            self.perform(action, out);
         }
     }
 
--- a/crates/agent/src/agent_core/proxy.rs
+++ b/crates/agent/src/agent_core/proxy.rs
@@ -1,4 +1,6 @@
-//! What the proxy sends, and what the registry says.
+//! Inputs from the proxy and from the service registry.
+
+use std::collections::BTreeMap;
 
 use millford_api::internal::{LoadReport, frame};
 use millford_api::local::{
@@ -10,6 +12,7 @@
 
 use super::{AgentCore, send_proxy};
 use crate::output::AgentOutput;
+use crate::quota::StreamLimit;
 use crate::registry::RegistryView;
 
 impl AgentCore {
@@ -20,48 +23,55 @@
         out: &mut Vec<AgentOutput>,
     ) {
         match frame.body {
-            Some(local_frame::Body::ProxyHello(_)) => self.greet(out),
+            Some(local_frame::Body::ProxyHello(_)) => self.complete_handshake(out),
             Some(local_frame::Body::OpenStreams(streams)) => self.open_streams(now, streams),
-            Some(local_frame::Body::Applied(shown)) => self.proxy.shown(shown.revision),
-            Some(local_frame::Body::QuotaRequest(ask)) => self.quota_ask(now, &ask, out),
+            Some(local_frame::Body::Applied(applied)) => {
+                self.proxy.record_applied(applied.revision);
+            }
+            Some(local_frame::Body::QuotaRequest(request)) => {
+                self.quota_request(now, &request, out);
+            }
             Some(local_frame::Body::QuotaRelease(release)) => {
                 self.quota_release(now, &release, out);
             }
             Some(local_frame::Body::Claim(claim)) => self.claim(now, claim),
-            Some(local_frame::Body::ResolveClaim(settle)) => self.settle(now, settle, out),
+            Some(local_frame::Body::ResolveClaim(resolve)) => {
+                self.resolve_claim(now, resolve, out);
+            }
             Some(local_frame::Body::LoadReport(report)) => self.load_report(report, out),
             // The rest goes from the agent to the proxy.
             _ => {}
         }
     }
 
-    /// The proxy is new: it gets the status and every confirmed shard whole.
-    fn greet(&mut self, out: &mut Vec<AgentOutput>) {
-        self.proxy.greet();
+    /// The proxy is new: it gets the status and a snapshot of every confirmed shard.
+    fn complete_handshake(&mut self, out: &mut Vec<AgentOutput>) {
+        self.proxy.complete_handshake();
         for view in self.feeds.confirmed() {
-            let whole = self.proxy.whole(view, &self.overlay);
-            out.extend(whole.map(|frame| AgentOutput::SendProxy(Box::new(frame))));
+            let snapshot = self.proxy.snapshot_frame(view, self.registry.overlay());
+            out.extend(snapshot.map(|frame| AgentOutput::SendProxy(Box::new(frame))));
         }
     }
 
     /// Only streams that need a slot are counted.
     fn open_streams(&mut self, now: MonotonicTime, streams: ProxyStreams) {
         let tenants = streams.tenants.into_iter();
-        let limited = tenants.filter(|streams| self.limits_streams(&streams.tenant));
-        let counts = limited.map(|streams| (streams.tenant, streams.streams));
-        let counts = counts.collect();
-        self.quota.take_over(now, &counts);
+        let limited =
+            tenants.filter(|streams| self.stream_limit(&streams.tenant) == StreamLimit::Limited);
+        let counts: BTreeMap<String, u32> = limited
+            .map(|streams| (streams.tenant, streams.streams))
+            .collect();
+        self.quota.reconcile_streams(now, &counts);
     }
 
-    fn quota_ask(
+    fn quota_request(
         &mut self,
         now: MonotonicTime,
-        ask: &LocalQuotaRequest,
+        request: &LocalQuotaRequest,
         out: &mut Vec<AgentOutput>,
     ) {
-        let limited = self.limits_streams(&ask.tenant);
-        let answers = self.quota.ask(now, ask, limited);
-        answer_quota(answers, out);
+        let limit = self.stream_limit(&request.tenant);
+        send_quota_replies(self.quota.request(now, request, limit), out);
     }
 
     fn quota_release(
@@ -70,44 +80,43 @@
         release: &LocalQuotaRelease,
         out: &mut Vec<AgentOutput>,
     ) {
-        let limited = self.limits_streams(&release.tenant);
-        let answers = self.quota.release(now, release, limited);
-        answer_quota(answers, out);
+        let limit = self.stream_limit(&release.tenant);
+        send_quota_replies(self.quota.release(now, release, limit), out);
     }
 
-    /// Whether the tenant's streams are limited; an unlimited tenant needs no slots.
-    fn limits_streams(&self, tenant: &str) -> bool {
+    /// Whether the tenant's configuration limits its streams; an unlimited tenant needs no slots.
+    fn stream_limit(&self, tenant: &str) -> StreamLimit {
         let view = self.feeds.view(ShardId::CONFIGURATION);
         let key = format!("config/tenant/{tenant}");
         let value = view.and_then(|view| view.items().get(&key));
         match value.and_then(|value| value.kind.as_ref()) {
             Some(state_value::Kind::Tenant(tenant)) => {
                 let quota = tenant.quota.as_ref();
-                quota.is_some_and(|quota| quota.concurrent_streams > 0)
+                quota.map_or(StreamLimit::Unlimited, StreamLimit::of)
             }
-            _ => false,
+            _ => StreamLimit::Unlimited,
         }
     }
 
     fn claim(&mut self, now: MonotonicTime, claim: LocalClaim) {
-        let id = self.new_id();
+        let id = self.next_request_id();
         self.claims.submit(now, id, claim);
     }
 
-    fn settle(
+    fn resolve_claim(
         &mut self,
         now: MonotonicTime,
-        settle: LocalResolveClaim,
+        resolve: LocalResolveClaim,
         out: &mut Vec<AgentOutput>,
     ) {
-        let id = self.new_id();
-        if let Some(refusal) = self.settles.submit(now, id, settle) {
-            self.counters.settles_dropped += 1;
+        let id = self.next_request_id();
+        if let Some(refusal) = self.resolver.submit(now, id, resolve) {
+            self.counters.resolutions_dropped += 1;
             send_proxy(local_frame::Body::ResolveClaimReply(refusal), out);
         }
     }
 
-    /// Load is worth nothing when it is late: a report without a session is dropped.
+    /// A load report is worth nothing when it is late: without a session it is dropped.
     fn load_report(&mut self, mut report: LoadReport, out: &mut Vec<AgentOutput>) {
         let Some(layout) = self.feeds.layout() else {
             return;
@@ -127,17 +136,15 @@
         view: &RegistryView,
         out: &mut Vec<AgentOutput>,
     ) {
-        if self.confirmation.missing_for(now).is_none() {
-            return;
+        let changed = self.registry.take_view(now, self.feeds.items(), view);
+        if let Some(changed) = changed {
+            self.counters.registry_views += 1;
+            self.send_overlay_changes(&changed, out);
         }
-        self.registry_pace.succeeded(now);
-        self.counters.registry_views += 1;
-        let changed = self.overlay.update(self.feeds.items(), view);
-        self.amend(&changed, out);
     }
 
-    /// Tells the proxy the merged state of these items.
-    pub(super) fn amend(&mut self, keys: &[String], out: &mut Vec<AgentOutput>) {
+    /// Sends the proxy the merged state of these items.
+    pub(super) fn send_overlay_changes(&mut self, keys: &[String], out: &mut Vec<AgentOutput>) {
         if keys.is_empty() {
             return;
         }
@@ -153,14 +160,15 @@
             if items.is_empty() {
                 continue;
             }
-            let frame = self.proxy.amend(view, items, &self.overlay);
+            let overlay = self.registry.overlay();
+            let frame = self.proxy.overlay_change_frame(view, items, overlay);
             out.extend(frame.map(|frame| AgentOutput::SendProxy(Box::new(frame))));
         }
     }
 }
 
-pub(super) fn answer_quota(answers: Vec<LocalQuotaReply>, out: &mut Vec<AgentOutput>) {
-    for answer in answers {
-        send_proxy(local_frame::Body::QuotaReply(answer), out);
+pub(super) fn send_quota_replies(replies: Vec<LocalQuotaReply>, out: &mut Vec<AgentOutput>) {
+    for reply in replies {
+        send_proxy(local_frame::Body::QuotaReply(reply), out);
     }
 }
--- a/crates/agent/src/agent_core/tick.rs
+++ b/crates/agent/src/agent_core/tick.rs
@@ -1,67 +1,74 @@
-//! What time brings: heartbeats, retries, time-outs.
+//! What is due with time: heartbeats, retries, timeouts, the end.
 
 use millford_api::internal::{Heartbeat, frame};
 use millford_api::local::{AgentStatus, local_frame};
 use millford_core::MonotonicTime;
 
-use super::proxy::answer_quota;
-use super::{AgentCore, Stopping, send_proxy};
+use super::proxy::send_quota_replies;
+use super::{AgentCore, Shutdown, send_proxy};
 use crate::link::LinkAction;
 use crate::output::AgentOutput;
-use crate::timing::{HEARTBEAT_PERIOD, REGISTRY_AFTER, REGISTRY_KEPT, STOP_TIMEOUT, TICK};
+use crate::registry::FallbackAction;
+use crate::timing::{MAX_TICK_INTERVAL, MIN_TICK_INTERVAL, SHUTDOWN_TIMEOUT};
 
 impl AgentCore {
-    /// When the next `Tick` is wanted, at the latest.
+    /// When the next `Tick` is due, at the latest.
     #[must_use]
     pub fn next_tick(&self, now: MonotonicTime) -> MonotonicTime {
+        let latest = now + MAX_TICK_INTERVAL;
+        // Without a connection, what waits to be sent needs no tick of its own.
+        if self.link.up().is_none() {
+            return latest;
+        }
         let wakeups = [
             self.quota.next_wakeup(now),
             self.claims.next_wakeup(),
-            self.settles.next_wakeup(),
+            self.resolver.next_wakeup(),
         ];
         let earliest = wakeups.into_iter().flatten().min();
-        let latest = now + TICK;
-        // While there is no connection, what waits to be sent needs no tick of its own.
-        let earliest = earliest.filter(|_| self.link.up().is_some());
-        let smallest_step = now + millford_core::Duration::from_millis(1);
-        earliest.map_or(latest, |at| at.clamp(smallest_step, latest))
+        earliest.map_or(latest, |at| at.clamp(now + MIN_TICK_INTERVAL, latest))
     }
 
-    /// Everything that is due, after each input.
+    /// Does everything that is due, after each input.
     pub(super) fn advance(&mut self, now: MonotonicTime, out: &mut Vec<AgentOutput>) {
         self.advance_link(now, out);
-        self.time_out(now, out);
+        self.expire_requests(now, out);
         if self.link.up().is_some() {
             self.send_due(now, out);
         }
         self.advance_registry(now, out);
         self.send_status(now, out);
-        self.advance_stop(now, out);
+        self.advance_shutdown(now, out);
     }
 
     fn advance_link(&mut self, now: MonotonicTime, out: &mut Vec<AgentOutput>) {
-        if self.link.up().is_some() && self.feeds.silent_shard(now).is_some() {
-            self.leave(now, out);
+        if self.link.up().is_some() && self.feeds.inactive_shard(now).is_some() {
+            self.fail_over(now, out);
         }
         for action in self.link.tick(now) {
-            match action {
-                LinkAction::Connect(link, address) => {
-                    out.push(AgentOutput::Connect { link, address });
-                }
-                LinkAction::Close(link) => {
-                    self.counters.fail_overs += 1;
-                    out.push(AgentOutput::CloseControl { link });
-                }
+            self.perform(action, out);
+        }
+    }
+
+    pub(super) fn perform(&mut self, action: LinkAction, out: &mut Vec<AgentOutput>) {
+        match action {
+            LinkAction::Connect { link, address } => {
+                out.push(AgentOutput::Connect { link, address });
+            }
+            LinkAction::Close { link } => {
+                self.counters.fail_overs += 1;
+                out.push(AgentOutput::CloseControl { link });
             }
         }
     }
 
-    fn time_out(&mut self, now: MonotonicTime, out: &mut Vec<AgentOutput>) {
-        answer_quota(self.quota.tick(now), out);
-        for abandoned in self.claims.give_up(now) {
+    fn expire_requests(&mut self, now: MonotonicTime, out: &mut Vec<AgentOutput>) {
+        send_quota_replies(self.quota.tick(now), out);
+        for abandoned in self.claims.expire(now) {
             self.counters.claims_unavailable += 1;
-            let id = self.new_id();
-            self.settles.submit_abandoned(now, id, abandoned.settle);
+            let id = self.next_request_id();
+            self.resolver
+                .submit_abandoned(now, id, abandoned.resolution);
             send_proxy(local_frame::Body::ClaimReply(abandoned.reply), out);
         }
     }
@@ -74,82 +81,73 @@
         let Some(layout) = self.feeds.layout() else {
             return;
         };
-        if self.stopping.is_some() {
+        if self.shutdown.is_some() {
             return;
         }
-        if let Some(request) = self.session.due(now, layout, &mut self.next_id) {
+        let last_id = &mut self.last_request_id;
+        if let Some(request) = self.session.due(now, layout, last_id) {
             self.send(frame::Body::ShardRequest(request), out);
         }
         let claims = self.claims.due(now, layout);
-        let settles = self.settles.due(now, layout);
-        for request in claims.into_iter().chain(settles) {
+        let resolutions = self.resolver.due(now, layout);
+        for request in claims.into_iter().chain(resolutions) {
             self.send(frame::Body::ShardRequest(request), out);
         }
         if self.session.epoch() != 0 {
-            let member = self.session.member().to_owned();
-            let epoch = self.session.epoch();
-            let ids = &mut self.next_id;
-            for request in self.quota.requests(now, layout, &member, epoch, ids) {
+            let (member, epoch) = (self.session.member(), self.session.epoch());
+            let last_id = &mut self.last_request_id;
+            let requests = self.quota.due_requests(now, layout, member, epoch, last_id);
+            for request in requests {
                 self.send(frame::Body::QuotaRequest(request), out);
             }
         }
     }
 
     fn send_heartbeat(&mut self, now: MonotonicTime, out: &mut Vec<AgentOutput>) {
-        if now < self.heartbeat_at {
+        let Some(sequence) = self.heartbeats.next_due(now) else {
             return;
-        }
-        self.heartbeat_at = now + HEARTBEAT_PERIOD;
-        self.heartbeat_sequence += 1;
+        };
         let heartbeat = Heartbeat {
             member: self.session.member().to_owned(),
             epoch: self.session.epoch(),
-            sequence: self.heartbeat_sequence,
+            sequence,
             applied_revision: self.proxy.applied_revision(),
         };
         self.send(frame::Body::Heartbeat(heartbeat), out);
     }
 
-    /// While control does not confirm every shard the agent reads the registry itself: it is out of touch, or
-    /// a shard has no leader that anybody hears, and nobody takes that shard's backends off. Once control
-    /// has had time to read the registry again, what the agent read is dropped.
     fn advance_registry(&mut self, now: MonotonicTime, out: &mut Vec<AgentOutput>) {
-        let confirmed = self.in_touch() && self.feeds.complete_on_link();
-        self.confirmation.note(now, confirmed);
-        if let Some(lasting) = self.confirmation.missing_for(now) {
-            // Without backends in its state an agent has nothing that a list could retire.
-            let is_due = lasting >= REGISTRY_AFTER && self.registry_pace.is_due(now);
-            if is_due && self.feeds.knows_backends() {
-                self.registry_pace.begin(now);
-                out.push(AgentOutput::ReadRegistry);
-            }
-            return;
-        }
-        let settled = self.confirmation.lasts_for(now) >= Some(REGISTRY_KEPT);
-        if settled && !self.overlay.is_empty() {
-            let keys = self.overlay.clear();
-            self.amend(&keys, out);
+        let is_confirmed = self.is_connected() && self.feeds.is_confirmed_on_link();
+        let feeds = &self.feeds;
+        let action = self
+            .registry
+            .advance(now, is_confirmed, || feeds.knows_backends());
+        match action {
+            Some(FallbackAction::Read) => out.push(AgentOutput::ReadRegistry),
+            Some(FallbackAction::Withdraw(keys)) => self.send_overlay_changes(&keys, out),
+            None => {}
         }
     }
 
     fn send_status(&mut self, now: MonotonicTime, out: &mut Vec<AgentOutput>) {
         let status = AgentStatus {
-            connected: self.in_touch(),
+            connected: self.is_connected(),
             session_epoch: self.session.epoch(),
             data_shards: self.feeds.layout().map_or(0, |layout| layout.data_shards()),
             complete: self.feeds.complete(),
         };
-        let frame = self.proxy.status(now, status);
+        let frame = self.proxy.status_frame(now, status);
         out.extend(frame.map(|frame| AgentOutput::SendProxy(Box::new(frame))));
     }
 
-    pub(super) fn stop(&mut self, now: MonotonicTime, out: &mut Vec<AgentOutput>) {
-        let request = self.new_id();
+    /// Closes the session, if there is one and a control node to tell; else the agent stops at once.
+    pub(super) fn shut_down(&mut self, now: MonotonicTime, out: &mut Vec<AgentOutput>) {
+        let request_id = self.next_request_id();
         let layout = self.feeds.layout();
-        let close = layout.and_then(|layout| self.session.close(layout, request));
-        self.stopping = Some(Stopping {
-            request,
-            give_up_at: now + STOP_TIMEOUT,
+        let close = layout.and_then(|layout| self.session.close(layout, request_id));
+        self.shutdown = Some(Shutdown {
+            request_id,
+            deadline: now + SHUTDOWN_TIMEOUT,
         });
         match close {
             Some(close) if self.link.up().is_some() => {
@@ -159,11 +157,9 @@
         }
     }
 
-    fn advance_stop(&mut self, now: MonotonicTime, out: &mut Vec<AgentOutput>) {
-        let over = self
-            .stopping
-            .is_some_and(|stopping| stopping.give_up_at <= now);
-        if over {
+    fn advance_shutdown(&mut self, now: MonotonicTime, out: &mut Vec<AgentOutput>) {
+        let shutdown = self.shutdown;
+        if shutdown.is_some_and(|shutdown| shutdown.deadline <= now) {
             out.push(AgentOutput::Stopped);
         }
     }
--- a/crates/agent/src/counters.rs
+++ b/crates/agent/src/counters.rs
@@ -5,30 +5,30 @@
 pub struct AgentCounters {
     /// Connections to control nodes that came up.
     pub links_up: u64,
-    /// Control nodes left because of silence, staleness or a lost connection.
+    /// Control nodes left because of inactivity, staleness or a lost connection.
     pub fail_overs: u64,
     /// Sessions opened.
     pub sessions_opened: u64,
     /// Feed messages that changed the state.
     pub feed_changes: u64,
-    /// Feed messages refused as older than what is shown.
+    /// Feed messages refused as older than the present state.
     pub feed_stale: u64,
     /// Subscriptions repeated after a gap.
     pub feed_gaps: u64,
-    /// Quota asks granted to the proxy.
+    /// Quota requests of the proxy that were granted.
     pub quota_granted: u64,
-    /// Quota asks refused because the quota is used up.
+    /// Quota requests refused because the quota is used up.
     pub quota_refused: u64,
-    /// Quota asks refused because no answer came in time.
+    /// Quota requests refused because no decision came in time.
     pub quota_unavailable: u64,
     /// Claims answered by the shard.
     pub claims_answered: u64,
-    /// Claims given up in time.
+    /// Claims abandoned because no answer came in time.
     pub claims_unavailable: u64,
-    /// Settlements acknowledged.
-    pub settles_acknowledged: u64,
-    /// Settlements dropped because the queue was full.
-    pub settles_dropped: u64,
-    /// Registry lists taken while out of touch.
+    /// Outcomes of claims that were recorded.
+    pub resolutions_acknowledged: u64,
+    /// Outcomes of claims refused because the queue was full.
+    pub resolutions_dropped: u64,
+    /// Registry lists taken while shards were unconfirmed.
     pub registry_views: u64,
 }
--- a/crates/agent/src/daemon/agent_settings.rs
+++ b/crates/agent/src/daemon/agent_settings.rs
@@ -1,6 +1,6 @@
 //! Settings of `millford-agent`.
 
-use millford_settings::fault::{require_addresses, require_texts};
+use millford_settings::fault::{check_optional_address, require_addresses, require_texts};
 use millford_settings::logging::parse_level;
 use millford_settings::{LogFormat, Settings, SettingsFault, SettingsKey};
 use serde::Deserialize;
@@ -17,13 +17,13 @@
     pub local_address: String,
     /// Address of health and metrics.
     pub http_address: String,
-    /// Address where the proxy beside the agent exchanges news with other proxies. May be empty.
+    /// Address where the proxy beside the agent exchanges messages with other proxies. May be empty.
     pub exchange_address: String,
-    /// Internal addresses of control nodes to begin with.
+    /// Internal addresses of control nodes to start with.
     pub seeds: Vec<String>,
-    /// Address of the service registry, read while no control node is in touch. May be empty.
+    /// Address of the service registry, read while disconnected from the control plane. May be empty.
     pub registry_address: String,
-    /// Folder for the list of control nodes. May be empty: nothing is kept.
+    /// Folder for the list of control nodes. May be empty: nothing is saved.
     pub data_folder: String,
     /// Least severe level of log lines.
     pub log_level: String,
@@ -50,8 +50,8 @@
             "data_folder",
             "folder that keeps the list of control nodes over restarts",
         ),
-        SettingsKey::text("log_level", "error, warn, info, debug or trace"),
-        SettingsKey::text("log_format", "text or json"),
+        SettingsKey::LOG_LEVEL,
+        SettingsKey::LOG_FORMAT,
     ];
 
     fn faults(&self) -> Vec<SettingsFault> {
@@ -68,17 +68,11 @@
             let text = "At least one address is required.";
             faults.push(SettingsFault::new("seeds", text));
         }
-        if !self.exchange_address.is_empty() {
-            let exchange = self.exchange_address.as_str();
-            require_addresses(&mut faults, &[("exchange_address", exchange)]);
-        }
+        check_optional_address(&mut faults, "exchange_address", &self.exchange_address);
         for seed in &self.seeds {
             require_addresses(&mut faults, &[("seeds", seed)]);
         }
-        if !self.registry_address.is_empty() {
-            let registry = self.registry_address.as_str();
-            require_addresses(&mut faults, &[("registry_address", registry)]);
-        }
+        check_optional_address(&mut faults, "registry_address", &self.registry_address);
         if parse_level(&self.log_level).is_none() {
             let text = format!("\"{}\" is not a level.", self.log_level);
             faults.push(SettingsFault::new("log_level", text));
--- a/crates/agent/src/daemon/control_connection.rs
+++ b/crates/agent/src/daemon/control_connection.rs
@@ -14,22 +14,23 @@
 use crate::input::{AgentInput, ControlLinkId};
 use crate::timing::CONNECT_TIMEOUT;
 
-/// Frames that may wait to be written. A node that does not read is left before they are many.
-const OUTLET_LENGTH: usize = 4096;
+/// Frames that fit into the queue to a node. The inactivity timeout ends the connection to a node
+/// that does not read before the queue is full.
+const SEND_QUEUE_LENGTH: usize = 4096;
 
-/// Period at which it is looked whether part of a frame has arrived.
-const ALIVE_PERIOD: Duration = Duration::from_millis(200);
+/// Period of the check whether part of a frame has arrived.
+const PROGRESS_CHECK_PERIOD: Duration = Duration::from_millis(200);
 
 /// A connection that is being made, or is up. Dropping it closes it.
 #[derive(Debug)]
 pub struct ControlConnection {
     link: ControlLinkId,
-    outlet: mpsc::Sender<Frame>,
+    frames: mpsc::Sender<Frame>,
     task: JoinHandle<()>,
 }
 
 impl ControlConnection {
-    /// Starts to connect; the outcome and all frames go to `queues`.
+    /// Starts to connect to `address`; the outcome and all frames received go to `queues`.
     #[must_use]
     pub fn open(
         link: ControlLinkId,
@@ -37,13 +38,17 @@
         queues: EventQueues,
         meter: Arc<TrafficMeter>,
     ) -> Self {
-        let (outlet, frames) = mpsc::channel(OUTLET_LENGTH);
+        let (sender, frames) = mpsc::channel(SEND_QUEUE_LENGTH);
         let task = tokio::spawn(async move {
-            // Whatever ended the connection, the agent goes on to the next node.
-            let _ = converse(link, &address, &queues, frames, &meter).await;
-            queues.state(AgentInput::LinkDown { link }).await;
+            // Whatever ended the connection, the agent goes on to the next endpoint.
+            let _ = run(link, &address, &queues, frames, &meter).await;
+            queues.send_state(AgentInput::LinkDown { link }).await;
         });
-        Self { link, outlet, task }
+        Self {
+            link,
+            frames: sender,
+            task,
+        }
     }
 
     /// Number of the connection.
@@ -54,7 +59,7 @@
 
     /// Queues a frame; one that finds the queue full is lost, as it would be with the connection.
     pub fn send(&self, frame: Frame) {
-        let _ = self.outlet.try_send(frame);
+        let _ = self.frames.try_send(frame);
     }
 }
 
@@ -64,7 +69,7 @@
     }
 }
 
-async fn converse(
+async fn run(
     link: ControlLinkId,
     address: &str,
     queues: &EventQueues,
@@ -75,7 +80,7 @@
         .parse()
         .map_err(|_| std::io::Error::from(std::io::ErrorKind::InvalidInput))?;
     let (reader, writer) = millford_transport::connect(address, CONNECT_TIMEOUT).await?;
-    queues.state(AgentInput::LinkUp { link }).await;
+    queues.send_state(AgentInput::LinkUp { link }).await;
     tokio::select! {
         ended = read(link, reader, queues, meter) => ended,
         ended = write(writer, frames, meter) => ended,
@@ -90,11 +95,11 @@
 ) -> Result<(), TransportError> {
     let mut buffered = 0;
     loop {
-        let Ok(next) = tokio::time::timeout(ALIVE_PERIOD, reader.next()).await else {
-            // A large snapshot may take longer than the silence after which the node is left; a
-            // node that is left then would be asked for the same snapshot again.
-            let former = std::mem::replace(&mut buffered, reader.read_buffer().len());
-            if buffered > former && !queues.state(AgentInput::LinkAlive { link }).await {
+        let Ok(next) = tokio::time::timeout(PROGRESS_CHECK_PERIOD, reader.next()).await else {
+            // A large snapshot may take longer than the inactivity timeout; after a failover the
+            // same snapshot would be requested again.
+            let previous = std::mem::replace(&mut buffered, reader.read_buffer().len());
+            if buffered > previous && !queues.send_state(AgentInput::LinkAlive { link }).await {
                 break;
             }
             continue;
@@ -103,7 +108,7 @@
         let frame = frame?;
         buffered = 0;
         meter.received(&frame);
-        if !queues.control_frame(link, frame).await {
+        if !queues.send_control_frame(link, frame).await {
             break;
         }
     }
@@ -118,7 +123,7 @@
     while let Some(frame) = frames.recv().await {
         meter.sent(&frame);
         writer.feed(frame).await?;
-        // What is ready goes out together.
+        // Frames that are ready go out together.
         while let Ok(frame) = frames.try_recv() {
             meter.sent(&frame);
             writer.feed(frame).await?;
--- a/crates/agent/src/daemon/event_queues.rs
+++ b/crates/agent/src/daemon/event_queues.rs
@@ -1,4 +1,4 @@
-//! Queues of events for the agent's core.
+//! Queues of events on their way to the agent's core.
 
 use millford_api::internal::{Frame, frame};
 use millford_api::local::{LocalFrame, local_frame};
@@ -6,11 +6,11 @@
 
 use crate::input::{AgentInput, ControlLinkId};
 
-/// Events that may wait in one queue.
+/// Events that fit into one queue; whoever sends more waits.
 const QUEUE_LENGTH: usize = 1024;
 
 /// Sending ends. State (feed, sessions, registry, links) and traffic (quota, claims, load) have a
-/// queue each, so that a drain never waits behind calls; the driver empties state first.
+/// queue each, so that a drained backend never waits behind requests: the driver empties state first.
 #[derive(Clone, Debug)]
 pub struct EventQueues {
     state: mpsc::Sender<AgentInput>,
@@ -19,7 +19,7 @@
 
 /// Receiving ends.
 #[derive(Debug)]
-pub struct EventSources {
+pub struct EventReceivers {
     /// State events.
     pub state: mpsc::Receiver<AgentInput>,
     /// Traffic events.
@@ -27,25 +27,25 @@
 }
 
 impl EventQueues {
-    /// Both queues.
+    /// Both queues, with their receiving ends.
     #[must_use]
-    pub fn new() -> (Self, EventSources) {
-        let (state, state_source) = mpsc::channel(QUEUE_LENGTH);
-        let (traffic, traffic_source) = mpsc::channel(QUEUE_LENGTH);
-        let sources = EventSources {
-            state: state_source,
-            traffic: traffic_source,
+    pub fn new() -> (Self, EventReceivers) {
+        let (state, state_events) = mpsc::channel(QUEUE_LENGTH);
+        let (traffic, traffic_events) = mpsc::channel(QUEUE_LENGTH);
+        let receivers = EventReceivers {
+            state: state_events,
+            traffic: traffic_events,
         };
-        (Self { state, traffic }, sources)
+        (Self { state, traffic }, receivers)
     }
 
-    /// A state event. Returns whether the driver still runs.
-    pub async fn state(&self, input: AgentInput) -> bool {
+    /// Queues a state event. Returns whether the driver still runs.
+    pub async fn send_state(&self, input: AgentInput) -> bool {
         self.state.send(input).await.is_ok()
     }
 
-    /// A frame of a control node.
-    pub async fn control_frame(&self, link: ControlLinkId, frame: Frame) -> bool {
+    /// Queues a frame of a control node. Returns whether the driver still runs.
+    pub async fn send_control_frame(&self, link: ControlLinkId, frame: Frame) -> bool {
         let queue = match frame.body {
             Some(
                 frame::Body::QuotaReply(_)
@@ -60,8 +60,8 @@
         queue.send(input).await.is_ok()
     }
 
-    /// A frame of the proxy.
-    pub async fn proxy_frame(&self, frame: LocalFrame) -> bool {
+    /// Queues a frame of the proxy. Returns whether the driver still runs.
+    pub async fn send_proxy_frame(&self, frame: LocalFrame) -> bool {
         let queue = match frame.body {
             Some(local_frame::Body::ProxyHello(_) | local_frame::Body::Applied(_)) => &self.state,
             _ => &self.traffic,
--- a/crates/agent/src/daemon/local_listener.rs
+++ b/crates/agent/src/daemon/local_listener.rs
@@ -1,5 +1,7 @@
 //! Loopback listener for the proxy beside the agent.
 
+use std::time::Duration;
+
 use futures::{SinkExt, StreamExt};
 use millford_api::local::LocalFrame;
 use millford_settings::PartLog;
@@ -13,59 +15,60 @@
 
 const LOG: PartLog = PartLog::new("LOCAL");
 
-/// Serves one proxy at a time: a newer connection ends the former one.
+/// Delay after a failed accept, for instance for want of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+
+/// Serves one proxy at a time: a newer connection ends the previous one. Each connection's sender
+/// goes to `proxy_senders`, and none when it has ended.
 pub async fn serve(
     listener: TcpListener,
     queues: EventQueues,
-    outlets: mpsc::Sender<Option<ProxySender>>,
+    proxy_senders: mpsc::Sender<Option<ProxySender>>,
 ) {
-    let mut present: Option<tokio::task::JoinHandle<()>> = None;
+    let mut current: Option<tokio::task::JoinHandle<()>> = None;
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
                 LOG.warn(format_args!("A connection could not be accepted: {error}."));
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        if let Some(former) = present.take() {
-            former.abort();
-            // Awaited, so that no frame of the former connection follows.
-            let _ = former.await;
+        if let Some(previous) = current.take() {
+            previous.abort();
+            // Awaited, so that no frame of the previous connection follows.
+            let _ = previous.await;
         }
-        let task = converse(stream, queues.clone(), outlets.clone());
-        present = Some(tokio::spawn(task));
+        let connection = run(stream, queues.clone(), proxy_senders.clone());
+        current = Some(tokio::spawn(connection));
     }
 }
 
-/// Pause after a failed accept, for instance for want of file descriptors.
-const ACCEPT_PAUSE: std::time::Duration = std::time::Duration::from_millis(100);
-
-async fn converse(
+async fn run(
     stream: TcpStream,
     queues: EventQueues,
-    outlets: mpsc::Sender<Option<ProxySender>>,
+    proxy_senders: mpsc::Sender<Option<ProxySender>>,
 ) {
     let Ok((reader, writer)) = millford_transport::accept::<LocalFrame>(stream) else {
         return;
     };
-    let (outlet, frames) = ProxySender::new();
-    if outlets.send(Some(outlet)).await.is_err() {
+    let (sender, frames) = ProxySender::new();
+    if proxy_senders.send(Some(sender)).await.is_err() {
         return;
     }
-    queues.state(AgentInput::ProxyUp).await;
+    queues.send_state(AgentInput::ProxyUp).await;
     LOG.info("The proxy has connected.");
     let ended = tokio::select! {
         ended = read(reader, &queues) => ended,
         ended = write(writer, frames) => ended,
     };
     match ended {
-        Ok(()) => LOG.info("The proxy has left."),
+        Ok(()) => LOG.info("The proxy has disconnected."),
         Err(error) => LOG.warn(format_args!("The proxy's connection failed: {error}.")),
     }
-    let _ = outlets.send(None).await;
-    queues.state(AgentInput::ProxyDown).await;
+    let _ = proxy_senders.send(None).await;
+    queues.send_state(AgentInput::ProxyDown).await;
 }
 
 async fn read(
@@ -73,7 +76,7 @@
     queues: &EventQueues,
 ) -> Result<(), TransportError> {
     while let Some(frame) = reader.next().await {
-        if !queues.proxy_frame(frame?).await {
+        if !queues.send_proxy_frame(frame?).await {
             break;
         }
     }
@@ -86,7 +89,7 @@
 ) -> Result<(), TransportError> {
     while let Some(frame) = frames.next().await {
         writer.feed(frame).await?;
-        while let Some(frame) = frames.ready() {
+        while let Some(frame) = frames.try_next() {
             writer.feed(frame).await?;
         }
         writer.flush().await?;
--- a/crates/agent/src/daemon/proxy_sender.rs
+++ b/crates/agent/src/daemon/proxy_sender.rs
@@ -3,19 +3,25 @@
 use millford_api::local::{LocalFrame, local_frame};
 use tokio::sync::mpsc;
 
-/// State frames that may wait. A proxy that does not read is cut off and starts anew.
-const STATE_LENGTH: usize = 1024;
+/// State frames that fit into the queue. A proxy that does not read is disconnected, and gets
+/// snapshots when it connects again.
+const STATE_QUEUE_LENGTH: usize = 1024;
 
-/// Replies that may wait.
-const TRAFFIC_LENGTH: usize = 8192;
+/// Replies that fit into the queue.
+const TRAFFIC_QUEUE_LENGTH: usize = 8192;
 
-/// Sending ends: state and replies wait apart, and state is written first.
+/// Sending ends: state and replies have a queue each, and state is written first.
 #[derive(Clone, Debug)]
 pub struct ProxySender {
     state: mpsc::Sender<LocalFrame>,
     traffic: mpsc::Sender<LocalFrame>,
 }
 
+/// The proxy does not take frames.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the proxy does not read")]
+pub struct ProxyUnresponsive;
+
 /// Receiving ends.
 #[derive(Debug)]
 pub struct ProxyFrames {
@@ -24,11 +30,11 @@
 }
 
 impl ProxySender {
-    /// Both queues.
+    /// Both queues, with their receiving ends.
     #[must_use]
     pub fn new() -> (Self, ProxyFrames) {
-        let (state, state_frames) = mpsc::channel(STATE_LENGTH);
-        let (traffic, traffic_frames) = mpsc::channel(TRAFFIC_LENGTH);
+        let (state, state_frames) = mpsc::channel(STATE_QUEUE_LENGTH);
+        let (traffic, traffic_frames) = mpsc::channel(TRAFFIC_QUEUE_LENGTH);
         let frames = ProxyFrames {
             state: state_frames,
             traffic: traffic_frames,
@@ -36,9 +42,12 @@
         (Self { state, traffic }, frames)
     }
 
-    /// Queues a frame. Returns false when the proxy must be cut off.
-    #[must_use]
-    pub fn send(&self, frame: LocalFrame) -> bool {
+    /// Queues a frame.
+    ///
+    /// # Errors
+    /// The proxy does not read: its queue is full, or its connection has ended. It must be
+    /// disconnected, as it would miss the frame.
+    pub fn send(&self, frame: LocalFrame) -> Result<(), ProxyUnresponsive> {
         let is_state = matches!(
             frame.body,
             Some(
@@ -48,12 +57,12 @@
             )
         );
         let queue = if is_state { &self.state } else { &self.traffic };
-        queue.try_send(frame).is_ok()
+        queue.try_send(frame).map_err(|_| ProxyUnresponsive)
     }
 }
 
 impl ProxyFrames {
-    /// The next frame, state first; none when the agent dropped the connection.
+    /// The next frame, state first; none when the agent has closed the connection.
     pub async fn next(&mut self) -> Option<LocalFrame> {
         tokio::select! {
             biased;
@@ -62,8 +71,8 @@
         }
     }
 
-    /// A frame that is ready now.
-    pub fn ready(&mut self) -> Option<LocalFrame> {
+    /// The next frame if one is queued now, state first.
+    pub fn try_next(&mut self) -> Option<LocalFrame> {
         self.state
             .try_recv()
             .or_else(|_| self.traffic.try_recv())
--- a/crates/agent/src/daemon/report.rs
+++ b/crates/agent/src/daemon/report.rs
@@ -1,4 +1,4 @@
-//! What the agent shows to people and monitors.
+//! The agent's state for monitors.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -8,18 +8,18 @@
 /// State of the agent after its last event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AgentReport {
-    /// A control node that is in touch with the quorum answers.
-    pub in_touch: bool,
+    /// The agent is connected to a control node that has quorum contact.
+    pub connected: bool,
     /// Every shard was confirmed since the start.
     pub complete: bool,
-    /// The proxy is linked.
-    pub proxy_linked: bool,
+    /// The proxy is connected.
+    pub proxy_connected: bool,
     /// Epoch of the session, or 0.
     pub session_epoch: u64,
-    /// Configuration revision held.
+    /// Newest configuration revision received, or 0.
     pub revision: u64,
-    /// Settlements that wait to be recorded.
-    pub settles_waiting: usize,
+    /// Outcomes of claims that wait to be recorded.
+    pub pending_resolutions: usize,
     /// Counts since the start.
     pub counters: AgentCounters,
 }
@@ -29,12 +29,12 @@
     #[must_use]
     pub fn of(core: &AgentCore) -> Self {
         Self {
-            in_touch: core.in_touch(),
+            connected: core.is_connected(),
             complete: core.complete(),
-            proxy_linked: core.proxy_linked(),
+            proxy_connected: core.proxy_connected(),
             session_epoch: core.session_epoch(),
             revision: core.revision(),
-            settles_waiting: core.settles_waiting(),
+            pending_resolutions: core.pending_resolutions(),
             counters: core.counters(),
         }
     }
@@ -47,7 +47,7 @@
 }
 
 impl SharedReport {
-    /// Puts a newer report in place.
+    /// Replaces the report.
     pub fn set(&self, report: AgentReport) {
         *self.report.lock().unwrap_or_else(PoisonError::into_inner) = report;
     }
--- a/crates/agent/src/daemon/run.rs
+++ b/crates/agent/src/daemon/run.rs
@@ -1,13 +1,15 @@
 //! Start and end of the process.
 
+use std::path::Path;
 use std::sync::Arc;
 
 use millford_registry::{HttpRegistry, SharedRegistry};
-use millford_settings::logging::{self, LogOptions, parse_level};
+use millford_settings::logging::{self, LogOptions};
 use millford_settings::{DaemonCommand, PartLog};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
+use tokio::task::{JoinError, JoinHandle};
 
 use crate::daemon::agent_settings::AgentSettings;
 use crate::daemon::driver::{Driver, DriverComponents};
@@ -21,8 +23,8 @@
 
 const LOG: PartLog = PartLog::new("AGENT");
 
-/// Changes of the proxy's connection that may wait.
-const OUTLETS_LENGTH: usize = 8;
+/// Changes of the proxy's connection that fit into their queue.
+const PROXY_SENDERS_LENGTH: usize = 8;
 
 /// Command line of the program.
 pub const COMMAND: DaemonCommand = DaemonCommand {
@@ -31,7 +33,10 @@
     version: env!("CARGO_PKG_VERSION"),
 };
 
-/// Why the process could not start.
+/// Threads of the runtime that serves HTTP and the proxy's connection.
+const WORKER_THREADS: usize = 2;
+
+/// Why the process could not start, or did not end cleanly.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum StartError {
     /// An address cannot be bound.
@@ -46,17 +51,25 @@
     /// The data folder cannot be used.
     #[error("the data folder cannot be used: {0}")]
     #[diagnostic(code(start_failed_7003))]
-    DataFolder(std::io::Error),
-    /// Threads, logs or signal handlers cannot be set up.
+    DataFolder(#[source] std::io::Error),
+    /// The log cannot be set up.
+    #[error("the process cannot be set up: {0}")]
+    #[diagnostic(code(start_failed_7003))]
+    Log(#[from] spdlog::Error),
+    /// Threads, sockets or signal handlers cannot be set up.
     #[error("the process cannot be set up: {0}")]
     #[diagnostic(code(start_failed_7003))]
-    Setup(String),
+    System(#[from] std::io::Error),
+    /// The driver's thread has failed.
+    #[error("the process cannot be set up: {0}")]
+    #[diagnostic(code(start_failed_7003))]
+    Driver(#[from] JoinError),
 }
 
 /// Runs the agent until it is told to stop.
 ///
 /// # Errors
-/// Fails when the process cannot start.
+/// The process cannot start, or its driver has failed.
 pub fn run(settings: AgentSettings) -> Result<(), StartError> {
     let address = settings.registry_address.as_str();
     let registry = (!address.is_empty()).then(|| -> SharedRegistry {
@@ -69,19 +82,16 @@
 /// As [`run`], with a registry of the caller's choice.
 ///
 /// # Errors
-/// Fails when the process cannot start.
+/// The process cannot start, or its driver has failed.
 pub fn run_with(
     settings: AgentSettings,
     registry: Option<SharedRegistry>,
 ) -> Result<(), StartError> {
-    let level = parse_level(&settings.log_level).unwrap_or(spdlog::Level::Info);
-    let format = settings.log_format;
-    logging::init(LogOptions { level, format }).map_err(setup_error)?;
+    logging::init(LogOptions::new(&settings.log_level, settings.log_format))?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(2)
+        .worker_threads(WORKER_THREADS)
         .enable_all()
-        .build()
-        .map_err(setup_error)?;
+        .build()?;
     runtime.block_on(serve(settings, registry))
 }
 
@@ -91,42 +101,40 @@
 ) -> Result<(), StartError> {
     let local = bind(&settings.local_address).await?;
     let http = bind(&settings.http_address).await?;
-    let local_address = local.local_addr().map_err(setup_error)?;
-    let http_address = http.local_addr().map_err(setup_error)?;
+    let local_address = local.local_addr()?;
+    let http_address = http.local_addr()?;
     let saved_members = open_saved_members(&settings)?;
-    let (queues, sources) = EventQueues::new();
-    let (outlet_sender, outlets) = mpsc::channel(OUTLETS_LENGTH);
+    let (queues, events) = EventQueues::new();
+    let (proxy_sender, proxy_senders) = mpsc::channel(PROXY_SENDERS_LENGTH);
     let meter = Arc::new(TrafficMeter::default());
     let report = SharedReport::default();
-    let parts = DriverComponents {
-        options: options_of(&settings, saved_members.as_ref(), local_address.to_string()),
+    let driver = start_driver(DriverComponents {
+        options: agent_options(&settings, saved_members.as_ref(), local_address.to_string()),
         queues: queues.clone(),
-        sources,
-        outlets,
+        events,
+        proxy_senders,
         registry,
         saved_members,
         meter: Arc::clone(&meter),
         report: report.clone(),
-    };
-    let driver = start_driver(parts)?;
-    tokio::spawn(local_listener::serve(local, queues.clone(), outlet_sender));
+    })?;
+    tokio::spawn(local_listener::serve(local, queues.clone(), proxy_sender));
     tokio::spawn(http_server::serve(http, report, meter));
     stop_on_signal(queues)?;
     println!("millford-agent ready local={local_address} http={http_address}");
-    // The thread ends when the session is closed or the time for that is over.
+    // The thread ends when the session is closed or the time for that has passed.
     let ended = driver.await;
     LOG.info("Stopped.");
-    ended.map_err(setup_error)
+    Ok(ended?)
 }
 
-/// The driver has a thread of its own, with nothing of the HTTP server on it.
-fn start_driver(parts: DriverComponents) -> Result<tokio::task::JoinHandle<()>, StartError> {
+/// The driver has a thread and a runtime of its own, so that HTTP requests do not delay it.
+fn start_driver(components: DriverComponents) -> Result<JoinHandle<()>, StartError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
-        .build()
-        .map_err(setup_error)?;
+        .build()?;
     Ok(tokio::task::spawn_blocking(move || {
-        runtime.block_on(Driver::new(parts).run());
+        runtime.block_on(Driver::new(components).run());
     }))
 }
 
@@ -142,34 +150,36 @@
     if settings.data_folder.is_empty() {
         return Ok(None);
     }
-    let folder = std::path::Path::new(&settings.data_folder);
-    let saved = SavedMembers::in_folder(folder).map_err(StartError::DataFolder)?;
-    Ok(Some(saved))
+    let saved = SavedMembers::in_folder(Path::new(&settings.data_folder));
+    saved.map(Some).map_err(StartError::DataFolder)
 }
 
-fn options_of(
+fn agent_options(
     settings: &AgentSettings,
     saved: Option<&SavedMembers>,
     address: String,
 ) -> AgentOptions {
-    let kept = saved.map(SavedMembers::load).unwrap_or_default();
-    let kept = kept.into_iter().map(|member| member.internal_address);
+    let members = saved.map(SavedMembers::load).unwrap_or_default();
+    let saved_addresses = members.into_iter().map(|member| member.internal_address);
     AgentOptions {
         name: settings.name.clone(),
         zone: settings.zone.clone(),
         address,
         exchange_address: settings.exchange_address.clone(),
         boot_id: rand::random(),
-        control_addresses: kept.chain(settings.seeds.iter().cloned()).collect(),
+        control_addresses: saved_addresses
+            .chain(settings.seeds.iter().cloned())
+            .collect(),
         random_seed: rand::random(),
     }
 }
 
+/// Stops the agent at SIGTERM or SIGINT. The task lasts as long as the process.
 fn stop_on_signal(queues: EventQueues) -> Result<(), StartError> {
-    let mut terminate = signal(SignalKind::terminate()).map_err(setup_error)?;
-    let mut interrupt = signal(SignalKind::interrupt()).map_err(setup_error)?;
+    let mut terminate = signal(SignalKind::terminate())?;
+    let mut interrupt = signal(SignalKind::interrupt())?;
     // A changed settings file takes effect at the next start: members are learned from the feed.
-    let mut hang_up = signal(SignalKind::hangup()).map_err(setup_error)?;
+    let mut hang_up = signal(SignalKind::hangup())?;
     tokio::spawn(async move {
         loop {
             tokio::select! {
@@ -178,12 +188,8 @@
                 _ = hang_up.recv() => LOG.info("The settings file is read at the next start."),
             }
         }
-        LOG.info("Told to stop.");
-        queues.state(AgentInput::Stop).await;
+        LOG.info("Shutting down on a signal.");
+        queues.send_state(AgentInput::Stop).await;
     });
     Ok(())
 }
-
-fn setup_error(error: impl std::fmt::Display) -> StartError {
-    StartError::Setup(error.to_string())
-}
--- a/crates/agent/src/daemon/saved_members.rs
+++ b/crates/agent/src/daemon/saved_members.rs
@@ -1,4 +1,4 @@
-//! The list of control nodes, kept over restarts.
+//! The control members, saved over restarts.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -18,17 +18,17 @@
 }
 
 impl SavedMembers {
-    /// The file in this folder, which is made when it is missing.
+    /// The file in `folder`, which is made when it is missing.
     ///
     /// # Errors
-    /// Fails when the folder cannot be made.
+    /// The folder cannot be made.
     pub fn in_folder(folder: &Path) -> std::io::Result<Self> {
         std::fs::create_dir_all(folder)?;
         let path = folder.join(FILE_NAME);
         Ok(Self { path })
     }
 
-    /// The members kept; none when there is no file or it is damaged, as the seeds remain.
+    /// The saved members; none when there is no file or it is damaged, as the seeds remain.
     #[must_use]
     pub fn load(&self) -> Vec<ControlMember> {
         let Ok(text) = std::fs::read(&self.path) else {
@@ -36,26 +36,26 @@
         };
         serde_json::from_slice(&text).unwrap_or_else(|error| {
             LOG.warn(format_args!(
-                "The kept list of control nodes is damaged: {error}."
+                "The saved list of control nodes is damaged: {error}."
             ));
             Vec::new()
         })
     }
 
-    /// Keeps the members, on a thread for blocking work.
+    /// Saves the members, on a thread for blocking work.
     pub fn save(&self, members: Vec<ControlMember>) {
         let path = self.path.clone();
         tokio::task::spawn_blocking(move || {
             if let Err(error) = write(&path, &members) {
                 LOG.warn(format_args!(
-                    "The list of control nodes could not be kept: {error}."
+                    "The list of control nodes could not be saved: {error}."
                 ));
             }
         });
     }
 }
 
-/// Writes a temporary file, syncs it and renames it, so that the file is never half written.
+/// Writes a temporary file, syncs it and renames it, so that the file is never incomplete.
 fn write(path: &Path, members: &[ControlMember]) -> std::io::Result<()> {
     let text = serde_json::to_vec(members)?;
     let temporary = path.with_extension("tmp");
--- a/crates/agent/src/daemon/traffic_meter.rs
+++ b/crates/agent/src/daemon/traffic_meter.rs
@@ -1,4 +1,4 @@
-//! Bytes and frames on the link to the control plane.
+//! Bytes and frames on the connection to the control plane.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,7 +10,7 @@
 /// Length prefix of a frame, in bytes.
 const PREFIX_BYTES: usize = 4;
 
-/// Counts of one agent's link, without what TCP and IP add.
+/// Counts of one agent's connections to control nodes, without the overhead of TCP and IP.
 #[derive(Debug, Default)]
 pub struct TrafficMeter {
     bytes_in: AtomicU64,
@@ -35,7 +35,7 @@
         add(&self.frames_out, 1);
     }
 
-    /// Bytes of each kind of frame, both ways.
+    /// Bytes of each kind of frame, both ways, by the names that the scale rig reports.
     #[must_use]
     pub fn bytes_by_kind(&self) -> BTreeMap<&'static str, u64> {
         let kinds = self.bytes_by_kind.lock();
--- a/crates/agent/src/feeds.rs
+++ b/crates/agent/src/feeds.rs
@@ -8,26 +8,29 @@
 use millford_feed::{FeedOutcome, FeedView};
 
 use crate::registry::overlay::BACKEND_PREFIX;
-use crate::timing::{SHARD_MOVE_PERIOD, SHARD_SILENCE, SUBSCRIBE_AGAIN};
+use crate::timing::{RESUBSCRIBE_DELAY, SHARD_FAIL_OVER_INTERVAL, SHARD_INACTIVITY_TIMEOUT};
 
 #[derive(Clone, Debug)]
 struct ShardFeed {
     view: FeedView,
     /// Confirmed at least once since the agent started.
     confirmed: bool,
-    /// Confirmed on the present connection.
+    /// Confirmed on the present connection to a control node.
     confirmed_on_link: bool,
+    /// When to subscribe; none while the subscription is confirmed.
     subscribe_at: Option<MonotonicTime>,
+    /// Last confirmation, or the start of the connection.
     last_confirmed: MonotonicTime,
-    moved_at: Option<MonotonicTime>,
+    /// When this shard last made the agent fail over.
+    failed_over_at: Option<MonotonicTime>,
 }
 
-/// What a feed message did.
+/// Effect of a feed message.
 #[derive(Clone, Debug)]
 pub struct FeedEvent {
-    /// The shard.
+    /// Shard of the message.
     pub shard: ShardId,
-    /// What the view made of it.
+    /// Outcome in the shard's view.
     pub outcome: FeedOutcome,
     /// The shard's state was confirmed for the first time since the start.
     pub first_confirmation: bool,
@@ -49,7 +52,7 @@
         feeds
     }
 
-    /// The cluster's layout, once a control node told it.
+    /// The cluster's layout, once a control node named its number of data shards.
     #[must_use]
     pub fn layout(&self) -> Option<ShardLayout> {
         self.layout
@@ -80,17 +83,17 @@
 
     /// Subscriptions to send now.
     pub fn due(&mut self, now: MonotonicTime) -> Vec<Subscribe> {
-        let mut subscribes = Vec::new();
+        let mut subscriptions = Vec::new();
         for feed in self.shards.values_mut() {
             if feed.subscribe_at.is_some_and(|at| at <= now) {
-                feed.subscribe_at = (!feed.confirmed_on_link).then(|| now + SUBSCRIBE_AGAIN);
-                subscribes.push(feed.view.subscribe());
+                feed.subscribe_at = (!feed.confirmed_on_link).then(|| now + RESUBSCRIBE_DELAY);
+                subscriptions.push(feed.view.subscribe());
             }
         }
-        subscribes
+        subscriptions
     }
 
-    /// Takes a feed message from the present connection.
+    /// Takes a feed message from the present connection; none when the shard is not known.
     pub fn apply(&mut self, now: MonotonicTime, message: FeedMessage) -> Option<FeedEvent> {
         let shard = ShardId(message.shard);
         let feed = self.shards.get_mut(&shard)?;
@@ -110,7 +113,7 @@
             }
             FeedOutcome::Stale => {
                 feed.confirmed_on_link = false;
-                feed.subscribe_at = Some(now + SUBSCRIBE_AGAIN);
+                feed.subscribe_at = Some(now + RESUBSCRIBE_DELAY);
             }
         }
         Some(FeedEvent {
@@ -120,48 +123,52 @@
         })
     }
 
-    /// Takes a confirmation back: the node knows less than what was shown before.
-    pub fn deny(&mut self, now: MonotonicTime, shard: ShardId) {
+    /// Takes a confirmation back: the node knows less than what the proxy has applied.
+    pub fn revoke_confirmation(&mut self, now: MonotonicTime, shard: ShardId) {
         if let Some(feed) = self.shards.get_mut(&shard) {
             feed.confirmed = false;
             feed.confirmed_on_link = false;
-            feed.subscribe_at = Some(now + SUBSCRIBE_AGAIN);
+            feed.subscribe_at = Some(now + RESUBSCRIBE_DELAY);
         }
     }
 
-    /// Whether a shard that the node cannot confirm may make the agent move now.
-    pub fn may_move(&mut self, now: MonotonicTime, shard: ShardId) -> bool {
+    /// Whether a shard that the node cannot confirm may make the agent fail over now. An answer of
+    /// true counts as a failover: the next is allowed after [`SHARD_FAIL_OVER_INTERVAL`].
+    pub fn may_fail_over(&mut self, now: MonotonicTime, shard: ShardId) -> bool {
         let Some(feed) = self.shards.get_mut(&shard) else {
             return false;
         };
         let recently = feed
-            .moved_at
-            .is_some_and(|at| now.since(at) < SHARD_MOVE_PERIOD);
+            .failed_over_at
+            .is_some_and(|at| now.since(at) < SHARD_FAIL_OVER_INTERVAL);
         if !recently {
-            feed.moved_at = Some(now);
+            feed.failed_over_at = Some(now);
         }
         !recently
     }
 
-    /// A shard that the node has not confirmed for too long, if the agent may move for it.
-    pub fn silent_shard(&mut self, now: MonotonicTime) -> Option<ShardId> {
+    /// A shard that the node has not confirmed for [`SHARD_INACTIVITY_TIMEOUT`], if the agent may fail
+    /// over for it.
+    pub fn inactive_shard(&mut self, now: MonotonicTime) -> Option<ShardId> {
         let shards = self.shards.iter();
-        let silent: Vec<ShardId> = shards
-            .filter(|(_, feed)| now.since(feed.last_confirmed) > SHARD_SILENCE)
+        let inactive: Vec<ShardId> = shards
+            .filter(|(_, feed)| now.since(feed.last_confirmed) > SHARD_INACTIVITY_TIMEOUT)
             .map(|(shard, _)| *shard)
             .collect();
-        silent.into_iter().find(|shard| self.may_move(now, *shard))
+        inactive
+            .into_iter()
+            .find(|shard| self.may_fail_over(now, *shard))
     }
 
-    /// Every shard was confirmed since the start.
+    /// Whether every shard was confirmed since the start.
     #[must_use]
     pub fn complete(&self) -> bool {
         self.layout.is_some() && self.shards.values().all(|feed| feed.confirmed)
     }
 
-    /// Every shard was confirmed on the present connection.
+    /// Whether every shard was confirmed on the present connection.
     #[must_use]
-    pub fn complete_on_link(&self) -> bool {
+    pub fn is_confirmed_on_link(&self) -> bool {
         self.layout.is_some() && self.shards.values().all(|feed| feed.confirmed_on_link)
     }
 
@@ -177,7 +184,7 @@
         self.shards.get(&shard).map(|feed| &feed.view)
     }
 
-    /// Whether any backend was ever told of.
+    /// Whether any backend is known.
     #[must_use]
     pub fn knows_backends(&self) -> bool {
         let mut items = self.items();
@@ -196,7 +203,7 @@
             confirmed_on_link: false,
             subscribe_at: Some(now),
             last_confirmed: now,
-            moved_at: None,
+            failed_over_at: None,
         };
         self.shards.insert(shard, feed);
     }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -4,10 +4,11 @@
 //! with sockets; the scale rig and the simulator drive the same core.
 
 pub mod agent_core;
+pub mod claims;
 pub mod counters;
 pub mod daemon;
 pub mod feeds;
-pub mod forward;
+pub mod heartbeat;
 pub mod input;
 pub mod link;
 pub mod options;
@@ -16,6 +17,7 @@
 pub mod quota;
 pub mod registry;
 pub mod session;
+pub mod shard_command;
 pub mod timing;
 
 pub use agent_core::AgentCore;
--- a/crates/agent/src/link/control_link.rs
+++ b/crates/agent/src/link/control_link.rs
@@ -1,75 +1,83 @@
-//! Keeps a connection to one control node and moves on when that node fails.
+//! Keeps a connection to one control node and fails over to another when that node fails.
 
 use millford_api::state::ControlMember;
 use millford_core::backoff::Backoff;
 use millford_core::{Duration, MonotonicTime};
 
 use crate::input::ControlLinkId;
-use crate::link::address_book::AddressBook;
+use crate::link::endpoint_list::EndpointList;
 use crate::timing::{
-    CONNECT_TIMEOUT, CONNECT_TIMEOUT_IN_HURRY, CONTROL_SILENCE, PATIENCE_CEILING, RETRY_CEILING,
-    RETRY_FIRST, SETTLED_AFTER, START_HURRY,
+    CONNECT_TIMEOUT, CONTROL_INACTIVITY_TIMEOUT, MAX_CONTROL_INACTIVITY_TIMEOUT,
+    MAX_RECONNECT_BACKOFF, MIN_RECONNECT_BACKOFF, STABLE_AFTER, STARTUP_CONNECT_TIMEOUT,
+    STARTUP_PERIOD,
 };
 
-/// What the link wants done.
+/// What the owner of the link has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LinkAction {
-    /// Connect to the address under this number.
-    Connect(ControlLinkId, String),
-    /// Close the connection with this number.
-    Close(ControlLinkId),
+    /// Open a connection.
+    Connect {
+        /// Number of the new connection.
+        link: ControlLinkId,
+        /// IP address and port.
+        address: String,
+    },
+    /// Close a connection, or stop connecting.
+    Close {
+        /// Number of the connection.
+        link: ControlLinkId,
+    },
 }
 
 #[derive(Clone, Debug)]
-enum LinkState {
-    Down {
+enum ConnectionState {
+    Disconnected {
         retry_at: MonotonicTime,
     },
-    Dialing {
+    Connecting {
         link: ControlLinkId,
-        since: MonotonicTime,
+        address: String,
+        started_at: MonotonicTime,
     },
-    Up {
+    Connected {
         link: ControlLinkId,
         address: String,
-        last_heard: MonotonicTime,
-        /// In touch for long enough to start a new round over the other nodes.
-        settled: bool,
+        last_received: MonotonicTime,
+        /// Had quorum contact for long enough to start a new pass over the other endpoints.
+        is_stable: bool,
     },
 }
 
 /// State of the agent's connection to the control plane.
 #[derive(Clone, Debug)]
 pub struct ControlLink {
-    book: AddressBook,
-    state: LinkState,
-    dialed: String,
+    endpoints: EndpointList,
+    state: ConnectionState,
     next_link: ControlLinkId,
     backoff: Backoff,
-    patience: Duration,
-    /// A node of this round accepted the connection and then said nothing.
-    silent_in_round: bool,
-    in_touch_since: Option<MonotonicTime>,
-    out_of_touch_since: Option<MonotonicTime>,
-    /// Until then rounds follow each other quickly; over with the first touch.
-    hurry_until: Option<MonotonicTime>,
+    /// Time without a frame after which a control node counts as unresponsive.
+    inactivity_timeout: Duration,
+    /// A node of this pass accepted the connection and then became unresponsive.
+    timed_out_in_pass: bool,
+    /// Since when the control node has reported quorum contact.
+    quorum_contact_since: Option<MonotonicTime>,
+    /// Until then passes follow each other quickly; ends early with the first quorum contact.
+    startup_until: Option<MonotonicTime>,
 }
 
 impl ControlLink {
-    /// A link that is down and connects at the first tick.
+    /// A link that is disconnected and connects at the first tick.
     #[must_use]
-    pub fn new(book: AddressBook, now: MonotonicTime) -> Self {
+    pub fn new(endpoints: EndpointList, now: MonotonicTime) -> Self {
         Self {
-            book,
-            state: LinkState::Down { retry_at: now },
-            dialed: String::new(),
+            endpoints,
+            state: ConnectionState::Disconnected { retry_at: now },
             next_link: 1,
-            backoff: Backoff::new(RETRY_FIRST, RETRY_CEILING),
-            patience: CONTROL_SILENCE,
-            silent_in_round: false,
-            in_touch_since: None,
-            out_of_touch_since: Some(now),
-            hurry_until: Some(now + START_HURRY),
+            backoff: Backoff::new(MIN_RECONNECT_BACKOFF, MAX_RECONNECT_BACKOFF),
+            inactivity_timeout: CONTROL_INACTIVITY_TIMEOUT,
+            timed_out_in_pass: false,
+            quorum_contact_since: None,
+            startup_until: Some(now + STARTUP_PERIOD),
         }
     }
 
@@ -77,7 +85,7 @@
     #[must_use]
     pub fn up(&self) -> Option<ControlLinkId> {
         match self.state {
-            LinkState::Up { link, .. } => Some(link),
+            ConnectionState::Connected { link, .. } => Some(link),
             _ => None,
         }
     }
@@ -88,187 +96,184 @@
         self.up() == Some(link)
     }
 
-    /// Since when the control node has said that it is in touch with the quorum.
-    #[must_use]
-    pub fn in_touch_since(&self) -> Option<MonotonicTime> {
-        self.in_touch_since
-    }
-
-    /// Since when no control node has said so.
-    #[must_use]
-    pub fn out_of_touch_since(&self) -> Option<MonotonicTime> {
-        self.out_of_touch_since
-    }
-
-    /// The present control nodes, as last learned.
+    /// Whether the control node last reported that it is in contact with the quorum of the
+    /// configuration shard.
     #[must_use]
-    pub fn members(&self) -> &[ControlMember] {
-        self.book.members()
+    pub fn has_quorum_contact(&self) -> bool {
+        self.quorum_contact_since.is_some()
     }
 
-    /// Takes the list of present members; returns whether it changed.
-    pub fn learn(&mut self, members: &[ControlMember]) -> bool {
-        self.book.learn(members)
+    /// Replaces the control members; returns whether they changed.
+    pub fn update_members(&mut self, members: &[ControlMember]) -> bool {
+        self.endpoints.update_members(members)
     }
 
-    /// The connection is up. Returns whether it is the one that was being made.
-    pub fn connected(&mut self, now: MonotonicTime, link: ControlLinkId) -> bool {
-        let LinkState::Dialing { link: dialed, .. } = self.state else {
+    /// A connection is established. Returns whether it is the one that was being made.
+    pub fn connection_established(
+        &mut self,
+        now: MonotonicTime,
+        established: ControlLinkId,
+    ) -> bool {
+        let ConnectionState::Connecting { link, address, .. } = &mut self.state else {
             return false;
         };
-        if dialed != link {
+        if *link != established {
             return false;
         }
-        self.state = LinkState::Up {
-            link,
-            address: self.dialed.clone(),
-            last_heard: now,
-            settled: false,
+        self.state = ConnectionState::Connected {
+            link: *link,
+            address: std::mem::take(address),
+            last_received: now,
+            is_stable: false,
         };
         true
     }
 
-    /// The connection failed. Returns whether it was the present one.
-    pub fn lost(&mut self, now: MonotonicTime, link: ControlLinkId) -> bool {
-        let present = match self.state {
-            LinkState::Up { link: present, .. } | LinkState::Dialing { link: present, .. } => {
-                present == link
+    /// A connection failed, or could not be made. One that is not the present one is ignored.
+    pub fn connection_lost(&mut self, now: MonotonicTime, lost: ControlLinkId) {
+        let is_present = match self.state {
+            ConnectionState::Connected { link, .. } | ConnectionState::Connecting { link, .. } => {
+                link == lost
             }
-            LinkState::Down { .. } => false,
+            ConnectionState::Disconnected { .. } => false,
         };
-        if present {
-            self.fall(now);
+        if is_present {
+            self.disconnect(now);
         }
-        present
     }
 
     /// The control node sent something.
-    pub fn heard(&mut self, now: MonotonicTime) {
-        if let LinkState::Up { last_heard, .. } = &mut self.state {
-            *last_heard = now;
+    pub fn record_received(&mut self, now: MonotonicTime) {
+        if let ConnectionState::Connected { last_received, .. } = &mut self.state {
+            *last_received = now;
         }
     }
 
-    /// The control node says whether it is in touch. Returns whether the agent should stay.
-    pub fn confirmed(&mut self, now: MonotonicTime, touch: bool) -> bool {
-        let LinkState::Up { .. } = self.state else {
+    /// The control node reports whether it has quorum contact. Returns whether the agent should stay.
+    pub fn record_quorum_contact(&mut self, now: MonotonicTime, has_quorum: bool) -> bool {
+        let ConnectionState::Connected { .. } = self.state else {
             return true;
         };
-        if touch {
-            self.in_touch_since.get_or_insert(now);
-            self.out_of_touch_since = None;
-            self.hurry_until = None;
+        if has_quorum {
+            self.quorum_contact_since.get_or_insert(now);
+            self.startup_until = None;
         } else {
-            self.out_of_touch(now);
+            self.quorum_contact_since = None;
         }
-        touch
+        has_quorum
     }
 
-    /// Leaves the present node for the next one.
-    pub fn leave(&mut self, now: MonotonicTime) -> Option<LinkAction> {
+    /// Gives the present node up for the next one; none when there is no connection.
+    pub fn fail_over(&mut self, now: MonotonicTime) -> Option<LinkAction> {
         let link = match self.state {
-            LinkState::Up { link, .. } | LinkState::Dialing { link, .. } => link,
-            LinkState::Down { .. } => return None,
+            ConnectionState::Connected { link, .. } | ConnectionState::Connecting { link, .. } => {
+                link
+            }
+            ConnectionState::Disconnected { .. } => return None,
         };
-        self.fall(now);
-        Some(LinkAction::Close(link))
+        self.disconnect(now);
+        Some(LinkAction::Close { link })
     }
 
-    /// Leaves a silent node, or connects to the next one when it is time.
+    /// Closes a connection that timed out, and connects to the next endpoint when it is time.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<LinkAction> {
         let mut actions = Vec::new();
-        let overdue = match self.state {
-            LinkState::Up { last_heard, .. } => now.since(last_heard) > self.patience,
-            LinkState::Dialing { since, .. } => now.since(since) > self.connect_timeout(now),
-            LinkState::Down { .. } => false,
+        let timed_out = match self.state {
+            ConnectionState::Connected { last_received, .. } => {
+                now.since(last_received) > self.inactivity_timeout
+            }
+            ConnectionState::Connecting { started_at, .. } => {
+                now.since(started_at) > self.connect_timeout(now)
+            }
+            ConnectionState::Disconnected { .. } => false,
         };
-        if overdue {
-            self.silent_in_round |= self.up().is_some();
-            actions.extend(self.leave(now));
+        if timed_out {
+            self.timed_out_in_pass |= self.up().is_some();
+            actions.extend(self.fail_over(now));
         }
-        self.settle(now);
-        actions.extend(self.dial(now));
+        self.update_stability(now);
+        actions.extend(self.connect_next(now));
         actions
     }
 
-    /// A node that proved good for a while makes every other one worth a try again. Before that the
-    /// round goes on, so that nodes which fail one after the other are not tried without a pause.
-    fn settle(&mut self, now: MonotonicTime) {
-        let LinkState::Up {
-            address, settled, ..
+    /// A node that has been good for a while makes every other one worth a try again. Before that the
+    /// pass goes on, so that nodes which fail one after the other are not retried without a backoff.
+    fn update_stability(&mut self, now: MonotonicTime) {
+        let ConnectionState::Connected {
+            address, is_stable, ..
         } = &mut self.state
         else {
             return;
         };
-        let since = self.in_touch_since;
-        if !*settled && since.is_some_and(|since| now.since(since) >= SETTLED_AFTER) {
-            *settled = true;
-            self.book.begin_round(Some(address));
+        let since = self.quorum_contact_since;
+        if !*is_stable && since.is_some_and(|since| now.since(since) >= STABLE_AFTER) {
+            *is_stable = true;
+            self.endpoints.start_pass(Some(address));
             self.backoff.reset();
-            self.patience = CONTROL_SILENCE;
+            self.inactivity_timeout = CONTROL_INACTIVITY_TIMEOUT;
         }
     }
 
-    fn dial(&mut self, now: MonotonicTime) -> Option<LinkAction> {
-        let LinkState::Down { retry_at } = self.state else {
+    fn connect_next(&mut self, now: MonotonicTime) -> Option<LinkAction> {
+        let ConnectionState::Disconnected { retry_at } = self.state else {
             return None;
         };
         if now < retry_at {
             return None;
         }
-        let address = self.book.next_address().or_else(|| {
-            self.book.begin_round(None);
-            self.book.next_address()
+        let address = self.endpoints.next_endpoint().or_else(|| {
+            self.endpoints.start_pass(None);
+            self.endpoints.next_endpoint()
         })?;
         let link = self.next_link;
         self.next_link += 1;
-        self.dialed.clone_from(&address);
-        self.state = LinkState::Dialing { link, since: now };
-        Some(LinkAction::Connect(link, address))
+        self.state = ConnectionState::Connecting {
+            link,
+            address: address.clone(),
+            started_at: now,
+        };
+        Some(LinkAction::Connect { link, address })
     }
 
-    /// The connection is gone: the next address at once, or a new round after a delay.
-    fn fall(&mut self, now: MonotonicTime) {
-        self.out_of_touch(now);
-        let delay = if self.book.round_ended() {
-            self.end_round();
-            self.pause(now)
+    /// Schedules the next attempt: at once, or after a backoff when the pass is complete.
+    fn disconnect(&mut self, now: MonotonicTime) {
+        self.quorum_contact_since = None;
+        let delay = if self.endpoints.is_pass_complete() {
+            self.extend_inactivity_timeout();
+            self.next_backoff(now)
         } else {
             Duration::ZERO
         };
-        self.state = LinkState::Down {
+        self.state = ConnectionState::Disconnected {
             retry_at: now + delay,
         };
     }
 
-    fn pause(&mut self, now: MonotonicTime) -> Duration {
-        match self.is_in_hurry(now) {
-            true => RETRY_FIRST,
-            false => self.backoff.next_delay(),
+    fn next_backoff(&mut self, now: MonotonicTime) -> Duration {
+        if self.is_starting_up(now) {
+            MIN_RECONNECT_BACKOFF
+        } else {
+            self.backoff.next_delay()
         }
     }
 
     fn connect_timeout(&self, now: MonotonicTime) -> Duration {
-        match self.is_in_hurry(now) {
-            true => CONNECT_TIMEOUT_IN_HURRY,
-            false => CONNECT_TIMEOUT,
+        if self.is_starting_up(now) {
+            STARTUP_CONNECT_TIMEOUT
+        } else {
+            CONNECT_TIMEOUT
         }
     }
 
-    fn is_in_hurry(&self, now: MonotonicTime) -> bool {
-        self.hurry_until.is_some_and(|until| now < until)
+    fn is_starting_up(&self, now: MonotonicTime) -> bool {
+        self.startup_until.is_some_and(|until| now < until)
     }
 
-    /// Nodes that are busy are given longer in the next round; nodes that are down are not waited
-    /// for.
-    fn end_round(&mut self) {
-        if std::mem::take(&mut self.silent_in_round) {
-            self.patience = (self.patience * 2).min(PATIENCE_CEILING);
+    /// Nodes that are busy get more time in the next pass; nodes that are down are not waited for.
+    fn extend_inactivity_timeout(&mut self) {
+        if std::mem::take(&mut self.timed_out_in_pass) {
+            self.inactivity_timeout =
+                (self.inactivity_timeout * 2).min(MAX_CONTROL_INACTIVITY_TIMEOUT);
         }
     }
-
-    fn out_of_touch(&mut self, now: MonotonicTime) {
-        self.in_touch_since = None;
-        self.out_of_touch_since.get_or_insert(now);
-    }
 }
--- a/crates/agent/src/link/mod.rs
+++ b/crates/agent/src/link/mod.rs
@@ -1,7 +1,7 @@
-//! The connection to one control node, and which node that is.
+//! The connection to one control node, and the choice of that node.
 
-pub mod address_book;
 pub mod control_link;
+pub mod endpoint_list;
 
-pub use address_book::AddressBook;
 pub use control_link::{ControlLink, LinkAction};
+pub use endpoint_list::EndpointList;
--- a/crates/agent/src/options.rs
+++ b/crates/agent/src/options.rs
@@ -1,6 +1,6 @@
-//! What an agent is told at its start.
+//! Options of an agent, fixed at its start.
 
-/// Identity and starting points of an agent.
+/// Identity of an agent, and the control nodes that it starts from.
 #[derive(Clone, Debug, Default)]
 pub struct AgentOptions {
     /// Name of the node, unique in the fleet.
@@ -9,12 +9,12 @@
     pub zone: String,
     /// Address shown to operators beside the session.
     pub address: String,
-    /// Where the proxy beside the agent exchanges news with other proxies; empty: it does not.
+    /// Where the proxy beside the agent exchanges messages with other proxies; empty: it does not.
     pub exchange_address: String,
     /// Random number minted at process start: a restart is a new session.
     pub boot_id: u64,
-    /// Control addresses to begin with: seeds, and members kept from an earlier run.
+    /// Control endpoints to start with: seeds, and members saved by an earlier run.
     pub control_addresses: Vec<String>,
-    /// Seed of the random numbers for the order of addresses and for delays.
+    /// Seed of the random order in which the endpoints are tried.
     pub random_seed: u64,
 }
--- a/crates/agent/src/output.rs
+++ b/crates/agent/src/output.rs
@@ -1,4 +1,4 @@
-//! What an agent wants done.
+//! Actions that an agent requests from its driver.
 
 use millford_api::internal::Frame;
 use millford_api::local::LocalFrame;
@@ -9,7 +9,7 @@
 /// One action for the driver of the agent's core.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AgentOutput {
-    /// Connect to a control node and report `LinkUp` or `LinkDown`.
+    /// Connect to a control node and report [`crate::AgentInput::LinkUp`] or [`crate::AgentInput::LinkDown`].
     Connect {
         /// Number of the new connection.
         link: ControlLinkId,
@@ -30,10 +30,11 @@
     },
     /// Send to the proxy. State and status go before replies that wait to be written.
     SendProxy(Box<LocalFrame>),
-    /// Read the service registry and report `Registry`; a failure needs no report.
+    /// Read the service registry and report [`crate::AgentInput::Registry`], or
+    /// [`crate::AgentInput::RegistryFailed`].
     ReadRegistry,
-    /// The list of present control nodes changed: keep it for the next start.
+    /// The control members changed: save them for the next start.
     SaveMembers(Vec<ControlMember>),
-    /// The session is closed, or the time for it is over: the process may end.
+    /// The session is closed, or the time for that has passed: the process may end.
     Stopped,
 }
--- a/crates/agent/src/proxy_link.rs
+++ b/crates/agent/src/proxy_link.rs
@@ -14,51 +14,55 @@
 /// Connection of the proxy, and the position of each shard that it was sent.
 #[derive(Clone, Debug, Default)]
 pub struct ProxyLink {
-    greeted: bool,
-    sent: BTreeMap<ShardId, FeedPosition>,
+    handshake_done: bool,
+    sent_positions: BTreeMap<ShardId, FeedPosition>,
     applied_revision: u64,
     status: Option<AgentStatus>,
     status_at: MonotonicTime,
 }
 
 impl ProxyLink {
-    /// The connection is new or gone: nothing has been sent on it.
+    /// The connection is new or closed: nothing has been sent on it.
     pub fn reset(&mut self) {
-        self.greeted = false;
-        self.sent.clear();
+        self.handshake_done = false;
+        self.sent_positions.clear();
         self.status = None;
     }
 
-    /// The proxy said hello: it wants every shard whole.
-    pub fn greet(&mut self) {
-        self.greeted = true;
-        self.sent.clear();
+    /// The proxy said hello: it needs a snapshot of every shard.
+    pub fn complete_handshake(&mut self) {
+        self.handshake_done = true;
+        self.sent_positions.clear();
         self.status = None;
     }
 
-    /// Whether the proxy has said hello.
+    /// Whether the proxy has said hello on this connection.
     #[must_use]
-    pub fn greeted(&self) -> bool {
-        self.greeted
+    pub fn handshake_done(&self) -> bool {
+        self.handshake_done
     }
 
-    /// The proxy shows this configuration revision.
-    pub fn shown(&mut self, revision: u64) {
+    /// The proxy has applied this configuration revision.
+    pub fn record_applied(&mut self, revision: u64) {
         self.applied_revision = self.applied_revision.max(revision);
     }
 
-    /// The newest configuration revision that the proxy has shown.
+    /// The newest configuration revision that the proxy has applied, over all its connections.
     #[must_use]
     pub fn applied_revision(&self) -> u64 {
         self.applied_revision
     }
 
-    /// The whole state of one shard, with what the registry retires.
-    pub fn whole(&mut self, view: &FeedView, overlay: &RegistryOverlay) -> Option<LocalFrame> {
-        if !self.greeted {
+    /// The complete state of one shard, with what the registry retires. None before the handshake.
+    pub fn snapshot_frame(
+        &mut self,
+        view: &FeedView,
+        overlay: &RegistryOverlay,
+    ) -> Option<LocalFrame> {
+        if !self.handshake_done {
             return None;
         }
-        self.sent.insert(view.shard(), view.position());
+        self.sent_positions.insert(view.shard(), view.position());
         let mut snapshot = view.snapshot();
         if !overlay.is_empty() {
             let items = snapshot.items.into_iter();
@@ -68,49 +72,45 @@
     }
 
     /// The items that changed in one shard up to its view's position.
-    pub fn change(
+    pub fn change_frame(
         &mut self,
         view: &FeedView,
         items: Vec<StateItem>,
         overlay: &RegistryOverlay,
     ) -> Option<LocalFrame> {
-        let Some(sent) = self.sent.get(&view.shard()).copied() else {
-            return self.whole(view, overlay);
+        let Some(sent) = self.sent_positions.get(&view.shard()).copied() else {
+            return self.snapshot_frame(view, overlay);
         };
         let position = view.position();
-        self.sent.insert(view.shard(), position);
+        self.sent_positions.insert(view.shard(), position);
         if position.offset < sent.offset {
-            // A forced recovery cut the shard's history: only a whole state can follow.
-            return self.whole(view, overlay);
+            // A forced recovery truncated the shard's history: only a snapshot can follow.
+            return self.snapshot_frame(view, overlay);
         }
-        Some(change_frame(
-            view.shard(),
-            sent.offset,
-            position,
-            items,
-            overlay,
-        ))
+        let change = state_change(view.shard(), sent.offset, position, items, overlay);
+        Some(frame(local_frame::Body::Change(change)))
     }
 
-    /// Items whose backends the registry retires or no longer retires, at the position sent.
-    pub fn amend(
+    /// Items whose backends the registry retires or no longer retires, at the position sent. None
+    /// when the proxy has no snapshot of the shard yet.
+    pub fn overlay_change_frame(
         &mut self,
         view: &FeedView,
         items: Vec<StateItem>,
         overlay: &RegistryOverlay,
     ) -> Option<LocalFrame> {
-        let position = *self.sent.get(&view.shard())?;
-        let frame = change_frame(view.shard(), position.offset, position, items, overlay);
-        Some(frame)
+        let position = *self.sent_positions.get(&view.shard())?;
+        let change = state_change(view.shard(), position.offset, position, items, overlay);
+        Some(frame(local_frame::Body::Change(change)))
     }
 
     /// The status, when it differs from the last one sent or that one is old.
-    pub fn status(&mut self, now: MonotonicTime, status: AgentStatus) -> Option<LocalFrame> {
-        if !self.greeted {
+    pub fn status_frame(&mut self, now: MonotonicTime, status: AgentStatus) -> Option<LocalFrame> {
+        if !self.handshake_done {
             return None;
         }
-        let due = now.since(self.status_at) >= STATUS_PERIOD;
-        if !due && self.status.as_ref() == Some(&status) {
+        let is_due = now.since(self.status_at) >= STATUS_PERIOD;
+        if !is_due && self.status.as_ref() == Some(&status) {
             return None;
         }
         self.status = Some(status);
@@ -119,21 +119,21 @@
     }
 }
 
-fn change_frame(
+fn state_change(
     shard: ShardId,
     previous_offset: u64,
     position: FeedPosition,
     items: Vec<StateItem>,
     overlay: &RegistryOverlay,
-) -> LocalFrame {
+) -> StateChange {
     let items = items.into_iter().map(|item| overlay.merge(item));
-    frame(local_frame::Body::Change(StateChange {
+    StateChange {
         previous_offset,
         term: position.term,
         offset: position.offset,
         items: items.collect(),
         shard: shard.0,
-    }))
+    }
 }
 
 fn frame(body: local_frame::Body) -> LocalFrame {
--- /dev/null
+++ b/crates/agent/src/quota/client.rs
@@ -0,0 +1,320 @@
+//! Answers the proxy's quota requests from the tenants' leases, and requests more from the shards'
+//! leaders.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use millford_api::internal::{QuotaRecall, QuotaReply, QuotaRequest};
+use millford_api::local::{LocalQuotaRelease, LocalQuotaReply, LocalQuotaRequest};
+use millford_core::{Duration, MonotonicTime, ResultCode, ShardId, ShardLayout, tenant_key};
+
+use crate::quota::in_flight_requests::InFlightRequests;
+use crate::quota::quota_counts::QuotaCounts;
+use crate::quota::quota_decision::QuotaDecision;
+use crate::quota::stream_limit::StreamLimit;
+use crate::quota::tenant_lease::TenantLease;
+use crate::quota::waiter::Waiter;
+use crate::timing::{QUOTA_BATCH_INTERVAL, SLOT_RENEWAL_WINDOW};
+
+/// The leases of every tenant with work on this node.
+#[derive(Clone, Debug, Default)]
+pub struct QuotaClient {
+    leases: BTreeMap<String, TenantLease>,
+    /// Tenants whose lease may have something to do at a tick.
+    active: BTreeSet<String>,
+    in_flight: InFlightRequests,
+    /// When the last new request went to each shard.
+    last_sent: BTreeMap<ShardId, MonotonicTime>,
+    counts: QuotaCounts,
+}
+
+impl QuotaClient {
+    /// How the proxy's requests were answered so far.
+    #[must_use]
+    pub fn counts(&self) -> QuotaCounts {
+        self.counts
+    }
+
+    /// Stream slots in use over all tenants.
+    #[must_use]
+    pub fn slots_in_use(&self) -> u32 {
+        self.leases.values().map(TenantLease::slots_in_use).sum()
+    }
+
+    /// Tokens leased to this node and not spent, over all tenants.
+    #[must_use]
+    pub fn available_tokens(&self, now: MonotonicTime) -> u32 {
+        self.leases.values().map(|lease| lease.tokens(now)).sum()
+    }
+
+    /// A request of the proxy for quota; returns what can be answered now.
+    pub fn request(
+        &mut self,
+        now: MonotonicTime,
+        request: &LocalQuotaRequest,
+        limit: StreamLimit,
+    ) -> Vec<LocalQuotaReply> {
+        let waiter = Waiter {
+            request_id: request.request_id,
+            needs_slot: limit.needs_slot(request.stream),
+            arrived: now,
+            waited_before: Duration::from_millis(u64::from(request.waited_ms)),
+            deadline: now + Duration::from_millis(u64::from(request.timeout_ms)),
+        };
+        let lease = self.lease(now, &request.tenant);
+        lease.enqueue(waiter);
+        let decisions = lease.serve(now);
+        self.replies(decisions)
+    }
+
+    /// A granted request ended, or was never sent; returns what can be answered now.
+    pub fn release(
+        &mut self,
+        now: MonotonicTime,
+        release: &LocalQuotaRelease,
+        limit: StreamLimit,
+    ) -> Vec<LocalQuotaReply> {
+        let lease = self.lease(now, &release.tenant);
+        if limit.needs_slot(release.stream) {
+            lease.release_slot();
+        }
+        if release.unused {
+            lease.return_token();
+        }
+        let decisions = lease.serve(now);
+        self.replies(decisions)
+    }
+
+    /// Takes over the open streams by tenant that a new connection of the proxy names: a proxy that
+    /// started afresh has none, and a restarted agent learns those that were granted before.
+    pub fn reconcile_streams(&mut self, now: MonotonicTime, streams: &BTreeMap<String, u32>) {
+        for lease in self.leases.values_mut() {
+            lease.reconcile_streams(0);
+        }
+        for (tenant, count) in streams {
+            self.lease(now, tenant).reconcile_streams(*count);
+        }
+    }
+
+    /// The proxy is disconnected: nobody waits for the answers, and others would miss tokens that are
+    /// granted for them. A proxy that comes back sends its requests again.
+    pub fn cancel_waiting(&mut self) {
+        self.leases
+            .values_mut()
+            .for_each(TenantLease::cancel_waiting);
+    }
+
+    /// A leader wants a tenant's idle tokens back. Recalls go to every node: one that has sent no
+    /// request for the tenant within the last lease has nothing to return, and does not answer.
+    pub fn recall(&mut self, recall: &QuotaRecall) {
+        if let Some(lease) = self.leases.get_mut(&recall.tenant) {
+            lease.recall();
+        }
+    }
+
+    /// Takes a leader's answer; returns what can be answered now.
+    pub fn reply(&mut self, now: MonotonicTime, reply: &QuotaReply) -> Vec<LocalQuotaReply> {
+        if reply.code != ResultCode::Ok.number() {
+            self.retry(now, reply.request_id);
+            return Vec::new();
+        }
+        let Some(sent) = self.in_flight.take(reply.request_id) else {
+            return Vec::new();
+        };
+        let mut decisions = Vec::new();
+        for request in &sent.request.tenants {
+            let mut grants = reply.grants.iter();
+            let grant = grants.find(|grant| grant.tenant == request.tenant);
+            let lease = self.lease(now, &request.tenant);
+            match grant {
+                Some(grant) => decisions.extend(lease.take_grant(now, &sent, request, grant)),
+                None => lease.abandon_request(request),
+            }
+        }
+        self.replies(decisions)
+    }
+
+    /// A new connection to a control node.
+    pub fn link_up(&mut self, now: MonotonicTime) {
+        self.in_flight.link_up(now);
+    }
+
+    /// The session was replaced: requests under its epoch are void.
+    pub fn session_changed(&mut self, now: MonotonicTime) {
+        for sent in self.in_flight.take_all() {
+            self.abandon(now, &sent.request);
+        }
+    }
+
+    /// Refuses the waiters whose deadline has passed, and abandons requests that timed out.
+    pub fn tick(&mut self, now: MonotonicTime) -> Vec<LocalQuotaReply> {
+        for sent in self.in_flight.take_timed_out(now) {
+            self.abandon(now, &sent.request);
+        }
+        let mut decisions = Vec::new();
+        let mut idle = Vec::new();
+        for tenant in &self.active {
+            let Some(lease) = self.leases.get_mut(tenant) else {
+                idle.push(tenant.clone());
+                continue;
+            };
+            decisions.extend(lease.expire(now));
+            lease.return_expiring(now);
+            if lease.is_idle(now) {
+                idle.push(tenant.clone());
+            }
+        }
+        for tenant in idle {
+            self.active.remove(&tenant);
+            self.leases.remove(&tenant);
+        }
+        self.replies(decisions)
+    }
+
+    /// Requests to send now under the session of `member` with `epoch`: those due again, and at most
+    /// one new one for each shard. `last_id` numbers the new ones.
+    pub fn due_requests(
+        &mut self,
+        now: MonotonicTime,
+        layout: ShardLayout,
+        member: &str,
+        epoch: u64,
+        last_id: &mut u64,
+    ) -> Vec<QuotaRequest> {
+        let mut requests = self.in_flight.due(now);
+        for (shard, tenants) in self.due_tenants(now, layout) {
+            *last_id += 1;
+            let mut request = QuotaRequest {
+                shard: shard.0,
+                request_id: *last_id,
+                member: member.to_owned(),
+                epoch,
+                tenants: Vec::with_capacity(tenants.len()),
+            };
+            for tenant in tenants {
+                let lease = self.lease(now, &tenant);
+                request
+                    .tenants
+                    .push(lease.next_request(now, &tenant, *last_id));
+            }
+            self.last_sent.insert(shard, now);
+            self.in_flight.record_sent(now, request.clone());
+            requests.push(request);
+        }
+        requests
+    }
+
+    /// When [`Self::tick`] and [`Self::due_requests`] next have something to do.
+    #[must_use]
+    pub fn next_wakeup(&self, now: MonotonicTime) -> Option<MonotonicTime> {
+        let leases = self.active.iter().filter_map(|name| self.leases.get(name));
+        let last_sent = self.last_sent.values().max().copied();
+        let batch_end = last_sent.map_or(now, |sent| sent + QUOTA_BATCH_INTERVAL);
+        let times = leases.flat_map(|lease| {
+            let request_due = lease.due(now).map(|due| due.max(batch_end));
+            [lease.first_deadline(), request_due]
+        });
+        times.flatten().min()
+    }
+
+    /// Tenants with something to request or to report, by shard.
+    fn due_tenants(
+        &self,
+        now: MonotonicTime,
+        layout: ShardLayout,
+    ) -> BTreeMap<ShardId, Vec<String>> {
+        let mut due: BTreeMap<ShardId, Vec<String>> = BTreeMap::new();
+        for tenant in &self.active {
+            let lease = self.leases.get(tenant);
+            let due_at = lease.and_then(|lease| lease.due(now));
+            if due_at.is_none_or(|at| at > now) {
+                continue;
+            }
+            let shard = layout.shard_of(&tenant_key(tenant));
+            let last = self.last_sent.get(&shard);
+            if last.is_none_or(|sent| now.since(*sent) >= QUOTA_BATCH_INTERVAL) {
+                due.entry(shard).or_default().push(tenant.clone());
+            }
+        }
+        if !due.is_empty() {
+            self.add_renewals(now, layout, &mut due);
+        }
+        due
+    }
+
+    /// Adds reports of slots that are due soon: one by one they would make most of the node's frames.
+    fn add_renewals(
+        &self,
+        now: MonotonicTime,
+        layout: ShardLayout,
+        due: &mut BTreeMap<ShardId, Vec<String>>,
+    ) {
+        let limit = now + SLOT_RENEWAL_WINDOW;
+        for tenant in &self.active {
+            let lease = self.leases.get(tenant);
+            if !lease.is_some_and(|lease| lease.is_renewal_due_by(limit)) {
+                continue;
+            }
+            let shard = layout.shard_of(&tenant_key(tenant));
+            if let Some(tenants) = due.get_mut(&shard)
+                && !tenants.contains(tenant)
+            {
+                tenants.push(tenant.clone());
+            }
+        }
+    }
+
+    /// The leader could not answer. A request that returns nothing is replaced by a new one, whose
+    /// lease counts from later; one that returns tokens keeps its id, so that they count once.
+    fn retry(&mut self, now: MonotonicTime, request_id: u64) {
+        if self.in_flight.returns_tokens(request_id) {
+            self.in_flight.postpone(now, request_id);
+            return;
+        }
+        let Some(sent) = self.in_flight.take(request_id) else {
+            return;
+        };
+        for request in &sent.request.tenants {
+            self.lease(now, &request.tenant).retry_request(now, request);
+        }
+    }
+
+    fn abandon(&mut self, now: MonotonicTime, request: &QuotaRequest) {
+        for request in &request.tenants {
+            self.lease(now, &request.tenant).abandon_request(request);
+        }
+    }
+
+    fn lease(&mut self, now: MonotonicTime, tenant: &str) -> &mut TenantLease {
+        if !self.active.contains(tenant) {
+            self.active.insert(tenant.to_owned());
+        }
+        let leases = &mut self.leases;
+        leases
+            .entry(tenant.to_owned())
+            .or_insert_with(|| TenantLease::new(now))
+    }
+
+    fn replies(&mut self, decisions: Vec<QuotaDecision>) -> Vec<LocalQuotaReply> {
+        decisions
+            .into_iter()
+            .map(|decision| {
+                self.count(decision.code);
+                LocalQuotaReply {
+                    request_id: decision.request_id,
+                    granted: decision.code == ResultCode::Ok,
+                    code: decision.code.number(),
+                    retry_after_ms: decision.retry_after_ms,
+                    use_within_ms: decision.use_within_ms,
+                }
+            })
+            .collect()
+    }
+
+    fn count(&mut self, code: ResultCode) {
+        match code {
+            ResultCode::Ok => self.counts.granted += 1,
+            ResultCode::QuotaUnavailable => self.counts.unavailable += 1,
+            _ => self.counts.refused += 1,
+        }
+    }
+}
--- a/crates/agent/src/quota/mod.rs
+++ b/crates/agent/src/quota/mod.rs
@@ -1,18 +1,19 @@
-//! Slices of the tenants' quotas that the shard leaders lend to this node.
+//! Quota leases: the parts of the tenants' quotas that the shard leaders grant to this node.
 
-pub mod ask_sent;
-pub mod desk;
-pub mod lease;
-pub mod quota_tally;
-pub mod request_book;
-pub mod slice_answer;
-pub mod slot_hold;
-pub mod tenant_slice;
+pub mod client;
+pub mod in_flight_requests;
+pub mod quota_counts;
+pub mod quota_decision;
+pub mod slot_reservation;
+pub mod stream_limit;
+pub mod tenant_lease;
+pub mod token_lease;
 pub mod waiter;
 
-pub use desk::QuotaClient;
-pub use lease::TokenLease;
-pub use quota_tally::QuotaTally;
-pub use request_book::RequestBook;
-pub use tenant_slice::TenantSlice;
+pub use client::QuotaClient;
+pub use in_flight_requests::InFlightRequests;
+pub use quota_counts::QuotaCounts;
+pub use stream_limit::StreamLimit;
+pub use tenant_lease::TenantLease;
+pub use token_lease::TokenLease;
 pub use waiter::Waiter;
--- a/crates/agent/src/quota/quota_tally.rs
+++ b/crates/agent/src/quota/quota_counts.rs
@@ -1,8 +1,8 @@
-//! Counts of answered asks.
+//! Counts of answered quota requests.
 
-/// How many asks were answered in which way.
+/// How many of the proxy's quota requests were answered in which way.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct QuotaTally {
+pub struct QuotaCounts {
     /// Granted.
     pub granted: u64,
     /// Refused: the quota is used up.
--- a/crates/agent/src/quota/lease.rs
+++ b/crates/agent/src/quota/token_lease.rs
@@ -1,4 +1,4 @@
-//! Tokens lent by a shard's leader.
+//! Tokens granted by a shard's leader.
 
 use millford_core::MonotonicTime;
 
@@ -9,5 +9,5 @@
     pub tokens: u32,
     /// End of the lease, counted from when the request was sent, so that it ends here before the
     /// leader takes the tokens back.
-    pub until: MonotonicTime,
+    pub expires_at: MonotonicTime,
 }
--- a/crates/agent/src/quota/waiter.rs
+++ b/crates/agent/src/quota/waiter.rs
@@ -1,24 +1,24 @@
-//! A call that waits for quota.
+//! A request of the proxy that waits for quota.
 
 use millford_core::{Duration, MonotonicTime};
 
-/// One ask of the proxy that is not answered yet.
+/// One quota request of the proxy that is not answered yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Waiter {
-    /// Number that the proxy gave to its ask.
+    /// Id that the proxy gave to its quota request.
     pub request_id: u64,
     /// Whether it also needs a stream slot.
     pub needs_slot: bool,
-    /// When it came to this agent.
+    /// When it reached this agent.
     pub arrived: MonotonicTime,
-    /// How long it had waited before that, for an agent that is gone.
+    /// How long it had waited before that, at an agent process that has ended.
     pub waited_before: Duration,
-    /// When the ask is given up.
+    /// When it is refused for want of a decision.
     pub deadline: MonotonicTime,
 }
 
 impl Waiter {
-    /// How long it has waited in all.
+    /// How long it has waited altogether.
     #[must_use]
     pub fn waited(&self, now: MonotonicTime) -> Duration {
         self.waited_before + now.since(self.arrived)
--- a/crates/agent/src/registry/confirmation.rs
+++ b/crates/agent/src/registry/confirmation.rs
@@ -1,43 +1,43 @@
-//! Since when control confirms every shard to the agent, or does not.
+//! Since when the control plane confirms every shard to the agent, or does not.
 
 use millford_core::{Duration, MonotonicTime};
 
-/// The agent is in touch and every shard is confirmed on its connection, or not.
+/// Whether the agent is connected and every shard is confirmed on its connection, and since when.
 #[derive(Clone, Copy, Debug)]
 pub struct Confirmation {
-    is_whole: bool,
+    is_complete: bool,
     since: MonotonicTime,
 }
 
 impl Confirmation {
     /// Nothing is confirmed yet.
     #[must_use]
-    pub fn missing(now: MonotonicTime) -> Self {
+    pub fn unconfirmed(now: MonotonicTime) -> Self {
         Self {
-            is_whole: false,
+            is_complete: false,
             since: now,
         }
     }
 
-    /// Takes what holds now.
-    pub fn note(&mut self, now: MonotonicTime, is_whole: bool) {
-        if self.is_whole != is_whole {
+    /// Takes whether every shard is confirmed now.
+    pub fn record(&mut self, now: MonotonicTime, is_complete: bool) {
+        if self.is_complete != is_complete {
             *self = Self {
-                is_whole,
+                is_complete,
                 since: now,
             };
         }
     }
 
-    /// For how long something has not been confirmed.
+    /// How long some shard has been unconfirmed; none when every shard is confirmed.
     #[must_use]
-    pub fn missing_for(&self, now: MonotonicTime) -> Option<Duration> {
-        (!self.is_whole).then(|| now.since(self.since))
+    pub fn unconfirmed_for(&self, now: MonotonicTime) -> Option<Duration> {
+        (!self.is_complete).then(|| now.since(self.since))
     }
 
-    /// For how long everything has been confirmed.
+    /// How long every shard has been confirmed; none when one is not.
     #[must_use]
-    pub fn lasts_for(&self, now: MonotonicTime) -> Option<Duration> {
-        self.is_whole.then(|| now.since(self.since))
+    pub fn confirmed_for(&self, now: MonotonicTime) -> Option<Duration> {
+        self.is_complete.then(|| now.since(self.since))
     }
 }
--- a/crates/agent/src/registry/mod.rs
+++ b/crates/agent/src/registry/mod.rs
@@ -1,11 +1,13 @@
-//! The service registry, read by the agent itself while control does not confirm every shard.
+//! The service registry, read by the agent itself while the control plane does not confirm every
+//! shard.
 
+pub mod backoff;
 pub mod confirmation;
+pub mod fallback;
 pub mod overlay;
-pub mod pace;
 pub mod view;
 
 pub use confirmation::Confirmation;
+pub use fallback::{FallbackAction, RegistryFallback};
 pub use overlay::RegistryOverlay;
-pub use pace::RegistryPace;
 pub use view::{RegistryEntry, RegistryView};
--- a/crates/agent/src/registry/overlay.rs
+++ b/crates/agent/src/registry/overlay.rs
@@ -1,4 +1,4 @@
-//! What the registry retires beyond what the feed says.
+//! Backend states that the registry retires beyond what the feed says.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,9 +9,9 @@
 /// Prefix of the keys of backends in the public state: `backend/<pool>/<backend id>`.
 pub(crate) const BACKEND_PREFIX: &str = "backend/";
 
-/// States of backends that the registry gave while no control node was in touch.
+/// States of backends that the registry gave while the control plane did not confirm every shard.
 ///
-/// Merge rule: draining or gone wins, from whichever source. A backend that only the registry
+/// Merge rule: draining or removed wins, from whichever source. A backend that only the registry
 /// knows is not added, since the agent cannot tell which pools it belongs to.
 #[derive(Clone, Debug, Default)]
 pub struct RegistryOverlay {
@@ -36,9 +36,9 @@
             .iter()
             .map(|entry| (entry.id.as_str(), entry.state))
             .collect();
-        let former = std::mem::take(&mut self.states);
+        let previous = std::mem::take(&mut self.states);
         self.states = retired(items, &listed);
-        changed_keys(&former, &self.states)
+        changed_keys(&previous, &self.states)
     }
 
     /// Drops everything; returns the keys that were overlaid.
@@ -46,7 +46,7 @@
         std::mem::take(&mut self.states).into_keys().collect()
     }
 
-    /// The item as the proxy should see it.
+    /// The item as the proxy should receive it.
     #[must_use]
     pub fn merge(&self, item: StateItem) -> StateItem {
         let Some(&overlaid) = self.states.get(&item.key) else {
@@ -81,6 +81,7 @@
     rest.split_once('/').map(|(pool, _)| pool)
 }
 
+/// Backends that the list retires: those it marks, and those it lacks.
 fn retired<'a>(
     items: impl Iterator<Item = (&'a String, &'a StateValue)>,
     listed: &BTreeMap<&str, BackendState>,
@@ -103,7 +104,7 @@
         }
     }
     // A list that names none of a pool's backends is more likely a registry that has just started
-    // than a pool that went away whole; connection errors eject dead backends all the same.
+    // than a pool that lost all of its backends; connection errors eject dead backends all the same.
     absent.retain(|(pool, _)| present_pools.contains(pool));
     states.extend(
         absent
@@ -114,12 +115,12 @@
 }
 
 fn changed_keys(
-    former: &BTreeMap<String, BackendState>,
-    present: &BTreeMap<String, BackendState>,
+    previous: &BTreeMap<String, BackendState>,
+    current: &BTreeMap<String, BackendState>,
 ) -> Vec<String> {
-    let keys: BTreeSet<&String> = former.keys().chain(present.keys()).collect();
+    let keys: BTreeSet<&String> = previous.keys().chain(current.keys()).collect();
     let changed = keys
         .into_iter()
-        .filter(|key| former.get(*key) != present.get(*key));
+        .filter(|key| previous.get(*key) != current.get(*key));
     changed.cloned().collect()
 }
--- a/crates/agent/src/registry/view.rs
+++ b/crates/agent/src/registry/view.rs
@@ -11,7 +11,7 @@
     pub state: BackendState,
 }
 
-/// The registry's list at one moment. It trails reality.
+/// The registry's list at one moment, which may be older than the backends' true state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RegistryView {
     /// Every registered backend.
--- a/crates/agent/src/session.rs
+++ b/crates/agent/src/session.rs
@@ -1,17 +1,20 @@
 //! The agent's session with the control plane.
 
-use millford_api::command::{CloseSession, Command, OpenSession, command};
-use millford_api::internal::{ShardReply, ShardRequest, shard_reply, shard_request};
+use millford_api::command::{CloseSession, OpenSession, command, command_result as result};
+use millford_api::internal::{ShardReply, ShardRequest};
 use millford_core::{MonotonicTime, ResultCode, ShardLayout, session_key};
 
 use crate::options::AgentOptions;
-use crate::timing::{SESSION_RESEND, SESSION_RETRY};
+use crate::shard_command::{command_result, propose};
+use crate::timing::{SESSION_RESEND_INTERVAL, SESSION_RETRY_DELAY};
 
 /// Opening, epoch and closing of the session.
 #[derive(Clone, Debug)]
 pub struct Session {
     open: OpenSession,
+    /// Epoch of the open session, or 0.
     epoch: u64,
+    /// Id of the request to open the session while it is not answered.
     request: Option<u64>,
     send_at: MonotonicTime,
 }
@@ -47,40 +50,41 @@
         self.epoch
     }
 
-    /// The control plane says that the session with `epoch` is gone.
-    pub fn gone(&mut self, now: MonotonicTime) {
+    /// The control plane no longer knows the session: a new one is to be opened.
+    pub fn closed_by_control(&mut self, now: MonotonicTime) {
         self.epoch = 0;
         if self.request.is_none() {
             self.send_at = now;
         }
     }
 
-    /// A new connection: a request under way may be lost.
+    /// A new connection: a request in flight may be lost and is due again.
     pub fn link_up(&mut self, now: MonotonicTime) {
         self.send_at = now;
     }
 
-    /// The request to open the session, when it is time. `next_id` numbers requests.
+    /// The request to open the session, when it is due. `last_id` numbers requests.
     pub fn due(
         &mut self,
         now: MonotonicTime,
         layout: ShardLayout,
-        next_id: &mut u64,
+        last_id: &mut u64,
     ) -> Option<ShardRequest> {
         if self.epoch != 0 || now < self.send_at {
             return None;
         }
-        self.send_at = now + SESSION_RESEND;
+        self.send_at = now + SESSION_RESEND_INTERVAL;
         // The same request id: opening with the same boot id again gives the same session.
         let id = *self.request.get_or_insert_with(|| {
-            *next_id += 1;
-            *next_id
+            *last_id += 1;
+            *last_id
         });
         let kind = command::Kind::OpenSession(self.open.clone());
         Some(self.propose(layout, id, kind))
     }
 
     /// The request to close the session, if it is open.
+    #[must_use]
     pub fn close(&self, layout: ShardLayout, id: u64) -> Option<ShardRequest> {
         if self.epoch == 0 {
             return None;
@@ -98,40 +102,26 @@
         if self.request != Some(reply.request_id) || self.epoch != 0 {
             return false;
         }
-        match opened_epoch(reply) {
-            Some(epoch) => {
-                self.request = None;
-                self.epoch = epoch;
-                true
-            }
-            None => {
-                self.send_at = now + SESSION_RETRY;
-                false
-            }
-        }
+        let Some(epoch) = opened_epoch(reply) else {
+            self.send_at = now + SESSION_RETRY_DELAY;
+            return false;
+        };
+        self.request = None;
+        self.epoch = epoch;
+        true
     }
 
     fn propose(&self, layout: ShardLayout, id: u64, kind: command::Kind) -> ShardRequest {
-        let command = Command { kind: Some(kind) };
-        ShardRequest {
-            shard: layout.shard_of(&session_key(&self.open.member)).0,
-            request_id: id,
-            kind: Some(shard_request::Kind::Propose(command)),
-            hops: 0,
-        }
+        let shard = layout.shard_of(&session_key(&self.open.member));
+        propose(shard, id, kind)
     }
 }
 
+/// Epoch of the session that an answer says is open.
 fn opened_epoch(reply: &ShardReply) -> Option<u64> {
-    use millford_api::command::command_result::Kind;
-    if reply.code != ResultCode::Ok.number() {
-        return None;
-    }
-    let Some(shard_reply::Kind::Result(result)) = &reply.kind else {
-        return None;
-    };
-    match &result.kind {
-        Some(Kind::OpenSession(opened)) if result.code == ResultCode::Ok.number() => {
+    let outcome = command_result(reply)?;
+    match &outcome.kind {
+        Some(result::Kind::OpenSession(opened)) if outcome.code == ResultCode::Ok.number() => {
             Some(opened.epoch).filter(|epoch| *epoch != 0)
         }
         _ => None,
--- a/crates/agent/src/forward/answer.rs
+++ b/crates/agent/src/shard_command.rs
@@ -1,4 +1,4 @@
-//! What a shard's answer to a forwarded command means.
+//! Commands proposed to a shard, and what its answers mean.
 
 use millford_api::command::{ClaimResult, Command, command};
 use millford_api::command::{CommandResult, command_result};
--- a/crates/agent/tests/daemon.rs
+++ b/crates/agent/tests/daemon.rs
@@ -1,4 +1,4 @@
-//! The program itself: ready line, health, metrics, settings faults, a clean end.
+//! The program itself: ready line, health, metrics, settings faults, a clean shutdown.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
@@ -7,13 +7,14 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_millford-agent");
 
-struct Running {
+/// The program, running; killed when dropped.
+struct Process {
     child: Child,
     output: BufReader<ChildStdout>,
     http: String,
 }
 
-impl Running {
+impl Process {
     fn start() -> Self {
         let mut child = Command::new(PROGRAM)
             .args(["--name", "node-1", "--zone", "z"])
@@ -50,7 +51,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for Process {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -58,26 +59,26 @@
 }
 
 #[test]
-fn serves_health_and_metrics_without_control_and_ends_cleanly() {
-    let mut running = Running::start();
-    assert!(running.get("/healthz").starts_with("HTTP/1.1 200"));
-    assert!(running.get("/readyz").starts_with("HTTP/1.1 503"));
-    let metrics = running.get("/metrics");
+fn health_and_metrics_work_without_control_and_sigterm_ends_the_process() {
+    let mut process = Process::start();
+    assert!(process.get("/healthz").starts_with("HTTP/1.1 200"));
+    assert!(process.get("/readyz").starts_with("HTTP/1.1 503"));
+    let metrics = process.get("/metrics");
     assert!(metrics.contains("millford_agent_in_touch 0"), "{metrics}");
-    assert!(running.get("/elsewhere").starts_with("HTTP/1.1 404"));
+    assert!(process.get("/elsewhere").starts_with("HTTP/1.1 404"));
     let terminate = Command::new("kill")
-        .args(["-TERM", &running.child.id().to_string()])
+        .args(["-TERM", &process.child.id().to_string()])
         .status();
     assert!(terminate.expect("kill").success());
-    let told = Instant::now();
+    let signalled = Instant::now();
     // The output ends when the process does.
     let mut rest = String::new();
-    running
+    process
         .output
         .read_to_string(&mut rest)
         .expect("end of output");
-    assert!(running.child.wait().expect("status").success());
-    assert!(told.elapsed() < Duration::from_secs(5));
+    assert!(process.child.wait().expect("status").success());
+    assert!(signalled.elapsed() < Duration::from_secs(5));
 }
 
 fn refused(arguments: &[&str]) -> String {
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn wrong_settings_are_named_and_end_the_process() {
+fn invalid_settings_are_named_and_end_the_process() {
     let good = [
         "--name",
         "n",
--- a/crates/agent/tests/fail_over.rs
+++ b/crates/agent/tests/fail_over.rs
@@ -1,4 +1,4 @@
-//! Moves between control nodes, and what the proxy keeps meanwhile.
+//! Failover between control nodes, and what the proxy retains meanwhile.
 
 mod support;
 
@@ -7,49 +7,49 @@
 use millford_api::local::local_frame;
 use millford_api::state::{BackendState, ControlMember};
 use millford_core::Duration;
-use support::{ControlStandIn, Fleet, backend, head};
+use support::{FakeControlNode, Fleet, backend, head};
 
 const ADDRESSES: [&str; 3] = ["c1", "c2", "c3"];
 
 #[test]
-fn a_silent_node_is_left_and_the_next_one_sends_only_what_changed() {
+fn an_unresponsive_node_is_failed_over_and_the_next_one_sends_only_changes() {
     let mut fleet = Fleet::started(&ADDRESSES);
-    let first = fleet.at();
+    let first = fleet.connected_node();
     fleet.take_proxy_frames();
-    fleet.controls[first].silent = true;
-    let silent_at = fleet.now;
+    fleet.controls[first].unresponsive = true;
+    let unresponsive_at = fleet.now;
     fleet.publish(1, 2, vec![backend("p", "new")]);
     fleet.run(1100);
-    assert_ne!(fleet.at(), first);
-    let (left_at, _) = fleet.connects[1];
-    assert!(left_at.since(silent_at) <= Duration::from_millis(1010));
-    assert!(fleet.core.in_touch());
-    let second = fleet.at();
+    assert_ne!(fleet.connected_node(), first);
+    let failed_over_at = fleet.connects[1].at;
+    assert!(failed_over_at.since(unresponsive_at) <= Duration::from_millis(1010));
+    assert!(fleet.core.is_connected());
+    let second = fleet.connected_node();
     assert!(fleet.controls[second].subscriptions.contains(&(1, 1)));
     let sent = fleet.take_proxy_frames();
-    let whole = sent
+    let snapshots = sent
         .iter()
         .filter(|body| matches!(body, local_frame::Body::Snapshot(_)));
-    assert_eq!(whole.count(), 0, "the proxy needs no whole state");
+    assert_eq!(snapshots.count(), 0, "the proxy needs no snapshot");
     assert_eq!(fleet.proxy_backend(1, "backend/p/new"), Some(0));
 }
 
 #[test]
-fn a_node_out_of_touch_is_left_at_once() {
+fn a_node_without_quorum_is_failed_over_at_once() {
     let mut fleet = Fleet::started(&ADDRESSES);
-    let first = fleet.at();
-    fleet.controls[first].in_touch = false;
+    let first = fleet.connected_node();
+    fleet.controls[first].has_quorum = false;
     fleet.run(300);
-    assert_ne!(fleet.at(), first);
-    assert!(fleet.core.in_touch());
+    assert_ne!(fleet.connected_node(), first);
+    assert!(fleet.core.is_connected());
 }
 
 #[test]
-fn a_shard_without_quorum_everywhere_does_not_keep_the_agent_moving() {
+fn a_shard_without_quorum_everywhere_causes_one_failover_in_four_seconds() {
     let mut fleet = Fleet::started(&ADDRESSES);
     let links_before = fleet.core.counters().links_up;
     for _ in 0..40 {
-        let index = fleet.at();
+        let index = fleet.connected_node();
         let stale = FeedMessage {
             shard: 2,
             kind: Some(feed_message::Kind::Stale(FeedStale {})),
@@ -58,49 +58,49 @@
         fleet.run(100);
     }
     let links = fleet.core.counters().links_up - links_before;
-    assert_eq!(links, 1, "one move in four seconds");
+    assert_eq!(links, 1, "one failover in four seconds");
 }
 
 #[test]
-fn addresses_that_fail_are_tried_in_rounds_with_bounded_delays() {
+fn failing_endpoints_are_retried_in_passes_with_bounded_backoff() {
     let mut fleet = Fleet::new(&["x1", "x2", "x3"]);
     fleet.controls.clear();
     fleet.run(10_000);
     let times: Vec<u64> = fleet
         .connects
         .iter()
-        .map(|(at, _)| at.as_millis())
+        .map(|connect| connect.at.as_millis())
         .collect();
-    assert!(times.len() >= 3 * 9, "still trying: {}", times.len());
+    assert!(times.len() >= 3 * 9, "still retrying: {}", times.len());
     assert!(times.len() <= 3 * 20, "not hammering: {}", times.len());
     let longest = times.windows(2).map(|pair| pair[1] - pair[0]).max();
-    assert!(longest <= Some(1100), "longest pause {longest:?} ms");
-    for round in fleet.connects.chunks_exact(3) {
-        let mut addresses: Vec<&String> = round.iter().map(|(_, address)| address).collect();
+    assert!(longest <= Some(1100), "longest backoff {longest:?} ms");
+    for pass in fleet.connects.chunks_exact(3) {
+        let mut addresses: Vec<&String> = pass.iter().map(|connect| &connect.address).collect();
         addresses.sort();
         addresses.dedup();
-        assert_eq!(addresses.len(), 3, "each address once a round");
+        assert_eq!(addresses.len(), 3, "each endpoint once a pass");
     }
 }
 
 #[test]
-fn control_nodes_that_start_a_little_later_are_found_at_once() {
+fn control_nodes_that_start_after_the_agent_are_found_at_once() {
     let starts = (50..750).step_by(50);
-    for (late_ms, without_power) in starts.flat_map(|late| [(late, false), (late, true)]) {
+    for (late_ms, unreachable) in starts.flat_map(|late| [(late, false), (late, true)]) {
         let mut fleet = Fleet::new(&ADDRESSES);
-        fleet.without_power = without_power;
+        fleet.unreachable = unreachable;
         let controls = std::mem::take(&mut fleet.controls);
         fleet.run(late_ms);
         fleet.controls = controls;
-        // One connection that is given up, one pause between rounds.
-        fleet.run(if without_power { 250 } else { 150 });
-        let case = format!("up after {late_ms} ms, without power {without_power}");
-        assert!(fleet.core.in_touch(), "{case}");
+        // One connection attempt that times out, one backoff between passes.
+        fleet.run(if unreachable { 250 } else { 150 });
+        let case = format!("up after {late_ms} ms, unreachable {unreachable}");
+        assert!(fleet.core.is_connected(), "{case}");
     }
 }
 
 #[test]
-fn the_present_members_are_found_after_every_seed_was_replaced() {
+fn learned_members_are_used_after_every_seed_was_replaced() {
     let mut fleet = Fleet::started(&["c1"]);
     fleet.controls[0].members = vec![ControlMember {
         node_id: 9,
@@ -109,23 +109,23 @@
     }];
     fleet.run(300);
     assert_eq!(fleet.saved_members, 1);
-    let mut moved = ControlStandIn::new("moved");
+    let mut moved = FakeControlNode::new("moved");
     moved.apply(0, 1, vec![head(1)]);
     moved.apply(1, 1, vec![backend("p", "a"), backend("p", "b")]);
     moved.apply(2, 1, vec![backend("q", "c")]);
     fleet.controls.push(moved);
-    fleet.controls[0].silent = true;
+    fleet.controls[0].unresponsive = true;
     fleet.run(3_000);
-    assert_eq!(fleet.at(), 1);
-    assert!(fleet.core.in_touch());
+    assert_eq!(fleet.connected_node(), 1);
+    assert!(fleet.core.is_connected());
 }
 
 #[test]
-fn a_returning_node_with_old_state_is_not_believed() {
+fn a_snapshot_older_than_the_agents_state_is_refused() {
     let mut fleet = Fleet::started(&ADDRESSES);
     fleet.publish(0, 2, vec![head(2)]);
     fleet.run(10);
-    let index = fleet.at();
+    let index = fleet.connected_node();
     let old = StateSnapshot {
         shard: 0,
         term: 1,
@@ -151,14 +151,14 @@
 }
 
 #[test]
-fn a_restarted_agent_leaves_a_node_that_is_behind_what_its_proxy_showed() {
+fn a_restarted_agent_fails_over_from_a_node_behind_the_revision_its_proxy_applied() {
     let mut fleet = Fleet::started(&ADDRESSES);
     fleet.publish(0, 2, vec![head(2)]);
     fleet.run(10);
-    // All but one node lose the second revision again, as nodes cut off before it would have.
+    // All but one node lose the second revision again, as nodes partitioned before it would have.
     let ahead = 2;
     for (index, address) in ADDRESSES.iter().enumerate().take(2) {
-        let mut behind = ControlStandIn::new(address);
+        let mut behind = FakeControlNode::new(address);
         behind.apply(0, 1, vec![head(1)]);
         behind.apply(1, 1, Vec::new());
         behind.apply(2, 1, Vec::new());
@@ -167,16 +167,16 @@
     fleet.restart_agent(&ADDRESSES);
     assert!(!fleet.core.complete());
     fleet.link_proxy();
-    let shown = millford_api::local::ProxyApplied { revision: 2 };
-    fleet.proxy_sends(local_frame::Body::Applied(shown));
+    let applied = millford_api::local::ProxyApplied { revision: 2 };
+    fleet.proxy_sends(local_frame::Body::Applied(applied));
     fleet.run(3_000);
-    assert_eq!(fleet.at(), ahead);
+    assert_eq!(fleet.connected_node(), ahead);
     assert_eq!(fleet.core.revision(), 2);
     assert!(fleet.core.complete());
 }
 
 #[test]
-fn complete_only_when_every_shard_was_confirmed_since_the_start() {
+fn the_agent_is_complete_only_when_every_shard_was_confirmed_since_the_start() {
     let mut fleet = Fleet::new(&["c1"]);
     fleet.controls[0].publishers.remove(&2);
     let withheld = millford_feed::FeedPublisher::new(millford_core::ShardId(2));
@@ -185,25 +185,25 @@
     fleet.run(500);
     assert!(fleet.core.complete());
     let mut fleet = Fleet::new(&["c1"]);
-    fleet.controls[0].silent = true;
+    fleet.controls[0].unresponsive = true;
     fleet.run(500);
     assert!(!fleet.core.complete());
 }
 
 #[test]
-fn a_restarted_proxy_gets_every_shard_whole() {
+fn a_restarted_proxy_gets_a_snapshot_of_every_shard() {
     let mut fleet = Fleet::started(&ADDRESSES);
     fleet.publish(1, 2, vec![backend("p", "new")]);
     fleet.run(10);
     fleet.proxy.clear();
-    fleet.give(AgentInput::ProxyDown);
+    fleet.handle(AgentInput::ProxyDown);
     fleet.take_proxy_frames();
     fleet.link_proxy();
     let sent = fleet.take_proxy_frames();
-    let whole = sent
+    let snapshots = sent
         .iter()
         .filter(|body| matches!(body, local_frame::Body::Snapshot(_)));
-    assert_eq!(whole.count(), 3);
+    assert_eq!(snapshots.count(), 3);
     assert_eq!(fleet.proxy_backend(1, "backend/p/new"), Some(0));
 }
 
@@ -215,19 +215,19 @@
 }
 
 #[test]
-fn out_of_touch_with_all_the_registry_retires_but_never_adds() {
+fn while_disconnected_the_registry_retires_backends_but_never_adds_any() {
     let mut fleet = Fleet::started(&ADDRESSES);
     for control in &mut fleet.controls {
-        control.silent = true;
+        control.unresponsive = true;
     }
     fleet.run(2_500);
-    assert!(!fleet.core.in_touch());
+    assert!(!fleet.core.is_connected());
     assert!(fleet.registry_reads >= 2);
     let entries = vec![
         entry("a", BackendState::BackendDraining),
         entry("stranger", BackendState::BackendActive),
     ];
-    fleet.give(AgentInput::Registry(RegistryView { entries }));
+    fleet.handle(AgentInput::Registry(RegistryView { entries }));
     let draining = BackendState::BackendDraining as i32;
     let gone = BackendState::BackendGone as i32;
     assert_eq!(fleet.proxy_backend(1, "backend/p/a"), Some(draining));
@@ -239,12 +239,12 @@
     fleet.proxy.clear();
     fleet.link_proxy();
     assert_eq!(fleet.proxy_backend(1, "backend/p/a"), Some(draining));
-    // Back in touch, the feed's word goes once control had the time to read the registry itself.
+    // Connected again, the feed's state applies once control had the time to read the registry itself.
     for control in &mut fleet.controls {
-        control.silent = false;
+        control.unresponsive = false;
     }
     fleet.run(1_500);
-    assert!(fleet.core.in_touch());
+    assert!(fleet.core.is_connected());
     assert_eq!(fleet.proxy_backend(1, "backend/p/a"), Some(draining));
     fleet.run(3_000);
     assert_eq!(fleet.proxy_backend(1, "backend/p/a"), Some(0));
@@ -258,13 +258,13 @@
     for control in &mut fleet.controls {
         control.stale_shards.insert(1);
     }
-    let at = fleet.at();
-    fleet.control_sends(at, vec![ControlStandIn::stale(1)]);
+    let index = fleet.connected_node();
+    fleet.control_sends(index, vec![FakeControlNode::stale(1)]);
     fleet.run(2_000);
-    assert!(fleet.core.in_touch());
+    assert!(fleet.core.is_connected());
     assert!(fleet.registry_reads >= 1);
     let entries = vec![entry("a", BackendState::BackendDraining)];
-    fleet.give(AgentInput::Registry(RegistryView { entries }));
+    fleet.handle(AgentInput::Registry(RegistryView { entries }));
     let draining = BackendState::BackendDraining as i32;
     assert_eq!(fleet.proxy_backend(1, "backend/p/a"), Some(draining));
     for control in &mut fleet.controls {
@@ -281,29 +281,29 @@
 fn an_agent_that_knows_no_backend_does_not_read_the_registry() {
     let mut fleet = Fleet::new(&ADDRESSES);
     for control in &mut fleet.controls {
-        control.silent = true;
+        control.unresponsive = true;
     }
     fleet.run(10_000);
     assert_eq!(fleet.registry_reads, 0);
 }
 
 #[test]
-fn a_registry_that_refuses_is_asked_ever_more_seldom() {
+fn a_registry_that_refuses_is_read_at_growing_intervals() {
     let mut fleet = Fleet::started(&ADDRESSES);
     for control in &mut fleet.controls {
-        control.silent = true;
+        control.unresponsive = true;
     }
     let mut refused = 0;
     for _ in 0..40 {
         fleet.run(500);
         while refused < fleet.registry_reads {
             refused += 1;
-            fleet.give(AgentInput::RegistryFailed);
+            fleet.handle(AgentInput::RegistryFailed);
         }
     }
-    // Twenty seconds: pauses of 1, 2, 4, 8 and more, each by up to a half shorter.
-    assert!((3..=9).contains(&refused), "{refused} readings");
-    // It gives its list again: the next readings come quicker.
+    // Twenty seconds: intervals of 1, 2, 4, 8 and more, each by up to a half shorter.
+    assert!((3..=9).contains(&refused), "{refused} reads");
+    // The registry answers again: the next reads follow sooner.
     let before = fleet.registry_reads;
     for _ in 0..60 {
         fleet.run(1_000);
@@ -311,59 +311,59 @@
             break;
         }
         let entries = vec![entry("a", BackendState::BackendActive)];
-        fleet.give(AgentInput::Registry(RegistryView { entries }));
+        fleet.handle(AgentInput::Registry(RegistryView { entries }));
     }
     assert!(fleet.registry_reads > before + 1);
 }
 
 #[test]
-fn an_expired_session_is_opened_anew_and_a_stopped_one_closed() {
+fn an_expired_session_is_reopened_and_a_shutdown_closes_it() {
     let mut fleet = Fleet::started(&ADDRESSES);
     let epoch = fleet.core.session_epoch();
     fleet.shared.sessions.clear();
     fleet.run(400);
     assert!(fleet.core.session_epoch() > epoch);
-    fleet.give(AgentInput::Stop);
+    fleet.handle(AgentInput::Stop);
     fleet.run(10);
     assert!(fleet.stopped);
     assert_eq!(fleet.shared.closed, ["node-1"]);
 }
 
 #[test]
-fn a_stop_without_any_control_node_ends_in_time() {
+fn a_shutdown_without_any_control_node_ends_within_its_timeout() {
     let mut fleet = Fleet::started(&ADDRESSES);
     for control in &mut fleet.controls {
-        control.silent = true;
+        control.unresponsive = true;
     }
-    fleet.give(AgentInput::Stop);
+    fleet.handle(AgentInput::Stop);
     fleet.run(1_010);
     assert!(fleet.stopped);
 }
 
 #[test]
-fn nodes_that_are_slow_to_answer_are_given_longer_after_whole_rounds() {
+fn the_inactivity_timeout_grows_after_a_pass_of_unresponsive_nodes() {
     let mut fleet = Fleet::new(&ADDRESSES);
     for control in &mut fleet.controls {
-        control.silent = true;
+        control.unresponsive = true;
     }
     fleet.run(20_000);
     let times: Vec<u64> = fleet
         .connects
         .iter()
-        .map(|(at, _)| at.as_millis())
+        .map(|connect| connect.at.as_millis())
         .collect();
-    let first_round = times[1] - times[0];
-    assert!((750..=800).contains(&first_round), "{first_round}");
+    let first_pass = times[1] - times[0];
+    assert!((750..=800).contains(&first_pass), "{first_pass}");
     let later = times[times.len() - 2] - times[times.len() - 3];
     assert!((3_000..=4_100).contains(&later), "{later}");
-    // Once a node proved good, the next silence counts from the start again.
+    // Once a node was stable, the inactivity timeout is the initial one again.
     fleet
         .controls
         .iter_mut()
-        .for_each(|control| control.silent = false);
+        .for_each(|control| control.unresponsive = false);
     fleet.run(5_000);
-    let first = fleet.at();
-    fleet.controls[first].silent = true;
+    let first = fleet.connected_node();
+    fleet.controls[first].unresponsive = true;
     fleet.run(1_100);
-    assert_ne!(fleet.at(), first);
+    assert_ne!(fleet.connected_node(), first);
 }
--- a/crates/agent/tests/request_book.rs
+++ b/crates/agent/tests/in_flight_requests.rs
@@ -1,10 +1,10 @@
 //! Quota requests that are sent again.
 
-use millford_agent::quota::RequestBook;
+use millford_agent::quota::InFlightRequests;
 use millford_api::internal::{QuotaRequest, TenantQuotaRequest};
 use millford_core::{Duration, MonotonicTime};
 
-fn ask(waiting: u32, oldest_wait_ms: u32) -> TenantQuotaRequest {
+fn tenant_request(waiting: u32, oldest_wait_ms: u32) -> TenantQuotaRequest {
     TenantQuotaRequest {
         tenant: "t".to_owned(),
         tokens: waiting,
@@ -14,26 +14,26 @@
     }
 }
 
-/// The leader credits a tenant with what the rate gave while it could not hear the node; an old figure would
-/// make it refuse calls that an exact bucket had served.
+/// The leader credits a tenant with what the rate gave while it was not connected to the node; an old
+/// figure would make it refuse requests that an exact bucket would have granted.
 #[test]
-fn a_request_that_is_sent_again_says_what_its_calls_have_waited_by_now() {
+fn a_resent_request_reports_the_present_waiting_time() {
     let start = MonotonicTime::from_millis(10_000);
-    let mut book = RequestBook::default();
+    let mut in_flight = InFlightRequests::default();
     let request = QuotaRequest {
         request_id: 7,
-        tenants: vec![ask(3, 20), ask(0, 0)],
+        tenants: vec![tenant_request(3, 20), tenant_request(0, 0)],
         ..QuotaRequest::default()
     };
-    book.sent(start, request);
+    in_flight.record_sent(start, request);
     for passed in [300, 700] {
-        let again = book.due(start + Duration::from_millis(passed));
+        let again = in_flight.due(start + Duration::from_millis(passed));
         assert_eq!(again.len(), 1);
         assert_eq!(again[0].request_id, 7);
         let waits: Vec<u32> = again[0]
             .tenants
             .iter()
-            .map(|ask| ask.oldest_wait_ms)
+            .map(|tenant| tenant.oldest_wait_ms)
             .collect();
         assert_eq!(waits, [20 + u32::try_from(passed).unwrap(), 0]);
     }
--- a/crates/agent/tests/open_streams.rs
+++ b/crates/agent/tests/open_streams.rs
@@ -1,15 +1,15 @@
-//! A new connection of the proxy replaces what the agent counted of its streams.
+//! A new connection of the proxy replaces the agent's count of its streams.
 
 use std::collections::BTreeMap;
 
-use millford_agent::quota::QuotaClient;
+use millford_agent::quota::{QuotaClient, StreamLimit};
 use millford_api::internal::{QuotaGrant, QuotaReply, QuotaRequest};
 use millford_api::local::LocalQuotaRequest;
 use millford_core::{Duration, MonotonicTime, ShardLayout};
 
 const TENANT: &str = "library";
 
-fn ask(request_id: u64) -> LocalQuotaRequest {
+fn stream_request(request_id: u64) -> LocalQuotaRequest {
     LocalQuotaRequest {
         request_id,
         tenant: TENANT.to_owned(),
@@ -19,15 +19,23 @@
     }
 }
 
-fn requests(desk: &mut QuotaClient, now: MonotonicTime, next_id: &mut u64) -> Vec<QuotaRequest> {
-    desk.requests(now, ShardLayout::new(1), "front-1", 1, next_id)
+fn due_requests(
+    client: &mut QuotaClient,
+    now: MonotonicTime,
+    next_id: &mut u64,
+) -> Vec<QuotaRequest> {
+    client.due_requests(now, ShardLayout::new(1), "front-1", 1, next_id)
 }
 
-/// A desk with one admitted stream.
-fn desk_with_a_stream(now: MonotonicTime, next_id: &mut u64) -> QuotaClient {
-    let mut desk = QuotaClient::default();
-    assert!(desk.ask(now, &ask(1), true).is_empty());
-    let sent = requests(&mut desk, now, next_id);
+/// A client with one granted stream.
+fn client_with_a_stream(now: MonotonicTime, next_id: &mut u64) -> QuotaClient {
+    let mut client = QuotaClient::default();
+    assert!(
+        client
+            .request(now, &stream_request(1), StreamLimit::Limited)
+            .is_empty()
+    );
+    let sent = due_requests(&mut client, now, next_id);
     let reply = QuotaReply {
         shard: sent[0].shard,
         request_id: sent[0].request_id,
@@ -40,35 +48,39 @@
         }],
         ..QuotaReply::default()
     };
-    let answers = desk.reply(now, &reply);
+    let answers = client.reply(now, &reply);
     assert!(answers[0].granted);
-    assert_eq!(desk.slots_in_use(), 1);
-    desk
+    assert_eq!(client.slots_in_use(), 1);
+    client
 }
 
 #[test]
-fn a_proxy_that_starts_afresh_frees_the_slots_of_the_dead_one() {
+fn a_restarted_proxy_frees_the_slots_of_the_old_one() {
     let now = MonotonicTime::from_millis(10_000);
     let mut next_id = 0;
-    let mut desk = desk_with_a_stream(now, &mut next_id);
-    assert!(desk.ask(now, &ask(2), true).is_empty());
-    desk.take_over(now, &BTreeMap::new());
-    assert_eq!(desk.slots_in_use(), 0);
-    // The old connection's ask is void: nobody would take its answer.
+    let mut client = client_with_a_stream(now, &mut next_id);
+    assert!(
+        client
+            .request(now, &stream_request(2), StreamLimit::Limited)
+            .is_empty()
+    );
+    client.reconcile_streams(now, &BTreeMap::new());
+    assert_eq!(client.slots_in_use(), 0);
+    // The old connection's request is void: nobody would take its answer.
     let later = now + Duration::from_secs(10);
-    assert!(desk.tick(later).is_empty());
+    assert!(client.tick(later).is_empty());
 }
 
 #[test]
-fn a_restarted_agent_learns_the_open_streams_and_tells_the_leader() {
+fn a_restarted_agent_reports_the_open_streams_to_the_leader() {
     let now = MonotonicTime::from_millis(10_000);
     let mut next_id = 0;
-    let mut desk = QuotaClient::default();
-    desk.take_over(now, &BTreeMap::from([(TENANT.to_owned(), 3)]));
-    assert_eq!(desk.slots_in_use(), 3);
+    let mut client = QuotaClient::default();
+    client.reconcile_streams(now, &BTreeMap::from([(TENANT.to_owned(), 3)]));
+    assert_eq!(client.slots_in_use(), 3);
     let later = now + Duration::from_secs(2);
-    let _ = desk.tick(later);
-    let told = requests(&mut desk, later, &mut next_id);
-    assert_eq!(told[0].tenants[0].slots_in_use, 3);
-    assert_eq!(told[0].tenants[0].slots_requested, 3);
+    let _ = client.tick(later);
+    let reported = due_requests(&mut client, later, &mut next_id);
+    assert_eq!(reported[0].tenants[0].slots_in_use, 3);
+    assert_eq!(reported[0].tenants[0].slots_requested, 3);
 }
--- a/crates/agent/tests/quota_ages.rs
+++ b/crates/agent/tests/quota_ages.rs
@@ -1,7 +1,7 @@
-//! Ages of asks and of grants: what an ask waited before it came here counts, and a grant says until
-//! when it may be used.
+//! Ages of requests and of grants: what a request waited before it arrived counts, and a grant says
+//! until when it may be used.
 
-use millford_agent::quota::QuotaClient;
+use millford_agent::quota::{QuotaClient, StreamLimit};
 use millford_api::internal::{QuotaGrant, QuotaReply, QuotaRequest};
 use millford_api::local::LocalQuotaRequest;
 use millford_core::{Duration, MonotonicTime, ResultCode, ShardLayout};
@@ -10,22 +10,26 @@
 const START: MonotonicTime = MonotonicTime::from_millis(10_000);
 const LEASE_MS: u32 = 1_000;
 
-fn desk_with_ask(waited_ms: u32) -> QuotaClient {
-    let mut desk = QuotaClient::default();
-    let ask = LocalQuotaRequest {
+fn client_with_request(waited_ms: u32) -> QuotaClient {
+    let mut client = QuotaClient::default();
+    let request = LocalQuotaRequest {
         request_id: 7,
         tenant: TENANT.to_owned(),
         stream: false,
         timeout_ms: 3_000,
         waited_ms,
     };
-    assert!(desk.ask(START, &ask, false).is_empty());
-    desk
+    assert!(
+        client
+            .request(START, &request, StreamLimit::Unlimited)
+            .is_empty()
+    );
+    client
 }
 
-fn request(desk: &mut QuotaClient, now: MonotonicTime) -> QuotaRequest {
+fn request_to_leader(client: &mut QuotaClient, now: MonotonicTime) -> QuotaRequest {
     let mut id = 0;
-    let requests = desk.requests(now, ShardLayout::new(1), "node", 1, &mut id);
+    let requests = client.due_requests(now, ShardLayout::new(1), "node", 1, &mut id);
     requests
         .into_iter()
         .next()
@@ -37,16 +41,16 @@
 }
 
 #[test]
-fn what_an_ask_waited_at_a_former_agent_is_told_to_the_leader() {
-    let mut desk = desk_with_ask(4_000);
-    let request = request(&mut desk, after(30));
+fn the_wait_at_a_previous_agent_process_is_reported_to_the_leader() {
+    let mut client = client_with_request(4_000);
+    let request = request_to_leader(&mut client, after(30));
     assert_eq!(request.tenants[0].oldest_wait_ms, 4_030);
 }
 
 #[test]
 fn a_grant_may_be_used_until_its_lease_ends() {
-    let mut desk = desk_with_ask(0);
-    let request = request(&mut desk, after(30));
+    let mut client = client_with_request(0);
+    let request = request_to_leader(&mut client, after(30));
     let reply = QuotaReply {
         shard: request.shard,
         request_id: request.request_id,
@@ -59,9 +63,9 @@
             ..QuotaGrant::default()
         }],
     };
-    let answers = desk.reply(after(200), &reply);
+    let answers = client.reply(after(200), &reply);
     assert_eq!(answers.len(), 1);
     assert!(answers[0].granted);
-    // Counted from the ask: the lease runs from when the request was sent, 30 ms later.
+    // Counted from the proxy's request: the lease runs from when the request was sent, 30 ms later.
     assert_eq!(answers[0].use_within_ms, LEASE_MS + 30);
 }
--- a/crates/agent/tests/quota_and_claims.rs
+++ b/crates/agent/tests/quota_and_claims.rs
@@ -1,4 +1,4 @@
-//! Quota slices, claims and settlements through vacancies, recalls and time-outs.
+//! Quota leases, claims and their outcomes through leader vacancies, recalls and timeouts.
 
 mod support;
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// A started fleet with one tenant, old enough that its bucket is full.
+/// A started fleet with one tenant, for long enough that its bucket is full.
 fn fleet_with(quota: Quota) -> Fleet {
     let mut fleet = Fleet::started(&ADDRESSES);
     fleet.publish(0, 2, vec![tenant("t", quota)]);
@@ -34,7 +34,7 @@
     fleet
 }
 
-fn ask(fleet: &mut Fleet, request_id: u64, stream: bool, timeout_ms: u32) {
+fn request_quota(fleet: &mut Fleet, request_id: u64, stream: bool, timeout_ms: u32) {
     fleet.proxy_sends(local_frame::Body::QuotaRequest(LocalQuotaRequest {
         request_id,
         tenant: "t".to_owned(),
@@ -55,9 +55,9 @@
 }
 
 #[test]
-fn a_call_under_its_quota_is_granted_within_one_round_trip() {
+fn a_request_under_its_quota_is_granted_within_one_round_trip() {
     let mut fleet = fleet_with(quota(10, 10, 0));
-    ask(&mut fleet, 1, false, 500);
+    request_quota(&mut fleet, 1, false, 500);
     fleet.run(8);
     let replies = replies(&mut fleet);
     assert_eq!(replies.len(), 1);
@@ -65,17 +65,17 @@
 }
 
 #[test]
-fn calls_over_the_quota_are_refused_at_once_with_a_time() {
+fn requests_over_the_quota_are_refused_at_once_with_a_retry_time() {
     let mut fleet = fleet_with(quota(1, 4, 0));
     for id in 0..10 {
-        ask(&mut fleet, id, false, 5_000);
+        request_quota(&mut fleet, id, false, 5_000);
     }
     fleet.run(60);
     let replies = replies(&mut fleet);
     let granted = replies.iter().filter(|reply| reply.granted).count();
     assert_eq!(granted, 4);
     let refused: Vec<_> = replies.iter().filter(|reply| !reply.granted).collect();
-    assert_eq!(refused.len(), 6, "no refusal is held back");
+    assert_eq!(refused.len(), 6, "no refusal is delayed");
     for reply in refused {
         assert_eq!(reply.code, ResultCode::QuotaExceeded.number());
         assert!(reply.retry_after_ms > 0);
@@ -83,10 +83,10 @@
 }
 
 #[test]
-fn a_call_waits_through_a_vacancy_and_is_then_granted() {
+fn a_request_waits_through_a_leader_vacancy_and_is_then_granted() {
     let mut fleet = fleet_with(quota(10, 10, 0));
     fleet.shared.lose_leaders();
-    ask(&mut fleet, 1, false, 5_000);
+    request_quota(&mut fleet, 1, false, 5_000);
     fleet.run(800);
     assert!(
         replies(&mut fleet).is_empty(),
@@ -101,10 +101,10 @@
 }
 
 #[test]
-fn a_call_without_a_decision_is_refused_when_its_time_is_over() {
+fn a_request_without_a_decision_is_refused_at_its_deadline() {
     let mut fleet = fleet_with(quota(10, 10, 0));
     fleet.shared.lose_leaders();
-    ask(&mut fleet, 1, false, 300);
+    request_quota(&mut fleet, 1, false, 300);
     fleet.run(298);
     assert!(replies(&mut fleet).is_empty());
     fleet.run(4);
@@ -113,49 +113,49 @@
     assert_eq!(replies[0].code, ResultCode::QuotaUnavailable.number());
 }
 
-/// Steady demand makes the leader lend spare tokens beside those asked for; ends with some held.
-fn hold_spare_tokens(fleet: &mut Fleet) {
+/// Steady demand makes the leader grant surplus tokens beside those requested; ends with some idle.
+fn accumulate_surplus_tokens(fleet: &mut Fleet) {
     for id in 1_000..1_400 {
-        ask(fleet, id, false, 1_000);
+        request_quota(fleet, id, false, 1_000);
         fleet.run(10);
         replies(fleet);
-        if fleet.core.quota_tokens_held(fleet.now) >= 2 {
+        if fleet.core.available_quota_tokens(fleet.now) >= 2 {
             return;
         }
     }
-    panic!("no spare tokens were lent");
+    panic!("no surplus tokens were granted");
 }
 
 #[test]
-fn out_of_touch_the_leases_held_are_spent_and_nothing_more() {
+fn while_disconnected_leased_tokens_are_spent_and_nothing_more() {
     let mut fleet = fleet_with(quota(200, 200, 0));
-    hold_spare_tokens(&mut fleet);
+    accumulate_surplus_tokens(&mut fleet);
     for control in &mut fleet.controls {
-        control.silent = true;
+        control.unresponsive = true;
     }
     for id in 100..160 {
-        ask(&mut fleet, id, false, 400);
+        request_quota(&mut fleet, id, false, 400);
     }
-    let held = replies(&mut fleet).len();
-    assert!(held > 0, "a lease was held");
+    let granted = replies(&mut fleet).len();
+    assert!(granted > 0, "a lease was valid");
     fleet.run(500);
     let later = replies(&mut fleet);
-    assert_eq!(held + later.len(), 60);
+    assert_eq!(granted + later.len(), 60);
     assert!(
         later
             .iter()
             .all(|reply| reply.code == ResultCode::QuotaUnavailable.number())
     );
     fleet.run(2_000);
-    ask(&mut fleet, 200, false, 100);
-    assert!(replies(&mut fleet).is_empty(), "the leases have run out");
+    request_quota(&mut fleet, 200, false, 100);
+    assert!(replies(&mut fleet).is_empty(), "the leases have expired");
 }
 
 #[test]
-fn a_recall_is_answered_at_once_with_what_is_idle() {
+fn a_recall_is_answered_at_once_with_the_idle_tokens() {
     let mut fleet = fleet_with(quota(200, 200, 0));
-    hold_spare_tokens(&mut fleet);
-    let index = fleet.at();
+    accumulate_surplus_tokens(&mut fleet);
+    let index = fleet.connected_node();
     let shard = millford_core::ShardLayout::new(support::DATA_SHARDS)
         .shard_of(&millford_core::tenant_key("t"));
     let recall = QuotaRecall {
@@ -165,19 +165,19 @@
     };
     fleet.control_sends(index, vec![frame::Body::QuotaRecall(recall)]);
     fleet.run(8);
-    assert_eq!(fleet.core.quota_tokens_held(fleet.now), 0);
-    // Nothing idle is left here: the next call needs a round trip.
-    ask(&mut fleet, 500, false, 1_000);
+    assert_eq!(fleet.core.available_quota_tokens(fleet.now), 0);
+    // No idle token is left here: the next request needs a round trip.
+    request_quota(&mut fleet, 500, false, 1_000);
     assert!(replies(&mut fleet).is_empty());
     fleet.run(8);
     assert!(replies(&mut fleet)[0].granted);
 }
 
 #[test]
-fn streams_are_limited_and_a_released_slot_is_used_again() {
+fn streams_are_limited_and_a_released_slot_is_reused() {
     let mut fleet = fleet_with(quota(100, 100, 2));
     for id in 0..3 {
-        ask(&mut fleet, id, true, 1_000);
+        request_quota(&mut fleet, id, true, 1_000);
     }
     fleet.run(50);
     let first = replies(&mut fleet);
@@ -189,17 +189,17 @@
         stream: true,
         unused: false,
     }));
-    ask(&mut fleet, 10, true, 1_000);
+    request_quota(&mut fleet, 10, true, 1_000);
     fleet.run(50);
     let second = replies(&mut fleet);
     assert!(second.len() == 1 && second[0].granted);
 }
 
 #[test]
-fn streams_outlive_a_change_of_leader_and_still_count() {
+fn open_streams_still_count_after_a_leader_change() {
     let mut fleet = fleet_with(quota(100, 100, 2));
-    ask(&mut fleet, 1, true, 1_000);
-    ask(&mut fleet, 2, true, 1_000);
+    request_quota(&mut fleet, 1, true, 1_000);
+    request_quota(&mut fleet, 2, true, 1_000);
     fleet.run(50);
     assert_eq!(replies(&mut fleet).len(), 2);
     fleet.shared.lose_leaders();
@@ -207,7 +207,7 @@
     let now = fleet.now;
     fleet.shared.elect(now, 2);
     fleet.run(2_500);
-    ask(&mut fleet, 3, true, 1_000);
+    request_quota(&mut fleet, 3, true, 1_000);
     fleet.run(100);
     let answered = replies(&mut fleet);
     assert_eq!(answered.len(), 1);
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn a_claim_is_sent_again_under_its_attempt_until_it_is_answered() {
+fn a_claim_is_resent_under_its_attempt_id_until_it_is_answered() {
     let mut fleet = fleet_with(quota(10, 10, 0));
     fleet.shared.lose_leaders();
     fleet.proxy_sends(local_frame::Body::Claim(LocalClaim {
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn a_claim_out_of_time_is_refused_and_set_free() {
+fn a_claim_past_its_deadline_is_refused_and_released() {
     let mut fleet = fleet_with(quota(10, 10, 0));
     fleet.shared.lose_leaders();
     fleet.proxy_sends(local_frame::Body::Claim(LocalClaim {
@@ -270,18 +270,18 @@
     let now = fleet.now;
     fleet.shared.elect(now, 2);
     fleet.run(100);
-    assert_eq!(fleet.shared.settles.len(), 1);
+    assert_eq!(fleet.shared.resolutions.len(), 1);
     assert_eq!(
-        fleet.shared.settles[0].outcome,
+        fleet.shared.resolutions[0].outcome,
         RunOutcome::RunNotRun as i32
     );
 }
 
 #[test]
-fn settlements_are_kept_until_they_are_acknowledged() {
+fn claim_outcomes_are_resent_until_they_are_acknowledged() {
     let mut fleet = fleet_with(quota(10, 10, 0));
     for control in &mut fleet.controls {
-        control.silent = true;
+        control.unresponsive = true;
     }
     for id in 0..20 {
         fleet.proxy_sends(local_frame::Body::ResolveClaim(LocalResolveClaim {
@@ -295,40 +295,40 @@
         }));
     }
     fleet.run(5_000);
-    assert_eq!(fleet.core.settles_waiting(), 20);
+    assert_eq!(fleet.core.pending_resolutions(), 20);
     for control in &mut fleet.controls {
-        control.silent = false;
+        control.unresponsive = false;
     }
     fleet.run(2_500);
-    assert_eq!(fleet.core.settles_waiting(), 0);
+    assert_eq!(fleet.core.pending_resolutions(), 0);
     let mut recorded: Vec<&str> = fleet
         .shared
-        .settles
+        .resolutions
         .iter()
-        .map(|settle| settle.request_id.as_str())
+        .map(|resolve| resolve.request_id.as_str())
         .collect();
     recorded.sort_unstable();
     recorded.dedup();
     assert_eq!(recorded.len(), 20);
 }
 
-/// Asks that wait in the queue of a stopped agent may be older than the proxy beside it.
+/// Requests in the queue of a stopped agent may be older than the proxy beside it.
 #[test]
-fn nothing_is_asked_for_calls_of_a_proxy_that_is_gone() {
+fn no_quota_is_requested_for_a_disconnected_proxy() {
     let mut fleet = fleet_with(quota(10, 10, 0));
     fleet.shared.lose_leaders();
     for request_id in 1..=10 {
-        ask(&mut fleet, request_id, false, 5_000);
+        request_quota(&mut fleet, request_id, false, 5_000);
     }
     fleet.run(50);
-    fleet.give(AgentInput::ProxyDown);
+    fleet.handle(AgentInput::ProxyDown);
     let now = fleet.now;
     fleet.shared.elect(now, 2);
     fleet.run(3_000);
     assert_eq!(fleet.core.counters().quota_granted, 0);
     fleet.link_proxy();
     for request_id in 11..=15 {
-        ask(&mut fleet, request_id, false, 500);
+        request_quota(&mut fleet, request_id, false, 500);
     }
     fleet.run(20);
     let replies = replies(&mut fleet);
--- a/crates/agent/tests/quota_hot_tenant.rs
+++ b/crates/agent/tests/quota_hot_tenant.rs
@@ -1,15 +1,15 @@
-//! A tenant presses far over its quota on many nodes: whoever is not served is refused soon, and
-//! nobody waits its whole time away while others are served or refused.
+//! A tenant sends far more than its quota on many nodes: requests that are not granted are refused
+//! soon, and none waits until its timeout while others are granted or refused.
 
-#[path = "support/quota_post.rs"]
-mod quota_post;
+#[path = "support/message_queue.rs"]
+mod message_queue;
 
-use millford_agent::quota::QuotaClient;
+use message_queue::{Message, MessageQueue, name_of};
+use millford_agent::quota::{QuotaClient, StreamLimit};
 use millford_api::config::Quota;
 use millford_api::local::{LocalQuotaReply, LocalQuotaRequest};
 use millford_control_state::quota::{QuotaLeases, QuotaOptions};
 use millford_core::{Duration, MonotonicTime, ResultCode, ShardId, ShardLayout};
-use quota_post::{Parcel, Post, name_of};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -17,15 +17,15 @@
 const TENANT: &str = "hot";
 const RATE: u32 = 20;
 const BURST: u32 = 40;
-/// Asked at once when a press begins.
-const PRESS_BURST: u64 = 80;
-/// Time between two calls of a press: five times the rate.
-const PRESS_PERIOD_MS: u64 = 10;
-const PRESS_MS: u64 = 4_000;
-/// Time that a call gives its ask.
+/// Requests at the start of an overload.
+const OVERLOAD_BURST: u64 = 80;
+/// Time between two requests of an overload: five times the rate.
+const OVERLOAD_PERIOD_MS: u64 = 10;
+const OVERLOAD_MS: u64 = 4_000;
+/// Timeout of a request.
 const TIMEOUT_MS: u32 = 3_000;
 const LONGEST_DELAY_MS: u64 = 5;
-/// Calling idle slices back takes two rounds, and nodes ask again once a token is due.
+/// Recalling idle tokens takes two round trips, and nodes send a new request once a token is due.
 const LONGEST_DECISION: Duration = Duration::from_millis(400);
 
 #[derive(Clone, Copy, Debug)]
@@ -35,129 +35,129 @@
     waited: Duration,
 }
 
-struct Rig {
+struct Harness {
     now: MonotonicTime,
     random: SmallRng,
-    ledger: QuotaLeases,
-    desks: Vec<QuotaClient>,
+    leases: QuotaLeases,
+    clients: Vec<QuotaClient>,
     ids: Vec<u64>,
-    post: Post,
-    asked: Vec<MonotonicTime>,
+    messages: MessageQueue,
+    requested_at: Vec<MonotonicTime>,
     decisions: Vec<Decision>,
 }
 
-impl Rig {
+impl Harness {
     /// The leader took over at 10 s.
     fn new(seed: u64) -> Self {
         let now = MonotonicTime::from_millis(10_000);
-        let mut ledger = QuotaLeases::new(ShardId(1), QuotaOptions::default());
-        ledger.lead(now, 1);
+        let mut leases = QuotaLeases::new(ShardId(1), QuotaOptions::default());
+        leases.lead(now, 1);
         let quota = Quota {
             requests_per_second: RATE,
             burst: BURST,
             concurrent_streams: 0,
         };
-        ledger.set_quota(now, TENANT, Some(quota));
+        leases.set_quota(now, TENANT, Some(quota));
         Self {
             now,
             random: SmallRng::seed_from_u64(seed),
-            ledger,
-            desks: vec![QuotaClient::default(); NODES],
+            leases,
+            clients: vec![QuotaClient::default(); NODES],
             ids: vec![0; NODES],
-            post: Post::default(),
-            asked: Vec::new(),
+            messages: MessageQueue::default(),
+            requested_at: Vec::new(),
             decisions: Vec::new(),
         }
     }
 
-    fn press(&mut self) {
-        for _ in 0..PRESS_BURST {
-            self.call();
+    fn overload(&mut self) {
+        for _ in 0..OVERLOAD_BURST {
+            self.request();
         }
-        for millis in 0..PRESS_MS {
-            if millis % PRESS_PERIOD_MS == 0 {
-                self.call();
+        for millis in 0..OVERLOAD_MS {
+            if millis % OVERLOAD_PERIOD_MS == 0 {
+                self.request();
             }
             self.step();
         }
     }
 
-    /// Calls now and then on every node, well under the quota.
-    fn stroll(&mut self, millis: u64) {
+    /// Requests now and then on every node, well under the quota.
+    fn light_load(&mut self, millis: u64) {
         for millis in 0..millis {
             if millis % 120 == 0 {
-                self.call();
+                self.request();
             }
             self.step();
         }
     }
 
-    fn rest(&mut self, millis: u64) {
+    fn idle(&mut self, millis: u64) {
         for _ in 0..millis {
             self.step();
         }
     }
 
-    fn call(&mut self) {
+    fn request(&mut self) {
         let node = self.random.random_range(0..NODES);
-        let ask = LocalQuotaRequest {
-            request_id: self.asked.len() as u64,
+        let request = LocalQuotaRequest {
+            request_id: self.requested_at.len() as u64,
             tenant: TENANT.to_owned(),
             timeout_ms: TIMEOUT_MS,
             ..LocalQuotaRequest::default()
         };
-        self.asked.push(self.now);
-        let replies = self.desks[node].ask(self.now, &ask, false);
+        self.requested_at.push(self.now);
+        let replies = self.clients[node].request(self.now, &request, StreamLimit::Unlimited);
         self.take(replies);
     }
 
     fn step(&mut self) {
         self.now = self.now + Duration::from_millis(1);
-        self.ledger.tick(self.now);
+        self.leases.tick(self.now);
         self.deliver();
         for node in 0..NODES {
-            let replies = self.desks[node].tick(self.now);
+            let replies = self.clients[node].tick(self.now);
             self.take(replies);
             let name = name_of(node);
             let id = &mut self.ids[node];
             let layout = ShardLayout::new(1);
-            for request in self.desks[node].requests(self.now, layout, &name, 1, id) {
-                self.send(Parcel::Request(request));
+            for request in self.clients[node].due_requests(self.now, layout, &name, 1, id) {
+                self.send(Message::Request(request));
             }
         }
     }
 
     fn take(&mut self, replies: Vec<LocalQuotaReply>) {
         for reply in replies {
-            let asked = self.asked[reply.request_id as usize];
+            let requested_at = self.requested_at[reply.request_id as usize];
             self.decisions.push(Decision {
                 code: reply.code,
                 at: self.now,
-                waited: self.now.since(asked),
+                waited: self.now.since(requested_at),
             });
         }
     }
 
-    fn send(&mut self, parcel: Parcel) {
+    fn send(&mut self, message: Message) {
         let delay = self.random.random_range(0..=LONGEST_DELAY_MS);
         let at = self.now + Duration::from_millis(delay);
-        self.post.send(at, parcel);
+        self.messages.send(at, message);
     }
 
     fn deliver(&mut self) {
         let now = self.now;
-        for parcel in self.post.take_arrived(now) {
-            match parcel {
-                Parcel::Request(request) => {
-                    for output in self.ledger.handle(now, &request) {
+        for message in self.messages.take_arrived(now) {
+            match message {
+                Message::Request(request) => {
+                    for output in self.leases.handle(now, &request) {
                         self.send(output.into());
                     }
                 }
-                Parcel::Reply(node, reply) => {
-                    let replies = self.desks[node].reply(now, &reply);
+                Message::Reply(node, reply) => {
+                    let replies = self.clients[node].reply(now, &reply);
                     self.take(replies);
                 }
-                Parcel::Recall(node, recall) => self.desks[node].recall(&recall),
+                Message::Recall(node, recall) => self.clients[node].recall(&recall),
             }
         }
     }
@@ -174,35 +174,46 @@
 }
 
 #[test]
-fn a_hot_tenant_is_served_or_refused_soon() {
+fn a_tenant_over_its_quota_is_granted_or_refused_soon() {
     for seed in 0..20 {
-        let mut rig = Rig::new(seed);
-        rig.rest(10_000);
-        rig.stroll(3_000);
-        let start = rig.now;
-        rig.press();
-        rig.rest(u64::from(TIMEOUT_MS));
-        let waited = rig.longest_wait_since(start);
+        let mut harness = Harness::new(seed);
+        harness.idle(10_000);
+        harness.light_load(3_000);
+        let start = harness.now;
+        harness.overload();
+        harness.idle(u64::from(TIMEOUT_MS));
+        let waited = harness.longest_wait_since(start);
         assert!(waited <= LONGEST_DECISION, "seed {seed}: waited {waited:?}");
-        assert!(rig.count(ResultCode::QuotaExceeded) > 0, "seed {seed}");
-        assert_eq!(rig.count(ResultCode::QuotaUnavailable), 0, "seed {seed}");
+        assert!(harness.count(ResultCode::QuotaExceeded) > 0, "seed {seed}");
+        assert_eq!(
+            harness.count(ResultCode::QuotaUnavailable),
+            0,
+            "seed {seed}"
+        );
     }
 }
 
 #[test]
-fn a_press_right_after_a_change_of_leader_leaves_no_queue_behind() {
+fn an_overload_right_after_a_leader_change_leaves_no_queue() {
     for seed in 0..20 {
-        let mut rig = Rig::new(seed);
-        rig.rest(300);
-        rig.press();
-        rig.rest(u64::from(TIMEOUT_MS));
-        let undecided = rig.count(ResultCode::QuotaUnavailable);
-        assert_eq!(undecided, 0, "seed {seed}: calls waited their time away");
-        let start = rig.now;
-        rig.press();
-        rig.rest(u64::from(TIMEOUT_MS));
-        let waited = rig.longest_wait_since(start);
+        let mut harness = Harness::new(seed);
+        harness.idle(300);
+        harness.overload();
+        harness.idle(u64::from(TIMEOUT_MS));
+        let undecided = harness.count(ResultCode::QuotaUnavailable);
+        assert_eq!(
+            undecided, 0,
+            "seed {seed}: requests waited until their timeout"
+        );
+        let start = harness.now;
+        harness.overload();
+        harness.idle(u64::from(TIMEOUT_MS));
+        let waited = harness.longest_wait_since(start);
         assert!(waited <= LONGEST_DECISION, "seed {seed}: waited {waited:?}");
-        assert_eq!(rig.asked.len(), rig.decisions.len(), "seed {seed}");
+        assert_eq!(
+            harness.requested_at.len(),
+            harness.decisions.len(),
+            "seed {seed}"
+        );
     }
 }
--- a/crates/agent/tests/quota_over_nodes.rs
+++ b/crates/agent/tests/quota_over_nodes.rs
@@ -1,16 +1,16 @@
-//! Several nodes' desks and one leader's ledger over a network that delays and loses messages:
+//! Several nodes' quota clients and one leader's leases over a network that delays and loses messages:
 //! neither the rate nor the streams of a tenant exceed its quota over all nodes together.
 
-#[path = "support/quota_post.rs"]
-mod quota_post;
+#[path = "support/message_queue.rs"]
+mod message_queue;
 
-use millford_agent::quota::QuotaClient;
+use message_queue::{Message, MessageQueue, name_of};
+use millford_agent::quota::{QuotaClient, StreamLimit};
 use millford_api::config::Quota;
 use millford_api::local::{LocalQuotaRelease, LocalQuotaReply, LocalQuotaRequest};
 use millford_control_state::quota::{QuotaLeases, QuotaOptions};
 use millford_core::{Duration, MonotonicTime, ShardId, ShardLayout};
 use quickcheck::{QuickCheck, TestResult};
-use quota_post::{Parcel, Post, name_of};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -19,56 +19,62 @@
 const RATE: u32 = 40;
 const BURST: u32 = 20;
 const STREAMS: u32 = 12;
-/// Asked tokens count from the lending, and are spent at most one lease later.
+/// Granted tokens count from the grant, and are spent at most one lease later.
 const LEASE: Duration = Duration::from_millis(1_000);
-/// Time that a call gives its ask.
+/// Timeout of a request.
 const TIMEOUT_MS: u32 = 800;
 const RUN_MILLIS: u64 = 12_000;
 
 #[derive(Clone, Copy, Debug)]
-struct Weather {
+struct NetworkConditions {
     loss_percent: u32,
     longest_delay_ms: u64,
     changes_leader: bool,
 }
 
-struct Rig {
+/// A stream that was granted.
+struct OpenStream {
+    ends_at: MonotonicTime,
+    node: usize,
+}
+
+struct Harness {
     now: MonotonicTime,
     random: SmallRng,
-    weather: Weather,
-    ledger: QuotaLeases,
-    desks: Vec<QuotaClient>,
+    network: NetworkConditions,
+    leases: QuotaLeases,
+    clients: Vec<QuotaClient>,
     ids: Vec<u64>,
-    post: Post,
+    messages: MessageQueue,
     granted: Vec<MonotonicTime>,
-    open: Vec<(MonotonicTime, usize)>,
-    asked: u64,
+    open: Vec<OpenStream>,
+    requested: u64,
     answered: u64,
     quiet: bool,
 }
 
-impl Rig {
-    fn new(seed: u64, weather: Weather) -> Self {
-        let mut ledger = QuotaLeases::new(ShardId(1), QuotaOptions::default());
-        ledger.lead(MonotonicTime::ZERO, 1);
+impl Harness {
+    fn new(seed: u64, network: NetworkConditions) -> Self {
+        let mut leases = QuotaLeases::new(ShardId(1), QuotaOptions::default());
+        leases.lead(MonotonicTime::ZERO, 1);
         let quota = Quota {
             requests_per_second: RATE,
             burst: BURST,
             concurrent_streams: STREAMS,
         };
         let now = MonotonicTime::from_millis(10_000);
-        ledger.set_quota(now, TENANT, Some(quota));
+        leases.set_quota(now, TENANT, Some(quota));
         Self {
             now,
             random: SmallRng::seed_from_u64(seed),
-            weather,
-            ledger,
-            desks: vec![QuotaClient::default(); NODES],
+            network,
+            leases,
+            clients: vec![QuotaClient::default(); NODES],
             ids: vec![0; NODES],
-            post: Post::default(),
+            messages: MessageQueue::default(),
             granted: Vec::new(),
             open: Vec::new(),
-            asked: 0,
+            requested: 0,
             answered: 0,
             quiet: false,
         }
@@ -77,14 +83,14 @@
     fn run(&mut self) -> Result<(), String> {
         for millis in 0..RUN_MILLIS {
             self.now = self.now + Duration::from_millis(1);
-            if self.weather.changes_leader && millis == 5_000 {
-                self.ledger.resign();
+            if self.network.changes_leader && millis == 5_000 {
+                self.leases.resign();
             }
-            if self.weather.changes_leader && millis == 5_700 {
-                self.ledger.lead(self.now, 2);
+            if self.network.changes_leader && millis == 5_700 {
+                self.leases.lead(self.now, 2);
             }
             self.quiet = millis >= RUN_MILLIS - u64::from(TIMEOUT_MS) - 10;
-            self.ledger.tick(self.now);
+            self.leases.tick(self.now);
             self.deliver();
             for node in 0..NODES {
                 self.work(node);
@@ -95,7 +101,7 @@
     }
 
     fn work(&mut self, node: usize) {
-        // About twice the quota, in waves, so that slices run dry and lie idle in turns.
+        // About twice the quota, in waves, so that leases run out and lie idle in turns.
         let busy = (self.now.as_millis() / 1_500) as usize % NODES == node;
         let chance = match busy {
             _ if self.quiet => 0.0,
@@ -103,20 +109,20 @@
             false => 0.01,
         };
         if self.random.random_bool(chance) {
-            self.asked += 1;
-            let ask = LocalQuotaRequest {
-                request_id: self.asked,
+            self.requested += 1;
+            let request = LocalQuotaRequest {
+                request_id: self.requested,
                 tenant: TENANT.to_owned(),
                 stream: true,
                 timeout_ms: TIMEOUT_MS,
                 waited_ms: 0,
             };
-            let replies = self.desks[node].ask(self.now, &ask, true);
+            let replies = self.clients[node].request(self.now, &request, StreamLimit::Limited);
             self.take(node, replies);
         }
         let now = self.now;
         let over: Vec<usize> = (0..self.open.len())
-            .filter(|at| self.open[*at].0 <= now && self.open[*at].1 == node)
+            .filter(|at| self.open[*at].ends_at <= now && self.open[*at].node == node)
             .collect();
         for at in over.into_iter().rev() {
             self.open.remove(at);
@@ -125,16 +131,16 @@
                 stream: true,
                 unused: false,
             };
-            let replies = self.desks[node].release(now, &release, true);
+            let replies = self.clients[node].release(now, &release, StreamLimit::Limited);
             self.take(node, replies);
         }
-        let replies = self.desks[node].tick(now);
+        let replies = self.clients[node].tick(now);
         self.take(node, replies);
         let layout = ShardLayout::new(1);
         let name = name_of(node);
         let id = &mut self.ids[node];
-        for request in self.desks[node].requests(now, layout, &name, 1 + node as u64, id) {
-            self.send(Parcel::Request(request));
+        for request in self.clients[node].due_requests(now, layout, &name, 1 + node as u64, id) {
+            self.send(Message::Request(request));
         }
     }
 
@@ -144,34 +150,37 @@
             if reply.granted {
                 self.granted.push(self.now);
                 let length = Duration::from_millis(self.random.random_range(20..400));
-                self.open.push((self.now + length, node));
+                self.open.push(OpenStream {
+                    ends_at: self.now + length,
+                    node,
+                });
             }
         }
     }
 
-    fn send(&mut self, parcel: Parcel) {
-        if self.random.random_ratio(self.weather.loss_percent, 100) {
+    fn send(&mut self, message: Message) {
+        if self.random.random_ratio(self.network.loss_percent, 100) {
             return;
         }
-        let delay = self.random.random_range(0..=self.weather.longest_delay_ms);
+        let delay = self.random.random_range(0..=self.network.longest_delay_ms);
         let at = self.now + Duration::from_millis(delay);
-        self.post.send(at, parcel);
+        self.messages.send(at, message);
     }
 
     fn deliver(&mut self) {
         let now = self.now;
-        for parcel in self.post.take_arrived(now) {
-            match parcel {
-                Parcel::Request(request) => {
-                    for output in self.ledger.handle(now, &request) {
+        for message in self.messages.take_arrived(now) {
+            match message {
+                Message::Request(request) => {
+                    for output in self.leases.handle(now, &request) {
                         self.send(output.into());
                     }
                 }
-                Parcel::Reply(node, reply) => {
-                    let replies = self.desks[node].reply(now, &reply);
+                Message::Reply(node, reply) => {
+                    let replies = self.clients[node].reply(now, &reply);
                     self.take(node, replies);
                 }
-                Parcel::Recall(node, recall) => self.desks[node].recall(&recall),
+                Message::Recall(node, recall) => self.clients[node].recall(&recall),
             }
         }
     }
@@ -196,15 +205,18 @@
     }
 }
 
-fn holds(seed: u64, weather: Weather) -> TestResult {
-    let mut rig = Rig::new(seed, weather);
-    if let Err(fault) = rig.run() {
-        return TestResult::error(format!("seed {seed}, {weather:?}: {fault}"));
+fn holds(seed: u64, network: NetworkConditions) -> TestResult {
+    let mut harness = Harness::new(seed, network);
+    if let Err(fault) = harness.run() {
+        return TestResult::error(format!("seed {seed}, {network:?}: {fault}"));
     }
-    // Every ask is answered within its time, also when nothing more is asked.
-    let late = rig.asked - rig.answered;
-    if late > 0 || rig.granted.is_empty() {
-        return TestResult::error(format!("seed {seed}: {late} of {} unanswered", rig.asked));
+    // Every request is answered within its timeout, also when no more follow.
+    let late = harness.requested - harness.answered;
+    if late > 0 || harness.granted.is_empty() {
+        return TestResult::error(format!(
+            "seed {seed}: {late} of {} unanswered",
+            harness.requested
+        ));
     }
     TestResult::passed()
 }
@@ -214,7 +226,7 @@
     fn property(seed: u64, loss: u8, delay: u8) -> TestResult {
         holds(
             seed,
-            Weather {
+            NetworkConditions {
                 loss_percent: u32::from(loss) % 30,
                 longest_delay_ms: u64::from(delay),
                 changes_leader: false,
@@ -227,11 +239,11 @@
 }
 
 #[test]
-fn quotas_hold_over_all_nodes_through_a_change_of_leader() {
+fn quotas_hold_over_all_nodes_through_a_leader_change() {
     fn property(seed: u64, delay: u8) -> TestResult {
         holds(
             seed,
-            Weather {
+            NetworkConditions {
                 loss_percent: 0,
                 longest_delay_ms: u64::from(delay % 100),
                 changes_leader: true,
@@ -243,22 +255,22 @@
         .quickcheck(property as fn(u64, u8) -> TestResult);
 }
 
-/// Runs that once opened 13 of 12 streams: an old ask that was sent again after the node had given
-/// up everything counted as a new one, and took from what another node held.
+/// Runs that once opened 13 of 12 streams: an old request that was sent again after the node had
+/// returned everything counted as a new one, and took slots that were granted to another node.
 #[test]
-fn an_old_ask_takes_nothing_from_others() {
+fn a_resent_request_takes_no_slots_from_other_nodes() {
     let found = [
         (4_180_856_028_755_012_523, 18, 2),
         (4_464_057_124_022_253_963, 19, 59),
         (6_866_104_530_316_248_170, 26, 147),
     ];
     for (seed, loss_percent, longest_delay_ms) in found {
-        let weather = Weather {
+        let network = NetworkConditions {
             loss_percent,
             longest_delay_ms,
             changes_leader: false,
         };
-        let result = holds(seed, weather);
+        let result = holds(seed, network);
         assert!(!result.is_failure(), "{result:?}");
     }
 }
--- a/crates/agent/tests/support/control_stand_in.rs
+++ b/crates/agent/tests/support/fake_control_node.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a control node: the real feed publishers and quota ledgers, and simple answers.
+//! A fake control node: the real feed publishers and quota leases, and simple answers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,59 +17,60 @@
 
 use super::DATA_SHARDS;
 
-/// What the cluster as a whole knows.
-pub struct SharedShards {
-    pub vacant: bool,
-    pub ledgers: BTreeMap<u32, QuotaLeases>,
-    pub sessions: BTreeMap<String, u64>,
-    pub next_epoch: u64,
-    pub claims: Vec<millford_api::command::Claim>,
-    pub settles: Vec<millford_api::command::ResolveClaim>,
-    pub closed: Vec<String>,
+/// State that all control nodes share.
+pub(crate) struct SharedShards {
+    /// Whether the shards have no leaders.
+    pub(crate) vacant: bool,
+    pub(crate) leases: BTreeMap<u32, QuotaLeases>,
+    pub(crate) sessions: BTreeMap<String, u64>,
+    pub(crate) next_epoch: u64,
+    pub(crate) claims: Vec<millford_api::command::Claim>,
+    pub(crate) resolutions: Vec<millford_api::command::ResolveClaim>,
+    pub(crate) closed: Vec<String>,
 }
 
 impl SharedShards {
-    pub fn new(now: MonotonicTime) -> Self {
-        let mut ledgers = BTreeMap::new();
+    pub(crate) fn new(now: MonotonicTime) -> Self {
+        let mut leases = BTreeMap::new();
         for shard in 1..=DATA_SHARDS {
-            let mut ledger = QuotaLeases::new(ShardId(shard), QuotaOptions::default());
-            ledger.lead(now, 1);
-            ledgers.insert(shard, ledger);
+            let mut leases_of_shard = QuotaLeases::new(ShardId(shard), QuotaOptions::default());
+            leases_of_shard.lead(now, 1);
+            leases.insert(shard, leases_of_shard);
         }
         Self {
             vacant: false,
-            ledgers,
+            leases,
             sessions: BTreeMap::new(),
             next_epoch: 0,
             claims: Vec::new(),
-            settles: Vec::new(),
+            resolutions: Vec::new(),
             closed: Vec::new(),
         }
     }
 
-    pub fn set_quota(&mut self, now: MonotonicTime, tenant: &str, quota: Quota) {
+    pub(crate) fn set_quota(&mut self, now: MonotonicTime, tenant: &str, quota: Quota) {
         let shard = ShardLayout::new(DATA_SHARDS).shard_of(&tenant_key(tenant));
-        let ledger = self.ledgers.get_mut(&shard.0).expect("shard");
-        ledger.set_quota(now, tenant, Some(quota));
+        let leases_of_shard = self.leases.get_mut(&shard.0).expect("shard");
+        leases_of_shard.set_quota(now, tenant, Some(quota));
     }
 
     /// Every shard's leader is lost.
-    pub fn lose_leaders(&mut self) {
+    pub(crate) fn lose_leaders(&mut self) {
         self.vacant = true;
-        self.ledgers.values_mut().for_each(QuotaLeases::resign);
+        self.leases.values_mut().for_each(QuotaLeases::resign);
     }
 
     /// New leaders are elected.
-    pub fn elect(&mut self, now: MonotonicTime, term: u64) {
+    pub(crate) fn elect(&mut self, now: MonotonicTime, term: u64) {
         self.vacant = false;
-        for ledger in self.ledgers.values_mut() {
-            ledger.lead(now, term);
+        for leases_of_shard in self.leases.values_mut() {
+            leases_of_shard.lead(now, term);
         }
     }
 
     fn quota(&mut self, now: MonotonicTime, request: &QuotaRequest) -> Vec<frame::Body> {
-        let ledger = self.ledgers.get_mut(&request.shard).expect("shard");
-        let outputs = ledger.handle(now, request).into_iter();
+        let leases_of_shard = self.leases.get_mut(&request.shard).expect("shard");
+        let outputs = leases_of_shard.handle(now, request).into_iter();
         outputs
             .map(|output| match output {
                 QuotaOutput::Reply { reply, .. } => frame::Body::QuotaReply(reply),
@@ -99,8 +100,8 @@
                 };
                 Some(command_result::Kind::Claim(granted))
             }
-            command::Kind::ResolveClaim(settle) => {
-                self.settles.push(settle);
+            command::Kind::ResolveClaim(resolve) => {
+                self.resolutions.push(resolve);
                 None
             }
             command::Kind::CloseSession(close) => {
@@ -115,55 +116,60 @@
 }
 
 /// One control node.
-pub struct ControlStandIn {
-    pub address: String,
-    pub silent: bool,
-    /// Shards whose leader the node does not hear.
-    pub stale_shards: BTreeSet<u32>,
-    pub in_touch: bool,
-    pub members: Vec<ControlMember>,
-    pub publishers: BTreeMap<u32, FeedPublisher>,
-    pub subscriptions: Vec<(u32, u64)>,
+pub(crate) struct FakeControlNode {
+    pub(crate) address: String,
+    pub(crate) unresponsive: bool,
+    /// Shards whose leader the node cannot reach.
+    pub(crate) stale_shards: BTreeSet<u32>,
+    pub(crate) has_quorum: bool,
+    pub(crate) members: Vec<ControlMember>,
+    pub(crate) publishers: BTreeMap<u32, FeedPublisher>,
+    pub(crate) subscriptions: Vec<(u32, u64)>,
 }
 
-/// The only subscriber of a stand-in's publishers.
+/// The only subscriber of a fake node's publishers.
 const SUBSCRIBER: u64 = 1;
 
-impl ControlStandIn {
-    pub fn new(address: &str) -> Self {
+impl FakeControlNode {
+    pub(crate) fn new(address: &str) -> Self {
         let shards = 0..=DATA_SHARDS;
         let publishers = shards.map(|shard| (shard, FeedPublisher::new(ShardId(shard))));
         Self {
             address: address.to_owned(),
-            silent: false,
+            unresponsive: false,
             stale_shards: BTreeSet::new(),
-            in_touch: true,
+            has_quorum: true,
             members: Vec::new(),
             publishers: publishers.collect(),
             subscriptions: Vec::new(),
         }
     }
 
-    pub fn apply(&mut self, shard: u32, offset: u64, items: Vec<StateItem>) -> Vec<frame::Body> {
+    pub(crate) fn apply(
+        &mut self,
+        shard: u32,
+        offset: u64,
+        items: Vec<StateItem>,
+    ) -> Vec<frame::Body> {
         let publisher = self.publishers.get_mut(&shard).expect("shard");
         let deliveries = publisher.apply(FeedPosition::new(1, offset), items);
         let messages = deliveries.into_iter().map(|delivery| delivery.message);
         messages.map(frame::Body::Feed).collect()
     }
 
-    pub fn link_closed(&mut self) {
+    pub(crate) fn link_closed(&mut self) {
         for publisher in self.publishers.values_mut() {
             publisher.unsubscribe(SUBSCRIBER);
         }
     }
 
-    pub fn handle(
+    pub(crate) fn handle(
         &mut self,
         now: MonotonicTime,
         frame: Frame,
         shared: &mut SharedShards,
     ) -> Vec<frame::Body> {
-        if self.silent {
+        if self.unresponsive {
             return Vec::new();
         }
         match frame.body.expect("body") {
@@ -183,8 +189,8 @@
         }
     }
 
-    /// What a node says that cannot confirm a shard.
-    pub fn stale(shard: u32) -> frame::Body {
+    /// The message of a node that cannot confirm a shard.
+    pub(crate) fn stale(shard: u32) -> frame::Body {
         frame::Body::Feed(FeedMessage {
             shard,
             kind: Some(feed_message::Kind::Stale(FeedStale {})),
@@ -196,7 +202,7 @@
         frame::Body::HeartbeatReply(HeartbeatReply {
             sequence: heartbeat.sequence,
             session_alive: known == Some(&heartbeat.epoch),
-            has_quorum: self.in_touch,
+            has_quorum: self.has_quorum,
             members: self.members.clone(),
             data_shards: DATA_SHARDS,
         })
