--- a/crates/agent/tests/support/fleet.rs
+++ b/crates/agent/tests/support/fleet.rs
@@ -9,38 +9,63 @@
 use millford_core::{Duration, MonotonicTime, ShardId};
 use millford_feed::{FeedOutcome, FeedView};
 
-use super::{ControlStandIn, DATA_SHARDS, SharedShards};
+use super::{DATA_SHARDS, FakeControlNode, SharedShards};
 
-/// Time on the way, each way.
+/// Delay of a frame, each way.
 const LATENCY: Duration = Duration::from_millis(1);
 
-pub struct Fleet {
-    pub now: MonotonicTime,
-    pub core: AgentCore,
-    pub shared: SharedShards,
-    pub controls: Vec<ControlStandIn>,
-    pub link: Option<(u64, usize)>,
-    pub proxy: BTreeMap<u32, FeedView>,
-    pub proxy_frames: Vec<(MonotonicTime, LocalFrame)>,
-    pub connects: Vec<(MonotonicTime, String)>,
-    pub registry_reads: usize,
-    pub saved_members: usize,
-    pub stopped: bool,
-    /// Connections to absent nodes are not refused: their machines are without power.
-    pub without_power: bool,
+/// The agent's connection to one of the control nodes.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct FleetLink {
+    pub(crate) id: u64,
+    /// Index of the node.
+    pub(crate) node: usize,
+}
+
+/// A connection that the agent began to open.
+#[derive(Clone, Debug)]
+pub(crate) struct ConnectAttempt {
+    pub(crate) at: MonotonicTime,
+    pub(crate) address: String,
+}
+
+/// A frame on its way from the agent to a control node.
+struct SentFrame {
+    arrives_at: MonotonicTime,
+    link: u64,
+    frame: Frame,
+}
+
+pub(crate) struct Fleet {
+    pub(crate) now: MonotonicTime,
+    pub(crate) core: AgentCore,
+    pub(crate) shared: SharedShards,
+    pub(crate) controls: Vec<FakeControlNode>,
+    pub(crate) link: Option<FleetLink>,
+    pub(crate) proxy: BTreeMap<u32, FeedView>,
+    pub(crate) proxy_frames: Vec<(MonotonicTime, LocalFrame)>,
+    pub(crate) connects: Vec<ConnectAttempt>,
+    pub(crate) registry_reads: usize,
+    pub(crate) saved_members: usize,
+    pub(crate) stopped: bool,
+    /// Connections to absent nodes time out and are not refused: their machines are without power.
+    pub(crate) unreachable: bool,
     arriving: VecDeque<(MonotonicTime, AgentInput)>,
-    leaving: VecDeque<(MonotonicTime, u64, Frame)>,
+    sent: VecDeque<SentFrame>,
 }
 
 impl Fleet {
     /// An agent beside nodes at `addresses`, all with a little state; nothing has happened yet.
-    pub fn new(addresses: &[&str]) -> Self {
+    pub(crate) fn new(addresses: &[&str]) -> Self {
         let now = MonotonicTime::from_millis(1000);
         let mut fleet = Self {
             now,
             core: AgentCore::new(&options(addresses, 1), now),
             shared: SharedShards::new(MonotonicTime::ZERO),
-            controls: addresses.iter().map(|at| ControlStandIn::new(at)).collect(),
+            controls: addresses
+                .iter()
+                .map(|at| FakeControlNode::new(at))
+                .collect(),
             link: None,
             proxy: BTreeMap::new(),
             proxy_frames: Vec::new(),
@@ -48,9 +73,9 @@
             registry_reads: 0,
             saved_members: 0,
             stopped: false,
-            without_power: false,
+            unreachable: false,
             arriving: VecDeque::new(),
-            leaving: VecDeque::new(),
+            sent: VecDeque::new(),
         };
         fleet.publish(0, 1, vec![super::head(1)]);
         fleet.publish(
@@ -63,56 +88,63 @@
     }
 
     /// The same, run until every shard is confirmed and the proxy linked.
-    pub fn started(addresses: &[&str]) -> Self {
+    pub(crate) fn started(addresses: &[&str]) -> Self {
         let mut fleet = Self::new(addresses);
         fleet.link_proxy();
         fleet.run(500);
-        assert!(fleet.core.complete() && fleet.core.in_touch());
+        assert!(fleet.core.complete() && fleet.core.is_connected());
         assert_ne!(fleet.core.session_epoch(), 0);
         fleet
     }
 
     /// The agent process starts again; its proxy stays and links again.
-    pub fn restart_agent(&mut self, addresses: &[&str]) {
+    pub(crate) fn restart_agent(&mut self, addresses: &[&str]) {
         self.core = AgentCore::new(&options(addresses, 2), self.now);
         self.link = None;
         self.arriving.clear();
-        self.leaving.clear();
+        self.sent.clear();
         self.controls
             .iter_mut()
-            .for_each(ControlStandIn::link_closed);
+            .for_each(FakeControlNode::link_closed);
     }
 
     /// The proxy connects and says hello.
-    pub fn link_proxy(&mut self) {
-        self.give(AgentInput::ProxyUp);
+    pub(crate) fn link_proxy(&mut self) {
+        self.handle(AgentInput::ProxyUp);
         self.proxy_sends(local_frame::Body::ProxyHello(ProxyHello::default()));
     }
 
-    pub fn proxy_sends(&mut self, body: local_frame::Body) {
+    pub(crate) fn proxy_sends(&mut self, body: local_frame::Body) {
         let frame = Box::new(LocalFrame { body: Some(body) });
-        self.give(AgentInput::ProxyFrame(frame));
+        self.handle(AgentInput::ProxyFrame(frame));
     }
 
     /// Every node applies the entry.
-    pub fn publish(&mut self, shard: u32, offset: u64, items: Vec<StateItem>) {
+    pub(crate) fn publish(&mut self, shard: u32, offset: u64, items: Vec<StateItem>) {
         for index in 0..self.controls.len() {
             self.publish_at(index, shard, offset, items.clone());
         }
     }
 
     /// One node applies the entry.
-    pub fn publish_at(&mut self, index: usize, shard: u32, offset: u64, items: Vec<StateItem>) {
+    pub(crate) fn publish_at(
+        &mut self,
+        index: usize,
+        shard: u32,
+        offset: u64,
+        items: Vec<StateItem>,
+    ) {
         let bodies = self.controls[index].apply(shard, offset, items);
         self.control_sends(index, bodies);
     }
 
     /// A node sends frames, if it is the one that the agent is linked to.
-    pub fn control_sends(&mut self, index: usize, bodies: Vec<frame::Body>) {
-        let Some((link, at)) = self.link else { return };
-        if at != index || self.controls[index].silent {
+    pub(crate) fn control_sends(&mut self, index: usize, bodies: Vec<frame::Body>) {
+        let Some(link) = self.link else { return };
+        if link.node != index || self.controls[index].unresponsive {
             return;
         }
+        let link = link.id;
         for body in bodies {
             let frame = Box::new(Frame { body: Some(body) });
             let input = AgentInput::ControlFrame { link, frame };
@@ -121,34 +153,34 @@
     }
 
     /// Index of the node that the agent is linked to.
-    pub fn at(&self) -> usize {
-        self.link.expect("linked").1
+    pub(crate) fn connected_node(&self) -> usize {
+        self.link.expect("linked").node
     }
 
     /// Runs for some milliseconds.
-    pub fn run(&mut self, millis: u64) {
+    pub(crate) fn run(&mut self, millis: u64) {
         let end = self.now + Duration::from_millis(millis);
         while self.now < end {
             self.now = self.now + Duration::from_millis(1);
             self.deliver();
-            self.give(AgentInput::Tick);
+            self.handle(AgentInput::Tick);
         }
     }
 
-    pub fn give(&mut self, input: AgentInput) {
+    pub(crate) fn handle(&mut self, input: AgentInput) {
         for output in self.core.handle(self.now, input) {
             self.perform(output);
         }
     }
 
     /// Bodies sent to the proxy since the last call.
-    pub fn take_proxy_frames(&mut self) -> Vec<local_frame::Body> {
+    pub(crate) fn take_proxy_frames(&mut self) -> Vec<local_frame::Body> {
         let frames = std::mem::take(&mut self.proxy_frames).into_iter();
         frames.filter_map(|(_, frame)| frame.body).collect()
     }
 
     /// The state of a backend as the proxy sees it.
-    pub fn proxy_backend(&self, shard: u32, key: &str) -> Option<i32> {
+    pub(crate) fn proxy_backend(&self, shard: u32, key: &str) -> Option<i32> {
         let value = self.proxy.get(&shard)?.items().get(key)?;
         match value.kind.as_ref()? {
             millford_api::state::state_value::Kind::Backend(backend) => Some(backend.state),
@@ -157,46 +189,51 @@
     }
 
     fn deliver(&mut self) {
-        while self
-            .leaving
-            .front()
-            .is_some_and(|(at, _, _)| *at <= self.now)
-        {
-            let (_, link, frame) = self.leaving.pop_front().expect("frame");
-            let Some((present, index)) = self.link else {
+        let now = self.now;
+        while self.sent.front().is_some_and(|sent| sent.arrives_at <= now) {
+            let sent = self.sent.pop_front().expect("frame");
+            let Some(link) = self.link.filter(|link| link.id == sent.link) else {
                 continue;
             };
-            if present != link {
-                continue;
-            }
-            let bodies = self.controls[index].handle(self.now, frame, &mut self.shared);
-            self.control_sends(index, bodies);
+            let control = &mut self.controls[link.node];
+            let bodies = control.handle(now, sent.frame, &mut self.shared);
+            self.control_sends(link.node, bodies);
         }
         while self.arriving.front().is_some_and(|(at, _)| *at <= self.now) {
             let (_, input) = self.arriving.pop_front().expect("input");
-            self.give(input);
+            self.handle(input);
         }
     }
 
     fn perform(&mut self, output: AgentOutput) {
         match output {
             AgentOutput::Connect { link, address } => {
-                self.connects.push((self.now, address.clone()));
+                self.connects.push(ConnectAttempt {
+                    at: self.now,
+                    address: address.clone(),
+                });
                 let mut controls = self.controls.iter();
                 let index = controls.position(|control| control.address == address);
                 let input = match index {
                     Some(index) => {
                         self.controls[index].link_closed();
-                        self.link = Some((link, index));
+                        self.link = Some(FleetLink {
+                            id: link,
+                            node: index,
+                        });
                         AgentInput::LinkUp { link }
                     }
-                    None if self.without_power => return,
+                    None if self.unreachable => return,
                     None => AgentInput::LinkDown { link },
                 };
                 self.arriving.push_back((self.now + LATENCY, input));
             }
             AgentOutput::SendControl { link, frame } => {
-                self.leaving.push_back((self.now + LATENCY, link, *frame));
+                self.sent.push_back(SentFrame {
+                    arrives_at: self.now + LATENCY,
+                    link,
+                    frame: *frame,
+                });
             }
             AgentOutput::CloseControl { .. } => self.link = None,
             AgentOutput::SendProxy(frame) => self.deliver_to_proxy(*frame),
@@ -206,7 +243,7 @@
         }
     }
 
-    /// The proxy keeps a view of each shard, as the real one does; a gap would be a fault.
+    /// The proxy has a view of each shard, as the real one does; a gap would be a fault.
     fn deliver_to_proxy(&mut self, frame: LocalFrame) {
         let outcome = match frame.body.clone() {
             Some(local_frame::Body::Snapshot(snapshot)) => {
@@ -220,7 +257,7 @@
         assert_ne!(
             outcome,
             FeedOutcome::Resubscribe,
-            "gap on the way to the proxy"
+            "gap in the frames to the proxy"
         );
         self.proxy_frames.push((self.now, frame));
     }
--- a/crates/agent/tests/support/mod.rs
+++ b/crates/agent/tests/support/mod.rs
@@ -1,19 +1,19 @@
 //! One agent, its proxy and a few control nodes under simulated time.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
-mod control_stand_in;
+mod fake_control_node;
 mod fleet;
 
-pub use control_stand_in::{ControlStandIn, SharedShards};
-pub use fleet::Fleet;
+pub(crate) use fake_control_node::{FakeControlNode, SharedShards};
+pub(crate) use fleet::Fleet;
 
 use millford_api::config::{Quota, Tenant};
 use millford_api::state::{Backend, ConfigHead, StateItem, StateValue, state_value};
 
 /// Number of data shards of the simulated cluster.
-pub const DATA_SHARDS: u32 = 2;
+pub(crate) const DATA_SHARDS: u32 = 2;
 
-pub fn item(key: &str, kind: state_value::Kind) -> StateItem {
+pub(crate) fn item(key: &str, kind: state_value::Kind) -> StateItem {
     let value = StateValue { kind: Some(kind) };
     StateItem {
         key: key.to_owned(),
@@ -21,7 +21,7 @@
     }
 }
 
-pub fn head(revision: u64) -> StateItem {
+pub(crate) fn head(revision: u64) -> StateItem {
     let head = ConfigHead {
         revision,
         digest: vec![1],
@@ -29,7 +29,7 @@
     item("config/head", state_value::Kind::ConfigHead(head))
 }
 
-pub fn backend(pool: &str, id: &str) -> StateItem {
+pub(crate) fn backend(pool: &str, id: &str) -> StateItem {
     let backend = Backend {
         id: id.to_owned(),
         ..Backend::default()
@@ -38,7 +38,7 @@
     item(&key, state_value::Kind::Backend(backend))
 }
 
-pub fn tenant(name: &str, quota: Quota) -> StateItem {
+pub(crate) fn tenant(name: &str, quota: Quota) -> StateItem {
     let tenant = Tenant {
         name: name.to_owned(),
         key_hashes: Vec::new(),
--- a/crates/control-state/tests/support/desk_world.rs
+++ b/crates/control-state/tests/support/desk_world.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use millford_agent::quota::QuotaClient;
+use millford_agent::quota::{QuotaClient, StreamLimit};
 use millford_api::config::Quota;
 use millford_api::internal::{QuotaRecall, QuotaReply, QuotaRequest};
 use millford_api::local::{LocalQuotaRelease, LocalQuotaReply, LocalQuotaRequest};
@@ -99,16 +99,16 @@
         self.next_call += 1;
         self.outcome.arrived += 1;
         self.streams.insert(self.next_call, stream);
-        let ask = LocalQuotaRequest {
+        let request = LocalQuotaRequest {
             request_id: self.next_call,
             tenant: TENANT.to_owned(),
             stream,
             timeout_ms: CALL_TIMEOUT_MS,
             waited_ms: 0,
         };
-        let limited = self.quota.concurrent_streams > 0;
+        let limit = StreamLimit::of(&self.quota);
         let now = self.now();
-        let replies = self.desks[desk].ask(now, &ask, limited);
+        let replies = self.desks[desk].request(now, &request, limit);
         self.take(desk, replies);
     }
 
@@ -153,7 +153,7 @@
         let now = self.now();
         let name = desk.to_string();
         let next_id = &mut self.next_id[desk];
-        for request in self.desks[desk].requests(now, layout, &name, 1, next_id) {
+        for request in self.desks[desk].due_requests(now, layout, &name, 1, next_id) {
             let leader = self.forwards_to[desk];
             self.send(Message::ToLeader { leader, request });
         }
@@ -182,8 +182,8 @@
                     stream: true,
                     unused: false,
                 };
-                let limited = self.quota.concurrent_streams > 0;
-                let replies = self.desks[desk].release(now, &release, limited);
+                let limit = StreamLimit::of(&self.quota);
+                let replies = self.desks[desk].release(now, &release, limit);
                 self.take(desk, replies);
             }
         }
--- a/crates/scale/src/hollow/hollow_node.rs
+++ b/crates/scale/src/hollow/hollow_node.rs
@@ -43,26 +43,26 @@
         board: Arc<ShownBoard>,
         counts: Arc<TrafficCounts>,
     ) -> Self {
-        let (queues, sources) = EventQueues::new();
-        let (outlet, frames) = ProxySender::new();
-        let (outlet_sender, outlets) = mpsc::channel(1);
+        let (queues, events) = EventQueues::new();
+        let (sender, frames) = ProxySender::new();
+        let (sender_updates, proxy_senders) = mpsc::channel(1);
         let meter = Arc::new(TrafficMeter::default());
         let report = SharedReport::default();
         let parts = DriverComponents {
             options: options(number, seeds, shape.seed),
             queues: queues.clone(),
-            sources,
-            outlets,
+            events,
+            proxy_senders,
             registry: None,
             saved_members: None,
             meter: Arc::clone(&meter),
             report: report.clone(),
         };
         let agent = runtimes.agents.spawn(async move {
-            // The sender stays with the task, so that the driver's channel stays open.
-            let _ = outlet_sender.send(Some(outlet)).await;
+            // The update channel stays with the task, so that the driver keeps its sender.
+            let _ = sender_updates.send(Some(sender)).await;
             Driver::new(parts).run().await;
-            drop(outlet_sender);
+            drop(sender_updates);
         });
         let proxy = HollowProxy::new(shape, queues, board, counts);
         let proxy = runtimes.load.spawn(proxy.run(frames));
--- a/crates/scale/src/hollow/hollow_proxy.rs
+++ b/crates/scale/src/hollow/hollow_proxy.rs
@@ -77,7 +77,7 @@
 
     /// Works until it is aborted.
     pub async fn run(mut self, mut frames: ProxyFrames) {
-        self.queues.state(AgentInput::ProxyUp).await;
+        self.queues.send_state(AgentInput::ProxyUp).await;
         let boot_id = self.random.random();
         self.send(local_frame::Body::ProxyHello(ProxyHello {
             boot_id,
@@ -258,7 +258,7 @@
 
     async fn send(&self, body: local_frame::Body) {
         let frame = LocalFrame { body: Some(body) };
-        self.queues.proxy_frame(frame).await;
+        self.queues.send_proxy_frame(frame).await;
     }
 
     fn pause(&mut self) -> Duration {
--- a/crates/scale/src/run_size.rs
+++ b/crates/scale/src/run_size.rs
@@ -272,7 +272,7 @@
 
 fn is_up(node: &HollowNode) -> bool {
     let report = node.report();
-    report.in_touch && report.complete && report.session_epoch != 0
+    report.connected && report.complete && report.session_epoch != 0
 }
 
 async fn wait(
--- a/crates/simulation/src/world/agent_driver.rs
+++ b/crates/simulation/src/world/agent_driver.rs
@@ -77,7 +77,7 @@
             return;
         };
         let outputs = core.handle(local, input);
-        let in_touch = core.in_touch();
+        let in_touch = core.is_connected();
         let next = core.next_tick(local);
         for output in outputs {
             self.agent_output(number, output);
