--- a/crates/control/src/shard/placement_role.rs
+++ b/crates/control/src/shard/placement_role.rs
@@ -82,7 +82,7 @@
         let mut backends = BTreeSet::new();
         let mut nodes = 0;
         for (service, placer) in &self.placement.placers {
-            let loads = placer.picture(now);
+            let loads = placer.load_snapshot(now);
             backends.extend(loads.iter().map(|load| load.backend_id.clone()));
             nodes = nodes.max(placer.members());
             let loads = self.placement.pictures.difference(now, service, loads);
--- a/crates/experiments/src/fleet/control.rs
+++ b/crates/experiments/src/fleet/control.rs
@@ -36,7 +36,7 @@
         let picture = LoadSnapshot {
             service: self.options.pool.name.clone(),
             epoch: EPOCH,
-            loads: self.placer.picture(self.now),
+            loads: self.placer.load_snapshot(self.now),
         };
         let mut open = vec![0; self.hosts.len()];
         for proxy in &self.proxies {
--- a/crates/experiments/src/suite/bandwidth.rs
+++ b/crates/experiments/src/suite/bandwidth.rs
@@ -90,7 +90,7 @@
             bandwidth_dimension,
             size_by_load,
             // An experiment is short: surplus replicas go sooner than by default.
-            scale_down_hold: Duration::from_secs(4),
+            scale_down_delay: Duration::from_secs(4),
             ..PlacerOptions::default()
         };
         if declared {
--- a/crates/placement/src/cost/bandwidth_attribution.rs
+++ b/crates/placement/src/cost/bandwidth_attribution.rs
@@ -1,29 +1,29 @@
 //! How memory bandwidth on a shared backend is attributed to models.
 //!
-//! Nodes cannot read a backend's counters. They see tokens come slower than the streams explain, and the
-//! point at which that starts is known: the knee of the latency curve. Each observation therefore gives one
+//! Nodes cannot read a backend's counters. They measure tokens that come slower than the streams explain,
+//! and the point at which that starts is known: the knee of the latency curve. Each observation therefore gives one
 //! linear equation (or inequality, below the knee) on the models' use per stream; a projection onto it
 //! (Kaczmarz's method) moves the estimates as little as the equation asks. Use that no stream in the pool
-//! explains is kept per backend as foreign use and fades.
+//! explains is retained per backend as foreign use and decays.
 
 use std::collections::BTreeMap;
 
-/// Bandwidth use at which latency starts to rise steeply.
+/// Used share of the bandwidth at which latency starts to rise steeply.
 const KNEE: f64 = 0.67;
 /// Assumed exponent of the rise past the knee.
 const STEEPNESS: f64 = 7.0;
-/// Inflation of the inter-token time from which it counts as stalled.
+/// Inflation of the inter-token time above which a backend counts as stalled.
 const STALL_INFLATION: f64 = 1.15;
 /// Share of the error that one observation corrects.
-const RATE: f64 = 0.1;
+const CORRECTION_RATE: f64 = 0.1;
 /// Share of the error that goes to foreign use.
-const FOREIGN_RATE: f64 = 0.02;
-/// What foreign use keeps at each observation.
-const FOREIGN_KEPT: f64 = 0.99;
+const FOREIGN_CORRECTION_RATE: f64 = 0.02;
+/// Factor by which foreign use decays at each observation.
+const FOREIGN_RETENTION: f64 = 0.99;
 /// Largest demand that an observation may claim, as a share of the bandwidth.
-const MOST_DEMAND: f64 = 3.0;
+const MAX_DEMAND: f64 = 3.0;
 
-/// What was seen on one backend over one period.
+/// Measurement on one backend over one period.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BandwidthObservation {
     /// Identity of the backend.
@@ -46,7 +46,7 @@
 }
 
 impl BandwidthAttribution {
-    /// Starts from a prior in GB/s per stream; `declared` models keep their given figure.
+    /// Starts from a prior in GB/s per stream; models in `declared` retain their given use.
     #[must_use]
     pub fn new(prior_stream_gbps: f64, declared: BTreeMap<String, f64>) -> Self {
         Self {
@@ -85,13 +85,13 @@
 
     /// Learns from one backend and period.
     pub fn observe(&mut self, observation: &BandwidthObservation) {
-        self.fade_foreign(&observation.backend);
+        self.decay_foreign(&observation.backend);
         let estimate = self.use_gbps(&observation.backend, &observation.streams);
         let knee_gbps = KNEE * observation.bandwidth_gbps;
         let error = if observation.inflation > STALL_INFLATION {
-            // Stalled work asks for less: the demand at full pace is the settled use times the inflation.
-            let settled = KNEE + observation.inflation.ln() / STEEPNESS;
-            let demand = (settled * observation.inflation).min(MOST_DEMAND);
+            // Stalled work uses less: the demand at full speed is the use times the inflation.
+            let stalled_use = KNEE + observation.inflation.ln() / STEEPNESS;
+            let demand = (stalled_use * observation.inflation).min(MAX_DEMAND);
             demand * observation.bandwidth_gbps - estimate
         } else if estimate > knee_gbps {
             knee_gbps - estimate
@@ -103,12 +103,12 @@
             .foreign
             .entry(observation.backend.clone())
             .or_insert(0.0);
-        *foreign = (*foreign + FOREIGN_RATE * error).max(0.0);
+        *foreign = (*foreign + FOREIGN_CORRECTION_RATE * error).max(0.0);
     }
 
-    /// Forgets the foreign use of backends that are not kept.
-    pub fn keep_backends(&mut self, kept: impl Fn(&str) -> bool) {
-        self.foreign.retain(|backend, _| kept(backend));
+    /// Forgets the foreign use of the other backends.
+    pub fn retain_backends(&mut self, is_retained: impl Fn(&str) -> bool) {
+        self.foreign.retain(|backend, _| is_retained(backend));
     }
 
     /// Moves the estimates of the models with streams towards the observation.
@@ -123,14 +123,14 @@
         }
         for (model, count) in &observation.streams {
             let present = self.stream_gbps(model);
-            let moved = present + RATE * error * count / length;
+            let moved = present + CORRECTION_RATE * error * count / length;
             self.learned.insert(model.clone(), moved.max(0.0));
         }
     }
 
-    fn fade_foreign(&mut self, backend: &str) {
+    fn decay_foreign(&mut self, backend: &str) {
         if let Some(foreign) = self.foreign.get_mut(backend) {
-            *foreign *= FOREIGN_KEPT;
+            *foreign *= FOREIGN_RETENTION;
         }
     }
 }
--- a/crates/placement/src/cost/cost_model.rs
+++ b/crates/placement/src/cost/cost_model.rs
@@ -14,7 +14,7 @@
 }
 
 impl CostModel {
-    /// Takes in an answered request of `model`.
+    /// Takes an answered request of `model`, on a backend with `cores` cores and `streams` streams of it.
     pub fn observe(&mut self, model: &str, sample: &CostSample, cores: f64, streams: u32) {
         let cost = self.models.entry(model.to_owned()).or_default();
         cost.observe(sample, cores, streams);
@@ -26,7 +26,7 @@
         self.models.get(model).copied().unwrap_or_default()
     }
 
-    /// Estimated processor time of the work in flight over cores, in seconds.
+    /// Estimated time that a backend with `cores` cores needs for the work in flight, in seconds.
     #[must_use]
     pub fn outstanding_seconds(&self, model: &str, work: &ReplicaWork, cores: f64) -> f64 {
         let cost = self.model(model);
--- a/crates/placement/src/cost/line_fit.rs
+++ b/crates/placement/src/cost/line_fit.rs
@@ -1,6 +1,6 @@
 //! Recursive fit of a line under one-sided noise.
 
-/// Weight that old samples keep at each new one: about the last 300 samples count.
+/// Factor on the weight of old samples at each new one: about the last 300 samples count.
 pub const FORGETTING: f64 = 0.9967;
 /// Weight of a sample above the line against one below: waiting only ever adds time.
 pub const ABOVE_WEIGHT: f64 = 0.15;
@@ -13,8 +13,8 @@
 
 /// `y = intercept + slope * x` by recursive least squares with forgetting.
 ///
-/// What it shows is never below 0; inside, the coefficients move freely, or the fit would be biased.
-/// Times seen on busy backends contain waiting, which only adds. Samples above the line therefore
+/// Reported values are never below 0; inside, the coefficients move freely, or the fit would be biased.
+/// Times measured on busy backends contain waiting, which only adds. Samples above the line therefore
 /// weigh less than those below (an expectile fit), so that the line is near the unloaded cost.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LineFit {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Takes a sample in. Values that are not finite are ignored.
+    /// Takes a sample. Values that are not finite are ignored.
     pub fn observe(&mut self, x: f64, y: f64) {
         if !x.is_finite() || !y.is_finite() {
             return;
--- a/crates/placement/src/cost/mod.rs
+++ b/crates/placement/src/cost/mod.rs
@@ -1,4 +1,4 @@
-//! What models cost, learned on the nodes from the traffic they carry.
+//! Costs of models, learned from the traffic of the nodes.
 
 pub mod bandwidth_attribution;
 pub mod cost_model;
--- a/crates/placement/src/cost/model_cost.rs
+++ b/crates/placement/src/cost/model_cost.rs
@@ -19,7 +19,10 @@
 /// Prior of the mean prompt and answer lengths, in tokens.
 const PRIOR_MEAN_TOKENS: f64 = 200.0;
 
-/// What one model costs, as learned from answered requests.
+/// Largest decode capacity that is accepted: guards against a fitted slope of nearly zero.
+const MAX_STREAM_CAPACITY: f64 = 256.0;
+
+/// Costs of one model, learned from answered requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ModelCost {
     /// First-token time in milliseconds against uncached prompt tokens per core.
@@ -42,7 +45,7 @@
 }
 
 impl ModelCost {
-    /// Takes in an answered request on a backend of `cores` cores that carried `streams` streams.
+    /// Takes an answered request on a backend of `cores` cores that carried `streams` streams.
     pub fn observe(&mut self, sample: &CostSample, cores: f64, streams: u32) {
         let prompt_tokens = f64::from(sample.prompt_tokens);
         self.prefill.observe(
@@ -69,7 +72,7 @@
 
     /// Processor time left in a stream of unknown length, in core milliseconds.
     ///
-    /// A stream seen at a random moment has half of its tokens left. Each costs a stream's own part
+    /// A stream observed at a random moment has half of its tokens left. Each costs a stream's own part
     /// of a step, which the whole backend spends.
     #[must_use]
     pub fn stream_core_ms(&self, cores: f64) -> f64 {
@@ -82,7 +85,7 @@
     pub fn stream_step_ms(&self) -> f64 {
         self.decode
             .slope()
-            .max(self.decode.intercept() / MOST_STREAMS)
+            .max(self.decode.intercept() / MAX_STREAM_CAPACITY)
     }
 
     /// Streams at which a step takes twice as long as an empty one: the decode capacity.
@@ -103,6 +106,3 @@
         self.mean_output_tokens.max(1.0)
     }
 }
-
-/// Largest decode capacity that is believed: guards against a fitted slope of nearly zero.
-const MOST_STREAMS: f64 = 256.0;
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,4 +1,4 @@
-//! Placement of model replicas from the work in flight: cost model, load picture, transition gate.
+//! Placement of model replicas from the work in flight: cost model, load snapshot, transition gate.
 //!
 //! [`Placer`] is the placement role of one pool. It is called by the leader of the shard that owns
 //! the pool's service, which fences what it publishes by an epoch. All of it is pure.
--- a/crates/placement/src/load/load_snapshot.rs
+++ b/crates/placement/src/load/load_snapshot.rs
@@ -1,4 +1,4 @@
-//! What all nodes together have in flight.
+//! Work in flight over all nodes, from their reports.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 use crate::load::replica_work::ReplicaWork;
 use crate::replica_key::ReplicaKey;
 
-/// The last known counts of each member, aged out one by one when they are not refreshed.
+/// The last known counts of each member; each expires when it is not refreshed.
 ///
 /// Members report what changed, and repeat what has not at longer intervals. A count that is reported as zero
-/// stays as zero until it ages out, so that those who read the picture learn that the work has ended.
+/// stays as zero until it expires, so that readers of the snapshot learn that the work has ended.
 #[derive(Clone, Debug)]
 pub struct LoadSnapshot {
     stale_after: Duration,
@@ -25,7 +25,7 @@
 }
 
 impl LoadSnapshot {
-    /// An empty picture; a reported count holds for `stale_after`.
+    /// An empty snapshot; a reported count is valid for `stale_after`.
     #[must_use]
     pub fn new(stale_after: Duration) -> Self {
         Self {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Takes in a member's counts; those that it does not list stay.
+    /// Takes a member's counts; those that it does not list stay.
     pub fn observe(&mut self, now: MonotonicTime, member: &str, loads: &[ReplicaLoad]) {
         let counts = self.members.entry(member.to_owned()).or_default();
         for load in loads {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// How many members have reported.
+    /// Number of members with valid counts.
     #[must_use]
     pub fn members(&self) -> usize {
         self.members.len()
--- a/crates/placement/src/load/smoothed_load.rs
+++ b/crates/placement/src/load/smoothed_load.rs
@@ -7,8 +7,8 @@
 use crate::load::replica_work::ReplicaWork;
 use crate::replica_key::ReplicaKey;
 
-/// Mean under which a replica or backend is forgotten.
-const FADED: f64 = 0.005;
+/// Mean under which a replica or backend is removed.
+const NEGLIGIBLE: f64 = 0.005;
 
 /// Moving means of one replica's work.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Takes in the work in flight at `now`.
+    /// Takes the work in flight at `now`.
     pub fn observe(&mut self, now: MonotonicTime, work: &BTreeMap<ReplicaKey, ReplicaWork>) {
         let passed = self.last_tick.map(|last| now.since(last));
         self.last_tick = Some(now);
@@ -75,8 +75,8 @@
             );
         }
         self.replicas
-            .retain(|_, mean| mean.streams > FADED || mean.prefill_busy > FADED);
-        self.backends.retain(|_, busy| *busy > FADED);
+            .retain(|_, mean| mean.streams > NEGLIGIBLE || mean.prefill_busy > NEGLIGIBLE);
+        self.backends.retain(|_, busy| *busy > NEGLIGIBLE);
     }
 
     /// Means by replica.
@@ -112,7 +112,7 @@
     }
 }
 
-/// Share of a new value in an exponential mean; the first value counts whole.
+/// Share of a new value in an exponential mean; the first value counts fully.
 fn share(passed: Option<Duration>, constant: Duration) -> f64 {
     let constant = constant.as_secs_f64().max(f64::MIN_POSITIVE);
     passed.map_or(1.0, |passed| 1.0 - (-passed.as_secs_f64() / constant).exp())
--- a/crates/placement/src/placer.rs
+++ b/crates/placement/src/placer.rs
@@ -10,23 +10,23 @@
 use crate::cost::{BandwidthAttribution, BandwidthObservation, CostModel};
 use crate::load::{LoadSnapshot, SmoothedLoad};
 use crate::options::PlacerOptions;
-use crate::plan::bandwidth::{PressureClock, weigh};
 use crate::plan::draft::Draft;
 use crate::plan::moves::{Move, MoveReason, PlanOutcome};
 use crate::plan::pool_view::{PoolLoad, PoolView};
 use crate::plan::retire::{DrainClock, remove_drained, retire};
-use crate::plan::scale::{SurplusClock, scale};
+use crate::plan::scale::{SurplusClock, Withdrawal, scale};
 use crate::plan::transition::{TransitionClock, transition};
+use crate::plan::weights::{PressureClock, adjust_weights};
 use crate::replica_key::ReplicaKey;
 
 /// Samples kept until the next tick knows the backends' cores.
-const MOST_PENDING_SAMPLES: usize = 4096;
+const MAX_PENDING_SAMPLES: usize = 4096;
 
-/// Plans the placement of one pool. Holds only what can be learned again after a change of leader.
+/// Plans the placement of one pool. Its state can be learned again after a change of leader.
 #[derive(Clone, Debug)]
 pub struct Placer {
     options: PlacerOptions,
-    picture: LoadSnapshot,
+    load_snapshot: LoadSnapshot,
     costs: CostModel,
     bandwidth: BandwidthAttribution,
     pending: Vec<PendingSample>,
@@ -47,11 +47,11 @@
 }
 
 impl Placer {
-    /// A placer that knows nothing yet.
+    /// A placer without any reports yet.
     #[must_use]
     pub fn new(options: PlacerOptions) -> Self {
         Self {
-            picture: LoadSnapshot::new(options.member_stale_after),
+            load_snapshot: LoadSnapshot::new(options.member_stale_after),
             costs: CostModel::default(),
             bandwidth: BandwidthAttribution::new(
                 options.prior_stream_gbps,
@@ -69,20 +69,20 @@
         }
     }
 
-    /// Takes a member's report: what changed in what it has in flight, and its new cost samples.
+    /// Takes a member's report: changed counts of its work in flight, and its new cost samples.
     ///
-    /// Counts that it does not list stay until they age out.
+    /// Counts that it does not list stay until they expire.
     pub fn observe(&mut self, now: MonotonicTime, member: &str, loads: &[ReplicaLoad]) {
-        self.picture.observe(now, member, loads);
+        self.load_snapshot.observe(now, member, loads);
         if loads.iter().all(|load| load.samples.is_empty()) {
             return;
         }
-        let totals = self.picture.totals(now);
+        let totals = self.load_snapshot.totals(now);
         for load in loads {
             let replica = ReplicaKey::from(load);
             let on_replica = totals.get(&replica).map_or(0, |work| work.decode_streams);
             for sample in &load.samples {
-                if self.pending.len() >= MOST_PENDING_SAMPLES {
+                if self.pending.len() >= MAX_PENDING_SAMPLES {
                     return;
                 }
                 self.pending.push(PendingSample {
@@ -96,22 +96,22 @@
 
     /// Forgets a member whose session has ended.
     pub fn forget(&mut self, member: &str) {
-        self.picture.forget(member);
+        self.load_snapshot.forget(member);
     }
 
-    /// What all members together have in flight, without stale ones; sent back to the nodes.
+    /// Work in flight over all members, without stale counts; sent back to the nodes.
     #[must_use]
-    pub fn picture(&self, now: MonotonicTime) -> Vec<ReplicaLoad> {
-        self.picture.to_loads(now)
+    pub fn load_snapshot(&self, now: MonotonicTime) -> Vec<ReplicaLoad> {
+        self.load_snapshot.to_loads(now)
     }
 
-    /// How many members' counts the picture holds.
+    /// Number of members with counts in the load snapshot.
     #[must_use]
     pub fn members(&self) -> usize {
-        self.picture.members()
+        self.load_snapshot.members()
     }
 
-    /// Estimated utilization of the pool at the last tick: what the transition gate judges.
+    /// Estimated utilization of the pool at the last tick, on which the transition gate decides.
     #[must_use]
     pub fn utilization(&self) -> f64 {
         self.utilization
@@ -131,8 +131,8 @@
 
     /// Plans one tick. The caller publishes the placement under `epoch` through its shard's log.
     ///
-    /// Order of the steps: retirements, wanted replicas, bandwidth, transitions. Transitions wait for a tick in
-    /// which the steps before them, retirements aside, change nothing.
+    /// Order of the steps: retirements, desired replicas, bandwidth, transitions. Transitions wait for a
+    /// tick in which the steps before them, retirements aside, change nothing.
     pub fn plan(
         &mut self,
         now: MonotonicTime,
@@ -141,9 +141,9 @@
         backends: &BTreeMap<String, Backend>,
         current: Option<&PoolPlacement>,
     ) -> PlanOutcome {
-        self.picture.expire(now);
+        self.load_snapshot.expire(now);
         self.learn(backends);
-        let work = self.picture.totals(now);
+        let work = self.load_snapshot.totals(now);
         self.smoothed.observe(now, &work);
         let smoothed = self.smoothed.clone();
         // A placer whose epoch is behind was replaced: it must not publish over its successor.
@@ -152,7 +152,7 @@
         }
         let costs = self.costs.clone();
         self.bandwidth
-            .keep_backends(|backend| backends.contains_key(backend));
+            .retain_backends(|backend| backends.contains_key(backend));
         let bandwidth = self.bandwidth.clone();
         let options = self.options.clone();
         let load = PoolLoad {
@@ -178,25 +178,28 @@
         retire(view, draft);
         remove_drained(view, &self.drains, draft);
         let before = draft.changes();
-        let interval = view.options.step_interval;
-        let may_withdraw = self
-            .last_withdrawal
-            .is_none_or(|last| view.now.since(last) >= interval);
-        scale(view, &mut self.surplus, may_withdraw, draft);
-        if draft
-            .moves
-            .iter()
-            .any(|step| step.reason == MoveReason::ScaledDown)
-        {
+        let withdrawal = self.withdrawal(view);
+        scale(view, &mut self.surplus, withdrawal, draft);
+        let mut reasons = draft.moves.iter().map(|step| step.reason);
+        if reasons.any(|reason| reason == MoveReason::ScaledDown) {
             self.last_withdrawal = Some(view.now);
         }
-        weigh(view, &mut self.pressure, draft);
+        adjust_weights(view, &mut self.pressure, draft);
         if draft.changes() > before {
             return;
         }
         transition(view, &mut self.transitions, draft);
     }
 
+    fn withdrawal(&self, view: &PoolView) -> Withdrawal {
+        let passed = self.last_withdrawal.map(|last| view.now.since(last));
+        if passed.is_some_and(|passed| passed < view.options.step_interval) {
+            Withdrawal::Paced
+        } else {
+            Withdrawal::Allowed
+        }
+    }
+
     /// Learns costs from the pending samples; those of unknown backends are dropped.
     fn learn(&mut self, backends: &BTreeMap<String, Backend>) {
         for pending in std::mem::take(&mut self.pending) {
@@ -204,7 +207,7 @@
                 continue;
             };
             let cores = f64::from(backend.cores.max(1));
-            self.inflations(&pending, backend);
+            self.learn_bandwidth(&pending, backend);
             self.costs.observe(
                 &pending.replica.model,
                 &pending.sample,
@@ -214,14 +217,14 @@
         }
     }
 
-    /// Learns bandwidth use from a sample's inter-token time, before the fit takes the sample in.
-    fn inflations(&mut self, pending: &PendingSample, backend: &Backend) {
+    /// Learns bandwidth use from a sample's inter-token time, before the fit takes the sample.
+    fn learn_bandwidth(&mut self, pending: &PendingSample, backend: &Backend) {
         let cost = self.costs.model(&pending.replica.model);
         if pending.sample.output_tokens < 2 || !cost.decode.is_trusted() {
             return;
         }
         let intervals = f64::from(pending.sample.output_tokens - 1);
-        let seen_ms = f64::from(pending.sample.decode_ms) / intervals;
+        let measured_ms = f64::from(pending.sample.decode_ms) / intervals;
         let explained_ms = cost.decode.value(f64::from(pending.streams.max(1)));
         if explained_ms <= 0.0 || backend.bandwidth_gbps <= 0.0 {
             return;
@@ -230,7 +233,7 @@
             backend: backend.id.clone(),
             bandwidth_gbps: backend.bandwidth_gbps,
             streams: self.smoothed.streams_on(&backend.id),
-            inflation: seen_ms / explained_ms,
+            inflation: measured_ms / explained_ms,
         };
         self.bandwidth.observe(&observation);
     }
--- a/crates/placement/src/plan/draft.rs
+++ b/crates/placement/src/plan/draft.rs
@@ -19,7 +19,16 @@
     pub weight_milli: u32,
 }
 
-/// A placement under work, with the moves made so far.
+impl From<&Replica> for DraftReplica {
+    fn from(replica: &Replica) -> Self {
+        Self {
+            state: replica.state(),
+            weight_milli: replica.weight_milli,
+        }
+    }
+}
+
+/// A placement in preparation, with the moves made so far.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Draft {
     /// Replicas by key.
@@ -29,23 +38,13 @@
 }
 
 impl Draft {
-    /// Starts from the placement in force.
+    /// Starts from the placement that is applied now.
     #[must_use]
     pub fn new(current: Option<&PoolPlacement>) -> Self {
         let replicas = current
             .into_iter()
             .flat_map(|placement| &placement.replicas)
-            .map(|replica| {
-                let state = replica.state();
-                let weight_milli = replica.weight_milli;
-                (
-                    replica.into(),
-                    DraftReplica {
-                        state,
-                        weight_milli,
-                    },
-                )
-            })
+            .map(|replica| (ReplicaKey::from(replica), DraftReplica::from(replica)))
             .collect();
         Self {
             replicas,
@@ -74,8 +73,8 @@
         }
     }
 
-    /// Notes a reason that changes nothing.
-    pub fn note(&mut self, replica: ReplicaKey, reason: MoveReason) {
+    /// Records a move, or a reason that changes nothing.
+    pub fn record(&mut self, replica: ReplicaKey, reason: MoveReason) {
         self.moves.push(Move { replica, reason });
     }
 
@@ -86,7 +85,7 @@
             weight_milli: FULL_WEIGHT_MILLI,
         };
         self.replicas.insert(replica.clone(), active);
-        self.note(replica, reason);
+        self.record(replica, reason);
     }
 
     /// Stops new work to an active replica.
@@ -95,14 +94,14 @@
             && present.state == ReplicaState::ReplicaActive
         {
             present.state = ReplicaState::ReplicaDraining;
-            self.note(replica.clone(), reason);
+            self.record(replica.clone(), reason);
         }
     }
 
     /// Removes a replica.
     pub fn remove(&mut self, replica: &ReplicaKey, reason: MoveReason) {
         if self.replicas.remove(replica).is_some() {
-            self.note(replica.clone(), reason);
+            self.record(replica.clone(), reason);
         }
     }
 
@@ -112,7 +111,7 @@
             && present.weight_milli != weight_milli
         {
             present.weight_milli = weight_milli;
-            self.note(replica.clone(), reason);
+            self.record(replica.clone(), reason);
         }
     }
 
--- a/crates/placement/src/plan/mod.rs
+++ b/crates/placement/src/plan/mod.rs
@@ -1,6 +1,7 @@
-//! The steps of a plan, in the order in which they run.
+//! The steps of a plan: [`retire`], [`scale`], [`weights`], [`transition`], in the order in which they
+//! run.
 
-pub mod bandwidth;
+pub mod declared_models;
 pub mod draft;
 pub mod moves;
 pub mod pool_limits;
@@ -8,7 +9,9 @@
 pub mod retire;
 pub mod scale;
 pub mod transition;
+pub mod weights;
 
+pub use declared_models::DeclaredModels;
 pub use draft::{Draft, DraftReplica};
 pub use moves::{Move, MoveReason, PlanOutcome};
 pub use pool_limits::PoolLimits;
--- a/crates/placement/src/plan/moves.rs
+++ b/crates/placement/src/plan/moves.rs
@@ -1,4 +1,4 @@
-//! What a plan changes and why.
+//! Changes that a plan makes, with their reasons.
 
 use millford_api::state::PoolPlacement;
 
@@ -9,11 +9,11 @@
 pub struct PlanOutcome {
     /// The placement to publish; none when nothing changes.
     pub placement: Option<PoolPlacement>,
-    /// What changes, and what is put off or exceeded, with reasons.
+    /// Changes, and steps that are deferred or limits that are exceeded, with reasons.
     pub reasons: Vec<Move>,
 }
 
-/// One change to a replica, or one that is put off.
+/// One change to a replica, or one that is deferred.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
     /// The replica.
@@ -25,7 +25,7 @@
 /// Reasons of moves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MoveReason {
-    /// The placement in force has a larger epoch: this placer is fenced off.
+    /// The applied placement has a larger epoch: this placer is fenced off.
     Fenced,
     /// New work may go to the replica from now on.
     Placed,
@@ -35,9 +35,9 @@
     Drained,
     /// The replica is removed with work still open, because `drain_ms` has passed.
     DrainTimedOut,
-    /// The backend is above its bandwidth ceiling; the replica gets less or no new work.
+    /// The backend is above its bandwidth limit; the replica gets less new work.
     BandwidthRelief,
-    /// The backend is above its bandwidth ceiling and nothing else has room.
+    /// The backend is above its bandwidth limit and no other one has headroom.
     BandwidthExceeded,
     /// A replica of the target version starts in place of the old one.
     TransitionStep,
@@ -49,16 +49,16 @@
     TransitionBehindRetirements,
     /// The old version's replica takes no new work.
     OldVersionWithdrawn,
-    /// More replicas are wanted.
+    /// More replicas are desired.
     ScaledUp,
-    /// Fewer replicas are wanted.
+    /// Fewer replicas are desired.
     ScaledDown,
-    /// The replica's share of new work changes.
+    /// The replica's weight of new work changes.
     Reweighted,
 }
 
 impl MoveReason {
-    /// Whether the reason tells of a change, and not only of something put off or exceeded.
+    /// Whether the reason belongs to a change, and not only to something deferred or exceeded.
     #[must_use]
     pub fn is_change(self) -> bool {
         !matches!(
--- a/crates/placement/src/plan/pool_limits.rs
+++ b/crates/placement/src/plan/pool_limits.rs
@@ -4,7 +4,7 @@
 use millford_core::Duration;
 
 use crate::options::{
-    DEFAULT_BANDWIDTH_CEILING_PERCENT, DEFAULT_DRAIN_MS, DEFAULT_LONGEST_DEFERRAL_MS,
+    DEFAULT_BANDWIDTH_LIMIT_PERCENT, DEFAULT_DRAIN_MS, DEFAULT_LONGEST_DEFERRAL_MS,
     DEFAULT_TRANSITION_BUDGET_PERCENT,
 };
 
@@ -13,9 +13,9 @@
 pub struct PoolLimits {
     /// Time for a draining replica's work to end or move.
     pub drain: Duration,
-    /// Bandwidth ceiling as a share of the whole.
-    pub bandwidth_ceiling: f64,
-    /// Utilization under which a transition may go on.
+    /// Largest used share of a backend's memory bandwidth, from 0 to 1.
+    pub max_bandwidth_share: f64,
+    /// Utilization up to which a transition may go on, from 0 to 1.
     pub transition_budget: f64,
     /// Longest deferral of a transition.
     pub longest_deferral: Duration,
@@ -28,9 +28,9 @@
         let share = |percent: u32| f64::from(percent) / 100.0;
         Self {
             drain: millis(or(pool.drain_ms, DEFAULT_DRAIN_MS)),
-            bandwidth_ceiling: share(or(
+            max_bandwidth_share: share(or(
                 pool.bandwidth_ceiling_percent,
-                DEFAULT_BANDWIDTH_CEILING_PERCENT,
+                DEFAULT_BANDWIDTH_LIMIT_PERCENT,
             )),
             transition_budget: share(or(
                 pool.transition_budget_percent,
--- a/crates/placement/src/plan/pool_view.rs
+++ b/crates/placement/src/plan/pool_view.rs
@@ -1,19 +1,20 @@
-//! What one planning tick sees: the pool, its backends, and the estimated use of both dimensions.
+//! Input of one planning tick: the pool, its backends, and the estimated use of processor time and
+//! memory bandwidth.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use millford_api::config::{Pool, Selector};
-use millford_api::state::{Backend, BackendState, Declaration};
+use millford_api::config::Pool;
+use millford_api::state::{Backend, BackendState};
 use millford_core::MonotonicTime;
 
 use crate::cost::{BandwidthAttribution, CostModel};
 use crate::load::{ReplicaWork, SmoothedLoad};
 use crate::options::PlacerOptions;
+use crate::plan::declared_models::DeclaredModels;
 use crate::plan::pool_limits::PoolLimits;
 use crate::replica_key::ReplicaKey;
-use crate::version::compare_versions;
 
-/// What is known of the pool's load.
+/// Learned costs and measured load of a pool.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLoad<'a> {
     /// Learned costs.
@@ -38,8 +39,8 @@
     pub backends: &'a BTreeMap<String, Backend>,
     /// Learned costs and work in flight.
     pub load: PoolLoad<'a>,
-    /// Versions by model with the active backends that declare them.
-    pub declared: BTreeMap<String, BTreeMap<String, BTreeSet<String>>>,
+    /// Models and versions that the active backends declare.
+    pub declared: DeclaredModels,
     target_version: String,
 }
 
@@ -60,7 +61,7 @@
             limits: PoolLimits::from(pool),
             backends,
             load,
-            declared: declared(backends, &selector),
+            declared: DeclaredModels::new(backends, &selector),
             target_version: pool.target_version.clone(),
         }
     }
@@ -70,57 +71,14 @@
     /// It is the pool's target version where a backend declares it, else the highest declared.
     #[must_use]
     pub fn target_version(&self, model: &str) -> Option<&str> {
-        let versions = self.declared.get(model)?;
-        if let Some((version, _)) = versions.get_key_value(&self.target_version) {
-            return Some(version);
-        }
-        versions
-            .keys()
-            .max_by(|left, right| compare_versions(left, right))
-            .map(String::as_str)
-    }
-
-    /// Active backends that declare any version of the model.
-    #[must_use]
-    pub fn backends_of_model(&self, model: &str) -> BTreeSet<&str> {
-        let versions = self.declared.get(model);
-        versions
-            .into_iter()
-            .flat_map(BTreeMap::values)
-            .flatten()
-            .map(String::as_str)
-            .collect()
+        self.declared.target_version(model, &self.target_version)
     }
 
     /// Active backends that declare the model's target version.
     #[must_use]
     pub fn backends_of_target(&self, model: &str) -> BTreeSet<&str> {
         let target = self.target_version(model).unwrap_or_default();
-        let versions = self.declared.get(model);
-        versions
-            .and_then(|versions| versions.get(target))
-            .into_iter()
-            .flatten()
-            .map(String::as_str)
-            .collect()
-    }
-
-    /// Whether new work may go to this replica as far as the catalogue is concerned.
-    #[must_use]
-    pub fn is_declared(&self, key: &ReplicaKey) -> bool {
-        self.declared
-            .get(&key.model)
-            .and_then(|versions| versions.get(&key.version))
-            .is_some_and(|backends| backends.contains(&key.backend))
-    }
-
-    /// Number of models that an active backend declares for this pool.
-    #[must_use]
-    pub fn models_on(&self, backend: &str) -> usize {
-        self.declared
-            .values()
-            .filter(|versions| versions.values().any(|backends| backends.contains(backend)))
-            .count()
+        self.declared.backends_of_version(model, target)
     }
 
     /// Whether the backend takes new work.
@@ -166,7 +124,7 @@
         combine(decode, prefill)
     }
 
-    /// Utilization of one model summed over the backends: how many whole backends it keeps busy.
+    /// Utilization of one model summed over the backends: how many full backends it keeps busy.
     #[must_use]
     pub fn model_backends_busy(&self, model: &str) -> f64 {
         let replicas = self.load.smoothed.replicas().keys();
@@ -180,7 +138,7 @@
             .sum()
     }
 
-    /// Whether any work of the model was seen.
+    /// Whether any work of the model was reported lately.
     #[must_use]
     pub fn has_load(&self, model: &str) -> bool {
         let mut replicas = self.load.smoothed.replicas().keys();
@@ -206,17 +164,16 @@
             .use_gbps(backend, &self.streams_on(backend))
     }
 
-    /// Bandwidth that a backend may use under the pool's ceiling, in GB/s.
+    /// Bandwidth that a backend may use under the pool's limit, in GB/s; 0 when its bandwidth is not
+    /// known.
     #[must_use]
     pub fn bandwidth_limit(&self, backend: &str) -> f64 {
-        let whole = self
-            .backends
-            .get(backend)
-            .map_or(0.0, |backend| backend.bandwidth_gbps);
-        whole * self.limits.bandwidth_ceiling
+        let backend = self.backends.get(backend);
+        let total_gbps = backend.map_or(0.0, |backend| backend.bandwidth_gbps);
+        total_gbps * self.limits.max_bandwidth_share
     }
 
-    /// Whether a backend has room for `gbps` more under its ceiling. A backend of unknown bandwidth has.
+    /// Whether a backend may take `gbps` more under its limit, in GB/s. One of unknown bandwidth may.
     #[must_use]
     pub fn bandwidth_fits(&self, backend: &str, gbps: f64) -> bool {
         let limit = self.bandwidth_limit(backend);
@@ -241,41 +198,8 @@
     }
 }
 
-/// Busy share of a backend whose streams use `decode` of it and whose prompts are in service `prefill` of the time.
+/// Busy share of a backend whose streams use the share `decode` of it, and where prompts are in service
+/// for the share `prefill` of the time.
 fn combine(decode: f64, prefill: f64) -> f64 {
     decode + (1.0 - decode).max(0.0) * prefill
 }
-
-/// Declarations of the active backends that the selector takes.
-fn declared(
-    backends: &BTreeMap<String, Backend>,
-    selector: &Selector,
-) -> BTreeMap<String, BTreeMap<String, BTreeSet<String>>> {
-    let mut declared: BTreeMap<String, BTreeMap<String, BTreeSet<String>>> = BTreeMap::new();
-    for backend in backends.values() {
-        if backend.state() != BackendState::BackendActive {
-            continue;
-        }
-        for declaration in &backend.declarations {
-            if selects(selector, declaration) {
-                let versions = declared.entry(declaration.model.clone()).or_default();
-                let holders = versions.entry(declaration.version.clone()).or_default();
-                holders.insert(backend.id.clone());
-            }
-        }
-    }
-    declared
-}
-
-/// Whether a selector takes a declaration. Empty fields take everything.
-#[must_use]
-pub fn selects(selector: &Selector, declaration: &Declaration) -> bool {
-    let takes = |wanted: &str, declared: &str| wanted.is_empty() || wanted == declared;
-    takes(&selector.model, &declaration.model)
-        && takes(&selector.version, &declaration.version)
-        && takes(&selector.stage, &declaration.stage)
-        && selector
-            .adapters
-            .iter()
-            .all(|adapter| declaration.adapters.contains(adapter))
-}
--- a/crates/placement/src/plan/retire.rs
+++ b/crates/placement/src/plan/retire.rs
@@ -1,4 +1,4 @@
-//! First step: replicas that may take no new work, and drained ones that go.
+//! First step: drains replicas that may take no new work, and removes drained ones.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use crate::plan::pool_view::PoolView;
 use crate::replica_key::ReplicaKey;
 
-/// Since when each replica drains, as this placer knows it.
+/// Since when each replica drains, as far as this placer knows.
 ///
 /// A new placer counts from its first tick: what drains then may take up to `drain_ms` more.
 #[derive(Clone, Debug, Default)]
@@ -30,7 +30,7 @@
         self.since = since;
     }
 
-    /// Whether this placer has been at work for so long.
+    /// Whether this placer has been running for `time`.
     fn has_run_for(&self, now: MonotonicTime, time: Duration) -> bool {
         self.started
             .is_some_and(|started| now.since(started) >= time)
@@ -45,7 +45,7 @@
 pub fn retire(view: &PoolView, draft: &mut Draft) {
     let retired: Vec<ReplicaKey> = draft
         .active()
-        .filter(|key| !view.is_declared(key))
+        .filter(|key| !view.declared.contains(key))
         .cloned()
         .collect();
     for key in retired {
@@ -55,8 +55,8 @@
 
 /// Removes draining replicas that are empty or past `drain_ms`.
 pub fn remove_drained(view: &PoolView, clock: &DrainClock, draft: &mut Draft) {
-    // A new placer has no picture yet: what it knows no work of is not known to be idle.
-    let picture_is_whole = clock.has_run_for(view.now, view.options.member_stale_after);
+    // The load snapshot of a new placer is incomplete: a replica that it lacks is not known to be idle.
+    let snapshot_is_complete = clock.has_run_for(view.now, view.options.member_stale_after);
     let draining: Vec<ReplicaKey> = draft.draining().cloned().collect();
     for key in draining {
         let Some(start) = clock.start(&key) else {
@@ -65,10 +65,10 @@
         let drained_for = view.now.since(start);
         let idle = match view.load.work.get(&key) {
             Some(work) => work.is_idle(),
-            None => picture_is_whole,
+            None => snapshot_is_complete,
         };
-        // A node may have sent work just before it saw the drain: wait until it has reported.
-        if idle && drained_for >= view.options.least_drain.min(view.limits.drain) {
+        // A node may have sent work just before it applied the drain: wait until it has reported.
+        if idle && drained_for >= view.options.min_drain.min(view.limits.drain) {
             draft.remove(&key, MoveReason::Drained);
         } else if drained_for >= view.limits.drain {
             draft.remove(&key, MoveReason::DrainTimedOut);
--- a/crates/placement/src/plan/scale.rs
+++ b/crates/placement/src/plan/scale.rs
@@ -1,4 +1,4 @@
-//! Second step: as many replicas of each model as its load wants.
+//! Second step: as many replicas of each model as its load needs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,55 +9,65 @@
 use crate::plan::pool_view::PoolView;
 use crate::replica_key::ReplicaKey;
 
-/// Old versions are placed again when the target's backends are this much over the transition budget.
+/// Old versions are placed again when the utilization of the target's backends exceeds the transition
+/// budget by this factor.
 const OLD_VERSION_MARGIN: f64 = 1.3;
 
-/// Since when a model has had more replicas than it wants.
+/// Whether the plan may withdraw a surplus replica now.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Withdrawal {
+    /// The last withdrawal is long enough ago.
+    Allowed,
+    /// The last withdrawal was less than a step interval ago.
+    Paced,
+}
+
+/// Since when a model has had more replicas than desired.
 #[derive(Clone, Debug, Default)]
 pub struct SurplusClock {
     since: BTreeMap<String, MonotonicTime>,
 }
 
-/// Number of backends that should hold the model.
+/// Number of backends that should host the model.
 ///
-/// All that may, by default: fewer would idle cores. Sized by load, models that share backends get what
-/// their load wants in both dimensions.
+/// All eligible ones, by default: fewer would idle cores. Sized by load, models that share backends get
+/// what their load needs of processor time and of memory bandwidth.
 #[must_use]
-pub fn wanted_replicas(view: &PoolView, model: &str, draft: &Draft) -> usize {
+pub fn desired_replicas(view: &PoolView, model: &str, draft: &Draft) -> usize {
     let backends = eligible_backends(view, model, draft);
-    let shared = backends.iter().any(|backend| view.models_on(backend) > 1);
-    let present = holders(draft, model).len();
+    let shared = backends
+        .iter()
+        .any(|backend| view.declared.models_on(backend) > 1);
+    let present = hosting_backends(draft, model).len();
     if !view.options.size_by_load || !shared || present == 0 {
         return backends.len();
     }
     if !view.has_load(model) {
-        // Nothing is known, as after a change of leader: keep what there is.
-        return present
-            .max(view.options.fewest_replicas)
-            .min(backends.len());
+        // Nothing is known, as after a change of leader: retain what there is.
+        return present.max(view.options.min_replicas).min(backends.len());
     }
     let busy = view.model_backends_busy(model);
     let for_cores = (busy / view.options.target_utilization).ceil() as usize;
     let for_bandwidth = replicas_for_bandwidth(view, model, &backends);
-    let fewest = view.options.fewest_replicas;
+    let fewest = view.options.min_replicas;
     for_cores.max(for_bandwidth).max(fewest).min(backends.len())
 }
 
-/// Backends that may hold the model.
+/// Backends that may host the model.
 ///
-/// Those that declare only an old version count while they hold it, at the first placement, and when the
-/// target's backends are too few; the margin against the withdrawal's threshold keeps it from flapping.
+/// Those that declare only an old version count while they host it, at the first placement, and when the
+/// target's backends are too few; the margin over the withdrawal's threshold prevents flapping.
 fn eligible_backends<'a>(view: &'a PoolView, model: &str, draft: &Draft) -> BTreeSet<&'a str> {
-    let all = view.backends_of_model(model);
-    let held = holders(draft, model);
+    let all = view.declared.backends_of_model(model);
+    let hosting = hosting_backends(draft, model);
     let with_target: BTreeSet<&str> = view.backends_of_target(model);
     let busy = view.model_backends_busy(model) / with_target.len().max(1) as f64;
     let needs_old = busy > view.limits.transition_budget * OLD_VERSION_MARGIN;
-    if held.is_empty() || needs_old {
+    if hosting.is_empty() || needs_old {
         return all;
     }
     all.into_iter()
-        .filter(|backend| with_target.contains(backend) || held.contains(*backend))
+        .filter(|backend| with_target.contains(backend) || hosting.contains(*backend))
         .collect()
 }
 
@@ -75,16 +85,16 @@
 }
 
 /// Places missing replicas at once, and withdraws surplus ones slowly.
-pub fn scale(view: &PoolView, clock: &mut SurplusClock, may_withdraw: bool, draft: &mut Draft) {
-    let models: Vec<String> = view.declared.keys().cloned().collect();
+pub fn scale(view: &PoolView, clock: &mut SurplusClock, withdrawal: Withdrawal, draft: &mut Draft) {
+    let models: Vec<String> = view.declared.models().cloned().collect();
     for model in models {
-        let wanted = wanted_replicas(view, &model, draft);
-        let holders = holders(draft, &model);
-        if holders.len() < wanted {
+        let desired = desired_replicas(view, &model, draft);
+        let present = hosting_backends(draft, &model).len();
+        if present < desired {
             clock.since.remove(&model);
-            place_missing(view, &model, wanted - holders.len(), draft);
-        } else if holders.len() > wanted {
-            withdraw_surplus(view, &model, clock, may_withdraw, draft);
+            place_missing(view, &model, desired - present, draft);
+        } else if present > desired {
+            withdraw_surplus(view, &model, clock, withdrawal, draft);
         } else {
             clock.since.remove(&model);
         }
@@ -92,7 +102,7 @@
 }
 
 /// Backends with an active replica of the model.
-fn holders(draft: &Draft, model: &str) -> BTreeSet<String> {
+fn hosting_backends(draft: &Draft, model: &str) -> BTreeSet<String> {
     draft
         .active()
         .filter(|key| key.model == model)
@@ -112,7 +122,7 @@
     }
 }
 
-/// Backends that could take the model, the least used in its tighter dimension first.
+/// Replicas that could be placed, on the backend that is least used in its tighter dimension first.
 fn candidates(view: &PoolView, model: &str, draft: &Draft) -> Vec<ReplicaKey> {
     let share = expected_gbps(view, model, draft);
     let mut candidates: Vec<Candidate> = eligible_backends(view, model, draft)
@@ -135,7 +145,7 @@
 
 struct Candidate {
     key: ReplicaKey,
-    /// Use of the tighter dimension.
+    /// Used share of the tighter of processor time and bandwidth.
     fullness: f64,
 }
 
@@ -155,21 +165,16 @@
 
 /// The version to place on a backend without the model: the target, else the highest that it declares.
 fn version_on<'a>(view: &'a PoolView, model: &str, backend: &str) -> Option<&'a str> {
-    let versions = view.declared.get(model)?;
     let target = view.target_version(model)?;
-    if versions.get(target)?.contains(backend) {
+    if view.declared.declares(backend, model, target) {
         return Some(target);
     }
-    versions
-        .iter()
-        .filter(|(_, holders)| holders.contains(backend))
-        .map(|(version, _)| version.as_str())
-        .max_by(|left, right| crate::version::compare_versions(left, right))
+    view.declared.highest_version_on(model, backend)
 }
 
 /// Bandwidth that one more replica would take over, in GB/s.
 fn expected_gbps(view: &PoolView, model: &str, draft: &Draft) -> f64 {
-    let replicas = holders(draft, model).len() + 1;
+    let replicas = hosting_backends(draft, model).len() + 1;
     view.load.bandwidth.stream_gbps(model) * view.streams_of_model(model) / replicas as f64
 }
 
@@ -177,11 +182,11 @@
     view: &PoolView,
     model: &str,
     clock: &mut SurplusClock,
-    may_withdraw: bool,
+    withdrawal: Withdrawal,
     draft: &mut Draft,
 ) {
     let since = *clock.since.entry(model.to_owned()).or_insert(view.now);
-    if !may_withdraw || view.now.since(since) < view.options.scale_down_hold {
+    if withdrawal == Withdrawal::Paced || view.now.since(since) < view.options.scale_down_delay {
         return;
     }
     let fullest = draft
@@ -194,7 +199,7 @@
         .cloned();
     if let Some(key) = fullest {
         draft.drain(&key, MoveReason::ScaledDown);
-        // One at a time: the next is judged on the load that follows.
+        // One at a time: the next decision uses the load that follows.
         clock.since.insert(model.to_owned(), view.now);
     }
 }
--- a/crates/placement/src/plan/transition.rs
+++ b/crates/placement/src/plan/transition.rs
@@ -13,7 +13,7 @@
 /// How much smaller forced steps are than ordinary ones.
 const FORCED_STEP_DIVISOR: usize = 4;
 
-/// What the placer remembers of transitions, by model.
+/// Progress of the transitions, by model.
 #[derive(Clone, Debug, Default)]
 pub struct TransitionClock {
     models: BTreeMap<String, Progress>,
@@ -22,13 +22,13 @@
 #[derive(Clone, Debug)]
 struct Progress {
     target: String,
-    wanted_since: MonotonicTime,
+    desired_since: MonotonicTime,
     last_step: Option<MonotonicTime>,
 }
 
 /// Takes the next step of every model's transition that may go on.
 pub fn transition(view: &PoolView, clock: &mut TransitionClock, draft: &mut Draft) {
-    let models: Vec<String> = view.declared.keys().cloned().collect();
+    let models: Vec<String> = view.declared.models().cloned().collect();
     for model in models {
         let Some(target) = view.target_version(&model) else {
             continue;
@@ -45,15 +45,15 @@
 
 impl TransitionClock {
     fn progress(&mut self, model: &str, target: &str, now: MonotonicTime) -> &mut Progress {
-        let fresh = Progress {
-            target: target.to_owned(),
-            wanted_since: now,
+        let new = || Progress {
+            target: String::new(),
+            desired_since: now,
             last_step: None,
         };
-        let progress = self.models.entry(model.to_owned()).or_insert(fresh);
-        // The deferral counts from when any newer version was first wanted: a later one does not restart it.
-        progress.target.clear();
-        progress.target.push_str(target);
+        // The deferral counts from when any newer version was first desired: a later target does not
+        // restart it.
+        let progress = self.models.entry(model.to_owned()).or_insert_with(new);
+        target.clone_into(&mut progress.target);
         progress
     }
 }
@@ -66,11 +66,14 @@
         .collect()
 }
 
-/// What the gate says.
+/// Decision on the next step of a transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Gate {
+    /// The step may touch this many backends.
     Open(usize),
+    /// The step is over the budget, but the longest deferral has passed.
     Forced,
+    /// The step waits.
     Closed(MoveReason),
 }
 
@@ -94,7 +97,7 @@
         withdraw_surplus_old(view, model, &target, old, progress, draft);
         return;
     }
-    let deferred_for = view.now.since(progress.wanted_since);
+    let deferred_for = view.now.since(progress.desired_since);
     let overdue = deferred_for >= view.limits.longest_deferral;
     match gate(view, model, overdue) {
         Gate::Open(count) => {
@@ -102,23 +105,19 @@
             progress.last_step = Some(view.now);
         }
         Gate::Forced => {
-            if since_step.is_none_or(|passed| passed >= view.options.forced_step_interval) {
-                let count = forced_step_size(view, model);
-                replace(
-                    &in_place,
-                    count,
-                    &target,
-                    MoveReason::TransitionForced,
-                    draft,
-                );
-                progress.last_step = Some(view.now);
+            if since_step.is_some_and(|passed| passed < view.options.forced_step_interval) {
+                return;
             }
+            let count = forced_step_size(view, model);
+            let reason = MoveReason::TransitionForced;
+            replace(&in_place, count, &target, reason, draft);
+            progress.last_step = Some(view.now);
         }
-        Gate::Closed(reason) => draft.note(in_place[0].clone(), reason),
+        Gate::Closed(reason) => draft.record(in_place[0].clone(), reason),
     }
 }
 
-/// Whether an old replica of the model still drains beside its successor: steps do not overlap.
+/// Whether an old replica of the model still drains beside its successor. Steps do not overlap.
 fn step_is_under_way(view: &PoolView, model: &str, draft: &Draft) -> bool {
     draft.draining().any(|key| {
         key.model == model && view.is_active(&key.backend) && draft.hosts_model(&key.backend, model)
@@ -129,7 +128,7 @@
 fn replaceable_in_place(view: &PoolView, target: &str, old: &[ReplicaKey]) -> Vec<ReplicaKey> {
     let mut replaceable: Vec<ReplicaKey> = old
         .iter()
-        .filter(|key| view.is_declared(&ReplicaKey::new(&key.backend, &key.model, target)))
+        .filter(|key| view.declared.declares(&key.backend, &key.model, target))
         .cloned()
         .collect();
     replaceable.sort_by(|left, right| {
@@ -141,9 +140,9 @@
     replaceable
 }
 
-/// Judges whether the next step may go on and how many backends it may touch.
+/// Decides whether the next step may go on and how many backends it may touch.
 fn gate(view: &PoolView, model: &str, overdue: bool) -> Gate {
-    let backends = view.backends_of_model(model).len();
+    let backends = view.declared.backends_of_model(model).len();
     let allowed = step_size(view, backends);
     if !view.options.transition_gate {
         return Gate::Open(backends);
@@ -188,11 +187,11 @@
 
 /// Forced steps are a quarter of the ordinary ones, at least one backend.
 fn forced_step_size(view: &PoolView, model: &str) -> usize {
-    let backends = view.backends_of_model(model).len();
+    let backends = view.declared.backends_of_model(model).len();
     (step_size(view, backends) / FORCED_STEP_DIVISOR).max(1)
 }
 
-/// Starts the target beside each old replica and stops new work to the old one in the same change.
+/// Places the target beside each old replica and drains the old one in the same change.
 fn replace(
     in_place: &[ReplicaKey],
     count: usize,
@@ -211,9 +210,9 @@
     }
 }
 
-/// Old replicas on backends without the target go once the target's replicas can carry everything.
+/// Drains old replicas on backends without the target once the target's replicas can carry all load.
 ///
-/// This is never forced: a lone new replica must not be given the whole pool's load.
+/// This is never forced: a single new replica must not get the load of the whole pool.
 fn withdraw_surplus_old(
     view: &PoolView,
     model: &str,
@@ -234,7 +233,7 @@
     let projected = view.model_backends_busy(model) / new_replicas.max(1) as f64;
     let fits = new_replicas > 0 && projected <= view.limits.transition_budget;
     if view.options.transition_gate && !fits {
-        draft.note(old[0].clone(), MoveReason::TransitionDeferred);
+        draft.record(old[0].clone(), MoveReason::TransitionDeferred);
         return;
     }
     if new_replicas == 0 {
--- a/crates/placement/src/plan/bandwidth.rs
+++ b/crates/placement/src/plan/weights.rs
@@ -1,8 +1,8 @@
-//! Third step: shares of new work by memory bandwidth.
+//! Third step: weights of new work by memory bandwidth.
 //!
 //! Routing counts the processor work of every model on a backend by itself, but sees nothing of the memory
-//! bandwidth. Weights therefore express bandwidth only: they fall on a backend above its ceiling, for the
-//! model that finds most room elsewhere, and rise again when the backend is well below.
+//! bandwidth. Weights therefore express bandwidth only: they fall on a backend above its limit, for the
+//! model with most headroom elsewhere, and rise again when the backend is well below.
 
 use std::collections::BTreeMap;
 
@@ -13,18 +13,18 @@
 use crate::plan::pool_view::PoolView;
 use crate::replica_key::ReplicaKey;
 
-/// Smallest weight, in thousandths: enough to notice when the replica could take more.
-const LEAST_WEIGHT_MILLI: u32 = 100;
-/// A backend is relieved to this share of its ceiling.
+/// Smallest weight, in thousandths: enough work to observe when the replica could take more.
+const MIN_WEIGHT_MILLI: u32 = 100;
+/// Share of its limit to which a backend is relieved.
 const RELIEF_TARGET: f64 = 0.9;
-/// Largest cut of a weight in one step.
-const DEEPEST_CUT: f64 = 0.7;
-/// Share of the ceiling under which weights recover.
+/// Smallest factor by which one step lowers a weight.
+const MIN_RELIEF_FACTOR: f64 = 0.7;
+/// Share of the limit under which weights recover.
 const RECOVERY_BELOW: f64 = 0.75;
-/// Growth of a recovering weight in one step.
+/// Factor by which one step raises a recovering weight.
 const RECOVERY_FACTOR: f64 = 1.15;
 
-/// Since when each backend has been above its ceiling or well below it.
+/// Since when each backend has been above its limit or well below it.
 #[derive(Clone, Debug, Default)]
 pub struct PressureClock {
     above: BTreeMap<String, MonotonicTime>,
@@ -32,15 +32,15 @@
 }
 
 impl PressureClock {
-    /// Whether a state has held for `hold`; the clock then starts again.
+    /// Whether a state has lasted for `delay`; the clock then starts again.
     fn due(
         since: &mut BTreeMap<String, MonotonicTime>,
         backend: &str,
         now: MonotonicTime,
-        hold: Duration,
+        delay: Duration,
     ) -> bool {
         let start = *since.entry(backend.to_owned()).or_insert(now);
-        if now.since(start) < hold {
+        if now.since(start) < delay {
             return false;
         }
         since.insert(backend.to_owned(), now);
@@ -48,8 +48,8 @@
     }
 }
 
-/// Relieves backends that have been above the ceiling and lets others recover.
-pub fn weigh(view: &PoolView, clock: &mut PressureClock, draft: &mut Draft) {
+/// Relieves backends that have been above the limit and lets others recover.
+pub fn adjust_weights(view: &PoolView, clock: &mut PressureClock, draft: &mut Draft) {
     if !view.options.bandwidth_dimension {
         return;
     }
@@ -66,56 +66,56 @@
         if pressure <= 1.0 {
             clock.above.remove(backend);
         } else {
-            let hold = view.options.bandwidth_hold;
-            if PressureClock::due(&mut clock.above, backend, view.now, hold) {
+            let delay = view.options.bandwidth_relief_delay;
+            if PressureClock::due(&mut clock.above, backend, view.now, delay) {
                 relieve(view, backend, pressure, draft);
             }
         }
         if pressure >= RECOVERY_BELOW {
             clock.below.remove(backend);
         } else {
-            let hold = view.options.recovery_hold;
-            if PressureClock::due(&mut clock.below, backend, view.now, hold) {
+            let delay = view.options.recovery_delay;
+            if PressureClock::due(&mut clock.below, backend, view.now, delay) {
                 recover(backend, draft);
             }
         }
     }
 }
 
-/// Lowers the share of the model that has most room elsewhere, or says that nothing has.
+/// Lowers the weight of the model with most headroom elsewhere, or records that none has any.
 fn relieve(view: &PoolView, backend: &str, pressure: f64, draft: &mut Draft) {
     let streams = view.streams_on(backend);
-    let here: Vec<ReplicaKey> = draft
+    let candidates: Vec<ReplicaKey> = draft
         .active()
         .filter(|key| key.backend == backend)
         .filter(|key| streams.get(&key.model).is_some_and(|count| *count > 0.0))
         .cloned()
         .collect();
-    let best = here
+    let best = candidates
         .iter()
-        .filter(|key| weight_of(draft, key) > LEAST_WEIGHT_MILLI)
-        .map(|key| (key, room_elsewhere(view, key, draft)))
-        .filter(|(_, room)| *room > 0.0)
+        .filter(|key| weight_of(draft, key) > MIN_WEIGHT_MILLI)
+        .map(|key| (key, headroom_elsewhere(view, key, draft)))
+        .filter(|(_, headroom)| *headroom > 0.0)
         .max_by(|left, right| left.1.total_cmp(&right.1))
         .map(|(key, _)| key.clone());
-    match (best, here.into_iter().next()) {
+    match (best, candidates.into_iter().next()) {
         (Some(key), _) => {
-            let cut = (RELIEF_TARGET / pressure).max(DEEPEST_CUT);
-            let lowered = (f64::from(weight_of(draft, &key)) * cut) as u32;
+            let factor = (RELIEF_TARGET / pressure).max(MIN_RELIEF_FACTOR);
+            let lowered = (f64::from(weight_of(draft, &key)) * factor) as u32;
             draft.reweight(
                 &key,
-                lowered.max(LEAST_WEIGHT_MILLI),
+                lowered.max(MIN_WEIGHT_MILLI),
                 MoveReason::BandwidthRelief,
             );
         }
-        // Nothing has room: the ceiling stays exceeded, and the plan says so.
-        (None, Some(key)) => draft.note(key, MoveReason::BandwidthExceeded),
+        // No other backend has headroom: the limit stays exceeded, and the plan says so.
+        (None, Some(key)) => draft.record(key, MoveReason::BandwidthExceeded),
         (None, None) => {}
     }
 }
 
-/// Bandwidth that is free under the ceiling on the model's other backends, in GB/s.
-fn room_elsewhere(view: &PoolView, key: &ReplicaKey, draft: &Draft) -> f64 {
+/// Bandwidth that is free under the limit on the model's other backends, in GB/s.
+fn headroom_elsewhere(view: &PoolView, key: &ReplicaKey, draft: &Draft) -> f64 {
     draft
         .active()
         .filter(|other| other.model == key.model && other.backend != key.backend)
@@ -133,7 +133,7 @@
         .map_or(0, |replica| replica.weight_milli)
 }
 
-/// Raises the lowered shares on a backend a little.
+/// Raises the lowered weights on a backend by [`RECOVERY_FACTOR`].
 fn recover(backend: &str, draft: &mut Draft) {
     let lowered: Vec<ReplicaKey> = draft
         .active()
--- a/crates/placement/tests/costs.rs
+++ b/crates/placement/tests/costs.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_line_under_one_sided_noise_is_found() {
+fn a_line_is_fitted_under_one_sided_noise() {
     let mut random = SmallRng::seed_from_u64(7);
     let mut fit = LineFit::new(0.0, 5.0, 100.0);
     for _ in 0..2000 {
@@ -34,11 +34,11 @@
 }
 
 #[test]
-fn a_changed_cost_is_followed() {
+fn the_fit_follows_a_changed_cost() {
     let mut fit = LineFit::new(0.0, 1.0, 10.0);
-    for round in 0..4000 {
-        let x = f64::from(round % 40 + 1);
-        let slope = if round < 2000 { 2.0 } else { 0.5 };
+    for step in 0..4000 {
+        let x = f64::from(step % 40 + 1);
+        let slope = if step < 2000 { 2.0 } else { 0.5 };
         fit.observe(x, 10.0 + slope * x);
     }
     assert!(near(fit.slope(), 0.5, 0.1), "{fit:?}");
@@ -46,11 +46,11 @@
 }
 
 #[test]
-fn costs_of_two_models_are_told_apart() {
+fn costs_of_two_models_are_distinguished() {
     let mut costs = CostModel::default();
-    for round in 0..500_u32 {
-        let tokens = 200 + round % 1000;
-        let streams = 1 + round % 30;
+    for step in 0..500_u32 {
+        let tokens = 200 + step % 1000;
+        let streams = 1 + step % 30;
         for (model, per_token, step) in [("heavy", 1.6, 24.0), ("light", 0.16, 8.0)] {
             let inter_token = step + 0.4 * f64::from(streams);
             let sample = CostSample {
@@ -76,7 +76,7 @@
 }
 
 /// Inflation at which use times inflation meets the demand, the use's latency rising steeply past 67%.
-fn settled_inflation(demand: f64) -> f64 {
+fn stable_inflation(demand: f64) -> f64 {
     let slowdown = |used: f64| (7.0 * (used - 0.67).max(0.0)).exp();
     let (mut low, mut high) = (0.0, demand);
     for _ in 0..50 {
@@ -94,15 +94,15 @@
 fn bandwidth_on_shared_backends_is_attributed_to_the_model_that_uses_it() {
     let mut random = SmallRng::seed_from_u64(3);
     let mut attribution = BandwidthAttribution::new(1.0, BTreeMap::new());
-    for round in 0..4000 {
+    for step in 0..4000 {
         let heavy = random.random_range(0.0..60.0);
         let light = random.random_range(0.0..200.0);
         let used = (3.0 * heavy + 0.3 * light) / 200.0;
         let observation = BandwidthObservation {
-            backend: format!("b{}", round % 8),
+            backend: format!("b{}", step % 8),
             bandwidth_gbps: 200.0,
             streams: [("heavy".to_owned(), heavy), ("light".to_owned(), light)].into(),
-            inflation: settled_inflation(used),
+            inflation: stable_inflation(used),
         };
         attribution.observe(&observation);
     }
@@ -133,7 +133,7 @@
 }
 
 quickcheck! {
-    fn more_work_never_looks_lighter(tokens: u32, more: u32, streams: u8, further: u8) -> bool {
+    fn more_work_never_costs_less(tokens: u32, more: u32, streams: u8, further: u8) -> bool {
         let costs = CostModel::default();
         let low = ReplicaWork {
             prefill_tokens: u64::from(tokens),
--- a/crates/placement/tests/placer.rs
+++ b/crates/placement/tests/placer.rs
@@ -11,8 +11,8 @@
 use support::{Fixture, TICK, load, pool, two_versions};
 
 /// Streams that keep a replica about 40% and 90% busy at the prior costs.
-const CALM_STREAMS: u32 = 20;
-const BUSY_STREAMS: u32 = 45;
+const LOW_LOAD_STREAMS: u32 = 20;
+const HIGH_LOAD_STREAMS: u32 = 45;
 
 #[test]
 fn a_lone_model_is_placed_on_every_backend() {
@@ -22,15 +22,15 @@
 }
 
 #[test]
-fn nothing_changes_when_nothing_changes() {
+fn a_stable_load_causes_no_moves() {
     let mut fixture = two_versions();
-    fixture.load_active(CALM_STREAMS);
+    fixture.load_active(LOW_LOAD_STREAMS);
     fixture.run(Duration::from_secs(20));
-    let settled = fixture.placement.clone();
+    let stable = fixture.placement.clone();
     for _ in 0..600 {
         assert_eq!(fixture.tick(), Vec::new());
     }
-    assert_eq!(fixture.placement, settled);
+    assert_eq!(fixture.placement, stable);
 }
 
 #[test]
@@ -48,9 +48,9 @@
 }
 
 #[test]
-fn a_retired_backend_gets_no_new_work_at_the_next_tick_and_goes_when_empty() {
+fn a_retired_backend_drains_at_the_next_tick_and_is_removed_when_empty() {
     let mut fixture = two_versions();
-    fixture.load_active(BUSY_STREAMS);
+    fixture.load_active(HIGH_LOAD_STREAMS);
     fixture.run(Duration::from_secs(5));
     fixture.set_state("b03", BackendState::BackendDraining);
     fixture.tick();
@@ -63,9 +63,9 @@
 }
 
 #[test]
-fn a_drain_never_outlasts_its_time() {
+fn a_drain_ends_at_its_timeout() {
     let mut fixture = two_versions();
-    fixture.load_active(BUSY_STREAMS);
+    fixture.load_active(HIGH_LOAD_STREAMS);
     fixture.run(Duration::from_secs(5));
     fixture.set_state("b03", BackendState::BackendGone);
     fixture.run(Duration::from_secs(20));
@@ -77,9 +77,9 @@
 }
 
 #[test]
-fn a_new_placer_keeps_the_placement_and_waits_for_its_picture() {
+fn a_new_placer_retains_the_placement_until_its_load_snapshot_is_complete() {
     let mut fixture = two_versions();
-    fixture.load_active(BUSY_STREAMS);
+    fixture.load_active(HIGH_LOAD_STREAMS);
     fixture.run(Duration::from_secs(10));
     fixture.set_state("b03", BackendState::BackendDraining);
     fixture.tick();
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_lowered_share_recovers_when_the_pressure_is_gone() {
+fn a_lowered_weight_recovers_when_the_pressure_ends() {
     let mut fixture = Fixture::new(pool(), shared_options());
     shared_backends(&mut fixture);
     fixture.tick();
@@ -114,15 +114,15 @@
     fixture.streams.clear();
     fixture.run(Duration::from_secs(300));
     assert_eq!(least(&fixture), Some(1000));
-    let settled = fixture.history.len();
+    let stable = fixture.history.len();
     fixture.run(Duration::from_secs(60));
-    assert_eq!(fixture.history.len(), settled);
+    assert_eq!(fixture.history.len(), stable);
 }
 
 #[test]
-fn a_calm_transition_goes_in_small_steps_and_ends() {
+fn a_transition_under_low_load_completes_in_small_steps() {
     let mut fixture = two_versions();
-    fixture.load_active(CALM_STREAMS);
+    fixture.load_active(LOW_LOAD_STREAMS);
     fixture.run(Duration::from_secs(5));
     fixture.pool.target_version = "v2".to_owned();
     for _ in 0..200 {
@@ -130,7 +130,7 @@
         let on_two = fixture.draining().len();
         assert!(on_two <= 1, "{on_two} backends hold both versions at once");
         assert_eq!(fixture.active().len(), 12);
-        fixture.load_active(CALM_STREAMS);
+        fixture.load_active(LOW_LOAD_STREAMS);
     }
     assert!(fixture.active().iter().all(|key| key.version == "v2"));
     assert!(fixture.draining().is_empty());
@@ -138,22 +138,22 @@
 }
 
 #[test]
-fn a_busy_transition_waits_and_is_forced_after_the_longest_deferral() {
+fn a_transition_under_high_load_is_forced_after_the_longest_deferral() {
     let mut fixture = two_versions();
-    fixture.load_active(BUSY_STREAMS);
+    fixture.load_active(HIGH_LOAD_STREAMS);
     fixture.run(Duration::from_secs(10));
     fixture.pool.target_version = "v2".to_owned();
-    let wanted = fixture.now;
+    let requested_at = fixture.now;
     for _ in 0..600 {
         fixture.tick();
-        fixture.load_active(BUSY_STREAMS);
+        fixture.load_active(HIGH_LOAD_STREAMS);
     }
     let deferral = Duration::from_millis(u64::from(fixture.pool.longest_deferral_ms));
     assert!(fixture.times_of(MoveReason::TransitionStep).is_empty());
     let forced = fixture.times_of(MoveReason::TransitionForced);
     assert_eq!(forced.len(), 12);
-    assert!(forced[0].since(wanted) >= deferral);
-    assert!(forced[0].since(wanted) <= deferral + TICK + TICK);
+    assert!(forced[0].since(requested_at) >= deferral);
+    assert!(forced[0].since(requested_at) <= deferral + TICK + TICK);
     let paced = forced
         .windows(2)
         .all(|pair| pair[1].since(pair[0]) >= Duration::from_secs(15));
@@ -164,21 +164,21 @@
 #[test]
 fn the_gate_opens_when_the_load_falls() {
     let mut fixture = two_versions();
-    fixture.load_active(BUSY_STREAMS);
+    fixture.load_active(HIGH_LOAD_STREAMS);
     fixture.run(Duration::from_secs(10));
     fixture.pool.target_version = "v2".to_owned();
     fixture.run(Duration::from_secs(10));
     assert!(fixture.times_of(MoveReason::TransitionStep).is_empty());
     assert!(!fixture.times_of(MoveReason::TransitionDeferred).is_empty());
-    fixture.load_active(CALM_STREAMS);
+    fixture.load_active(LOW_LOAD_STREAMS);
     fixture.run(Duration::from_secs(15));
     assert!(!fixture.times_of(MoveReason::TransitionStep).is_empty());
 }
 
 #[test]
-fn retirements_bypass_the_gate_and_hold_up_our_own_steps() {
+fn retirements_bypass_the_gate_and_defer_transition_steps() {
     let mut fixture = two_versions();
-    fixture.load_active(CALM_STREAMS);
+    fixture.load_active(LOW_LOAD_STREAMS);
     fixture.run(Duration::from_secs(5));
     fixture.pool.target_version = "v2".to_owned();
     fixture.set_state("b07", BackendState::BackendDraining);
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn old_replicas_without_a_successor_stay_while_they_are_needed() {
+fn old_replicas_without_a_successor_remain_while_needed() {
     let mut fixture = Fixture::new(pool(), PlacerOptions::default());
     for number in 0..6 {
         fixture.add_backend(&format!("old{number}"), &[("m", "v1")]);
@@ -206,7 +206,7 @@
     fixture.tick();
     fixture.add_backend("new0", &[("m", "v2")]);
     for _ in 0..400 {
-        fixture.load_active(BUSY_STREAMS);
+        fixture.load_active(HIGH_LOAD_STREAMS);
         fixture.tick();
     }
     assert_eq!(fixture.active().len(), 7);
@@ -215,7 +215,7 @@
     }
     let mut seen = Vec::new();
     for _ in 0..400 {
-        fixture.load_active(CALM_STREAMS / 2);
+        fixture.load_active(LOW_LOAD_STREAMS / 2);
         fixture.tick();
         seen.push(fixture.active().len());
     }
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn a_backend_over_its_ceiling_is_relieved_or_said_to_be_over() {
+fn a_backend_over_its_bandwidth_limit_is_relieved_or_reported() {
     let mut fixture = Fixture::new(pool(), shared_options());
     shared_backends(&mut fixture);
     fixture.tick();
@@ -265,31 +265,40 @@
 }
 
 #[test]
-fn a_silent_member_is_aged_out() {
+fn counts_of_an_inactive_member_expire() {
     let mut placer = Placer::new(PlacerOptions::default());
     let key = ReplicaKey::new("b", "m", "v1");
     let start = MonotonicTime::from_millis(10);
     let second = Duration::from_secs(1);
     placer.observe(start, "agent-1", &[load(&key, 4)]);
     placer.observe(start + second * 2, "agent-2", &[load(&key, 3)]);
-    assert_eq!(placer.picture(start + second * 2)[0].decode_streams, 7);
-    assert_eq!(placer.picture(start + second * 6)[0].decode_streams, 3);
-    assert!(placer.picture(start + second * 9).is_empty());
+    assert_eq!(
+        placer.load_snapshot(start + second * 2)[0].decode_streams,
+        7
+    );
+    assert_eq!(
+        placer.load_snapshot(start + second * 6)[0].decode_streams,
+        3
+    );
+    assert!(placer.load_snapshot(start + second * 9).is_empty());
 }
 
 #[test]
-fn counts_that_a_report_leaves_out_stay_and_ended_ones_show_as_zero() {
+fn counts_missing_from_a_report_remain_and_ended_ones_are_zero() {
     let mut placer = Placer::new(PlacerOptions::default());
     let first = ReplicaKey::new("b1", "m", "v1");
     let second = ReplicaKey::new("b2", "m", "v1");
     let start = MonotonicTime::from_millis(10);
     placer.observe(start, "agent-1", &[load(&first, 4), load(&second, 5)]);
     placer.observe(start + TICK, "agent-1", &[load(&first, 0)]);
-    let picture = placer.picture(start + TICK);
-    let streams: Vec<u32> = picture.iter().map(|load| load.decode_streams).collect();
+    let load_snapshot = placer.load_snapshot(start + TICK);
+    let streams: Vec<u32> = load_snapshot
+        .iter()
+        .map(|load| load.decode_streams)
+        .collect();
     assert_eq!(streams, vec![0, 5]);
     placer.forget("agent-1");
-    assert!(placer.picture(start + TICK).is_empty());
+    assert!(placer.load_snapshot(start + TICK).is_empty());
 }
 
 /// Estimated use of each backend, in GB/s.
@@ -305,7 +314,7 @@
 
 quickcheck! {
     /// New work is never placed on a backend over the ceiling.
-    fn no_replica_is_added_over_the_ceiling(counts: Vec<u8>, ticks: u8) -> TestResult {
+    fn no_replica_is_added_over_the_bandwidth_limit(counts: Vec<u8>, ticks: u8) -> TestResult {
         if counts.is_empty() {
             return TestResult::discard();
         }
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -1,5 +1,5 @@
 //! A pool under a placer, stepped by the tests.
-#![allow(dead_code)] // Each test file uses a part of it.
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::collections::BTreeMap;
 
@@ -9,22 +9,22 @@
 use millford_core::{Duration, MonotonicTime};
 use millford_placement::{Move, MoveReason, Placer, PlacerOptions, ReplicaKey};
 
-pub const TICK: Duration = Duration::from_millis(500);
+pub(crate) const TICK: Duration = Duration::from_millis(500);
 
-pub struct Fixture {
-    pub placer: Placer,
-    pub pool: Pool,
-    pub backends: BTreeMap<String, Backend>,
-    pub placement: Option<PoolPlacement>,
-    pub now: MonotonicTime,
-    pub epoch: u64,
+pub(crate) struct Fixture {
+    pub(crate) placer: Placer,
+    pub(crate) pool: Pool,
+    pub(crate) backends: BTreeMap<String, Backend>,
+    pub(crate) placement: Option<PoolPlacement>,
+    pub(crate) now: MonotonicTime,
+    pub(crate) epoch: u64,
     /// Streams that each replica carries, reported by one member at each tick.
-    pub streams: BTreeMap<ReplicaKey, u32>,
-    pub history: Vec<(MonotonicTime, Move)>,
+    pub(crate) streams: BTreeMap<ReplicaKey, u32>,
+    pub(crate) history: Vec<(MonotonicTime, Move)>,
 }
 
 impl Fixture {
-    pub fn new(pool: Pool, options: PlacerOptions) -> Self {
+    pub(crate) fn new(pool: Pool, options: PlacerOptions) -> Self {
         Self {
             placer: Placer::new(options),
             pool,
@@ -37,7 +37,7 @@
         }
     }
 
-    pub fn add_backend(&mut self, id: &str, declarations: &[(&str, &str)]) {
+    pub(crate) fn add_backend(&mut self, id: &str, declarations: &[(&str, &str)]) {
         let declarations = declarations
             .iter()
             .map(|(model, version)| Declaration {
@@ -56,14 +56,14 @@
         self.backends.insert(id.to_owned(), backend);
     }
 
-    pub fn set_state(&mut self, id: &str, state: BackendState) {
+    pub(crate) fn set_state(&mut self, id: &str, state: BackendState) {
         self.backends.get_mut(id).unwrap().set_state(state);
     }
 
     /// One tick; returns the moves.
-    pub fn tick(&mut self) -> Vec<Move> {
+    pub(crate) fn tick(&mut self) -> Vec<Move> {
         self.now = self.now + TICK;
-        let known = self.placer.picture(self.now);
+        let known = self.placer.load_snapshot(self.now);
         let ended = known.iter().map(ReplicaKey::from);
         let ended = ended.filter(|key| !self.streams.contains_key(key));
         let present = self.streams.iter().map(|(key, count)| load(key, *count));
@@ -85,14 +85,14 @@
         outcome.reasons
     }
 
-    pub fn run(&mut self, time: Duration) {
+    pub(crate) fn run(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
             self.tick();
         }
     }
 
-    pub fn in_state(&self, state: ReplicaState) -> Vec<ReplicaKey> {
+    pub(crate) fn in_state(&self, state: ReplicaState) -> Vec<ReplicaKey> {
         self.placement
             .iter()
             .flat_map(|placement| &placement.replicas)
@@ -101,15 +101,15 @@
             .collect()
     }
 
-    pub fn active(&self) -> Vec<ReplicaKey> {
+    pub(crate) fn active(&self) -> Vec<ReplicaKey> {
         self.in_state(ReplicaState::ReplicaActive)
     }
 
-    pub fn draining(&self) -> Vec<ReplicaKey> {
+    pub(crate) fn draining(&self) -> Vec<ReplicaKey> {
         self.in_state(ReplicaState::ReplicaDraining)
     }
 
-    pub fn times_of(&self, reason: MoveReason) -> Vec<MonotonicTime> {
+    pub(crate) fn times_of(&self, reason: MoveReason) -> Vec<MonotonicTime> {
         self.history
             .iter()
             .filter(|(_, step)| step.reason == reason)
@@ -118,7 +118,7 @@
     }
 
     /// Puts `streams` streams on every active replica and none on the others.
-    pub fn load_active(&mut self, streams: u32) {
+    pub(crate) fn load_active(&mut self, streams: u32) {
         self.streams = self
             .active()
             .into_iter()
@@ -127,7 +127,7 @@
     }
 }
 
-pub fn load(key: &ReplicaKey, decode_streams: u32) -> ReplicaLoad {
+pub(crate) fn load(key: &ReplicaKey, decode_streams: u32) -> ReplicaLoad {
     ReplicaLoad {
         backend_id: key.backend.clone(),
         model: key.model.clone(),
@@ -137,7 +137,7 @@
     }
 }
 
-pub fn pool() -> Pool {
+pub(crate) fn pool() -> Pool {
     Pool {
         name: "captions".to_owned(),
         drain_ms: 8000,
@@ -147,7 +147,7 @@
 }
 
 /// Twelve backends that each declare one model in two versions; the pool serves the older.
-pub fn two_versions() -> Fixture {
+pub(crate) fn two_versions() -> Fixture {
     let mut fixture = Fixture::new(pool(), PlacerOptions::default());
     for number in 0..12 {
         fixture.add_backend(&format!("b{number:02}"), &[("m", "v1"), ("m", "v2")]);
