--- a/crates/experiments/src/fleet/answers.rs
+++ b/crates/experiments/src/fleet/answers.rs
@@ -62,9 +62,9 @@
             return;
         };
         attempt.first_token = Some(at);
-        attempt.ticket.first_piece();
+        attempt.ticket.begin_decode();
         if !self.hosts[attempt.host].is_active() {
-            attempt.ticket.held();
+            attempt.ticket.begin_draining();
         }
         let costs = &self.proxies[request.proxy].costs;
         let millis = at.since(attempt.sent).as_secs_f64() * 1000.0;
--- a/crates/experiments/src/fleet/control.rs
+++ b/crates/experiments/src/fleet/control.rs
@@ -120,7 +120,7 @@
                 && attempt.version == key.version
                 && attempt.first_token.is_some()
             {
-                attempt.ticket.held();
+                attempt.ticket.begin_draining();
             }
         }
     }
--- a/crates/experiments/src/quota_age/owner_fleet.rs
+++ b/crates/experiments/src/quota_age/owner_fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use millford_core::{Duration, MonotonicTime};
-use millford_forward::quota::{Alone, FleetSize, KnownLevel, PeerCount, TenantQuotas};
+use millford_forward::quota::{DegradedReason, FleetSize, LevelEstimate, PeerCount, TenantQuotas};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -12,7 +12,7 @@
 
 /// Usual shortest time between two tellings of an owner, in steps.
 pub const PAUSE_STEPS: usize = 4;
-/// As `SharedQuotas`: owners that are asked about one request.
+/// As `QuotaClient`: owners that are asked about one request.
 const MOST_ASKED: usize = 3;
 /// As `Questions`: unanswered questions in a row after which an owner is passed over, and for how long.
 const UNANSWERED_TO_SUSPECT: u32 = 2;
@@ -48,7 +48,7 @@
 /// What a node knows.
 #[derive(Clone, Debug)]
 struct Node {
-    known: KnownLevel,
+    known: LevelEstimate,
     uncharged: i64,
     /// Unanswered questions in a row, and until which step the owner is passed over.
     silences: BTreeMap<Place, (u32, usize)>,
@@ -102,7 +102,7 @@
             in_zone: nodes_in_zone,
         };
         let node = Node {
-            known: KnownLevel::unknown(&quota(), fleet, now),
+            known: LevelEstimate::unknown(&quota(), fleet, now),
             uncharged: 0,
             silences: BTreeMap::new(),
         };
@@ -133,7 +133,7 @@
         }
     }
 
-    /// As `SharedQuotas` decides on a request.
+    /// As `QuotaClient` decides on a request.
     fn decide(&mut self, zone: usize, node: usize) -> Result<(), Duration> {
         let mut asked_before = Vec::with_capacity(MOST_ASKED);
         for _ in 0..MOST_ASKED {
@@ -149,8 +149,8 @@
             asked_before.push(place);
         }
         let why = match self.owner_to_ask(zone, node, &[]) {
-            Some(_) => Alone::AnswerLost,
-            None => Alone::OwnersUnreachable,
+            Some(_) => DegradedReason::AnswerLost,
+            None => DegradedReason::OwnersUnreachable,
         };
         let node = &mut self.nodes[zone][node];
         node.known.admit_degraded(self.now, why, REQUEST)?;
@@ -242,10 +242,10 @@
                     used_tokens: level.used_tokens,
                     level_tokens: level.level_tokens,
                     counted_for: Some(level.counted_for),
-                    owner_in: Some(&zone.to_string()),
+                    owner_zone: Some(&zone.to_string()),
                 };
                 let quotas = &self.owners[other][other_place].quotas;
-                quotas.peer_count(self.now, &quota(), count);
+                quotas.apply_peer_count(self.now, &quota(), count);
             }
         }
     }
--- a/crates/experiments/src/quota_age/peer_fleet.rs
+++ b/crates/experiments/src/quota_age/peer_fleet.rs
@@ -85,9 +85,9 @@
                 used_tokens: level.used_tokens,
                 level_tokens: level.level_tokens,
                 counted_for: Some(level.counted_for),
-                owner_in: None,
+                owner_zone: None,
             };
-            self.nodes[peer].peer_count(self.now, &quota(), count);
+            self.nodes[peer].apply_peer_count(self.now, &quota(), count);
             self.admissions.datagrams += 1;
         }
     }
--- a/crates/experiments/tests/quota_age.rs
+++ b/crates/experiments/tests/quota_age.rs
@@ -141,9 +141,9 @@
         used_tokens: 1_000_000,
         level_tokens: 9_000,
         counted_for: Some(Duration::from_secs(60)),
-        owner_in: Some("elsewhere"),
+        owner_zone: Some("elsewhere"),
     };
-    quotas.peer_count(later, &quota(), count);
+    quotas.apply_peer_count(later, &quota(), count);
     let level = quotas
         .grant(later, &tenant(), REQUEST, 0)
         .expect("a quota")
--- a/crates/forward/src/backend/health_watch.rs
+++ b/crates/forward/src/backend/health_watch.rs
@@ -50,7 +50,10 @@
                 .get(&backend.id)
                 .is_some_and(|at| now.since(*at) < period);
             let suspect = node.connections.leased(&backend.id) > 0
-                && node.state.health.is_silent(&backend.id, now, SILENT_AFTER);
+                && node
+                    .state
+                    .health
+                    .is_unresponsive(&backend.id, now, SILENT_AFTER);
             if recently || !(ejected || suspect) {
                 continue;
             }
@@ -89,7 +92,7 @@
 #[must_use]
 pub fn ejection_reason(error: AcquireError) -> EjectionReason {
     match error {
-        AcquireError::TimedOut => EjectionReason::Silent,
+        AcquireError::TimedOut => EjectionReason::Unresponsive,
         AcquireError::Refused | AcquireError::NoRoom => EjectionReason::ConnectFailed,
     }
 }
--- a/crates/forward/src/daemon/run.rs
+++ b/crates/forward/src/daemon/run.rs
@@ -89,7 +89,7 @@
             _ = hang_up.recv() => LOG.info("The settings file is read at the next start."),
         }
     }
-    let longest = Duration::from_millis(settings.leave_timeout_ms);
+    let longest = Duration::from_millis(settings.drain_timeout_ms);
     leave(&node, &connections, longest).await;
     Ok(())
 }
--- a/crates/forward/src/exchange/exchange_task.rs
+++ b/crates/forward/src/exchange/exchange_task.rs
@@ -65,7 +65,7 @@
             _ = ticks.tick() => exchange.tick(&node, &socket).await,
             () = until_urgent(&node, exchange.urgent_after) => exchange.send_usage(&node, &socket).await,
             () = node.state.board.until_changed() => exchange.tell_work(&node),
-            () = node.directory.until_news() => tell_places(&node),
+            () = node.prefix_index.until_news() => tell_places(&node),
             received = socket.recv_from(&mut buffer) => match received {
                 Ok((length, from)) => {
                     exchange.receive(&node, from, &buffer[..length]);
@@ -98,7 +98,7 @@
         let whole = now >= self.next_whole;
         if whole {
             self.next_whole = now + WHOLE_PERIOD;
-            node.directory.expire(now);
+            node.prefix_index.expire(now);
         }
         if ring.has_tenant_owners() {
             if whole || now >= self.next_owned {
@@ -157,7 +157,7 @@
         self.next_repeat = now + REPEAT_PERIOD;
         node.load.expire(now);
         node.peers.expire(now);
-        node.shared_quotas.expire(now);
+        node.quota_client.expire(now);
         let mut backends = node.state.board.busy_backends();
         backends.append(&mut self.told_lately);
         let board = &node.state.board;
@@ -187,7 +187,7 @@
         news: &PeerMessage,
     ) -> bool {
         let table = node.state.table();
-        let shared = &node.shared_quotas;
+        let shared = &node.quota_client;
         shared.receive(&node.peers, &table, &node.quotas, from, news)
     }
 
@@ -205,7 +205,7 @@
         let board = &node.state.board;
         if news.member == node.name
             || node.load.receive(&node.peers, board, from, &news)
-            || shared_parts::receive(&node.peers, &node.directory, from, &news)
+            || shared_parts::receive(&node.peers, &node.prefix_index, from, &news)
             || self.receive_quota(node, from, &news)
         {
             return;
@@ -226,7 +226,7 @@
 /// Tells the owners of parts where they were read.
 fn tell_places<P: ForwardProtocol>(node: &ForwardNode<P>) {
     let (ring, _) = node.peers.ring(&node.state.table());
-    shared_parts::tell(&node.peers, &ring, node.directory.take_news());
+    shared_parts::tell(&node.peers, &ring, node.prefix_index.take_news());
 }
 
 async fn send_to_all(socket: &UdpSocket, news: &PeerMessage, addresses: &[SocketAddr]) {
--- a/crates/forward/src/exchange/news.rs
+++ b/crates/forward/src/exchange/news.rs
@@ -144,9 +144,9 @@
             used_tokens: usage.used_tokens,
             level_tokens: usage.level_tokens,
             counted_for: counted_for(usage),
-            owner_in: zone.as_deref(),
+            owner_zone: zone.as_deref(),
         };
-        node.quotas.peer_count(now, &quota, count);
+        node.quotas.apply_peer_count(now, &quota, count);
     }
 }
 
--- a/crates/forward/src/own_protocol.rs
+++ b/crates/forward/src/millford_protocol.rs
@@ -5,7 +5,7 @@
 use millford_core::Duration;
 use millford_routing::PrefixBlock;
 
-use crate::protocol::{AnswerFacts, Dispatch, ForwardProtocol, RequestFacts};
+use crate::protocol::{Dispatch, ForwardProtocol, RequestFacts, ResponseFacts};
 
 /// Identity of a request, on requests and answers.
 pub const REQUEST_ID: &str = "x-millford-request-id";
@@ -50,7 +50,7 @@
             model: text(headers, MODEL).unwrap_or_default().to_owned(),
             prompt_tokens,
             output_tokens,
-            parts: prefix_blocks(text(headers, PROMPT_PARTS)),
+            prefix_blocks: parse_prefix_blocks(text(headers, PROMPT_PARTS)),
             resume_after: number(headers, LAST_EVENT),
         }
     }
@@ -70,8 +70,8 @@
         }
     }
 
-    fn read_answer(&self, headers: &HeaderMap) -> AnswerFacts {
-        AnswerFacts {
+    fn read_response(&self, headers: &HeaderMap) -> ResponseFacts {
+        ResponseFacts {
             request_id: text(headers, REQUEST_ID).map(str::to_owned),
             not_run: text(headers, RUN_STATE) == Some(NOT_RUN),
             signed: headers.contains_key(SIGNATURE),
@@ -122,7 +122,7 @@
 
 /// Parts as `ID:TOKENS` by commas, the id in hexadecimal. A list with a fault counts as absent.
 #[must_use]
-pub fn prefix_blocks(value: Option<&str>) -> Vec<PrefixBlock> {
+pub fn parse_prefix_blocks(value: Option<&str>) -> Vec<PrefixBlock> {
     let Some(value) = value else {
         return Vec::new();
     };
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -4,7 +4,7 @@
 
 use millford_core::{Duration, MonotonicTime};
 use millford_proxy::proxy_state::ProxyState;
-use millford_routing::{EjectionReason, PromptDirectory};
+use millford_routing::{EjectionReason, PrefixIndex};
 use tokio::sync::watch;
 
 use crate::backend::ConnectionPools;
@@ -13,7 +13,7 @@
 use crate::mechanism::{Mechanism, Mechanisms};
 use crate::owners::PeerLink;
 use crate::protocol::ForwardProtocol;
-use crate::quota::{SharedQuotas, TenantQuotas};
+use crate::quota::{QuotaClient, TenantQuotas};
 use crate::settings::ForwardSettings;
 
 /// Everything that a request needs. Each part has its own locks.
@@ -27,7 +27,7 @@
     /// Routing table, work in flight, costs, health and budgets.
     pub state: Arc<ProxyState>,
     /// Where prompt parts were read.
-    pub directory: PromptDirectory,
+    pub prefix_index: PrefixIndex,
     /// The way to the nodes that own keys.
     pub peers: PeerLink,
     /// Counts of all nodes' work on each backend.
@@ -35,7 +35,7 @@
     /// Token quotas, as this node counts them itself or as an owner.
     pub quotas: TenantQuotas,
     /// Token quotas that other nodes own.
-    pub shared_quotas: SharedQuotas,
+    pub quota_client: QuotaClient,
     /// Connections to backends.
     pub connections: Arc<ConnectionPools>,
     /// What takes part in decisions.
@@ -52,25 +52,25 @@
     pub fn new(settings: &ForwardSettings, state: Arc<ProxyState>, protocol: P) -> Self {
         state.board.follow_peers();
         let (ejections, _) = watch::channel(0);
-        let shared_quotas = SharedQuotas::default();
+        let quota_client = QuotaClient::default();
         // Only a second node of the same process could have registered it already.
         let _ = state
             .metrics
             .registry
-            .register(Box::new(shared_quotas.metric()));
+            .register(Box::new(quota_client.metric()));
         Self {
             protocol,
             name: settings.name.clone(),
             zone: settings.zone.clone(),
             state,
-            directory: PromptDirectory::default(),
+            prefix_index: PrefixIndex::default(),
             peers: PeerLink::new(&settings.name),
             load: SharedLoad::default(),
             quotas: TenantQuotas::default(),
-            shared_quotas,
+            quota_client,
             connections: Arc::new(ConnectionPools::new(settings.connect_timeout())),
             // Settings with a wrong name are refused before a node is made of them.
-            mechanisms: Mechanisms::all_but(&settings.leave_out).unwrap_or_default(),
+            mechanisms: Mechanisms::all_but(&settings.disabled_mechanisms).unwrap_or_default(),
             decision_log_per_mille: settings.decision_log_per_mille,
             leaving: OnceLock::new(),
             ejections,
@@ -103,7 +103,7 @@
 
     /// Bytes came from a backend.
     pub fn heard(&self, backend_id: &str, now: MonotonicTime) {
-        self.state.health.heard(backend_id, now);
+        self.state.health.record_activity(backend_id, now);
     }
 
     /// Resolves once the backend is ejected or no longer listed.
--- a/crates/forward/src/parts/shared_parts.rs
+++ b/crates/forward/src/parts/shared_parts.rs
@@ -8,7 +8,7 @@
 };
 use millford_core::MonotonicTime;
 use millford_core::time::monotonic_now;
-use millford_routing::{CachedBlock, PrefixBlock, PromptDirectory};
+use millford_routing::{CachedBlock, PrefixBlock, PrefixIndex};
 
 use crate::owners::peer_link::Asked;
 use crate::owners::{Answer, ByOwner, OwnerRing, PeerLink, Pending};
@@ -49,13 +49,13 @@
 pub fn ask(
     link: &PeerLink,
     ring: &OwnerRing,
-    directory: &PromptDirectory,
+    prefix_index: &PrefixIndex,
     blocks: &[PrefixBlock],
     among: &[&str],
     known: &mut BackendsByBlock,
 ) -> Pending {
     let now = monotonic_now();
-    take_own(directory, blocks, among, known);
+    take_own(prefix_index, blocks, among, known);
     let mut wanted = ByOwner::default();
     for block in blocks {
         if let Asked::Peer(owner) = link.asked(now, &ring.owners_of_block(block.id)) {
@@ -70,14 +70,14 @@
 
 /// Adds what this node knows itself to what is known.
 pub fn take_own(
-    directory: &PromptDirectory,
+    prefix_index: &PrefixIndex,
     blocks: &[PrefixBlock],
     among: &[&str],
     known: &mut BackendsByBlock,
 ) {
     let now = monotonic_now();
     for block in blocks {
-        let holders = directory.newest_holders(now, block.id, among, MOST_HOLDERS);
+        let holders = prefix_index.newest_holders(now, block.id, among, MOST_HOLDERS);
         merge(known, block.id, holders);
     }
 }
@@ -97,7 +97,7 @@
 /// Takes a datagram about parts. False: it is about something else.
 pub fn receive(
     link: &PeerLink,
-    directory: &PromptDirectory,
+    prefix_index: &PrefixIndex,
     from: SocketAddr,
     datagram: &PeerMessage,
 ) -> bool {
@@ -109,13 +109,13 @@
                 backend_id: location.backend_id.clone(),
                 tokens: location.tokens,
             };
-            directory.told(now, &location);
+            prefix_index.told(now, &location);
         }
         return true;
     }
     if let Some(request) = &datagram.block_request {
         let mut answer = link.datagram();
-        answer.block_reply = Some(answer_to(now, directory, request));
+        answer.block_reply = Some(answer_to(now, prefix_index, request));
         link.send(from, &answer);
         return true;
     }
@@ -126,15 +126,11 @@
     true
 }
 
-fn answer_to(
-    now: MonotonicTime,
-    directory: &PromptDirectory,
-    request: &BlockRequest,
-) -> BlockReply {
+fn answer_to(now: MonotonicTime, prefix_index: &PrefixIndex, request: &BlockRequest) -> BlockReply {
     let among: Vec<&str> = request.among.iter().map(String::as_str).collect();
     let blocks = request.blocks.iter().map(|block| BlockBackends {
         block: *block,
-        backend_ids: directory.newest_holders(now, *block, &among, MOST_HOLDERS),
+        backend_ids: prefix_index.newest_holders(now, *block, &among, MOST_HOLDERS),
     });
     BlockReply {
         id: request.id,
--- a/crates/forward/src/protocol.rs
+++ b/crates/forward/src/protocol.rs
@@ -21,7 +21,7 @@
     /// Most tokens of the answer.
     pub output_tokens: Option<u64>,
     /// Parts of the prompt in order. The last one is the request's or its session's own.
-    pub parts: Vec<PrefixBlock>,
+    pub prefix_blocks: Vec<PrefixBlock>,
     /// The event after which the caller wants to take a stream up again.
     pub resume_after: Option<u64>,
 }
@@ -43,7 +43,7 @@
 
 /// What a backend's headers say about its answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AnswerFacts {
+pub struct ResponseFacts {
     /// The request that the answer belongs to.
     pub request_id: Option<String>,
     /// The backend says that it did not run the request and never will.
@@ -66,7 +66,7 @@
     fn write_dispatch(&self, headers: &mut HeaderMap, dispatch: &Dispatch<'_>);
 
     /// Reads a backend's headers.
-    fn read_answer(&self, headers: &HeaderMap) -> AnswerFacts;
+    fn read_response(&self, headers: &HeaderMap) -> ResponseFacts;
 
     /// Value of `Retry-After` for a delay.
     fn retry_after(&self, delay: Duration) -> HeaderValue;
--- a/crates/forward/src/quota/known_level.rs
+++ b/crates/forward/src/quota/known_level.rs
@@ -17,20 +17,20 @@
 
 /// Why a node decides on a request alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Alone {
+pub enum DegradedReason {
     /// An answer did not come in time. The other nodes of the zone have theirs.
     AnswerLost,
     /// No owner that this zone asks has answered lately: all its nodes decide alone.
     OwnersUnreachable,
 }
 
-impl Alone {
+impl DegradedReason {
     /// As metrics name it.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
-            Alone::AnswerLost => "answer_lost",
-            Alone::OwnersUnreachable => "owners_gone",
+            DegradedReason::AnswerLost => "answer_lost",
+            DegradedReason::OwnersUnreachable => "owners_gone",
         }
     }
 }
@@ -48,7 +48,7 @@
 /// Only time adds to the owner's bucket, at the quota's rate. What the owner last told, and all that
 /// the rate gave since, is therefore at least what is left.
 #[derive(Clone, Copy, Debug)]
-pub struct KnownLevel {
+pub struct LevelEstimate {
     figures: BucketFigures,
     level: f64,
     told: MonotonicTime,
@@ -57,7 +57,7 @@
     fleet: FleetSize,
 }
 
-impl KnownLevel {
+impl LevelEstimate {
     /// Nothing was told yet: the node goes by its equal share of the fleet. A whole bucket at each node that
     /// has just started would be many times the quota.
     #[must_use]
@@ -112,7 +112,7 @@
     pub fn admit_degraded(
         &mut self,
         now: MonotonicTime,
-        why: Alone,
+        why: DegradedReason,
         tokens: u64,
     ) -> Result<(), Duration> {
         let passed = now.since(self.told).as_secs_f64();
@@ -120,8 +120,8 @@
         let unspent = self.level + passed * (self.figures.rate - usual);
         let zone_usual = passed * usual * self.fleet.zone_share();
         let nodes_alone = match why {
-            Alone::AnswerLost => 1,
-            Alone::OwnersUnreachable => self.fleet.in_zone.max(1),
+            DegradedReason::AnswerLost => 1,
+            DegradedReason::OwnersUnreachable => self.fleet.in_zone.max(1),
         };
         let zone_admitted = self.admitted_alone * nodes_alone as f64;
         let left = unspent.min(self.figures.burst) + zone_usual - zone_admitted;
--- a/crates/forward/src/quota/mod.rs
+++ b/crates/forward/src/quota/mod.rs
@@ -9,14 +9,14 @@
 pub mod grant;
 pub mod known_level;
 pub mod peer_usage;
-pub mod shared_quotas;
+pub mod quota_client;
 pub mod tenant_quotas;
 pub mod usage_meter;
 
 pub use cluster_bucket::{BucketFigures, ClusterBucket};
 pub use grant::Grant;
-pub use known_level::{Alone, FleetSize, KnownLevel};
+pub use known_level::{DegradedReason, FleetSize, LevelEstimate};
 pub use peer_usage::PeerUsage;
-pub use shared_quotas::SharedQuotas;
+pub use quota_client::QuotaClient;
 pub use tenant_quotas::{PeerCount, TenantLevel, TenantQuotas};
 pub use usage_meter::UsageMeter;
--- a/crates/forward/src/quota/shared_quotas.rs
+++ b/crates/forward/src/quota/quota_client.rs
@@ -13,7 +13,7 @@
 use prometheus::{IntCounterVec, Opts};
 
 use super::grant::Grant;
-use super::known_level::{Alone, FleetSize, KnownLevel};
+use super::known_level::{DegradedReason, FleetSize, LevelEstimate};
 use super::tenant_quotas::{TenantQuotas, limiting};
 use crate::owners::peer_link::{Asked, lock};
 use crate::owners::{Answer, ByOwner, Owner, OwnerRing, PeerLink, Pending};
@@ -27,7 +27,7 @@
 /// What this node knows of one tenant that it does not own.
 #[derive(Clone, Copy, Debug)]
 struct Asking {
-    known: KnownLevel,
+    known: LevelEstimate,
     /// Admitted here without an answer and charged by nobody, as far as is known; goes along with the next
     /// question. Less than 0 where an owner charged what was not admitted.
     uncharged: i64,
@@ -55,30 +55,30 @@
 
 /// Tenants that this node asks owners about.
 #[derive(Debug)]
-pub struct SharedQuotas {
+pub struct QuotaClient {
     asking: Mutex<BTreeMap<String, Asking>>,
-    decided_alone: IntCounterVec,
+    degraded_decisions: IntCounterVec,
     unanswered: Mutex<BTreeMap<u64, Unanswered>>,
 }
 
-impl Default for SharedQuotas {
+impl Default for QuotaClient {
     fn default() -> Self {
         let help = "Admissions that were decided without an owner's answer, by the reason.";
         let options = Opts::new("millford_proxy_quota_decided_alone", help);
-        let decided_alone = IntCounterVec::new(options, &["reason"]);
+        let degraded_decisions = IntCounterVec::new(options, &["reason"]);
         Self {
             asking: Mutex::default(),
-            decided_alone: decided_alone.expect("the name and the label are valid"),
+            degraded_decisions: degraded_decisions.expect("the name and the label are valid"),
             unanswered: Mutex::default(),
         }
     }
 }
 
-impl SharedQuotas {
+impl QuotaClient {
     /// The metric of what was decided alone.
     #[must_use]
     pub fn metric(&self) -> IntCounterVec {
-        self.decided_alone.clone()
+        self.degraded_decisions.clone()
     }
 
     /// Admits a request of a tenant by an owner of its bucket, of `zone` where one answers, or says when to
@@ -123,8 +123,8 @@
         }
         let now = monotonic_now();
         let why = match owner_to_ask(now, link, ring, zone, &tenant.name, &[]) {
-            Some(_) => Alone::AnswerLost,
-            None => Alone::OwnersUnreachable,
+            Some(_) => DegradedReason::AnswerLost,
+            None => DegradedReason::OwnersUnreachable,
         };
         self.admit_degraded(now, wanted, why)
     }
@@ -159,9 +159,14 @@
 
     /// Requests that this node decided on without an answer so far.
     #[must_use]
-    pub fn decided_alone(&self) -> u64 {
-        let reasons = [Alone::AnswerLost, Alone::OwnersUnreachable].map(Alone::name);
-        let counts = reasons.map(|reason| self.decided_alone.with_label_values(&[reason]).get());
+    pub fn degraded_decisions(&self) -> u64 {
+        let reasons = [
+            DegradedReason::AnswerLost,
+            DegradedReason::OwnersUnreachable,
+        ]
+        .map(DegradedReason::name);
+        let counts =
+            reasons.map(|reason| self.degraded_decisions.with_label_values(&[reason]).get());
         counts.iter().sum()
     }
 
@@ -230,7 +235,7 @@
     ) -> Result<(), Duration> {
         let Some(grant) = grant else {
             // The owner has not heard of the quota yet.
-            return self.admit_degraded(now, wanted, Alone::AnswerLost);
+            return self.admit_degraded(now, wanted, DegradedReason::AnswerLost);
         };
         self.change(now, wanted, |asking| {
             asking.known.take(now, wanted.quota, wanted.fleet, &grant);
@@ -242,9 +247,11 @@
         &self,
         now: MonotonicTime,
         wanted: Wanted<'_>,
-        why: Alone,
+        why: DegradedReason,
     ) -> Result<(), Duration> {
-        self.decided_alone.with_label_values(&[why.name()]).inc();
+        self.degraded_decisions
+            .with_label_values(&[why.name()])
+            .inc();
         self.change(now, wanted, |asking| {
             asking.known.admit_degraded(now, why, wanted.tokens)?;
             asking.uncharged = asking.uncharged.saturating_add(tokens_of(wanted.tokens));
@@ -262,7 +269,7 @@
         let asking = all
             .entry(wanted.tenant.to_owned())
             .or_insert_with(|| Asking {
-                known: KnownLevel::unknown(wanted.quota, wanted.fleet, now),
+                known: LevelEstimate::unknown(wanted.quota, wanted.fleet, now),
                 uncharged: 0,
             });
         change(asking)
--- a/crates/forward/src/quota/tenant_quotas.rs
+++ b/crates/forward/src/quota/tenant_quotas.rs
@@ -41,7 +41,7 @@
     /// For how long it has counted the tenant's tokens. Unknown with peers of an earlier version.
     pub counted_for: Option<Duration>,
     /// Zone of the peer if it tells as an owner of the tenant what it granted.
-    pub owner_in: Option<&'a str>,
+    pub owner_zone: Option<&'a str>,
 }
 
 /// One tenant's count of this node, for its peers.
@@ -61,7 +61,7 @@
 struct Peer {
     usage: PeerUsage,
     /// Zone of an owner.
-    owner_in: Option<String>,
+    owner_zone: Option<String>,
 }
 
 #[derive(Debug)]
@@ -119,7 +119,7 @@
         let known = self.peers.get_mut(count.member);
         let continuous = known.filter(|peer| peer.usage.is_continuous(count.boot_id, now));
         if let Some(peer) = continuous {
-            peer.owner_in = Some(zone.to_owned());
+            peer.owner_zone = Some(zone.to_owned());
             let charge = peer.usage.heard(count.boot_id, count.used_tokens, now);
             let is_settled = peer.usage.is_settled();
             self.charge(now, charge);
@@ -129,7 +129,7 @@
         } else {
             let peer = Peer {
                 usage: PeerUsage::first(count.boot_id, count.used_tokens, now),
-                owner_in: Some(zone.to_owned()),
+                owner_zone: Some(zone.to_owned()),
             };
             self.peers.insert(count.member.to_owned(), peer);
             match has_just_begun(count) {
@@ -149,12 +149,13 @@
             .peers
             .values()
             .filter(|peer| !peer.usage.is_silent(now));
-        let mut heard: BTreeSet<String> = heard.filter_map(|peer| peer.owner_in.clone()).collect();
+        let mut heard: BTreeSet<String> =
+            heard.filter_map(|peer| peer.owner_zone.clone()).collect();
         heard.insert(own_zone.to_owned());
         let most_rate = self.bucket.most_rate();
         let mut assumed = 0.0;
         for peer in self.peers.values_mut() {
-            let zone = peer.owner_in.as_ref();
+            let zone = peer.owner_zone.as_ref();
             let replaced = zone.is_some_and(|zone| heard.contains(zone));
             if replaced && peer.usage.is_silent(now) {
                 assumed -= peer.usage.forget_assumed(now);
@@ -268,17 +269,17 @@
     }
 
     /// A peer told a tenant's count.
-    pub fn peer_count(&self, now: MonotonicTime, quota: &TokenQuota, count: PeerCount<'_>) {
+    pub fn apply_peer_count(&self, now: MonotonicTime, quota: &TokenQuota, count: PeerCount<'_>) {
         let young = self.is_young(now);
         let mut shard = self.lock(count.tenant);
         let state = state_of(&mut shard, count.tenant, quota, now);
-        if let Some(zone) = count.owner_in {
+        if let Some(zone) = count.owner_zone {
             state.owner_count(now, &count, zone);
             return;
         }
         match state.peers.get_mut(count.member) {
             Some(peer) => {
-                peer.owner_in = None;
+                peer.owner_zone = None;
                 let charge = peer.usage.heard(count.boot_id, count.used_tokens, now);
                 let is_settled = peer.usage.is_settled();
                 state.charge(now, charge);
@@ -289,7 +290,7 @@
             None => {
                 let peer = Peer {
                     usage: PeerUsage::first(count.boot_id, count.used_tokens, now),
-                    owner_in: None,
+                    owner_zone: None,
                 };
                 state.peers.insert(count.member.to_owned(), peer);
                 if young || !has_just_begun(&count) {
--- a/crates/forward/src/request/attempt.rs
+++ b/crates/forward/src/request/attempt.rs
@@ -14,10 +14,10 @@
 use crate::backend::connection_pools::{AcquireError, Lease};
 use crate::backend::health_watch::ejection_reason;
 use crate::mechanism::Mechanism;
+use crate::millford_protocol::number;
 use crate::node::ForwardNode;
-use crate::own_protocol::number;
-use crate::protocol::{AnswerFacts, Dispatch, ForwardProtocol};
-use crate::request::choose::{Target, shared_parts};
+use crate::protocol::{Dispatch, ForwardProtocol, ResponseFacts};
+use crate::request::choose::{Target, shareable_blocks};
 use crate::request::headers::{remove_hop_by_hop, remove_length};
 use crate::request::plan::Plan;
 
@@ -37,7 +37,7 @@
     /// The connection.
     pub lease: Lease,
     /// What the headers say.
-    pub facts: AnswerFacts,
+    pub facts: ResponseFacts,
     /// Head and body.
     pub response: Response<Incoming>,
     /// When the request was sent.
@@ -79,11 +79,11 @@
     let queued_tokens = target.belief.queued_tokens.saturating_add(tokens);
     let streams = target.belief.streams;
     let ticket = node.state.board.start(target.key.clone(), tokens);
-    node.directory.sent(
+    node.prefix_index.record_dispatch(
         monotonic_now(),
         &id,
-        &plan.facts.parts,
-        shared_parts(plan).len(),
+        &plan.facts.prefix_blocks,
+        shareable_blocks(plan).len(),
     );
     let most = node.connection_share(target.max_connections);
     for _ in 0..MOST_STALE_CONNECTIONS {
@@ -95,7 +95,7 @@
             return Err(AttemptFailure::NotSent);
         }
         let request = request_for(node, plan, &id, time_left, resume_after)?;
-        node.state.health.used(&id, now);
+        node.state.health.record_dispatch(&id, now);
         let Some(connection) = lease.connection() else {
             return Err(AttemptFailure::NotSent);
         };
@@ -114,7 +114,7 @@
             Err(SendError::Lost) => return Err(lost(node, &id, lease.is_reused())),
         };
         node.heard(&id, monotonic_now());
-        let facts = node.protocol.read_answer(response.headers());
+        let facts = node.protocol.read_response(response.headers());
         let opened = Opened {
             target,
             ticket,
--- a/crates/forward/src/request/choose.rs
+++ b/crates/forward/src/request/choose.rs
@@ -76,7 +76,7 @@
     let pool = table.pool(&plan.pool)?;
     let candidates = usable(node, pool, plan, tried);
     let follows_parts = plan.route.sticky && node.mechanisms.has(Mechanism::Affinity);
-    let (special, general) = match shared_parts(plan).split_last() {
+    let (special, general) = match shareable_blocks(plan).split_last() {
         Some((special, general)) if follows_parts => (Some(special), general),
         _ => (None, [].as_slice()),
     };
@@ -113,12 +113,12 @@
     among: &[&str],
     holders: &mut BackendsByBlock,
 ) -> Pending {
-    let directory = &node.directory;
+    let prefix_index = &node.prefix_index;
     if !node.mechanisms.has(Mechanism::SharedParts) {
-        parts::take_own(directory, wanted, among, holders);
+        parts::take_own(prefix_index, wanted, among, holders);
         return Pending::default();
     }
-    parts::ask(&node.peers, ring, directory, wanted, among, holders)
+    parts::ask(&node.peers, ring, prefix_index, wanted, among, holders)
 }
 
 /// Asks what all other nodes have in flight on these backends.
@@ -160,7 +160,7 @@
 ) -> Option<Estimate<'a>> {
     let costs = &node.state.costs;
     let prompt = plan.prompt_tokens();
-    let parts = shared_parts(plan);
+    let parts = shareable_blocks(plan);
     let mut random = rand::rng();
     let estimates = shortlist.iter().map(|index| {
         let replica = candidates[*index];
@@ -234,8 +234,8 @@
 
 /// The parts that other requests may share: all but the last, which is the request's own.
 #[must_use]
-pub fn shared_parts(plan: &Plan) -> &[PrefixBlock] {
-    match plan.facts.parts.split_last() {
+pub fn shareable_blocks(plan: &Plan) -> &[PrefixBlock] {
+    match plan.facts.prefix_blocks.split_last() {
         Some((_, shared)) => shared,
         None => &[],
     }
--- a/crates/forward/src/request/plan.rs
+++ b/crates/forward/src/request/plan.rs
@@ -92,7 +92,11 @@
     /// Tokens of the prompt.
     #[must_use]
     pub fn prompt_tokens(&self) -> u64 {
-        let parts = self.facts.parts.iter().map(|part| u64::from(part.tokens));
+        let parts = self
+            .facts
+            .prefix_blocks
+            .iter()
+            .map(|part| u64::from(part.tokens));
         self.facts.prompt_tokens.unwrap_or_else(|| parts.sum())
     }
 
--- a/crates/forward/src/request/relay.rs
+++ b/crates/forward/src/request/relay.rs
@@ -241,7 +241,7 @@
             return;
         }
         self.source.first_chunk = Some(now);
-        self.source.opened.ticket.first_piece();
+        self.source.opened.ticket.begin_decode();
         let model = &self.plan.facts.model;
         if !model.is_empty() && self.node.mechanisms.has(Mechanism::LearnedCost) {
             let waited = now.since(self.source.opened.sent).as_secs_f64() * 1000.0;
--- a/crates/forward/src/request/serve.rs
+++ b/crates/forward/src/request/serve.rs
@@ -122,7 +122,7 @@
         return node.quotas.admit(monotonic_now(), tenant, tokens);
     }
     let (link, zone) = (&node.peers, &node.zone);
-    let shared = &node.shared_quotas;
+    let shared = &node.quota_client;
     shared
         .admit(link, &ring, zone, &node.quotas, tenant, tokens)
         .await
--- a/crates/forward/src/settings.rs
+++ b/crates/forward/src/settings.rs
@@ -29,13 +29,15 @@
     /// Form of a log line.
     pub log_format: LogFormat,
     /// Longest time from the signal to leave to the end of the process, in milliseconds.
-    pub leave_timeout_ms: u64,
+    #[serde(rename = "leave_timeout_ms")]
+    pub drain_timeout_ms: u64,
     /// Longest time to open a connection to a backend, in milliseconds.
     pub connect_timeout_ms: u64,
     /// Requests whose decisions are logged, in thousandths.
     pub decision_log_per_mille: u32,
     /// Names of mechanisms that are left out, with commas between them, to measure what they are worth.
-    pub leave_out: String,
+    #[serde(rename = "leave_out")]
+    pub disabled_mechanisms: String,
 }
 
 impl Default for ForwardSettings {
@@ -49,10 +51,10 @@
             agent_address: String::new(),
             log_level: "info".to_owned(),
             log_format: LogFormat::default(),
-            leave_timeout_ms: 7500,
+            drain_timeout_ms: 7500,
             connect_timeout_ms: 400,
             decision_log_per_mille: 0,
-            leave_out: String::new(),
+            disabled_mechanisms: String::new(),
         }
     }
 }
@@ -112,12 +114,12 @@
             let too_many = "The value must be at most 1000.";
             faults.push(SettingsFault::new("decision_log_per_mille", too_many));
         }
-        if let Err(name) = Mechanisms::all_but(&self.leave_out) {
+        if let Err(name) = Mechanisms::all_but(&self.disabled_mechanisms) {
             let unknown = format!("There is no mechanism \"{name}\".");
             faults.push(SettingsFault::new("leave_out", unknown));
         }
         let positive = [
-            ("leave_timeout_ms", self.leave_timeout_ms),
+            ("leave_timeout_ms", self.drain_timeout_ms),
             ("connect_timeout_ms", self.connect_timeout_ms),
         ];
         for (key, value) in positive {
--- a/crates/forward/tests/bad_counts.rs
+++ b/crates/forward/tests/bad_counts.rs
@@ -67,18 +67,18 @@
 }
 
 fn take(quotas: &TenantQuotas, now: MonotonicTime, input: &Input) {
-    let count = |owner_in, boot_id| PeerCount {
+    let count = |owner_zone, boot_id| PeerCount {
         member: "peer",
         boot_id,
         tenant: "tenant",
         used_tokens: input.number.0,
         level_tokens: input.other.signed(),
         counted_for: Some(Duration::from_millis(input.other.0)),
-        owner_in,
+        owner_zone,
     };
     match input.kind {
-        0 => quotas.peer_count(now, &quota(), count(None, 1)),
-        1 => quotas.peer_count(now, &quota(), count(Some("elsewhere"), input.other.0 % 3)),
+        0 => quotas.apply_peer_count(now, &quota(), count(None, 1)),
+        1 => quotas.apply_peer_count(now, &quota(), count(Some("elsewhere"), input.other.0 % 3)),
         2 => _ = quotas.grant(now, &tenant(), input.number.0, input.other.signed()),
         3 => _ = quotas.admit(now, &tenant(), input.number.0),
         _ => quotas.give_back(now, &tenant(), input.number.0),
--- a/crates/forward/tests/mechanisms.rs
+++ b/crates/forward/tests/mechanisms.rs
@@ -28,14 +28,14 @@
 #[test]
 fn unknown_names_are_a_fault_of_the_settings() {
     let mut settings = ForwardSettings {
-        leave_out: "affinity,luck".to_owned(),
+        disabled_mechanisms: "affinity,luck".to_owned(),
         ..ForwardSettings::default()
     };
     let keys = |settings: &ForwardSettings| -> Vec<&str> {
         settings.faults().iter().map(|fault| fault.key).collect()
     };
     assert!(keys(&settings).contains(&"leave_out"));
-    settings.leave_out = "affinity".to_owned();
+    settings.disabled_mechanisms = "affinity".to_owned();
     assert!(!keys(&settings).contains(&"leave_out"));
     settings.decision_log_per_mille = 1001;
     assert!(keys(&settings).contains(&"decision_log_per_mille"));
--- a/crates/forward/tests/owners.rs
+++ b/crates/forward/tests/owners.rs
@@ -140,15 +140,16 @@
     let parts: Vec<PrefixBlock> = (1..20).map(|id| PrefixBlock { id, tokens: 100 }).collect();
     let sender = &nodes[0].node;
     sender
-        .directory
-        .sent(monotonic_now(), "backend-1", &parts, parts.len());
+        .prefix_index
+        .record_dispatch(monotonic_now(), "backend-1", &parts, parts.len());
     for node in &nodes {
         let node = &node.node;
         let (ring, _) = node.peers.ring(&node.state.table());
         let mut known = BTreeMap::new();
         for _ in 0..MOST_QUESTIONS {
-            let directory = &node.directory;
-            let pending = shared_parts::ask(&node.peers, &ring, directory, &parts, &[], &mut known);
+            let prefix_index = &node.prefix_index;
+            let pending =
+                shared_parts::ask(&node.peers, &ring, prefix_index, &parts, &[], &mut known);
             shared_parts::take_answers(&mut known, node.peers.wait(pending).await);
             if known.values().all(|holders| holders == &["backend-1"]) {
                 break;
@@ -218,7 +219,7 @@
     let table = node.state.table();
     let (ring, _) = node.peers.ring(&table);
     let tenant = table.tenant_named("tenant").expect("a tenant");
-    let shared = &node.shared_quotas;
+    let shared = &node.quota_client;
     shared
         .admit(&node.peers, &ring, &node.zone, &node.quotas, tenant, tokens)
         .await
@@ -250,7 +251,7 @@
 fn assert_one_bucket_a_zone(admitted: u64, nodes: &[&TestNode]) {
     let alone = nodes
         .iter()
-        .map(|node| node.node.shared_quotas.decided_alone());
+        .map(|node| node.node.quota_client.degraded_decisions());
     let alone: u64 = alone.sum();
     let most = 2 * (slow_quota().burst * 11 / 10 + 50) + 50 * alone;
     assert!(admitted >= slow_quota().burst, "{admitted}");
--- a/crates/forward/tests/quota.rs
+++ b/crates/forward/tests/quota.rs
@@ -64,9 +64,9 @@
                         used_tokens: level.used_tokens,
                         level_tokens: level.level_tokens,
                         counted_for: Some(level.counted_for),
-                        owner_in: None,
+                        owner_zone: None,
                     };
-                    self.nodes[to].peer_count(self.now, &quota, count);
+                    self.nodes[to].apply_peer_count(self.now, &quota, count);
                 }
             }
         }
--- a/crates/forward/tests/support/node.rs
+++ b/crates/forward/tests/support/node.rs
@@ -70,9 +70,13 @@
     }
 
     /// Starts a node without some mechanisms.
-    pub async fn start_without(leave_out: &str, setup: &Setup, backends: &[&StubBackend]) -> Self {
+    pub async fn start_without(
+        disabled_mechanisms: &str,
+        setup: &Setup,
+        backends: &[&StubBackend],
+    ) -> Self {
         let settings = ForwardSettings {
-            leave_out: leave_out.to_owned(),
+            disabled_mechanisms: disabled_mechanisms.to_owned(),
             ..settings_of("node-1")
         };
         Self::start_with(&settings, setup, backends).await
--- a/crates/proxy/src/daemon/prober.rs
+++ b/crates/proxy/src/daemon/prober.rs
@@ -79,7 +79,7 @@
         state.health.probe_succeeded(&id, monotonic_now());
     } else if state.health.probe_failed(&id) {
         let ejections = &state.metrics.ejections;
-        let reason = EjectionReason::Silent.name();
+        let reason = EjectionReason::Unresponsive.name();
         ejections.with_label_values(&[reason]).inc();
     }
 }
--- a/crates/proxy/src/request/attempt.rs
+++ b/crates/proxy/src/request/attempt.rs
@@ -157,7 +157,7 @@
         environment
             .state()
             .health
-            .used(&self.replica.key.backend_id, environment.now());
+            .record_dispatch(&self.replica.key.backend_id, environment.now());
         let answer = environment.dispatch(request).await;
         let mut answer = answer.map_err(|error| match error {
             DispatchError::NotConnected if !self.sent.is_set() => AttemptFailure::not_sent(),
@@ -233,7 +233,10 @@
     fn heard(&self) {
         let id = &self.replica.key.backend_id;
         let environment = self.environment;
-        environment.state().health.heard(id, environment.now());
+        environment
+            .state()
+            .health
+            .record_activity(id, environment.now());
     }
 
     fn dropped(&self, cause: &str) {
--- a/crates/proxy/src/request/relay.rs
+++ b/crates/proxy/src/request/relay.rs
@@ -62,7 +62,7 @@
     let FirstPart::Stream { mut reader, first } = opened.part else {
         return Err(Refusal::may_have_run(ResultCode::BackendError).into());
     };
-    attempt.ticket.first_piece();
+    attempt.ticket.begin_decode();
     let first_piece_at = environment.now();
     let mut watch = StreamWatch::new(first_piece_at);
     let mut item = Ok(first);
@@ -111,7 +111,7 @@
                 else {
                     return Err(Refusal::may_have_run(code).into());
                 };
-                attempt.ticket.first_piece();
+                attempt.ticket.begin_decode();
                 reader = rest;
                 watch = StreamWatch::new(environment.now());
                 item = Ok(first);
@@ -161,7 +161,7 @@
             WatchVerdict::Stopping => return Err(Interruption::Stopping),
         }
         if watch.is_draining() {
-            attempt.ticket.held();
+            attempt.ticket.begin_draining();
         }
         let look_again = environment.now() + environment.state().limits.backend_check;
         let until = look_again.min(plan.deadline);
@@ -189,7 +189,7 @@
     let state = environment.state();
     let now = environment.now();
     watch.heard(now);
-    state.health.heard(backend_id, now);
+    state.health.record_activity(backend_id, now);
     let waited = now.since(waited_from);
     ProxyMetrics::observe(&state.metrics.inter_token_seconds, waited);
 }
@@ -203,7 +203,7 @@
         .pool(&key.pool)
         .is_some_and(|pool| pool.backend_is_active(&key.backend_id));
     match code {
-        ResultCode::BackendSilent => state.eject(&key.backend_id, EjectionReason::Silent),
+        ResultCode::BackendSilent => state.eject(&key.backend_id, EjectionReason::Unresponsive),
         // A stream cut off at the end of a drain says nothing about the backend's health.
         ResultCode::BackendLost if pool_shows_active => {
             state.eject(&key.backend_id, EjectionReason::ConnectionLost);
--- a/crates/proxy/src/request/stream_watch.rs
+++ b/crates/proxy/src/request/stream_watch.rs
@@ -52,7 +52,7 @@
         }
         // Looks are counted, not time: after a freeze of this process nothing is held against it.
         waited += check;
-        let ejected = state.health.ejection(backend_id) == Some(EjectionReason::Silent);
+        let ejected = state.health.ejection(backend_id) == Some(EjectionReason::Unresponsive);
         if ejected && waited >= state.limits.stream_silence {
             return Err(AttemptFailure::unknown(ResultCode::BackendSilent));
         }
@@ -122,7 +122,7 @@
         }
         let others_go_on = state
             .health
-            .others_heard(backend_id, environment.now(), limit);
+            .others_responsive(backend_id, environment.now(), limit);
         let already_ejected = !state.health.is_usable(backend_id);
         others_go_on || already_ejected || self.silent >= limit * SILENCE_ALONE_FACTOR
     }
--- a/crates/proxy/tests/capacity.rs
+++ b/crates/proxy/tests/capacity.rs
@@ -125,7 +125,7 @@
         let environment = ScriptedEnvironment::new(fixture.state(), seed);
         for (id, state) in ids.iter().zip(&states) {
             if state % 4 == 3 {
-                environment.state().eject(id, millford_routing::EjectionReason::Silent);
+                environment.state().eject(id, millford_routing::EjectionReason::Unresponsive);
             }
         }
         for _ in 0..5 {
--- a/crates/proxy/tests/stream_continuity.rs
+++ b/crates/proxy/tests/stream_continuity.rs
@@ -272,7 +272,7 @@
         let first = environment.sent()[0].request.backend_id.clone();
         environment
             .state()
-            .eject(&first, millford_routing::EjectionReason::Silent);
+            .eject(&first, millford_routing::EjectionReason::Unresponsive);
         environment.usually(whole_stream(0, 2));
     };
     let serving = serve_completion(&environment, request(true), &mut sink);
--- a/crates/routing/src/backend_health.rs
+++ b/crates/routing/src/backend_health.rs
@@ -25,7 +25,7 @@
     /// A connection broke with a request on it.
     ConnectionLost,
     /// Nothing was heard on a stream or a probe for too long.
-    Silent,
+    Unresponsive,
 }
 
 impl EjectionReason {
@@ -35,7 +35,7 @@
         match self {
             EjectionReason::ConnectFailed => "connect_failed",
             EjectionReason::ConnectionLost => "connection_lost",
-            EjectionReason::Silent => "silent",
+            EjectionReason::Unresponsive => "silent",
         }
     }
 }
@@ -64,7 +64,7 @@
 
 impl BackendHealth {
     /// Work was sent to the backend.
-    pub fn used(&self, id: &str, now: MonotonicTime) {
+    pub fn record_dispatch(&self, id: &str, now: MonotonicTime) {
         self.entry(id, |health| {
             health.last_used = Some(now);
             health.unheard_since.get_or_insert(now);
@@ -72,7 +72,7 @@
     }
 
     /// Bytes came from the backend.
-    pub fn heard(&self, id: &str, now: MonotonicTime) {
+    pub fn record_activity(&self, id: &str, now: MonotonicTime) {
         self.entry(id, |health| {
             health.last_heard = Some(now);
             health.unheard_since = None;
@@ -126,7 +126,7 @@
             health.bad_probes += 1;
             let ejects = health.ejected.is_none() && health.bad_probes >= PROBES_TO_EJECT;
             if ejects {
-                health.ejected = Some(EjectionReason::Silent);
+                health.ejected = Some(EjectionReason::Unresponsive);
             }
             ejects
         })
@@ -148,7 +148,7 @@
     /// Whether nothing was heard for `span`, neither since the last sign of life nor since the first
     /// use after it. Only of interest while requests are under way.
     #[must_use]
-    pub fn is_silent(&self, id: &str, now: MonotonicTime, span: Duration) -> bool {
+    pub fn is_unresponsive(&self, id: &str, now: MonotonicTime, span: Duration) -> bool {
         let backends = self.lock();
         let Some(health) = backends.get(id) else {
             return false;
@@ -159,7 +159,7 @@
 
     /// Whether any other backend was heard within `span`.
     #[must_use]
-    pub fn others_heard(&self, id: &str, now: MonotonicTime, span: Duration) -> bool {
+    pub fn others_responsive(&self, id: &str, now: MonotonicTime, span: Duration) -> bool {
         let backends = self.lock();
         let mut others = backends.iter().filter(|(other, _)| other.as_str() != id);
         others.any(|(_, health)| health.last_heard.is_some_and(|at| now.since(at) < span))
--- a/crates/routing/src/choice.rs
+++ b/crates/routing/src/choice.rs
@@ -4,7 +4,7 @@
 use crate::serving_pool::FULL_WEIGHT_MILLI;
 
 /// How far a home that saves all prefill may be behind the alternative, as a multiple of the mean load.
-pub const HOME_PATIENCE: f64 = 1.5;
+pub const HOME_LOAD_TOLERANCE: f64 = 1.5;
 
 /// How many backends of a key's rendezvous order are tried before the key's affinity is given up.
 pub const HOMES_TRIED: usize = 2;
@@ -72,7 +72,7 @@
     let mean = total / candidates.len().max(1) as f64;
     // A miss costs the request its saving, and the fleet as much work again that its cache was to spare:
     // the busier the fleet is, the more a home may be behind.
-    let patience = affinity.gain * HOME_PATIENCE * mean;
+    let patience = affinity.gain * HOME_LOAD_TOLERANCE * mean;
     let bound = alternative + affinity.saving + patience;
     let mut order: Vec<usize> = (0..candidates.len()).collect();
     order.sort_by(|left, right| {
--- a/crates/routing/src/in_flight_guard.rs
+++ b/crates/routing/src/in_flight_guard.rs
@@ -39,12 +39,12 @@
     }
 
     /// The first piece came: from prefill to decode.
-    pub fn first_piece(&mut self) {
+    pub fn begin_decode(&mut self) {
         self.move_to(Phase::Decode);
     }
 
     /// The backend drains while the request is still open.
-    pub fn held(&mut self) {
+    pub fn begin_draining(&mut self) {
         self.move_to(Phase::Held);
     }
 
--- a/crates/routing/src/prompt_directory.rs
+++ b/crates/routing/src/prefix_index.rs
@@ -49,13 +49,13 @@
 /// Backends do not tell what they keep. What was sent to them decides it, and they let the least
 /// recently used parts give way; so a part counts as kept for a while after its last use.
 #[derive(Debug)]
-pub struct PromptDirectory {
+pub struct PrefixIndex {
     shards: Vec<Mutex<HashMap<u64, Readings>>>,
     news: Mutex<Vec<CachedBlock>>,
     has_news: Notify,
 }
 
-impl Default for PromptDirectory {
+impl Default for PrefixIndex {
     fn default() -> Self {
         let shards = (0..DIRECTORY_SHARDS).map(|_| Mutex::default());
         Self {
@@ -66,9 +66,9 @@
     }
 }
 
-impl PromptDirectory {
+impl PrefixIndex {
     /// This node sends a prompt with these parts to a backend. `shared` of them may come again.
-    pub fn sent(
+    pub fn record_dispatch(
         &self,
         now: MonotonicTime,
         backend_id: &str,
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -1,6 +1,6 @@
 //! Properties of the choice of a backend.
 
-use millford_routing::choice::{Affinity, Candidate, HOME_PATIENCE, choose};
+use millford_routing::choice::{Affinity, Candidate, HOME_LOAD_TOLERANCE, choose};
 use millford_routing::rendezvous;
 use quickcheck::quickcheck;
 
@@ -81,7 +81,7 @@
         let mean = list.iter().map(|candidate| candidate.load).sum::<f64>() / list.len().max(1) as f64;
         match (choose(&list, affinity, [3, 5]), choose(&list, None, [3, 5])) {
             (Some(choice), Some(alternative)) if choice.by_affinity => {
-                let slack = f64::from(saving) + gain * HOME_PATIENCE * mean;
+                let slack = f64::from(saving) + gain * HOME_LOAD_TOLERANCE * mean;
                 list[choice.index].load <= list[alternative.index].load + slack + 1e-9
             }
             _ => true,
--- a/crates/routing/tests/forward_table.rs
+++ b/crates/routing/tests/forward_table.rs
@@ -7,7 +7,7 @@
 use millford_api::state::{ProxyMember, StateValue};
 use millford_core::{Duration, MonotonicTime};
 use millford_routing::{
-    BackendHealth, CachedBlock, LoadTable, PrefixBlock, PromptDirectory, ReplicaCounts, ReplicaKey,
+    BackendHealth, CachedBlock, LoadTable, PrefixBlock, PrefixIndex, ReplicaCounts, ReplicaKey,
     RoutingTable,
 };
 use quickcheck::quickcheck;
@@ -79,39 +79,39 @@
 
 #[test]
 fn parts_are_known_where_they_were_sent_and_forgotten_in_time() {
-    let directory = PromptDirectory::default();
+    let prefix_index = PrefixIndex::default();
     let at = MonotonicTime::from_millis;
     let blocks = [
         PrefixBlock { id: 1, tokens: 10 },
         PrefixBlock { id: 2, tokens: 20 },
         PrefixBlock { id: 3, tokens: 30 },
     ];
-    directory.sent(at(0), "b-1", &blocks, 2);
+    prefix_index.record_dispatch(at(0), "b-1", &blocks, 2);
     let told = CachedBlock {
         block: 2,
         backend_id: "b-2".to_owned(),
         tokens: 20,
     };
-    directory.told(at(1000), &told);
-    let holders = |now: u64, block: u64| directory.newest_holders(at(now), block, &[], 8);
+    prefix_index.told(at(1000), &told);
+    let holders = |now: u64, block: u64| prefix_index.newest_holders(at(now), block, &[], 8);
     assert_eq!(holders(2000, 1), ["b-1"]);
     assert_eq!(holders(2000, 2), ["b-2", "b-1"], "the newest first");
     assert_eq!(holders(2000, 3), ["b-1"]);
     assert_eq!(
-        directory.newest_holders(at(2000), 2, &["b-1", "b-3"], 8),
+        prefix_index.newest_holders(at(2000), 2, &["b-1", "b-3"], 8),
         ["b-1"]
     );
-    assert_eq!(directory.newest_holders(at(2000), 2, &[], 1), ["b-2"]);
-    let news: Vec<u64> = directory
+    assert_eq!(prefix_index.newest_holders(at(2000), 2, &[], 1), ["b-2"]);
+    let news: Vec<u64> = prefix_index
         .take_news()
         .iter()
         .map(|place| place.block)
         .collect();
     assert_eq!(news, [1, 2], "what nobody shares is not told");
-    assert!(directory.take_news().is_empty());
+    assert!(prefix_index.take_news().is_empty());
     assert_eq!(holders(25_500, 1), Vec::<String>::new());
     assert_eq!(holders(25_500, 2), ["b-2"]);
-    directory.expire(at(60_000));
+    prefix_index.expire(at(60_000));
     for block in 1..4 {
         assert_eq!(holders(1000, block), Vec::<String>::new());
     }
@@ -157,19 +157,22 @@
     let health = BackendHealth::default();
     let at = MonotonicTime::from_millis;
     let span = Duration::from_millis(600);
-    assert!(!health.is_silent("b", at(5000), span), "nothing was sent");
-    health.used("b", at(10_000));
-    health.used("b", at(10_500));
-    assert!(!health.is_silent("b", at(10_550), span));
     assert!(
-        health.is_silent("b", at(10_600), span),
+        !health.is_unresponsive("b", at(5000), span),
+        "nothing was sent"
+    );
+    health.record_dispatch("b", at(10_000));
+    health.record_dispatch("b", at(10_500));
+    assert!(!health.is_unresponsive("b", at(10_550), span));
+    assert!(
+        health.is_unresponsive("b", at(10_600), span),
         "later uses do not hide it"
     );
-    health.heard("b", at(10_700));
-    assert!(!health.is_silent("b", at(11_200), span));
-    health.used("b", at(20_000));
+    health.record_activity("b", at(10_700));
+    assert!(!health.is_unresponsive("b", at(11_200), span));
+    health.record_dispatch("b", at(20_000));
     assert!(
-        !health.is_silent("b", at(20_100), span),
+        !health.is_unresponsive("b", at(20_100), span),
         "it was idle, not silent"
     );
 }
--- a/crates/routing/tests/load.rs
+++ b/crates/routing/tests/load.rs
@@ -28,10 +28,10 @@
         for (phase, tokens) in phases {
             let mut ticket = board.start(key("b", "saga"), u64::from(tokens));
             if phase % 3 > 0 {
-                ticket.first_piece();
+                ticket.begin_decode();
             }
             if phase % 3 > 1 {
-                ticket.held();
+                ticket.begin_draining();
             }
             tickets.push(ticket);
         }
@@ -148,8 +148,8 @@
     let health = BackendHealth::default();
     let now = MonotonicTime::from_millis(5_000);
     assert!(health.eject("b1", EjectionReason::ConnectFailed));
-    assert!(!health.eject("b1", EjectionReason::Silent));
-    health.heard("b1", now);
+    assert!(!health.eject("b1", EjectionReason::Unresponsive));
+    health.record_activity("b1", now);
     assert!(!health.is_usable("b1"));
     assert!(!health.probe_succeeded("b1", now));
     assert!(!health.probe_failed("b1"));
@@ -163,8 +163,8 @@
     let health = BackendHealth::default();
     let quiet = Duration::from_secs(1);
     let used_at = MonotonicTime::from_millis(1_000);
-    health.used("b1", used_at);
-    health.heard("b1", used_at);
+    health.record_dispatch("b1", used_at);
+    health.record_activity("b1", used_at);
     let soon = used_at + Duration::from_millis(500);
     assert!(health.to_probe(soon, quiet).is_empty());
     let later = used_at + Duration::from_millis(1_100);
--- a/crates/scale/src/exchange/proxy_fleet.rs
+++ b/crates/scale/src/exchange/proxy_fleet.rs
@@ -91,9 +91,11 @@
 
     /// Admissions that proxies decided on without an owner's answer so far.
     #[must_use]
-    pub fn decided_alone(&self) -> u64 {
+    pub fn degraded_decisions(&self) -> u64 {
         let nodes = self.nodes.iter();
-        nodes.map(|node| node.shared_quotas.decided_alone()).sum()
+        nodes
+            .map(|node| node.quota_client.degraded_decisions())
+            .sum()
     }
 }
 
--- a/crates/scale/src/exchange/run.rs
+++ b/crates/scale/src/exchange/run.rs
@@ -70,11 +70,12 @@
         traffic.spawn(send_requests(node.clone(), requests_per_node));
     }
     tokio::time::sleep(WARM_UP).await;
-    let (before, alone_before, began) = (fleet.counts(), fleet.decided_alone(), Instant::now());
+    let (before, alone_before, began) =
+        (fleet.counts(), fleet.degraded_decisions(), Instant::now());
     tokio::time::sleep(steady).await;
     let seconds = began.elapsed().as_secs_f64();
     let after = fleet.counts();
-    let alone = fleet.decided_alone() - alone_before;
+    let alone = fleet.degraded_decisions() - alone_before;
     let admissions = requests_per_node * seconds * nodes as f64;
     Ok(ExchangeFigures {
         alone_share: alone as f64 / admissions,
--- a/crates/scale/src/exchange/traffic.rs
+++ b/crates/scale/src/exchange/traffic.rs
@@ -7,7 +7,7 @@
 use http::{HeaderMap, Method, Uri};
 use millford_core::time::monotonic_now;
 use millford_forward::RequestFacts;
-use millford_forward::request::choose::{choose, shared_parts};
+use millford_forward::request::choose::{choose, shareable_blocks};
 use millford_forward::request::plan::Plan;
 use millford_forward::request::serve::admit;
 use millford_routing::PrefixBlock;
@@ -56,11 +56,11 @@
     };
     let id = target.key.backend_id.clone();
     let mut ticket = node.state.board.start(target.key, target.uncached_tokens);
-    let shared = shared_parts(&plan).len();
-    node.directory
-        .sent(monotonic_now(), &id, &plan.facts.parts, shared);
+    let shared = shareable_blocks(&plan).len();
+    node.prefix_index
+        .record_dispatch(monotonic_now(), &id, &plan.facts.prefix_blocks, shared);
     tokio::time::sleep(FIRST_EVENT_AFTER).await;
-    ticket.first_piece();
+    ticket.begin_decode();
     tokio::time::sleep(STREAM_LASTS).await;
 }
 
@@ -74,7 +74,7 @@
         tenant: Some(Arc::clone(table.tenant_named(&tenant)?)),
         facts: RequestFacts {
             model: MODEL.to_owned(),
-            parts: parts(),
+            prefix_blocks: prefix_blocks(),
             ..RequestFacts::default()
         },
         method: Method::POST,
@@ -87,7 +87,7 @@
 }
 
 /// A beginning that many prompts share, a part that few share, and the request's own.
-fn parts() -> Vec<PrefixBlock> {
+fn prefix_blocks() -> Vec<PrefixBlock> {
     let mut random = rand::rng();
     let special = random.random_range(0..SPECIAL_PARTS);
     let ids = [
--- a/crates/scale/src/hollow/hollow_proxy.rs
+++ b/crates/scale/src/hollow/hollow_proxy.rs
@@ -228,7 +228,7 @@
     async fn advance_streams(&mut self, now: Instant) {
         for stream in &mut self.streams {
             if stream.first_piece_at <= now {
-                stream.ticket.first_piece();
+                stream.ticket.begin_decode();
             }
         }
         let (ended, open): (Vec<OpenStream>, Vec<OpenStream>) = std::mem::take(&mut self.streams)
