--- a/crates/forward/src/backend/connection.rs
+++ b/crates/forward/src/backend/connection.rs
@@ -14,11 +14,11 @@
 use tokio::task::JoinHandle;
 
 /// Silence of the other end after which the system asks whether it is there.
-const KEEPALIVE_AFTER: Duration = Duration::from_secs(1);
+const KEEPALIVE_IDLE_TIME: Duration = Duration::from_secs(1);
 /// Time between two such questions.
-const KEEPALIVE_PERIOD: Duration = Duration::from_secs(1);
+const KEEPALIVE_PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// Questions without an answer that end the connection.
-const KEEPALIVE_QUESTIONS: u32 = 2;
+const KEEPALIVE_PROBES: u32 = 2;
 /// Bytes that are not acknowledged for this long end the connection. A backend that is only slow
 /// acknowledges them: this notices one that is gone without a word, not one that is silent.
 const USER_TIMEOUT: Duration = Duration::from_millis(2500);
@@ -99,9 +99,9 @@
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(KEEPALIVE_AFTER)
-        .with_interval(KEEPALIVE_PERIOD)
-        .with_retries(KEEPALIVE_QUESTIONS);
+        .with_time(KEEPALIVE_IDLE_TIME)
+        .with_interval(KEEPALIVE_PROBE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&keepalive)?;
     socket.set_tcp_user_timeout(Some(USER_TIMEOUT))
 }
--- a/crates/forward/src/backend/connection_pools.rs
+++ b/crates/forward/src/backend/connection_pools.rs
@@ -9,7 +9,7 @@
 use crate::backend::connection::Connection;
 
 /// How long an idle connection is kept when the backend does not say.
-const USUAL_KEEP_ALIVE: Duration = Duration::from_secs(4);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
 
 /// An idle connection is given up this long before the backend would close it: a request that meets
 /// the closing has an unknown fate.
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcquireError {
     /// This node has as many connections as it may have.
-    NoRoom,
+    AtLimit,
     /// The backend refused the connection.
     Refused,
     /// The backend did not answer in time.
@@ -35,7 +35,7 @@
 #[derive(Debug, Default)]
 struct BackendPool {
     idle: Vec<IdleConnection>,
-    leased: u32,
+    in_use: u32,
 }
 
 /// Connections by backend.
@@ -47,7 +47,7 @@
 
 /// A connection in use. Dropped, it is closed; given back, it is kept.
 #[derive(Debug)]
-pub struct Lease {
+pub struct PooledConnection {
     pools: Arc<ConnectionPools>,
     backend_id: String,
     connection: Option<Connection>,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// An idle connection to the backend, or a new one while this node has fewer than `most`.
+    /// An idle connection to the backend, or a new one while this node has fewer than `max_connections`.
     ///
     /// # Errors
     /// See [`AcquireError`].
@@ -72,10 +72,10 @@
         self: &Arc<Self>,
         backend_id: &str,
         address: &str,
-        most: u32,
-    ) -> Result<Lease, AcquireError> {
-        match self.take_idle(backend_id, most)? {
-            Some(lease) => Ok(lease),
+        max_connections: u32,
+    ) -> Result<PooledConnection, AcquireError> {
+        match self.take_idle(backend_id, max_connections)? {
+            Some(pooled) => Ok(pooled),
             None => self.open(backend_id, address).await,
         }
     }
@@ -88,32 +88,32 @@
         self: &Arc<Self>,
         backend_id: &str,
         address: &str,
-    ) -> Result<Lease, AcquireError> {
-        self.lock().entry(backend_id.to_owned()).or_default().leased += 1;
+    ) -> Result<PooledConnection, AcquireError> {
+        self.lock().entry(backend_id.to_owned()).or_default().in_use += 1;
         self.open(backend_id, address).await
     }
 
     /// Requests under way to a backend.
     #[must_use]
-    pub fn leased(&self, backend_id: &str) -> u32 {
-        self.lock().get(backend_id).map_or(0, |pool| pool.leased)
+    pub fn in_use(&self, backend_id: &str) -> u32 {
+        self.lock().get(backend_id).map_or(0, |pool| pool.in_use)
     }
 
     /// Closes the idle connections to a backend that is out of use.
-    pub fn forget_idle(&self, backend_id: &str) {
+    pub fn close_idle(&self, backend_id: &str) {
         if let Some(pool) = self.lock().get_mut(backend_id) {
             pool.idle.clear();
         }
     }
 
     /// Closes connections that are idle for too long, and those to backends that are gone.
-    pub fn sweep(&self, now: MonotonicTime, known: impl Fn(&str) -> bool) {
+    pub fn close_expired(&self, now: MonotonicTime, known: impl Fn(&str) -> bool) {
         self.lock().retain(|backend_id, pool| {
             pool.idle.retain(|idle| idle.usable_until > now);
             if !known(backend_id) {
                 pool.idle.clear();
             }
-            pool.leased > 0 || !pool.idle.is_empty()
+            pool.in_use > 0 || !pool.idle.is_empty()
         });
     }
 
@@ -121,22 +121,22 @@
     fn take_idle(
         self: &Arc<Self>,
         backend_id: &str,
-        most: u32,
-    ) -> Result<Option<Lease>, AcquireError> {
+        max_connections: u32,
+    ) -> Result<Option<PooledConnection>, AcquireError> {
         let now = monotonic_now();
         let mut pools = self.lock();
         let pool = pools.entry(backend_id.to_owned()).or_default();
         pool.idle.retain(|idle| idle.usable_until > now);
         while let Some(idle) = pool.idle.pop() {
             if idle.connection.is_ready() {
-                pool.leased += 1;
-                return Ok(Some(self.lease(backend_id, Some(idle.connection), true)));
+                pool.in_use += 1;
+                return Ok(Some(self.pooled(backend_id, Some(idle.connection), true)));
             }
         }
-        if pool.leased >= most {
-            return Err(AcquireError::NoRoom);
+        if pool.in_use >= max_connections {
+            return Err(AcquireError::AtLimit);
         }
-        pool.leased += 1;
+        pool.in_use += 1;
         Ok(None)
     }
 
@@ -145,24 +145,24 @@
         self: &Arc<Self>,
         backend_id: &str,
         address: &str,
-    ) -> Result<Lease, AcquireError> {
-        let mut lease = self.lease(backend_id, None, false);
+    ) -> Result<PooledConnection, AcquireError> {
+        let mut pooled = self.pooled(backend_id, None, false);
         let opened = Connection::open(address, self.connect_timeout).await;
         let connection = opened.map_err(|error| match error.kind() {
             std::io::ErrorKind::TimedOut => AcquireError::TimedOut,
             _ => AcquireError::Refused,
         })?;
-        lease.connection = Some(connection);
-        Ok(lease)
+        pooled.connection = Some(connection);
+        Ok(pooled)
     }
 
-    fn lease(
+    fn pooled(
         self: &Arc<Self>,
         backend_id: &str,
         connection: Option<Connection>,
         reused: bool,
-    ) -> Lease {
-        Lease {
+    ) -> PooledConnection {
+        PooledConnection {
             pools: Arc::clone(self),
             backend_id: backend_id.to_owned(),
             connection,
@@ -175,7 +175,7 @@
     }
 }
 
-impl Lease {
+impl PooledConnection {
     /// The connection; none only while it is being opened.
     pub fn connection(&mut self) -> Option<&mut Connection> {
         self.connection.as_mut()
@@ -188,19 +188,19 @@
     }
 
     /// Keeps the connection for the next request: its answer was read whole.
-    pub fn give_back(mut self, keep_alive: Option<Duration>) {
+    pub fn release(mut self, keep_alive: Option<Duration>) {
         let Some(connection) = self.connection.take() else {
             return;
         };
-        let kept_for = keep_alive
-            .unwrap_or(USUAL_KEEP_ALIVE)
+        let reusable_for = keep_alive
+            .unwrap_or(DEFAULT_KEEP_ALIVE)
             .saturating_sub(KEEP_ALIVE_MARGIN);
-        if kept_for.is_zero() {
+        if reusable_for.is_zero() {
             return;
         }
         let idle = IdleConnection {
             connection,
-            usable_until: monotonic_now() + kept_for,
+            usable_until: monotonic_now() + reusable_for,
         };
         let mut pools = self.pools.lock();
         if let Some(pool) = pools.get_mut(&self.backend_id) {
@@ -209,11 +209,11 @@
     }
 }
 
-impl Drop for Lease {
+impl Drop for PooledConnection {
     fn drop(&mut self) {
         let mut pools = self.pools.lock();
         if let Some(pool) = pools.get_mut(&self.backend_id) {
-            pool.leased = pool.leased.saturating_sub(1);
+            pool.in_use = pool.in_use.saturating_sub(1);
         }
     }
 }
--- a/crates/forward/src/backend/health_watch.rs
+++ b/crates/forward/src/backend/health_watch.rs
@@ -15,15 +15,15 @@
 const LOG: PartLog = PartLog::new("HEALTH");
 
 /// Period of the watch.
-const PERIOD: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// A backend with requests under way that is silent for this long is asked for a connection.
-const SILENT_AFTER: Duration = Duration::from_millis(600);
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(600);
 /// Shortest time between two such questions.
-const ASK_PERIOD: Duration = Duration::from_millis(500);
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between two tries to reach an ejected backend.
-const READMIT_PERIOD: Duration = Duration::from_millis(500);
+const READMIT_PROBE_INTERVAL: Duration = Duration::from_millis(500);
 /// Period at which idle connections are looked through.
-const SWEEP_PERIOD: Duration = Duration::from_millis(1000);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// Watches for as long as the process lives.
 ///
@@ -31,48 +31,52 @@
 /// busy with, so silence there means that the machine or the way to it is gone. It needs no slot
 /// and is no request.
 pub async fn run<P: ForwardProtocol>(node: Arc<ForwardNode<P>>) {
-    let mut asked: BTreeMap<String, MonotonicTime> = BTreeMap::new();
+    let mut last_probes: BTreeMap<String, MonotonicTime> = BTreeMap::new();
     let mut next_sweep = monotonic_now();
     loop {
-        tokio::time::sleep(PERIOD).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         let now = monotonic_now();
         let table = node.state.table();
         if now >= next_sweep {
-            next_sweep = now + SWEEP_PERIOD;
+            next_sweep = now + SWEEP_INTERVAL;
             let known = |id: &str| table.pools().any(|pool| pool.backend(id).is_some());
-            node.connections.sweep(now, known);
-            asked.retain(|id, _| known(id));
+            node.connections.close_expired(now, known);
+            last_probes.retain(|id, _| known(id));
         }
         for backend in table.pools().flat_map(|pool| pool.backends()) {
             let ejected = node.state.health.ejection(&backend.id).is_some();
-            let period = if ejected { READMIT_PERIOD } else { ASK_PERIOD };
-            let recently = asked
+            let period = if ejected {
+                READMIT_PROBE_INTERVAL
+            } else {
+                PROBE_INTERVAL
+            };
+            let recently = last_probes
                 .get(&backend.id)
                 .is_some_and(|at| now.since(*at) < period);
-            let suspect = node.connections.leased(&backend.id) > 0
+            let suspect = node.connections.in_use(&backend.id) > 0
                 && node
                     .state
                     .health
-                    .is_unresponsive(&backend.id, now, SILENT_AFTER);
+                    .is_unresponsive(&backend.id, now, UNRESPONSIVE_AFTER);
             if recently || !(ejected || suspect) {
                 continue;
             }
-            asked.insert(backend.id.clone(), now);
+            last_probes.insert(backend.id.clone(), now);
             let (id, address) = (backend.id.clone(), backend.address.clone());
-            tokio::spawn(ask(Arc::clone(&node), id, address, ejected));
+            tokio::spawn(probe(Arc::clone(&node), id, address, ejected));
         }
     }
 }
 
-async fn ask<P: ForwardProtocol>(
+async fn probe<P: ForwardProtocol>(
     node: Arc<ForwardNode<P>>,
     id: String,
     address: String,
     ejected: bool,
 ) {
     match node.connections.dial(&id, &address).await {
-        Ok(lease) => {
-            lease.give_back(None);
+        Ok(pooled) => {
+            pooled.release(None);
             if node.state.health.probe_succeeded(&id, monotonic_now()) {
                 LOG.info(format!("Backend {id} is used again."));
             }
@@ -93,6 +97,6 @@
 pub fn ejection_reason(error: AcquireError) -> EjectionReason {
     match error {
         AcquireError::TimedOut => EjectionReason::Unresponsive,
-        AcquireError::Refused | AcquireError::NoRoom => EjectionReason::ConnectFailed,
+        AcquireError::Refused | AcquireError::AtLimit => EjectionReason::ConnectFailed,
     }
 }
--- a/crates/forward/src/backend/mod.rs
+++ b/crates/forward/src/backend/mod.rs
@@ -5,4 +5,4 @@
 pub mod health_watch;
 
 pub use connection::Connection;
-pub use connection_pools::{AcquireError, ConnectionPools, Lease};
+pub use connection_pools::{AcquireError, ConnectionPools, PooledConnection};
--- a/crates/forward/src/daemon/callers.rs
+++ b/crates/forward/src/daemon/callers.rs
@@ -19,10 +19,10 @@
 const LOG: PartLog = PartLog::new("CALLERS");
 
 /// Wait after a failure to accept, which mostly means that the process has no free descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Longest time for the headers of a request, and for a kept connection to be idle, where the
 /// configuration sets none.
-const USUAL_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Room for the head of a request, in bytes: the usual limit of headers and the request line. Every
 /// open connection may keep as much.
 const HEAD_BUFFER_BYTES: usize = 18 * 1024;
@@ -72,7 +72,7 @@
             }
             Err(error) => {
                 LOG.warn(format!("A connection could not be accepted: {error}"));
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -98,11 +98,11 @@
     let mut connection = std::pin::pin!(connection);
     let mut closing = connections.closing.subscribe();
     // An error here is a caller that left, was too slow or spoke no HTTP.
-    let told_to_close = tokio::select! {
+    let closes = tokio::select! {
         _ = connection.as_mut() => false,
-        told = closing.wait_for(|closing| *closing) => told.is_ok(),
+        signalled = closing.wait_for(|closing| *closing) => signalled.is_ok(),
     };
-    if told_to_close {
+    if closes {
         connection.as_mut().graceful_shutdown();
         let _ = connection.await;
     }
@@ -113,7 +113,7 @@
     let table = node.state.table();
     let limits = table.forward().limits();
     match limits.map_or(0, |limits| limits.idle_timeout_ms) {
-        0 => USUAL_IDLE_TIMEOUT,
+        0 => DEFAULT_IDLE_TIMEOUT,
         millis => Duration::from_millis(u64::from(millis)),
     }
 }
--- a/crates/forward/src/daemon/run.rs
+++ b/crates/forward/src/daemon/run.rs
@@ -28,11 +28,11 @@
 
 /// Time from the signal to leave until idle connections are closed: by then no new caller is sent
 /// here, and those who hold a connection were told to close it.
-const CLOSE_IDLE_AFTER: Duration = Duration::from_millis(2200);
+const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(2200);
 /// Shortest time from the signal to leave to the end.
-const SHORTEST_LEAVE: Duration = Duration::from_millis(3200);
+const MIN_DRAIN_TIME: Duration = Duration::from_millis(3200);
 /// Time between two looks at the open connections while leaving.
-const LEAVE_CHECK: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Runs until a signal ends the process.
 ///
@@ -90,7 +90,7 @@
         }
     }
     let longest = Duration::from_millis(settings.drain_timeout_ms);
-    leave(&node, &connections, longest).await;
+    drain(&node, &connections, longest).await;
     Ok(())
 }
 
@@ -106,23 +106,23 @@
 
 /// No longer ready; requests go on to be served until callers have gone elsewhere, and open ones end by
 /// themselves within a bound.
-async fn leave<P: ForwardProtocol>(
+async fn drain<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     connections: &CallerConnections,
     longest: Duration,
 ) {
     LOG.info("Leaving: no longer ready.");
     let begun = monotonic_now();
-    node.leave(begun, longest);
-    tokio::time::sleep(CLOSE_IDLE_AFTER.min(longest)).await;
+    node.drain(begun, longest);
+    tokio::time::sleep(IDLE_CLOSE_DELAY.min(longest)).await;
     connections.close_when_idle();
     loop {
         let passed = monotonic_now().since(begun);
         let empty = connections.open() == 0;
-        if passed >= longest || (empty && passed >= SHORTEST_LEAVE.min(longest)) {
+        if passed >= longest || (empty && passed >= MIN_DRAIN_TIME.min(longest)) {
             break;
         }
-        tokio::time::sleep(LEAVE_CHECK).await;
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
     LOG.info(format!(
         "Left with {} open connections.",
--- a/crates/forward/src/exchange/peer_table.rs
+++ b/crates/forward/src/exchange/peer_sequences.rs
@@ -12,20 +12,20 @@
 
 /// Peers by name.
 #[derive(Debug, Default)]
-pub struct PeerTable {
+pub struct PeerSequences {
     peers: BTreeMap<String, Peer>,
 }
 
-impl PeerTable {
+impl PeerSequences {
     /// Takes news. False: they are older than what is known, and nothing of them counts.
-    pub fn take(&mut self, news: &PeerMessage) -> bool {
-        let peer = self.peers.entry(news.member.clone()).or_default();
-        let same_start = peer.boot_id == news.boot_id;
-        if same_start && news.sequence <= peer.sequence {
+    pub fn accept(&mut self, message: &PeerMessage) -> bool {
+        let peer = self.peers.entry(message.member.clone()).or_default();
+        let same_start = peer.boot_id == message.boot_id;
+        if same_start && message.sequence <= peer.sequence {
             return false;
         }
-        peer.boot_id = news.boot_id;
-        peer.sequence = news.sequence;
+        peer.boot_id = message.boot_id;
+        peer.sequence = message.sequence;
         true
     }
 }
--- a/crates/forward/src/exchange/news.rs
+++ b/crates/forward/src/exchange/usage_messages.rs
@@ -15,86 +15,88 @@
 use crate::quota::{PeerCount, TenantLevel};
 
 /// Most tenants in one datagram.
-const MOST_TENANTS: usize = 256;
+const MAX_TENANTS_PER_DATAGRAM: usize = 256;
 
 /// This node's side: what was told last, so that an idle node is quiet.
 #[derive(Debug)]
-pub struct NewsWriter {
+pub struct UsageMessageEncoder {
     boot_id: u64,
     sequence: u64,
-    told: BTreeMap<String, u64>,
+    reported: BTreeMap<String, u64>,
 }
 
-impl NewsWriter {
+impl UsageMessageEncoder {
     /// A writer that has told nothing.
     #[must_use]
     pub fn new(boot_id: u64) -> Self {
         Self {
             boot_id,
             sequence: 0,
-            told: BTreeMap::new(),
+            reported: BTreeMap::new(),
         }
     }
 
-    /// For all peers: what was admitted since they were told last, or everything when `whole`; nothing when
+    /// For all peers: what was admitted since they were told last, or everything when `full`; nothing when
     /// nothing was.
-    pub fn write<P: ForwardProtocol>(
+    pub fn encode_for_all<P: ForwardProtocol>(
         &mut self,
         node: &ForwardNode<P>,
         now: MonotonicTime,
-        whole: bool,
+        full: bool,
     ) -> Option<PeerMessage> {
         let mut levels = node.quotas.levels(now);
         levels.retain(|level| {
-            let changed = self.told.get(&level.tenant) != Some(&level.used_tokens);
-            whole || changed
+            let changed = self.reported.get(&level.tenant) != Some(&level.used_tokens);
+            full || changed
         });
-        levels.truncate(MOST_TENANTS);
+        levels.truncate(MAX_TENANTS_PER_DATAGRAM);
         for level in &levels {
-            self.told.insert(level.tenant.clone(), level.used_tokens);
+            self.reported
+                .insert(level.tenant.clone(), level.used_tokens);
         }
-        self.news(node, levels)
+        self.message(node, levels)
     }
 
     /// For the other owners of each tenant that this node owns: what was granted since they were told last,
-    /// or everything when `whole`. One datagram for each of them, with its address.
-    pub fn write_owned<P: ForwardProtocol>(
+    /// or everything when `full`. One datagram for each of them, with its address.
+    pub fn encode_for_owners<P: ForwardProtocol>(
         &mut self,
         node: &ForwardNode<P>,
         ring: &OwnerRing,
         now: MonotonicTime,
-        whole: bool,
+        full: bool,
     ) -> Vec<(SocketAddr, PeerMessage)> {
         let mut by_owner = ByOwner::default();
         for level in node.quotas.levels(now) {
-            let known = self.told.get(&level.tenant) == Some(&level.used_tokens);
-            if known && !whole {
+            let known = self.reported.get(&level.tenant) == Some(&level.used_tokens);
+            if known && !full {
                 continue;
             }
             let owners = ring.owners_of_tenant(&level.tenant);
             if !owners.iter().any(|owner| owner.name == node.name) {
                 continue;
             }
-            self.told.insert(level.tenant.clone(), level.used_tokens);
-            node.quotas.told(&level.tenant);
+            self.reported
+                .insert(level.tenant.clone(), level.used_tokens);
+            node.quotas.mark_reported(&level.tenant);
             for owner in owners.iter().filter(|owner| owner.name != node.name) {
                 by_owner.add(owner, level.clone());
             }
         }
         let mut datagrams = Vec::new();
-        for told in by_owner {
-            for levels in told.items.chunks(MOST_TENANTS) {
-                let Some(mut news) = self.news(node, levels.to_vec()) else {
+        for reported in by_owner {
+            for levels in reported.items.chunks(MAX_TENANTS_PER_DATAGRAM) {
+                let Some(mut message) = self.message(node, levels.to_vec()) else {
                     continue;
                 };
-                news.is_owner = true;
-                datagrams.push((told.address, news));
+                message.is_owner = true;
+                datagrams.push((reported.address, message));
             }
         }
         datagrams
     }
 
-    fn news<P: ForwardProtocol>(
+    fn message<P: ForwardProtocol>(
         &mut self,
         node: &ForwardNode<P>,
         levels: Vec<TenantLevel>,
@@ -122,24 +124,24 @@
 }
 
 /// Takes in a peer's counts.
-pub fn take_news<P: ForwardProtocol>(
+pub fn apply_usage<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     now: MonotonicTime,
-    news: &PeerMessage,
+    message: &PeerMessage,
 ) {
     let table = node.state.table();
     let (ring, _) = node.peers.ring(&table);
-    let zone = news.is_owner.then(|| {
-        let zone = ring.zone_of(&news.member);
+    let zone = message.is_owner.then(|| {
+        let zone = ring.zone_of(&message.member);
         zone.unwrap_or_default().to_owned()
     });
-    for usage in &news.usage {
+    for usage in &message.usage {
         let Some(quota) = quota_of(&table, &usage.tenant) else {
             continue;
         };
         let count = PeerCount {
-            member: &news.member,
-            boot_id: news.boot_id,
+            member: &message.member,
+            boot_id: message.boot_id,
             tenant: &usage.tenant,
             used_tokens: usage.used_tokens,
             level_tokens: usage.level_tokens,
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -3,20 +3,20 @@
 pub mod backend;
 pub mod daemon;
 pub mod exchange;
-pub mod leaving;
+pub mod graceful_shutdown;
 pub mod load;
 pub mod mechanism;
 pub mod millford_protocol;
 pub mod node;
 pub mod owners;
-pub mod parts;
+pub mod prefix_index;
 pub mod protocol;
 pub mod quota;
 pub mod request;
 pub mod settings;
 
 pub use daemon::run;
-pub use leaving::Leaving;
+pub use graceful_shutdown::GracefulShutdown;
 pub use mechanism::{Mechanism, Mechanisms};
 pub use millford_protocol::MillfordProtocol;
 pub use node::ForwardNode;
--- a/crates/forward/src/load/work_ledger.rs
+++ b/crates/forward/src/load/owned_loads.rs
@@ -6,30 +6,30 @@
 use millford_core::{Duration, MonotonicTime};
 
 /// Nodes repeat unchanged work at this period: what a lost update said is then made good.
-pub const REPEAT_PERIOD: Duration = Duration::from_secs(1);
+pub const REPUBLISH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Work of a node that was not repeated for this long counts no more: three repetitions were missed.
-pub const WORK_KEPT_FOR: Duration = Duration::from_secs(3);
+pub const WORK_EXPIRY: Duration = Duration::from_secs(3);
 
 /// What one node said last of its work on one backend.
 #[derive(Clone, Debug)]
 struct MemberWork {
     boot_id: u64,
     sequence: u64,
-    heard: MonotonicTime,
+    received_at: MonotonicTime,
     replicas: Vec<ReplicaInFlight>,
 }
 
 /// Work by backend and node. Every entry is absolute, so that updates may be lost, repeated and
 /// overtaken: the newest of each node stands.
 #[derive(Debug, Default)]
-pub struct WorkLedger {
+pub struct OwnedLoads {
     backends: BTreeMap<String, BTreeMap<String, MemberWork>>,
 }
 
-impl WorkLedger {
+impl OwnedLoads {
     /// Takes a node's update. What is older than what is known is passed over.
-    pub fn take(
+    pub fn apply(
         &mut self,
         now: MonotonicTime,
         member: &str,
@@ -47,7 +47,7 @@
             let newest = MemberWork {
                 boot_id,
                 sequence: update.sequence,
-                heard: now,
+                received_at: now,
                 replicas: work.replicas.clone(),
             };
             members.insert(member.to_owned(), newest);
@@ -59,8 +59,9 @@
     pub fn others(&self, now: MonotonicTime, backend_id: &str, except: &str) -> BackendInFlight {
         let mut sums: BTreeMap<(&str, &str, &str), ReplicaInFlight> = BTreeMap::new();
         let members = self.backends.get(backend_id).into_iter().flatten();
-        let live = members
-            .filter(|(member, work)| *member != except && now.since(work.heard) < WORK_KEPT_FOR);
+        let live = members.filter(|(member, work)| {
+            *member != except && now.since(work.received_at) < WORK_EXPIRY
+        });
         for replica in live.flat_map(|(_, work)| &work.replicas) {
             let key = (
                 replica.pool.as_str(),
@@ -87,7 +88,7 @@
     /// Forgets nodes that were not heard for long.
     pub fn expire(&mut self, now: MonotonicTime) {
         self.backends.retain(|_, members| {
-            members.retain(|_, work| now.since(work.heard) < WORK_KEPT_FOR);
+            members.retain(|_, work| now.since(work.received_at) < WORK_EXPIRY);
             !members.is_empty()
         });
     }
--- a/crates/forward/src/load/shared_load.rs
+++ b/crates/forward/src/load/shared_load.rs
@@ -12,29 +12,29 @@
 use millford_core::{Duration, MonotonicTime};
 use millford_routing::{LoadTable, ReplicaCounts, ReplicaKey};
 
-use crate::load::work_ledger::WorkLedger;
-use crate::owners::peer_link::{Asked, lock};
-use crate::owners::{Answer, ByOwner, OwnerRing, PeerLink, Pending};
+use crate::load::owned_loads::OwnedLoads;
+use crate::owners::peer_link::{OwnerRoute, lock};
+use crate::owners::{ByOwner, InFlightRequests, OwnerReply, OwnerRing, PeerLink};
 
 /// Counts this old may stand in for an answer that did not come. Older ones say less than nothing:
 /// a whole prompt is read in less time.
-const USABLE_FOR: Duration = Duration::from_millis(500);
+const FRESH_FOR: Duration = Duration::from_millis(500);
 
 /// Counts that this node owns, and how old those are that it asked for.
 #[derive(Debug, Default)]
 pub struct SharedLoad {
     sequence: AtomicU64,
-    ledger: Mutex<WorkLedger>,
+    owned: Mutex<OwnedLoads>,
     refreshed: Mutex<BTreeMap<String, MonotonicTime>>,
 }
 
 impl SharedLoad {
     /// Tells the owners what this node has in flight on these backends.
-    pub fn tell(
+    pub fn publish(
         &self,
         link: &PeerLink,
         ring: &OwnerRing,
-        board: &LoadTable,
+        load_table: &LoadTable,
         backend_ids: &BTreeSet<String>,
     ) {
         let now = monotonic_now();
@@ -42,24 +42,24 @@
         for id in backend_ids {
             let work = BackendInFlight {
                 backend_id: id.clone(),
-                replicas: own_replicas(board, id),
+                replicas: own_replicas(load_table, id),
             };
             for owner in ring.owners_of_backend(id) {
                 updates.add(owner, work.clone());
             }
         }
-        for told in updates {
+        for update_for_owner in updates {
             let update = InFlightUpdate {
                 sequence: self.sequence.fetch_add(1, Ordering::Relaxed) + 1,
-                backends: told.items,
+                backends: update_for_owner.items,
             };
-            if told.owner == link.member() {
-                lock(&self.ledger).take(now, link.member(), link.boot_id(), &update);
+            if update_for_owner.owner == link.member() {
+                lock(&self.owned).apply(now, link.member(), link.boot_id(), &update);
                 continue;
             }
             let mut datagram = link.datagram();
             datagram.in_flight_update = Some(update);
-            link.send(told.address, &datagram);
+            link.send(update_for_owner.address, &datagram);
         }
     }
 
@@ -71,29 +71,29 @@
 
     /// Asks the owners for the counts of these backends. They are on the board once the questions are
     /// answered.
-    pub fn ask(
+    pub fn query(
         &self,
         link: &PeerLink,
         ring: &OwnerRing,
-        board: &LoadTable,
+        load_table: &LoadTable,
         backend_ids: &[&str],
-    ) -> Pending {
+    ) -> InFlightRequests {
         let now = monotonic_now();
-        let mut wanted = ByOwner::default();
+        let mut by_owner = ByOwner::default();
         for id in backend_ids {
-            match link.asked(now, &ring.owners_of_backend(id)) {
+            match link.route_of(now, &ring.owners_of_backend(id)) {
                 // Without anybody else this node's own counts are all there is.
-                Asked::Nobody => {
+                OwnerRoute::Unknown => {
                     lock(&self.refreshed).insert((*id).to_owned(), now);
                 }
-                Asked::Itself => {
-                    let work = lock(&self.ledger).others(now, id, link.member());
-                    self.take_counts(now, board, &work);
+                OwnerRoute::Local => {
+                    let work = lock(&self.owned).others(now, id, link.member());
+                    self.apply_counts(now, load_table, &work);
                 }
-                Asked::Peer(owner) => wanted.add(owner, (*id).to_owned()),
+                OwnerRoute::Remote(owner) => by_owner.add(owner, (*id).to_owned()),
             }
         }
-        link.send_questions(wanted, |id, backend_ids, datagram| {
+        link.send_requests(by_owner, |id, backend_ids, datagram| {
             datagram.load_request = Some(LoadRequest { id, backend_ids });
         })
     }
@@ -104,7 +104,7 @@
         let refreshed = lock(&self.refreshed);
         let is_fresh = |id: &&str| {
             let at = refreshed.get(*id);
-            at.is_some_and(|at| now.since(*at) < USABLE_FOR)
+            at.is_some_and(|at| now.since(*at) < FRESH_FOR)
         };
         backend_ids.iter().map(is_fresh).collect()
     }
@@ -113,13 +113,13 @@
     pub fn receive(
         &self,
         link: &PeerLink,
-        board: &LoadTable,
+        load_table: &LoadTable,
         from: SocketAddr,
         datagram: &PeerMessage,
     ) -> bool {
         let now = monotonic_now();
         if let Some(update) = &datagram.in_flight_update {
-            lock(&self.ledger).take(now, &datagram.member, datagram.boot_id, update);
+            lock(&self.owned).apply(now, &datagram.member, datagram.boot_id, update);
             return true;
         }
         if let Some(question) = &datagram.load_request {
@@ -130,16 +130,16 @@
             return false;
         };
         for work in &answer.backends {
-            self.take_counts(now, board, work);
+            self.apply_counts(now, load_table, work);
         }
-        link.answered(now, answer.id, Answer::Counts);
+        link.complete(now, answer.id, OwnerReply::Counts);
         true
     }
 
     /// Forgets what is old.
     pub fn expire(&self, now: MonotonicTime) {
-        lock(&self.ledger).expire(now);
-        lock(&self.refreshed).retain(|_, at| now.since(*at) < USABLE_FOR);
+        lock(&self.owned).expire(now);
+        lock(&self.refreshed).retain(|_, at| now.since(*at) < FRESH_FOR);
     }
 
     fn answer(
@@ -150,10 +150,10 @@
         member: &str,
         question: &LoadRequest,
     ) {
-        let ledger = lock(&self.ledger);
+        let owned = lock(&self.owned);
         let ids = question.backend_ids.iter();
-        let backends = ids.map(|id| ledger.others(now, id, member)).collect();
-        drop(ledger);
+        let backends = ids.map(|id| owned.others(now, id, member)).collect();
+        drop(owned);
         let mut datagram = link.datagram();
         datagram.load_reply = Some(LoadReply {
             id: question.id,
@@ -162,7 +162,7 @@
         link.send(from, &datagram);
     }
 
-    fn take_counts(&self, now: MonotonicTime, board: &LoadTable, work: &BackendInFlight) {
+    fn apply_counts(&self, now: MonotonicTime, load_table: &LoadTable, work: &BackendInFlight) {
         let counts = work.replicas.iter().map(|replica| {
             let key = ReplicaKey {
                 backend_id: work.backend_id.clone(),
@@ -177,13 +177,13 @@
             };
             (key, counts)
         });
-        board.set_others(&work.backend_id, &counts.collect());
+        load_table.set_others(&work.backend_id, &counts.collect());
         lock(&self.refreshed).insert(work.backend_id.clone(), now);
     }
 }
 
-fn own_replicas(board: &LoadTable, backend_id: &str) -> Vec<ReplicaInFlight> {
-    let work = board.own_work_on(backend_id).into_iter();
+fn own_replicas(load_table: &LoadTable, backend_id: &str) -> Vec<ReplicaInFlight> {
+    let work = load_table.own_work_on(backend_id).into_iter();
     work.map(|(key, counts)| ReplicaInFlight {
         pool: key.pool,
         model: key.model,
--- a/crates/forward/src/mechanism.rs
+++ b/crates/forward/src/mechanism.rs
@@ -8,7 +8,7 @@
     /// Work of all nodes on a backend is asked for before a choice.
     SharedLoad,
     /// Where prompt parts were read is asked for before a choice.
-    SharedParts,
+    SharedPrefixIndex,
     /// Prompts go where their parts were read.
     Affinity,
     /// Models' costs are learned from the traffic.
@@ -33,7 +33,7 @@
     /// Every mechanism.
     pub const ALL: [Mechanism; 11] = [
         Mechanism::SharedLoad,
-        Mechanism::SharedParts,
+        Mechanism::SharedPrefixIndex,
         Mechanism::Affinity,
         Mechanism::LearnedCost,
         Mechanism::BandwidthWeight,
@@ -50,7 +50,7 @@
     pub fn name(self) -> &'static str {
         match self {
             Mechanism::SharedLoad => "shared_load",
-            Mechanism::SharedParts => "shared_parts",
+            Mechanism::SharedPrefixIndex => "shared_parts",
             Mechanism::Affinity => "affinity",
             Mechanism::LearnedCost => "learned_cost",
             Mechanism::BandwidthWeight => "bandwidth_weight",
@@ -74,7 +74,7 @@
 /// The mechanisms in use: all but those that the settings leave out.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Mechanisms {
-    left_out: BTreeSet<Mechanism>,
+    disabled: BTreeSet<Mechanism>,
 }
 
 impl Mechanisms {
@@ -84,17 +84,17 @@
     /// The first name that no mechanism has.
     pub fn all_but(names: &str) -> Result<Self, String> {
         let names = names.split(',').map(str::trim);
-        let left_out = names
+        let disabled = names
             .filter(|name| !name.is_empty())
             .map(|name| Mechanism::from_name(name).ok_or_else(|| name.to_owned()));
         Ok(Self {
-            left_out: left_out.collect::<Result<_, _>>()?,
+            disabled: disabled.collect::<Result<_, _>>()?,
         })
     }
 
     /// Whether a mechanism is in use.
     #[must_use]
     pub fn has(&self, mechanism: Mechanism) -> bool {
-        !self.left_out.contains(&mechanism)
+        !self.disabled.contains(&mechanism)
     }
 }
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -8,7 +8,7 @@
 use tokio::sync::watch;
 
 use crate::backend::ConnectionPools;
-use crate::leaving::Leaving;
+use crate::graceful_shutdown::GracefulShutdown;
 use crate::load::SharedLoad;
 use crate::mechanism::{Mechanism, Mechanisms};
 use crate::owners::PeerLink;
@@ -42,7 +42,7 @@
     pub mechanisms: Mechanisms,
     /// Requests whose decisions are logged, in thousandths.
     pub decision_log_per_mille: u32,
-    leaving: OnceLock<Leaving>,
+    graceful_shutdown: OnceLock<GracefulShutdown>,
     ejections: watch::Sender<u64>,
 }
 
@@ -72,22 +72,24 @@
             // Settings with a wrong name are refused before a node is made of them.
             mechanisms: Mechanisms::all_but(&settings.disabled_mechanisms).unwrap_or_default(),
             decision_log_per_mille: settings.decision_log_per_mille,
-            leaving: OnceLock::new(),
+            graceful_shutdown: OnceLock::new(),
             ejections,
         }
     }
 
     /// The node leaves, and its process ends within `longest`.
-    pub fn leave(&self, now: MonotonicTime, longest: Duration) {
+    pub fn drain(&self, now: MonotonicTime, longest: Duration) {
         self.state.set_draining();
-        let _ = self.leaving.set(Leaving::begin(now, longest));
+        let _ = self
+            .graceful_shutdown
+            .set(GracefulShutdown::begin(now, longest));
     }
 
     /// Whether a request that has to be answered by `deadline` is taken now.
     #[must_use]
-    pub fn takes(&self, now: MonotonicTime, deadline: MonotonicTime) -> bool {
-        let leaving = self.leaving.get();
-        leaving.is_none_or(|leaving| leaving.takes(now, deadline))
+    pub fn accepts(&self, now: MonotonicTime, deadline: MonotonicTime) -> bool {
+        let graceful_shutdown = self.graceful_shutdown.get();
+        graceful_shutdown.is_none_or(|graceful_shutdown| graceful_shutdown.accepts(now, deadline))
     }
 
     /// Takes a backend out of use; requests that wait for it and may go elsewhere hear of it.
@@ -97,7 +99,7 @@
             return;
         }
         self.state.eject(backend_id, reason);
-        self.connections.forget_idle(backend_id);
+        self.connections.close_idle(backend_id);
         self.ejections.send_modify(|count| *count += 1);
     }
 
@@ -121,18 +123,18 @@
     #[must_use]
     pub fn connection_share(&self, all_nodes: u32) -> u32 {
         if all_nodes == 0 {
-            return MOST_CONNECTIONS;
+            return MAX_CONNECTIONS_PER_BACKEND;
         }
         let peers = self.state.table().forward().peers().len().max(1);
         let peers = u32::try_from(peers).unwrap_or(u32::MAX);
         // A tenth stays free for nodes that come and go, and for probes.
         let usable = all_nodes - all_nodes.div_ceil(10);
-        (usable / peers).clamp(1, MOST_CONNECTIONS)
+        (usable / peers).clamp(1, MAX_CONNECTIONS_PER_BACKEND)
     }
 }
 
 /// Most connections of one node to one backend.
-const MOST_CONNECTIONS: u32 = 128;
+const MAX_CONNECTIONS_PER_BACKEND: u32 = 128;
 
 /// Time that a refused caller should wait when nothing better is known.
-pub const USUAL_RETRY_AFTER: Duration = Duration::from_millis(250);
+pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
--- a/crates/forward/src/owners/mod.rs
+++ b/crates/forward/src/owners/mod.rs
@@ -10,11 +10,11 @@
 pub mod by_owner;
 pub mod owner_ring;
 pub mod peer_link;
-pub mod questions;
+pub mod pending_requests;
 pub mod round_trip;
 
 pub use by_owner::{ByOwner, OwnerItems};
 pub use owner_ring::{Owner, OwnerRing};
-pub use peer_link::{PeerLink, Pending};
-pub use questions::{Answer, Questions};
+pub use peer_link::{InFlightRequests, PeerLink};
+pub use pending_requests::{OwnerReply, PendingRequests};
 pub use round_trip::RoundTrip;
--- a/crates/forward/src/owners/owner_ring.rs
+++ b/crates/forward/src/owners/owner_ring.rs
@@ -10,7 +10,7 @@
 
 /// In a fleet of up to this many proxies tenants have no owners: each node counts for itself and tells all
 /// others, which costs fewer datagrams than a question before each admission, and no wait.
-const MOST_WITHOUT_TENANT_OWNERS: usize = 17;
+const MAX_NODES_WITHOUT_TENANT_OWNERS: usize = 17;
 
 /// A proxy that may own keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -75,9 +75,9 @@
     pub fn owners_of_tenant_in(&self, zone: &str, tenant: &str) -> Vec<&Owner> {
         let key = xxh3_64(tenant.as_bytes());
         let in_zone = self.members.iter().filter(|owner| owner.zone == zone);
-        let best = best_two(in_zone, key);
+        let best = top_two(in_zone, key);
         match best.is_empty() {
-            true => best_two(self.members.iter(), key),
+            true => top_two(self.members.iter(), key),
             false => best,
         }
     }
@@ -109,7 +109,7 @@
         for owner in &self.members {
             zones.entry(&owner.zone).or_default().push(owner);
         }
-        let best = zones.into_values().map(|owners| best_two(owners, key));
+        let best = zones.into_values().map(|owners| top_two(owners, key));
         best.flatten().collect()
     }
 
@@ -134,7 +134,7 @@
     /// Whether owners grant admissions, and not each node for itself.
     #[must_use]
     pub fn has_tenant_owners(&self) -> bool {
-        self.members.len() > MOST_WITHOUT_TENANT_OWNERS
+        self.members.len() > MAX_NODES_WITHOUT_TENANT_OWNERS
     }
 
     /// Where all proxies but this one take datagrams.
@@ -172,7 +172,7 @@
 }
 
 /// The two of `owners` with the highest hash for `key`, the highest first.
-fn best_two<'a>(owners: impl IntoIterator<Item = &'a Owner>, key: u64) -> Vec<&'a Owner> {
+fn top_two<'a>(owners: impl IntoIterator<Item = &'a Owner>, key: u64) -> Vec<&'a Owner> {
     let mut best: Vec<(u64, &Owner)> = Vec::with_capacity(3);
     for owner in owners {
         let hash = owner.rank(key);
--- a/crates/forward/src/owners/peer_link.rs
+++ b/crates/forward/src/owners/peer_link.rs
@@ -13,20 +13,20 @@
 
 use crate::owners::by_owner::ByOwner;
 use crate::owners::owner_ring::{Owner, OwnerRing};
-use crate::owners::questions::{Answer, Questions};
+use crate::owners::pending_requests::{OwnerReply, PendingRequests};
 
 /// The ring and the table that it was made from.
 #[derive(Debug, Default)]
-struct RingInForce {
+struct CachedRing {
     table: Option<Arc<RoutingTable>>,
     ring: Arc<OwnerRing>,
 }
 
 /// Questions that were sent and wait for their answers.
 #[derive(Debug, Default)]
-pub struct Pending(Vec<(u64, oneshot::Receiver<Answer>)>);
+pub struct InFlightRequests(Vec<(u64, oneshot::Receiver<OwnerReply>)>);
 
-impl Pending {
+impl InFlightRequests {
     /// Number of the first question, if there is one.
     #[must_use]
     pub fn first_id(&self) -> Option<u64> {
@@ -43,13 +43,13 @@
 
 /// Who is to be asked about a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked<'a> {
+pub enum OwnerRoute<'a> {
     /// Nobody is known.
-    Nobody,
+    Unknown,
     /// This node owns the key itself.
-    Itself,
+    Local,
     /// Another node.
-    Peer(&'a Owner),
+    Remote(&'a Owner),
 }
 
 /// The node's socket to its peers, the ring of owners, and open questions.
@@ -58,8 +58,8 @@
     member: String,
     boot_id: u64,
     socket: OnceLock<Arc<UdpSocket>>,
-    ring: Mutex<RingInForce>,
-    questions: Mutex<Questions>,
+    ring: Mutex<CachedRing>,
+    pending: Mutex<PendingRequests>,
 }
 
 impl PeerLink {
@@ -71,7 +71,7 @@
             boot_id: rand::random(),
             socket: OnceLock::new(),
             ring: Mutex::default(),
-            questions: Mutex::default(),
+            pending: Mutex::default(),
         }
     }
 
@@ -94,90 +94,94 @@
 
     /// Who owns what at present. Answers also whether that changed with this call.
     pub fn ring(&self, table: &Arc<RoutingTable>) -> (Arc<OwnerRing>, bool) {
-        let mut in_force = lock(&self.ring);
-        let known = in_force.table.as_ref();
-        if known.is_some_and(|known| Arc::ptr_eq(known, table)) {
-            return (Arc::clone(&in_force.ring), false);
+        let mut cached = lock(&self.ring);
+        let cached_table = cached.table.as_ref();
+        if cached_table.is_some_and(|cached_table| Arc::ptr_eq(cached_table, table)) {
+            return (Arc::clone(&cached.ring), false);
         }
-        in_force.table = Some(Arc::clone(table));
+        cached.table = Some(Arc::clone(table));
         let ring = OwnerRing::of(table.forward().peers());
-        let changed = ring != *in_force.ring;
+        let changed = ring != *cached.ring;
         if changed {
-            in_force.ring = Arc::new(ring);
+            cached.ring = Arc::new(ring);
         }
-        (Arc::clone(&in_force.ring), changed)
+        (Arc::clone(&cached.ring), changed)
     }
 
     /// The owner to ask about a key: the first one that answers lately.
-    pub fn asked<'a>(&self, now: MonotonicTime, owners: &[&'a Owner]) -> Asked<'a> {
-        let sound = self.sound(now, owners);
-        match sound.or_else(|| owners.first().copied()) {
-            None => Asked::Nobody,
-            Some(owner) => self.way_to(owner),
+    pub fn route_of<'a>(&self, now: MonotonicTime, owners: &[&'a Owner]) -> OwnerRoute<'a> {
+        let first_responsive = self.first_responsive(now, owners);
+        match first_responsive.or_else(|| owners.first().copied()) {
+            None => OwnerRoute::Unknown,
+            Some(owner) => self.route_to(owner),
         }
     }
 
     /// The first of these owners that is believed to answer.
-    pub fn sound<'a>(&self, now: MonotonicTime, owners: &[&'a Owner]) -> Option<&'a Owner> {
-        let questions = lock(&self.questions);
+    pub fn first_responsive<'a>(
+        &self,
+        now: MonotonicTime,
+        owners: &[&'a Owner],
+    ) -> Option<&'a Owner> {
+        let pending = lock(&self.pending);
         let mut owners = owners.iter().copied();
-        owners.find(|owner| !questions.is_suspect(now, &owner.name))
+        owners.find(|owner| !pending.is_suspect(now, &owner.name))
     }
 
     /// How this owner is asked.
     #[must_use]
-    pub fn way_to<'a>(&self, owner: &'a Owner) -> Asked<'a> {
+    pub fn route_to<'a>(&self, owner: &'a Owner) -> OwnerRoute<'a> {
         match owner.name == self.member {
-            true => Asked::Itself,
-            false => Asked::Peer(owner),
+            true => OwnerRoute::Local,
+            false => OwnerRoute::Remote(owner),
         }
     }
 
     /// Sends one question to each owner. `write` puts the number and the items into a datagram.
-    pub fn send_questions<T>(
+    pub fn send_requests<T>(
         &self,
         wanted: ByOwner<'_, T>,
         write: impl Fn(u64, Vec<T>, &mut PeerMessage),
-    ) -> Pending {
+    ) -> InFlightRequests {
         let now = monotonic_now();
-        let mut pending = Vec::new();
+        let mut in_flight = Vec::new();
         for wanted in wanted {
-            let (id, answer) = lock(&self.questions).begin(now, wanted.owner);
+            let (id, reply) = lock(&self.pending).begin(now, wanted.owner);
             let mut datagram = self.datagram();
             write(id, wanted.items, &mut datagram);
             self.send(wanted.address, &datagram);
-            pending.push((id, answer));
+            in_flight.push((id, reply));
         }
-        Pending(pending)
+        InFlightRequests(in_flight)
     }
 
     /// Waits until the questions are answered or the usual time for an answer is over.
-    pub async fn wait(&self, pending: Pending) -> Vec<Answer> {
-        if pending.0.is_empty() {
+    pub async fn wait(&self, in_flight: InFlightRequests) -> Vec<OwnerReply> {
+        if in_flight.0.is_empty() {
             return Vec::new();
         }
-        let timeout = lock(&self.questions).timeout();
+        let timeout = lock(&self.pending).timeout();
         let deadline = tokio::time::Instant::now() + timeout;
-        let mut answers = Vec::new();
-        for (id, receiver) in pending.0 {
+        let mut replies = Vec::new();
+        for (id, receiver) in in_flight.0 {
             match tokio::time::timeout_at(deadline, receiver).await {
-                Ok(Ok(answer)) => answers.push(answer),
-                Ok(Err(_)) | Err(_) => lock(&self.questions).give_up(monotonic_now(), id),
+                Ok(Ok(reply)) => replies.push(reply),
+                Ok(Err(_)) | Err(_) => lock(&self.pending).time_out(monotonic_now(), id),
             }
         }
-        answers
+        replies
     }
 
     /// The answer to a question arrived.
     ///
     /// False: nobody waits for it any longer.
-    pub fn answered(&self, now: MonotonicTime, id: u64, answer: Answer) -> bool {
-        lock(&self.questions).answered(now, id, answer)
+    pub fn complete(&self, now: MonotonicTime, id: u64, reply: OwnerReply) -> bool {
+        lock(&self.pending).complete(now, id, reply)
     }
 
     /// Forgets what is old.
     pub fn expire(&self, now: MonotonicTime) {
-        lock(&self.questions).expire(now);
+        lock(&self.pending).expire(now);
     }
 
     /// An empty datagram of this node.
--- a/crates/forward/src/parts/shared_parts.rs
+++ b/crates/forward/src/prefix_index.rs
@@ -10,17 +10,17 @@
 use millford_core::time::monotonic_now;
 use millford_routing::{CachedBlock, PrefixBlock, PrefixIndex};
 
-use crate::owners::peer_link::Asked;
-use crate::owners::{Answer, ByOwner, OwnerRing, PeerLink, Pending};
+use crate::owners::peer_link::OwnerRoute;
+use crate::owners::{ByOwner, InFlightRequests, OwnerReply, OwnerRing, PeerLink};
 
 /// Most holders of a part that an owner names: those that used it last. More are of no use to one choice.
-pub const MOST_HOLDERS: usize = 8;
+pub const MAX_BACKENDS_PER_BLOCK: usize = 8;
 
 /// The backends that keep each of some parts, as far as this node knows.
 pub type BackendsByBlock = BTreeMap<u64, Vec<String>>;
 
 /// Tells the parts' owners which places this node used.
-pub fn tell(link: &PeerLink, ring: &OwnerRing, locations: Vec<CachedBlock>) {
+pub fn publish(link: &PeerLink, ring: &OwnerRing, locations: Vec<CachedBlock>) {
     let mut updates = ByOwner::default();
     for location in locations {
         for owner in ring.owners_of_block(location.block) {
@@ -35,41 +35,41 @@
             updates.add(owner, location);
         }
     }
-    for told in updates {
+    for update in updates {
         let mut datagram = link.datagram();
         datagram.block_update = Some(BlockUpdate {
-            locations: told.items,
+            locations: update.items,
         });
-        link.send(told.address, &datagram);
+        link.send(update.address, &datagram);
     }
 }
 
 /// Asks the owners who keeps these parts, among some backends or all. What this node knows itself is
 /// noted at once.
-pub fn ask(
+pub fn query(
     link: &PeerLink,
     ring: &OwnerRing,
     prefix_index: &PrefixIndex,
     blocks: &[PrefixBlock],
     among: &[&str],
     known: &mut BackendsByBlock,
-) -> Pending {
+) -> InFlightRequests {
     let now = monotonic_now();
-    take_own(prefix_index, blocks, among, known);
-    let mut wanted = ByOwner::default();
+    merge_local(prefix_index, blocks, among, known);
+    let mut by_owner = ByOwner::default();
     for block in blocks {
-        if let Asked::Peer(owner) = link.asked(now, &ring.owners_of_block(block.id)) {
-            wanted.add(owner, block.id);
+        if let OwnerRoute::Remote(owner) = link.route_of(now, &ring.owners_of_block(block.id)) {
+            by_owner.add(owner, block.id);
         }
     }
-    link.send_questions(wanted, |id, blocks, datagram| {
+    link.send_requests(by_owner, |id, blocks, datagram| {
         let among = among.iter().map(|id| (*id).to_owned()).collect();
         datagram.block_request = Some(BlockRequest { id, blocks, among });
     })
 }
 
 /// Adds what this node knows itself to what is known.
-pub fn take_own(
+pub fn merge_local(
     prefix_index: &PrefixIndex,
     blocks: &[PrefixBlock],
     among: &[&str],
@@ -77,19 +77,19 @@
 ) {
     let now = monotonic_now();
     for block in blocks {
-        let holders = prefix_index.newest_holders(now, block.id, among, MOST_HOLDERS);
-        merge(known, block.id, holders);
+        let found = prefix_index.most_recent_backends(now, block.id, among, MAX_BACKENDS_PER_BLOCK);
+        merge(known, block.id, found);
     }
 }
 
 /// Adds what owners answered to what is known.
-pub fn take_answers(known: &mut BackendsByBlock, answers: Vec<Answer>) {
-    for answer in answers {
-        let Answer::Holders(blocks) = answer else {
+pub fn merge_replies(known: &mut BackendsByBlock, replies: Vec<OwnerReply>) {
+    for reply in replies {
+        let OwnerReply::Blocks(blocks) = reply else {
             continue;
         };
-        for holders in blocks {
-            merge(known, holders.block, holders.backend_ids);
+        for found in blocks {
+            merge(known, found.block, found.backend_ids);
         }
     }
 }
@@ -109,28 +109,28 @@
                 backend_id: location.backend_id.clone(),
                 tokens: location.tokens,
             };
-            prefix_index.told(now, &location);
+            prefix_index.record_remote_use(now, &location);
         }
         return true;
     }
     if let Some(request) = &datagram.block_request {
-        let mut answer = link.datagram();
-        answer.block_reply = Some(answer_to(now, prefix_index, request));
-        link.send(from, &answer);
+        let mut reply = link.datagram();
+        reply.block_reply = Some(reply_to(now, prefix_index, request));
+        link.send(from, &reply);
         return true;
     }
-    let Some(answer) = &datagram.block_reply else {
+    let Some(reply) = &datagram.block_reply else {
         return false;
     };
-    link.answered(now, answer.id, Answer::Holders(answer.blocks.clone()));
+    link.complete(now, reply.id, OwnerReply::Blocks(reply.blocks.clone()));
     true
 }
 
-fn answer_to(now: MonotonicTime, prefix_index: &PrefixIndex, request: &BlockRequest) -> BlockReply {
+fn reply_to(now: MonotonicTime, prefix_index: &PrefixIndex, request: &BlockRequest) -> BlockReply {
     let among: Vec<&str> = request.among.iter().map(String::as_str).collect();
     let blocks = request.blocks.iter().map(|block| BlockBackends {
         block: *block,
-        backend_ids: prefix_index.newest_holders(now, *block, &among, MOST_HOLDERS),
+        backend_ids: prefix_index.most_recent_backends(now, *block, &among, MAX_BACKENDS_PER_BLOCK),
     });
     BlockReply {
         id: request.id,
@@ -139,10 +139,10 @@
 }
 
 fn merge(known: &mut BackendsByBlock, block: u64, backend_ids: Vec<String>) {
-    let holders = known.entry(block).or_default();
+    let found = known.entry(block).or_default();
     for id in backend_ids {
-        if !holders.contains(&id) {
-            holders.push(id);
+        if !found.contains(&id) {
+            found.push(id);
         }
     }
 }
--- a/crates/forward/src/quota/cluster_bucket.rs
+++ b/crates/forward/src/quota/cluster_bucket.rs
@@ -6,11 +6,11 @@
 /// Debt never exceeds this many bursts: whatever a peer tells must not shut a tenant out for long.
 /// What nodes admit at the same time stays far below it, and must not be forgiven: a tenant that
 /// presses on would exceed its quota by it again and again.
-const MOST_DEBT_BURSTS: f64 = 4.0;
+const MAX_DEBT_BURSTS: f64 = 4.0;
 
 /// Debt from a request itself never exceeds what the rate gives in this time: its size is what the caller
 /// says, and an absurd one must not shut a tenant out for good.
-const MOST_OWN_DEBT_S: f64 = 60.0;
+const MAX_OWN_DEBT_S: f64 = 60.0;
 
 /// What a node counts is a little more than what runs: requests that end before they run, and counts
 /// that cross on their way. A tenant under its quota must not be refused for it.
@@ -66,7 +66,7 @@
     pub fn admit(&mut self, now: MonotonicTime, tokens: u64) -> Result<(), Duration> {
         self.refill(now);
         if self.level > 0.0 {
-            let floor = -(self.figures.rate * MOST_OWN_DEBT_S).max(self.most_told_debt());
+            let floor = -(self.figures.rate * MAX_OWN_DEBT_S).max(self.max_reported_debt());
             self.level = (self.level - tokens as f64).max(floor);
             return Ok(());
         }
@@ -74,7 +74,7 @@
     }
 
     /// Gives back what a request took that never left for a backend.
-    pub fn give_back(&mut self, now: MonotonicTime, tokens: u64) {
+    pub fn refund(&mut self, now: MonotonicTime, tokens: u64) {
         self.refill(now);
         self.level = (self.level + tokens as f64).min(self.figures.burst);
     }
@@ -82,14 +82,14 @@
     /// Takes out what peers admitted, or puts back what was wrongly assumed of them.
     pub fn charge(&mut self, now: MonotonicTime, tokens: f64) {
         self.refill(now);
-        let floor = self.level.min(-self.most_told_debt());
+        let floor = self.level.min(-self.max_reported_debt());
         self.level = (self.level - tokens).clamp(floor, self.figures.burst);
     }
 
     /// Believes a peer that knows of less: for a node that has just started.
     pub fn lower_to(&mut self, now: MonotonicTime, level: f64) {
         self.refill(now);
-        self.level = self.level.min(level.max(-self.most_told_debt()));
+        self.level = self.level.min(level.max(-self.max_reported_debt()));
     }
 
     /// Moves a little towards what a peer believes to be left.
@@ -107,7 +107,7 @@
 
     /// Most tokens that a peer can be assumed to admit in a second.
     #[must_use]
-    pub fn most_rate(&self) -> f64 {
+    pub fn max_rate(&self) -> f64 {
         self.figures.rate
     }
 
@@ -122,8 +122,8 @@
         self.level(now) < self.figures.burst * share
     }
 
-    fn most_told_debt(&self) -> f64 {
-        self.figures.burst * MOST_DEBT_BURSTS
+    fn max_reported_debt(&self) -> f64 {
+        self.figures.burst * MAX_DEBT_BURSTS
     }
 
     fn refill(&mut self, now: MonotonicTime) {
--- a/crates/forward/src/quota/known_level.rs
+++ b/crates/forward/src/quota/level_estimate.rs
@@ -51,9 +51,9 @@
 pub struct LevelEstimate {
     figures: BucketFigures,
     level: f64,
-    told: MonotonicTime,
+    reported_at: MonotonicTime,
     admitted_per_second: f64,
-    admitted_alone: f64,
+    admitted_degraded: f64,
     fleet: FleetSize,
 }
 
@@ -67,9 +67,9 @@
         Self {
             figures,
             level: figures.burst * share,
-            told: now,
+            reported_at: now,
             admitted_per_second: figures.rate * (1.0 - share),
-            admitted_alone: 0.0,
+            admitted_degraded: 0.0,
             fleet,
         }
     }
@@ -85,9 +85,9 @@
         *self = Self {
             figures: BucketFigures::of(quota),
             level: grant.level_tokens as f64,
-            told: now,
+            reported_at: now,
             admitted_per_second: grant.admitted_per_second as f64,
-            admitted_alone: 0.0,
+            admitted_degraded: 0.0,
             fleet,
         };
     }
@@ -95,7 +95,7 @@
     /// The time until anything can be left, when certainly nothing is left now.
     #[must_use]
     pub fn certain_wait(&self, now: MonotonicTime) -> Option<Duration> {
-        let passed = now.since(self.told).as_secs_f64();
+        let passed = now.since(self.reported_at).as_secs_f64();
         let most = self.level + passed * self.figures.rate;
         (most <= 0.0).then(|| self.figures.wait(most))
     }
@@ -112,23 +112,23 @@
     pub fn admit_degraded(
         &mut self,
         now: MonotonicTime,
-        why: DegradedReason,
+        reason: DegradedReason,
         tokens: u64,
     ) -> Result<(), Duration> {
-        let passed = now.since(self.told).as_secs_f64();
-        let usual = self.admitted_per_second;
-        let unspent = self.level + passed * (self.figures.rate - usual);
-        let zone_usual = passed * usual * self.fleet.zone_share();
-        let nodes_alone = match why {
+        let passed = now.since(self.reported_at).as_secs_f64();
+        let expected_rate = self.admitted_per_second;
+        let unspent = self.level + passed * (self.figures.rate - expected_rate);
+        let zone_expected = passed * expected_rate * self.fleet.zone_share();
+        let degraded_nodes = match reason {
             DegradedReason::AnswerLost => 1,
             DegradedReason::OwnersUnreachable => self.fleet.in_zone.max(1),
         };
-        let zone_admitted = self.admitted_alone * nodes_alone as f64;
-        let left = unspent.min(self.figures.burst) + zone_usual - zone_admitted;
+        let zone_admitted = self.admitted_degraded * degraded_nodes as f64;
+        let left = unspent.min(self.figures.burst) + zone_expected - zone_admitted;
         if left <= 0.0 {
             return Err(self.figures.wait(left));
         }
-        self.admitted_alone += tokens as f64;
+        self.admitted_degraded += tokens as f64;
         Ok(())
     }
 }
--- a/crates/forward/src/quota/mod.rs
+++ b/crates/forward/src/quota/mod.rs
@@ -7,7 +7,7 @@
 
 pub mod cluster_bucket;
 pub mod grant;
-pub mod known_level;
+pub mod level_estimate;
 pub mod peer_usage;
 pub mod quota_client;
 pub mod tenant_quotas;
@@ -15,7 +15,7 @@
 
 pub use cluster_bucket::{BucketFigures, ClusterBucket};
 pub use grant::Grant;
-pub use known_level::{DegradedReason, FleetSize, LevelEstimate};
+pub use level_estimate::{DegradedReason, FleetSize, LevelEstimate};
 pub use peer_usage::PeerUsage;
 pub use quota_client::QuotaClient;
 pub use tenant_quotas::{PeerCount, TenantLevel, TenantQuotas};
--- a/crates/forward/src/quota/peer_usage.rs
+++ b/crates/forward/src/quota/peer_usage.rs
@@ -3,7 +3,7 @@
 use millford_core::{Duration, MonotonicTime};
 
 /// A peer that is silent for this long is assumed to go on as before.
-const SILENT_AFTER: Duration = Duration::from_millis(400);
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(400);
 
 /// Time constant with which the assumption fades: a peer that died admits nothing.
 pub const FADE_S: f64 = 4.0;
@@ -16,19 +16,19 @@
 
 /// A gap in the news longer than this means that the peer was cut off: a peer with nothing to tell
 /// is heard once a second.
-pub const CUT_OFF_GAP: Duration = Duration::from_millis(1500);
+pub const PARTITION_GAP: Duration = Duration::from_millis(1500);
 
 /// A peer that is heard again has heard of everybody else after this long.
-const SETTLED_AFTER: Duration = Duration::from_millis(1500);
+const STABLE_AFTER: Duration = Duration::from_millis(1500);
 
 /// Cumulative count of one peer, and what was assumed of it since it was heard last.
 #[derive(Clone, Debug)]
 pub struct PeerUsage {
     boot_id: u64,
     total: u64,
-    heard: MonotonicTime,
+    received_at: MonotonicTime,
     /// Since when it has been heard without a gap.
-    steady_since: MonotonicTime,
+    continuous_since: MonotonicTime,
     rate: f64,
     assumed: f64,
     assumed_until: MonotonicTime,
@@ -41,8 +41,8 @@
         Self {
             boot_id,
             total,
-            heard: now,
-            steady_since: now,
+            received_at: now,
+            continuous_since: now,
             rate: 0.0,
             assumed: 0.0,
             assumed_until: now,
@@ -50,7 +50,7 @@
     }
 
     /// A newer count. Gives the tokens to charge; less than 0 when more had been assumed.
-    pub fn heard(&mut self, boot_id: u64, total: u64, now: MonotonicTime) -> f64 {
+    pub fn record_count(&mut self, boot_id: u64, total: u64, now: MonotonicTime) -> f64 {
         // A restarted peer counts from 0 again.
         let former = if boot_id == self.boot_id {
             self.total
@@ -58,18 +58,18 @@
             0
         };
         let admitted = total.saturating_sub(former) as f64;
-        let silence = now.since(self.heard);
-        if silence > CUT_OFF_GAP || boot_id != self.boot_id {
-            self.steady_since = now;
+        let inactivity = now.since(self.received_at);
+        if inactivity > PARTITION_GAP || boot_id != self.boot_id {
+            self.continuous_since = now;
         }
-        let span = silence.as_secs_f64();
+        let span = inactivity.as_secs_f64();
         if span >= SHORTEST_SPAN_S {
             let newest = admitted / span;
             self.rate += (newest - self.rate) * NEWEST_SHARE;
         }
         self.boot_id = boot_id;
         self.total = total;
-        self.heard = now;
+        self.received_at = now;
         let assumed = std::mem::take(&mut self.assumed);
         self.assumed_until = now;
         admitted - assumed
@@ -78,18 +78,18 @@
     /// Whether the same process was heard lately, so that what it admitted since is known in full.
     #[must_use]
     pub fn is_continuous(&self, boot_id: u64, now: MonotonicTime) -> bool {
-        self.boot_id == boot_id && now.since(self.heard) <= CUT_OFF_GAP
+        self.boot_id == boot_id && now.since(self.received_at) <= PARTITION_GAP
     }
 
     /// Whether nothing was heard for so long that something should have been.
     #[must_use]
-    pub fn is_silent(&self, now: MonotonicTime) -> bool {
-        now.since(self.heard) >= SILENT_AFTER
+    pub fn is_unresponsive(&self, now: MonotonicTime) -> bool {
+        now.since(self.received_at) >= UNRESPONSIVE_AFTER
     }
 
     /// The peer admits nothing any more: others do in its place. Gives the tokens that were wrongly
     /// assumed.
-    pub fn forget_assumed(&mut self, now: MonotonicTime) -> f64 {
+    pub fn withdraw_assumed(&mut self, now: MonotonicTime) -> f64 {
         self.assumed_until = now;
         self.rate = 0.0;
         std::mem::take(&mut self.assumed)
@@ -97,20 +97,20 @@
 
     /// Whether what the peer believes can be trusted: it was neither cut off nor started lately.
     #[must_use]
-    pub fn is_settled(&self) -> bool {
-        self.heard.since(self.steady_since) >= SETTLED_AFTER
+    pub fn is_stable(&self) -> bool {
+        self.received_at.since(self.continuous_since) >= STABLE_AFTER
     }
 
     /// The tokens to charge for a peer that is silent: it may be cut off and admit as before, but not more
-    /// than `most_rate` a second.
-    pub fn assume(&mut self, now: MonotonicTime, most_rate: f64) -> f64 {
-        if !self.is_silent(now) {
+    /// than `max_rate` a second.
+    pub fn assume(&mut self, now: MonotonicTime, max_rate: f64) -> f64 {
+        if !self.is_unresponsive(now) {
             return 0.0;
         }
-        let silence = now.since(self.heard);
+        let inactivity = now.since(self.received_at);
         let span = now.since(self.assumed_until).as_secs_f64();
-        let fading = (-silence.as_secs_f64() / FADE_S).exp();
-        let tokens = self.rate.min(most_rate) * fading * span;
+        let fading = (-inactivity.as_secs_f64() / FADE_S).exp();
+        let tokens = self.rate.min(max_rate) * fading * span;
         self.assumed_until = now;
         self.assumed += tokens;
         tokens
--- a/crates/forward/src/quota/quota_client.rs
+++ b/crates/forward/src/quota/quota_client.rs
@@ -13,20 +13,20 @@
 use prometheus::{IntCounterVec, Opts};
 
 use super::grant::Grant;
-use super::known_level::{DegradedReason, FleetSize, LevelEstimate};
+use super::level_estimate::{DegradedReason, FleetSize, LevelEstimate};
 use super::tenant_quotas::{TenantQuotas, limiting};
-use crate::owners::peer_link::{Asked, lock};
-use crate::owners::{Answer, ByOwner, Owner, OwnerRing, PeerLink, Pending};
+use crate::owners::peer_link::{OwnerRoute, lock};
+use crate::owners::{ByOwner, InFlightRequests, Owner, OwnerReply, OwnerRing, PeerLink};
 
 /// Answers that come later than this after their time are not waited for: the owner is gone.
-const ANSWERED_WITHIN: Duration = Duration::from_secs(2);
+const LATE_RESPONSE_WINDOW: Duration = Duration::from_secs(2);
 
 /// Owners that are asked about one request, one after the other: each costs the usual time for an answer.
-const MOST_ASKED: usize = 3;
+const MAX_OWNERS_TRIED: usize = 3;
 
 /// What this node knows of one tenant that it does not own.
 #[derive(Clone, Copy, Debug)]
-struct Asking {
+struct TenantEstimate {
     known: LevelEstimate,
     /// Admitted here without an answer and charged by nobody, as far as is known; goes along with the next
     /// question. Less than 0 where an owner charged what was not admitted.
@@ -35,9 +35,9 @@
 
 /// A question whose answer did not come in time. If it comes yet, the owner has charged the tokens.
 #[derive(Clone, Debug)]
-struct Unanswered {
+struct TimedOutRequest {
     tenant: String,
-    given_up: MonotonicTime,
+    timed_out_at: MonotonicTime,
     tokens: u64,
     /// Tokens that the question brought along.
     carried: i64,
@@ -45,7 +45,7 @@
 
 /// A request that wants to be admitted.
 #[derive(Clone, Copy, Debug)]
-struct Wanted<'a> {
+struct Admission<'a> {
     tenant: &'a str,
     quota: &'a TokenQuota,
     tokens: u64,
@@ -56,9 +56,9 @@
 /// Tenants that this node asks owners about.
 #[derive(Debug)]
 pub struct QuotaClient {
-    asking: Mutex<BTreeMap<String, Asking>>,
+    estimates: Mutex<BTreeMap<String, TenantEstimate>>,
     degraded_decisions: IntCounterVec,
-    unanswered: Mutex<BTreeMap<u64, Unanswered>>,
+    timed_out: Mutex<BTreeMap<u64, TimedOutRequest>>,
 }
 
 impl Default for QuotaClient {
@@ -67,9 +67,9 @@
         let options = Opts::new("millford_proxy_quota_decided_alone", help);
         let degraded_decisions = IntCounterVec::new(options, &["reason"]);
         Self {
-            asking: Mutex::default(),
+            estimates: Mutex::default(),
             degraded_decisions: degraded_decisions.expect("the name and the label are valid"),
-            unanswered: Mutex::default(),
+            timed_out: Mutex::default(),
         }
     }
 }
@@ -98,35 +98,35 @@
         let Some(quota) = limiting(tenant) else {
             return Ok(());
         };
-        let wanted = Wanted {
+        let request = Admission {
             tenant: &tenant.name,
             quota,
             tokens,
             fleet: ring.size_for(zone),
         };
-        let mut asked_before = Vec::with_capacity(MOST_ASKED);
-        for _ in 0..MOST_ASKED {
+        let mut tried = Vec::with_capacity(MAX_OWNERS_TRIED);
+        for _ in 0..MAX_OWNERS_TRIED {
             let now = monotonic_now();
-            let owner = owner_to_ask(now, link, ring, zone, &tenant.name, &asked_before);
+            let owner = next_owner(now, link, ring, zone, &tenant.name, &tried);
             let Some(owner) = owner else {
                 break;
             };
-            if link.way_to(owner) == Asked::Itself {
+            if link.route_to(owner) == OwnerRoute::Local {
                 let grant = quotas.grant(now, tenant, tokens, 0);
                 return grant.map_or(Ok(()), |grant| grant.decision);
             }
-            let carried = self.begin(now, wanted)?;
-            if let Some(grant) = self.ask(link, owner, wanted, carried).await {
-                return self.take(monotonic_now(), wanted, grant);
+            let carried = self.begin(now, request)?;
+            if let Some(grant) = self.ask(link, owner, request, carried).await {
+                return self.take(monotonic_now(), request, grant);
             }
-            asked_before.push(owner.name.as_str());
+            tried.push(owner.name.as_str());
         }
         let now = monotonic_now();
-        let why = match owner_to_ask(now, link, ring, zone, &tenant.name, &[]) {
+        let reason = match next_owner(now, link, ring, zone, &tenant.name, &[]) {
             Some(_) => DegradedReason::AnswerLost,
             None => DegradedReason::OwnersUnreachable,
         };
-        self.admit_degraded(now, wanted, why)
+        self.admit_degraded(now, request, reason)
     }
 
     /// Asks an owner. Nothing: its answer did not come in time.
@@ -134,25 +134,25 @@
         &self,
         link: &PeerLink,
         owner: &Owner,
-        wanted: Wanted<'_>,
+        request: Admission<'_>,
         carried: i64,
     ) -> Option<Option<Grant>> {
-        let pending = question_to(link, owner, wanted, carried);
+        let pending = send_request(link, owner, request, carried);
         let id = pending.first_id().unwrap_or_default();
-        let answer = link.wait(pending).await.pop();
-        if let Some(Answer::Quota(grant)) = answer {
+        let reply = link.wait(pending).await.pop();
+        if let Some(OwnerReply::Quota(grant)) = reply {
             return Some(grant);
         }
         let now = monotonic_now();
-        let unanswered = Unanswered {
-            tenant: wanted.tenant.to_owned(),
-            given_up: now,
-            tokens: wanted.tokens,
+        let timed_out = TimedOutRequest {
+            tenant: request.tenant.to_owned(),
+            timed_out_at: now,
+            tokens: request.tokens,
             carried,
         };
-        lock(&self.unanswered).insert(id, unanswered);
-        self.change(now, wanted, |asking| {
-            asking.uncharged = asking.uncharged.saturating_add(carried);
+        lock(&self.timed_out).insert(id, timed_out);
+        self.change(now, request, |estimates| {
+            estimates.uncharged = estimates.uncharged.saturating_add(carried);
         });
         None
     }
@@ -180,65 +180,70 @@
         datagram: &PeerMessage,
     ) -> bool {
         let now = monotonic_now();
-        if let Some(question) = &datagram.admission_request {
+        if let Some(timed_out) = &datagram.admission_request {
             let mut reply = link.datagram();
-            reply.admission_reply = Some(answer_to(now, table, quotas, question));
+            reply.admission_reply = Some(reply_to(now, table, quotas, timed_out));
             link.send(from, &reply);
             return true;
         }
-        let Some(answer) = &datagram.admission_reply else {
+        let Some(reply) = &datagram.admission_reply else {
             return false;
         };
-        let grant = grant_of(answer);
-        if !link.answered(now, answer.id, Answer::Quota(grant)) {
-            self.answered_late(answer.id, grant);
+        let grant = grant_of(reply);
+        if !link.complete(now, reply.id, OwnerReply::Quota(grant)) {
+            self.complete_late(reply.id, grant);
         }
         true
     }
 
     /// Forgets what is old.
     pub fn expire(&self, now: MonotonicTime) {
-        lock(&self.unanswered).retain(|_, question| now.since(question.given_up) < ANSWERED_WITHIN);
+        lock(&self.timed_out)
+            .retain(|_, timed_out| now.since(timed_out.timed_out_at) < LATE_RESPONSE_WINDOW);
     }
 
     /// The owner charged what this node counted as uncharged.
-    fn answered_late(&self, id: u64, grant: Option<Grant>) {
-        let Some(question) = lock(&self.unanswered).remove(&id) else {
+    fn complete_late(&self, id: u64, grant: Option<Grant>) {
+        let Some(timed_out) = lock(&self.timed_out).remove(&id) else {
             return;
         };
         let Some(grant) = grant else {
             return;
         };
         let admitted = match grant.decision {
-            Ok(()) => tokens_of(question.tokens),
+            Ok(()) => tokens_of(timed_out.tokens),
             Err(_) => 0,
         };
-        if let Some(asking) = lock(&self.asking).get_mut(&question.tenant) {
-            let charged = question.carried.saturating_add(admitted);
-            asking.uncharged = asking.uncharged.saturating_sub(charged);
+        if let Some(estimates) = lock(&self.estimates).get_mut(&timed_out.tenant) {
+            let charged = timed_out.carried.saturating_add(admitted);
+            estimates.uncharged = estimates.uncharged.saturating_sub(charged);
         }
     }
 
     /// What the next question has to bring along, unless it is certain what its answer would be.
-    fn begin(&self, now: MonotonicTime, wanted: Wanted<'_>) -> Result<i64, Duration> {
-        self.change(now, wanted, |asking| match asking.known.certain_wait(now) {
-            Some(wait) => Err(wait),
-            None => Ok(std::mem::take(&mut asking.uncharged)),
+    fn begin(&self, now: MonotonicTime, request: Admission<'_>) -> Result<i64, Duration> {
+        self.change(now, request, |estimates| {
+            match estimates.known.certain_wait(now) {
+                Some(wait) => Err(wait),
+                None => Ok(std::mem::take(&mut estimates.uncharged)),
+            }
         })
     }
 
     fn take(
         &self,
         now: MonotonicTime,
-        wanted: Wanted<'_>,
+        request: Admission<'_>,
         grant: Option<Grant>,
     ) -> Result<(), Duration> {
         let Some(grant) = grant else {
             // The owner has not heard of the quota yet.
-            return self.admit_degraded(now, wanted, DegradedReason::AnswerLost);
+            return self.admit_degraded(now, request, DegradedReason::AnswerLost);
         };
-        self.change(now, wanted, |asking| {
-            asking.known.take(now, wanted.quota, wanted.fleet, &grant);
+        self.change(now, request, |estimates| {
+            estimates
+                .known
+                .take(now, request.quota, request.fleet, &grant);
         });
         grant.decision
     }
@@ -246,15 +251,19 @@
     fn admit_degraded(
         &self,
         now: MonotonicTime,
-        wanted: Wanted<'_>,
-        why: DegradedReason,
+        request: Admission<'_>,
+        reason: DegradedReason,
     ) -> Result<(), Duration> {
         self.degraded_decisions
-            .with_label_values(&[why.name()])
+            .with_label_values(&[reason.name()])
             .inc();
-        self.change(now, wanted, |asking| {
-            asking.known.admit_degraded(now, why, wanted.tokens)?;
-            asking.uncharged = asking.uncharged.saturating_add(tokens_of(wanted.tokens));
+        self.change(now, request, |estimates| {
+            estimates
+                .known
+                .admit_degraded(now, reason, request.tokens)?;
+            estimates.uncharged = estimates
+                .uncharged
+                .saturating_add(tokens_of(request.tokens));
             Ok(())
         })
     }
@@ -262,76 +271,76 @@
     fn change<T>(
         &self,
         now: MonotonicTime,
-        wanted: Wanted<'_>,
-        change: impl FnOnce(&mut Asking) -> T,
+        request: Admission<'_>,
+        change: impl FnOnce(&mut TenantEstimate) -> T,
     ) -> T {
-        let mut all = lock(&self.asking);
-        let asking = all
-            .entry(wanted.tenant.to_owned())
-            .or_insert_with(|| Asking {
-                known: LevelEstimate::unknown(wanted.quota, wanted.fleet, now),
+        let mut all = lock(&self.estimates);
+        let estimates = all
+            .entry(request.tenant.to_owned())
+            .or_insert_with(|| TenantEstimate {
+                known: LevelEstimate::unknown(request.quota, request.fleet, now),
                 uncharged: 0,
             });
-        change(asking)
+        change(estimates)
     }
 }
 
 /// The first owner that is believed to answer, of this zone before the others, passing over those that were
 /// asked in vain for this very request.
-fn owner_to_ask<'a>(
+fn next_owner<'a>(
     now: MonotonicTime,
     link: &PeerLink,
     ring: &'a OwnerRing,
     zone: &str,
     tenant: &str,
-    asked_before: &[&str],
+    tried: &[&str],
 ) -> Option<&'a Owner> {
     let first_sound = |mut owners: Vec<&'a Owner>| {
-        owners.retain(|owner| !asked_before.contains(&owner.name.as_str()));
-        link.sound(now, &owners)
+        owners.retain(|owner| !tried.contains(&owner.name.as_str()));
+        link.first_responsive(now, &owners)
     };
     first_sound(ring.owners_of_tenant_in(zone, tenant))
         .or_else(|| first_sound(ring.owners_of_tenant_outside(zone, tenant)))
 }
 
-fn question_to(
+fn send_request(
     link: &PeerLink,
     owner: &Owner,
-    wanted: Wanted<'_>,
+    request: Admission<'_>,
     uncharged_tokens: i64,
-) -> Pending {
+) -> InFlightRequests {
     let mut questions = ByOwner::default();
-    questions.add(owner, wanted.tenant.to_owned());
-    link.send_questions(questions, |id, tenants, datagram| {
-        let question = tenants.into_iter().next().map(|tenant| AdmissionRequest {
+    questions.add(owner, request.tenant.to_owned());
+    link.send_requests(questions, |id, tenants, datagram| {
+        let timed_out = tenants.into_iter().next().map(|tenant| AdmissionRequest {
             id,
             tenant,
-            tokens: wanted.tokens,
+            tokens: request.tokens,
             uncharged_tokens,
         });
-        datagram.admission_request = question;
+        datagram.admission_request = timed_out;
     })
 }
 
-fn answer_to(
+fn reply_to(
     now: MonotonicTime,
     table: &RoutingTable,
     quotas: &TenantQuotas,
-    question: &AdmissionRequest,
+    timed_out: &AdmissionRequest,
 ) -> AdmissionReply {
-    let tenant = table.tenant_named(&question.tenant);
+    let tenant = table.tenant_named(&timed_out.tenant);
     let grant = tenant
-        .and_then(|tenant| quotas.grant(now, tenant, question.tokens, question.uncharged_tokens));
+        .and_then(|tenant| quotas.grant(now, tenant, timed_out.tokens, timed_out.uncharged_tokens));
     let Some(grant) = grant else {
         return AdmissionReply {
-            id: question.id,
+            id: timed_out.id,
             unlimited: true,
             ..AdmissionReply::default()
         };
     };
     let wait = grant.decision.err().unwrap_or_default();
     AdmissionReply {
-        id: question.id,
+        id: timed_out.id,
         unlimited: false,
         admitted: grant.decision.is_ok(),
         retry_after_us: u64::try_from(wait.as_micros()).unwrap_or(u64::MAX),
@@ -340,12 +349,12 @@
     }
 }
 
-fn grant_of(answer: &AdmissionReply) -> Option<Grant> {
-    let wait = Duration::from_micros(answer.retry_after_us);
-    (!answer.unlimited).then_some(Grant {
-        decision: if answer.admitted { Ok(()) } else { Err(wait) },
-        level_tokens: answer.level_tokens,
-        admitted_per_second: answer.admitted_tokens_per_second,
+fn grant_of(reply: &AdmissionReply) -> Option<Grant> {
+    let wait = Duration::from_micros(reply.retry_after_us);
+    (!reply.unlimited).then_some(Grant {
+        decision: if reply.admitted { Ok(()) } else { Err(wait) },
+        level_tokens: reply.level_tokens,
+        admitted_per_second: reply.admitted_tokens_per_second,
     })
 }
 
--- a/crates/forward/src/quota/tenant_quotas.rs
+++ b/crates/forward/src/quota/tenant_quotas.rs
@@ -10,20 +10,20 @@
 
 use super::cluster_bucket::ClusterBucket;
 use super::grant::Grant;
-use super::peer_usage::{CUT_OFF_GAP, PeerUsage};
+use super::peer_usage::{PARTITION_GAP, PeerUsage};
 use super::usage_meter::UsageMeter;
 
 /// Number of shards; a power of two.
 const QUOTA_SHARDS: usize = 16;
 
 /// Share of the burst below which few peers hear of each admission at once.
-const LOW_SHARE: f64 = 0.95;
+const URGENT_LEVEL_SHARE: f64 = 0.95;
 
 /// Part of the burst that an owner may have granted before the other owners hear of it at once.
-const MOST_UNTOLD: f64 = 1.0 / 32.0;
+const MAX_UNREPORTED_SHARE: f64 = 1.0 / 32.0;
 
 /// A node that has run for less takes over what its peers believe to be left.
-const YOUNG_FOR: Duration = Duration::from_secs(2);
+const WARM_UP_TIME: Duration = Duration::from_secs(2);
 
 /// One tenant's count as a peer tells it.
 #[derive(Clone, Copy, Debug)]
@@ -72,11 +72,11 @@
     since: MonotonicTime,
     used: u64,
     /// Granted since the other owners were told.
-    untold: u64,
+    unreported: u64,
     /// Last news of another owner.
-    owner_heard: MonotonicTime,
+    owner_received_at: MonotonicTime,
     /// Until then another owner's belief goes before this node's, which may have missed grants.
-    unsure_until: MonotonicTime,
+    defers_until: MonotonicTime,
     peers: BTreeMap<String, Peer>,
 }
 
@@ -88,9 +88,9 @@
             meter: UsageMeter::new(now),
             since: now,
             used: 0,
-            untold: 0,
-            owner_heard: now,
-            unsure_until: now + YOUNG_FOR,
+            unreported: 0,
+            owner_received_at: now,
+            defers_until: now + WARM_UP_TIME,
             peers: BTreeMap::new(),
         }
     }
@@ -100,9 +100,9 @@
         self.meter.add(now, tokens);
     }
 
-    fn count_own(&mut self, now: MonotonicTime, tokens: u64) {
+    fn record_own(&mut self, now: MonotonicTime, tokens: u64) {
         self.used = self.used.saturating_add(tokens);
-        self.untold = self.untold.saturating_add(tokens);
+        self.unreported = self.unreported.saturating_add(tokens);
         self.meter.add(now, tokens as f64);
     }
 
@@ -111,19 +111,21 @@
     /// Where news were missed, what was admitted meanwhile is past, and was partly refilled since:
     /// the lower belief counts, and not the sum.
     fn owner_count(&mut self, now: MonotonicTime, count: &PeerCount<'_>, zone: &str) {
-        if now.since(self.owner_heard) > CUT_OFF_GAP {
-            self.unsure_until = now + YOUNG_FOR;
+        if now.since(self.owner_received_at) > PARTITION_GAP {
+            self.defers_until = now + WARM_UP_TIME;
         }
-        self.owner_heard = now;
+        self.owner_received_at = now;
         let level = count.level_tokens as f64;
         let known = self.peers.get_mut(count.member);
         let continuous = known.filter(|peer| peer.usage.is_continuous(count.boot_id, now));
         if let Some(peer) = continuous {
             peer.owner_zone = Some(zone.to_owned());
-            let charge = peer.usage.heard(count.boot_id, count.used_tokens, now);
-            let is_settled = peer.usage.is_settled();
+            let charge = peer
+                .usage
+                .record_count(count.boot_id, count.used_tokens, now);
+            let is_stable = peer.usage.is_stable();
             self.charge(now, charge);
-            if is_settled {
+            if is_stable {
                 self.bucket.agree(now, level);
             }
         } else {
@@ -132,12 +134,12 @@
                 owner_zone: Some(zone.to_owned()),
             };
             self.peers.insert(count.member.to_owned(), peer);
-            match has_just_begun(count) {
+            match is_recent(count) {
                 true => self.charge(now, count.used_tokens as f64),
                 false => self.bucket.lower_to(now, level),
             }
         }
-        if now < self.unsure_until {
+        if now < self.defers_until {
             self.bucket.lower_to(now, level);
         }
     }
@@ -148,19 +150,19 @@
         let heard = self
             .peers
             .values()
-            .filter(|peer| !peer.usage.is_silent(now));
+            .filter(|peer| !peer.usage.is_unresponsive(now));
         let mut heard: BTreeSet<String> =
             heard.filter_map(|peer| peer.owner_zone.clone()).collect();
         heard.insert(own_zone.to_owned());
-        let most_rate = self.bucket.most_rate();
+        let max_rate = self.bucket.max_rate();
         let mut assumed = 0.0;
         for peer in self.peers.values_mut() {
             let zone = peer.owner_zone.as_ref();
             let replaced = zone.is_some_and(|zone| heard.contains(zone));
-            if replaced && peer.usage.is_silent(now) {
-                assumed -= peer.usage.forget_assumed(now);
+            if replaced && peer.usage.is_unresponsive(now) {
+                assumed -= peer.usage.withdraw_assumed(now);
             } else {
-                assumed += peer.usage.assume(now, most_rate);
+                assumed += peer.usage.assume(now, max_rate);
             }
         }
         if assumed != 0.0 {
@@ -170,8 +172,8 @@
 }
 
 /// Whether all that a peer counted is news.
-fn has_just_begun(count: &PeerCount<'_>) -> bool {
-    count.counted_for.is_none_or(|since| since < YOUNG_FOR)
+fn is_recent(count: &PeerCount<'_>) -> bool {
+    count.counted_for.is_none_or(|since| since < WARM_UP_TIME)
 }
 
 type QuotaShard = BTreeMap<String, TenantState>;
@@ -210,8 +212,8 @@
         let mut shard = self.lock(&tenant.name);
         let state = state_of(&mut shard, &tenant.name, quota, now);
         state.bucket.admit(now, tokens)?;
-        state.count_own(now, tokens);
-        if state.bucket.is_below(now, LOW_SHARE) {
+        state.record_own(now, tokens);
+        if state.bucket.is_below(now, URGENT_LEVEL_SHARE) {
             self.urgent.notify_one();
         }
         Ok(())
@@ -231,12 +233,14 @@
         let state = state_of(&mut shard, &tenant.name, quota, now);
         state.bucket.charge(now, uncharged as f64);
         // What was charged in vain the other owners, who go by the cumulative count, keep charged.
-        state.count_own(now, u64::try_from(uncharged).unwrap_or(0));
+        state.record_own(now, u64::try_from(uncharged).unwrap_or(0));
         let decision = state.bucket.admit(now, tokens);
         if decision.is_ok() {
-            state.count_own(now, tokens);
+            state.record_own(now, tokens);
         }
-        if state.untold as f64 > quota.burst.max(quota.tokens_per_second) as f64 * MOST_UNTOLD {
+        if state.unreported as f64
+            > quota.burst.max(quota.tokens_per_second) as f64 * MAX_UNREPORTED_SHARE
+        {
             self.urgent.notify_one();
         }
         Some(Grant {
@@ -247,9 +251,9 @@
     }
 
     /// The other owners of a tenant were told what this node granted.
-    pub fn told(&self, tenant: &str) {
+    pub fn mark_reported(&self, tenant: &str) {
         if let Some(state) = self.lock(tenant).get_mut(tenant) {
-            state.untold = 0;
+            state.unreported = 0;
         }
     }
 
@@ -260,17 +264,17 @@
 
     /// Gives back what a request took that never left for a backend. The peers, who go by the
     /// cumulative count, keep it charged.
-    pub fn give_back(&self, now: MonotonicTime, tenant: &Tenant, tokens: u64) {
+    pub fn refund(&self, now: MonotonicTime, tenant: &Tenant, tokens: u64) {
         let mut shard = self.lock(&tenant.name);
         if let Some(state) = shard.get_mut(&tenant.name) {
             let tokens = tokens.min(state.used);
-            state.bucket.give_back(now, tokens);
+            state.bucket.refund(now, tokens);
         }
     }
 
     /// A peer told a tenant's count.
     pub fn apply_peer_count(&self, now: MonotonicTime, quota: &TokenQuota, count: PeerCount<'_>) {
-        let young = self.is_young(now);
+        let warming_up = self.is_warming_up(now);
         let mut shard = self.lock(count.tenant);
         let state = state_of(&mut shard, count.tenant, quota, now);
         if let Some(zone) = count.owner_zone {
@@ -280,10 +284,12 @@
         match state.peers.get_mut(count.member) {
             Some(peer) => {
                 peer.owner_zone = None;
-                let charge = peer.usage.heard(count.boot_id, count.used_tokens, now);
-                let is_settled = peer.usage.is_settled();
+                let charge = peer
+                    .usage
+                    .record_count(count.boot_id, count.used_tokens, now);
+                let is_stable = peer.usage.is_stable();
                 state.charge(now, charge);
-                if is_settled {
+                if is_stable {
                     state.bucket.agree(now, count.level_tokens as f64);
                 }
             }
@@ -293,7 +299,7 @@
                     owner_zone: None,
                 };
                 state.peers.insert(count.member.to_owned(), peer);
-                if young || !has_just_begun(&count) {
+                if warming_up || !is_recent(&count) {
                     state.bucket.lower_to(now, count.level_tokens as f64);
                 } else {
                     state.charge(now, count.used_tokens as f64);
@@ -329,9 +335,9 @@
     }
 
     /// Whether this node has only just begun to count.
-    fn is_young(&self, now: MonotonicTime) -> bool {
+    fn is_warming_up(&self, now: MonotonicTime) -> bool {
         let mut started = self.started.lock().unwrap_or_else(PoisonError::into_inner);
-        now.since(*started.get_or_insert(now)) < YOUNG_FOR
+        now.since(*started.get_or_insert(now)) < WARM_UP_TIME
     }
 
     fn lock(&self, tenant: &str) -> MutexGuard<'_, QuotaShard> {
--- a/crates/forward/src/quota/usage_meter.rs
+++ b/crates/forward/src/quota/usage_meter.rs
@@ -3,7 +3,7 @@
 use millford_core::MonotonicTime;
 
 /// Time constant of the mean, in seconds. Shorter than the windows that quotas are meant over.
-const MEAN_OVER_S: f64 = 2.0;
+const MEAN_TIME_CONSTANT_S: f64 = 2.0;
 
 /// Exponentially weighted mean rate.
 #[derive(Clone, Copy, Debug)]
@@ -32,12 +32,12 @@
     /// Tokens a second.
     pub fn rate(&mut self, now: MonotonicTime) -> f64 {
         self.decay(now);
-        self.weighted / MEAN_OVER_S
+        self.weighted / MEAN_TIME_CONSTANT_S
     }
 
     fn decay(&mut self, now: MonotonicTime) {
         let passed = now.since(self.updated).as_secs_f64();
-        self.weighted *= (-passed / MEAN_OVER_S).exp();
+        self.weighted *= (-passed / MEAN_TIME_CONSTANT_S).exp();
         self.updated = now;
     }
 }
--- a/crates/forward/src/request/attempt.rs
+++ b/crates/forward/src/request/attempt.rs
@@ -11,7 +11,7 @@
 use millford_routing::{EjectionReason, InFlightGuard};
 
 use crate::backend::connection::SendError;
-use crate::backend::connection_pools::{AcquireError, Lease};
+use crate::backend::connection_pools::{AcquireError, PooledConnection};
 use crate::backend::health_watch::ejection_reason;
 use crate::mechanism::Mechanism;
 use crate::millford_protocol::number;
@@ -25,7 +25,7 @@
 const EQUAL_URGENCY: u32 = 5;
 
 /// Connections that had ended before anything left that one attempt may meet.
-const MOST_STALE_CONNECTIONS: u32 = 3;
+const MAX_STALE_CONNECTIONS: u32 = 3;
 
 /// An answer whose head has arrived, with all that it holds.
 #[derive(Debug)]
@@ -33,9 +33,9 @@
     /// Where it comes from.
     pub target: Target,
     /// Counts the request.
-    pub ticket: InFlightGuard,
+    pub in_flight: InFlightGuard,
     /// The connection.
-    pub lease: Lease,
+    pub pooled: PooledConnection,
     /// What the headers say.
     pub facts: ResponseFacts,
     /// Head and body.
@@ -78,17 +78,20 @@
     let tokens = target.uncached_tokens;
     let queued_tokens = target.belief.queued_tokens.saturating_add(tokens);
     let streams = target.belief.streams;
-    let ticket = node.state.board.start(target.key.clone(), tokens);
+    let in_flight = node.state.board.start(target.key.clone(), tokens);
     node.prefix_index.record_dispatch(
         monotonic_now(),
         &id,
         &plan.facts.prefix_blocks,
         shareable_blocks(plan).len(),
     );
-    let most = node.connection_share(target.max_connections);
-    for _ in 0..MOST_STALE_CONNECTIONS {
-        let acquired = node.connections.acquire(&id, &target.address, most).await;
-        let mut lease = acquired.map_err(|error| unreachable_backend(node, &id, error))?;
+    let max_connections = node.connection_share(target.max_connections);
+    for _ in 0..MAX_STALE_CONNECTIONS {
+        let acquired = node
+            .connections
+            .acquire(&id, &target.address, max_connections)
+            .await;
+        let mut pooled = acquired.map_err(|error| unreachable_backend(node, &id, error))?;
         let now = monotonic_now();
         let time_left = plan.deadline.since(now);
         if time_left.is_zero() {
@@ -96,7 +99,7 @@
         }
         let request = request_for(node, plan, &id, time_left, resume_after)?;
         node.state.health.record_dispatch(&id, now);
-        let Some(connection) = lease.connection() else {
+        let Some(connection) = pooled.connection() else {
             return Err(AttemptFailure::NotSent);
         };
         let sending = connection.send(request);
@@ -111,14 +114,14 @@
             Ok(response) => response,
             // The backend had closed the kept connection: a fresh one may do.
             Err(SendError::Unsent(_)) => continue,
-            Err(SendError::Lost) => return Err(lost(node, &id, lease.is_reused())),
+            Err(SendError::Lost) => return Err(connection_lost(node, &id, pooled.is_reused())),
         };
         node.heard(&id, monotonic_now());
         let facts = node.protocol.read_response(response.headers());
         let opened = Opened {
             target,
-            ticket,
-            lease,
+            in_flight,
+            pooled,
             facts,
             response,
             sent: now,
@@ -212,7 +215,7 @@
     id: &str,
     error: AcquireError,
 ) -> AttemptFailure {
-    if error != AcquireError::NoRoom {
+    if error != AcquireError::AtLimit {
         node.eject(id, ejection_reason(error));
     }
     AttemptFailure::NotSent
@@ -220,9 +223,13 @@
 
 /// The connection broke with the request on it. On a kept connection this may have been its
 /// ordinary end, which says nothing about the backend.
-fn lost<P: ForwardProtocol>(node: &ForwardNode<P>, id: &str, reused: bool) -> AttemptFailure {
+fn connection_lost<P: ForwardProtocol>(
+    node: &ForwardNode<P>,
+    id: &str,
+    reused: bool,
+) -> AttemptFailure {
     if !reused {
-        node.connections.forget_idle(id);
+        node.connections.close_idle(id);
     }
     AttemptFailure::Lost(ResultCode::BackendLost)
 }
--- a/crates/forward/src/request/candidates.rs
+++ b/crates/forward/src/request/candidates.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::node::ForwardNode;
-use crate::parts::BackendsByBlock;
+use crate::prefix_index::BackendsByBlock;
 use crate::protocol::ForwardProtocol;
 use crate::request::plan::Plan;
 
@@ -15,14 +15,14 @@
 const HOME_SAVING: f64 = 0.3;
 
 /// Pools of at most this many backends are looked at whole.
-const LOOK_AT_ALL: usize = 8;
+const MAX_FULL_SCAN: usize = 8;
 
 /// Most backends looked at because they save reading.
-const MOST_SAVING: usize = 4;
+const MAX_CACHED_CANDIDATES: usize = 4;
 
 /// Backends looked at beside these. With counts of the moment the longest queue shrinks steeply with the
 /// second draw and slowly after; more draws find idle backends for prompts whose home is busy.
-const DRAWN_AT_RANDOM: usize = 4;
+const RANDOM_CANDIDATES: usize = 4;
 
 /// Backends that take new work and were not tried; ejected ones only when there are no others.
 pub fn usable<'a, P: ForwardProtocol>(
@@ -31,11 +31,11 @@
     plan: &Plan,
     tried: &[String],
 ) -> Vec<&'a ServingReplica> {
-    let wanted = ModelRequest {
+    let requested = ModelRequest {
         model: plan.facts.model.clone(),
         ..ModelRequest::default()
     };
-    let mut candidates = pool.candidates(&wanted);
+    let mut candidates = pool.candidates(&requested);
     if candidates.is_empty() {
         // Backends that declare no model take whatever their pool's routes send.
         candidates = pool.candidates(&ModelRequest::default());
@@ -51,20 +51,21 @@
 /// Candidates to look at, by their place: those where least is read again, then others at random.
 pub fn shortlist(
     candidates: &[&ServingReplica],
-    again: &[u64],
+    reread: &[u64],
     random: &mut impl Rng,
 ) -> Vec<usize> {
-    if candidates.len() <= LOOK_AT_ALL {
+    if candidates.len() <= MAX_FULL_SCAN {
         return (0..candidates.len()).collect();
     }
-    let (least, most) = (again.iter().min(), again.iter().max());
-    let saves = |index: &usize| least != most && Some(&again[*index]) == least;
-    let (mut saving, mut others): (Vec<usize>, Vec<usize>) = (0..candidates.len()).partition(saves);
-    saving.partial_shuffle(random, MOST_SAVING);
-    saving.truncate(MOST_SAVING);
-    let (drawn, _) = others.partial_shuffle(random, DRAWN_AT_RANDOM);
-    saving.extend_from_slice(drawn);
-    saving
+    let (least, most) = (reread.iter().min(), reread.iter().max());
+    let caches = |index: &usize| least != most && Some(&reread[*index]) == least;
+    let (mut caching, mut others): (Vec<usize>, Vec<usize>) =
+        (0..candidates.len()).partition(caches);
+    caching.partial_shuffle(random, MAX_CACHED_CANDIDATES);
+    caching.truncate(MAX_CACHED_CANDIDATES);
+    let (drawn, _) = others.partial_shuffle(random, RANDOM_CANDIDATES);
+    caching.extend_from_slice(drawn);
+    caching
 }
 
 /// For each candidate, the tokens of the most special shared part that it would read although another
@@ -73,27 +74,27 @@
 ///
 /// The beginnings that many prompts have in common are soon kept everywhere; what is to stay in one
 /// place is the part that few prompts share.
-pub fn read_again(
-    special: Option<&PrefixBlock>,
-    holders: &BackendsByBlock,
+pub fn reread_tokens(
+    specific: Option<&PrefixBlock>,
+    locations: &BackendsByBlock,
     candidates: &[&ServingReplica],
 ) -> Vec<u64> {
-    let Some(special) = special else {
+    let Some(specific) = specific else {
         return vec![0; candidates.len()];
     };
     let ids: Vec<&str> = candidates
         .iter()
         .map(|replica| replica.backend.id.as_str())
         .collect();
-    let kept_by = |id: &str| is_kept(holders, special.id, id);
-    let home = match ids.iter().any(|id| kept_by(id)) {
+    let cached_on = |id: &str| is_cached(locations, specific.id, id);
+    let home = match ids.iter().any(|id| cached_on(id)) {
         true => None,
-        false => home_of(special, &ids),
+        false => home_of(specific, &ids),
     };
-    let tokens = u64::from(special.tokens);
+    let tokens = u64::from(specific.tokens);
     let saved_at_home = (tokens as f64 * HOME_SAVING) as u64;
-    let again = ids.iter().enumerate().map(|(index, id)| {
-        if kept_by(id) {
+    let reread = ids.iter().enumerate().map(|(index, id)| {
+        if cached_on(id) {
             0
         } else if home == Some(index) {
             tokens - saved_at_home
@@ -101,24 +102,24 @@
             tokens
         }
     });
-    again.collect()
+    reread.collect()
 }
 
-fn is_kept(holders: &BackendsByBlock, part: u64, backend_id: &str) -> bool {
-    let holders = holders.get(&part);
-    holders.is_some_and(|holders| holders.iter().any(|holder| holder == backend_id))
+fn is_cached(locations: &BackendsByBlock, block: u64, backend_id: &str) -> bool {
+    let locations = locations.get(&block);
+    locations.is_some_and(|locations| locations.iter().any(|backend| backend == backend_id))
 }
 
 /// Tokens of the parts that a backend keeps, each with all parts before it.
-pub fn cached_tokens(parts: &[PrefixBlock], holders: &BackendsByBlock, backend_id: &str) -> u64 {
-    let kept = parts
+pub fn cached_tokens(blocks: &[PrefixBlock], locations: &BackendsByBlock, backend_id: &str) -> u64 {
+    let cached = blocks
         .iter()
-        .take_while(|part| is_kept(holders, part.id, backend_id));
-    kept.map(|part| u64::from(part.tokens)).sum()
+        .take_while(|block| is_cached(locations, block.id, backend_id));
+    cached.map(|block| u64::from(block.tokens)).sum()
 }
 
-fn home_of(part: &PrefixBlock, ids: &[&str]) -> Option<usize> {
-    let key = xxh3_64(&part.id.to_be_bytes());
+fn home_of(block: &PrefixBlock, ids: &[&str]) -> Option<usize> {
+    let key = xxh3_64(&block.id.to_be_bytes());
     let scores = ids
         .iter()
         .enumerate()
--- a/crates/forward/src/request/choose.rs
+++ b/crates/forward/src/request/choose.rs
@@ -6,11 +6,10 @@
 
 use crate::mechanism::Mechanism;
 use crate::node::ForwardNode;
-use crate::owners::{OwnerRing, Pending};
-use crate::parts::BackendsByBlock;
-use crate::parts::shared_parts as parts;
+use crate::owners::{InFlightRequests, OwnerRing};
+use crate::prefix_index::{self, BackendsByBlock};
 use crate::protocol::ForwardProtocol;
-use crate::request::candidates::{cached_tokens, read_again, shortlist, usable};
+use crate::request::candidates::{cached_tokens, reread_tokens, shortlist, usable};
 use crate::request::plan::Plan;
 
 /// A request to no model counts as this many prompt tokens, so that backends with fewer of them
@@ -75,63 +74,63 @@
     let (ring, _) = node.peers.ring(&table);
     let pool = table.pool(&plan.pool)?;
     let candidates = usable(node, pool, plan, tried);
-    let follows_parts = plan.route.sticky && node.mechanisms.has(Mechanism::Affinity);
-    let (special, general) = match shareable_blocks(plan).split_last() {
-        Some((special, general)) if follows_parts => (Some(special), general),
+    let follows_prefix = plan.route.sticky && node.mechanisms.has(Mechanism::Affinity);
+    let (specific, general) = match shareable_blocks(plan).split_last() {
+        Some((specific, general)) if follows_prefix => (Some(specific), general),
         _ => (None, [].as_slice()),
     };
-    let mut holders = BackendsByBlock::new();
-    if let Some(special) = special {
-        let pending = ask_holders(
+    let mut locations = BackendsByBlock::new();
+    if let Some(specific) = specific {
+        let pending = query_locations(
             node,
             &ring,
-            std::slice::from_ref(special),
+            std::slice::from_ref(specific),
             &[],
-            &mut holders,
+            &mut locations,
         );
-        parts::take_answers(&mut holders, node.peers.wait(pending).await);
+        prefix_index::merge_replies(&mut locations, node.peers.wait(pending).await);
     }
-    let again = read_again(special, &holders, &candidates);
-    let shortlist = shortlist(&candidates, &again, &mut rand::rng());
+    let reread = reread_tokens(specific, &locations, &candidates);
+    let shortlist = shortlist(&candidates, &reread, &mut rand::rng());
     let ids: Vec<&str> = shortlist
         .iter()
         .map(|index| candidates[*index].backend.id.as_str())
         .collect();
-    let counts = ask_counts(node, &ring, &ids);
-    let places = ask_holders(node, &ring, general, &ids, &mut holders);
-    parts::take_answers(&mut holders, node.peers.wait(counts.and(places)).await);
+    let counts = query_counts(node, &ring, &ids);
+    let places = query_locations(node, &ring, general, &ids, &mut locations);
+    prefix_index::merge_replies(&mut locations, node.peers.wait(counts.and(places)).await);
     let shortlist = counted(node, &ids, shortlist);
-    let best = cheapest(node, plan, &candidates, &again, &shortlist, &holders)?;
+    let best = cheapest(node, plan, &candidates, &reread, &shortlist, &locations)?;
     Some(target(node, plan, pool, &best, shortlist.len()))
 }
 
 /// Asks who keeps these parts, among some backends or all.
-fn ask_holders<P: ForwardProtocol>(
+fn query_locations<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     ring: &OwnerRing,
     wanted: &[PrefixBlock],
     among: &[&str],
-    holders: &mut BackendsByBlock,
-) -> Pending {
+    locations: &mut BackendsByBlock,
+) -> InFlightRequests {
     let prefix_index = &node.prefix_index;
-    if !node.mechanisms.has(Mechanism::SharedParts) {
-        parts::take_own(prefix_index, wanted, among, holders);
-        return Pending::default();
+    if !node.mechanisms.has(Mechanism::SharedPrefixIndex) {
+        prefix_index::merge_local(prefix_index, wanted, among, locations);
+        return InFlightRequests::default();
     }
-    parts::ask(&node.peers, ring, prefix_index, wanted, among, holders)
+    prefix_index::query(&node.peers, ring, prefix_index, wanted, among, locations)
 }
 
 /// Asks what all other nodes have in flight on these backends.
-fn ask_counts<P: ForwardProtocol>(
+fn query_counts<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     ring: &OwnerRing,
     ids: &[&str],
-) -> Pending {
+) -> InFlightRequests {
     if !node.mechanisms.has(Mechanism::SharedLoad) {
         node.load.assume_idle(monotonic_now(), ids);
-        return Pending::default();
+        return InFlightRequests::default();
     }
-    node.load.ask(&node.peers, ring, &node.state.board, ids)
+    node.load.query(&node.peers, ring, &node.state.board, ids)
 }
 
 /// Those whose counts are fresh, unless that leaves nobody.
@@ -154,9 +153,9 @@
     node: &ForwardNode<P>,
     plan: &Plan,
     candidates: &[&'a ServingReplica],
-    again: &[u64],
+    reread: &[u64],
     shortlist: &[usize],
-    holders: &BackendsByBlock,
+    locations: &BackendsByBlock,
 ) -> Option<Estimate<'a>> {
     let costs = &node.state.costs;
     let prompt = plan.prompt_tokens();
@@ -165,10 +164,10 @@
     let estimates = shortlist.iter().map(|index| {
         let replica = candidates[*index];
         let id = &replica.backend.id;
-        let own_tokens = own_tokens(plan, prompt, cached_tokens(parts, holders, id));
+        let own_tokens = own_tokens(plan, prompt, cached_tokens(parts, locations, id));
         let load = node.state.board.backend_load(id, 1, costs);
         let own = costs.work_ms(&plan.facts.model, own_tokens, 0);
-        let again = costs.work_ms(&plan.facts.model, again[*index], 0);
+        let reread = costs.work_ms(&plan.facts.model, reread[*index], 0);
         let weight = match node.mechanisms.has(Mechanism::BandwidthWeight) {
             true => f64::from(replica.weight_milli.max(1)) / 1000.0,
             false => 1.0,
@@ -182,7 +181,7 @@
         };
         let jitter = 1.0 + JITTER * random.random::<f64>();
         Estimate {
-            cost: ((load + own + REREAD_PENALTY * again) / weight + zone) * jitter,
+            cost: ((load + own + REREAD_PENALTY * reread) / weight + zone) * jitter,
             replica,
             load,
             own_tokens,
@@ -197,7 +196,7 @@
     plan: &Plan,
     pool: &ServingPool,
     best: &Estimate<'_>,
-    looked_at: usize,
+    considered: usize,
 ) -> Target {
     let replica = best.replica;
     let key = ReplicaKey {
@@ -213,7 +212,7 @@
         uncached_tokens: best.own_tokens,
         max_connections: pool.max_connections,
         belief: Belief {
-            candidates: u32::try_from(looked_at).unwrap_or(u32::MAX),
+            candidates: u32::try_from(considered).unwrap_or(u32::MAX),
             same_zone: best.same_zone,
             work_ms: best.load,
             cost_ms: best.cost,
--- a/crates/forward/src/request/first_answer.rs
+++ b/crates/forward/src/request/first_response.rs
@@ -5,7 +5,7 @@
 use millford_decisions::AttemptOutcome;
 
 use crate::mechanism::Mechanism;
-use crate::node::{ForwardNode, USUAL_RETRY_AFTER};
+use crate::node::{DEFAULT_RETRY_AFTER, ForwardNode};
 use crate::protocol::ForwardProtocol;
 use crate::request::attempt::{AttemptFailure, Opened, attempt};
 use crate::request::choose::choose;
@@ -14,14 +14,14 @@
 use crate::request::trace::Trace;
 
 /// Backends that one request may be offered to, those that it never left for included.
-const MOST_OFFERS: usize = 6;
+const MAX_BACKENDS_TRIED: usize = 6;
 
 /// Backends that may refuse one request before it is given up.
-const MOST_REFUSALS: u32 = 3;
+const MAX_REFUSALS: u32 = 3;
 
 /// What the attempts at one request have used up.
 #[derive(Debug, Default)]
-pub struct Trail {
+pub struct AttemptHistory {
     /// Backends that were tried.
     pub tried: Vec<String>,
     /// Sends that arrived or may have.
@@ -39,55 +39,55 @@
 /// # Errors
 /// Why there is none. A refusal that says "not run" is true: nothing left, or each backend that got
 /// the request gave its word.
-pub async fn first_answer<P: ForwardProtocol>(
+pub async fn first_response<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     plan: &Plan,
-    trail: &mut Trail,
+    history: &mut AttemptHistory,
 ) -> Result<Opened, Refusal> {
-    let mut last = Refusal::new(ResultCode::NoBackend).with_retry_after(USUAL_RETRY_AFTER);
+    let mut last = Refusal::new(ResultCode::NoBackend).with_retry_after(DEFAULT_RETRY_AFTER);
     node.state.budget.earn();
-    while trail.tried.len() < MOST_OFFERS {
+    while history.tried.len() < MAX_BACKENDS_TRIED {
         if plan.deadline <= monotonic_now() {
-            return Err(out_of_time(trail));
+            return Err(out_of_time(history));
         }
-        let Some(target) = choose(node, plan, &trail.tried).await else {
+        let Some(target) = choose(node, plan, &history.tried).await else {
             return Err(last);
         };
         // Every send after the first comes out of the fleet's budget, wherever it goes.
         let may_retry = node.mechanisms.has(Mechanism::Retries);
-        if trail.sends > 0 && !(may_retry && node.state.budget.try_spend()) {
+        if history.sends > 0 && !(may_retry && node.state.budget.try_spend()) {
             return Err(last);
         }
-        trail.tried.push(target.key.backend_id.clone());
-        trail.trace.chosen(&target);
+        history.tried.push(target.key.backend_id.clone());
+        history.trace.chosen(&target);
         let tried = attempt(node, plan, target, None).await;
-        trail.trace.outcome(outcome_of(&tried));
+        history.trace.outcome(outcome_of(&tried));
         match tried {
             Ok(opened) => {
-                trail.sends += 1;
-                trail.runs += 1;
+                history.sends += 1;
+                history.runs += 1;
                 return Ok(opened);
             }
             Err(AttemptFailure::NotSent) => {
-                if trail.sends > 0 {
+                if history.sends > 0 {
                     node.state.budget.refund();
                 }
             }
             Err(AttemptFailure::NotRun { retry_after }) => {
-                trail.sends += 1;
-                trail.refusals += 1;
-                if trail.runs == 0 {
+                history.sends += 1;
+                history.refusals += 1;
+                if history.runs == 0 {
                     last = busy(retry_after);
                 }
-                if trail.refusals >= MOST_REFUSALS {
+                if history.refusals >= MAX_REFUSALS {
                     return Err(last);
                 }
             }
             Err(AttemptFailure::Lost(code)) => {
-                trail.sends += 1;
-                trail.runs += 1;
+                history.sends += 1;
+                history.runs += 1;
                 last = Refusal::new(code);
-                if !plan.is_repeatable() || trail.runs >= plan.most_runs() {
+                if !plan.is_repeatable() || history.runs >= plan.max_runs() {
                     return Err(last);
                 }
             }
@@ -112,13 +112,13 @@
 }
 
 fn busy(retry_after: Option<Duration>) -> Refusal {
-    let delay = retry_after.unwrap_or(USUAL_RETRY_AFTER);
+    let delay = retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
     Refusal::new(ResultCode::BackendRefused).with_retry_after(delay)
 }
 
-fn out_of_time(trail: &Trail) -> Refusal {
-    if trail.runs > 0 {
+fn out_of_time(history: &AttemptHistory) -> Refusal {
+    if history.runs > 0 {
         return Refusal::new(ResultCode::DeadlineAfterSend);
     }
-    Refusal::new(ResultCode::Overloaded).with_retry_after(USUAL_RETRY_AFTER)
+    Refusal::new(ResultCode::Overloaded).with_retry_after(DEFAULT_RETRY_AFTER)
 }
--- a/crates/forward/src/request/mod.rs
+++ b/crates/forward/src/request/mod.rs
@@ -2,18 +2,18 @@
 //!
 //! [`serve`] holds the order of the steps; the other modules are the steps.
 
-pub mod answer_body;
 pub mod attempt;
 pub mod authorize;
 pub mod candidates;
 pub mod choose;
 pub mod event_splitter;
-pub mod first_answer;
+pub mod first_response;
 pub mod headers;
 pub mod plan;
 pub mod read_body;
 pub mod refusal;
 pub mod relay;
+pub mod response_body;
 pub mod serve;
 pub mod trace;
 
--- a/crates/forward/src/request/plan.rs
+++ b/crates/forward/src/request/plan.rs
@@ -10,13 +10,13 @@
 use crate::protocol::RequestFacts;
 
 /// Longest time that a request without a limit of its own is held.
-const LONGEST_HOLD: Duration = Duration::from_secs(3600);
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(3600);
 
 /// Ranks of routes within one rank of tenants.
-const RANKS_OF_ROUTES: u32 = 3;
+const ROUTE_RANKS: u32 = 3;
 
 /// The last of the ranks that backends know.
-const LAST_URGENCY: u32 = 9;
+const LOWEST_URGENCY: u32 = 9;
 
 /// Everything that the attempts at a request have in common.
 #[derive(Clone, Debug)]
@@ -52,10 +52,10 @@
         facts: &RequestFacts,
     ) -> MonotonicTime {
         let route_limit = match route.timeout_ms {
-            0 => LONGEST_HOLD,
+            0 => DEFAULT_DEADLINE,
             millis => Duration::from_millis(u64::from(millis)),
         };
-        let budget = facts.time_budget.unwrap_or(LONGEST_HOLD);
+        let budget = facts.time_budget.unwrap_or(DEFAULT_DEADLINE);
         arrived + route_limit.min(budget)
     }
 
@@ -73,7 +73,7 @@
 
     /// Most backends that the request may run on.
     #[must_use]
-    pub fn most_runs(&self) -> u32 {
+    pub fn max_runs(&self) -> u32 {
         if self.is_repeatable() {
             self.route.max_attempts.max(1)
         } else {
@@ -85,8 +85,8 @@
     #[must_use]
     pub fn urgency(&self) -> u32 {
         let tenant = self.tenant.as_ref().map_or(0, |tenant| tenant.priority);
-        let route = self.route.priority.min(RANKS_OF_ROUTES - 1);
-        (tenant.saturating_mul(RANKS_OF_ROUTES) + route).min(LAST_URGENCY)
+        let route = self.route.priority.min(ROUTE_RANKS - 1);
+        (tenant.saturating_mul(ROUTE_RANKS) + route).min(LOWEST_URGENCY)
     }
 
     /// Tokens of the prompt.
--- a/crates/forward/src/request/read_body.rs
+++ b/crates/forward/src/request/read_body.rs
@@ -10,20 +10,20 @@
 /// Reads the body.
 ///
 /// # Errors
-/// A body that is larger than `most` bytes, or that breaks off.
-pub async fn read_body(mut body: Incoming, most: u64) -> Result<Bytes, Refusal> {
+/// A body that is larger than `max_bytes` bytes, or that breaks off.
+pub async fn read_body(mut body: Incoming, max_bytes: u64) -> Result<Bytes, Refusal> {
     let too_large = Refusal::new(ResultCode::BodyTooLarge).closing();
     let broken = Refusal::new(ResultCode::BodyIncomplete).closing();
-    let mut whole = BytesMut::new();
+    let mut complete = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| broken)?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if (whole.len() + data.len()) as u64 > most {
+        if (complete.len() + data.len()) as u64 > max_bytes {
             return Err(too_large);
         }
-        whole.extend_from_slice(&data);
+        complete.extend_from_slice(&data);
     }
-    Ok(whole.freeze())
+    Ok(complete.freeze())
 }
--- a/crates/forward/src/request/refusal.rs
+++ b/crates/forward/src/request/refusal.rs
@@ -7,7 +7,7 @@
 use millford_core::{Duration, ResultCode};
 
 use crate::protocol::ForwardProtocol;
-use crate::request::answer_body::AnswerBody;
+use crate::request::response_body::ResponseBody;
 
 /// Why a request was not served.
 ///
@@ -50,7 +50,7 @@
 
     /// The refusal as HTTP.
     #[must_use]
-    pub fn response<P: ForwardProtocol>(&self, protocol: &P) -> Response<AnswerBody> {
+    pub fn response<P: ForwardProtocol>(&self, protocol: &P) -> Response<ResponseBody> {
         let text = format!("{}\n", self.code);
         let body = Full::from(text).map_err(|never| match never {});
         let mut response = Response::new(body.boxed_unsync());
--- a/crates/forward/src/request/relay.rs
+++ b/crates/forward/src/request/relay.rs
@@ -16,20 +16,20 @@
 use millford_routing::InFlightGuard;
 use tokio::time::Sleep;
 
-use crate::backend::Lease;
+use crate::backend::PooledConnection;
 use crate::mechanism::Mechanism;
 use crate::node::ForwardNode;
 use crate::protocol::ForwardProtocol;
-use crate::request::answer_body::{AnswerBody, BrokenOff};
 use crate::request::attempt::{AttemptFailure, Opened, attempt};
 use crate::request::choose::choose;
 use crate::request::event_splitter::EventSplitter;
-use crate::request::first_answer::{Trail, outcome_of};
+use crate::request::first_response::{AttemptHistory, outcome_of};
 use crate::request::headers::remove_length;
 use crate::request::plan::Plan;
+use crate::request::response_body::{BrokenOff, ResponseBody};
 
 /// Backends that may be tried to go on with a stream.
-const MOST_RESUME_OFFERS: u32 = 4;
+const MAX_RESUME_ATTEMPTS: u32 = 4;
 
 /// The answer for the caller: the backend's head, and its body as it comes.
 ///
@@ -38,10 +38,10 @@
 pub fn relay<P: ForwardProtocol>(
     node: Arc<ForwardNode<P>>,
     mut plan: Plan,
-    trail: Trail,
+    history: AttemptHistory,
     opened: Opened,
-) -> Response<AnswerBody> {
-    let (mut head, source) = Source::of(opened);
+) -> Response<ResponseBody> {
+    let (mut head, stream_part) = BackendStream::of(opened);
     let is_events = plan.is_resumable() && head.status.is_success();
     if is_events {
         // Another backend's part of the stream may have another length.
@@ -51,7 +51,7 @@
         plan.body = Bytes::new();
     }
     let left = plan.deadline.since(monotonic_now());
-    let is_empty = source.body.is_end_stream();
+    let is_empty = stream_part.body.is_end_stream();
     let ending = if head.status.is_success() {
         Ending::Complete
     } else {
@@ -60,13 +60,13 @@
     let mut relay = Relay {
         ending,
         time_limit: Box::pin(tokio::time::sleep(left)),
-        source,
+        stream_part,
         splitter: is_events.then(EventSplitter::default),
         last_event: plan.facts.resume_after,
         resumed: false,
         node,
         plan,
-        trail,
+        history,
         ended: false,
     };
     if is_empty {
@@ -76,12 +76,12 @@
         let mut relay = relay?;
         match relay.next().await {
             Ok(Some(bytes)) => {
-                relay.trail.trace.bytes();
+                relay.history.trace.bytes();
                 Some((Ok(Frame::data(bytes)), Some(relay)))
             }
             Ok(None) => None,
             Err(broken) => {
-                relay.trail.trace.end(Ending::BrokenOff);
+                relay.history.trace.end(Ending::BrokenOff);
                 Some((Err(broken), None))
             }
         }
@@ -91,16 +91,16 @@
 
 /// What is held while a backend's part of the answer is read.
 struct OpenedParts {
-    lease: Option<Lease>,
+    pooled: Option<PooledConnection>,
     keep_alive: Option<Duration>,
-    ticket: InFlightGuard,
+    in_flight: InFlightGuard,
     sent: MonotonicTime,
     queued_tokens: u64,
     streams: u32,
 }
 
 /// One backend's part of the answer.
-struct Source {
+struct BackendStream {
     backend_id: String,
     body: Incoming,
     opened: OpenedParts,
@@ -108,17 +108,17 @@
     chunks: u32,
 }
 
-impl Source {
+impl BackendStream {
     /// Takes an answer apart: its head, and what is read from now on.
     fn of(opened: Opened) -> (Parts, Self) {
         let (head, body) = opened.response.into_parts();
-        let source = Self {
+        let stream_part = Self {
             backend_id: opened.target.key.backend_id,
             body,
             opened: OpenedParts {
-                lease: Some(opened.lease),
+                pooled: Some(opened.pooled),
                 keep_alive: opened.facts.keep_alive,
-                ticket: opened.ticket,
+                in_flight: opened.in_flight,
                 sent: opened.sent,
                 queued_tokens: opened.queued_tokens,
                 streams: opened.streams,
@@ -126,15 +126,15 @@
             first_chunk: None,
             chunks: 0,
         };
-        (head, source)
+        (head, stream_part)
     }
 }
 
 struct Relay<P> {
     node: Arc<ForwardNode<P>>,
     plan: Plan,
-    trail: Trail,
-    source: Source,
+    history: AttemptHistory,
+    stream_part: BackendStream,
     time_limit: Pin<Box<Sleep>>,
     /// Set for streams that another backend may continue.
     splitter: Option<EventSplitter>,
@@ -149,7 +149,7 @@
 impl<P> Drop for Relay<P> {
     fn drop(&mut self) {
         if self.ended {
-            self.trail.trace.end(self.ending);
+            self.history.trace.end(self.ending);
         }
     }
 }
@@ -165,7 +165,7 @@
     /// The next bytes for the caller; nothing at the end of a whole answer.
     async fn next(&mut self) -> Result<Option<Bytes>, BrokenOff> {
         loop {
-            if let Some(events) = self.whole_events()? {
+            if let Some(events) = self.complete_events()? {
                 return Ok(Some(events));
             }
             if self.ended {
@@ -173,10 +173,10 @@
             }
             match self.arrival().await? {
                 Arrival::Chunk(bytes) => {
-                    self.note_chunk();
+                    self.record_chunk();
                     let Some(splitter) = &mut self.splitter else {
                         // Of a body with a length nobody asks for the end once it was sent whole.
-                        if self.source.body.is_end_stream() {
+                        if self.stream_part.body.is_end_stream() {
                             self.finish();
                         }
                         return Ok(Some(bytes));
@@ -190,7 +190,7 @@
     }
 
     /// The events that are whole, joined; none of them was passed on before.
-    fn whole_events(&mut self) -> Result<Option<Bytes>, BrokenOff> {
+    fn complete_events(&mut self) -> Result<Option<Bytes>, BrokenOff> {
         let Some(splitter) = &mut self.splitter else {
             return Ok(None);
         };
@@ -216,9 +216,9 @@
         let may_move = self.splitter.is_some();
         loop {
             let frame = tokio::select! {
-                frame = self.source.body.frame() => frame,
+                frame = self.stream_part.body.frame() => frame,
                 () = &mut self.time_limit => return Err(BrokenOff::TimedOut),
-                () = self.node.until_ejected(&self.source.backend_id), if may_move => {
+                () = self.node.until_ejected(&self.stream_part.backend_id), if may_move => {
                     return Ok(Arrival::Lost);
                 }
             };
@@ -233,19 +233,19 @@
         }
     }
 
-    fn note_chunk(&mut self) {
+    fn record_chunk(&mut self) {
         let now = monotonic_now();
-        self.node.heard(&self.source.backend_id, now);
-        self.source.chunks += 1;
-        if self.source.first_chunk.is_some() {
+        self.node.heard(&self.stream_part.backend_id, now);
+        self.stream_part.chunks += 1;
+        if self.stream_part.first_chunk.is_some() {
             return;
         }
-        self.source.first_chunk = Some(now);
-        self.source.opened.ticket.begin_decode();
+        self.stream_part.first_chunk = Some(now);
+        self.stream_part.opened.in_flight.begin_decode();
         let model = &self.plan.facts.model;
         if !model.is_empty() && self.node.mechanisms.has(Mechanism::LearnedCost) {
-            let waited = now.since(self.source.opened.sent).as_secs_f64() * 1000.0;
-            let queued = self.source.opened.queued_tokens;
+            let waited = now.since(self.stream_part.opened.sent).as_secs_f64() * 1000.0;
+            let queued = self.stream_part.opened.queued_tokens;
             self.node.state.costs.add_first_token(model, queued, waited);
         }
     }
@@ -265,27 +265,28 @@
         self.ended = true;
         self.learn();
         let reuses = self.node.mechanisms.has(Mechanism::ConnectionReuse);
-        if let Some(lease) = self.source.opened.lease.take()
+        if let Some(pooled) = self.stream_part.opened.pooled.take()
             && reuses
         {
-            lease.give_back(self.source.opened.keep_alive);
+            pooled.release(self.stream_part.opened.keep_alive);
         }
     }
 
     /// Adds what the answer cost to what placement and routing learn from.
     fn learn(&self) {
-        let source = &self.source;
-        let (Some(first), false) = (source.first_chunk, self.plan.facts.model.is_empty()) else {
+        let stream_part = &self.stream_part;
+        let (Some(first), false) = (stream_part.first_chunk, self.plan.facts.model.is_empty())
+        else {
             return;
         };
-        let first_token = first.since(source.opened.sent);
+        let first_token = first.since(stream_part.opened.sent);
         let decode = monotonic_now().since(first);
         let sample = CostSample {
-            prompt_tokens: clamp(source.opened.queued_tokens),
+            prompt_tokens: clamp(stream_part.opened.queued_tokens),
             first_token_ms: millis(first_token),
-            output_tokens: source.chunks,
+            output_tokens: stream_part.chunks,
             decode_ms: millis(decode),
-            streams_at_start: source.opened.streams,
+            streams_at_start: stream_part.opened.streams,
         };
         let model = &self.plan.facts.model;
         let learns = self.node.mechanisms.has(Mechanism::LearnedCost);
@@ -301,7 +302,7 @@
                 .costs
                 .add_output_tokens(model, sample.output_tokens);
         }
-        let key = source.opened.ticket.key();
+        let key = stream_part.opened.in_flight.key();
         self.node.state.board.add_sample(key, sample);
     }
 
@@ -314,23 +315,23 @@
         if !self.node.mechanisms.has(Mechanism::Resumption) {
             return Err(BrokenOff::BackendLost);
         }
-        for _ in 0..MOST_RESUME_OFFERS {
-            if self.trail.runs >= self.plan.most_runs() || !self.node.state.budget.try_spend() {
+        for _ in 0..MAX_RESUME_ATTEMPTS {
+            if self.history.runs >= self.plan.max_runs() || !self.node.state.budget.try_spend() {
                 return Err(BrokenOff::BackendLost);
             }
-            let target = choose(&self.node, &self.plan, &self.trail.tried).await;
+            let target = choose(&self.node, &self.plan, &self.history.tried).await;
             let target = target.ok_or(BrokenOff::BackendLost)?;
-            self.trail.tried.push(target.key.backend_id.clone());
-            self.trail.trace.chosen(&target);
+            self.history.tried.push(target.key.backend_id.clone());
+            self.history.trace.chosen(&target);
             let tried = attempt(&self.node, &self.plan, target, self.last_event).await;
-            self.trail.trace.outcome(outcome_of(&tried));
+            self.history.trace.outcome(outcome_of(&tried));
             match tried {
                 Ok(opened) if opened.response.status().is_success() => {
-                    self.trail.runs += 1;
+                    self.history.runs += 1;
                     self.take_over(opened);
                     return Ok(());
                 }
-                Ok(_) | Err(AttemptFailure::Lost(_)) => self.trail.runs += 1,
+                Ok(_) | Err(AttemptFailure::Lost(_)) => self.history.runs += 1,
                 Err(AttemptFailure::NotSent) => self.node.state.budget.refund(),
                 Err(AttemptFailure::NotRun { .. }) => {}
                 Err(AttemptFailure::TimedOut) => return Err(BrokenOff::TimedOut),
@@ -341,7 +342,7 @@
 
     fn take_over(&mut self, opened: Opened) {
         self.resumed = true;
-        (_, self.source) = Source::of(opened);
+        (_, self.stream_part) = BackendStream::of(opened);
     }
 }
 
--- a/crates/forward/src/request/answer_body.rs
+++ b/crates/forward/src/request/response_body.rs
@@ -5,7 +5,7 @@
 
 /// Body of any answer. An error ends the connection, so that a body that breaks off never looks
 /// whole.
-pub type AnswerBody = UnsyncBoxBody<Bytes, BrokenOff>;
+pub type ResponseBody = UnsyncBoxBody<Bytes, BrokenOff>;
 
 /// The answer ends before its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/forward/src/request/serve.rs
+++ b/crates/forward/src/request/serve.rs
@@ -11,33 +11,33 @@
 use millford_decisions::Ending;
 use rand::Rng;
 
-use crate::node::{ForwardNode, USUAL_RETRY_AFTER};
+use crate::node::{DEFAULT_RETRY_AFTER, ForwardNode};
 use crate::protocol::ForwardProtocol;
-use crate::request::answer_body::AnswerBody;
 use crate::request::authorize::authorize;
-use crate::request::first_answer::{Trail, first_answer};
+use crate::request::first_response::{AttemptHistory, first_response};
 use crate::request::headers::{remove_hop_by_hop, size_of};
 use crate::request::plan::Plan;
 use crate::request::read_body::read_body;
 use crate::request::refusal::Refusal;
 use crate::request::relay::relay;
+use crate::request::response_body::ResponseBody;
 use crate::request::trace::Trace;
 
 /// Largest body where the configuration sets no limit, in bytes.
-const USUAL_MAX_BODY_BYTES: u64 = 4 * 1024 * 1024;
+const DEFAULT_MAX_BODY_BYTES: u64 = 4 * 1024 * 1024;
 
 /// Time to come back to a node that has no confirmed configuration yet: after a loss of power the
 /// control plane leads again, and nodes have its state, about this long after their start.
-const READY_AFTER: Duration = Duration::from_millis(450);
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(450);
 
 /// Largest headers where the configuration sets no limit, in bytes.
-const USUAL_MAX_HEADER_BYTES: u32 = 16 * 1024;
+const DEFAULT_MAX_HEADER_BYTES: u32 = 16 * 1024;
 
 /// Serves one request. Whatever happens, the caller gets its final answer at once.
 pub async fn serve<P: ForwardProtocol>(
     node: Arc<ForwardNode<P>>,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let mut response = match forward(&node, request).await {
         Ok(response) => response,
         Err(refusal) => refusal.response(&node.protocol),
@@ -52,12 +52,12 @@
 async fn forward<P: ForwardProtocol>(
     node: &Arc<ForwardNode<P>>,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let arrived = monotonic_now();
     let (mut head, body) = request.into_parts();
     let table = node.state.table();
     if !node.state.is_ready() {
-        let not_ready = Refusal::new(ResultCode::NotReady).with_retry_after(READY_AFTER);
+        let not_ready = Refusal::new(ResultCode::NotReady).with_retry_after(NOT_READY_RETRY_AFTER);
         return Err(not_ready.closing());
     }
     let limits = table.forward().limits().copied().unwrap_or_default();
@@ -81,28 +81,29 @@
         body,
         arrived,
     };
-    if !node.takes(arrived, plan.deadline) {
-        let leaving = Refusal::new(ResultCode::NotReady).with_retry_after(USUAL_RETRY_AFTER);
-        return Err(leaving.closing());
+    if !node.accepts(arrived, plan.deadline) {
+        let graceful_shutdown =
+            Refusal::new(ResultCode::NotReady).with_retry_after(DEFAULT_RETRY_AFTER);
+        return Err(graceful_shutdown.closing());
     }
     let tokens = plan.quota_tokens();
-    let mut trail = Trail {
+    let mut history = AttemptHistory {
         trace: Trace::begin(node, &plan),
-        ..Trail::default()
+        ..AttemptHistory::default()
     };
     if let Some(tenant) = &plan.tenant
         && let Err(delay) = admit(node, tenant, tokens).await
     {
-        trail.trace.end(Ending::OverQuota);
+        history.trace.end(Ending::OverQuota);
         return Err(over_quota(delay));
     }
-    match first_answer(node, &plan, &mut trail).await {
-        Ok(opened) => Ok(relay(Arc::clone(node), plan, trail, opened)),
+    match first_response(node, &plan, &mut history).await {
+        Ok(opened) => Ok(relay(Arc::clone(node), plan, history, opened)),
         Err(refusal) => {
-            if let (Some(tenant), 0) = (&plan.tenant, trail.runs) {
-                node.quotas.give_back(monotonic_now(), tenant, tokens);
+            if let (Some(tenant), 0) = (&plan.tenant, history.runs) {
+                node.quotas.refund(monotonic_now(), tenant, tokens);
             }
-            trail.trace.end(ending_of(&refusal, &trail));
+            history.trace.end(ending_of(&refusal, &history));
             Err(refusal)
         }
     }
@@ -129,10 +130,10 @@
 }
 
 /// What the decision record says of a request that brought no answer.
-fn ending_of(refusal: &Refusal, trail: &Trail) -> Ending {
+fn ending_of(refusal: &Refusal, history: &AttemptHistory) -> Ending {
     match refusal.code {
         ResultCode::DeadlineAfterSend => Ending::TimedOut,
-        _ if trail.runs == 0 => Ending::Refused,
+        _ if history.runs == 0 => Ending::Refused,
         _ => Ending::Failed,
     }
 }
@@ -146,7 +147,7 @@
 
 fn check_headers(headers: &HeaderMap, limits: &HttpLimits) -> Result<(), Refusal> {
     let most = match limits.max_header_bytes {
-        0 => USUAL_MAX_HEADER_BYTES,
+        0 => DEFAULT_MAX_HEADER_BYTES,
         bytes => bytes,
     };
     if size_of(headers) as u64 > u64::from(most) {
@@ -157,7 +158,7 @@
 
 fn body_limit(limits: &HttpLimits) -> u64 {
     match limits.max_body_bytes {
-        0 => USUAL_MAX_BODY_BYTES,
+        0 => DEFAULT_MAX_BODY_BYTES,
         bytes => bytes,
     }
 }
--- a/crates/forward/src/request/trace.rs
+++ b/crates/forward/src/request/trace.rs
@@ -19,7 +19,7 @@
 const EVERY_REQUEST: u32 = 1000;
 
 #[derive(Debug)]
-struct Followed {
+struct SampledRequest {
     verdicts: IntCounterVec,
     arrived: MonotonicTime,
     last_bytes: Option<MonotonicTime>,
@@ -29,7 +29,7 @@
 /// The trace of one request; nothing for one that is not sampled. A trace that is dropped unended is
 /// that of a caller who left.
 #[derive(Debug, Default)]
-pub struct Trace(Option<Box<Followed>>);
+pub struct Trace(Option<Box<SampledRequest>>);
 
 impl Trace {
     /// Begins the trace of a request, if it is drawn.
@@ -57,7 +57,7 @@
             ended_ms: 0,
             ending: Ending::CallerLeft,
         };
-        Self(Some(Box::new(Followed {
+        Self(Some(Box::new(SampledRequest {
             verdicts: node.state.metrics.verdicts.clone(),
             arrived: plan.arrived,
             last_bytes: None,
@@ -67,13 +67,13 @@
 
     /// A backend was chosen.
     pub fn chosen(&mut self, target: &Target) {
-        let Some(followed) = &mut self.0 else {
+        let Some(sampled) = &mut self.0 else {
             return;
         };
-        let chosen_ms = millis_since(followed.arrived);
+        let chosen_ms = millis_since(sampled.arrived);
         let belief = &target.belief;
-        followed.record.resumed |= followed.record.first_bytes_ms.is_some();
-        followed.record.attempts.push(AttemptRecord {
+        sampled.record.resumed |= sampled.record.first_bytes_ms.is_some();
+        sampled.record.attempts.push(AttemptRecord {
             backend: target.key.backend_id.clone(),
             same_zone: belief.same_zone,
             chosen_ms,
@@ -90,35 +90,35 @@
     /// What came of the last attempt.
     pub fn outcome(&mut self, outcome: AttemptOutcome) {
         let attempts = self.0.iter_mut();
-        let last = attempts.flat_map(|followed| followed.record.attempts.last_mut());
+        let last = attempts.flat_map(|sampled| sampled.record.attempts.last_mut());
         last.for_each(|attempt| attempt.outcome = outcome);
     }
 
     /// Bytes of the body go on to the caller.
     pub fn bytes(&mut self) {
-        let Some(followed) = &mut self.0 else {
+        let Some(sampled) = &mut self.0 else {
             return;
         };
         let now = monotonic_now();
-        let since_arrival = millis(now, followed.arrived);
-        let record = &mut followed.record;
+        let since_arrival = millis(now, sampled.arrived);
+        let record = &mut sampled.record;
         record.first_bytes_ms.get_or_insert(since_arrival);
-        if let Some(last) = followed.last_bytes.replace(now) {
+        if let Some(last) = sampled.last_bytes.replace(now) {
             record.longest_gap_ms = record.longest_gap_ms.max(millis(now, last));
         }
     }
 
     /// The request ended like this; the record is written.
     pub fn end(&mut self, ending: Ending) {
-        let Some(followed) = self.0.take() else {
+        let Some(sampled) = self.0.take() else {
             return;
         };
-        let mut record = followed.record;
-        record.ended_ms = millis_since(followed.arrived);
+        let mut record = sampled.record;
+        record.ended_ms = millis_since(sampled.arrived);
         record.ending = ending;
         let verdict = Verdict::of(&record).to_string();
         let labels = [record.route.as_str(), verdict.as_str()];
-        followed.verdicts.with_label_values(&labels).inc();
+        sampled.verdicts.with_label_values(&labels).inc();
         if let Ok(text) = serde_json::to_string(&record) {
             LOG.info(format_args!("{LOG_MARK}{text}"));
         }
--- a/crates/forward/tests/bad_counts.rs
+++ b/crates/forward/tests/absurd_counts.rs
@@ -81,12 +81,12 @@
         1 => quotas.apply_peer_count(now, &quota(), count(Some("elsewhere"), input.other.0 % 3)),
         2 => _ = quotas.grant(now, &tenant(), input.number.0, input.other.signed()),
         3 => _ = quotas.admit(now, &tenant(), input.number.0),
-        _ => quotas.give_back(now, &tenant(), input.number.0),
+        _ => quotas.refund(now, &tenant(), input.number.0),
     }
 }
 
 quickcheck! {
-    fn a_tenant_is_served_again_whatever_was_told(inputs: Vec<Input>) -> bool {
+    fn a_tenant_is_served_again_whatever_counts_were_received(inputs: Vec<Input>) -> bool {
         let quotas = TenantQuotas::default();
         // At least a minute of debt, at most a burst with its headroom.
         let possible = -61 * RATE.cast_signed()..=2 * RATE.cast_signed();
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_caller_that_names_an_absurd_number_of_tokens_shuts_its_tenant_out_for_a_minute_at_most() {
+fn an_absurd_token_count_blocks_its_tenant_for_at_most_a_minute() {
     let quotas = TenantQuotas::default();
     let now = MonotonicTime::from_millis(1000);
     assert!(quotas.admit(now, &tenant(), u64::MAX).is_ok());
--- a/crates/forward/tests/decisions.rs
+++ b/crates/forward/tests/decisions.rs
@@ -14,7 +14,7 @@
 }
 
 #[tokio::test]
-async fn a_whole_answer_in_time_is_told_once() {
+async fn a_complete_response_in_time_is_recorded_once() {
     let backend = StubBackend::start(vec![Step::Answer(signed("done"))]).await;
     let node = TestNode::start(&Setup::with(|route| route.target_ms = 1500), &[&backend]).await;
     call(node.callers, &request("/jobs/", "", "")).await;
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test]
-async fn refusals_and_broken_answers_are_told_apart() {
+async fn refusals_failures_and_truncated_responses_have_distinct_verdicts() {
     let full = StubBackend::start(vec![Step::Answer(not_run(503))]).await;
     let node = TestNode::start(&Setup::with(|_| {}), &[&full]).await;
     assert_eq!(
@@ -32,8 +32,8 @@
     );
     node.until(|| count(&node, "refused") == 1).await;
 
-    let gone = StubBackend::start(vec![Step::Close]).await;
-    let node = TestNode::start(&Setup::with(|_| {}), &[&gone]).await;
+    let closing = StubBackend::start(vec![Step::Close]).await;
+    let node = TestNode::start(&Setup::with(|_| {}), &[&closing]).await;
     assert_eq!(
         call(node.callers, &request("/jobs/", "", "")).await.status,
         502
@@ -42,12 +42,16 @@
 
     let breaks = StubBackend::start(vec![Step::AnswerThenReset(stream_start(1..3))]).await;
     let node = TestNode::start(&Setup::with(|route| route.stream = true), &[&breaks]).await;
-    assert!(!call(node.callers, &request("/jobs/", "", "")).await.whole);
+    assert!(
+        !call(node.callers, &request("/jobs/", "", ""))
+            .await
+            .complete
+    );
     node.until(|| count(&node, "broken off") == 1).await;
 }
 
 #[tokio::test]
-async fn a_tenant_over_its_quota_is_told() {
+async fn a_request_over_quota_is_recorded() {
     let backend = StubBackend::start(vec![Step::Answer(signed("done"))]).await;
     let mut setup = Setup::with(|_| {});
     setup.quota = Some(TokenQuota {
@@ -65,7 +69,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_moved_is_one_request() {
+async fn a_resumed_stream_is_recorded_as_one_request() {
     let text = format!("{}{LAST_CHUNK}", stream_start(4..6));
     let backend = StubBackend::start(vec![
         Step::AnswerThenReset(stream_start(1..4)),
@@ -84,6 +88,6 @@
     });
     let node = TestNode::start(&setup, &[&backend, &other]).await;
     call(node.callers, &request("/jobs/", "", "")).await;
-    let told = || count(&node, "in time") + count(&node, "broken off");
-    node.until(|| told() == 1).await;
+    let messages = || count(&node, "in time") + count(&node, "broken off");
+    node.until(|| messages() == 1).await;
 }
--- a/crates/forward/tests/event_splitter.rs
+++ b/crates/forward/tests/event_splitter.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn ids_are_read_whatever_comes_before_them() {
+fn event_ids_are_parsed_after_any_other_field() {
     let text =
         b"version: 3\nid: 7\ndata: a\n\nid:8\r\ndata: b\r\n\r\ndata: no id\n\nid: x\n\nid: 9";
     let (events, rest) = events_of(&[text]);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn cuts_make_no_difference() {
+fn chunk_boundaries_do_not_change_the_events() {
     fn same(ids: Vec<u16>, cuts: Vec<usize>) -> bool {
         let text: String = ids
             .iter()
--- a/crates/forward/tests/forwarding.rs
+++ b/crates/forward/tests/forwarding.rs
@@ -8,7 +8,7 @@
 use support::node::{HOST, Setup, TestNode};
 
 #[tokio::test]
-async fn method_path_and_body_go_unchanged_and_the_key_does_not() {
+async fn method_path_and_body_are_forwarded_unchanged_without_the_key() {
     let backend = StubBackend::start(vec![Step::Answer(signed("done"))]).await;
     let node = TestNode::start(&Setup::with(|_| {}), &[&backend]).await;
     let headers = "x-millford-tenant: forged\r\nx-other: kept\r\nConnection: x-hop\r\nx-hop: 1\r\n";
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn the_time_that_is_left_is_passed_on() {
+async fn the_remaining_deadline_is_forwarded() {
     let backend = StubBackend::start(vec![Step::Answer(signed(""))]).await;
     let node = TestNode::start(&Setup::with(|_| {}), &[&backend]).await;
     call(
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn a_backend_that_did_not_run_it_is_followed_by_another() {
+async fn a_request_that_did_not_run_is_retried_on_another_backend() {
     let full = StubBackend::start(vec![Step::Answer(not_run(503))]).await;
     let free = StubBackend::start(vec![Step::Answer(signed("done"))]).await;
     let node = TestNode::start(&Setup::with(|_| {}), &[&full, &free]).await;
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test]
-async fn when_all_are_full_the_promise_and_the_time_are_passed_on() {
+async fn when_all_backends_are_full_status_and_retry_after_are_forwarded() {
     let full = StubBackend::start(vec![Step::Answer(not_run(503))]).await;
     let node = TestNode::start(&Setup::with(|_| {}), &[&full]).await;
     let reply = call(node.callers, &request("/jobs/", "", "")).await;
@@ -92,7 +92,7 @@
 }
 
 #[tokio::test]
-async fn what_may_not_be_repeated_is_sent_once_and_its_fate_is_not_promised() {
+async fn a_non_repeatable_request_is_sent_once_and_its_unknown_outcome_is_a_502() {
     for step in [
         Step::Close,
         Step::AnswerThenReset("HTTP/1.1 200 OK\r\n".to_owned()),
@@ -121,7 +121,7 @@
 }
 
 #[tokio::test]
-async fn a_repeatable_request_goes_on_elsewhere_within_its_attempts() {
+async fn a_repeatable_request_is_retried_within_its_max_attempts() {
     let lost = StubBackend::start(vec![Step::Close]).await;
     let good = StubBackend::start(vec![Step::Answer(signed("done"))]).await;
     let setup = Setup::with(|route| {
@@ -134,15 +134,15 @@
         assert_eq!(reply.status, 200);
     }
     let setup = Setup::with(|route| route.repeatable = true);
-    let alone = TestNode::start(&setup, &[&lost]).await;
+    let degraded = TestNode::start(&setup, &[&lost]).await;
     let before = lost.received().len();
-    let reply = call(alone.callers, &request("/jobs/", "", "")).await;
+    let reply = call(degraded.callers, &request("/jobs/", "", "")).await;
     assert_eq!(reply.status, 502);
     assert_eq!(lost.received().len(), before + 1);
 }
 
 #[tokio::test]
-async fn a_failure_of_the_backend_itself_goes_back_as_it_is() {
+async fn an_error_status_of_the_backend_is_forwarded_unchanged() {
     let answer = signed("broken").replace("200 OK", "500 Failed");
     let backend = StubBackend::start(vec![Step::Answer(answer)]).await;
     let node = TestNode::start(&Setup::with(|_| {}), &[&backend]).await;
@@ -152,16 +152,16 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_is_cut_never_looks_whole() {
+async fn a_truncated_response_never_looks_complete() {
     let cut = signed("0123456789").replace("content-length: 10", "content-length: 20");
     let backend = StubBackend::start(vec![Step::AnswerThenReset(cut)]).await;
     let node = TestNode::start(&Setup::with(|_| {}), &[&backend]).await;
     let reply = call(node.callers, &request("/jobs/", "", "")).await;
-    assert!(!reply.whole, "{reply:?}");
+    assert!(!reply.complete, "{reply:?}");
 }
 
 #[tokio::test]
-async fn the_final_answer_comes_when_the_time_is_over() {
+async fn the_final_response_comes_at_the_deadline() {
     let backend = StubBackend::start(vec![Step::Hang]).await;
     let setup = Setup::with(|route| route.timeout_ms = 300);
     let node = TestNode::start(&setup, &[&backend]).await;
@@ -172,7 +172,7 @@
 }
 
 #[tokio::test]
-async fn callers_are_refused_by_number() {
+async fn invalid_requests_are_refused_with_their_result_code() {
     let backend = StubBackend::start(vec![Step::Answer(signed("done"))]).await;
     let mut setup = Setup::with(|_| {});
     setup.limits = Some(HttpLimits {
@@ -215,7 +215,7 @@
 }
 
 #[tokio::test]
-async fn a_node_without_a_configuration_says_so() {
+async fn a_node_without_a_configuration_responds_503() {
     let backend = StubBackend::start(vec![Step::Answer(signed(""))]).await;
     let setup = Setup::with(|_| {});
     let node = TestNode::start(&setup, &[&backend]).await;
@@ -241,7 +241,7 @@
 }
 
 #[tokio::test]
-async fn a_tenant_over_its_tokens_is_told_when_to_come_back() {
+async fn a_tenant_over_its_quota_gets_429_with_retry_after() {
     let backend = StubBackend::start(vec![Step::Answer(signed("done"))]).await;
     let mut setup = Setup::with(|_| {});
     setup.quota = Some(TokenQuota {
@@ -266,7 +266,7 @@
 }
 
 #[tokio::test]
-async fn connections_to_backends_are_kept() {
+async fn connections_to_backends_are_reused() {
     let backend = StubBackend::start(vec![Step::Answer(signed("done"))]).await;
     let node = TestNode::start(&Setup::with(|_| {}), &[&backend]).await;
     for _ in 0..5 {
@@ -279,7 +279,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_takes_its_request_along() {
+async fn a_disconnected_caller_cancels_its_request() {
     let backend = StubBackend::start(vec![Step::Hang]).await;
     let node = TestNode::start(&Setup::with(|_| {}), &[&backend]).await;
     let mut stream = tokio::net::TcpStream::connect(node.callers).await.unwrap();
@@ -287,11 +287,11 @@
     tokio::io::AsyncWriteExt::write_all(&mut stream, text.as_bytes())
         .await
         .unwrap();
-    while node.node.connections.leased("backend-0") == 0 {
+    while node.node.connections.in_use("backend-0") == 0 {
         tokio::task::yield_now().await;
     }
     drop(stream);
-    while node.node.connections.leased("backend-0") > 0 {
+    while node.node.connections.in_use("backend-0") > 0 {
         tokio::task::yield_now().await;
     }
 }
--- a/crates/forward/tests/mechanisms.rs
+++ b/crates/forward/tests/mechanisms.rs
@@ -11,7 +11,7 @@
 use support::node::{Setup, TestNode};
 
 #[test]
-fn names_are_unique_and_read_back() {
+fn mechanism_names_are_unique_and_parse_back() {
     let names: BTreeSet<&str> = Mechanism::ALL.iter().map(|one| one.name()).collect();
     assert_eq!(names.len(), Mechanism::ALL.len());
     for mechanism in Mechanism::ALL {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn unknown_names_are_a_fault_of_the_settings() {
+fn unknown_mechanism_names_are_a_settings_fault() {
     let mut settings = ForwardSettings {
         disabled_mechanisms: "affinity,luck".to_owned(),
         ..ForwardSettings::default()
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test]
-async fn without_resumption_a_broken_stream_ends_broken_off() {
+async fn without_resumption_a_broken_stream_ends_truncated() {
     let broken = vec![Step::AnswerThenReset(stream_start(1..3))];
     let first = StubBackend::start(broken.clone()).await;
     let second = StubBackend::start(broken).await;
@@ -63,12 +63,16 @@
         route.max_attempts = 2;
     });
     let node = TestNode::start_without("resumption", &setup, &[&first, &second]).await;
-    assert!(!call(node.callers, &request("/jobs/", "", "")).await.whole);
+    assert!(
+        !call(node.callers, &request("/jobs/", "", ""))
+            .await
+            .complete
+    );
     assert_eq!(first.received().len() + second.received().len(), 1);
 }
 
 #[tokio::test]
-async fn without_connection_reuse_each_request_opens_one() {
+async fn without_connection_reuse_each_request_opens_a_connection() {
     let backend = StubBackend::start(vec![Step::Answer(signed("done"))]).await;
     let setup = Setup::with(|_| {});
     let node = TestNode::start_without("connection_reuse", &setup, &[&backend]).await;
@@ -79,11 +83,15 @@
 }
 
 #[tokio::test]
-async fn streams_are_served_with_everything_left_out() {
+async fn streams_are_served_with_every_mechanism_disabled() {
     let text = format!("{}{LAST_CHUNK}", stream_start(1..6));
     let backend = StubBackend::start(vec![Step::Answer(text)]).await;
     let names: Vec<&str> = Mechanism::ALL.iter().map(|one| one.name()).collect();
     let setup = Setup::with(|route| route.stream = true);
     let node = TestNode::start_without(&names.join(","), &setup, &[&backend]).await;
-    assert!(call(node.callers, &request("/jobs/", "", "")).await.whole);
+    assert!(
+        call(node.callers, &request("/jobs/", "", ""))
+            .await
+            .complete
+    );
 }
--- a/crates/forward/tests/load_counts.rs
+++ b/crates/forward/tests/owned_loads.rs
@@ -5,8 +5,8 @@
 use millford_api::exchange::{BackendInFlight, InFlightUpdate, ReplicaInFlight};
 use millford_api::state::ProxyMember;
 use millford_core::{Duration, MonotonicTime};
-use millford_forward::load::WorkLedger;
-use millford_forward::owners::{Answer, OwnerRing, Questions, RoundTrip};
+use millford_forward::load::OwnedLoads;
+use millford_forward::owners::{OwnerReply, OwnerRing, PendingRequests, RoundTrip};
 use quickcheck::quickcheck;
 
 fn update(sequence: u64, work: &[(&str, u64)]) -> InFlightUpdate {
@@ -28,40 +28,40 @@
     }
 }
 
-fn tokens(ledger: &WorkLedger, now: MonotonicTime, backend: &str, except: &str) -> u64 {
-    let work = ledger.others(now, backend, except);
+fn tokens(owned: &OwnedLoads, now: MonotonicTime, backend: &str, except: &str) -> u64 {
+    let work = owned.others(now, backend, except);
     let replicas = work.replicas.iter();
     replicas.map(|replica| replica.prefill_tokens).sum()
 }
 
 #[test]
-fn the_newest_counts_of_each_node_stand() {
-    let mut ledger = WorkLedger::default();
+fn the_newest_counts_of_each_node_win() {
+    let mut owned = OwnedLoads::default();
     let now = MonotonicTime::from_millis(1000);
-    ledger.take(now, "node-1", 1, &update(5, &[("a", 10), ("b", 20)]));
-    ledger.take(now, "node-2", 7, &update(1, &[("a", 3)]));
-    ledger.take(now, "node-1", 1, &update(4, &[("a", 99)]));
-    ledger.take(now, "node-1", 1, &update(5, &[("a", 99)]));
-    assert_eq!(tokens(&ledger, now, "a", ""), 13, "older and repeated ones");
-    assert_eq!(tokens(&ledger, now, "a", "node-1"), 3, "all but the asking");
-    ledger.take(now, "node-1", 1, &update(6, &[("b", 5)]));
+    owned.apply(now, "node-1", 1, &update(5, &[("a", 10), ("b", 20)]));
+    owned.apply(now, "node-2", 7, &update(1, &[("a", 3)]));
+    owned.apply(now, "node-1", 1, &update(4, &[("a", 99)]));
+    owned.apply(now, "node-1", 1, &update(5, &[("a", 99)]));
+    assert_eq!(tokens(&owned, now, "a", ""), 13, "older and repeated ones");
+    assert_eq!(tokens(&owned, now, "a", "node-1"), 3, "all but the asking");
+    owned.apply(now, "node-1", 1, &update(6, &[("b", 5)]));
     assert_eq!(
-        tokens(&ledger, now, "a", ""),
+        tokens(&owned, now, "a", ""),
         13,
         "a backend that it names not"
     );
-    assert_eq!(tokens(&ledger, now, "b", ""), 5);
-    ledger.take(now, "node-1", 1, &update(7, &[("a", 0)]));
-    assert_eq!(tokens(&ledger, now, "a", ""), 3, "idle now");
-    ledger.take(now, "node-1", 1, &update(6, &[("a", 50)]));
-    assert_eq!(tokens(&ledger, now, "a", ""), 3, "overtaken by its own end");
-    ledger.take(now, "node-1", 2, &update(1, &[("a", 1)]));
-    assert_eq!(tokens(&ledger, now, "a", ""), 4, "restarted");
+    assert_eq!(tokens(&owned, now, "b", ""), 5);
+    owned.apply(now, "node-1", 1, &update(7, &[("a", 0)]));
+    assert_eq!(tokens(&owned, now, "a", ""), 3, "idle now");
+    owned.apply(now, "node-1", 1, &update(6, &[("a", 50)]));
+    assert_eq!(tokens(&owned, now, "a", ""), 3, "overtaken by its own end");
+    owned.apply(now, "node-1", 2, &update(1, &[("a", 1)]));
+    assert_eq!(tokens(&owned, now, "a", ""), 4, "restarted");
 }
 
 #[test]
-fn sums_are_kept_apart_by_model() {
-    let mut ledger = WorkLedger::default();
+fn sums_are_separate_by_model() {
+    let mut owned = OwnedLoads::default();
     let now = MonotonicTime::from_millis(1000);
     let of = |model: &str, prefill_tokens| ReplicaInFlight {
         model: model.to_owned(),
@@ -80,9 +80,9 @@
             sequence: 1,
             backends,
         };
-        ledger.take(now, member, 1, &update);
+        owned.apply(now, member, 1, &update);
     }
-    let work = ledger.others(now, "a", "").replicas;
+    let work = owned.others(now, "a", "").replicas;
     let sums: Vec<(&str, u64)> = work
         .iter()
         .map(|replica| (replica.model.as_str(), replica.prefill_tokens))
@@ -91,47 +91,44 @@
 }
 
 #[test]
-fn absurd_counts_end_at_the_largest_number() {
-    let mut ledger = WorkLedger::default();
+fn absurd_counts_saturate() {
+    let mut owned = OwnedLoads::default();
     let now = MonotonicTime::from_millis(1000);
-    ledger.take(now, "node-1", 1, &update(1, &[("a", u64::MAX)]));
-    ledger.take(now, "node-2", 1, &update(1, &[("a", u64::MAX)]));
-    assert_eq!(tokens(&ledger, now, "a", ""), u64::MAX);
+    owned.apply(now, "node-1", 1, &update(1, &[("a", u64::MAX)]));
+    owned.apply(now, "node-2", 1, &update(1, &[("a", u64::MAX)]));
+    assert_eq!(tokens(&owned, now, "a", ""), u64::MAX);
 }
 
 #[test]
-fn a_silent_node_counts_no_more() {
-    let mut ledger = WorkLedger::default();
-    ledger.take(
+fn counts_of_an_unresponsive_node_expire() {
+    let mut owned = OwnedLoads::default();
+    owned.apply(
         MonotonicTime::from_millis(0),
         "node-1",
         1,
         &update(1, &[("a", 10)]),
     );
     assert_eq!(
-        tokens(&ledger, MonotonicTime::from_millis(2900), "a", ""),
+        tokens(&owned, MonotonicTime::from_millis(2900), "a", ""),
         10
     );
-    assert_eq!(
-        tokens(&ledger, MonotonicTime::from_millis(3100), "a", ""),
-        0
-    );
-    ledger.expire(MonotonicTime::from_millis(3100));
-    assert_eq!(tokens(&ledger, MonotonicTime::from_millis(1), "a", ""), 0);
+    assert_eq!(tokens(&owned, MonotonicTime::from_millis(3100), "a", ""), 0);
+    owned.expire(MonotonicTime::from_millis(3100));
+    assert_eq!(tokens(&owned, MonotonicTime::from_millis(1), "a", ""), 0);
 }
 
 quickcheck! {
     /// Updates that are lost, repeated and overtaken leave what was said last, once that arrives.
-    fn any_order_of_updates_ends_at_the_newest(order: Vec<u8>) -> bool {
-        let mut ledger = WorkLedger::default();
+    fn any_order_of_updates_converges_to_the_newest(order: Vec<u8>) -> bool {
+        let mut owned = OwnedLoads::default();
         let now = MonotonicTime::from_millis(1);
         let newest = 1000;
-        ledger.take(now, "node-1", 1, &update(newest, &[("a", newest)]));
+        owned.apply(now, "node-1", 1, &update(newest, &[("a", newest)]));
         for sequence in order {
             let sequence = u64::from(sequence) + 1;
-            ledger.take(now, "node-1", 1, &update(sequence, &[("a", sequence)]));
+            owned.apply(now, "node-1", 1, &update(sequence, &[("a", sequence)]));
         }
-        tokens(&ledger, now, "a", "") == newest
+        tokens(&owned, now, "a", "") == newest
     }
 }
 
@@ -149,7 +146,7 @@
 }
 
 #[test]
-fn owners_are_spread_evenly_and_over_two_zones() {
+fn owners_are_balanced_and_in_two_zones() {
     let members: Vec<ProxyMember> = (0..30).map(member).collect();
     let ring = OwnerRing::of(&members);
     let mut owned: BTreeMap<String, u32> = BTreeMap::new();
@@ -168,7 +165,7 @@
 }
 
 #[test]
-fn a_node_that_goes_moves_only_what_it_owned() {
+fn a_removed_node_moves_only_the_keys_it_owned() {
     let members: Vec<ProxyMember> = (0..30).map(member).collect();
     let before = OwnerRing::of(&members);
     let after = OwnerRing::of(&members[1..]);
@@ -194,39 +191,39 @@
 }
 
 #[test]
-fn an_owner_that_leaves_questions_unanswered_is_passed_over_for_a_while() {
-    let mut questions = Questions::default();
+fn an_owner_that_times_out_twice_is_suspected_for_a_while() {
+    let mut queries = PendingRequests::default();
     let at = MonotonicTime::from_millis;
-    let (first, _answer) = questions.begin(at(0), "node-1");
-    questions.give_up(at(20), first);
-    assert!(!questions.is_suspect(at(20), "node-1"), "one may be lost");
-    let (second, _answer) = questions.begin(at(30), "node-1");
-    questions.give_up(at(50), second);
-    assert!(questions.is_suspect(at(50), "node-1"));
-    assert!(!questions.is_suspect(at(50), "node-2"));
-    assert!(!questions.is_suspect(at(1100), "node-1"), "asked again");
-    let (third, answer) = questions.begin(at(1100), "node-1");
-    assert!(questions.answered(at(1102), third, Answer::Counts));
-    assert_eq!(answer.blocking_recv(), Ok(Answer::Counts));
-    let (fourth, _answer) = questions.begin(at(1200), "node-1");
-    questions.give_up(at(1220), fourth);
-    assert!(!questions.is_suspect(at(1220), "node-1"), "it was heard");
+    let (first, _answer) = queries.begin(at(0), "node-1");
+    queries.time_out(at(20), first);
+    assert!(!queries.is_suspect(at(20), "node-1"), "one may be lost");
+    let (second, _answer) = queries.begin(at(30), "node-1");
+    queries.time_out(at(50), second);
+    assert!(queries.is_suspect(at(50), "node-1"));
+    assert!(!queries.is_suspect(at(50), "node-2"));
+    assert!(!queries.is_suspect(at(1100), "node-1"), "asked again");
+    let (third, answer) = queries.begin(at(1100), "node-1");
+    assert!(queries.complete(at(1102), third, OwnerReply::Counts));
+    assert_eq!(answer.blocking_recv(), Ok(OwnerReply::Counts));
+    let (fourth, _answer) = queries.begin(at(1200), "node-1");
+    queries.time_out(at(1220), fourth);
+    assert!(!queries.is_suspect(at(1220), "node-1"), "it was heard");
     assert!(
-        !questions.answered(at(1300), fourth, Answer::Counts),
+        !queries.complete(at(1300), fourth, OwnerReply::Counts),
         "too late"
     );
 }
 
 #[test]
-fn questions_whose_requests_went_away_are_forgotten() {
-    let mut questions = Questions::default();
-    let (id, _answer) = questions.begin(MonotonicTime::from_millis(0), "node-1");
-    questions.expire(MonotonicTime::from_millis(5000));
-    assert!(!questions.answered(MonotonicTime::from_millis(5001), id, Answer::Counts));
+fn abandoned_requests_expire() {
+    let mut queries = PendingRequests::default();
+    let (id, _answer) = queries.begin(MonotonicTime::from_millis(0), "node-1");
+    queries.expire(MonotonicTime::from_millis(5000));
+    assert!(!queries.complete(MonotonicTime::from_millis(5001), id, OwnerReply::Counts));
 }
 
 #[test]
-fn the_wait_for_an_answer_follows_the_answers() {
+fn the_request_timeout_follows_the_round_trips() {
     let mut round_trip = RoundTrip::default();
     let before = round_trip.timeout();
     for _ in 0..50 {
--- a/crates/forward/tests/quota.rs
+++ b/crates/forward/tests/quota.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    fn ask(&mut self, node: usize, tokens: u64) -> bool {
+    fn admit(&mut self, node: usize, tokens: u64) -> bool {
         let admitted = self.nodes[node].admit(self.now, &tenant(), tokens).is_ok();
         if admitted {
             self.admitted.push((self.now, tokens));
@@ -103,13 +103,13 @@
 }
 
 #[test]
-fn a_tenant_that_presses_on_gets_its_rate_over_all_nodes() {
+fn a_tenant_over_its_quota_gets_its_rate_over_all_nodes() {
     let mut fleet = Fleet::new(8);
-    for round in 0..4000_usize {
+    for step in 0..4000_usize {
         for node in 0..8 {
             // Six times the rate; each admission is told within ten milliseconds.
-            if round % 2 == 0 {
-                fleet.ask(node, 15);
+            if step % 2 == 0 {
+                fleet.admit(node, 15);
             }
         }
         fleet.exchange(|_, _| false);
@@ -131,21 +131,21 @@
 #[test]
 fn a_tenant_under_its_quota_is_never_refused() {
     let mut fleet = Fleet::new(8);
-    for round in 0..2000_usize {
+    for step in 0..2000_usize {
         // Nine tenths of the rate, all of it at one node.
-        assert!(fleet.ask(round % 3, 9), "refused at {:?}", fleet.now);
-        fleet.exchange(|from, to| (from + to + round) % 3 == 0);
+        assert!(fleet.admit(step % 3, 9), "refused at {:?}", fleet.now);
+        fleet.exchange(|from, to| (from + to + step) % 3 == 0);
         fleet.pass(10);
     }
 }
 
 #[test]
-fn requests_that_come_close_together_are_admitted_while_the_tenant_is_under_its_rate() {
+fn bursts_are_admitted_while_the_tenant_is_under_its_rate() {
     let mut fleet = Fleet::new(1);
     for peak in 0..20 {
         // Seven eighths of the rate, in peaks of 1.4 bursts.
         for _ in 0..7 {
-            assert!(fleet.ask(0, 200), "peak {peak}");
+            assert!(fleet.admit(0, 200), "peak {peak}");
         }
         fleet.pass(1600);
     }
@@ -155,10 +155,10 @@
 fn large_requests_are_admitted_as_often_as_small_ones() {
     let mut fleet = Fleet::new(2);
     let (mut small, mut large) = (0, 0);
-    for round in 0..8000_usize {
-        small += u64::from(fleet.ask(round % 2, 10));
+    for step in 0..8000_usize {
+        small += u64::from(fleet.admit(step % 2, 10));
         fleet.pass(1);
-        large += u64::from(fleet.ask((round + 1) % 2, 500));
+        large += u64::from(fleet.admit((step + 1) % 2, 500));
         fleet.exchange(|_, _| false);
         fleet.pass(4);
     }
@@ -167,14 +167,14 @@
 
 /// Admissions of each node while the tenant presses on with six times its rate at all of them, at
 /// random.
-fn admissions_under_pressure(fleet: &mut Fleet, rounds: usize) -> Vec<usize> {
+fn admissions_under_pressure(fleet: &mut Fleet, steps: usize) -> Vec<usize> {
     let mut random = StdRng::seed_from_u64(7);
     let count = fleet.nodes.len();
     let mut admissions = vec![0; count];
-    for _ in 0..rounds {
+    for _ in 0..steps {
         for _ in 0..2 {
             let node = random.random_range(0..count);
-            admissions[node] += usize::from(fleet.ask(node, 15));
+            admissions[node] += usize::from(fleet.admit(node, 15));
         }
         fleet.exchange(|_, _| false);
         fleet.pass(5);
@@ -183,14 +183,14 @@
 }
 
 #[test]
-fn a_node_that_believes_more_to_be_left_does_not_take_the_others_share() {
+fn a_node_with_a_higher_level_estimate_does_not_take_the_others_share() {
     let mut fleet = Fleet::new(8);
     // The peers heard of these admissions; that they were given back only the node itself knows.
     for _ in 0..10 {
-        assert!(fleet.ask(2, 40));
+        assert!(fleet.admit(2, 40));
     }
     fleet.exchange(|_, _| false);
-    fleet.nodes[2].give_back(fleet.now, &tenant(), 400);
+    fleet.nodes[2].refund(fleet.now, &tenant(), 400);
     admissions_under_pressure(&mut fleet, 1000);
     let admissions = admissions_under_pressure(&mut fleet, 4000);
     let (least, most) = (admissions.iter().min(), admissions.iter().max());
@@ -199,12 +199,12 @@
 }
 
 #[test]
-fn a_node_that_hears_nothing_does_not_lift_what_the_others_believe() {
+fn a_node_that_receives_nothing_does_not_raise_the_others_estimates() {
     let mut fleet = Fleet::new(8);
     // All hear of node 5, which hears of nobody and believes the bucket to be full.
-    for round in 0..1000_usize {
-        for step in 0..8 {
-            fleet.ask((round * 3 + step) % 8, 15);
+    for step in 0..1000_usize {
+        for request in 0..8 {
+            fleet.admit((step * 3 + request) % 8, 15);
         }
         fleet.exchange(|_, to| to == 5);
         fleet.pass(20);
@@ -216,20 +216,20 @@
 }
 
 #[test]
-fn a_node_that_is_cut_off_does_not_double_the_quota() {
+fn a_partitioned_node_does_not_double_the_quota() {
     let mut fleet = Fleet::new(4);
-    let step = |fleet: &mut Fleet, rounds: usize, cut: bool| {
-        for _ in 0..rounds {
+    let run = |fleet: &mut Fleet, steps: usize, partitioned: bool| {
+        for _ in 0..steps {
             for node in 0..4 {
-                fleet.ask(node, 15);
+                fleet.admit(node, 15);
             }
-            fleet.exchange(|from, to| cut && (from == 3 || to == 3));
+            fleet.exchange(|from, to| partitioned && (from == 3 || to == 3));
             fleet.pass(10);
         }
     };
-    step(&mut fleet, 1000, false);
-    step(&mut fleet, 400, true);
-    step(&mut fleet, 1000, false);
+    run(&mut fleet, 1000, false);
+    run(&mut fleet, 400, true);
+    run(&mut fleet, 1000, false);
     // Each side assumes that the other goes on as before; the assumption fades in seconds.
     assert!(
         fleet.most_in_window() <= bound(RATE * 2),
@@ -239,15 +239,15 @@
 }
 
 #[test]
-fn a_restarted_node_takes_over_what_its_peers_believe() {
+fn a_restarted_node_adopts_its_peers_estimates() {
     let mut fleet = Fleet::new(4);
-    for round in 0..2000_usize {
+    for step in 0..2000_usize {
         for node in 0..4 {
-            fleet.ask(node, 15);
+            fleet.admit(node, 15);
         }
         fleet.exchange(|_, _| false);
-        if round % 250 == 249 {
-            fleet.restart(round / 250 % 4);
+        if step % 250 == 249 {
+            fleet.restart(step / 250 % 4);
             fleet.exchange(|_, _| false);
         }
         fleet.pass(10);
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn any_losses_of_news_leave_the_quota_bounded() {
+fn any_message_losses_leave_the_quota_bounded() {
     /// `loss_percent`: of the datagrams, by round; at most half.
     fn holds(seed: u64, loss_percent: Vec<u8>, offered: Vec<u8>) -> TestResult {
         if loss_percent.is_empty() || offered.is_empty() {
@@ -268,14 +268,14 @@
         }
         let mut random = StdRng::seed_from_u64(seed);
         let mut fleet = Fleet::new(4);
-        for round in 0..1500_usize {
-            let tokens = u64::from(offered[round % offered.len()]) % 40;
+        for step in 0..1500_usize {
+            let tokens = u64::from(offered[step % offered.len()]) % 40;
             for node in 0..4 {
                 if tokens > 0 {
-                    fleet.ask(node, tokens);
+                    fleet.admit(node, tokens);
                 }
             }
-            let loss = loss_percent[round % loss_percent.len()] % 51;
+            let loss = loss_percent[step % loss_percent.len()] % 51;
             let lost: Vec<bool> = (0..16)
                 .map(|_| random.random_range(0..100) < loss)
                 .collect();
--- a/crates/forward/tests/streams.rs
+++ b/crates/forward/tests/streams.rs
@@ -19,19 +19,19 @@
 }
 
 #[tokio::test]
-async fn a_whole_stream_goes_through() {
+async fn a_complete_stream_is_forwarded() {
     let text = format!("{}{LAST_CHUNK}", stream_start(1..6));
     let backend = StubBackend::start(vec![Step::Answer(text)]).await;
     for setup in [resumable(), Setup::with(|route| route.stream = true)] {
         let node = TestNode::start(&setup, &[&backend]).await;
         let reply = call(node.callers, &request("/jobs/", "", "")).await;
-        assert!(reply.whole);
+        assert!(reply.complete);
         assert_eq!(reply.body, events(1..6));
     }
 }
 
 #[tokio::test]
-async fn another_backend_goes_on_after_the_last_whole_event() {
+async fn another_backend_resumes_after_the_last_complete_event() {
     // The first breaks off in the middle of event 4.
     let half = chunk(&event(4)[..7]);
     let broken = format!("{}{half}", stream_start(1..4));
@@ -44,18 +44,18 @@
     let second = StubBackend::start(vec![Step::AnswerThenReset(broken), Step::Answer(rest)]).await;
     // Whichever comes first breaks off; the other is made to go on.
     let node = TestNode::start(&resumable(), &[&first, &second]).await;
-    let mut whole = 0;
+    let mut complete = 0;
     for _ in 0..4 {
         let reply = call(node.callers, &request("/jobs/", "", "")).await;
-        if reply.whole {
-            whole += 1;
+        if reply.complete {
+            complete += 1;
             let text = reply.body.clone();
             assert!(text == events(1..8) || text == events(4..8), "{text}");
         } else {
             assert_eq!(reply.body, events(1..4), "only whole events");
         }
     }
-    assert!(whole >= 2);
+    assert!(complete >= 2);
     let mut resumed = first.received();
     resumed.extend(second.received());
     assert!(
@@ -66,8 +66,9 @@
 }
 
 #[tokio::test]
-async fn events_that_come_again_are_left_out_and_a_gap_ends_the_stream() {
-    for (continued, expected, whole) in [(2..6, events(1..6), true), (5..8, events(1..4), false)] {
+async fn repeated_events_are_dropped_and_a_gap_ends_the_stream() {
+    for (continued, expected, complete) in [(2..6, events(1..6), true), (5..8, events(1..4), false)]
+    {
         let broken = stream_start(1..4);
         let rest = format!("{}{LAST_CHUNK}", stream_start(continued));
         let backends = [
@@ -86,24 +87,24 @@
                 break reply;
             }
         };
-        assert_eq!((reply.body, reply.whole), (expected, whole));
+        assert_eq!((reply.body, reply.complete), (expected, complete));
     }
 }
 
 #[tokio::test]
-async fn a_stream_that_may_not_be_resumed_ends_broken_off() {
+async fn a_stream_that_is_not_resumable_ends_truncated() {
     let broken = stream_start(1..4);
     let first = StubBackend::start(vec![Step::AnswerThenReset(broken.clone())]).await;
     let second = StubBackend::start(vec![Step::AnswerThenReset(broken)]).await;
     let setup = Setup::with(|route| route.stream = true);
     let node = TestNode::start(&setup, &[&first, &second]).await;
     let reply = call(node.callers, &request("/jobs/", "", "")).await;
-    assert!(!reply.whole);
+    assert!(!reply.complete);
     assert_eq!(first.received().len() + second.received().len(), 1);
 }
 
 #[tokio::test]
-async fn a_caller_may_take_a_stream_up_itself() {
+async fn a_caller_may_resume_a_stream_itself() {
     let rest = format!("{}{LAST_CHUNK}", stream_start(4..6));
     let backend = StubBackend::start(vec![Step::Answer(rest)]).await;
     let node = TestNode::start(&resumable(), &[&backend]).await;
@@ -116,7 +117,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_ends_when_the_route_allows_no_more_time() {
+async fn a_stream_ends_at_the_deadline_of_its_route() {
     // Three events, and then nothing more.
     let text = stream_start(1..4);
     let backend = StubBackend::start(vec![Step::Answer(text), Step::Hang]).await;
@@ -127,5 +128,5 @@
     let node = TestNode::start(&setup, &[&backend]).await;
     let reply = call(node.callers, &request("/jobs/", "", "")).await;
     assert_eq!(reply.body, events(1..4));
-    assert!(!reply.whole);
+    assert!(!reply.complete);
 }
--- a/crates/forward/tests/support/caller.rs
+++ b/crates/forward/tests/support/caller.rs
@@ -14,7 +14,7 @@
     pub status: u16,
     pub head: String,
     pub body: String,
-    pub whole: bool,
+    pub complete: bool,
 }
 
 impl Reply {
@@ -66,21 +66,21 @@
         status: head.split(' ').nth(1)?.parse().ok()?,
         head: head.to_owned(),
         body: String::new(),
-        whole: false,
+        complete: false,
     };
     let chunked = reply.header("transfer-encoding").is_some();
     let length = reply
         .header("content-length")
         .and_then(|text| text.parse::<usize>().ok());
     if chunked {
-        let (joined, whole) = join_chunks(body);
+        let (joined, complete) = join_chunks(body);
         reply.body = joined;
-        reply.whole = whole;
+        reply.complete = complete;
     } else {
-        reply.whole = length.is_some_and(|length| body.len() >= length);
+        reply.complete = length.is_some_and(|length| body.len() >= length);
         reply.body = body.to_owned();
     }
-    (reply.whole || ended).then_some(reply)
+    (reply.complete || ended).then_some(reply)
 }
 
 fn join_chunks(mut rest: &str) -> (String, bool) {
--- a/crates/forward/tests/support/node.rs
+++ b/crates/forward/tests/support/node.rs
@@ -155,7 +155,7 @@
     }
 
     /// The node hears and tells its peers nothing from now on.
-    pub fn go_silent(&self) {
+    pub fn stop_exchange(&self) {
         self.exchange.iter().for_each(|task| task.abort());
     }
 }
@@ -175,12 +175,12 @@
 }
 
 /// Polls of a condition before a test gives up.
-const MOST_POLLS: u32 = 100_000;
+const MAX_POLLS: u32 = 100_000;
 
 impl TestNode {
     /// Lets the node's tasks run until the condition holds.
     pub async fn until(&self, holds: impl Fn() -> bool) {
-        for _ in 0..MOST_POLLS {
+        for _ in 0..MAX_POLLS {
             if holds() {
                 return;
             }
--- a/crates/forward/tests/news.rs
+++ b/crates/forward/tests/usage_messages.rs
@@ -4,7 +4,7 @@
 
 use millford_api::config::{Tenant, TokenQuota};
 use millford_core::time::monotonic_now;
-use millford_forward::exchange::news::NewsWriter;
+use millford_forward::exchange::usage_messages::UsageMessageEncoder;
 use support::backend::{Step, StubBackend};
 use support::node::{Setup, TestNode};
 
@@ -21,27 +21,39 @@
 }
 
 #[tokio::test]
-async fn what_all_peers_were_told_is_no_news() {
+async fn reported_usage_is_not_sent_again_until_it_changes() {
     let backend = StubBackend::start(vec![Step::Hang]).await;
     let node = TestNode::start(&Setup::with(|_| {}), &[&backend])
         .await
         .node;
     let now = monotonic_now();
-    let mut writer = NewsWriter::new(1);
-    assert_eq!(writer.write(&node, now, true), None, "nothing was admitted");
+    let mut encoder = UsageMessageEncoder::new(1);
+    assert_eq!(
+        encoder.encode_for_all(&node, now, true),
+        None,
+        "nothing was admitted"
+    );
     node.quotas
         .admit(now, &tenant(), 70)
         .expect("under its quota");
-    let news = writer.write(&node, now, false).expect("an admission");
+    let news = encoder
+        .encode_for_all(&node, now, false)
+        .expect("an admission");
     assert_eq!(news.usage[0].used_tokens, 70);
     assert!(!news.is_owner);
-    assert_eq!(writer.write(&node, now, false), None, "all were told");
-    let again = writer.write(&node, now, true).expect("all over again");
+    assert_eq!(
+        encoder.encode_for_all(&node, now, false),
+        None,
+        "all were told"
+    );
+    let again = encoder
+        .encode_for_all(&node, now, true)
+        .expect("all over again");
     assert!(again.sequence > news.sequence);
 }
 
 #[tokio::test]
-async fn an_owner_tells_the_other_owners_and_nobody_else() {
+async fn an_owner_reports_to_the_other_owners_only() {
     let backend = StubBackend::start(vec![Step::Hang]).await;
     let nodes = TestNode::start_fleet(12, &Setup::with(|_| {}), &[&backend]).await;
     let now = monotonic_now();
@@ -53,24 +65,33 @@
         node.quotas
             .grant(now, &tenant(), 70, 0)
             .expect("the tenant has a quota");
-        let mut writer = NewsWriter::new(1);
-        let told = writer.write_owned(node, &ring, now, false);
+        let mut encoder = UsageMessageEncoder::new(1);
+        let messages = encoder.encode_for_owners(node, &ring, now, false);
         let is_owner = owners.iter().any(|owner| owner.name == node.name);
-        assert_eq!(told.len(), if is_owner { 3 } else { 0 }, "{}", node.name);
-        for (address, news) in &told {
+        assert_eq!(
+            messages.len(),
+            if is_owner { 3 } else { 0 },
+            "{}",
+            node.name
+        );
+        for (address, news) in &messages {
             assert!(news.is_owner);
             assert_eq!(news.usage[0].used_tokens, 70);
             let to = owners.iter().find(|owner| owner.address == *address);
             assert_ne!(to.expect("an owner").name, node.name);
         }
-        assert!(writer.write_owned(node, &ring, now, false).is_empty());
-        let whole = writer.write_owned(node, &ring, now, true);
-        assert_eq!(whole.len(), told.len(), "all over again");
+        assert!(
+            encoder
+                .encode_for_owners(node, &ring, now, false)
+                .is_empty()
+        );
+        let complete = encoder.encode_for_owners(node, &ring, now, true);
+        assert_eq!(complete.len(), messages.len(), "all over again");
     }
 }
 
 #[tokio::test]
-async fn an_owner_of_many_tenants_leaves_none_out() {
+async fn an_owner_of_many_tenants_reports_all_of_them() {
     const TENANTS: usize = 600;
     let backend = StubBackend::start(vec![Step::Hang]).await;
     let nodes = TestNode::start_fleet(2, &Setup::with(|_| {}), &[&backend]).await;
@@ -84,7 +105,7 @@
         };
         node.quotas.grant(now, &tenant, 1, 0).expect("a quota");
     }
-    let told = NewsWriter::new(1).write_owned(node, &ring, now, false);
-    let tenants: usize = told.iter().map(|(_, news)| news.usage.len()).sum();
+    let messages = UsageMessageEncoder::new(1).encode_for_owners(node, &ring, now, false);
+    let tenants: usize = messages.iter().map(|(_, news)| news.usage.len()).sum();
     assert_eq!(tenants, TENANTS);
 }
--- a/crates/routing/src/backend_health.rs
+++ b/crates/routing/src/backend_health.rs
@@ -15,7 +15,7 @@
 pub const WATCH_AFTER_USE: Duration = Duration::from_secs(60);
 
 /// Most backends that a node probes without using them.
-pub const MOST_WATCHED: usize = 64;
+pub const MAX_WATCHED: usize = 64;
 
 /// Why a backend was ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -46,9 +46,9 @@
     good_probes: u32,
     bad_probes: u32,
     last_used: Option<MonotonicTime>,
-    last_heard: Option<MonotonicTime>,
+    last_active: Option<MonotonicTime>,
     /// The first use since it was heard last.
-    unheard_since: Option<MonotonicTime>,
+    unanswered_since: Option<MonotonicTime>,
     /// Probed whether or not it is in use.
     watched: bool,
 }
@@ -67,15 +67,15 @@
     pub fn record_dispatch(&self, id: &str, now: MonotonicTime) {
         self.entry(id, |health| {
             health.last_used = Some(now);
-            health.unheard_since.get_or_insert(now);
+            health.unanswered_since.get_or_insert(now);
         });
     }
 
     /// Bytes came from the backend.
     pub fn record_activity(&self, id: &str, now: MonotonicTime) {
         self.entry(id, |health| {
-            health.last_heard = Some(now);
-            health.unheard_since = None;
+            health.last_active = Some(now);
+            health.unanswered_since = None;
             health.bad_probes = 0;
         });
     }
@@ -108,7 +108,7 @@
     /// A probe was answered. Answers whether it brought the backend back.
     pub fn probe_succeeded(&self, id: &str, now: MonotonicTime) -> bool {
         self.entry(id, |health| {
-            health.last_heard = Some(now);
+            health.last_active = Some(now);
             health.bad_probes = 0;
             health.good_probes += 1;
             let readmitted = health.ejected.is_some() && health.good_probes >= PROBES_TO_READMIT;
@@ -139,7 +139,7 @@
         let due = backends.iter().filter(|(_, health)| {
             let recently = |at: MonotonicTime| now.since(at) < WATCH_AFTER_USE;
             let in_use = health.last_used.is_some_and(recently);
-            let is_quiet = health.last_heard.is_none_or(|at| now.since(at) >= quiet);
+            let is_quiet = health.last_active.is_none_or(|at| now.since(at) >= quiet);
             health.ejected.is_some() || ((in_use || health.watched) && is_quiet)
         });
         due.map(|(id, _)| id.clone()).collect()
@@ -153,7 +153,7 @@
         let Some(health) = backends.get(id) else {
             return false;
         };
-        let newest = health.unheard_since.max(health.last_heard);
+        let newest = health.unanswered_since.max(health.last_active);
         newest.is_some_and(|at| now.since(at) >= span)
     }
 
@@ -162,14 +162,14 @@
     pub fn others_responsive(&self, id: &str, now: MonotonicTime, span: Duration) -> bool {
         let backends = self.lock();
         let mut others = backends.iter().filter(|(other, _)| other.as_str() != id);
-        others.any(|(_, health)| health.last_heard.is_some_and(|at| now.since(at) < span))
+        others.any(|(_, health)| health.last_active.is_some_and(|at| now.since(at) < span))
     }
 
-    /// Watches backends before they are used, if they are at most [`MOST_WATCHED`]: the first
+    /// Watches backends before they are used, if they are at most [`MAX_WATCHED`]: the first
     /// work for a backend that vanished would find it out too late.
     pub fn watch<'a>(&self, ids: impl Iterator<Item = &'a str>) {
-        let ids: Vec<&str> = ids.take(MOST_WATCHED + 1).collect();
-        if ids.len() > MOST_WATCHED {
+        let ids: Vec<&str> = ids.take(MAX_WATCHED + 1).collect();
+        if ids.len() > MAX_WATCHED {
             return;
         }
         for id in ids {
--- a/crates/routing/src/choice.rs
+++ b/crates/routing/src/choice.rs
@@ -72,8 +72,8 @@
     let mean = total / candidates.len().max(1) as f64;
     // A miss costs the request its saving, and the fleet as much work again that its cache was to spare:
     // the busier the fleet is, the more a home may be behind.
-    let patience = affinity.gain * HOME_LOAD_TOLERANCE * mean;
-    let bound = alternative + affinity.saving + patience;
+    let tolerance = affinity.gain * HOME_LOAD_TOLERANCE * mean;
+    let bound = alternative + affinity.saving + tolerance;
     let mut order: Vec<usize> = (0..candidates.len()).collect();
     order.sort_by(|left, right| {
         let left = home_score(affinity.key, &candidates[*left]);
@@ -99,8 +99,8 @@
     let Some(second) = draw_by_weight(candidates, Some(first), random[1]) else {
         return Some(first);
     };
-    let keep_first = weighed_load(&candidates[first]) <= weighed_load(&candidates[second]);
-    Some(if keep_first { first } else { second })
+    let prefer_first = weighed_load(&candidates[first]) <= weighed_load(&candidates[second]);
+    Some(if prefer_first { first } else { second })
 }
 
 fn draw_by_weight(candidates: &[Candidate], without: Option<usize>, random: u64) -> Option<usize> {
--- a/crates/routing/src/cost_estimates.rs
+++ b/crates/routing/src/cost_estimates.rs
@@ -18,7 +18,7 @@
 const PRIOR_OUTPUT_TOKENS: f64 = 64.0;
 /// Most streams that are believed to fit into twice the time of an empty step: guards against a fitted
 /// slope of nearly nothing.
-const MOST_STREAMS: f64 = 256.0;
+const MAX_STREAMS_PER_BATCH: f64 = 256.0;
 /// Cached share of a prompt to expect at home and elsewhere before any answer.
 const PRIOR_CACHED_AT_HOME: f64 = 0.5;
 
@@ -131,7 +131,7 @@
     pub fn work_ms(&self, model: &str, prefill_tokens: u64, decode_streams: u32) -> f64 {
         let cost = self.read(model);
         let prefill = cost.first_token.slope() * prefill_tokens as f64;
-        let least_step_share = cost.inter_token.base() / MOST_STREAMS;
+        let least_step_share = cost.inter_token.base() / MAX_STREAMS_PER_BATCH;
         let step_share = cost.inter_token.slope().max(least_step_share);
         let tokens_left = cost.output_tokens.value() / 2.0;
         prefill + step_share * tokens_left * f64::from(decode_streams)
--- a/crates/routing/src/in_flight_guard.rs
+++ b/crates/routing/src/in_flight_guard.rs
@@ -16,16 +16,16 @@
 /// Counts one request until it is dropped, on whatever path the request ends.
 #[derive(Debug)]
 pub struct InFlightGuard {
-    board: Arc<LoadTable>,
+    table: Arc<LoadTable>,
     key: ReplicaKey,
     uncached_tokens: u64,
     phase: Phase,
 }
 
 impl InFlightGuard {
-    pub(crate) fn new(board: Arc<LoadTable>, key: ReplicaKey, uncached_tokens: u64) -> Self {
+    pub(crate) fn new(table: Arc<LoadTable>, key: ReplicaKey, uncached_tokens: u64) -> Self {
         Self {
-            board,
+            table,
             key,
             uncached_tokens,
             phase: Phase::Prefill,
@@ -53,7 +53,7 @@
             return;
         }
         let (tokens, before) = (self.uncached_tokens, self.phase);
-        self.board.change_own(&self.key, |counts| {
+        self.table.change_own(&self.key, |counts| {
             remove(counts, before, tokens);
             add(counts, phase, tokens);
         });
@@ -64,7 +64,7 @@
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let (tokens, phase) = (self.uncached_tokens, self.phase);
-        self.board
+        self.table
             .change_own(&self.key, |counts| remove(counts, phase, tokens));
     }
 }
--- a/crates/routing/src/load_table.rs
+++ b/crates/routing/src/load_table.rs
@@ -13,10 +13,10 @@
 use crate::replica_key::ReplicaKey;
 
 /// Number of shards; a power of two.
-const BOARD_SHARDS: usize = 16;
+const TABLE_SHARDS: usize = 16;
 
 /// Most cost samples kept per replica between two reports.
-const MAX_SAMPLES: usize = 64;
+const MAX_SAMPLES_PER_REPORT: usize = 64;
 
 /// Unchanged work in flight is reported again after this many reports without it: the placement role
 /// forgets counts that are not refreshed for five seconds. Four reports a second make this three.
@@ -40,15 +40,15 @@
     others: ReplicaCounts,
     samples: Vec<CostSample>,
     failures: u32,
-    reports_without: u32,
+    reports_skipped: u32,
 }
 
-type BoardShard = BTreeMap<ReplicaKey, ReplicaEntry>;
+type TableShard = BTreeMap<ReplicaKey, ReplicaEntry>;
 
 /// Counts of this node's work in flight, with what the other nodes reported.
 #[derive(Debug)]
 pub struct LoadTable {
-    shards: Vec<Mutex<BoardShard>>,
+    shards: Vec<Mutex<TableShard>>,
     /// Whether the other nodes themselves tell what they have in flight.
     follows_peers: AtomicBool,
     /// Backends on which this node's own work changed since peers were told.
@@ -58,7 +58,7 @@
 
 impl Default for LoadTable {
     fn default() -> Self {
-        let shards = (0..BOARD_SHARDS).map(|_| Mutex::default());
+        let shards = (0..TABLE_SHARDS).map(|_| Mutex::default());
         Self {
             shards: shards.collect(),
             follows_peers: AtomicBool::new(false),
@@ -105,7 +105,7 @@
     /// Adds a sample for the cost fit of the placement role.
     pub fn add_sample(&self, key: &ReplicaKey, sample: CostSample) {
         self.change(key, |entry| {
-            if entry.samples.len() < MAX_SAMPLES {
+            if entry.samples.len() < MAX_SAMPLES_PER_REPORT {
                 entry.samples.push(sample);
             }
         });
@@ -124,7 +124,7 @@
         for shard in &self.shards {
             let mut shard = shard.lock().unwrap_or_else(PoisonError::into_inner);
             for (key, entry) in shard.iter_mut() {
-                let Some(load) = take_load(key, entry) else {
+                let Some(load) = take_report(key, entry) else {
                     continue;
                 };
                 let report = reports.entry(key.pool.clone()).or_default();
@@ -206,7 +206,7 @@
                 version: load.version.clone(),
             };
             self.change(&key, |entry| {
-                entry.others = without_own(load, entry.reported)
+                entry.others = excluding_own(load, entry.reported)
             });
         }
     }
@@ -227,8 +227,8 @@
         change(shard.entry(key.clone()).or_default());
     }
 
-    fn lock(&self, backend_id: &str) -> MutexGuard<'_, BoardShard> {
-        let slot = xxh3_64(backend_id.as_bytes()) as usize % BOARD_SHARDS;
+    fn lock(&self, backend_id: &str) -> MutexGuard<'_, TableShard> {
+        let slot = xxh3_64(backend_id.as_bytes()) as usize % TABLE_SHARDS;
         let shard = &self.shards[slot];
         shard.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -258,16 +258,16 @@
 }
 
 /// The report of one replica, if anything changed since its last one.
-fn take_load(key: &ReplicaKey, entry: &mut ReplicaEntry) -> Option<ReplicaLoad> {
+fn take_report(key: &ReplicaKey, entry: &mut ReplicaEntry) -> Option<ReplicaLoad> {
     let unchanged = entry.own == entry.reported;
     if unchanged && entry.samples.is_empty() && entry.failures == 0 {
-        entry.reports_without += 1;
+        entry.reports_skipped += 1;
         let idle = entry.own == ReplicaCounts::default();
-        if idle || entry.reports_without < REFRESH_AFTER_REPORTS {
+        if idle || entry.reports_skipped < REFRESH_AFTER_REPORTS {
             return None;
         }
     }
-    entry.reports_without = 0;
+    entry.reports_skipped = 0;
     entry.reported = entry.own;
     Some(ReplicaLoad {
         backend_id: key.backend_id.clone(),
@@ -281,7 +281,7 @@
     })
 }
 
-fn without_own(load: &ReplicaLoad, own: ReplicaCounts) -> ReplicaCounts {
+fn excluding_own(load: &ReplicaLoad, own: ReplicaCounts) -> ReplicaCounts {
     ReplicaCounts {
         prefill_tokens: load.prefill_tokens.saturating_sub(own.prefill_tokens),
         decode_streams: load.decode_streams.saturating_sub(own.decode_streams),
