--- a/crates/routing/src/prefix_index.rs
+++ b/crates/routing/src/prefix_index.rs
@@ -7,13 +7,13 @@
 use tokio::sync::Notify;
 
 /// Number of shards; a power of two.
-const DIRECTORY_SHARDS: usize = 16;
+const INDEX_SHARDS: usize = 16;
 
 /// A part that was not used for this long is believed to have given way to others.
-pub const REMEMBERED_FOR: Duration = Duration::from_secs(25);
+pub const RETENTION: Duration = Duration::from_secs(25);
 
 /// A part that is used again is told to the other nodes at most this often.
-const TOLD_AGAIN_AFTER: Duration = Duration::from_secs(2);
+const MIN_ANNOUNCE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// One part of a prompt: its identity includes its place, so that equal ids are equal parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,13 +36,13 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Reading {
+struct BlockUse {
     last_used: MonotonicTime,
-    last_told: Option<MonotonicTime>,
+    last_announced: Option<MonotonicTime>,
     tokens: u32,
 }
 
-type Readings = BTreeMap<String, Reading>;
+type UsesByBackend = BTreeMap<String, BlockUse>;
 
 /// Parts by id with the backends that read them, in shards that each have their own lock.
 ///
@@ -50,122 +50,128 @@
 /// recently used parts give way; so a part counts as kept for a while after its last use.
 #[derive(Debug)]
 pub struct PrefixIndex {
-    shards: Vec<Mutex<HashMap<u64, Readings>>>,
-    news: Mutex<Vec<CachedBlock>>,
-    has_news: Notify,
+    shards: Vec<Mutex<HashMap<u64, UsesByBackend>>>,
+    announcements: Mutex<Vec<CachedBlock>>,
+    announcements_pending: Notify,
 }
 
 impl Default for PrefixIndex {
     fn default() -> Self {
-        let shards = (0..DIRECTORY_SHARDS).map(|_| Mutex::default());
+        let shards = (0..INDEX_SHARDS).map(|_| Mutex::default());
         Self {
             shards: shards.collect(),
-            news: Mutex::default(),
-            has_news: Notify::new(),
+            announcements: Mutex::default(),
+            announcements_pending: Notify::new(),
         }
     }
 }
 
 impl PrefixIndex {
-    /// This node sends a prompt with these parts to a backend. `shared` of them may come again.
+    /// This node sends a prompt with these parts to a backend. `shareable` of them may come again.
     pub fn record_dispatch(
         &self,
         now: MonotonicTime,
         backend_id: &str,
         blocks: &[PrefixBlock],
-        shared: usize,
+        shareable: usize,
     ) {
         for (index, block) in blocks.iter().enumerate() {
-            let tell = index < shared;
-            self.note(now, backend_id, *block, tell);
+            let announce = index < shareable;
+            self.record_use(now, backend_id, *block, announce);
         }
     }
 
     /// Another node tells where a part was read.
-    pub fn told(&self, now: MonotonicTime, place: &CachedBlock) {
-        let mut shard = self.lock(place.block);
-        let readings = shard.entry(place.block).or_default();
-        let reading = readings.entry(place.backend_id.clone()).or_insert(Reading {
+    pub fn record_remote_use(&self, now: MonotonicTime, location: &CachedBlock) {
+        let mut shard = self.lock(location.block);
+        let uses = shard.entry(location.block).or_default();
+        let block_use = uses.entry(location.backend_id.clone()).or_insert(BlockUse {
             last_used: now,
-            last_told: Some(now),
-            tokens: place.tokens,
+            last_announced: Some(now),
+            tokens: location.tokens,
         });
-        reading.last_used = now;
+        block_use.last_used = now;
     }
 
-    /// The backends that used a part last, the newest first: at most `most`, and only of those in
+    /// The backends that used a part last, the newest first: at most `max`, and only of those in
     /// `among` unless that is empty.
     #[must_use]
-    pub fn newest_holders(
+    pub fn most_recent_backends(
         &self,
         now: MonotonicTime,
         block: u64,
         among: &[&str],
-        most: usize,
+        max: usize,
     ) -> Vec<String> {
         let shard = self.lock(block);
-        let readings = shard.get(&block).into_iter().flatten();
-        let mut holders: Vec<(MonotonicTime, &String)> = readings
-            .filter(|(_, reading)| now.since(reading.last_used) < REMEMBERED_FOR)
+        let uses = shard.get(&block).into_iter().flatten();
+        let mut recent: Vec<(MonotonicTime, &String)> = uses
+            .filter(|(_, block_use)| now.since(block_use.last_used) < RETENTION)
             .filter(|(id, _)| among.is_empty() || among.contains(&id.as_str()))
-            .map(|(id, reading)| (reading.last_used, id))
+            .map(|(id, block_use)| (block_use.last_used, id))
             .collect();
-        holders.sort_by(|left, right| right.cmp(left));
-        holders.truncate(most);
-        holders.into_iter().map(|(_, id)| id.clone()).collect()
+        recent.sort_by(|left, right| right.cmp(left));
+        recent.truncate(max);
+        recent.into_iter().map(|(_, id)| id.clone()).collect()
     }
 
     /// Places to tell the other nodes, once each.
     #[must_use]
-    pub fn take_news(&self) -> Vec<CachedBlock> {
-        let mut news = self.news.lock().unwrap_or_else(PoisonError::into_inner);
-        std::mem::take(&mut *news)
+    pub fn take_announcements(&self) -> Vec<CachedBlock> {
+        let mut announcements = self
+            .announcements
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        std::mem::take(&mut *announcements)
     }
 
     /// Resolves once there are places to tell.
-    pub async fn until_news(&self) {
-        self.has_news.notified().await;
+    pub async fn until_announcements(&self) {
+        self.announcements_pending.notified().await;
     }
 
     /// Forgets what was not used for long.
     pub fn expire(&self, now: MonotonicTime) {
         for shard in &self.shards {
             let mut shard = shard.lock().unwrap_or_else(PoisonError::into_inner);
-            shard.retain(|_, readings| {
-                readings.retain(|_, reading| now.since(reading.last_used) < REMEMBERED_FOR);
-                !readings.is_empty()
+            shard.retain(|_, uses| {
+                uses.retain(|_, block_use| now.since(block_use.last_used) < RETENTION);
+                !uses.is_empty()
             });
         }
     }
 
-    fn note(&self, now: MonotonicTime, backend_id: &str, block: PrefixBlock, tell: bool) {
+    fn record_use(&self, now: MonotonicTime, backend_id: &str, block: PrefixBlock, announce: bool) {
         let mut shard = self.lock(block.id);
-        let readings = shard.entry(block.id).or_default();
-        let reading = readings.entry(backend_id.to_owned()).or_insert(Reading {
+        let uses = shard.entry(block.id).or_default();
+        let block_use = uses.entry(backend_id.to_owned()).or_insert(BlockUse {
             last_used: now,
-            last_told: None,
+            last_announced: None,
             tokens: block.tokens,
         });
-        reading.last_used = now;
-        let due = reading
-            .last_told
-            .is_none_or(|told| now.since(told) >= TOLD_AGAIN_AFTER);
-        if tell && due {
-            reading.last_told = Some(now);
-            let tokens = reading.tokens;
+        block_use.last_used = now;
+        let due = block_use
+            .last_announced
+            .is_none_or(|record_remote_use| now.since(record_remote_use) >= MIN_ANNOUNCE_INTERVAL);
+        if announce && due {
+            block_use.last_announced = Some(now);
+            let tokens = block_use.tokens;
             drop(shard);
-            let mut news = self.news.lock().unwrap_or_else(PoisonError::into_inner);
-            news.push(CachedBlock {
+            let mut announcements = self
+                .announcements
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner);
+            announcements.push(CachedBlock {
                 block: block.id,
                 backend_id: backend_id.to_owned(),
                 tokens,
             });
-            self.has_news.notify_one();
+            self.announcements_pending.notify_one();
         }
     }
 
-    fn lock(&self, block: u64) -> MutexGuard<'_, HashMap<u64, Readings>> {
-        let slot = usize::try_from(block % DIRECTORY_SHARDS as u64).unwrap_or_default();
+    fn lock(&self, block: u64) -> MutexGuard<'_, HashMap<u64, UsesByBackend>> {
+        let slot = usize::try_from(block % INDEX_SHARDS as u64).unwrap_or_default();
         self.shards[slot]
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/crates/routing/src/route_entry.rs
+++ b/crates/routing/src/route_entry.rs
@@ -55,18 +55,18 @@
 
     /// Whether the route takes a request for this model.
     #[must_use]
-    pub fn takes_model(&self, wanted: &ModelRequest) -> bool {
+    pub fn matches_model(&self, requested: &ModelRequest) -> bool {
         let matches = &self.matches;
         !self.is_lookup()
-            && field_takes(&matches.model, &wanted.model)
-            && field_takes(&matches.version, &wanted.version)
-            && field_takes(&matches.stage, &wanted.stage)
-            && field_takes(&matches.adapter, &wanted.adapter)
+            && field_matches(&matches.model, &requested.model)
+            && field_matches(&matches.version, &requested.version)
+            && field_matches(&matches.stage, &requested.stage)
+            && field_matches(&matches.adapter, &requested.adapter)
     }
 
     /// Whether the route takes a lookup of this path. A prefix ends at a path segment.
     #[must_use]
-    pub fn takes_path(&self, path: &str) -> bool {
+    pub fn matches_path(&self, path: &str) -> bool {
         let prefix = self.matches.path_prefix.as_str();
         if !self.is_lookup() || !path.starts_with(prefix) {
             return false;
@@ -87,30 +87,30 @@
         fields.iter().filter(|field| !field.is_empty()).count() + matches.path_prefix.len()
     }
 
-    /// What a backend must declare to serve `wanted` through this route.
+    /// What a backend must declare to serve `requested` through this route.
     ///
     /// The route's own fields fill in what the request left open.
     #[must_use]
-    pub fn requirement(&self, wanted: &ModelRequest) -> ModelRequest {
+    pub fn requirement(&self, requested: &ModelRequest) -> ModelRequest {
         let matches = &self.matches;
         ModelRequest {
-            model: first_named(&wanted.model, &matches.model),
-            version: first_named(&wanted.version, &matches.version),
-            stage: first_named(&wanted.stage, &matches.stage),
-            adapter: first_named(&wanted.adapter, &matches.adapter),
+            model: first_named(&requested.model, &matches.model),
+            version: first_named(&requested.version, &matches.version),
+            stage: first_named(&requested.stage, &matches.stage),
+            adapter: first_named(&requested.adapter, &matches.adapter),
         }
     }
 }
 
-fn field_takes(configured: &str, wanted: &str) -> bool {
-    configured.is_empty() || configured == wanted
+fn field_matches(configured: &str, requested: &str) -> bool {
+    configured.is_empty() || configured == requested
 }
 
-fn first_named(wanted: &str, configured: &str) -> String {
-    let named = if wanted.is_empty() {
+fn first_named(requested: &str, configured: &str) -> String {
+    let named = if requested.is_empty() {
         configured
     } else {
-        wanted
+        requested
     };
     named.to_owned()
 }
--- a/crates/routing/src/routing_table.rs
+++ b/crates/routing/src/routing_table.rs
@@ -106,14 +106,17 @@
     }
 
     /// The most specific route for a model request.
-    pub fn match_model(&self, wanted: &ModelRequest) -> Result<&Arc<RouteEntry>, ResultCode> {
-        let found = self.routes.iter().find(|route| route.takes_model(wanted));
-        found.ok_or_else(|| self.why_no_route(wanted))
+    pub fn match_model(&self, requested: &ModelRequest) -> Result<&Arc<RouteEntry>, ResultCode> {
+        let found = self
+            .routes
+            .iter()
+            .find(|route| route.matches_model(requested));
+        found.ok_or_else(|| self.no_route_reason(requested))
     }
 
     /// The route with the longest prefix of a lookup path.
     pub fn match_path(&self, path: &str) -> Result<&Arc<RouteEntry>, ResultCode> {
-        let found = self.routes.iter().find(|route| route.takes_path(path));
+        let found = self.routes.iter().find(|route| route.matches_path(path));
         found.ok_or(ResultCode::PathUnknown)
     }
 
@@ -161,9 +164,9 @@
     }
 
     /// An unknown model is told apart from a known model in an unrouted combination.
-    fn why_no_route(&self, wanted: &ModelRequest) -> ResultCode {
+    fn no_route_reason(&self, requested: &ModelRequest) -> ResultCode {
         let mut routes = self.routes.iter().filter(|route| !route.is_lookup());
-        if routes.any(|route| route.matches.model == wanted.model) {
+        if routes.any(|route| route.matches.model == requested.model) {
             ResultCode::NoRoute
         } else {
             ResultCode::ModelUnknown
--- a/crates/routing/src/running_mean.rs
+++ b/crates/routing/src/running_mean.rs
@@ -1,7 +1,7 @@
 //! Mean that follows slow changes.
 
 /// Smallest weight of a new sample.
-const LEAST_SHARE: f64 = 0.02;
+const MIN_SAMPLE_WEIGHT: f64 = 0.02;
 
 /// Samples that the prior counts as.
 const PRIOR_SAMPLES: u32 = 2;
@@ -26,7 +26,7 @@
     /// Takes one sample in.
     pub fn add(&mut self, sample: f64) {
         self.samples = self.samples.saturating_add(1);
-        let share = (1.0 / f64::from(self.samples)).max(LEAST_SHARE);
+        let share = (1.0 / f64::from(self.samples)).max(MIN_SAMPLE_WEIGHT);
         self.value += (sample - self.value) * share;
     }
 
--- a/crates/routing/src/serving_pool.rs
+++ b/crates/routing/src/serving_pool.rs
@@ -109,13 +109,14 @@
 
     /// Replicas that may take new work of this kind. Draining and gone backends are never listed.
     #[must_use]
-    pub fn candidates(&self, wanted: &ModelRequest) -> Vec<&ServingReplica> {
-        let serving = |replica: &&ServingReplica| replica.accepts_work && serves(replica, wanted);
+    pub fn candidates(&self, requested: &ModelRequest) -> Vec<&ServingReplica> {
+        let serving =
+            |replica: &&ServingReplica| replica.accepts_work && serves(replica, requested);
         let mut found: Vec<&ServingReplica> = self.replicas.iter().filter(serving).collect();
         if found.iter().any(|replica| replica.weight_milli > 0) {
             found.retain(|replica| replica.weight_milli > 0);
         }
-        if wanted.version.is_empty() {
+        if requested.version.is_empty() {
             self.keep_one_version(&mut found);
         }
         keep_one_per_backend(&mut found);
@@ -198,12 +199,12 @@
     placed.map(|placed| placed.weight_milli)
 }
 
-fn serves(replica: &ServingReplica, wanted: &ModelRequest) -> bool {
-    let same = |wanted: &str, declared: &str| wanted.is_empty() || wanted == declared;
-    let adapter = &wanted.adapter;
-    same(&wanted.model, &replica.model)
-        && same(&wanted.version, &replica.version)
-        && same(&wanted.stage, &replica.stage)
+fn serves(replica: &ServingReplica, requested: &ModelRequest) -> bool {
+    let same = |requested: &str, declared: &str| requested.is_empty() || requested == declared;
+    let adapter = &requested.adapter;
+    same(&requested.model, &replica.model)
+        && same(&requested.version, &replica.version)
+        && same(&requested.stage, &replica.stage)
         && (adapter.is_empty() || replica.adapters.contains(adapter))
 }
 
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -41,7 +41,7 @@
     }
 
     /// An idle fleet sends a key always to its home, whatever the random numbers.
-    fn affinity_is_stable(count: u8, key: u64, first: u64, second: u64) -> bool {
+    fn an_idle_fleet_sends_a_key_to_its_home(count: u8, key: u64, first: u64, second: u64) -> bool {
         let list = candidates(&vec![0; usize::from(count % 20) + 1]);
         let choice = choose(&list, affinity(key, 1.0), [first, second]).expect("a choice");
         choice.by_affinity && choice.index == home(&list, key)
@@ -74,7 +74,7 @@
     }
 
     /// With a gain, a home may be behind by the saving and the patience, and no more.
-    fn patience_is_bounded(loads: Vec<u8>, key: u64, saving: u8, gain: u8) -> bool {
+    fn load_tolerance_is_bounded(loads: Vec<u8>, key: u64, saving: u8, gain: u8) -> bool {
         let list = candidates(&loads);
         let gain = f64::from(gain % 101) / 100.0;
         let affinity = Some(Affinity { key, saving: f64::from(saving), gain });
@@ -89,7 +89,7 @@
     }
 
     /// A home that is worth its load is never passed over.
-    fn a_home_worth_its_load_is_kept(loads: Vec<u8>, key: u64) -> bool {
+    fn a_home_whose_saving_exceeds_its_load_is_chosen(loads: Vec<u8>, key: u64) -> bool {
         let list = candidates(&loads);
         let enough = f64::from(u8::MAX);
         choose(&list, affinity(key, enough), [3, 5])
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn weights_share_out_the_keys() {
+fn weights_divide_the_keys() {
     let mut list = candidates(&[0, 0]);
     list[0].weight_milli = 3000;
     let keys = 20_000u64;
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn weights_share_out_the_draws() {
+fn weights_divide_the_draws() {
     let mut list = candidates(&[0, 0, 0]);
     list[2].weight_milli = 0;
     let mut chosen = [0u32; 3];
--- a/crates/routing/tests/forward_table.rs
+++ b/crates/routing/tests/forward_table.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn parts_are_known_where_they_were_sent_and_forgotten_in_time() {
+fn blocks_are_located_where_they_were_sent_until_they_expire() {
     let prefix_index = PrefixIndex::default();
     let at = MonotonicTime::from_millis;
     let blocks = [
@@ -87,73 +87,76 @@
         PrefixBlock { id: 3, tokens: 30 },
     ];
     prefix_index.record_dispatch(at(0), "b-1", &blocks, 2);
-    let told = CachedBlock {
+    let remote = CachedBlock {
         block: 2,
         backend_id: "b-2".to_owned(),
         tokens: 20,
     };
-    prefix_index.told(at(1000), &told);
-    let holders = |now: u64, block: u64| prefix_index.newest_holders(at(now), block, &[], 8);
-    assert_eq!(holders(2000, 1), ["b-1"]);
-    assert_eq!(holders(2000, 2), ["b-2", "b-1"], "the newest first");
-    assert_eq!(holders(2000, 3), ["b-1"]);
+    prefix_index.record_remote_use(at(1000), &remote);
+    let backends = |now: u64, block: u64| prefix_index.most_recent_backends(at(now), block, &[], 8);
+    assert_eq!(backends(2000, 1), ["b-1"]);
+    assert_eq!(backends(2000, 2), ["b-2", "b-1"], "the newest first");
+    assert_eq!(backends(2000, 3), ["b-1"]);
     assert_eq!(
-        prefix_index.newest_holders(at(2000), 2, &["b-1", "b-3"], 8),
+        prefix_index.most_recent_backends(at(2000), 2, &["b-1", "b-3"], 8),
         ["b-1"]
     );
-    assert_eq!(prefix_index.newest_holders(at(2000), 2, &[], 1), ["b-2"]);
-    let news: Vec<u64> = prefix_index
-        .take_news()
+    assert_eq!(
+        prefix_index.most_recent_backends(at(2000), 2, &[], 1),
+        ["b-2"]
+    );
+    let announced: Vec<u64> = prefix_index
+        .take_announcements()
         .iter()
-        .map(|place| place.block)
+        .map(|location| location.block)
         .collect();
-    assert_eq!(news, [1, 2], "what nobody shares is not told");
-    assert!(prefix_index.take_news().is_empty());
-    assert_eq!(holders(25_500, 1), Vec::<String>::new());
-    assert_eq!(holders(25_500, 2), ["b-2"]);
+    assert_eq!(announced, [1, 2], "what nobody shares is not told");
+    assert!(prefix_index.take_announcements().is_empty());
+    assert_eq!(backends(25_500, 1), Vec::<String>::new());
+    assert_eq!(backends(25_500, 2), ["b-2"]);
     prefix_index.expire(at(60_000));
     for block in 1..4 {
-        assert_eq!(holders(1000, block), Vec::<String>::new());
+        assert_eq!(backends(1000, block), Vec::<String>::new());
     }
 }
 
 #[test]
-fn work_told_by_peers_replaces_the_pictures() {
-    let board = Arc::new(LoadTable::default());
-    board.follow_peers();
+fn counts_of_peers_replace_load_snapshots() {
+    let table = Arc::new(LoadTable::default());
+    table.follow_peers();
     let key = ReplicaKey {
         backend_id: "b-1".to_owned(),
         pool: "p".to_owned(),
         model: "m".to_owned(),
         version: "1".to_owned(),
     };
-    let ticket = board.start(key.clone(), 100);
+    let guard = table.start(key.clone(), 100);
     let theirs = ReplicaCounts {
         prefill_tokens: 50,
         decode_streams: 2,
         held_requests: 0,
     };
-    assert_eq!(board.take_changed(), BTreeSet::from(["b-1".to_owned()]));
-    board.set_others("b-1", &BTreeMap::from([(key.clone(), theirs)]));
-    board.merge_snapshot(&millford_api::internal::LoadSnapshot::default());
-    assert_eq!(board.counts(&key).prefill_tokens, 150);
-    let own = board.own_work_on("b-1");
+    assert_eq!(table.take_changed(), BTreeSet::from(["b-1".to_owned()]));
+    table.set_others("b-1", &BTreeMap::from([(key.clone(), theirs)]));
+    table.merge_snapshot(&millford_api::internal::LoadSnapshot::default());
+    assert_eq!(table.counts(&key).prefill_tokens, 150);
+    let own = table.own_work_on("b-1");
     assert_eq!(own.len(), 1);
     assert_eq!((&own[0].0, own[0].1.prefill_tokens), (&key, 100));
-    assert_eq!(board.busy_backends().len(), 1);
-    board.set_others("b-2", &BTreeMap::new());
-    assert_eq!(board.counts(&key).decode_streams, 2, "of another backend");
-    board.set_others("b-1", &BTreeMap::new());
-    assert_eq!(board.counts(&key).decode_streams, 0);
-    assert!(board.take_changed().is_empty(), "others are no own change");
-    drop(ticket);
-    assert_eq!(board.take_changed(), BTreeSet::from(["b-1".to_owned()]));
-    assert!(board.own_work_on("b-1").is_empty());
-    assert!(board.busy_backends().is_empty());
+    assert_eq!(table.busy_backends().len(), 1);
+    table.set_others("b-2", &BTreeMap::new());
+    assert_eq!(table.counts(&key).decode_streams, 2, "of another backend");
+    table.set_others("b-1", &BTreeMap::new());
+    assert_eq!(table.counts(&key).decode_streams, 0);
+    assert!(table.take_changed().is_empty(), "others are no own change");
+    drop(guard);
+    assert_eq!(table.take_changed(), BTreeSet::from(["b-1".to_owned()]));
+    assert!(table.own_work_on("b-1").is_empty());
+    assert!(table.busy_backends().is_empty());
 }
 
 #[test]
-fn a_backend_is_silent_since_its_last_sign_or_the_first_use_after_it() {
+fn a_backend_is_unresponsive_since_its_last_activity_or_the_first_use_after_it() {
     let health = BackendHealth::default();
     let at = MonotonicTime::from_millis;
     let span = Duration::from_millis(600);
--- a/crates/routing/tests/load.rs
+++ b/crates/routing/tests/load.rs
@@ -22,21 +22,21 @@
 
 quickcheck! {
     /// Whatever a request went through, its end leaves nothing behind.
-    fn ended_requests_leave_no_count(phases: Vec<(u8, u16)>) -> bool {
-        let board: Arc<LoadTable> = Arc::default();
-        let mut tickets = Vec::new();
+    fn dropped_guards_leave_no_count(phases: Vec<(u8, u16)>) -> bool {
+        let table: Arc<LoadTable> = Arc::default();
+        let mut guards = Vec::new();
         for (phase, tokens) in phases {
-            let mut ticket = board.start(key("b", "saga"), u64::from(tokens));
+            let mut guard = table.start(key("b", "saga"), u64::from(tokens));
             if phase % 3 > 0 {
-                ticket.begin_decode();
+                guard.begin_decode();
             }
             if phase % 3 > 1 {
-                ticket.begin_draining();
+                guard.begin_draining();
             }
-            tickets.push(ticket);
+            guards.push(guard);
         }
-        drop(tickets);
-        board.counts(&key("b", "saga")) == ReplicaCounts::default()
+        drop(guards);
+        table.counts(&key("b", "saga")) == ReplicaCounts::default()
     }
 
     /// The fit of a straight line finds the line.
@@ -52,25 +52,25 @@
 }
 
 #[test]
-fn reports_hold_only_what_changed() {
-    let board: Arc<LoadTable> = Arc::default();
-    let ticket = board.start(key("b1", "saga"), 100);
-    let reports = board.take_reports();
+fn reports_contain_only_changes() {
+    let table: Arc<LoadTable> = Arc::default();
+    let guard = table.start(key("b1", "saga"), 100);
+    let reports = table.take_reports();
     assert_eq!(reports.len(), 1);
     assert_eq!(reports[0].loads[0].prefill_tokens, 100);
-    assert!(board.take_reports().is_empty());
-    drop(ticket);
-    let reports = board.take_reports();
+    assert!(table.take_reports().is_empty());
+    drop(guard);
+    let reports = table.take_reports();
     assert_eq!(reports[0].loads[0].prefill_tokens, 0);
-    assert!(board.take_reports().is_empty());
+    assert!(table.take_reports().is_empty());
 }
 
 #[test]
-fn the_picture_adds_the_other_nodes_without_counting_this_one_twice() {
-    let board: Arc<LoadTable> = Arc::default();
-    let _ticket = board.start(key("b1", "saga"), 100);
-    let _ = board.take_reports();
-    board.merge_snapshot(&LoadSnapshot {
+fn a_load_snapshot_adds_other_nodes_without_counting_this_one_twice() {
+    let table: Arc<LoadTable> = Arc::default();
+    let _ticket = table.start(key("b1", "saga"), 100);
+    let _ = table.take_reports();
+    table.merge_snapshot(&LoadSnapshot {
         service: "models".to_owned(),
         epoch: 1,
         loads: vec![ReplicaLoad {
@@ -81,9 +81,9 @@
             ..ReplicaLoad::default()
         }],
     });
-    assert_eq!(board.counts(&key("b1", "saga")).prefill_tokens, 350);
-    let _second = board.start(key("b1", "saga"), 50);
-    assert_eq!(board.counts(&key("b1", "saga")).prefill_tokens, 400);
+    assert_eq!(table.counts(&key("b1", "saga")).prefill_tokens, 350);
+    let _second = table.start(key("b1", "saga"), 50);
+    assert_eq!(table.counts(&key("b1", "saga")).prefill_tokens, 400);
 }
 
 #[test]
@@ -93,13 +93,13 @@
         costs.add_first_token("heavy", tokens, 2.0 * tokens as f64);
         costs.add_first_token("light", tokens, 0.01 * tokens as f64);
     }
-    let board: Arc<LoadTable> = Arc::default();
-    let _heavy = board.start(key("b1", "heavy"), 1000);
+    let table: Arc<LoadTable> = Arc::default();
+    let _heavy = table.start(key("b1", "heavy"), 1000);
     let _light: Vec<_> = (0..5)
-        .map(|_| board.start(key("b2", "light"), 1000))
+        .map(|_| table.start(key("b2", "light"), 1000))
         .collect();
-    let heavy = board.backend_load("b1", 8, &costs);
-    let light = board.backend_load("b2", 8, &costs);
+    let heavy = table.backend_load("b1", 8, &costs);
+    let light = table.backend_load("b2", 8, &costs);
     assert!(heavy > 10.0 * light, "{heavy} against {light}");
 }
 
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn the_tenant_with_the_least_work_goes_first() {
+fn the_tenant_with_the_least_load_is_next() {
     let queue = FairQueue::default();
     queue.begin("hot", 900);
     queue.begin("small", 100);
@@ -137,14 +137,14 @@
 }
 
 #[test]
-fn a_tenant_alone_is_never_over_its_share() {
+fn an_only_tenant_is_never_over_its_share() {
     let queue = FairQueue::default();
     queue.begin("only", 1_000_000);
     assert!(!queue.is_over_share("only"));
 }
 
 #[test]
-fn only_probes_bring_an_ejected_backend_back() {
+fn only_probes_readmit_an_ejected_backend() {
     let health = BackendHealth::default();
     let now = MonotonicTime::from_millis(5_000);
     assert!(health.eject("b1", EjectionReason::ConnectFailed));
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_quiet_backend_in_use_is_probed_and_ejected() {
+fn an_inactive_backend_in_use_is_probed_and_ejected() {
     let health = BackendHealth::default();
     let quiet = Duration::from_secs(1);
     let used_at = MonotonicTime::from_millis(1_000);
@@ -180,18 +180,18 @@
 /// The placement role forgets counts that are not refreshed: a long stream must show again and again.
 #[test]
 fn unchanged_work_is_reported_again_and_idle_replicas_are_not() {
-    let board = std::sync::Arc::new(millford_routing::LoadTable::default());
+    let table = std::sync::Arc::new(millford_routing::LoadTable::default());
     let key = millford_routing::ReplicaKey {
         pool: "pool".to_owned(),
         backend_id: "b1".to_owned(),
         ..millford_routing::ReplicaKey::default()
     };
-    let ticket = board.start(key, 10);
-    assert_eq!(board.take_reports().len(), 1);
-    let repeated = (0..24).filter(|_| !board.take_reports().is_empty()).count();
+    let guard = table.start(key, 10);
+    assert_eq!(table.take_reports().len(), 1);
+    let repeated = (0..24).filter(|_| !table.take_reports().is_empty()).count();
     assert_eq!(repeated, 2);
-    drop(ticket);
-    assert_eq!(board.take_reports().len(), 1);
-    let after_the_end = (0..24).filter(|_| !board.take_reports().is_empty()).count();
+    drop(guard);
+    assert_eq!(table.take_reports().len(), 1);
+    let after_the_end = (0..24).filter(|_| !table.take_reports().is_empty()).count();
     assert_eq!(after_the_end, 0);
 }
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -81,10 +81,10 @@
         RoutingTable::build(self.0.iter().map(|(key, value)| (key.as_str(), value)))
     }
 
-    fn candidates(&self, wanted: &ModelRequest) -> Vec<String> {
+    fn candidates(&self, requested: &ModelRequest) -> Vec<String> {
         let table = self.table();
         let pool = table.pool("models").expect("pool");
-        let found = pool.candidates(wanted).into_iter();
+        let found = pool.candidates(requested).into_iter();
         found.map(|replica| replica.backend.id.clone()).collect()
     }
 }
@@ -96,7 +96,7 @@
     }
 }
 
-fn wanted(field: &str) -> ModelRequest {
+fn requested(field: &str) -> ModelRequest {
     ModelRequest::from_model_field(field)
 }
 
@@ -122,7 +122,7 @@
     items.route("saga-two", exact);
     let table = items.table();
     let name = |field: &str| {
-        let route = table.match_model(&wanted(field)).expect("a route");
+        let route = table.match_model(&requested(field)).expect("a route");
         route.name.clone()
     };
     assert_eq!(name("saga@2"), "saga-two");
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn an_unknown_model_is_told_apart_from_an_unrouted_version() {
+fn an_unknown_model_and_an_unrouted_version_have_distinct_codes() {
     let mut items = Items::new();
     let exact = RouteMatch {
         version: "2".to_owned(),
@@ -140,7 +140,7 @@
     };
     items.route("saga-two", exact);
     let table = items.table();
-    let code = |field: &str| table.match_model(&wanted(field)).map(|_| ()).err();
+    let code = |field: &str| table.match_model(&requested(field)).map(|_| ()).err();
     assert_eq!(code("saga@1"), Some(ResultCode::NoRoute));
     assert_eq!(code("unknown"), Some(ResultCode::ModelUnknown));
     assert_eq!(code("saga@2"), None);
@@ -188,8 +188,8 @@
     let mut items = Items::new();
     items.backend("old", "1", BackendState::BackendActive);
     items.backend("new", "2", BackendState::BackendActive);
-    assert_eq!(items.candidates(&wanted("saga")), ["new"]);
-    assert_eq!(items.candidates(&wanted("saga@1")), ["old"]);
+    assert_eq!(items.candidates(&requested("saga")), ["new"]);
+    assert_eq!(items.candidates(&requested("saga@1")), ["old"]);
 }
 
 #[test]
@@ -202,7 +202,7 @@
         placed("one", "1", 1000, ReplicaState::ReplicaActive),
         placed("two", "1", 1000, ReplicaState::ReplicaDraining),
     ]);
-    assert_eq!(items.candidates(&wanted("saga")), ["one"]);
+    assert_eq!(items.candidates(&requested("saga")), ["one"]);
 }
 
 #[test]
@@ -211,11 +211,11 @@
     items.backend("one", "1", BackendState::BackendGone);
     items.backend("two", "1", BackendState::BackendActive);
     items.place(vec![placed("one", "1", 1000, ReplicaState::ReplicaActive)]);
-    assert_eq!(items.candidates(&wanted("saga")), ["two"]);
+    assert_eq!(items.candidates(&requested("saga")), ["two"]);
 }
 
 #[test]
-fn two_weighed_versions_share_a_transition() {
+fn two_weighted_versions_share_a_transition() {
     let mut items = Items::new();
     items.backend("old", "1", BackendState::BackendActive);
     items.backend("new", "2", BackendState::BackendActive);
@@ -223,7 +223,7 @@
         placed("old", "1", 750, ReplicaState::ReplicaActive),
         placed("new", "2", 250, ReplicaState::ReplicaActive),
     ]);
-    assert_eq!(items.candidates(&wanted("saga")), ["old", "new"]);
+    assert_eq!(items.candidates(&requested("saga")), ["old", "new"]);
 }
 
 /// The first replica of a new version must not get the whole pool's work.
@@ -236,14 +236,14 @@
         placed("old", "1", 1000, ReplicaState::ReplicaActive),
         placed("new", "2", 1000, ReplicaState::ReplicaActive),
     ]);
-    assert_eq!(items.candidates(&wanted("saga")), ["old", "new"]);
+    assert_eq!(items.candidates(&requested("saga")), ["old", "new"]);
 }
 
 #[test]
 fn an_adapter_must_be_declared() {
     let mut items = Items::new();
     items.backend("one", "1", BackendState::BackendActive);
-    let mut request = wanted("saga");
+    let mut request = requested("saga");
     request.adapter = "captions".to_owned();
     assert_eq!(items.candidates(&request), ["one"]);
     request.adapter = "unknown".to_owned();
@@ -274,7 +274,7 @@
             placed(&(index / 2).to_string(), "1", u32::from(*index) * 10, state)
         });
         items.place(replicas.collect());
-        let found = items.candidates(&wanted("saga"));
+        let found = items.candidates(&requested("saga"));
         let active = |id: &String| {
             let index: usize = id.parse().expect("index");
             state_of(states[index]) == BackendState::BackendActive
@@ -293,6 +293,6 @@
         });
         items.place(replicas.collect());
         let any_active = states.iter().any(|state| state % 3 == 0);
-        items.candidates(&wanted("saga")).is_empty() != any_active
+        items.candidates(&requested("saga")).is_empty() != any_active
     }
 }
--- a/crates/routing/tests/watched_backends.rs
+++ b/crates/routing/tests/watched_backends.rs
@@ -2,7 +2,7 @@
 
 use millford_core::{Duration, MonotonicTime};
 use millford_routing::BackendHealth;
-use millford_routing::backend_health::MOST_WATCHED;
+use millford_routing::backend_health::MAX_WATCHED;
 
 const QUIET: Duration = Duration::from_millis(750);
 
@@ -17,9 +17,7 @@
 #[test]
 fn a_large_fleet_is_not_probed_by_every_node() {
     let health = BackendHealth::default();
-    let ids: Vec<String> = (0..=MOST_WATCHED)
-        .map(|number| number.to_string())
-        .collect();
+    let ids: Vec<String> = (0..=MAX_WATCHED).map(|number| number.to_string()).collect();
     health.watch(ids.iter().map(String::as_str));
     let due = health.to_probe(MonotonicTime::from_millis(1_000), QUIET);
     assert!(due.is_empty());
