--- a/crates/proxy/src/daemon/agent_link.rs
+++ b/crates/data-plane/src/agent_link/link.rs
@@ -1,25 +1,20 @@
 //! What the requests ask of the agent beside the proxy.
 
-use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use millford_api::command::{Claim, ResolveClaim};
 use millford_api::local::{
-    LocalClaim, LocalFrame, LocalQuotaRelease, LocalQuotaRequest, LocalResolveClaim, ProxyHello,
-    local_frame,
+    LocalClaim, LocalFrame, LocalQuotaRelease, LocalQuotaRequest, LocalResolveClaim, local_frame,
 };
 use millford_core::Duration;
 use millford_core::time::monotonic_now;
 use tokio::sync::mpsc;
 
-use crate::control::frame_handler::FrameHandler;
-use crate::control::send_times::SendTimes;
-use crate::daemon::agent_link_task::AgentLinkTask;
-use crate::daemon::held_streams::HeldStreams;
-use crate::daemon::outstanding::Outstanding;
-use crate::proxy_state::ProxyState;
-use crate::request::message::{AdmissionReply, AdmissionRequest, ClaimAnswer, QuotaRelease};
+use crate::agent_link::held_streams::HeldStreams;
+use crate::agent_link::outstanding::Outstanding;
+use crate::agent_link::send_times::SendTimes;
+use crate::agent_message::{AdmissionReply, AdmissionRequest, ClaimAnswer, QuotaRelease};
 
 /// The requests' side of the link.
 #[derive(Clone, Debug)]
@@ -32,28 +27,19 @@
     pub(super) held: HeldStreams,
 }
 
-/// Makes both sides of the link.
-#[must_use]
-pub fn agent_link(
-    state: Arc<ProxyState>,
-    address: SocketAddr,
-    hello: ProxyHello,
-) -> (AgentLink, AgentLinkTask) {
-    let (sender, receiver) = mpsc::unbounded_channel();
-    let link = AgentLink {
-        frames: sender,
-        next_id: Arc::new(AtomicU64::new(1)),
-        quotas: Outstanding::default(),
-        claims: Outstanding::default(),
-        settles: Outstanding::default(),
-        held: HeldStreams::default(),
-    };
-    let handler = FrameHandler::new(state);
-    let task = AgentLinkTask::new(link.clone(), receiver, handler, address, hello);
-    (link, task)
-}
-
 impl AgentLink {
+    /// A link whose frames go into `frames`.
+    pub(super) fn new(frames: mpsc::UnboundedSender<LocalFrame>) -> Self {
+        Self {
+            frames,
+            next_id: Arc::new(AtomicU64::new(1)),
+            quotas: Outstanding::default(),
+            claims: Outstanding::default(),
+            settles: Outstanding::default(),
+            held: HeldStreams::default(),
+        }
+    }
+
     /// Asks for one admission. A restart of the agent within the timeout only delays it.
     pub async fn ask_quota(&self, ask: AdmissionRequest) -> AdmissionReply {
         let request_id = self.fresh_id();
--- /dev/null
+++ b/crates/data-plane/src/agent_link/mod.rs
@@ -0,0 +1,33 @@
+//! The link to the agent beside the proxy: what the requests ask of it, and the connection that
+//! carries it.
+
+pub mod held_streams;
+mod link;
+pub mod outstanding;
+pub mod send_times;
+mod task;
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use millford_api::local::ProxyHello;
+use tokio::sync::mpsc;
+
+pub use crate::agent_link::link::AgentLink;
+pub use crate::agent_link::task::AgentLinkTask;
+use crate::frame_handler::FrameHandler;
+use crate::proxy_state::ProxyState;
+
+/// Makes both sides of the link: the requests' and the control thread's.
+#[must_use]
+pub fn agent_link(
+    state: Arc<ProxyState>,
+    address: SocketAddr,
+    hello: ProxyHello,
+) -> (AgentLink, AgentLinkTask) {
+    let (sender, receiver) = mpsc::unbounded_channel();
+    let link = AgentLink::new(sender);
+    let handler = FrameHandler::new(state);
+    let task = AgentLinkTask::new(link.clone(), receiver, handler, address, hello);
+    (link, task)
+}
--- a/crates/proxy/src/daemon/outstanding.rs
+++ b/crates/data-plane/src/agent_link/outstanding.rs
@@ -7,7 +7,7 @@
 use millford_core::time::monotonic_now;
 use tokio::sync::oneshot;
 
-use crate::control::send_times::SendTimes;
+use crate::agent_link::send_times::SendTimes;
 
 /// A frame and who waits for its answer.
 #[derive(Debug)]
--- a/crates/proxy/src/daemon/agent_link_task.rs
+++ b/crates/data-plane/src/agent_link/task.rs
@@ -10,8 +10,8 @@
 use millford_transport::{FramedReader, FramedWriter, TransportError, connect};
 use tokio::sync::mpsc;
 
-use crate::control::frame_handler::{FrameHandler, FrameOutcome};
-use crate::daemon::agent_link::{AgentLink, frame};
+use crate::agent_link::link::{AgentLink, frame};
+use crate::frame_handler::{FrameHandler, FrameOutcome};
 
 const LOG: PartLog = PartLog::new("AGENT");
 
--- a/crates/proxy/src/control/frame_handler.rs
+++ b/crates/data-plane/src/frame_handler.rs
@@ -9,9 +9,9 @@
 };
 use millford_core::{Duration, ResultCode};
 
-use crate::control::control_view::{ControlView, ViewOutcome};
+use crate::agent_message::{AdmissionReply, ClaimAnswer};
+use crate::control_view::{ControlView, ViewOutcome};
 use crate::proxy_state::ProxyState;
-use crate::request::message::{AdmissionReply, ClaimAnswer};
 
 /// What a frame asks its carrier to do.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/proxy/src/daemon/reporter.rs
+++ b/crates/data-plane/src/load_reporter.rs
@@ -5,7 +5,7 @@
 use millford_api::local::local_frame;
 use millford_core::Duration;
 
-use crate::daemon::agent_link::AgentLink;
+use crate::agent_link::AgentLink;
 use crate::proxy_state::ProxyState;
 
 /// Time between two reports. They carry only what changed; the pick among backends lives on fresh counts.
--- a/crates/proxy/tests/send_times.rs
+++ b/crates/data-plane/tests/send_times.rs
@@ -2,7 +2,7 @@
 
 use millford_api::local::{LocalFrame, LocalQuotaRequest, local_frame};
 use millford_core::{Duration, MonotonicTime};
-use millford_proxy::control::send_times::SendTimes;
+use millford_data_plane::agent_link::send_times::SendTimes;
 
 const START: MonotonicTime = MonotonicTime::from_millis(5_000);
 
--- a/crates/forward/src/daemon/run.rs
+++ b/crates/forward/src/daemon/run.rs
@@ -7,11 +7,11 @@
 use millford_api::local::ProxyHello;
 use millford_core::time::monotonic_now;
 use millford_core::{Duration, ResultCode};
-use millford_proxy::daemon::agent_link::agent_link;
-use millford_proxy::daemon::control_thread::spawn_control_thread;
-use millford_proxy::daemon::reporter;
-use millford_proxy::limits::RequestLimits;
-use millford_proxy::proxy_state::ProxyState;
+use millford_data_plane::agent_link::agent_link;
+use millford_data_plane::control_thread::spawn_control_thread;
+use millford_data_plane::limits::RequestLimits;
+use millford_data_plane::load_reporter;
+use millford_data_plane::proxy_state::ProxyState;
 use millford_settings::PartLog;
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::signal::unix::{SignalKind, signal};
@@ -48,7 +48,7 @@
     };
     let (agent, task) = agent_link(Arc::clone(&state), agent_address, hello);
     spawn_control_thread(async move {
-        tokio::join!(task.run(), reporter::run(state, agent));
+        tokio::join!(task.run(), load_reporter::run(state, agent));
     })?;
     let traffic = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, OnceLock};
 
 use millford_core::{Duration, MonotonicTime};
-use millford_proxy::proxy_state::ProxyState;
+use millford_data_plane::proxy_state::ProxyState;
 use millford_routing::{EjectionReason, PromptDirectory};
 use tokio::sync::watch;
 
--- a/crates/forward/tests/forwarding.rs
+++ b/crates/forward/tests/forwarding.rs
@@ -220,7 +220,7 @@
     let setup = Setup::with(|_| {});
     let node = TestNode::start(&setup, &[&backend]).await;
     let settings = millford_forward::ForwardSettings::default();
-    let state = std::sync::Arc::new(millford_proxy::proxy_state::ProxyState::new(
+    let state = std::sync::Arc::new(millford_data_plane::proxy_state::ProxyState::new(
         Default::default(),
     ));
     let empty = std::sync::Arc::new(millford_forward::ForwardNode::new(
--- a/crates/proxy/src/daemon/environment.rs
+++ b/crates/proxy/src/daemon/environment.rs
@@ -5,16 +5,16 @@
 use millford_api::command::{Claim, ResolveClaim};
 use millford_core::time::monotonic_now;
 use millford_core::{Duration, MonotonicTime};
+use millford_data_plane::agent_link::AgentLink;
+use millford_data_plane::agent_message::{
+    AdmissionReply, AdmissionRequest, ClaimAnswer, QuotaRelease,
+};
+use millford_data_plane::proxy_state::ProxyState;
 use rand::Rng;
 
-use crate::daemon::agent_link::AgentLink;
 use crate::daemon::backend_client::{BackendClient, HttpAnswer};
-use crate::proxy_state::ProxyState;
 use crate::request::environment::RequestEnvironment;
-use crate::request::message::{
-    AdmissionReply, AdmissionRequest, BackendRequest, ClaimAnswer, DispatchError, QuotaRelease,
-    WithdrawAnswer, WithdrawRequest,
-};
+use crate::request::message::{BackendRequest, DispatchError, WithdrawAnswer, WithdrawRequest};
 
 /// tokio's clock, the agent over loopback, and backends over HTTP.
 #[derive(Clone, Debug)]
--- a/crates/proxy/src/daemon/prober.rs
+++ b/crates/proxy/src/daemon/prober.rs
@@ -7,11 +7,11 @@
 use futures::stream;
 use millford_core::Duration;
 use millford_core::time::monotonic_now;
+use millford_data_plane::proxy_state::ProxyState;
 use millford_routing::EjectionReason;
 use millford_settings::PartLog;
 
 use crate::daemon::backend_client::BackendClient;
-use crate::proxy_state::ProxyState;
 
 const LOG: PartLog = PartLog::new("HEALTH");
 
--- a/crates/proxy/src/daemon/run.rs
+++ b/crates/proxy/src/daemon/run.rs
@@ -6,20 +6,21 @@
 use miette::{IntoDiagnostic, WrapErr, miette};
 use millford_api::local::ProxyHello;
 use millford_core::{Duration, ResultCode};
+use millford_data_plane::agent_link::{AgentLink, agent_link};
+use millford_data_plane::control_thread::spawn_control_thread;
+use millford_data_plane::load_reporter;
+use millford_data_plane::proxy_state::ProxyState;
 use millford_settings::PartLog;
 use rand::Rng;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 
-use crate::daemon::agent_link::{AgentLink, agent_link};
 use crate::daemon::backend_client::BackendClient;
 use crate::daemon::connections::serve_connections;
-use crate::daemon::control_thread::spawn_control_thread;
 use crate::daemon::environment::DaemonEnvironment;
+use crate::daemon::prober;
 use crate::daemon::server::{HttpLimits, service};
 use crate::daemon::settings::ProxySettings;
-use crate::daemon::{prober, reporter};
-use crate::proxy_state::ProxyState;
 
 const LOG: PartLog = PartLog::new("PROXY");
 
@@ -45,7 +46,7 @@
     let (shared, reports) = (Arc::clone(&state), agent.clone());
     spawn_control_thread(async move {
         let probes = prober::run(Arc::clone(&shared), backends);
-        tokio::join!(task.run(), probes, reporter::run(shared, reports));
+        tokio::join!(task.run(), probes, load_reporter::run(shared, reports));
     })?;
     let traffic = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
--- a/crates/proxy/src/daemon/settings.rs
+++ b/crates/proxy/src/daemon/settings.rs
@@ -1,13 +1,13 @@
 //! Settings of the proxy.
 
 use millford_core::Duration;
+use millford_data_plane::limits::RequestLimits;
 use millford_settings::fault::{require_addresses, require_texts};
 use millford_settings::logging::{LogOptions, parse_level};
 use millford_settings::{LogFormat, Settings, SettingsFault, SettingsKey};
 use serde::Deserialize;
 
 use crate::daemon::connections::ConnectionLimits;
-use crate::limits::RequestLimits;
 
 /// Settings file of `millford-proxy`.
 #[derive(Clone, Debug, Deserialize)]
--- a/crates/proxy/src/request/authenticate.rs
+++ b/crates/proxy/src/request/authenticate.rs
@@ -4,9 +4,9 @@
 
 use millford_api::config::Tenant;
 use millford_core::{ResultCode, hash_tenant_key};
+use millford_data_plane::proxy_state::ProxyState;
 use millford_routing::RoutingTable;
 
-use crate::proxy_state::ProxyState;
 use crate::request::caller::CallerHeaders;
 use crate::request::refusal::Refusal;
 
--- a/crates/proxy/src/request/claim_hold.rs
+++ b/crates/proxy/src/request/claim_hold.rs
@@ -2,9 +2,9 @@
 
 use millford_api::command::{Claim, ResolveClaim, RunOutcome};
 use millford_core::{MonotonicTime, ResultCode, RunState};
+use millford_data_plane::agent_message::ClaimAnswer;
 
 use crate::request::environment::RequestEnvironment;
-use crate::request::message::ClaimAnswer;
 use crate::request::refusal::Refusal;
 
 /// A granted claim. Unless settled, it stays "may have run".
--- a/crates/proxy/src/request/completion.rs
+++ b/crates/proxy/src/request/completion.rs
@@ -5,12 +5,12 @@
 use millford_api::config::Tenant;
 use millford_api::internal::CostSample;
 use millford_core::{Duration, RunState};
+use millford_data_plane::proxy_metrics::ProxyMetrics;
+use millford_data_plane::proxy_state::ProxyState;
 use millford_routing::prefix::{prefix_hash, session_hash};
 use sha2::{Digest, Sha256};
 
 use crate::backend_protocol::COMPLETIONS_PATH;
-use crate::proxy_metrics::ProxyMetrics;
-use crate::proxy_state::ProxyState;
 use crate::request::admit::admit;
 use crate::request::attempt::FirstPart;
 use crate::request::authenticate::{authenticate, check_open};
--- a/crates/proxy/src/request/environment.rs
+++ b/crates/proxy/src/request/environment.rs
@@ -5,11 +5,13 @@
 use bytes::Bytes;
 use millford_api::command::{Claim, ResolveClaim};
 use millford_core::{Duration, MonotonicTime};
+use millford_data_plane::agent_message::{
+    AdmissionReply, AdmissionRequest, ClaimAnswer, QuotaRelease,
+};
+use millford_data_plane::proxy_state::ProxyState;
 
-use crate::proxy_state::ProxyState;
 use crate::request::message::{
-    AdmissionReply, AdmissionRequest, AnswerError, AnswerHead, BackendRequest, ClaimAnswer,
-    DispatchError, QuotaRelease, WithdrawAnswer, WithdrawRequest,
+    AnswerError, AnswerHead, BackendRequest, DispatchError, WithdrawAnswer, WithdrawRequest,
 };
 
 /// Clock, randomness, agent and backends of one proxy.
--- a/crates/proxy/src/request/quota_hold.rs
+++ b/crates/proxy/src/request/quota_hold.rs
@@ -1,9 +1,9 @@
 //! A tenant's admission, given back on whatever path the request ends.
 
 use millford_core::{MonotonicTime, ResultCode};
+use millford_data_plane::agent_message::{AdmissionReply, AdmissionRequest, QuotaRelease};
 
 use crate::request::environment::RequestEnvironment;
-use crate::request::message::{AdmissionReply, AdmissionRequest, QuotaRelease};
 use crate::request::refusal::Refusal;
 
 /// One admitted request of a tenant.
--- a/crates/proxy/src/request/record.rs
+++ b/crates/proxy/src/request/record.rs
@@ -2,7 +2,7 @@
 
 use millford_core::ResultCode;
 
-use crate::proxy_state::ProxyState;
+use millford_data_plane::proxy_state::ProxyState;
 
 /// The end of one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/proxy/src/request/relay.rs
+++ b/crates/proxy/src/request/relay.rs
@@ -1,9 +1,9 @@
 //! Relays a stream to the caller, from one backend or, where the route allows, from the next.
 
 use millford_core::{Duration, MonotonicTime, ResultCode, RunState};
+use millford_data_plane::proxy_metrics::ProxyMetrics;
 use millford_routing::EjectionReason;
 
-use crate::proxy_metrics::ProxyMetrics;
 use crate::request::attempt::{Attempt, FirstPart, Opened};
 use crate::request::caller::{CallerPresence, CallerSink};
 use crate::request::environment::RequestEnvironment;
--- a/crates/proxy/tests/bad_inputs/main.rs
+++ b/crates/proxy/tests/bad_inputs/main.rs
@@ -12,12 +12,14 @@
 use millford_api::command::{Claim, ResolveClaim};
 use millford_core::time::monotonic_now;
 use millford_core::{Duration, MonotonicTime};
+use millford_data_plane::agent_message::{
+    AdmissionReply, AdmissionRequest, ClaimAnswer, QuotaRelease,
+};
+use millford_data_plane::proxy_state::ProxyState;
 use millford_proxy::daemon::server::{HttpLimits, service};
-use millford_proxy::proxy_state::ProxyState;
 use millford_proxy::request::environment::RequestEnvironment;
 use millford_proxy::request::message::{
-    AdmissionReply, AdmissionRequest, BackendRequest, ClaimAnswer, DispatchError, QuotaRelease,
-    WithdrawAnswer, WithdrawRequest,
+    BackendRequest, DispatchError, WithdrawAnswer, WithdrawRequest,
 };
 use support::environment::ScriptedAnswer;
 use support::fixture::{Fixture, KEY};
--- a/crates/proxy/tests/callers_interface.rs
+++ b/crates/proxy/tests/callers_interface.rs
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 
 use millford_core::Duration;
+use millford_data_plane::limits::RequestLimits;
+use millford_data_plane::proxy_state::ProxyState;
 use millford_proxy::daemon::connections::{ConnectionLimits, serve_connections};
 use millford_proxy::daemon::server::{HttpLimits, service};
-use millford_proxy::limits::RequestLimits;
-use millford_proxy::proxy_state::ProxyState;
 use support::environment::ScriptedEnvironment;
 use support::fixture::{Fixture, KEY};
 use support::raw_backend::{exchange, get, post};
--- a/crates/proxy/tests/daemon_path.rs
+++ b/crates/proxy/tests/daemon_path.rs
@@ -7,12 +7,12 @@
 
 use millford_api::local::{ProxyHello, local_frame};
 use millford_core::Duration;
-use millford_proxy::daemon::agent_link::{AgentLink, agent_link};
+use millford_data_plane::agent_link::{AgentLink, agent_link};
+use millford_data_plane::limits::RequestLimits;
+use millford_data_plane::proxy_state::ProxyState;
 use millford_proxy::daemon::backend_client::BackendClient;
 use millford_proxy::daemon::environment::DaemonEnvironment;
 use millford_proxy::daemon::server::{HttpLimits, service};
-use millford_proxy::limits::RequestLimits;
-use millford_proxy::proxy_state::ProxyState;
 use support::fixture::{Fixture, KEY};
 use support::raw_backend::{Answer, RawRequest, Requests, exchange, get, post};
 use support::{raw_backend, stub_agent};
--- a/crates/proxy/tests/run_state.rs
+++ b/crates/proxy/tests/run_state.rs
@@ -4,8 +4,9 @@
 
 use millford_api::command::RunOutcome;
 use millford_core::{Duration, MonotonicTime, ResultCode};
+use millford_data_plane::agent_message::{AdmissionReply, ClaimAnswer};
 use millford_proxy::request::environment::RequestEnvironment as _;
-use millford_proxy::request::message::{AdmissionReply, ClaimAnswer, WithdrawAnswer};
+use millford_proxy::request::message::WithdrawAnswer;
 use support::fixture::{Fixture, keyed_request, request, serve, serve_leaving};
 use support::script::{AnswerScript, Script, Step, pieces, plain, status, stream};
 
--- a/crates/proxy/tests/support/environment.rs
+++ b/crates/proxy/tests/support/environment.rs
@@ -7,11 +7,13 @@
 use futures::future::pending;
 use millford_api::command::{Claim, ResolveClaim};
 use millford_core::{Duration, MonotonicTime};
-use millford_proxy::proxy_state::ProxyState;
+use millford_data_plane::agent_message::{
+    AdmissionReply, AdmissionRequest, ClaimAnswer, QuotaRelease,
+};
+use millford_data_plane::proxy_state::ProxyState;
 use millford_proxy::request::environment::{BackendAnswer, RequestEnvironment};
 use millford_proxy::request::message::{
-    AdmissionReply, AdmissionRequest, AnswerError, AnswerHead, BackendRequest, ClaimAnswer,
-    DispatchError, QuotaRelease, WithdrawAnswer, WithdrawRequest,
+    AnswerError, AnswerHead, BackendRequest, DispatchError, WithdrawAnswer, WithdrawRequest,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -5,8 +5,8 @@
 use millford_api::state::state_value::Kind;
 use millford_api::state::{Backend, BackendState, ConfigHead, Declaration, StateItem, StateValue};
 use millford_core::{MonotonicTime, hash_tenant_key};
-use millford_proxy::limits::RequestLimits;
-use millford_proxy::proxy_state::ProxyState;
+use millford_data_plane::limits::RequestLimits;
+use millford_data_plane::proxy_state::ProxyState;
 use millford_proxy::request::caller::{CallerHeaders, CallerRequest};
 use millford_proxy::request::completion::serve_completion;
 use millford_proxy::request::environment::RequestEnvironment;
--- a/crates/scale/src/exchange/proxy_fleet.rs
+++ b/crates/scale/src/exchange/proxy_fleet.rs
@@ -7,9 +7,9 @@
 use millford_api::state::state_value::Kind;
 use millford_api::state::{Backend, ConfigHead, ProxyMember, StateValue};
 use millford_core::hash_tenant_key;
+use millford_data_plane::limits::RequestLimits;
+use millford_data_plane::proxy_state::ProxyState;
 use millford_forward::{ForwardNode, ForwardSettings, MillfordProtocol};
-use millford_proxy::limits::RequestLimits;
-use millford_proxy::proxy_state::ProxyState;
 use millford_routing::RoutingTable;
 use tokio::net::UdpSocket;
 use tokio::task::JoinHandle;
--- a/crates/simulation/src/world/agent_link_driver.rs
+++ b/crates/simulation/src/world/agent_link_driver.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use millford_api::local::{LocalFrame, ProxyHello, local_frame};
-use millford_proxy::control::frame_handler::FrameOutcome;
+use millford_data_plane::frame_handler::FrameOutcome;
 
 use crate::history::{FrontNumber, Record};
 use crate::network::ProcessId;
--- a/crates/simulation/src/world/proxy/asks.rs
+++ b/crates/simulation/src/world/proxy/asks.rs
@@ -6,7 +6,7 @@
 use futures::channel::oneshot;
 use millford_api::local::LocalFrame;
 use millford_core::{Duration, MonotonicTime};
-use millford_proxy::control::send_times::SendTimes;
+use millford_data_plane::agent_link::send_times::SendTimes;
 
 struct Waiting<T> {
     frame: LocalFrame,
--- a/crates/simulation/src/world/proxy/environment.rs
+++ b/crates/simulation/src/world/proxy/environment.rs
@@ -6,11 +6,13 @@
 use futures::channel::{mpsc, oneshot};
 use millford_api::command::{Claim, ResolveClaim};
 use millford_core::{Duration, MonotonicTime};
-use millford_proxy::proxy_state::ProxyState;
+use millford_data_plane::agent_message::{
+    AdmissionReply, AdmissionRequest, ClaimAnswer, QuotaRelease,
+};
+use millford_data_plane::proxy_state::ProxyState;
 use millford_proxy::request::environment::RequestEnvironment;
 use millford_proxy::request::message::{
-    AdmissionReply, AdmissionRequest, BackendRequest, ClaimAnswer, DispatchError, QuotaRelease,
-    WithdrawAnswer, WithdrawRequest,
+    BackendRequest, DispatchError, WithdrawAnswer, WithdrawRequest,
 };
 
 use crate::history::CallNumber;
--- a/crates/simulation/src/world/proxy/proxy_process.rs
+++ b/crates/simulation/src/world/proxy/proxy_process.rs
@@ -6,8 +6,8 @@
 
 use millford_api::local::LocalFrame;
 use millford_core::MonotonicTime;
-use millford_proxy::control::frame_handler::FrameHandler;
-use millford_proxy::proxy_state::ProxyState;
+use millford_data_plane::frame_handler::FrameHandler;
+use millford_data_plane::proxy_state::ProxyState;
 use rand_chacha::ChaCha8Rng;
 
 use crate::history::CallNumber;
@@ -122,7 +122,7 @@
     /// A proxy that starts.
     #[must_use]
     pub fn new(now: MonotonicTime, random: ChaCha8Rng, desk: AgentDesk) -> Self {
-        let limits = millford_proxy::limits::RequestLimits::default();
+        let limits = millford_data_plane::limits::RequestLimits::default();
         let state = Arc::new(ProxyState::new(limits));
         Self {
             handler: FrameHandler::new(Arc::clone(&state)),
