--- a/crates/simulation/src/checkers/answer_identity.rs
+++ b/crates/simulation/src/checkers/answer_identity.rs
@@ -2,30 +2,37 @@
 
 use millford_core::MonotonicTime;
 
-use crate::checkers::call_table::CallTable;
 use crate::checkers::checker::Checker;
-use crate::checkers::promise::Promise;
+use crate::checkers::guarantee::Guarantee;
+use crate::checkers::request_table::RequestTable;
 use crate::checkers::verdict::Verdict;
 use crate::history::Record;
 
-/// Compares the content that a piece answers with what its caller asked.
+/// Compares the content that a chunk answers with what its caller requested.
 #[derive(Default)]
 pub struct AnswerIdentityChecker {
-    calls: CallTable,
+    requests: RequestTable,
 }
 
 impl Checker for AnswerIdentityChecker {
     fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
-        self.calls.observe(record);
-        let Record::CallPiece { call, piece } = record else {
+        self.requests.observe(record);
+        let Record::ChunkReceived {
+            client_request,
+            chunk,
+        } = record
+        else {
             return;
         };
-        let Some(sent) = self.calls.call(*call) else {
+        let Some(sent) = self.requests.get(*client_request) else {
             return;
         };
-        if sent.content != piece.content {
-            let text = format!("{call:?} asked {:?} and got {piece:?}", sent.content);
-            verdict.broken(at, Promise::AnswerIdentity, text);
+        if sent.content != chunk.content {
+            let text = format!(
+                "{client_request:?} asked {:?} and got {chunk:?}",
+                sent.content
+            );
+            verdict.record_violation(at, Guarantee::AnswerIdentity, text);
         }
     }
 }
--- a/crates/simulation/src/checkers/complete_answers.rs
+++ b/crates/simulation/src/checkers/complete_answers.rs
@@ -1,56 +1,59 @@
-//! No partial answer passes for a whole one, and no success is invented.
+//! No partial answer passes for a complete one, and no success is invented.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use millford_core::MonotonicTime;
 
-use crate::checkers::call_table::CallTable;
 use crate::checkers::checker::Checker;
-use crate::checkers::promise::Promise;
+use crate::checkers::guarantee::Guarantee;
+use crate::checkers::request_table::RequestTable;
 use crate::checkers::verdict::Verdict;
-use crate::history::{CallEnd, CallNumber, ContentNumber, Record};
+use crate::history::{ContentNumber, Record, RequestEnd, RequestNumber};
 
-/// Wants the last piece, and a backend's success, behind every complete answer.
+/// Wants the last chunk, and a backend's success, behind every complete answer.
 #[derive(Default)]
 pub struct CompleteAnswersChecker {
-    calls: CallTable,
+    requests: RequestTable,
     finished: BTreeSet<ContentNumber>,
-    last_piece_seen: BTreeMap<CallNumber, bool>,
+    last_chunk_seen: BTreeMap<RequestNumber, bool>,
 }
 
 impl Checker for CompleteAnswersChecker {
     fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
-        self.calls.observe(record);
+        self.requests.observe(record);
         match record {
             Record::BackendFinished { content, .. } => {
                 self.finished.insert(*content);
             }
-            Record::CallPiece { call, piece } => {
-                let seen = self.last_piece_seen.entry(*call).or_default();
-                *seen |= piece.last;
+            Record::ChunkReceived {
+                client_request,
+                chunk,
+            } => {
+                let seen = self.last_chunk_seen.entry(*client_request).or_default();
+                *seen |= chunk.last;
             }
-            Record::CallEnded {
-                call,
-                end: CallEnd::Complete,
+            Record::RequestEnded {
+                client_request,
+                end: RequestEnd::Complete,
                 ..
-            } => self.check(at, *call, verdict),
+            } => self.check(at, *client_request, verdict),
             _ => {}
         }
     }
 }
 
 impl CompleteAnswersChecker {
-    fn check(&self, at: MonotonicTime, call: CallNumber, verdict: &mut Verdict) {
-        if self.last_piece_seen.get(&call) != Some(&true) {
-            let text = format!("{call:?} ended as complete without its last piece");
-            verdict.broken(at, Promise::CompleteAnswers, text);
+    fn check(&self, at: MonotonicTime, client_request: RequestNumber, verdict: &mut Verdict) {
+        if self.last_chunk_seen.get(&client_request) != Some(&true) {
+            let text = format!("{client_request:?} ended as complete without its last piece");
+            verdict.record_violation(at, Guarantee::CompleteAnswers, text);
         }
-        let Some(sent) = self.calls.call(call) else {
+        let Some(sent) = self.requests.get(client_request) else {
             return;
         };
         if !self.finished.contains(&sent.content) {
-            let text = format!("{call:?} ended as complete, but no backend finished it");
-            verdict.broken(at, Promise::CompleteAnswers, text);
+            let text = format!("{client_request:?} ended as complete, but no backend finished it");
+            verdict.record_violation(at, Guarantee::CompleteAnswers, text);
         }
     }
 }
--- a/crates/simulation/src/checkers/durability.rs
+++ b/crates/simulation/src/checkers/durability.rs
@@ -5,7 +5,7 @@
 use millford_core::MonotonicTime;
 
 use crate::checkers::checker::Checker;
-use crate::checkers::promise::Promise;
+use crate::checkers::guarantee::Guarantee;
 use crate::checkers::verdict::Verdict;
 use crate::history::{OrderAnswer, Record};
 
@@ -44,7 +44,7 @@
     fn finish(&mut self, at: MonotonicTime, verdict: &mut Verdict) {
         if self.reads == 0 {
             let text = "no confirmed read succeeded by the end".to_string();
-            verdict.broken(at, Promise::Durability, text);
+            verdict.record_violation(at, Guarantee::Durability, text);
         }
     }
 }
@@ -70,7 +70,7 @@
         let floor = self.acknowledged_by(sent);
         if revision < floor {
             let text = format!("a read sent after {floor} was acknowledged shows {revision}");
-            verdict.broken(at, Promise::Durability, text);
+            verdict.record_violation(at, Guarantee::Durability, text);
         }
     }
 
@@ -78,7 +78,7 @@
         let wanted = self.documents.get(&revision);
         if wanted.is_some_and(|wanted| *wanted != digest) {
             let text = format!("revision {revision} reads back as another document");
-            verdict.broken(at, Promise::Durability, text);
+            verdict.record_violation(at, Guarantee::Durability, text);
         }
     }
 }
--- a/crates/simulation/src/checkers/promise.rs
+++ b/crates/simulation/src/checkers/guarantee.rs
@@ -1,21 +1,21 @@
-//! The promises that are checked.
+//! The guarantees that are checked.
 
-/// A promise of the system.
+/// A guarantee of the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Promise {
+pub enum Guarantee {
     /// What may not be repeated runs at most once.
     AtMostOnce,
     /// "Not run" is true.
     NotRunTruth,
     /// No caller gets another request's answer.
     AnswerIdentity,
-    /// No cut body passes for a whole one, no success that the backend did not give.
+    /// No truncated body passes for a complete one, no success is invented.
     CompleteAnswers,
     /// Streams neither skip nor repeat nor splice, and move only where the route allows.
     StreamContinuity,
     /// No node steps back a revision.
     RevisionOrder,
-    /// An acknowledged revision governs every node in touch within two seconds.
+    /// An acknowledged revision governs every node connected within two seconds.
     Adoption,
     /// One winner per base; an order sent again is acknowledged again.
     OneWinner,
--- a/crates/simulation/src/checkers/key_secrecy.rs
+++ b/crates/simulation/src/checkers/key_secrecy.rs
@@ -3,7 +3,7 @@
 use millford_core::MonotonicTime;
 
 use crate::checkers::checker::Checker;
-use crate::checkers::promise::Promise;
+use crate::checkers::guarantee::Guarantee;
 use crate::checkers::verdict::Verdict;
 use crate::history::Record;
 
@@ -20,7 +20,7 @@
         } = record
         {
             let text = format!("{backend:?} saw a tenant key in {attempt:?}");
-            verdict.broken(at, Promise::KeySecrecy, text);
+            verdict.record_violation(at, Guarantee::KeySecrecy, text);
         }
     }
 }
--- a/crates/simulation/src/checkers/not_run_truth.rs
+++ b/crates/simulation/src/checkers/not_run_truth.rs
@@ -4,47 +4,53 @@
 
 use millford_core::{MonotonicTime, RunState};
 
-use crate::checkers::call_table::CallTable;
 use crate::checkers::checker::Checker;
-use crate::checkers::promise::Promise;
+use crate::checkers::guarantee::Guarantee;
+use crate::checkers::request_table::RequestTable;
 use crate::checkers::verdict::Verdict;
-use crate::history::{CallEnd, CallNumber, Record};
+use crate::history::{Record, RequestEnd, RequestNumber};
 
 /// Holds refusals against what the backends ran, before and after.
 #[derive(Default)]
 pub struct NotRunTruthChecker {
-    calls: CallTable,
-    started: BTreeSet<CallNumber>,
-    refused: BTreeMap<CallNumber, u32>,
+    requests: RequestTable,
+    started: BTreeSet<RequestNumber>,
+    refused: BTreeMap<RequestNumber, u32>,
 }
 
 impl Checker for NotRunTruthChecker {
     fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
-        self.calls.observe(record);
+        self.requests.observe(record);
         match record {
             Record::BackendStarted { attempt, .. } => {
-                let Some(call) = self.calls.call_of(*attempt).map(|sent| sent.call) else {
+                let Some(client_request) = self
+                    .requests
+                    .request_of_attempt(*attempt)
+                    .map(|sent| sent.client_request)
+                else {
                     return;
                 };
-                self.started.insert(call);
-                if let Some(code) = self.refused.get(&call) {
-                    let text = format!("{call:?} was refused with {code} as not run, then ran");
-                    verdict.broken(at, Promise::NotRunTruth, text);
+                self.started.insert(client_request);
+                if let Some(code) = self.refused.get(&client_request) {
+                    let text =
+                        format!("{client_request:?} was refused with {code} as not run, then ran");
+                    verdict.record_violation(at, Guarantee::NotRunTruth, text);
                 }
             }
-            Record::CallEnded {
-                call,
+            Record::RequestEnded {
+                client_request,
                 end:
-                    CallEnd::Refused {
+                    RequestEnd::Refused {
                         code,
                         run: RunState::NotRun,
                     },
                 ..
             } => {
-                self.refused.insert(*call, code.number());
-                if self.started.contains(call) {
-                    let text = format!("{call:?} ran, but was refused with {code} as not run");
-                    verdict.broken(at, Promise::NotRunTruth, text);
+                self.refused.insert(*client_request, code.number());
+                if self.started.contains(client_request) {
+                    let text =
+                        format!("{client_request:?} ran, but was refused with {code} as not run");
+                    verdict.record_violation(at, Guarantee::NotRunTruth, text);
                 }
             }
             _ => {}
--- a/crates/simulation/src/checkers/one_winner.rs
+++ b/crates/simulation/src/checkers/one_winner.rs
@@ -5,11 +5,11 @@
 use millford_core::MonotonicTime;
 
 use crate::checkers::checker::Checker;
-use crate::checkers::promise::Promise;
+use crate::checkers::guarantee::Guarantee;
 use crate::checkers::verdict::Verdict;
 use crate::history::{OrderAnswer, OrderNumber, Record};
 
-/// Follows what operators were told.
+/// Follows the answers that operators received.
 #[derive(Default)]
 pub struct OneWinnerChecker {
     winners: BTreeMap<u64, OrderNumber>,
@@ -33,7 +33,7 @@
             _ => None,
         };
         if let Some(text) = fault {
-            verdict.broken(at, Promise::OneWinner, text);
+            verdict.record_violation(at, Guarantee::OneWinner, text);
         }
     }
 }
--- a/crates/simulation/src/checkers/quota.rs
+++ b/crates/simulation/src/checkers/quota.rs
@@ -6,19 +6,19 @@
 use millford_core::{MonotonicTime, ResultCode};
 
 use crate::checkers::checker::Checker;
-use crate::checkers::promise::Promise;
+use crate::checkers::guarantee::Guarantee;
 use crate::checkers::verdict::Verdict;
-use crate::history::{CallEnd, CallNumber, FrontNumber, Record};
+use crate::history::{ProxyNodeNumber, Record, RequestEnd, RequestNumber};
 
 /// Rounding and the drift of the machines' clocks.
 const TOLERANCE: f64 = 0.05;
 
-/// A token is lent at one moment and admits a call when the answer has arrived, up to a slow
+/// A token is lent at one moment and admits a client request when the answer has arrived, up to a slow
 /// packet later. The leader's count is exact at the time of lending; this is the difference.
 const DELIVERY_SECONDS: f64 = 0.06;
 
-/// Tokens that lending to several nodes may leave unused for a moment: a tenant that comes this
-/// near to its quota is not called under it.
+/// Tokens that leases of several nodes may leave unused for a moment: a tenant that comes this
+/// near to its quota does not count as under it.
 const NEAR_LIMIT: f64 = 2.0;
 
 /// A tenant that an exact bucket would have refused within this time is over its quota.
@@ -55,13 +55,13 @@
     }
 }
 
-/// What a tenant was admitted, and what it asked for.
+/// What a tenant was admitted, and what it requested.
 struct TenantBuckets {
     /// Fed by admissions: it must never be overdrawn.
     admitted: ExactBucket,
     /// Fed by arrivals: while it refuses nobody, nobody may be refused.
     arrived: ExactBucket,
-    /// When an exact bucket last refused a call.
+    /// When an exact bucket last refused a client request.
     over_quota: Option<MonotonicTime>,
 }
 
@@ -88,15 +88,17 @@
 #[derive(Default)]
 pub struct QuotaChecker {
     tenants: BTreeMap<u16, TenantBuckets>,
-    calls: BTreeMap<CallNumber, u16>,
-    /// Calls that were not admitted yet, by the front machine that they wait at.
-    waiting: BTreeMap<CallNumber, FrontNumber>,
+    requests: BTreeMap<RequestNumber, u16>,
+    /// Client requests that were not admitted yet, by the proxy node that they wait at.
+    waiting: BTreeMap<RequestNumber, ProxyNodeNumber>,
 }
 
 impl Checker for QuotaChecker {
     fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
-        if let Record::Admitted { call } | Record::CallEnded { call, .. } = record {
-            self.waiting.remove(call);
+        if let Record::Admitted { client_request } | Record::RequestEnded { client_request, .. } =
+            record
+        {
+            self.waiting.remove(client_request);
         }
         match record {
             Record::Quota {
@@ -104,27 +106,27 @@
                 per_second,
                 burst,
             } => self.add(at, *tenant, *per_second, *burst),
-            Record::CallSent(sent) => {
-                self.calls.insert(sent.call, sent.tenant);
-                self.waiting.insert(sent.call, sent.front);
+            Record::RequestSent(sent) => {
+                self.requests.insert(sent.client_request, sent.tenant);
+                self.waiting.insert(sent.client_request, sent.proxy_node);
             }
-            Record::CallArrived { call } => self.arrive(at, *call),
-            Record::FrontResumed { front } => self.arrive_again(at, *front),
-            Record::Admitted { call } => self.admit(at, *call, verdict),
-            Record::AdmissionReturned { call } => {
-                if let Some(buckets) = self.buckets(*call) {
+            Record::RequestArrived { client_request } => self.arrive(at, *client_request),
+            Record::ProxyNodeResumed { proxy_node } => self.arrive_again(at, *proxy_node),
+            Record::Admitted { client_request } => self.admit(at, *client_request, verdict),
+            Record::AdmissionReturned { client_request } => {
+                if let Some(buckets) = self.buckets(*client_request) {
                     buckets.admitted.add(at, 1.0);
                 }
             }
-            Record::CallEnded {
-                call,
+            Record::RequestEnded {
+                client_request,
                 end:
-                    CallEnd::Refused {
+                    RequestEnd::Refused {
                         code: ResultCode::QuotaExceeded,
                         ..
                     },
                 ..
-            } => self.check_refusal(at, *call, verdict),
+            } => self.check_refusal(at, *client_request, verdict),
             _ => {}
         }
     }
@@ -140,29 +142,30 @@
         self.tenants.insert(tenant, buckets);
     }
 
-    fn buckets(&mut self, call: CallNumber) -> Option<&mut TenantBuckets> {
-        let tenant = self.calls.get(&call)?;
+    fn buckets(&mut self, client_request: RequestNumber) -> Option<&mut TenantBuckets> {
+        let tenant = self.requests.get(&client_request)?;
         self.tenants.get_mut(tenant)
     }
 
-    fn arrive(&mut self, at: MonotonicTime, call: CallNumber) {
-        if let Some(buckets) = self.buckets(call) {
+    fn arrive(&mut self, at: MonotonicTime, client_request: RequestNumber) {
+        if let Some(buckets) = self.buckets(client_request) {
             buckets.arrive(at);
         }
     }
 
     // What piled up before a frozen agent arrives at once when it goes on: nobody can tell by
     // then how long it waited.
-    fn arrive_again(&mut self, at: MonotonicTime, front: FrontNumber) {
-        let waiting = self.waiting.iter().filter(|(_, it)| **it == front);
-        let calls: Vec<CallNumber> = waiting.map(|(call, _)| *call).collect();
-        for call in calls {
-            self.arrive(at, call);
+    fn arrive_again(&mut self, at: MonotonicTime, proxy_node: ProxyNodeNumber) {
+        let waiting = self.waiting.iter().filter(|(_, it)| **it == proxy_node);
+        let requests: Vec<RequestNumber> =
+            waiting.map(|(client_request, _)| *client_request).collect();
+        for client_request in requests {
+            self.arrive(at, client_request);
         }
     }
 
-    fn admit(&mut self, at: MonotonicTime, call: CallNumber, verdict: &mut Verdict) {
-        let Some(buckets) = self.buckets(call) else {
+    fn admit(&mut self, at: MonotonicTime, client_request: RequestNumber, verdict: &mut Verdict) {
+        let Some(buckets) = self.buckets(client_request) else {
             return;
         };
         let level = buckets.admitted.add(at, -1.0);
@@ -170,18 +173,26 @@
         if level < -TOLERANCE - delivery {
             // Each excess is reported once.
             buckets.admitted.level = 0.0;
-            let text = format!("{call:?} takes its tenant {:.2} over its quota", -level);
-            verdict.broken(at, Promise::Quota, text);
+            let text = format!(
+                "{client_request:?} takes its tenant {:.2} over its quota",
+                -level
+            );
+            verdict.record_violation(at, Guarantee::Quota, text);
         }
     }
 
-    fn check_refusal(&mut self, at: MonotonicTime, call: CallNumber, verdict: &mut Verdict) {
-        let Some(buckets) = self.buckets(call) else {
+    fn check_refusal(
+        &mut self,
+        at: MonotonicTime,
+        client_request: RequestNumber,
+        verdict: &mut Verdict,
+    ) {
+        let Some(buckets) = self.buckets(client_request) else {
             return;
         };
         if buckets.conforms(at) {
-            let text = format!("{call:?} was refused, but its tenant is under its quota");
-            verdict.broken(at, Promise::Quota, text);
+            let text = format!("{client_request:?} was refused, but its tenant is under its quota");
+            verdict.record_violation(at, Guarantee::Quota, text);
         }
     }
 }
--- a/crates/simulation/src/checkers/recovery.rs
+++ b/crates/simulation/src/checkers/recovery.rs
@@ -6,10 +6,12 @@
 use millford_core::{MonotonicTime, ResultCode};
 
 use crate::checkers::checker::Checker;
-use crate::checkers::promise::Promise;
-use crate::checkers::touch_table::TouchTable;
+use crate::checkers::connectivity_table::ConnectivityTable;
+use crate::checkers::guarantee::Guarantee;
 use crate::checkers::verdict::Verdict;
-use crate::history::{CallEnd, CallNumber, FrontNumber, OrderAnswer, OrderNumber, Record};
+use crate::history::{
+    OrderAnswer, OrderNumber, ProxyNodeNumber, Record, RequestEnd, RequestNumber,
+};
 use crate::scenario::Figure;
 
 const LIMIT: Duration = Duration::from_secs(12);
@@ -29,29 +31,34 @@
 /// Watches the calm times between faults.
 #[derive(Default)]
 pub struct RecoveryChecker {
-    touch: TouchTable,
-    calls: BTreeMap<CallNumber, (FrontNumber, MonotonicTime)>,
+    connectivity: ConnectivityTable,
+    requests: BTreeMap<RequestNumber, (ProxyNodeNumber, MonotonicTime)>,
     orders: BTreeMap<OrderNumber, MonotonicTime>,
     calm: Option<MonotonicTime>,
-    /// Front machines that were called in this calm time.
-    called: BTreeMap<FrontNumber, MonotonicTime>,
-    served: BTreeSet<FrontNumber>,
+    /// Proxy nodes that got a client request in this calm time.
+    requested: BTreeMap<ProxyNodeNumber, MonotonicTime>,
+    served: BTreeSet<ProxyNodeNumber>,
     reported: bool,
 }
 
 impl Checker for RecoveryChecker {
     fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
         self.check_overdue(at, verdict);
-        self.touch.observe(at, record);
+        self.connectivity.observe(at, record);
         self.follow_calm();
         match record {
-            Record::CallSent(sent) => {
-                self.calls.insert(sent.call, (sent.front, at));
+            Record::RequestSent(sent) => {
+                self.requests
+                    .insert(sent.client_request, (sent.proxy_node, at));
                 if self.calm.is_some() {
-                    self.called.entry(sent.front).or_insert(at);
+                    self.requested.entry(sent.proxy_node).or_insert(at);
                 }
             }
-            Record::CallEnded { call, end, .. } => self.call_ended(at, *call, *end, verdict),
+            Record::RequestEnded {
+                client_request,
+                end,
+                ..
+            } => self.request_ended(at, *client_request, *end, verdict),
             Record::OrderSent { order, .. } => {
                 self.orders.insert(*order, at);
             }
@@ -65,12 +72,12 @@
 
 impl RecoveryChecker {
     fn follow_calm(&mut self) {
-        let calm = self.touch.calm_since();
+        let calm = self.connectivity.calm_since();
         if calm == self.calm {
             return;
         }
         self.calm = calm;
-        self.called.clear();
+        self.requested.clear();
         self.served.clear();
         self.reported = false;
     }
@@ -81,33 +88,33 @@
             return;
         }
         self.reported = true;
-        for front in self.called.keys() {
-            if !self.served.contains(front) {
-                let text = format!("{front:?} has not served 12 s after the last fault");
-                verdict.broken(at, Promise::Recovery, text);
+        for proxy_node in self.requested.keys() {
+            if !self.served.contains(proxy_node) {
+                let text = format!("{proxy_node:?} has not served 12 s after the last fault");
+                verdict.record_violation(at, Guarantee::Recovery, text);
             }
         }
     }
 
-    fn call_ended(
+    fn request_ended(
         &mut self,
         at: MonotonicTime,
-        call: CallNumber,
-        end: CallEnd,
+        client_request: RequestNumber,
+        end: RequestEnd,
         verdict: &mut Verdict,
     ) {
-        let Some((front, sent)) = self.calls.remove(&call) else {
+        let Some((proxy_node, sent)) = self.requests.remove(&client_request) else {
             return;
         };
         let Some(calm) = self.calm else { return };
         match end {
-            CallEnd::Complete if sent >= calm && self.served.insert(front) => {
+            RequestEnd::Complete if sent >= calm && self.served.insert(proxy_node) => {
                 let millis = u64::try_from(at.since(calm).as_millis()).unwrap_or(u64::MAX);
                 verdict.figures.raise(Figure::Recovery, millis);
             }
-            CallEnd::Refused { code, .. } if sent > calm + LIMIT && UNSERVED.contains(&code) => {
-                let text = format!("{front:?} refused {call:?} in calm: {code}");
-                verdict.broken(at, Promise::Recovery, text);
+            RequestEnd::Refused { code, .. } if sent > calm + LIMIT && UNSERVED.contains(&code) => {
+                let text = format!("{proxy_node:?} refused {client_request:?} in calm: {code}");
+                verdict.record_violation(at, Guarantee::Recovery, text);
             }
             _ => {}
         }
@@ -126,7 +133,7 @@
         let Some(calm) = self.calm else { return };
         if answer == OrderAnswer::Undecided && *sent > calm + LIMIT {
             let text = format!("{order:?} sent in calm was not decided");
-            verdict.broken(at, Promise::Recovery, text);
+            verdict.record_violation(at, Guarantee::Recovery, text);
         }
     }
 }
--- a/crates/simulation/src/checkers/revision_order.rs
+++ b/crates/simulation/src/checkers/revision_order.rs
@@ -4,29 +4,33 @@
 
 use millford_core::MonotonicTime;
 
-use crate::checkers::call_table::CallTable;
 use crate::checkers::checker::Checker;
-use crate::checkers::promise::Promise;
+use crate::checkers::guarantee::Guarantee;
+use crate::checkers::request_table::RequestTable;
 use crate::checkers::verdict::Verdict;
-use crate::history::{FrontNumber, Record};
+use crate::history::{ProxyNodeNumber, Record};
 
-/// Follows the revision that each front machine routes by.
+/// Follows the revision that each proxy node routes by.
 #[derive(Default)]
 pub struct RevisionOrderChecker {
-    calls: CallTable,
-    shown: BTreeMap<FrontNumber, u64>,
+    requests: RequestTable,
+    applied: BTreeMap<ProxyNodeNumber, u64>,
 }
 
 impl Checker for RevisionOrderChecker {
     fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
-        self.calls.observe(record);
-        if let Record::RevisionShown { front, revision } = record {
-            let shown = self.shown.entry(*front).or_default();
-            if revision < shown {
-                let text = format!("{front:?} fell back from {shown} to {revision}");
-                verdict.broken(at, Promise::RevisionOrder, text);
+        self.requests.observe(record);
+        if let Record::RevisionApplied {
+            proxy_node,
+            revision,
+        } = record
+        {
+            let applied = self.applied.entry(*proxy_node).or_default();
+            if revision < applied {
+                let text = format!("{proxy_node:?} fell back from {applied} to {revision}");
+                verdict.record_violation(at, Guarantee::RevisionOrder, text);
             }
-            *shown = (*shown).max(*revision);
+            *applied = (*applied).max(*revision);
         }
     }
 }
--- a/crates/simulation/src/checkers/revocation.rs
+++ b/crates/simulation/src/checkers/revocation.rs
@@ -6,34 +6,34 @@
 use millford_core::MonotonicTime;
 
 use crate::checkers::checker::Checker;
-use crate::checkers::promise::Promise;
-use crate::checkers::touch_table::TouchTable;
+use crate::checkers::connectivity_table::ConnectivityTable;
+use crate::checkers::guarantee::Guarantee;
 use crate::checkers::verdict::Verdict;
-use crate::history::{CallNumber, CallSent, Record};
+use crate::history::{Record, RequestNumber, RequestSent};
 use crate::scenario::Figure;
 
 const LIMIT: Duration = Duration::from_secs(2);
 
-/// Follows calls with revoked keys.
+/// Follows client requests with revoked keys.
 #[derive(Default)]
 pub struct RevocationChecker {
-    touch: TouchTable,
+    connectivity: ConnectivityTable,
     revoked: BTreeMap<u32, MonotonicTime>,
-    /// Time from the revocation to the sending, for calls with a revoked key.
-    after: BTreeMap<CallNumber, Duration>,
-    reported: BTreeSet<CallNumber>,
+    /// Time from the revocation to the sending, for client requests with a revoked key.
+    after: BTreeMap<RequestNumber, Duration>,
+    reported: BTreeSet<RequestNumber>,
 }
 
 impl Checker for RevocationChecker {
     fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
-        self.touch.observe(at, record);
+        self.connectivity.observe(at, record);
         match record {
             Record::KeyRevoked { key, .. } => {
                 self.revoked.entry(*key).or_insert(at);
             }
-            Record::CallSent(sent) => self.note(at, sent),
-            Record::Admitted { call } | Record::Dispatched { call, .. } => {
-                self.check(at, *call, verdict);
+            Record::RequestSent(sent) => self.record_sent(at, sent),
+            Record::Admitted { client_request } | Record::Dispatched { client_request, .. } => {
+                self.check(at, *client_request, verdict);
             }
             _ => {}
         }
@@ -41,26 +41,27 @@
 }
 
 impl RevocationChecker {
-    fn note(&mut self, at: MonotonicTime, sent: &CallSent) {
+    fn record_sent(&mut self, at: MonotonicTime, sent: &RequestSent) {
         let Some(revoked) = self.revoked.get(&sent.key) else {
             return;
         };
-        let Some(touch) = self.touch.touch_since(sent.front) else {
+        let Some(connectivity) = self.connectivity.connected_since(sent.proxy_node) else {
             return;
         };
-        let since = touch.max(*revoked);
-        self.after.insert(sent.call, at.since(since));
+        let since = connectivity.max(*revoked);
+        self.after.insert(sent.client_request, at.since(since));
     }
 
-    fn check(&mut self, at: MonotonicTime, call: CallNumber, verdict: &mut Verdict) {
-        let Some(after) = self.after.get(&call) else {
+    fn check(&mut self, at: MonotonicTime, client_request: RequestNumber, verdict: &mut Verdict) {
+        let Some(after) = self.after.get(&client_request) else {
             return;
         };
         let millis = u64::try_from(after.as_millis()).unwrap_or(u64::MAX);
         verdict.figures.raise(Figure::Revocation, millis);
-        if *after > LIMIT && self.reported.insert(call) {
-            let text = format!("{call:?} was served {millis} ms after its key was revoked");
-            verdict.broken(at, Promise::Revocation, text);
+        if *after > LIMIT && self.reported.insert(client_request) {
+            let text =
+                format!("{client_request:?} was served {millis} ms after its key was revoked");
+            verdict.record_violation(at, Guarantee::Revocation, text);
         }
     }
 }
--- a/crates/simulation/src/checkers/second_sends.rs
+++ b/crates/simulation/src/checkers/second_sends.rs
@@ -3,7 +3,7 @@
 use millford_core::MonotonicTime;
 
 use crate::checkers::checker::Checker;
-use crate::checkers::promise::Promise;
+use crate::checkers::guarantee::Guarantee;
 use crate::checkers::verdict::Verdict;
 use crate::history::Record;
 use crate::scenario::Figure;
@@ -16,7 +16,7 @@
 pub struct SecondSendsChecker {
     first: u64,
     second: u64,
-    broken: bool,
+    reported: bool,
 }
 
 impl Checker for SecondSendsChecker {
@@ -31,10 +31,10 @@
         self.second += 1;
         let share = self.second * PERCENT / self.first.max(1);
         verdict.figures.raise(Figure::SecondSends, share);
-        if self.second * SHARE_DIVISOR > self.first && !self.broken {
-            self.broken = true;
+        if self.second * SHARE_DIVISOR > self.first && !self.reported {
+            self.reported = true;
             let text = format!("{} second sends on {} first", self.second, self.first);
-            verdict.broken(at, Promise::SecondSends, text);
+            verdict.record_violation(at, Guarantee::SecondSends, text);
         }
     }
 
--- a/crates/simulation/src/checkers/stream_continuity.rs
+++ b/crates/simulation/src/checkers/stream_continuity.rs
@@ -4,26 +4,33 @@
 
 use millford_core::MonotonicTime;
 
-use crate::checkers::call_table::CallTable;
 use crate::checkers::checker::Checker;
-use crate::checkers::promise::Promise;
+use crate::checkers::guarantee::Guarantee;
+use crate::checkers::request_table::RequestTable;
 use crate::checkers::verdict::Verdict;
-use crate::history::{CallNumber, CallSent, Piece, Record, ResumeRule};
+use crate::history::{Chunk, Record, RequestNumber, RequestSent, ResumeRule};
 
-/// Follows the pieces of each stream and the attempts behind them.
+/// Follows the chunks of each stream and the attempts behind them.
 #[derive(Default)]
 pub struct StreamContinuityChecker {
-    calls: CallTable,
-    last_piece: BTreeMap<CallNumber, Piece>,
+    requests: RequestTable,
+    last_chunk: BTreeMap<RequestNumber, Chunk>,
 }
 
 impl Checker for StreamContinuityChecker {
     fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
-        self.calls.observe(record);
+        self.requests.observe(record);
         match record {
-            Record::CallPiece { call, piece } => self.check_piece(at, *call, *piece, verdict),
-            Record::Dispatched { call, second, .. } if *second => {
-                self.check_move(at, *call, verdict);
+            Record::ChunkReceived {
+                client_request,
+                chunk,
+            } => self.check_chunk(at, *client_request, *chunk, verdict),
+            Record::Dispatched {
+                client_request,
+                second,
+                ..
+            } if *second => {
+                self.check_move(at, *client_request, verdict);
             }
             _ => {}
         }
@@ -31,37 +38,40 @@
 }
 
 impl StreamContinuityChecker {
-    fn check_piece(
+    fn check_chunk(
         &mut self,
         at: MonotonicTime,
-        call: CallNumber,
-        piece: Piece,
+        client_request: RequestNumber,
+        chunk: Chunk,
         verdict: &mut Verdict,
     ) {
-        let before = self.last_piece.insert(call, piece);
+        let before = self.last_chunk.insert(client_request, chunk);
         let wanted = before.map_or(0, |before| before.sequence + 1);
-        if piece.sequence != wanted {
-            let text = format!("{call:?} got piece {} for {wanted}", piece.sequence);
-            verdict.broken(at, Promise::StreamContinuity, text);
+        if chunk.sequence != wanted {
+            let text = format!(
+                "{client_request:?} got piece {} for {wanted}",
+                chunk.sequence
+            );
+            verdict.record_violation(at, Guarantee::StreamContinuity, text);
         }
         if let Some(before) = before
-            && before.run != piece.run
+            && before.run != chunk.run
         {
-            let text = format!("{call:?} got pieces of two runs");
-            verdict.broken(at, Promise::StreamContinuity, text);
+            let text = format!("{client_request:?} got pieces of two runs");
+            verdict.record_violation(at, Guarantee::StreamContinuity, text);
         }
     }
 
-    // After its first piece a stream may be sent elsewhere only where the route continues runs.
-    fn check_move(&self, at: MonotonicTime, call: CallNumber, verdict: &mut Verdict) {
-        let resume = self.calls.call(call).map(resume_of);
-        if self.last_piece.contains_key(&call) && resume != Some(ResumeRule::Continue) {
-            let text = format!("{call:?} moved after its first piece, against its route");
-            verdict.broken(at, Promise::StreamContinuity, text);
+    // After its first chunk a stream may be sent elsewhere only where the route continues runs.
+    fn check_move(&self, at: MonotonicTime, client_request: RequestNumber, verdict: &mut Verdict) {
+        let resume = self.requests.get(client_request).map(resume_of);
+        if self.last_chunk.contains_key(&client_request) && resume != Some(ResumeRule::Continue) {
+            let text = format!("{client_request:?} moved after its first piece, against its route");
+            verdict.record_violation(at, Guarantee::StreamContinuity, text);
         }
     }
 }
 
-fn resume_of(sent: &CallSent) -> ResumeRule {
+fn resume_of(sent: &RequestSent) -> ResumeRule {
     sent.resume
 }
--- a/crates/simulation/src/checkers/totals.rs
+++ b/crates/simulation/src/checkers/totals.rs
@@ -1,4 +1,4 @@
-//! Counts what was served, so that a scenario can demand work and not only silence.
+//! Counts what was served, so that a scenario can require work to be done, not only that nothing fails.
 
 use std::collections::BTreeSet;
 
@@ -6,15 +6,15 @@
 
 use crate::checkers::checker::Checker;
 use crate::checkers::verdict::Verdict;
-use crate::history::{CallEnd, OrderAnswer, Record};
+use crate::history::{OrderAnswer, Record, RequestEnd};
 use crate::scenario::Figure;
 
 const PERCENT: u64 = 100;
 
-/// Calls, whole answers and accepted revisions.
+/// Client requests, complete answers and accepted revisions.
 #[derive(Default)]
 pub struct TotalsChecker {
-    calls: u64,
+    requests: u64,
     complete: u64,
     revisions: BTreeSet<u64>,
 }
@@ -22,9 +22,9 @@
 impl Checker for TotalsChecker {
     fn observe(&mut self, _at: MonotonicTime, record: &Record, _verdict: &mut Verdict) {
         match record {
-            Record::CallSent(_) => self.calls += 1,
-            Record::CallEnded {
-                end: CallEnd::Complete,
+            Record::RequestSent(_) => self.requests += 1,
+            Record::RequestEnded {
+                end: RequestEnd::Complete,
                 ..
             } => self.complete += 1,
             Record::OrderAnswered {
@@ -38,7 +38,7 @@
     }
 
     fn finish(&mut self, _at: MonotonicTime, verdict: &mut Verdict) {
-        let served = self.complete * PERCENT / self.calls.max(1);
+        let served = self.complete * PERCENT / self.requests.max(1);
         verdict.figures.lower(Figure::Served, served);
         let orders = self.revisions.len() as u64;
         verdict.figures.lower(Figure::Orders, orders);
--- a/crates/simulation/src/checkers/verdict.rs
+++ b/crates/simulation/src/checkers/verdict.rs
@@ -3,15 +3,15 @@
 use millford_core::MonotonicTime;
 
 use crate::checkers::figures::Figures;
-use crate::checkers::promise::Promise;
+use crate::checkers::guarantee::Guarantee;
 
-/// A broken promise.
+/// A broken guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// True time at which it showed.
     pub at: MonotonicTime,
-    /// The promise.
-    pub promise: Promise,
+    /// The guarantee.
+    pub guarantee: Guarantee,
     /// What happened.
     pub text: String,
 }
@@ -19,7 +19,7 @@
 /// Violations and figures of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Verdict {
-    /// Broken promises, in order.
+    /// Broken guarantees, in order.
     pub violations: Vec<Violation>,
     /// Worst figures.
     pub figures: Figures,
@@ -27,14 +27,18 @@
 
 impl Verdict {
     /// Adds a violation.
-    pub fn broken(&mut self, at: MonotonicTime, promise: Promise, text: String) {
-        self.violations.push(Violation { at, promise, text });
+    pub fn record_violation(&mut self, at: MonotonicTime, guarantee: Guarantee, text: String) {
+        self.violations.push(Violation {
+            at,
+            guarantee,
+            text,
+        });
     }
 
-    /// Whether a promise was broken.
+    /// Whether a guarantee was broken.
     #[must_use]
-    pub fn has(&self, promise: Promise) -> bool {
+    pub fn has(&self, guarantee: Guarantee) -> bool {
         let mut violations = self.violations.iter();
-        violations.any(|violation| violation.promise == promise)
+        violations.any(|violation| violation.guarantee == guarantee)
     }
 }
--- a/crates/simulation/src/command.rs
+++ b/crates/simulation/src/command.rs
@@ -10,10 +10,10 @@
 const VIOLATIONS_SHOWN: usize = 3;
 const FAILURES_SHOWN: usize = 20;
 
-/// Runs the scenario files that the arguments name. Fails if any run broke a promise.
+/// Runs the scenario files that the arguments name. Fails if any run broke a guarantee.
 #[must_use]
 pub fn run(arguments: &[String]) -> ExitCode {
-    let wants_help = arguments.iter().any(|word| word == "--help");
+    let wants_help = arguments.iter().any(|token| token == "--help");
     if wants_help {
         println!("{USAGE}");
         return ExitCode::SUCCESS;
@@ -82,7 +82,7 @@
         println!(
             "    at {} ms, {:?}: {}",
             violation.at.as_millis(),
-            violation.promise,
+            violation.guarantee,
             violation.text
         );
     }
--- a/crates/simulation/src/disk/platter.rs
+++ b/crates/simulation/src/disk/disk_image.rs
@@ -12,16 +12,16 @@
 
 /// State of a disk; it outlives the process, but not a wipe.
 #[derive(Debug, Default)]
-pub struct Platter {
+pub struct DiskImage {
     files: BTreeMap<String, DiskFile>,
     condition: DiskCondition,
     busy_micros: u64,
     syncs: u64,
-    lies: bool,
+    ignores_syncs: bool,
     stalled: bool,
 }
 
-impl Platter {
+impl DiskImage {
     /// Changes how the disk behaves.
     pub fn set_condition(&mut self, condition: DiskCondition) {
         self.condition = condition;
@@ -33,12 +33,12 @@
         self.condition
     }
 
-    /// Time that operations took since the last call, in microseconds.
+    /// Time that operations took since this was last read, in microseconds.
     pub fn take_busy_micros(&mut self) -> u64 {
         std::mem::take(&mut self.busy_micros)
     }
 
-    /// Whether a sync since the last call met a stalled disk.
+    /// Whether a sync since this was last read met a stalled disk.
     pub fn take_stalled(&mut self) -> bool {
         std::mem::take(&mut self.stalled)
     }
@@ -50,8 +50,8 @@
     }
 
     /// From now on syncs do nothing: a planted defect.
-    pub fn lie_about_syncs(&mut self) {
-        self.lies = true;
+    pub fn ignore_syncs(&mut self) {
+        self.ignores_syncs = true;
     }
 
     /// Forgets every file.
@@ -64,7 +64,7 @@
         for file in self.files.values_mut() {
             file.lose_power(random);
         }
-        self.drop_gone();
+        self.drop_removed();
         self.busy_micros = 0;
     }
 
@@ -100,13 +100,13 @@
             DiskCondition::Slow(micros) => micros,
             _ => HEALTHY_SYNC_MICROS,
         };
-        if let Some(file) = self.files.get_mut(name).filter(|_| !self.lies) {
+        if let Some(file) = self.files.get_mut(name).filter(|_| !self.ignores_syncs) {
             file.sync();
         }
-        self.drop_gone();
+        self.drop_removed();
     }
 
-    fn drop_gone(&mut self) {
-        self.files.retain(|_, file| !file.is_gone());
+    fn drop_removed(&mut self) {
+        self.files.retain(|_, file| !file.is_removed());
     }
 }
--- a/crates/simulation/src/disk/file.rs
+++ b/crates/simulation/src/disk/file.rs
@@ -53,7 +53,7 @@
 
     /// Whether nothing of the file remains, durable or not.
     #[must_use]
-    pub fn is_gone(&self) -> bool {
+    pub fn is_removed(&self) -> bool {
         self.durable.is_none() && self.current.is_none()
     }
 
@@ -75,7 +75,7 @@
     if current.len() >= durable.len() && current.starts_with(&durable) {
         return torn(&durable, current, random);
     }
-    // Rewritten or cut without a sync: either the old bytes or a torn form of the new.
+    // Rewritten or truncated without a sync: either the old bytes or a torn form of the new.
     if random.random_bool(0.5) {
         return durable;
     }
--- a/crates/simulation/src/disk/memory_disk.rs
+++ b/crates/simulation/src/disk/memory_disk.rs
@@ -5,26 +5,28 @@
 use millford_storage::{Disk, StorageError};
 
 use crate::disk::condition::DiskCondition;
-use crate::disk::platter::Platter;
+use crate::disk::disk_image::DiskImage;
 
-/// One folder of a [`Platter`]; the platter outlives the process that holds this.
+/// One folder of a [`DiskImage`]; the disk image outlives the process that holds this.
 pub struct MemoryDisk {
-    platter: Arc<Mutex<Platter>>,
+    disk_image: Arc<Mutex<DiskImage>>,
     prefix: String,
 }
 
 impl MemoryDisk {
-    /// The folder `folder` of the platter.
+    /// The folder `folder` of the disk image.
     #[must_use]
-    pub fn new(platter: Arc<Mutex<Platter>>, folder: &str) -> Self {
+    pub fn new(disk_image: Arc<Mutex<DiskImage>>, folder: &str) -> Self {
         Self {
-            platter,
+            disk_image,
             prefix: format!("{folder}/"),
         }
     }
 
-    fn platter(&self) -> MutexGuard<'_, Platter> {
-        self.platter.lock().unwrap_or_else(PoisonError::into_inner)
+    fn disk_image(&self) -> MutexGuard<'_, DiskImage> {
+        self.disk_image
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn path(&self, name: &str) -> String {
@@ -34,62 +36,62 @@
 
 impl Disk for MemoryDisk {
     fn list(&self) -> Result<Vec<String>, StorageError> {
-        Ok(self.platter().names(&self.prefix))
+        Ok(self.disk_image().names(&self.prefix))
     }
 
     fn read(&self, name: &str) -> Result<Option<Vec<u8>>, StorageError> {
-        Ok(self.platter().read(&self.path(name)))
+        Ok(self.disk_image().read(&self.path(name)))
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<(), StorageError> {
         let path = self.path(name);
-        let mut platter = self.platter();
-        let written = match platter.condition() {
+        let mut disk_image = self.disk_image();
+        let written = match disk_image.condition() {
             // A full disk may have taken a part.
             DiskCondition::Full => &bytes[..bytes.len() / 2],
             _ => bytes,
         };
-        platter.file(&path).append(written);
-        require_space(&platter, name)
+        disk_image.file(&path).append(written);
+        require_space(&disk_image, name)
     }
 
     fn sync(&mut self, name: &str) -> Result<(), StorageError> {
         let path = self.path(name);
-        let mut platter = self.platter();
-        require_sync(&platter, name)?;
-        platter.sync(&path);
+        let mut disk_image = self.disk_image();
+        require_sync(&disk_image, name)?;
+        disk_image.sync(&path);
         Ok(())
     }
 
     fn replace(&mut self, name: &str, bytes: &[u8]) -> Result<(), StorageError> {
         let path = self.path(name);
-        let mut platter = self.platter();
-        require_space(&platter, name)?;
-        require_sync(&platter, name)?;
-        platter.file(&path).write(bytes);
-        platter.sync(&path);
+        let mut disk_image = self.disk_image();
+        require_space(&disk_image, name)?;
+        require_sync(&disk_image, name)?;
+        disk_image.file(&path).write(bytes);
+        disk_image.sync(&path);
         Ok(())
     }
 
     fn truncate(&mut self, name: &str, len: u64) -> Result<(), StorageError> {
         let path = self.path(name);
         let length = usize::try_from(len).unwrap_or(usize::MAX);
-        self.platter().file(&path).truncate(length);
+        self.disk_image().file(&path).truncate(length);
         Ok(())
     }
 
     fn remove(&mut self, name: &str) -> Result<(), StorageError> {
         let path = self.path(name);
-        let mut platter = self.platter();
-        require_sync(&platter, name)?;
-        platter.file(&path).remove();
-        platter.sync(&path);
+        let mut disk_image = self.disk_image();
+        require_sync(&disk_image, name)?;
+        disk_image.file(&path).remove();
+        disk_image.sync(&path);
         Ok(())
     }
 }
 
-fn require_space(platter: &Platter, name: &str) -> Result<(), StorageError> {
-    if platter.condition() != DiskCondition::Full {
+fn require_space(disk_image: &DiskImage, name: &str) -> Result<(), StorageError> {
+    if disk_image.condition() != DiskCondition::Full {
         return Ok(());
     }
     Err(StorageError::Full {
@@ -97,8 +99,8 @@
     })
 }
 
-fn require_sync(platter: &Platter, name: &str) -> Result<(), StorageError> {
-    if platter.condition() != DiskCondition::FailingSync {
+fn require_sync(disk_image: &DiskImage, name: &str) -> Result<(), StorageError> {
+    if disk_image.condition() != DiskCondition::FailingSync {
         return Ok(());
     }
     Err(StorageError::Io {
--- a/crates/simulation/src/disk/mod.rs
+++ b/crates/simulation/src/disk/mod.rs
@@ -1,10 +1,10 @@
 //! Disks in memory that lose what was not synced, tear it and fail as real disks do.
 
 pub mod condition;
+pub mod disk_image;
 pub mod file;
 pub mod memory_disk;
-pub mod platter;
 
 pub use condition::DiskCondition;
+pub use disk_image::DiskImage;
 pub use memory_disk::MemoryDisk;
-pub use platter::Platter;
--- a/crates/simulation/src/history/call.rs
+++ b/crates/simulation/src/history/client_request.rs
@@ -1,8 +1,8 @@
-//! Calls as their callers see them.
+//! Client requests as their callers see them.
 
 use millford_core::{ResultCode, RunState};
 
-use crate::history::identifiers::{CallNumber, ContentNumber, FrontNumber};
+use crate::history::identifiers::{ContentNumber, ProxyNodeNumber, RequestNumber};
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,25 +20,25 @@
 pub enum ResumeRule {
     /// It ends.
     Never,
-    /// It may start anew as long as no piece has reached the caller.
+    /// It may start anew as long as no chunk has reached the caller.
     FromStart,
-    /// Another backend may continue the run at the next piece.
+    /// Another backend may continue the run at the next chunk.
     Continue,
 }
 
 /// A caller sent a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CallSent {
+pub struct RequestSent {
     /// The send.
-    pub call: CallNumber,
+    pub client_request: RequestNumber,
     /// What is to be done.
     pub content: ContentNumber,
     /// Tenant, from 0.
     pub tenant: u16,
     /// Serial number of the tenant key.
     pub key: u32,
-    /// Front machine that it was sent to.
-    pub front: FrontNumber,
+    /// Proxy node that it was sent to.
+    pub proxy_node: ProxyNodeNumber,
     /// Whether it may run more than once.
     pub repeatability: Repeatability,
     /// What its route allows for streams.
@@ -47,10 +47,10 @@
     pub stream: bool,
 }
 
-/// One piece of an answer, as made by a backend.
+/// One chunk of an answer, as made by a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Piece {
-    /// Content that the piece answers.
+pub struct Chunk {
+    /// Content that the chunk answers.
     pub content: ContentNumber,
     /// Run that made it, a number drawn from the run's id.
     pub run: u64,
@@ -60,10 +60,10 @@
     pub last: bool,
 }
 
-/// How a call ended for its caller.
+/// How a client request ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallEnd {
-    /// A whole answer, as far as the caller was told.
+pub enum RequestEnd {
+    /// A complete answer, as far as the caller can tell.
     Complete,
     /// An error answer, or an error event in a stream.
     Refused {
--- a/crates/simulation/src/history/identifiers.rs
+++ b/crates/simulation/src/history/identifiers.rs
@@ -1,8 +1,8 @@
 //! Numbers that the history uses for what it speaks of.
 
-/// One send of a caller; a resend is another call.
+/// One send of a caller; a resend is another client request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct CallNumber(pub u64);
+pub struct RequestNumber(pub u64);
 
 /// What a caller wants done: a resend has the same content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -12,9 +12,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptNumber(pub u64);
 
-/// A front machine.
+/// A proxy node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct FrontNumber(pub u16);
+pub struct ProxyNodeNumber(pub u16);
 
 /// A backend; a replacement has another number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/simulation/src/history/mod.rs
+++ b/crates/simulation/src/history/mod.rs
@@ -1,11 +1,13 @@
 //! What happened in a run, as the checkers see it.
 
-pub mod call;
+pub mod client_request;
 pub mod identifiers;
 pub mod order;
 pub mod record;
 
-pub use call::{CallEnd, CallSent, Piece, Repeatability, ResumeRule};
-pub use identifiers::{AttemptNumber, BackendNumber, CallNumber, ContentNumber, FrontNumber};
+pub use client_request::{Chunk, Repeatability, RequestEnd, RequestSent, ResumeRule};
+pub use identifiers::{
+    AttemptNumber, BackendNumber, ContentNumber, ProxyNodeNumber, RequestNumber,
+};
 pub use order::{OrderAnswer, OrderNumber};
 pub use record::Record;
--- a/crates/simulation/src/history/record.rs
+++ b/crates/simulation/src/history/record.rs
@@ -2,9 +2,9 @@
 
 use millford_core::MonotonicTime;
 
-use crate::history::call::{CallEnd, CallSent, Piece};
+use crate::history::client_request::{Chunk, RequestEnd, RequestSent};
 use crate::history::identifiers::{
-    AttemptNumber, BackendNumber, CallNumber, ContentNumber, FrontNumber,
+    AttemptNumber, BackendNumber, ContentNumber, ProxyNodeNumber, RequestNumber,
 };
 use crate::history::order::{OrderAnswer, OrderNumber};
 use crate::network::MachineId;
@@ -19,28 +19,31 @@
         burst: u32,
     },
     /// A caller sent a request.
-    CallSent(CallSent),
-    /// A proxy took a call in. Calls pile up before a frozen one, and arrive when it goes on.
-    CallArrived { call: CallNumber },
-    /// A proxy admitted a call under its tenant's quota.
-    Admitted { call: CallNumber },
-    /// The token of an admitted call was given back: nothing was sent.
-    AdmissionReturned { call: CallNumber },
-    /// A piece reached the caller.
-    CallPiece { call: CallNumber, piece: Piece },
+    RequestSent(RequestSent),
+    /// A proxy received a client request. Requests queue up before a frozen one, and arrive when it continues.
+    RequestArrived { client_request: RequestNumber },
+    /// A proxy admitted a client request under its tenant's quota.
+    Admitted { client_request: RequestNumber },
+    /// The token of an admitted client request was returned: nothing was sent.
+    AdmissionReturned { client_request: RequestNumber },
+    /// A chunk reached the caller.
+    ChunkReceived {
+        client_request: RequestNumber,
+        chunk: Chunk,
+    },
     /// The caller knows the end, and the revision that the answer named.
-    CallEnded {
-        call: CallNumber,
-        end: CallEnd,
+    RequestEnded {
+        client_request: RequestNumber,
+        end: RequestEnd,
         revision: Option<u64>,
     },
     /// A proxy sent a request to a backend.
     Dispatched {
-        call: CallNumber,
+        client_request: RequestNumber,
         attempt: AttemptNumber,
-        front: FrontNumber,
+        proxy_node: ProxyNodeNumber,
         backend: BackendNumber,
-        /// Whether an earlier attempt of the call was sent.
+        /// Whether an earlier attempt of the client request was sent.
         second: bool,
     },
     /// A request reached a backend; whether any part of it holds a tenant key.
@@ -55,20 +58,20 @@
         attempt: AttemptNumber,
         content: ContentNumber,
         run: u64,
-        /// First piece, 0 unless resumed.
+        /// First chunk, 0 unless resumed.
         from: u64,
     },
     /// A backend did all the work of an attempt, with success.
     BackendFinished {
         attempt: AttemptNumber,
         content: ContentNumber,
-        /// Pieces of the whole run.
-        pieces: u64,
+        /// Chunks of the complete run.
+        chunks: u64,
     },
-    /// The registry calls the backend draining, or the backend died or went dark.
-    BackendLeaving { backend: BackendNumber },
-    /// The backend takes work again.
-    BackendReturned { backend: BackendNumber },
+    /// The registry reports the backend as draining, or the backend died or stopped responding.
+    BackendUnavailable { backend: BackendNumber },
+    /// The backend accepts work again.
+    BackendAvailable { backend: BackendNumber },
     /// An operator sent an order.
     OrderSent { order: OrderNumber, base: u64 },
     /// An operator got an answer to an order.
@@ -79,12 +82,15 @@
     },
     /// An accepted order removed a tenant key.
     KeyRevoked { key: u32, revision: u64 },
-    /// A front machine's proxy routes by a revision from now on.
-    RevisionShown { front: FrontNumber, revision: u64 },
+    /// A proxy node's proxy routes by a revision from now on.
+    RevisionApplied {
+        proxy_node: ProxyNodeNumber,
+        revision: u64,
+    },
     /// A proxy starts: it shows and serves nothing until it is ready.
-    FrontStarted { front: FrontNumber },
-    /// A process of a front machine runs again after a freeze or a restart.
-    FrontResumed { front: FrontNumber },
+    ProxyNodeStarted { proxy_node: ProxyNodeNumber },
+    /// A process of a proxy node runs again after a freeze or a restart.
+    ProxyNodeResumed { proxy_node: ProxyNodeNumber },
     /// A control node answered a confirmed read of the configuration, sent at a true time.
     RevisionRead {
         revision: u64,
@@ -93,8 +99,11 @@
     },
     /// Digest of the document of an accepted revision.
     RevisionWritten { revision: u64, digest: u64 },
-    /// A front machine's agent says whether it is in touch.
-    Touch { front: FrontNumber, in_touch: bool },
+    /// A proxy node's agent says whether it is connected.
+    AgentConnectivity {
+        proxy_node: ProxyNodeNumber,
+        connected: bool,
+    },
     /// A fault began; what it disturbs.
     FaultBegan {
         fault: u32,
--- a/crates/simulation/src/kernel/clock.rs
+++ b/crates/simulation/src/kernel/clock.rs
@@ -6,8 +6,8 @@
 
 /// A clock that starts anywhere, runs a little fast or slow and may jump ahead.
 ///
-/// It never steps back: the cores under test use the monotonic clock only, and that is its
-/// promise. Wall clocks jump both ways, but nothing in the cores can see one.
+/// It never steps back: the code under test uses the monotonic clock only, and that is its
+/// guarantee. Wall clocks jump both ways, but nothing in that code can see one.
 #[derive(Clone, Debug)]
 pub struct ProcessClock {
     base_true: MonotonicTime,
--- a/crates/simulation/src/kernel/event_queue.rs
+++ b/crates/simulation/src/kernel/event_queue.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Queue of future events; events of one instant leave in the order in which they came.
+/// Queue of future events; events of one instant are popped in the order in which they were pushed.
 pub struct EventQueue<E> {
     heap: BinaryHeap<Entry<E>>,
     next_sequence: u64,
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,7 +1,7 @@
 //! A whole fleet under simulated time, with simulated network and disks.
 //!
 //! The control nodes, agents and the request path are the daemons' own code. Callers, backends,
-//! the service registry and operators are stand-ins that exchange messages with them.
+//! the service registry and operators are simulated parts that exchange messages with them.
 
 pub mod checkers;
 pub mod command;
--- a/crates/simulation/src/network/link.rs
+++ b/crates/simulation/src/network/link.rs
@@ -47,15 +47,15 @@
     /// The side that connected.
     pub connector: ProcessId,
     /// Incarnation of the connecting process.
-    pub connector_boot: u64,
+    pub connector_incarnation: u64,
     /// The side that accepted.
     pub acceptor: ProcessId,
     /// Incarnation of the accepting process, once open.
-    pub acceptor_boot: u64,
+    pub acceptor_incarnation: u64,
     /// How far it has come.
     pub state: LinkState,
-    /// A machine was lost: nothing more arrives, and nobody is told.
-    pub silent: bool,
+    /// A machine was lost: nothing more arrives, and no peer is notified.
+    pub unresponsive: bool,
     /// The side that closed; nothing reaches it any more.
     pub closed_by: Option<ProcessId>,
     /// Packets in flight, per direction.
@@ -96,10 +96,10 @@
 
     /// Incarnation of the process that receives in a direction.
     #[must_use]
-    pub fn receiver_boot(&self, direction: Direction) -> u64 {
+    pub fn receiver_incarnation(&self, direction: Direction) -> u64 {
         match direction {
-            Direction::Forward => self.acceptor_boot,
-            Direction::Backward => self.connector_boot,
+            Direction::Forward => self.acceptor_incarnation,
+            Direction::Backward => self.connector_incarnation,
         }
     }
 }
--- a/crates/simulation/src/network/links.rs
+++ b/crates/simulation/src/network/links.rs
@@ -17,16 +17,21 @@
 
 impl Links {
     /// Starts a connection from a process's incarnation to another process.
-    pub fn connect(&mut self, connector: ProcessId, boot: u64, acceptor: ProcessId) -> LinkNumber {
+    pub fn connect(
+        &mut self,
+        connector: ProcessId,
+        incarnation: u64,
+        acceptor: ProcessId,
+    ) -> LinkNumber {
         self.next += 1;
         let number = LinkNumber(self.next);
         let link = Link {
             connector,
-            connector_boot: boot,
+            connector_incarnation: incarnation,
             acceptor,
-            acceptor_boot: 0,
+            acceptor_incarnation: 0,
             state: LinkState::Connecting,
-            silent: false,
+            unresponsive: false,
             closed_by: None,
             in_flight: Default::default(),
             last_arrival: [MonotonicTime::ZERO; 2],
@@ -35,13 +40,13 @@
         number
     }
 
-    /// The connection, unless it is gone.
+    /// The connection, unless it was removed.
     #[must_use]
     pub fn get(&self, number: LinkNumber) -> Option<&Link> {
         self.links.get(&number)
     }
 
-    /// The connection for changes, unless it is gone.
+    /// The connection for changes, unless it was removed.
     pub fn get_mut(&mut self, number: LinkNumber) -> Option<&mut Link> {
         self.links.get_mut(&number)
     }
@@ -51,7 +56,7 @@
         self.links.remove(&number)
     }
 
-    /// Puts a packet on its way and gives its arrival, never before that of an earlier one.
+    /// Sends a packet and returns its arrival, never before that of an earlier one.
     pub fn send(
         &mut self,
         number: LinkNumber,
@@ -70,7 +75,7 @@
         Some(arrival)
     }
 
-    /// Numbers of the connections that a process takes part in, in order.
+    /// Numbers of the connections of a process, in order.
     #[must_use]
     pub fn of_process(&self, process: ProcessId) -> Vec<LinkNumber> {
         let taking_part = self
--- a/crates/simulation/src/network/packet.rs
+++ b/crates/simulation/src/network/packet.rs
@@ -24,13 +24,13 @@
 /// Message form of the backend protocol.
 #[derive(Clone, Debug)]
 pub enum HttpPacket {
-    /// A whole request.
+    /// A complete request.
     Request(Box<BackendRequest>),
     /// Head of the answer.
     Head(Box<AnswerHead>),
     /// A part of the answer's body.
     Chunk(Bytes),
-    /// The body ended whole, as its framing has it.
+    /// The body ended complete, by its framing.
     Finish,
     /// Withdraw an attempt.
     Withdraw {
--- a/crates/simulation/src/network/process_id.rs
+++ b/crates/simulation/src/network/process_id.rs
@@ -1,12 +1,12 @@
 //! Names of simulated machines and processes.
 
-/// A machine: what network cuts separate.
+/// A machine: what network partitions separate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MachineId {
-    /// A core machine, by its place in the scenario; a replacement has a new number.
-    Core(u16),
-    /// A front machine.
-    Front(u16),
+    /// A control node, by its number in the scenario; a replacement has a new number.
+    ControlNode(u16),
+    /// A proxy node.
+    ProxyNode(u16),
     /// The machine of a backend.
     Backend(u16),
     /// Where the service registry runs.
@@ -18,11 +18,11 @@
 /// A process on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ProcessId {
-    /// The control node of a core machine.
+    /// The control node of a control node.
     Control(u16),
-    /// The agent of a front machine.
+    /// The agent of a proxy node.
     Agent(u16),
-    /// The proxy of a front machine.
+    /// The proxy of a proxy node.
     Proxy(u16),
     /// A backend.
     Backend(u16),
@@ -33,8 +33,8 @@
     #[must_use]
     pub fn machine(self) -> MachineId {
         match self {
-            ProcessId::Control(number) => MachineId::Core(number),
-            ProcessId::Agent(number) | ProcessId::Proxy(number) => MachineId::Front(number),
+            ProcessId::Control(number) => MachineId::ControlNode(number),
+            ProcessId::Agent(number) | ProcessId::Proxy(number) => MachineId::ProxyNode(number),
             ProcessId::Backend(number) => MachineId::Backend(number),
         }
     }
--- a/crates/simulation/src/runner/arguments.rs
+++ b/crates/simulation/src/runner/arguments.rs
@@ -5,7 +5,7 @@
 /// Folder of the scenario files when none is named.
 const DEFAULT_FOLDER: &str = "scenarios";
 
-/// What the command line asks for.
+/// Options of the command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arguments {
     /// A scenario file, or a folder of them.
@@ -29,8 +29,8 @@
 that replays it. --verbose prints the history of every run.";
 
 impl Arguments {
-    /// Reads the words after `scenarios`.
-    pub fn parse(words: &[String]) -> Result<Self, String> {
+    /// Parses the arguments after `scenarios`.
+    pub fn parse(tokens: &[String]) -> Result<Self, String> {
         let mut arguments = Self {
             path: PathBuf::from(DEFAULT_FOLDER),
             seeds: None,
@@ -38,14 +38,14 @@
             jobs: default_jobs(),
             verbose: false,
         };
-        let mut words = words.iter();
-        while let Some(word) = words.next() {
-            match word.as_str() {
+        let mut tokens = tokens.iter();
+        while let Some(token) = tokens.next() {
+            match token.as_str() {
                 "--verbose" => arguments.verbose = true,
-                "--file" => arguments.path = PathBuf::from(value(word, words.next())?),
-                "--seeds" => arguments.seeds = Some(number(word, words.next())?),
-                "--from" => arguments.from = number(word, words.next())?,
-                "--jobs" => arguments.jobs = number(word, words.next())?,
+                "--file" => arguments.path = PathBuf::from(value(token, tokens.next())?),
+                "--seeds" => arguments.seeds = Some(number(token, tokens.next())?),
+                "--from" => arguments.from = number(token, tokens.next())?,
+                "--jobs" => arguments.jobs = number(token, tokens.next())?,
                 other => return Err(format!("unknown argument {other:?}")),
             }
         }
@@ -57,13 +57,14 @@
     std::thread::available_parallelism().map_or(1, std::num::NonZeroUsize::get)
 }
 
-fn value<'word>(name: &str, word: Option<&'word String>) -> Result<&'word str, String> {
-    word.map(String::as_str)
+fn value<'word>(name: &str, token: Option<&'word String>) -> Result<&'word str, String> {
+    token
+        .map(String::as_str)
         .ok_or_else(|| format!("{name} needs a value"))
 }
 
-fn number<N: std::str::FromStr>(name: &str, word: Option<&String>) -> Result<N, String> {
-    let text = value(name, word)?;
+fn number<N: std::str::FromStr>(name: &str, token: Option<&String>) -> Result<N, String> {
+    let text = value(name, token)?;
     text.parse()
         .map_err(|_| format!("{name}: {text:?} is not a number"))
 }
--- a/crates/simulation/src/runner/run_report.rs
+++ b/crates/simulation/src/runner/run_report.rs
@@ -1,6 +1,6 @@
 //! One run of a scenario.
 
-use crate::checkers::{Promise, Verdict};
+use crate::checkers::{Guarantee, Verdict};
 use crate::scenario::{Expectation, Scenario};
 use crate::world::{RunOptions, Site};
 
@@ -18,7 +18,7 @@
 }
 
 impl RunReport {
-    /// Whether every promise was kept.
+    /// Whether no guarantee was violated.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.verdict.violations.is_empty()
@@ -49,7 +49,7 @@
         false => value <= expectation.value,
     };
     if !kept {
-        let text = format!("{} is {value}", expectation.figure.word());
-        verdict.broken(site.now(), Promise::Expectation, text);
+        let text = format!("{} is {value}", expectation.figure.keyword());
+        verdict.record_violation(site.now(), Guarantee::Expectation, text);
     }
 }
--- a/crates/simulation/src/runner/summary.rs
+++ b/crates/simulation/src/runner/summary.rs
@@ -13,7 +13,7 @@
     pub name: String,
     /// Runs.
     pub seeds: u64,
-    /// Runs that broke a promise.
+    /// Runs that broke a guarantee.
     pub failed: u64,
     /// Simulated time of all runs, in seconds.
     pub virtual_seconds: u64,
@@ -47,7 +47,7 @@
             let Some(value) = self.figures.get(figure) else {
                 continue;
             };
-            write!(formatter, " {} {value}{}", figure.word(), figure.unit())?;
+            write!(formatter, " {} {value}{}", figure.keyword(), figure.unit())?;
         }
         Ok(())
     }
--- a/crates/simulation/src/scenario/answer_fault.rs
+++ b/crates/simulation/src/scenario/answer_fault.rs
@@ -7,13 +7,13 @@
     Late,
     /// An answer goes to another request that is open on the backend.
     Crossed,
-    /// Pieces of another run appear within a stream.
+    /// Chunks of another run appear within a stream.
     Stray,
     /// Answers end before their end marker.
-    Cut,
+    Truncated,
     /// The answer of a request that ran is lost with its connection.
     Lost,
-    /// A piece of a stream comes twice, or one is left out.
+    /// A chunk of a stream comes twice, or one is left out.
     Skipped,
 }
 
@@ -23,19 +23,19 @@
         AnswerFault::Late,
         AnswerFault::Crossed,
         AnswerFault::Stray,
-        AnswerFault::Cut,
+        AnswerFault::Truncated,
         AnswerFault::Lost,
         AnswerFault::Skipped,
     ];
 
-    /// The kind with this word.
+    /// The kind with this keyword of the scenario files.
     #[must_use]
-    pub fn from_word(word: &str) -> Option<Self> {
-        Some(match word {
+    pub fn from_keyword(token: &str) -> Option<Self> {
+        Some(match token {
             "late" => AnswerFault::Late,
             "crossed" => AnswerFault::Crossed,
             "stray" => AnswerFault::Stray,
-            "cut" => AnswerFault::Cut,
+            "cut" => AnswerFault::Truncated,
             "lost" => AnswerFault::Lost,
             "skipped" => AnswerFault::Skipped,
             _ => return None,
--- a/crates/simulation/src/scenario/disk_fault.rs
+++ b/crates/simulation/src/scenario/disk_fault.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// A fault of a core machine's disk.
+/// A fault of a control node's disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskFault {
     /// Each sync takes this long.
--- a/crates/simulation/src/scenario/draw.rs
+++ b/crates/simulation/src/scenario/draw.rs
@@ -5,10 +5,10 @@
 /// Classes of faults that a draw may take from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultClass {
-    /// Kills, freezes and herds of front machines.
-    Fronts,
-    /// Kills, freezes, wipes and replacements of core machines, one at a time.
-    Cores,
+    /// Kills, freezes and herds of proxy nodes.
+    ProxyNodes,
+    /// Kills, freezes, wipes and replacements of control nodes, one at a time.
+    ControlNodes,
     /// Cuts and resets.
     Network,
     /// Disks that stall, slow, fill or fail.
@@ -26,8 +26,8 @@
 impl FaultClass {
     /// Every class.
     pub const ALL: [FaultClass; 8] = [
-        FaultClass::Fronts,
-        FaultClass::Cores,
+        FaultClass::ProxyNodes,
+        FaultClass::ControlNodes,
         FaultClass::Network,
         FaultClass::Disks,
         FaultClass::Clocks,
@@ -36,12 +36,12 @@
         FaultClass::Load,
     ];
 
-    /// The class with this word.
+    /// The class with this keyword of the scenario files.
     #[must_use]
-    pub fn from_word(word: &str) -> Option<Self> {
-        Some(match word {
-            "fronts" => FaultClass::Fronts,
-            "cores" => FaultClass::Cores,
+    pub fn from_keyword(token: &str) -> Option<Self> {
+        Some(match token {
+            "fronts" => FaultClass::ProxyNodes,
+            "cores" => FaultClass::ControlNodes,
             "network" => FaultClass::Network,
             "disks" => FaultClass::Disks,
             "clocks" => FaultClass::Clocks,
--- a/crates/simulation/src/scenario/expectation.rs
+++ b/crates/simulation/src/scenario/expectation.rs
@@ -5,7 +5,7 @@
 pub enum Figure {
     /// Longest time from a backend's draining or death to its last new work.
     Drain,
-    /// Longest time from an acknowledged revision to its rule over every node in touch.
+    /// Longest time from an acknowledged revision to its rule over every node connected.
     Adoption,
     /// Longest time from an acknowledged revocation to the last use of the key.
     Revocation,
@@ -13,7 +13,7 @@
     Recovery,
     /// Second sends per hundred first sends, fleet-wide.
     SecondSends,
-    /// Calls answered in full, per hundred calls.
+    /// Client requests answered in full, in percent.
     Served,
     /// Orders acknowledged, counted.
     Orders,
@@ -31,9 +31,9 @@
         Figure::Orders,
     ];
 
-    /// The word for the figure in scenario files and reports.
+    /// The keyword of the figure in scenario files and reports.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn keyword(self) -> &'static str {
         match self {
             Figure::Drain => "drain",
             Figure::Adoption => "adoption",
@@ -55,10 +55,12 @@
         }
     }
 
-    /// The figure with this word.
+    /// The figure with this keyword.
     #[must_use]
-    pub fn from_word(word: &str) -> Option<Self> {
-        Figure::ALL.into_iter().find(|figure| figure.word() == word)
+    pub fn from_keyword(keyword: &str) -> Option<Self> {
+        Figure::ALL
+            .into_iter()
+            .find(|figure| figure.keyword() == keyword)
     }
 }
 
--- a/crates/simulation/src/scenario/fault.rs
+++ b/crates/simulation/src/scenario/fault.rs
@@ -6,9 +6,9 @@
 use crate::scenario::disk_fault::DiskFault;
 use crate::scenario::target::Target;
 
-/// Which directions of a cut lose packets.
+/// Which directions of a partition lose packets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CutSense {
+pub enum PartitionDirection {
     /// Both.
     Both,
     /// Only what the target sends.
@@ -20,10 +20,10 @@
 /// What a rolling restart goes over, one after the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RollKind {
-    /// Core machines, each after the one before is back.
-    Cores,
-    /// Front machines.
-    Fronts,
+    /// Control nodes, each after the one before is back.
+    ControlNodes,
+    /// Proxy nodes.
+    ProxyNodes,
     /// Model backends: each is retired and replaced by a new one.
     Models,
 }
@@ -39,11 +39,11 @@
     Replace { target: Target, down: Duration },
     /// The process stops for a while and goes on as if nothing had been (SIGSTOP).
     Freeze { target: Target, length: Duration },
-    /// The machine is cut off in silence, from one other or from all.
-    Cut {
+    /// Packets between the machine and one other, or all others, vanish.
+    Partition {
         target: Target,
         from: Option<Target>,
-        sense: CutSense,
+        direction: PartitionDirection,
         length: Duration,
     },
     /// Every connection of the machine is reset.
@@ -58,7 +58,7 @@
     ClockJump { target: Target, by: Duration },
     /// The monotonic clock runs fast or slow from now on.
     ClockDrift { target: Target, ppm: i32 },
-    /// The registry declares a backend draining; it leaves later and a new one comes.
+    /// The registry declares a backend draining; it shuts down later and a new one starts.
     Retire { target: Target },
     /// Answers of all backends go wrong now and then, for a while.
     Answers {
@@ -66,7 +66,7 @@
         length: Duration,
     },
     /// The registry's list stands still for a while.
-    RegistryStill { length: Duration },
+    FrozenRegistry { length: Duration },
     /// Two operators send different orders on the same base, to different nodes.
     Race,
     /// Operators' answers are lost for a while; they send the same order to another node.
--- a/crates/simulation/src/scenario/fault_parser.rs
+++ b/crates/simulation/src/scenario/fault_parser.rs
@@ -1,82 +1,82 @@
-//! Reads one fault from the words after `at TIME`.
+//! Parses one fault from the tokens after `at TIME`.
 
 use std::time::Duration;
 
 use crate::scenario::answer_fault::AnswerFault;
 use crate::scenario::disk_fault::DiskFault;
-use crate::scenario::fault::{CutSense, Fault, RollKind};
+use crate::scenario::fault::{Fault, PartitionDirection, RollKind};
 use crate::scenario::target::{Choice, Target, TargetKind};
-use crate::scenario::words::Words;
+use crate::scenario::tokens::Tokens;
 
 const DEFAULT_DOWN: Duration = Duration::from_secs(2);
 
 /// Reads the fault; the caller checks that nothing follows.
-pub fn parse_fault(words: &mut Words) -> Result<Fault, String> {
-    match words.next("a fault")? {
+pub fn parse_fault(tokens: &mut Tokens) -> Result<Fault, String> {
+    match tokens.next("a fault")? {
         "kill" => Ok(Fault::Kill {
-            target: parse_target(words)?,
-            down: words.length_or(DEFAULT_DOWN)?,
+            target: parse_target(tokens)?,
+            down: tokens.length_or(DEFAULT_DOWN)?,
         }),
         "wipe" => Ok(Fault::Wipe {
-            target: parse_target(words)?,
-            down: words.length_or(DEFAULT_DOWN)?,
+            target: parse_target(tokens)?,
+            down: tokens.length_or(DEFAULT_DOWN)?,
         }),
         "replace" => Ok(Fault::Replace {
-            target: parse_target(words)?,
-            down: words.length_or(DEFAULT_DOWN)?,
+            target: parse_target(tokens)?,
+            down: tokens.length_or(DEFAULT_DOWN)?,
         }),
         "freeze" => Ok(Fault::Freeze {
-            target: parse_target(words)?,
-            length: words.length()?,
+            target: parse_target(tokens)?,
+            length: tokens.length()?,
         }),
-        "cut" => parse_cut(words),
+        "cut" => parse_partition(tokens),
         "reset" => Ok(Fault::Reset {
-            target: parse_target(words)?,
+            target: parse_target(tokens)?,
         }),
-        "disk" => parse_disk(words),
-        "clock" => parse_clock(words),
+        "disk" => parse_disk(tokens),
+        "clock" => parse_clock(tokens),
         "retire" => Ok(Fault::Retire {
-            target: parse_target(words)?,
+            target: parse_target(tokens)?,
         }),
-        "answers" => parse_answers(words),
+        "answers" => parse_answers(tokens),
         "registry" => {
-            words.expect("still")?;
-            Ok(Fault::RegistryStill {
-                length: words.length()?,
+            tokens.expect("still")?;
+            Ok(Fault::FrozenRegistry {
+                length: tokens.length()?,
             })
         }
         "race" => Ok(Fault::Race),
         "lose-answers" => Ok(Fault::LostAnswers {
-            length: words.length()?,
+            length: tokens.length()?,
         }),
         "revoke" => Ok(Fault::Revoke),
         "burst" => Ok(Fault::Burst {
-            times: words.number("")?,
-            length: words.length()?,
+            times: tokens.number("")?,
+            length: tokens.length()?,
         }),
         "hot-tenant" => Ok(Fault::HotTenant {
-            length: words.length()?,
+            length: tokens.length()?,
         }),
-        "roll" => parse_roll(words),
+        "roll" => parse_roll(tokens),
         "orders" => Ok(Fault::Orders {
-            count: words.number("")?,
+            count: tokens.number("")?,
         }),
         other => Err(format!("unknown fault {other:?}")),
     }
 }
 
-fn parse_target(words: &mut Words) -> Result<Target, String> {
-    let word = words.next("a target")?;
-    let (kind, all) = target_kind(word).ok_or_else(|| format!("unknown target {word:?}"))?;
+fn parse_target(tokens: &mut Tokens) -> Result<Target, String> {
+    let token = tokens.next("a target")?;
+    let (kind, all) = target_kind(token).ok_or_else(|| format!("unknown target {token:?}"))?;
     if all {
         return Ok(Target {
             kind,
             choice: Choice::All,
         });
     }
-    let choice = match words.next("which one")? {
+    let choice = match tokens.next("which one")? {
         "any" => Choice::Any,
-        "leader" if kind == TargetKind::Core => Choice::Leader,
+        "leader" if kind == TargetKind::ControlNode => Choice::Leader,
         number => Choice::Number(
             number
                 .parse()
@@ -86,12 +86,12 @@
     Ok(Target { kind, choice })
 }
 
-fn target_kind(word: &str) -> Option<(TargetKind, bool)> {
-    Some(match word {
-        "core" => (TargetKind::Core, false),
-        "cores" => (TargetKind::Core, true),
-        "front" => (TargetKind::Front, false),
-        "fronts" => (TargetKind::Front, true),
+fn target_kind(token: &str) -> Option<(TargetKind, bool)> {
+    Some(match token {
+        "core" => (TargetKind::ControlNode, false),
+        "cores" => (TargetKind::ControlNode, true),
+        "front" => (TargetKind::ProxyNode, false),
+        "fronts" => (TargetKind::ProxyNode, true),
         "agent" => (TargetKind::Agent, false),
         "agents" => (TargetKind::Agent, true),
         "proxy" => (TargetKind::Proxy, false),
@@ -104,31 +104,31 @@
     })
 }
 
-fn parse_cut(words: &mut Words) -> Result<Fault, String> {
-    let target = parse_target(words)?;
-    let from = match words.take("from") {
-        true => Some(parse_target(words)?),
+fn parse_partition(tokens: &mut Tokens) -> Result<Fault, String> {
+    let target = parse_target(tokens)?;
+    let from = match tokens.take("from") {
+        true => Some(parse_target(tokens)?),
         false => None,
     };
-    let sense = if words.take("outward") {
-        CutSense::Outward
-    } else if words.take("inward") {
-        CutSense::Inward
+    let direction = if tokens.take("outward") {
+        PartitionDirection::Outward
+    } else if tokens.take("inward") {
+        PartitionDirection::Inward
     } else {
-        CutSense::Both
+        PartitionDirection::Both
     };
-    Ok(Fault::Cut {
+    Ok(Fault::Partition {
         target,
         from,
-        sense,
-        length: words.length()?,
+        direction,
+        length: tokens.length()?,
     })
 }
 
-fn parse_disk(words: &mut Words) -> Result<Fault, String> {
-    let target = parse_target(words)?;
-    let fault = match words.next("a disk fault")? {
-        "slow" => DiskFault::Slow(words.duration()?),
+fn parse_disk(tokens: &mut Tokens) -> Result<Fault, String> {
+    let target = parse_target(tokens)?;
+    let fault = match tokens.next("a disk fault")? {
+        "slow" => DiskFault::Slow(tokens.duration()?),
         "stalled" => DiskFault::Stalled,
         "full" => DiskFault::Full,
         "failing" => DiskFault::FailingSync,
@@ -137,39 +137,39 @@
     Ok(Fault::Disk {
         target,
         fault,
-        length: words.length()?,
+        length: tokens.length()?,
     })
 }
 
-fn parse_clock(words: &mut Words) -> Result<Fault, String> {
-    let target = parse_target(words)?;
-    match words.next("jump or drift")? {
+fn parse_clock(tokens: &mut Tokens) -> Result<Fault, String> {
+    let target = parse_target(tokens)?;
+    match tokens.next("jump or drift")? {
         "jump" => Ok(Fault::ClockJump {
             target,
-            by: words.duration()?,
+            by: tokens.duration()?,
         }),
         "drift" => Ok(Fault::ClockDrift {
             target,
-            ppm: words.number("ppm")?,
+            ppm: tokens.number("ppm")?,
         }),
         other => Err(format!("unknown clock fault {other:?}")),
     }
 }
 
-fn parse_answers(words: &mut Words) -> Result<Fault, String> {
-    let word = words.next("an answer fault")?;
-    let fault =
-        AnswerFault::from_word(word).ok_or_else(|| format!("unknown answer fault {word:?}"))?;
+fn parse_answers(tokens: &mut Tokens) -> Result<Fault, String> {
+    let token = tokens.next("an answer fault")?;
+    let fault = AnswerFault::from_keyword(token)
+        .ok_or_else(|| format!("unknown answer fault {token:?}"))?;
     Ok(Fault::Answers {
         fault,
-        length: words.length()?,
+        length: tokens.length()?,
     })
 }
 
-fn parse_roll(words: &mut Words) -> Result<Fault, String> {
-    let kind = match words.next("what to roll")? {
-        "cores" => RollKind::Cores,
-        "fronts" => RollKind::Fronts,
+fn parse_roll(tokens: &mut Tokens) -> Result<Fault, String> {
+    let kind = match tokens.next("what to roll")? {
+        "cores" => RollKind::ControlNodes,
+        "fronts" => RollKind::ProxyNodes,
         "models" => RollKind::Models,
         other => return Err(format!("cannot roll {other:?}")),
     };
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -10,8 +10,8 @@
 pub mod parse_error;
 pub mod parser;
 pub mod target;
+pub mod tokens;
 pub mod topology;
-pub mod words;
 pub mod workload;
 
 pub use answer_fault::AnswerFault;
@@ -19,7 +19,7 @@
 pub use disk_fault::DiskFault;
 pub use draw::{Draw, FaultClass};
 pub use expectation::{Expectation, Figure};
-pub use fault::{CutSense, Fault, RollKind, TimedFault};
+pub use fault::{Fault, PartitionDirection, RollKind, TimedFault};
 pub use parse_error::ParseError;
 pub use target::{Choice, Target, TargetKind};
 pub use topology::Topology;
--- a/crates/simulation/src/scenario/parser.rs
+++ b/crates/simulation/src/scenario/parser.rs
@@ -8,8 +8,8 @@
 use crate::scenario::fault::TimedFault;
 use crate::scenario::fault_parser::parse_fault;
 use crate::scenario::parse_error::ParseError;
+use crate::scenario::tokens::Tokens;
 use crate::scenario::topology::Topology;
-use crate::scenario::words::Words;
 use crate::scenario::workload::Workload;
 
 const DEFAULT_DURATION: Duration = Duration::from_secs(30);
@@ -55,72 +55,72 @@
 }
 
 fn parse_line(scenario: &mut Scenario, line: &str) -> Result<(), String> {
-    let mut words = Words::new(line);
-    let Ok(statement) = words.next("a statement") else {
+    let mut tokens = Tokens::new(line);
+    let Ok(statement) = tokens.next("a statement") else {
         return Ok(());
     };
     match statement {
-        "scenario" => scenario.name = words.next("the name")?.to_string(),
-        "site" => scenario.sites.push(parse_site(&mut words)?),
-        "duration" => scenario.duration = words.duration()?,
-        "seeds" => scenario.seeds = words.number("")?,
-        "calls" => scenario.workload.calls_per_second = words.number("/s")?,
-        "lookups" => scenario.workload.lookups_per_second = words.number("/s")?,
-        "keyed" => scenario.workload.keyed_percent = words.number("%")?,
-        "unkeyed" => scenario.workload.unkeyed_percent = words.number("%")?,
-        "resend" => scenario.workload.resend_percent = words.number("%")?,
-        "order-every" => scenario.workload.order_every = words.duration()?,
+        "scenario" => scenario.name = tokens.next("the name")?.to_string(),
+        "site" => scenario.sites.push(parse_site(&mut tokens)?),
+        "duration" => scenario.duration = tokens.duration()?,
+        "seeds" => scenario.seeds = tokens.number("")?,
+        "calls" => scenario.workload.requests_per_second = tokens.number("/s")?,
+        "lookups" => scenario.workload.lookups_per_second = tokens.number("/s")?,
+        "keyed" => scenario.workload.keyed_percent = tokens.number("%")?,
+        "unkeyed" => scenario.workload.unkeyed_percent = tokens.number("%")?,
+        "resend" => scenario.workload.resend_percent = tokens.number("%")?,
+        "order-every" => scenario.workload.order_every = tokens.duration()?,
         "quota" => {
-            scenario.workload.quota_per_second = words.number("/s")?;
-            words.expect("burst")?;
-            scenario.workload.quota_burst = words.number("")?;
+            scenario.workload.quota_per_second = tokens.number("/s")?;
+            tokens.expect("burst")?;
+            scenario.workload.quota_burst = tokens.number("")?;
         }
         "at" => {
-            let at = words.duration()?;
-            let fault = parse_fault(&mut words)?;
+            let at = tokens.duration()?;
+            let fault = parse_fault(&mut tokens)?;
             scenario.faults.push(TimedFault { at, fault });
         }
-        "draw" => scenario.draws.push(parse_draw(&mut words)?),
-        "expect" => scenario.expectations.push(parse_expectation(&mut words)?),
+        "draw" => scenario.draws.push(parse_draw(&mut tokens)?),
+        "expect" => scenario.expectations.push(parse_expectation(&mut tokens)?),
         other => return Err(format!("unknown statement {other:?}")),
     }
-    words.end()
+    tokens.end()
 }
 
-fn parse_site(words: &mut Words) -> Result<Topology, String> {
-    let word = words.next("a site")?;
-    if word != "fronts" {
-        return Topology::from_word(word).ok_or_else(|| format!("unknown site {word:?}"));
+fn parse_site(tokens: &mut Tokens) -> Result<Topology, String> {
+    let token = tokens.next("a site")?;
+    if token != "fronts" {
+        return Topology::from_keyword(token).ok_or_else(|| format!("unknown site {token:?}"));
     }
     let mut topology = Topology::SMALL;
-    topology.fronts = words.number("")?;
-    words.expect("zones")?;
-    topology.zones = words.number("")?;
-    words.expect("cores")?;
-    topology.cores = words.number("")?;
-    words.expect("models")?;
-    topology.models = words.number("")?;
-    words.expect("lookups")?;
-    topology.lookups = words.number("")?;
-    words.expect("tenants")?;
-    topology.tenants = words.number("")?;
+    topology.proxy_nodes = tokens.number("")?;
+    tokens.expect("zones")?;
+    topology.zones = tokens.number("")?;
+    tokens.expect("cores")?;
+    topology.control_nodes = tokens.number("")?;
+    tokens.expect("models")?;
+    topology.models = tokens.number("")?;
+    tokens.expect("lookups")?;
+    topology.lookups = tokens.number("")?;
+    tokens.expect("tenants")?;
+    topology.tenants = tokens.number("")?;
     Ok(topology)
 }
 
-fn parse_draw(words: &mut Words) -> Result<Draw, String> {
-    let count = words.number("")?;
-    words.expect("from")?;
-    let from = words.duration()?;
-    words.expect("to")?;
-    let to = words.duration()?;
+fn parse_draw(tokens: &mut Tokens) -> Result<Draw, String> {
+    let count = tokens.number("")?;
+    tokens.expect("from")?;
+    let from = tokens.duration()?;
+    tokens.expect("to")?;
+    let to = tokens.duration()?;
     if to <= from {
         return Err("the draw ends before it starts".to_string());
     }
     let mut classes = Vec::new();
-    if words.take("over") {
-        for word in words.next("classes of faults")?.split(',') {
-            let class = FaultClass::from_word(word)
-                .ok_or_else(|| format!("unknown class of faults {word:?}"))?;
+    if tokens.take("over") {
+        for token in tokens.next("classes of faults")?.split(',') {
+            let class = FaultClass::from_keyword(token)
+                .ok_or_else(|| format!("unknown class of faults {token:?}"))?;
             classes.push(class);
         }
     } else {
@@ -134,18 +134,18 @@
     })
 }
 
-fn parse_expectation(words: &mut Words) -> Result<Expectation, String> {
-    let word = words.next("a figure")?;
-    let figure = Figure::from_word(word).ok_or_else(|| format!("unknown figure {word:?}"))?;
-    let at_least = match words.next("<= or >=")? {
+fn parse_expectation(tokens: &mut Tokens) -> Result<Expectation, String> {
+    let token = tokens.next("a figure")?;
+    let figure = Figure::from_keyword(token).ok_or_else(|| format!("unknown figure {token:?}"))?;
+    let at_least = match tokens.next("<= or >=")? {
         "<=" => false,
         ">=" => true,
         other => return Err(format!("expected <= or >=, found {other:?}")),
     };
     let value = match figure {
-        Figure::SecondSends | Figure::Served => words.number("%")?,
-        Figure::Orders => words.number("")?,
-        _ => u64::try_from(words.duration()?.as_millis()).unwrap_or(u64::MAX),
+        Figure::SecondSends | Figure::Served => tokens.number("%")?,
+        Figure::Orders => tokens.number("")?,
+        _ => u64::try_from(tokens.duration()?.as_millis()).unwrap_or(u64::MAX),
     };
     Ok(Expectation {
         figure,
--- a/crates/simulation/src/scenario/target.rs
+++ b/crates/simulation/src/scenario/target.rs
@@ -3,13 +3,13 @@
 /// Kind of machine or process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetKind {
-    /// A core machine and its control node.
-    Core,
-    /// A front machine: agent and proxy.
-    Front,
-    /// The agent of a front machine.
+    /// A control node and its control node.
+    ControlNode,
+    /// A proxy node: agent and proxy.
+    ProxyNode,
+    /// The agent of a proxy node.
     Agent,
-    /// The proxy of a front machine.
+    /// The proxy of a proxy node.
     Proxy,
     /// A model backend.
     Model,
@@ -24,7 +24,7 @@
     Number(u16),
     /// One drawn by the seed when the fault comes.
     Any,
-    /// The core machine that leads the configuration shard when the fault comes.
+    /// The control node that leads the configuration shard when the fault comes.
     Leader,
     /// Every one.
     All,
--- a/crates/simulation/src/scenario/topology.rs
+++ b/crates/simulation/src/scenario/topology.rs
@@ -3,12 +3,12 @@
 /// Numbers of machines and tenants of a site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Topology {
-    /// Front machines, each with an agent and a proxy.
-    pub fronts: u16,
+    /// Proxy nodes, each with an agent and a proxy.
+    pub proxy_nodes: u16,
     /// Zones that the machines are spread over.
     pub zones: u16,
-    /// Core machines at the start.
-    pub cores: u16,
+    /// Control nodes at the start.
+    pub control_nodes: u16,
     /// Model backends.
     pub models: u16,
     /// Lookup backends.
@@ -20,9 +20,9 @@
 impl Topology {
     /// The site in Iceland.
     pub const REYKJAVIK: Topology = Topology {
-        fronts: 8,
+        proxy_nodes: 8,
         zones: 4,
-        cores: 3,
+        control_nodes: 3,
         models: 12,
         lookups: 4,
         tenants: 5,
@@ -30,9 +30,9 @@
 
     /// The site in Senegal.
     pub const DAKAR: Topology = Topology {
-        fronts: 6,
+        proxy_nodes: 6,
         zones: 4,
-        cores: 3,
+        control_nodes: 3,
         models: 12,
         lookups: 4,
         tenants: 5,
@@ -40,9 +40,9 @@
 
     /// A site for scenarios about one mechanism.
     pub const SMALL: Topology = Topology {
-        fronts: 2,
+        proxy_nodes: 2,
         zones: 2,
-        cores: 3,
+        control_nodes: 3,
         models: 4,
         lookups: 2,
         tenants: 3,
@@ -50,8 +50,8 @@
 
     /// The site with this name.
     #[must_use]
-    pub fn from_word(word: &str) -> Option<Self> {
-        Some(match word {
+    pub fn from_keyword(token: &str) -> Option<Self> {
+        Some(match token {
             "reykjavik" => Topology::REYKJAVIK,
             "dakar" => Topology::DAKAR,
             "small" => Topology::SMALL,
--- a/crates/simulation/src/scenario/workload.rs
+++ b/crates/simulation/src/scenario/workload.rs
@@ -5,8 +5,8 @@
 /// Rates and shares of the callers' traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Workload {
-    /// Model requests a second, over the whole site.
-    pub calls_per_second: u32,
+    /// Model requests a second, over all proxy nodes.
+    pub requests_per_second: u32,
     /// Lookups a second.
     pub lookups_per_second: u32,
     /// Of a hundred model requests, how many carry an idempotency key and may not be repeated.
@@ -26,7 +26,7 @@
 impl Default for Workload {
     fn default() -> Self {
         Self {
-            calls_per_second: 8,
+            requests_per_second: 8,
             lookups_per_second: 20,
             keyed_percent: 30,
             unkeyed_percent: 10,
--- a/crates/simulation/src/world/fault_book.rs
+++ b/crates/simulation/src/world/active_faults.rs
@@ -19,28 +19,28 @@
     Thaw(ProcessId),
     /// Packets pass again.
     Heal(MachineId, MachineId),
-    /// The disk of a core machine is well.
-    DiskWell {
+    /// The disk of a control node is well.
+    RestoreDisk {
         /// Which machine.
-        core: u16,
+        control_node: u16,
         /// Whether its process must be restarted.
         restart: bool,
     },
     /// Answers are right again.
-    AnswersRight(AnswerFault),
+    CorrectAnswers(AnswerFault),
     /// The registry's list moves again.
-    RegistryMoves,
+    UnfreezeRegistry,
     /// Operators get their answers again.
-    AnswersKept,
+    DeliverReplies,
     /// The burst is over.
-    BurstOver(u32),
+    EndBurst(u32),
     /// The hot tenant cools down.
-    TenantCool,
+    EndHotTenant,
 }
 
 /// A fault under way.
 #[derive(Clone, Debug, Default)]
-pub struct RunningFault {
+pub struct ActiveFault {
     /// What ends with it.
     pub undo: Vec<Undo>,
     /// Machines that it disturbs.
@@ -49,31 +49,31 @@
 
 /// All faults of a run.
 #[derive(Default)]
-pub struct FaultBook {
+pub struct ActiveFaults {
     /// Faults by the number that events use.
     pub planned: Vec<Fault>,
     /// Faults under way.
-    pub running: BTreeMap<u32, RunningFault>,
+    pub active: BTreeMap<u32, ActiveFault>,
     /// Runs that backends began lately, for crossed answers and stray bytes.
     pub recent_runs: VecDeque<Answering>,
-    /// Until when the disk of a core machine answers nothing.
+    /// Until when the disk of a control node answers nothing.
     pub stalls: BTreeMap<u16, MonotonicTime>,
     down: BTreeMap<MachineId, u32>,
     answers: Vec<AnswerFault>,
     next: u32,
 }
 
-impl FaultBook {
-    /// Adds a fault and gives its number.
+impl ActiveFaults {
+    /// Adds a fault and returns its number.
     pub fn plan(&mut self, fault: Fault) -> usize {
         self.planned.push(fault);
         self.planned.len() - 1
     }
 
-    /// Begins a fault and gives its number among those under way.
-    pub fn begin(&mut self, running: RunningFault) -> u32 {
+    /// Begins a fault and returns its number among the active ones.
+    pub fn begin(&mut self, active: ActiveFault) -> u32 {
         self.next += 1;
-        self.running.insert(self.next, running);
+        self.active.insert(self.next, active);
         self.next
     }
 
@@ -101,17 +101,17 @@
 
     /// Until when a stalled disk answers nothing.
     #[must_use]
-    pub fn stalled_until(&self, core: u16) -> MonotonicTime {
-        self.stalls.get(&core).copied().unwrap_or_default()
+    pub fn stalled_until(&self, control_node: u16) -> MonotonicTime {
+        self.stalls.get(&control_node).copied().unwrap_or_default()
     }
 
     /// Answers go wrong in this way from now on.
-    pub fn spoil_answers(&mut self, fault: AnswerFault) {
+    pub fn add_answer_fault(&mut self, fault: AnswerFault) {
         self.answers.push(fault);
     }
 
     /// Answers no longer go wrong in this way.
-    pub fn right_answers(&mut self, fault: AnswerFault) {
+    pub fn remove_answer_fault(&mut self, fault: AnswerFault) {
         if let Some(index) = self.answers.iter().position(|it| *it == fault) {
             self.answers.remove(index);
         }
--- a/crates/simulation/src/world/agent_driver.rs
+++ b/crates/simulation/src/world/agent_driver.rs
@@ -5,7 +5,7 @@
 use millford_agent::{AgentCore, AgentInput, AgentOptions, AgentOutput};
 use rand::Rng;
 
-use crate::history::{FrontNumber, Record};
+use crate::history::{ProxyNodeNumber, Record};
 use crate::network::{LinkNumber, MachineId, Packet, ProcessId};
 use crate::world::control_driver::{control_at, seed_addresses};
 use crate::world::event::Event;
@@ -22,14 +22,14 @@
     pub fn start_agent(&mut self, number: u16) {
         let process = ProcessId::Agent(number);
         let local = self.local_time(process);
-        let boot = self.boot_of(process);
+        let incarnation = self.incarnation_of(process);
         let zone = self.zone(number);
         let random_seed = self.random.random();
         let boot_id = self.random.random();
         let Some(agent) = self.agents.get_mut(&number) else {
             return;
         };
-        agent.forget_core();
+        agent.forget_incarnation();
         let mut control_addresses = seed_addresses();
         for address in &agent.saved_addresses {
             if !control_addresses.contains(address) {
@@ -46,15 +46,15 @@
             ..Default::default()
         };
         agent.core = Some(AgentCore::new(&options, local));
-        self.tick_after(process, boot, START_TICK);
+        self.tick_after(process, incarnation, START_TICK);
     }
 
     /// The agent died.
     pub fn agent_died(&mut self, number: u16) {
         if let Some(agent) = self.agents.get_mut(&number) {
-            agent.forget_core();
+            agent.forget_incarnation();
         }
-        self.say_touch(number, false);
+        self.record_connectivity(number, false);
     }
 
     /// Hands an input to an agent.
@@ -62,8 +62,8 @@
         let process = ProcessId::Agent(number);
         let is_tick = matches!(input, ProcessInput::Tick);
         if is_tick && waits {
-            let boot = self.boot_of(process);
-            self.tick_after(process, boot, MAX_TICK);
+            let incarnation = self.incarnation_of(process);
+            self.tick_after(process, incarnation, MAX_TICK);
             return;
         }
         let Some(input) = self.agent_core_input(number, input) else {
@@ -82,24 +82,27 @@
         for output in outputs {
             self.agent_output(number, output);
         }
-        self.say_touch(number, in_touch);
+        self.record_connectivity(number, in_touch);
         if is_tick {
-            let boot = self.boot_of(process);
+            let incarnation = self.incarnation_of(process);
             let delay = next.since(local).clamp(MIN_TICK, MAX_TICK);
-            self.tick_after(process, boot, delay);
+            self.tick_after(process, incarnation, delay);
         }
     }
 
-    fn say_touch(&mut self, number: u16, in_touch: bool) {
+    fn record_connectivity(&mut self, number: u16, in_touch: bool) {
         let Some(agent) = self.agents.get_mut(&number) else {
             return;
         };
-        if agent.said_in_touch == in_touch {
+        if agent.recorded_connected == in_touch {
             return;
         }
-        agent.said_in_touch = in_touch;
-        let front = FrontNumber(number);
-        self.record(Record::Touch { front, in_touch });
+        agent.recorded_connected = in_touch;
+        let proxy_node = ProxyNodeNumber(number);
+        self.record(Record::AgentConnectivity {
+            proxy_node,
+            connected: in_touch,
+        });
     }
 
     fn agent_core_input(&mut self, number: u16, input: ProcessInput) -> Option<AgentInput> {
@@ -167,8 +170,14 @@
                 }
             }
             AgentOutput::ReadRegistry => {
-                let boot = self.boot_of(process);
-                self.after(REGISTRY_DELAY, Event::ReadRegistry { process, boot });
+                let incarnation = self.incarnation_of(process);
+                self.schedule_after(
+                    REGISTRY_DELAY,
+                    Event::ReadRegistry {
+                        process,
+                        incarnation,
+                    },
+                );
             }
             AgentOutput::SaveMembers(members) => {
                 if let Some(agent) = self.agents.get_mut(&number) {
@@ -194,19 +203,22 @@
     }
 
     /// A process reads the registry, if it can reach it; control nodes do so again and again.
-    pub fn read_registry(&mut self, process: ProcessId, boot: u64) {
-        if self.boot_of(process) != boot {
+    pub fn read_registry(&mut self, process: ProcessId, incarnation: u64) {
+        if self.incarnation_of(process) != incarnation {
             return;
         }
         let reachable = self
-            .cuts
+            .partitions
             .is_passable(process.machine(), MachineId::Registry);
         if reachable {
-            self.give(process, boot, ProcessInput::Registry);
+            self.deliver_input(process, incarnation, ProcessInput::Registry);
         }
         if matches!(process, ProcessId::Control(_)) {
-            let event = Event::ReadRegistry { process, boot };
-            self.after(crate::world::registry::POLL_PERIOD, event);
+            let event = Event::ReadRegistry {
+                process,
+                incarnation,
+            };
+            self.schedule_after(crate::world::registry::POLL_PERIOD, event);
         }
     }
 }
--- a/crates/simulation/src/world/agent_link_driver.rs
+++ b/crates/simulation/src/world/agent_link_driver.rs
@@ -5,7 +5,7 @@
 use millford_api::local::{LocalFrame, ProxyHello, local_frame};
 use millford_proxy::control::frame_handler::FrameOutcome;
 
-use crate::history::{FrontNumber, Record};
+use crate::history::{ProxyNodeNumber, Record};
 use crate::network::ProcessId;
 use crate::world::defect::Defect;
 use crate::world::event::Event;
@@ -24,13 +24,13 @@
         }
     }
 
-    pub(super) fn greet_agent(&mut self, number: u16) {
-        let boot_id = self.boot_of(ProcessId::Proxy(number));
+    pub(super) fn send_hello(&mut self, number: u16) {
+        let boot_id = self.incarnation_of(ProcessId::Proxy(number));
         let Some(proxy) = self.proxies.get_mut(&number) else {
             return;
         };
         proxy.agent_open = true;
-        let Some(core) = proxy.core.as_ref() else {
+        let Some(running) = proxy.running.as_ref() else {
             return;
         };
         let hello = local_frame::Body::ProxyHello(ProxyHello {
@@ -38,32 +38,32 @@
             caller_address: format!("10.0.2.{number}:8080"),
         });
         let mut frames = vec![LocalFrame { body: Some(hello) }];
-        frames.push(core.handler.shown_frame());
+        frames.push(running.handler.shown_frame());
         // What tasks queued for the old connection is among the unanswered, or out of date.
-        let mut port = lock(&core.port);
+        let mut port = lock(&running.port);
         port.actions
             .retain(|action| !matches!(action, ProxyAction::ToAgent(_)));
         let now = port.now;
         drop(port);
-        frames.extend(core.desk.unanswered(now));
+        frames.extend(running.agent_client.in_flight_frames(now));
         for frame in frames {
             self.proxy_to_agent(number, frame);
         }
     }
 
-    pub(super) fn lose_agent(&mut self, number: u16) {
+    pub(super) fn agent_disconnected(&mut self, number: u16) {
         let process = ProcessId::Proxy(number);
-        let boot = self.boot_of(process);
+        let incarnation = self.incarnation_of(process);
         if let Some(proxy) = self.proxies.get_mut(&number) {
             proxy.agent = None;
             proxy.agent_open = false;
         }
         let input = ProcessInput::Reconnect;
-        self.after(
+        self.schedule_after(
             RECONNECT,
             Event::Input {
                 process,
-                boot,
+                incarnation,
                 input,
             },
         );
@@ -79,15 +79,15 @@
         if is_configuration(&frame) && !proxy.first_frames.iter().any(names_revision) {
             proxy.first_frames.push(frame.clone());
         }
-        let Some(core) = proxy.core.as_mut() else {
+        let Some(running) = proxy.running.as_mut() else {
             return;
         };
-        match core.handler.handle(frame) {
-            FrameOutcome::Nothing => self.note_shown(number),
+        match running.handler.handle(frame) {
+            FrameOutcome::Nothing => self.record_applied_revision(number),
             FrameOutcome::Changed => {
-                let shown = core.handler.show();
-                self.note_shown(number);
-                if let Some(frame) = shown {
+                let recorded_revision = running.handler.show();
+                self.record_applied_revision(number);
+                if let Some(frame) = recorded_revision {
                     self.proxy_to_agent(number, frame);
                 }
             }
@@ -95,15 +95,18 @@
                 if let Some(link) = proxy.agent {
                     self.close_link(ProcessId::Proxy(number), link);
                 }
-                self.lose_agent(number);
+                self.agent_disconnected(number);
             }
-            answer => core.desk.answered(&core.port, answer),
+            answer => running.agent_client.answered(&running.port, answer),
         }
     }
 
-    // A planted defect: the first front machine takes no state after its first revision.
+    // A planted defect: the first proxy node applies no state after its first revision.
     pub(super) fn holds_back(&self, number: u16, frame: &LocalFrame) -> bool {
-        let shows = self.proxies.get(&number).is_some_and(|it| it.shown > 0);
+        let shows = self
+            .proxies
+            .get(&number)
+            .is_some_and(|it| it.recorded_revision > 0);
         let is_state = matches!(
             frame.body,
             Some(local_frame::Body::Snapshot(_) | local_frame::Body::Change(_))
@@ -111,21 +114,21 @@
         self.options.defect == Some(Defect::HoldsRevisions) && number == 1 && shows && is_state
     }
 
-    pub(super) fn note_shown(&mut self, number: u16) {
+    pub(super) fn record_applied_revision(&mut self, number: u16) {
         let Some(proxy) = self.proxies.get_mut(&number) else {
             return;
         };
-        let Some(core) = proxy.core.as_ref() else {
+        let Some(running) = proxy.running.as_ref() else {
             return;
         };
         // Until it is ready a proxy serves nothing, so it shows nothing.
-        let revision = core.state.table().revision();
-        if revision == proxy.shown || !core.state.is_ready() {
+        let revision = running.state.table().revision();
+        if revision == proxy.recorded_revision || !running.state.is_ready() {
             return;
         }
-        proxy.shown = revision;
-        self.record(Record::RevisionShown {
-            front: FrontNumber(number),
+        proxy.recorded_revision = revision;
+        self.record(Record::RevisionApplied {
+            proxy_node: ProxyNodeNumber(number),
             revision,
         });
     }
--- a/crates/simulation/src/world/agent_process.rs
+++ b/crates/simulation/src/world/agent_process.rs
@@ -1,4 +1,4 @@
-//! The agent of a front machine.
+//! The agent of a proxy node.
 
 use std::collections::BTreeMap;
 
@@ -19,10 +19,10 @@
     pub numbers: BTreeMap<u64, LinkNumber>,
     /// Connection of the proxy.
     pub proxy: Option<LinkNumber>,
-    /// Control addresses kept on disk, if the machine has one.
+    /// Control addresses saved on disk, if the machine has one.
     pub saved_addresses: Vec<String>,
-    /// Whether the agent last said that it is in touch.
-    pub said_in_touch: bool,
+    /// Whether the agent last said that it is connected.
+    pub recorded_connected: bool,
 }
 
 impl AgentProcess {
@@ -36,7 +36,7 @@
             numbers: BTreeMap::new(),
             proxy: None,
             saved_addresses: Vec::new(),
-            said_in_touch: false,
+            recorded_connected: false,
         }
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// Forgets the core and its connections.
-    pub fn forget_core(&mut self) {
+    pub fn forget_incarnation(&mut self) {
         self.core = None;
         self.ids.clear();
         self.numbers.clear();
--- a/crates/simulation/src/world/answer_driver.rs
+++ b/crates/simulation/src/world/answer_driver.rs
@@ -6,7 +6,7 @@
 
 use crate::network::{HttpPacket, LinkNumber, ProcessId};
 use crate::scenario::AnswerFault;
-use crate::world::backend::{Answering, mark_of};
+use crate::world::backend::{Answering, chunk_text};
 use crate::world::site::Site;
 
 const OK: u16 = 200;
@@ -24,37 +24,37 @@
             self.close_link(process, link);
             return false;
         }
-        let mut shown = work.clone();
+        let mut answering = work.clone();
         if work.fault == Some(AnswerFault::Crossed)
             && let Some(other) = self.another_run(work.content)
         {
-            shown = other;
+            answering = other;
         }
-        let mark = mark_of(&shown.piece(0));
+        let text = chunk_text(&answering.chunk(0));
         let body = format!(
-            "{{\"choices\":[{{\"message\":{{\"role\":\"assistant\",\"content\":\"{mark}\"}}}}]}}"
+            "{{\"choices\":[{{\"message\":{{\"role\":\"assistant\",\"content\":\"{text}\"}}}}]}}"
         );
-        let cut = work.fault == Some(AnswerFault::Cut);
-        let unframed = cut && self.random.random_bool(0.5);
+        let truncated = work.fault == Some(AnswerFault::Truncated);
+        let unframed = truncated && self.random.random_bool(0.5);
         let framing = match unframed {
             true => Framing::UntilClose,
             false => Framing::Length(body.len() as u64),
         };
-        let head = head_of(&shown, "application/json", framing);
+        let head = head_of(&answering, "application/json", framing);
         self.backend_sends(number, link, HttpPacket::Head(Box::new(head)));
         let mut bytes = Bytes::from(body);
-        if cut {
+        if truncated {
             bytes.truncate(bytes.len() / 2);
         }
         self.backend_sends(number, link, HttpPacket::Chunk(bytes));
-        if !cut || unframed {
+        if !truncated || unframed {
             self.backend_sends(number, link, HttpPacket::Finish);
         }
         self.close_link(process, link);
         false
     }
 
-    // Sends one piece. Gives whether there is more to do.
+    // Sends one chunk. Gives whether there is more to do.
     pub(super) fn stream_step(
         &mut self,
         number: u16,
@@ -75,7 +75,7 @@
             self.backend_sends(number, link, HttpPacket::Head(Box::new(head)));
         }
         if work.next < work.total {
-            self.send_piece(number, link, work, work.next);
+            self.send_chunk(number, link, work, work.next);
             work.next += 1;
         }
         if work.next < work.total {
@@ -109,7 +109,7 @@
             return true;
         }
         match work.fault {
-            Some(AnswerFault::Cut) => {
+            Some(AnswerFault::Truncated) => {
                 if self.random.random_bool(0.5) {
                     self.backend_sends(number, link, HttpPacket::Finish);
                 }
@@ -118,12 +118,12 @@
             }
             Some(AnswerFault::Stray) => {
                 if let Some(other) = self.another_run(work.content) {
-                    self.send_piece(number, link, &other, work.next);
+                    self.send_chunk(number, link, &other, work.next);
                 }
                 work.fault = None;
             }
             Some(AnswerFault::Skipped) => {
-                // A last piece that is left out before the end marker cannot be told by anyone.
+                // Nobody can detect a last chunk that is left out before the end marker.
                 match self.random.random_bool(0.5) && work.next + 1 < work.total {
                     true => work.next += 1,
                     false => work.next = work.next.saturating_sub(1),
@@ -146,17 +146,17 @@
         self.close_link(ProcessId::Backend(number), link);
     }
 
-    pub(super) fn send_piece(
+    pub(super) fn send_chunk(
         &mut self,
         number: u16,
         link: LinkNumber,
         work: &Answering,
         sequence: u64,
     ) {
-        let mark = mark_of(&work.piece(sequence));
+        let text = chunk_text(&work.chunk(sequence));
         let run = &work.run;
         let event = format!(
-            "data: {{\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"{mark}\"}}}}],\
+            "data: {{\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"{text}\"}}}}],\
              \"millford\":{{\"run\":\"{run}\",\"seq\":{sequence}}}}}\n\n"
         );
         self.backend_sends(number, link, HttpPacket::Chunk(Bytes::from(event)));
--- a/crates/simulation/src/world/backend/answering.rs
+++ b/crates/simulation/src/world/backend/answering.rs
@@ -1,13 +1,13 @@
 //! One request that a backend works on.
 
-use crate::history::{AttemptNumber, ContentNumber, Piece};
+use crate::history::{AttemptNumber, Chunk, ContentNumber};
 use crate::scenario::AnswerFault;
 
-/// Shortest answer, in pieces.
-const MIN_PIECES: u64 = 4;
+/// Shortest answer, in chunks.
+const MIN_CHUNKS: u64 = 4;
 
-/// Pieces by which answers differ in length.
-const PIECE_SPREAD: u64 = 14;
+/// Chunks by which answers differ in length.
+const CHUNK_COUNT_SPREAD: u64 = 14;
 
 /// Progress of an answer.
 #[derive(Clone, Debug)]
@@ -24,9 +24,9 @@
     pub run_number: u64,
     /// Whether the answer is a stream.
     pub stream: bool,
-    /// Next piece.
+    /// Next chunk.
     pub next: u64,
-    /// Pieces of the whole run.
+    /// Chunks of the complete run.
     pub total: u64,
     /// Sequence number that a resumption is confirmed at.
     pub resume_at: Option<u64>,
@@ -37,19 +37,19 @@
 }
 
 impl Answering {
-    /// Number of pieces of the answer to a content; the same for every run.
+    /// Number of chunks of the answer to a content; the same for every run.
     #[must_use]
-    pub fn pieces_of(content: ContentNumber, stream: bool) -> u64 {
+    pub fn chunk_count(content: ContentNumber, stream: bool) -> u64 {
         match stream {
-            true => MIN_PIECES + content.0 % PIECE_SPREAD,
+            true => MIN_CHUNKS + content.0 % CHUNK_COUNT_SPREAD,
             false => 1,
         }
     }
 
-    /// The piece with a sequence number.
+    /// The chunk with a sequence number.
     #[must_use]
-    pub fn piece(&self, sequence: u64) -> Piece {
-        Piece {
+    pub fn chunk(&self, sequence: u64) -> Chunk {
+        Chunk {
             content: self.content,
             run: self.run_number,
             sequence,
--- /dev/null
+++ b/crates/simulation/src/world/backend/chunk_text.rs
@@ -0,0 +1,40 @@
+//! The text of simulated chunks: it names content, run and sequence number, so that callers can check them.
+
+use crate::history::{Chunk, ContentNumber};
+
+const START: &str = "<<";
+const END: &str = ">>";
+
+/// Text of a chunk.
+#[must_use]
+pub fn chunk_text(chunk: &Chunk) -> String {
+    let last = u8::from(chunk.last);
+    format!(
+        "{START}{} {:x} {} {last}{END}",
+        chunk.content.0, chunk.run, chunk.sequence
+    )
+}
+
+/// Chunks whose marks stand in a text.
+#[must_use]
+pub fn read_chunks(text: &str) -> Vec<Chunk> {
+    let starts = text.split(START).skip(1);
+    let marks = starts.filter_map(|rest| rest.split_once(END));
+    marks
+        .filter_map(|(chunk_text, _)| read_chunk(chunk_text))
+        .collect()
+}
+
+fn read_chunk(chunk_text: &str) -> Option<Chunk> {
+    let mut tokens = chunk_text.split(' ');
+    let content = ContentNumber(tokens.next()?.parse().ok()?);
+    let run = u64::from_str_radix(tokens.next()?, 16).ok()?;
+    let sequence = tokens.next()?.parse().ok()?;
+    let last = tokens.next()? == "1";
+    Some(Chunk {
+        content,
+        run,
+        sequence,
+        last,
+    })
+}
--- a/crates/simulation/src/world/backend/mod.rs
+++ b/crates/simulation/src/world/backend/mod.rs
@@ -1,9 +1,9 @@
-//! Stand-in for a backend: the message form of the backend protocol.
+//! Simulation of a backend: the message form of the backend protocol.
 
 pub mod answering;
 pub mod backend_process;
-pub mod mark;
+pub mod chunk_text;
 
 pub use answering::Answering;
 pub use backend_process::BackendProcess;
-pub use mark::{mark_of, read_marks};
+pub use chunk_text::{chunk_text, read_chunks};
--- a/crates/simulation/src/world/backend_driver.rs
+++ b/crates/simulation/src/world/backend_driver.rs
@@ -16,8 +16,8 @@
 use crate::world::process_input::ProcessInput;
 use crate::world::site::Site;
 
-const FIRST_PIECE_MICROS: std::ops::Range<u64> = 40_000..400_000;
-const NEXT_PIECE_MICROS: std::ops::Range<u64> = 30_000..90_000;
+const FIRST_CHUNK_MICROS: std::ops::Range<u64> = 40_000..400_000;
+const NEXT_CHUNK_MICROS: std::ops::Range<u64> = 30_000..90_000;
 const LOOKUP_MICROS: std::ops::Range<u64> = 2_000..20_000;
 const LATE_MICROS: std::ops::Range<u64> = 1_500_000..7_000_000;
 const FAULT_SHARE: f64 = 0.35;
@@ -43,7 +43,7 @@
     /// Adds a backend with a new number.
     pub fn add_backend(&mut self, lookup: bool) -> u16 {
         let number = self.backends.keys().next_back().map_or(1, |last| last + 1);
-        let backend = BackendProcess::new(self.fresh_process(), lookup);
+        let backend = BackendProcess::new(self.new_process(), lookup);
         self.backends.insert(number, backend);
         number
     }
@@ -159,7 +159,7 @@
 
     fn answering(&mut self, request: &BackendRequest, content: ContentNumber) -> Answering {
         let stream = is_stream(&request.body);
-        let total = Answering::pieces_of(content, stream);
+        let total = Answering::chunk_count(content, stream);
         let resume = request.resume_from.map(|from| from.0);
         // A backend that does not know resumption starts over and confirms nothing.
         let ignored = resume.is_some() && self.random.random_bool(RESUME_IGNORED_SHARE);
@@ -211,20 +211,20 @@
         let range = match (lookup, answering.fault) {
             (_, Some(AnswerFault::Late)) => LATE_MICROS,
             (true, _) => LOOKUP_MICROS,
-            (false, _) => FIRST_PIECE_MICROS,
+            (false, _) => FIRST_CHUNK_MICROS,
         };
         Duration::from_micros(self.random.random_range(range))
     }
 
     fn work_after(&mut self, number: u16, link: LinkNumber, delay: Duration) {
         let process = ProcessId::Backend(number);
-        let boot = self.boot_of(process);
+        let incarnation = self.incarnation_of(process);
         let input = ProcessInput::Work { link };
-        self.after(
+        self.schedule_after(
             delay,
             Event::Input {
                 process,
-                boot,
+                incarnation,
                 input,
             },
         );
@@ -262,7 +262,7 @@
         if let Some(backend) = self.backends.get_mut(&number) {
             backend.work.insert(link, work);
         }
-        let delay = Duration::from_micros(self.random.random_range(NEXT_PIECE_MICROS));
+        let delay = Duration::from_micros(self.random.random_range(NEXT_CHUNK_MICROS));
         self.work_after(number, link, delay);
     }
 
@@ -273,7 +273,7 @@
         self.record(Record::BackendFinished {
             attempt: work.number,
             content: work.content,
-            pieces: work.total,
+            chunks: work.total,
         });
     }
 
--- a/crates/simulation/src/world/caller_driver.rs
+++ b/crates/simulation/src/world/caller_driver.rs
@@ -7,22 +7,24 @@
 use rand::Rng;
 
 use crate::history::Repeatability;
-use crate::history::{CallEnd, CallNumber, CallSent, ContentNumber, FrontNumber, Piece, Record};
+use crate::history::{
+    Chunk, ContentNumber, ProxyNodeNumber, Record, RequestEnd, RequestNumber, RequestSent,
+};
 use crate::network::ProcessId;
-use crate::world::backend::read_marks;
-use crate::world::callers::{Arrival, CallKind, OpenCall, request_of};
+use crate::world::backend::read_chunks;
+use crate::world::callers::{ArrivingRequest, OpenRequest, RequestKind, request_of};
 use crate::world::defect::Defect;
 use crate::world::event::Event;
 use crate::world::process_input::ProcessInput;
 use crate::world::site::Site;
 
-const FIRST_CALL: Duration = Duration::from_millis(500);
+const FIRST_REQUEST_AFTER: Duration = Duration::from_millis(500);
 const CALLER_DELAY_MICROS: std::ops::Range<u64> = 200..2_000;
-const CALLER_PATIENCE: Duration = Duration::from_secs(25);
+const CALLER_TIMEOUT: Duration = Duration::from_secs(25);
 const RESEND_MICROS: std::ops::Range<u64> = 50_000..1_500_000;
 const MAX_SENDS: u32 = 4;
 const DOUBLE_SEND_SHARE: f64 = 0.05;
-const LEAVING_SHARE: f64 = 0.02;
+const EARLY_DISCONNECT_SHARE: f64 = 0.02;
 const OLD_KEY_SHARE: f64 = 0.3;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 const OK: u16 = 200;
@@ -39,8 +41,8 @@
                 burst: workload.quota_burst,
             });
         }
-        self.after(FIRST_CALL, Event::CallerSends { lookup: false });
-        self.after(FIRST_CALL, Event::CallerSends { lookup: true });
+        self.schedule_after(FIRST_REQUEST_AFTER, Event::CallerSends { lookup: false });
+        self.schedule_after(FIRST_REQUEST_AFTER, Event::CallerSends { lookup: true });
     }
 
     /// A caller sends a new request, and the next one is planned.
@@ -48,57 +50,57 @@
         let workload = self.callers.workload;
         let rate = match lookup {
             true => workload.lookups_per_second,
-            false => workload.calls_per_second,
+            false => workload.requests_per_second,
         };
         let rate = u64::from(rate * self.callers.burst);
         if rate == 0 {
-            self.after(FIRST_CALL, Event::CallerSends { lookup });
+            self.schedule_after(FIRST_REQUEST_AFTER, Event::CallerSends { lookup });
             return;
         }
         let mean = MICROS_PER_SECOND / rate;
         let gap = self.random.random_range(0..=mean * 2);
-        self.after(Duration::from_micros(gap), Event::CallerSends { lookup });
+        self.schedule_after(Duration::from_micros(gap), Event::CallerSends { lookup });
         let kind = match lookup {
-            true => CallKind::Lookup,
+            true => RequestKind::Lookup,
             false => self.draw_kind(),
         };
         let tenant = self.draw_tenant();
         let content = self.callers.next_content();
-        self.send_call(content, tenant, kind, 1);
-        if matches!(kind, CallKind::Once { keyed: true, .. })
+        self.send_request(content, tenant, kind, 1);
+        if matches!(kind, RequestKind::Once { keyed: true, .. })
             && self.random.random_bool(DOUBLE_SEND_SHARE)
         {
             // An impatient caller: the same request at two nodes at once.
-            self.send_call(content, tenant, kind, 2);
+            self.send_request(content, tenant, kind, 2);
         }
     }
 
-    fn draw_kind(&mut self) -> CallKind {
+    fn draw_kind(&mut self) -> RequestKind {
         let workload = self.callers.workload;
         let draw = self.random.random_range(0..PERCENT);
         let stream = self.random.random_bool(0.5);
         if draw < workload.keyed_percent {
-            return CallKind::Once {
+            return RequestKind::Once {
                 keyed: true,
                 stream,
             };
         }
         if draw < workload.keyed_percent + workload.unkeyed_percent {
-            return CallKind::Once {
+            return RequestKind::Once {
                 keyed: false,
                 stream,
             };
         }
         match self.random.random_bool(0.6) {
-            true => CallKind::Caption,
-            false => CallKind::Question { stream },
+            true => RequestKind::Caption,
+            false => RequestKind::Question { stream },
         }
     }
 
     // A few tenants dominate; a hot one sends nearly everything.
     fn draw_tenant(&mut self) -> u16 {
         let tenants = self.topology.tenants.max(1);
-        if self.callers.hot > 0 && self.random.random_bool(0.9) {
+        if self.callers.hot_tenant_faults > 0 && self.random.random_bool(0.9) {
             return 0;
         }
         match self.random.random_range(0..10) {
@@ -108,27 +110,27 @@
         }
     }
 
-    fn send_call(&mut self, content: ContentNumber, tenant: u16, kind: CallKind, sends: u32) {
-        let fronts = self.topology.fronts.max(1);
-        let front = self.random.random_range(1..=fronts);
+    fn send_request(&mut self, content: ContentNumber, tenant: u16, kind: RequestKind, sends: u32) {
+        let proxy_nodes = self.topology.proxy_nodes.max(1);
+        let proxy_node = self.random.random_range(1..=proxy_nodes);
         let known = &self.callers.tenants[usize::from(tenant)];
         let (new_key, old_key) = (known.key, known.old_key);
         let key = match old_key {
             Some(old) if self.random.random_bool(OLD_KEY_SHARE) => old,
             _ => new_key,
         };
-        let sent = CallSent {
-            call: self.callers.next_call(),
+        let sent = RequestSent {
+            client_request: self.callers.next_request(),
             content,
             tenant,
             key,
-            front: FrontNumber(front),
+            proxy_node: ProxyNodeNumber(proxy_node),
             repeatability: kind.repeatability(),
             resume: kind.resume(),
             stream: kind.stream(),
         };
-        self.record(Record::CallSent(sent));
-        let open = OpenCall {
+        self.record(Record::RequestSent(sent));
+        let open = OpenRequest {
             sent,
             kind,
             sends,
@@ -139,42 +141,49 @@
             last_arrival: self.now(),
             ended: false,
         };
-        self.callers.calls.insert(sent.call, open);
-        self.deliver_call(sent, kind);
+        self.callers.open_requests.insert(sent.client_request, open);
+        self.deliver_request(sent, kind);
     }
 
-    fn deliver_call(&mut self, sent: CallSent, kind: CallKind) {
-        let process = ProcessId::Proxy(sent.front.0);
-        let boot = self.boot_of(process);
+    fn deliver_request(&mut self, sent: RequestSent, kind: RequestKind) {
+        let process = ProcessId::Proxy(sent.proxy_node.0);
+        let incarnation = self.incarnation_of(process);
         let delay = self.caller_delay();
-        let call = sent.call;
+        let client_request = sent.client_request;
         let down = self.faults.is_machine_down(process.machine());
-        if boot == 0 && !down {
+        if incarnation == 0 && !down {
             // The connection is refused at once: the caller knows that nothing was sent.
-            let end = Some((CallEnd::Lost, None));
-            let piece = None;
-            self.after(delay, Event::CallerHears { call, piece, end });
+            let end = Some((RequestEnd::Lost, None));
+            let chunk = None;
+            self.schedule_after(
+                delay,
+                Event::CallerReceives {
+                    client_request,
+                    chunk,
+                    end,
+                },
+            );
             return;
         }
-        let arrival = Arrival {
-            call,
+        let arrival = ArrivingRequest {
+            client_request,
             request: request_of(&sent, kind),
-            lookup: kind == CallKind::Lookup,
+            lookup: kind == RequestKind::Lookup,
         };
         let input = ProcessInput::Call(Box::new(arrival));
-        self.after(
+        self.schedule_after(
             delay,
             Event::Input {
                 process,
-                boot,
+                incarnation,
                 input,
             },
         );
-        let patience = match self.random.random_bool(LEAVING_SHARE) {
-            true => CALLER_PATIENCE / 25,
-            false => CALLER_PATIENCE,
+        let timeout = match self.random.random_bool(EARLY_DISCONNECT_SHARE) {
+            true => CALLER_TIMEOUT / 25,
+            false => CALLER_TIMEOUT,
         };
-        self.after(patience, Event::CallerTiresOf { call });
+        self.schedule_after(timeout, Event::CallerTimeout { client_request });
     }
 
     fn caller_delay(&mut self) -> Duration {
@@ -182,127 +191,147 @@
     }
 
     /// The caller gives up and closes its connection.
-    pub fn caller_tires(&mut self, call: CallNumber) {
-        let Some(open) = self.callers.calls.get(&call).filter(|open| !open.ended) else {
+    pub fn caller_times_out(&mut self, client_request: RequestNumber) {
+        let Some(open) = self
+            .callers
+            .open_requests
+            .get(&client_request)
+            .filter(|open| !open.ended)
+        else {
             return;
         };
-        let process = ProcessId::Proxy(open.sent.front.0);
-        let boot = self.boot_of(process);
+        let process = ProcessId::Proxy(open.sent.proxy_node.0);
+        let incarnation = self.incarnation_of(process);
         let delay = self.caller_delay();
-        let input = ProcessInput::CallerGone(call);
-        self.after(
+        let input = ProcessInput::CallerGone(client_request);
+        self.schedule_after(
             delay,
             Event::Input {
                 process,
-                boot,
+                incarnation,
                 input,
             },
         );
-        self.caller_hears(call, None, Some((CallEnd::Lost, None)));
+        self.caller_receives(client_request, None, Some((RequestEnd::Lost, None)));
     }
 
-    /// The head of an answer leaves the proxy.
-    pub fn caller_head(&mut self, call: CallNumber, head: &CallerHead) {
-        if let Some(open) = self.callers.calls.get_mut(&call) {
+    /// The proxy sends the head of an answer.
+    pub fn caller_head(&mut self, client_request: RequestNumber, head: &CallerHead) {
+        if let Some(open) = self.callers.open_requests.get_mut(&client_request) {
             open.status = head.status;
             open.revision = Some(head.revision);
         }
     }
 
-    /// Bytes of an answer leave the proxy.
-    pub fn caller_bytes(&mut self, call: CallNumber, bytes: &[u8]) {
-        let Some(open) = self.callers.calls.get_mut(&call) else {
+    /// The proxy sends bytes of an answer.
+    pub fn caller_bytes(&mut self, client_request: RequestNumber, bytes: &[u8]) {
+        let Some(open) = self.callers.open_requests.get_mut(&client_request) else {
             return;
         };
         open.body.push_str(&String::from_utf8_lossy(bytes));
         if open.status != OK || !open.sent.stream {
             return;
         }
-        let pieces = read_marks(&open.body[open.read..]);
+        let chunks = read_chunks(&open.body[open.read..]);
         open.read = open.body.len();
-        for piece in pieces {
-            if let Some(piece) = planted_piece(self.options.defect, piece) {
-                self.caller_will_hear(call, Some(piece), None);
+        for chunk in chunks {
+            if let Some(chunk) = planted_chunk(self.options.defect, chunk) {
+                self.send_to_caller(client_request, Some(chunk), None);
             }
         }
     }
 
-    /// The answer ends, whole or not.
-    pub fn caller_end(&mut self, call: CallNumber, whole: bool) {
-        let Some(open) = self.callers.calls.get_mut(&call) else {
+    /// The answer ends, complete or not.
+    pub fn caller_end(&mut self, client_request: RequestNumber, complete: bool) {
+        let Some(open) = self.callers.open_requests.get_mut(&client_request) else {
             return;
         };
         let body = std::mem::take(&mut open.body);
         let revision = open.revision;
         let plain = !open.sent.stream && open.status == OK;
-        let end = end_of(open.status, open.sent.stream, &body, whole);
+        let end = end_of(open.status, open.sent.stream, &body, complete);
         let end = planted_end(self.options.defect, open.status, end);
-        if plain && end == CallEnd::Complete {
-            for piece in read_marks(&body) {
-                self.caller_will_hear(call, Some(piece), None);
+        if plain && end == RequestEnd::Complete {
+            for chunk in read_chunks(&body) {
+                self.send_to_caller(client_request, Some(chunk), None);
             }
         }
-        self.caller_will_hear(call, None, Some((end, revision)));
+        self.send_to_caller(client_request, None, Some((end, revision)));
     }
 
-    /// Sends a piece or the end on its way to the caller, after what was sent before.
-    pub fn caller_will_hear(
+    /// Sends a chunk or the end on its way to the caller, after what was sent before.
+    pub fn send_to_caller(
         &mut self,
-        call: CallNumber,
-        piece: Option<Piece>,
-        end: Option<(CallEnd, Option<u64>)>,
+        client_request: RequestNumber,
+        chunk: Option<Chunk>,
+        end: Option<(RequestEnd, Option<u64>)>,
     ) {
         let delay = self.caller_delay();
         let earliest = self.now() + delay;
-        let Some(open) = self.callers.calls.get_mut(&call) else {
+        let Some(open) = self.callers.open_requests.get_mut(&client_request) else {
             return;
         };
         open.last_arrival = open.last_arrival.max(earliest);
         let at = open.last_arrival;
-        self.queue.push(at, Event::CallerHears { call, piece, end });
+        self.queue.push(
+            at,
+            Event::CallerReceives {
+                client_request,
+                chunk,
+                end,
+            },
+        );
     }
 
-    /// A piece or the end reaches the caller.
-    pub fn caller_hears(
+    /// A chunk or the end reaches the caller.
+    pub fn caller_receives(
         &mut self,
-        call: CallNumber,
-        piece: Option<Piece>,
-        end: Option<(CallEnd, Option<u64>)>,
+        client_request: RequestNumber,
+        chunk: Option<Chunk>,
+        end: Option<(RequestEnd, Option<u64>)>,
     ) {
-        let Some(open) = self.callers.calls.get_mut(&call).filter(|open| !open.ended) else {
+        let Some(open) = self
+            .callers
+            .open_requests
+            .get_mut(&client_request)
+            .filter(|open| !open.ended)
+        else {
             return;
         };
-        if let Some(piece) = piece {
-            self.record(Record::CallPiece { call, piece });
+        if let Some(chunk) = chunk {
+            self.record(Record::ChunkReceived {
+                client_request,
+                chunk,
+            });
             return;
         }
         let Some((end, revision)) = end else {
             return;
         };
         open.ended = true;
-        self.record(Record::CallEnded {
-            call,
+        self.record(Record::RequestEnded {
+            client_request,
             end,
             revision,
         });
-        if self.may_resend(call, end) {
+        if self.may_resend(client_request, end) {
             let delay = Duration::from_micros(self.random.random_range(RESEND_MICROS));
-            self.after(delay, Event::CallerResends { call });
+            self.schedule_after(delay, Event::CallerResends { client_request });
         } else {
-            self.callers.calls.remove(&call);
+            self.callers.open_requests.remove(&client_request);
         }
     }
 
     // What may not be repeated and has no key is sent again only after a "not run".
-    fn may_resend(&mut self, call: CallNumber, end: CallEnd) -> bool {
-        let Some(open) = self.callers.calls.get(&call) else {
+    fn may_resend(&mut self, client_request: RequestNumber, end: RequestEnd) -> bool {
+        let Some(open) = self.callers.open_requests.get(&client_request) else {
             return false;
         };
         let sends = open.sends;
         let repeatability = open.sent.repeatability;
         let allowed = match end {
-            CallEnd::Complete => false,
-            CallEnd::Refused { code, run } => {
+            RequestEnd::Complete => false,
+            RequestEnd::Refused { code, run } => {
                 let known = matches!(
                     code,
                     ResultCode::AlreadyCompleted
@@ -311,59 +340,59 @@
                 );
                 !known && (run == RunState::NotRun || repeatability != Repeatability::Unkeyed)
             }
-            CallEnd::Lost => repeatability != Repeatability::Unkeyed,
+            RequestEnd::Lost => repeatability != Repeatability::Unkeyed,
         };
         let share = f64::from(self.callers.workload.resend_percent) / f64::from(PERCENT);
         allowed && sends < MAX_SENDS && self.random.random_bool(share)
     }
 
-    /// A caller sends a request again, to any front machine.
-    pub fn caller_resends(&mut self, call: CallNumber) {
-        let Some(open) = self.callers.calls.remove(&call) else {
+    /// A caller sends a request again, to any proxy node.
+    pub fn caller_resends(&mut self, client_request: RequestNumber) {
+        let Some(open) = self.callers.open_requests.remove(&client_request) else {
             return;
         };
         let sent = open.sent;
-        self.send_call(sent.content, sent.tenant, open.kind, open.sends + 1);
+        self.send_request(sent.content, sent.tenant, open.kind, open.sends + 1);
     }
 }
 
 // Planted defects: ends that are not what the proxy said.
-fn planted_end(defect: Option<Defect>, status: u16, end: CallEnd) -> CallEnd {
+fn planted_end(defect: Option<Defect>, status: u16, end: RequestEnd) -> RequestEnd {
     match (defect, end) {
-        (Some(Defect::DeniesRuns), CallEnd::Refused { code, .. }) => CallEnd::Refused {
+        (Some(Defect::DeniesRuns), RequestEnd::Refused { code, .. }) => RequestEnd::Refused {
             code,
             run: RunState::NotRun,
         },
-        (Some(Defect::HidesCuts), _) if status == OK => CallEnd::Complete,
+        (Some(Defect::HidesTruncation), _) if status == OK => RequestEnd::Complete,
         _ => end,
     }
 }
 
-// Planted defects: pieces that are not what the proxy sent.
-fn planted_piece(defect: Option<Defect>, mut piece: Piece) -> Option<Piece> {
+// Planted defects: chunks that are not what the proxy sent.
+fn planted_chunk(defect: Option<Defect>, mut chunk: Chunk) -> Option<Chunk> {
     match defect {
-        Some(Defect::SwapsAnswers) => piece.content.0 += 1,
-        Some(Defect::SkipsPieces) if piece.sequence == 2 => return None,
+        Some(Defect::SwapsAnswers) => chunk.content.0 += 1,
+        Some(Defect::SkipsChunks) if chunk.sequence == 2 => return None,
         _ => {}
     }
-    Some(piece)
+    Some(chunk)
 }
 
-fn end_of(status: u16, stream: bool, body: &str, whole: bool) -> CallEnd {
+fn end_of(status: u16, stream: bool, body: &str, complete: bool) -> RequestEnd {
     if status == 0 {
-        return CallEnd::Lost;
+        return RequestEnd::Lost;
     }
     if status != OK || body.contains("event: error") {
         return error_of(body);
     }
     let marked = !stream || body.contains("data: [DONE]");
-    match whole && marked {
-        true => CallEnd::Complete,
-        false => CallEnd::Lost,
+    match complete && marked {
+        true => RequestEnd::Complete,
+        false => RequestEnd::Lost,
     }
 }
 
-fn error_of(body: &str) -> CallEnd {
+fn error_of(body: &str) -> RequestEnd {
     let json = match body.split_once("event: error") {
         Some((_, rest)) => rest.split_once("data: ").map_or("", |(_, data)| data),
         None => body,
@@ -377,7 +406,7 @@
         _ => RunState::MayHaveRun,
     };
     match code {
-        Some(code) => CallEnd::Refused { code, run },
-        None => CallEnd::Lost,
+        Some(code) => RequestEnd::Refused { code, run },
+        None => RequestEnd::Lost,
     }
 }
--- a/crates/simulation/src/world/callers.rs
+++ b/crates/simulation/src/world/callers.rs
@@ -1,22 +1,22 @@
-//! Stand-ins for callers: what they send and what they know.
+//! Simulated callers: what they send and what they know.
 
 use std::collections::BTreeMap;
 
 use millford_core::MonotonicTime;
 use millford_proxy::request::caller::{CallerHeaders, CallerRequest};
 
-use crate::history::{CallNumber, CallSent, ContentNumber, Repeatability, ResumeRule};
+use crate::history::{ContentNumber, Repeatability, RequestNumber, RequestSent, ResumeRule};
 use crate::scenario::{Scenario, Topology, Workload};
 
 /// Start of every tenant key; backends must never see it.
 pub const KEY_PREFIX: &str = "millford-key-";
 
-/// Kinds of model requests, by the model that they ask for.
+/// Kinds of client requests, by the model that they name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallKind {
+pub enum RequestKind {
     /// A long stream whose run may be continued elsewhere.
     Caption,
-    /// A shorter question, whole or as a stream.
+    /// A shorter question, answered at once or as a stream.
     Question { stream: bool },
     /// A request that may not be repeated.
     Once { keyed: bool, stream: bool },
@@ -24,13 +24,13 @@
     Lookup,
 }
 
-impl CallKind {
+impl RequestKind {
     /// Whether it may run more than once.
     #[must_use]
     pub fn repeatability(self) -> Repeatability {
         match self {
-            CallKind::Once { keyed: true, .. } => Repeatability::Keyed,
-            CallKind::Once { keyed: false, .. } => Repeatability::Unkeyed,
+            RequestKind::Once { keyed: true, .. } => Repeatability::Keyed,
+            RequestKind::Once { keyed: false, .. } => Repeatability::Unkeyed,
             _ => Repeatability::Repeatable,
         }
     }
@@ -39,8 +39,8 @@
     #[must_use]
     pub fn resume(self) -> ResumeRule {
         match self {
-            CallKind::Caption => ResumeRule::Continue,
-            CallKind::Question { .. } => ResumeRule::FromStart,
+            RequestKind::Caption => ResumeRule::Continue,
+            RequestKind::Question { .. } => ResumeRule::FromStart,
             _ => ResumeRule::Never,
         }
     }
@@ -49,40 +49,40 @@
     #[must_use]
     pub fn stream(self) -> bool {
         match self {
-            CallKind::Caption => true,
-            CallKind::Question { stream } | CallKind::Once { stream, .. } => stream,
-            CallKind::Lookup => false,
+            RequestKind::Caption => true,
+            RequestKind::Question { stream } | RequestKind::Once { stream, .. } => stream,
+            RequestKind::Lookup => false,
         }
     }
 
     fn model(self) -> &'static str {
         match self {
-            CallKind::Caption => "scribe",
-            CallKind::Question { .. } => "quiz",
-            CallKind::Once { .. } => "once",
-            CallKind::Lookup => "",
+            RequestKind::Caption => "scribe",
+            RequestKind::Question { .. } => "quiz",
+            RequestKind::Once { .. } => "once",
+            RequestKind::Lookup => "",
         }
     }
 }
 
-/// A call that arrives at a proxy.
+/// A client request that arrives at a proxy.
 #[derive(Clone, Debug)]
-pub struct Arrival {
-    /// The call.
-    pub call: CallNumber,
+pub struct ArrivingRequest {
+    /// The client request.
+    pub client_request: RequestNumber,
     /// Its request; the proxy sets the time of arrival.
     pub request: CallerRequest,
     /// Whether it is a lookup.
     pub lookup: bool,
 }
 
-/// A call whose caller waits, or may send it again.
+/// A client request whose caller waits, or may send it again.
 #[derive(Clone, Debug)]
-pub struct OpenCall {
+pub struct OpenRequest {
     /// As the history has it.
-    pub sent: CallSent,
-    /// What it asks for.
-    pub kind: CallKind,
+    pub sent: RequestSent,
+    /// Its kind.
+    pub kind: RequestKind,
     /// How often the content was sent, this send included.
     pub sends: u32,
     /// Status of the head that arrived, 0 before.
@@ -114,13 +114,13 @@
     pub workload: Workload,
     /// Tenants by number.
     pub tenants: Vec<CallerTenant>,
-    /// Calls under way, and those that may be sent again.
-    pub calls: BTreeMap<CallNumber, OpenCall>,
+    /// Client requests under way, and those that may be sent again.
+    pub open_requests: BTreeMap<RequestNumber, OpenRequest>,
     /// Factor on the rates.
     pub burst: u32,
     /// Number of faults that make one tenant hot.
-    pub hot: u32,
-    next_call: u64,
+    pub hot_tenant_faults: u32,
+    next_request: u64,
     next_content: u64,
 }
 
@@ -135,18 +135,18 @@
         Self {
             workload: scenario.workload,
             tenants: tenants.collect(),
-            calls: BTreeMap::new(),
+            open_requests: BTreeMap::new(),
             burst: 1,
-            hot: 0,
-            next_call: 0,
+            hot_tenant_faults: 0,
+            next_request: 0,
             next_content: 0,
         }
     }
 
-    /// Number of a new call.
-    pub fn next_call(&mut self) -> CallNumber {
-        self.next_call += 1;
-        CallNumber(self.next_call)
+    /// Number of a new client request.
+    pub fn next_request(&mut self) -> RequestNumber {
+        self.next_request += 1;
+        RequestNumber(self.next_request)
     }
 
     /// Number of a new content.
@@ -162,9 +162,9 @@
     format!("{KEY_PREFIX}{serial}")
 }
 
-/// The request for a call.
+/// The request for a client request.
 #[must_use]
-pub fn request_of(sent: &CallSent, kind: CallKind) -> CallerRequest {
+pub fn request_of(sent: &RequestSent, kind: RequestKind) -> CallerRequest {
     let content = sent.content.0;
     let mut headers = CallerHeaders {
         authorization: Some(format!("Bearer {}", key_text(sent.key))),
@@ -174,7 +174,7 @@
     if sent.repeatability == Repeatability::Keyed {
         headers.idempotency_key = Some(format!("request-{content}"));
     }
-    if kind == CallKind::Lookup {
+    if kind == RequestKind::Lookup {
         return CallerRequest {
             path_and_query: format!("/stations/content-{content}"),
             headers,
--- a/crates/simulation/src/world/control_driver.rs
+++ b/crates/simulation/src/world/control_driver.rs
@@ -18,7 +18,7 @@
 use crate::world::process_input::ProcessInput;
 use crate::world::site::Site;
 
-/// Syncs up to this long delay messages; longer ones stop the whole node.
+/// Syncs up to this long delay messages; longer ones block the node.
 const LONGEST_UNNOTICED_SYNC: Duration = Duration::from_millis(200);
 const SEEDS: u16 = 3;
 const DATA_SHARDS: u32 = 6;
@@ -27,13 +27,13 @@
 const INTERNAL_PORT: u16 = 7000;
 const OPERATOR_PORT: u16 = 7001;
 
-/// Internal address of a core machine.
+/// Internal address of a control node.
 #[must_use]
 pub fn control_address(number: u16) -> String {
     format!("10.0.1.{number}:{INTERNAL_PORT}")
 }
 
-/// The core machine with an internal address.
+/// The control node with an internal address.
 #[must_use]
 pub fn control_at(address: &str) -> Option<ProcessId> {
     let rest = address.strip_prefix("10.0.1.")?;
@@ -48,12 +48,12 @@
 }
 
 impl Site {
-    /// Adds a core machine with an empty disk.
+    /// Adds a control node with an empty disk.
     pub fn add_control(&mut self, number: u16) {
         let seeds = self.seeds_for_a_new_machine(number);
-        let control = ControlProcess::new(self.fresh_process(), seeds);
-        if self.options.defect == Some(Defect::LyingDisks) {
-            control.disk().lie_about_syncs();
+        let control = ControlProcess::new(self.new_process(), seeds);
+        if self.options.defect == Some(Defect::IgnoredSyncs) {
+            control.disk().ignore_syncs();
         }
         self.controls.insert(number, control);
     }
@@ -62,36 +62,39 @@
     pub fn start_control(&mut self, number: u16) {
         let process = ProcessId::Control(number);
         let local = self.local_time(process);
-        let boot = self.boot_of(process);
+        let incarnation = self.incarnation_of(process);
         let options = self.control_options(number);
         let Some(control) = self.controls.get_mut(&number) else {
             return;
         };
-        control.forget_node();
-        let platter = Arc::clone(&control.platter);
+        control.forget_incarnation();
+        let disk_image = Arc::clone(&control.disk_image);
         let disks = move |folder: &str| {
-            Box::new(MemoryDisk::new(Arc::clone(&platter), folder)) as Box<dyn Disk>
+            Box::new(MemoryDisk::new(Arc::clone(&disk_image), folder)) as Box<dyn Disk>
         };
         match ControlNode::open(options, disks, local) {
             Ok(node) => {
                 control.node = Some(node);
-                self.tick_after(process, boot, TICK);
-                self.after(
+                self.tick_after(process, incarnation, TICK);
+                self.schedule_after(
                     Duration::from_millis(10),
-                    Event::ReadRegistry { process, boot },
+                    Event::ReadRegistry {
+                        process,
+                        incarnation,
+                    },
                 );
             }
             Err(error) => {
                 let now = self.now();
                 self.recorder
-                    .note(now, || format!("control {number} cannot open: {error}"));
+                    .log(now, || format!("control {number} cannot open: {error}"));
                 self.control_fatal(number);
             }
         }
     }
 
     /// The first machines name each other. Who sets up a later one names machines that serve, as the
-    /// operators' guide asks.
+    /// operators' guide says.
     fn seeds_for_a_new_machine(&self, number: u16) -> Vec<String> {
         if number <= SEEDS {
             return seed_addresses();
@@ -125,31 +128,31 @@
         format!("zone-{}", number % self.topology.zones.max(1))
     }
 
-    /// The process died: its node is gone, and unsynced bytes with it.
+    /// The process died: its node is dropped, and unsynced bytes are lost.
     pub fn control_died(&mut self, number: u16) {
         let Some(control) = self.controls.get_mut(&number) else {
             return;
         };
-        control.forget_node();
-        let platter = Arc::clone(&control.platter);
-        let mut platter = platter
+        control.forget_incarnation();
+        let disk_image = Arc::clone(&control.disk_image);
+        let mut disk_image = disk_image
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
-        platter.lose_power(&mut self.random);
+        disk_image.lose_power(&mut self.random);
     }
 
     fn control_fatal(&mut self, number: u16) {
         let process = ProcessId::Control(number);
         self.kill_process(process, false);
-        self.after(RESTART_AFTER_FATAL, Event::Start { process });
+        self.schedule_after(RESTART_AFTER_FATAL, Event::Start { process });
     }
 
     /// Hands an input to a control node.
     pub fn control_input(&mut self, number: u16, input: ProcessInput, waits: bool) {
         let process = ProcessId::Control(number);
-        let boot = self.boot_of(process);
+        let incarnation = self.incarnation_of(process);
         if matches!(input, ProcessInput::Tick) {
-            self.tick_after(process, boot, TICK);
+            self.tick_after(process, incarnation, TICK);
             if waits {
                 return;
             }
@@ -170,7 +173,7 @@
 
     fn give_control(&mut self, number: u16, inputs: Vec<NodeInput>) {
         let process = ProcessId::Control(number);
-        let boot = self.boot_of(process);
+        let incarnation = self.incarnation_of(process);
         let local = self.local_time(process);
         let Some(control) = self.controls.get_mut(&number) else {
             return;
@@ -190,18 +193,24 @@
         // In the daemon each shard syncs on its own thread, all that waits with one sync: a short
         // sync delays what it makes durable, and only a long one holds up the node.
         if free_at > self.now() + LONGEST_UNNOTICED_SYNC {
-            self.busy_until(process, boot, free_at);
+            self.busy_until(process, incarnation, free_at);
         }
         for output in outputs {
             self.control_output(number, output, free_at);
         }
     }
 
-    fn busy_until(&mut self, process: ProcessId, boot: u64, free_at: MonotonicTime) {
+    fn busy_until(&mut self, process: ProcessId, incarnation: u64, free_at: MonotonicTime) {
         if let Some(state) = self.process_mut(process) {
             state.busy_until = free_at;
         }
-        self.queue.push(free_at, Event::Ready { process, boot });
+        self.queue.push(
+            free_at,
+            Event::Ready {
+                process,
+                incarnation,
+            },
+        );
     }
 
     fn control_node_input(&mut self, number: u16, input: ProcessInput) -> Option<NodeInput> {
@@ -250,10 +259,10 @@
             NodeOutput::Send { link, frame } => {
                 if let Some(link) = self.control_link(number, link) {
                     let packet = Box::new(Packet::Frame(Box::new(frame)));
-                    let boot = self.boot_of(process);
+                    let incarnation = self.incarnation_of(process);
                     let send = Event::SendLater {
                         process,
-                        boot,
+                        incarnation,
                         link,
                         packet,
                     };
@@ -277,15 +286,15 @@
                     Event::Operator(OperatorEvent::Answer { request }),
                 );
             }
-            NodeOutput::Note(note) => {
+            NodeOutput::Note(log) => {
                 let now = self.now();
                 self.recorder
-                    .note(now, || format!("control {number}: {note:?}"));
+                    .log(now, || format!("control {number}: {log:?}"));
             }
             NodeOutput::Fatal { code } => {
                 let now = self.now();
                 self.recorder
-                    .note(now, || format!("control {number} stops: {code}"));
+                    .log(now, || format!("control {number} stops: {code}"));
                 self.control_fatal(number);
             }
         }
--- a/crates/simulation/src/world/control_process.rs
+++ b/crates/simulation/src/world/control_process.rs
@@ -5,16 +5,16 @@
 
 use millford_control::{ControlNode, LinkId};
 
-use crate::disk::Platter;
+use crate::disk::DiskImage;
 use crate::network::LinkNumber;
 use crate::world::process::ProcessState;
 
-/// A core machine.
+/// A control node.
 pub struct ControlProcess {
     /// The process.
     pub process: ProcessState,
     /// The disk; it outlives the process.
-    pub platter: Arc<Mutex<Platter>>,
+    pub disk_image: Arc<Mutex<DiskImage>>,
     /// The node while the process runs.
     pub node: Option<ControlNode>,
     /// The node's names of the connections.
@@ -30,12 +30,12 @@
 }
 
 impl ControlProcess {
-    /// A core machine with an empty disk, whose settings name these control nodes.
+    /// A control node with an empty disk, whose settings name these control nodes.
     #[must_use]
     pub fn new(process: ProcessState, seeds: Vec<String>) -> Self {
         Self {
             process,
-            platter: Arc::default(),
+            disk_image: Arc::default(),
             node: None,
             ids: BTreeMap::new(),
             numbers: BTreeMap::new(),
@@ -46,8 +46,10 @@
     }
 
     /// The disk.
-    pub fn disk(&self) -> MutexGuard<'_, Platter> {
-        self.platter.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn disk(&self) -> MutexGuard<'_, DiskImage> {
+        self.disk_image
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Names a connection.
@@ -64,7 +66,7 @@
     }
 
     /// Forgets the node and its connections.
-    pub fn forget_node(&mut self) {
+    pub fn forget_incarnation(&mut self) {
         self.node = None;
         self.ids.clear();
         self.numbers.clear();
--- a/crates/simulation/src/world/defect.rs
+++ b/crates/simulation/src/world/defect.rs
@@ -1,27 +1,27 @@
 //! Planted defects, to show that each checker catches its fault. For tests only.
 
-use crate::checkers::Promise;
+use crate::checkers::Guarantee;
 
 /// A defect that a run can be given on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
     /// Proxies send some requests to two backends.
     SendsTwice,
-    /// Proxies call every failure "not run".
+    /// Proxies report every failure as "not run".
     DeniesRuns,
-    /// Callers get the content of another call.
+    /// Callers get the content of another client request.
     SwapsAnswers,
-    /// Callers are told that a cut answer is whole.
-    HidesCuts,
-    /// A piece of some streams is left out.
-    SkipsPieces,
+    /// Callers are told that a truncated answer is complete.
+    HidesTruncation,
+    /// A chunk of some streams is left out.
+    SkipsChunks,
     /// Proxies fall back to the first revision when they restart.
     ForgetsRevisions,
-    /// One front machine never gets new revisions.
+    /// One proxy node never gets new revisions.
     HoldsRevisions,
     /// Control nodes accept any order.
     AcceptsAll,
-    /// Front machines take revoked keys.
+    /// Proxy nodes accept revoked keys.
     KeepsKeys,
     /// Requests to backends carry the key.
     LeaksKeys,
@@ -34,29 +34,29 @@
     /// The registry's retirements never reach the control nodes.
     HidesRetirements,
     /// Disks lie about syncs.
-    LyingDisks,
-    /// A front machine never serves again after a restart.
+    IgnoredSyncs,
+    /// A proxy node never serves again after a restart.
     StaysDown,
 }
 
 impl Defect {
-    /// Every defect with the promise that it breaks.
-    pub const ALL: [(Defect, Promise); 16] = [
-        (Defect::SendsTwice, Promise::AtMostOnce),
-        (Defect::DeniesRuns, Promise::NotRunTruth),
-        (Defect::SwapsAnswers, Promise::AnswerIdentity),
-        (Defect::HidesCuts, Promise::CompleteAnswers),
-        (Defect::SkipsPieces, Promise::StreamContinuity),
-        (Defect::ForgetsRevisions, Promise::RevisionOrder),
-        (Defect::HoldsRevisions, Promise::Adoption),
-        (Defect::AcceptsAll, Promise::OneWinner),
-        (Defect::KeepsKeys, Promise::Revocation),
-        (Defect::LeaksKeys, Promise::KeySecrecy),
-        (Defect::GrantsAll, Promise::Quota),
-        (Defect::RefusesSome, Promise::Quota),
-        (Defect::HedgesAlways, Promise::SecondSends),
-        (Defect::HidesRetirements, Promise::Drain),
-        (Defect::LyingDisks, Promise::Durability),
-        (Defect::StaysDown, Promise::Recovery),
+    /// Every defect with the guarantee that it breaks.
+    pub const ALL: [(Defect, Guarantee); 16] = [
+        (Defect::SendsTwice, Guarantee::AtMostOnce),
+        (Defect::DeniesRuns, Guarantee::NotRunTruth),
+        (Defect::SwapsAnswers, Guarantee::AnswerIdentity),
+        (Defect::HidesTruncation, Guarantee::CompleteAnswers),
+        (Defect::SkipsChunks, Guarantee::StreamContinuity),
+        (Defect::ForgetsRevisions, Guarantee::RevisionOrder),
+        (Defect::HoldsRevisions, Guarantee::Adoption),
+        (Defect::AcceptsAll, Guarantee::OneWinner),
+        (Defect::KeepsKeys, Guarantee::Revocation),
+        (Defect::LeaksKeys, Guarantee::KeySecrecy),
+        (Defect::GrantsAll, Guarantee::Quota),
+        (Defect::RefusesSome, Guarantee::Quota),
+        (Defect::HedgesAlways, Guarantee::SecondSends),
+        (Defect::HidesRetirements, Guarantee::Drain),
+        (Defect::IgnoredSyncs, Guarantee::Durability),
+        (Defect::StaysDown, Guarantee::Recovery),
     ];
 }
--- a/crates/simulation/src/world/draws.rs
+++ b/crates/simulation/src/world/draws.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 
 use crate::scenario::{
-    AnswerFault, Choice, CutSense, DiskFault, Draw, Fault, FaultClass, RollKind, Target,
+    AnswerFault, Choice, DiskFault, Draw, Fault, FaultClass, PartitionDirection, RollKind, Target,
     TargetKind, TimedFault,
 };
 use crate::world::site::Site;
@@ -40,8 +40,8 @@
 
     fn draw_fault(&mut self, class: FaultClass) -> Fault {
         match class {
-            FaultClass::Fronts => self.draw_front_fault(),
-            FaultClass::Cores => self.draw_core_fault(),
+            FaultClass::ProxyNodes => self.draw_proxy_node_fault(),
+            FaultClass::ControlNodes => self.draw_control_node_fault(),
             FaultClass::Network => self.draw_network_fault(),
             FaultClass::Disks => self.draw_disk_fault(),
             FaultClass::Clocks => self.draw_clock_fault(),
@@ -51,8 +51,8 @@
         }
     }
 
-    fn draw_front_fault(&mut self) -> Fault {
-        let kinds = [TargetKind::Front, TargetKind::Agent, TargetKind::Proxy];
+    fn draw_proxy_node_fault(&mut self) -> Fault {
+        let kinds = [TargetKind::ProxyNode, TargetKind::Agent, TargetKind::Proxy];
         let kind = kinds[self.random.random_range(0..kinds.len())];
         match self.random.random_range(0..8) {
             0..4 => Fault::Kill {
@@ -64,7 +64,7 @@
                 length: self.draw_length(LONG_MILLIS),
             },
             6 => Fault::Roll {
-                kind: RollKind::Fronts,
+                kind: RollKind::ProxyNodes,
             },
             _ => Fault::Kill {
                 target: all(kind),
@@ -73,8 +73,8 @@
         }
     }
 
-    fn draw_core_fault(&mut self) -> Fault {
-        let target = self.draw_core();
+    fn draw_control_node_fault(&mut self) -> Fault {
+        let target = self.draw_control_node();
         match self.random.random_range(0..10) {
             0..3 => Fault::Kill {
                 target,
@@ -93,44 +93,48 @@
                 down: self.draw_length(SHORT_MILLIS),
             },
             8 => Fault::Roll {
-                kind: RollKind::Cores,
+                kind: RollKind::ControlNodes,
             },
             _ => Fault::Kill {
-                target: all(TargetKind::Core),
+                target: all(TargetKind::ControlNode),
                 down: self.draw_length(SHORT_MILLIS),
             },
         }
     }
 
-    fn draw_core(&mut self) -> Target {
+    fn draw_control_node(&mut self) -> Target {
         let choice = match self.random.random_bool(0.4) {
             true => Choice::Leader,
             false => Choice::Any,
         };
         Target {
-            kind: TargetKind::Core,
+            kind: TargetKind::ControlNode,
             choice,
         }
     }
 
     fn draw_network_fault(&mut self) -> Fault {
         let target = match self.random.random_bool(0.6) {
-            true => self.draw_core(),
-            false => Target::any(TargetKind::Front),
+            true => self.draw_control_node(),
+            false => Target::any(TargetKind::ProxyNode),
         };
-        let senses = [CutSense::Both, CutSense::Outward, CutSense::Inward];
-        let sense = senses[self.random.random_range(0..senses.len())];
+        let directions = [
+            PartitionDirection::Both,
+            PartitionDirection::Outward,
+            PartitionDirection::Inward,
+        ];
+        let direction = directions[self.random.random_range(0..directions.len())];
         match self.random.random_range(0..6) {
-            0..3 => Fault::Cut {
+            0..3 => Fault::Partition {
                 target,
                 from: None,
-                sense,
+                direction,
                 length: self.draw_length(LONG_MILLIS),
             },
-            3..5 => Fault::Cut {
+            3..5 => Fault::Partition {
                 target,
-                from: Some(Target::any(TargetKind::Core)),
-                sense,
+                from: Some(Target::any(TargetKind::ControlNode)),
+                direction,
                 length: self.draw_length(LONG_MILLIS),
             },
             _ => Fault::Reset { target },
@@ -145,14 +149,18 @@
             _ => DiskFault::FailingSync,
         };
         Fault::Disk {
-            target: self.draw_core(),
+            target: self.draw_control_node(),
             fault,
             length: self.draw_length(MIDDLE_MILLIS),
         }
     }
 
     fn draw_clock_fault(&mut self) -> Fault {
-        let kinds = [TargetKind::Core, TargetKind::Agent, TargetKind::Proxy];
+        let kinds = [
+            TargetKind::ControlNode,
+            TargetKind::Agent,
+            TargetKind::Proxy,
+        ];
         let kind = kinds[self.random.random_range(0..kinds.len())];
         let target = Target::any(kind);
         Fault::ClockDrift {
@@ -180,7 +188,7 @@
             5 => Fault::Roll {
                 kind: RollKind::Models,
             },
-            6 => Fault::RegistryStill {
+            6 => Fault::FrozenRegistry {
                 length: self.draw_length(MIDDLE_MILLIS),
             },
             _ => {
@@ -241,15 +249,15 @@
             target,
             length: length.min(left),
         },
-        Fault::Cut {
+        Fault::Partition {
             target,
             from,
-            sense,
+            direction,
             length,
-        } => Fault::Cut {
+        } => Fault::Partition {
             target,
             from,
-            sense,
+            direction,
             length: length.min(left),
         },
         Fault::Disk {
--- a/crates/simulation/src/world/event.rs
+++ b/crates/simulation/src/world/event.rs
@@ -1,6 +1,6 @@
 //! Events of the simulated site.
 
-use crate::history::{CallEnd, CallNumber, Piece};
+use crate::history::{Chunk, RequestEnd, RequestNumber};
 use crate::network::{Direction, LinkNumber, Packet, ProcessId};
 use crate::world::process_input::ProcessInput;
 
@@ -10,13 +10,16 @@
     /// A process gets an input.
     Input {
         process: ProcessId,
-        boot: u64,
+        incarnation: u64,
         input: ProcessInput,
     },
     /// A process may be free again.
-    Ready { process: ProcessId, boot: u64 },
+    Ready {
+        process: ProcessId,
+        incarnation: u64,
+    },
     /// A connection request reaches the other side.
-    Connect { link: LinkNumber, tries: u32 },
+    Connect { link: LinkNumber, attempts: u32 },
     /// The next message of a connection arrives.
     Arrive {
         link: LinkNumber,
@@ -25,7 +28,7 @@
     /// A process sends what waited for its disk.
     SendLater {
         process: ProcessId,
-        boot: u64,
+        incarnation: u64,
         link: LinkNumber,
         packet: Box<Packet>,
     },
@@ -34,25 +37,28 @@
     /// A fault of the scenario or of a draw begins.
     FaultBegins { fault: usize },
     /// A running fault ends.
-    FaultEnds { running: u32 },
+    FaultEnds { active: u32 },
     /// A caller sends its next request.
     CallerSends { lookup: bool },
     /// A caller sends a request again.
-    CallerResends { call: CallNumber },
-    /// A piece or the end reaches a caller.
-    CallerHears {
-        call: CallNumber,
-        piece: Option<Piece>,
-        end: Option<(CallEnd, Option<u64>)>,
+    CallerResends { client_request: RequestNumber },
+    /// A chunk or the end reaches a caller.
+    CallerReceives {
+        client_request: RequestNumber,
+        chunk: Option<Chunk>,
+        end: Option<(RequestEnd, Option<u64>)>,
     },
-    /// A caller's patience is over.
-    CallerTiresOf { call: CallNumber },
+    /// A caller gives up waiting.
+    CallerTimeout { client_request: RequestNumber },
     /// An operator works on an order or a read.
     Operator(OperatorEvent),
     /// The registry's list changes.
     Registry(RegistryEvent),
     /// Each control node reads the registry.
-    ReadRegistry { process: ProcessId, boot: u64 },
+    ReadRegistry {
+        process: ProcessId,
+        incarnation: u64,
+    },
 }
 
 /// Events of operators.
@@ -65,7 +71,7 @@
     /// An answer arrives.
     Answer { request: u64 },
     /// No answer came.
-    TimeUp { request: u64 },
+    Timeout { request: u64 },
     /// Every accepted order is sent again.
     ResendAll,
 }
@@ -75,8 +81,8 @@
 pub enum RegistryEvent {
     /// A backend registers.
     Register { backend: u16 },
-    /// The list notices that a backend is gone.
+    /// The list drops a backend that vanished.
     Remove { backend: u16 },
-    /// A retired backend leaves.
-    Leave { backend: u16 },
+    /// A retired backend shuts down.
+    ShutDown { backend: u16 },
 }
--- a/crates/simulation/src/world/exchange_driver.rs
+++ b/crates/simulation/src/world/exchange_driver.rs
@@ -3,7 +3,7 @@
 use millford_proxy::request::message::{BackendRequest, DispatchError};
 use rand::Rng;
 
-use crate::history::{BackendNumber, CallNumber, FrontNumber, Record};
+use crate::history::{BackendNumber, ProxyNodeNumber, Record, RequestNumber};
 use crate::network::{HttpPacket, LinkNumber, LinkState, Packet, ProcessId};
 use crate::world::backend_driver::attempt_number;
 use crate::world::callers::key_text;
@@ -15,7 +15,7 @@
 use crate::world::site::Site;
 
 impl Site {
-    /// A connection to a backend is open: the request leaves.
+    /// A connection to a backend is open: the request is sent.
     pub fn backend_link_opened(&mut self, number: u16, link: LinkNumber) {
         let Some(proxy) = self.proxies.get_mut(&number) else {
             return;
@@ -23,12 +23,13 @@
         let packet = match proxy.backends.get(&link) {
             Some(BackendLink::Dispatch {
                 exchange,
-                call,
+                client_request,
                 request,
             }) => {
-                let (exchange, call, request) = (*exchange, *call, request.clone());
-                self.request_leaves(number, exchange, call, &request);
-                let request = self.spoil_request(call, request);
+                let (exchange, client_request, request) =
+                    (*exchange, *client_request, request.clone());
+                self.request_leaves(number, exchange, client_request, &request);
+                let request = self.spoil_request(client_request, request);
                 HttpPacket::Request(request)
             }
             Some(BackendLink::Withdraw { attempt, age, .. }) => HttpPacket::Withdraw {
@@ -47,31 +48,31 @@
         &mut self,
         number: u16,
         exchange: u64,
-        call: CallNumber,
+        client_request: RequestNumber,
         request: &BackendRequest,
     ) {
         let Some(proxy) = self.proxies.get_mut(&number) else {
             return;
         };
-        if let Some(core) = proxy.core.as_ref()
+        if let Some(running) = proxy.running.as_ref()
             && let Some(ExchangeWaiter::Head { sent, .. }) =
-                lock(&core.port).exchanges.get(&exchange)
+                lock(&running.port).exchanges.get(&exchange)
         {
             sent.set();
         }
-        let second = !proxy.sent.insert(call);
+        let second = !proxy.sent.insert(client_request);
         self.record(Record::Dispatched {
-            call,
+            client_request,
             attempt: attempt_number(&request.attempt),
-            front: FrontNumber(number),
+            proxy_node: ProxyNodeNumber(number),
             backend: BackendNumber(backend_at(&request.address).unwrap_or(0)),
             second,
         });
-        self.send_twice(number, call, request);
+        self.send_twice(number, client_request, request);
     }
 
     // Planted defects: the same request goes to a second backend as well.
-    fn send_twice(&mut self, number: u16, call: CallNumber, request: &BackendRequest) {
+    fn send_twice(&mut self, number: u16, client_request: RequestNumber, request: &BackendRequest) {
         let lookup = request.body.is_empty();
         let planted = match self.options.defect {
             Some(Defect::SendsTwice) => !lookup,
@@ -91,18 +92,18 @@
         let mut again = request.clone();
         again.attempt = format!("{}-again", request.attempt);
         let process = ProcessId::Proxy(number);
-        let boot = self.boot_of(process);
+        let incarnation = self.incarnation_of(process);
         let backend = ProcessId::Backend(other);
-        let link = self.links.connect(process, boot, backend);
-        let acceptor_boot = self.boot_of(backend);
+        let link = self.links.connect(process, incarnation, backend);
+        let acceptor_incarnation = self.incarnation_of(backend);
         if let Some(it) = self.links.get_mut(link) {
             it.state = LinkState::Open;
-            it.acceptor_boot = acceptor_boot;
+            it.acceptor_incarnation = acceptor_incarnation;
         }
         self.record(Record::Dispatched {
-            call,
+            client_request,
             attempt: attempt_number(&again.attempt),
-            front: FrontNumber(number),
+            proxy_node: ProxyNodeNumber(number),
             backend: BackendNumber(other),
             second: true,
         });
@@ -114,11 +115,11 @@
     // A planted defect: the key goes along with the request.
     fn spoil_request(
         &self,
-        call: CallNumber,
+        client_request: RequestNumber,
         mut request: Box<BackendRequest>,
     ) -> Box<BackendRequest> {
         if self.options.defect == Some(Defect::LeaksKeys)
-            && let Some(open) = self.callers.calls.get(&call)
+            && let Some(open) = self.callers.open_requests.get(&client_request)
         {
             request.stage = key_text(open.sent.key);
         }
@@ -157,10 +158,10 @@
     }
 
     fn exchange_breaks(&mut self, number: u16, exchange: u64) {
-        let Some(core) = self.proxies.get(&number).and_then(|it| it.core.as_ref()) else {
+        let Some(running) = self.proxies.get(&number).and_then(|it| it.running.as_ref()) else {
             return;
         };
-        let waiter = lock(&core.port).exchanges.remove(&exchange);
+        let waiter = lock(&running.port).exchanges.remove(&exchange);
         if let Some(ExchangeWaiter::Head { head, sent, .. }) = waiter {
             let error = match sent.is_set() {
                 true => DispatchError::Lost,
@@ -185,10 +186,10 @@
             ) => *exchange,
             None => return,
         };
-        let Some(core) = proxy.core.as_ref() else {
+        let Some(running) = proxy.running.as_ref() else {
             return;
         };
-        let mut port = lock(&core.port);
+        let mut port = lock(&running.port);
         let Some(waiter) = port.exchanges.remove(&exchange) else {
             return;
         };
@@ -226,9 +227,9 @@
             let _ = parts.unbounded_send(AnswerPart::Finish);
             Some(ExchangeWaiter::Parts(parts))
         }
-        (ExchangeWaiter::Withdrawal(asker), HttpPacket::WithdrawAnswer(answer)) => {
-            if let Some(asker) = asker {
-                let _ = asker.send(answer);
+        (ExchangeWaiter::Withdrawal(requester), HttpPacket::WithdrawAnswer(answer)) => {
+            if let Some(requester) = requester {
+                let _ = requester.send(answer);
             }
             None
         }
--- a/crates/simulation/src/world/fault_driver.rs
+++ b/crates/simulation/src/world/fault_driver.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use crate::disk::DiskCondition;
-use crate::history::{FrontNumber, Record};
+use crate::history::{ProxyNodeNumber, Record};
 use crate::network::{MachineId, ProcessId};
-use crate::scenario::{Choice, CutSense, DiskFault, Fault, Target, TargetKind};
+use crate::scenario::{Choice, DiskFault, Fault, PartitionDirection, Target, TargetKind};
+use crate::world::active_faults::{ActiveFault, Undo};
 use crate::world::event::Event;
-use crate::world::fault_book::{RunningFault, Undo};
 use crate::world::process_input::ProcessInput;
 use crate::world::site::Site;
 
@@ -28,7 +28,7 @@
 
     pub(super) fn plan_fault(&mut self, delay: Duration, fault: Fault) {
         let fault = self.faults.plan(fault);
-        self.after(delay, Event::FaultBegins { fault });
+        self.schedule_after(delay, Event::FaultBegins { fault });
     }
 
     /// A planned fault begins.
@@ -37,18 +37,18 @@
             return;
         };
         let now = self.now();
-        self.recorder.note(now, || format!("FAULT {fault:?}"));
+        self.recorder.log(now, || format!("FAULT {fault:?}"));
         match fault {
             Fault::Kill { target, down } => self.kill(target, down),
             Fault::Wipe { target, down } => self.wipe(target, down),
             Fault::Replace { target, down } => self.replace(target, down),
             Fault::Freeze { target, length } => self.freeze(target, length),
-            Fault::Cut {
+            Fault::Partition {
                 target,
                 from,
-                sense,
+                direction,
                 length,
-            } => self.cut(target, from, sense, length),
+            } => self.partition(target, from, direction, length),
             Fault::Reset { target } => self.reset(target),
             Fault::Disk {
                 target,
@@ -65,17 +65,17 @@
                 }
             }
             Fault::Answers { fault, length } => {
-                self.faults.spoil_answers(fault);
-                self.run_fault(vec![Undo::AnswersRight(fault)], Vec::new(), length);
+                self.faults.add_answer_fault(fault);
+                self.begin_fault(vec![Undo::CorrectAnswers(fault)], Vec::new(), length);
             }
-            Fault::RegistryStill { length } => {
-                self.still_registry(true);
-                self.run_fault(vec![Undo::RegistryMoves], Vec::new(), length);
+            Fault::FrozenRegistry { length } => {
+                self.freeze_registry(true);
+                self.begin_fault(vec![Undo::UnfreezeRegistry], Vec::new(), length);
             }
             Fault::Race => self.race_operators(),
             Fault::LostAnswers { length } => {
-                self.operators.losing += 1;
-                self.run_fault(vec![Undo::AnswersKept], Vec::new(), length);
+                self.operators.lost_reply_faults += 1;
+                self.begin_fault(vec![Undo::DeliverReplies], Vec::new(), length);
             }
             Fault::Revoke => {
                 self.new_order(true);
@@ -83,32 +83,32 @@
             Fault::Burst { times, length } => {
                 let times = times.max(1);
                 self.callers.burst *= times;
-                self.run_fault(vec![Undo::BurstOver(times)], Vec::new(), length);
+                self.begin_fault(vec![Undo::EndBurst(times)], Vec::new(), length);
             }
             Fault::HotTenant { length } => {
-                self.callers.hot += 1;
-                self.run_fault(vec![Undo::TenantCool], Vec::new(), length);
+                self.callers.hot_tenant_faults += 1;
+                self.begin_fault(vec![Undo::EndHotTenant], Vec::new(), length);
             }
             Fault::Roll { kind } => self.roll(kind),
             Fault::Orders { count } => {
-                self.operators.queued += count.saturating_sub(1);
+                self.operators.queued_orders += count.saturating_sub(1);
                 self.new_order(false);
             }
         }
     }
 
-    fn run_fault(&mut self, undo: Vec<Undo>, machines: Vec<MachineId>, length: Duration) {
-        let fault = self.faults.begin(RunningFault {
+    fn begin_fault(&mut self, undo: Vec<Undo>, machines: Vec<MachineId>, length: Duration) {
+        let fault = self.faults.begin(ActiveFault {
             undo,
             machines: machines.clone(),
         });
         self.record(Record::FaultBegan { fault, machines });
-        self.after(length, Event::FaultEnds { running: fault });
+        self.schedule_after(length, Event::FaultEnds { active: fault });
     }
 
     /// A running fault ends: its machines are back.
-    pub fn fault_ends(&mut self, running: u32) {
-        let Some(fault) = self.faults.running.remove(&running) else {
+    pub fn fault_ends(&mut self, active: u32) {
+        let Some(fault) = self.faults.active.remove(&active) else {
             return;
         };
         for undo in &fault.undo {
@@ -116,7 +116,7 @@
         }
         let machines = fault.machines;
         self.record(Record::FaultEnded {
-            fault: running,
+            fault: active,
             machines,
         });
     }
@@ -125,17 +125,25 @@
         match undo {
             Undo::Start(process) => {
                 self.start_process(process);
-                self.backend_returns(process);
+                self.backend_available(process);
             }
             Undo::MachineUp(machine) => self.faults.machine_up(machine),
             Undo::Thaw(process) => self.thaw(process),
-            Undo::Heal(from, to) => self.cuts.heal(from, to),
-            Undo::DiskWell { core, restart } => self.disk_is_well(core, restart),
-            Undo::AnswersRight(fault) => self.faults.right_answers(fault),
-            Undo::RegistryMoves => self.still_registry(false),
-            Undo::AnswersKept => self.operators.losing = self.operators.losing.saturating_sub(1),
-            Undo::BurstOver(times) => self.callers.burst = (self.callers.burst / times).max(1),
-            Undo::TenantCool => self.callers.hot = self.callers.hot.saturating_sub(1),
+            Undo::Heal(from, to) => self.partitions.heal(from, to),
+            Undo::RestoreDisk {
+                control_node,
+                restart,
+            } => self.restore_disk(control_node, restart),
+            Undo::CorrectAnswers(fault) => self.faults.remove_answer_fault(fault),
+            Undo::UnfreezeRegistry => self.freeze_registry(false),
+            Undo::DeliverReplies => {
+                self.operators.lost_reply_faults =
+                    self.operators.lost_reply_faults.saturating_sub(1)
+            }
+            Undo::EndBurst(times) => self.callers.burst = (self.callers.burst / times).max(1),
+            Undo::EndHotTenant => {
+                self.callers.hot_tenant_faults = self.callers.hot_tenant_faults.saturating_sub(1)
+            }
         }
     }
 
@@ -143,17 +151,17 @@
         let processes = self.resolve(target);
         let mut undo = Vec::new();
         for process in &processes {
-            if self.boot_of(*process) == 0 {
+            if self.incarnation_of(*process) == 0 {
                 continue;
             }
             self.kill_process(*process, false);
-            self.backend_leaves(*process, true);
+            self.backend_unavailable(*process, true);
             undo.push(Undo::Start(*process));
         }
-        self.run_fault(undo, machines_of(&processes), down);
+        self.begin_fault(undo, machines_of(&processes), down);
     }
 
-    // Losing two disks before the first is made good again is beyond the promise: such a wipe
+    // Losing two disks before the first is made good again is beyond the guarantee: such a wipe
     // becomes a kill.
     fn wipe(&mut self, target: Target, down: Duration) {
         if !self.is_repaired() || target.choice == Choice::All {
@@ -170,15 +178,15 @@
             {
                 control.disk().wipe();
             }
-            self.backend_leaves(*process, true);
+            self.backend_unavailable(*process, true);
             undo.push(Undo::MachineUp(process.machine()));
             undo.push(Undo::Start(*process));
         }
-        self.run_fault(undo, machines_of(&processes), down);
+        self.begin_fault(undo, machines_of(&processes), down);
     }
 
     fn replace(&mut self, target: Target, down: Duration) {
-        if target.kind != TargetKind::Core {
+        if target.kind != TargetKind::ControlNode {
             self.kill(target, down);
             return;
         }
@@ -200,10 +208,10 @@
             }
             let next = self.controls.keys().next_back().map_or(1, |last| last + 1);
             self.add_control(next);
-            machines.push(MachineId::Core(next));
+            machines.push(MachineId::ControlNode(next));
             undo.push(Undo::Start(ProcessId::Control(next)));
         }
-        self.run_fault(undo, machines, down);
+        self.begin_fault(undo, machines, down);
     }
 
     fn freeze(&mut self, target: Target, length: Duration) {
@@ -213,10 +221,10 @@
             if let Some(state) = self.process_mut(*process) {
                 state.frozen += 1;
             }
-            self.backend_leaves(*process, false);
+            self.backend_unavailable(*process, false);
             undo.push(Undo::Thaw(*process));
         }
-        self.run_fault(undo, machines_of(&processes), length);
+        self.begin_fault(undo, machines_of(&processes), length);
     }
 
     fn thaw(&mut self, process: ProcessId) {
@@ -224,16 +232,28 @@
             return;
         };
         state.frozen = state.frozen.saturating_sub(1);
-        let boot = state.boot;
+        let incarnation = state.incarnation;
         if let ProcessId::Agent(number) | ProcessId::Proxy(number) = process {
-            let front = FrontNumber(number);
-            self.record(Record::FrontResumed { front });
+            let proxy_node = ProxyNodeNumber(number);
+            self.record(Record::ProxyNodeResumed { proxy_node });
         }
-        self.after(Duration::ZERO, Event::Ready { process, boot });
-        self.backend_returns(process);
+        self.schedule_after(
+            Duration::ZERO,
+            Event::Ready {
+                process,
+                incarnation,
+            },
+        );
+        self.backend_available(process);
     }
 
-    fn cut(&mut self, target: Target, from: Option<Target>, sense: CutSense, length: Duration) {
+    fn partition(
+        &mut self,
+        target: Target,
+        from: Option<Target>,
+        direction: PartitionDirection,
+        length: Duration,
+    ) {
         let machines = machines_of(&self.resolve(target));
         let others = match from {
             Some(from) => machines_of(&self.resolve(from)),
@@ -242,32 +262,38 @@
         let mut undo = Vec::new();
         for machine in &machines {
             for other in others.iter().filter(|other| *other != machine) {
-                if sense != CutSense::Inward {
+                if direction != PartitionDirection::Inward {
                     undo.push(Undo::Heal(*machine, *other));
                 }
-                if sense != CutSense::Outward {
+                if direction != PartitionDirection::Outward {
                     undo.push(Undo::Heal(*other, *machine));
                 }
             }
         }
-        for cut in &undo {
-            if let Undo::Heal(from, to) = cut {
-                self.cuts.cut(*from, *to);
+        for partition in &undo {
+            if let Undo::Heal(from, to) = partition {
+                self.partitions.partition(*from, *to);
             }
         }
         let mut disturbed = machines;
         if from.is_some() {
             disturbed.extend(others);
         }
-        self.run_fault(undo, disturbed, length);
+        self.begin_fault(undo, disturbed, length);
     }
 
     fn all_machines(&self) -> Vec<MachineId> {
-        let cores = self.controls.keys().map(|number| MachineId::Core(*number));
-        let fronts = self.proxies.keys().map(|number| MachineId::Front(*number));
+        let control_nodes = self
+            .controls
+            .keys()
+            .map(|number| MachineId::ControlNode(*number));
+        let proxy_nodes = self
+            .proxies
+            .keys()
+            .map(|number| MachineId::ProxyNode(*number));
         let backends = self.backends.keys();
         let backends = backends.map(|number| MachineId::Backend(*number));
-        let others = cores.chain(fronts).chain(backends);
+        let others = control_nodes.chain(proxy_nodes).chain(backends);
         others.chain([MachineId::Registry]).collect()
     }
 
@@ -276,7 +302,7 @@
         for process in &processes {
             self.reset_links(*process);
         }
-        self.run_fault(Vec::new(), machines_of(&processes), Duration::ZERO);
+        self.begin_fault(Vec::new(), machines_of(&processes), Duration::ZERO);
     }
 
     fn disk(&mut self, target: Target, fault: DiskFault, length: Duration) {
@@ -284,7 +310,7 @@
         let until = self.now() + length;
         let mut undo = Vec::new();
         for process in &processes {
-            let ProcessId::Control(core) = *process else {
+            let ProcessId::Control(control_node) = *process else {
                 continue;
             };
             let condition = match fault {
@@ -296,23 +322,26 @@
                 DiskFault::Full => DiskCondition::Full,
                 DiskFault::FailingSync => DiskCondition::FailingSync,
             };
-            if let Some(control) = self.controls.get(&core) {
+            if let Some(control) = self.controls.get(&control_node) {
                 control.disk().set_condition(condition);
             }
-            self.faults.stalls.insert(core, until);
+            self.faults.stalls.insert(control_node, until);
             let restart = fault == DiskFault::FailingSync;
-            undo.push(Undo::DiskWell { core, restart });
+            undo.push(Undo::RestoreDisk {
+                control_node,
+                restart,
+            });
         }
-        self.run_fault(undo, machines_of(&processes), length);
+        self.begin_fault(undo, machines_of(&processes), length);
     }
 
-    fn disk_is_well(&mut self, core: u16, restart: bool) {
-        if let Some(control) = self.controls.get(&core) {
+    fn restore_disk(&mut self, control_node: u16, restart: bool) {
+        if let Some(control) = self.controls.get(&control_node) {
             control.disk().set_condition(DiskCondition::Healthy);
         }
         if restart {
             // An operator changes the disk's cable and restarts the process.
-            let process = ProcessId::Control(core);
+            let process = ProcessId::Control(control_node);
             self.kill_process(process, false);
             self.start_process(process);
         }
@@ -327,12 +356,12 @@
                 continue;
             };
             state.clock.jump(now, micros);
-            let boot = state.boot;
+            let incarnation = state.incarnation;
             if matches!(process, ProcessId::Proxy(_)) {
-                self.give(*process, boot, ProcessInput::Timer);
+                self.deliver_input(*process, incarnation, ProcessInput::Timer);
             }
         }
-        self.run_fault(Vec::new(), machines_of(&processes), Duration::ZERO);
+        self.begin_fault(Vec::new(), machines_of(&processes), Duration::ZERO);
     }
 
     fn drift_clocks(&mut self, target: Target, ppm: i32) {
