--- a/crates/simulation/src/world/link_driver.rs
+++ b/crates/simulation/src/world/link_driver.rs
@@ -18,7 +18,7 @@
 const RETRANSMIT_MIN_MICROS: u64 = 100_000;
 const RETRANSMIT_MAX_MICROS: u64 = 400_000;
 const CONNECT_RETRY: Duration = Duration::from_secs(1);
-const CONNECT_TRIES: u32 = 4;
+const CONNECT_ATTEMPTS: u32 = 4;
 
 impl Site {
     /// Delay of one packet between two processes.
@@ -40,70 +40,76 @@
         Duration::from_micros(micros)
     }
 
-    /// Starts a connection; the connecting process hears `LinkOpened` or `LinkClosed`.
+    /// Starts a connection; the connecting process gets `LinkOpened` or `LinkClosed`.
     pub fn open_link(&mut self, connector: ProcessId, acceptor: ProcessId) -> LinkNumber {
-        let boot = self.boot_of(connector);
-        let link = self.links.connect(connector, boot, acceptor);
+        let incarnation = self.incarnation_of(connector);
+        let link = self.links.connect(connector, incarnation, acceptor);
         let delay = self.network_delay(connector, acceptor);
-        self.after(delay, Event::Connect { link, tries: 0 });
+        self.schedule_after(delay, Event::Connect { link, attempts: 0 });
         link
     }
 
     /// A connection request arrives, or would.
-    pub fn connection_arrives(&mut self, link: LinkNumber, tries: u32) {
+    pub fn connection_arrives(&mut self, link: LinkNumber, attempts: u32) {
         let Some(it) = self.links.get(link) else {
             return;
         };
         let (connector, acceptor) = (it.connector, it.acceptor);
-        let connector_boot = it.connector_boot;
+        let connector_incarnation = it.connector_incarnation;
         let passable = self
-            .cuts
+            .partitions
             .is_passable(connector.machine(), acceptor.machine());
         if !passable || self.is_machine_down(acceptor) {
-            self.retry_connection(link, tries);
+            self.retry_connection(link, attempts);
             return;
         }
-        let acceptor_boot = self.boot_of(acceptor);
+        let acceptor_incarnation = self.incarnation_of(acceptor);
         let delay = self.network_delay(acceptor, connector);
-        if acceptor_boot == 0 {
+        if acceptor_incarnation == 0 {
             self.links.remove(link);
-            self.tell_after(delay, connector, connector_boot, closed(link));
+            self.deliver_after(delay, connector, connector_incarnation, closed(link));
             return;
         }
         let opened_at = self.now() + delay;
         if let Some(it) = self.links.get_mut(link) {
             it.state = LinkState::Open;
-            it.acceptor_boot = acceptor_boot;
+            it.acceptor_incarnation = acceptor_incarnation;
             it.last_arrival = [self.queue.now(), opened_at];
         }
         let accepted = true;
-        self.give(
+        self.deliver_input(
             acceptor,
-            acceptor_boot,
+            acceptor_incarnation,
             ProcessInput::LinkOpened { link, accepted },
         );
         let accepted = false;
         let opened = ProcessInput::LinkOpened { link, accepted };
-        self.tell_after(delay, connector, connector_boot, opened);
+        self.deliver_after(delay, connector, connector_incarnation, opened);
     }
 
-    fn retry_connection(&mut self, link: LinkNumber, tries: u32) {
-        if tries + 1 < CONNECT_TRIES {
-            let tries = tries + 1;
-            self.after(CONNECT_RETRY, Event::Connect { link, tries });
+    fn retry_connection(&mut self, link: LinkNumber, attempts: u32) {
+        if attempts + 1 < CONNECT_ATTEMPTS {
+            let attempts = attempts + 1;
+            self.schedule_after(CONNECT_RETRY, Event::Connect { link, attempts });
             return;
         }
         if let Some(it) = self.links.remove(link) {
-            self.give(it.connector, it.connector_boot, closed(link));
+            self.deliver_input(it.connector, it.connector_incarnation, closed(link));
         }
     }
 
-    fn tell_after(&mut self, delay: Duration, process: ProcessId, boot: u64, input: ProcessInput) {
-        self.after(
+    fn deliver_after(
+        &mut self,
+        delay: Duration,
+        process: ProcessId,
+        incarnation: u64,
+        input: ProcessInput,
+    ) {
+        self.schedule_after(
             delay,
             Event::Input {
                 process,
-                boot,
+                incarnation,
                 input,
             },
         );
@@ -148,10 +154,10 @@
             return;
         };
         let (from, to) = (it.sender(direction), it.receiver(direction));
-        let boot = it.receiver_boot(direction);
-        if self.cuts.is_cut(from.machine(), to.machine()) {
+        let incarnation = it.receiver_incarnation(direction);
+        if self.partitions.is_partitioned(from.machine(), to.machine()) {
             let delay = self.retransmit_delay();
-            self.after(delay, Event::Arrive { link, direction });
+            self.schedule_after(delay, Event::Arrive { link, direction });
             return;
         }
         let Some(it) = self.links.get_mut(link) else {
@@ -160,23 +166,23 @@
         let Some(packet) = it.take(direction) else {
             return;
         };
-        if it.silent || it.closed_by == Some(to) {
+        if it.unresponsive || it.closed_by == Some(to) {
             return;
         }
         if matches!(packet, Packet::End) {
             self.links.remove(link);
-            self.give(to, boot, closed(link));
+            self.deliver_input(to, incarnation, closed(link));
             return;
         }
-        self.give(to, boot, ProcessInput::Packet { link, packet });
+        self.deliver_input(to, incarnation, ProcessInput::Packet { link, packet });
     }
 
-    /// One side closes; the other hears of it after what was sent before.
+    /// One side closes; the other receives the end after what was sent before.
     pub fn close_link(&mut self, process: ProcessId, link: LinkNumber) {
         let Some(it) = self.links.get(link) else {
             return;
         };
-        if it.state == LinkState::Connecting || it.silent {
+        if it.state == LinkState::Connecting || it.unresponsive {
             self.links.remove(link);
             return;
         }
@@ -188,30 +194,30 @@
         }
     }
 
-    /// A process ended: its connections end, in silence if its machine is lost.
-    pub fn end_links(&mut self, process: ProcessId, silent: bool) {
+    /// A process ended: its connections are closed, or stop responding if its machine is lost.
+    pub fn end_links(&mut self, process: ProcessId, unresponsive: bool) {
         for link in self.links.of_process(process) {
-            if !silent {
+            if !unresponsive {
                 self.close_link(process, link);
             } else if let Some(it) = self.links.get_mut(link) {
-                it.silent = true;
+                it.unresponsive = true;
             }
         }
     }
 
-    /// A machine is back after a silent loss: what arrives on its old connections is refused.
-    pub fn break_silent_links(&mut self, process: ProcessId) {
+    /// A machine that was lost is back: its old connections are reset.
+    pub fn reset_unresponsive_links(&mut self, process: ProcessId) {
         for link in self.links.of_process(process) {
-            let Some(it) = self.links.get(link).filter(|it| it.silent) else {
+            let Some(it) = self.links.get(link).filter(|it| it.unresponsive) else {
                 continue;
             };
             let direction = match it.connector == process {
                 true => Direction::Forward,
                 false => Direction::Backward,
             };
-            let (other, boot) = (it.receiver(direction), it.receiver_boot(direction));
+            let (other, incarnation) = (it.receiver(direction), it.receiver_incarnation(direction));
             self.links.remove(link);
-            self.give(other, boot, closed(link));
+            self.deliver_input(other, incarnation, closed(link));
         }
     }
 
@@ -225,12 +231,12 @@
                 continue;
             }
             let ends = [
-                (it.connector, it.connector_boot),
-                (it.acceptor, it.acceptor_boot),
+                (it.connector, it.connector_incarnation),
+                (it.acceptor, it.acceptor_incarnation),
             ];
             self.links.remove(link);
-            for (end, boot) in ends {
-                self.give(end, boot, closed(link));
+            for (end, incarnation) in ends {
+                self.deliver_input(end, incarnation, closed(link));
             }
         }
     }
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -1,5 +1,6 @@
-//! The simulated site: machines, processes, stand-ins, faults and the loop over events.
+//! The simulated site: machines, processes, simulated parts, faults and the loop over events.
 
+pub mod active_faults;
 pub mod agent_driver;
 pub mod agent_link_driver;
 pub mod agent_process;
@@ -14,7 +15,6 @@
 pub mod draws;
 pub mod event;
 pub mod exchange_driver;
-pub mod fault_book;
 pub mod fault_driver;
 pub mod link_driver;
 pub mod operator_driver;
--- a/crates/simulation/src/world/operator_driver.rs
+++ b/crates/simulation/src/world/operator_driver.rs
@@ -10,16 +10,16 @@
 use crate::network::ProcessId;
 use crate::world::defect::Defect;
 use crate::world::event::{Event, OperatorEvent};
-use crate::world::operators::{OperatorCall, Order, mark_of_document};
+use crate::world::operators::{Order, PendingReply, mark_of_document};
 use crate::world::process_input::ProcessInput;
 use crate::world::site::Site;
 
 const FIRST_ORDER: Duration = Duration::from_millis(1500);
 const READ_EVERY: Duration = Duration::from_millis(700);
-const ANSWER_PATIENCE: Duration = Duration::from_secs(6);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(6);
 const RETRY_AFTER: Duration = Duration::from_millis(200);
 const CLOSING_TIME: Duration = Duration::from_secs(4);
-const MAX_TRIES: u32 = 60;
+const MAX_ATTEMPTS: u32 = 60;
 const LOST_ANSWER_SHARE: f64 = 0.7;
 const REVOKING_SHARE: f64 = 0.15;
 const OPERATOR_DELAY_MICROS: std::ops::Range<u64> = 200..2_000;
@@ -27,10 +27,10 @@
 impl Site {
     /// Starts the operators.
     pub fn start_operators(&mut self) {
-        self.after(FIRST_ORDER, Event::Operator(OperatorEvent::NextOrder));
-        self.after(READ_EVERY, Event::Operator(OperatorEvent::NextRead));
+        self.schedule_after(FIRST_ORDER, Event::Operator(OperatorEvent::NextOrder));
+        self.schedule_after(READ_EVERY, Event::Operator(OperatorEvent::NextRead));
         let closing = self.scenario.duration.saturating_sub(CLOSING_TIME);
-        self.after(closing, Event::Operator(OperatorEvent::ResendAll));
+        self.schedule_after(closing, Event::Operator(OperatorEvent::ResendAll));
     }
 
     /// An event of the operators.
@@ -38,32 +38,32 @@
         match event {
             OperatorEvent::NextOrder => self.next_order(),
             OperatorEvent::NextRead => {
-                self.after(READ_EVERY, Event::Operator(OperatorEvent::NextRead));
+                self.schedule_after(READ_EVERY, Event::Operator(OperatorEvent::NextRead));
                 self.send_operator_request(None, 1);
             }
             OperatorEvent::Answer { request } => self.operator_answer(request),
-            OperatorEvent::TimeUp { request } => self.operator_time_up(request),
+            OperatorEvent::Timeout { request } => self.operator_timeout(request),
             OperatorEvent::ResendAll => self.resend_all(),
         }
     }
 
     fn next_order(&mut self) {
         let every = self.callers.workload.order_every;
-        if self.operators.closing {
+        if self.operators.resending_accepted {
             return;
         }
-        let first = self.operators.known.0 == 0;
+        let first = self.operators.newest_known.0 == 0;
         if first {
             // Until the first order is accepted there is nothing to build on.
-            self.after(FIRST_ORDER, Event::Operator(OperatorEvent::NextOrder));
+            self.schedule_after(FIRST_ORDER, Event::Operator(OperatorEvent::NextOrder));
         } else if !every.is_zero() {
-            self.after(every, Event::Operator(OperatorEvent::NextOrder));
+            self.schedule_after(every, Event::Operator(OperatorEvent::NextOrder));
         }
         let waiting = self
             .operators
-            .calls
+            .pending_replies
             .values()
-            .any(|call| call.order.is_some());
+            .any(|client_request| client_request.order.is_some());
         if first && waiting {
             return;
         }
@@ -74,7 +74,7 @@
     /// An operator builds an order on the newest revision that it knows, and sends it.
     pub fn new_order(&mut self, revokes: bool) -> OrderNumber {
         let tenant = self.random.random_range(0..self.topology.tenants.max(1));
-        let (base, draft) = self.operators.known.clone();
+        let (base, draft) = self.operators.newest_known.clone();
         let order = self
             .operators
             .new_order(base, &draft, revokes.then_some(tenant));
@@ -88,14 +88,16 @@
         self.new_order(false);
     }
 
-    fn send_operator_request(&mut self, order: Option<OrderNumber>, tries: u32) {
+    fn send_operator_request(&mut self, order: Option<OrderNumber>, attempts: u32) {
         let request = self.operators.next_request();
-        let call = OperatorCall {
+        let client_request = PendingReply {
             order,
             sent: self.now(),
-            tries,
+            attempts,
         };
-        self.operators.calls.insert(request, call);
+        self.operators
+            .pending_replies
+            .insert(request, client_request);
         let body = match order.and_then(|order| self.operators.orders.get(&order)) {
             Some(order) => {
                 let (number, base) = (order.number, order.base);
@@ -110,24 +112,24 @@
         };
         let process = self.draw_control();
         let delay = self.operator_delay();
-        let boot = self.boot_of(process);
-        if boot == 0 {
-            self.after(delay, Event::Operator(OperatorEvent::TimeUp { request }));
+        let incarnation = self.incarnation_of(process);
+        if incarnation == 0 {
+            self.schedule_after(delay, Event::Operator(OperatorEvent::Timeout { request }));
             return;
         }
         let body = Box::new(body);
         let input = ProcessInput::Operator { request, body };
-        self.after(
+        self.schedule_after(
             delay,
             Event::Input {
                 process,
-                boot,
+                incarnation,
                 input,
             },
         );
-        self.after(
-            ANSWER_PATIENCE,
-            Event::Operator(OperatorEvent::TimeUp { request }),
+        self.schedule_after(
+            REPLY_TIMEOUT,
+            Event::Operator(OperatorEvent::Timeout { request }),
         );
     }
 
@@ -146,28 +148,30 @@
         let Some(reply) = self.operators.take_answer(request) else {
             return;
         };
-        if self.operators.losing > 0 && self.random.random_bool(LOST_ANSWER_SHARE) {
-            // The connection broke: the operator asks elsewhere after a moment.
-            self.after(
+        if self.operators.lost_reply_faults > 0 && self.random.random_bool(LOST_ANSWER_SHARE) {
+            // The connection broke: the operator tries another node after a moment.
+            self.schedule_after(
                 RETRY_AFTER,
-                Event::Operator(OperatorEvent::TimeUp { request }),
+                Event::Operator(OperatorEvent::Timeout { request }),
             );
             return;
         }
-        let Some(call) = self.operators.calls.remove(&request) else {
+        let Some(client_request) = self.operators.pending_replies.remove(&request) else {
             return;
         };
-        match call.order {
-            Some(order) => self.order_answered(order, call.tries, &reply),
-            None => self.read_answered(&call, &reply),
+        match client_request.order {
+            Some(order) => self.order_answered(order, client_request.attempts, &reply),
+            None => self.read_answered(&client_request, &reply),
         }
     }
 
-    fn operator_time_up(&mut self, request: u64) {
-        let Some(call) = self.operators.calls.remove(&request) else {
+    fn operator_timeout(&mut self, request: u64) {
+        let Some(client_request) = self.operators.pending_replies.remove(&request) else {
+            return;
+        };
+        let Some(number) = client_request.order else {
             return;
         };
-        let Some(number) = call.order else { return };
         let Some(order) = self.operators.orders.get(&number) else {
             return;
         };
@@ -177,16 +181,16 @@
             base,
             answer: OrderAnswer::Undecided,
         });
-        self.retry_order(number, call.tries);
+        self.retry_order(number, client_request.attempts);
     }
 
-    fn retry_order(&mut self, order: OrderNumber, tries: u32) {
-        if tries < MAX_TRIES {
-            self.send_operator_request(Some(order), tries + 1);
+    fn retry_order(&mut self, order: OrderNumber, attempts: u32) {
+        if attempts < MAX_ATTEMPTS {
+            self.send_operator_request(Some(order), attempts + 1);
         }
     }
 
-    fn order_answered(&mut self, number: OrderNumber, tries: u32, reply: &OperatorReply) {
+    fn order_answered(&mut self, number: OrderNumber, attempts: u32, reply: &OperatorReply) {
         let Some(order) = self.operators.orders.get(&number).cloned() else {
             return;
         };
@@ -201,15 +205,17 @@
             OrderAnswer::Undecided => {
                 // The same order goes to another node.
                 let request = self.operators.next_request();
-                let call = OperatorCall {
+                let client_request = PendingReply {
                     order: Some(number),
                     sent: self.now(),
-                    tries,
+                    attempts,
                 };
-                self.operators.calls.insert(request, call);
-                self.after(
+                self.operators
+                    .pending_replies
+                    .insert(request, client_request);
+                self.schedule_after(
                     RETRY_AFTER,
-                    Event::Operator(OperatorEvent::TimeUp { request }),
+                    Event::Operator(OperatorEvent::Timeout { request }),
                 );
             }
             OrderAnswer::Conflict { .. } | OrderAnswer::Refused(_) => {}
@@ -259,17 +265,17 @@
             known.key = *new;
             known.old_key = Some(key);
         }
-        if revision > self.operators.known.0 {
-            self.operators.known = (revision, order.draft.clone());
+        if revision > self.operators.newest_known.0 {
+            self.operators.newest_known = (revision, order.draft.clone());
         }
         self.operators.orders.insert(order.number, order);
-        if self.operators.queued > 0 && !self.operators.closing {
-            self.operators.queued -= 1;
+        if self.operators.queued_orders > 0 && !self.operators.resending_accepted {
+            self.operators.queued_orders -= 1;
             self.new_order(false);
         }
     }
 
-    fn read_answered(&mut self, call: &OperatorCall, reply: &OperatorReply) {
+    fn read_answered(&mut self, client_request: &PendingReply, reply: &OperatorReply) {
         let OperatorReply::Config(config) = reply else {
             return;
         };
@@ -277,30 +283,30 @@
         self.record(Record::RevisionRead {
             revision: config.revision,
             digest: u64::from(mark),
-            sent: call.sent,
+            sent: client_request.sent,
         });
         self.learn_revision(config.revision, mark);
     }
 
     // Operators that lost a race, or an answer, build on what they read.
     fn learn_revision(&mut self, revision: u64, mark: u32) {
-        if revision <= self.operators.known.0 {
+        if revision <= self.operators.newest_known.0 {
             return;
         }
         let order = OrderNumber(u64::from(mark));
         if let Some(order) = self.operators.orders.get(&order) {
-            self.operators.known = (revision, order.draft.clone());
+            self.operators.newest_known = (revision, order.draft.clone());
         }
     }
 
     /// At the end every accepted order is sent again: each must be acknowledged with its number.
     fn resend_all(&mut self) {
-        self.operators.closing = true;
+        self.operators.resending_accepted = true;
         let orders = self.operators.orders.values();
         let accepted = orders.filter(|order| order.accepted.is_some());
         let numbers: Vec<OrderNumber> = accepted.map(|order| order.number).collect();
         for number in numbers {
-            self.send_operator_request(Some(number), MAX_TRIES);
+            self.send_operator_request(Some(number), MAX_ATTEMPTS);
         }
     }
 }
--- a/crates/simulation/src/world/operators.rs
+++ b/crates/simulation/src/world/operators.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for operators: the documents that they build and the orders under way.
+//! Simulated operators: the documents that they build and the orders under way.
 
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
 const HEDGE_MS: u32 = 600;
 const DRAIN_MS: u32 = 2_000;
 
-/// What a document holds that orders change: the keys of each tenant, and a mark.
+/// What a document holds that orders change: the keys of each tenant, and a serial number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Draft {
     /// Serial numbers of the keys, by tenant.
@@ -46,13 +46,13 @@
 
 /// A request to a control node that is under way.
 #[derive(Clone, Copy, Debug)]
-pub struct OperatorCall {
+pub struct PendingReply {
     /// The order, or a read.
     pub order: Option<OrderNumber>,
     /// When it was sent.
     pub sent: MonotonicTime,
     /// How often it was tried.
-    pub tries: u32,
+    pub attempts: u32,
 }
 
 /// All operators.
@@ -62,17 +62,17 @@
     /// Orders by number.
     pub orders: BTreeMap<OrderNumber, Order>,
     /// Requests under way.
-    pub calls: BTreeMap<u64, OperatorCall>,
+    pub pending_replies: BTreeMap<u64, PendingReply>,
     /// Answers that are on their way.
     answers: BTreeMap<u64, OperatorReply>,
     /// The newest revision that operators know, and what it holds.
-    pub known: (u64, Draft),
+    pub newest_known: (u64, Draft),
     /// Number of faults that lose answers.
-    pub losing: u32,
+    pub lost_reply_faults: u32,
     /// Orders still to be sent without a pause.
-    pub queued: u32,
+    pub queued_orders: u32,
     /// Whether accepted orders are being sent again.
-    pub closing: bool,
+    pub resending_accepted: bool,
     next_request: u64,
     next_key: u32,
 }
@@ -87,12 +87,12 @@
             topology,
             workload: scenario.workload,
             orders: BTreeMap::new(),
-            calls: BTreeMap::new(),
+            pending_replies: BTreeMap::new(),
             answers: BTreeMap::new(),
-            known: (0, Draft { keys, mark: 0 }),
-            losing: 0,
-            queued: 0,
-            closing: false,
+            newest_known: (0, Draft { keys, mark: 0 }),
+            lost_reply_faults: 0,
+            queued_orders: 0,
+            resending_accepted: false,
             next_request: 0,
             next_key: tenants,
         }
@@ -197,7 +197,7 @@
     }
 }
 
-/// The mark of a document that was read back.
+/// The serial number of a document that was read back.
 #[must_use]
 pub fn mark_of_document(document: &Document) -> u32 {
     let marked = document
--- a/crates/simulation/src/world/probe_driver.rs
+++ b/crates/simulation/src/world/probe_driver.rs
@@ -19,20 +19,20 @@
         };
         proxy.ticks += 1;
         let reports_due = proxy.ticks.is_multiple_of(TICKS_PER_REPORT);
-        let Some(core) = proxy.core.as_ref() else {
+        let Some(running) = proxy.running.as_ref() else {
             return;
         };
         let probing = proxy
             .backends
             .values()
             .any(|purpose| matches!(purpose, BackendLink::Probe { .. }));
-        let now = lock(&core.port).now;
+        let now = lock(&running.port).now;
         let due = match probing {
             true => Vec::new(),
-            false => core.state.health.to_probe(now, QUIET_BEFORE_PROBE),
+            false => running.state.health.to_probe(now, QUIET_BEFORE_PROBE),
         };
         let reports = match reports_due {
-            true => core.state.board.take_reports(),
+            true => running.state.board.take_reports(),
             false => Vec::new(),
         };
         for report in reports {
@@ -49,17 +49,17 @@
             return;
         };
         let process = ProcessId::Proxy(number);
-        let boot = self.boot_of(process);
+        let incarnation = self.incarnation_of(process);
         let link = self.open_link(process, ProcessId::Backend(target));
         if let Some(proxy) = self.proxies.get_mut(&number) {
             proxy.backends.insert(link, BackendLink::Probe { backend });
         }
         let input = ProcessInput::ProbeOverdue { link };
-        self.after(
+        self.schedule_after(
             PROBE_TIMEOUT,
             Event::Input {
                 process,
-                boot,
+                incarnation,
                 input,
             },
         );
@@ -76,11 +76,11 @@
         let Some(BackendLink::Probe { backend }) = proxy.backends.remove(&link) else {
             return;
         };
-        if let Some(core) = proxy.core.as_ref() {
-            let now = lock(&core.port).now;
+        if let Some(running) = proxy.running.as_ref() {
+            let now = lock(&running.port).now;
             match answered {
-                true => core.state.health.probe_succeeded(&backend, now),
-                false => core.state.health.probe_failed(&backend),
+                true => running.state.health.probe_succeeded(&backend, now),
+                false => running.state.health.probe_failed(&backend),
             };
         }
         self.close_link(ProcessId::Proxy(number), link);
--- a/crates/simulation/src/world/process.rs
+++ b/crates/simulation/src/world/process.rs
@@ -10,7 +10,7 @@
 /// Life, clock and waiting inputs of a process.
 pub struct ProcessState {
     /// Incarnation; 0 before the first start.
-    pub boot: u64,
+    pub incarnation: u64,
     /// Whether it runs, frozen or not.
     pub alive: bool,
     /// Number of freezes that hold it.
@@ -28,7 +28,7 @@
     #[must_use]
     pub fn new(clock: ProcessClock) -> Self {
         Self {
-            boot: 0,
+            incarnation: 0,
             alive: false,
             frozen: 0,
             busy_until: MonotonicTime::ZERO,
@@ -37,15 +37,15 @@
         }
     }
 
-    /// Whether it can take an input now.
+    /// Whether it can handle an input now.
     #[must_use]
     pub fn is_free(&self, now: MonotonicTime) -> bool {
         self.alive && self.frozen == 0 && self.busy_until <= now
     }
 
     /// Starts a new incarnation.
-    pub fn start(&mut self, boot: u64) {
-        self.boot = boot;
+    pub fn start(&mut self, incarnation: u64) {
+        self.incarnation = incarnation;
         self.alive = true;
         self.busy_until = MonotonicTime::ZERO;
         self.inbox.clear();
--- a/crates/simulation/src/world/process_input.rs
+++ b/crates/simulation/src/world/process_input.rs
@@ -2,9 +2,9 @@
 
 use millford_control::operator::OperatorRequest;
 
-use crate::history::CallNumber;
+use crate::history::RequestNumber;
 use crate::network::{LinkNumber, Packet};
-use crate::world::callers::Arrival;
+use crate::world::callers::ArrivingRequest;
 
 /// Something that a process has to deal with.
 #[derive(Clone, Debug)]
@@ -25,15 +25,15 @@
     Timer,
     /// The registry's list arrived, as it was at the reading.
     Registry,
-    /// An operator asks.
+    /// A request of an operator arrived.
     Operator {
         request: u64,
         body: Box<OperatorRequest>,
     },
     /// A caller's request arrived.
-    Call(Box<Arrival>),
+    Call(Box<ArrivingRequest>),
     /// A caller left.
-    CallerGone(CallNumber),
+    CallerGone(RequestNumber),
     /// A connection should be open by now.
     ConnectOverdue { link: LinkNumber },
     /// A probe should be answered by now.
--- a/crates/simulation/src/world/proxy/action.rs
+++ b/crates/simulation/src/world/proxy/action.rs
@@ -6,12 +6,12 @@
 use millford_proxy::request::caller::CallerHead;
 use millford_proxy::request::message::{BackendRequest, WithdrawRequest};
 
-use crate::history::CallNumber;
+use crate::history::RequestNumber;
 
 /// Number of an exchange with a backend, given by the proxy.
 pub type ExchangeNumber = u64;
 
-/// One wish of a task.
+/// One action that a task requests.
 #[derive(Debug)]
 pub enum ProxyAction {
     /// Send to the agent.
@@ -21,7 +21,7 @@
     /// Connect to a backend, then send the request.
     Dispatch {
         exchange: ExchangeNumber,
-        call: CallNumber,
+        client_request: RequestNumber,
         request: Box<BackendRequest>,
     },
     /// Connect to a backend, then send the withdrawal.
@@ -31,14 +31,23 @@
     },
     /// Close the connection of an exchange.
     CloseExchange(ExchangeNumber),
-    /// A call was admitted under its tenant's quota.
-    Admitted(CallNumber),
-    /// The token of an admitted call was given back: nothing was sent.
-    AdmissionReturned(CallNumber),
+    /// A client request was admitted under its tenant's quota.
+    Admitted(RequestNumber),
+    /// The token of an admitted client request was returned: nothing was sent.
+    AdmissionReturned(RequestNumber),
     /// Send the head of an answer to the caller.
-    CallerHead { call: CallNumber, head: CallerHead },
+    CallerHead {
+        client_request: RequestNumber,
+        head: CallerHead,
+    },
     /// Send a part of the body to the caller.
-    CallerBytes { call: CallNumber, bytes: Bytes },
-    /// The body is whole, or the connection breaks.
-    CallerEnd { call: CallNumber, whole: bool },
+    CallerBytes {
+        client_request: RequestNumber,
+        bytes: Bytes,
+    },
+    /// The body is complete, or the connection breaks.
+    CallerEnd {
+        client_request: RequestNumber,
+        complete: bool,
+    },
 }
--- a/crates/simulation/src/world/proxy/agent_desk.rs
+++ b/crates/simulation/src/world/proxy/agent_client.rs
@@ -1,4 +1,4 @@
-//! What the requests of a proxy ask of its agent, and how answers find them.
+//! Requests of a proxy to its agent, and how answers reach them.
 
 use futures::channel::oneshot;
 use futures::future::{Either, select};
@@ -12,36 +12,38 @@
     AdmissionReply, AdmissionRequest, ClaimAnswer, QuotaRelease,
 };
 
-use crate::history::CallNumber;
+use crate::history::RequestNumber;
 use crate::world::defect::Defect;
 use crate::world::proxy::action::ProxyAction;
-use crate::world::proxy::asks::Asks;
+use crate::world::proxy::in_flight_requests::InFlightRequests;
 use crate::world::proxy::port::{SharedPort, lock};
 
 /// Asks without an answer. A new connection to the agent sends them again, as in the daemon.
 #[derive(Default)]
-pub struct AgentDesk {
+pub struct AgentClient {
     /// A planted defect, if any.
     pub defect: Option<Defect>,
-    quotas: Asks<AdmissionReply>,
-    claims: Asks<ClaimAnswer>,
-    settles: Asks<()>,
+    quotas: InFlightRequests<AdmissionReply>,
+    claims: InFlightRequests<ClaimAnswer>,
+    settles: InFlightRequests<()>,
 }
 
-impl AgentDesk {
-    /// Asks for one admission, and notes a granted one.
+impl AgentClient {
+    /// Requests one admission, and records a granted one.
     pub async fn ask_quota(
         &self,
         port: &SharedPort,
-        call: CallNumber,
+        client_request: RequestNumber,
         ask: AdmissionRequest,
     ) -> AdmissionReply {
         let answer = match self.planted_answer(port) {
             Some(answer) => answer,
-            None => self.ask_agent(port, ask).await,
+            None => self.request_quota(port, ask).await,
         };
         if answer == AdmissionReply::Granted {
-            lock(port).actions.push(ProxyAction::Admitted(call));
+            lock(port)
+                .actions
+                .push(ProxyAction::Admitted(client_request));
         }
         answer
     }
@@ -59,7 +61,7 @@
         }
     }
 
-    async fn ask_agent(&self, port: &SharedPort, ask: AdmissionRequest) -> AdmissionReply {
+    async fn request_quota(&self, port: &SharedPort, ask: AdmissionRequest) -> AdmissionReply {
         let request_id = lock(port).next_number();
         let body = local_frame::Body::QuotaRequest(LocalQuotaRequest {
             request_id,
@@ -80,11 +82,16 @@
     }
 
     /// Gives a slot or a token back.
-    pub fn release_quota(&self, port: &SharedPort, call: CallNumber, release: QuotaRelease) {
+    pub fn release_quota(
+        &self,
+        port: &SharedPort,
+        client_request: RequestNumber,
+        release: QuotaRelease,
+    ) {
         if release.unused {
             lock(port)
                 .actions
-                .push(ProxyAction::AdmissionReturned(call));
+                .push(ProxyAction::AdmissionReturned(client_request));
         }
         let body = local_frame::Body::QuotaRelease(LocalQuotaRelease {
             tenant: release.tenant,
@@ -131,7 +138,7 @@
                 use_within,
             } => {
                 if answer == AdmissionReply::Granted
-                    && self.ask_again_if_late(port, request_id, use_within)
+                    && self.request_again_if_late(port, request_id, use_within)
                 {
                     return;
                 }
@@ -158,7 +165,7 @@
         }
     }
 
-    fn ask_again_if_late(
+    fn request_again_if_late(
         &self,
         port: &SharedPort,
         request_id: u64,
@@ -171,7 +178,7 @@
             return false;
         };
         if ask.stream {
-            // The agent counts the slot as taken; its token is gone.
+            // The agent counts the slot as taken; its token is used.
             let release = LocalQuotaRelease {
                 tenant: ask.tenant.clone(),
                 stream: true,
@@ -185,7 +192,7 @@
 
     /// Frames to send again on a new connection.
     #[must_use]
-    pub fn unanswered(&self, now: MonotonicTime) -> Vec<LocalFrame> {
+    pub fn in_flight_frames(&self, now: MonotonicTime) -> Vec<LocalFrame> {
         let mut frames = self.settles.renew(now);
         frames.extend(self.claims.renew(now));
         frames.extend(self.quotas.renew(now));
--- a/crates/simulation/src/world/proxy/answer.rs
+++ b/crates/simulation/src/world/proxy/answer.rs
@@ -14,7 +14,7 @@
 pub enum AnswerPart {
     /// Bytes of the body.
     Chunk(Bytes),
-    /// The body ended whole by its framing.
+    /// The body ended complete by its framing.
     Finish,
 }
 
--- a/crates/simulation/src/world/proxy/environment.rs
+++ b/crates/simulation/src/world/proxy/environment.rs
@@ -13,22 +13,22 @@
     WithdrawAnswer, WithdrawRequest,
 };
 
-use crate::history::CallNumber;
+use crate::history::RequestNumber;
 use crate::world::proxy::action::ProxyAction;
-use crate::world::proxy::agent_desk::AgentDesk;
+use crate::world::proxy::agent_client::AgentClient;
 use crate::world::proxy::answer::{ExchangeGuard, SimulatedAnswer};
 use crate::world::proxy::port::{ExchangeWaiter, SharedPort, lock};
 
-/// Environment of one call on a proxy.
+/// Environment of one client request on a proxy.
 pub struct SimulatedEnvironment {
-    /// Where wishes go.
+    /// Where actions are queued.
     pub port: SharedPort,
     /// State of the proxy.
     pub state: Arc<ProxyState>,
     /// What waits for the agent.
-    pub agent: Arc<AgentDesk>,
-    /// The call that is served.
-    pub call: CallNumber,
+    pub agent: Arc<AgentClient>,
+    /// The client request that is served.
+    pub client_request: RequestNumber,
 }
 
 impl SimulatedEnvironment {
@@ -72,11 +72,14 @@
     }
 
     async fn ask_quota(&self, ask: AdmissionRequest) -> AdmissionReply {
-        self.agent.ask_quota(&self.port, self.call, ask).await
+        self.agent
+            .ask_quota(&self.port, self.client_request, ask)
+            .await
     }
 
     fn release_quota(&self, release: QuotaRelease) {
-        self.agent.release_quota(&self.port, self.call, release);
+        self.agent
+            .release_quota(&self.port, self.client_request, release);
     }
 
     async fn claim(&self, claim: Claim, timeout: Duration) -> ClaimAnswer {
@@ -102,7 +105,7 @@
             port.exchanges.insert(exchange, waiter);
             port.actions.push(ProxyAction::Dispatch {
                 exchange,
-                call: self.call,
+                client_request: self.client_request,
                 request: Box::new(request),
             });
         }
--- a/crates/simulation/src/world/proxy/mod.rs
+++ b/crates/simulation/src/world/proxy/mod.rs
@@ -1,11 +1,11 @@
 //! A proxy whose request path is the daemon's own, run by an executor of the simulator.
 
 pub mod action;
-pub mod agent_desk;
+pub mod agent_client;
 pub mod answer;
-pub mod asks;
 pub mod environment;
 pub mod executor;
+pub mod in_flight_requests;
 pub mod port;
 pub mod proxy_process;
 pub mod sink;
@@ -15,5 +15,5 @@
 pub use environment::SimulatedEnvironment;
 pub use executor::Executor;
 pub use port::{ProxyPort, SharedPort, lock};
-pub use proxy_process::{BackendLink, ProxyCore, ProxyProcess};
+pub use proxy_process::{BackendLink, ProxyProcess, RunningProxy};
 pub use sink::CallerPipe;
--- a/crates/simulation/src/world/proxy/port.rs
+++ b/crates/simulation/src/world/proxy/port.rs
@@ -9,7 +9,7 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::history::CallNumber;
+use crate::history::RequestNumber;
 use crate::world::proxy::action::{ExchangeNumber, ProxyAction};
 use crate::world::proxy::answer::AnswerPart;
 
@@ -35,8 +35,8 @@
     pub actions: Vec<ProxyAction>,
     /// Exchanges under way.
     pub exchanges: BTreeMap<ExchangeNumber, ExchangeWaiter>,
-    /// Presence of each caller: dropped when the caller leaves.
-    pub presences: BTreeMap<CallNumber, oneshot::Sender<()>>,
+    /// Presence of each caller: dropped when the caller disconnects.
+    pub presences: BTreeMap<RequestNumber, oneshot::Sender<()>>,
     timers: BTreeMap<(MonotonicTime, u64), oneshot::Sender<()>>,
     random: ChaCha8Rng,
     next_number: u64,
--- a/crates/simulation/src/world/proxy/proxy_process.rs
+++ b/crates/simulation/src/world/proxy/proxy_process.rs
@@ -1,4 +1,4 @@
-//! The proxy of a front machine.
+//! The proxy of a proxy node.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,20 +10,20 @@
 use millford_proxy::proxy_state::ProxyState;
 use rand_chacha::ChaCha8Rng;
 
-use crate::history::CallNumber;
+use crate::history::RequestNumber;
 use crate::network::LinkNumber;
 use crate::world::process::ProcessState;
 use crate::world::proxy::action::{ExchangeNumber, ProxyAction};
-use crate::world::proxy::agent_desk::AgentDesk;
+use crate::world::proxy::agent_client::AgentClient;
 use crate::world::proxy::executor::Executor;
 use crate::world::proxy::port::{ProxyPort, SharedPort, lock};
 
 /// Why a connection to a backend was opened.
 pub enum BackendLink {
-    /// For an attempt at a call.
+    /// For an attempt at a client request.
     Dispatch {
         exchange: ExchangeNumber,
-        call: CallNumber,
+        client_request: RequestNumber,
         request: Box<millford_proxy::request::message::BackendRequest>,
     },
     /// To withdraw an attempt.
@@ -36,16 +36,16 @@
     Probe { backend: String },
 }
 
-/// The running part of a proxy; gone when the process dies.
-pub struct ProxyCore {
+/// The running part of a proxy; dropped when the process dies.
+pub struct RunningProxy {
     /// State of the request path.
     pub state: Arc<ProxyState>,
     /// Feed and link state.
     pub handler: FrameHandler,
-    /// Where tasks leave their wishes.
+    /// Where tasks queue their actions.
     pub port: SharedPort,
     /// Asks to the agent.
-    pub desk: Arc<AgentDesk>,
+    pub agent_client: Arc<AgentClient>,
     /// Request tasks.
     pub executor: Executor,
 }
@@ -55,7 +55,7 @@
     /// The process.
     pub process: ProcessState,
     /// The proxy while it runs.
-    pub core: Option<ProxyCore>,
+    pub running: Option<RunningProxy>,
     /// Connection to the agent, open or not.
     pub agent: Option<LinkNumber>,
     /// Whether that connection is open.
@@ -64,10 +64,10 @@
     pub backends: BTreeMap<LinkNumber, BackendLink>,
     /// Connections by exchange.
     pub exchanges: BTreeMap<ExchangeNumber, LinkNumber>,
-    /// Calls of which an attempt was sent.
-    pub sent: BTreeSet<CallNumber>,
+    /// Client requests of which an attempt was sent.
+    pub sent: BTreeSet<RequestNumber>,
     /// Revision that was recorded last.
-    pub shown: u64,
+    pub recorded_revision: u64,
     /// Ticks since the start.
     pub ticks: u64,
     /// First state of the configuration, for a planted defect.
@@ -80,55 +80,55 @@
     pub fn new(process: ProcessState) -> Self {
         Self {
             process,
-            core: None,
+            running: None,
             agent: None,
             agent_open: false,
             backends: BTreeMap::new(),
             exchanges: BTreeMap::new(),
             sent: BTreeSet::new(),
-            shown: 0,
+            recorded_revision: 0,
             ticks: 0,
             first_frames: Vec::new(),
         }
     }
 
     /// Forgets everything of the last incarnation.
-    pub fn forget_core(&mut self) {
-        self.core = None;
+    pub fn forget_incarnation(&mut self) {
+        self.running = None;
         self.agent = None;
         self.agent_open = false;
         self.backends.clear();
         self.exchanges.clear();
-        self.shown = 0;
+        self.recorded_revision = 0;
         self.ticks = 0;
     }
 
-    /// Lets tasks run at a local time and takes their wishes.
+    /// Runs the tasks at a local time and takes the actions that they queued.
     pub fn run_tasks(&mut self, now: MonotonicTime) -> Vec<ProxyAction> {
-        let Some(core) = self.core.as_mut() else {
+        let Some(running) = self.running.as_mut() else {
             return Vec::new();
         };
         {
-            let mut port = lock(&core.port);
+            let mut port = lock(&running.port);
             port.now = now;
             port.fire_timers();
         }
-        core.executor.run();
-        std::mem::take(&mut lock(&core.port).actions)
+        running.executor.run();
+        std::mem::take(&mut lock(&running.port).actions)
     }
 }
 
-impl ProxyCore {
+impl RunningProxy {
     /// A proxy that starts.
     #[must_use]
-    pub fn new(now: MonotonicTime, random: ChaCha8Rng, desk: AgentDesk) -> Self {
+    pub fn new(now: MonotonicTime, random: ChaCha8Rng, agent_client: AgentClient) -> Self {
         let limits = millford_proxy::limits::RequestLimits::default();
         let state = Arc::new(ProxyState::new(limits));
         Self {
             handler: FrameHandler::new(Arc::clone(&state)),
             state,
             port: Arc::new(std::sync::Mutex::new(ProxyPort::new(now, random))),
-            desk: Arc::new(desk),
+            agent_client: Arc::new(agent_client),
             executor: Executor::default(),
         }
     }
--- a/crates/simulation/src/world/proxy/sink.rs
+++ b/crates/simulation/src/world/proxy/sink.rs
@@ -8,11 +8,11 @@
 use futures::future::Shared;
 use millford_proxy::request::caller::{CallerGone, CallerHead, CallerPresence, CallerSink};
 
-use crate::history::CallNumber;
+use crate::history::RequestNumber;
 use crate::world::proxy::action::ProxyAction;
 use crate::world::proxy::port::{SharedPort, lock};
 
-/// Resolves when the caller leaves.
+/// Resolves when the caller disconnects.
 #[derive(Clone)]
 pub struct PipePresence(Shared<oneshot::Receiver<()>>);
 
@@ -25,33 +25,33 @@
     }
 }
 
-/// Connection of one call.
+/// Connection of one client request.
 pub struct CallerPipe {
     port: SharedPort,
-    call: CallNumber,
+    client_request: RequestNumber,
     presence: PipePresence,
-    begun: bool,
+    head_sent: bool,
     finished: bool,
 }
 
 impl CallerPipe {
-    /// The pipe of a call that arrived.
+    /// The pipe of a client request that arrived.
     #[must_use]
-    pub fn new(port: SharedPort, call: CallNumber) -> Self {
+    pub fn new(port: SharedPort, client_request: RequestNumber) -> Self {
         let (sender, receiver) = oneshot::channel();
-        lock(&port).presences.insert(call, sender);
+        lock(&port).presences.insert(client_request, sender);
         Self {
             port,
-            call,
+            client_request,
             presence: PipePresence(receiver.shared()),
-            begun: false,
+            head_sent: false,
             finished: false,
         }
     }
 
     fn push(&self, action: ProxyAction) -> Result<(), CallerGone> {
         let mut port = lock(&self.port);
-        if !port.presences.contains_key(&self.call) {
+        if !port.presences.contains_key(&self.client_request) {
             return Err(CallerGone);
         }
         port.actions.push(action);
@@ -67,14 +67,20 @@
     }
 
     async fn begin(&mut self, head: CallerHead) -> Result<(), CallerGone> {
-        self.begun = true;
-        let call = self.call;
-        self.push(ProxyAction::CallerHead { call, head })
+        self.head_sent = true;
+        let client_request = self.client_request;
+        self.push(ProxyAction::CallerHead {
+            client_request,
+            head,
+        })
     }
 
     async fn send(&mut self, bytes: Bytes) -> Result<(), CallerGone> {
-        let call = self.call;
-        self.push(ProxyAction::CallerBytes { call, bytes })
+        let client_request = self.client_request;
+        self.push(ProxyAction::CallerBytes {
+            client_request,
+            bytes,
+        })
     }
 
     fn finish(&mut self) {
@@ -85,10 +91,10 @@
 impl Drop for CallerPipe {
     fn drop(&mut self) {
         let mut port = lock(&self.port);
-        port.presences.remove(&self.call);
+        port.presences.remove(&self.client_request);
         port.actions.push(ProxyAction::CallerEnd {
-            call: self.call,
-            whole: self.begun && self.finished,
+            client_request: self.client_request,
+            complete: self.head_sent && self.finished,
         });
     }
 }
--- a/crates/simulation/src/world/proxy_driver.rs
+++ b/crates/simulation/src/world/proxy_driver.rs
@@ -10,15 +10,15 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::history::{CallEnd, CallNumber, FrontNumber, Record};
+use crate::history::{ProxyNodeNumber, Record, RequestEnd, RequestNumber};
 use crate::network::{LinkNumber, Packet, ProcessId};
-use crate::world::callers::{Arrival, key_text};
+use crate::world::callers::{ArrivingRequest, key_text};
 use crate::world::defect::Defect;
 use crate::world::event::Event;
 use crate::world::process_input::ProcessInput;
-use crate::world::proxy::agent_desk::AgentDesk;
+use crate::world::proxy::agent_client::AgentClient;
 use crate::world::proxy::{
-    BackendLink, CallerPipe, ProxyAction, ProxyCore, SimulatedEnvironment, lock,
+    BackendLink, CallerPipe, ProxyAction, RunningProxy, SimulatedEnvironment, lock,
 };
 use crate::world::registry::backend_at;
 use crate::world::site::Site;
@@ -29,22 +29,22 @@
     /// Starts a proxy with an empty state.
     pub fn start_proxy(&mut self, number: u16) {
         let process = ProcessId::Proxy(number);
-        let boot = self.boot_of(process);
+        let incarnation = self.incarnation_of(process);
         let local = self.local_time(process);
         let random = ChaCha8Rng::seed_from_u64(self.random.random());
-        let mut desk = AgentDesk::default();
-        desk.defect = self.options.defect;
+        let mut agent_client = AgentClient::default();
+        agent_client.defect = self.options.defect;
         let Some(proxy) = self.proxies.get_mut(&number) else {
             return;
         };
-        proxy.forget_core();
-        proxy.core = Some(ProxyCore::new(local, random, desk));
-        let front = FrontNumber(number);
-        self.record(Record::FrontResumed { front });
-        self.record(Record::FrontStarted { front });
+        proxy.forget_incarnation();
+        proxy.running = Some(RunningProxy::new(local, random, agent_client));
+        let proxy_node = ProxyNodeNumber(number);
+        self.record(Record::ProxyNodeResumed { proxy_node });
+        self.record(Record::ProxyNodeStarted { proxy_node });
         self.replay_first_frame(number);
         self.connect_to_agent(number);
-        self.tick_after(process, boot, PROBE_PERIOD);
+        self.tick_after(process, incarnation, PROBE_PERIOD);
     }
 
     // A planted defect: the proxy starts from the first state that it ever had.
@@ -58,10 +58,10 @@
             for frame in frames {
                 self.local_frame(number, frame);
             }
-            if let Some(core) = self.proxies.get(&number).and_then(|it| it.core.as_ref()) {
-                core.state.set_ready();
+            if let Some(running) = self.proxies.get(&number).and_then(|it| it.running.as_ref()) {
+                running.state.set_ready();
             }
-            self.note_shown(number);
+            self.record_applied_revision(number);
         }
     }
 
@@ -70,13 +70,14 @@
         let Some(proxy) = self.proxies.get_mut(&number) else {
             return;
         };
-        let Some(core) = proxy.core.as_ref() else {
+        let Some(running) = proxy.running.as_ref() else {
             return;
         };
-        let calls: Vec<CallNumber> = lock(&core.port).presences.keys().copied().collect();
-        proxy.forget_core();
-        for call in calls {
-            self.caller_will_hear(call, None, Some((CallEnd::Lost, None)));
+        let open_requests: Vec<RequestNumber> =
+            lock(&running.port).presences.keys().copied().collect();
+        proxy.forget_incarnation();
+        for client_request in open_requests {
+            self.send_to_caller(client_request, None, Some((RequestEnd::Lost, None)));
         }
     }
 
@@ -84,21 +85,21 @@
     pub fn proxy_input(&mut self, number: u16, input: ProcessInput, waits: bool) {
         if matches!(input, ProcessInput::Tick) {
             let process = ProcessId::Proxy(number);
-            let boot = self.boot_of(process);
-            self.tick_after(process, boot, PROBE_PERIOD);
+            let incarnation = self.incarnation_of(process);
+            self.tick_after(process, incarnation, PROBE_PERIOD);
             if waits {
                 return;
             }
         }
-        self.bring_clock(number);
+        self.update_clock(number);
         self.take_proxy_input(number, input);
         self.run_proxy(number);
     }
 
-    fn bring_clock(&mut self, number: u16) {
+    fn update_clock(&mut self, number: u16) {
         let local = self.local_time(ProcessId::Proxy(number));
-        if let Some(core) = self.proxies.get(&number).and_then(|it| it.core.as_ref()) {
-            lock(&core.port).now = local;
+        if let Some(running) = self.proxies.get(&number).and_then(|it| it.running.as_ref()) {
+            lock(&running.port).now = local;
         }
     }
 
@@ -107,8 +108,10 @@
             ProcessInput::LinkOpened { link, .. } => self.proxy_link_opened(number, link),
             ProcessInput::LinkClosed { link } => self.proxy_link_closed(number, link),
             ProcessInput::Packet { link, packet } => self.proxy_packet(number, link, packet),
-            ProcessInput::Call(arrival) => self.proxy_call(number, *arrival),
-            ProcessInput::CallerGone(call) => self.proxy_caller_gone(number, call),
+            ProcessInput::Call(arrival) => self.proxy_request(number, *arrival),
+            ProcessInput::CallerGone(client_request) => {
+                self.proxy_caller_disconnected(number, client_request)
+            }
             ProcessInput::ConnectOverdue { link } => self.connect_overdue(number, link),
             ProcessInput::ProbeOverdue { link } => self.probe_ends(number, link, false),
             ProcessInput::Reconnect => self.connect_to_agent(number),
@@ -140,13 +143,13 @@
             ProxyAction::WakeAt(at) => self.proxy_timer(number, at),
             ProxyAction::Dispatch {
                 exchange,
-                call,
+                client_request,
                 request,
             } => {
                 let address = request.address.clone();
                 let purpose = BackendLink::Dispatch {
                     exchange,
-                    call,
+                    client_request,
                     request,
                 };
                 self.open_backend_link(number, &address, purpose);
@@ -160,13 +163,24 @@
                 self.open_backend_link(number, &request.address, purpose);
             }
             ProxyAction::CloseExchange(exchange) => self.close_exchange(number, exchange),
-            ProxyAction::Admitted(call) => self.record(Record::Admitted { call }),
-            ProxyAction::AdmissionReturned(call) => {
-                self.record(Record::AdmissionReturned { call });
+            ProxyAction::Admitted(client_request) => {
+                self.record(Record::Admitted { client_request })
+            }
+            ProxyAction::AdmissionReturned(client_request) => {
+                self.record(Record::AdmissionReturned { client_request });
             }
-            ProxyAction::CallerHead { call, head } => self.caller_head(call, &head),
-            ProxyAction::CallerBytes { call, bytes } => self.caller_bytes(call, &bytes),
-            ProxyAction::CallerEnd { call, whole } => self.caller_end(call, whole),
+            ProxyAction::CallerHead {
+                client_request,
+                head,
+            } => self.caller_head(client_request, &head),
+            ProxyAction::CallerBytes {
+                client_request,
+                bytes,
+            } => self.caller_bytes(client_request, &bytes),
+            ProxyAction::CallerEnd {
+                client_request,
+                complete,
+            } => self.caller_end(client_request, complete),
         }
     }
 
@@ -183,15 +197,15 @@
     // Clocks drift: the timer looks at the process's clock again when it is due.
     fn proxy_timer(&mut self, number: u16, at: millford_core::MonotonicTime) {
         let process = ProcessId::Proxy(number);
-        let boot = self.boot_of(process);
+        let incarnation = self.incarnation_of(process);
         let left = at.since(self.local_time(process));
         let margin = left / 2000 + Duration::from_micros(1);
         let input = ProcessInput::Timer;
-        self.after(
+        self.schedule_after(
             left + margin,
             Event::Input {
                 process,
-                boot,
+                incarnation,
                 input,
             },
         );
@@ -203,7 +217,7 @@
             .get(&number)
             .is_some_and(|proxy| proxy.agent == Some(link));
         if is_agent {
-            self.greet_agent(number);
+            self.send_hello(number);
         } else {
             self.backend_link_opened(number, link);
         }
@@ -214,7 +228,7 @@
             return;
         };
         if proxy.agent == Some(link) {
-            self.lose_agent(number);
+            self.agent_disconnected(number);
             return;
         }
         self.backend_link_closed(number, link);
@@ -236,57 +250,57 @@
         }
     }
 
-    fn proxy_call(&mut self, number: u16, arrival: Arrival) {
-        let call = arrival.call;
-        self.record(Record::CallArrived { call });
+    fn proxy_request(&mut self, number: u16, arrival: ArrivingRequest) {
+        let client_request = arrival.client_request;
+        self.record(Record::RequestArrived { client_request });
         let mut request = arrival.request;
-        self.keep_old_key(call, &mut request.headers.authorization);
-        let Some(core) = self
+        self.keep_old_key(client_request, &mut request.headers.authorization);
+        let Some(running) = self
             .proxies
             .get_mut(&number)
-            .and_then(|it| it.core.as_mut())
+            .and_then(|it| it.running.as_mut())
         else {
             return;
         };
-        request.arrived = lock(&core.port).now;
+        request.arrived = lock(&running.port).now;
         let environment = SimulatedEnvironment {
-            port: Arc::clone(&core.port),
-            state: Arc::clone(&core.state),
-            agent: Arc::clone(&core.desk),
-            call,
+            port: Arc::clone(&running.port),
+            state: Arc::clone(&running.state),
+            agent: Arc::clone(&running.agent_client),
+            client_request,
         };
-        let mut pipe = CallerPipe::new(Arc::clone(&core.port), call);
+        let mut pipe = CallerPipe::new(Arc::clone(&running.port), client_request);
         if arrival.lookup {
-            core.executor.spawn(async move {
+            running.executor.spawn(async move {
                 serve_lookup(&environment, request, &mut pipe).await;
             });
         } else {
-            core.executor.spawn(async move {
+            running.executor.spawn(async move {
                 serve_completion(&environment, request, &mut pipe).await;
             });
         }
     }
 
     // A planted defect: revoked keys are taken for the present ones.
-    fn keep_old_key(&self, call: CallNumber, authorization: &mut Option<String>) {
+    fn keep_old_key(&self, client_request: RequestNumber, authorization: &mut Option<String>) {
         if self.options.defect != Some(Defect::KeepsKeys) {
             return;
         }
-        if let Some(open) = self.callers.calls.get(&call) {
+        if let Some(open) = self.callers.open_requests.get(&client_request) {
             let key = self.callers.tenants[usize::from(open.sent.tenant)].key;
             *authorization = Some(format!("Bearer {}", key_text(key)));
         }
     }
 
-    fn proxy_caller_gone(&mut self, number: u16, call: CallNumber) {
-        if let Some(core) = self.proxies.get(&number).and_then(|it| it.core.as_ref()) {
-            lock(&core.port).presences.remove(&call);
+    fn proxy_caller_disconnected(&mut self, number: u16, client_request: RequestNumber) {
+        if let Some(running) = self.proxies.get(&number).and_then(|it| it.running.as_ref()) {
+            lock(&running.port).presences.remove(&client_request);
         }
     }
 
     fn open_backend_link(&mut self, number: u16, address: &str, purpose: BackendLink) {
         let process = ProcessId::Proxy(number);
-        let boot = self.boot_of(process);
+        let incarnation = self.incarnation_of(process);
         let target = backend_at(address).unwrap_or(u16::MAX);
         let link = self.open_link(process, ProcessId::Backend(target));
         let Some(proxy) = self.proxies.get_mut(&number) else {
@@ -300,11 +314,11 @@
         }
         proxy.backends.insert(link, purpose);
         let input = ProcessInput::ConnectOverdue { link };
-        self.after(
+        self.schedule_after(
             CONNECT_TIMEOUT,
             Event::Input {
                 process,
-                boot,
+                incarnation,
                 input,
             },
         );
--- a/crates/simulation/src/world/recorder.rs
+++ b/crates/simulation/src/world/recorder.rs
@@ -15,7 +15,7 @@
 pub struct Recorder {
     checkers: Checkers,
     trace: TraceHash,
-    /// Whether records and notes are printed as they come.
+    /// Whether records and log lines are printed as they come.
     pub verbose: bool,
     buffer: String,
 }
@@ -34,7 +34,7 @@
         self.checkers.observe(at, record);
         if self.verbose {
             for violation in &self.checkers.verdict().violations[violations..] {
-                println!("VIOLATION {:?}: {}", violation.promise, violation.text);
+                println!("VIOLATION {:?}: {}", violation.guarantee, violation.text);
             }
         }
     }
@@ -45,7 +45,7 @@
     }
 
     /// Prints a line in verbose runs.
-    pub fn note(&mut self, at: MonotonicTime, text: impl FnOnce() -> String) {
+    pub fn log(&mut self, at: MonotonicTime, text: impl FnOnce() -> String) {
         if self.verbose {
             println!("{:>10.3} -- {}", at.as_micros() as f64 / 1e6, text());
         }
--- a/crates/simulation/src/world/registry.rs
+++ b/crates/simulation/src/world/registry.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform's service registry. Its list trails reality.
+//! Simulation of the platform's service registry. Its list trails reality.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,10 +19,10 @@
 pub const POLL_PERIOD: Duration = Duration::from_millis(500);
 
 /// Time between a backend's retirement and its leaving.
-const LEAVE_AFTER: Duration = Duration::from_secs(8);
+const SHUTDOWN_AFTER: Duration = Duration::from_secs(8);
 
 /// Time until the list notices that a backend vanished.
-pub const NOTICE_AFTER: Duration = Duration::from_secs(6);
+pub const REMOVED_AFTER: Duration = Duration::from_secs(6);
 
 const CORES: u32 = 16;
 const BANDWIDTH_GBPS: f64 = 400.0;
@@ -43,7 +43,7 @@
     /// The list as control nodes read it.
     pub view: Arc<RegistryView>,
     /// Number of faults that keep the list from changing.
-    pub still: u32,
+    pub freezes: u32,
     /// Backends retired while the list stood still.
     pub unannounced: Vec<u16>,
 }
@@ -51,7 +51,7 @@
 impl RegistryList {
     /// Publishes the list, unless it stands still.
     pub fn publish(&mut self) {
-        if self.still > 0 {
+        if self.freezes > 0 {
             return;
         }
         let backends = self.entries.values().cloned().collect();
@@ -102,12 +102,12 @@
         match event {
             RegistryEvent::Register { backend } => self.register_backend(backend),
             RegistryEvent::Remove { backend } => {
-                let alive = self.boot_of(ProcessId::Backend(backend)) != 0;
+                let alive = self.incarnation_of(ProcessId::Backend(backend)) != 0;
                 if !alive {
                     self.registry.entries.remove(&backend);
                 }
             }
-            RegistryEvent::Leave { backend } => {
+            RegistryEvent::ShutDown { backend } => {
                 self.registry.entries.remove(&backend);
                 self.kill_process(ProcessId::Backend(backend), false);
             }
@@ -145,7 +145,7 @@
         self.registry.entries.insert(number, entry);
     }
 
-    /// The platform retires a backend; a new one takes its place.
+    /// The platform retires a backend; a new one replaces it.
     pub fn retire_backend(&mut self, number: u16) {
         let Some(backend) = self.backends.get_mut(&number) else {
             return;
@@ -162,12 +162,12 @@
         }
         self.registry.publish();
         // While the list stands still nobody can know of the retirement.
-        match self.registry.still {
+        match self.registry.freezes {
             0 => self.announce_retirement(number),
             _ => self.registry.unannounced.push(number),
         }
-        let leave = RegistryEvent::Leave { backend: number };
-        self.after(LEAVE_AFTER, Event::Registry(leave));
+        let leave = RegistryEvent::ShutDown { backend: number };
+        self.schedule_after(SHUTDOWN_AFTER, Event::Registry(leave));
         let replacement = self.add_backend(lookup);
         self.start_process(ProcessId::Backend(replacement));
         self.handle_registry(RegistryEvent::Register {
@@ -177,17 +177,17 @@
 
     fn announce_retirement(&mut self, number: u16) {
         let backend = BackendNumber(number);
-        self.record(Record::BackendLeaving { backend });
+        self.record(Record::BackendUnavailable { backend });
     }
 
     /// The list stands still, or moves again.
-    pub fn still_registry(&mut self, still: bool) {
-        match still {
-            true => self.registry.still += 1,
-            false => self.registry.still = self.registry.still.saturating_sub(1),
+    pub fn freeze_registry(&mut self, freezes: bool) {
+        match freezes {
+            true => self.registry.freezes += 1,
+            false => self.registry.freezes = self.registry.freezes.saturating_sub(1),
         }
         self.registry.publish();
-        if self.registry.still == 0 {
+        if self.registry.freezes == 0 {
             for number in std::mem::take(&mut self.registry.unannounced) {
                 self.announce_retirement(number);
             }
--- a/crates/simulation/src/world/roll_driver.rs
+++ b/crates/simulation/src/world/roll_driver.rs
@@ -1,4 +1,4 @@
-//! Rolling restarts, and backends that leave and return.
+//! Rolling restarts, and backends that become unavailable and available.
 
 use std::time::Duration;
 
@@ -6,21 +6,21 @@
 use crate::network::ProcessId;
 use crate::scenario::{Choice, Fault, RollKind, Target, TargetKind};
 use crate::world::event::{Event, RegistryEvent};
-use crate::world::registry::NOTICE_AFTER;
+use crate::world::registry::REMOVED_AFTER;
 use crate::world::site::Site;
 
-const ROLL_CORES_EVERY: Duration = Duration::from_secs(6);
-const ROLL_FRONTS_EVERY: Duration = Duration::from_secs(2);
-const ROLL_MODELS_EVERY: Duration = Duration::from_secs(1);
+const CONTROL_NODE_RESTART_PERIOD: Duration = Duration::from_secs(6);
+const PROXY_NODE_RESTART_PERIOD: Duration = Duration::from_secs(2);
+const MODEL_RESTART_PERIOD: Duration = Duration::from_secs(1);
 const ROLL_DOWN: Duration = Duration::from_secs(1);
 const REGISTER_AFTER: Duration = Duration::from_millis(300);
 
 impl Site {
     pub(super) fn roll(&mut self, kind: RollKind) {
         let (target, every) = match kind {
-            RollKind::Cores => (TargetKind::Core, ROLL_CORES_EVERY),
-            RollKind::Fronts => (TargetKind::Front, ROLL_FRONTS_EVERY),
-            RollKind::Models => (TargetKind::Model, ROLL_MODELS_EVERY),
+            RollKind::ControlNodes => (TargetKind::ControlNode, CONTROL_NODE_RESTART_PERIOD),
+            RollKind::ProxyNodes => (TargetKind::ProxyNode, PROXY_NODE_RESTART_PERIOD),
+            RollKind::Models => (TargetKind::Model, MODEL_RESTART_PERIOD),
         };
         let all = Target {
             kind: target,
@@ -31,7 +31,7 @@
         numbers.dedup();
         for (place, number) in (0_u32..).zip(numbers) {
             let fault = match kind {
-                // Each retired backend leaves the present ones: the first is always the next.
+                // A retired backend no longer counts as present: the first is always the next.
                 RollKind::Models => Fault::Retire {
                     target: numbered(target, 1),
                 },
@@ -44,24 +44,24 @@
         }
     }
 
-    pub(super) fn backend_leaves(&mut self, process: ProcessId, dead: bool) {
+    pub(super) fn backend_unavailable(&mut self, process: ProcessId, dead: bool) {
         let ProcessId::Backend(number) = process else {
             return;
         };
         let backend = BackendNumber(number);
-        self.record(Record::BackendLeaving { backend });
+        self.record(Record::BackendUnavailable { backend });
         if dead {
             let notice = RegistryEvent::Remove { backend: number };
-            self.after(NOTICE_AFTER, Event::Registry(notice));
+            self.schedule_after(REMOVED_AFTER, Event::Registry(notice));
         }
     }
 
-    pub(super) fn backend_returns(&mut self, process: ProcessId) {
+    pub(super) fn backend_available(&mut self, process: ProcessId) {
         let ProcessId::Backend(number) = process else {
             return;
         };
         let retired = self.backends.get(&number).is_some_and(|it| it.retired);
-        if retired || self.boot_of(process) == 0 {
+        if retired || self.incarnation_of(process) == 0 {
             return;
         }
         let frozen = self.process(process).is_some_and(|state| state.frozen > 0);
@@ -69,9 +69,9 @@
             return;
         }
         let backend = BackendNumber(number);
-        self.record(Record::BackendReturned { backend });
+        self.record(Record::BackendAvailable { backend });
         let register = RegistryEvent::Register { backend: number };
-        self.after(REGISTER_AFTER, Event::Registry(register));
+        self.schedule_after(REGISTER_AFTER, Event::Registry(register));
     }
 }
 
--- a/crates/simulation/src/world/site.rs
+++ b/crates/simulation/src/world/site.rs
@@ -10,15 +10,15 @@
 use crate::checkers::Verdict;
 use crate::history::Record;
 use crate::kernel::{EventQueue, ProcessClock};
-use crate::network::{CutTable, Links, ProcessId};
+use crate::network::{Links, PartitionTable, ProcessId};
 use crate::scenario::{Scenario, Topology};
+use crate::world::active_faults::ActiveFaults;
 use crate::world::agent_process::AgentProcess;
 use crate::world::backend::BackendProcess;
 use crate::world::callers::Callers;
 use crate::world::control_process::ControlProcess;
 use crate::world::defect::Defect;
 use crate::world::event::{Event, RegistryEvent};
-use crate::world::fault_book::FaultBook;
 use crate::world::operators::Operators;
 use crate::world::process::ProcessState;
 use crate::world::process_input::ProcessInput;
@@ -53,14 +53,14 @@
     /// Connections.
     pub links: Links,
     /// Cuts.
-    pub cuts: CutTable,
-    /// Core machines.
+    pub partitions: PartitionTable,
+    /// Control nodes.
     pub controls: BTreeMap<u16, ControlProcess>,
-    /// Agents of the front machines.
+    /// Agents of the proxy nodes.
     pub agents: BTreeMap<u16, AgentProcess>,
-    /// Proxies of the front machines.
+    /// Proxies of the proxy nodes.
     pub proxies: BTreeMap<u16, ProxyProcess>,
-    /// Backends, gone ones included.
+    /// Backends, retired ones included.
     pub backends: BTreeMap<u16, BackendProcess>,
     /// The service registry.
     pub registry: RegistryList,
@@ -69,8 +69,8 @@
     /// Operators.
     pub operators: Operators,
     /// Faults to come and under way.
-    pub faults: FaultBook,
-    next_boot: u64,
+    pub faults: ActiveFaults,
+    next_incarnation: u64,
 }
 
 impl Site {
@@ -86,7 +86,7 @@
             random: ChaCha8Rng::seed_from_u64(options.seed),
             recorder: Recorder::default(),
             links: Links::default(),
-            cuts: CutTable::default(),
+            partitions: PartitionTable::default(),
             controls: BTreeMap::new(),
             agents: BTreeMap::new(),
             proxies: BTreeMap::new(),
@@ -94,8 +94,8 @@
             registry: RegistryList::default(),
             callers: Callers::new(scenario, topology),
             operators: Operators::new(scenario, topology),
-            faults: FaultBook::default(),
-            next_boot: 0,
+            faults: ActiveFaults::default(),
+            next_incarnation: 0,
         };
         site.recorder.verbose = options.verbose;
         site.build();
@@ -103,13 +103,13 @@
     }
 
     fn build(&mut self) {
-        for number in 1..=self.topology.cores {
+        for number in 1..=self.topology.control_nodes {
             self.add_control(number);
         }
-        for number in 1..=self.topology.fronts {
-            let agent = AgentProcess::new(self.fresh_process());
+        for number in 1..=self.topology.proxy_nodes {
+            let agent = AgentProcess::new(self.new_process());
             self.agents.insert(number, agent);
-            let proxy = ProxyProcess::new(self.fresh_process());
+            let proxy = ProxyProcess::new(self.new_process());
             self.proxies.insert(number, proxy);
         }
         self.start_at_random_times();
@@ -136,7 +136,7 @@
         let processes: Vec<ProcessId> = controls.chain(agents).chain(proxies).collect();
         for process in processes {
             let delay = self.random.random_range(0..START_SPREAD_MICROS);
-            self.after(Duration::from_micros(delay), Event::Start { process });
+            self.schedule_after(Duration::from_micros(delay), Event::Start { process });
         }
     }
 
@@ -146,7 +146,7 @@
     }
 
     /// A process with a clock of its own.
-    pub fn fresh_process(&mut self) -> ProcessState {
+    pub fn new_process(&mut self) -> ProcessState {
         let local = self.random.random_range(0..MAX_CLOCK_START);
         let drift = self.random.random_range(-MAX_DRIFT_PPM..=MAX_DRIFT_PPM);
         let now = self.now();
@@ -155,9 +155,9 @@
     }
 
     /// Number of a new incarnation.
-    pub fn next_boot(&mut self) -> u64 {
-        self.next_boot += 1;
-        self.next_boot
+    pub fn next_incarnation(&mut self) -> u64 {
+        self.next_incarnation += 1;
+        self.next_incarnation
     }
 
     /// True time.
@@ -167,7 +167,7 @@
     }
 
     /// Adds an event after a delay.
-    pub fn after(&mut self, delay: Duration, event: Event) {
+    pub fn schedule_after(&mut self, delay: Duration, event: Event) {
         let at = self.now() + delay;
         self.queue.push(at, event);
     }
@@ -197,33 +197,43 @@
         match event {
             Event::Input {
                 process,
-                boot,
+                incarnation,
                 input,
-            } => self.give(process, boot, input),
-            Event::Ready { process, boot } => self.ready(process, boot),
-            Event::Connect { link, tries } => self.connection_arrives(link, tries),
+            } => self.deliver_input(process, incarnation, input),
+            Event::Ready {
+                process,
+                incarnation,
+            } => self.drain_inbox(process, incarnation),
+            Event::Connect { link, attempts } => self.connection_arrives(link, attempts),
             Event::Arrive { link, direction } => self.packet_arrives(link, direction),
             Event::SendLater {
                 process,
-                boot,
+                incarnation,
                 link,
                 packet,
             } => {
-                if self.boot_of(process) == boot {
+                if self.incarnation_of(process) == incarnation {
                     let now = self.now();
                     self.send_packet(process, link, *packet, now);
                 }
             }
             Event::Start { process } => self.start_process(process),
             Event::FaultBegins { fault } => self.fault_begins(fault),
-            Event::FaultEnds { running } => self.fault_ends(running),
+            Event::FaultEnds { active } => self.fault_ends(active),
             Event::CallerSends { lookup } => self.caller_sends(lookup),
-            Event::CallerResends { call } => self.caller_resends(call),
-            Event::CallerHears { call, piece, end } => self.caller_hears(call, piece, end),
-            Event::CallerTiresOf { call } => self.caller_tires(call),
+            Event::CallerResends { client_request } => self.caller_resends(client_request),
+            Event::CallerReceives {
+                client_request,
+                chunk,
+                end,
+            } => self.caller_receives(client_request, chunk, end),
+            Event::CallerTimeout { client_request } => self.caller_times_out(client_request),
             Event::Operator(event) => self.handle_operator(event),
             Event::Registry(event) => self.handle_registry(event),
-            Event::ReadRegistry { process, boot } => self.read_registry(process, boot),
+            Event::ReadRegistry {
+                process,
+                incarnation,
+            } => self.read_registry(process, incarnation),
         }
     }
 
@@ -258,20 +268,20 @@
 
     /// Incarnation of the process, 0 while it does not run.
     #[must_use]
-    pub fn boot_of(&self, process: ProcessId) -> u64 {
+    pub fn incarnation_of(&self, process: ProcessId) -> u64 {
         match self.process(process) {
-            Some(state) if state.alive => state.boot,
+            Some(state) if state.alive => state.incarnation,
             _ => 0,
         }
     }
 
     /// Hands an input to a process, or keeps it while the process is frozen or busy.
-    pub fn give(&mut self, process: ProcessId, boot: u64, input: ProcessInput) {
+    pub fn deliver_input(&mut self, process: ProcessId, incarnation: u64, input: ProcessInput) {
         let now = self.now();
         let Some(state) = self.process_mut(process) else {
             return;
         };
-        if !state.alive || state.boot != boot {
+        if !state.alive || state.incarnation != incarnation {
             return;
         }
         let waits = !state.is_free(now) || !state.inbox.is_empty();
@@ -282,14 +292,14 @@
         self.dispatch(process, input, waits);
     }
 
-    /// Lets a process take what waited for it.
-    pub fn ready(&mut self, process: ProcessId, boot: u64) {
+    /// Lets a process handle the inputs in its inbox.
+    pub fn drain_inbox(&mut self, process: ProcessId, incarnation: u64) {
         loop {
             let now = self.now();
             let Some(state) = self.process_mut(process) else {
                 return;
             };
-            if state.boot != boot || !state.is_free(now) || state.inbox.is_empty() {
+            if state.incarnation != incarnation || !state.is_free(now) || state.inbox.is_empty() {
                 return;
             }
             if let ProcessId::Control(number) = process {
@@ -304,7 +314,7 @@
         }
     }
 
-    // A tick of a process that cannot take it only asks for the next one.
+    // A tick of a process that cannot handle it only schedules the next one.
     fn dispatch(&mut self, process: ProcessId, input: ProcessInput, waits: bool) {
         match process {
             ProcessId::Control(number) => self.control_input(number, input, waits),
@@ -316,7 +326,7 @@
 
     /// Starts a process with a new incarnation; its disk is as it was left.
     pub fn start_process(&mut self, process: ProcessId) {
-        let boot = self.next_boot();
+        let incarnation = self.next_incarnation();
         let defect = self.options.defect;
         let Some(state) = self.process_mut(process) else {
             return;
@@ -325,12 +335,12 @@
             return;
         }
         // A planted defect: the first proxy starts only once.
-        let again = state.boot != 0 && process == ProcessId::Proxy(1);
+        let again = state.incarnation != 0 && process == ProcessId::Proxy(1);
         if again && defect == Some(Defect::StaysDown) {
             return;
         }
-        state.start(boot);
-        self.break_silent_links(process);
+        state.start(incarnation);
+        self.reset_unresponsive_links(process);
         match process {
             ProcessId::Control(number) => self.start_control(number),
             ProcessId::Agent(number) => self.start_agent(number),
@@ -339,8 +349,8 @@
         }
     }
 
-    /// Ends a process without warning. A silent end is that of its machine: nobody is told.
-    pub fn kill_process(&mut self, process: ProcessId, silent: bool) {
+    /// Ends a process without warning. If its machine is lost, no peer is notified.
+    pub fn kill_process(&mut self, process: ProcessId, unresponsive: bool) {
         let Some(state) = self.process_mut(process) else {
             return;
         };
@@ -348,7 +358,7 @@
             return;
         }
         state.stop();
-        self.end_links(process, silent);
+        self.end_links(process, unresponsive);
         match process {
             ProcessId::Control(number) => self.control_died(number),
             ProcessId::Agent(number) => self.agent_died(number),
@@ -358,13 +368,13 @@
     }
 
     /// Asks for the next tick of a process.
-    pub fn tick_after(&mut self, process: ProcessId, boot: u64, delay: Duration) {
+    pub fn tick_after(&mut self, process: ProcessId, incarnation: u64, delay: Duration) {
         let input = ProcessInput::Tick;
-        self.after(
+        self.schedule_after(
             delay,
             Event::Input {
                 process,
-                boot,
+                incarnation,
                 input,
             },
         );
--- a/crates/simulation/src/world/targets.rs
+++ b/crates/simulation/src/world/targets.rs
@@ -20,8 +20,8 @@
             },
         };
         let processes = numbers.into_iter().flat_map(|number| match target.kind {
-            TargetKind::Core => vec![ProcessId::Control(number)],
-            TargetKind::Front => vec![ProcessId::Agent(number), ProcessId::Proxy(number)],
+            TargetKind::ControlNode => vec![ProcessId::Control(number)],
+            TargetKind::ProxyNode => vec![ProcessId::Agent(number), ProcessId::Proxy(number)],
             TargetKind::Agent => vec![ProcessId::Agent(number)],
             TargetKind::Proxy => vec![ProcessId::Proxy(number)],
             TargetKind::Model | TargetKind::Lookup => vec![ProcessId::Backend(number)],
@@ -31,11 +31,11 @@
 
     fn present(&self, kind: TargetKind) -> Vec<u16> {
         match kind {
-            TargetKind::Core => {
+            TargetKind::ControlNode => {
                 let controls = self.controls.iter().filter(|(_, it)| !it.lost);
                 controls.map(|(number, _)| *number).collect()
             }
-            TargetKind::Front | TargetKind::Agent | TargetKind::Proxy => {
+            TargetKind::ProxyNode | TargetKind::Agent | TargetKind::Proxy => {
                 self.proxies.keys().copied().collect()
             }
             TargetKind::Model => self.present_backends(false),
@@ -49,7 +49,7 @@
         present.map(|(number, _)| *number).collect()
     }
 
-    // Core and front machines by their own number, backends by their place among the present.
+    // Control nodes and proxy nodes by their own number, backends by their position among the present.
     fn numbered(&self, kind: TargetKind, present: &[u16], number: u16) -> Vec<u16> {
         let by_place = matches!(kind, TargetKind::Model | TargetKind::Lookup);
         if by_place {
@@ -67,7 +67,7 @@
         vec![present[index]]
     }
 
-    /// The core machine that leads the configuration shard, as its own node sees it.
+    /// The control node that leads the configuration shard, as its own node sees it.
     #[must_use]
     pub fn configuration_leader(&self) -> Option<u16> {
         let shard = millford_core::ShardId::CONFIGURATION;
@@ -83,7 +83,7 @@
 
     /// Whether every shard has three voters, all of them nodes that are there now.
     ///
-    /// Only then may a disk be lost: the promise is to survive the loss of any one of them.
+    /// Only then may a disk be lost: the guarantee is to survive the loss of any one of them.
     #[must_use]
     pub fn is_repaired(&self) -> bool {
         let present = self.controls.values().filter(|control| !control.lost);
--- a/crates/simulation/tests/determinism.rs
+++ b/crates/simulation/tests/determinism.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_trace_and_another_seed_another() {
+fn the_same_seed_gives_the_same_trace_hash_and_another_seed_another() {
     let first = trace(7);
     assert_eq!(first, trace(7));
     assert_ne!(first, trace(8));
--- a/crates/simulation/tests/kernel.rs
+++ b/crates/simulation/tests/kernel.rs
@@ -3,12 +3,14 @@
 use millford_core::MonotonicTime;
 use millford_simulation::disk::file::DiskFile;
 use millford_simulation::kernel::{EventQueue, ProcessClock, TraceHash};
-use millford_simulation::network::{CutTable, Direction, Links, MachineId, Packet, ProcessId};
+use millford_simulation::network::{
+    Direction, Links, MachineId, Packet, PartitionTable, ProcessId,
+};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
 #[test]
-fn events_leave_by_time_then_by_arrival() {
+fn events_are_popped_by_time_then_by_insertion() {
     let mut queue = EventQueue::default();
     queue.push(MonotonicTime::from_millis(2), "late");
     queue.push(MonotonicTime::from_millis(1), "first");
@@ -41,7 +43,7 @@
 }
 
 #[test]
-fn a_power_loss_keeps_what_was_synced() {
+fn a_power_loss_keeps_synced_bytes() {
     for seed in 0..200 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut file = DiskFile::default();
@@ -56,17 +58,17 @@
 }
 
 #[test]
-fn cuts_are_directed_and_counted() {
-    let mut cuts = CutTable::default();
-    let (one, other) = (MachineId::Core(1), MachineId::Front(1));
-    cuts.cut(one, other);
-    cuts.cut(one, other);
-    cuts.heal(one, other);
-    assert!(cuts.is_cut(one, other));
-    assert!(!cuts.is_cut(other, one));
-    assert!(!cuts.is_passable(other, one));
-    cuts.heal(one, other);
-    assert!(cuts.is_passable(one, other));
+fn partitions_are_directed_and_counted() {
+    let mut partitions = PartitionTable::default();
+    let (one, other) = (MachineId::ControlNode(1), MachineId::ProxyNode(1));
+    partitions.partition(one, other);
+    partitions.partition(one, other);
+    partitions.heal(one, other);
+    assert!(partitions.is_partitioned(one, other));
+    assert!(!partitions.is_partitioned(other, one));
+    assert!(!partitions.is_passable(other, one));
+    partitions.heal(one, other);
+    assert!(partitions.is_passable(one, other));
 }
 
 #[test]
--- a/crates/simulation/tests/planted_defects.rs
+++ b/crates/simulation/tests/planted_defects.rs
@@ -21,7 +21,7 @@
 at 17s kill cores for 1s
 ";
 
-fn violated(defect: Option<Defect>, seed: u64) -> Vec<millford_simulation::checkers::Promise> {
+fn violated(defect: Option<Defect>, seed: u64) -> Vec<millford_simulation::checkers::Guarantee> {
     let scenario = Scenario::parse(TEXT).expect("the text is right");
     let options = RunOptions {
         seed,
@@ -30,19 +30,19 @@
     };
     let report = run_scenario(&scenario, options);
     let violations = report.verdict.violations.into_iter();
-    violations.map(|violation| violation.promise).collect()
+    violations.map(|violation| violation.guarantee).collect()
 }
 
 #[test]
-fn nothing_is_caught_without_a_defect() {
+fn without_a_defect_no_guarantee_is_violated() {
     assert_eq!(violated(None, 1), []);
 }
 
 #[test]
-fn each_planted_defect_is_caught_by_its_checker() {
+fn each_planted_defect_is_reported_by_its_checker() {
     let missed: Vec<_> = Defect::ALL
         .into_iter()
-        .filter(|(defect, promise)| !violated(Some(*defect), 1).contains(promise))
+        .filter(|(defect, guarantee)| !violated(Some(*defect), 1).contains(guarantee))
         .collect();
     assert_eq!(missed, [], "defects that no checker caught");
 }
--- a/crates/simulation/tests/quota_checker.rs
+++ b/crates/simulation/tests/quota_checker.rs
@@ -1,36 +1,37 @@
-//! The checker of quotas against histories of a few calls.
+//! The checker of quotas against histories of a few client requests.
 
 use millford_core::{Duration, MonotonicTime, ResultCode, RunState};
 use millford_simulation::checkers::quota::QuotaChecker;
-use millford_simulation::checkers::{Checker, Promise, Verdict};
+use millford_simulation::checkers::{Checker, Guarantee, Verdict};
 use millford_simulation::history::{
-    CallEnd, CallNumber, CallSent, ContentNumber, FrontNumber, Record, Repeatability, ResumeRule,
+    ContentNumber, ProxyNodeNumber, Record, Repeatability, RequestEnd, RequestNumber, RequestSent,
+    ResumeRule,
 };
 
 const PER_SECOND: u32 = 20;
 const BURST: u32 = 20;
 
-struct Calls {
+struct QuotaHistory {
     checker: QuotaChecker,
     verdict: Verdict,
     now: MonotonicTime,
     last: u64,
 }
 
-impl Calls {
+impl QuotaHistory {
     fn new() -> Self {
-        let mut calls = Self {
+        let mut history = Self {
             checker: QuotaChecker::default(),
             verdict: Verdict::default(),
             now: MonotonicTime::from_millis(1000),
             last: 0,
         };
-        calls.observe(&Record::Quota {
+        history.observe(&Record::Quota {
             tenant: 0,
             per_second: PER_SECOND,
             burst: BURST,
         });
-        calls
+        history
     }
 
     fn observe(&mut self, record: &Record) {
@@ -41,27 +42,27 @@
         self.now = self.now + Duration::from_millis(millis);
     }
 
-    fn arrive(&mut self) -> CallNumber {
+    fn arrive(&mut self) -> RequestNumber {
         self.last += 1;
-        let call = CallNumber(self.last);
-        self.observe(&Record::CallSent(CallSent {
-            call,
+        let client_request = RequestNumber(self.last);
+        self.observe(&Record::RequestSent(RequestSent {
+            client_request,
             content: ContentNumber(self.last),
             tenant: 0,
             key: 0,
-            front: FrontNumber(1),
+            proxy_node: ProxyNodeNumber(1),
             repeatability: Repeatability::Repeatable,
             resume: ResumeRule::Never,
             stream: false,
         }));
-        self.observe(&Record::CallArrived { call });
-        call
+        self.observe(&Record::RequestArrived { client_request });
+        client_request
     }
 
-    fn refuse(&mut self, call: CallNumber) {
-        self.observe(&Record::CallEnded {
-            call,
-            end: CallEnd::Refused {
+    fn refuse(&mut self, client_request: RequestNumber) {
+        self.observe(&Record::RequestEnded {
+            client_request,
+            end: RequestEnd::Refused {
                 code: ResultCode::QuotaExceeded,
                 run: RunState::NotRun,
             },
@@ -69,62 +70,62 @@
         });
     }
 
-    fn is_wronged(&self) -> bool {
-        self.verdict.has(Promise::Quota)
+    fn violates_quota(&self) -> bool {
+        self.verdict.has(Guarantee::Quota)
     }
 }
 
 #[test]
-fn a_tenant_with_tokens_left_is_wronged_by_a_refusal() {
-    let mut calls = Calls::new();
+fn refusing_a_tenant_with_tokens_left_violates_the_quota_guarantee() {
+    let mut history = QuotaHistory::new();
     for _ in 0..BURST - 4 {
-        calls.arrive();
+        history.arrive();
     }
-    let call = calls.arrive();
-    calls.refuse(call);
-    assert!(calls.is_wronged());
+    let client_request = history.arrive();
+    history.refuse(client_request);
+    assert!(history.violates_quota());
 }
 
 #[test]
-fn a_tenant_that_used_its_last_tokens_is_not_wronged() {
-    let mut calls = Calls::new();
+fn refusing_a_tenant_without_tokens_violates_nothing() {
+    let mut history = QuotaHistory::new();
     for _ in 0..BURST {
-        calls.arrive();
+        history.arrive();
     }
-    let call = calls.arrive();
-    calls.refuse(call);
-    assert!(!calls.is_wronged());
+    let client_request = history.arrive();
+    history.refuse(client_request);
+    assert!(!history.violates_quota());
 }
 
-/// Just at its rate for longer than a call counts as over the quota: what it used before is still missing.
+/// Just at its rate for longer than a client request counts as over the quota: what it used before is still missing.
 #[test]
-fn a_tenant_that_goes_on_at_its_rate_with_nothing_left_is_not_wronged() {
-    let mut calls = Calls::new();
+fn refusing_a_tenant_at_its_rate_without_tokens_violates_nothing() {
+    let mut history = QuotaHistory::new();
     for _ in 0..BURST {
-        calls.arrive();
+        history.arrive();
     }
     for _ in 0..PER_SECOND * 6 {
-        calls.pass(1000 / u64::from(PER_SECOND));
-        calls.arrive();
+        history.pass(1000 / u64::from(PER_SECOND));
+        history.arrive();
     }
-    let call = calls.arrive();
-    calls.refuse(call);
-    assert!(!calls.is_wronged());
+    let client_request = history.arrive();
+    history.refuse(client_request);
+    assert!(!history.violates_quota());
 }
 
 /// Two tokens less than an exact bucket holds are lent elsewhere at most; with three and more left the refusal is
 /// wrong, however the tenant came there.
 #[test]
-fn a_tenant_that_recovered_is_wronged_by_a_refusal() {
-    let mut calls = Calls::new();
+fn refusing_a_tenant_whose_tokens_refilled_violates_the_quota_guarantee() {
+    let mut history = QuotaHistory::new();
     for _ in 0..BURST * 2 {
-        calls.arrive();
+        history.arrive();
     }
-    calls.pass(6_000);
+    history.pass(6_000);
     for _ in 0..BURST - 4 {
-        calls.arrive();
+        history.arrive();
     }
-    let call = calls.arrive();
-    calls.refuse(call);
-    assert!(calls.is_wronged());
+    let client_request = history.arrive();
+    history.refuse(client_request);
+    assert!(history.violates_quota());
 }
--- a/crates/simulation/tests/scenario_files.rs
+++ b/crates/simulation/tests/scenario_files.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use millford_simulation::scenario::{
-    Choice, CutSense, Fault, FaultClass, Figure, Scenario, Target, TargetKind, Topology,
+    Choice, Fault, FaultClass, Figure, PartitionDirection, Scenario, Target, TargetKind, Topology,
 };
 
 const TEXT: &str = "
@@ -21,7 +21,7 @@
 ";
 
 #[test]
-fn a_file_is_read_whole() {
+fn a_scenario_file_is_parsed_completely() {
     let scenario = Scenario::parse(TEXT).expect("the file is right");
     assert_eq!(scenario.name, "example");
     assert_eq!(scenario.site(0), Topology::REYKJAVIK);
@@ -29,22 +29,22 @@
     assert_eq!(scenario.workload.quota_burst, 15);
     let first = &scenario.faults[0];
     assert_eq!(first.at, Duration::from_secs(5));
-    let expected = Fault::Cut {
+    let expected = Fault::Partition {
         target: Target {
-            kind: TargetKind::Core,
+            kind: TargetKind::ControlNode,
             choice: Choice::Leader,
         },
         from: Some(Target {
-            kind: TargetKind::Core,
+            kind: TargetKind::ControlNode,
             choice: Choice::Number(2),
         }),
-        sense: CutSense::Outward,
+        direction: PartitionDirection::Outward,
         length: Duration::from_secs(20),
     };
     assert_eq!(first.fault, expected);
     assert_eq!(
         scenario.draws[0].classes,
-        [FaultClass::Cores, FaultClass::Network]
+        [FaultClass::ControlNodes, FaultClass::Network]
     );
     assert_eq!(scenario.expectations[0].figure, Figure::Adoption);
     assert_eq!(scenario.expectations[0].value, 2000);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn faults_of_a_file_name_their_line() {
+fn parse_errors_name_their_line() {
     let cases = [
         ("scenario a\nsite small\nat 5s explode core 1", 3),
         ("scenario a\nsite nowhere", 2),
--- a/crates/simulation/tests/scenarios.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::sync::OnceLock;
 
-use millford_simulation::checkers::Promise;
+use millford_simulation::checkers::Guarantee;
 use millford_simulation::runner::{Summary, load_scenarios, sweep};
 
 /// Seeds of every scenario but the mix.
@@ -46,29 +46,32 @@
     })
 }
 
-/// Violations of other promises than that of quotas.
-fn beside_quotas(summary: &Summary) -> Vec<String> {
+/// Violations of other guarantees than that of quotas.
+fn violations_beside_quotas(summary: &Summary) -> Vec<String> {
     let violations = summary.failures.iter().flat_map(|failure| {
         let violations = failure.verdict.violations.iter();
         violations.map(move |violation| (failure.seed, violation))
     });
     violations
-        .filter(|(_, violation)| violation.promise != Promise::Quota)
+        .filter(|(_, violation)| violation.guarantee != Guarantee::Quota)
         .map(|(seed, violation)| format!("{} seed {seed}: {violation:?}", summary.name))
         .collect()
 }
 
 #[test]
-fn every_scenario_keeps_every_promise() {
-    let broken: Vec<_> = scenarios().iter().flat_map(failures).collect();
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+fn every_scenario_keeps_every_guarantee() {
+    let violations: Vec<_> = scenarios().iter().flat_map(failures).collect();
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
 /// Stays green while a fault of the quotas is known, so that no other fault hides behind it.
 #[test]
-fn no_scenario_breaks_a_promise_but_that_of_quotas() {
-    let broken: Vec<_> = scenarios().iter().flat_map(beside_quotas).collect();
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+fn no_scenario_breaks_a_guarantee_but_that_of_quotas() {
+    let violations: Vec<_> = scenarios()
+        .iter()
+        .flat_map(violations_beside_quotas)
+        .collect();
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
 /// The mix over its seeds, run once for all tests of this file.
@@ -82,33 +85,33 @@
 }
 
 #[test]
-fn the_mix_keeps_every_promise() {
+fn the_mix_keeps_every_guarantee() {
     let summary = mix();
     assert_eq!(summary.seeds, MIX);
-    let broken = failures(summary);
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    let violations = failures(summary);
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
 /// Stays green while a fault of the quotas is known, so that no other fault hides behind it.
 #[test]
-fn the_mix_breaks_no_promise_but_that_of_quotas() {
-    let broken = beside_quotas(mix());
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+fn the_mix_breaks_no_guarantee_but_that_of_quotas() {
+    let violations = violations_beside_quotas(mix());
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
 /// Too long for a test run: the command plays them. What they say is checked here.
 #[test]
-fn scenarios_of_large_fleets_give_every_front_machine_calls() {
+fn scenarios_of_large_fleets_send_requests_to_every_proxy_node() {
     let files = load_scenarios(&folder().join("large")).expect("the scenario files are right");
-    let fronts: Vec<u16> = files
+    let proxy_nodes: Vec<u16> = files
         .iter()
-        .map(|file| file.scenario.site(0).fronts)
+        .map(|file| file.scenario.site(0).proxy_nodes)
         .collect();
-    assert_eq!(fronts, [90, 300]);
+    assert_eq!(proxy_nodes, [90, 300]);
     for file in &files {
-        let calls = file.scenario.workload.calls_per_second;
-        let fronts = u32::from(file.scenario.site(0).fronts);
-        // A front machine without a call in 12 s would count as one that does not serve.
-        assert!(calls > fronts, "{}", file.scenario.name);
+        let requests = file.scenario.workload.requests_per_second;
+        let proxy_nodes = u32::from(file.scenario.site(0).proxy_nodes);
+        // A proxy node without a client request in 12 s would count as one that does not serve.
+        assert!(requests > proxy_nodes, "{}", file.scenario.name);
     }
 }
