--- a/crates/simulation/src/runner/arguments.rs
+++ b/crates/simulation/src/runner/arguments.rs
@@ -1,11 +1,15 @@
 //! Command line of the scenario runner.
 
+use std::num::{NonZeroUsize, ParseIntError};
 use std::path::PathBuf;
+use std::str::FromStr;
+
+use thiserror::Error;
 
 /// Folder of the scenario files when none is named.
 const DEFAULT_FOLDER: &str = "scenarios";
 
-/// What the command line asks for.
+/// Options of the command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arguments {
     /// A scenario file, or a folder of them.
@@ -20,6 +24,33 @@
     pub verbose: bool,
 }
 
+/// Why a command line cannot be parsed.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum ArgumentError {
+    /// An argument is no option.
+    #[error("unknown argument {argument:?}")]
+    Unknown {
+        /// The argument.
+        argument: String,
+    },
+    /// An option stands last, without its value.
+    #[error("{option} needs a value")]
+    MissingValue {
+        /// The option.
+        option: String,
+    },
+    /// The value of an option is no number of the right size.
+    #[error("{option}: {value:?} is not a number")]
+    InvalidNumber {
+        /// The option.
+        option: String,
+        /// Its value.
+        value: String,
+        /// Why it is none.
+        source: ParseIntError,
+    },
+}
+
 /// Help text.
 pub const USAGE: &str = "\
 usage: millford-lab scenarios [--file FILE|FOLDER] [--seeds N] [--from SEED] [--jobs N] [--verbose]
@@ -29,41 +60,60 @@
 that replays it. --verbose prints the history of every run.";
 
 impl Arguments {
-    /// Reads the words after `scenarios`.
-    pub fn parse(words: &[String]) -> Result<Self, String> {
-        let mut arguments = Self {
+    /// Parses the arguments after `scenarios`.
+    ///
+    /// # Errors
+    /// [`ArgumentError`] names the first argument that is unknown, lacks its value or is no number.
+    pub fn parse(arguments: &[String]) -> Result<Self, ArgumentError> {
+        let mut parsed = Self {
             path: PathBuf::from(DEFAULT_FOLDER),
             seeds: None,
             from: 0,
             jobs: default_jobs(),
             verbose: false,
         };
-        let mut words = words.iter();
-        while let Some(word) = words.next() {
-            match word.as_str() {
-                "--verbose" => arguments.verbose = true,
-                "--file" => arguments.path = PathBuf::from(value(word, words.next())?),
-                "--seeds" => arguments.seeds = Some(number(word, words.next())?),
-                "--from" => arguments.from = number(word, words.next())?,
-                "--jobs" => arguments.jobs = number(word, words.next())?,
-                other => return Err(format!("unknown argument {other:?}")),
+        let mut arguments = arguments.iter();
+        while let Some(option) = arguments.next() {
+            match option.as_str() {
+                "--verbose" => parsed.verbose = true,
+                "--file" => parsed.path = PathBuf::from(value(option, arguments.next())?),
+                "--seeds" => parsed.seeds = Some(number(option, arguments.next())?),
+                "--from" => parsed.from = number(option, arguments.next())?,
+                "--jobs" => parsed.jobs = number(option, arguments.next())?,
+                other => {
+                    return Err(ArgumentError::Unknown {
+                        argument: other.to_owned(),
+                    });
+                }
             }
         }
-        Ok(arguments)
+        Ok(parsed)
     }
 }
 
 fn default_jobs() -> usize {
-    std::thread::available_parallelism().map_or(1, std::num::NonZeroUsize::get)
+    std::thread::available_parallelism().map_or(1, NonZeroUsize::get)
 }
 
-fn value<'word>(name: &str, word: Option<&'word String>) -> Result<&'word str, String> {
-    word.map(String::as_str)
-        .ok_or_else(|| format!("{name} needs a value"))
+fn value<'argument>(
+    option: &str,
+    value: Option<&'argument String>,
+) -> Result<&'argument str, ArgumentError> {
+    value
+        .map(String::as_str)
+        .ok_or_else(|| ArgumentError::MissingValue {
+            option: option.to_owned(),
+        })
 }
 
-fn number<N: std::str::FromStr>(name: &str, word: Option<&String>) -> Result<N, String> {
-    let text = value(name, word)?;
-    text.parse()
-        .map_err(|_| format!("{name}: {text:?} is not a number"))
+fn number<N>(option: &str, text: Option<&String>) -> Result<N, ArgumentError>
+where
+    N: FromStr<Err = ParseIntError>,
+{
+    let text = value(option, text)?;
+    text.parse().map_err(|source| ArgumentError::InvalidNumber {
+        option: option.to_owned(),
+        value: text.to_owned(),
+        source,
+    })
 }
--- a/crates/simulation/src/runner/run_report.rs
+++ b/crates/simulation/src/runner/run_report.rs
@@ -1,7 +1,7 @@
 //! One run of a scenario.
 
-use crate::checkers::{Promise, Verdict};
-use crate::scenario::{Expectation, Scenario};
+use crate::checkers::{Guarantee, Verdict};
+use crate::scenario::{Bound, Expectation, Scenario};
 use crate::world::{RunOptions, Site};
 
 /// What a run showed.
@@ -18,7 +18,7 @@
 }
 
 impl RunReport {
-    /// Whether every promise was kept.
+    /// Whether no guarantee was violated.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.verdict.violations.is_empty()
@@ -44,12 +44,12 @@
 fn check_expectation(expectation: Expectation, verdict: &mut Verdict, site: &Site) {
     // What was never measured keeps any upper bound and no lower one.
     let value = verdict.figures.get(expectation.figure).unwrap_or(0);
-    let kept = match expectation.at_least {
-        true => value >= expectation.value,
-        false => value <= expectation.value,
+    let is_met = match expectation.bound {
+        Bound::AtLeast => value >= expectation.value,
+        Bound::AtMost => value <= expectation.value,
     };
-    if !kept {
-        let text = format!("{} is {value}", expectation.figure.word());
-        verdict.broken(site.now(), Promise::Expectation, text);
+    if !is_met {
+        let text = format!("{} is {value}", expectation.figure.keyword());
+        verdict.record_violation(site.now(), Guarantee::Expectation, text);
     }
 }
--- a/crates/simulation/src/world/draws.rs
+++ b/crates/simulation/src/world/draws.rs
@@ -4,24 +4,37 @@
 use std::time::Duration;
 
 use rand::Rng;
+use rand_chacha::ChaCha8Rng;
 
 use crate::scenario::{
-    AnswerFault, Choice, CutSense, DiskFault, Draw, Fault, FaultClass, RollKind, Target,
+    AnswerFault, Choice, DiskFault, Draw, Fault, FaultClass, PartitionDirection, RollKind, Target,
     TargetKind, TimedFault,
 };
-use crate::world::site::Site;
 
+/// Length of a short fault, in milliseconds.
 const SHORT_MILLIS: Range<u64> = 200..3_000;
+/// Length of a middling fault, in milliseconds.
 const MIDDLE_MILLIS: Range<u64> = 1_000..8_000;
+/// Length of a long fault, in milliseconds.
 const LONG_MILLIS: Range<u64> = 5_000..24_000;
+/// Time of one sync of a slow disk, in milliseconds.
 const SLOW_SYNC_MILLIS: Range<u64> = 5..400;
+/// Drift of a clock, in parts per million.
 const DRIFT_PPM: Range<i32> = -500..500;
+/// Factor of a burst.
 const BURST: Range<u32> = 2..6;
+/// Orders sent one after the other.
 const ORDERS: Range<u32> = 5..40;
 
-impl Site {
+/// Draws the faults of a run.
+pub(super) struct FaultDraws<'random> {
+    /// All randomness of the run.
+    pub(super) random: &'random mut ChaCha8Rng,
+}
+
+impl FaultDraws<'_> {
     /// The faults of one draw, in no order.
-    pub fn draw_faults(&mut self, draw: &Draw) -> Vec<TimedFault> {
+    pub(super) fn draw_faults(&mut self, draw: &Draw) -> Vec<TimedFault> {
         let mut faults = Vec::new();
         for _ in 0..draw.count {
             let index = self.random.random_range(0..draw.classes.len().max(1));
@@ -40,8 +53,8 @@
 
     fn draw_fault(&mut self, class: FaultClass) -> Fault {
         match class {
-            FaultClass::Fronts => self.draw_front_fault(),
-            FaultClass::Cores => self.draw_core_fault(),
+            FaultClass::ProxyNodes => self.draw_proxy_node_fault(),
+            FaultClass::ControlNodes => self.draw_control_node_fault(),
             FaultClass::Network => self.draw_network_fault(),
             FaultClass::Disks => self.draw_disk_fault(),
             FaultClass::Clocks => self.draw_clock_fault(),
@@ -51,8 +64,8 @@
         }
     }
 
-    fn draw_front_fault(&mut self) -> Fault {
-        let kinds = [TargetKind::Front, TargetKind::Agent, TargetKind::Proxy];
+    fn draw_proxy_node_fault(&mut self) -> Fault {
+        let kinds = [TargetKind::ProxyNode, TargetKind::Agent, TargetKind::Proxy];
         let kind = kinds[self.random.random_range(0..kinds.len())];
         match self.random.random_range(0..8) {
             0..4 => Fault::Kill {
@@ -64,17 +77,17 @@
                 length: self.draw_length(LONG_MILLIS),
             },
             6 => Fault::Roll {
-                kind: RollKind::Fronts,
+                kind: RollKind::ProxyNodes,
             },
             _ => Fault::Kill {
-                target: all(kind),
+                target: Target::all(kind),
                 down: self.draw_length(SHORT_MILLIS),
             },
         }
     }
 
-    fn draw_core_fault(&mut self) -> Fault {
-        let target = self.draw_core();
+    fn draw_control_node_fault(&mut self) -> Fault {
+        let target = self.draw_control_node();
         match self.random.random_range(0..10) {
             0..3 => Fault::Kill {
                 target,
@@ -93,44 +106,50 @@
                 down: self.draw_length(SHORT_MILLIS),
             },
             8 => Fault::Roll {
-                kind: RollKind::Cores,
+                kind: RollKind::ControlNodes,
             },
             _ => Fault::Kill {
-                target: all(TargetKind::Core),
+                target: Target::all(TargetKind::ControlNode),
                 down: self.draw_length(SHORT_MILLIS),
             },
         }
     }
 
-    fn draw_core(&mut self) -> Target {
-        let choice = match self.random.random_bool(0.4) {
-            true => Choice::Leader,
-            false => Choice::Any,
+    fn draw_control_node(&mut self) -> Target {
+        let choice = if self.random.random_bool(0.4) {
+            Choice::Leader
+        } else {
+            Choice::Any
         };
         Target {
-            kind: TargetKind::Core,
+            kind: TargetKind::ControlNode,
             choice,
         }
     }
 
     fn draw_network_fault(&mut self) -> Fault {
-        let target = match self.random.random_bool(0.6) {
-            true => self.draw_core(),
-            false => Target::any(TargetKind::Front),
+        let target = if self.random.random_bool(0.6) {
+            self.draw_control_node()
+        } else {
+            Target::any(TargetKind::ProxyNode)
         };
-        let senses = [CutSense::Both, CutSense::Outward, CutSense::Inward];
-        let sense = senses[self.random.random_range(0..senses.len())];
+        let directions = [
+            PartitionDirection::Both,
+            PartitionDirection::Outward,
+            PartitionDirection::Inward,
+        ];
+        let direction = directions[self.random.random_range(0..directions.len())];
         match self.random.random_range(0..6) {
-            0..3 => Fault::Cut {
+            0..3 => Fault::Partition {
                 target,
                 from: None,
-                sense,
+                direction,
                 length: self.draw_length(LONG_MILLIS),
             },
-            3..5 => Fault::Cut {
+            3..5 => Fault::Partition {
                 target,
-                from: Some(Target::any(TargetKind::Core)),
-                sense,
+                from: Some(Target::any(TargetKind::ControlNode)),
+                direction,
                 length: self.draw_length(LONG_MILLIS),
             },
             _ => Fault::Reset { target },
@@ -145,14 +164,18 @@
             _ => DiskFault::FailingSync,
         };
         Fault::Disk {
-            target: self.draw_core(),
+            target: self.draw_control_node(),
             fault,
             length: self.draw_length(MIDDLE_MILLIS),
         }
     }
 
     fn draw_clock_fault(&mut self) -> Fault {
-        let kinds = [TargetKind::Core, TargetKind::Agent, TargetKind::Proxy];
+        let kinds = [
+            TargetKind::ControlNode,
+            TargetKind::Agent,
+            TargetKind::Proxy,
+        ];
         let kind = kinds[self.random.random_range(0..kinds.len())];
         let target = Target::any(kind);
         Fault::ClockDrift {
@@ -162,9 +185,10 @@
     }
 
     fn draw_backend_fault(&mut self) -> Fault {
-        let kind = match self.random.random_bool(0.7) {
-            true => TargetKind::Model,
-            false => TargetKind::Lookup,
+        let kind = if self.random.random_bool(0.7) {
+            TargetKind::Model
+        } else {
+            TargetKind::Lookup
         };
         let target = Target::any(kind);
         match self.random.random_range(0..9) {
@@ -180,7 +204,7 @@
             5 => Fault::Roll {
                 kind: RollKind::Models,
             },
-            6 => Fault::RegistryStill {
+            6 => Fault::FrozenRegistry {
                 length: self.draw_length(MIDDLE_MILLIS),
             },
             _ => {
@@ -196,7 +220,7 @@
     fn draw_operator_fault(&mut self) -> Fault {
         match self.random.random_range(0..5) {
             0..2 => Fault::Race,
-            2 => Fault::LostAnswers {
+            2 => Fault::LostReplies {
                 length: self.draw_length(MIDDLE_MILLIS),
             },
             3 => Fault::Revoke,
@@ -207,14 +231,15 @@
     }
 
     fn draw_load_fault(&mut self) -> Fault {
-        match self.random.random_bool(0.5) {
-            true => Fault::Burst {
+        if self.random.random_bool(0.5) {
+            Fault::Burst {
                 times: self.random.random_range(BURST),
                 length: self.draw_length(SHORT_MILLIS),
-            },
-            false => Fault::HotTenant {
+            }
+        } else {
+            Fault::HotTenant {
                 length: self.draw_length(MIDDLE_MILLIS),
-            },
+            }
         }
     }
 
@@ -223,14 +248,7 @@
     }
 }
 
-fn all(kind: TargetKind) -> Target {
-    Target {
-        kind,
-        choice: Choice::All,
-    }
-}
-
-// What a draw begins also ends within its time, so that the run shows the recovery.
+/// What a draw begins also ends within its time, so that the run shows the recovery.
 fn within(fault: Fault, left: Duration) -> Fault {
     match fault {
         Fault::Kill { target, down } => Fault::Kill {
@@ -241,15 +259,15 @@
             target,
             length: length.min(left),
         },
-        Fault::Cut {
+        Fault::Partition {
             target,
             from,
-            sense,
+            direction,
             length,
-        } => Fault::Cut {
+        } => Fault::Partition {
             target,
             from,
-            sense,
+            direction,
             length: length.min(left),
         },
         Fault::Disk {
--- a/crates/simulation/src/world/site.rs
+++ b/crates/simulation/src/world/site.rs
@@ -10,22 +10,22 @@
 use crate::checkers::Verdict;
 use crate::history::Record;
 use crate::kernel::{EventQueue, ProcessClock};
-use crate::network::{CutTable, Links, ProcessId};
+use crate::network::{Links, PartitionTable, ProcessId};
 use crate::scenario::{Scenario, Topology};
+use crate::world::active_faults::ActiveFaults;
 use crate::world::agent_process::AgentProcess;
-use crate::world::backend::BackendProcess;
+use crate::world::backend::{BackendProcess, RecentRuns};
 use crate::world::callers::Callers;
 use crate::world::control_process::ControlProcess;
 use crate::world::defect::Defect;
 use crate::world::event::{Event, RegistryEvent};
-use crate::world::fault_book::FaultBook;
 use crate::world::operators::Operators;
-use crate::world::process::ProcessState;
+use crate::world::process::{ProcessLoss, ProcessState};
 use crate::world::process_input::ProcessInput;
 use crate::world::proxy::ProxyProcess;
 use crate::world::recorder::Recorder;
-use crate::world::registry::RegistryList;
 use crate::world::run_options::RunOptions;
+use crate::world::service_registry::ServiceRegistry;
 
 /// Largest drift of a clock, in parts per million.
 const MAX_DRIFT_PPM: i32 = 200;
@@ -39,38 +39,40 @@
 /// Everything of a running scenario.
 pub struct Site {
     /// What is run.
-    pub scenario: Scenario,
+    pub(super) scenario: Scenario,
     /// Machines.
-    pub topology: Topology,
+    pub(super) topology: Topology,
     /// Seed and switches.
-    pub options: RunOptions,
+    pub(super) options: RunOptions,
     /// Future events.
-    pub queue: EventQueue<Event>,
+    pub(super) queue: EventQueue<Event>,
     /// All randomness.
-    pub random: ChaCha8Rng,
+    pub(super) random: ChaCha8Rng,
     /// History and checkers.
-    pub recorder: Recorder,
+    pub(super) recorder: Recorder,
     /// Connections.
-    pub links: Links,
-    /// Cuts.
-    pub cuts: CutTable,
-    /// Core machines.
-    pub controls: BTreeMap<u16, ControlProcess>,
-    /// Agents of the front machines.
-    pub agents: BTreeMap<u16, AgentProcess>,
-    /// Proxies of the front machines.
-    pub proxies: BTreeMap<u16, ProxyProcess>,
-    /// Backends, gone ones included.
-    pub backends: BTreeMap<u16, BackendProcess>,
+    pub(super) links: Links,
+    /// Partitions between machines.
+    pub(super) partitions: PartitionTable,
+    /// Control nodes.
+    pub(super) controls: BTreeMap<u16, ControlProcess>,
+    /// Agents of the proxy nodes.
+    pub(super) agents: BTreeMap<u16, AgentProcess>,
+    /// Proxies of the proxy nodes.
+    pub(super) proxies: BTreeMap<u16, ProxyProcess>,
+    /// Backends, retired ones included.
+    pub(super) backends: BTreeMap<u16, BackendProcess>,
     /// The service registry.
-    pub registry: RegistryList,
+    pub(super) registry: ServiceRegistry,
     /// Callers.
-    pub callers: Callers,
+    pub(super) callers: Callers,
     /// Operators.
-    pub operators: Operators,
-    /// Faults to come and under way.
-    pub faults: FaultBook,
-    next_boot: u64,
+    pub(super) operators: Operators,
+    /// Planned and active faults.
+    pub(super) faults: ActiveFaults,
+    /// Runs that backends began recently.
+    pub(super) recent_runs: RecentRuns,
+    last_incarnation: u64,
 }
 
 impl Site {
@@ -86,16 +88,17 @@
             random: ChaCha8Rng::seed_from_u64(options.seed),
             recorder: Recorder::default(),
             links: Links::default(),
-            cuts: CutTable::default(),
+            partitions: PartitionTable::default(),
             controls: BTreeMap::new(),
             agents: BTreeMap::new(),
             proxies: BTreeMap::new(),
             backends: BTreeMap::new(),
-            registry: RegistryList::default(),
-            callers: Callers::new(scenario, topology),
+            registry: ServiceRegistry::default(),
+            callers: Callers::new(scenario, topology, options.defect),
             operators: Operators::new(scenario, topology),
-            faults: FaultBook::default(),
-            next_boot: 0,
+            faults: ActiveFaults::default(),
+            recent_runs: RecentRuns::default(),
+            last_incarnation: 0,
         };
         site.recorder.verbose = options.verbose;
         site.build();
@@ -103,13 +106,13 @@
     }
 
     fn build(&mut self) {
-        for number in 1..=self.topology.cores {
+        for number in 1..=self.topology.control_nodes {
             self.add_control(number);
         }
-        for number in 1..=self.topology.fronts {
-            let agent = AgentProcess::new(self.fresh_process());
+        for number in 1..=self.topology.proxy_nodes {
+            let agent = AgentProcess::new(self.new_process());
             self.agents.insert(number, agent);
-            let proxy = ProxyProcess::new(self.fresh_process());
+            let proxy = ProxyProcess::new(self.new_process());
             self.proxies.insert(number, proxy);
         }
         self.start_at_random_times();
@@ -136,7 +139,7 @@
         let processes: Vec<ProcessId> = controls.chain(agents).chain(proxies).collect();
         for process in processes {
             let delay = self.random.random_range(0..START_SPREAD_MICROS);
-            self.after(Duration::from_micros(delay), Event::Start { process });
+            self.schedule_after(Duration::from_micros(delay), Event::Start { process });
         }
     }
 
@@ -146,7 +149,7 @@
     }
 
     /// A process with a clock of its own.
-    pub fn fresh_process(&mut self) -> ProcessState {
+    pub(super) fn new_process(&mut self) -> ProcessState {
         let local = self.random.random_range(0..MAX_CLOCK_START);
         let drift = self.random.random_range(-MAX_DRIFT_PPM..=MAX_DRIFT_PPM);
         let now = self.now();
@@ -155,9 +158,9 @@
     }
 
     /// Number of a new incarnation.
-    pub fn next_boot(&mut self) -> u64 {
-        self.next_boot += 1;
-        self.next_boot
+    pub(super) fn next_incarnation(&mut self) -> u64 {
+        self.last_incarnation += 1;
+        self.last_incarnation
     }
 
     /// True time.
@@ -167,17 +170,23 @@
     }
 
     /// Adds an event after a delay.
-    pub fn after(&mut self, delay: Duration, event: Event) {
+    pub(super) fn schedule_after(&mut self, delay: Duration, event: Event) {
         let at = self.now() + delay;
         self.queue.push(at, event);
     }
 
     /// Adds to the history.
-    pub fn record(&mut self, record: Record) {
+    pub(super) fn record(&mut self, record: Record) {
         let now = self.now();
         self.recorder.record(now, &record);
     }
 
+    /// Prints a line in verbose runs.
+    pub(super) fn log(&mut self, text: impl FnOnce() -> String) {
+        let now = self.now();
+        self.recorder.log(now, text);
+    }
+
     /// Runs to the end of the scenario.
     pub fn run(&mut self) -> Verdict {
         let end = MonotonicTime::ZERO + self.scenario.duration;
@@ -197,39 +206,43 @@
         match event {
             Event::Input {
                 process,
-                boot,
+                incarnation,
                 input,
-            } => self.give(process, boot, input),
-            Event::Ready { process, boot } => self.ready(process, boot),
-            Event::Connect { link, tries } => self.connection_arrives(link, tries),
+            } => self.deliver_input(process, incarnation, input),
+            Event::Ready {
+                process,
+                incarnation,
+            } => self.drain_inbox(process, incarnation),
+            Event::Connect { link, attempts } => self.connection_arrives(link, attempts),
             Event::Arrive { link, direction } => self.packet_arrives(link, direction),
             Event::SendLater {
                 process,
-                boot,
+                incarnation,
                 link,
                 packet,
-            } => {
-                if self.boot_of(process) == boot {
-                    let now = self.now();
-                    self.send_packet(process, link, *packet, now);
-                }
-            }
+            } => self.send_later(process, incarnation, link, *packet),
             Event::Start { process } => self.start_process(process),
             Event::FaultBegins { fault } => self.fault_begins(fault),
-            Event::FaultEnds { running } => self.fault_ends(running),
+            Event::FaultEnds { fault } => self.fault_ends(fault),
             Event::CallerSends { lookup } => self.caller_sends(lookup),
-            Event::CallerResends { call } => self.caller_resends(call),
-            Event::CallerHears { call, piece, end } => self.caller_hears(call, piece, end),
-            Event::CallerTiresOf { call } => self.caller_tires(call),
+            Event::CallerResends { client_request } => self.caller_resends(client_request),
+            Event::CallerReceives {
+                client_request,
+                delivery,
+            } => self.caller_receives(client_request, delivery),
+            Event::CallerTimeout { client_request } => self.caller_times_out(client_request),
             Event::Operator(event) => self.handle_operator(event),
             Event::Registry(event) => self.handle_registry(event),
-            Event::ReadRegistry { process, boot } => self.read_registry(process, boot),
+            Event::ReadRegistry {
+                process,
+                incarnation,
+            } => self.read_registry(process, incarnation),
         }
     }
 
     /// The state of a process.
     #[must_use]
-    pub fn process(&self, process: ProcessId) -> Option<&ProcessState> {
+    pub(super) fn process(&self, process: ProcessId) -> Option<&ProcessState> {
         match process {
             ProcessId::Control(number) => self.controls.get(&number).map(|it| &it.process),
             ProcessId::Agent(number) => self.agents.get(&number).map(|it| &it.process),
@@ -239,7 +252,7 @@
     }
 
     /// The state of a process, for changes.
-    pub fn process_mut(&mut self, process: ProcessId) -> Option<&mut ProcessState> {
+    pub(super) fn process_mut(&mut self, process: ProcessId) -> Option<&mut ProcessState> {
         match process {
             ProcessId::Control(number) => self.controls.get_mut(&number).map(|it| &mut it.process),
             ProcessId::Agent(number) => self.agents.get_mut(&number).map(|it| &mut it.process),
@@ -250,7 +263,7 @@
 
     /// What the process's clock shows.
     #[must_use]
-    pub fn local_time(&self, process: ProcessId) -> MonotonicTime {
+    pub(super) fn local_time(&self, process: ProcessId) -> MonotonicTime {
         let now = self.now();
         self.process(process)
             .map_or(now, |state| state.clock.local(now))
@@ -258,20 +271,25 @@
 
     /// Incarnation of the process, 0 while it does not run.
     #[must_use]
-    pub fn boot_of(&self, process: ProcessId) -> u64 {
+    pub(super) fn incarnation_of(&self, process: ProcessId) -> u64 {
         match self.process(process) {
-            Some(state) if state.alive => state.boot,
+            Some(state) if state.alive => state.incarnation,
             _ => 0,
         }
     }
 
-    /// Hands an input to a process, or keeps it while the process is frozen or busy.
-    pub fn give(&mut self, process: ProcessId, boot: u64, input: ProcessInput) {
+    /// Hands an input to a process, or queues it while the process is frozen or busy.
+    pub(super) fn deliver_input(
+        &mut self,
+        process: ProcessId,
+        incarnation: u64,
+        input: ProcessInput,
+    ) {
         let now = self.now();
         let Some(state) = self.process_mut(process) else {
             return;
         };
-        if !state.alive || state.boot != boot {
+        if !state.alive || state.incarnation != incarnation {
             return;
         }
         let waits = !state.is_free(now) || !state.inbox.is_empty();
@@ -282,14 +300,14 @@
         self.dispatch(process, input, waits);
     }
 
-    /// Lets a process take what waited for it.
-    pub fn ready(&mut self, process: ProcessId, boot: u64) {
+    /// Lets a process handle the inputs in its inbox.
+    pub(super) fn drain_inbox(&mut self, process: ProcessId, incarnation: u64) {
         loop {
             let now = self.now();
             let Some(state) = self.process_mut(process) else {
                 return;
             };
-            if state.boot != boot || !state.is_free(now) || state.inbox.is_empty() {
+            if state.incarnation != incarnation || !state.is_free(now) || state.inbox.is_empty() {
                 return;
             }
             if let ProcessId::Control(number) = process {
@@ -304,7 +322,7 @@
         }
     }
 
-    // A tick of a process that cannot take it only asks for the next one.
+    // A tick of a process that cannot handle it only schedules the next one.
     fn dispatch(&mut self, process: ProcessId, input: ProcessInput, waits: bool) {
         match process {
             ProcessId::Control(number) => self.control_input(number, input, waits),
@@ -315,8 +333,8 @@
     }
 
     /// Starts a process with a new incarnation; its disk is as it was left.
-    pub fn start_process(&mut self, process: ProcessId) {
-        let boot = self.next_boot();
+    pub(super) fn start_process(&mut self, process: ProcessId) {
+        let incarnation = self.next_incarnation();
         let defect = self.options.defect;
         let Some(state) = self.process_mut(process) else {
             return;
@@ -325,12 +343,12 @@
             return;
         }
         // A planted defect: the first proxy starts only once.
-        let again = state.boot != 0 && process == ProcessId::Proxy(1);
+        let again = state.incarnation != 0 && process == ProcessId::Proxy(1);
         if again && defect == Some(Defect::StaysDown) {
             return;
         }
-        state.start(boot);
-        self.break_silent_links(process);
+        state.start(incarnation);
+        self.reset_unresponsive_links(process);
         match process {
             ProcessId::Control(number) => self.start_control(number),
             ProcessId::Agent(number) => self.start_agent(number),
@@ -339,8 +357,8 @@
         }
     }
 
-    /// Ends a process without warning. A silent end is that of its machine: nobody is told.
-    pub fn kill_process(&mut self, process: ProcessId, silent: bool) {
+    /// Ends a process without warning.
+    pub(super) fn kill_process(&mut self, process: ProcessId, loss: ProcessLoss) {
         let Some(state) = self.process_mut(process) else {
             return;
         };
@@ -348,7 +366,7 @@
             return;
         }
         state.stop();
-        self.end_links(process, silent);
+        self.end_links(process, loss);
         match process {
             ProcessId::Control(number) => self.control_died(number),
             ProcessId::Agent(number) => self.agent_died(number),
@@ -357,14 +375,24 @@
         }
     }
 
-    /// Asks for the next tick of a process.
-    pub fn tick_after(&mut self, process: ProcessId, boot: u64, delay: Duration) {
-        let input = ProcessInput::Tick;
-        self.after(
+    /// Schedules the next tick of a process.
+    pub(super) fn tick_after(&mut self, process: ProcessId, incarnation: u64, delay: Duration) {
+        self.schedule_input(delay, process, incarnation, ProcessInput::Tick);
+    }
+
+    /// Schedules an input of a process.
+    pub(super) fn schedule_input(
+        &mut self,
+        delay: Duration,
+        process: ProcessId,
+        incarnation: u64,
+        input: ProcessInput,
+    ) {
+        self.schedule_after(
             delay,
             Event::Input {
                 process,
-                boot,
+                incarnation,
                 input,
             },
         );
