--- a/crates/simulation/src/world/proxy/agent_client.rs
+++ b/crates/simulation/src/world/proxy/agent_client.rs
@@ -7,10 +7,10 @@
     LocalClaim, LocalFrame, LocalQuotaRelease, LocalQuotaRequest, LocalResolveClaim, local_frame,
 };
 use millford_core::{Duration, MonotonicTime, ResultCode};
-use millford_data_plane::frame_handler::FrameOutcome;
 use millford_data_plane::agent_message::{
     AdmissionReply, AdmissionRequest, ClaimAnswer, QuotaRelease,
 };
+use millford_data_plane::frame_handler::FrameOutcome;
 
 use crate::history::RequestNumber;
 use crate::world::defect::Defect;
