--- a/crates/backend-model/src/backend.rs
+++ b/crates/backend-model/src/backend.rs
@@ -8,21 +8,21 @@
 use crate::options::BackendOptions;
 use crate::prefix_cache::PrefixCache;
 use crate::profile::ModelProfile;
-use crate::progress::ROUNDING;
-use crate::rates::{ModelRuns, Rates, rates};
+use crate::rates::{Rates, rates};
 use crate::run::{Phase, Run};
+use crate::run_table::{ROUNDING, RunTable};
 
-/// A backend that runs prompts of several models; stepped by its caller's clock.
+/// A backend that runs prompts of several models; its caller advances its time.
 #[derive(Clone, Debug)]
 pub struct EmulatedBackend {
     options: BackendOptions,
     profiles: BTreeMap<String, ModelProfile>,
-    pub(crate) runs: BTreeMap<u64, Run>,
-    pub(crate) cache: PrefixCache,
+    runs: RunTable,
+    cache: PrefixCache,
     speed: f64,
-    pub(crate) now: MonotonicTime,
-    pub(crate) rates: Rates,
-    pub(crate) busy_core_micros: f64,
+    now: MonotonicTime,
+    rates: Rates,
+    busy_core_micros: f64,
 }
 
 impl EmulatedBackend {
@@ -32,7 +32,7 @@
         Self {
             options,
             profiles: BTreeMap::new(),
-            runs: BTreeMap::new(),
+            runs: RunTable::default(),
             cache: PrefixCache::new(options.cache_blocks),
             speed: 1.0,
             now,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Loads a model. Its runs are taken from now on.
+    /// Loads a model. Its runs are accepted from now on.
     pub fn load_model(&mut self, model: &str, profile: ModelProfile) {
         self.profiles.insert(model.to_owned(), profile);
         self.update_rates();
@@ -53,9 +53,10 @@
         self.profiles.contains_key(model)
     }
 
-    /// Sets the speed from `now` on: 1 is normal, 0.1 a tenth. Must be above 0.
+    /// Sets the speed factor from `now` on: 1 is normal, 0.1 a tenth. Values that are not above 0 count as
+    /// just above it.
     ///
-    /// Events up to `now` are returned.
+    /// Returns the events up to `now`.
     pub fn set_speed(&mut self, now: MonotonicTime, speed: f64) -> Vec<BackendEvent> {
         let events = self.advance(now);
         self.speed = speed.max(ROUNDING);
@@ -63,7 +64,7 @@
         events
     }
 
-    /// Takes a run, or refuses it before any work. Call [`Self::advance`] to `now` first.
+    /// Accepts a run, or refuses it before any work. Call [`Self::advance`] to `now` first.
     ///
     /// # Errors
     /// [`RunRefused`] when the backend is full, lacks the model, or the number is in use.
@@ -71,7 +72,7 @@
         let Some(profile) = self.profiles.get(&request.model) else {
             return Err(RunRefused::ModelUnknown);
         };
-        if self.runs.contains_key(&request.run) {
+        if self.runs.contains(request.run) {
             return Err(RunRefused::Duplicate);
         }
         if self.runs.len() >= self.options.max_runs {
@@ -89,7 +90,7 @@
         })
     }
 
-    /// Prompt tokens of the request that the prefix cache holds.
+    /// Number of prompt tokens of the request whose blocks are cached.
     #[must_use]
     pub fn cached_tokens(&self, request: &RunRequest) -> u32 {
         let hits = self
@@ -101,9 +102,9 @@
             .min(request.prompt_tokens)
     }
 
-    /// Ends a run early. Returns whether it was open. Call [`Self::advance`] first.
+    /// Cancels a run. Returns whether it was open. Call [`Self::advance`] first.
     pub fn cancel(&mut self, run: u64) -> bool {
-        let removed = self.runs.remove(&run).is_some();
+        let removed = self.runs.remove(run);
         self.update_rates();
         removed
     }
@@ -122,11 +123,14 @@
         while self.now < now {
             let until = self.next_change().map_or(now, |change| change.min(now));
             let micros = until.since(self.now).as_micros() as f64;
-            self.progress(micros);
+            self.busy_core_micros += micros * self.rates.busy_cores;
+            self.runs.progress(micros, &self.rates);
             self.now = until;
-            self.change_phases(&mut events);
+            if self.runs.end_phases(until, &mut self.cache, &mut events) {
+                self.update_rates();
+            }
         }
-        self.report_tokens(&mut events);
+        self.runs.report_tokens(self.now, &mut events);
         events
     }
 
@@ -135,10 +139,10 @@
     pub fn next_change(&self) -> Option<MonotonicTime> {
         let micros = self
             .runs
-            .values()
+            .iter()
             .map(|run| self.micros_to_change(run))
             .min_by(f64::total_cmp)?;
-        Some(self.after(micros))
+        Some(self.time_after(micros))
     }
 
     /// When the next token of any run is there, if nothing else happens before.
@@ -146,23 +150,17 @@
     pub fn next_token(&self) -> Option<MonotonicTime> {
         let micros = self
             .runs
-            .values()
+            .iter()
             .map(|run| self.micros_to_token(run))
             .min_by(f64::total_cmp)?;
-        Some(self.after(micros))
-    }
-
-    /// Number of open runs.
-    #[must_use]
-    pub fn open_runs(&self) -> usize {
-        self.runs.len()
+        Some(self.time_after(micros))
     }
 
     /// Number of streams past their first token of one model.
     #[must_use]
     pub fn streams(&self, model: &str) -> usize {
         self.runs
-            .values()
+            .iter()
             .filter(|run| run.decodes() && run.model == model)
             .count()
     }
@@ -179,26 +177,22 @@
         self.busy_core_micros / 1_000_000.0
     }
 
-    /// Demand for cores over cores; prefill takes every core that decode leaves.
+    /// Demand for cores, as a share of the cores; prefill uses every core that decode leaves free.
     #[must_use]
     pub fn processor_utilization(&self) -> f64 {
         self.rates.processor_utilization
     }
 
-    /// Demand for memory bandwidth at full pace over the bandwidth; may exceed 1.
+    /// Demand for memory bandwidth at full pace, as a share of the bandwidth; may exceed 1.
     #[must_use]
     pub fn bandwidth_utilization(&self) -> f64 {
         self.rates.bandwidth_utilization
     }
 
-    /// Processor time of the open runs over cores: the work left, in seconds.
+    /// Processor time that the open runs still need, spread over all cores, in seconds.
     #[must_use]
     pub fn outstanding_seconds(&self) -> f64 {
-        let core_micros: f64 = self
-            .runs
-            .values()
-            .map(|run| self.core_micros_left(run))
-            .sum();
+        let core_micros: f64 = self.runs.iter().map(|run| self.core_micros_left(run)).sum();
         core_micros / self.options.cores / 1_000_000.0
     }
 
@@ -219,7 +213,8 @@
         }
     }
 
-    fn after(&self, micros: f64) -> MonotonicTime {
+    /// The time `micros` microseconds from now, in whole microseconds.
+    fn time_after(&self, micros: f64) -> MonotonicTime {
         // Rounded up, so that the change has happened by then.
         self.now + Duration::from_micros(micros.ceil().max(1.0) as u64)
     }
@@ -246,16 +241,8 @@
         self.rates.token_micros[&run.model]
     }
 
-    pub(crate) fn update_rates(&mut self) {
-        let mut runs: BTreeMap<String, ModelRuns> = BTreeMap::new();
-        for run in self.runs.values() {
-            let model = runs.entry(run.model.clone()).or_default();
-            if run.decodes() {
-                model.streams += 1;
-            } else {
-                model.prefills += 1;
-            }
-        }
+    fn update_rates(&mut self) {
+        let runs = self.runs.count_by_model();
         self.rates = rates(&self.options, &self.profiles, &runs, self.speed);
     }
 }
--- a/crates/backend-model/src/event.rs
+++ b/crates/backend-model/src/event.rs
@@ -3,7 +3,7 @@
 use millford_core::MonotonicTime;
 use thiserror::Error;
 
-/// A run that a caller wants.
+/// A run that a caller requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunRequest {
     /// Chosen by the caller, unique among the open runs.
@@ -27,10 +27,10 @@
     pub uncached_tokens: u32,
 }
 
-/// Refused before any work.
+/// Why a run was refused before any work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RunRefused {
-    /// Every place is taken.
+    /// The largest number of runs is open.
     #[error("the backend runs as many requests as it may")]
     Full,
     /// The model is not loaded.
@@ -57,7 +57,7 @@
 pub enum BackendEventKind {
     /// Prefill ended: token 0 is there.
     FirstToken,
-    /// So many tokens are there by now, the first included. One event per run and call.
+    /// This many tokens are there by now, the first included. At most one event for each run and advance.
     Tokens(u32),
     /// The last token is there; the run is closed.
     Finished,
--- a/crates/backend-model/src/lib.rs
+++ b/crates/backend-model/src/lib.rs
@@ -9,10 +9,10 @@
 pub mod options;
 pub mod prefix_cache;
 pub mod profile;
-mod progress;
 pub mod prompt;
 mod rates;
 mod run;
+mod run_table;
 
 pub use backend::EmulatedBackend;
 pub use bandwidth::LatencyCurve;
--- a/crates/backend-model/src/options.rs
+++ b/crates/backend-model/src/options.rs
@@ -2,7 +2,7 @@
 
 use crate::bandwidth::LatencyCurve;
 
-/// Default number of runs that a backend takes at once.
+/// Default limit of open runs.
 pub const DEFAULT_MAX_RUNS: usize = 512;
 /// Default prefix cache size, in blocks.
 pub const DEFAULT_CACHE_BLOCKS: usize = 4096;
@@ -16,7 +16,7 @@
     pub cores: f64,
     /// Memory bandwidth, in GB/s.
     pub bandwidth_gbps: f64,
-    /// Runs taken at once; further ones are refused before any work.
+    /// Limit of open runs; further ones are refused before any work.
     pub max_runs: usize,
     /// Blocks that the prefix cache holds, over all models.
     pub cache_blocks: usize,
--- a/crates/backend-model/src/prefix_cache.rs
+++ b/crates/backend-model/src/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! Prefix cache of a backend: blocks of prompts, least recently used out first.
+//! Prefix cache of a backend: blocks of prompts, the least recently used evicted first.
 
 use std::collections::BTreeMap;
 
@@ -26,25 +26,25 @@
         }
     }
 
-    /// Number of blocks held.
+    /// Number of cached blocks.
     #[must_use]
     pub fn len(&self) -> usize {
         self.used_at.len()
     }
 
-    /// Whether no block is held.
+    /// Whether no block is cached.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.used_at.is_empty()
     }
 
-    /// Forgets everything, as a restarted backend does.
+    /// Drops every block, as a restart does.
     pub fn clear(&mut self) {
         self.used_at.clear();
         self.by_use.clear();
     }
 
-    /// Leading blocks of the prompt that are held.
+    /// Number of leading blocks of the prompt that are cached.
     #[must_use]
     pub fn leading_hits(&self, model: &str, blocks: &[u64]) -> usize {
         blocks
@@ -55,10 +55,10 @@
 
     /// Marks the prompt's blocks as used now and evicts the least recently used ones.
     ///
-    /// Later blocks are touched first, so that a chain loses its end before its start.
-    pub fn touch(&mut self, model: &str, blocks: &[u64]) {
+    /// Later blocks are marked first, so that a chain loses its end before its start.
+    pub fn mark_used(&mut self, model: &str, blocks: &[u64]) {
         for block in blocks.iter().rev() {
-            self.touch_block((model.to_owned(), *block));
+            self.mark_block_used((model.to_owned(), *block));
         }
         while self.used_at.len() > self.capacity {
             let Some((_, oldest)) = self.by_use.pop_first() else {
@@ -68,7 +68,7 @@
         }
     }
 
-    fn touch_block(&mut self, key: BlockKey) {
+    fn mark_block_used(&mut self, key: BlockKey) {
         self.clock += 1;
         if let Some(previous) = self.used_at.insert(key.clone(), self.clock) {
             self.by_use.remove(&previous);
--- a/crates/backend-model/src/profile.rs
+++ b/crates/backend-model/src/profile.rs
@@ -7,7 +7,7 @@
     pub prefill_core_micros_per_token: f64,
     /// Memory traffic of one busy core during prefill, in GB/s.
     pub prefill_gbps_per_core: f64,
-    /// Time of a decode step with no stream's own share, in microseconds.
+    /// Time of a decode step apart from what each stream adds, in microseconds.
     pub decode_base_micros: f64,
     /// Time that each stream adds to a decode step, in microseconds.
     pub decode_stream_micros: f64,
--- a/crates/backend-model/src/rates.rs
+++ b/crates/backend-model/src/rates.rs
@@ -5,29 +5,29 @@
 use crate::options::BackendOptions;
 use crate::profile::ModelProfile;
 
-/// Share of the cores that decode leaves to prefill when both want them.
-const PREFILL_FLOOR: f64 = 0.2;
+/// Share of the cores that decode leaves to prefill when both compete.
+const MIN_PREFILL_SHARE: f64 = 0.2;
 
 /// Runs of one model by phase.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ModelRuns {
-    pub prefills: usize,
-    pub streams: usize,
+    pub(crate) prefills: usize,
+    pub(crate) streams: usize,
 }
 
-/// Rates of one moment.
+/// Rates of progress between two events.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Rates {
     /// Core microseconds of prefill done per microsecond, for each prefilling run.
-    pub prefill_cores_per_run: f64,
+    pub(crate) prefill_cores_per_run: f64,
     /// Microseconds per token of each model's streams.
-    pub token_micros: BTreeMap<String, f64>,
-    /// Cores that work now.
-    pub busy_cores: f64,
-    /// Demand for cores over cores; at least 1 when any prefill runs.
-    pub processor_utilization: f64,
-    /// Demand for memory bandwidth at full pace over bandwidth.
-    pub bandwidth_utilization: f64,
+    pub(crate) token_micros: BTreeMap<String, f64>,
+    /// Busy cores.
+    pub(crate) busy_cores: f64,
+    /// Demand for cores, as a share of the cores; at least 1 when any prefill runs.
+    pub(crate) processor_utilization: f64,
+    /// Demand for memory bandwidth at full pace, as a share of the bandwidth.
+    pub(crate) bandwidth_utilization: f64,
 }
 
 /// Works out the rates for the runs of a backend at a speed factor.
@@ -38,29 +38,29 @@
     speed: f64,
 ) -> Rates {
     let prefills: usize = runs.values().map(|model| model.prefills).sum();
-    let decode_wanted: f64 = runs
+    let decode_demand: f64 = runs
         .iter()
         .map(|(name, model)| profiles[name].decode_cores_per_stream * model.streams as f64)
         .sum();
     let decode_limit = if prefills > 0 {
-        options.cores * (1.0 - PREFILL_FLOOR)
+        options.cores * (1.0 - MIN_PREFILL_SHARE)
     } else {
         options.cores
     };
-    let decode_granted = decode_wanted.min(decode_limit);
-    let processor_slowdown = if decode_granted > 0.0 {
-        decode_wanted / decode_granted
+    let decode_cores = decode_demand.min(decode_limit);
+    let processor_slowdown = if decode_cores > 0.0 {
+        decode_demand / decode_cores
     } else {
         1.0
     };
     let prefill_cores = if prefills > 0 {
-        options.cores - decode_granted
+        options.cores - decode_cores
     } else {
         0.0
     };
     let bandwidth_utilization =
         bandwidth_demand(profiles, runs, prefill_cores, prefills) / options.bandwidth_gbps;
-    let stall = options.curve.settled_slowdown(bandwidth_utilization);
+    let stall = options.curve.steady_state_slowdown(bandwidth_utilization);
     let token_micros = runs
         .iter()
         .filter(|(_, model)| model.streams > 0)
@@ -72,8 +72,8 @@
     Rates {
         prefill_cores_per_run: prefill_cores / prefills.max(1) as f64 / stall * speed,
         token_micros,
-        busy_cores: decode_granted + prefill_cores,
-        processor_utilization: (decode_wanted + prefill_cores) / options.cores,
+        busy_cores: decode_cores + prefill_cores,
+        processor_utilization: (decode_demand + prefill_cores) / options.cores,
         bandwidth_utilization,
     }
 }
--- a/crates/backend-model/src/run.rs
+++ b/crates/backend-model/src/run.rs
@@ -5,15 +5,15 @@
 /// Progress of one run.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
-    pub model: String,
-    pub blocks: Vec<u64>,
-    pub output_tokens: u32,
-    pub phase: Phase,
-    /// Tokens told to the caller so far.
-    pub reported_tokens: u32,
+    pub(crate) model: String,
+    pub(crate) blocks: Vec<u64>,
+    pub(crate) output_tokens: u32,
+    pub(crate) phase: Phase,
+    /// Tokens reported to the caller so far.
+    pub(crate) reported_tokens: u32,
 }
 
-/// Where a run stands.
+/// Phase of a run and its progress.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Phase {
     /// Core microseconds of prefill left.
@@ -24,7 +24,7 @@
 
 impl Run {
     /// A run that starts its prefill.
-    pub fn new(request: &RunRequest, core_micros: f64) -> Self {
+    pub(crate) fn new(request: &RunRequest, core_micros: f64) -> Self {
         Self {
             model: request.model.clone(),
             blocks: request.prompt_blocks.clone(),
@@ -37,7 +37,7 @@
     }
 
     /// Whether the run is past its first token.
-    pub fn decodes(&self) -> bool {
+    pub(crate) fn decodes(&self) -> bool {
         matches!(self.phase, Phase::Decode { .. })
     }
 }
--- a/crates/backend-model/tests/backend.rs
+++ b/crates/backend-model/tests/backend.rs
@@ -56,11 +56,11 @@
 }
 
 #[test]
-fn a_lone_prefill_takes_its_tokens_over_the_cores() {
+fn a_lone_prefill_takes_its_processor_time_over_the_cores() {
     let profile = ModelProfile::heavy();
     let expected = 1000.0 * profile.prefill_core_micros_per_token / 16.0;
     let stall =
-        LatencyCurve::default().settled_slowdown(16.0 * profile.prefill_gbps_per_core / 200.0);
+        LatencyCurve::default().steady_state_slowdown(16.0 * profile.prefill_gbps_per_core / 200.0);
     let measured = first_token_with(0, 1000) as f64;
     assert!(
         (measured - expected * stall).abs() < 10.0,
@@ -74,7 +74,7 @@
         first_token_with(2, tokens) <= first_token_with(2, tokens + u32::from(more))
     }
 
-    fn more_company_never_answers_sooner(others: u8, more: u8) -> bool {
+    fn more_concurrent_runs_never_answer_sooner(others: u8, more: u8) -> bool {
         let others = u64::from(others % 24);
         let more = u64::from(more % 24);
         first_token_with(others, 500) <= first_token_with(others + more, 500)
@@ -86,12 +86,12 @@
         curve.slowdown(low) <= curve.slowdown(low + f64::from(more) / 10_000.0)
     }
 
-    fn settled_latency_never_falls_and_never_serves_more_than_the_bandwidth(low: u16, more: u16) -> bool {
+    fn steady_state_latency_never_falls_and_never_serves_more_than_the_bandwidth(low: u16, more: u16) -> bool {
         let curve = LatencyCurve::default();
         let low = f64::from(low) / 10_000.0;
         let high = low + f64::from(more) / 10_000.0;
-        let used = high / curve.settled_slowdown(high);
-        curve.settled_slowdown(low) <= curve.settled_slowdown(high) + 1e-9 && used <= 1.0
+        let used = high / curve.steady_state_slowdown(high);
+        curve.steady_state_slowdown(low) <= curve.steady_state_slowdown(high) + 1e-9 && used <= 1.0
     }
 
     fn every_run_ends_with_all_its_tokens(outputs: Vec<u8>) -> bool {
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_full_backend_refuses_before_work() {
+fn a_full_backend_refuses_before_any_work() {
     let options = BackendOptions {
         max_runs: 1,
         ..BackendOptions::default()
