--- a/crates/simulation/src/command.rs
+++ b/crates/simulation/src/command.rs
@@ -2,45 +2,71 @@
 
 use std::process::ExitCode;
 
+use thiserror::Error;
+
 use crate::runner::arguments::USAGE;
-use crate::runner::{Arguments, RunReport, ScenarioFile, load_scenarios, run_scenario, sweep};
+use crate::runner::{
+    ArgumentError, Arguments, RunReport, ScenarioFile, ScenarioFileError, load_scenarios,
+    run_scenario, sweep,
+};
 use crate::world::RunOptions;
 
+/// Exit status of a wrong command line or scenario file.
 const USAGE_EXIT: u8 = 2;
+/// Violations printed of one failed run.
 const VIOLATIONS_SHOWN: usize = 3;
+/// Failed runs printed of one scenario.
 const FAILURES_SHOWN: usize = 20;
 
-/// Runs the scenario files that the arguments name. Fails if any run broke a guarantee.
+/// Why the command cannot start.
+#[derive(Debug, Error)]
+enum CommandError {
+    #[error(transparent)]
+    Arguments(#[from] ArgumentError),
+    #[error(transparent)]
+    Scenarios(#[from] ScenarioFileError),
+}
+
+/// Runs the scenario files that the arguments name. Fails if any run violated a guarantee.
 #[must_use]
 pub fn run(arguments: &[String]) -> ExitCode {
-    let wants_help = arguments.iter().any(|token| token == "--help");
+    let wants_help = arguments.iter().any(|argument| argument == "--help");
     if wants_help {
         println!("{USAGE}");
         return ExitCode::SUCCESS;
     }
-    let loaded = Arguments::parse(arguments)
-        .and_then(|arguments| load_scenarios(&arguments.path).map(|files| (arguments, files)));
-    let (arguments, files) = match loaded {
+    let (arguments, files) = match load(arguments) {
         Ok(loaded) => loaded,
         Err(error) => {
             eprintln!("{error}\n\n{USAGE}");
             return ExitCode::from(USAGE_EXIT);
         }
     };
-    let mut failed = 0;
-    for file in &files {
-        failed += match arguments.verbose {
-            true => print_histories(&arguments, file),
-            false => run_file(&arguments, file),
-        };
-    }
+    let failed: u64 = files
+        .iter()
+        .map(|file| {
+            if arguments.verbose {
+                print_histories(&arguments, file)
+            } else {
+                run_file(&arguments, file)
+            }
+        })
+        .sum();
     println!("{} scenarios, {failed} failed runs", files.len());
-    match failed {
-        0 => ExitCode::SUCCESS,
-        _ => ExitCode::FAILURE,
+    if failed == 0 {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
     }
 }
 
+fn load(arguments: &[String]) -> Result<(Arguments, Vec<ScenarioFile>), CommandError> {
+    let arguments = Arguments::parse(arguments)?;
+    let files = load_scenarios(&arguments.path)?;
+    Ok((arguments, files))
+}
+
+/// Runs all seeds of a file and prints a summary. Returns the number of failed runs.
 fn run_file(arguments: &Arguments, file: &ScenarioFile) -> u64 {
     let seeds = arguments.seeds.unwrap_or(file.scenario.seeds);
     let summary = sweep(&file.scenario, arguments.from, seeds, arguments.jobs);
@@ -51,6 +77,7 @@
     summary.failed
 }
 
+/// Runs the seeds one by one and prints their histories. Returns the number of failed runs.
 fn print_histories(arguments: &Arguments, file: &ScenarioFile) -> u64 {
     let seeds = arguments.seeds.unwrap_or(1);
     let mut failed = 0;
--- a/crates/simulation/src/runner/arguments.rs
+++ b/crates/simulation/src/runner/arguments.rs
@@ -1,6 +1,10 @@
 //! Command line of the scenario runner.
 
+use std::num::{NonZeroUsize, ParseIntError};
 use std::path::PathBuf;
+use std::str::FromStr;
+
+use thiserror::Error;
 
 /// Folder of the scenario files when none is named.
 const DEFAULT_FOLDER: &str = "scenarios";
@@ -20,6 +24,33 @@
     pub verbose: bool,
 }
 
+/// Why a command line cannot be parsed.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum ArgumentError {
+    /// An argument is no option.
+    #[error("unknown argument {argument:?}")]
+    Unknown {
+        /// The argument.
+        argument: String,
+    },
+    /// An option stands last, without its value.
+    #[error("{option} needs a value")]
+    MissingValue {
+        /// The option.
+        option: String,
+    },
+    /// The value of an option is no number of the right size.
+    #[error("{option}: {value:?} is not a number")]
+    InvalidNumber {
+        /// The option.
+        option: String,
+        /// Its value.
+        value: String,
+        /// Why it is none.
+        source: ParseIntError,
+    },
+}
+
 /// Help text.
 pub const USAGE: &str = "\
 usage: millford-lab scenarios [--file FILE|FOLDER] [--seeds N] [--from SEED] [--jobs N] [--verbose]
@@ -30,41 +61,59 @@
 
 impl Arguments {
     /// Parses the arguments after `scenarios`.
-    pub fn parse(tokens: &[String]) -> Result<Self, String> {
-        let mut arguments = Self {
+    ///
+    /// # Errors
+    /// [`ArgumentError`] names the first argument that is unknown, lacks its value or is no number.
+    pub fn parse(arguments: &[String]) -> Result<Self, ArgumentError> {
+        let mut parsed = Self {
             path: PathBuf::from(DEFAULT_FOLDER),
             seeds: None,
             from: 0,
             jobs: default_jobs(),
             verbose: false,
         };
-        let mut tokens = tokens.iter();
-        while let Some(token) = tokens.next() {
-            match token.as_str() {
-                "--verbose" => arguments.verbose = true,
-                "--file" => arguments.path = PathBuf::from(value(token, tokens.next())?),
-                "--seeds" => arguments.seeds = Some(number(token, tokens.next())?),
-                "--from" => arguments.from = number(token, tokens.next())?,
-                "--jobs" => arguments.jobs = number(token, tokens.next())?,
-                other => return Err(format!("unknown argument {other:?}")),
+        let mut arguments = arguments.iter();
+        while let Some(option) = arguments.next() {
+            match option.as_str() {
+                "--verbose" => parsed.verbose = true,
+                "--file" => parsed.path = PathBuf::from(value(option, arguments.next())?),
+                "--seeds" => parsed.seeds = Some(number(option, arguments.next())?),
+                "--from" => parsed.from = number(option, arguments.next())?,
+                "--jobs" => parsed.jobs = number(option, arguments.next())?,
+                other => {
+                    return Err(ArgumentError::Unknown {
+                        argument: other.to_owned(),
+                    });
+                }
             }
         }
-        Ok(arguments)
+        Ok(parsed)
     }
 }
 
 fn default_jobs() -> usize {
-    std::thread::available_parallelism().map_or(1, std::num::NonZeroUsize::get)
+    std::thread::available_parallelism().map_or(1, NonZeroUsize::get)
 }
 
-fn value<'word>(name: &str, token: Option<&'word String>) -> Result<&'word str, String> {
-    token
+fn value<'argument>(
+    option: &str,
+    value: Option<&'argument String>,
+) -> Result<&'argument str, ArgumentError> {
+    value
         .map(String::as_str)
-        .ok_or_else(|| format!("{name} needs a value"))
+        .ok_or_else(|| ArgumentError::MissingValue {
+            option: option.to_owned(),
+        })
 }
 
-fn number<N: std::str::FromStr>(name: &str, token: Option<&String>) -> Result<N, String> {
-    let text = value(name, token)?;
-    text.parse()
-        .map_err(|_| format!("{name}: {text:?} is not a number"))
+fn number<N>(option: &str, text: Option<&String>) -> Result<N, ArgumentError>
+where
+    N: FromStr<Err = ParseIntError>,
+{
+    let text = value(option, text)?;
+    text.parse().map_err(|source| ArgumentError::InvalidNumber {
+        option: option.to_owned(),
+        value: text.to_owned(),
+        source,
+    })
 }
--- a/crates/simulation/src/runner/mod.rs
+++ b/crates/simulation/src/runner/mod.rs
@@ -6,8 +6,8 @@
 pub mod summary;
 pub mod sweep;
 
-pub use arguments::Arguments;
+pub use arguments::{ArgumentError, Arguments};
 pub use run_report::{RunReport, run_scenario};
-pub use scenario_files::{ScenarioFile, load_scenarios};
+pub use scenario_files::{ScenarioFile, ScenarioFileError, load_scenarios};
 pub use summary::Summary;
 pub use sweep::sweep;
--- a/crates/simulation/src/runner/run_report.rs
+++ b/crates/simulation/src/runner/run_report.rs
@@ -1,7 +1,7 @@
 //! One run of a scenario.
 
 use crate::checkers::{Guarantee, Verdict};
-use crate::scenario::{Expectation, Scenario};
+use crate::scenario::{Bound, Expectation, Scenario};
 use crate::world::{RunOptions, Site};
 
 /// What a run showed.
@@ -44,11 +44,11 @@
 fn check_expectation(expectation: Expectation, verdict: &mut Verdict, site: &Site) {
     // What was never measured keeps any upper bound and no lower one.
     let value = verdict.figures.get(expectation.figure).unwrap_or(0);
-    let kept = match expectation.at_least {
-        true => value >= expectation.value,
-        false => value <= expectation.value,
+    let is_met = match expectation.bound {
+        Bound::AtLeast => value >= expectation.value,
+        Bound::AtMost => value <= expectation.value,
     };
-    if !kept {
+    if !is_met {
         let text = format!("{} is {value}", expectation.figure.keyword());
         verdict.record_violation(site.now(), Guarantee::Expectation, text);
     }
--- a/crates/simulation/src/scenario/expectation.rs
+++ b/crates/simulation/src/scenario/expectation.rs
@@ -64,13 +64,22 @@
     }
 }
 
+/// On which side of its value a figure must stay.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Bound {
+    /// The value is the largest allowed.
+    AtMost,
+    /// The value is the smallest allowed.
+    AtLeast,
+}
+
 /// A bound on a figure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Expectation {
     /// The figure.
     pub figure: Figure,
-    /// Whether the figure must be at least (true) or at most (false) the value.
-    pub at_least: bool,
+    /// Which side is allowed.
+    pub bound: Bound,
     /// Milliseconds, percent or a count.
     pub value: u64,
 }
--- a/crates/simulation/src/scenario/fault.rs
+++ b/crates/simulation/src/scenario/fault.rs
@@ -11,9 +11,9 @@
 pub enum PartitionDirection {
     /// Both.
     Both,
-    /// Only what the target sends.
+    /// What the target sends.
     Outward,
-    /// Only what the target would receive.
+    /// What the target would receive.
     Inward,
 }
 
@@ -31,56 +31,121 @@
 /// A fault or another event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The process dies without warning and is started again after `down`.
-    Kill { target: Target, down: Duration },
+    /// The process dies without warning and is started again.
+    Kill {
+        /// What dies.
+        target: Target,
+        /// Time until it starts again.
+        down: Duration,
+    },
     /// As a kill, and the disk is empty afterwards.
-    Wipe { target: Target, down: Duration },
-    /// The machine is lost for good; an empty one comes at a new address after `down`.
-    Replace { target: Target, down: Duration },
-    /// The process stops for a while and goes on as if nothing had been (SIGSTOP).
-    Freeze { target: Target, length: Duration },
+    Wipe {
+        /// What dies.
+        target: Target,
+        /// Time until it starts again.
+        down: Duration,
+    },
+    /// The machine is lost for good; an empty one comes at a new address.
+    Replace {
+        /// What is lost.
+        target: Target,
+        /// Time until the new machine starts.
+        down: Duration,
+    },
+    /// The process stops for a while and continues as if nothing had been (SIGSTOP).
+    Freeze {
+        /// What stops.
+        target: Target,
+        /// For how long.
+        length: Duration,
+    },
     /// Packets between the machine and one other, or all others, vanish.
     Partition {
+        /// The machine.
         target: Target,
+        /// The other; all if absent.
         from: Option<Target>,
+        /// Which packets vanish.
         direction: PartitionDirection,
+        /// For how long.
         length: Duration,
     },
-    /// Every connection of the machine is reset.
-    Reset { target: Target },
+    /// Every connection of the machine to other machines is reset.
+    Reset {
+        /// The machine.
+        target: Target,
+    },
     /// The disk misbehaves for a while.
     Disk {
+        /// The control node.
         target: Target,
+        /// How it misbehaves.
         fault: DiskFault,
+        /// For how long.
         length: Duration,
     },
     /// The monotonic clock jumps ahead.
-    ClockJump { target: Target, by: Duration },
+    ClockJump {
+        /// Whose clock.
+        target: Target,
+        /// By how much.
+        by: Duration,
+    },
     /// The monotonic clock runs fast or slow from now on.
-    ClockDrift { target: Target, ppm: i32 },
+    ClockDrift {
+        /// Whose clock.
+        target: Target,
+        /// Parts per million; below 0 is slow.
+        ppm: i32,
+    },
     /// The registry declares a backend draining; it shuts down later and a new one starts.
-    Retire { target: Target },
+    Retire {
+        /// The backend.
+        target: Target,
+    },
     /// Answers of all backends go wrong now and then, for a while.
     Answers {
+        /// How they go wrong.
         fault: AnswerFault,
+        /// For how long.
+        length: Duration,
+    },
+    /// The registry's published list does not change for a while.
+    FrozenRegistry {
+        /// For how long.
         length: Duration,
     },
-    /// The registry's list stands still for a while.
-    FrozenRegistry { length: Duration },
     /// Two operators send different orders on the same base, to different nodes.
     Race,
-    /// Operators' answers are lost for a while; they send the same order to another node.
-    LostAnswers { length: Duration },
+    /// Replies to operators are lost for a while; they send the same order to another node.
+    LostReplies {
+        /// For how long.
+        length: Duration,
+    },
     /// An operator revokes a tenant's key.
     Revoke,
     /// Callers send this many times as much for a while.
-    Burst { times: u32, length: Duration },
+    Burst {
+        /// Factor on the rates.
+        times: u32,
+        /// For how long.
+        length: Duration,
+    },
     /// One tenant sends nearly everything for a while.
-    HotTenant { length: Duration },
+    HotTenant {
+        /// For how long.
+        length: Duration,
+    },
     /// Restarts one after the other.
-    Roll { kind: RollKind },
-    /// Operators send this many orders one after the other, as fast as they are acknowledged.
-    Orders { count: u32 },
+    Roll {
+        /// What is restarted.
+        kind: RollKind,
+    },
+    /// Operators send orders one after the other, as fast as they are acknowledged.
+    Orders {
+        /// How many.
+        count: u32,
+    },
 }
 
 /// A fault at a time.
--- a/crates/simulation/src/scenario/fault_parser.rs
+++ b/crates/simulation/src/scenario/fault_parser.rs
@@ -5,14 +5,48 @@
 use crate::scenario::answer_fault::AnswerFault;
 use crate::scenario::disk_fault::DiskFault;
 use crate::scenario::fault::{Fault, PartitionDirection, RollKind};
+use crate::scenario::parse_error::StatementError;
 use crate::scenario::target::{Choice, Target, TargetKind};
 use crate::scenario::tokens::Tokens;
 
+/// How long a process stays down when the file names no time.
 const DEFAULT_DOWN: Duration = Duration::from_secs(2);
 
-/// Reads the fault; the caller checks that nothing follows.
-pub fn parse_fault(tokens: &mut Tokens) -> Result<Fault, String> {
+/// Whether a target keyword names one of its kind or all.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Count {
+    One,
+    All,
+}
+
+/// Parses the fault; the caller checks that nothing follows.
+pub(crate) fn parse_fault(tokens: &mut Tokens<'_>) -> Result<Fault, StatementError> {
     match tokens.next("a fault")? {
+        "race" => Ok(Fault::Race),
+        "revoke" => Ok(Fault::Revoke),
+        "lose-answers" => Ok(Fault::LostReplies {
+            length: tokens.length()?,
+        }),
+        "orders" => Ok(Fault::Orders {
+            count: tokens.number()?,
+        }),
+        "burst" => Ok(Fault::Burst {
+            times: tokens.number()?,
+            length: tokens.length()?,
+        }),
+        "hot-tenant" => Ok(Fault::HotTenant {
+            length: tokens.length()?,
+        }),
+        "answers" => parse_answer_fault(tokens),
+        "registry" => parse_registry_fault(tokens),
+        "roll" => parse_roll(tokens),
+        keyword => parse_target_fault(keyword, tokens),
+    }
+}
+
+/// Parses a fault that strikes a target.
+fn parse_target_fault(keyword: &str, tokens: &mut Tokens<'_>) -> Result<Fault, StatementError> {
+    match keyword {
         "kill" => Ok(Fault::Kill {
             target: parse_target(tokens)?,
             down: tokens.length_or(DEFAULT_DOWN)?,
@@ -29,46 +63,24 @@
             target: parse_target(tokens)?,
             length: tokens.length()?,
         }),
-        "cut" => parse_partition(tokens),
         "reset" => Ok(Fault::Reset {
             target: parse_target(tokens)?,
         }),
-        "disk" => parse_disk(tokens),
-        "clock" => parse_clock(tokens),
         "retire" => Ok(Fault::Retire {
             target: parse_target(tokens)?,
         }),
-        "answers" => parse_answers(tokens),
-        "registry" => {
-            tokens.expect("still")?;
-            Ok(Fault::FrozenRegistry {
-                length: tokens.length()?,
-            })
-        }
-        "race" => Ok(Fault::Race),
-        "lose-answers" => Ok(Fault::LostAnswers {
-            length: tokens.length()?,
-        }),
-        "revoke" => Ok(Fault::Revoke),
-        "burst" => Ok(Fault::Burst {
-            times: tokens.number("")?,
-            length: tokens.length()?,
-        }),
-        "hot-tenant" => Ok(Fault::HotTenant {
-            length: tokens.length()?,
-        }),
-        "roll" => parse_roll(tokens),
-        "orders" => Ok(Fault::Orders {
-            count: tokens.number("")?,
-        }),
-        other => Err(format!("unknown fault {other:?}")),
+        "cut" => parse_partition(tokens),
+        "disk" => parse_disk_fault(tokens),
+        "clock" => parse_clock_fault(tokens),
+        other => Err(StatementError::unknown("fault", other)),
     }
 }
 
-fn parse_target(tokens: &mut Tokens) -> Result<Target, String> {
-    let token = tokens.next("a target")?;
-    let (kind, all) = target_kind(token).ok_or_else(|| format!("unknown target {token:?}"))?;
-    if all {
+fn parse_target(tokens: &mut Tokens<'_>) -> Result<Target, StatementError> {
+    let keyword = tokens.next("a target")?;
+    let (kind, count) =
+        target_kind(keyword).ok_or_else(|| StatementError::unknown("target", keyword))?;
+    if count == Count::All {
         return Ok(Target {
             kind,
             choice: Choice::All,
@@ -77,38 +89,44 @@
     let choice = match tokens.next("which one")? {
         "any" => Choice::Any,
         "leader" if kind == TargetKind::ControlNode => Choice::Leader,
-        number => Choice::Number(
-            number
+        number => {
+            let number = number
                 .parse()
-                .map_err(|_| format!("{number:?} is not a number, any or leader"))?,
-        ),
+                .map_err(|source| StatementError::InvalidChoice {
+                    found: number.to_owned(),
+                    source,
+                })?;
+            Choice::Number(number)
+        }
     };
     Ok(Target { kind, choice })
 }
 
-fn target_kind(token: &str) -> Option<(TargetKind, bool)> {
-    Some(match token {
-        "core" => (TargetKind::ControlNode, false),
-        "cores" => (TargetKind::ControlNode, true),
-        "front" => (TargetKind::ProxyNode, false),
-        "fronts" => (TargetKind::ProxyNode, true),
-        "agent" => (TargetKind::Agent, false),
-        "agents" => (TargetKind::Agent, true),
-        "proxy" => (TargetKind::Proxy, false),
-        "proxies" => (TargetKind::Proxy, true),
-        "model" => (TargetKind::Model, false),
-        "models" => (TargetKind::Model, true),
-        "lookup" => (TargetKind::Lookup, false),
-        "lookups" => (TargetKind::Lookup, true),
+/// The scenario files' keywords for machines and processes.
+fn target_kind(keyword: &str) -> Option<(TargetKind, Count)> {
+    Some(match keyword {
+        "core" => (TargetKind::ControlNode, Count::One),
+        "cores" => (TargetKind::ControlNode, Count::All),
+        "front" => (TargetKind::ProxyNode, Count::One),
+        "fronts" => (TargetKind::ProxyNode, Count::All),
+        "agent" => (TargetKind::Agent, Count::One),
+        "agents" => (TargetKind::Agent, Count::All),
+        "proxy" => (TargetKind::Proxy, Count::One),
+        "proxies" => (TargetKind::Proxy, Count::All),
+        "model" => (TargetKind::Model, Count::One),
+        "models" => (TargetKind::Model, Count::All),
+        "lookup" => (TargetKind::Lookup, Count::One),
+        "lookups" => (TargetKind::Lookup, Count::All),
         _ => return None,
     })
 }
 
-fn parse_partition(tokens: &mut Tokens) -> Result<Fault, String> {
+fn parse_partition(tokens: &mut Tokens<'_>) -> Result<Fault, StatementError> {
     let target = parse_target(tokens)?;
-    let from = match tokens.take("from") {
-        true => Some(parse_target(tokens)?),
-        false => None,
+    let from = if tokens.take("from") {
+        Some(parse_target(tokens)?)
+    } else {
+        None
     };
     let direction = if tokens.take("outward") {
         PartitionDirection::Outward
@@ -125,14 +143,14 @@
     })
 }
 
-fn parse_disk(tokens: &mut Tokens) -> Result<Fault, String> {
+fn parse_disk_fault(tokens: &mut Tokens<'_>) -> Result<Fault, StatementError> {
     let target = parse_target(tokens)?;
     let fault = match tokens.next("a disk fault")? {
         "slow" => DiskFault::Slow(tokens.duration()?),
         "stalled" => DiskFault::Stalled,
         "full" => DiskFault::Full,
         "failing" => DiskFault::FailingSync,
-        other => return Err(format!("unknown disk fault {other:?}")),
+        other => return Err(StatementError::unknown("disk fault", other)),
     };
     Ok(Fault::Disk {
         target,
@@ -141,7 +159,7 @@
     })
 }
 
-fn parse_clock(tokens: &mut Tokens) -> Result<Fault, String> {
+fn parse_clock_fault(tokens: &mut Tokens<'_>) -> Result<Fault, StatementError> {
     let target = parse_target(tokens)?;
     match tokens.next("jump or drift")? {
         "jump" => Ok(Fault::ClockJump {
@@ -150,28 +168,39 @@
         }),
         "drift" => Ok(Fault::ClockDrift {
             target,
-            ppm: tokens.number("ppm")?,
+            ppm: tokens.number_with_suffix("ppm")?,
         }),
-        other => Err(format!("unknown clock fault {other:?}")),
+        other => Err(StatementError::unknown("clock fault", other)),
     }
 }
 
-fn parse_answers(tokens: &mut Tokens) -> Result<Fault, String> {
-    let token = tokens.next("an answer fault")?;
-    let fault = AnswerFault::from_keyword(token)
-        .ok_or_else(|| format!("unknown answer fault {token:?}"))?;
+fn parse_answer_fault(tokens: &mut Tokens<'_>) -> Result<Fault, StatementError> {
+    let keyword = tokens.next("an answer fault")?;
+    let fault = AnswerFault::from_keyword(keyword)
+        .ok_or_else(|| StatementError::unknown("answer fault", keyword))?;
     Ok(Fault::Answers {
         fault,
         length: tokens.length()?,
     })
 }
 
-fn parse_roll(tokens: &mut Tokens) -> Result<Fault, String> {
+fn parse_registry_fault(tokens: &mut Tokens<'_>) -> Result<Fault, StatementError> {
+    tokens.expect("still")?;
+    Ok(Fault::FrozenRegistry {
+        length: tokens.length()?,
+    })
+}
+
+fn parse_roll(tokens: &mut Tokens<'_>) -> Result<Fault, StatementError> {
     let kind = match tokens.next("what to roll")? {
         "cores" => RollKind::ControlNodes,
         "fronts" => RollKind::ProxyNodes,
         "models" => RollKind::Models,
-        other => return Err(format!("cannot roll {other:?}")),
+        other => {
+            return Err(StatementError::InvalidRoll {
+                found: other.to_owned(),
+            });
+        }
     };
     Ok(Fault::Roll { kind })
 }
--- a/crates/simulation/src/scenario/parser.rs
+++ b/crates/simulation/src/scenario/parser.rs
@@ -1,13 +1,13 @@
-//! Reads a scenario file. The crate's README describes the format.
+//! Parses a scenario file. The crate's README describes the format.
 
 use std::time::Duration;
 
 use crate::scenario::definition::Scenario;
 use crate::scenario::draw::{Draw, FaultClass};
-use crate::scenario::expectation::{Expectation, Figure};
+use crate::scenario::expectation::{Bound, Expectation, Figure};
 use crate::scenario::fault::TimedFault;
 use crate::scenario::fault_parser::parse_fault;
-use crate::scenario::parse_error::ParseError;
+use crate::scenario::parse_error::{ParseError, StatementError};
 use crate::scenario::tokens::Tokens;
 use crate::scenario::topology::Topology;
 use crate::scenario::workload::Workload;
@@ -16,7 +16,11 @@
 const DEFAULT_SEEDS: u64 = 3;
 
 impl Scenario {
-    /// Reads the text of a scenario file.
+    /// Parses the text of a scenario file.
+    ///
+    /// # Errors
+    /// [`ParseError`] names the first line that is no statement; a file without a name or a site
+    /// counts as wrong in its first line.
     pub fn parse(text: &str) -> Result<Scenario, ParseError> {
         let mut scenario = Scenario {
             name: String::new(),
@@ -30,31 +34,28 @@
         };
         for (index, line) in text.lines().enumerate() {
             let statement = line.split('#').next().unwrap_or_default();
-            parse_line(&mut scenario, statement).map_err(|text| ParseError {
+            parse_line(&mut scenario, statement).map_err(|source| ParseError {
                 line: index + 1,
-                text,
+                source,
             })?;
         }
-        finish(scenario)
+        check_complete(&scenario).map_err(|source| ParseError { line: 1, source })?;
+        scenario.faults.sort_by_key(|fault| fault.at);
+        Ok(scenario)
     }
 }
 
-fn finish(mut scenario: Scenario) -> Result<Scenario, ParseError> {
-    let whole_file = |text: &str| ParseError {
-        line: 1,
-        text: text.to_string(),
-    };
+fn check_complete(scenario: &Scenario) -> Result<(), StatementError> {
     if scenario.name.is_empty() {
-        return Err(whole_file("the scenario has no name"));
+        return Err(StatementError::NoName);
     }
     if scenario.sites.is_empty() {
-        return Err(whole_file("the scenario names no site"));
+        return Err(StatementError::NoSite);
     }
-    scenario.faults.sort_by_key(|fault| fault.at);
-    Ok(scenario)
+    Ok(())
 }
 
-fn parse_line(scenario: &mut Scenario, line: &str) -> Result<(), String> {
+fn parse_line(scenario: &mut Scenario, line: &str) -> Result<(), StatementError> {
     let mut tokens = Tokens::new(line);
     let Ok(statement) = tokens.next("a statement") else {
         return Ok(());
@@ -63,18 +64,7 @@
         "scenario" => scenario.name = tokens.next("the name")?.to_string(),
         "site" => scenario.sites.push(parse_site(&mut tokens)?),
         "duration" => scenario.duration = tokens.duration()?,
-        "seeds" => scenario.seeds = tokens.number("")?,
-        "calls" => scenario.workload.requests_per_second = tokens.number("/s")?,
-        "lookups" => scenario.workload.lookups_per_second = tokens.number("/s")?,
-        "keyed" => scenario.workload.keyed_percent = tokens.number("%")?,
-        "unkeyed" => scenario.workload.unkeyed_percent = tokens.number("%")?,
-        "resend" => scenario.workload.resend_percent = tokens.number("%")?,
-        "order-every" => scenario.workload.order_every = tokens.duration()?,
-        "quota" => {
-            scenario.workload.quota_per_second = tokens.number("/s")?;
-            tokens.expect("burst")?;
-            scenario.workload.quota_burst = tokens.number("")?;
-        }
+        "seeds" => scenario.seeds = tokens.number()?,
         "at" => {
             let at = tokens.duration()?;
             let fault = parse_fault(&mut tokens)?;
@@ -82,45 +72,68 @@
         }
         "draw" => scenario.draws.push(parse_draw(&mut tokens)?),
         "expect" => scenario.expectations.push(parse_expectation(&mut tokens)?),
-        other => return Err(format!("unknown statement {other:?}")),
+        keyword => parse_workload(&mut scenario.workload, keyword, &mut tokens)?,
     }
     tokens.end()
 }
 
-fn parse_site(tokens: &mut Tokens) -> Result<Topology, String> {
-    let token = tokens.next("a site")?;
-    if token != "fronts" {
-        return Topology::from_keyword(token).ok_or_else(|| format!("unknown site {token:?}"));
+fn parse_workload(
+    workload: &mut Workload,
+    keyword: &str,
+    tokens: &mut Tokens<'_>,
+) -> Result<(), StatementError> {
+    match keyword {
+        "calls" => workload.requests_per_second = tokens.number_with_suffix("/s")?,
+        "lookups" => workload.lookups_per_second = tokens.number_with_suffix("/s")?,
+        "keyed" => workload.keyed_percent = tokens.number_with_suffix("%")?,
+        "unkeyed" => workload.unkeyed_percent = tokens.number_with_suffix("%")?,
+        "resend" => workload.resend_percent = tokens.number_with_suffix("%")?,
+        "order-every" => workload.order_every = tokens.duration()?,
+        "quota" => {
+            workload.quota_per_second = tokens.number_with_suffix("/s")?;
+            tokens.expect("burst")?;
+            workload.quota_burst = tokens.number()?;
+        }
+        other => return Err(StatementError::unknown("statement", other)),
+    }
+    Ok(())
+}
+
+fn parse_site(tokens: &mut Tokens<'_>) -> Result<Topology, StatementError> {
+    let keyword = tokens.next("a site")?;
+    if keyword != "fronts" {
+        return Topology::from_keyword(keyword)
+            .ok_or_else(|| StatementError::unknown("site", keyword));
     }
     let mut topology = Topology::SMALL;
-    topology.proxy_nodes = tokens.number("")?;
+    topology.proxy_nodes = tokens.number()?;
     tokens.expect("zones")?;
-    topology.zones = tokens.number("")?;
+    topology.zones = tokens.number()?;
     tokens.expect("cores")?;
-    topology.control_nodes = tokens.number("")?;
+    topology.control_nodes = tokens.number()?;
     tokens.expect("models")?;
-    topology.models = tokens.number("")?;
+    topology.models = tokens.number()?;
     tokens.expect("lookups")?;
-    topology.lookups = tokens.number("")?;
+    topology.lookups = tokens.number()?;
     tokens.expect("tenants")?;
-    topology.tenants = tokens.number("")?;
+    topology.tenants = tokens.number()?;
     Ok(topology)
 }
 
-fn parse_draw(tokens: &mut Tokens) -> Result<Draw, String> {
-    let count = tokens.number("")?;
+fn parse_draw(tokens: &mut Tokens<'_>) -> Result<Draw, StatementError> {
+    let count = tokens.number()?;
     tokens.expect("from")?;
     let from = tokens.duration()?;
     tokens.expect("to")?;
     let to = tokens.duration()?;
     if to <= from {
-        return Err("the draw ends before it starts".to_string());
+        return Err(StatementError::EmptyDraw);
     }
     let mut classes = Vec::new();
     if tokens.take("over") {
-        for token in tokens.next("classes of faults")?.split(',') {
-            let class = FaultClass::from_keyword(token)
-                .ok_or_else(|| format!("unknown class of faults {token:?}"))?;
+        for keyword in tokens.next("classes of faults")?.split(',') {
+            let class = FaultClass::from_keyword(keyword)
+                .ok_or_else(|| StatementError::unknown("class of faults", keyword))?;
             classes.push(class);
         }
     } else {
@@ -134,22 +147,27 @@
     })
 }
 
-fn parse_expectation(tokens: &mut Tokens) -> Result<Expectation, String> {
-    let token = tokens.next("a figure")?;
-    let figure = Figure::from_keyword(token).ok_or_else(|| format!("unknown figure {token:?}"))?;
-    let at_least = match tokens.next("<= or >=")? {
-        "<=" => false,
-        ">=" => true,
-        other => return Err(format!("expected <= or >=, found {other:?}")),
+fn parse_expectation(tokens: &mut Tokens<'_>) -> Result<Expectation, StatementError> {
+    let keyword = tokens.next("a figure")?;
+    let figure =
+        Figure::from_keyword(keyword).ok_or_else(|| StatementError::unknown("figure", keyword))?;
+    let bound = match tokens.next("<= or >=")? {
+        "<=" => Bound::AtMost,
+        ">=" => Bound::AtLeast,
+        other => {
+            return Err(StatementError::UnexpectedComparison {
+                found: other.to_owned(),
+            });
+        }
     };
     let value = match figure {
-        Figure::SecondSends | Figure::Served => tokens.number("%")?,
-        Figure::Orders => tokens.number("")?,
+        Figure::SecondSends | Figure::Served => tokens.number_with_suffix("%")?,
+        Figure::Orders => tokens.number()?,
         _ => u64::try_from(tokens.duration()?.as_millis()).unwrap_or(u64::MAX),
     };
     Ok(Expectation {
         figure,
-        at_least,
+        bound,
         value,
     })
 }
--- a/crates/simulation/src/scenario/target.rs
+++ b/crates/simulation/src/scenario/target.rs
@@ -40,6 +40,24 @@
 }
 
 impl Target {
+    /// The one of a kind with this number, from 1.
+    #[must_use]
+    pub fn number(kind: TargetKind, number: u16) -> Self {
+        Self {
+            kind,
+            choice: Choice::Number(number),
+        }
+    }
+
+    /// Every one of a kind.
+    #[must_use]
+    pub fn all(kind: TargetKind) -> Self {
+        Self {
+            kind,
+            choice: Choice::All,
+        }
+    }
+
     /// One of a kind, drawn by the seed.
     #[must_use]
     pub fn any(kind: TargetKind) -> Self {
--- a/crates/simulation/src/scenario/tokens.rs
+++ b/crates/simulation/src/scenario/tokens.rs
@@ -1,69 +1,99 @@
 //! The tokens of one line of a scenario file.
 
+use std::iter::Peekable;
+use std::num::ParseIntError;
+use std::str::{FromStr, SplitWhitespace};
 use std::time::Duration;
 
+use crate::scenario::parse_error::StatementError;
+
 const MILLIS_PER_SECOND: u64 = 1000;
 
 /// Reads a line token by token.
-pub struct Tokens<'line> {
-    tokens: std::iter::Peekable<std::str::SplitWhitespace<'line>>,
+pub(crate) struct Tokens<'line> {
+    tokens: Peekable<SplitWhitespace<'line>>,
 }
 
 impl<'line> Tokens<'line> {
     /// The tokens of `line`.
-    #[must_use]
-    pub fn new(line: &'line str) -> Self {
+    pub(crate) fn new(line: &'line str) -> Self {
         Self {
             tokens: line.split_whitespace().peekable(),
         }
     }
 
-    /// The next token, which must exist.
-    pub fn next(&mut self, what: &str) -> Result<&'line str, String> {
+    /// The next token, which must exist; `expected` names it in the error.
+    pub(crate) fn next(&mut self, expected: &'static str) -> Result<&'line str, StatementError> {
         self.tokens
             .next()
-            .ok_or_else(|| format!("{what} is missing"))
+            .ok_or(StatementError::Missing { expected })
     }
 
-    /// Takes the next token if it is `token`.
-    pub fn take(&mut self, token: &str) -> bool {
-        self.tokens.next_if(|next| *next == token).is_some()
+    /// Takes the next token if it is `keyword`. Returns whether it was.
+    pub(crate) fn take(&mut self, keyword: &str) -> bool {
+        self.tokens.next_if(|next| *next == keyword).is_some()
     }
 
-    /// The next token must be `token`.
-    pub fn expect(&mut self, token: &str) -> Result<(), String> {
-        let next = self.next(token)?;
-        if next == token {
+    /// The next token must be `keyword`.
+    pub(crate) fn expect(&mut self, keyword: &'static str) -> Result<(), StatementError> {
+        let found = self.next(keyword)?;
+        if found == keyword {
             return Ok(());
         }
-        Err(format!("expected {token:?}, found {next:?}"))
+        Err(StatementError::UnexpectedToken {
+            expected: keyword,
+            found: found.to_owned(),
+        })
+    }
+
+    /// An integer.
+    pub(crate) fn number<N>(&mut self) -> Result<N, StatementError>
+    where
+        N: FromStr<Err = ParseIntError>,
+    {
+        self.number_with_suffix("")
     }
 
-    /// An integer; `suffix`, if not empty, must follow it directly.
-    pub fn number<N: std::str::FromStr>(&mut self, suffix: &str) -> Result<N, String> {
+    /// An integer that `suffix` must follow directly.
+    pub(crate) fn number_with_suffix<N>(
+        &mut self,
+        suffix: &'static str,
+    ) -> Result<N, StatementError>
+    where
+        N: FromStr<Err = ParseIntError>,
+    {
         let token = self.next("a number")?;
+        let found = || token.to_owned();
         let digits = token
             .strip_suffix(suffix)
-            .ok_or_else(|| format!("{token:?} must end with {suffix:?}"))?;
+            .ok_or_else(|| StatementError::MissingSuffix {
+                found: found(),
+                suffix,
+            })?;
         digits
             .parse()
-            .map_err(|_| format!("{token:?} is not a number"))
+            .map_err(|source| StatementError::InvalidNumber {
+                found: found(),
+                source,
+            })
     }
 
     /// A length of time such as `250ms` or `3s`.
-    pub fn duration(&mut self) -> Result<Duration, String> {
+    pub(crate) fn duration(&mut self) -> Result<Duration, StatementError> {
         let token = self.next("a length of time")?;
-        parse_duration(token).ok_or_else(|| format!("{token:?} is not a length of time"))
+        parse_duration(token).ok_or_else(|| StatementError::InvalidDuration {
+            found: token.to_owned(),
+        })
     }
 
     /// `for` and a length of time.
-    pub fn length(&mut self) -> Result<Duration, String> {
+    pub(crate) fn length(&mut self) -> Result<Duration, StatementError> {
         self.expect("for")?;
         self.duration()
     }
 
     /// `for` and a length of time if present, else `default`.
-    pub fn length_or(&mut self, default: Duration) -> Result<Duration, String> {
+    pub(crate) fn length_or(&mut self, default: Duration) -> Result<Duration, StatementError> {
         if self.take("for") {
             return self.duration();
         }
@@ -71,10 +101,12 @@
     }
 
     /// Nothing may follow.
-    pub fn end(mut self) -> Result<(), String> {
+    pub(crate) fn end(mut self) -> Result<(), StatementError> {
         match self.tokens.next() {
             None => Ok(()),
-            Some(token) => Err(format!("unexpected {token:?}")),
+            Some(found) => Err(StatementError::TrailingToken {
+                found: found.to_owned(),
+            }),
         }
     }
 }
