--- a/crates/simulation/src/checkers/adoption.rs
+++ b/crates/simulation/src/checkers/adoption.rs
@@ -1,4 +1,4 @@
-//! An acknowledged revision governs every node connected within two seconds.
+//! Every connected node applies an acknowledged revision within two seconds.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,15 +12,26 @@
 use crate::history::{OrderAnswer, ProxyNodeNumber, Record};
 use crate::scenario::Figure;
 
+/// Time from the acknowledgement of a revision to its use by every connected node.
 const LIMIT: Duration = Duration::from_secs(2);
 
+/// A revision that a proxy node has not applied.
+#[derive(Clone, Copy)]
+struct PendingRevision {
+    revision: u64,
+    /// Since when the proxy node could have applied it.
+    since: MonotonicTime,
+}
+
 /// Follows the revision of each proxy node behind the acknowledged ones.
 #[derive(Default)]
 pub struct AdoptionChecker {
     connectivity: ConnectivityTable,
     /// Time of the first acknowledgement of each revision.
     acknowledged: BTreeMap<u64, MonotonicTime>,
+    /// Revision that each proxy node routes by.
     applied: BTreeMap<ProxyNodeNumber, u64>,
+    /// Revision up to which a proxy node was reported as late.
     reported: BTreeMap<ProxyNodeNumber, u64>,
 }
 
@@ -52,24 +63,22 @@
 }
 
 impl AdoptionChecker {
-    // The first acknowledged revision that the proxy node does not show.
-    fn behind(&self, proxy_node: ProxyNodeNumber) -> Option<(u64, MonotonicTime)> {
-        // Who shows nothing serves nothing; how long that may last is the recovery's guarantee.
+    /// The first acknowledged revision that a connected proxy node has not applied.
+    fn pending(&self, proxy_node: ProxyNodeNumber) -> Option<PendingRevision> {
+        // A node that applied nothing serves nothing; how long that may last is the recovery's guarantee.
         let applied = self.applied.get(&proxy_node)?;
-        let next = self.acknowledged.range(applied + 1..).next()?;
-        Some((*next.0, *next.1))
-    }
-
-    fn waiting_since(&self, proxy_node: ProxyNodeNumber) -> Option<(u64, MonotonicTime)> {
-        let (revision, acknowledged) = self.behind(proxy_node)?;
-        let connectivity = self.connectivity.connected_since(proxy_node)?;
-        Some((revision, acknowledged.max(connectivity)))
+        let (revision, acknowledged) = self.acknowledged.range(applied + 1..).next()?;
+        let connected = self.connectivity.connected_since(proxy_node)?;
+        Some(PendingRevision {
+            revision: *revision,
+            since: connected.max(*acknowledged),
+        })
     }
 
     fn check_overdue(&mut self, at: MonotonicTime, verdict: &mut Verdict) {
         let proxy_nodes: Vec<ProxyNodeNumber> = self.connectivity.proxy_nodes().collect();
         for proxy_node in proxy_nodes {
-            let Some((revision, since)) = self.waiting_since(proxy_node) else {
+            let Some(PendingRevision { revision, since }) = self.pending(proxy_node) else {
                 continue;
             };
             let reported = self.reported.entry(proxy_node).or_default();
@@ -78,8 +87,9 @@
             }
             *reported = revision;
             let applied = self.applied.get(&proxy_node).copied().unwrap_or(0);
-            let text =
-                format!("{proxy_node:?} in touch shows {applied}, not {revision}, after 2 s");
+            let text = format!(
+                "{proxy_node:?} is connected and routes by {applied}, not {revision}, after 2 s"
+            );
             verdict.record_violation(at, Guarantee::Adoption, text);
         }
     }
@@ -91,12 +101,13 @@
         revision: u64,
         verdict: &mut Verdict,
     ) {
-        let Some((behind, since)) = self.waiting_since(proxy_node) else {
+        let Some(pending) = self.pending(proxy_node) else {
             return;
         };
-        if revision >= behind {
-            let millis = u64::try_from(at.since(since).as_millis()).unwrap_or(u64::MAX);
-            verdict.figures.raise(Figure::Adoption, millis);
+        if revision >= pending.revision {
+            verdict
+                .figures
+                .raise_duration(Figure::Adoption, at.since(pending.since));
         }
     }
 }
--- a/crates/simulation/src/checkers/connectivity_table.rs
+++ b/crates/simulation/src/checkers/connectivity_table.rs
@@ -8,13 +8,17 @@
 use crate::history::{ProxyNodeNumber, Record};
 use crate::network::MachineId;
 
-/// After this much calm a proxy node counts as connected, whatever its agent says.
+/// After this much time without a fault a proxy node counts as connected, whatever its agent says.
 const CONNECTED_AFTER_CALM: Duration = Duration::from_secs(12);
 
+/// Connectivity of one proxy node.
 #[derive(Default)]
 struct ProxyNodeConnectivity {
-    claimed_since: Option<MonotonicTime>,
+    /// Since when its agent reports that it is connected.
+    reported_since: Option<MonotonicTime>,
+    /// Active faults that disturb it.
     faults: BTreeSet<u32>,
+    /// When the last fault that disturbed it ended.
     calm_since: MonotonicTime,
 }
 
@@ -33,18 +37,19 @@
             Record::AgentConnectivity {
                 proxy_node,
                 connected,
-            } => self.claim(at, *proxy_node, *connected),
+            } => self.report(at, *proxy_node, *connected),
             Record::FaultBegan { fault, machines } => self.begin(*fault, machines),
             Record::FaultEnded { fault, machines } => self.end(at, *fault, machines),
             _ => {}
         }
     }
 
-    fn claim(&mut self, at: MonotonicTime, proxy_node: ProxyNodeNumber, connected: bool) {
+    fn report(&mut self, at: MonotonicTime, proxy_node: ProxyNodeNumber, connected: bool) {
         let connectivity = self.proxy_nodes.entry(proxy_node).or_default();
-        connectivity.claimed_since = match connected {
-            true => connectivity.claimed_since.or(Some(at)),
-            false => None,
+        connectivity.reported_since = if connected {
+            connectivity.reported_since.or(Some(at))
+        } else {
+            None
         };
     }
 
@@ -69,7 +74,7 @@
         }
     }
 
-    /// Since when nothing at all is disturbed.
+    /// Since when no fault is active.
     #[must_use]
     pub fn calm_since(&self) -> Option<MonotonicTime> {
         self.faults.is_empty().then_some(self.calm_since)
@@ -83,9 +88,9 @@
             return None;
         }
         let by_calm = self.calm_since().map(|since| since + CONNECTED_AFTER_CALM);
-        let since = match (connectivity.claimed_since, by_calm) {
-            (Some(claimed), Some(calm)) => claimed.min(calm),
-            (Some(claimed), None) => claimed,
+        let since = match (connectivity.reported_since, by_calm) {
+            (Some(reported), Some(calm)) => reported.min(calm),
+            (Some(reported), None) => reported,
             (None, calm) => calm?,
         };
         Some(since.max(connectivity.calm_since))
--- a/crates/simulation/src/checkers/drain.rs
+++ b/crates/simulation/src/checkers/drain.rs
@@ -11,13 +11,14 @@
 use crate::history::{BackendNumber, ProxyNodeNumber, Record};
 use crate::scenario::Figure;
 
+/// Time from the end of a backend's service to its last new work.
 const LIMIT: Duration = Duration::from_secs(3);
 
 /// Follows backends that are draining or unavailable.
 #[derive(Default)]
 pub struct DrainChecker {
     unavailable_since: BTreeMap<BackendNumber, MonotonicTime>,
-    /// A proxy node that was frozen or down learns of it afterwards.
+    /// When a proxy node that was frozen or down ran again: it learns of it afterwards.
     resumed: BTreeMap<ProxyNodeNumber, MonotonicTime>,
 }
 
@@ -44,8 +45,7 @@
                 };
                 let resumed = self.resumed.get(proxy_node).copied().unwrap_or_default();
                 let late = at.since((*since).max(resumed));
-                let millis = u64::try_from(late.as_millis()).unwrap_or(u64::MAX);
-                verdict.figures.raise(Figure::Drain, millis);
+                let millis = verdict.figures.raise_duration(Figure::Drain, late);
                 if late > LIMIT {
                     let text = format!(
                         "{proxy_node:?} sent {attempt:?} to {backend:?} {millis} ms after it left"
--- a/crates/simulation/src/checkers/durability.rs
+++ b/crates/simulation/src/checkers/durability.rs
@@ -14,7 +14,9 @@
 pub struct DurabilityChecker {
     /// Highest acknowledged revision from each time on.
     acknowledged: BTreeMap<MonotonicTime, u64>,
+    /// Digest of the document of each revision.
     documents: BTreeMap<u64, u64>,
+    /// Confirmed reads so far.
     reads: u64,
 }
 
@@ -75,8 +77,8 @@
     }
 
     fn check_document(&self, at: MonotonicTime, revision: u64, digest: u64, verdict: &mut Verdict) {
-        let wanted = self.documents.get(&revision);
-        if wanted.is_some_and(|wanted| *wanted != digest) {
+        let expected = self.documents.get(&revision);
+        if expected.is_some_and(|expected| *expected != digest) {
             let text = format!("revision {revision} reads back as another document");
             verdict.record_violation(at, Guarantee::Durability, text);
         }
--- a/crates/simulation/src/checkers/figures.rs
+++ b/crates/simulation/src/checkers/figures.rs
@@ -1,6 +1,7 @@
 //! Worst measured figures of a run.
 
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 use crate::scenario::Figure;
 
@@ -13,14 +14,21 @@
 impl Figures {
     /// Keeps the larger of the value and what is there.
     pub fn raise(&mut self, figure: Figure, value: u64) {
-        let kept = self.values.entry(figure).or_default();
-        *kept = (*kept).max(value);
+        let largest = self.values.entry(figure).or_default();
+        *largest = (*largest).max(value);
+    }
+
+    /// As [`Self::raise`], with a time. Returns it in milliseconds.
+    pub fn raise_duration(&mut self, figure: Figure, duration: Duration) -> u64 {
+        let millis = u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
+        self.raise(figure, millis);
+        millis
     }
 
     /// Keeps the smaller of the value and what is there.
     pub fn lower(&mut self, figure: Figure, value: u64) {
-        let kept = self.values.entry(figure).or_insert(value);
-        *kept = (*kept).min(value);
+        let smallest = self.values.entry(figure).or_insert(value);
+        *smallest = (*smallest).min(value);
     }
 
     /// Keeps the worse of two values: the smaller for what should be large.
--- a/crates/simulation/src/checkers/recovery.rs
+++ b/crates/simulation/src/checkers/recovery.rs
@@ -14,6 +14,7 @@
 };
 use crate::scenario::Figure;
 
+/// Time from the end of the last fault until every proxy node serves.
 const LIMIT: Duration = Duration::from_secs(12);
 
 /// Refusals that no machine's fault explains once service is back.
@@ -28,16 +29,26 @@
     ResultCode::RetryBudgetExhausted,
 ];
 
+/// A client request without an end.
+struct OpenRequest {
+    proxy_node: ProxyNodeNumber,
+    sent: MonotonicTime,
+}
+
 /// Watches the calm times between faults.
 #[derive(Default)]
 pub struct RecoveryChecker {
     connectivity: ConnectivityTable,
-    requests: BTreeMap<RequestNumber, (ProxyNodeNumber, MonotonicTime)>,
+    requests: BTreeMap<RequestNumber, OpenRequest>,
+    /// When each order was sent last.
     orders: BTreeMap<OrderNumber, MonotonicTime>,
+    /// Since when no fault is active.
     calm: Option<MonotonicTime>,
     /// Proxy nodes that got a client request in this calm time.
     requested: BTreeMap<ProxyNodeNumber, MonotonicTime>,
+    /// Proxy nodes that served in this calm time.
     served: BTreeSet<ProxyNodeNumber>,
+    /// Whether this calm time was checked.
     reported: bool,
 }
 
@@ -48,8 +59,11 @@
         self.follow_calm();
         match record {
             Record::RequestSent(sent) => {
-                self.requests
-                    .insert(sent.client_request, (sent.proxy_node, at));
+                let open = OpenRequest {
+                    proxy_node: sent.proxy_node,
+                    sent: at,
+                };
+                self.requests.insert(sent.client_request, open);
                 if self.calm.is_some() {
                     self.requested.entry(sent.proxy_node).or_insert(at);
                 }
@@ -103,14 +117,15 @@
         end: RequestEnd,
         verdict: &mut Verdict,
     ) {
-        let Some((proxy_node, sent)) = self.requests.remove(&client_request) else {
+        let Some(OpenRequest { proxy_node, sent }) = self.requests.remove(&client_request) else {
             return;
         };
         let Some(calm) = self.calm else { return };
         match end {
             RequestEnd::Complete if sent >= calm && self.served.insert(proxy_node) => {
-                let millis = u64::try_from(at.since(calm).as_millis()).unwrap_or(u64::MAX);
-                verdict.figures.raise(Figure::Recovery, millis);
+                verdict
+                    .figures
+                    .raise_duration(Figure::Recovery, at.since(calm));
             }
             RequestEnd::Refused { code, .. } if sent > calm + LIMIT && UNSERVED.contains(&code) => {
                 let text = format!("{proxy_node:?} refused {client_request:?} in calm: {code}");
--- a/crates/simulation/src/checkers/revision_order.rs
+++ b/crates/simulation/src/checkers/revision_order.rs
@@ -6,20 +6,18 @@
 
 use crate::checkers::checker::Checker;
 use crate::checkers::guarantee::Guarantee;
-use crate::checkers::request_table::RequestTable;
 use crate::checkers::verdict::Verdict;
 use crate::history::{ProxyNodeNumber, Record};
 
 /// Follows the revision that each proxy node routes by.
 #[derive(Default)]
 pub struct RevisionOrderChecker {
-    requests: RequestTable,
+    /// Newest revision of each proxy node.
     applied: BTreeMap<ProxyNodeNumber, u64>,
 }
 
 impl Checker for RevisionOrderChecker {
     fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
-        self.requests.observe(record);
         if let Record::RevisionApplied {
             proxy_node,
             revision,
--- a/crates/simulation/src/checkers/revocation.rs
+++ b/crates/simulation/src/checkers/revocation.rs
@@ -12,15 +12,17 @@
 use crate::history::{Record, RequestNumber, RequestSent};
 use crate::scenario::Figure;
 
+/// Time from a revocation to the last use of the key.
 const LIMIT: Duration = Duration::from_secs(2);
 
 /// Follows client requests with revoked keys.
 #[derive(Default)]
 pub struct RevocationChecker {
     connectivity: ConnectivityTable,
+    /// Time of the revocation of each key.
     revoked: BTreeMap<u32, MonotonicTime>,
     /// Time from the revocation to the sending, for client requests with a revoked key.
-    after: BTreeMap<RequestNumber, Duration>,
+    age: BTreeMap<RequestNumber, Duration>,
     reported: BTreeSet<RequestNumber>,
 }
 
@@ -45,20 +47,19 @@
         let Some(revoked) = self.revoked.get(&sent.key) else {
             return;
         };
-        let Some(connectivity) = self.connectivity.connected_since(sent.proxy_node) else {
+        let Some(connected) = self.connectivity.connected_since(sent.proxy_node) else {
             return;
         };
-        let since = connectivity.max(*revoked);
-        self.after.insert(sent.client_request, at.since(since));
+        let since = connected.max(*revoked);
+        self.age.insert(sent.client_request, at.since(since));
     }
 
     fn check(&mut self, at: MonotonicTime, client_request: RequestNumber, verdict: &mut Verdict) {
-        let Some(after) = self.after.get(&client_request) else {
+        let Some(age) = self.age.get(&client_request) else {
             return;
         };
-        let millis = u64::try_from(after.as_millis()).unwrap_or(u64::MAX);
-        verdict.figures.raise(Figure::Revocation, millis);
-        if *after > LIMIT && self.reported.insert(client_request) {
+        let millis = verdict.figures.raise_duration(Figure::Revocation, *age);
+        if *age > LIMIT && self.reported.insert(client_request) {
             let text =
                 format!("{client_request:?} was served {millis} ms after its key was revoked");
             verdict.record_violation(at, Guarantee::Revocation, text);
--- a/crates/simulation/src/checkers/stream_continuity.rs
+++ b/crates/simulation/src/checkers/stream_continuity.rs
@@ -8,7 +8,7 @@
 use crate::checkers::guarantee::Guarantee;
 use crate::checkers::request_table::RequestTable;
 use crate::checkers::verdict::Verdict;
-use crate::history::{Chunk, Record, RequestNumber, RequestSent, ResumeRule};
+use crate::history::{Chunk, Record, RequestNumber, ResumeRule};
 
 /// Follows the chunks of each stream and the attempts behind them.
 #[derive(Default)]
@@ -46,10 +46,10 @@
         verdict: &mut Verdict,
     ) {
         let before = self.last_chunk.insert(client_request, chunk);
-        let wanted = before.map_or(0, |before| before.sequence + 1);
-        if chunk.sequence != wanted {
+        let expected = before.map_or(0, |before| before.sequence + 1);
+        if chunk.sequence != expected {
             let text = format!(
-                "{client_request:?} got piece {} for {wanted}",
+                "{client_request:?} got piece {} for {expected}",
                 chunk.sequence
             );
             verdict.record_violation(at, Guarantee::StreamContinuity, text);
@@ -62,16 +62,13 @@
         }
     }
 
-    // After its first chunk a stream may be sent elsewhere only where the route continues runs.
+    /// After its first chunk a stream may be sent elsewhere only where the route continues runs.
     fn check_move(&self, at: MonotonicTime, client_request: RequestNumber, verdict: &mut Verdict) {
-        let resume = self.requests.get(client_request).map(resume_of);
+        let sent = self.requests.get(client_request);
+        let resume = sent.map(|sent| sent.resume);
         if self.last_chunk.contains_key(&client_request) && resume != Some(ResumeRule::Continue) {
             let text = format!("{client_request:?} moved after its first piece, against its route");
             verdict.record_violation(at, Guarantee::StreamContinuity, text);
         }
     }
 }
-
-fn resume_of(sent: &RequestSent) -> ResumeRule {
-    sent.resume
-}
--- a/crates/simulation/src/disk/disk_image.rs
+++ b/crates/simulation/src/disk/disk_image.rs
@@ -15,9 +15,11 @@
 pub struct DiskImage {
     files: BTreeMap<String, DiskFile>,
     condition: DiskCondition,
+    /// Time that operations took since this was last read.
     busy_micros: u64,
-    syncs: u64,
+    /// A planted defect: syncs make nothing durable.
     ignores_syncs: bool,
+    /// Whether a sync met a stalled disk since this was last read.
     stalled: bool,
 }
 
@@ -43,12 +45,6 @@
         std::mem::take(&mut self.stalled)
     }
 
-    /// Syncs done so far.
-    #[must_use]
-    pub fn syncs(&self) -> u64 {
-        self.syncs
-    }
-
     /// From now on syncs do nothing: a planted defect.
     pub fn ignore_syncs(&mut self) {
         self.ignores_syncs = true;
@@ -94,7 +90,6 @@
 
     /// Syncs a file and counts the time it takes.
     pub fn sync(&mut self, name: &str) {
-        self.syncs += 1;
         self.stalled |= self.condition == DiskCondition::Stalled;
         self.busy_micros += match self.condition {
             DiskCondition::Slow(micros) => micros,
--- a/crates/simulation/src/history/client_request.rs
+++ b/crates/simulation/src/history/client_request.rs
@@ -54,7 +54,7 @@
     pub content: ContentNumber,
     /// Run that made it, a number drawn from the run's id.
     pub run: u64,
-    /// Place in the run, from 0.
+    /// Position in the run, from 0.
     pub sequence: u64,
     /// Whether it is the last of the run.
     pub last: bool,
--- a/crates/simulation/src/history/identifiers.rs
+++ b/crates/simulation/src/history/identifiers.rs
@@ -1,4 +1,4 @@
-//! Numbers that the history uses for what it speaks of.
+//! Numbers by which the history names requests, attempts, machines and backends.
 
 /// One send of a caller; a resend is another client request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/simulation/src/kernel/event_queue.rs
+++ b/crates/simulation/src/kernel/event_queue.rs
@@ -73,16 +73,4 @@
         self.now = entry.at;
         Some((entry.at, entry.event))
     }
-
-    /// Number of waiting events.
-    #[must_use]
-    pub fn len(&self) -> usize {
-        self.heap.len()
-    }
-
-    /// Whether no event waits.
-    #[must_use]
-    pub fn is_empty(&self) -> bool {
-        self.heap.is_empty()
-    }
 }
--- a/crates/simulation/src/network/links.rs
+++ b/crates/simulation/src/network/links.rs
@@ -4,7 +4,7 @@
 
 use millford_core::MonotonicTime;
 
-use crate::network::link::{Direction, Link, LinkNumber, LinkState};
+use crate::network::link::{Direction, Link, LinkEnd, LinkNumber};
 use crate::network::packet::Packet;
 use crate::network::process_id::ProcessId;
 
@@ -12,7 +12,7 @@
 #[derive(Default)]
 pub struct Links {
     links: BTreeMap<LinkNumber, Link>,
-    next: u64,
+    last: u64,
 }
 
 impl Links {
@@ -23,20 +23,13 @@
         incarnation: u64,
         acceptor: ProcessId,
     ) -> LinkNumber {
-        self.next += 1;
-        let number = LinkNumber(self.next);
-        let link = Link {
-            connector,
-            connector_incarnation: incarnation,
-            acceptor,
-            acceptor_incarnation: 0,
-            state: LinkState::Connecting,
-            unresponsive: false,
-            closed_by: None,
-            in_flight: Default::default(),
-            last_arrival: [MonotonicTime::ZERO; 2],
+        self.last += 1;
+        let number = LinkNumber(self.last);
+        let connector = LinkEnd {
+            process: connector,
+            incarnation,
         };
-        self.links.insert(number, link);
+        self.links.insert(number, Link::new(connector, acceptor));
         number
     }
 
@@ -56,7 +49,8 @@
         self.links.remove(&number)
     }
 
-    /// Sends a packet and returns its arrival, never before that of an earlier one.
+    /// Sends a packet and returns its arrival, never before that of an earlier one; `None` if the
+    /// connection is closed or was removed.
     pub fn send(
         &mut self,
         number: LinkNumber,
@@ -65,23 +59,13 @@
         arrival: MonotonicTime,
     ) -> Option<MonotonicTime> {
         let link = self.links.get_mut(&number)?;
-        if link.state == LinkState::Closed {
-            return None;
-        }
-        let index = Link::index(direction);
-        let arrival = arrival.max(link.last_arrival[index]);
-        link.last_arrival[index] = arrival;
-        link.in_flight[index].push_back(packet);
-        Some(arrival)
+        link.send(direction, packet, arrival)
     }
 
     /// Numbers of the connections of a process, in order.
     #[must_use]
     pub fn of_process(&self, process: ProcessId) -> Vec<LinkNumber> {
-        let taking_part = self
-            .links
-            .iter()
-            .filter(|(_, link)| link.connector == process || link.acceptor == process);
-        taking_part.map(|(number, _)| *number).collect()
+        let links = self.links.iter().filter(|(_, link)| link.involves(process));
+        links.map(|(number, _)| *number).collect()
     }
 }
--- a/crates/simulation/src/network/mod.rs
+++ b/crates/simulation/src/network/mod.rs
@@ -6,7 +6,7 @@
 pub mod partition_table;
 pub mod process_id;
 
-pub use link::{Direction, Link, LinkNumber, LinkState};
+pub use link::{Direction, Link, LinkEnd, LinkNumber, LinkState};
 pub use links::Links;
 pub use packet::{HttpPacket, Packet};
 pub use partition_table::PartitionTable;
--- a/crates/simulation/src/network/packet.rs
+++ b/crates/simulation/src/network/packet.rs
@@ -28,8 +28,8 @@
     Request(Box<BackendRequest>),
     /// Head of the answer.
     Head(Box<AnswerHead>),
-    /// A part of the answer's body.
-    Chunk(Bytes),
+    /// Bytes of the answer's body.
+    Body(Bytes),
     /// The body ended complete, by its framing.
     Finish,
     /// Withdraw an attempt.
@@ -56,7 +56,7 @@
             Packet::Local(frame) => (2, frame.encoded_len()),
             Packet::Http(HttpPacket::Request(request)) => (3, request.body.len()),
             Packet::Http(HttpPacket::Head(head)) => (4, usize::from(head.status)),
-            Packet::Http(HttpPacket::Chunk(bytes)) => (5, bytes.len()),
+            Packet::Http(HttpPacket::Body(bytes)) => (5, bytes.len()),
             Packet::Http(_) => (6, 0),
             Packet::End => (7, 0),
         }
--- a/crates/simulation/src/network/process_id.rs
+++ b/crates/simulation/src/network/process_id.rs
@@ -39,15 +39,14 @@
         }
     }
 
-    /// A number for the trace hash.
+    /// Number of the process among its kind.
     #[must_use]
-    pub fn trace_number(self) -> u32 {
-        let (kind, number) = match self {
-            ProcessId::Control(number) => (1, number),
-            ProcessId::Agent(number) => (2, number),
-            ProcessId::Proxy(number) => (3, number),
-            ProcessId::Backend(number) => (4, number),
-        };
-        (kind << 16) | u32::from(number)
+    pub fn number(self) -> u16 {
+        match self {
+            ProcessId::Control(number)
+            | ProcessId::Agent(number)
+            | ProcessId::Proxy(number)
+            | ProcessId::Backend(number) => number,
+        }
     }
 }
--- a/crates/simulation/src/world/active_faults.rs
+++ b/crates/simulation/src/world/active_faults.rs
@@ -1,47 +1,51 @@
-//! Faults to come, faults under way and what they disturb.
+//! Planned and active faults, and what they disturb.
 
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 
 use millford_core::MonotonicTime;
 
 use crate::network::{MachineId, ProcessId};
 use crate::scenario::{AnswerFault, Fault};
-use crate::world::backend::Answering;
 
-/// What ends with a fault.
+/// What happens when a fault ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Undo {
     /// A process starts again.
     Start(ProcessId),
     /// A machine is back.
     MachineUp(MachineId),
-    /// A frozen process goes on.
+    /// A frozen process continues.
     Thaw(ProcessId),
-    /// Packets pass again.
-    Heal(MachineId, MachineId),
-    /// The disk of a control node is well.
+    /// Packets pass again in one direction.
+    Heal {
+        /// Machine that sends.
+        from: MachineId,
+        /// Machine that receives.
+        to: MachineId,
+    },
+    /// The disk of a control node is healthy again.
     RestoreDisk {
-        /// Which machine.
+        /// Which control node.
         control_node: u16,
         /// Whether its process must be restarted.
         restart: bool,
     },
-    /// Answers are right again.
+    /// Answers are correct again.
     CorrectAnswers(AnswerFault),
-    /// The registry's list moves again.
+    /// The registry's list changes again.
     UnfreezeRegistry,
-    /// Operators get their answers again.
+    /// Operators get their replies again.
     DeliverReplies,
-    /// The burst is over.
+    /// A burst of this factor is over.
     EndBurst(u32),
-    /// The hot tenant cools down.
+    /// One tenant no longer sends nearly everything.
     EndHotTenant,
 }
 
-/// A fault under way.
+/// An active fault.
 #[derive(Clone, Debug, Default)]
 pub struct ActiveFault {
-    /// What ends with it.
+    /// What happens when it ends.
     pub undo: Vec<Undo>,
     /// Machines that it disturbs.
     pub machines: Vec<MachineId>,
@@ -50,31 +54,40 @@
 /// All faults of a run.
 #[derive(Default)]
 pub struct ActiveFaults {
-    /// Faults by the number that events use.
-    pub planned: Vec<Fault>,
-    /// Faults under way.
-    pub active: BTreeMap<u32, ActiveFault>,
-    /// Runs that backends began lately, for crossed answers and stray bytes.
-    pub recent_runs: VecDeque<Answering>,
-    /// Until when the disk of a control node answers nothing.
-    pub stalls: BTreeMap<u16, MonotonicTime>,
+    /// Planned faults by the number that events use.
+    planned: Vec<Fault>,
+    active: BTreeMap<u32, ActiveFault>,
+    /// Until when the disk of a control node completes nothing.
+    stalls: BTreeMap<u16, MonotonicTime>,
+    /// Number of faults that hold a machine down.
     down: BTreeMap<MachineId, u32>,
     answers: Vec<AnswerFault>,
-    next: u32,
+    last_active: u32,
 }
 
 impl ActiveFaults {
-    /// Adds a fault and returns its number.
+    /// Plans a fault and returns its number.
     pub fn plan(&mut self, fault: Fault) -> usize {
         self.planned.push(fault);
         self.planned.len() - 1
     }
 
+    /// The planned fault with this number.
+    #[must_use]
+    pub fn planned(&self, number: usize) -> Option<&Fault> {
+        self.planned.get(number)
+    }
+
     /// Begins a fault and returns its number among the active ones.
-    pub fn begin(&mut self, active: ActiveFault) -> u32 {
-        self.next += 1;
-        self.active.insert(self.next, active);
-        self.next
+    pub fn begin(&mut self, fault: ActiveFault) -> u32 {
+        self.last_active += 1;
+        self.active.insert(self.last_active, fault);
+        self.last_active
+    }
+
+    /// Ends the active fault with this number.
+    pub fn end(&mut self, number: u32) -> Option<ActiveFault> {
+        self.active.remove(&number)
     }
 
     /// A machine is down, without a process that could refuse a connection.
@@ -99,7 +112,12 @@
         self.down.contains_key(&machine)
     }
 
-    /// Until when a stalled disk answers nothing.
+    /// If the disk of a control node stalls, it does so until then.
+    pub fn stall_disk(&mut self, control_node: u16, until: MonotonicTime) {
+        self.stalls.insert(control_node, until);
+    }
+
+    /// Until when a stalled disk completes nothing.
     #[must_use]
     pub fn stalled_until(&self, control_node: u16) -> MonotonicTime {
         self.stalls.get(&control_node).copied().unwrap_or_default()
--- a/crates/simulation/src/world/agent_driver.rs
+++ b/crates/simulation/src/world/agent_driver.rs
@@ -6,9 +6,8 @@
 use rand::Rng;
 
 use crate::history::{ProxyNodeNumber, Record};
-use crate::network::{LinkNumber, MachineId, Packet, ProcessId};
+use crate::network::{LinkNumber, Packet, ProcessId};
 use crate::world::control_driver::{control_at, seed_addresses};
-use crate::world::event::Event;
 use crate::world::process_input::ProcessInput;
 use crate::world::site::Site;
 
@@ -19,7 +18,7 @@
 
 impl Site {
     /// Starts the agent's core.
-    pub fn start_agent(&mut self, number: u16) {
+    pub(super) fn start_agent(&mut self, number: u16) {
         let process = ProcessId::Agent(number);
         let local = self.local_time(process);
         let incarnation = self.incarnation_of(process);
@@ -50,7 +49,7 @@
     }
 
     /// The agent died.
-    pub fn agent_died(&mut self, number: u16) {
+    pub(super) fn agent_died(&mut self, number: u16) {
         if let Some(agent) = self.agents.get_mut(&number) {
             agent.forget_incarnation();
         }
@@ -58,7 +57,7 @@
     }
 
     /// Hands an input to an agent.
-    pub fn agent_input(&mut self, number: u16, input: ProcessInput, waits: bool) {
+    pub(super) fn agent_input(&mut self, number: u16, input: ProcessInput, waits: bool) {
         let process = ProcessId::Agent(number);
         let is_tick = matches!(input, ProcessInput::Tick);
         if is_tick && waits {
@@ -90,19 +89,15 @@
         }
     }
 
-    fn record_connectivity(&mut self, number: u16, in_touch: bool) {
-        let Some(agent) = self.agents.get_mut(&number) else {
-            return;
-        };
-        if agent.recorded_connected == in_touch {
-            return;
+    fn record_connectivity(&mut self, number: u16, connected: bool) {
+        let agent = self.agents.get_mut(&number);
+        if agent.is_some_and(|agent| agent.update_connected(connected)) {
+            let proxy_node = ProxyNodeNumber(number);
+            self.record(Record::AgentConnectivity {
+                proxy_node,
+                connected,
+            });
         }
-        agent.recorded_connected = in_touch;
-        let proxy_node = ProxyNodeNumber(number);
-        self.record(Record::AgentConnectivity {
-            proxy_node,
-            connected: in_touch,
-        });
     }
 
     fn agent_core_input(&mut self, number: u16, input: ProcessInput) -> Option<AgentInput> {
@@ -117,7 +112,7 @@
                 Some(AgentInput::ProxyUp)
             }
             ProcessInput::LinkOpened { link, .. } => {
-                let link = *agent.ids.get(&link)?;
+                let link = agent.links.name_of(link)?;
                 Some(AgentInput::LinkUp { link })
             }
             ProcessInput::LinkClosed { link } if agent.proxy == Some(link) => {
@@ -125,14 +120,14 @@
                 Some(AgentInput::ProxyDown)
             }
             ProcessInput::LinkClosed { link } => {
-                let link = agent.forget_link(link)?;
+                let link = agent.links.remove(link)?;
                 Some(AgentInput::LinkDown { link })
             }
             ProcessInput::Packet {
                 link,
                 packet: Packet::Frame(frame),
             } => {
-                let link = *agent.ids.get(&link)?;
+                let link = agent.links.name_of(link)?;
                 Some(AgentInput::ControlFrame { link, frame })
             }
             ProcessInput::Packet {
@@ -156,10 +151,9 @@
                 }
             }
             AgentOutput::CloseControl { link } => {
-                if let Some(link) = self.agent_link(number, link) {
-                    if let Some(agent) = self.agents.get_mut(&number) {
-                        agent.forget_link(link);
-                    }
+                let agent = self.agents.get_mut(&number);
+                let link = agent.and_then(|agent| agent.links.remove_name(link));
+                if let Some(link) = link {
                     self.close_link(process, link);
                 }
             }
@@ -171,13 +165,7 @@
             }
             AgentOutput::ReadRegistry => {
                 let incarnation = self.incarnation_of(process);
-                self.schedule_after(
-                    REGISTRY_DELAY,
-                    Event::ReadRegistry {
-                        process,
-                        incarnation,
-                    },
-                );
+                self.schedule_registry_read(REGISTRY_DELAY, process, incarnation);
             }
             AgentOutput::SaveMembers(members) => {
                 if let Some(agent) = self.agents.get_mut(&number) {
@@ -190,7 +178,7 @@
     }
 
     fn agent_link(&self, number: u16, link: u64) -> Option<LinkNumber> {
-        self.agents.get(&number)?.numbers.get(&link).copied()
+        self.agents.get(&number)?.links.link_of(link)
     }
 
     fn agent_connects(&mut self, number: u16, id: u64, address: &str) {
@@ -198,27 +186,7 @@
         let target = control_at(address).unwrap_or(ProcessId::Control(u16::MAX));
         let link = self.open_link(process, target);
         if let Some(agent) = self.agents.get_mut(&number) {
-            agent.name_link(link, id);
-        }
-    }
-
-    /// A process reads the registry, if it can reach it; control nodes do so again and again.
-    pub fn read_registry(&mut self, process: ProcessId, incarnation: u64) {
-        if self.incarnation_of(process) != incarnation {
-            return;
-        }
-        let reachable = self
-            .partitions
-            .is_passable(process.machine(), MachineId::Registry);
-        if reachable {
-            self.deliver_input(process, incarnation, ProcessInput::Registry);
-        }
-        if matches!(process, ProcessId::Control(_)) {
-            let event = Event::ReadRegistry {
-                process,
-                incarnation,
-            };
-            self.schedule_after(crate::world::registry::POLL_PERIOD, event);
+            agent.links.insert(link, id);
         }
     }
 }
--- a/crates/simulation/src/world/agent_link_driver.rs
+++ b/crates/simulation/src/world/agent_link_driver.rs
@@ -10,7 +10,7 @@
 use crate::world::defect::Defect;
 use crate::world::event::Event;
 use crate::world::process_input::ProcessInput;
-use crate::world::proxy::{ProxyAction, lock};
+use crate::world::proxy::{AgentLink, ProxyAction, ProxyProcess, lock};
 use crate::world::site::Site;
 
 const RECONNECT: Duration = Duration::from_millis(50);
@@ -19,8 +19,7 @@
     pub(super) fn connect_to_agent(&mut self, number: u16) {
         let link = self.open_link(ProcessId::Proxy(number), ProcessId::Agent(number));
         if let Some(proxy) = self.proxies.get_mut(&number) {
-            proxy.agent = Some(link);
-            proxy.agent_open = false;
+            proxy.agent = AgentLink::Connecting(link);
         }
     }
 
@@ -29,7 +28,9 @@
         let Some(proxy) = self.proxies.get_mut(&number) else {
             return;
         };
-        proxy.agent_open = true;
+        if let Some(link) = proxy.agent.number() {
+            proxy.agent = AgentLink::Open(link);
+        }
         let Some(running) = proxy.running.as_ref() else {
             return;
         };
@@ -55,18 +56,10 @@
         let process = ProcessId::Proxy(number);
         let incarnation = self.incarnation_of(process);
         if let Some(proxy) = self.proxies.get_mut(&number) {
-            proxy.agent = None;
-            proxy.agent_open = false;
+            proxy.agent = AgentLink::Disconnected;
         }
         let input = ProcessInput::Reconnect;
-        self.schedule_after(
-            RECONNECT,
-            Event::Input {
-                process,
-                incarnation,
-                input,
-            },
-        );
+        self.schedule_input(RECONNECT, process, incarnation, input);
     }
 
     pub(super) fn local_frame(&mut self, number: u16, frame: LocalFrame) {
@@ -85,52 +78,45 @@
         match running.handler.handle(frame) {
             FrameOutcome::Nothing => self.record_applied_revision(number),
             FrameOutcome::Changed => {
-                let recorded_revision = running.handler.show();
+                let applied = running.handler.show();
                 self.record_applied_revision(number);
-                if let Some(frame) = recorded_revision {
+                if let Some(frame) = applied {
                     self.proxy_to_agent(number, frame);
                 }
             }
             FrameOutcome::Reconnect => {
-                if let Some(link) = proxy.agent {
+                if let Some(link) = proxy.agent.number() {
                     self.close_link(ProcessId::Proxy(number), link);
                 }
                 self.agent_disconnected(number);
             }
-            answer => running.agent_client.answered(&running.port, answer),
+            answer => running.agent_client.handle_answer(&running.port, answer),
         }
     }
 
     // A planted defect: the first proxy node applies no state after its first revision.
     pub(super) fn holds_back(&self, number: u16, frame: &LocalFrame) -> bool {
-        let shows = self
-            .proxies
-            .get(&number)
-            .is_some_and(|it| it.recorded_revision > 0);
+        let proxy = self.proxies.get(&number);
+        let has_revision = proxy.is_some_and(ProxyProcess::has_recorded_revision);
         let is_state = matches!(
             frame.body,
             Some(local_frame::Body::Snapshot(_) | local_frame::Body::Change(_))
         );
-        self.options.defect == Some(Defect::HoldsRevisions) && number == 1 && shows && is_state
+        self.options.defect == Some(Defect::HoldsRevisions)
+            && number == 1
+            && has_revision
+            && is_state
     }
 
+    /// Records the revision that a proxy routes by, if it changed.
     pub(super) fn record_applied_revision(&mut self, number: u16) {
-        let Some(proxy) = self.proxies.get_mut(&number) else {
-            return;
-        };
-        let Some(running) = proxy.running.as_ref() else {
-            return;
-        };
-        // Until it is ready a proxy serves nothing, so it shows nothing.
-        let revision = running.state.table().revision();
-        if revision == proxy.recorded_revision || !running.state.is_ready() {
-            return;
+        let proxy = self.proxies.get_mut(&number);
+        if let Some(revision) = proxy.and_then(ProxyProcess::take_applied_revision) {
+            self.record(Record::RevisionApplied {
+                proxy_node: ProxyNodeNumber(number),
+                revision,
+            });
         }
-        proxy.recorded_revision = revision;
-        self.record(Record::RevisionApplied {
-            proxy_node: ProxyNodeNumber(number),
-            revision,
-        });
     }
 }
 
--- a/crates/simulation/src/world/answer_driver.rs
+++ b/crates/simulation/src/world/answer_driver.rs
@@ -11,18 +11,23 @@
 
 const OK: u16 = 200;
 
+/// Whether a stream goes on.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum StreamProgress {
+    /// More is to be sent.
+    Open,
+    /// Its connection is closed.
+    Ended,
+}
+
 impl Site {
-    pub(super) fn plain_answer(
-        &mut self,
-        number: u16,
-        link: LinkNumber,
-        work: &mut Answering,
-    ) -> bool {
+    /// Sends the complete answer of a request that is no stream, right or wrong.
+    pub(super) fn answer_at_once(&mut self, number: u16, link: LinkNumber, work: &Answering) {
         self.finish_work(number, work);
         let process = ProcessId::Backend(number);
         if work.fault == Some(AnswerFault::Lost) {
             self.close_link(process, link);
-            return false;
+            return;
         }
         let mut answering = work.clone();
         if work.fault == Some(AnswerFault::Crossed)
@@ -36,9 +41,10 @@
         );
         let truncated = work.fault == Some(AnswerFault::Truncated);
         let unframed = truncated && self.random.random_bool(0.5);
-        let framing = match unframed {
-            true => Framing::UntilClose,
-            false => Framing::Length(body.len() as u64),
+        let framing = if unframed {
+            Framing::UntilClose
+        } else {
+            Framing::Length(body.len() as u64)
         };
         let head = head_of(&answering, "application/json", framing);
         self.backend_sends(number, link, HttpPacket::Head(Box::new(head)));
@@ -46,25 +52,24 @@
         if truncated {
             bytes.truncate(bytes.len() / 2);
         }
-        self.backend_sends(number, link, HttpPacket::Chunk(bytes));
+        self.backend_sends(number, link, HttpPacket::Body(bytes));
         if !truncated || unframed {
             self.backend_sends(number, link, HttpPacket::Finish);
         }
         self.close_link(process, link);
-        false
     }
 
-    // Sends one chunk. Gives whether there is more to do.
+    /// Sends one chunk of a stream, and its end after the last.
     pub(super) fn stream_step(
         &mut self,
         number: u16,
         link: LinkNumber,
         work: &mut Answering,
-    ) -> bool {
+    ) -> StreamProgress {
         if work.fault == Some(AnswerFault::Lost) {
             self.finish_work(number, work);
             self.close_link(ProcessId::Backend(number), link);
-            return false;
+            return StreamProgress::Ended;
         }
         if !work.head_sent {
             work.head_sent = true;
@@ -82,11 +87,11 @@
             return self.disturb_stream(number, link, work);
         }
         self.end_stream(number, link, work);
-        false
+        StreamProgress::Ended
     }
 
-    // From here on the answer is another run's, with or without that run's attempt id.
-    pub(super) fn cross_streams(&mut self, work: &mut Answering) {
+    /// From here on the answer is another run's, with or without that run's attempt id.
+    fn cross_streams(&mut self, work: &mut Answering) {
         let Some(other) = self.another_run(work.content) else {
             return;
         };
@@ -98,15 +103,15 @@
         work.run_number = other.run_number;
     }
 
-    // Something that goes wrong after half of the stream. Gives whether the stream goes on.
-    pub(super) fn disturb_stream(
+    /// What goes wrong after half of the stream.
+    fn disturb_stream(
         &mut self,
         number: u16,
         link: LinkNumber,
         work: &mut Answering,
-    ) -> bool {
+    ) -> StreamProgress {
         if !work.is_half_done() {
-            return true;
+            return StreamProgress::Open;
         }
         match work.fault {
             Some(AnswerFault::Truncated) => {
@@ -114,7 +119,7 @@
                     self.backend_sends(number, link, HttpPacket::Finish);
                 }
                 self.close_link(ProcessId::Backend(number), link);
-                return false;
+                return StreamProgress::Ended;
             }
             Some(AnswerFault::Stray) => {
                 if let Some(other) = self.another_run(work.content) {
@@ -124,42 +129,37 @@
             }
             Some(AnswerFault::Skipped) => {
                 // Nobody can detect a last chunk that is left out before the end marker.
-                match self.random.random_bool(0.5) && work.next + 1 < work.total {
-                    true => work.next += 1,
-                    false => work.next = work.next.saturating_sub(1),
+                if self.random.random_bool(0.5) && work.next + 1 < work.total {
+                    work.next += 1;
+                } else {
+                    work.next = work.next.saturating_sub(1);
                 }
                 work.fault = None;
             }
             _ => {}
         }
-        true
+        StreamProgress::Open
     }
 
-    pub(super) fn end_stream(&mut self, number: u16, link: LinkNumber, work: &Answering) {
+    fn end_stream(&mut self, number: u16, link: LinkNumber, work: &Answering) {
         self.finish_work(number, work);
         let mut end = String::from("data: [DONE]\n\n");
         if work.fault == Some(AnswerFault::Stray) {
             end.push_str("data: {\"stray\":true}\n\n");
         }
-        self.backend_sends(number, link, HttpPacket::Chunk(Bytes::from(end)));
+        self.backend_sends(number, link, HttpPacket::Body(Bytes::from(end)));
         self.backend_sends(number, link, HttpPacket::Finish);
         self.close_link(ProcessId::Backend(number), link);
     }
 
-    pub(super) fn send_chunk(
-        &mut self,
-        number: u16,
-        link: LinkNumber,
-        work: &Answering,
-        sequence: u64,
-    ) {
+    fn send_chunk(&mut self, number: u16, link: LinkNumber, work: &Answering, sequence: u64) {
         let text = chunk_text(&work.chunk(sequence));
         let run = &work.run;
         let event = format!(
             "data: {{\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"{text}\"}}}}],\
              \"millford\":{{\"run\":\"{run}\",\"seq\":{sequence}}}}}\n\n"
         );
-        self.backend_sends(number, link, HttpPacket::Chunk(Bytes::from(event)));
+        self.backend_sends(number, link, HttpPacket::Body(Bytes::from(event)));
     }
 }
 
--- a/crates/simulation/src/world/backend/answering.rs
+++ b/crates/simulation/src/world/backend/answering.rs
@@ -1,5 +1,7 @@
 //! One request that a backend works on.
 
+use xxhash_rust::xxh3::xxh3_64;
+
 use crate::history::{AttemptNumber, Chunk, ContentNumber};
 use crate::scenario::AnswerFault;
 
@@ -9,6 +11,18 @@
 /// Chunks by which answers differ in length.
 const CHUNK_COUNT_SPREAD: u64 = 14;
 
+/// Number of an attempt in the history.
+#[must_use]
+pub fn attempt_number(attempt: &str) -> AttemptNumber {
+    AttemptNumber(xxh3_64(attempt.as_bytes()))
+}
+
+/// Number of a run in the history.
+#[must_use]
+pub fn run_number(run: &str) -> u64 {
+    xxh3_64(run.as_bytes())
+}
+
 /// Progress of an answer.
 #[derive(Clone, Debug)]
 pub struct Answering {
@@ -40,9 +54,10 @@
     /// Number of chunks of the answer to a content; the same for every run.
     #[must_use]
     pub fn chunk_count(content: ContentNumber, stream: bool) -> u64 {
-        match stream {
-            true => MIN_CHUNKS + content.0 % CHUNK_COUNT_SPREAD,
-            false => 1,
+        if stream {
+            MIN_CHUNKS + content.0 % CHUNK_COUNT_SPREAD
+        } else {
+            1
         }
     }
 
--- a/crates/simulation/src/world/backend/backend_process.rs
+++ b/crates/simulation/src/world/backend/backend_process.rs
@@ -1,8 +1,10 @@
 //! A backend and what it works on.
 
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 use millford_core::MonotonicTime;
+use millford_proxy::request::message::WithdrawAnswer;
 
 use crate::network::LinkNumber;
 use crate::world::backend::answering::Answering;
@@ -14,18 +16,18 @@
     pub process: ProcessState,
     /// Whether it serves lookups rather than models.
     pub lookup: bool,
-    /// When it last started afresh.
-    pub started_at: MonotonicTime,
+    /// Whether the platform retired it: it never comes back.
+    pub retired: bool,
+    /// When its present incarnation started.
+    started_at: MonotonicTime,
     /// Work by connection.
-    pub work: BTreeMap<LinkNumber, Answering>,
+    work: BTreeMap<LinkNumber, Answering>,
     /// Attempts that may never run.
-    pub withdrawn: BTreeSet<String>,
+    withdrawn: BTreeSet<String>,
     /// Attempts that began to run.
-    pub started: BTreeSet<String>,
+    started: BTreeSet<String>,
     /// Attempts that ran to their end.
-    pub finished: BTreeSet<String>,
-    /// Whether the platform retired it: it never comes back.
-    pub retired: bool,
+    finished: BTreeSet<String>,
 }
 
 impl BackendProcess {
@@ -35,12 +37,76 @@
         Self {
             process,
             lookup,
+            retired: false,
             started_at: MonotonicTime::ZERO,
             work: BTreeMap::new(),
             withdrawn: BTreeSet::new(),
             started: BTreeSet::new(),
             finished: BTreeSet::new(),
-            retired: false,
         }
     }
+
+    /// Starts a new incarnation: it knows nothing of earlier attempts.
+    pub fn start(&mut self, now: MonotonicTime) {
+        self.started_at = now;
+        self.work.clear();
+        self.withdrawn.clear();
+        self.started.clear();
+        self.finished.clear();
+    }
+
+    /// Drops all work, as the death of the process does.
+    pub fn drop_work(&mut self) {
+        self.work.clear();
+    }
+
+    /// Withdraws an attempt that is at most `age` old.
+    pub fn withdraw(
+        &mut self,
+        attempt: String,
+        age: Duration,
+        now: MonotonicTime,
+    ) -> WithdrawAnswer {
+        if self.finished.contains(&attempt) {
+            return WithdrawAnswer::Finished;
+        }
+        // A run that was broken off began all the same.
+        if self.started.contains(&attempt) {
+            return WithdrawAnswer::Running;
+        }
+        self.withdrawn.insert(attempt);
+        // Its former incarnation may have run an attempt older than itself.
+        if now.since(self.started_at) >= age {
+            WithdrawAnswer::Withdrawn
+        } else {
+            WithdrawAnswer::Unknown
+        }
+    }
+
+    /// Whether an attempt may never run.
+    #[must_use]
+    pub fn is_withdrawn(&self, attempt: &str) -> bool {
+        self.withdrawn.contains(attempt)
+    }
+
+    /// Begins to answer on a connection.
+    pub fn start_work(&mut self, link: LinkNumber, work: Answering) {
+        self.started.insert(work.attempt.clone());
+        self.work.insert(link, work);
+    }
+
+    /// Takes the work of a connection.
+    pub fn take_work(&mut self, link: LinkNumber) -> Option<Answering> {
+        self.work.remove(&link)
+    }
+
+    /// Puts work back that is not done.
+    pub fn continue_work(&mut self, link: LinkNumber, work: Answering) {
+        self.work.insert(link, work);
+    }
+
+    /// An attempt ran to its end.
+    pub fn finish(&mut self, attempt: String) {
+        self.finished.insert(attempt);
+    }
 }
--- a/crates/simulation/src/world/backend/mod.rs
+++ b/crates/simulation/src/world/backend/mod.rs
@@ -1,9 +1,12 @@
-//! Simulation of a backend: the message form of the backend protocol.
+//! Simulated backends: the message form of the backend protocol.
 
 pub mod answering;
 pub mod backend_process;
 pub mod chunk_text;
+pub mod recent_runs;
+pub mod request_text;
 
-pub use answering::Answering;
+pub use answering::{Answering, attempt_number, run_number};
 pub use backend_process::BackendProcess;
 pub use chunk_text::{chunk_text, read_chunks};
+pub use recent_runs::RecentRuns;
--- a/crates/simulation/src/world/backend_driver.rs
+++ b/crates/simulation/src/world/backend_driver.rs
@@ -1,74 +1,66 @@
-//! What simulated backends do.
+//! Drives the simulated backends: requests, withdrawals, probes and the pace of answers.
 
+use std::ops::Range;
 use std::time::Duration;
 
 use bytes::Bytes;
 use millford_proxy::request::message::{AnswerHead, BackendRequest, Framing, WithdrawAnswer};
 use rand::Rng;
-use xxhash_rust::xxh3::xxh3_64;
 
-use crate::history::{AttemptNumber, BackendNumber, ContentNumber, Record};
+use crate::history::{BackendNumber, ContentNumber, Record};
 use crate::network::{HttpPacket, LinkNumber, Packet, ProcessId};
 use crate::scenario::AnswerFault;
-use crate::world::backend::{Answering, BackendProcess};
-use crate::world::callers::KEY_PREFIX;
+use crate::world::answer_driver::StreamProgress;
+use crate::world::backend::request_text::{content_of, holds_key, is_stream};
+use crate::world::backend::{Answering, BackendProcess, attempt_number, run_number};
 use crate::world::event::Event;
 use crate::world::process_input::ProcessInput;
 use crate::world::site::Site;
 
-const FIRST_CHUNK_MICROS: std::ops::Range<u64> = 40_000..400_000;
-const NEXT_CHUNK_MICROS: std::ops::Range<u64> = 30_000..90_000;
-const LOOKUP_MICROS: std::ops::Range<u64> = 2_000..20_000;
-const LATE_MICROS: std::ops::Range<u64> = 1_500_000..7_000_000;
+/// Time until the first chunk of a model's answer, in microseconds.
+const FIRST_CHUNK_MICROS: Range<u64> = 40_000..400_000;
+/// Time between two chunks, in microseconds.
+const NEXT_CHUNK_MICROS: Range<u64> = 30_000..90_000;
+/// Time until a lookup is answered, in microseconds.
+const LOOKUP_MICROS: Range<u64> = 2_000..20_000;
+/// Time until a late answer begins, in microseconds.
+const LATE_MICROS: Range<u64> = 1_500_000..7_000_000;
+/// Share of answers that go wrong while an answer fault is active.
 const FAULT_SHARE: f64 = 0.35;
+/// Share of requests that a backend refuses before any work.
 const REFUSAL_SHARE: f64 = 0.01;
+/// Share of resumptions that a backend refuses.
 const RESUME_REFUSED_SHARE: f64 = 0.1;
+/// Share of resumptions that a backend answers from the start.
 const RESUME_IGNORED_SHARE: f64 = 0.1;
 const UNAVAILABLE: u16 = 503;
-const RECENT_RUNS: usize = 8;
-
-/// Number of an attempt in the history.
-#[must_use]
-pub fn attempt_number(attempt: &str) -> AttemptNumber {
-    AttemptNumber(xxh3_64(attempt.as_bytes()))
-}
-
-/// Number of a run in the history.
-#[must_use]
-pub fn run_number(run: &str) -> u64 {
-    xxh3_64(run.as_bytes())
-}
 
 impl Site {
     /// Adds a backend with a new number.
-    pub fn add_backend(&mut self, lookup: bool) -> u16 {
+    pub(super) fn add_backend(&mut self, lookup: bool) -> u16 {
         let number = self.backends.keys().next_back().map_or(1, |last| last + 1);
         let backend = BackendProcess::new(self.new_process(), lookup);
         self.backends.insert(number, backend);
         number
     }
 
-    /// The backend starts afresh: it knows nothing of earlier attempts.
-    pub fn start_backend(&mut self, number: u16) {
+    /// A new incarnation of the backend starts.
+    pub(super) fn start_backend(&mut self, number: u16) {
         let now = self.now();
         if let Some(backend) = self.backends.get_mut(&number) {
-            backend.started_at = now;
-            backend.work.clear();
-            backend.withdrawn.clear();
-            backend.started.clear();
-            backend.finished.clear();
+            backend.start(now);
         }
     }
 
     /// The backend died.
-    pub fn backend_died(&mut self, number: u16) {
+    pub(super) fn backend_died(&mut self, number: u16) {
         if let Some(backend) = self.backends.get_mut(&number) {
-            backend.work.clear();
+            backend.drop_work();
         }
     }
 
     /// Hands an input to a backend.
-    pub fn backend_input(&mut self, number: u16, input: ProcessInput) {
+    pub(super) fn backend_input(&mut self, number: u16, input: ProcessInput) {
         match input {
             ProcessInput::Packet {
                 link,
@@ -76,7 +68,7 @@
             } => self.backend_packet(number, link, packet),
             ProcessInput::LinkClosed { link } => {
                 if let Some(backend) = self.backends.get_mut(&number) {
-                    backend.work.remove(&link);
+                    backend.take_work(link);
                 }
             }
             ProcessInput::Work { link } => self.backend_works(number, link),
@@ -98,21 +90,9 @@
 
     fn withdraw_attempt(&mut self, number: u16, attempt: String, age: Duration) -> WithdrawAnswer {
         let now = self.now();
-        let Some(backend) = self.backends.get_mut(&number) else {
-            return WithdrawAnswer::Unknown;
-        };
-        if backend.finished.contains(&attempt) {
-            return WithdrawAnswer::Finished;
-        }
-        // A run that was broken off began all the same.
-        if backend.started.contains(&attempt) {
-            return WithdrawAnswer::Running;
-        }
-        backend.withdrawn.insert(attempt);
-        // Its former incarnation may have run an attempt older than itself.
-        match now.since(backend.started_at) >= age {
-            true => WithdrawAnswer::Withdrawn,
-            false => WithdrawAnswer::Unknown,
+        match self.backends.get_mut(&number) {
+            Some(backend) => backend.withdraw(attempt, age, now),
+            None => WithdrawAnswer::Unknown,
         }
     }
 
@@ -128,7 +108,7 @@
         let withdrawn = self
             .backends
             .get(&number)
-            .is_some_and(|backend| backend.withdrawn.contains(&request.attempt));
+            .is_some_and(|backend| backend.is_withdrawn(&request.attempt));
         let resumes = request.resume_from.is_some();
         let refused = self.random.random_bool(REFUSAL_SHARE)
             || (resumes && self.random.random_bool(RESUME_REFUSED_SHARE));
@@ -148,11 +128,10 @@
             run: answering.run_number,
             from: answering.next,
         });
-        self.remember_run(&answering);
+        self.recent_runs.push(answering.clone());
         let delay = self.first_delay(number, &answering);
         if let Some(it) = self.backends.get_mut(&number) {
-            it.started.insert(answering.attempt.clone());
-            it.work.insert(link, answering);
+            it.start_work(link, answering);
         }
         self.work_after(number, link, delay);
     }
@@ -188,22 +167,9 @@
         Some(active[index])
     }
 
-    fn remember_run(&mut self, answering: &Answering) {
-        let recent = &mut self.faults.recent_runs;
-        recent.push_back(answering.clone());
-        if recent.len() > RECENT_RUNS {
-            recent.pop_front();
-        }
-    }
-
+    /// Draws a recent run of another content.
     pub(super) fn another_run(&mut self, content: ContentNumber) -> Option<Answering> {
-        let recent = &self.faults.recent_runs;
-        let others: Vec<&Answering> = recent.iter().filter(|it| it.content != content).collect();
-        if others.is_empty() {
-            return None;
-        }
-        let index = self.random.random_range(0..others.len());
-        Some(others[index].clone())
+        self.recent_runs.draw_other(content, &mut self.random)
     }
 
     fn first_delay(&mut self, number: u16, answering: &Answering) -> Duration {
@@ -220,14 +186,7 @@
         let process = ProcessId::Backend(number);
         let incarnation = self.incarnation_of(process);
         let input = ProcessInput::Work { link };
-        self.schedule_after(
-            delay,
-            Event::Input {
-                process,
-                incarnation,
-                input,
-            },
-        );
+        self.schedule_input(delay, process, incarnation, input);
     }
 
     fn backend_refuses(&mut self, number: u16, link: LinkNumber, request: &BackendRequest) {
@@ -241,7 +200,7 @@
             framing: Framing::Length(2),
         };
         self.backend_sends(number, link, HttpPacket::Head(Box::new(head)));
-        self.backend_sends(number, link, HttpPacket::Chunk(Bytes::from_static(b"{}")));
+        self.backend_sends(number, link, HttpPacket::Body(Bytes::from_static(b"{}")));
         self.backend_sends(number, link, HttpPacket::Finish);
     }
 
@@ -249,18 +208,18 @@
         let Some(backend) = self.backends.get_mut(&number) else {
             return;
         };
-        let Some(mut work) = backend.work.remove(&link) else {
+        let Some(mut work) = backend.take_work(link) else {
             return;
         };
-        let goes_on = match work.stream {
-            true => self.stream_step(number, link, &mut work),
-            false => self.plain_answer(number, link, &mut work),
-        };
-        if !goes_on {
+        if !work.stream {
+            self.answer_at_once(number, link, &work);
+            return;
+        }
+        if self.stream_step(number, link, &mut work) == StreamProgress::Ended {
             return;
         }
         if let Some(backend) = self.backends.get_mut(&number) {
-            backend.work.insert(link, work);
+            backend.continue_work(link, work);
         }
         let delay = Duration::from_micros(self.random.random_range(NEXT_CHUNK_MICROS));
         self.work_after(number, link, delay);
@@ -268,7 +227,7 @@
 
     pub(super) fn finish_work(&mut self, number: u16, work: &Answering) {
         if let Some(backend) = self.backends.get_mut(&number) {
-            backend.finished.insert(work.attempt.clone());
+            backend.finish(work.attempt.clone());
         }
         self.record(Record::BackendFinished {
             attempt: work.number,
@@ -283,31 +242,3 @@
         self.send_packet(process, link, Packet::Http(packet), now);
     }
 }
-
-fn content_of(request: &BackendRequest) -> Option<ContentNumber> {
-    let body = String::from_utf8_lossy(&request.body);
-    let text = match request.body.is_empty() {
-        true => request.path.as_str(),
-        false => &body,
-    };
-    let rest = text.split_once("content-")?.1;
-    let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
-    digits.parse().ok().map(ContentNumber)
-}
-
-fn is_stream(body: &[u8]) -> bool {
-    String::from_utf8_lossy(body).contains("\"stream\":true")
-}
-
-fn holds_key(request: &BackendRequest) -> bool {
-    let body = String::from_utf8_lossy(&request.body);
-    let texts = [
-        body.as_ref(),
-        &request.path,
-        &request.attempt,
-        &request.run,
-        &request.stage,
-        &request.adapter,
-    ];
-    texts.iter().any(|text| text.contains(KEY_PREFIX))
-}
--- a/crates/simulation/src/world/callers.rs
+++ b/crates/simulation/src/world/callers.rs
@@ -1,80 +1,29 @@
 //! Simulated callers: what they send and what they know.
 
 use std::collections::BTreeMap;
+use std::time::Duration;
 
-use millford_core::MonotonicTime;
-use millford_proxy::request::caller::{CallerHeaders, CallerRequest};
+use millford_core::{MonotonicTime, ResultCode, RunState};
+use millford_proxy::request::caller::CallerHead;
+use rand::Rng;
+use rand_chacha::ChaCha8Rng;
 
-use crate::history::{ContentNumber, Repeatability, RequestNumber, RequestSent, ResumeRule};
+use crate::history::{
+    Chunk, ContentNumber, ProxyNodeNumber, Repeatability, RequestEnd, RequestNumber, RequestSent,
+};
 use crate::scenario::{Scenario, Topology, Workload};
+use crate::world::client_request::RequestKind;
+use crate::world::defect::Defect;
+use crate::world::received_answer::{AnswerEnd, ReceivedAnswer};
 
-/// Start of every tenant key; backends must never see it.
-pub const KEY_PREFIX: &str = "millford-key-";
-
-/// Kinds of client requests, by the model that they name.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RequestKind {
-    /// A long stream whose run may be continued elsewhere.
-    Caption,
-    /// A shorter question, answered at once or as a stream.
-    Question { stream: bool },
-    /// A request that may not be repeated.
-    Once { keyed: bool, stream: bool },
-    /// A lookup.
-    Lookup,
-}
-
-impl RequestKind {
-    /// Whether it may run more than once.
-    #[must_use]
-    pub fn repeatability(self) -> Repeatability {
-        match self {
-            RequestKind::Once { keyed: true, .. } => Repeatability::Keyed,
-            RequestKind::Once { keyed: false, .. } => Repeatability::Unkeyed,
-            _ => Repeatability::Repeatable,
-        }
-    }
-
-    /// What its route allows for streams.
-    #[must_use]
-    pub fn resume(self) -> ResumeRule {
-        match self {
-            RequestKind::Caption => ResumeRule::Continue,
-            RequestKind::Question { .. } => ResumeRule::FromStart,
-            _ => ResumeRule::Never,
-        }
-    }
-
-    /// Whether the answer is a stream.
-    #[must_use]
-    pub fn stream(self) -> bool {
-        match self {
-            RequestKind::Caption => true,
-            RequestKind::Question { stream } | RequestKind::Once { stream, .. } => stream,
-            RequestKind::Lookup => false,
-        }
-    }
-
-    fn model(self) -> &'static str {
-        match self {
-            RequestKind::Caption => "scribe",
-            RequestKind::Question { .. } => "quiz",
-            RequestKind::Once { .. } => "once",
-            RequestKind::Lookup => "",
-        }
-    }
-}
-
-/// A client request that arrives at a proxy.
-#[derive(Clone, Debug)]
-pub struct ArrivingRequest {
-    /// The client request.
-    pub client_request: RequestNumber,
-    /// Its request; the proxy sets the time of arrival.
-    pub request: CallerRequest,
-    /// Whether it is a lookup.
-    pub lookup: bool,
-}
+/// Sends of one content, the first included.
+const MAX_SENDS: u32 = 4;
+/// Share of requests with an old key while callers know one.
+const OLD_KEY_SHARE: f64 = 0.3;
+/// Share of requests that a hot tenant sends.
+const HOT_TENANT_SHARE: f64 = 0.9;
+const MICROS_PER_SECOND: u64 = 1_000_000;
+const PERCENT: u32 = 100;
 
 /// A client request whose caller waits, or may send it again.
 #[derive(Clone, Debug)]
@@ -85,113 +34,302 @@
     pub kind: RequestKind,
     /// How often the content was sent, this send included.
     pub sends: u32,
-    /// Status of the head that arrived, 0 before.
-    pub status: u16,
-    /// Revision that the head named.
-    pub revision: Option<u64>,
-    /// Bytes of the body so far.
-    pub body: String,
-    /// Bytes whose marks were read.
-    pub read: usize,
+    answer: ReceivedAnswer,
     /// Arrival of the latest part, so that parts keep their order.
-    pub last_arrival: MonotonicTime,
+    last_arrival: MonotonicTime,
     /// Whether the caller has its end.
-    pub ended: bool,
+    ended: bool,
+}
+
+/// A content to send, for the first time or again.
+#[derive(Clone, Copy, Debug)]
+pub struct Submission {
+    /// What is to be done.
+    pub content: ContentNumber,
+    /// Tenant that sends it.
+    pub tenant: u16,
+    /// Its kind.
+    pub kind: RequestKind,
+    /// How often the content was sent, this send included.
+    pub sends: u32,
 }
 
 /// A tenant as its callers know it.
 #[derive(Clone, Debug)]
-pub struct CallerTenant {
+struct CallerTenant {
     /// Serial number of the key that callers use.
-    pub key: u32,
+    key: u32,
     /// An older key that some callers still try.
-    pub old_key: Option<u32>,
+    old_key: Option<u32>,
 }
 
 /// All callers.
 pub struct Callers {
-    /// Rates and shares.
-    pub workload: Workload,
+    workload: Workload,
+    topology: Topology,
+    defect: Option<Defect>,
     /// Tenants by number.
-    pub tenants: Vec<CallerTenant>,
+    tenants: Vec<CallerTenant>,
     /// Client requests under way, and those that may be sent again.
-    pub open_requests: BTreeMap<RequestNumber, OpenRequest>,
+    open_requests: BTreeMap<RequestNumber, OpenRequest>,
     /// Factor on the rates.
-    pub burst: u32,
-    /// Number of faults that make one tenant hot.
-    pub hot_tenant_faults: u32,
-    next_request: u64,
-    next_content: u64,
+    burst: u32,
+    /// Number of active faults that make one tenant hot.
+    hot_tenant_faults: u32,
+    last_request: u64,
+    last_content: u64,
 }
 
 impl Callers {
     /// Callers of a scenario.
     #[must_use]
-    pub fn new(scenario: &Scenario, topology: Topology) -> Self {
+    pub fn new(scenario: &Scenario, topology: Topology, defect: Option<Defect>) -> Self {
         let tenants = (0..topology.tenants).map(|tenant| CallerTenant {
             key: u32::from(tenant),
             old_key: None,
         });
         Self {
             workload: scenario.workload,
+            topology,
+            defect,
             tenants: tenants.collect(),
             open_requests: BTreeMap::new(),
             burst: 1,
             hot_tenant_faults: 0,
-            next_request: 0,
-            next_content: 0,
+            last_request: 0,
+            last_content: 0,
         }
     }
 
-    /// Number of a new client request.
-    pub fn next_request(&mut self) -> RequestNumber {
-        self.next_request += 1;
-        RequestNumber(self.next_request)
+    /// Draws the time to the next request; `None` while callers send none.
+    pub fn draw_gap(&self, lookup: bool, random: &mut ChaCha8Rng) -> Option<Duration> {
+        let rate = if lookup {
+            self.workload.lookups_per_second
+        } else {
+            self.workload.requests_per_second
+        };
+        let rate = u64::from(rate * self.burst);
+        let mean = MICROS_PER_SECOND.checked_div(rate)?;
+        let micros = random.random_range(0..=mean * 2);
+        Some(Duration::from_micros(micros))
     }
 
-    /// Number of a new content.
-    pub fn next_content(&mut self) -> ContentNumber {
-        self.next_content += 1;
-        ContentNumber(self.next_content)
+    /// Draws kind and tenant of a new content.
+    pub fn draw_submission(&mut self, lookup: bool, random: &mut ChaCha8Rng) -> Submission {
+        let kind = if lookup {
+            RequestKind::Lookup
+        } else {
+            self.draw_kind(random)
+        };
+        let tenant = self.draw_tenant(random);
+        self.last_content += 1;
+        Submission {
+            content: ContentNumber(self.last_content),
+            tenant,
+            kind,
+            sends: 1,
+        }
     }
-}
 
-/// The text of a tenant key.
-#[must_use]
-pub fn key_text(serial: u32) -> String {
-    format!("{KEY_PREFIX}{serial}")
-}
+    fn draw_kind(&self, random: &mut ChaCha8Rng) -> RequestKind {
+        let workload = self.workload;
+        let percent = random.random_range(0..PERCENT);
+        let stream = random.random_bool(0.5);
+        if percent < workload.keyed_percent + workload.unkeyed_percent {
+            let keyed = percent < workload.keyed_percent;
+            return RequestKind::Once { keyed, stream };
+        }
+        if random.random_bool(0.6) {
+            RequestKind::Caption
+        } else {
+            RequestKind::Question { stream }
+        }
+    }
+
+    /// A few tenants dominate; a hot one sends nearly everything.
+    fn draw_tenant(&self, random: &mut ChaCha8Rng) -> u16 {
+        let tenants = self.topology.tenants.max(1);
+        if self.hot_tenant_faults > 0 && random.random_bool(HOT_TENANT_SHARE) {
+            return 0;
+        }
+        match random.random_range(0..10) {
+            0..4 => 0,
+            4..7 => 1 % tenants,
+            _ => random.random_range(0..tenants),
+        }
+    }
+
+    /// Opens a client request to a proxy node that is drawn, with a key of its tenant.
+    pub fn open(
+        &mut self,
+        submission: Submission,
+        now: MonotonicTime,
+        random: &mut ChaCha8Rng,
+    ) -> RequestSent {
+        let kind = submission.kind;
+        let proxy_node = random.random_range(1..=self.topology.proxy_nodes.max(1));
+        let key = self.draw_key(submission.tenant, random);
+        self.last_request += 1;
+        let sent = RequestSent {
+            client_request: RequestNumber(self.last_request),
+            content: submission.content,
+            tenant: submission.tenant,
+            key,
+            proxy_node: ProxyNodeNumber(proxy_node),
+            repeatability: kind.repeatability(),
+            resume: kind.resume(),
+            stream: kind.stream(),
+        };
+        let open = OpenRequest {
+            sent,
+            kind,
+            sends: submission.sends,
+            answer: ReceivedAnswer::default(),
+            last_arrival: now,
+            ended: false,
+        };
+        self.open_requests.insert(sent.client_request, open);
+        sent
+    }
+
+    fn draw_key(&self, tenant: u16, random: &mut ChaCha8Rng) -> u32 {
+        let tenant = &self.tenants[usize::from(tenant)];
+        match tenant.old_key {
+            Some(old) if random.random_bool(OLD_KEY_SHARE) => old,
+            _ => tenant.key,
+        }
+    }
+
+    /// The client request, unless its caller has its end.
+    #[must_use]
+    pub fn waiting(&self, client_request: RequestNumber) -> Option<&OpenRequest> {
+        self.open_requests
+            .get(&client_request)
+            .filter(|open| !open.ended)
+    }
+
+    /// Serial number of the key that a client request carries.
+    #[must_use]
+    pub fn key_of(&self, client_request: RequestNumber) -> Option<u32> {
+        let open = self.open_requests.get(&client_request)?;
+        Some(open.sent.key)
+    }
+
+    /// Serial number of the present key of the tenant that sent a client request.
+    #[must_use]
+    pub fn present_key_of(&self, client_request: RequestNumber) -> Option<u32> {
+        let open = self.open_requests.get(&client_request)?;
+        Some(self.tenants[usize::from(open.sent.tenant)].key)
+    }
+
+    /// The head of an answer was sent.
+    pub fn receive_head(&mut self, client_request: RequestNumber, head: &CallerHead) {
+        if let Some(open) = self.open_requests.get_mut(&client_request) {
+            open.answer.receive_head(head);
+        }
+    }
+
+    /// Bytes of an answer were sent. Returns the chunks in them if the answer is a stream.
+    pub fn receive_bytes(&mut self, client_request: RequestNumber, bytes: &[u8]) -> Vec<Chunk> {
+        match self.open_requests.get_mut(&client_request) {
+            Some(open) => open.answer.receive_bytes(bytes, open.sent.stream),
+            None => Vec::new(),
+        }
+    }
 
-/// The request for a client request.
-#[must_use]
-pub fn request_of(sent: &RequestSent, kind: RequestKind) -> CallerRequest {
-    let content = sent.content.0;
-    let mut headers = CallerHeaders {
-        authorization: Some(format!("Bearer {}", key_text(sent.key))),
-        content_type: Some("application/json".to_owned()),
-        ..CallerHeaders::default()
-    };
-    if sent.repeatability == Repeatability::Keyed {
-        headers.idempotency_key = Some(format!("request-{content}"));
-    }
-    if kind == RequestKind::Lookup {
-        return CallerRequest {
-            path_and_query: format!("/stations/content-{content}"),
-            headers,
-            body: bytes::Bytes::new(),
-            arrived: MonotonicTime::ZERO,
+    /// The answer ended, complete by its framing or not.
+    pub fn finish_answer(
+        &mut self,
+        client_request: RequestNumber,
+        complete: bool,
+    ) -> Option<AnswerEnd> {
+        let open = self.open_requests.get_mut(&client_request)?;
+        Some(open.answer.finish(open.sent.stream, complete, self.defect))
+    }
+
+    /// When a part sent now arrives: at `earliest`, but never before a part sent earlier.
+    pub fn arrival(
+        &mut self,
+        client_request: RequestNumber,
+        earliest: MonotonicTime,
+    ) -> Option<MonotonicTime> {
+        let open = self.open_requests.get_mut(&client_request)?;
+        open.last_arrival = open.last_arrival.max(earliest);
+        Some(open.last_arrival)
+    }
+
+    /// The caller has its end. Returns whether it will send the content again; the request stays open
+    /// for that.
+    pub fn end(
+        &mut self,
+        client_request: RequestNumber,
+        end: RequestEnd,
+        random: &mut ChaCha8Rng,
+    ) -> bool {
+        let share = f64::from(self.workload.resend_percent) / f64::from(PERCENT);
+        let Some(open) = self.open_requests.get_mut(&client_request) else {
+            return false;
         };
+        open.ended = true;
+        let resends = may_resend(end, open.sent.repeatability)
+            && open.sends < MAX_SENDS
+            && random.random_bool(share);
+        if !resends {
+            self.open_requests.remove(&client_request);
+        }
+        resends
+    }
+
+    /// Closes a client request that is sent again. Returns the next send of its content.
+    pub fn resubmit(&mut self, client_request: RequestNumber) -> Option<Submission> {
+        let open = self.open_requests.remove(&client_request)?;
+        Some(Submission {
+            content: open.sent.content,
+            tenant: open.sent.tenant,
+            kind: open.kind,
+            sends: open.sends + 1,
+        })
+    }
+
+    /// A tenant got a new key; some callers still try the revoked one.
+    pub fn replace_key(&mut self, tenant: u16, revoked: u32, key: u32) {
+        let tenant = &mut self.tenants[usize::from(tenant)];
+        tenant.key = key;
+        tenant.old_key = Some(revoked);
+    }
+
+    /// Callers send `times` as much from now on.
+    pub fn start_burst(&mut self, times: u32) {
+        self.burst *= times;
+    }
+
+    /// Ends a burst of this factor.
+    pub fn end_burst(&mut self, times: u32) {
+        self.burst = (self.burst / times).max(1);
+    }
+
+    /// One tenant sends nearly everything from now on.
+    pub fn start_hot_tenant(&mut self) {
+        self.hot_tenant_faults += 1;
     }
-    let model = kind.model();
-    let stream = kind.stream();
-    let body = format!(
-        "{{\"model\":\"{model}\",\"stream\":{stream},\
-         \"messages\":[{{\"role\":\"user\",\"content\":\"guide content-{content} end\"}}]}}"
-    );
-    CallerRequest {
-        path_and_query: "/v1/chat/completions".to_owned(),
-        headers,
-        body: bytes::Bytes::from(body),
-        arrived: MonotonicTime::ZERO,
+
+    /// Ends one fault that makes a tenant hot.
+    pub fn end_hot_tenant(&mut self) {
+        self.hot_tenant_faults = self.hot_tenant_faults.saturating_sub(1);
+    }
+}
+
+/// What may not be repeated and has no key is sent again only after a "not run".
+fn may_resend(end: RequestEnd, repeatability: Repeatability) -> bool {
+    match end {
+        RequestEnd::Complete => false,
+        RequestEnd::Refused { code, run } => {
+            let outcome_known = matches!(
+                code,
+                ResultCode::AlreadyCompleted | ResultCode::AlreadyFailed | ResultCode::KeyUnknown
+            );
+            !outcome_known && (run == RunState::NotRun || repeatability != Repeatability::Unkeyed)
+        }
+        RequestEnd::Lost => repeatability != Repeatability::Unkeyed,
     }
 }
--- a/crates/simulation/src/world/control_driver.rs
+++ b/crates/simulation/src/world/control_driver.rs
@@ -15,6 +15,7 @@
 use crate::world::control_process::ControlProcess;
 use crate::world::defect::Defect;
 use crate::world::event::{Event, OperatorEvent};
+use crate::world::process::ProcessLoss;
 use crate::world::process_input::ProcessInput;
 use crate::world::site::Site;
 
@@ -24,6 +25,8 @@
 const DATA_SHARDS: u32 = 6;
 const REPLACE_AFTER: Duration = Duration::from_secs(5);
 const RESTART_AFTER_FATAL: Duration = Duration::from_secs(1);
+/// Time from a start to the first read of the registry.
+const FIRST_REGISTRY_READ_AFTER: Duration = Duration::from_millis(10);
 const INTERNAL_PORT: u16 = 7000;
 const OPERATOR_PORT: u16 = 7001;
 
@@ -49,7 +52,7 @@
 
 impl Site {
     /// Adds a control node with an empty disk.
-    pub fn add_control(&mut self, number: u16) {
+    pub(super) fn add_control(&mut self, number: u16) {
         let seeds = self.seeds_for_a_new_machine(number);
         let control = ControlProcess::new(self.new_process(), seeds);
         if self.options.defect == Some(Defect::IgnoredSyncs) {
@@ -59,7 +62,7 @@
     }
 
     /// Opens the control node of a process that starts.
-    pub fn start_control(&mut self, number: u16) {
+    pub(super) fn start_control(&mut self, number: u16) {
         let process = ProcessId::Control(number);
         let local = self.local_time(process);
         let incarnation = self.incarnation_of(process);
@@ -76,18 +79,10 @@
             Ok(node) => {
                 control.node = Some(node);
                 self.tick_after(process, incarnation, TICK);
-                self.schedule_after(
-                    Duration::from_millis(10),
-                    Event::ReadRegistry {
-                        process,
-                        incarnation,
-                    },
-                );
+                self.schedule_registry_read(FIRST_REGISTRY_READ_AFTER, process, incarnation);
             }
             Err(error) => {
-                let now = self.now();
-                self.recorder
-                    .log(now, || format!("control {number} cannot open: {error}"));
+                self.log(|| format!("control {number} cannot open: {error}"));
                 self.control_fatal(number);
             }
         }
@@ -124,12 +119,12 @@
 
     /// Zone of the machine with this number among its kind.
     #[must_use]
-    pub fn zone(&self, number: u16) -> String {
+    pub(super) fn zone(&self, number: u16) -> String {
         format!("zone-{}", number % self.topology.zones.max(1))
     }
 
     /// The process died: its node is dropped, and unsynced bytes are lost.
-    pub fn control_died(&mut self, number: u16) {
+    pub(super) fn control_died(&mut self, number: u16) {
         let Some(control) = self.controls.get_mut(&number) else {
             return;
         };
@@ -143,12 +138,12 @@
 
     fn control_fatal(&mut self, number: u16) {
         let process = ProcessId::Control(number);
-        self.kill_process(process, false);
+        self.kill_process(process, ProcessLoss::Crash);
         self.schedule_after(RESTART_AFTER_FATAL, Event::Start { process });
     }
 
     /// Hands an input to a control node.
-    pub fn control_input(&mut self, number: u16, input: ProcessInput, waits: bool) {
+    pub(super) fn control_input(&mut self, number: u16, input: ProcessInput, waits: bool) {
         let process = ProcessId::Control(number);
         let incarnation = self.incarnation_of(process);
         if matches!(input, ProcessInput::Tick) {
@@ -158,20 +153,20 @@
             }
         }
         if let Some(input) = self.control_node_input(number, input) {
-            self.give_control(number, vec![input]);
+            self.handle_batch(number, vec![input]);
         }
     }
 
     /// Hands everything that waited while the disk was busy to a control node, for one flush.
-    pub fn control_batch(&mut self, number: u16, inputs: Vec<ProcessInput>) {
+    pub(super) fn control_batch(&mut self, number: u16, inputs: Vec<ProcessInput>) {
         let inputs = inputs.into_iter();
         let inputs: Vec<_> = inputs
             .filter_map(|input| self.control_node_input(number, input))
             .collect();
-        self.give_control(number, inputs);
+        self.handle_batch(number, inputs);
     }
 
-    fn give_control(&mut self, number: u16, inputs: Vec<NodeInput>) {
+    fn handle_batch(&mut self, number: u16, inputs: Vec<NodeInput>) {
         let process = ProcessId::Control(number);
         let incarnation = self.incarnation_of(process);
         let local = self.local_time(process);
@@ -214,30 +209,30 @@
     }
 
     fn control_node_input(&mut self, number: u16, input: ProcessInput) -> Option<NodeInput> {
-        let registry = Arc::clone(&self.registry.view);
+        let registry = self.registry.view();
         let control = self.controls.get_mut(&number)?;
         match input {
             ProcessInput::LinkOpened { link, accepted } => {
-                let peer = match accepted {
-                    true => PeerKind::Incoming,
-                    false => PeerKind::Outgoing,
+                let peer = if accepted {
+                    PeerKind::Incoming
+                } else {
+                    PeerKind::Outgoing
                 };
                 if accepted {
-                    control.accepted += 1;
-                    control.name_link(link, LinkId(control.accepted));
+                    control.accept_link(link);
                 }
-                let link = *control.ids.get(&link)?;
+                let link = control.links.name_of(link)?;
                 Some(NodeInput::LinkOpened { link, peer })
             }
             ProcessInput::LinkClosed { link } => {
-                let link = control.forget_link(link)?;
+                let link = control.links.remove(link)?;
                 Some(NodeInput::LinkClosed { link })
             }
             ProcessInput::Packet {
                 link,
                 packet: Packet::Frame(frame),
             } => {
-                let link = *control.ids.get(&link)?;
+                let link = control.links.name_of(link)?;
                 Some(NodeInput::Frame {
                     link,
                     frame: *frame,
@@ -258,50 +253,56 @@
         match output {
             NodeOutput::Send { link, frame } => {
                 if let Some(link) = self.control_link(number, link) {
-                    let packet = Box::new(Packet::Frame(Box::new(frame)));
-                    let incarnation = self.incarnation_of(process);
-                    let send = Event::SendLater {
-                        process,
-                        incarnation,
-                        link,
-                        packet,
-                    };
-                    self.queue.push(at, send);
+                    let packet = Packet::Frame(Box::new(frame));
+                    self.schedule_send(at, process, link, packet);
                 }
             }
             NodeOutput::Connect { link, address } => self.control_connects(number, link, &address),
             NodeOutput::Close { link } => {
-                if let Some(link) = self.control_link(number, link) {
-                    if let Some(control) = self.controls.get_mut(&number) {
-                        control.forget_link(link);
-                    }
+                let control = self.controls.get_mut(&number);
+                let link = control.and_then(|control| control.links.remove_name(link));
+                if let Some(link) = link {
                     self.close_link(process, link);
                 }
             }
             NodeOutput::OperatorReply { request, reply } => {
                 let delay = self.network_delay(process, ProcessId::Backend(0));
-                self.operators.keep_answer(request, reply);
+                self.operators.send_reply(request, reply);
                 self.queue.push(
                     at + delay,
-                    Event::Operator(OperatorEvent::Answer { request }),
+                    Event::Operator(OperatorEvent::Reply { request }),
                 );
             }
-            NodeOutput::Note(log) => {
-                let now = self.now();
-                self.recorder
-                    .log(now, || format!("control {number}: {log:?}"));
+            NodeOutput::Note(event) => {
+                self.log(|| format!("control {number}: {event:?}"));
             }
             NodeOutput::Fatal { code } => {
-                let now = self.now();
-                self.recorder
-                    .log(now, || format!("control {number} stops: {code}"));
+                self.log(|| format!("control {number} stops: {code}"));
                 self.control_fatal(number);
             }
         }
     }
 
+    fn schedule_send(
+        &mut self,
+        at: MonotonicTime,
+        process: ProcessId,
+        link: LinkNumber,
+        packet: Packet,
+    ) {
+        let incarnation = self.incarnation_of(process);
+        let packet = Box::new(packet);
+        let send = Event::SendLater {
+            process,
+            incarnation,
+            link,
+            packet,
+        };
+        self.queue.push(at, send);
+    }
+
     fn control_link(&self, number: u16, link: LinkId) -> Option<LinkNumber> {
-        self.controls.get(&number)?.numbers.get(&link).copied()
+        self.controls.get(&number)?.links.link_of(link)
     }
 
     fn control_connects(&mut self, number: u16, id: LinkId, address: &str) {
@@ -310,7 +311,7 @@
         let target = control_at(address).unwrap_or(ProcessId::Control(u16::MAX));
         let link = self.open_link(process, target);
         if let Some(control) = self.controls.get_mut(&number) {
-            control.name_link(link, id);
+            control.links.insert(link, id);
         }
     }
 }
--- a/crates/simulation/src/world/control_process.rs
+++ b/crates/simulation/src/world/control_process.rs
@@ -1,12 +1,12 @@
 //! A control node with its machine's disk.
 
-use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use millford_control::{ControlNode, LinkId};
 
 use crate::disk::DiskImage;
 use crate::network::LinkNumber;
+use crate::world::link_names::LinkNames;
 use crate::world::process::ProcessState;
 
 /// A control node.
@@ -17,15 +17,13 @@
     pub disk_image: Arc<Mutex<DiskImage>>,
     /// The node while the process runs.
     pub node: Option<ControlNode>,
-    /// The node's names of the connections.
-    pub ids: BTreeMap<LinkNumber, LinkId>,
-    /// Connections by the node's names.
-    pub numbers: BTreeMap<LinkId, LinkNumber>,
+    /// The node's names of its connections.
+    pub links: LinkNames<LinkId>,
     /// Number of the last accepted connection.
-    pub accepted: u64,
+    last_accepted: u64,
     /// Whether the machine is lost for good.
     pub lost: bool,
-    /// Control nodes that its settings name.
+    /// Addresses of control nodes that its settings name.
     pub seeds: Vec<String>,
 }
 
@@ -37,9 +35,8 @@
             process,
             disk_image: Arc::default(),
             node: None,
-            ids: BTreeMap::new(),
-            numbers: BTreeMap::new(),
-            accepted: 0,
+            links: LinkNames::default(),
+            last_accepted: 0,
             lost: false,
             seeds,
         }
@@ -52,24 +49,16 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Names a connection.
-    pub fn name_link(&mut self, number: LinkNumber, id: LinkId) {
-        self.ids.insert(number, id);
-        self.numbers.insert(id, number);
-    }
-
-    /// Forgets a connection.
-    pub fn forget_link(&mut self, number: LinkNumber) -> Option<LinkId> {
-        let id = self.ids.remove(&number)?;
-        self.numbers.remove(&id);
-        Some(id)
+    /// Names a connection that the node accepted.
+    pub fn accept_link(&mut self, link: LinkNumber) {
+        self.last_accepted += 1;
+        self.links.insert(link, LinkId(self.last_accepted));
     }
 
     /// Forgets the node and its connections.
     pub fn forget_incarnation(&mut self) {
         self.node = None;
-        self.ids.clear();
-        self.numbers.clear();
-        self.accepted = 0;
+        self.links.clear();
+        self.last_accepted = 0;
     }
 }
--- a/crates/simulation/src/world/draws.rs
+++ b/crates/simulation/src/world/draws.rs
@@ -4,24 +4,37 @@
 use std::time::Duration;
 
 use rand::Rng;
+use rand_chacha::ChaCha8Rng;
 
 use crate::scenario::{
     AnswerFault, Choice, DiskFault, Draw, Fault, FaultClass, PartitionDirection, RollKind, Target,
     TargetKind, TimedFault,
 };
-use crate::world::site::Site;
 
+/// Length of a short fault, in milliseconds.
 const SHORT_MILLIS: Range<u64> = 200..3_000;
+/// Length of a middling fault, in milliseconds.
 const MIDDLE_MILLIS: Range<u64> = 1_000..8_000;
+/// Length of a long fault, in milliseconds.
 const LONG_MILLIS: Range<u64> = 5_000..24_000;
+/// Time of one sync of a slow disk, in milliseconds.
 const SLOW_SYNC_MILLIS: Range<u64> = 5..400;
+/// Drift of a clock, in parts per million.
 const DRIFT_PPM: Range<i32> = -500..500;
+/// Factor of a burst.
 const BURST: Range<u32> = 2..6;
+/// Orders sent one after the other.
 const ORDERS: Range<u32> = 5..40;
 
-impl Site {
+/// Draws the faults of a run.
+pub(super) struct FaultDraws<'random> {
+    /// All randomness of the run.
+    pub(super) random: &'random mut ChaCha8Rng,
+}
+
+impl FaultDraws<'_> {
     /// The faults of one draw, in no order.
-    pub fn draw_faults(&mut self, draw: &Draw) -> Vec<TimedFault> {
+    pub(super) fn draw_faults(&mut self, draw: &Draw) -> Vec<TimedFault> {
         let mut faults = Vec::new();
         for _ in 0..draw.count {
             let index = self.random.random_range(0..draw.classes.len().max(1));
@@ -67,7 +80,7 @@
                 kind: RollKind::ProxyNodes,
             },
             _ => Fault::Kill {
-                target: all(kind),
+                target: Target::all(kind),
                 down: self.draw_length(SHORT_MILLIS),
             },
         }
@@ -96,16 +109,17 @@
                 kind: RollKind::ControlNodes,
             },
             _ => Fault::Kill {
-                target: all(TargetKind::ControlNode),
+                target: Target::all(TargetKind::ControlNode),
                 down: self.draw_length(SHORT_MILLIS),
             },
         }
     }
 
     fn draw_control_node(&mut self) -> Target {
-        let choice = match self.random.random_bool(0.4) {
-            true => Choice::Leader,
-            false => Choice::Any,
+        let choice = if self.random.random_bool(0.4) {
+            Choice::Leader
+        } else {
+            Choice::Any
         };
         Target {
             kind: TargetKind::ControlNode,
@@ -114,9 +128,10 @@
     }
 
     fn draw_network_fault(&mut self) -> Fault {
-        let target = match self.random.random_bool(0.6) {
-            true => self.draw_control_node(),
-            false => Target::any(TargetKind::ProxyNode),
+        let target = if self.random.random_bool(0.6) {
+            self.draw_control_node()
+        } else {
+            Target::any(TargetKind::ProxyNode)
         };
         let directions = [
             PartitionDirection::Both,
@@ -170,9 +185,10 @@
     }
 
     fn draw_backend_fault(&mut self) -> Fault {
-        let kind = match self.random.random_bool(0.7) {
-            true => TargetKind::Model,
-            false => TargetKind::Lookup,
+        let kind = if self.random.random_bool(0.7) {
+            TargetKind::Model
+        } else {
+            TargetKind::Lookup
         };
         let target = Target::any(kind);
         match self.random.random_range(0..9) {
@@ -204,7 +220,7 @@
     fn draw_operator_fault(&mut self) -> Fault {
         match self.random.random_range(0..5) {
             0..2 => Fault::Race,
-            2 => Fault::LostAnswers {
+            2 => Fault::LostReplies {
                 length: self.draw_length(MIDDLE_MILLIS),
             },
             3 => Fault::Revoke,
@@ -215,14 +231,15 @@
     }
 
     fn draw_load_fault(&mut self) -> Fault {
-        match self.random.random_bool(0.5) {
-            true => Fault::Burst {
+        if self.random.random_bool(0.5) {
+            Fault::Burst {
                 times: self.random.random_range(BURST),
                 length: self.draw_length(SHORT_MILLIS),
-            },
-            false => Fault::HotTenant {
+            }
+        } else {
+            Fault::HotTenant {
                 length: self.draw_length(MIDDLE_MILLIS),
-            },
+            }
         }
     }
 
@@ -231,14 +248,7 @@
     }
 }
 
-fn all(kind: TargetKind) -> Target {
-    Target {
-        kind,
-        choice: Choice::All,
-    }
-}
-
-// What a draw begins also ends within its time, so that the run shows the recovery.
+/// What a draw begins also ends within its time, so that the run shows the recovery.
 fn within(fault: Fault, left: Duration) -> Fault {
     match fault {
         Fault::Kill { target, down } => Fault::Kill {
--- a/crates/simulation/src/world/link_driver.rs
+++ b/crates/simulation/src/world/link_driver.rs
@@ -7,30 +7,39 @@
 
 use crate::network::{Direction, LinkNumber, LinkState, Packet, ProcessId};
 use crate::world::event::Event;
+use crate::world::process::ProcessLoss;
 use crate::world::process_input::ProcessInput;
 use crate::world::site::Site;
 
+/// Delay of a packet between two machines, in microseconds.
 const MIN_DELAY_MICROS: u64 = 100;
 const MAX_DELAY_MICROS: u64 = 1500;
+/// Largest delay of the packets in [`LONG_DELAY_SHARE`], in microseconds.
 const LONG_DELAY_MICROS: u64 = 30_000;
+/// Share of packets with a long delay.
 const LONG_DELAY_SHARE: f64 = 0.005;
+/// Delay between two processes of one machine, in microseconds.
 const LOCAL_DELAY_MICROS: u64 = 60;
+/// Time until a lost packet is sent again, in microseconds.
 const RETRANSMIT_MIN_MICROS: u64 = 100_000;
 const RETRANSMIT_MAX_MICROS: u64 = 400_000;
-const CONNECT_RETRY: Duration = Duration::from_secs(1);
+/// Time until a connection request without an answer is sent again.
+const CONNECT_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Connection requests until the connection counts as failed.
 const CONNECT_ATTEMPTS: u32 = 4;
 
 impl Site {
     /// Delay of one packet between two processes.
-    pub fn network_delay(&mut self, from: ProcessId, to: ProcessId) -> Duration {
+    pub(super) fn network_delay(&mut self, from: ProcessId, to: ProcessId) -> Duration {
         if from.machine() == to.machine() {
             return Duration::from_micros(LOCAL_DELAY_MICROS);
         }
-        let most = match self.random.random_bool(LONG_DELAY_SHARE) {
-            true => LONG_DELAY_MICROS,
-            false => MAX_DELAY_MICROS,
+        let max = if self.random.random_bool(LONG_DELAY_SHARE) {
+            LONG_DELAY_MICROS
+        } else {
+            MAX_DELAY_MICROS
         };
-        Duration::from_micros(self.random.random_range(MIN_DELAY_MICROS..most))
+        Duration::from_micros(self.random.random_range(MIN_DELAY_MICROS..max))
     }
 
     fn retransmit_delay(&mut self) -> Duration {
@@ -41,7 +50,7 @@
     }
 
     /// Starts a connection; the connecting process gets `LinkOpened` or `LinkClosed`.
-    pub fn open_link(&mut self, connector: ProcessId, acceptor: ProcessId) -> LinkNumber {
+    pub(super) fn open_link(&mut self, connector: ProcessId, acceptor: ProcessId) -> LinkNumber {
         let incarnation = self.incarnation_of(connector);
         let link = self.links.connect(connector, incarnation, acceptor);
         let delay = self.network_delay(connector, acceptor);
@@ -49,74 +58,58 @@
         link
     }
 
-    /// A connection request arrives, or would.
-    pub fn connection_arrives(&mut self, link: LinkNumber, attempts: u32) {
+    /// A connection request arrives, or is lost.
+    pub(super) fn connection_arrives(&mut self, link: LinkNumber, attempts: u32) {
         let Some(it) = self.links.get(link) else {
             return;
         };
-        let (connector, acceptor) = (it.connector, it.acceptor);
-        let connector_incarnation = it.connector_incarnation;
+        let (connector, acceptor) = (it.connector(), it.acceptor().process);
         let passable = self
             .partitions
-            .is_passable(connector.machine(), acceptor.machine());
-        if !passable || self.is_machine_down(acceptor) {
+            .is_passable(connector.process.machine(), acceptor.machine());
+        if !passable || self.faults.is_machine_down(acceptor.machine()) {
             self.retry_connection(link, attempts);
             return;
         }
-        let acceptor_incarnation = self.incarnation_of(acceptor);
-        let delay = self.network_delay(acceptor, connector);
-        if acceptor_incarnation == 0 {
+        let incarnation = self.incarnation_of(acceptor);
+        let delay = self.network_delay(acceptor, connector.process);
+        if incarnation == 0 {
             self.links.remove(link);
-            self.deliver_after(delay, connector, connector_incarnation, closed(link));
+            self.schedule_input(
+                delay,
+                connector.process,
+                connector.incarnation,
+                closed(link),
+            );
             return;
         }
-        let opened_at = self.now() + delay;
+        let now = self.now();
         if let Some(it) = self.links.get_mut(link) {
-            it.state = LinkState::Open;
-            it.acceptor_incarnation = acceptor_incarnation;
-            it.last_arrival = [self.queue.now(), opened_at];
+            it.accept(incarnation, now, now + delay);
         }
-        let accepted = true;
-        self.deliver_input(
-            acceptor,
-            acceptor_incarnation,
-            ProcessInput::LinkOpened { link, accepted },
+        self.deliver_input(acceptor, incarnation, opened(link, true));
+        self.schedule_input(
+            delay,
+            connector.process,
+            connector.incarnation,
+            opened(link, false),
         );
-        let accepted = false;
-        let opened = ProcessInput::LinkOpened { link, accepted };
-        self.deliver_after(delay, connector, connector_incarnation, opened);
     }
 
     fn retry_connection(&mut self, link: LinkNumber, attempts: u32) {
         if attempts + 1 < CONNECT_ATTEMPTS {
             let attempts = attempts + 1;
-            self.schedule_after(CONNECT_RETRY, Event::Connect { link, attempts });
+            self.schedule_after(CONNECT_RETRY_AFTER, Event::Connect { link, attempts });
             return;
         }
         if let Some(it) = self.links.remove(link) {
-            self.deliver_input(it.connector, it.connector_incarnation, closed(link));
+            let connector = it.connector();
+            self.deliver_input(connector.process, connector.incarnation, closed(link));
         }
     }
 
-    fn deliver_after(
-        &mut self,
-        delay: Duration,
-        process: ProcessId,
-        incarnation: u64,
-        input: ProcessInput,
-    ) {
-        self.schedule_after(
-            delay,
-            Event::Input {
-                process,
-                incarnation,
-                input,
-            },
-        );
-    }
-
     /// Sends a packet at a time, now or later.
-    pub fn send_packet(
+    pub(super) fn send_packet(
         &mut self,
         from: ProcessId,
         link: LinkNumber,
@@ -126,21 +119,32 @@
         let Some(it) = self.links.get(link) else {
             return;
         };
-        let direction = match it.connector == from {
-            true => Direction::Forward,
-            false => Direction::Backward,
-        };
-        let to = it.receiver(direction);
+        let direction = it.direction_from(from);
+        let to = it.receiver(direction).process;
         let delay = self.network_delay(from, to);
-        let trace = packet.trace();
+        let (tag, size) = packet.trace();
         let arrival = self.links.send(link, direction, packet, at + delay);
         if let Some(arrival) = arrival {
             self.queue.push(arrival, Event::Arrive { link, direction });
-            self.trace_packet(link, trace);
+            self.trace_packet(link, tag, size);
         }
     }
 
-    fn trace_packet(&mut self, link: LinkNumber, (tag, size): (u8, usize)) {
+    /// A process sends what waited for its disk, if it is still the incarnation that wrote it.
+    pub(super) fn send_later(
+        &mut self,
+        process: ProcessId,
+        incarnation: u64,
+        link: LinkNumber,
+        packet: Packet,
+    ) {
+        if self.incarnation_of(process) == incarnation {
+            let now = self.now();
+            self.send_packet(process, link, packet, now);
+        }
+    }
+
+    fn trace_packet(&mut self, link: LinkNumber, tag: u8, size: usize) {
         let now = self.now();
         let mut bytes = [0; 16];
         bytes[..8].copy_from_slice(&link.0.to_le_bytes());
@@ -149,13 +153,15 @@
     }
 
     /// The next packet of a direction arrives, unless it is lost and sent again.
-    pub fn packet_arrives(&mut self, link: LinkNumber, direction: Direction) {
+    pub(super) fn packet_arrives(&mut self, link: LinkNumber, direction: Direction) {
         let Some(it) = self.links.get(link) else {
             return;
         };
-        let (from, to) = (it.sender(direction), it.receiver(direction));
-        let incarnation = it.receiver_incarnation(direction);
-        if self.partitions.is_partitioned(from.machine(), to.machine()) {
+        let (from, to) = (it.sender(direction).process, it.receiver(direction));
+        if self
+            .partitions
+            .is_partitioned(from.machine(), to.process.machine())
+        {
             let delay = self.retransmit_delay();
             self.schedule_after(delay, Event::Arrive { link, direction });
             return;
@@ -166,84 +172,81 @@
         let Some(packet) = it.take(direction) else {
             return;
         };
-        if it.unresponsive || it.closed_by == Some(to) {
-            return;
-        }
-        if matches!(packet, Packet::End) {
-            self.links.remove(link);
-            self.deliver_input(to, incarnation, closed(link));
+        if !it.delivers_to(to.process) {
             return;
         }
-        self.deliver_input(to, incarnation, ProcessInput::Packet { link, packet });
+        let input = match packet {
+            Packet::End => {
+                self.links.remove(link);
+                closed(link)
+            }
+            packet => ProcessInput::Packet { link, packet },
+        };
+        self.deliver_input(to.process, to.incarnation, input);
     }
 
     /// One side closes; the other receives the end after what was sent before.
-    pub fn close_link(&mut self, process: ProcessId, link: LinkNumber) {
+    pub(super) fn close_link(&mut self, process: ProcessId, link: LinkNumber) {
         let Some(it) = self.links.get(link) else {
             return;
         };
-        if it.state == LinkState::Connecting || it.unresponsive {
+        if it.state() == LinkState::Connecting || it.is_unresponsive() {
             self.links.remove(link);
             return;
         }
         let now = self.now();
         self.send_packet(process, link, Packet::End, now);
         if let Some(it) = self.links.get_mut(link) {
-            it.state = LinkState::Closed;
-            it.closed_by.get_or_insert(process);
+            it.close(process);
         }
     }
 
     /// A process ended: its connections are closed, or stop responding if its machine is lost.
-    pub fn end_links(&mut self, process: ProcessId, unresponsive: bool) {
+    pub(super) fn end_links(&mut self, process: ProcessId, loss: ProcessLoss) {
         for link in self.links.of_process(process) {
-            if !unresponsive {
-                self.close_link(process, link);
-            } else if let Some(it) = self.links.get_mut(link) {
-                it.unresponsive = true;
+            match loss {
+                ProcessLoss::Crash => self.close_link(process, link),
+                ProcessLoss::MachineLost => {
+                    if let Some(it) = self.links.get_mut(link) {
+                        it.abandon();
+                    }
+                }
             }
         }
     }
 
     /// A machine that was lost is back: its old connections are reset.
-    pub fn reset_unresponsive_links(&mut self, process: ProcessId) {
+    pub(super) fn reset_unresponsive_links(&mut self, process: ProcessId) {
         for link in self.links.of_process(process) {
-            let Some(it) = self.links.get(link).filter(|it| it.unresponsive) else {
+            let Some(it) = self.links.get(link).filter(|it| it.is_unresponsive()) else {
                 continue;
             };
-            let direction = match it.connector == process {
-                true => Direction::Forward,
-                false => Direction::Backward,
-            };
-            let (other, incarnation) = (it.receiver(direction), it.receiver_incarnation(direction));
+            let peer = it.receiver(it.direction_from(process));
             self.links.remove(link);
-            self.deliver_input(other, incarnation, closed(link));
+            self.deliver_input(peer.process, peer.incarnation, closed(link));
         }
     }
 
-    /// Resets every connection between machines of a process.
-    pub fn reset_links(&mut self, process: ProcessId) {
+    /// Resets the connections of a process to other machines.
+    pub(super) fn reset_links(&mut self, process: ProcessId) {
         for link in self.links.of_process(process) {
             let Some(it) = self.links.get(link) else {
                 continue;
             };
-            if it.connector.machine() == it.acceptor.machine() {
+            let ends = [it.connector(), it.acceptor()];
+            if ends[0].process.machine() == ends[1].process.machine() {
                 continue;
             }
-            let ends = [
-                (it.connector, it.connector_incarnation),
-                (it.acceptor, it.acceptor_incarnation),
-            ];
             self.links.remove(link);
-            for (end, incarnation) in ends {
-                self.deliver_input(end, incarnation, closed(link));
+            for end in ends {
+                self.deliver_input(end.process, end.incarnation, closed(link));
             }
         }
     }
+}
 
-    fn is_machine_down(&self, process: ProcessId) -> bool {
-        self.faults.is_machine_down(process.machine())
-    }
+fn opened(link: LinkNumber, accepted: bool) -> ProcessInput {
+    ProcessInput::LinkOpened { link, accepted }
 }
 
 fn closed(link: LinkNumber) -> ProcessInput {
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -1,35 +1,47 @@
-//! The simulated site: machines, processes, simulated parts, faults and the loop over events.
+//! The simulated site: machines, processes, callers, operators, faults and the loop over events.
+//!
+//! Each part has a type of its own that owns its state, such as [`callers::Callers`] or
+//! [`active_faults::ActiveFaults`]. [`Site`] owns the parts, the event queue and all randomness. The
+//! `*_driver` modules extend it: each takes the events of one part, lets the part decide and
+//! schedules what follows.
 
 pub mod active_faults;
-pub mod agent_driver;
-pub mod agent_link_driver;
+mod agent_driver;
+mod agent_link_driver;
 pub mod agent_process;
-pub mod answer_driver;
+mod answer_driver;
 pub mod backend;
-pub mod backend_driver;
-pub mod caller_driver;
+mod backend_driver;
+mod caller_driver;
 pub mod callers;
-pub mod control_driver;
+pub mod client_request;
+mod control_driver;
 pub mod control_process;
 pub mod defect;
-pub mod draws;
+mod draws;
 pub mod event;
-pub mod exchange_driver;
-pub mod fault_driver;
-pub mod link_driver;
-pub mod operator_driver;
+mod exchange_driver;
+mod fault_driver;
+mod link_driver;
+pub mod link_names;
+mod machine_fault_driver;
+pub mod operator_document;
+mod operator_driver;
 pub mod operators;
-pub mod probe_driver;
+mod probe_driver;
 pub mod process;
+mod process_fault_driver;
 pub mod process_input;
 pub mod proxy;
-pub mod proxy_driver;
+mod proxy_driver;
+pub mod received_answer;
 pub mod recorder;
-pub mod registry;
-pub mod roll_driver;
+mod registry_driver;
+mod roll_driver;
 pub mod run_options;
+pub mod service_registry;
 pub mod site;
-pub mod targets;
+mod targets;
 
 pub use defect::Defect;
 pub use run_options::RunOptions;
--- a/crates/simulation/src/world/operator_driver.rs
+++ b/crates/simulation/src/world/operator_driver.rs
@@ -1,8 +1,9 @@
-//! What operators do: order, read, send again.
+//! Sends the operators' orders and reads to control nodes and handles the replies.
 
+use std::ops::Range;
 use std::time::Duration;
 
-use millford_control::operator::{OperatorReply, OperatorRequest};
+use millford_control::operator::OperatorReply;
 use millford_core::ResultCode;
 use rand::Rng;
 
@@ -10,169 +11,159 @@
 use crate::network::ProcessId;
 use crate::world::defect::Defect;
 use crate::world::event::{Event, OperatorEvent};
-use crate::world::operators::{Order, PendingReply, mark_of_document};
+use crate::world::operator_document::serial_of;
+use crate::world::operators::{Order, PendingReply};
 use crate::world::process_input::ProcessInput;
 use crate::world::site::Site;
 
-const FIRST_ORDER: Duration = Duration::from_millis(1500);
-const READ_EVERY: Duration = Duration::from_millis(700);
+const FIRST_ORDER_AFTER: Duration = Duration::from_millis(1500);
+const READ_PERIOD: Duration = Duration::from_millis(700);
 const REPLY_TIMEOUT: Duration = Duration::from_secs(6);
 const RETRY_AFTER: Duration = Duration::from_millis(200);
-const CLOSING_TIME: Duration = Duration::from_secs(4);
+/// Time before the end of the run at which accepted orders are sent again.
+const RESEND_BEFORE_END: Duration = Duration::from_secs(4);
+/// Sends of one order before its operator gives up.
 const MAX_ATTEMPTS: u32 = 60;
-const LOST_ANSWER_SHARE: f64 = 0.7;
+/// Share of replies that get lost while a fault loses them.
+const LOST_REPLY_SHARE: f64 = 0.7;
+/// Share of orders that revoke a tenant's keys.
 const REVOKING_SHARE: f64 = 0.15;
-const OPERATOR_DELAY_MICROS: std::ops::Range<u64> = 200..2_000;
+/// Delay between an operator and a control node, in microseconds.
+const OPERATOR_DELAY_MICROS: Range<u64> = 200..2_000;
+
+/// Whether an order revokes the keys of a tenant.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum KeyChange {
+    /// It leaves all keys as they are.
+    Keep,
+    /// It gives one tenant a new key for its old ones.
+    Revoke,
+}
 
 impl Site {
     /// Starts the operators.
-    pub fn start_operators(&mut self) {
-        self.schedule_after(FIRST_ORDER, Event::Operator(OperatorEvent::NextOrder));
-        self.schedule_after(READ_EVERY, Event::Operator(OperatorEvent::NextRead));
-        let closing = self.scenario.duration.saturating_sub(CLOSING_TIME);
-        self.schedule_after(closing, Event::Operator(OperatorEvent::ResendAll));
+    pub(super) fn start_operators(&mut self) {
+        self.schedule_operator(FIRST_ORDER_AFTER, OperatorEvent::NextOrder);
+        self.schedule_operator(READ_PERIOD, OperatorEvent::NextRead);
+        let resend = self.scenario.duration.saturating_sub(RESEND_BEFORE_END);
+        self.schedule_operator(resend, OperatorEvent::ResendAll);
+    }
+
+    fn schedule_operator(&mut self, delay: Duration, event: OperatorEvent) {
+        self.schedule_after(delay, Event::Operator(event));
     }
 
     /// An event of the operators.
-    pub fn handle_operator(&mut self, event: OperatorEvent) {
+    pub(super) fn handle_operator(&mut self, event: OperatorEvent) {
         match event {
             OperatorEvent::NextOrder => self.next_order(),
             OperatorEvent::NextRead => {
-                self.schedule_after(READ_EVERY, Event::Operator(OperatorEvent::NextRead));
+                self.schedule_operator(READ_PERIOD, OperatorEvent::NextRead);
                 self.send_operator_request(None, 1);
             }
-            OperatorEvent::Answer { request } => self.operator_answer(request),
+            OperatorEvent::Reply { request } => self.operator_reply(request),
             OperatorEvent::Timeout { request } => self.operator_timeout(request),
-            OperatorEvent::ResendAll => self.resend_all(),
+            OperatorEvent::ResendAll => self.resend_orders(),
         }
     }
 
     fn next_order(&mut self) {
-        let every = self.callers.workload.order_every;
-        if self.operators.resending_accepted {
+        if self.operators.is_resending() {
             return;
         }
-        let first = self.operators.newest_known.0 == 0;
+        let period = self.scenario.workload.order_every;
+        let first = !self.operators.knows_revision();
         if first {
             // Until the first order is accepted there is nothing to build on.
-            self.schedule_after(FIRST_ORDER, Event::Operator(OperatorEvent::NextOrder));
-        } else if !every.is_zero() {
-            self.schedule_after(every, Event::Operator(OperatorEvent::NextOrder));
+            self.schedule_operator(FIRST_ORDER_AFTER, OperatorEvent::NextOrder);
+        } else if !period.is_zero() {
+            self.schedule_operator(period, OperatorEvent::NextOrder);
         }
-        let waiting = self
-            .operators
-            .pending_replies
-            .values()
-            .any(|client_request| client_request.order.is_some());
-        if first && waiting {
+        if first && self.operators.awaits_order() {
             return;
         }
         let revokes = !first && self.random.random_bool(REVOKING_SHARE);
-        self.new_order(revokes);
+        self.send_new_order(if revokes {
+            KeyChange::Revoke
+        } else {
+            KeyChange::Keep
+        });
     }
 
     /// An operator builds an order on the newest revision that it knows, and sends it.
-    pub fn new_order(&mut self, revokes: bool) -> OrderNumber {
+    pub(super) fn send_new_order(&mut self, change: KeyChange) {
         let tenant = self.random.random_range(0..self.topology.tenants.max(1));
-        let (base, draft) = self.operators.newest_known.clone();
-        let order = self
-            .operators
-            .new_order(base, &draft, revokes.then_some(tenant));
+        let revoked = (change == KeyChange::Revoke).then_some(tenant);
+        let order = self.operators.new_order(revoked);
         self.send_operator_request(Some(order), 1);
-        order
     }
 
     /// Two operators build on the same revision and reach different nodes.
-    pub fn race_operators(&mut self) {
-        self.new_order(false);
-        self.new_order(false);
+    pub(super) fn race_operators(&mut self) {
+        self.send_new_order(KeyChange::Keep);
+        self.send_new_order(KeyChange::Keep);
     }
 
     fn send_operator_request(&mut self, order: Option<OrderNumber>, attempts: u32) {
-        let request = self.operators.next_request();
-        let client_request = PendingReply {
+        let sent = self.now();
+        let request = self.operators.expect_reply(PendingReply {
             order,
-            sent: self.now(),
+            sent,
             attempts,
-        };
-        self.operators
-            .pending_replies
-            .insert(request, client_request);
-        let body = match order.and_then(|order| self.operators.orders.get(&order)) {
-            Some(order) => {
-                let (number, base) = (order.number, order.base);
-                let body = OperatorRequest::PutConfig(self.operators.put_config(order));
-                self.record(Record::OrderSent {
-                    order: number,
-                    base,
-                });
-                body
-            }
-            None => OperatorRequest::GetConfig,
-        };
-        let process = self.draw_control();
+        });
+        let order = order.and_then(|order| self.operators.order(order));
+        let body = Box::new(self.operators.request_body(order));
+        if let Some(order) = order {
+            let (order, base) = (order.number, order.base);
+            self.record(Record::OrderSent { order, base });
+        }
+        let process = self.draw_control_process();
         let delay = self.operator_delay();
         let incarnation = self.incarnation_of(process);
         if incarnation == 0 {
-            self.schedule_after(delay, Event::Operator(OperatorEvent::Timeout { request }));
+            self.schedule_operator(delay, OperatorEvent::Timeout { request });
             return;
         }
-        let body = Box::new(body);
         let input = ProcessInput::Operator { request, body };
-        self.schedule_after(
-            delay,
-            Event::Input {
-                process,
-                incarnation,
-                input,
-            },
-        );
-        self.schedule_after(
-            REPLY_TIMEOUT,
-            Event::Operator(OperatorEvent::Timeout { request }),
-        );
+        self.schedule_input(delay, process, incarnation, input);
+        self.schedule_operator(REPLY_TIMEOUT, OperatorEvent::Timeout { request });
     }
 
     fn operator_delay(&mut self) -> Duration {
         Duration::from_micros(self.random.random_range(OPERATOR_DELAY_MICROS))
     }
 
-    fn draw_control(&mut self) -> ProcessId {
+    fn draw_control_process(&mut self) -> ProcessId {
         let present = self.controls.iter().filter(|(_, control)| !control.lost);
         let numbers: Vec<u16> = present.map(|(number, _)| *number).collect();
         let index = self.random.random_range(0..numbers.len().max(1));
         ProcessId::Control(numbers.get(index).copied().unwrap_or(1))
     }
 
-    fn operator_answer(&mut self, request: u64) {
-        let Some(reply) = self.operators.take_answer(request) else {
+    fn operator_reply(&mut self, request: u64) {
+        let Some(reply) = self.operators.take_reply(request) else {
             return;
         };
-        if self.operators.lost_reply_faults > 0 && self.random.random_bool(LOST_ANSWER_SHARE) {
+        if self.operators.loses_replies() && self.random.random_bool(LOST_REPLY_SHARE) {
             // The connection broke: the operator tries another node after a moment.
-            self.schedule_after(
-                RETRY_AFTER,
-                Event::Operator(OperatorEvent::Timeout { request }),
-            );
+            self.schedule_operator(RETRY_AFTER, OperatorEvent::Timeout { request });
             return;
         }
-        let Some(client_request) = self.operators.pending_replies.remove(&request) else {
+        let Some(pending) = self.operators.take_pending(request) else {
             return;
         };
-        match client_request.order {
-            Some(order) => self.order_answered(order, client_request.attempts, &reply),
-            None => self.read_answered(&client_request, &reply),
+        match pending.order {
+            Some(order) => self.order_answered(order, pending.attempts, &reply),
+            None => self.read_answered(&pending, &reply),
         }
     }
 
     fn operator_timeout(&mut self, request: u64) {
-        let Some(client_request) = self.operators.pending_replies.remove(&request) else {
+        let Some(pending) = self.operators.take_pending(request) else {
             return;
         };
-        let Some(number) = client_request.order else {
-            return;
-        };
-        let Some(order) = self.operators.orders.get(&number) else {
+        let Some(number) = pending.order else { return };
+        let Some(order) = self.operators.order(number) else {
             return;
         };
         let base = order.base;
@@ -181,132 +172,103 @@
             base,
             answer: OrderAnswer::Undecided,
         });
-        self.retry_order(number, client_request.attempts);
-    }
-
-    fn retry_order(&mut self, order: OrderNumber, attempts: u32) {
-        if attempts < MAX_ATTEMPTS {
-            self.send_operator_request(Some(order), attempts + 1);
+        if pending.attempts < MAX_ATTEMPTS {
+            self.send_operator_request(Some(number), pending.attempts + 1);
         }
     }
 
     fn order_answered(&mut self, number: OrderNumber, attempts: u32, reply: &OperatorReply) {
-        let Some(order) = self.operators.orders.get(&number).cloned() else {
+        let Some(order) = self.operators.order(number) else {
             return;
         };
-        let answer = self.answer_of(reply, &order);
+        let base = order.base;
+        let answer = answer_of(reply, order, self.options.defect);
         self.record(Record::OrderAnswered {
             order: number,
-            base: order.base,
+            base,
             answer,
         });
         match answer {
-            OrderAnswer::Accepted { revision, .. } => self.order_accepted(order, revision),
+            OrderAnswer::Accepted { revision, .. } => self.order_accepted(number, revision),
             OrderAnswer::Undecided => {
                 // The same order goes to another node.
-                let request = self.operators.next_request();
-                let client_request = PendingReply {
+                let sent = self.now();
+                let request = self.operators.expect_reply(PendingReply {
                     order: Some(number),
-                    sent: self.now(),
+                    sent,
                     attempts,
-                };
-                self.operators
-                    .pending_replies
-                    .insert(request, client_request);
-                self.schedule_after(
-                    RETRY_AFTER,
-                    Event::Operator(OperatorEvent::Timeout { request }),
-                );
+                });
+                self.schedule_operator(RETRY_AFTER, OperatorEvent::Timeout { request });
             }
             OrderAnswer::Conflict { .. } | OrderAnswer::Refused(_) => {}
         }
     }
 
-    fn answer_of(&self, reply: &OperatorReply, order: &Order) -> OrderAnswer {
-        match reply {
-            OperatorReply::Order(accepted) => OrderAnswer::Accepted {
-                revision: accepted.revision,
-                repeated: accepted.repeated,
-            },
-            OperatorReply::Failed(failure) => match failure.code {
-                ResultCode::RevisionConflict if self.options.defect == Some(Defect::AcceptsAll) => {
-                    OrderAnswer::Accepted {
-                        revision: order.base + 1,
-                        repeated: false,
-                    }
-                }
-                ResultCode::RevisionConflict => OrderAnswer::Conflict {
-                    present: failure.revision.unwrap_or(0),
-                },
-                ResultCode::OrderUncertain
-                | ResultCode::NoLeader
-                | ResultCode::NotLeader
-                | ResultCode::ControlTimeout
-                | ResultCode::NotFormed => OrderAnswer::Undecided,
-                code => OrderAnswer::Refused(code.number()),
-            },
-            _ => OrderAnswer::Undecided,
-        }
-    }
-
-    fn order_accepted(&mut self, mut order: Order, revision: u64) {
-        if order.accepted.is_some() {
+    fn order_accepted(&mut self, number: OrderNumber, revision: u64) {
+        let Some(order) = self.operators.accept(number, revision) else {
             return;
-        }
-        order.accepted = Some(revision);
+        };
         self.record(Record::RevisionWritten {
             revision,
-            digest: u64::from(order.draft.mark),
+            digest: u64::from(order.draft.serial),
         });
-        for (tenant, old, new) in &order.revoked {
-            let key = *old;
-            self.record(Record::KeyRevoked { key, revision });
-            let known = &mut self.callers.tenants[usize::from(*tenant)];
-            known.key = *new;
-            known.old_key = Some(key);
-        }
-        if revision > self.operators.newest_known.0 {
-            self.operators.newest_known = (revision, order.draft.clone());
+        for key in &order.revoked {
+            self.record(Record::KeyRevoked {
+                key: key.revoked,
+                revision,
+            });
+            self.callers
+                .replace_key(key.tenant, key.revoked, key.replacement);
         }
-        self.operators.orders.insert(order.number, order);
-        if self.operators.queued_orders > 0 && !self.operators.resending_accepted {
-            self.operators.queued_orders -= 1;
-            self.new_order(false);
+        if self.operators.take_queued_order() {
+            self.send_new_order(KeyChange::Keep);
         }
     }
 
-    fn read_answered(&mut self, client_request: &PendingReply, reply: &OperatorReply) {
+    fn read_answered(&mut self, pending: &PendingReply, reply: &OperatorReply) {
         let OperatorReply::Config(config) = reply else {
             return;
         };
-        let mark = mark_of_document(&config.document);
+        let serial = serial_of(&config.document);
         self.record(Record::RevisionRead {
             revision: config.revision,
-            digest: u64::from(mark),
-            sent: client_request.sent,
+            digest: u64::from(serial),
+            sent: pending.sent,
         });
-        self.learn_revision(config.revision, mark);
-    }
-
-    // Operators that lost a race, or an answer, build on what they read.
-    fn learn_revision(&mut self, revision: u64, mark: u32) {
-        if revision <= self.operators.newest_known.0 {
-            return;
-        }
-        let order = OrderNumber(u64::from(mark));
-        if let Some(order) = self.operators.orders.get(&order) {
-            self.operators.newest_known = (revision, order.draft.clone());
-        }
+        self.operators.learn_revision(config.revision, serial);
     }
 
     /// At the end every accepted order is sent again: each must be acknowledged with its number.
-    fn resend_all(&mut self) {
-        self.operators.resending_accepted = true;
-        let orders = self.operators.orders.values();
-        let accepted = orders.filter(|order| order.accepted.is_some());
-        let numbers: Vec<OrderNumber> = accepted.map(|order| order.number).collect();
-        for number in numbers {
+    fn resend_orders(&mut self) {
+        for number in self.operators.start_resending() {
             self.send_operator_request(Some(number), MAX_ATTEMPTS);
         }
     }
 }
+
+fn answer_of(reply: &OperatorReply, order: &Order, defect: Option<Defect>) -> OrderAnswer {
+    match reply {
+        OperatorReply::Order(accepted) => OrderAnswer::Accepted {
+            revision: accepted.revision,
+            repeated: accepted.repeated,
+        },
+        OperatorReply::Failed(failure) => match failure.code {
+            ResultCode::RevisionConflict if defect == Some(Defect::AcceptsAll) => {
+                OrderAnswer::Accepted {
+                    revision: order.base + 1,
+                    repeated: false,
+                }
+            }
+            ResultCode::RevisionConflict => OrderAnswer::Conflict {
+                present: failure.revision.unwrap_or(0),
+            },
+            ResultCode::OrderUncertain
+            | ResultCode::NoLeader
+            | ResultCode::NotLeader
+            | ResultCode::ControlTimeout
+            | ResultCode::NotFormed => OrderAnswer::Undecided,
+            code => OrderAnswer::Refused(code.number()),
+        },
+        _ => OrderAnswer::Undecided,
+    }
+}
--- a/crates/simulation/src/world/operators.rs
+++ b/crates/simulation/src/world/operators.rs
@@ -1,32 +1,25 @@
-//! Simulated operators: the documents that they build and the orders under way.
+//! Simulated operators: the orders that they sent and what they know of the configuration.
 
 use std::collections::BTreeMap;
 
 use millford_api::command::PutConfig;
-use millford_api::config::{
-    Document, Hedge, Pool, Quota, Resume, Route, RouteMatch, Selector, Tenant,
-};
-use millford_control::operator::OperatorReply;
+use millford_control::operator::{OperatorReply, OperatorRequest};
 use millford_control_state::document::digest;
-use millford_core::{MonotonicTime, hash_tenant_key};
+use millford_core::MonotonicTime;
 
 use crate::history::OrderNumber;
 use crate::scenario::{Scenario, Topology, Workload};
-use crate::world::callers::key_text;
-use crate::world::registry::MODELS;
-
-const MARKED_ROUTE: &str = "captions";
-const DEADLINE_MS: u32 = 20_000;
-const HEDGE_MS: u32 = 600;
-const DRAIN_MS: u32 = 2_000;
-
-/// What a document holds that orders change: the keys of each tenant, and a serial number.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Draft {
-    /// Serial numbers of the keys, by tenant.
-    pub keys: Vec<Vec<u32>>,
-    /// Number that tells this document from all others.
-    pub mark: u32,
+use crate::world::operator_document::Draft;
+
+/// A tenant key that an order revokes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RevokedKey {
+    /// Tenant that the key belongs to.
+    pub tenant: u16,
+    /// Serial number of the revoked key.
+    pub revoked: u32,
+    /// Serial number of the key that replaces it.
+    pub replacement: u32,
 }
 
 /// An order of an operator.
@@ -38,42 +31,48 @@
     pub base: u64,
     /// What it holds.
     pub draft: Draft,
-    /// Keys that it revokes, with the tenant and the key that comes instead.
-    pub revoked: Vec<(u16, u32, u32)>,
+    /// Keys that it revokes.
+    pub revoked: Vec<RevokedKey>,
     /// Revision that it got.
-    pub accepted: Option<u64>,
+    accepted: Option<u64>,
 }
 
-/// A request to a control node that is under way.
+/// A request to a control node whose reply has not arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingReply {
     /// The order, or a read.
     pub order: Option<OrderNumber>,
     /// When it was sent.
     pub sent: MonotonicTime,
-    /// How often it was tried.
+    /// How often it was sent, this time included.
     pub attempts: u32,
 }
 
+/// The newest revision that operators know.
+#[derive(Clone, Debug)]
+struct KnownRevision {
+    /// Its number, 0 before the first.
+    revision: u64,
+    /// What it holds.
+    draft: Draft,
+}
+
 /// All operators.
 pub struct Operators {
-    topology: Topology,
     workload: Workload,
-    /// Orders by number.
-    pub orders: BTreeMap<OrderNumber, Order>,
-    /// Requests under way.
-    pub pending_replies: BTreeMap<u64, PendingReply>,
-    /// Answers that are on their way.
-    answers: BTreeMap<u64, OperatorReply>,
-    /// The newest revision that operators know, and what it holds.
-    pub newest_known: (u64, Draft),
-    /// Number of faults that lose answers.
-    pub lost_reply_faults: u32,
-    /// Orders still to be sent without a pause.
-    pub queued_orders: u32,
-    /// Whether accepted orders are being sent again.
-    pub resending_accepted: bool,
-    next_request: u64,
+    orders: BTreeMap<OrderNumber, Order>,
+    /// Requests without a reply, by number.
+    pending: BTreeMap<u64, PendingReply>,
+    /// Replies that are on their way, by number of the request.
+    replies: BTreeMap<u64, OperatorReply>,
+    newest: KnownRevision,
+    /// Number of active faults that lose replies.
+    lost_reply_faults: u32,
+    /// Orders still to be sent, each when the one before it is accepted.
+    queued_orders: u32,
+    /// Whether accepted orders are being sent again, and no new ones.
+    resending: bool,
+    last_request: u64,
     next_key: u32,
 }
 
@@ -84,55 +83,84 @@
         let tenants = u32::from(topology.tenants);
         let keys = (0..tenants).map(|key| vec![key]).collect();
         Self {
-            topology,
             workload: scenario.workload,
             orders: BTreeMap::new(),
-            pending_replies: BTreeMap::new(),
-            answers: BTreeMap::new(),
-            newest_known: (0, Draft { keys, mark: 0 }),
+            pending: BTreeMap::new(),
+            replies: BTreeMap::new(),
+            newest: KnownRevision {
+                revision: 0,
+                draft: Draft { keys, serial: 0 },
+            },
             lost_reply_faults: 0,
             queued_orders: 0,
-            resending_accepted: false,
-            next_request: 0,
+            resending: false,
+            last_request: 0,
             next_key: tenants,
         }
     }
 
-    /// Number of a new request.
-    pub fn next_request(&mut self) -> u64 {
-        self.next_request += 1;
-        self.next_request
+    /// Whether a revision is known that orders can be built on.
+    #[must_use]
+    pub fn knows_revision(&self) -> bool {
+        self.newest.revision != 0
+    }
+
+    /// Whether the reply to an order is awaited.
+    #[must_use]
+    pub fn awaits_order(&self) -> bool {
+        self.pending.values().any(|pending| pending.order.is_some())
     }
 
-    /// A new order on a base; with `revoked`, the tenant gets a new key for its old ones.
-    pub fn new_order(&mut self, base: u64, draft: &Draft, revoked: Option<u16>) -> OrderNumber {
+    /// A new order on the newest revision; with `revoked`, that tenant gets a new key for its old ones.
+    pub fn new_order(&mut self, revoked: Option<u16>) -> OrderNumber {
         let number = OrderNumber(self.orders.len() as u64 + 1);
-        let mut draft = draft.clone();
-        draft.mark = u32::try_from(number.0).unwrap_or(u32::MAX);
-        let mut removed = Vec::new();
-        if let Some(tenant) = revoked {
-            let new_key = self.next_key;
-            self.next_key += 1;
-            let keys = &mut draft.keys[usize::from(tenant)];
-            for old in std::mem::replace(keys, vec![new_key]) {
-                removed.push((tenant, old, new_key));
-            }
-        }
+        let mut draft = self.newest.draft.clone();
+        draft.serial = u32::try_from(number.0).unwrap_or(u32::MAX);
+        let revoked = match revoked {
+            Some(tenant) => self.replace_keys(tenant, &mut draft),
+            None => Vec::new(),
+        };
         let order = Order {
             number,
-            base,
+            base: self.newest.revision,
             draft,
-            revoked: removed,
+            revoked,
             accepted: None,
         };
         self.orders.insert(number, order);
         number
     }
 
-    /// The request for an order.
+    fn replace_keys(&mut self, tenant: u16, draft: &mut Draft) -> Vec<RevokedKey> {
+        let replacement = self.next_key;
+        self.next_key += 1;
+        let keys = &mut draft.keys[usize::from(tenant)];
+        let revoked = std::mem::replace(keys, vec![replacement]);
+        let revoked = revoked.into_iter().map(|revoked| RevokedKey {
+            tenant,
+            revoked,
+            replacement,
+        });
+        revoked.collect()
+    }
+
+    /// The order with this number.
+    #[must_use]
+    pub fn order(&self, number: OrderNumber) -> Option<&Order> {
+        self.orders.get(&number)
+    }
+
+    /// The body of a request: the order, or a read.
     #[must_use]
-    pub fn put_config(&self, order: &Order) -> PutConfig {
-        let document = self.document(&order.draft);
+    pub fn request_body(&self, order: Option<&Order>) -> OperatorRequest {
+        match order {
+            Some(order) => OperatorRequest::PutConfig(self.put_config(order)),
+            None => OperatorRequest::GetConfig,
+        }
+    }
+
+    fn put_config(&self, order: &Order) -> PutConfig {
+        let document = order.draft.document(&self.workload);
         PutConfig {
             base_revision: order.base,
             order_id: format!("order-{}", order.number.0),
@@ -142,94 +170,99 @@
         }
     }
 
-    /// Keeps an answer until it arrives.
-    pub fn keep_answer(&mut self, request: u64, reply: OperatorReply) {
-        self.answers.insert(request, reply);
+    /// Expects the reply to an order or a read. Returns the number of the request.
+    pub fn expect_reply(&mut self, pending: PendingReply) -> u64 {
+        self.last_request += 1;
+        self.pending.insert(self.last_request, pending);
+        self.last_request
     }
 
-    /// The answer that arrived.
-    pub fn take_answer(&mut self, request: u64) -> Option<OperatorReply> {
-        self.answers.remove(&request)
+    /// The request is no longer pending: it was answered or timed out.
+    pub fn take_pending(&mut self, request: u64) -> Option<PendingReply> {
+        self.pending.remove(&request)
     }
 
-    fn document(&self, draft: &Draft) -> Document {
-        let lookup_match = RouteMatch {
-            path_prefix: "/stations/".to_owned(),
-            ..RouteMatch::default()
-        };
-        let mut captions = model_route(MARKED_ROUTE, MODELS[0], true, Resume::Continue);
-        captions.deadline_ms = DEADLINE_MS + draft.mark;
-        let mut questions = model_route("questions", MODELS[1], true, Resume::FromStart);
-        questions.hedge = Some(Hedge { delay_ms: HEDGE_MS });
-        let lookups = Route {
-            name: "stations".to_owned(),
-            r#match: Some(lookup_match),
-            pool: "lookups".to_owned(),
-            repeatable: true,
-            deadline_ms: DEADLINE_MS,
-            ..Route::default()
-        };
-        let once = model_route("once", MODELS[2], false, Resume::Never);
-        Document {
-            routes: vec![captions, questions, once, lookups],
-            pools: vec![pool("models", "generate"), pool("lookups", "lookup")],
-            tenants: self.tenants(draft),
-            ..Default::default()
+    /// A reply is on its way.
+    pub fn send_reply(&mut self, request: u64, reply: OperatorReply) {
+        self.replies.insert(request, reply);
+    }
+
+    /// The reply that arrived.
+    pub fn take_reply(&mut self, request: u64) -> Option<OperatorReply> {
+        self.replies.remove(&request)
+    }
+
+    /// An order got a revision. Returns the order the first time.
+    pub fn accept(&mut self, number: OrderNumber, revision: u64) -> Option<Order> {
+        let order = self.orders.get_mut(&number)?;
+        if order.accepted.is_some() {
+            return None;
         }
+        order.accepted = Some(revision);
+        let order = order.clone();
+        if revision > self.newest.revision {
+            self.newest = KnownRevision {
+                revision,
+                draft: order.draft.clone(),
+            };
+        }
+        Some(order)
     }
 
-    fn tenants(&self, draft: &Draft) -> Vec<Tenant> {
-        let quota = Quota {
-            requests_per_second: self.workload.quota_per_second,
-            burst: self.workload.quota_burst,
-            concurrent_streams: 0,
-        };
-        let tenants = draft.keys.iter().enumerate().map(|(tenant, keys)| Tenant {
-            name: format!("tenant-{tenant}"),
-            key_hashes: keys
-                .iter()
-                .map(|key| hash_tenant_key(&key_text(*key)))
-                .collect(),
-            quota: Some(quota),
-            ..Default::default()
-        });
-        tenants.take(usize::from(self.topology.tenants)).collect()
+    /// A read showed a revision. Operators that lost a race, or a reply, build on what they read.
+    pub fn learn_revision(&mut self, revision: u64, serial: u32) {
+        if revision <= self.newest.revision {
+            return;
+        }
+        if let Some(order) = self.orders.get(&OrderNumber(u64::from(serial))) {
+            self.newest = KnownRevision {
+                revision,
+                draft: order.draft.clone(),
+            };
+        }
     }
-}
 
-/// The serial number of a document that was read back.
-#[must_use]
-pub fn mark_of_document(document: &Document) -> u32 {
-    let marked = document
-        .routes
-        .iter()
-        .find(|route| route.name == MARKED_ROUTE);
-    marked.map_or(0, |route| route.deadline_ms.saturating_sub(DEADLINE_MS))
-}
+    /// Adds orders that are sent one after the other as they are accepted.
+    pub fn queue_orders(&mut self, count: u32) {
+        self.queued_orders += count;
+    }
 
-fn model_route(name: &str, model: &str, repeatable: bool, resume: Resume) -> Route {
-    Route {
-        name: name.to_owned(),
-        r#match: Some(RouteMatch {
-            model: model.to_owned(),
-            ..RouteMatch::default()
-        }),
-        pool: "models".to_owned(),
-        repeatable,
-        resume: resume.into(),
-        deadline_ms: DEADLINE_MS,
-        hedge: None,
+    /// Takes one queued order. Returns whether there was one to send.
+    pub fn take_queued_order(&mut self) -> bool {
+        if self.queued_orders == 0 || self.resending {
+            return false;
+        }
+        self.queued_orders -= 1;
+        true
+    }
+
+    /// Whether accepted orders are being sent again, and no new ones.
+    #[must_use]
+    pub fn is_resending(&self) -> bool {
+        self.resending
+    }
+
+    /// From now on accepted orders are sent again, and no new ones. Returns the accepted orders.
+    pub fn start_resending(&mut self) -> Vec<OrderNumber> {
+        self.resending = true;
+        let orders = self.orders.values();
+        let accepted = orders.filter(|order| order.accepted.is_some());
+        accepted.map(|order| order.number).collect()
+    }
+
+    /// Whether a fault that loses replies is active.
+    #[must_use]
+    pub fn loses_replies(&self) -> bool {
+        self.lost_reply_faults > 0
+    }
+
+    /// Replies may be lost from now on.
+    pub fn start_losing_replies(&mut self) {
+        self.lost_reply_faults += 1;
     }
-}
 
-fn pool(name: &str, stage: &str) -> Pool {
-    Pool {
-        name: name.to_owned(),
-        selector: Some(Selector {
-            stage: stage.to_owned(),
-            ..Selector::default()
-        }),
-        drain_ms: DRAIN_MS,
-        ..Pool::default()
+    /// Ends one fault that loses replies.
+    pub fn stop_losing_replies(&mut self) {
+        self.lost_reply_faults = self.lost_reply_faults.saturating_sub(1);
     }
 }
--- a/crates/simulation/src/world/probe_driver.rs
+++ b/crates/simulation/src/world/probe_driver.rs
@@ -7,33 +7,40 @@
 use crate::world::event::Event;
 use crate::world::process_input::ProcessInput;
 use crate::world::proxy::{BackendLink, lock};
-use crate::world::registry::backend_of_id;
+use crate::world::service_registry::backend_of_id;
 use crate::world::site::Site;
 
+/// Ticks of a proxy between two load reports.
 const TICKS_PER_REPORT: u64 = 4;
 
+/// How a probe ended.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum ProbeOutcome {
+    /// The backend answered.
+    Answered,
+    /// Its connection failed, or no answer came in time.
+    Failed,
+}
+
 impl Site {
     pub(super) fn proxy_tick(&mut self, number: u16) {
         let Some(proxy) = self.proxies.get_mut(&number) else {
             return;
         };
-        proxy.ticks += 1;
-        let reports_due = proxy.ticks.is_multiple_of(TICKS_PER_REPORT);
+        let reports_due = proxy.count_tick().is_multiple_of(TICKS_PER_REPORT);
         let Some(running) = proxy.running.as_ref() else {
             return;
         };
-        let probing = proxy
-            .backends
-            .values()
-            .any(|purpose| matches!(purpose, BackendLink::Probe { .. }));
         let now = lock(&running.port).now;
-        let due = match probing {
-            true => Vec::new(),
-            false => running.state.health.to_probe(now, QUIET_BEFORE_PROBE),
+        let due = if proxy.backends.is_probing() {
+            Vec::new()
+        } else {
+            running.state.health.to_probe(now, QUIET_BEFORE_PROBE)
         };
-        let reports = match reports_due {
-            true => running.state.board.take_reports(),
-            false => Vec::new(),
+        let reports = if reports_due {
+            running.state.board.take_reports()
+        } else {
+            Vec::new()
         };
         for report in reports {
             let body = Some(local_frame::Body::LoadReport(report));
@@ -44,7 +51,7 @@
         }
     }
 
-    pub(super) fn start_probe(&mut self, number: u16, backend: String) {
+    fn start_probe(&mut self, number: u16, backend: String) {
         let Some(target) = backend_of_id(&backend) else {
             return;
         };
@@ -55,32 +62,23 @@
             proxy.backends.insert(link, BackendLink::Probe { backend });
         }
         let input = ProcessInput::ProbeOverdue { link };
-        self.schedule_after(
-            PROBE_TIMEOUT,
-            Event::Input {
-                process,
-                incarnation,
-                input,
-            },
-        );
+        self.schedule_input(PROBE_TIMEOUT, process, incarnation, input);
     }
 
     /// A probe was answered, failed or took too long.
-    pub fn probe_ends(&mut self, number: u16, link: LinkNumber, answered: bool) {
+    pub(super) fn probe_ends(&mut self, number: u16, link: LinkNumber, outcome: ProbeOutcome) {
         let Some(proxy) = self.proxies.get_mut(&number) else {
             return;
         };
-        if !matches!(proxy.backends.get(&link), Some(BackendLink::Probe { .. })) {
-            return;
-        }
-        let Some(BackendLink::Probe { backend }) = proxy.backends.remove(&link) else {
+        let Some(BackendLink::Probe { backend }) = proxy.backends.get(link).cloned() else {
             return;
         };
+        proxy.backends.remove(link);
         if let Some(running) = proxy.running.as_ref() {
             let now = lock(&running.port).now;
-            match answered {
-                true => running.state.health.probe_succeeded(&backend, now),
-                false => running.state.health.probe_failed(&backend),
+            match outcome {
+                ProbeOutcome::Answered => running.state.health.probe_succeeded(&backend, now),
+                ProbeOutcome::Failed => running.state.health.probe_failed(&backend),
             };
         }
         self.close_link(ProcessId::Proxy(number), link);
--- a/crates/simulation/src/world/process.rs
+++ b/crates/simulation/src/world/process.rs
@@ -7,13 +7,22 @@
 use crate::kernel::ProcessClock;
 use crate::world::process_input::ProcessInput;
 
-/// Life, clock and waiting inputs of a process.
+/// How a process ends without warning.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ProcessLoss {
+    /// It crashes: its machine closes its connections.
+    Crash,
+    /// Its machine is lost: its peers get no more packets and no end.
+    MachineLost,
+}
+
+/// Incarnation, clock and inbox of a process.
 pub struct ProcessState {
-    /// Incarnation; 0 before the first start.
+    /// Number of the incarnation; 0 before the first start.
     pub incarnation: u64,
     /// Whether it runs, frozen or not.
     pub alive: bool,
-    /// Number of freezes that hold it.
+    /// Number of active freezes.
     pub frozen: u32,
     /// Its thread waits for the disk until then.
     pub busy_until: MonotonicTime,
@@ -51,7 +60,7 @@
         self.inbox.clear();
     }
 
-    /// Ends the incarnation; what waited is lost.
+    /// Ends the incarnation; the inbox is lost.
     pub fn stop(&mut self) {
         self.alive = false;
         self.inbox.clear();
--- a/crates/simulation/src/world/process_input.rs
+++ b/crates/simulation/src/world/process_input.rs
@@ -4,21 +4,30 @@
 
 use crate::history::RequestNumber;
 use crate::network::{LinkNumber, Packet};
-use crate::world::callers::ArrivingRequest;
+use crate::world::client_request::ArrivingRequest;
 
-/// Something that a process has to deal with.
+/// Something that a process has to handle.
 #[derive(Clone, Debug)]
 pub enum ProcessInput {
     /// A connection that the process opened or accepted is up.
     LinkOpened {
+        /// The connection.
         link: LinkNumber,
         /// Whether the process accepted it.
         accepted: bool,
     },
     /// A connection ended or could not be opened.
-    LinkClosed { link: LinkNumber },
-    /// A message arrived.
-    Packet { link: LinkNumber, packet: Packet },
+    LinkClosed {
+        /// The connection.
+        link: LinkNumber,
+    },
+    /// A packet arrived.
+    Packet {
+        /// The connection.
+        link: LinkNumber,
+        /// The packet.
+        packet: Packet,
+    },
     /// Time passes.
     Tick,
     /// A timer of a request is due.
@@ -27,19 +36,30 @@
     Registry,
     /// A request of an operator arrived.
     Operator {
+        /// Number that the reply carries.
         request: u64,
+        /// The request.
         body: Box<OperatorRequest>,
     },
-    /// A caller's request arrived.
-    Call(Box<ArrivingRequest>),
-    /// A caller left.
-    CallerGone(RequestNumber),
+    /// A client request arrived.
+    ClientRequest(Box<ArrivingRequest>),
+    /// A caller disconnected.
+    CallerDisconnected(RequestNumber),
     /// A connection should be open by now.
-    ConnectOverdue { link: LinkNumber },
+    ConnectOverdue {
+        /// The connection.
+        link: LinkNumber,
+    },
     /// A probe should be answered by now.
-    ProbeOverdue { link: LinkNumber },
+    ProbeOverdue {
+        /// Its connection.
+        link: LinkNumber,
+    },
     /// The proxy connects to its agent again.
     Reconnect,
-    /// A backend goes on with the answer on a connection.
-    Work { link: LinkNumber },
+    /// A backend continues the answer on a connection.
+    Work {
+        /// The connection.
+        link: LinkNumber,
+    },
 }
--- a/crates/simulation/src/world/proxy/action.rs
+++ b/crates/simulation/src/world/proxy/action.rs
@@ -20,13 +20,18 @@
     WakeAt(MonotonicTime),
     /// Connect to a backend, then send the request.
     Dispatch {
+        /// The exchange that waits for the answer.
         exchange: ExchangeNumber,
+        /// The client request that is served.
         client_request: RequestNumber,
+        /// What is sent.
         request: Box<BackendRequest>,
     },
     /// Connect to a backend, then send the withdrawal.
     Withdraw {
+        /// The exchange that waits for the answer.
         exchange: ExchangeNumber,
+        /// What is sent.
         request: WithdrawRequest,
     },
     /// Close the connection of an exchange.
@@ -37,17 +42,23 @@
     AdmissionReturned(RequestNumber),
     /// Send the head of an answer to the caller.
     CallerHead {
+        /// The request that is answered.
         client_request: RequestNumber,
+        /// The head.
         head: CallerHead,
     },
     /// Send a part of the body to the caller.
     CallerBytes {
+        /// The request that is answered.
         client_request: RequestNumber,
+        /// The part.
         bytes: Bytes,
     },
-    /// The body is complete, or the connection breaks.
+    /// The body ends.
     CallerEnd {
+        /// The request that is answered.
         client_request: RequestNumber,
+        /// Whether the body is complete; else the connection breaks.
         complete: bool,
     },
 }
--- a/crates/simulation/src/world/proxy/agent_client.rs
+++ b/crates/simulation/src/world/proxy/agent_client.rs
@@ -18,40 +18,54 @@
 use crate::world::proxy::in_flight_requests::InFlightRequests;
 use crate::world::proxy::port::{SharedPort, lock};
 
-/// Asks without an answer. A new connection to the agent sends them again, as in the daemon.
+/// A planted defect refuses one in this many quota requests.
+const PLANTED_REFUSAL_DIVISOR: u64 = 5;
+
+/// Requests that the agent has not answered. A new connection to the agent sends them again, as in
+/// the daemon.
 #[derive(Default)]
 pub struct AgentClient {
     /// A planted defect, if any.
-    pub defect: Option<Defect>,
+    defect: Option<Defect>,
     quotas: InFlightRequests<AdmissionReply>,
     claims: InFlightRequests<ClaimAnswer>,
-    settles: InFlightRequests<()>,
+    resolutions: InFlightRequests<()>,
 }
 
 impl AgentClient {
+    /// A client without requests, with a planted defect if any.
+    #[must_use]
+    pub fn new(defect: Option<Defect>) -> Self {
+        Self {
+            defect,
+            ..Self::default()
+        }
+    }
+
     /// Requests one admission, and records a granted one.
-    pub async fn ask_quota(
+    pub async fn admit(
         &self,
         port: &SharedPort,
         client_request: RequestNumber,
-        ask: AdmissionRequest,
+        request: AdmissionRequest,
     ) -> AdmissionReply {
-        let answer = match self.planted_answer(port) {
-            Some(answer) => answer,
-            None => self.request_quota(port, ask).await,
+        let reply = match self.planted_reply(port) {
+            Some(reply) => reply,
+            None => self.request_quota(port, request).await,
         };
-        if answer == AdmissionReply::Granted {
-            lock(port)
-                .actions
-                .push(ProxyAction::Admitted(client_request));
+        if reply == AdmissionReply::Granted {
+            let admitted = ProxyAction::Admitted(client_request);
+            lock(port).actions.push(admitted);
         }
-        answer
+        reply
     }
 
-    fn planted_answer(&self, port: &SharedPort) -> Option<AdmissionReply> {
+    fn planted_reply(&self, port: &SharedPort) -> Option<AdmissionReply> {
         match self.defect {
             Some(Defect::GrantsAll) => Some(AdmissionReply::Granted),
-            Some(Defect::RefusesSome) if lock(port).random().is_multiple_of(5) => {
+            Some(Defect::RefusesSome)
+                if lock(port).random().is_multiple_of(PLANTED_REFUSAL_DIVISOR) =>
+            {
                 Some(AdmissionReply::Refused {
                     code: ResultCode::QuotaExceeded,
                     retry_after_ms: 0,
@@ -61,27 +75,27 @@
         }
     }
 
-    async fn request_quota(&self, port: &SharedPort, ask: AdmissionRequest) -> AdmissionReply {
+    async fn request_quota(&self, port: &SharedPort, request: AdmissionRequest) -> AdmissionReply {
         let request_id = lock(port).next_number();
         let body = local_frame::Body::QuotaRequest(LocalQuotaRequest {
             request_id,
-            tenant: ask.tenant,
-            stream: ask.stream,
-            timeout_ms: millis(ask.timeout),
+            tenant: request.tenant,
+            stream: request.stream,
+            timeout_ms: millis(request.timeout),
             waited_ms: 0,
         });
-        let asked = self
+        let reply = self
             .quotas
-            .ask(lock(port).now, request_id, frame(body.clone()));
+            .insert(lock(port).now, request_id, frame(body.clone()));
         send(port, body);
-        let answer = within(port, ask.timeout, asked).await;
-        answer.unwrap_or(AdmissionReply::Refused {
+        let reply = within(port, request.timeout, reply).await;
+        reply.unwrap_or(AdmissionReply::Refused {
             code: ResultCode::QuotaUnavailable,
             retry_after_ms: 0,
         })
     }
 
-    /// Gives a slot or a token back.
+    /// Returns a stream slot or a token.
     pub fn release_quota(
         &self,
         port: &SharedPort,
@@ -89,16 +103,10 @@
         release: QuotaRelease,
     ) {
         if release.unused {
-            lock(port)
-                .actions
-                .push(ProxyAction::AdmissionReturned(client_request));
+            let returned = ProxyAction::AdmissionReturned(client_request);
+            lock(port).actions.push(returned);
         }
-        let body = local_frame::Body::QuotaRelease(LocalQuotaRelease {
-            tenant: release.tenant,
-            stream: release.stream,
-            unused: release.unused,
-        });
-        send(port, body);
+        send_release(port, release.tenant, release.stream, release.unused);
     }
 
     /// Reserves a run.
@@ -109,62 +117,64 @@
             claim: Some(claim),
             timeout_ms: millis(timeout),
         });
-        let asked = self
+        let answer = self
             .claims
-            .ask(lock(port).now, request_id, frame(body.clone()));
+            .insert(lock(port).now, request_id, frame(body.clone()));
         send(port, body);
-        let answer = within(port, timeout, asked).await;
+        let answer = within(port, timeout, answer).await;
         answer.unwrap_or(ClaimAnswer::Unavailable)
     }
 
-    /// Records an outcome until it is acknowledged.
-    pub fn settle(&self, port: &SharedPort, settle: ResolveClaim) {
+    /// Records the outcome of a claim, again and again until it is acknowledged.
+    pub fn resolve(&self, port: &SharedPort, resolution: ResolveClaim) {
         let request_id = lock(port).next_number();
         let body = local_frame::Body::ResolveClaim(LocalResolveClaim {
             request_id,
-            resolution: Some(settle),
+            resolution: Some(resolution),
         });
-        self.settles
-            .keep(lock(port).now, request_id, frame(body.clone()));
+        self.resolutions
+            .insert_without_requester(lock(port).now, request_id, frame(body.clone()));
         send(port, body);
     }
 
-    /// Hands an answer to whoever waits. A grant that came too late is given back.
-    pub fn answered(&self, port: &SharedPort, outcome: FrameOutcome) {
+    /// Hands an answer to its requester. A grant that came too late is returned.
+    pub fn handle_answer(&self, port: &SharedPort, outcome: FrameOutcome) {
         match outcome {
             FrameOutcome::Quota {
                 request_id,
                 answer,
                 use_within,
-            } => {
-                if answer == AdmissionReply::Granted
-                    && self.request_again_if_late(port, request_id, use_within)
-                {
-                    return;
-                }
-                let unclaimed = self.quotas.answered(request_id, answer);
-                if let Some(local_frame::Body::QuotaRequest(ask)) =
-                    unclaimed.and_then(|frame| frame.body)
-                    && answer == AdmissionReply::Granted
-                {
-                    let body = local_frame::Body::QuotaRelease(LocalQuotaRelease {
-                        tenant: ask.tenant,
-                        stream: ask.stream,
-                        unused: true,
-                    });
-                    send(port, body);
-                }
-            }
+            } => self.handle_admission(port, request_id, answer, use_within),
             FrameOutcome::Claim { request_id, answer } => {
-                self.claims.answered(request_id, answer);
+                self.claims.answer(request_id, answer);
             }
             FrameOutcome::Settled { request_id } => {
-                self.settles.answered(request_id, ());
+                self.resolutions.answer(request_id, ());
             }
             _ => {}
         }
     }
 
+    fn handle_admission(
+        &self,
+        port: &SharedPort,
+        request_id: u64,
+        reply: AdmissionReply,
+        use_within: Option<Duration>,
+    ) {
+        let granted = reply == AdmissionReply::Granted;
+        if granted && self.request_again_if_late(port, request_id, use_within) {
+            return;
+        }
+        let unclaimed = self.quotas.answer(request_id, reply);
+        if let Some(local_frame::Body::QuotaRequest(request)) =
+            unclaimed.and_then(|frame| frame.body)
+            && granted
+        {
+            send_release(port, request.tenant, request.stream, true);
+        }
+    }
+
     fn request_again_if_late(
         &self,
         port: &SharedPort,
@@ -173,27 +183,22 @@
     ) -> bool {
         let now = lock(port).now;
         let renewed = self.quotas.renew_late(now, request_id, use_within);
-        let Some(local_frame::Body::QuotaRequest(ask)) = renewed.and_then(|frame| frame.body)
+        let Some(local_frame::Body::QuotaRequest(request)) = renewed.and_then(|frame| frame.body)
         else {
             return false;
         };
-        if ask.stream {
+        if request.stream {
             // The agent counts the slot as taken; its token is used.
-            let release = LocalQuotaRelease {
-                tenant: ask.tenant.clone(),
-                stream: true,
-                unused: false,
-            };
-            send(port, local_frame::Body::QuotaRelease(release));
+            send_release(port, request.tenant.clone(), true, false);
         }
-        send(port, local_frame::Body::QuotaRequest(ask));
+        send(port, local_frame::Body::QuotaRequest(request));
         true
     }
 
     /// Frames to send again on a new connection.
     #[must_use]
     pub fn in_flight_frames(&self, now: MonotonicTime) -> Vec<LocalFrame> {
-        let mut frames = self.settles.renew(now);
+        let mut frames = self.resolutions.renew(now);
         frames.extend(self.claims.renew(now));
         frames.extend(self.quotas.renew(now));
         frames
@@ -211,14 +216,24 @@
         port.timer(at)
     };
     match select(&mut answer, timer).await {
-        Either::Left((given, _)) => given.ok(),
-        // An answer given at this very moment is taken all the same.
+        Either::Left((answer, _)) => answer.ok(),
+        // An answer that arrived at this very moment counts all the same.
         Either::Right(_) => answer.try_recv().ok().flatten(),
     }
 }
 
+fn send_release(port: &SharedPort, tenant: String, stream: bool, unused: bool) {
+    let release = LocalQuotaRelease {
+        tenant,
+        stream,
+        unused,
+    };
+    send(port, local_frame::Body::QuotaRelease(release));
+}
+
 fn send(port: &SharedPort, body: local_frame::Body) {
-    lock(port).actions.push(ProxyAction::ToAgent(frame(body)));
+    let action = ProxyAction::ToAgent(frame(body));
+    lock(port).actions.push(action);
 }
 
 fn frame(body: local_frame::Body) -> LocalFrame {
--- a/crates/simulation/src/world/proxy/answer.rs
+++ b/crates/simulation/src/world/proxy/answer.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub enum AnswerPart {
     /// Bytes of the body.
-    Chunk(Bytes),
+    Body(Bytes),
     /// The body ended complete by its framing.
     Finish,
 }
@@ -69,7 +69,7 @@
             return Ok(None);
         }
         match self.parts.next().await {
-            Some(AnswerPart::Chunk(bytes)) => Ok(Some(bytes)),
+            Some(AnswerPart::Body(bytes)) => Ok(Some(bytes)),
             Some(AnswerPart::Finish) => {
                 self.finished = true;
                 Ok(None)
--- a/crates/simulation/src/world/proxy/environment.rs
+++ b/crates/simulation/src/world/proxy/environment.rs
@@ -14,7 +14,7 @@
 };
 
 use crate::history::RequestNumber;
-use crate::world::proxy::action::ProxyAction;
+use crate::world::proxy::action::{ExchangeNumber, ProxyAction};
 use crate::world::proxy::agent_client::AgentClient;
 use crate::world::proxy::answer::{ExchangeGuard, SimulatedAnswer};
 use crate::world::proxy::port::{ExchangeWaiter, SharedPort, lock};
@@ -25,7 +25,7 @@
     pub port: SharedPort,
     /// State of the proxy.
     pub state: Arc<ProxyState>,
-    /// What waits for the agent.
+    /// Requests to the agent.
     pub agent: Arc<AgentClient>,
     /// The client request that is served.
     pub client_request: RequestNumber,
@@ -39,11 +39,11 @@
         }
     }
 
-    fn open(&self) -> u64 {
+    fn new_exchange(&self) -> ExchangeNumber {
         lock(&self.port).next_number()
     }
 
-    fn guard(&self, exchange: u64) -> ExchangeGuard {
+    fn guard(&self, exchange: ExchangeNumber) -> ExchangeGuard {
         ExchangeGuard {
             port: Arc::clone(&self.port),
             exchange,
@@ -71,9 +71,9 @@
         lock(&self.port).random()
     }
 
-    async fn ask_quota(&self, ask: AdmissionRequest) -> AdmissionReply {
+    async fn ask_quota(&self, request: AdmissionRequest) -> AdmissionReply {
         self.agent
-            .ask_quota(&self.port, self.client_request, ask)
+            .admit(&self.port, self.client_request, request)
             .await
     }
 
@@ -87,11 +87,11 @@
     }
 
     fn settle(&self, settle: ResolveClaim) {
-        self.agent.settle(&self.port, settle);
+        self.agent.resolve(&self.port, settle);
     }
 
     async fn dispatch(&self, request: BackendRequest) -> Result<SimulatedAnswer, DispatchError> {
-        let exchange = self.open();
+        let exchange = self.new_exchange();
         let guard = self.guard(exchange);
         let (head_sender, head) = oneshot::channel();
         let (part_sender, parts) = mpsc::unbounded();
@@ -114,7 +114,7 @@
     }
 
     async fn withdraw(&self, request: WithdrawRequest) -> WithdrawAnswer {
-        let exchange = self.open();
+        let exchange = self.new_exchange();
         let _guard = self.guard(exchange);
         let (sender, answer) = oneshot::channel();
         let at = self.now() + request.timeout;
@@ -133,7 +133,7 @@
     }
 
     fn withdraw_later(&self, request: WithdrawRequest) {
-        let exchange = self.open();
+        let exchange = self.new_exchange();
         let mut port = lock(&self.port);
         port.exchanges
             .insert(exchange, ExchangeWaiter::Withdrawal(None));
--- a/crates/simulation/src/world/proxy/executor.rs
+++ b/crates/simulation/src/world/proxy/executor.rs
@@ -58,18 +58,6 @@
         }
     }
 
-    /// Number of tasks that are not done.
-    #[must_use]
-    pub fn len(&self) -> usize {
-        self.tasks.len()
-    }
-
-    /// Whether every task is done.
-    #[must_use]
-    pub fn is_empty(&self) -> bool {
-        self.tasks.is_empty()
-    }
-
     fn poll(&mut self, number: u64) {
         let Some(task) = self.tasks.get_mut(&number) else {
             return;
--- a/crates/simulation/src/world/proxy/in_flight_requests.rs
+++ b/crates/simulation/src/world/proxy/in_flight_requests.rs
@@ -11,93 +11,104 @@
 struct InFlightRequest<T> {
     frame: LocalFrame,
     times: SendTimes,
-    answer: Option<oneshot::Sender<T>>,
+    /// Where the answer goes; a claim's outcome has no requester.
+    requester: Option<oneshot::Sender<T>>,
 }
 
 impl<T> InFlightRequest<T> {
-    // A claim's outcome has no requester and waits until it is acknowledged.
+    /// Whether the answer is awaited. What has no requester waits until it is acknowledged.
     fn is_awaited(&self) -> bool {
-        self.answer.as_ref().is_none_or(|it| !it.is_canceled())
+        self.requester
+            .as_ref()
+            .is_none_or(|requester| !requester.is_canceled())
+    }
+
+    fn renew(&mut self, now: MonotonicTime) -> LocalFrame {
+        let mut frame = self.frame.clone();
+        self.times.renew(now, &mut frame);
+        frame
     }
 }
 
 /// Frames of one kind by the number that their answers carry.
 pub struct InFlightRequests<T> {
-    frames: Mutex<BTreeMap<u64, InFlightRequest<T>>>,
+    requests: Mutex<BTreeMap<u64, InFlightRequest<T>>>,
 }
 
 impl<T> Default for InFlightRequests<T> {
     fn default() -> Self {
         Self {
-            frames: Mutex::default(),
+            requests: Mutex::default(),
         }
     }
 }
 
 impl<T> InFlightRequests<T> {
-    /// Keeps a frame until it is answered.
-    pub fn ask(&self, now: MonotonicTime, number: u64, frame: LocalFrame) -> oneshot::Receiver<T> {
+    /// Keeps a frame until it is answered. Returns the future answer.
+    pub fn insert(
+        &self,
+        now: MonotonicTime,
+        number: u64,
+        frame: LocalFrame,
+    ) -> oneshot::Receiver<T> {
         let (sender, receiver) = oneshot::channel();
-        let answer = Some(sender);
-        let times = SendTimes::at(now);
-        let request = InFlightRequest {
-            frame,
-            times,
-            answer,
-        };
-        self.lock().insert(number, request);
+        self.insert_for(now, number, frame, Some(sender));
         receiver
     }
 
-    /// Keeps a frame until it is answered; nobody waits for it.
-    pub fn keep(&self, now: MonotonicTime, number: u64, frame: LocalFrame) {
+    /// Keeps a frame until it is answered; nobody waits for the answer.
+    pub fn insert_without_requester(&self, now: MonotonicTime, number: u64, frame: LocalFrame) {
+        self.insert_for(now, number, frame, None);
+    }
+
+    fn insert_for(
+        &self,
+        now: MonotonicTime,
+        number: u64,
+        frame: LocalFrame,
+        requester: Option<oneshot::Sender<T>>,
+    ) {
         let request = InFlightRequest {
             frame,
             times: SendTimes::at(now),
-            answer: None,
+            requester,
         };
         self.lock().insert(number, request);
     }
 
     /// Hands the answer to its requester; returns the frame if nobody waits for it any more.
-    pub fn answered(&self, number: u64, answer: T) -> Option<LocalFrame> {
+    pub fn answer(&self, number: u64, answer: T) -> Option<LocalFrame> {
         let request = self.lock().remove(&number)?;
-        match request.answer?.send(answer) {
+        match request.requester?.send(answer) {
             Ok(()) => None,
             Err(_) => Some(request.frame),
         }
     }
 
-    /// Every frame that is still waited for; the others are forgotten.
+    /// Every frame whose answer is awaited, to be sent again; the others are dropped.
     pub fn renew(&self, now: MonotonicTime) -> Vec<LocalFrame> {
-        let mut frames = self.lock();
-        frames.retain(|_, request| request.is_awaited());
-        let renewed = frames.values_mut().map(|request| {
-            let mut frame = request.frame.clone();
-            request.times.renew(now, &mut frame);
-            frame
-        });
-        renewed.collect()
+        let mut requests = self.lock();
+        requests.retain(|_, request| request.is_awaited());
+        let requests = requests.values_mut();
+        requests.map(|request| request.renew(now)).collect()
     }
 
-    /// The frame to send again if its grant can no longer be used and it is still waited for.
+    /// The frame to send again if its grant can no longer be used and its answer is awaited.
     pub fn renew_late(
         &self,
         now: MonotonicTime,
         number: u64,
         use_within: Option<Duration>,
     ) -> Option<LocalFrame> {
-        let mut frames = self.lock();
-        let request = frames.get_mut(&number)?;
+        let mut requests = self.lock();
+        let request = requests.get_mut(&number)?;
         if !request.is_awaited() || !request.times.is_late(now, use_within) {
             return None;
         }
-        let mut frame = request.frame.clone();
-        request.times.renew(now, &mut frame);
-        Some(frame)
+        Some(request.renew(now))
     }
 
     fn lock(&self) -> MutexGuard<'_, BTreeMap<u64, InFlightRequest<T>>> {
-        self.frames.lock().unwrap_or_else(PoisonError::into_inner)
+        self.requests.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/simulation/src/world/proxy/mod.rs
+++ b/crates/simulation/src/world/proxy/mod.rs
@@ -3,6 +3,7 @@
 pub mod action;
 pub mod agent_client;
 pub mod answer;
+pub mod backend_links;
 pub mod environment;
 pub mod executor;
 pub mod in_flight_requests;
@@ -12,8 +13,9 @@
 
 pub use action::ProxyAction;
 pub use answer::SimulatedAnswer;
+pub use backend_links::{BackendLink, BackendLinks};
 pub use environment::SimulatedEnvironment;
 pub use executor::Executor;
 pub use port::{ProxyPort, SharedPort, lock};
-pub use proxy_process::{BackendLink, ProxyProcess, RunningProxy};
+pub use proxy_process::{AgentLink, ProxyProcess, RunningProxy};
 pub use sink::CallerPipe;
--- a/crates/simulation/src/world/proxy/port.rs
+++ b/crates/simulation/src/world/proxy/port.rs
@@ -17,8 +17,11 @@
 pub enum ExchangeWaiter {
     /// The head of an answer.
     Head {
+        /// Where the head goes.
         head: oneshot::Sender<Result<AnswerHead, DispatchError>>,
+        /// Where the rest of the answer goes.
         parts: mpsc::UnboundedSender<AnswerPart>,
+        /// Set once the request may have run.
         sent: SentMark,
     },
     /// The rest of an answer.
@@ -27,19 +30,26 @@
     Withdrawal(Option<oneshot::Sender<WithdrawAnswer>>),
 }
 
+/// Timers in the order of their times, then of their numbers.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct TimerKey {
+    at: MonotonicTime,
+    number: u64,
+}
+
 /// State shared by a proxy's tasks and the driver; only ever used by one thread.
 pub struct ProxyPort {
     /// The proxy's clock.
     pub now: MonotonicTime,
-    /// Wishes of the tasks, in order.
+    /// Actions that tasks requested, in order.
     pub actions: Vec<ProxyAction>,
     /// Exchanges under way.
     pub exchanges: BTreeMap<ExchangeNumber, ExchangeWaiter>,
     /// Presence of each caller: dropped when the caller disconnects.
     pub presences: BTreeMap<RequestNumber, oneshot::Sender<()>>,
-    timers: BTreeMap<(MonotonicTime, u64), oneshot::Sender<()>>,
+    timers: BTreeMap<TimerKey, oneshot::Sender<()>>,
     random: ChaCha8Rng,
-    next_number: u64,
+    last_number: u64,
 }
 
 /// The port as tasks and driver hold it.
@@ -61,14 +71,14 @@
             presences: BTreeMap::new(),
             timers: BTreeMap::new(),
             random,
-            next_number: 0,
+            last_number: 0,
         }
     }
 
-    /// A number that was not given before.
+    /// A number that was not used before.
     pub fn next_number(&mut self) -> u64 {
-        self.next_number += 1;
-        self.next_number
+        self.last_number += 1;
+        self.last_number
     }
 
     /// A random number.
@@ -80,7 +90,7 @@
     pub fn timer(&mut self, at: MonotonicTime) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
         let number = self.next_number();
-        self.timers.insert((at, number), sender);
+        self.timers.insert(TimerKey { at, number }, sender);
         self.actions.push(ProxyAction::WakeAt(at));
         receiver
     }
@@ -88,7 +98,7 @@
     /// Resolves the timers that are due.
     pub fn fire_timers(&mut self) {
         while let Some(entry) = self.timers.first_entry() {
-            if entry.key().0 > self.now {
+            if entry.key().at > self.now {
                 return;
             }
             let _ = entry.remove().send(());
--- a/crates/simulation/src/world/proxy/proxy_process.rs
+++ b/crates/simulation/src/world/proxy/proxy_process.rs
@@ -1,39 +1,45 @@
 //! The proxy of a proxy node.
 
-use std::collections::{BTreeMap, BTreeSet};
-use std::sync::Arc;
-use std::time::Duration;
+use std::collections::BTreeSet;
+use std::sync::{Arc, Mutex};
 
 use millford_api::local::LocalFrame;
 use millford_core::MonotonicTime;
 use millford_proxy::control::frame_handler::FrameHandler;
+use millford_proxy::limits::RequestLimits;
 use millford_proxy::proxy_state::ProxyState;
 use rand_chacha::ChaCha8Rng;
 
 use crate::history::RequestNumber;
 use crate::network::LinkNumber;
 use crate::world::process::ProcessState;
-use crate::world::proxy::action::{ExchangeNumber, ProxyAction};
+use crate::world::proxy::action::ProxyAction;
 use crate::world::proxy::agent_client::AgentClient;
+use crate::world::proxy::backend_links::BackendLinks;
 use crate::world::proxy::executor::Executor;
 use crate::world::proxy::port::{ProxyPort, SharedPort, lock};
 
-/// Why a connection to a backend was opened.
-pub enum BackendLink {
-    /// For an attempt at a client request.
-    Dispatch {
-        exchange: ExchangeNumber,
-        client_request: RequestNumber,
-        request: Box<millford_proxy::request::message::BackendRequest>,
-    },
-    /// To withdraw an attempt.
-    Withdraw {
-        exchange: ExchangeNumber,
-        attempt: String,
-        age: Duration,
-    },
-    /// To probe the backend with this id.
-    Probe { backend: String },
+/// A proxy's connection to its agent.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum AgentLink {
+    /// There is none.
+    #[default]
+    Disconnected,
+    /// It is being opened.
+    Connecting(LinkNumber),
+    /// Both sides may send.
+    Open(LinkNumber),
+}
+
+impl AgentLink {
+    /// Number of the connection, open or not.
+    #[must_use]
+    pub fn number(self) -> Option<LinkNumber> {
+        match self {
+            Self::Disconnected => None,
+            Self::Connecting(link) | Self::Open(link) => Some(link),
+        }
+    }
 }
 
 /// The running part of a proxy; dropped when the process dies.
@@ -44,7 +50,7 @@
     pub handler: FrameHandler,
     /// Where tasks queue their actions.
     pub port: SharedPort,
-    /// Asks to the agent.
+    /// Requests to the agent.
     pub agent_client: Arc<AgentClient>,
     /// Request tasks.
     pub executor: Executor,
@@ -56,20 +62,16 @@
     pub process: ProcessState,
     /// The proxy while it runs.
     pub running: Option<RunningProxy>,
-    /// Connection to the agent, open or not.
-    pub agent: Option<LinkNumber>,
-    /// Whether that connection is open.
-    pub agent_open: bool,
+    /// Connection to the agent.
+    pub agent: AgentLink,
     /// Connections to backends.
-    pub backends: BTreeMap<LinkNumber, BackendLink>,
-    /// Connections by exchange.
-    pub exchanges: BTreeMap<ExchangeNumber, LinkNumber>,
-    /// Client requests of which an attempt was sent.
-    pub sent: BTreeSet<RequestNumber>,
-    /// Revision that was recorded last.
-    pub recorded_revision: u64,
+    pub backends: BackendLinks,
+    /// Client requests of which an attempt was sent, by any incarnation.
+    dispatched: BTreeSet<RequestNumber>,
+    /// Revision that was recorded last, 0 before the first.
+    recorded_revision: u64,
     /// Ticks since the start.
-    pub ticks: u64,
+    ticks: u64,
     /// First state of the configuration, for a planted defect.
     pub first_frames: Vec<LocalFrame>,
 }
@@ -81,11 +83,9 @@
         Self {
             process,
             running: None,
-            agent: None,
-            agent_open: false,
-            backends: BTreeMap::new(),
-            exchanges: BTreeMap::new(),
-            sent: BTreeSet::new(),
+            agent: AgentLink::Disconnected,
+            backends: BackendLinks::default(),
+            dispatched: BTreeSet::new(),
             recorded_revision: 0,
             ticks: 0,
             first_frames: Vec::new(),
@@ -95,14 +95,41 @@
     /// Forgets everything of the last incarnation.
     pub fn forget_incarnation(&mut self) {
         self.running = None;
-        self.agent = None;
-        self.agent_open = false;
+        self.agent = AgentLink::Disconnected;
         self.backends.clear();
-        self.exchanges.clear();
         self.recorded_revision = 0;
         self.ticks = 0;
     }
 
+    /// Counts a tick. Returns the number of ticks since the start.
+    pub fn count_tick(&mut self) -> u64 {
+        self.ticks += 1;
+        self.ticks
+    }
+
+    /// An attempt at a client request is sent. Returns whether one was sent before.
+    pub fn is_second_dispatch(&mut self, client_request: RequestNumber) -> bool {
+        !self.dispatched.insert(client_request)
+    }
+
+    /// Whether a revision was recorded since the start.
+    #[must_use]
+    pub fn has_recorded_revision(&self) -> bool {
+        self.recorded_revision > 0
+    }
+
+    /// The revision that the proxy routes by, if it was not recorded yet. Until it is ready a proxy
+    /// serves nothing, so it applies nothing.
+    pub fn take_applied_revision(&mut self) -> Option<u64> {
+        let state = &self.running.as_ref()?.state;
+        let revision = state.table().revision();
+        if revision == self.recorded_revision || !state.is_ready() {
+            return None;
+        }
+        self.recorded_revision = revision;
+        Some(revision)
+    }
+
     /// Runs the tasks at a local time and takes the actions that they queued.
     pub fn run_tasks(&mut self, now: MonotonicTime) -> Vec<ProxyAction> {
         let Some(running) = self.running.as_mut() else {
@@ -122,12 +149,11 @@
     /// A proxy that starts.
     #[must_use]
     pub fn new(now: MonotonicTime, random: ChaCha8Rng, agent_client: AgentClient) -> Self {
-        let limits = millford_proxy::limits::RequestLimits::default();
-        let state = Arc::new(ProxyState::new(limits));
+        let state = Arc::new(ProxyState::new(RequestLimits::default()));
         Self {
             handler: FrameHandler::new(Arc::clone(&state)),
             state,
-            port: Arc::new(std::sync::Mutex::new(ProxyPort::new(now, random))),
+            port: Arc::new(Mutex::new(ProxyPort::new(now, random))),
             agent_client: Arc::new(agent_client),
             executor: Executor::default(),
         }
--- a/crates/simulation/src/world/proxy_driver.rs
+++ b/crates/simulation/src/world/proxy_driver.rs
@@ -7,33 +7,35 @@
 use millford_proxy::daemon::prober::PROBE_PERIOD;
 use millford_proxy::request::completion::serve_completion;
 use millford_proxy::request::lookup::serve_lookup;
+use millford_proxy::request::message::WithdrawRequest;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::history::{ProxyNodeNumber, Record, RequestEnd, RequestNumber};
+use crate::history::{ProxyNodeNumber, Record, RequestNumber};
 use crate::network::{LinkNumber, Packet, ProcessId};
-use crate::world::callers::{ArrivingRequest, key_text};
+use crate::world::client_request::{ArrivingRequest, authorization};
 use crate::world::defect::Defect;
-use crate::world::event::Event;
+use crate::world::event::CallerDelivery;
+use crate::world::probe_driver::ProbeOutcome;
 use crate::world::process_input::ProcessInput;
+use crate::world::proxy::action::ExchangeNumber;
 use crate::world::proxy::agent_client::AgentClient;
 use crate::world::proxy::{
-    BackendLink, CallerPipe, ProxyAction, RunningProxy, SimulatedEnvironment, lock,
+    AgentLink, BackendLink, CallerPipe, ProxyAction, RunningProxy, SimulatedEnvironment, lock,
 };
-use crate::world::registry::backend_at;
+use crate::world::service_registry::backend_at;
 use crate::world::site::Site;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Site {
     /// Starts a proxy with an empty state.
-    pub fn start_proxy(&mut self, number: u16) {
+    pub(super) fn start_proxy(&mut self, number: u16) {
         let process = ProcessId::Proxy(number);
         let incarnation = self.incarnation_of(process);
         let local = self.local_time(process);
         let random = ChaCha8Rng::seed_from_u64(self.random.random());
-        let mut agent_client = AgentClient::default();
-        agent_client.defect = self.options.defect;
+        let agent_client = AgentClient::new(self.options.defect);
         let Some(proxy) = self.proxies.get_mut(&number) else {
             return;
         };
@@ -47,7 +49,7 @@
         self.tick_after(process, incarnation, PROBE_PERIOD);
     }
 
-    // A planted defect: the proxy starts from the first state that it ever had.
+    /// A planted defect: the proxy starts from the first state that it ever had.
     fn replay_first_frame(&mut self, number: u16) {
         if self.options.defect != Some(Defect::ForgetsRevisions) {
             return;
@@ -58,7 +60,7 @@
             for frame in frames {
                 self.local_frame(number, frame);
             }
-            if let Some(running) = self.proxies.get(&number).and_then(|it| it.running.as_ref()) {
+            if let Some(running) = self.running_proxy(number) {
                 running.state.set_ready();
             }
             self.record_applied_revision(number);
@@ -66,7 +68,7 @@
     }
 
     /// The proxy died: its callers' connections break.
-    pub fn proxy_died(&mut self, number: u16) {
+    pub(super) fn proxy_died(&mut self, number: u16) {
         let Some(proxy) = self.proxies.get_mut(&number) else {
             return;
         };
@@ -77,12 +79,12 @@
             lock(&running.port).presences.keys().copied().collect();
         proxy.forget_incarnation();
         for client_request in open_requests {
-            self.send_to_caller(client_request, None, Some((RequestEnd::Lost, None)));
+            self.send_to_caller(client_request, CallerDelivery::lost());
         }
     }
 
     /// Hands an input to a proxy.
-    pub fn proxy_input(&mut self, number: u16, input: ProcessInput, waits: bool) {
+    pub(super) fn proxy_input(&mut self, number: u16, input: ProcessInput, waits: bool) {
         if matches!(input, ProcessInput::Tick) {
             let process = ProcessId::Proxy(number);
             let incarnation = self.incarnation_of(process);
@@ -96,9 +98,14 @@
         self.run_proxy(number);
     }
 
+    /// The running part of a proxy, unless it is dead.
+    pub(super) fn running_proxy(&self, number: u16) -> Option<&RunningProxy> {
+        self.proxies.get(&number)?.running.as_ref()
+    }
+
     fn update_clock(&mut self, number: u16) {
         let local = self.local_time(ProcessId::Proxy(number));
-        if let Some(running) = self.proxies.get(&number).and_then(|it| it.running.as_ref()) {
+        if let Some(running) = self.running_proxy(number) {
             lock(&running.port).now = local;
         }
     }
@@ -108,12 +115,14 @@
             ProcessInput::LinkOpened { link, .. } => self.proxy_link_opened(number, link),
             ProcessInput::LinkClosed { link } => self.proxy_link_closed(number, link),
             ProcessInput::Packet { link, packet } => self.proxy_packet(number, link, packet),
-            ProcessInput::Call(arrival) => self.proxy_request(number, *arrival),
-            ProcessInput::CallerGone(client_request) => {
+            ProcessInput::ClientRequest(request) => self.proxy_request(number, *request),
+            ProcessInput::CallerDisconnected(client_request) => {
                 self.proxy_caller_disconnected(number, client_request)
             }
             ProcessInput::ConnectOverdue { link } => self.connect_overdue(number, link),
-            ProcessInput::ProbeOverdue { link } => self.probe_ends(number, link, false),
+            ProcessInput::ProbeOverdue { link } => {
+                self.probe_ends(number, link, ProbeOutcome::Failed)
+            }
             ProcessInput::Reconnect => self.connect_to_agent(number),
             ProcessInput::Tick => self.proxy_tick(number),
             _ => {}
@@ -155,12 +164,7 @@
                 self.open_backend_link(number, &address, purpose);
             }
             ProxyAction::Withdraw { exchange, request } => {
-                let purpose = BackendLink::Withdraw {
-                    exchange,
-                    age: request.age(self.now()),
-                    attempt: request.attempt,
-                };
-                self.open_backend_link(number, &request.address, purpose);
+                self.withdraw(number, exchange, request);
             }
             ProxyAction::CloseExchange(exchange) => self.close_exchange(number, exchange),
             ProxyAction::Admitted(client_request) => {
@@ -172,50 +176,53 @@
             ProxyAction::CallerHead {
                 client_request,
                 head,
-            } => self.caller_head(client_request, &head),
+            } => self.send_caller_head(client_request, &head),
             ProxyAction::CallerBytes {
                 client_request,
                 bytes,
-            } => self.caller_bytes(client_request, &bytes),
+            } => self.send_caller_bytes(client_request, &bytes),
             ProxyAction::CallerEnd {
                 client_request,
                 complete,
-            } => self.caller_end(client_request, complete),
+            } => self.end_caller_answer(client_request, complete),
         }
     }
 
+    fn withdraw(&mut self, number: u16, exchange: ExchangeNumber, request: WithdrawRequest) {
+        let purpose = BackendLink::Withdraw {
+            exchange,
+            age: request.age(self.now()),
+            attempt: request.attempt,
+        };
+        self.open_backend_link(number, &request.address, purpose);
+    }
+
+    /// Sends a frame to the agent; it is lost while the connection is not open.
     pub(super) fn proxy_to_agent(&mut self, number: u16, frame: LocalFrame) {
-        let Some(proxy) = self.proxies.get(&number).filter(|it| it.agent_open) else {
+        let agent = self.proxies.get(&number).map(|proxy| proxy.agent);
+        let Some(AgentLink::Open(link)) = agent else {
             return;
         };
-        let Some(link) = proxy.agent else { return };
         let now = self.now();
         let packet = Packet::Local(Box::new(frame));
         self.send_packet(ProcessId::Proxy(number), link, packet, now);
     }
 
-    // Clocks drift: the timer looks at the process's clock again when it is due.
+    /// Clocks drift: the timer looks at the process's clock again when it is due.
     fn proxy_timer(&mut self, number: u16, at: millford_core::MonotonicTime) {
         let process = ProcessId::Proxy(number);
         let incarnation = self.incarnation_of(process);
         let left = at.since(self.local_time(process));
         let margin = left / 2000 + Duration::from_micros(1);
         let input = ProcessInput::Timer;
-        self.schedule_after(
-            left + margin,
-            Event::Input {
-                process,
-                incarnation,
-                input,
-            },
-        );
+        self.schedule_input(left + margin, process, incarnation, input);
     }
 
     fn proxy_link_opened(&mut self, number: u16, link: LinkNumber) {
         let is_agent = self
             .proxies
             .get(&number)
-            .is_some_and(|proxy| proxy.agent == Some(link));
+            .is_some_and(|proxy| proxy.agent.number() == Some(link));
         if is_agent {
             self.send_hello(number);
         } else {
@@ -227,7 +234,7 @@
         let Some(proxy) = self.proxies.get_mut(&number) else {
             return;
         };
-        if proxy.agent == Some(link) {
+        if proxy.agent.number() == Some(link) {
             self.agent_disconnected(number);
             return;
         }
@@ -240,7 +247,7 @@
                 let is_agent = self
                     .proxies
                     .get(&number)
-                    .is_some_and(|proxy| proxy.agent == Some(link));
+                    .is_some_and(|proxy| proxy.agent.number() == Some(link));
                 if is_agent {
                     self.local_frame(number, *frame);
                 }
@@ -281,19 +288,18 @@
         }
     }
 
-    // A planted defect: revoked keys are taken for the present ones.
-    fn keep_old_key(&self, client_request: RequestNumber, authorization: &mut Option<String>) {
+    /// A planted defect: revoked keys are taken for the present ones.
+    fn keep_old_key(&self, client_request: RequestNumber, header: &mut Option<String>) {
         if self.options.defect != Some(Defect::KeepsKeys) {
             return;
         }
-        if let Some(open) = self.callers.open_requests.get(&client_request) {
-            let key = self.callers.tenants[usize::from(open.sent.tenant)].key;
-            *authorization = Some(format!("Bearer {}", key_text(key)));
+        if let Some(key) = self.callers.present_key_of(client_request) {
+            *header = Some(authorization(key));
         }
     }
 
     fn proxy_caller_disconnected(&mut self, number: u16, client_request: RequestNumber) {
-        if let Some(running) = self.proxies.get(&number).and_then(|it| it.running.as_ref()) {
+        if let Some(running) = self.running_proxy(number) {
             lock(&running.port).presences.remove(&client_request);
         }
     }
@@ -306,21 +312,8 @@
         let Some(proxy) = self.proxies.get_mut(&number) else {
             return;
         };
-        match &purpose {
-            BackendLink::Dispatch { exchange, .. } | BackendLink::Withdraw { exchange, .. } => {
-                proxy.exchanges.insert(*exchange, link);
-            }
-            BackendLink::Probe { .. } => {}
-        }
         proxy.backends.insert(link, purpose);
         let input = ProcessInput::ConnectOverdue { link };
-        self.schedule_after(
-            CONNECT_TIMEOUT,
-            Event::Input {
-                process,
-                incarnation,
-                input,
-            },
-        );
+        self.schedule_input(CONNECT_TIMEOUT, process, incarnation, input);
     }
 }
