--- a/crates/simulation/src/world/site.rs
+++ b/crates/simulation/src/world/site.rs
@@ -14,18 +14,18 @@
 use crate::scenario::{Scenario, Topology};
 use crate::world::active_faults::ActiveFaults;
 use crate::world::agent_process::AgentProcess;
-use crate::world::backend::BackendProcess;
+use crate::world::backend::{BackendProcess, RecentRuns};
 use crate::world::callers::Callers;
 use crate::world::control_process::ControlProcess;
 use crate::world::defect::Defect;
 use crate::world::event::{Event, RegistryEvent};
 use crate::world::operators::Operators;
-use crate::world::process::ProcessState;
+use crate::world::process::{ProcessLoss, ProcessState};
 use crate::world::process_input::ProcessInput;
 use crate::world::proxy::ProxyProcess;
 use crate::world::recorder::Recorder;
-use crate::world::registry::RegistryList;
 use crate::world::run_options::RunOptions;
+use crate::world::service_registry::ServiceRegistry;
 
 /// Largest drift of a clock, in parts per million.
 const MAX_DRIFT_PPM: i32 = 200;
@@ -39,38 +39,40 @@
 /// Everything of a running scenario.
 pub struct Site {
     /// What is run.
-    pub scenario: Scenario,
+    pub(super) scenario: Scenario,
     /// Machines.
-    pub topology: Topology,
+    pub(super) topology: Topology,
     /// Seed and switches.
-    pub options: RunOptions,
+    pub(super) options: RunOptions,
     /// Future events.
-    pub queue: EventQueue<Event>,
+    pub(super) queue: EventQueue<Event>,
     /// All randomness.
-    pub random: ChaCha8Rng,
+    pub(super) random: ChaCha8Rng,
     /// History and checkers.
-    pub recorder: Recorder,
+    pub(super) recorder: Recorder,
     /// Connections.
-    pub links: Links,
-    /// Cuts.
-    pub partitions: PartitionTable,
+    pub(super) links: Links,
+    /// Partitions between machines.
+    pub(super) partitions: PartitionTable,
     /// Control nodes.
-    pub controls: BTreeMap<u16, ControlProcess>,
+    pub(super) controls: BTreeMap<u16, ControlProcess>,
     /// Agents of the proxy nodes.
-    pub agents: BTreeMap<u16, AgentProcess>,
+    pub(super) agents: BTreeMap<u16, AgentProcess>,
     /// Proxies of the proxy nodes.
-    pub proxies: BTreeMap<u16, ProxyProcess>,
+    pub(super) proxies: BTreeMap<u16, ProxyProcess>,
     /// Backends, retired ones included.
-    pub backends: BTreeMap<u16, BackendProcess>,
+    pub(super) backends: BTreeMap<u16, BackendProcess>,
     /// The service registry.
-    pub registry: RegistryList,
+    pub(super) registry: ServiceRegistry,
     /// Callers.
-    pub callers: Callers,
+    pub(super) callers: Callers,
     /// Operators.
-    pub operators: Operators,
-    /// Faults to come and under way.
-    pub faults: ActiveFaults,
-    next_incarnation: u64,
+    pub(super) operators: Operators,
+    /// Planned and active faults.
+    pub(super) faults: ActiveFaults,
+    /// Runs that backends began recently.
+    pub(super) recent_runs: RecentRuns,
+    last_incarnation: u64,
 }
 
 impl Site {
@@ -91,11 +93,12 @@
             agents: BTreeMap::new(),
             proxies: BTreeMap::new(),
             backends: BTreeMap::new(),
-            registry: RegistryList::default(),
-            callers: Callers::new(scenario, topology),
+            registry: ServiceRegistry::default(),
+            callers: Callers::new(scenario, topology, options.defect),
             operators: Operators::new(scenario, topology),
             faults: ActiveFaults::default(),
-            next_incarnation: 0,
+            recent_runs: RecentRuns::default(),
+            last_incarnation: 0,
         };
         site.recorder.verbose = options.verbose;
         site.build();
@@ -146,7 +149,7 @@
     }
 
     /// A process with a clock of its own.
-    pub fn new_process(&mut self) -> ProcessState {
+    pub(super) fn new_process(&mut self) -> ProcessState {
         let local = self.random.random_range(0..MAX_CLOCK_START);
         let drift = self.random.random_range(-MAX_DRIFT_PPM..=MAX_DRIFT_PPM);
         let now = self.now();
@@ -155,9 +158,9 @@
     }
 
     /// Number of a new incarnation.
-    pub fn next_incarnation(&mut self) -> u64 {
-        self.next_incarnation += 1;
-        self.next_incarnation
+    pub(super) fn next_incarnation(&mut self) -> u64 {
+        self.last_incarnation += 1;
+        self.last_incarnation
     }
 
     /// True time.
@@ -167,17 +170,23 @@
     }
 
     /// Adds an event after a delay.
-    pub fn schedule_after(&mut self, delay: Duration, event: Event) {
+    pub(super) fn schedule_after(&mut self, delay: Duration, event: Event) {
         let at = self.now() + delay;
         self.queue.push(at, event);
     }
 
     /// Adds to the history.
-    pub fn record(&mut self, record: Record) {
+    pub(super) fn record(&mut self, record: Record) {
         let now = self.now();
         self.recorder.record(now, &record);
     }
 
+    /// Prints a line in verbose runs.
+    pub(super) fn log(&mut self, text: impl FnOnce() -> String) {
+        let now = self.now();
+        self.recorder.log(now, text);
+    }
+
     /// Runs to the end of the scenario.
     pub fn run(&mut self) -> Verdict {
         let end = MonotonicTime::ZERO + self.scenario.duration;
@@ -211,22 +220,16 @@
                 incarnation,
                 link,
                 packet,
-            } => {
-                if self.incarnation_of(process) == incarnation {
-                    let now = self.now();
-                    self.send_packet(process, link, *packet, now);
-                }
-            }
+            } => self.send_later(process, incarnation, link, *packet),
             Event::Start { process } => self.start_process(process),
             Event::FaultBegins { fault } => self.fault_begins(fault),
-            Event::FaultEnds { active } => self.fault_ends(active),
+            Event::FaultEnds { fault } => self.fault_ends(fault),
             Event::CallerSends { lookup } => self.caller_sends(lookup),
             Event::CallerResends { client_request } => self.caller_resends(client_request),
             Event::CallerReceives {
                 client_request,
-                chunk,
-                end,
-            } => self.caller_receives(client_request, chunk, end),
+                delivery,
+            } => self.caller_receives(client_request, delivery),
             Event::CallerTimeout { client_request } => self.caller_times_out(client_request),
             Event::Operator(event) => self.handle_operator(event),
             Event::Registry(event) => self.handle_registry(event),
@@ -239,7 +242,7 @@
 
     /// The state of a process.
     #[must_use]
-    pub fn process(&self, process: ProcessId) -> Option<&ProcessState> {
+    pub(super) fn process(&self, process: ProcessId) -> Option<&ProcessState> {
         match process {
             ProcessId::Control(number) => self.controls.get(&number).map(|it| &it.process),
             ProcessId::Agent(number) => self.agents.get(&number).map(|it| &it.process),
@@ -249,7 +252,7 @@
     }
 
     /// The state of a process, for changes.
-    pub fn process_mut(&mut self, process: ProcessId) -> Option<&mut ProcessState> {
+    pub(super) fn process_mut(&mut self, process: ProcessId) -> Option<&mut ProcessState> {
         match process {
             ProcessId::Control(number) => self.controls.get_mut(&number).map(|it| &mut it.process),
             ProcessId::Agent(number) => self.agents.get_mut(&number).map(|it| &mut it.process),
@@ -260,7 +263,7 @@
 
     /// What the process's clock shows.
     #[must_use]
-    pub fn local_time(&self, process: ProcessId) -> MonotonicTime {
+    pub(super) fn local_time(&self, process: ProcessId) -> MonotonicTime {
         let now = self.now();
         self.process(process)
             .map_or(now, |state| state.clock.local(now))
@@ -268,15 +271,20 @@
 
     /// Incarnation of the process, 0 while it does not run.
     #[must_use]
-    pub fn incarnation_of(&self, process: ProcessId) -> u64 {
+    pub(super) fn incarnation_of(&self, process: ProcessId) -> u64 {
         match self.process(process) {
             Some(state) if state.alive => state.incarnation,
             _ => 0,
         }
     }
 
-    /// Hands an input to a process, or keeps it while the process is frozen or busy.
-    pub fn deliver_input(&mut self, process: ProcessId, incarnation: u64, input: ProcessInput) {
+    /// Hands an input to a process, or queues it while the process is frozen or busy.
+    pub(super) fn deliver_input(
+        &mut self,
+        process: ProcessId,
+        incarnation: u64,
+        input: ProcessInput,
+    ) {
         let now = self.now();
         let Some(state) = self.process_mut(process) else {
             return;
@@ -293,7 +301,7 @@
     }
 
     /// Lets a process handle the inputs in its inbox.
-    pub fn drain_inbox(&mut self, process: ProcessId, incarnation: u64) {
+    pub(super) fn drain_inbox(&mut self, process: ProcessId, incarnation: u64) {
         loop {
             let now = self.now();
             let Some(state) = self.process_mut(process) else {
@@ -325,7 +333,7 @@
     }
 
     /// Starts a process with a new incarnation; its disk is as it was left.
-    pub fn start_process(&mut self, process: ProcessId) {
+    pub(super) fn start_process(&mut self, process: ProcessId) {
         let incarnation = self.next_incarnation();
         let defect = self.options.defect;
         let Some(state) = self.process_mut(process) else {
@@ -349,8 +357,8 @@
         }
     }
 
-    /// Ends a process without warning. If its machine is lost, no peer is notified.
-    pub fn kill_process(&mut self, process: ProcessId, unresponsive: bool) {
+    /// Ends a process without warning.
+    pub(super) fn kill_process(&mut self, process: ProcessId, loss: ProcessLoss) {
         let Some(state) = self.process_mut(process) else {
             return;
         };
@@ -358,7 +366,7 @@
             return;
         }
         state.stop();
-        self.end_links(process, unresponsive);
+        self.end_links(process, loss);
         match process {
             ProcessId::Control(number) => self.control_died(number),
             ProcessId::Agent(number) => self.agent_died(number),
@@ -367,9 +375,19 @@
         }
     }
 
-    /// Asks for the next tick of a process.
-    pub fn tick_after(&mut self, process: ProcessId, incarnation: u64, delay: Duration) {
-        let input = ProcessInput::Tick;
+    /// Schedules the next tick of a process.
+    pub(super) fn tick_after(&mut self, process: ProcessId, incarnation: u64, delay: Duration) {
+        self.schedule_input(delay, process, incarnation, ProcessInput::Tick);
+    }
+
+    /// Schedules an input of a process.
+    pub(super) fn schedule_input(
+        &mut self,
+        delay: Duration,
+        process: ProcessId,
+        incarnation: u64,
+        input: ProcessInput,
+    ) {
         self.schedule_after(
             delay,
             Event::Input {
--- a/crates/simulation/tests/determinism.rs
+++ b/crates/simulation/tests/determinism.rs
@@ -1,8 +1,6 @@
 //! The same seed gives the same run.
 
-use millford_simulation::runner::run_scenario;
-use millford_simulation::scenario::Scenario;
-use millford_simulation::world::RunOptions;
+mod fixture;
 
 const TEXT: &str = "
 scenario determinism
@@ -11,14 +9,19 @@
 draw 6 from 3s to 10s
 ";
 
-fn trace(seed: u64) -> (u64, u64) {
-    let scenario = Scenario::parse(TEXT).expect("the text is right");
-    let options = RunOptions {
-        seed,
-        ..RunOptions::default()
-    };
-    let report = run_scenario(&scenario, options);
-    (report.trace_hash, report.events)
+/// Trace hash and number of events of a run.
+#[derive(Debug, PartialEq, Eq)]
+struct Trace {
+    hash: u64,
+    events: u64,
+}
+
+fn trace(seed: u64) -> Trace {
+    let report = fixture::run(TEXT, seed, None);
+    Trace {
+        hash: report.trace_hash,
+        events: report.events,
+    }
 }
 
 #[test]
@@ -26,5 +29,5 @@
     let first = trace(7);
     assert_eq!(first, trace(7));
     assert_ne!(first, trace(8));
-    assert!(first.1 > 1000, "the run did something");
+    assert!(first.events > 1000, "the run did too little: {first:?}");
 }
--- a/crates/simulation/tests/kernel.rs
+++ b/crates/simulation/tests/kernel.rs
@@ -52,8 +52,8 @@
         file.append(&[7; 2000]);
         file.lose_power(&mut random);
         let left = file.current().expect("a synced file stays");
-        assert!(left.starts_with(b"synced"));
-        assert!(left.len() <= 2006);
+        assert!(left.starts_with(b"synced"), "seed {seed}: {left:?}");
+        assert!(left.len() <= 2006, "seed {seed}: {} bytes", left.len());
     }
 }
 
--- a/crates/simulation/tests/planted_defects.rs
+++ b/crates/simulation/tests/planted_defects.rs
@@ -1,8 +1,9 @@
 //! Every checker catches its fault: a planted defect makes a scenario fail that passes without it.
 
-use millford_simulation::runner::run_scenario;
-use millford_simulation::scenario::Scenario;
-use millford_simulation::world::{Defect, RunOptions};
+use millford_simulation::checkers::Guarantee;
+use millford_simulation::world::Defect;
+
+mod fixture;
 
 /// Enough of everything for each defect to show.
 const TEXT: &str = "
@@ -21,14 +22,8 @@
 at 17s kill cores for 1s
 ";
 
-fn violated(defect: Option<Defect>, seed: u64) -> Vec<millford_simulation::checkers::Guarantee> {
-    let scenario = Scenario::parse(TEXT).expect("the text is right");
-    let options = RunOptions {
-        seed,
-        defect,
-        ..RunOptions::default()
-    };
-    let report = run_scenario(&scenario, options);
+fn violated(defect: Option<Defect>, seed: u64) -> Vec<Guarantee> {
+    let report = fixture::run(TEXT, seed, defect);
     let violations = report.verdict.violations.into_iter();
     violations.map(|violation| violation.guarantee).collect()
 }
--- a/crates/simulation/tests/quota_checker.rs
+++ b/crates/simulation/tests/quota_checker.rs
@@ -11,6 +11,7 @@
 const PER_SECOND: u32 = 20;
 const BURST: u32 = 20;
 
+/// A history of one tenant, watched by the quota checker.
 struct QuotaHistory {
     checker: QuotaChecker,
     verdict: Verdict,
@@ -83,7 +84,7 @@
     }
     let client_request = history.arrive();
     history.refuse(client_request);
-    assert!(history.violates_quota());
+    assert!(history.violates_quota(), "{:?}", history.verdict);
 }
 
 #[test]
@@ -94,7 +95,7 @@
     }
     let client_request = history.arrive();
     history.refuse(client_request);
-    assert!(!history.violates_quota());
+    assert!(!history.violates_quota(), "{:?}", history.verdict);
 }
 
 /// Just at its rate for longer than a client request counts as over the quota: what it used before is still missing.
@@ -110,10 +111,10 @@
     }
     let client_request = history.arrive();
     history.refuse(client_request);
-    assert!(!history.violates_quota());
+    assert!(!history.violates_quota(), "{:?}", history.verdict);
 }
 
-/// Two tokens less than an exact bucket holds are lent elsewhere at most; with three and more left the refusal is
+/// Two tokens less than an exact bucket holds are leased elsewhere at most; with three and more left the refusal is
 /// wrong, however the tenant came there.
 #[test]
 fn refusing_a_tenant_whose_tokens_refilled_violates_the_quota_guarantee() {
@@ -127,5 +128,5 @@
     }
     let client_request = history.arrive();
     history.refuse(client_request);
-    assert!(history.violates_quota());
+    assert!(history.violates_quota(), "{:?}", history.verdict);
 }
--- a/crates/simulation/tests/scenario_files.rs
+++ b/crates/simulation/tests/scenario_files.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use millford_simulation::scenario::{
-    Choice, Fault, FaultClass, Figure, PartitionDirection, Scenario, Target, TargetKind, Topology,
+    Bound, Choice, Fault, FaultClass, Figure, PartitionDirection, Scenario, Target, TargetKind,
+    Topology,
 };
 
 const TEXT: &str = "
@@ -48,7 +49,7 @@
     );
     assert_eq!(scenario.expectations[0].figure, Figure::Adoption);
     assert_eq!(scenario.expectations[0].value, 2000);
-    assert!(scenario.expectations[1].at_least);
+    assert_eq!(scenario.expectations[1].bound, Bound::AtLeast);
 }
 
 #[test]
--- a/crates/simulation/tests/scenarios.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -112,6 +112,10 @@
         let requests = file.scenario.workload.requests_per_second;
         let proxy_nodes = u32::from(file.scenario.site(0).proxy_nodes);
         // A proxy node without a client request in 12 s would count as one that does not serve.
-        assert!(requests > proxy_nodes, "{}", file.scenario.name);
+        assert!(
+            requests > proxy_nodes,
+            "{}: {requests} requests a second to {proxy_nodes} proxy nodes",
+            file.scenario.name
+        );
     }
 }
