--- a/crates/simulation/src/runner/run_report.rs
+++ b/crates/simulation/src/runner/run_report.rs
@@ -36,8 +36,8 @@
     RunReport {
         seed: options.seed,
         verdict,
-        trace_hash: site.recorder.trace_hash(),
-        events: site.recorder.events(),
+        trace_hash: site.trace_hash(),
+        events: site.events(),
     }
 }
 
--- a/crates/simulation/src/world/agent_link_driver.rs
+++ b/crates/simulation/src/world/agent_link_driver.rs
@@ -8,7 +8,6 @@
 use crate::history::{ProxyNodeNumber, Record};
 use crate::network::ProcessId;
 use crate::world::defect::Defect;
-use crate::world::event::Event;
 use crate::world::process_input::ProcessInput;
 use crate::world::proxy::{AgentLink, ProxyAction, ProxyProcess, lock};
 use crate::world::site::Site;
--- a/crates/simulation/src/world/site.rs
+++ b/crates/simulation/src/world/site.rs
@@ -202,6 +202,18 @@
         self.recorder.finish(end)
     }
 
+    /// Hash of everything that happened so far.
+    #[must_use]
+    pub fn trace_hash(&self) -> u64 {
+        self.recorder.trace_hash()
+    }
+
+    /// Number of events so far.
+    #[must_use]
+    pub fn events(&self) -> u64 {
+        self.recorder.events()
+    }
+
     fn handle(&mut self, event: Event) {
         match event {
             Event::Input {
