--- a/crates/simulation/src/world/backend_driver.rs
+++ b/crates/simulation/src/world/backend_driver.rs
@@ -13,7 +13,6 @@
 use crate::world::answer_driver::StreamProgress;
 use crate::world::backend::request_text::{content_of, holds_key, is_stream};
 use crate::world::backend::{Answering, BackendProcess, attempt_number, run_number};
-use crate::world::event::Event;
 use crate::world::process_input::ProcessInput;
 use crate::world::site::Site;
 
