--- a/crates/control/src/daemon/gateway_thread.rs
+++ b/crates/control/src/daemon/gateway_thread.rs
@@ -24,8 +24,8 @@
 use crate::node_output::NodeOutput;
 use crate::operator::OperatorReply;
 use crate::options::ControlOptions;
-use crate::shard::core::code_of;
 use crate::shard::{ShardCoreOptions, ShardInput};
+use crate::storage_code::storage_code;
 use crate::timing::TICK;
 
 /// Most events between two looks at the clock.
@@ -155,7 +155,7 @@
             return;
         }
         super::STORE.error(format!("A shard cannot be opened: {error}."));
-        super::exit_with(code_of(error));
+        super::exit_with(storage_code(&error));
     }
 
     fn input(&mut self, input: GatewayInput) {
@@ -259,7 +259,7 @@
         for shard in (0..=folders::HIGHEST_SHARD).map(ShardId) {
             let mut disk = (self.folders)(&shard_folder(shard));
             if let Err(error) = folders::clear(disk.as_mut()) {
-                super::exit_with(code_of(&error));
+                super::exit_with(storage_code(&error));
             }
         }
     }
--- a/crates/control/src/gateway/mod.rs
+++ b/crates/control/src/gateway/mod.rs
@@ -290,7 +290,7 @@
     fn save_file(&mut self) -> bool {
         let saved = self.file.store(self.disk.as_mut());
         if let Err(error) = &saved {
-            let code = crate::shard::core::code_of(error);
+            let code = crate::storage_code::storage_code(error);
             self.emit(NodeOutput::Fatal { code });
         }
         saved.is_ok()
--- a/crates/control/src/gateway/operators.rs
+++ b/crates/control/src/gateway/operators.rs
@@ -13,11 +13,11 @@
 use super::pending::Origin;
 use super::pending_operator_requests::PendingOperatorRequest;
 use super::sessions::request_to;
+use crate::commands::command_of;
 use crate::node_output::NodeOutput;
 use crate::operator::status::{leaderless_body, member_body, session_body, shard_body};
 use crate::operator::{OperatorFailure, OperatorReply, OperatorRequest};
 use crate::shard::ShardInput;
-use crate::shard::maintenance::command_of;
 use crate::timing::{OPERATOR_REQUEST_TIMEOUT, STATUS_REQUEST_TIMEOUT};
 
 impl Gateway {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -3,6 +3,7 @@
 //! [`ControlNode`] is the node's logic without input and output. The [`daemon`] runs the same
 //! parts on threads: one for the gateway, one for each shard.
 
+pub mod commands;
 pub mod daemon;
 pub mod folders;
 pub mod gateway;
@@ -13,6 +14,7 @@
 pub mod operator;
 pub mod options;
 pub mod shard;
+pub mod storage_code;
 pub mod timing;
 
 pub use gateway::{Gateway, GatewayInput, GatewayOutput};
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -10,8 +10,8 @@
 use crate::node_input::NodeInput;
 use crate::node_output::NodeOutput;
 use crate::options::ControlOptions;
-use crate::shard::core::code_of;
 use crate::shard::{ShardCore, ShardCoreOptions, ShardInput, ShardOutput};
+use crate::storage_code::storage_code;
 
 /// Opens the folder with this name.
 pub type FolderOpener = Arc<dyn Fn(&str) -> Box<dyn Disk> + Send + Sync>;
@@ -189,7 +189,7 @@
                 self.send_to_gateway(now, GatewayInput::StorageCorrupt);
             }
             Err(error) => {
-                let code = code_of(&error);
+                let code = storage_code(&error);
                 self.outputs.push(NodeOutput::Fatal { code });
             }
         }
@@ -202,7 +202,7 @@
         for shard in (0..=highest).map(ShardId) {
             let mut disk = (self.folders)(&shard_folder(shard));
             if let Err(error) = crate::folders::clear(disk.as_mut()) {
-                let code = code_of(&error);
+                let code = storage_code(&error);
                 self.outputs.push(NodeOutput::Fatal { code });
                 return;
             }
--- /dev/null
+++ b/crates/control/src/shard/catalogue_reconciler.rs
@@ -0,0 +1,146 @@
+//! Reconciles the catalogue of this shard's services with the service registry: a singleton role
+//! of the shard's leader.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+use millford_api::command::UpdateBackends;
+use millford_api::config::Pool;
+use millford_api::state::{Backend, StateItem, state_value};
+use millford_control_state::selection::selects;
+use millford_control_state::{ShardMachine, keys};
+use millford_core::{ShardId, ShardLayout, service_key};
+use millford_registry::RegistryView;
+
+/// Prefix of the pools' keys in the configuration.
+const POOL_PREFIX: &str = "config/pool/";
+
+/// What the catalogue of a service lacks or has too much.
+#[derive(Debug)]
+pub(super) struct CatalogueUpdate {
+    /// Name of the service.
+    pub(super) service: String,
+    /// The difference.
+    pub(super) update: UpdateBackends,
+}
+
+/// Owner of what the leader compares the catalogue with: the configuration's pools and the
+/// registry as last read.
+pub(super) struct CatalogueReconciler {
+    shard: ShardId,
+    layout: ShardLayout,
+    /// The configuration's pools by name.
+    pools: BTreeMap<String, Pool>,
+    registry: Option<Arc<RegistryView>>,
+    due: bool,
+}
+
+impl CatalogueReconciler {
+    /// A reconciler that knows neither pools nor registry.
+    pub(super) fn new(shard: ShardId, layout: ShardLayout) -> Self {
+        Self {
+            shard,
+            layout,
+            pools: BTreeMap::new(),
+            registry: None,
+            due: false,
+        }
+    }
+
+    /// The registry was read.
+    pub(super) fn set_registry(&mut self, view: Arc<RegistryView>) {
+        self.registry = Some(view);
+        self.due = true;
+    }
+
+    /// The state changed: compare at the next tick.
+    pub(super) fn check_soon(&mut self) {
+        self.due = true;
+    }
+
+    /// Items of the configuration changed.
+    pub(super) fn apply_configuration(&mut self, items: &[StateItem]) {
+        for item in items {
+            let Some(name) = item.key.strip_prefix(POOL_PREFIX) else {
+                continue;
+            };
+            let kind = item.value.as_ref().and_then(|value| value.kind.as_ref());
+            match kind {
+                Some(state_value::Kind::Pool(pool)) => {
+                    self.pools.insert(name.to_owned(), pool.clone());
+                }
+                _ => {
+                    self.pools.remove(name);
+                }
+            }
+            self.due = true;
+        }
+    }
+
+    /// Pools of the configuration that this shard owns.
+    pub(super) fn own_pools(&self) -> Vec<Pool> {
+        let pools = self.pools.values();
+        pools
+            .filter(|pool| self.layout.shard_of(&service_key(&pool.name)) == self.shard)
+            .cloned()
+            .collect()
+    }
+
+    /// What is to be proposed, if a comparison is due. A service with an update under way is
+    /// compared again at the next tick.
+    pub(super) fn take_updates(
+        &mut self,
+        machine: &ShardMachine,
+        is_updating: impl Fn(&str) -> bool,
+    ) -> Vec<CatalogueUpdate> {
+        // The configuration shard owns no services.
+        if self.shard == ShardId::CONFIGURATION {
+            return Vec::new();
+        }
+        let Some(registry) = self.take_due() else {
+            return Vec::new();
+        };
+        let mut updates = Vec::new();
+        for service in self.own_services(machine) {
+            if is_updating(&service) {
+                self.check_soon();
+                continue;
+            }
+            let desired = self.desired_backends(&service, &registry);
+            if let Some(update) = machine.catalogue_difference(&service, &desired) {
+                updates.push(CatalogueUpdate { service, update });
+            }
+        }
+        updates
+    }
+
+    fn take_due(&mut self) -> Option<Arc<RegistryView>> {
+        let due = std::mem::take(&mut self.due);
+        self.registry.clone().filter(|_| due)
+    }
+
+    /// The services to compare: pools of the configuration, and those of which only backends are
+    /// left.
+    fn own_services(&self, machine: &ShardMachine) -> BTreeSet<String> {
+        let pools = self.own_pools().into_iter().map(|pool| pool.name);
+        let keys = machine.public_state().keys();
+        let orphaned = keys.filter_map(|key| service_of(key));
+        pools.chain(orphaned).collect()
+    }
+
+    fn desired_backends(&self, service: &str, registry: &RegistryView) -> Vec<Backend> {
+        let Some(pool) = self.pools.get(service) else {
+            return Vec::new();
+        };
+        let entries = registry.backends.iter().map(|entry| entry.to_backend());
+        entries
+            .filter(|backend| selects(pool.selector.as_ref(), backend))
+            .collect()
+    }
+}
+
+fn service_of(key: &str) -> Option<String> {
+    let rest = key.strip_prefix(keys::BACKEND_PREFIX)?;
+    let (service, _) = rest.split_once('/')?;
+    Some(service.to_owned())
+}
--- a/crates/control/src/shard/core.rs
+++ b/crates/control/src/shard/core.rs
@@ -1,117 +1,95 @@
-//! The core of one shard: replica, state machine, sessions, feed and the duties of a leader.
-
-use std::sync::Arc;
-
-use millford_api::command::Command;
-use millford_api::replication::VoterSet;
-use millford_control_state::ShardMachine;
-use millford_core::{Duration, MonotonicTime, NodeId, ResultCode, ShardId, ShardLayout};
-use millford_feed::{FeedDelivery, FeedPublisher};
-use millford_membership::SessionTable;
-use millford_replication::{OpenError, Ready, Replica, ReplicaOptions, ReplicaStatus, Role};
-use millford_storage::{Disk, ReplicaStorage, StorageError, StorageOptions};
-use prost::Message;
-
-use super::catalogue::CatalogueReconciler;
-use super::input::ShardInput;
+//! The core of one shard: routes inputs to the parts that own the state, and what the parts want
+//! done to the node.
+//!
+//! No part knows another one or the core. The order in which the core calls them is part of the
+//! shard's behaviour: outputs leave in that order.
+
+use millford_api::command::{AdvanceClock, RemoveControlMember, command, command_result};
+use millford_api::internal::{ShardRequest, Subscribe, shard_reply, shard_request};
+use millford_api::replication::LogEntry;
+use millford_api::state::StateItem;
+use millford_control_state::{Applied, ShardMachine};
+use millford_core::{MonotonicTime, NodeId, ResultCode, ShardId};
+use millford_feed::FeedPosition;
+use millford_replication::{Ready, ReplicaStatus, RestoredSnapshot};
+use millford_storage::StorageError;
+
+use super::applied_state::{AppliedCommand, AppliedState};
+use super::catalogue_reconciler::CatalogueReconciler;
+use super::feed_service::{FeedService, SubscriptionStep};
+use super::group_repair::GroupRepair;
+use super::input::{CorrelationId, ShardInput};
 use super::maintenance::MaintenanceSchedule;
-use super::members::MemberView;
+use super::options::ShardCoreOptions;
 use super::output::ShardOutput;
 use super::placement_controller::PlacementController;
-use super::proposals::{Proposals, Purpose};
-use super::quota_service::QuotaService;
-use super::reads::Reads;
-use super::repair::Repair;
-use super::replica_status::ShardReplicaStatus;
-use super::subscriptions::Subscriptions;
+use super::proposals::Purpose;
+use super::quota_service::{self, QuotaService};
+use super::reads::{ReadPurpose, Reads};
+use super::repair::{RepairPolicy, RepairStep};
+use super::replica_status::{ShardReplicaStatus, StatusReporter};
+use super::replies::{self, Replies};
+use super::session_service::SessionService;
+use super::shard_replica::ShardReplica;
+use crate::commands::command_of;
 use crate::link::LinkId;
-use crate::timing::QUORUM_CONTACT_TIMEOUT;
-
-/// Opens the disk of a shard, again after a forced recovery.
-pub type DiskOpener = Arc<dyn Fn() -> Box<dyn Disk> + Send + Sync>;
-
-/// Everything a core is opened with.
-#[derive(Clone)]
-pub struct ShardCoreOptions {
-    /// The shard.
-    pub shard: ShardId,
-    /// Identity of this node.
-    pub identity: NodeId,
-    /// First voters; empty for a replica that its leader fills.
-    pub voters: Vec<NodeId>,
-    /// Layout of the cluster.
-    pub layout: ShardLayout,
-    /// Seed of the replica's random numbers.
-    pub seed: u64,
-    /// Voters of a whole group.
-    pub voters_per_shard: usize,
-    /// Silence after which a voter is replaced.
-    pub replace_after: Duration,
-    /// Opens the shard's disk.
-    pub disk: DiskOpener,
-}
+use crate::node_output::NodeEvent;
+use crate::storage_code::storage_code;
+use crate::timing::CLOCK_PERIOD;
 
 /// The core of one shard on this node.
 ///
 /// Inputs go to [`ShardCore::handle`]; what they lead to leaves with the next
 /// [`ShardCore::flush`], after one fsync for all of them.
 pub struct ShardCore {
-    pub(super) options: ShardCoreOptions,
-    pub(super) replica: Replica,
-    pub(super) machine: ShardMachine,
-    pub(super) publisher: FeedPublisher,
-    pub(super) sessions: SessionTable,
-    pub(super) proposals: Proposals,
-    pub(super) reads: Reads,
-    pub(super) subscriptions: Subscriptions,
-    pub(super) repair: Repair,
-    pub(super) members: MemberView,
-    pub(super) catalogue: CatalogueReconciler,
-    pub(super) quota: QuotaService,
-    pub(super) placement: PlacementController,
-    pub(super) maintenance: MaintenanceSchedule,
-    pub(super) reported_status: ShardReplicaStatus,
-    pub(super) outputs: Vec<ShardOutput>,
-    pub(super) snapshot_index: u64,
-    /// Bytes of the entries that were applied since the last snapshot.
-    pub(super) bytes_since_snapshot: usize,
+    shard: ShardId,
+    replica: ShardReplica,
+    state: AppliedState,
+    feeds: FeedService,
+    reads: Reads,
+    sessions: SessionService,
+    repair: GroupRepair,
+    catalogue: CatalogueReconciler,
+    quota: QuotaService,
+    placement: PlacementController,
+    maintenance: MaintenanceSchedule,
+    status: StatusReporter,
+    outputs: Vec<ShardOutput>,
     failed: bool,
 }
 
 impl ShardCore {
     /// Opens the shard's storage and its replica.
     ///
-    /// [`StorageError::Corrupt`] means that this node must start over under a new identity.
+    /// # Errors
+    /// The storage cannot be opened. [`StorageError::Corrupt`] means that this node must start over
+    /// under a new identity.
     pub fn open(options: ShardCoreOptions, now: MonotonicTime) -> Result<Self, StorageError> {
-        let replica = open_replica(&options, now)?;
         let shard = options.shard;
+        let layout = options.layout;
+        let policy = RepairPolicy {
+            replace_after: options.replace_after,
+            voters: options.voters_per_shard,
+        };
         Ok(Self {
-            replica,
-            machine: ShardMachine::new(shard),
-            publisher: FeedPublisher::new(shard),
-            sessions: SessionTable::default(),
-            proposals: Proposals::default(),
+            shard,
+            replica: ShardReplica::open(options, now)?,
+            state: AppliedState::new(shard),
+            feeds: FeedService::new(shard),
             reads: Reads::default(),
-            subscriptions: Subscriptions::default(),
-            repair: Repair {
-                replace_after: options.replace_after,
-                voters: options.voters_per_shard,
-            },
-            members: MemberView::default(),
-            catalogue: CatalogueReconciler::default(),
+            sessions: SessionService::default(),
+            repair: GroupRepair::new(policy, now),
+            catalogue: CatalogueReconciler::new(shard, layout),
             quota: QuotaService::new(shard),
-            placement: PlacementController::default(),
+            placement: PlacementController::new(shard),
             maintenance: MaintenanceSchedule::new(now),
-            reported_status: ShardReplicaStatus::unknown(shard),
+            status: StatusReporter::new(shard, now),
             outputs: Vec::new(),
-            snapshot_index: 0,
-            bytes_since_snapshot: 0,
             failed: false,
-            options,
         })
     }
 
-    /// Takes one input.
+    /// Takes one input. A core that failed takes none.
     pub fn handle(&mut self, now: MonotonicTime, input: ShardInput) {
         if self.failed {
             return;
@@ -122,24 +100,41 @@
             ShardInput::Request {
                 correlation_id,
                 request,
-            } => self.request(now, correlation_id, request),
+            } => self.handle_request(now, correlation_id, request),
             ShardInput::Quota {
                 correlation_id,
                 request,
-            } => self.request_quota(now, correlation_id, &request),
-            ShardInput::Load(report) => self.load_report(now, &report),
+            } => {
+                let outputs = if self.replica.excludes_successor(now) {
+                    self.quota.grant(now, correlation_id, &request)
+                } else {
+                    vec![quota_service::refusal(correlation_id, &request)]
+                };
+                self.outputs.extend(outputs);
+            }
+            ShardInput::Load(report) => {
+                if self.status.last().leads {
+                    self.placement.observe(now, &report);
+                }
+            }
             ShardInput::Subscribe {
                 subscriber,
                 subscribe,
             } => self.subscribe(now, subscriber, subscribe),
-            ShardInput::Unsubscribe { subscriber } => self.unsubscribe(subscriber),
-            ShardInput::LeaderIndex { read, index } => self.leader_index(now, read, index),
-            ShardInput::Registry(view) => self.catalogue.registry(view),
-            ShardInput::Configuration(items) => self.configuration(now, &items),
-            ShardInput::Members(view) => self.members = view,
+            ShardInput::Unsubscribe { subscriber } => {
+                self.close_feed(subscriber);
+                self.feeds.withdraw(subscriber);
+            }
+            ShardInput::LeaderIndex { read, index } => match index {
+                Some(index) => self.reads.confirmed(read, index),
+                None => self.fail_read(now, read),
+            },
+            ShardInput::Registry(view) => self.catalogue.set_registry(view),
+            ShardInput::Configuration(items) => self.apply_configuration(now, &items),
+            ShardInput::Members(view) => self.repair.set_members(view),
             ShardInput::ForceRecovery => self.force_recovery(now),
-            ShardInput::TransferLeadership { to } => self.transfer_leadership_to(to),
-            ShardInput::Shutdown => self.transfer_leadership(),
+            ShardInput::TransferLeadership { to } => self.replica.transfer_leadership_to(to),
+            ShardInput::Shutdown => self.replica.transfer_leadership(),
         }
     }
 
@@ -147,7 +142,7 @@
     pub fn flush(&mut self, now: MonotonicTime) -> Vec<ShardOutput> {
         if !self.failed {
             match self.replica.flush(now) {
-                Ok(ready) => self.take_ready(now, ready),
+                Ok(ready) => self.handle_ready(now, ready),
                 Err(error) => self.fail(&error),
             }
         }
@@ -157,13 +152,13 @@
     /// The shard.
     #[must_use]
     pub fn shard(&self) -> ShardId {
-        self.options.shard
+        self.shard
     }
 
     /// The replicated state as far as this replica has applied it.
     #[must_use]
     pub fn machine(&self) -> &ShardMachine {
-        &self.machine
+        self.state.machine()
     }
 
     /// Status of the replica.
@@ -172,172 +167,469 @@
         self.replica.status()
     }
 
-    /// Role and touch, as last told to the gateway.
+    /// Role and quorum contact as of the last flush.
     #[must_use]
     pub fn reported_status(&self) -> &ShardReplicaStatus {
-        &self.reported_status
+        self.status.last()
     }
 
-    fn take_ready(&mut self, now: MonotonicTime, ready: Ready) {
+    // What a flush of the replica leads to.
+
+    fn handle_ready(&mut self, now: MonotonicTime, ready: Ready) {
         let messages = ready.messages.into_iter();
         self.outputs.extend(messages.map(ShardOutput::Replication));
         if let Some(restored) = ready.restored {
             self.restore(now, &restored);
         }
         if ready.lost_leadership {
-            self.lost_leadership(now);
+            self.resign(now);
         }
         for entry in ready.committed {
-            self.apply(now, entry);
+            self.apply(now, &entry);
         }
         if ready.became_leader {
-            self.became_leader(now);
+            self.lead(now);
         }
         for read in ready.failed_reads {
-            self.read_failed(now, read);
+            self.fail_read(now, read);
         }
         for read in ready.confirmed_reads {
             self.reads.confirmed(read.request, read.index);
         }
         self.serve_ready_reads();
-        self.take_snapshot();
+        if let Some(snapshot) = self.state.take_due_snapshot() {
+            self.replica.save_snapshot(snapshot.index, snapshot.data);
+        }
         self.update_status(now);
     }
 
-    /// Proposes a command of this core or of a request. False: this replica does not lead.
-    pub(super) fn propose(&mut self, command: &Command, purpose: Purpose) -> bool {
-        let Ok(index) = self.replica.propose(command.encode_to_vec()) else {
-            return false;
+    fn restore(&mut self, now: MonotonicTime, snapshot: &RestoredSnapshot) {
+        let Ok(mut changes) = self.state.restore(snapshot) else {
+            self.fail(&StorageError::Failed);
+            return;
         };
-        let term = self.replica.status().term;
-        self.proposals.insert(index, term, purpose);
-        true
+        let items = self.state.public_items();
+        let position = FeedPosition::new(snapshot.term, snapshot.index);
+        self.outputs
+            .extend(self.feeds.restore(position, items.clone()));
+        changes.extend(items);
+        self.publish_changes(now, changes);
+    }
+
+    fn apply(&mut self, now: MonotonicTime, entry: &LogEntry) {
+        let applied = self.state.apply(entry);
+        let applied = applied.map(|AppliedCommand { command, applied }| {
+            if let Some(closed) = self.sessions.follow(now, &command, &applied) {
+                self.placement.forget_member(closed);
+            }
+            applied
+        });
+        let changes = applied
+            .as_ref()
+            .map_or_else(Vec::new, |applied| applied.changes.clone());
+        let position = FeedPosition::new(entry.term, entry.index);
+        self.outputs
+            .extend(self.feeds.apply(position, changes.clone()));
+        if !changes.is_empty() {
+            self.publish_changes(now, changes);
+        }
+        let purpose = self.replica.take_proposal(entry.index, entry.term);
+        if let (Some(applied), Some(purpose)) = (applied, purpose) {
+            self.conclude_proposal(purpose, applied);
+        }
+    }
+
+    fn publish_changes(&mut self, now: MonotonicTime, changes: Vec<StateItem>) {
+        if self.shard == ShardId::CONFIGURATION {
+            self.apply_configuration(now, &changes);
+        }
+        self.catalogue.check_soon();
+        self.outputs.push(ShardOutput::PublicChange(changes));
+    }
+
+    /// The configuration changed: pools and quotas follow.
+    fn apply_configuration(&mut self, now: MonotonicTime, items: &[StateItem]) {
+        self.catalogue.apply_configuration(items);
+        self.quota.apply_configuration(now, items);
+    }
+
+    /// A command that this replica proposed was applied.
+    fn conclude_proposal(&mut self, purpose: Purpose, applied: Applied) {
+        if let Some(event) = acceptance_event(&applied) {
+            self.outputs.push(ShardOutput::Event(event));
+        }
+        if let Purpose::Request(correlation_id) = purpose {
+            let code = applied.result.code;
+            let kind = shard_reply::Kind::Result(applied.result);
+            let reply = self.replies().result(correlation_id, code, kind);
+            self.outputs.push(reply);
+        }
     }
 
-    fn became_leader(&mut self, now: MonotonicTime) {
-        let records = self.machine.sessions().values();
-        self.sessions.lead(now, records);
-        let term = self.replica.status().term;
-        self.quota.ledger.lead(now, term);
+    fn lead(&mut self, now: MonotonicTime) {
+        self.sessions.lead(now, self.state.machine());
+        self.quota.lead(now, self.replica.status().term);
         self.placement.lead(now);
         self.maintenance.lead(now);
+        self.repair.lead(now);
         self.catalogue.check_soon();
     }
 
-    pub(super) fn lost_leadership(&mut self, now: MonotonicTime) {
-        self.sessions.clear();
-        self.quota.ledger.resign();
-        self.placement.stop();
-        for purpose in self.proposals.take_all() {
+    /// Leadership was lost: reads of others go back to them, feeds are requested again.
+    fn resign(&mut self, now: MonotonicTime) {
+        self.sessions.resign();
+        self.quota.resign();
+        self.placement.resign();
+        for purpose in self.replica.abandon_proposals() {
             if let Purpose::Request(correlation_id) = purpose {
                 self.refuse(correlation_id, ResultCode::NotLeader);
             }
         }
-        self.retry_unconfirmed_reads(now);
+        for read in self.reads.take_unconfirmed() {
+            self.retry_read(now, read.purpose);
+        }
     }
 
-    /// Tells the gateway when role or touch changed, and regularly, so that a stalled disk shows.
     fn update_status(&mut self, now: MonotonicTime) {
-        let status = self.replica.status();
-        let reported_status = status_of(self.options.shard, &status, now);
-        let out_of_touch = self.reported_status.has_quorum && !reported_status.has_quorum;
-        let due = self.maintenance.status_due(now);
-        if reported_status.differs(&self.reported_status) || due {
-            self.outputs
-                .push(ShardOutput::ReplicaStatus(reported_status.clone()));
+        let replica = self.replica.status();
+        let current = ShardReplicaStatus::of_replica(self.shard, &replica, now);
+        let update = self.status.update(now, current);
+        let report = update.report.map(ShardOutput::ReplicaStatus);
+        self.outputs.extend(report);
+        if update.lost_quorum {
+            self.outputs.extend(self.feeds.end_as_stale());
+        }
+    }
+
+    fn fail(&mut self, error: &StorageError) {
+        self.failed = true;
+        self.outputs.extend(self.feeds.end_as_stale());
+        let stopped = self.status.stopped();
+        self.outputs.push(ShardOutput::ReplicaStatus(stopped));
+        self.outputs.push(ShardOutput::Failed(storage_code(error)));
+    }
+
+    /// Makes this replica the only voter of its group, on an operator's order.
+    fn force_recovery(&mut self, now: MonotonicTime) {
+        let replica = match self.replica.recover(now) {
+            Ok(replica) => replica,
+            Err(error) => {
+                self.fail(&error);
+                return;
+            }
+        };
+        self.resign(now);
+        self.replica.replace(replica);
+        // The state is built again from the snapshot and the log.
+        self.state.reset();
+        self.feeds.reset();
+        let event = NodeEvent::RecoveryForced(self.shard);
+        self.outputs.push(ShardOutput::Event(event));
+    }
+
+    // Periodic maintenance.
+
+    fn tick(&mut self, now: MonotonicTime) {
+        let stalled = self.maintenance.stalled_time(now);
+        self.replica.tick(now, stalled);
+        self.retry_subscriptions(now);
+        if self.status.last().has_quorum && self.maintenance.progress_due(now) {
+            self.outputs.extend(self.feeds.progress());
         }
-        self.reported_status = reported_status;
-        if out_of_touch {
-            let deliveries = self.publisher.stale();
-            self.deliver(deliveries);
+        if !self.replica.is_confirmed_leader() {
+            return;
         }
+        self.close_expired_sessions(now);
+        self.update_catalogue();
+        self.repair_group(now);
+        self.remove_dead_members(now);
+        self.advance_clock(now);
+        self.outputs.extend(self.quota.tick(now));
+        self.publish_load_snapshots(now);
+        self.update_placements(now);
     }
 
-    pub(super) fn deliver(&mut self, deliveries: Vec<FeedDelivery>) {
-        let feeds = deliveries.into_iter().map(|delivery| ShardOutput::Feed {
-            subscriber: LinkId(delivery.subscriber),
-            message: delivery.message,
-        });
-        self.outputs.extend(feeds);
+    fn close_expired_sessions(&mut self, now: MonotonicTime) {
+        for close in self.sessions.take_expired(now) {
+            let command = command_of(command::Kind::CloseSession(close.clone()));
+            if self.replica.propose(&command, Purpose::Expiry).is_err() {
+                self.sessions.reopen_expired(&close);
+            }
+        }
+    }
+
+    /// Proposes what the catalogue of this shard's services lacks or has too much.
+    fn update_catalogue(&mut self) {
+        let replica = &self.replica;
+        let is_updating = |service: &str| {
+            let purpose = Purpose::Catalogue(service.to_owned());
+            replica.is_proposed(&purpose)
+        };
+        let machine = self.state.machine();
+        for update in self.catalogue.take_updates(machine, is_updating) {
+            let kind = command::Kind::UpdateBackends(update.update);
+            self.propose_own(kind, Purpose::Catalogue(update.service));
+        }
     }
 
-    /// Leaves leadership to another voter, if there is one that holds everything.
-    fn transfer_leadership(&mut self) {
+    /// Replaces voters that are lost, one change at a time.
+    fn repair_group(&mut self, now: MonotonicTime) {
         let status = self.replica.status();
-        let mut peers = status.peers.iter();
-        let successor = peers.find(|peer| peer.is_voter && peer.caught_up);
-        if let Some(node) = successor.map(|successor| successor.node) {
-            self.transfer_leadership_to(node);
+        let own = self.replica.identity();
+        if let Some(step) = self.repair.next_step(now, own, &status) {
+            self.change_group(now, step);
         }
     }
 
-    fn transfer_leadership_to(&mut self, node: NodeId) {
-        // A refusal leaves things as they are; a leader that goes all the same is missed and
-        // replaced by an election, as after a crash.
-        let _ = self.replica.transfer_leadership(node);
+    fn change_group(&mut self, now: MonotonicTime, step: RepairStep) {
+        if self.replica.change_voters(step.voter_change()).is_err() {
+            self.repair.refused(now);
+            return;
+        }
+        let event = NodeEvent::VotersChange {
+            shard: self.shard,
+            change: step.label(),
+            node: step.node(),
+        };
+        self.outputs.push(ShardOutput::Event(event));
     }
 
-    pub(super) fn fail(&mut self, error: &StorageError) {
-        self.failed = true;
-        let deliveries = self.publisher.stale();
-        self.deliver(deliveries);
-        self.reported_status.leads = false;
-        self.reported_status.has_quorum = false;
+    /// The configuration shard's leader removes unresponsive control nodes from the membership.
+    fn remove_dead_members(&mut self, now: MonotonicTime) {
+        if self.shard != ShardId::CONFIGURATION {
+            return;
+        }
+        let status = self.replica.status();
+        for node in self.repair.take_dead_members(now, &status) {
+            let remove = RemoveControlMember { node_id: node.0 };
+            let command = command_of(command::Kind::RemoveControlMember(remove));
+            let proposed = self.replica.propose(&command, Purpose::Maintenance);
+            if proposed.is_ok() {
+                let event = NodeEvent::MemberRemoved(node);
+                self.outputs.push(ShardOutput::Event(event));
+            }
+        }
+    }
+
+    /// Lets the shard's own time advance, by which old claims are dropped.
+    fn advance_clock(&mut self, now: MonotonicTime) {
+        if !self.maintenance.clock_due(now) {
+            return;
+        }
+        let period = u64::try_from(CLOCK_PERIOD.as_millis()).unwrap_or(u64::MAX);
+        let advance = AdvanceClock { elapsed_ms: period };
+        self.propose_own(command::Kind::AdvanceClock(advance), Purpose::Maintenance);
+    }
+
+    fn publish_load_snapshots(&mut self, now: MonotonicTime) {
+        let term = self.status.last().term;
+        let snapshots = self.placement.take_load_snapshots(now, term).into_iter();
         self.outputs
-            .push(ShardOutput::ReplicaStatus(self.reported_status.clone()));
-        self.outputs.push(ShardOutput::Failed(code_of(error)));
+            .extend(snapshots.map(ShardOutput::LoadSnapshot));
     }
-}
 
-pub(super) fn open_replica(
-    options: &ShardCoreOptions,
-    now: MonotonicTime,
-) -> Result<Replica, StorageError> {
-    let storage = ReplicaStorage::open((options.disk)(), StorageOptions::default())?;
-    let seed = options.seed ^ options.identity.0 ^ u64::from(options.shard.0);
-    let mut replica = ReplicaOptions::new(options.identity, options.shard, seed);
-    if !options.voters.is_empty() {
-        replica = replica.with_initial_voters(VoterSet {
-            voters: options.voters.iter().map(|node| node.0).collect(),
-            learners: Vec::new(),
-        });
+    fn update_placements(&mut self, now: MonotonicTime) {
+        let replica = &self.replica;
+        let is_placing = |pool: &str| {
+            let purpose = Purpose::Placement(pool.to_owned());
+            replica.is_proposed(&purpose)
+        };
+        let term = self.status.last().term;
+        let pools = || self.catalogue.own_pools();
+        let machine = self.state.machine();
+        let plans = self
+            .placement
+            .take_plans(now, term, pools, machine, is_placing);
+        for plan in plans {
+            let events = plan.events.into_iter().map(ShardOutput::Event);
+            self.outputs.extend(events);
+            if let Some(placement) = plan.placement {
+                let kind = command::Kind::SetPlacement(placement);
+                self.propose_own(kind, Purpose::Placement(plan.pool));
+            }
+        }
+    }
+
+    /// Proposes a command of the core itself.
+    fn propose_own(&mut self, kind: command::Kind, purpose: Purpose) {
+        // A replica that does not lead any more has nothing to propose; its successor decides.
+        let _ = self.replica.propose(&command_of(kind), purpose);
     }
-    Replica::open(replica, storage, now).map_err(|error| match error {
-        OpenError::Storage(error) => error,
-        // Votes of another identity: the same as damage, the node starts over.
-        OpenError::ForeignStorage { .. } | OpenError::NodeIdMissing => {
-            StorageError::corrupt("hard-state", 0, "the storage belongs to another identity")
+
+    // Requests and reads.
+
+    /// A request to the shard's leader.
+    fn handle_request(
+        &mut self,
+        now: MonotonicTime,
+        correlation_id: CorrelationId,
+        request: ShardRequest,
+    ) {
+        use shard_request::Kind;
+        if !self.replica.is_confirmed_leader() {
+            self.refuse(correlation_id, ResultCode::NotLeader);
+            return;
         }
-    })
-}
+        match request.kind {
+            Some(Kind::Propose(command)) => {
+                let purpose = Purpose::Request(correlation_id);
+                if self.replica.propose(&command, purpose).is_err() {
+                    self.refuse(correlation_id, ResultCode::NotLeader);
+                }
+            }
+            Some(Kind::ReadState(read)) => {
+                let purpose = ReadPurpose::State {
+                    correlation_id,
+                    prefix: read.key_prefix,
+                    with_source: read.with_source,
+                };
+                self.start_read(now, purpose);
+            }
+            Some(Kind::ReadIndex(_)) => {
+                self.start_read(now, ReadPurpose::Index { correlation_id });
+            }
+            Some(Kind::Status(_)) => {
+                self.start_read(now, ReadPurpose::Status { correlation_id });
+            }
+            Some(Kind::RenewSessions(request)) => {
+                let renewed = self.sessions.renew(now, &request);
+                let kind = shard_reply::Kind::RenewedSessions(renewed);
+                self.reply(correlation_id, kind);
+            }
+            None => self.refuse(correlation_id, ResultCode::ProtocolViolation),
+        }
+    }
+
+    /// Starts a confirmed read on the leader.
+    fn start_read(&mut self, now: MonotonicTime, purpose: ReadPurpose) {
+        let number = self.reads.start(purpose);
+        if self.replica.confirm_read(number).is_err() {
+            self.fail_read(now, number);
+        }
+    }
 
-fn status_of(shard: ShardId, status: &ReplicaStatus, now: MonotonicTime) -> ShardReplicaStatus {
-    let leads = status.role == Role::Leader;
-    let heard = status.leader_contact;
-    let heard_lately = heard.is_some_and(|heard| now.since(heard) < QUORUM_CONTACT_TIMEOUT);
-    let member = status.role != Role::Learner;
-    // A replica that hears its leader and cannot store what it says would feed an old state.
-    let stores = !status.storage_full;
-    ShardReplicaStatus {
-        shard,
-        leads,
-        leader: status.leader,
-        term: status.term,
-        // A leader that has not heard a quorum for this long may have a successor already.
-        has_quorum: heard_lately && member && stores && !status.removed,
-        removed: status.removed,
-        voters: status.voters.clone(),
-        learners: status.learners.clone(),
-        commit_index: status.commit_index,
+    /// This replica cannot confirm the read.
+    fn fail_read(&mut self, now: MonotonicTime, number: u64) {
+        if let Some(read) = self.reads.take(number) {
+            self.retry_read(now, read.purpose);
+        }
+    }
+
+    fn retry_read(&mut self, now: MonotonicTime, purpose: ReadPurpose) {
+        match purpose {
+            ReadPurpose::State { correlation_id, .. }
+            | ReadPurpose::Index { correlation_id }
+            | ReadPurpose::Status { correlation_id } => {
+                self.refuse(correlation_id, ResultCode::NotLeader);
+            }
+            ReadPurpose::Subscribe { subscriber } => self.feeds.read_failed(now, subscriber),
+        }
+    }
+
+    /// Serves the reads that are confirmed and applied.
+    fn serve_ready_reads(&mut self) {
+        let applied = self.state.machine().applied_index();
+        for read in self.reads.take_ready(applied) {
+            let index = read.index.unwrap_or(applied);
+            self.serve_read(read.purpose, index);
+        }
+    }
+
+    fn serve_read(&mut self, purpose: ReadPurpose, index: u64) {
+        let machine = self.state.machine();
+        match purpose {
+            ReadPurpose::State {
+                correlation_id,
+                prefix,
+                with_source,
+            } => {
+                let mut state = replies::state_under(machine, &prefix);
+                if with_source {
+                    state.config_source = machine.config_source().to_vec();
+                }
+                self.reply(correlation_id, shard_reply::Kind::State(state));
+            }
+            ReadPurpose::Index { correlation_id } => {
+                self.reply(correlation_id, shard_reply::Kind::ReadIndex(index));
+            }
+            ReadPurpose::Status { correlation_id } => {
+                let replica = self.replica.status();
+                let status = replies::shard_status(machine, &replica, &self.sessions);
+                self.reply(correlation_id, shard_reply::Kind::Status(status));
+            }
+            ReadPurpose::Subscribe { subscriber } => {
+                self.outputs.extend(self.feeds.open(subscriber));
+            }
+        }
+    }
+
+    fn replies(&self) -> Replies {
+        Replies::of(self.shard)
+    }
+
+    fn reply(&mut self, correlation_id: CorrelationId, kind: shard_reply::Kind) {
+        let reply = self.replies().success(correlation_id, kind);
+        self.outputs.push(reply);
     }
-}
 
-/// The result code of a storage error.
-#[must_use]
-pub fn code_of(error: &StorageError) -> ResultCode {
-    match error {
-        StorageError::Io { .. } | StorageError::Failed => ResultCode::DiskFailed,
-        StorageError::Full { .. } => ResultCode::DiskFull,
-        StorageError::Corrupt { .. } => ResultCode::LogCorrupt,
+    /// Answers with a code only. A wrong leader is named if the right one is known.
+    fn refuse(&mut self, correlation_id: CorrelationId, code: ResultCode) {
+        let hint: NodeId = self.replica.leader_hint();
+        let reply = self.replies().refusal(correlation_id, code, hint);
+        self.outputs.push(reply);
     }
+
+    // Feeds of agents.
+
+    /// An agent subscribes. It is answered only after the leader confirmed how far the shard is
+    /// committed and this replica has applied as much, so that nobody is shown an older state than
+    /// was acknowledged when the agent subscribed.
+    fn subscribe(&mut self, now: MonotonicTime, subscriber: LinkId, subscribe: Subscribe) {
+        self.close_feed(subscriber);
+        self.feeds.request(now, subscriber, subscribe);
+        self.confirm_subscription(now, subscriber);
+    }
+
+    fn close_feed(&mut self, subscriber: LinkId) {
+        self.reads.forget_subscriber(subscriber);
+        self.feeds.close(subscriber);
+    }
+
+    fn confirm_subscription(&mut self, now: MonotonicTime, subscriber: LinkId) {
+        let purpose = ReadPurpose::Subscribe { subscriber };
+        if self.status.last().leads {
+            self.start_read(now, purpose);
+            return;
+        }
+        let read = self.reads.start(purpose);
+        self.outputs.push(ShardOutput::ConfirmRead { read });
+    }
+
+    /// Starts reads again that failed, and sends agents elsewhere that waited too long.
+    fn retry_subscriptions(&mut self, now: MonotonicTime) {
+        for due in self.feeds.take_due(now) {
+            let subscriber = due.subscriber;
+            let step = due.step(self.reads.is_confirmed_for(subscriber));
+            if step == SubscriptionStep::Wait {
+                continue;
+            }
+            self.reads.forget_subscriber(subscriber);
+            if step == SubscriptionStep::ConfirmAgain {
+                self.confirm_subscription(now, subscriber);
+            } else {
+                let refusal = self.feeds.refuse(subscriber);
+                self.outputs.push(refusal);
+            }
+        }
+    }
+}
+
+/// The event of a configuration that was accepted for the first time.
+fn acceptance_event(applied: &Applied) -> Option<NodeEvent> {
+    let Some(command_result::Kind::PutConfig(result)) = &applied.result.kind else {
+        return None;
+    };
+    let succeeded = applied.result.code == ResultCode::Ok.number();
+    (succeeded && !result.repeated_order)
+        .then_some(NodeEvent::ConfigurationAccepted(result.revision))
 }
--- a/crates/control/src/shard/maintenance.rs
+++ b/crates/control/src/shard/maintenance.rs
@@ -1,56 +1,35 @@
-//! Regular duties: expiry of sessions, repair, the shard's clock, catalogue.
+//! When the periodic maintenance of a shard is due.
 
-use millford_api::command::{AdvanceClock, CloseSession, Command, RemoveControlMember, command};
-use millford_core::{Duration, MonotonicTime, NodeId, ShardId};
-use millford_replication::{PeerStatus, ReplicaStatus, VoterChange};
+use millford_core::{Duration, MonotonicTime};
 
-use super::core::ShardCore;
-use super::output::ShardOutput;
-use super::proposals::Purpose;
-use super::repair::{GroupView, RepairStep, ReplicaView};
-use crate::node_output::NodeEvent;
+use super::periodic_timer::PeriodicTimer;
 use crate::timing::{CLOCK_PERIOD, PROGRESS_PERIOD};
 
-/// Period at which the gateway hears of the replica although nothing changed.
-const STATUS_PERIOD: Duration = Duration::from_millis(250);
-
-/// Shortest time between a change that was refused and the next try.
-const REPAIR_PERIOD: Duration = Duration::from_millis(100);
-
 /// A longer time between two ticks counts as this long for elections.
 const MAX_TICK_GAP: Duration = Duration::from_millis(100);
 
-/// When the regular duties are due.
+/// When the periodic maintenance is due.
 #[derive(Debug)]
 pub struct MaintenanceSchedule {
     last_tick: MonotonicTime,
-    next_status: MonotonicTime,
-    next_progress: MonotonicTime,
-    next_clock: MonotonicTime,
-    next_repair: MonotonicTime,
-    /// Since when each control node is not heard from.
-    pub(super) unresponsive_since: std::collections::BTreeMap<NodeId, MonotonicTime>,
+    progress: PeriodicTimer,
+    clock: PeriodicTimer,
 }
 
 impl MaintenanceSchedule {
-    /// Duties of a core that starts now.
+    /// The schedule of a core that starts now.
     #[must_use]
     pub fn new(now: MonotonicTime) -> Self {
         Self {
             last_tick: now,
-            next_status: now,
-            next_progress: now + PROGRESS_PERIOD,
-            next_clock: now + CLOCK_PERIOD,
-            next_repair: now,
-            unresponsive_since: std::collections::BTreeMap::new(),
+            progress: PeriodicTimer::starting_at(now + PROGRESS_PERIOD, PROGRESS_PERIOD),
+            clock: PeriodicTimer::starting_at(now + CLOCK_PERIOD, CLOCK_PERIOD),
         }
     }
 
-    /// The replica leads from now on.
+    /// The replica leads from now on: the shard's clock counts from here.
     pub fn lead(&mut self, now: MonotonicTime) {
-        self.next_clock = now + CLOCK_PERIOD;
-        self.next_repair = now;
-        self.unresponsive_since.clear();
+        self.clock.restart(now);
     }
 
     /// The time since the last tick in which the core did not run: its thread waited for a processor
@@ -61,171 +40,13 @@
         (gap > MAX_TICK_GAP).then(|| gap - MAX_TICK_GAP)
     }
 
-    /// Whether the gateway is to hear of the replica.
-    pub fn status_due(&mut self, now: MonotonicTime) -> bool {
-        is_due(&mut self.next_status, now, STATUS_PERIOD)
-    }
-
-    /// Whether the agents are to get a confirmation.
+    /// Whether the agents are to get a confirmation of the feed's position.
     pub fn progress_due(&mut self, now: MonotonicTime) -> bool {
-        is_due(&mut self.next_progress, now, PROGRESS_PERIOD)
-    }
-}
-
-fn is_due(next: &mut MonotonicTime, now: MonotonicTime, period: Duration) -> bool {
-    if now < *next {
-        return false;
-    }
-    *next = now + period;
-    true
-}
-
-impl ShardCore {
-    pub(super) fn tick(&mut self, now: MonotonicTime) {
-        if let Some(lost) = self.maintenance.stalled_time(now) {
-            self.replica.defer_election_deadline(now, lost);
-        }
-        self.replica.tick(now);
-        self.tick_subscriptions(now);
-        self.confirm_progress(now);
-        if !self.leads() {
-            return;
-        }
-        self.expire_sessions(now);
-        self.update_catalogue();
-        self.repair_group(now);
-        self.remove_dead_members(now);
-        self.advance_clock(now);
-        self.tick_quota(now);
-        self.tick_placement(now);
-    }
-
-    fn expire_sessions(&mut self, now: MonotonicTime) {
-        for expired in self.sessions.take_expired(now) {
-            let close = CloseSession {
-                member: expired.member.clone(),
-                epoch: expired.epoch,
-                expired: true,
-            };
-            let command = command_of(command::Kind::CloseSession(close));
-            if !self.propose(&command, Purpose::Expiry) {
-                self.sessions.reopen_expired(&expired.member, expired.epoch);
-            }
-        }
-    }
-
-    /// Replaces voters that are lost, one change at a time.
-    fn repair_group(&mut self, now: MonotonicTime) {
-        if now < self.maintenance.next_repair {
-            return;
-        }
-        let status = self.replica.status();
-        if !status.configuration_committed {
-            return;
-        }
-        let own = self.options.identity;
-        let group = group_of(own, &status, now);
-        let step = self.repair.decide(now, own, &group, &self.members);
-        if let Some(step) = step {
-            self.change_group(now, step);
-        }
+        self.progress.take_due(now)
     }
 
-    fn change_group(&mut self, now: MonotonicTime, step: RepairStep) {
-        let (change, name, node) = match step {
-            RepairStep::AddLearner(node) => (VoterChange::AddLearner(node), "add learner", node),
-            RepairStep::Remove(node) => (VoterChange::Remove(node), "remove", node),
-            RepairStep::Promote(node) => (VoterChange::Promote(node), "promote", node),
-        };
-        if self.replica.change_voters(change).is_err() {
-            // Decided again a little later, on what then is.
-            self.maintenance.next_repair = now + REPAIR_PERIOD;
-            return;
-        }
-        let event = NodeEvent::VotersChange {
-            shard: self.options.shard,
-            change: name,
-            node,
-        };
-        self.outputs.push(ShardOutput::Event(event));
-    }
-
-    /// The configuration shard's leader takes control nodes off the list that are silent and whose
-    /// replica of this shard is replaced already.
-    fn remove_dead_members(&mut self, now: MonotonicTime) {
-        if self.options.shard != ShardId::CONFIGURATION {
-            return;
-        }
-        let status = self.replica.status();
-        let members = self.members.members.clone();
-        for (node, member) in members {
-            let unresponsive = member.registered && !member.connected;
-            if !unresponsive {
-                self.maintenance.unresponsive_since.remove(&node);
-                continue;
-            }
-            let since = *self
-                .maintenance
-                .unresponsive_since
-                .entry(node)
-                .or_insert(now);
-            let replaced = !status.voters.contains(&node) && !status.learners.contains(&node);
-            let overdue = now.since(since) >= self.repair.replace_after;
-            if replaced && overdue {
-                self.maintenance.unresponsive_since.remove(&node);
-                self.remove_member(node);
-            }
-        }
-    }
-
-    fn remove_member(&mut self, node: NodeId) {
-        let remove = RemoveControlMember { node_id: node.0 };
-        let command = command_of(command::Kind::RemoveControlMember(remove));
-        if self.propose(&command, Purpose::Maintenance) {
-            let event = NodeEvent::MemberRemoved(node);
-            self.outputs.push(ShardOutput::Event(event));
-        }
-    }
-
-    /// Lets the shard's own time advance, by which old claims are dropped.
-    fn advance_clock(&mut self, now: MonotonicTime) {
-        if !is_due(&mut self.maintenance.next_clock, now, CLOCK_PERIOD) {
-            return;
-        }
-        let period = u64::try_from(CLOCK_PERIOD.as_millis()).unwrap_or(u64::MAX);
-        let advance = AdvanceClock { elapsed_ms: period };
-        let command = command_of(command::Kind::AdvanceClock(advance));
-        self.propose(&command, Purpose::Maintenance);
-    }
-}
-
-/// A command of this kind.
-#[must_use]
-pub fn command_of(kind: command::Kind) -> Command {
-    Command { kind: Some(kind) }
-}
-
-fn group_of(own: NodeId, status: &ReplicaStatus, now: MonotonicTime) -> GroupView {
-    let view_of = |node: &NodeId| {
-        let peer = status.peers.iter().find(|peer| peer.node == *node);
-        replica_view(own, *node, peer, now)
-    };
-    GroupView {
-        voters: status.voters.iter().map(view_of).collect(),
-        learners: status.learners.iter().map(view_of).collect(),
-    }
-}
-
-fn replica_view(
-    own: NodeId,
-    node: NodeId,
-    peer: Option<&PeerStatus>,
-    now: MonotonicTime,
-) -> ReplicaView {
-    let heard = peer.map_or(now, |peer| peer.last_heard);
-    ReplicaView {
-        node,
-        last_heard: heard,
-        caught_up: node == own || peer.is_some_and(|peer| peer.caught_up),
+    /// Whether the shard's clock is to advance by [`CLOCK_PERIOD`].
+    pub fn clock_due(&mut self, now: MonotonicTime) -> bool {
+        self.clock.take_due(now)
     }
 }
--- a/crates/control/src/shard/placement_controller.rs
+++ b/crates/control/src/shard/placement_controller.rs
@@ -1,27 +1,36 @@
-//! The placement role: the leader of the shard that owns a service places its replicas.
+//! Places the replicas of this shard's pools on backends: a singleton role of the leader of the
+//! shard that owns the service.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use millford_api::command::{SetPlacement, command};
+use millford_api::command::SetPlacement;
 use millford_api::config::Pool;
 use millford_api::internal::{LoadReport, LoadSnapshot};
 use millford_api::state::{Backend, PoolPlacement, state_value};
-use millford_control_state::keys;
+use millford_control_state::{ShardMachine, keys};
 use millford_core::{MonotonicTime, ShardId};
 use millford_placement::{Placer, PlacerOptions};
 use prost::Message;
 
-use super::core::ShardCore;
 use super::load_snapshot_publisher::LoadSnapshotPublisher;
-use super::maintenance::command_of;
 use super::move_events::MoveEvents;
-use super::output::ShardOutput;
-use super::proposals::Purpose;
+use crate::node_output::NodeEvent;
 use crate::timing::PLACEMENT_PERIOD;
 
-/// Placers of the pools that this shard owns, on its leader only.
-#[derive(Debug, Default)]
-pub struct PlacementController {
+/// The plan of one pool.
+#[derive(Debug)]
+pub(super) struct PoolPlan {
+    /// Name of the pool.
+    pub(super) pool: String,
+    /// What the plan moves, for the log.
+    pub(super) events: Vec<NodeEvent>,
+    /// The placement to propose, if it changes.
+    pub(super) placement: Option<SetPlacement>,
+}
+
+/// Owner of the placers of the pools that this shard owns. Only a leader has any.
+pub(super) struct PlacementController {
+    shard: ShardId,
     placers: BTreeMap<String, Placer>,
     load_snapshots: LoadSnapshotPublisher,
     move_events: MoveEvents,
@@ -29,8 +38,19 @@
 }
 
 impl PlacementController {
+    /// A controller that does not lead yet.
+    pub(super) fn new(shard: ShardId) -> Self {
+        Self {
+            shard,
+            placers: BTreeMap::new(),
+            load_snapshots: LoadSnapshotPublisher::default(),
+            move_events: MoveEvents::default(),
+            next_plan: MonotonicTime::default(),
+        }
+    }
+
     /// The replica leads from now on. What the predecessor learned is learned again from reports.
-    pub fn lead(&mut self, now: MonotonicTime) {
+    pub(super) fn lead(&mut self, now: MonotonicTime) {
         self.placers.clear();
         self.move_events = MoveEvents::default();
         self.load_snapshots = LoadSnapshotPublisher::default();
@@ -38,135 +58,135 @@
     }
 
     /// The replica does not lead any more.
-    pub fn stop(&mut self) {
+    pub(super) fn resign(&mut self) {
         self.placers.clear();
     }
 
-    /// A node's session ended: its work is gone.
-    pub fn forget(&mut self, member: &str) {
+    /// A node's session ended: its load does not count any more.
+    pub(super) fn forget_member(&mut self, member: &str) {
         for placer in self.placers.values_mut() {
             placer.forget(member);
         }
     }
-}
 
-impl ShardCore {
     /// A node's load on a service of this shard.
-    pub(super) fn load_report(&mut self, now: MonotonicTime, report: &LoadReport) {
-        if !self.reported_status.leads {
-            return;
-        }
-        let placers = &mut self.placement.placers;
-        let placer = placers
-            .entry(report.service.clone())
-            .or_insert_with(|| Placer::new(PlacerOptions::default()));
+    pub(super) fn observe(&mut self, now: MonotonicTime, report: &LoadReport) {
+        let placer = placer_of(&mut self.placers, &report.service);
         placer.observe(now, &report.member, &report.loads);
     }
 
-    pub(super) fn tick_placement(&mut self, now: MonotonicTime) {
-        if self.options.shard == ShardId::CONFIGURATION {
-            return;
+    /// The load snapshots that are due for the nodes, under the leader's term.
+    pub(super) fn take_load_snapshots(
+        &mut self,
+        now: MonotonicTime,
+        term: u64,
+    ) -> Vec<LoadSnapshot> {
+        if !self.places() || !self.load_snapshots.is_due(now) {
+            return Vec::new();
         }
-        if self.placement.load_snapshots.is_due(now) {
-            self.publish_load_snapshots(now);
-        }
-        if now >= self.placement.next_plan {
-            self.placement.next_plan = now + PLACEMENT_PERIOD;
-            self.plan_placements(now);
-        }
-    }
-
-    fn publish_load_snapshots(&mut self, now: MonotonicTime) {
-        let epoch = self.reported_status.term;
+        let mut snapshots = Vec::new();
         let mut bytes = 0;
         let mut backends = BTreeSet::new();
         let mut nodes = 0;
-        for (service, placer) in &self.placement.placers {
+        for (service, placer) in &self.placers {
             let loads = placer.picture(now);
             backends.extend(loads.iter().map(|load| load.backend_id.clone()));
             nodes = nodes.max(placer.members());
-            let loads = self
-                .placement
-                .load_snapshots
-                .difference(now, service, loads);
+            let loads = self.load_snapshots.difference(now, service, loads);
             if loads.is_empty() {
                 continue;
             }
-            let picture = LoadSnapshot {
+            let snapshot = LoadSnapshot {
                 service: service.clone(),
-                epoch,
+                epoch: term,
                 loads,
             };
-            bytes += picture.encoded_len();
-            self.outputs.push(ShardOutput::LoadSnapshot(picture));
+            bytes += snapshot.encoded_len();
+            snapshots.push(snapshot);
         }
-        self.placement
-            .load_snapshots
-            .set_site(backends.len(), nodes);
-        self.placement.load_snapshots.sent(now, bytes);
+        self.load_snapshots.set_site(backends.len(), nodes);
+        self.load_snapshots.sent(now, bytes);
+        snapshots
     }
 
-    fn plan_placements(&mut self, now: MonotonicTime) {
-        let pools = self.own_pools();
-        let owned = |name: &String| pools.iter().any(|pool| pool.name == *name);
-        self.placement.placers.retain(|name, _| owned(name));
-        self.placement.move_events.retain(owned);
-        for pool in pools {
-            let purpose = Purpose::Placement(pool.name.clone());
-            if !self.proposals.contains(&purpose) {
-                self.plan_pool(now, &pool, purpose);
-            }
+    /// The plans of the pools, when they are due. A pool with a placement under way is left out.
+    ///
+    /// The epoch of a placement is the leader's term: a former leader's is smaller, and its
+    /// placement is refused by every replica and ignored by every node.
+    pub(super) fn take_plans(
+        &mut self,
+        now: MonotonicTime,
+        term: u64,
+        pools: impl FnOnce() -> Vec<Pool>,
+        machine: &ShardMachine,
+        is_placing: impl Fn(&str) -> bool,
+    ) -> Vec<PoolPlan> {
+        if !self.places() || now < self.next_plan {
+            return Vec::new();
         }
+        self.next_plan = now + PLACEMENT_PERIOD;
+        let pools = pools();
+        let owned = |name: &String| pools.iter().any(|pool| pool.name == *name);
+        self.placers.retain(|name, _| owned(name));
+        self.move_events.retain(owned);
+        let plannable = pools.iter().filter(|pool| !is_placing(&pool.name));
+        plannable
+            .map(|pool| self.plan(now, term, pool, machine))
+            .collect()
     }
 
-    /// The epoch is the leader's term: a former leader's is smaller, and its placement is refused
-    /// by every replica and ignored by every node.
-    fn plan_pool(&mut self, now: MonotonicTime, pool: &Pool, purpose: Purpose) {
-        let backends = self.backends_of(&pool.name);
-        let current = self.placement_of(&pool.name);
-        let epoch = self.reported_status.term;
-        let placers = &mut self.placement.placers;
-        let placer = placers
-            .entry(pool.name.clone())
-            .or_insert_with(|| Placer::new(PlacerOptions::default()));
-        let outcome = placer.plan(now, epoch, pool, &backends, current.as_ref());
-        let events = self
-            .placement
-            .move_events
-            .of_plan(&pool.name, &outcome.reasons);
-        let events = events.into_iter().map(ShardOutput::Event);
-        self.outputs.extend(events);
-        let Some(placement) = outcome.placement else {
-            return;
-        };
-        let set = SetPlacement {
-            placement: Some(placement),
-        };
-        let command = command_of(command::Kind::SetPlacement(set));
-        self.propose(&command, purpose);
+    fn plan(
+        &mut self,
+        now: MonotonicTime,
+        term: u64,
+        pool: &Pool,
+        machine: &ShardMachine,
+    ) -> PoolPlan {
+        let backends = backends_of(machine, &pool.name);
+        let current = placement_of(machine, &pool.name);
+        let placer = placer_of(&mut self.placers, &pool.name);
+        let outcome = placer.plan(now, term, pool, &backends, current.as_ref());
+        PoolPlan {
+            pool: pool.name.clone(),
+            events: self.move_events.of_plan(&pool.name, &outcome.reasons),
+            placement: outcome.placement.map(|placement| SetPlacement {
+                placement: Some(placement),
+            }),
+        }
     }
 
-    fn backends_of(&self, service: &str) -> BTreeMap<String, Backend> {
-        let prefix = keys::service_backends(service);
-        let state = self.machine.public_state();
-        let items = state
-            .range(prefix.clone()..)
-            .take_while(|(key, _)| key.starts_with(&prefix));
-        items
-            .filter_map(|(_, value)| match &value.kind {
-                Some(state_value::Kind::Backend(backend)) => {
-                    Some((backend.id.clone(), backend.clone()))
-                }
-                _ => None,
-            })
-            .collect()
+    /// The configuration shard owns no pools.
+    fn places(&self) -> bool {
+        self.shard != ShardId::CONFIGURATION
     }
+}
 
-    fn placement_of(&self, pool: &str) -> Option<PoolPlacement> {
-        let value = self.machine.public_state().get(&keys::placement(pool))?;
-        match &value.kind {
-            Some(state_value::Kind::Placement(placement)) => Some(placement.clone()),
+fn placer_of<'a>(placers: &'a mut BTreeMap<String, Placer>, service: &str) -> &'a mut Placer {
+    placers
+        .entry(service.to_owned())
+        .or_insert_with(|| Placer::new(PlacerOptions::default()))
+}
+
+fn backends_of(machine: &ShardMachine, service: &str) -> BTreeMap<String, Backend> {
+    let prefix = keys::service_backends(service);
+    let items = machine
+        .public_state()
+        .range(prefix.clone()..)
+        .take_while(|(key, _)| key.starts_with(&prefix));
+    items
+        .filter_map(|(_, value)| match &value.kind {
+            Some(state_value::Kind::Backend(backend)) => {
+                Some((backend.id.clone(), backend.clone()))
+            }
             _ => None,
-        }
+        })
+        .collect()
+}
+
+fn placement_of(machine: &ShardMachine, pool: &str) -> Option<PoolPlacement> {
+    let value = machine.public_state().get(&keys::placement(pool))?;
+    match &value.kind {
+        Some(state_value::Kind::Placement(placement)) => Some(placement.clone()),
+        _ => None,
     }
 }
--- a/crates/control/src/shard/quota_service.rs
+++ b/crates/control/src/shard/quota_service.rs
@@ -1,37 +1,43 @@
-//! The quota ledger of a shard's leader, and who waits for its answers.
+//! Grants quota to nodes: a singleton role of the leader of the tenant's shard.
 
 use millford_api::internal::{QuotaReply, QuotaRequest};
 use millford_api::state::{StateItem, state_value};
 use millford_control_state::quota::{QuotaLeases, QuotaOptions, QuotaOutput};
 use millford_core::{MonotonicTime, ResultCode, ShardId};
-use millford_replication::QUORUM_TIMEOUT;
 
-use super::core::ShardCore;
 use super::input::CorrelationId;
 use super::output::ShardOutput;
 
 /// Prefix of the tenants' keys in the configuration.
 const TENANT_PREFIX: &str = "config/tenant/";
 
-/// Ledger and waiting requests.
-#[derive(Debug)]
-pub struct QuotaService {
-    pub(super) ledger: QuotaLeases,
-    outputs: Vec<QuotaOutput>,
+/// Owner of the leases of this shard's tenants, and of recalls that were not sent yet.
+pub(super) struct QuotaService {
+    leases: QuotaLeases,
+    recalls: Vec<QuotaOutput>,
 }
 
 impl QuotaService {
-    /// A desk that does not lead yet.
-    #[must_use]
-    pub fn new(shard: ShardId) -> Self {
+    /// A service that does not lead yet.
+    pub(super) fn new(shard: ShardId) -> Self {
         Self {
-            ledger: QuotaLeases::new(shard, QuotaOptions::default()),
-            outputs: Vec::new(),
+            leases: QuotaLeases::new(shard, QuotaOptions::default()),
+            recalls: Vec::new(),
         }
     }
 
-    /// Quotas of tenants changed.
-    pub fn configuration(&mut self, now: MonotonicTime, items: &[StateItem]) {
+    /// The replica leads from now on, in this term.
+    pub(super) fn lead(&mut self, now: MonotonicTime, term: u64) {
+        self.leases.lead(now, term);
+    }
+
+    /// The replica does not lead any more.
+    pub(super) fn resign(&mut self) {
+        self.leases.resign();
+    }
+
+    /// Quotas of tenants changed. Recalls that follow leave with the next request or tick.
+    pub(super) fn apply_configuration(&mut self, now: MonotonicTime, items: &[StateItem]) {
         for item in items {
             let Some(tenant) = item.key.strip_prefix(TENANT_PREFIX) else {
                 continue;
@@ -41,65 +47,58 @@
                 Some(state_value::Kind::Tenant(tenant)) => Some(tenant.quota.unwrap_or_default()),
                 _ => None,
             };
-            let recalls = self.ledger.set_quota(now, tenant, quota);
-            self.outputs.extend(recalls);
+            let recalls = self.leases.set_quota(now, tenant, quota);
+            self.recalls.extend(recalls);
         }
     }
-}
 
-impl ShardCore {
-    /// An agent asks for quota.
-    pub(super) fn request_quota(
+    /// An agent requests quota of this leader.
+    pub(super) fn grant(
         &mut self,
         now: MonotonicTime,
         correlation_id: CorrelationId,
         request: &QuotaRequest,
-    ) {
-        if !self.may_grant(now) {
-            let reply = QuotaReply {
-                shard: request.shard,
-                request_id: request.request_id,
-                code: ResultCode::NotLeader.number(),
-                ..QuotaReply::default()
-            };
-            self.outputs.push(ShardOutput::Quota {
-                correlation_id,
-                reply,
-            });
-            return;
-        }
-        let outputs = self.quota.ledger.handle(now, request);
-        for output in outputs {
+    ) -> Vec<ShardOutput> {
+        let mut outputs = Vec::new();
+        for output in self.leases.handle(now, request) {
             match output {
-                QuotaOutput::Reply { reply, .. } => {
-                    self.outputs.push(ShardOutput::Quota {
-                        correlation_id,
-                        reply,
-                    });
-                }
-                recall @ QuotaOutput::Recall { .. } => self.quota.outputs.push(recall),
+                QuotaOutput::Reply { reply, .. } => outputs.push(ShardOutput::Quota {
+                    correlation_id,
+                    reply,
+                }),
+                recall @ QuotaOutput::Recall { .. } => self.recalls.push(recall),
             }
         }
-        self.send_recalls();
+        outputs.extend(self.take_recalls());
+        outputs
     }
 
-    /// A successor may lend a full lease after its election. This leader must have stopped by then,
-    /// also when its thread was late, or when it waits patiently for its first answers.
-    fn may_grant(&self, now: MonotonicTime) -> bool {
-        let heard = self.replica.status().leader_contact;
-        heard.is_some_and(|heard| now.since(heard) < QUORUM_TIMEOUT)
+    /// Lets leases run out. Gives the recalls to be sent.
+    pub(super) fn tick(&mut self, now: MonotonicTime) -> Vec<ShardOutput> {
+        self.leases.tick(now);
+        self.take_recalls()
     }
 
-    pub(super) fn tick_quota(&mut self, now: MonotonicTime) {
-        self.quota.ledger.tick(now);
-        self.send_recalls();
+    fn take_recalls(&mut self) -> Vec<ShardOutput> {
+        let recalls = std::mem::take(&mut self.recalls).into_iter();
+        recalls
+            .filter_map(|output| match output {
+                QuotaOutput::Recall { recall, .. } => Some(ShardOutput::Recall(recall)),
+                QuotaOutput::Reply { .. } => None,
+            })
+            .collect()
     }
+}
 
-    pub(super) fn send_recalls(&mut self) {
-        for output in std::mem::take(&mut self.quota.outputs) {
-            if let QuotaOutput::Recall { recall, .. } = output {
-                self.outputs.push(ShardOutput::Recall(recall));
-            }
-        }
+/// The answer of a replica that must not grant quota.
+pub(super) fn refusal(correlation_id: CorrelationId, request: &QuotaRequest) -> ShardOutput {
+    ShardOutput::Quota {
+        correlation_id,
+        reply: QuotaReply {
+            shard: request.shard,
+            request_id: request.request_id,
+            code: ResultCode::NotLeader.number(),
+            ..QuotaReply::default()
+        },
     }
 }
--- a/crates/control/src/shard/reads.rs
+++ b/crates/control/src/shard/reads.rs
@@ -7,7 +7,7 @@
 
 /// What is done once a read is confirmed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ReadPurpose {
+pub(super) enum ReadPurpose {
     /// Answer with public items.
     State {
         /// Who asked.
@@ -36,23 +36,23 @@
 
 /// One read under way.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PendingRead {
+pub(super) struct PendingRead {
     /// What it is for.
-    pub purpose: ReadPurpose,
+    pub(super) purpose: ReadPurpose,
     /// The confirmed index to wait for.
-    pub index: Option<u64>,
+    pub(super) index: Option<u64>,
 }
 
 /// Reads by number.
 #[derive(Debug, Default)]
-pub struct Reads {
+pub(super) struct Reads {
     next: u64,
     pending: BTreeMap<u64, PendingRead>,
 }
 
 impl Reads {
     /// Adds a read and gives its number.
-    pub fn start(&mut self, purpose: ReadPurpose) -> u64 {
+    pub(super) fn start(&mut self, purpose: ReadPurpose) -> u64 {
         self.next += 1;
         let read = PendingRead {
             purpose,
@@ -63,37 +63,36 @@
     }
 
     /// The read may be served once `index` is applied.
-    pub fn confirmed(&mut self, number: u64, index: u64) {
+    pub(super) fn confirmed(&mut self, number: u64, index: u64) {
         if let Some(read) = self.pending.get_mut(&number) {
             read.index = Some(index);
         }
     }
 
     /// Removes a read that could not be confirmed.
-    pub fn take(&mut self, number: u64) -> Option<PendingRead> {
+    pub(super) fn take(&mut self, number: u64) -> Option<PendingRead> {
         self.pending.remove(&number)
     }
 
     /// Removes the confirmed reads whose index is applied, in order.
-    pub fn take_ready(&mut self, applied: u64) -> Vec<PendingRead> {
+    pub(super) fn take_ready(&mut self, applied: u64) -> Vec<PendingRead> {
         let is_ready = |read: &PendingRead| read.index.is_some_and(|index| index <= applied);
         self.take_where(is_ready)
     }
 
     /// Removes the unconfirmed reads.
-    pub fn take_unconfirmed(&mut self) -> Vec<PendingRead> {
+    pub(super) fn take_unconfirmed(&mut self) -> Vec<PendingRead> {
         self.take_where(|read| read.index.is_none())
     }
 
     /// Removes the reads of one subscriber.
-    pub fn forget_subscriber(&mut self, subscriber: LinkId) {
+    pub(super) fn forget_subscriber(&mut self, subscriber: LinkId) {
         let purpose = ReadPurpose::Subscribe { subscriber };
         self.pending.retain(|_, read| read.purpose != purpose);
     }
 
     /// Whether a subscriber's read is confirmed and waits for this replica only.
-    #[must_use]
-    pub fn is_confirmed_for(&self, subscriber: LinkId) -> bool {
+    pub(super) fn is_confirmed_for(&self, subscriber: LinkId) -> bool {
         let purpose = ReadPurpose::Subscribe { subscriber };
         let mut reads = self.pending.values();
         reads.any(|read| read.index.is_some() && read.purpose == purpose)
--- a/crates/control/src/shard/repair.rs
+++ b/crates/control/src/shard/repair.rs
@@ -1,6 +1,7 @@
 //! Replacement of lost voters, decided by the shard's leader.
 
 use millford_core::{Duration, MonotonicTime, NodeId};
+use millford_replication::VoterChange;
 
 use super::members::MemberView;
 
@@ -35,20 +36,50 @@
     Promote(NodeId),
 }
 
+impl RepairStep {
+    /// The change of the group's voters.
+    #[must_use]
+    pub fn voter_change(self) -> VoterChange {
+        match self {
+            Self::AddLearner(node) => VoterChange::AddLearner(node),
+            Self::Remove(node) => VoterChange::Remove(node),
+            Self::Promote(node) => VoterChange::Promote(node),
+        }
+    }
+
+    /// The step in words, for the log.
+    #[must_use]
+    pub fn label(self) -> &'static str {
+        match self {
+            Self::AddLearner(_) => "add learner",
+            Self::Remove(_) => "remove",
+            Self::Promote(_) => "promote",
+        }
+    }
+
+    /// The node that it is about.
+    #[must_use]
+    pub fn node(self) -> NodeId {
+        match self {
+            Self::AddLearner(node) | Self::Remove(node) | Self::Promote(node) => node,
+        }
+    }
+}
+
 /// Decides one change at a time.
 ///
 /// Order: the spare first catches up as a learner, then the lost voter goes, then the learner
 /// votes. So a voter counts only once it holds everything committed, and a quorum is at every
 /// moment made of replicas that do.
 #[derive(Clone, Copy, Debug)]
-pub struct Repair {
+pub struct RepairPolicy {
     /// Silence after which a voter counts as lost.
     pub replace_after: Duration,
     /// Voters of a whole group.
     pub voters: usize,
 }
 
-impl Repair {
+impl RepairPolicy {
     /// The next step, or none when the group is whole or cannot be mended now.
     #[must_use]
     pub fn decide(
--- /dev/null
+++ b/crates/control/src/shard/shard_replica.rs
@@ -0,0 +1,197 @@
+//! The consensus replica of a shard, with the proposals that it has not applied yet.
+
+use millford_api::command::Command;
+use millford_api::replication::{ReplicationMessage, VoterSet};
+use millford_core::{Duration, MonotonicTime, NodeId};
+use millford_replication::{
+    ChangeRefused, NotLeader, OpenError, QUORUM_TIMEOUT, Ready, Replica, ReplicaOptions,
+    ReplicaStatus, Role, VoterChange,
+};
+use millford_storage::{ReplicaStorage, StorageError, StorageOptions};
+use prost::Message;
+
+use super::options::ShardCoreOptions;
+use super::proposals::{Proposals, Purpose};
+use super::recovery::force_single_voter;
+
+/// Owner of the replica, its storage and the proposals under way.
+pub(super) struct ShardReplica {
+    options: ShardCoreOptions,
+    replica: Replica,
+    proposals: Proposals,
+}
+
+impl ShardReplica {
+    /// Opens the shard's storage and the replica on it.
+    ///
+    /// # Errors
+    /// The storage cannot be opened, or belongs to another identity.
+    pub(super) fn open(
+        options: ShardCoreOptions,
+        now: MonotonicTime,
+    ) -> Result<Self, StorageError> {
+        let replica = open_replica(&options, now)?;
+        Ok(Self {
+            options,
+            replica,
+            proposals: Proposals::default(),
+        })
+    }
+
+    /// Identity of this node.
+    pub(super) fn identity(&self) -> NodeId {
+        self.options.identity
+    }
+
+    /// Status of the replica.
+    pub(super) fn status(&self) -> ReplicaStatus {
+        self.replica.status()
+    }
+
+    /// Whether this replica leads and may act on its state.
+    ///
+    /// Before the first entry of its own term is committed, a leader may not have applied all that
+    /// is committed, and would judge sessions on an old table.
+    pub(super) fn is_confirmed_leader(&self) -> bool {
+        let status = self.replica.status();
+        status.role == Role::Leader && status.leads_confirmed
+    }
+
+    /// Whether a successor cannot have been elected yet.
+    ///
+    /// A successor may grant a full quota lease after its election. This leader must have stopped
+    /// by then, also when its thread was late, or when it still waits for its first replies.
+    pub(super) fn excludes_successor(&self, now: MonotonicTime) -> bool {
+        let contact = self.replica.status().leader_contact;
+        contact.is_some_and(|contact| now.since(contact) < QUORUM_TIMEOUT)
+    }
+
+    /// The leader to name to a requester; none if unknown or this node, which just refused.
+    pub(super) fn leader_hint(&self) -> NodeId {
+        let leader = self.replica.status().leader;
+        if leader == self.options.identity {
+            NodeId::NONE
+        } else {
+            leader
+        }
+    }
+
+    /// Proposes a command of the core or of a request.
+    ///
+    /// # Errors
+    /// This replica does not lead.
+    pub(super) fn propose(&mut self, command: &Command, purpose: Purpose) -> Result<(), NotLeader> {
+        let index = self.replica.propose(command.encode_to_vec())?;
+        let term = self.replica.status().term;
+        self.proposals.insert(index, term, purpose);
+        Ok(())
+    }
+
+    /// Whether a proposal with this purpose is under way.
+    pub(super) fn is_proposed(&self, purpose: &Purpose) -> bool {
+        self.proposals.contains(purpose)
+    }
+
+    /// The entry at `index` was applied. Gives the purpose if this replica proposed it.
+    pub(super) fn take_proposal(&mut self, index: u64, term: u64) -> Option<Purpose> {
+        self.proposals.take(index, term)
+    }
+
+    /// Leadership was lost: the outcome of every proposal is unknown here.
+    pub(super) fn abandon_proposals(&mut self) -> Vec<Purpose> {
+        self.proposals.take_all()
+    }
+
+    /// A message of another replica.
+    pub(super) fn step(&mut self, now: MonotonicTime, message: ReplicationMessage) {
+        self.replica.step(now, message);
+    }
+
+    /// Time passed; for `stalled` of it this process did not run, which is not the leader's fault.
+    pub(super) fn tick(&mut self, now: MonotonicTime, stalled: Option<Duration>) {
+        if let Some(stalled) = stalled {
+            self.replica.defer_election_deadline(now, stalled);
+        }
+        self.replica.tick(now);
+    }
+
+    /// Makes durable what came in and gives what follows from it.
+    ///
+    /// # Errors
+    /// The storage failed; the replica cannot go on.
+    pub(super) fn flush(&mut self, now: MonotonicTime) -> Result<Ready, StorageError> {
+        self.replica.flush(now)
+    }
+
+    /// Starts the confirmation of a read with this number.
+    ///
+    /// # Errors
+    /// This replica does not lead.
+    pub(super) fn confirm_read(&mut self, number: u64) -> Result<(), NotLeader> {
+        self.replica.read_index(number)
+    }
+
+    /// Changes the voters of the group.
+    ///
+    /// # Errors
+    /// The change is not possible now.
+    pub(super) fn change_voters(&mut self, change: VoterChange) -> Result<(), ChangeRefused> {
+        self.replica.change_voters(change).map(drop)
+    }
+
+    /// Stores a snapshot of the state as of `applied`.
+    pub(super) fn save_snapshot(&mut self, applied: u64, data: Vec<u8>) {
+        // A refusal leaves the log longer; the next entries try again.
+        let _ = self.replica.save_snapshot(applied, data);
+    }
+
+    /// Hands leadership to a caught-up voter, if there is one.
+    pub(super) fn transfer_leadership(&mut self) {
+        let status = self.replica.status();
+        let mut peers = status.peers.iter();
+        let successor = peers.find(|peer| peer.is_voter && peer.caught_up);
+        if let Some(node) = successor.map(|successor| successor.node) {
+            self.transfer_leadership_to(node);
+        }
+    }
+
+    /// Hands leadership to this voter.
+    pub(super) fn transfer_leadership_to(&mut self, node: NodeId) {
+        // A refusal leaves things as they are; a leader that shuts down all the same is missed and
+        // replaced by an election, as after a crash.
+        let _ = self.replica.transfer_leadership(node);
+    }
+
+    /// Makes this node the only voter in the storage, and gives a replica opened on it.
+    ///
+    /// # Errors
+    /// The storage cannot be written or opened again.
+    pub(super) fn recover(&self, now: MonotonicTime) -> Result<Replica, StorageError> {
+        force_single_voter(&self.options)?;
+        open_replica(&self.options, now)
+    }
+
+    /// Goes on with a recovered replica.
+    pub(super) fn replace(&mut self, replica: Replica) {
+        self.replica = replica;
+    }
+}
+
+fn open_replica(options: &ShardCoreOptions, now: MonotonicTime) -> Result<Replica, StorageError> {
+    let storage = ReplicaStorage::open((options.disk)(), StorageOptions::default())?;
+    let seed = options.seed ^ options.identity.0 ^ u64::from(options.shard.0);
+    let mut replica = ReplicaOptions::new(options.identity, options.shard, seed);
+    if !options.voters.is_empty() {
+        replica = replica.with_initial_voters(VoterSet {
+            voters: options.voters.iter().map(|node| node.0).collect(),
+            learners: Vec::new(),
+        });
+    }
+    Replica::open(replica, storage, now).map_err(|error| match error {
+        OpenError::Storage(error) => error,
+        // Votes of another identity: the same as damage, the node starts over.
+        OpenError::ForeignStorage { .. } | OpenError::NodeIdMissing => {
+            StorageError::corrupt("hard-state", 0, "the storage belongs to another identity")
+        }
+    })
+}
--- a/crates/control/src/shard/subscriptions.rs
+++ b/crates/control/src/shard/subscriptions.rs
@@ -20,23 +20,23 @@
 
 /// What is due for a waiting subscription.
 #[derive(Clone, Debug, PartialEq)]
-pub struct DueSubscription {
+pub(super) struct DueSubscription {
     /// The agent's link.
-    pub subscriber: LinkId,
+    pub(super) subscriber: LinkId,
     /// How long it has been waiting.
-    pub waited: Duration,
+    pub(super) waited: Duration,
 }
 
 /// Waiting subscriptions by the agent's link.
 #[derive(Debug, Default)]
-pub struct Subscriptions {
+pub(super) struct Subscriptions {
     pending: BTreeMap<LinkId, PendingSubscription>,
 }
 
 impl Subscriptions {
     /// An agent asks, and its read is asked for now. An agent that asks again has been waiting since it
     /// asked first: else one that asks every second would never be told to go elsewhere.
-    pub fn insert(&mut self, now: MonotonicTime, subscriber: LinkId, subscribe: Subscribe) {
+    pub(super) fn insert(&mut self, now: MonotonicTime, subscriber: LinkId, subscribe: Subscribe) {
         let since = self
             .pending
             .get(&subscriber)
@@ -50,20 +50,20 @@
     }
 
     /// The read failed: it is due again soon.
-    pub fn failed(&mut self, now: MonotonicTime, subscriber: LinkId) {
+    pub(super) fn failed(&mut self, now: MonotonicTime, subscriber: LinkId) {
         if let Some(pending) = self.pending.get_mut(&subscriber) {
             pending.retry_at = now + RETRY;
         }
     }
 
     /// The subscription is served, refused or given up.
-    pub fn remove(&mut self, subscriber: LinkId) -> Option<Subscribe> {
+    pub(super) fn remove(&mut self, subscriber: LinkId) -> Option<Subscribe> {
         let pending = self.pending.remove(&subscriber)?;
         Some(pending.subscribe)
     }
 
     /// Subscriptions whose read is to be asked for again; each is due again later.
-    pub fn take_due(&mut self, now: MonotonicTime) -> Vec<DueSubscription> {
+    pub(super) fn take_due(&mut self, now: MonotonicTime) -> Vec<DueSubscription> {
         let pending = self.pending.iter_mut();
         let due = pending.filter(|(_, pending)| pending.retry_at <= now);
         due.map(|(subscriber, pending)| {
--- /dev/null
+++ b/crates/control/src/storage_code.rs
@@ -0,0 +1,14 @@
+//! Result codes of storage errors.
+
+use millford_core::ResultCode;
+use millford_storage::StorageError;
+
+/// The result code that a storage error is reported under.
+#[must_use]
+pub fn storage_code(error: &StorageError) -> ResultCode {
+    match error {
+        StorageError::Io { .. } | StorageError::Failed => ResultCode::DiskFailed,
+        StorageError::Full { .. } => ResultCode::DiskFull,
+        StorageError::Corrupt { .. } => ResultCode::LogCorrupt,
+    }
+}
--- a/crates/control/tests/components.rs
+++ b/crates/control/tests/components.rs
@@ -10,12 +10,12 @@
 use millford_control::shard::load_snapshot_publisher::LoadSnapshotPublisher;
 use millford_control::shard::maintenance::MaintenanceSchedule;
 use millford_control::shard::move_events::MoveEvents;
-use millford_control::shard::repair::{GroupView, Repair, RepairStep, ReplicaView};
+use millford_control::shard::repair::{GroupView, RepairPolicy, RepairStep, ReplicaView};
 use millford_control::shard::{MemberStatus, MemberView};
 use millford_core::{MonotonicTime, NodeId, ResultCode, ShardId};
 use millford_placement::{Move, MoveReason, ReplicaKey};
 
-const REPAIR: Repair = Repair {
+const REPAIR: RepairPolicy = RepairPolicy {
     replace_after: Duration::from_secs(5),
     voters: 3,
 };
