--- a/crates/control/src/gateway/agents.rs
+++ b/crates/control/src/gateway/agents.rs
@@ -21,21 +21,21 @@
 
 /// Which list of control nodes was last sent on a link.
 #[derive(Debug, Default)]
-pub struct SentMemberList {
+pub(super) struct SentMemberList {
     digest: u64,
     at: MonotonicTime,
 }
 
 /// Sessions heard here, to be passed on to the leaders of their shards.
 #[derive(Debug, Default)]
-pub struct AgentTable {
+pub(super) struct AgentTable {
     members: BTreeMap<String, MemberSession>,
     lists: BTreeMap<LinkId, SentMemberList>,
 }
 
 impl AgentTable {
     /// A heartbeat arrived. Gives whether the session lives as far as this node knows.
-    pub fn heartbeat(&mut self, link: Option<LinkId>, heartbeat: &Heartbeat) -> bool {
+    pub(super) fn heartbeat(&mut self, link: Option<LinkId>, heartbeat: &Heartbeat) -> bool {
         if heartbeat.epoch == 0 {
             return false;
         }
@@ -56,13 +56,12 @@
     }
 
     /// The link on which an agent was heard last.
-    #[must_use]
-    pub fn link_of(&self, member: &str) -> Option<LinkId> {
+    pub(super) fn link_of(&self, member: &str) -> Option<LinkId> {
         self.members.get(member)?.link
     }
 
     /// The leader says that these sessions do not exist any more.
-    pub fn closed(&mut self, renewed: &[SessionRenewal], closed_members: &[String]) {
+    pub(super) fn closed(&mut self, renewed: &[SessionRenewal], closed_members: &[String]) {
         for renewal in renewed {
             let Some(entry) = self.members.get_mut(&renewal.member) else {
                 continue;
@@ -75,14 +74,16 @@
     }
 
     /// Whether the leader closed this session.
-    #[must_use]
-    pub fn is_closed(&self, member: &str, epoch: u64) -> bool {
+    pub(super) fn is_closed(&self, member: &str, epoch: u64) -> bool {
         let entry = self.members.get(member);
         entry.is_some_and(|entry| entry.epoch > epoch || entry.epoch == epoch && entry.closed)
     }
 
     /// Sessions heard since the last call, by shard.
-    pub fn take_renewals(&mut self, layout: ShardLayout) -> BTreeMap<ShardId, Vec<SessionRenewal>> {
+    pub(super) fn take_renewals(
+        &mut self,
+        layout: ShardLayout,
+    ) -> BTreeMap<ShardId, Vec<SessionRenewal>> {
         let mut renewals: BTreeMap<ShardId, Vec<SessionRenewal>> = BTreeMap::new();
         for (member, entry) in &mut self.members {
             if !std::mem::take(&mut entry.renewal_due) {
@@ -100,7 +101,12 @@
 
     /// Whether a list of control nodes is due on a link: when it changed, and now and then, so
     /// that heartbeats stay small.
-    pub fn member_list_due(&mut self, now: MonotonicTime, link: LinkId, digest: u64) -> bool {
+    pub(super) fn member_list_due(
+        &mut self,
+        now: MonotonicTime,
+        link: LinkId,
+        digest: u64,
+    ) -> bool {
         let sent = self.lists.get(&link);
         let known = sent.is_some_and(|sent| {
             sent.digest == digest && now.since(sent.at) < MEMBER_LIST_REPEAT_PERIOD
@@ -112,13 +118,13 @@
     }
 
     /// A link ended: its members are heard elsewhere from now on.
-    pub fn forget_link(&mut self, ended: LinkId) {
+    pub(super) fn forget_link(&mut self, ended: LinkId) {
         self.lists.remove(&ended);
         self.members.retain(|_, entry| entry.link != Some(ended));
     }
 
     /// Forgets everything.
-    pub fn clear(&mut self) {
+    pub(super) fn clear(&mut self) {
         self.members.clear();
     }
 }
--- a/crates/control/src/gateway/frames.rs
+++ b/crates/control/src/gateway/core/frames.rs
@@ -5,7 +5,7 @@
 use millford_core::{MonotonicTime, ShardId};
 
 use super::Gateway;
-use super::links::LinkPeer;
+use crate::gateway::links::LinkPeer;
 use crate::link::LinkId;
 use crate::shard::ShardInput;
 
@@ -45,17 +45,18 @@
 
     fn handle_replication(&mut self, message: ReplicationMessage) {
         // A message to an identity that this machine had before it was wiped is not for us.
-        if message.to != self.file.node_id {
+        if message.to != self.store.file().node_id {
             return;
         }
         let shard = ShardId(message.shard);
-        if !self.replica_statuses.contains_key(&shard) {
+        if !self.replicas.holds(shard) {
             let fills = fills_a_replica(&message);
             if !fills || !self.adopt_shard(shard) {
                 return;
             }
         }
-        self.send_to_shard(shard, ShardInput::Replication(message));
+        self.outbox
+            .send_to_shard(shard, ShardInput::Replication(message));
     }
 
     fn handle_shard_request(&mut self, now: MonotonicTime, link: LinkId, request: ShardRequest) {
@@ -71,11 +72,11 @@
     fn handle_load(&mut self, link: LinkId, report: LoadReport) {
         self.links.set_agent(link);
         let shard = ShardId(report.shard);
-        let Some(replica) = self.replica_statuses.get(&shard) else {
+        let Some(replica) = self.replicas.get(shard) else {
             return;
         };
         if replica.leads {
-            self.send_to_shard(shard, ShardInput::Load(report));
+            self.outbox.send_to_shard(shard, ShardInput::Load(report));
             return;
         }
         // Passed on once only, so that no report travels in circles.
@@ -89,7 +90,7 @@
     pub(super) fn send_to_own_agents(&mut self, body: &frame::Body) {
         let links: Vec<LinkId> = self.links.agents().collect();
         for link in links {
-            self.send(link, body.clone());
+            self.outbox.send(link, body.clone());
         }
     }
 }
--- a/crates/control/src/gateway/handshakes.rs
+++ b/crates/control/src/gateway/core/handshakes.rs
@@ -8,7 +8,7 @@
 use millford_membership::SeedAnswer;
 
 use super::Gateway;
-use super::dialer::DialAction;
+use crate::gateway::dialer::DialAction;
 use crate::link::LinkId;
 use crate::node_output::NodeOutput;
 
@@ -19,7 +19,7 @@
         for action in self.dialer.tick(now, &desired) {
             match action {
                 DialAction::Connect(link, address) => {
-                    self.emit(NodeOutput::Connect { link, address });
+                    self.outbox.emit(NodeOutput::Connect { link, address });
                 }
                 DialAction::SendHello(link) => self.send_hello(link),
                 DialAction::Close(link) => self.close_outgoing(link),
@@ -31,10 +31,10 @@
     pub(super) fn send_hello(&mut self, link: LinkId) {
         let hello = Hello {
             sender: Some(self.own_member()),
-            cluster_id: self.file.cluster_id,
+            cluster_id: self.store.file().cluster_id,
             known: self.directory.to_vec(),
         };
-        self.send(link, frame::Body::Hello(hello));
+        self.outbox.send(link, frame::Body::Hello(hello));
     }
 
     /// A control node greeted.
@@ -45,15 +45,15 @@
         let identity = NodeId(sender.node_id);
         self.links.set_control(link, identity);
         self.learn_from(sender, hello.cluster_id, &hello.known);
-        let unformed_founder = hello.cluster_id == 0 && self.is_founder(identity);
-        if self.file.is_formed() && unformed_founder {
+        let unformed_founder = hello.cluster_id == 0 && self.store.is_founder(identity);
+        if self.store.is_formed() && unformed_founder {
             // It missed the forming: its disk never held a vote, so it may still take its place.
             let form = self.form_cluster_frame();
-            self.send(link, form);
+            self.outbox.send(link, form);
             return;
         }
         let reply = self.hello_reply(identity, hello.cluster_id);
-        self.send(link, reply);
+        self.outbox.send(link, reply);
     }
 
     /// A control node answered a greeting.
@@ -79,18 +79,18 @@
         }
         // A node without replicas may itself have joined a moment ago; only one that holds state
         // speaks for the cluster.
-        if !self.file.is_formed() && reply.cluster_id != 0 && reply.data_shards != 0 {
+        if !self.store.is_formed() && reply.cluster_id != 0 && reply.data_shards != 0 {
             self.join(now, reply);
         }
-        let same_cluster = reply.cluster_id == self.file.cluster_id;
-        if reply.removed && same_cluster && self.file.is_formed() {
+        let same_cluster = reply.cluster_id == self.store.file().cluster_id;
+        if reply.removed && same_cluster && self.store.is_formed() {
             self.begin_decommission(now);
         }
     }
 
     fn learn_from(&mut self, sender: &ControlMember, cluster_id: u64, known: &[ControlMember]) {
         let foreign =
-            cluster_id != 0 && self.file.is_formed() && cluster_id != self.file.cluster_id;
+            cluster_id != 0 && self.store.is_formed() && cluster_id != self.store.file().cluster_id;
         if foreign {
             return;
         }
@@ -108,16 +108,16 @@
     /// Writes the known nodes to the disk when they changed.
     pub(super) fn persist_directory(&mut self) {
         let members = self.directory.to_vec();
-        if !self.file.is_formed() || members == self.file.members {
+        if !self.store.is_formed() || members == self.store.file().members {
             return;
         }
-        self.file.members = members;
-        self.save_file();
+        let saved = self.store.set_members(members);
+        self.require_saved(saved);
     }
 
     pub(super) fn is_other(&self, member: &ControlMember) -> bool {
         let own_address = member.internal_address == self.options.internal_address;
-        member.node_id != self.file.node_id && !own_address
+        member.node_id != self.store.file().node_id && !own_address
     }
 
     fn desired_addresses(&self) -> BTreeSet<String> {
@@ -132,18 +132,18 @@
 
     fn close_outgoing(&mut self, link: LinkId) {
         self.links.close(link);
-        self.emit(NodeOutput::Close { link });
+        self.outbox.emit(NodeOutput::Close { link });
     }
 
     fn hello_reply(&self, requester: NodeId, requester_cluster: u64) -> frame::Body {
-        let holds_state = !self.replica_statuses.is_empty();
-        let same_cluster = requester_cluster == self.file.cluster_id;
+        let holds_state = !self.replicas.is_empty();
+        let same_cluster = requester_cluster == self.store.file().cluster_id;
         frame::Body::HelloReply(HelloReply {
             sender: Some(self.own_member()),
-            cluster_id: self.file.cluster_id,
+            cluster_id: self.store.file().cluster_id,
             known: self.directory.to_vec(),
             data_shards: if holds_state {
-                self.file.data_shards
+                self.store.file().data_shards
             } else {
                 0
             },
--- /dev/null
+++ b/crates/control/src/gateway/core/mod.rs
@@ -0,0 +1,271 @@
+//! The gateway itself: routes inputs to the parts, and what they lead to out of the node.
+//!
+//! The order of calls and outputs is part of the node's behaviour. The submodules hold the routes
+//! by subject; none of them owns state.
+
+mod formation;
+mod frames;
+mod handshakes;
+mod membership;
+mod operators;
+mod requests;
+mod sessions;
+mod shard_outputs;
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use millford_api::internal::frame;
+use millford_api::state::ControlMember;
+use millford_core::{MonotonicTime, NodeId, ShardId, ShardLayout};
+use millford_membership::{Formation, MemberDirectory};
+use millford_registry::RegistryView;
+use millford_storage::{Disk, StorageError};
+
+use super::agents::AgentTable;
+use super::decommission::Decommission;
+use super::dialer::Dialer;
+use super::early_heartbeats::EarlyHeartbeats;
+use super::input::{GatewayInput, GatewayOutput};
+use super::leadership_balancer::LeadershipBalancer;
+use super::links::LinkTable;
+use super::member_list::MemberList;
+use super::node_store::NodeStore;
+use super::outbox::Outbox;
+use super::own_session::OwnSession;
+use super::pending_operator_requests::PendingOperatorRequests;
+use super::pending_requests::PendingRequests;
+use super::quota_relay::QuotaRelay;
+use super::replica_table::ReplicaTable;
+use crate::link::LinkId;
+use crate::node_input::NodeInput;
+use crate::node_output::NodeOutput;
+use crate::options::ControlOptions;
+use crate::shard::{MemberView, ShardInput, ShardReplicaStatus};
+use crate::storage_code::storage_code;
+
+/// The node-level half of a control node.
+pub struct Gateway {
+    options: ControlOptions,
+    store: NodeStore,
+    /// Until the node belongs to a cluster.
+    formation: Option<Formation>,
+    /// After the cluster removed this node.
+    decommission: Option<Decommission>,
+    directory: MemberDirectory,
+    members: MemberList,
+    /// The control nodes as last sent to the shards.
+    view: MemberView,
+    links: LinkTable,
+    dialer: Dialer,
+    replicas: ReplicaTable,
+    balancer: LeadershipBalancer,
+    pending: PendingRequests,
+    quota: QuotaRelay,
+    agents: AgentTable,
+    early_heartbeats: EarlyHeartbeats,
+    own_session: OwnSession,
+    next_renewal: MonotonicTime,
+    operator_requests: PendingOperatorRequests,
+    /// The service registry as last read.
+    registry: Option<Arc<RegistryView>>,
+    outbox: Outbox,
+}
+
+impl Gateway {
+    /// Reads the node's file, or mints an identity on an empty disk. The outputs start the shards
+    /// that the node holds.
+    ///
+    /// # Errors
+    /// The disk cannot be read, or a new identity cannot be written.
+    pub fn open(
+        options: ControlOptions,
+        disk: Box<dyn Disk>,
+        now: MonotonicTime,
+    ) -> Result<(Self, Vec<GatewayOutput>), StorageError> {
+        let (mut store, origin) = NodeStore::open(disk, options.seed)?;
+        let own_session = OwnSession::new(store.mint());
+        let mut gateway = Self {
+            options,
+            store,
+            formation: None,
+            decommission: None,
+            directory: MemberDirectory::default(),
+            members: MemberList::default(),
+            view: MemberView::default(),
+            links: LinkTable::default(),
+            dialer: Dialer::default(),
+            replicas: ReplicaTable::default(),
+            balancer: LeadershipBalancer::new(now),
+            pending: PendingRequests::default(),
+            quota: QuotaRelay::default(),
+            agents: AgentTable::default(),
+            early_heartbeats: EarlyHeartbeats::new(now),
+            own_session,
+            next_renewal: now,
+            operator_requests: PendingOperatorRequests::default(),
+            registry: None,
+            outbox: Outbox::default(),
+        };
+        gateway.start(origin)?;
+        let outputs = gateway.outbox.take();
+        Ok((gateway, outputs))
+    }
+
+    /// Takes one input and gives what is to be done.
+    pub fn handle(&mut self, now: MonotonicTime, input: GatewayInput) -> Vec<GatewayOutput> {
+        match input {
+            GatewayInput::Node(input) => self.handle_node(now, input),
+            GatewayInput::Shard { shard, output } => self.handle_shard(now, shard, output),
+            GatewayInput::StorageCorrupt => self.start_over(now),
+        }
+        self.send_due(now);
+        self.outbox.take()
+    }
+
+    /// Identity of this node.
+    #[must_use]
+    pub fn identity(&self) -> NodeId {
+        self.store.identity()
+    }
+
+    /// The cluster that the node belongs to; 0 before it formed or joined one.
+    #[must_use]
+    pub fn cluster_id(&self) -> u64 {
+        self.store.file().cluster_id
+    }
+
+    /// Status of each replica that this node holds.
+    #[must_use]
+    pub fn replica_statuses(&self) -> &BTreeMap<ShardId, ShardReplicaStatus> {
+        self.replicas.statuses()
+    }
+
+    /// Whether agents can be served: every shard is held here, the configuration shard has its
+    /// quorum, and no core is stalled.
+    #[must_use]
+    pub fn has_quorum(&self) -> bool {
+        self.store.is_formed() && self.replicas.serves_all(self.shard_count())
+    }
+
+    /// Number of requests that wait for a leader.
+    #[must_use]
+    pub fn pending_requests(&self) -> usize {
+        self.pending.len()
+    }
+
+    fn handle_node(&mut self, now: MonotonicTime, input: NodeInput) {
+        match input {
+            NodeInput::Frame { link, frame } => self.handle_frame(now, link, frame),
+            NodeInput::LinkOpened { link, .. } => self.link_opened(now, link),
+            NodeInput::LinkClosed { link } => self.link_closed(now, link),
+            NodeInput::Operator { request, body } => self.handle_operator(now, request, body),
+            NodeInput::Registry(view) => {
+                self.registry = Some(view.clone());
+                self.send_to_every_shard(&ShardInput::Registry(view));
+            }
+            NodeInput::Tick => self.tick(now),
+            NodeInput::Shutdown => self.send_to_every_shard(&ShardInput::Shutdown),
+        }
+    }
+
+    fn tick(&mut self, now: MonotonicTime) {
+        self.replicas.tick(now);
+        self.tick_dialer(now);
+        self.tick_formation(now);
+        self.tick_member_list(now);
+        self.tick_decommission(now);
+        self.answer_early_heartbeats(now);
+        self.tick_sessions(now);
+        self.push_member_view(now);
+        self.balance_leaderships(now);
+        self.complete_overdue(now);
+        self.quota.expire(now);
+    }
+
+    /// Transfers one leadership if this node has clearly more than another.
+    fn balance_leaderships(&mut self, now: MonotonicTime) {
+        let own = self.store.identity();
+        let view = &self.view;
+        let is_connected = |node: NodeId| view.get(node).connected;
+        let transfer = self
+            .balancer
+            .next_transfer(now, own, &self.replicas, is_connected);
+        // A removed node hands over all of its leaderships, which it does elsewhere.
+        let transfer = transfer.filter(|_| self.decommission.is_none());
+        if let Some(transfer) = transfer {
+            let input = ShardInput::TransferLeadership { to: transfer.to };
+            self.outbox.send_to_shard(transfer.shard, input);
+        }
+    }
+
+    fn link_opened(&mut self, now: MonotonicTime, link: LinkId) {
+        self.links.open(link);
+        if link.is_outgoing() {
+            self.dialer.opened(now, link);
+            self.send_hello(link);
+        }
+    }
+
+    fn link_closed(&mut self, now: MonotonicTime, link: LinkId) {
+        self.links.close(link);
+        self.pending.forget_link(link);
+        self.quota.forget_link(link);
+        self.agents.forget_link(link);
+        self.early_heartbeats.forget_link(link);
+        self.send_to_every_shard(&ShardInput::Unsubscribe { subscriber: link });
+        let address = self.dialer.closed(now, link);
+        if let (Some(formation), Some(address)) = (&mut self.formation, address) {
+            formation.lost(&address);
+        }
+    }
+
+    fn layout(&self) -> ShardLayout {
+        self.store.layout()
+    }
+
+    fn shard_count(&self) -> usize {
+        self.layout().all().count()
+    }
+
+    fn own_member(&self) -> ControlMember {
+        ControlMember {
+            node_id: self.store.file().node_id,
+            internal_address: self.options.internal_address.clone(),
+            operator_address: self.options.operator_address.clone(),
+            zone: self.options.zone.clone(),
+        }
+    }
+
+    /// Sends to a control node if a link to it is open. Gives whether it was sent.
+    fn send_to_node(&mut self, node: NodeId, body: frame::Body) -> bool {
+        let Some(link) = self.links.to_node(node) else {
+            return false;
+        };
+        self.outbox.send(link, body);
+        true
+    }
+
+    fn send_to_every_node(&mut self, body: &frame::Body) {
+        let nodes: Vec<NodeId> = self.links.nodes().collect();
+        for node in nodes {
+            self.send_to_node(node, body.clone());
+        }
+    }
+
+    fn send_to_every_shard(&mut self, input: &ShardInput) {
+        for shard in self.replicas.shards() {
+            self.outbox.send_to_shard(shard, input.clone());
+        }
+    }
+
+    /// Whether the node's file was stored. A node that cannot store it is of no use: what it would
+    /// guarantee is lost, so the process ends.
+    fn require_saved(&mut self, saved: Result<(), StorageError>) -> bool {
+        if let Err(error) = &saved {
+            let code = storage_code(error);
+            self.outbox.emit(NodeOutput::Fatal { code });
+        }
+        saved.is_ok()
+    }
+}
--- a/crates/control/src/gateway/operators.rs
+++ b/crates/control/src/gateway/core/operators.rs
@@ -9,11 +9,10 @@
 use millford_core::{MonotonicTime, NodeId, ResultCode, ShardId, service_key};
 
 use super::Gateway;
-use super::operator_answers as answers;
-use super::pending::Origin;
-use super::pending_operator_requests::PendingOperatorRequest;
-use super::sessions::request_to;
 use crate::commands::command_of;
+use crate::gateway::operator_answers as answers;
+use crate::gateway::pending_operator_requests::PendingOperatorRequest;
+use crate::gateway::pending_requests::{Origin, request_to};
 use crate::node_output::NodeOutput;
 use crate::operator::status::{leaderless_body, member_body, session_body, shard_body};
 use crate::operator::{OperatorFailure, OperatorReply, OperatorRequest};
@@ -21,14 +20,14 @@
 use crate::timing::{OPERATOR_REQUEST_TIMEOUT, STATUS_REQUEST_TIMEOUT};
 
 impl Gateway {
-    /// An operator asks.
+    /// A request of an operator.
     pub(super) fn handle_operator(
         &mut self,
         now: MonotonicTime,
         request: u64,
         body: OperatorRequest,
     ) {
-        if !self.file.is_formed() && body != OperatorRequest::Status {
+        if !self.store.is_formed() && body != OperatorRequest::Status {
             self.fail_operator(request, ResultCode::NotFormed);
             return;
         }
@@ -46,7 +45,8 @@
     pub(super) fn operator_answered(&mut self, request: u64, reply: ShardReply) {
         if let Some(entry) = self.operator_requests.answered(request, reply) {
             let reply = self.conclude(entry);
-            self.emit(NodeOutput::OperatorReply { request, reply });
+            self.outbox
+                .emit(NodeOutput::OperatorReply { request, reply });
         }
     }
 
@@ -83,10 +83,11 @@
 
     /// Asks every shard twice: for its status and for its public state.
     fn fetch_status(&mut self, now: MonotonicTime, request: u64) {
-        if !self.file.is_formed() {
+        if !self.store.is_formed() {
             let status = self.status_head();
             let reply = OperatorReply::Status(Box::new(status));
-            self.emit(NodeOutput::OperatorReply { request, reply });
+            self.outbox
+                .emit(NodeOutput::OperatorReply { request, reply });
             return;
         }
         let answers = self.shard_count() * 2;
@@ -95,7 +96,7 @@
         for shard in self.layout().all() {
             let status = shard_request::Kind::Status(ShardStatusRequest {});
             let origin = Origin::Operator { request };
-            self.submit(
+            self.pending.submit(
                 now,
                 origin,
                 request_to(shard, status),
@@ -108,7 +109,8 @@
             };
             let origin = Origin::Operator { request };
             let read = request_to(shard, read_under(prefix));
-            self.submit(now, origin, read, STATUS_REQUEST_TIMEOUT);
+            self.pending
+                .submit(now, origin, read, STATUS_REQUEST_TIMEOUT);
         }
     }
 
@@ -136,7 +138,7 @@
         let reply = match self.recoverable(survivors) {
             Ok(shards) => {
                 for shard in &shards {
-                    self.send_to_shard(*shard, ShardInput::ForceRecovery);
+                    self.outbox.send_to_shard(*shard, ShardInput::ForceRecovery);
                 }
                 OperatorReply::Recovery(RecoveryReply {
                     shards: shards.iter().map(|shard| shard.0).collect(),
@@ -147,20 +149,21 @@
                 OperatorReply::Failed(failure.with_message(reason))
             }
         };
-        self.emit(NodeOutput::OperatorReply { request, reply });
+        self.outbox
+            .emit(NodeOutput::OperatorReply { request, reply });
     }
 
     fn recoverable(&self, survivors: &[NodeId]) -> Result<Vec<ShardId>, String> {
-        if !survivors.contains(&self.file.identity()) {
+        if !survivors.contains(&self.store.identity()) {
             return Err("this node is not among the survivors; ask one that is".to_owned());
         }
         let unknown = survivors
             .iter()
-            .find(|node| **node != self.file.identity() && self.directory().get(**node).is_none());
+            .find(|node| **node != self.store.identity() && self.directory.get(**node).is_none());
         if let Some(unknown) = unknown {
             return Err(format!("survivor {unknown} is not known"));
         }
-        let lost = self.replica_statuses.values().filter(|replica| {
+        let lost = self.replicas.iter().filter(|replica| {
             let voters = replica.voters.iter();
             let reachable = voters.filter(|voter| self.view.get(**voter).connected);
             !replica.has_quorum && reachable.count() <= replica.voters.len() / 2
@@ -180,7 +183,7 @@
         kind: shard_request::Kind,
     ) {
         let origin = Origin::Operator { request };
-        self.submit(
+        self.pending.submit(
             now,
             origin,
             request_to(shard, kind),
@@ -236,17 +239,17 @@
 
     fn status_head(&self) -> StatusReply {
         let own = member_body(&self.own_member(), true);
-        let others = self.directory().iter().map(|member| {
+        let others = self.directory.iter().map(|member| {
             let connected = self.view.get(NodeId(member.node_id)).connected;
             member_body(member, connected)
         });
         let mut members: Vec<MemberBody> = others.chain([own]).collect();
         members.sort_by(|left, right| left.node.cmp(&right.node));
-        let formed = self.file.is_formed();
+        let formed = self.store.is_formed();
         StatusReply {
-            node: self.file.identity().to_string(),
+            node: self.store.identity().to_string(),
             cluster: if formed {
-                format!("{:016x}", self.file.cluster_id)
+                format!("{:016x}", self.store.file().cluster_id)
             } else {
                 String::new()
             },
@@ -258,7 +261,8 @@
 
     fn fail_operator(&mut self, request: u64, code: ResultCode) {
         let reply = answers::failed(code);
-        self.emit(NodeOutput::OperatorReply { request, reply });
+        self.outbox
+            .emit(NodeOutput::OperatorReply { request, reply });
     }
 }
 
--- a/crates/control/src/gateway/requests.rs
+++ b/crates/control/src/gateway/core/requests.rs
@@ -1,63 +1,24 @@
 //! Requests to the leaders of shards: taken, forwarded, answered.
 
-use std::collections::BTreeMap;
-
 use millford_api::internal::{
     QuotaReply, QuotaRequest, ReadIndex, RelayedQuotaReply, RelayedQuotaRequest, ShardReply,
     ShardRequest, frame, shard_reply, shard_request,
 };
-use millford_core::{Duration, MonotonicTime, NodeId, ResultCode, ShardId};
+use millford_core::{MonotonicTime, NodeId, ResultCode, ShardId};
 
-use super::pending::{Attempt, CompletedRequest, Origin, shard_of};
-use super::sessions::request_to;
-use super::{Gateway, is_ok};
+use super::Gateway;
+use crate::gateway::pending_requests::{
+    Attempt, CompletedRequest, Origin, is_ok, refusal, request_to, shard_of,
+};
 use crate::link::LinkId;
 use crate::shard::ShardInput;
 use crate::shard::input::CorrelationId;
-use crate::timing::{AGENT_REQUEST_TIMEOUT, QUOTA_REQUEST_TIMEOUT, READ_CONFIRMATION_TIMEOUT};
+use crate::timing::{AGENT_REQUEST_TIMEOUT, READ_CONFIRMATION_TIMEOUT};
 
 /// A forwarded request is not forwarded again.
 const MAX_HOPS: u32 = 1;
 
-#[derive(Debug)]
-struct QuotaWaiter {
-    link: LinkId,
-    /// Number of the control node that passed the request on; absent: an agent waits.
-    relay_id: Option<u64>,
-    deadline: MonotonicTime,
-}
-
-/// Quota requests under way. They are passed on once: the agent itself sends a lost one again,
-/// under the same number, which the leader answers with the same grant.
-#[derive(Debug, Default)]
-pub struct QuotaRelay {
-    waiters: BTreeMap<CorrelationId, QuotaWaiter>,
-}
-
-impl QuotaRelay {
-    /// Forgets requests that nobody will answer any more.
-    pub fn expire(&mut self, now: MonotonicTime) {
-        self.waiters.retain(|_, waiter| waiter.deadline > now);
-    }
-
-    /// A link ended.
-    pub fn forget_link(&mut self, link: LinkId) {
-        self.waiters.retain(|_, waiter| waiter.link != link);
-    }
-}
-
 impl Gateway {
-    /// Takes a request of this node itself.
-    pub(super) fn submit(
-        &mut self,
-        now: MonotonicTime,
-        origin: Origin,
-        request: ShardRequest,
-        timeout: Duration,
-    ) {
-        self.pending.submit(now, origin, request, timeout);
-    }
-
     /// Takes a request from a link.
     pub(super) fn take_request(&mut self, now: MonotonicTime, link: LinkId, request: ShardRequest) {
         let origin = Origin::Link {
@@ -102,7 +63,7 @@
     /// A replica wants its leader to confirm a read.
     pub(super) fn confirm_read_at_leader(&mut self, now: MonotonicTime, shard: ShardId, read: u64) {
         let request = request_to(shard, shard_request::Kind::ReadIndex(ReadIndex {}));
-        self.submit(
+        self.pending.submit(
             now,
             Origin::Read { read },
             request,
@@ -120,18 +81,15 @@
         self.links.set_agent(link);
         let correlation_id = self.wait_for_quota(now, link, None);
         let shard = ShardId(request.shard);
-        let replica = self.replica_statuses.get(&shard);
-        if replica.is_some_and(|replica| replica.leads) {
-            self.send_to_shard(
-                shard,
-                ShardInput::Quota {
-                    correlation_id,
-                    request,
-                },
-            );
+        if self.replicas.leads(shard) {
+            let input = ShardInput::Quota {
+                correlation_id,
+                request,
+            };
+            self.outbox.send_to_shard(shard, input);
             return;
         }
-        let leader = replica.map_or(NodeId::NONE, |replica| replica.leader);
+        let leader = self.replicas.leader_of(shard);
         let request_id = request.request_id;
         let relayed = RelayedQuotaRequest {
             relay_id: correlation_id,
@@ -156,8 +114,8 @@
         };
         let correlation_id = self.wait_for_quota(now, link, Some(relayed.relay_id));
         let shard = ShardId(request.shard);
-        if self.replica_statuses.contains_key(&shard) {
-            self.send_to_shard(
+        if self.replicas.holds(shard) {
+            self.outbox.send_to_shard(
                 shard,
                 ShardInput::Quota {
                     correlation_id,
@@ -172,7 +130,7 @@
 
     /// An answer to a quota request that waits here.
     pub(super) fn handle_quota_reply(&mut self, correlation_id: CorrelationId, reply: QuotaReply) {
-        let Some(waiter) = self.quota.waiters.remove(&correlation_id) else {
+        let Some(waiter) = self.quota.take(correlation_id) else {
             return;
         };
         let body = match waiter.relay_id {
@@ -182,7 +140,7 @@
                 reply: Some(reply),
             }),
         };
-        self.send(waiter.link, body);
+        self.outbox.send(waiter.link, body);
     }
 
     fn wait_for_quota(
@@ -192,12 +150,7 @@
         relay_id: Option<u64>,
     ) -> CorrelationId {
         let correlation_id = self.pending.next_correlation_id();
-        let waiter = QuotaWaiter {
-            link,
-            relay_id,
-            deadline: now + QUOTA_REQUEST_TIMEOUT,
-        };
-        self.quota.waiters.insert(correlation_id, waiter);
+        self.quota.insert(now, correlation_id, link, relay_id);
         correlation_id
     }
 
@@ -205,11 +158,10 @@
         let shard = shard_of(&attempt.request);
         let correlation_id = attempt.correlation_id;
         let forwarded = attempt.request.hops >= MAX_HOPS;
-        let replica = self.replica_statuses.get(&shard);
-        let leads = replica.is_some_and(|replica| replica.leads);
-        if leads || forwarded && replica.is_some() {
+        let leads = self.replicas.leads(shard);
+        if leads || forwarded && self.replicas.holds(shard) {
             let request = attempt.request;
-            self.send_to_shard(
+            self.outbox.send_to_shard(
                 shard,
                 ShardInput::Request {
                     correlation_id,
@@ -220,7 +172,7 @@
         }
         if forwarded {
             let code = ResultCode::ShardUnknown;
-            let reply = super::pending::refusal(&attempt.request, code, NodeId::NONE);
+            let reply = refusal(&attempt.request, code, NodeId::NONE);
             self.handle_reply(now, correlation_id, reply);
             return;
         }
@@ -237,18 +189,16 @@
     /// Where an attempt goes: the leader that the last answer named, else the one that this
     /// node's replica knows, else the connected nodes in turn.
     fn target_of(&self, shard: ShardId, attempt: &Attempt) -> Option<NodeId> {
-        let own = self.file.identity();
-        let known = self.replica_statuses.get(&shard);
-        let known = known.map_or(NodeId::NONE, |replica| replica.leader);
-        let named = [attempt.hint, known];
+        let own = self.store.identity();
+        let named = [attempt.hint, self.replicas.leader_of(shard)];
         let named = named
             .into_iter()
             .find(|node| node.is_some() && *node != own && self.links.to_node(*node).is_some());
         if named.is_some() {
             return named;
         }
-        if self.replica_statuses.contains_key(&shard) {
-            // A replica here will learn the leader; asking around would only add load.
+        if self.replicas.holds(shard) {
+            // A replica here will learn the leader; trying every node would only add load.
             return None;
         }
         let nodes: Vec<NodeId> = self.links.nodes().collect();
@@ -262,12 +212,12 @@
         match origin {
             Origin::Link { link, request_id } => {
                 reply.request_id = request_id;
-                self.send(link, frame::Body::ShardReply(reply));
+                self.outbox.send(link, frame::Body::ShardReply(reply));
             }
             Origin::Operator { request } => self.operator_answered(request, reply),
             Origin::SessionRenewals(renewed) => self.renewals_answered(&renewed, &reply),
-            Origin::OwnSession => self.own_session_answered(&reply),
-            Origin::Registration => self.registration_answered(now),
+            Origin::OwnSession => self.own_session.answered(&reply),
+            Origin::Registration => self.members.registration_answered(now),
             Origin::MemberList => {
                 if let Some(shard_reply::Kind::State(state)) = &reply.kind {
                     self.member_list_read(now, state);
@@ -283,8 +233,9 @@
             _ => None,
         };
         let shard = ShardId(reply.shard);
-        if self.replica_statuses.contains_key(&shard) {
-            self.send_to_shard(shard, ShardInput::LeaderIndex { read, index });
+        if self.replicas.holds(shard) {
+            self.outbox
+                .send_to_shard(shard, ShardInput::LeaderIndex { read, index });
         }
     }
 }
--- a/crates/control/src/gateway/sessions.rs
+++ b/crates/control/src/gateway/core/sessions.rs
@@ -1,39 +1,21 @@
 //! Heartbeats of agents, and this node's own session.
 
-use millford_api::command::{Command, OpenSession, command, command_result};
+use millford_api::command::{OpenSession, command};
 use millford_api::internal::{
-    Heartbeat, HeartbeatReply, RenewSessions, SessionRenewal, ShardReply, ShardRequest, frame,
-    shard_reply, shard_request,
+    Heartbeat, HeartbeatReply, RenewSessions, SessionRenewal, ShardReply, frame, shard_reply,
+    shard_request,
 };
 use millford_api::state::ControlMember;
-use millford_core::{MonotonicTime, ShardId, session_key};
+use millford_core::{MonotonicTime, session_key};
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::Gateway;
-use super::pending::Origin;
+use crate::commands::command_of;
+use crate::gateway::own_session::OwnSessionStep;
+use crate::gateway::pending_requests::{Origin, request_to};
 use crate::link::LinkId;
 use crate::timing::{AGENT_REQUEST_TIMEOUT, RENEWAL_PERIOD};
 
-/// This node's session with the control plane.
-#[derive(Debug)]
-pub struct OwnSession {
-    boot_id: u64,
-    epoch: u64,
-    opening: bool,
-}
-
-impl OwnSession {
-    /// A session not yet opened, of the process with this number.
-    #[must_use]
-    pub fn new(boot_id: u64) -> Self {
-        Self {
-            boot_id,
-            epoch: 0,
-            opening: false,
-        }
-    }
-}
-
 impl Gateway {
     pub(super) fn handle_heartbeat(
         &mut self,
@@ -67,14 +49,14 @@
             session_alive,
             has_quorum: self.has_quorum(),
             members: self.members_for_agent(now, link),
-            data_shards: self.file.data_shards,
+            data_shards: self.store.file().data_shards,
         };
-        self.send(link, frame::Body::HeartbeatReply(reply));
+        self.outbox.send(link, frame::Body::HeartbeatReply(reply));
     }
 
     /// Passes heartbeats on to the leaders of the sessions' shards.
     pub(super) fn tick_sessions(&mut self, now: MonotonicTime) {
-        if !self.file.is_formed() || now < self.next_renewal {
+        if !self.store.is_formed() || now < self.next_renewal {
             return;
         }
         self.next_renewal = now + RENEWAL_PERIOD;
@@ -84,7 +66,7 @@
                 renewals: renewals.clone(),
             });
             let request = request_to(shard, kind);
-            self.submit(
+            self.pending.submit(
                 now,
                 Origin::SessionRenewals(renewals),
                 request,
@@ -99,59 +81,50 @@
         }
     }
 
-    pub(super) fn own_session_answered(&mut self, reply: &ShardReply) {
-        self.own_session.opening = false;
-        let Some(shard_reply::Kind::Result(result)) = &reply.kind else {
-            return;
-        };
-        if let Some(command_result::Kind::OpenSession(opened)) = &result.kind {
-            self.own_session.epoch = opened.epoch;
-        }
-    }
-
     fn renew_own_session(&mut self, now: MonotonicTime) {
-        if self.decommission.is_some() || self.own_session.opening {
+        if self.decommission.is_some() {
             return;
         }
         let member = self.own_session_name();
-        let closed = self.agents.is_closed(&member, self.own_session.epoch);
-        if self.own_session.epoch == 0 || closed {
-            self.open_own_session(now, member);
-            return;
+        let is_closed = |epoch| self.agents.is_closed(&member, epoch);
+        match self.own_session.next_step(is_closed) {
+            OwnSessionStep::Wait => {}
+            OwnSessionStep::Open => self.open_own_session(now, member),
+            OwnSessionStep::Renew { epoch } => {
+                let heartbeat = Heartbeat {
+                    member,
+                    epoch,
+                    sequence: 0,
+                    applied_revision: self.members.applied_revision(),
+                };
+                self.agents.heartbeat(None, &heartbeat);
+            }
         }
-        let heartbeat = Heartbeat {
-            member,
-            epoch: self.own_session.epoch,
-            sequence: 0,
-            applied_revision: self.members.applied_revision(),
-        };
-        self.agents.heartbeat(None, &heartbeat);
     }
 
     fn open_own_session(&mut self, now: MonotonicTime, member: String) {
-        self.own_session.opening = true;
+        self.own_session.opening();
         let shard = self.layout().shard_of(&session_key(&member));
         let open = OpenSession {
             member,
-            boot_id: self.own_session.boot_id,
+            boot_id: self.own_session.boot_id(),
             zone: self.options.zone.clone(),
             address: self.options.internal_address.clone(),
             exchange_address: String::new(),
         };
-        let command = Command {
-            kind: Some(command::Kind::OpenSession(open)),
-        };
+        let command = command_of(command::Kind::OpenSession(open));
         let request = request_to(shard, shard_request::Kind::Propose(command));
-        self.submit(now, Origin::OwnSession, request, AGENT_REQUEST_TIMEOUT);
+        self.pending
+            .submit(now, Origin::OwnSession, request, AGENT_REQUEST_TIMEOUT);
     }
 
     fn own_session_name(&self) -> String {
-        format!("control-{}", self.file.identity())
+        format!("control-{}", self.store.identity())
     }
 
     /// The control nodes, or nothing when the agent has the list already.
     fn members_for_agent(&mut self, now: MonotonicTime, link: LinkId) -> Vec<ControlMember> {
-        let mut members = self.directory().to_vec();
+        let mut members = self.directory.to_vec();
         members.push(self.own_member());
         let digest = xxh3_64(format!("{members:?}").as_bytes());
         if !self.agents.member_list_due(now, link, digest) {
@@ -160,13 +133,3 @@
         members
     }
 }
-
-/// A request to a shard's leader.
-#[must_use]
-pub fn request_to(shard: ShardId, kind: shard_request::Kind) -> ShardRequest {
-    ShardRequest {
-        shard: shard.0,
-        kind: Some(kind),
-        ..ShardRequest::default()
-    }
-}
--- a/crates/control/src/gateway/feeds.rs
+++ b/crates/control/src/gateway/core/shard_outputs.rs
@@ -1,7 +1,7 @@
-//! The feeds of agents, as far as the gateway is concerned, and the outputs of shards.
+//! Outputs of the shards' cores, on their way to agents and other nodes.
 
 use millford_api::internal::{FeedMessage, FeedStale, QuotaRecall, Subscribe, feed_message, frame};
-use millford_core::{MonotonicTime, ShardId};
+use millford_core::{MonotonicTime, NodeId, ShardId};
 
 use super::Gateway;
 use crate::link::LinkId;
@@ -12,7 +12,7 @@
     pub(super) fn handle_shard(&mut self, now: MonotonicTime, shard: ShardId, output: ShardOutput) {
         match output {
             ShardOutput::Replication(message) => {
-                let to = millford_core::NodeId(message.to);
+                let to = NodeId(message.to);
                 self.send_to_node(to, frame::Body::Replication(message));
             }
             ShardOutput::Reply {
@@ -30,25 +30,26 @@
                 message,
             } => self.feed(subscriber, message),
             ShardOutput::PublicChange(items) => self.public_change(now, shard, items),
-            ShardOutput::ReplicaStatus(replica) => self.replica_status_changed(now, replica),
-            ShardOutput::LoadSnapshot(picture) => {
-                self.send_to_all_agents(&frame::Body::LoadSnapshot(picture));
+            ShardOutput::ReplicaStatus(replica) => self.replica_status_changed(now, &replica),
+            ShardOutput::LoadSnapshot(snapshot) => {
+                self.send_to_all_agents(&frame::Body::LoadSnapshot(snapshot));
             }
-            ShardOutput::Event(record_event) => self.record_event(record_event),
+            ShardOutput::Event(event) => self.outbox.record_event(event),
             ShardOutput::Failed(code) => {
                 // What the disk holds is unknown. A new process reads it again; if none comes, a
-                // spare takes this node's place.
-                self.record_event(NodeEvent::ReplicaFailed { shard, code });
-                self.emit(NodeOutput::Fatal { code });
+                // standby takes this node's place.
+                self.outbox
+                    .record_event(NodeEvent::ReplicaFailed { shard, code });
+                self.outbox.emit(NodeOutput::Fatal { code });
             }
         }
     }
 
     pub(super) fn subscribe(&mut self, link: LinkId, subscribe: Subscribe) {
         let shard = ShardId(subscribe.shard);
-        if self.replica_statuses.contains_key(&shard) {
+        if self.replicas.holds(shard) {
             let subscriber = link;
-            self.send_to_shard(
+            self.outbox.send_to_shard(
                 shard,
                 ShardInput::Subscribe {
                     subscriber,
@@ -64,13 +65,9 @@
         self.feed(link, stale);
     }
 
-    pub(super) fn unsubscribe_everywhere(&mut self, link: LinkId) {
-        self.send_to_every_shard(&ShardInput::Unsubscribe { subscriber: link });
-    }
-
     fn feed(&mut self, link: LinkId, message: FeedMessage) {
         if self.links.is_open(link) {
-            self.send(link, frame::Body::Feed(message));
+            self.outbox.send(link, frame::Body::Feed(message));
         }
     }
 
@@ -82,7 +79,8 @@
         }
     }
 
-    /// Tells the agent if it is linked here; an empty name means every agent.
+    /// Sends the recall to the agent if it is linked here; an empty name means every agent. Gives
+    /// whether the one agent was found.
     pub(super) fn recall_own_agent(&mut self, recall: &QuotaRecall) -> bool {
         if recall.member.is_empty() {
             self.send_to_own_agents(&frame::Body::QuotaRecall(recall.clone()));
@@ -91,7 +89,8 @@
         let Some(link) = self.agents.link_of(&recall.member) else {
             return false;
         };
-        self.send(link, frame::Body::QuotaRecall(recall.clone()));
+        self.outbox
+            .send(link, frame::Body::QuotaRecall(recall.clone()));
         true
     }
 
@@ -101,23 +100,21 @@
         self.send_to_every_node(body);
     }
 
-    fn replica_status_changed(&mut self, now: MonotonicTime, replica: ShardReplicaStatus) {
+    fn replica_status_changed(&mut self, now: MonotonicTime, replica: &ShardReplicaStatus) {
         let shard = replica.shard;
-        self.stall_detector.record_report(now, shard);
-        let Some(former) = self.replica_statuses.insert(shard, replica.clone()) else {
+        let Some(former) = self.replicas.update(now, replica) else {
             // A core that was stopped in the meantime.
-            self.replica_statuses.remove(&shard);
             return;
         };
         if replica.leads && !former.leads {
-            self.record_event(NodeEvent::Leader {
+            self.outbox.record_event(NodeEvent::Leader {
                 shard,
                 leader: replica.leader,
                 term: replica.term,
             });
         }
         if former.has_quorum && !replica.has_quorum {
-            self.record_event(NodeEvent::LostQuorum(shard));
+            self.outbox.record_event(NodeEvent::LostQuorum(shard));
         }
         self.answer_early_heartbeats(now);
     }
--- a/crates/control/src/gateway/dialer.rs
+++ b/crates/control/src/gateway/dialer.rs
@@ -12,7 +12,7 @@
 
 /// What the dialer wants done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum DialAction {
+pub(super) enum DialAction {
     /// Open a connection.
     Connect(LinkId, String),
     /// Greet the control node on an open link.
@@ -54,14 +54,18 @@
 
 /// One connection for each address.
 #[derive(Debug, Default)]
-pub struct Dialer {
+pub(super) struct Dialer {
     dials: BTreeMap<String, Dial>,
     links_opened: u64,
 }
 
 impl Dialer {
     /// Brings the connections in line with the wanted addresses and keeps them alive.
-    pub fn tick(&mut self, now: MonotonicTime, desired: &BTreeSet<String>) -> Vec<DialAction> {
+    pub(super) fn tick(
+        &mut self,
+        now: MonotonicTime,
+        desired: &BTreeSet<String>,
+    ) -> Vec<DialAction> {
         let mut actions = self.drop_undesired(desired);
         for address in desired {
             let dials = &mut self.dials;
@@ -75,7 +79,7 @@
     }
 
     /// A link that the dialer asked for is open.
-    pub fn opened(&mut self, now: MonotonicTime, link: LinkId) {
+    pub(super) fn opened(&mut self, now: MonotonicTime, link: LinkId) {
         if let Some(dial) = self.find(link) {
             dial.open = true;
             dial.last_heard = now;
@@ -84,7 +88,7 @@
     }
 
     /// A link ended. Gives its address.
-    pub fn closed(&mut self, now: MonotonicTime, link: LinkId) -> Option<String> {
+    pub(super) fn closed(&mut self, now: MonotonicTime, link: LinkId) -> Option<String> {
         let entry = self
             .dials
             .iter_mut()
@@ -95,7 +99,12 @@
     }
 
     /// The node behind the link answered a greeting. Gives its address.
-    pub fn answered(&mut self, now: MonotonicTime, link: LinkId, peer: NodeId) -> Option<String> {
+    pub(super) fn answered(
+        &mut self,
+        now: MonotonicTime,
+        link: LinkId,
+        peer: NodeId,
+    ) -> Option<String> {
         let entry = self
             .dials
             .iter_mut()
@@ -108,8 +117,7 @@
     }
 
     /// Whether the node answered a greeting lately.
-    #[must_use]
-    pub fn is_connected(&self, now: MonotonicTime, node: NodeId) -> bool {
+    pub(super) fn is_connected(&self, now: MonotonicTime, node: NodeId) -> bool {
         self.dials.values().any(|dial| {
             dial.open
                 && dial.peer == Some(node)
@@ -118,7 +126,7 @@
     }
 
     /// Greets everyone at once, for news that should not wait.
-    pub fn schedule_hellos(&mut self, now: MonotonicTime) {
+    pub(super) fn schedule_hellos(&mut self, now: MonotonicTime) {
         for dial in self.dials.values_mut() {
             dial.next_hello = now;
         }
--- a/crates/control/src/gateway/early_heartbeats.rs
+++ b/crates/control/src/gateway/early_heartbeats.rs
@@ -15,7 +15,7 @@
 /// A node therefore keeps the first heartbeats for a moment; once it has been in touch, or the
 /// moment is over, it answers at once for as long as it runs.
 #[derive(Debug)]
-pub struct EarlyHeartbeats {
+pub(super) struct EarlyHeartbeats {
     until: MonotonicTime,
     closed: bool,
     waiting: BTreeMap<LinkId, Heartbeat>,
@@ -23,8 +23,7 @@
 
 impl EarlyHeartbeats {
     /// For a process that starts now.
-    #[must_use]
-    pub fn new(now: MonotonicTime) -> Self {
+    pub(super) fn new(now: MonotonicTime) -> Self {
         Self {
             until: now + EARLY_HEARTBEAT_TIMEOUT,
             closed: false,
@@ -33,23 +32,26 @@
     }
 
     /// Whether answers still wait for the first quorum.
-    #[must_use]
-    pub fn is_open(&self) -> bool {
+    pub(super) fn is_open(&self) -> bool {
         !self.closed
     }
 
     /// Keeps the newest heartbeat of a link.
-    pub fn defer(&mut self, link: LinkId, heartbeat: &Heartbeat) {
+    pub(super) fn defer(&mut self, link: LinkId, heartbeat: &Heartbeat) {
         self.waiting.insert(link, heartbeat.clone());
     }
 
     /// A link was closed.
-    pub fn forget_link(&mut self, link: LinkId) {
+    pub(super) fn forget_link(&mut self, link: LinkId) {
         self.waiting.remove(&link);
     }
 
     /// The heartbeats to answer now, once the node is in touch or the time is over.
-    pub fn release(&mut self, now: MonotonicTime, has_quorum: bool) -> BTreeMap<LinkId, Heartbeat> {
+    pub(super) fn release(
+        &mut self,
+        now: MonotonicTime,
+        has_quorum: bool,
+    ) -> BTreeMap<LinkId, Heartbeat> {
         self.closed |= has_quorum || now >= self.until;
         match self.closed {
             true => std::mem::take(&mut self.waiting),
--- a/crates/control/src/gateway/links.rs
+++ b/crates/control/src/gateway/links.rs
@@ -8,7 +8,7 @@
 
 /// Who is at the other end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LinkPeer {
+pub(super) enum LinkPeer {
     /// No frame told yet.
     Unknown,
     /// A control node.
@@ -19,19 +19,19 @@
 
 /// Links by number and by control node.
 #[derive(Debug, Default)]
-pub struct LinkTable {
+pub(super) struct LinkTable {
     links: BTreeMap<LinkId, LinkPeer>,
     by_node: BTreeMap<NodeId, BTreeSet<LinkId>>,
 }
 
 impl LinkTable {
     /// A link opened.
-    pub fn open(&mut self, link: LinkId) {
+    pub(super) fn open(&mut self, link: LinkId) {
         self.links.entry(link).or_insert(LinkPeer::Unknown);
     }
 
     /// A link ended. Gives who was there.
-    pub fn close(&mut self, link: LinkId) -> Option<LinkPeer> {
+    pub(super) fn close(&mut self, link: LinkId) -> Option<LinkPeer> {
         let peer = self.links.remove(&link)?;
         if let LinkPeer::Control(node) = peer {
             self.drop_from_node(node, link);
@@ -40,20 +40,18 @@
     }
 
     /// Whether the link is open.
-    #[must_use]
-    pub fn is_open(&self, link: LinkId) -> bool {
+    pub(super) fn is_open(&self, link: LinkId) -> bool {
         self.links.contains_key(&link)
     }
 
     /// Who is at the other end.
-    #[must_use]
-    pub fn peer(&self, link: LinkId) -> LinkPeer {
+    pub(super) fn peer(&self, link: LinkId) -> LinkPeer {
         let peer = self.links.get(&link);
         peer.copied().unwrap_or(LinkPeer::Unknown)
     }
 
     /// A control node introduced itself on the link.
-    pub fn set_control(&mut self, link: LinkId, node: NodeId) {
+    pub(super) fn set_control(&mut self, link: LinkId, node: NodeId) {
         let Some(peer) = self.links.get_mut(&link) else {
             return;
         };
@@ -65,7 +63,7 @@
     }
 
     /// An agent spoke on the link.
-    pub fn set_agent(&mut self, link: LinkId) {
+    pub(super) fn set_agent(&mut self, link: LinkId) {
         if let Some(peer) = self.links.get_mut(&link)
             && *peer == LinkPeer::Unknown
         {
@@ -75,13 +73,12 @@
 
     /// Link on which frames to a control node go: the newest one that this node opened, else one
     /// that the other node opened.
-    #[must_use]
-    pub fn to_node(&self, node: NodeId) -> Option<LinkId> {
+    pub(super) fn to_node(&self, node: NodeId) -> Option<LinkId> {
         self.by_node.get(&node)?.last().copied()
     }
 
     /// Every link to an agent.
-    pub fn agents(&self) -> impl Iterator<Item = LinkId> {
+    pub(super) fn agents(&self) -> impl Iterator<Item = LinkId> {
         let links = self.links.iter();
         links
             .filter(|(_, peer)| **peer == LinkPeer::Agent)
@@ -89,7 +86,7 @@
     }
 
     /// Every control node with an open link.
-    pub fn nodes(&self) -> impl Iterator<Item = NodeId> {
+    pub(super) fn nodes(&self) -> impl Iterator<Item = NodeId> {
         self.by_node.keys().copied()
     }
 
--- a/crates/control/src/gateway/member_list.rs
+++ b/crates/control/src/gateway/member_list.rs
@@ -2,21 +2,37 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use millford_api::command::{Command, RegisterControlMember, command};
-use millford_api::internal::{ReadState, StateSnapshot, shard_request};
 use millford_api::state::{ControlMember, StateItem, state_value};
 use millford_control_state::keys;
-use millford_core::{MonotonicTime, NodeId, ShardId};
+use millford_core::{MonotonicTime, NodeId};
 
-use super::Gateway;
-use super::pending::Origin;
-use super::sessions::request_to;
-use crate::shard::{MemberStatus, MemberView, ShardInput};
 use crate::timing::{OPERATOR_REQUEST_TIMEOUT, REGISTRATION_PERIOD};
 
-/// What the configuration shard lists, and the configuration for the other shards.
+/// A change of the list of control nodes.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) enum MemberChange {
+    /// The node is listed under these addresses.
+    Listed(NodeId, ControlMember),
+    /// The node is not listed any more.
+    Unlisted(NodeId),
+}
+
+impl MemberChange {
+    /// The change that a public item of the configuration shard tells, if it is one.
+    pub(super) fn of_item(item: &StateItem) -> Option<Self> {
+        let number = item.key.strip_prefix(keys::CONTROL_PREFIX)?;
+        let node = NodeId(u64::from_str_radix(number, 16).ok()?);
+        let value = item.value.as_ref().and_then(|value| value.kind.as_ref());
+        Some(match value {
+            Some(state_value::Kind::ControlMember(member)) => Self::Listed(node, member.clone()),
+            _ => Self::Unlisted(node),
+        })
+    }
+}
+
+/// Owner of what the configuration shard lists, and of the configuration for the other shards.
 #[derive(Debug, Default)]
-pub struct MemberList {
+pub(super) struct MemberList {
     registered: BTreeMap<NodeId, ControlMember>,
     configuration: Vec<StateItem>,
     read_from_leader: bool,
@@ -25,14 +41,12 @@
 
 impl MemberList {
     /// The configuration's items as last seen, for shards that start now.
-    #[must_use]
-    pub fn configuration(&self) -> &[StateItem] {
+    pub(super) fn configuration(&self) -> &[StateItem] {
         &self.configuration
     }
 
-    /// Number of the configuration that this node's replica shows; 0 when unknown.
-    #[must_use]
-    pub fn applied_revision(&self) -> u64 {
+    /// Revision of the configuration that this node's replica has applied; 0 when unknown.
+    pub(super) fn applied_revision(&self) -> u64 {
         let mut items = self.configuration.iter();
         let head = items.find(|item| item.key == keys::CONFIG_HEAD);
         let kind = head.and_then(|item| item.value.as_ref()?.kind.as_ref());
@@ -42,173 +56,73 @@
         }
     }
 
-    /// Checks at the next tick.
-    pub fn check_soon(&mut self, now: MonotonicTime) {
-        self.next_check = now;
+    /// The nodes listed, in order of identity.
+    pub(super) fn nodes(&self) -> impl Iterator<Item = NodeId> {
+        self.registered.keys().copied()
     }
 
-    fn cache_configuration(&mut self, items: &[StateItem]) {
-        let changed: BTreeSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
-        self.configuration
-            .retain(|known| !changed.contains(known.key.as_str()));
-        let present = items
-            .iter()
-            .filter(|item| item.value.is_some() && item.key.starts_with(keys::CONFIG_PREFIX));
-        self.configuration.extend(present.cloned());
+    /// Whether the node is listed.
+    pub(super) fn lists(&self, node: NodeId) -> bool {
+        self.registered.contains_key(&node)
     }
-}
 
-impl Gateway {
-    /// Makes sure that the cluster lists this node under its present addresses.
-    pub(super) fn tick_member_list(&mut self, now: MonotonicTime) {
-        if !self.file.is_formed() || self.decommission.is_some() || now < self.members.next_check {
-            return;
-        }
-        self.members.next_check = now + REGISTRATION_PERIOD;
-        let own = self.own_member();
-        let listed = self.members.registered.get(&self.file.identity()) == Some(&own);
-        let holds_list = self.replica_statuses.contains_key(&ShardId::CONFIGURATION);
-        if !holds_list {
-            // Without a replica of the list, the leader is asked.
-            let read = shard_request::Kind::ReadState(ReadState {
-                key_prefix: keys::CONTROL_PREFIX.to_owned(),
-                with_source: false,
-            });
-            self.submit(
-                now,
-                Origin::MemberList,
-                request_to(ShardId::CONFIGURATION, read),
-                REGISTRATION_PERIOD,
-            );
-        }
-        if !listed && self.knows_member_list() {
-            self.register(now, own);
-        }
+    /// Whether the node is listed under exactly these addresses.
+    pub(super) fn lists_as(&self, node: NodeId, member: &ControlMember) -> bool {
+        self.registered.get(&node) == Some(member)
     }
 
-    /// Whether the list that this node has is the present one. Until then it may have been removed
-    /// from it without knowing, and must not put itself back.
-    fn knows_member_list(&self) -> bool {
-        match self.replica_statuses.get(&ShardId::CONFIGURATION) {
-            Some(replica) => replica.has_quorum,
-            None => self.members.read_from_leader,
-        }
-    }
-
-    /// Items of a shard changed in this node's replica.
-    pub(super) fn public_change(
-        &mut self,
-        now: MonotonicTime,
-        shard: ShardId,
-        items: Vec<StateItem>,
-    ) {
-        if shard != ShardId::CONFIGURATION {
-            return;
-        }
-        for item in &items {
-            self.control_item(now, item);
-        }
-        self.persist_directory();
-        self.members.cache_configuration(&items);
-        let configuration: Vec<StateItem> = items
-            .into_iter()
-            .filter(|item| item.key.starts_with(keys::CONFIG_PREFIX))
-            .collect();
-        if !configuration.is_empty() {
-            self.send_to_every_shard(&ShardInput::Configuration(configuration));
-        }
+    /// Whether the list was ever read from the leader.
+    pub(super) fn was_read_from_leader(&self) -> bool {
+        self.read_from_leader
     }
 
-    /// The leader's list, on a node without a replica of it.
-    pub(super) fn member_list_read(&mut self, now: MonotonicTime, state: &StateSnapshot) {
-        self.members.read_from_leader = true;
-        for item in &state.items {
-            self.control_item(now, item);
-        }
-        self.persist_directory();
+    /// The list was read from the leader.
+    pub(super) fn set_read_from_leader(&mut self) {
+        self.read_from_leader = true;
     }
 
-    /// Tells every shard's leader which nodes are there.
-    pub(super) fn push_member_view(&mut self, now: MonotonicTime) {
-        if !self.file.is_formed() {
-            return;
-        }
-        let view = self.member_view(now);
-        if view == self.view {
-            return;
-        }
-        self.view = view.clone();
-        self.send_to_every_shard(&ShardInput::Members(view));
+    /// A node is listed.
+    pub(super) fn insert(&mut self, node: NodeId, member: ControlMember) {
+        self.registered.insert(node, member);
     }
 
-    fn register(&mut self, now: MonotonicTime, own: ControlMember) {
-        let command = Command {
-            kind: Some(command::Kind::RegisterControlMember(
-                RegisterControlMember { member: Some(own) },
-            )),
-        };
-        let kind = shard_request::Kind::Propose(command);
-        let request = request_to(ShardId::CONFIGURATION, kind);
-        self.submit(now, Origin::Registration, request, OPERATOR_REQUEST_TIMEOUT);
-        // The next check leaves the answer time to arrive.
-        self.members.next_check = now + OPERATOR_REQUEST_TIMEOUT;
+    /// A node is not listed any more.
+    pub(super) fn remove(&mut self, node: NodeId) {
+        self.registered.remove(&node);
     }
 
-    /// The registration of this node was answered.
-    pub(super) fn registration_answered(&mut self, now: MonotonicTime) {
-        self.members.next_check = now + REGISTRATION_PERIOD;
+    /// Checks at the next tick.
+    pub(super) fn check_soon(&mut self, now: MonotonicTime) {
+        self.next_check = now;
     }
 
-    fn control_item(&mut self, now: MonotonicTime, item: &StateItem) {
-        let Some(number) = item.key.strip_prefix(keys::CONTROL_PREFIX) else {
-            return;
-        };
-        let Ok(number) = u64::from_str_radix(number, 16) else {
-            return;
-        };
-        let node = NodeId(number);
-        let value = item.value.as_ref().and_then(|value| value.kind.as_ref());
-        match value {
-            Some(state_value::Kind::ControlMember(member)) => self.member_listed(node, member),
-            _ => self.member_unlisted(now, node),
+    /// Whether to check that the cluster lists this node; if so, the next check is a period away.
+    pub(super) fn take_check_due(&mut self, now: MonotonicTime) -> bool {
+        if now < self.next_check {
+            return false;
         }
+        self.next_check = now + REGISTRATION_PERIOD;
+        true
     }
 
-    fn member_listed(&mut self, node: NodeId, member: &ControlMember) {
-        self.members.registered.insert(node, member.clone());
-        if node != self.file.identity() {
-            self.directory.introduce(member);
-        }
+    /// The registration of this node was requested: the next check leaves the reply time to arrive.
+    pub(super) fn registration_requested(&mut self, now: MonotonicTime) {
+        self.next_check = now + OPERATOR_REQUEST_TIMEOUT;
     }
 
-    fn member_unlisted(&mut self, now: MonotonicTime, node: NodeId) {
-        self.members.registered.remove(&node);
-        if node == self.file.identity() {
-            self.begin_decommission(now);
-            return;
-        }
-        self.directory.remove(node);
-        if !self.file.removed.contains(&node.0) {
-            self.file.removed.push(node.0);
-            self.save_file();
-        }
+    /// The registration of this node was answered.
+    pub(super) fn registration_answered(&mut self, now: MonotonicTime) {
+        self.next_check = now + REGISTRATION_PERIOD;
     }
 
-    fn member_view(&self, now: MonotonicTime) -> MemberView {
-        let listed = self.members.registered.keys().copied();
-        let known = self.directory.iter().map(|member| NodeId(member.node_id));
-        let removed = self.file.removed.iter().copied().map(NodeId);
-        let own = self.file.identity();
-        let mut view = MemberView::default();
-        for node in listed.chain(known).chain(removed).chain([own]) {
-            let connected = node == own || self.dialer.is_connected(now, node);
-            let replica = MemberStatus {
-                registered: self.members.registered.contains_key(&node),
-                connected,
-                removed: self.directory.is_removed(node),
-            };
-            view.members.insert(node, replica);
-        }
-        view
+    /// Items of the configuration shard changed: those of the configuration are cached.
+    pub(super) fn cache_configuration(&mut self, items: &[StateItem]) {
+        let changed: BTreeSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
+        self.configuration
+            .retain(|known| !changed.contains(known.key.as_str()));
+        let present = items
+            .iter()
+            .filter(|item| item.value.is_some() && item.key.starts_with(keys::CONFIG_PREFIX));
+        self.configuration.extend(present.cloned());
     }
 }
--- a/crates/control/src/gateway/operator_answers.rs
+++ b/crates/control/src/gateway/operator_answers.rs
@@ -10,12 +10,12 @@
 use millford_core::{ResultCode, ShardId};
 use millford_registry::RegistryView;
 
-use super::is_ok;
+use super::pending_requests::is_ok;
 use crate::operator::status::placement_body;
 use crate::operator::{OperatorFailure, OperatorReply};
 
 /// Adds what a shard's public state tells to a status.
-pub fn add_state(status: &mut StatusReply, state: &StateSnapshot) {
+pub(super) fn add_state(status: &mut StatusReply, state: &StateSnapshot) {
     let values = state.items.iter().filter_map(|item| item.value.as_ref());
     for value in values {
         match &value.kind {
@@ -29,8 +29,7 @@
 }
 
 /// A failure with the code's own sentence.
-#[must_use]
-pub fn failed(code: ResultCode) -> OperatorReply {
+pub(super) fn failed(code: ResultCode) -> OperatorReply {
     OperatorReply::Failed(OperatorFailure::new(code))
 }
 
@@ -47,8 +46,7 @@
 }
 
 /// Answer to an order.
-#[must_use]
-pub fn order(replies: &[ShardReply]) -> OperatorReply {
+pub(super) fn order(replies: &[ShardReply]) -> OperatorReply {
     let Some(reply) = replies.first() else {
         return failed(ResultCode::OrderUncertain);
     };
@@ -74,8 +72,7 @@
 }
 
 /// The configuration in force.
-#[must_use]
-pub fn configuration(replies: &[ShardReply]) -> OperatorReply {
+pub(super) fn configuration(replies: &[ShardReply]) -> OperatorReply {
     let (Some(state), _) = states(replies) else {
         return failed(first_failure(replies));
     };
@@ -118,8 +115,7 @@
 
 /// What a change would move, worked out against what every shard told and, for pools that are
 /// new, against what the service registry lists.
-#[must_use]
-pub fn plan(
+pub(super) fn plan(
     desired: &Document,
     replies: &[ShardReply],
     registry: Option<&RegistryView>,
@@ -145,8 +141,12 @@
 }
 
 /// Answer to a drain order.
-#[must_use]
-pub fn drain(pool: &str, backend_id: &str, drain: bool, replies: &[ShardReply]) -> OperatorReply {
+pub(super) fn drain(
+    pool: &str,
+    backend_id: &str,
+    drain: bool,
+    replies: &[ShardReply],
+) -> OperatorReply {
     let code = replies.first().map_or(ResultCode::ControlTimeout, code_of);
     match code {
         ResultCode::Ok => OperatorReply::Drain(DrainReply {
--- a/crates/control/src/gateway/pending_operator_requests.rs
+++ b/crates/control/src/gateway/pending_operator_requests.rs
@@ -8,23 +8,23 @@
 
 /// One request and the answers that came in.
 #[derive(Debug)]
-pub struct PendingOperatorRequest {
+pub(super) struct PendingOperatorRequest {
     /// What was asked.
-    pub body: OperatorRequest,
+    pub(super) body: OperatorRequest,
     /// The answers.
-    pub replies: Vec<ShardReply>,
+    pub(super) replies: Vec<ShardReply>,
     missing: usize,
 }
 
 /// Requests by number.
 #[derive(Debug, Default)]
-pub struct PendingOperatorRequests {
+pub(super) struct PendingOperatorRequests {
     entries: BTreeMap<u64, PendingOperatorRequest>,
 }
 
 impl PendingOperatorRequests {
     /// A request waits for this many answers.
-    pub fn open(&mut self, request: u64, body: OperatorRequest, answers: usize) {
+    pub(super) fn open(&mut self, request: u64, body: OperatorRequest, answers: usize) {
         let entry = PendingOperatorRequest {
             body,
             replies: Vec::new(),
@@ -34,7 +34,11 @@
     }
 
     /// An answer came in. Gives the request once it was the last one.
-    pub fn answered(&mut self, request: u64, reply: ShardReply) -> Option<PendingOperatorRequest> {
+    pub(super) fn answered(
+        &mut self,
+        request: u64,
+        reply: ShardReply,
+    ) -> Option<PendingOperatorRequest> {
         let entry = self.entries.get_mut(&request)?;
         entry.replies.push(reply);
         entry.missing = entry.missing.saturating_sub(1);
--- a/crates/control/src/gateway/pending.rs
+++ b/crates/control/src/gateway/pending_requests.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use millford_api::internal::{SessionRenewal, ShardReply, ShardRequest};
+use millford_api::internal::{SessionRenewal, ShardReply, ShardRequest, shard_request};
 use millford_core::{Duration, MonotonicTime, NodeId, ResultCode, ShardId};
 
 use crate::link::LinkId;
@@ -39,6 +39,15 @@
     },
 }
 
+/// How often a request is sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum RetryPolicy {
+    /// Again and again, until it is answered or its deadline passes.
+    UntilDeadline,
+    /// Once: another node forwarded it and retries it itself.
+    Once,
+}
+
 #[derive(Debug)]
 struct Pending {
     origin: Origin,
@@ -47,7 +56,7 @@
     next_attempt: MonotonicTime,
     hint: NodeId,
     attempts: u32,
-    single: bool,
+    retry: RetryPolicy,
 }
 
 /// A request to be sent now.
@@ -93,7 +102,7 @@
         request: ShardRequest,
         timeout: Duration,
     ) -> CorrelationId {
-        self.insert(now, origin, request, timeout, false)
+        self.insert(now, origin, request, timeout, RetryPolicy::UntilDeadline)
     }
 
     /// Takes a request that another node forwarded: it is tried on this node only, once, so that
@@ -105,7 +114,7 @@
         request: ShardRequest,
         timeout: Duration,
     ) -> CorrelationId {
-        self.insert(now, origin, request, timeout, true)
+        self.insert(now, origin, request, timeout, RetryPolicy::Once)
     }
 
     /// Number of requests under way.
@@ -134,8 +143,10 @@
         reply: ShardReply,
     ) -> Option<CompletedRequest> {
         let pending = self.pending.get_mut(&correlation_id)?;
-        let retry = is_misdirected(reply.code) && !pending.single && now < pending.deadline;
-        if retry {
+        let retried = is_misdirected(reply.code)
+            && pending.retry == RetryPolicy::UntilDeadline
+            && now < pending.deadline;
+        if retried {
             pending.hint = NodeId(reply.leader_hint);
             let named = pending.hint.is_some();
             let delay = if named { RETRY_HINTED } else { RETRY_NO_LEADER };
@@ -217,7 +228,7 @@
         origin: Origin,
         mut request: ShardRequest,
         timeout: Duration,
-        single: bool,
+        retry: RetryPolicy,
     ) -> CorrelationId {
         let correlation_id = self.next_correlation_id();
         request.request_id = correlation_id;
@@ -228,7 +239,7 @@
             next_attempt: now,
             hint: NodeId::NONE,
             attempts: 0,
-            single,
+            retry,
         };
         self.pending.insert(correlation_id, pending);
         self.next_due = self.next_due.min(now);
@@ -238,7 +249,7 @@
 
 impl Pending {
     fn is_spent(&self) -> bool {
-        self.single && self.attempts > 0
+        self.retry == RetryPolicy::Once && self.attempts > 0
     }
 }
 
@@ -269,3 +280,19 @@
     ];
     misdirected.iter().any(|known| known.number() == code)
 }
+
+/// A request to a shard's leader.
+#[must_use]
+pub fn request_to(shard: ShardId, kind: shard_request::Kind) -> ShardRequest {
+    ShardRequest {
+        shard: shard.0,
+        kind: Some(kind),
+        ..ShardRequest::default()
+    }
+}
+
+/// Whether a code says that everything went well.
+#[must_use]
+pub fn is_ok(code: u32) -> bool {
+    code == ResultCode::Ok.number()
+}
--- a/crates/control/tests/components.rs
+++ b/crates/control/tests/components.rs
@@ -5,7 +5,7 @@
 use millford_api::internal::{ReplicaLoad, ShardRequest};
 use millford_control::LinkId;
 use millford_control::NodeEvent;
-use millford_control::gateway::pending::{Origin, PendingRequests, refusal};
+use millford_control::gateway::pending_requests::{Origin, PendingRequests, refusal};
 use millford_control::gateway::stall_detector::StallDetector;
 use millford_control::shard::load_snapshot_publisher::LoadSnapshotPublisher;
 use millford_control::shard::maintenance::MaintenanceSchedule;
