--- a/crates/control/src/daemon/connections.rs
+++ b/crates/control/src/daemon/connections.rs
@@ -42,7 +42,7 @@
         Self { runtime, queue }
     }
 
-    /// Opens a link; the gateway hears of the success or the failure.
+    /// Opens a link; the gateway is notified of the success or the failure.
     pub fn connect(&self, link: LinkId, address: String) {
         let queue = self.queue.clone();
         self.runtime.spawn(async move {
--- a/crates/control/src/daemon/event.rs
+++ b/crates/control/src/daemon/event.rs
@@ -42,7 +42,7 @@
         /// Why.
         error: StorageError,
     },
-    /// An operator asks.
+    /// A request of an operator.
     Operator {
         /// What.
         body: OperatorRequest,
--- a/crates/control/src/daemon/gateway_thread.rs
+++ b/crates/control/src/daemon/gateway_thread.rs
@@ -49,6 +49,9 @@
 
 impl GatewayThread {
     /// Opens the node's folder and starts its shards.
+    ///
+    /// # Errors
+    /// The node's folder cannot be read or written.
     pub fn open(
         options: ControlOptions,
         folders: FolderOpener,
@@ -200,7 +203,7 @@
         }
     }
 
-    /// Queues a frame. A link whose queue is full is closed: its reader is too slow or gone, and
+    /// Queues a frame. A link whose queue is full is closed: its reader is too slow or disconnected, and
     /// starts over with a new link.
     fn send(&mut self, link: LinkId, frame: Frame) {
         let Some(writer) = self.writers.get(&link) else {
@@ -253,9 +256,8 @@
     }
 
     fn erase_shards(&mut self) {
-        for (_, thread) in std::mem::take(&mut self.shards) {
-            thread.stop();
-        }
+        // Dropping the threads ends and joins them, so that nobody writes to the folders any more.
+        self.shards.clear();
         for shard in (0..=folders::HIGHEST_SHARD).map(ShardId) {
             let mut disk = (self.folders)(&shard_folder(shard));
             if let Err(error) = folders::clear(disk.as_mut()) {
--- a/crates/control/src/daemon/operator_http/answer.rs
+++ b/crates/control/src/daemon/operator_http/answer.rs
@@ -10,11 +10,10 @@
 use crate::operator::{OperatorFailure, OperatorReply};
 
 /// An answer as warp sends it.
-pub type Answer = Response<String>;
+pub(super) type Answer = Response<String>;
 
 /// The answer to a request that the gateway took.
-#[must_use]
-pub fn of_reply(reply: &OperatorReply) -> Answer {
+pub(super) fn of_reply(reply: &OperatorReply) -> Answer {
     match reply {
         OperatorReply::Order(body) => json(body),
         OperatorReply::Config(body) => json(body),
@@ -27,8 +26,7 @@
 }
 
 /// The answer to a request that was refused or failed.
-#[must_use]
-pub fn of_failure(failure: &OperatorFailure) -> Answer {
+pub(super) fn of_failure(failure: &OperatorFailure) -> Answer {
     let mut body = ErrorBody::with_message(failure.code, failure.text());
     body.revision = failure.revision;
     body.error.retry_after_ms = failure.retry_after.map(to_millis);
@@ -47,8 +45,7 @@
 }
 
 /// A short text.
-#[must_use]
-pub fn text(content_type: &'static str, body: String) -> Answer {
+pub(super) fn text(content_type: &'static str, body: String) -> Answer {
     let mut answer = Response::new(body);
     let value = warp::http::HeaderValue::from_static(content_type);
     answer.headers_mut().insert(CONTENT_TYPE, value);
@@ -56,8 +53,7 @@
 }
 
 /// There is nothing at the path.
-#[must_use]
-pub fn path_unknown() -> Answer {
+pub(super) fn path_unknown() -> Answer {
     of_failure(&OperatorFailure::new(ResultCode::PathUnknown))
 }
 
--- a/crates/control/src/daemon/operator_http/body.rs
+++ b/crates/control/src/daemon/operator_http/body.rs
@@ -13,8 +13,8 @@
 /// Largest body, in bytes. A document at the limits of its lists fits.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// Reads a JSON body whole.
-pub async fn read<B: Buf>(
+/// Reads a complete JSON body.
+pub(super) async fn read<B: Buf>(
     headers: &HeaderMap,
     body: impl Stream<Item = Result<B, warp::Error>>,
 ) -> Result<Vec<u8>, OperatorFailure> {
@@ -37,7 +37,7 @@
 }
 
 /// Reads a small body; a fault is named with its path.
-pub fn parse<T: DeserializeOwned>(json: &[u8]) -> Result<T, OperatorFailure> {
+pub(super) fn parse<T: DeserializeOwned>(json: &[u8]) -> Result<T, OperatorFailure> {
     let reader = &mut serde_json::Deserializer::from_slice(json);
     let value = serde_path_to_error::deserialize(&mut *reader).map_err(|error| {
         let code = if error.inner().is_data() {
@@ -55,8 +55,7 @@
 }
 
 /// A failure with a single fault.
-#[must_use]
-pub fn one_fault(code: ResultCode, path: &str, text: &str) -> OperatorFailure {
+pub(super) fn one_fault(code: ResultCode, path: &str, text: &str) -> OperatorFailure {
     OperatorFailure::of_faults(vec![Fault {
         path: if path == "." {
             String::new()
--- a/crates/control/src/daemon/operator_http/credential.rs
+++ b/crates/control/src/daemon/operator_http/credential.rs
@@ -4,7 +4,7 @@
 use warp::http::HeaderMap;
 use warp::http::header::AUTHORIZATION;
 
-/// SHA-256 of the operator key. The key itself is nowhere kept.
+/// SHA-256 of the operator key. The key itself is not stored.
 #[derive(Clone, Debug)]
 pub struct OperatorCredential {
     hash: Vec<u8>,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Compares without ending at the first difference, so that the time taken tells nothing.
+/// Compares without ending at the first difference, so that the time taken reveals nothing.
 fn same(left: &[u8], right: &[u8]) -> bool {
     if left.len() != right.len() {
         return false;
--- a/crates/control/src/daemon/operator_http/port.rs
+++ b/crates/control/src/daemon/operator_http/port.rs
@@ -15,7 +15,7 @@
 /// Added to the gateway's own patience before HTTP gives up on it.
 const GATEWAY_REPLY_MARGIN: Duration = Duration::from_secs(2);
 
-/// Asks the gateway on behalf of operators.
+/// Passes operators' requests to the gateway.
 #[derive(Clone)]
 pub struct OperatorPort {
     queue: GatewayQueue,
@@ -46,7 +46,8 @@
         &self.shared
     }
 
-    /// Asks and waits for the answer.
+    /// Sends a request and waits for the reply. A change whose reply does not come in time is
+    /// answered as uncertain.
     pub async fn request(&self, body: OperatorRequest) -> OperatorReply {
         let changes = matches!(
             body,
--- a/crates/control/src/daemon/operator_http/requests.rs
+++ b/crates/control/src/daemon/operator_http/requests.rs
@@ -14,8 +14,8 @@
 use super::port::OperatorPort;
 use crate::operator::{OperatorFailure, OperatorRequest};
 
-/// Reads a request, asks the gateway and answers.
-pub async fn handle<B: Buf>(
+/// Reads a request, passes it to the gateway and answers.
+pub(super) async fn handle<B: Buf>(
     port: &OperatorPort,
     method: &Method,
     path: &str,
--- a/crates/control/src/daemon/registry_watch.rs
+++ b/crates/control/src/daemon/registry_watch.rs
@@ -14,7 +14,7 @@
 /// Shortest period of the polls.
 const MIN_POLL_PERIOD: Duration = Duration::from_millis(500);
 
-/// Longest period of the polls: with what the registry itself trails, a backend that leaves is known in time.
+/// Longest period of the polls: with what the registry itself trails, the removal of a backend is known in time.
 const MAX_POLL_PERIOD: Duration = Duration::from_millis(1000);
 
 /// Time for each call that a reading takes: a registry bounds the calls of all readers together, and the
--- a/crates/control/src/daemon/run.rs
+++ b/crates/control/src/daemon/run.rs
@@ -11,9 +11,10 @@
 use millford_registry::{HttpRegistry, SharedRegistry};
 use millford_settings::logging::parse_level;
 use millford_settings::{LogOptions, logging};
-use millford_storage::{Disk, FileDisk};
+use millford_storage::{Disk, FileDisk, StorageError};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
+use tokio::task::JoinSet;
 
 use super::CONTROL;
 use super::connections::{Connector, listen};
@@ -34,33 +35,33 @@
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum StartError {
     /// An address is taken or not ours.
-    #[error("{code}: {address}: {reason}", code = ResultCode::AddressInUse)]
+    #[error("{code}: {address}: {source}", code = ResultCode::AddressInUse)]
     Bind {
         /// The address.
         address: String,
-        /// The system's words.
-        reason: String,
+        /// The system's error.
+        source: std::io::Error,
     },
     /// The data folder cannot be used.
-    #[error("{code}: data folder: {reason}", code = ResultCode::StartFailed)]
+    #[error("{code}: data folder: {source}", code = ResultCode::StartFailed)]
     Folder {
-        /// Why.
-        reason: String,
+        /// The storage's error.
+        source: StorageError,
     },
-    /// Anything else.
-    #[error("{code}: {reason}", code = ResultCode::StartFailed)]
-    Other {
-        /// Why.
-        reason: String,
+    /// The system gives no thread, signal handler or address.
+    #[error("{code}: {source}", code = ResultCode::StartFailed)]
+    System {
+        /// The system's error.
+        #[from]
+        source: std::io::Error,
+    },
+    /// The metrics cannot be registered.
+    #[error("{code}: {source}", code = ResultCode::StartFailed)]
+    Metrics {
+        /// The registry's error.
+        #[from]
+        source: prometheus::Error,
     },
-}
-
-impl StartError {
-    fn other(reason: impl ToString) -> Self {
-        Self::Other {
-            reason: reason.to_string(),
-        }
-    }
 }
 
 /// Serves operators on a bound address until the process ends.
@@ -112,7 +113,7 @@
         .build()
     {
         Ok(runtime) => runtime,
-        Err(error) => return failed(&StartError::other(error)),
+        Err(error) => return failed(&StartError::from(error)),
     };
     match runtime.block_on(serve(settings, adapters)) {
         Ok(()) => ExitCode::SUCCESS,
@@ -130,7 +131,7 @@
     let operator = bind(&settings.operator_address).await?;
     let internal_address = local_address(&internal)?;
     let operator_address = local_address(&operator)?;
-    let shared = Arc::new(NodeShared::new().map_err(StartError::other)?);
+    let shared = Arc::new(NodeShared::new()?);
     let (queue, events) = mpsc::channel();
     let connector = Connector::new(tokio::runtime::Handle::current(), queue.clone());
     let options = options_of(&settings, &internal_address, &operator_address);
@@ -143,20 +144,19 @@
         connector,
         shared.clone(),
     );
-    let thread = thread.map_err(|error| StartError::Folder {
-        reason: error.to_string(),
-    })?;
+    let thread = thread.map_err(|source| StartError::Folder { source })?;
     std::thread::Builder::new()
         .name("gateway".to_owned())
-        .spawn(move || thread.run())
-        .map_err(StartError::other)?;
-    tokio::spawn(listen(internal, queue.clone()));
+        .spawn(move || thread.run())?;
+    // Aborted when this function returns: nobody is served by a node that has shut down.
+    let mut tasks = JoinSet::new();
+    tasks.spawn(listen(internal, queue.clone()));
     if let Some(registry) = adapters.registry {
         let watch = registry_watch::watch(registry, queue.clone(), shared.clone());
-        tokio::spawn(watch);
+        tasks.spawn(watch);
     }
     let port = OperatorPort::new(queue.clone(), shared.clone(), &settings.operator_key_hash);
-    tokio::spawn((adapters.operators)(operator, port));
+    tasks.spawn((adapters.operators)(operator, port));
     println!("millford-control ready internal={internal_address} operator={operator_address}");
     wait_for_end().await?;
     shut_down(&queue, &shared).await;
@@ -165,14 +165,14 @@
 
 async fn bind(address: &str) -> Result<TcpListener, StartError> {
     let listener = TcpListener::bind(address).await;
-    listener.map_err(|error| StartError::Bind {
+    listener.map_err(|source| StartError::Bind {
         address: address.to_owned(),
-        reason: error.to_string(),
+        source,
     })
 }
 
 fn local_address(listener: &TcpListener) -> Result<String, StartError> {
-    let address = listener.local_addr().map_err(StartError::other)?;
+    let address = listener.local_addr()?;
     Ok(address.to_string())
 }
 
@@ -192,9 +192,8 @@
 /// Opens every folder once, so that a folder that cannot be used is found at the start.
 fn open_folders(data_folder: &str) -> Result<FolderOpener, StartError> {
     let root = PathBuf::from(data_folder);
-    let folder_fault = |error: String| StartError::Folder { reason: error };
     FileDisk::open(root.join(crate::node::NODE_FOLDER))
-        .map_err(|error| folder_fault(error.to_string()))?;
+        .map_err(|source| StartError::Folder { source })?;
     Ok(Arc::new(move |name: &str| -> Box<dyn Disk> {
         match FileDisk::open(root.join(name)) {
             Ok(disk) => Box::new(disk),
@@ -207,10 +206,10 @@
 }
 
 async fn wait_for_end() -> Result<(), StartError> {
-    let mut terminate = signal(SignalKind::terminate()).map_err(StartError::other)?;
-    let mut interrupt = signal(SignalKind::interrupt()).map_err(StartError::other)?;
+    let mut terminate = signal(SignalKind::terminate())?;
+    let mut interrupt = signal(SignalKind::interrupt())?;
     // A changed settings file takes effect at the next start: members are known from the cluster.
-    let mut hang_up = signal(SignalKind::hangup()).map_err(StartError::other)?;
+    let mut hang_up = signal(SignalKind::hangup())?;
     loop {
         tokio::select! {
             _ = terminate.recv() => return Ok(()),
--- a/crates/control/src/daemon/settings.rs
+++ b/crates/control/src/daemon/settings.rs
@@ -37,7 +37,7 @@
     pub data_shards: u32,
     /// Voters of a shard when there are enough nodes; an odd number, 2n + 1 to bear n lost disks.
     pub voters_per_shard: u32,
-    /// Silence after which a lost voter is replaced, in milliseconds.
+    /// Inactivity after which a lost voter is replaced, in milliseconds.
     pub replace_after_ms: u64,
     /// Least severe level that is logged.
     pub log_level: String,
--- a/crates/control/src/daemon/shard_thread.rs
+++ b/crates/control/src/daemon/shard_thread.rs
@@ -18,16 +18,19 @@
     Stop,
 }
 
-/// A running shard.
+/// A running shard. Dropping it ends the thread; its folder is closed afterwards.
 pub struct ShardThread {
     /// Number of the thread.
     pub generation: Generation,
     queue: Sender<ThreadMessage>,
-    handle: JoinHandle<()>,
+    handle: Option<JoinHandle<()>>,
 }
 
 impl ShardThread {
     /// Starts the thread; it opens the storage first.
+    ///
+    /// # Errors
+    /// The system starts no thread.
     pub fn start(
         options: ShardCoreOptions,
         generation: Generation,
@@ -41,19 +44,23 @@
         Ok(Self {
             generation,
             queue,
-            handle,
+            handle: Some(handle),
         })
     }
 
-    /// Queues an input. A thread that ended has told why already.
+    /// Queues an input. A thread that ended has reported why already.
     pub fn send(&self, input: ShardInput) {
         let _ = self.queue.send(ThreadMessage::Input(Box::new(input)));
     }
+}
 
-    /// Ends the thread; its folder is closed on return.
-    pub fn stop(self) {
+impl Drop for ShardThread {
+    fn drop(&mut self) {
+        // A thread that ended already takes no message, and is joined at once.
         let _ = self.queue.send(ThreadMessage::Stop);
-        let _ = self.handle.join();
+        if let Some(handle) = self.handle.take() {
+            let _ = handle.join();
+        }
     }
 }
 
--- a/crates/control/src/daemon/shared.rs
+++ b/crates/control/src/daemon/shared.rs
@@ -1,4 +1,4 @@
-//! What the HTTP side shows of the gateway, without asking it.
+//! State of the node that the HTTP side reads without a request to the gateway.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
@@ -88,7 +88,7 @@
         self.formed.load(Ordering::Relaxed)
     }
 
-    /// Whether the node is in touch with the configuration shard's quorum.
+    /// Whether the node has the configuration shard's quorum and can serve agents.
     #[must_use]
     pub fn has_quorum(&self) -> bool {
         self.has_quorum.load(Ordering::Relaxed)
--- a/crates/control/src/folders.rs
+++ b/crates/control/src/folders.rs
@@ -6,6 +6,9 @@
 pub const HIGHEST_SHARD: u32 = 64;
 
 /// Removes every file of a folder.
+///
+/// # Errors
+/// The folder cannot be listed, or a file cannot be removed.
 pub fn clear(disk: &mut dyn Disk) -> Result<(), StorageError> {
     for name in disk.list()? {
         disk.remove(&name)?;
--- a/crates/control/src/gateway/agents.rs
+++ b/crates/control/src/gateway/agents.rs
@@ -1,4 +1,4 @@
-//! Agents and control nodes whose heartbeats this node hears.
+//! Agents and control nodes whose heartbeats this node receives.
 
 use std::collections::BTreeMap;
 
@@ -26,7 +26,7 @@
     at: MonotonicTime,
 }
 
-/// Sessions heard here, to be passed on to the leaders of their shards.
+/// Sessions whose heartbeats arrive here, to be renewed at the leaders of their shards.
 #[derive(Debug, Default)]
 pub(super) struct AgentTable {
     members: BTreeMap<String, MemberSession>,
@@ -55,7 +55,7 @@
         !entry.closed
     }
 
-    /// The link on which an agent was heard last.
+    /// The link on which an agent's last heartbeat arrived.
     pub(super) fn link_of(&self, member: &str) -> Option<LinkId> {
         self.members.get(member)?.link
     }
@@ -79,7 +79,7 @@
         entry.is_some_and(|entry| entry.epoch > epoch || entry.epoch == epoch && entry.closed)
     }
 
-    /// Sessions heard since the last call, by shard.
+    /// Renewals of the sessions with a heartbeat since the last call, by shard.
     pub(super) fn take_renewals(
         &mut self,
         layout: ShardLayout,
@@ -117,7 +117,7 @@
         !known
     }
 
-    /// A link ended: its members are heard elsewhere from now on.
+    /// A link ended: its members' heartbeats arrive elsewhere from now on.
     pub(super) fn forget_link(&mut self, ended: LinkId) {
         self.lists.remove(&ended);
         self.members.retain(|_, entry| entry.link != Some(ended));
--- a/crates/control/src/gateway/core/formation.rs
+++ b/crates/control/src/gateway/core/formation.rs
@@ -1,4 +1,4 @@
-//! Forming, joining and leaving the cluster.
+//! Forming and joining the cluster, and the end of a removed identity.
 
 use std::collections::BTreeMap;
 
--- a/crates/control/src/gateway/core/handshakes.rs
+++ b/crates/control/src/gateway/core/handshakes.rs
@@ -1,4 +1,4 @@
-//! Connections between control nodes, and what they tell each other on them.
+//! Connections between control nodes, and the hellos that they exchange.
 
 use std::collections::BTreeSet;
 
--- a/crates/control/src/gateway/core/operators.rs
+++ b/crates/control/src/gateway/core/operators.rs
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Asks every shard twice: for its status and for its public state.
+    /// Sends every shard two requests: for its status and for its public state.
     fn fetch_status(&mut self, now: MonotonicTime, request: u64) {
         if !self.store.is_formed() {
             let status = self.status_head();
@@ -226,8 +226,8 @@
         }
         // What this node's own replicas know of the shards whose leader did not answer.
         let unanswered = self
-            .replica_statuses
-            .values()
+            .replicas
+            .iter()
             .filter(|replica| !answered.contains(&replica.shard.0));
         status.shards.extend(unanswered.map(leaderless_body));
         status.shards.sort_by_key(|shard| shard.shard);
--- a/crates/control/src/gateway/core/requests.rs
+++ b/crates/control/src/gateway/core/requests.rs
@@ -71,7 +71,7 @@
         );
     }
 
-    /// An agent asks for quota.
+    /// An agent requests quota.
     pub(super) fn handle_quota_request(
         &mut self,
         now: MonotonicTime,
--- a/crates/control/src/gateway/decommission.rs
+++ b/crates/control/src/gateway/decommission.rs
@@ -5,7 +5,7 @@
 use super::links::LinkTable;
 use super::replica_table::ReplicaTable;
 
-/// Longest time that a removed node keeps replicas that may still be counted on.
+/// Longest time that a removed node retains replicas that may still be counted on.
 const DECOMMISSION_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A removed node first lets its links and replica statuses come up to date.
@@ -40,7 +40,7 @@
 
 /// Whether every group holds its quorum without this node.
 ///
-/// A replica that was partitioned while its group removed it never hears of that. One that votes
+/// A replica that was partitioned while its group removed it never learns of that. One that votes
 /// still may be given up while all other voters are connected: its group takes this node's next
 /// identity in its place, which it could not do for as long as this one stays.
 fn is_dispensable(own: NodeId, replicas: &ReplicaTable, links: &LinkTable) -> bool {
--- a/crates/control/src/gateway/dialer.rs
+++ b/crates/control/src/gateway/dialer.rs
@@ -1,4 +1,4 @@
-//! Connections to every known control address, kept up.
+//! Connections to every known control address, opened again when they end.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,9 +15,9 @@
 pub(super) enum DialAction {
     /// Open a connection.
     Connect(LinkId, String),
-    /// Greet the control node on an open link.
+    /// Send a hello to the control node on an open link.
     SendHello(LinkId),
-    /// The node behind the link is silent: close it.
+    /// The node behind the link is unresponsive: close it.
     Close(LinkId),
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl Dialer {
-    /// Brings the connections in line with the wanted addresses and keeps them alive.
+    /// Brings the connections in line with the desired addresses and keeps them alive.
     pub(super) fn tick(
         &mut self,
         now: MonotonicTime,
@@ -78,7 +78,7 @@
         actions
     }
 
-    /// A link that the dialer asked for is open.
+    /// A link that the dialer requested is open.
     pub(super) fn opened(&mut self, now: MonotonicTime, link: LinkId) {
         if let Some(dial) = self.find(link) {
             dial.open = true;
--- a/crates/control/src/gateway/early_heartbeats.rs
+++ b/crates/control/src/gateway/early_heartbeats.rs
@@ -11,8 +11,8 @@
 /// Heartbeats of agents that wait for this node's first quorum.
 ///
 /// When all nodes start at once, each is without a quorum for the length of an election. An agent
-/// that is told so tries the others in vain and then pauses, often for longer than the election.
-/// A node therefore keeps the first heartbeats for a moment; once it has been in touch, or the
+/// that is answered so tries the others in vain and then backs off, often for longer than the election.
+/// A node therefore defers the first heartbeats for a moment; once it has had a quorum, or the
 /// moment is over, it answers at once for as long as it runs.
 #[derive(Debug)]
 pub(super) struct EarlyHeartbeats {
@@ -36,7 +36,7 @@
         !self.closed
     }
 
-    /// Keeps the newest heartbeat of a link.
+    /// Defers the newest heartbeat of a link.
     pub(super) fn defer(&mut self, link: LinkId, heartbeat: &Heartbeat) {
         self.waiting.insert(link, heartbeat.clone());
     }
@@ -46,16 +46,16 @@
         self.waiting.remove(&link);
     }
 
-    /// The heartbeats to answer now, once the node is in touch or the time is over.
+    /// The heartbeats to answer now, once the node has a quorum or the time is over.
     pub(super) fn release(
         &mut self,
         now: MonotonicTime,
         has_quorum: bool,
     ) -> BTreeMap<LinkId, Heartbeat> {
         self.closed |= has_quorum || now >= self.until;
-        match self.closed {
-            true => std::mem::take(&mut self.waiting),
-            false => BTreeMap::new(),
+        if self.closed {
+            return std::mem::take(&mut self.waiting);
         }
+        BTreeMap::new()
     }
 }
--- a/crates/control/src/gateway/leadership_balancer.rs
+++ b/crates/control/src/gateway/leadership_balancer.rs
@@ -84,7 +84,7 @@
         let led = replicas.iter().filter(|replica| replica.leads);
         let transfers = led.flat_map(|replica| {
             let voters = replica.voters.iter();
-            voters.map(|voter| LeadershipTransfer {
+            voters.map(move |voter| LeadershipTransfer {
                 shard: replica.shard,
                 to: *voter,
             })
--- a/crates/control/src/gateway/links.rs
+++ b/crates/control/src/gateway/links.rs
@@ -9,7 +9,7 @@
 /// Who is at the other end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LinkPeer {
-    /// No frame told yet.
+    /// No frame has shown it yet.
     Unknown,
     /// A control node.
     Control(NodeId),
--- a/crates/control/src/gateway/member_list.rs
+++ b/crates/control/src/gateway/member_list.rs
@@ -18,7 +18,7 @@
 }
 
 impl MemberChange {
-    /// The change that a public item of the configuration shard tells, if it is one.
+    /// The change that a public item of the configuration shard stands for, if any.
     pub(super) fn of_item(item: &StateItem) -> Option<Self> {
         let number = item.key.strip_prefix(keys::CONTROL_PREFIX)?;
         let node = NodeId(u64::from_str_radix(number, 16).ok()?);
@@ -105,7 +105,7 @@
         true
     }
 
-    /// The registration of this node was requested: the next check leaves the reply time to arrive.
+    /// The registration of this node was requested: the next check gives the reply time to arrive.
     pub(super) fn registration_requested(&mut self, now: MonotonicTime) {
         self.next_check = now + OPERATOR_REQUEST_TIMEOUT;
     }
--- a/crates/control/src/gateway/mod.rs
+++ b/crates/control/src/gateway/mod.rs
@@ -12,7 +12,7 @@
 //! | `member_list` | the replicated list of control nodes, the cached configuration |
 //! | `links`, `dialer` | open links, connections to control nodes |
 //! | `pending_requests`, `quota_relay` | requests under way to shards' leaders |
-//! | `agents`, `early_heartbeats`, `own_session` | sessions heard here, and this node's own |
+//! | `agents`, `early_heartbeats`, `own_session` | sessions whose heartbeats arrive here, and this node's own |
 //! | `pending_operator_requests` | operators' requests that wait for shards |
 //! | `leadership_balancer`, `decommission` | transfers of leaderships, the end of an identity |
 //! | `outbox` | what is to be done, in order |
--- a/crates/control/src/gateway/node_file.rs
+++ b/crates/control/src/gateway/node_file.rs
@@ -1,4 +1,4 @@
-//! What a control node keeps on its disk besides the shards.
+//! What a control node stores on its disk besides the shards.
 
 use millford_api::state::ControlMember;
 use millford_core::NodeId;
--- a/crates/control/src/gateway/operator_answers.rs
+++ b/crates/control/src/gateway/operator_answers.rs
@@ -14,7 +14,7 @@
 use crate::operator::status::placement_body;
 use crate::operator::{OperatorFailure, OperatorReply};
 
-/// Adds what a shard's public state tells to a status.
+/// Adds a shard's public state to a status.
 pub(super) fn add_state(status: &mut StatusReply, state: &StateSnapshot) {
     let values = state.items.iter().filter_map(|item| item.value.as_ref());
     for value in values {
@@ -37,7 +37,7 @@
     ResultCode::from_number(reply.code).unwrap_or(ResultCode::ProtocolViolation)
 }
 
-/// The code of an order whose fate nobody told: it may have been accepted.
+/// The code of an order whose outcome is unknown: it may have been accepted.
 fn uncertain(code: ResultCode) -> ResultCode {
     match code {
         ResultCode::ControlTimeout | ResultCode::NotLeader => ResultCode::OrderUncertain,
@@ -113,7 +113,7 @@
     }
 }
 
-/// What a change would move, worked out against what every shard told and, for pools that are
+/// What a change would move, computed against the state of every shard and, for pools that are
 /// new, against what the service registry lists.
 pub(super) fn plan(
     desired: &Document,
--- a/crates/control/src/gateway/pending_operator_requests.rs
+++ b/crates/control/src/gateway/pending_operator_requests.rs
@@ -9,7 +9,7 @@
 /// One request and the answers that came in.
 #[derive(Debug)]
 pub(super) struct PendingOperatorRequest {
-    /// What was asked.
+    /// The request.
     pub(super) body: OperatorRequest,
     /// The answers.
     pub(super) replies: Vec<ShardReply>,
--- a/crates/control/src/gateway/pending_requests.rs
+++ b/crates/control/src/gateway/pending_requests.rs
@@ -32,7 +32,7 @@
     MemberList,
     /// This node registers itself; nobody looks at the answer.
     Registration,
-    /// A replica of this node asks its leader to confirm a read.
+    /// A replica of this node wants its leader to confirm a read.
     Read {
         /// Number of the read in its shard.
         read: u64,
@@ -64,7 +64,7 @@
 pub struct Attempt {
     /// Number for the answer.
     pub correlation_id: CorrelationId,
-    /// The request; its number is the ticket.
+    /// The request; its number is the correlation id.
     pub request: ShardRequest,
     /// The leader that the last answer named.
     pub hint: NodeId,
@@ -81,7 +81,7 @@
     pub reply: ShardReply,
 }
 
-/// Requests by ticket, tried until answered or overdue.
+/// Requests by correlation id, tried until answered or overdue.
 ///
 /// Trying again is safe: every request either reads or carries what makes a repeated command
 /// harmless (order id, attempt id, boot id, epoch).
@@ -129,7 +129,7 @@
         self.pending.is_empty()
     }
 
-    /// A number for an answer that is kept elsewhere.
+    /// A number for an answer that another part waits for.
     pub fn next_correlation_id(&mut self) -> CorrelationId {
         self.next += 1;
         self.next
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -1,4 +1,4 @@
-//! A whole control node as one synchronous machine.
+//! A complete control node as one synchronous machine.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -33,7 +33,7 @@
     folders: FolderOpener,
     gateway: Gateway,
     cores: BTreeMap<ShardId, ShardCore>,
-    /// Shards that were told something, while a batch is taken.
+    /// Shards with inputs that are not flushed yet, while a batch is taken.
     batch: Option<BTreeSet<ShardId>>,
     queue: VecDeque<GatewayOutput>,
     outputs: Vec<NodeOutput>,
@@ -41,6 +41,9 @@
 
 impl ControlNode {
     /// Opens a node on its folders. Its first outputs come with the first input.
+    ///
+    /// # Errors
+    /// The node's folder cannot be read or written.
     pub fn open(
         options: ControlOptions,
         disks: impl Fn(&str) -> Box<dyn Disk> + Send + Sync + 'static,
--- a/crates/control/src/node_input.rs
+++ b/crates/control/src/node_input.rs
@@ -18,7 +18,7 @@
         /// The frame.
         frame: Frame,
     },
-    /// A link is open: accepted, or asked for by [`crate::NodeOutput::Connect`].
+    /// A link is open: accepted, or requested by [`crate::NodeOutput::Connect`].
     LinkOpened {
         /// The link.
         link: LinkId,
@@ -30,17 +30,17 @@
         /// The link.
         link: LinkId,
     },
-    /// An operator asks, through the operator interface.
+    /// A request through the operator interface.
     Operator {
         /// Number for the answer.
         request: u64,
-        /// What is asked.
+        /// The request.
         body: OperatorRequest,
     },
     /// The service registry was read.
     Registry(Arc<RegistryView>),
     /// [`crate::timing::TICK`] passed.
     Tick,
-    /// The process leaves: hand over what can be handed over.
+    /// The process shuts down: transfer the leaderships that can be transferred.
     Shutdown,
 }
--- a/crates/control/src/node_output.rs
+++ b/crates/control/src/node_output.rs
@@ -1,5 +1,7 @@
 //! What a control node wants done.
 
+use std::fmt;
+
 use millford_api::internal::Frame;
 use millford_core::{NodeId, ResultCode, ShardId};
 use millford_placement::MoveReason;
@@ -65,7 +67,7 @@
         /// Its term.
         term: u64,
     },
-    /// This replica lost touch with the shard's quorum.
+    /// This replica lost contact with the shard's quorum.
     LostQuorum(ShardId),
     /// A leader changes the voters of its shard.
     VotersChange {
@@ -106,3 +108,82 @@
     /// An operator forced recovery: the only voter of the shard is now this node.
     RecoveryForced(ShardId),
 }
+
+impl fmt::Display for NodeEvent {
+    /// The event as a log line.
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::IdentityMinted(node) => {
+                write!(formatter, "The disk is empty; this node is {node} now.")
+            }
+            Self::ClusterFormed(cluster) => write!(formatter, "Formed cluster {cluster:016x}."),
+            Self::JoinedAsStandby(cluster) => {
+                write!(formatter, "Joined cluster {cluster:016x} as a standby.")
+            }
+            Self::StartedOver(node) => {
+                write!(formatter, "This node starts over empty, as {node}.")
+            }
+            Self::Leader {
+                shard,
+                leader,
+                term,
+            } => write!(
+                formatter,
+                "Node {leader} leads shard {shard} in term {term}."
+            ),
+            Self::LostQuorum(shard) => write!(formatter, "Shard {shard} lost its quorum."),
+            Self::VotersChange {
+                shard,
+                change,
+                node,
+            } => write!(formatter, "Shard {shard}: {change} {node}."),
+            Self::MemberRemoved(node) => write!(
+                formatter,
+                "Control node {node} timed out and was removed from the membership."
+            ),
+            Self::ConfigurationAccepted(revision) => {
+                write!(formatter, "Revision {revision} applied.")
+            }
+            Self::ReplicaFailed { shard, code } => {
+                write!(formatter, "The replica of shard {shard} stopped: {code}")
+            }
+            Self::Placement {
+                pool,
+                replica,
+                reason,
+            } => write!(
+                formatter,
+                "Pool {pool}: {replica} {}.",
+                reason_text(*reason)
+            ),
+            Self::MorePlacements { pool, more } => {
+                write!(formatter, "Pool {pool}: {more} more moves.")
+            }
+            Self::RecoveryForced(shard) => write!(
+                formatter,
+                "FORCED RECOVERY: this node is the only voter of shard {shard}; orders may be lost."
+            ),
+        }
+    }
+}
+
+/// The reason as the end of a sentence.
+fn reason_text(reason: MoveReason) -> &'static str {
+    match reason {
+        MoveReason::Fenced => "is left alone, as a later leader places it",
+        MoveReason::Placed => "takes new work",
+        MoveReason::Retired => "is retired by the platform",
+        MoveReason::Drained => "is empty and removed",
+        MoveReason::DrainTimedOut => "is removed with work still open",
+        MoveReason::BandwidthRelief => "gets less work, for its memory bandwidth",
+        MoveReason::BandwidthExceeded => "is over its memory bandwidth, with no capacity elsewhere",
+        MoveReason::TransitionStep => "starts with the new version",
+        MoveReason::TransitionForced => "starts with the new version, deferred for too long",
+        MoveReason::TransitionDeferred => "waits with the new version for lower load",
+        MoveReason::TransitionBehindRetirements => "waits with the new version for retirements",
+        MoveReason::OldVersionWithdrawn => "takes no new work, as its version is old",
+        MoveReason::ScaledUp => "is added for more load",
+        MoveReason::ScaledDown => "is taken away for less load",
+        MoveReason::Reweighted => "gets another share of new work",
+    }
+}
--- a/crates/control/src/operator/failure.rs
+++ b/crates/control/src/operator/failure.rs
@@ -14,11 +14,11 @@
     pub revision: Option<u64>,
     /// Faults of the body.
     pub faults: Vec<Fault>,
-    /// When asking again may help.
+    /// Delay after which a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
-/// When to ask again while a shard has no leader.
+/// Delay before a retry while a shard has no leader.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl OperatorFailure {
--- a/crates/control/src/operator/mod.rs
+++ b/crates/control/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! What operators ask for and what they get, as `openapi/operator.json` describes it.
+//! Requests of operators and their replies, as `openapi/operator.json` describes it.
 
 pub mod failure;
 pub mod reply;
--- a/crates/control/src/operator/reply.rs
+++ b/crates/control/src/operator/reply.rs
@@ -19,7 +19,7 @@
     Status(Box<StatusReply>),
     /// The drain order stands, or is lifted.
     Drain(DrainReply),
-    /// This node goes on alone.
+    /// This node is the only voter of these shards now.
     Recovery(RecoveryReply),
     /// Refused or failed.
     Failed(OperatorFailure),
--- a/crates/control/src/operator/request.rs
+++ b/crates/control/src/operator/request.rs
@@ -4,7 +4,7 @@
 use millford_api::config::Document;
 use millford_core::NodeId;
 
-/// What an operator asks for. Bodies are read and checked before they come here.
+/// A request of an operator. Bodies are read and checked before they come here.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorRequest {
     /// Replace the configuration.
@@ -15,7 +15,7 @@
     Plan(Document),
     /// Members, shards, sessions, placements.
     Status,
-    /// Keep new work off a backend, or lift that.
+    /// Drain a backend, or end its draining.
     Drain {
         /// Name of the pool.
         pool: String,
@@ -24,7 +24,7 @@
         /// Whether to drain.
         drain: bool,
     },
-    /// Go on with this node alone after a quorum was lost for good.
+    /// Make this node the only voter after a quorum was lost for good.
     Recover {
         /// The nodes that remain.
         survivors: Vec<NodeId>,
--- a/crates/control/src/operator/status.rs
+++ b/crates/control/src/operator/status.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// A shard, as its leader told.
+/// A shard, as its leader reports it.
 #[must_use]
 pub fn shard_body(status: &ShardStatus) -> ShardBody {
     let leader = NodeId(status.leader);
--- a/crates/control/src/options.rs
+++ b/crates/control/src/options.rs
@@ -20,7 +20,7 @@
     pub data_shards: u32,
     /// Voters that a shard has when there are enough nodes: 2n + 1 of them bear the loss of n disks.
     pub voters_per_shard: usize,
-    /// Silence after which a voter is replaced by a spare.
+    /// Inactivity after which a voter is replaced by a standby.
     pub replace_after: Duration,
     /// Seed of the node's random numbers; from the operating system in the daemon.
     pub seed: u64,
--- a/crates/control/src/shard/catalogue_reconciler.rs
+++ b/crates/control/src/shard/catalogue_reconciler.rs
@@ -10,7 +10,7 @@
 use millford_control_state::selection::selects;
 use millford_control_state::{ShardMachine, keys};
 use millford_core::{ShardId, ShardLayout, service_key};
-use millford_registry::RegistryView;
+use millford_registry::{RegistryEntry, RegistryView};
 
 /// Prefix of the pools' keys in the configuration.
 const POOL_PREFIX: &str = "config/pool/";
@@ -132,7 +132,7 @@
         let Some(pool) = self.pools.get(service) else {
             return Vec::new();
         };
-        let entries = registry.backends.iter().map(|entry| entry.to_backend());
+        let entries = registry.backends.iter().map(RegistryEntry::to_backend);
         entries
             .filter(|backend| selects(pool.selector.as_ref(), backend))
             .collect()
--- a/crates/control/src/shard/group_repair.rs
+++ b/crates/control/src/shard/group_repair.rs
@@ -1,4 +1,4 @@
-//! The voters of a shard's group and the list of control nodes, as the shard's leader keeps them.
+//! The voters of a shard's group and the list of control nodes, as the shard's leader maintains them.
 
 use std::collections::BTreeMap;
 
--- a/crates/control/src/shard/input.rs
+++ b/crates/control/src/shard/input.rs
@@ -28,7 +28,7 @@
         /// The request.
         request: ShardRequest,
     },
-    /// An agent asks for quota.
+    /// An agent requests quota.
     Quota {
         /// For the answer.
         correlation_id: CorrelationId,
@@ -44,12 +44,12 @@
         /// From where.
         subscribe: Subscribe,
     },
-    /// An agent is gone.
+    /// An agent is disconnected.
     Unsubscribe {
         /// Its link.
         subscriber: LinkId,
     },
-    /// The leader's answer to a confirmed read that this replica asked for.
+    /// The leader's answer to a read that this replica wanted confirmed.
     LeaderIndex {
         /// Number of the read.
         read: u64,
@@ -69,6 +69,6 @@
         /// The voter.
         to: NodeId,
     },
-    /// The process leaves: hand leadership over if possible.
+    /// The process shuts down: transfer leadership if possible.
     Shutdown,
 }
--- a/crates/control/src/shard/load_snapshot_publisher.rs
+++ b/crates/control/src/shard/load_snapshot_publisher.rs
@@ -1,4 +1,4 @@
-//! The load picture on its way to the nodes: differences only, and a bounded rate.
+//! Load snapshots on their way to the nodes: differences only, and at a bounded rate.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
 /// Most backends, and most nodes that report, of a small site.
 const SMALL_SITE: usize = 16;
 
-/// The whole picture is sent again after this long, for nodes that came since.
+/// The full snapshot is sent again after this long, for nodes that joined since.
 const FULL_SNAPSHOT_PERIOD: Duration = Duration::from_secs(10);
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -67,7 +67,7 @@
         self.next = now + paced.max(period);
     }
 
-    /// The loads that changed since the last picture. A replica that is gone from the picture is
+    /// The loads that changed since the last snapshot. A replica that is removed from it is
     /// listed once more, as idle.
     pub fn difference(
         &mut self,
--- a/crates/control/src/shard/members.rs
+++ b/crates/control/src/shard/members.rs
@@ -9,7 +9,7 @@
 pub struct MemberStatus {
     /// The configuration shard lists it.
     pub registered: bool,
-    /// This node hears from it.
+    /// This node is connected to it.
     pub connected: bool,
     /// The cluster removed this identity for good.
     pub removed: bool,
@@ -23,7 +23,7 @@
 }
 
 impl MemberView {
-    /// Standing of a node; unknown nodes are neither registered nor connected.
+    /// Status of a node; unknown nodes are neither registered nor connected.
     #[must_use]
     pub fn get(&self, node: NodeId) -> MemberStatus {
         self.members.get(&node).copied().unwrap_or_default()
--- a/crates/control/src/shard/move_events.rs
+++ b/crates/control/src/shard/move_events.rs
@@ -9,7 +9,7 @@
 /// Most moves of one plan that are named one by one; the rest are counted.
 const MAX_NAMED_MOVES: usize = 8;
 
-/// What each pool's last plan said, so that a move that is put off for long is told once.
+/// What each pool's last plan said, so that a move that is deferred for long is reported once.
 #[derive(Debug, Default)]
 pub struct MoveEvents {
     reported: BTreeMap<String, BTreeSet<(ReplicaKey, MoveReason)>>,
@@ -48,25 +48,3 @@
         self.reported.retain(|pool, _| is_owned(pool));
     }
 }
-
-/// The reason as the end of a sentence.
-#[must_use]
-pub fn describe(reason: MoveReason) -> &'static str {
-    match reason {
-        MoveReason::Fenced => "is left alone, as a later leader places it",
-        MoveReason::Placed => "takes new work",
-        MoveReason::Retired => "is retired by the platform",
-        MoveReason::Drained => "is empty and removed",
-        MoveReason::DrainTimedOut => "is removed with work still open",
-        MoveReason::BandwidthRelief => "gets less work, for its memory bandwidth",
-        MoveReason::BandwidthExceeded => "is over its memory bandwidth, with no capacity elsewhere",
-        MoveReason::TransitionStep => "starts with the new version",
-        MoveReason::TransitionForced => "starts with the new version, deferred for too long",
-        MoveReason::TransitionDeferred => "waits with the new version for lower load",
-        MoveReason::TransitionBehindRetirements => "waits with the new version for retirements",
-        MoveReason::OldVersionWithdrawn => "takes no new work, as its version is old",
-        MoveReason::ScaledUp => "is added for more load",
-        MoveReason::ScaledDown => "is taken away for less load",
-        MoveReason::Reweighted => "gets another share of new work",
-    }
-}
--- a/crates/control/src/shard/output.rs
+++ b/crates/control/src/shard/output.rs
@@ -29,9 +29,9 @@
         /// The answer.
         reply: QuotaReply,
     },
-    /// Ask nodes for idle quota.
+    /// Recall idle quota from nodes.
     Recall(QuotaRecall),
-    /// Ask the leader to confirm a read of this replica.
+    /// Let the leader confirm a read of this replica.
     ConfirmRead {
         /// Number of the read.
         read: u64,
@@ -45,7 +45,7 @@
     },
     /// Public items changed in this replica.
     PublicChange(Vec<StateItem>),
-    /// The replica's role or touch changed.
+    /// The replica's status: it changed, or a report is due.
     ReplicaStatus(ShardReplicaStatus),
     /// Load of all nodes together, for the agents.
     LoadSnapshot(LoadSnapshot),
--- a/crates/control/src/shard/reads.rs
+++ b/crates/control/src/shard/reads.rs
@@ -10,7 +10,7 @@
 pub(super) enum ReadPurpose {
     /// Answer with public items.
     State {
-        /// Who asked.
+        /// For the answer.
         correlation_id: CorrelationId,
         /// Keys that start with this.
         prefix: String,
@@ -19,12 +19,12 @@
     },
     /// Answer with the index itself.
     Index {
-        /// Who asked.
+        /// For the answer.
         correlation_id: CorrelationId,
     },
     /// Answer with the shard's status.
     Status {
-        /// Who asked.
+        /// For the answer.
         correlation_id: CorrelationId,
     },
     /// Open an agent's feed.
--- a/crates/control/src/shard/repair.rs
+++ b/crates/control/src/shard/repair.rs
@@ -68,19 +68,19 @@
 
 /// Decides one change at a time.
 ///
-/// Order: the spare first catches up as a learner, then the lost voter goes, then the learner
+/// Order: the standby first catches up as a learner, then the lost voter is removed, then the learner
 /// votes. So a voter counts only once it holds everything committed, and a quorum is at every
 /// moment made of replicas that do.
 #[derive(Clone, Copy, Debug)]
 pub struct RepairPolicy {
-    /// Silence after which a voter counts as lost.
+    /// Inactivity after which a voter counts as lost.
     pub replace_after: Duration,
-    /// Voters of a whole group.
+    /// Voters of a complete group.
     pub voters: usize,
 }
 
 impl RepairPolicy {
-    /// The next step, or none when the group is whole or cannot be mended now.
+    /// The next step, or none when the group is complete or cannot be repaired now.
     #[must_use]
     pub fn decide(
         &self,
--- a/crates/control/src/shard/subscriptions.rs
+++ b/crates/control/src/shard/subscriptions.rs
@@ -34,8 +34,8 @@
 }
 
 impl Subscriptions {
-    /// An agent asks, and its read is asked for now. An agent that asks again has been waiting since it
-    /// asked first: else one that asks every second would never be told to go elsewhere.
+    /// An agent subscribes, and its read is started now. One that subscribes again has been waiting since it
+    /// subscribed first: else one that subscribes every second would never be sent elsewhere.
     pub(super) fn insert(&mut self, now: MonotonicTime, subscriber: LinkId, subscribe: Subscribe) {
         let since = self
             .pending
@@ -62,7 +62,7 @@
         Some(pending.subscribe)
     }
 
-    /// Subscriptions whose read is to be asked for again; each is due again later.
+    /// Subscriptions whose read is to be started again; each is due again later.
     pub(super) fn take_due(&mut self, now: MonotonicTime) -> Vec<DueSubscription> {
         let pending = self.pending.iter_mut();
         let due = pending.filter(|(_, pending)| pending.retry_at <= now);
--- a/crates/control/src/timing.rs
+++ b/crates/control/src/timing.rs
@@ -8,14 +8,14 @@
 /// Without contact with a shard's leader for this long, a replica stops feeding agents.
 pub const QUORUM_CONTACT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// A node that starts keeps heartbeats of agents for up to this long until it has a quorum: an
-/// election after a common start takes less. Shorter than an agent bears a silent node.
+/// A node that starts defers heartbeats of agents for up to this long until it has a quorum: an
+/// election after a common start takes less. Shorter than an agent waits for an unresponsive node.
 pub const EARLY_HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Period of greetings to every known control node.
+/// Period of hellos to every known control node.
 pub const HELLO_PERIOD: Duration = Duration::from_millis(400);
 
-/// A control node that answered no greeting for this long counts as not connected.
+/// A control node that answered no hello for this long counts as not connected.
 pub const PEER_INACTIVITY_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// First and longest delay between attempts to reach a control node.
@@ -47,7 +47,7 @@
 /// How long an agent's quota request may be under way to the leader.
 pub const QUOTA_REQUEST_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Period at which heartbeats heard are passed on to the leaders of the sessions' shards.
+/// Period at which received heartbeats are passed on to the leaders of the sessions' shards.
 pub const RENEWAL_PERIOD: Duration = Duration::from_millis(250);
 
 /// Period at which a node checks that the cluster lists it.
@@ -62,7 +62,7 @@
 /// Period of the placement role.
 pub const PLACEMENT_PERIOD: Duration = Duration::from_millis(1000);
 
-/// Period of the load picture that agents get back.
+/// Period of the load snapshots that agents receive.
 pub const LOAD_SNAPSHOT_PERIOD: Duration = Duration::from_millis(500);
 
 /// As [`LOAD_SNAPSHOT_PERIOD`], at a small site.
--- a/crates/control/tests/support/agent.rs
+++ b/crates/control/tests/support/agent.rs
@@ -13,19 +13,19 @@
 use super::cluster::{Cluster, End};
 
 /// Follows one shard and holds a session.
-pub struct TestAgent {
-    pub name: String,
-    pub end: End,
-    pub view: FeedView,
-    pub epoch: u64,
-    pub stale: bool,
-    pub last_heartbeat: Option<HeartbeatReply>,
-    pub replies: Vec<ShardReply>,
+pub(crate) struct TestAgent {
+    pub(crate) name: String,
+    pub(crate) end: End,
+    pub(crate) view: FeedView,
+    pub(crate) epoch: u64,
+    pub(crate) stale: bool,
+    pub(crate) last_heartbeat: Option<HeartbeatReply>,
+    pub(crate) replies: Vec<ShardReply>,
     next_request: u64,
 }
 
 impl TestAgent {
-    pub fn connect(cluster: &mut Cluster, name: &str, to: &str, shard: ShardId) -> Self {
+    pub(crate) fn connect(cluster: &mut Cluster, name: &str, to: &str, shard: ShardId) -> Self {
         let end = cluster.open_link(name, to);
         let mut agent = Self {
             name: name.to_owned(),
@@ -42,13 +42,13 @@
         agent
     }
 
-    pub fn subscribe(&mut self, cluster: &mut Cluster) {
+    pub(crate) fn subscribe(&mut self, cluster: &mut Cluster) {
         let subscribe: Subscribe = self.view.subscribe();
         self.send(cluster, frame::Body::Subscribe(subscribe));
     }
 
     /// Goes to another control node and keeps what it shows.
-    pub fn move_to(&mut self, cluster: &mut Cluster, to: &str) {
+    pub(crate) fn move_to(&mut self, cluster: &mut Cluster, to: &str) {
         cluster.close(&self.end);
         self.end = cluster.open_link(&self.name, to);
         self.stale = false;
@@ -56,7 +56,12 @@
         self.subscribe(cluster);
     }
 
-    pub fn request(&mut self, cluster: &mut Cluster, shard: ShardId, kind: shard_request::Kind) {
+    pub(crate) fn request(
+        &mut self,
+        cluster: &mut Cluster,
+        shard: ShardId,
+        kind: shard_request::Kind,
+    ) {
         self.next_request += 1;
         let request = ShardRequest {
             shard: shard.0,
@@ -67,13 +72,13 @@
         self.send(cluster, frame::Body::ShardRequest(request));
     }
 
-    pub fn propose(&mut self, cluster: &mut Cluster, shard: ShardId, kind: command::Kind) {
+    pub(crate) fn propose(&mut self, cluster: &mut Cluster, shard: ShardId, kind: command::Kind) {
         let command = Command { kind: Some(kind) };
         self.request(cluster, shard, shard_request::Kind::Propose(command));
     }
 
     /// Waits for the answer to the last request.
-    pub fn reply(&mut self, cluster: &mut Cluster) -> ShardReply {
+    pub(crate) fn reply(&mut self, cluster: &mut Cluster) -> ShardReply {
         for _ in 0..200 {
             self.receive(cluster);
             let desired = self.next_request;
@@ -89,7 +94,7 @@
         panic!("no answer for {}", self.name);
     }
 
-    pub fn open_session(&mut self, cluster: &mut Cluster, boot_id: u64) {
+    pub(crate) fn open_session(&mut self, cluster: &mut Cluster, boot_id: u64) {
         let shard = ShardLayout::new(2).shard_of(&session_key(&self.name));
         let open = OpenSession {
             member: self.name.clone(),
@@ -109,7 +114,7 @@
         self.epoch = opened.epoch;
     }
 
-    pub fn heartbeat(&mut self, cluster: &mut Cluster) {
+    pub(crate) fn heartbeat(&mut self, cluster: &mut Cluster) {
         let heartbeat = Heartbeat {
             member: self.name.clone(),
             epoch: self.epoch,
@@ -120,7 +125,7 @@
     }
 
     /// Heartbeats for a time, as an agent does.
-    pub fn heartbeat_for(&mut self, cluster: &mut Cluster, time: Duration) {
+    pub(crate) fn heartbeat_for(&mut self, cluster: &mut Cluster, time: Duration) {
         let beats = time.as_millis() / 250;
         for _ in 0..beats {
             self.heartbeat(cluster);
@@ -130,7 +135,7 @@
     }
 
     /// Takes what arrived. Panics when the feed goes backwards.
-    pub fn receive(&mut self, cluster: &mut Cluster) {
+    pub(crate) fn receive(&mut self, cluster: &mut Cluster) {
         for frame in cluster.take_frames(&self.end) {
             match frame.body {
                 Some(frame::Body::Feed(message)) => self.feed(cluster, message),
--- a/crates/control/tests/support/cluster.rs
+++ b/crates/control/tests/support/cluster.rs
@@ -20,9 +20,9 @@
 
 /// One end of a link.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct End {
-    pub address: String,
-    pub link: LinkId,
+pub(crate) struct End {
+    pub(crate) address: String,
+    pub(crate) link: LinkId,
 }
 
 enum Event {
@@ -31,23 +31,23 @@
     Closed(End),
 }
 
-pub struct Machine {
-    pub disk: MemoryMachine,
-    pub node: Option<ControlNode>,
+pub(crate) struct Machine {
+    pub(crate) disk: MemoryMachine,
+    pub(crate) node: Option<ControlNode>,
     seeds: Vec<String>,
 }
 
-pub struct Cluster {
-    pub now: MonotonicTime,
-    pub machines: BTreeMap<String, Machine>,
-    pub node_events: Vec<(String, NodeEvent)>,
-    pub replies: BTreeMap<u64, OperatorReply>,
+pub(crate) struct Cluster {
+    pub(crate) now: MonotonicTime,
+    pub(crate) machines: BTreeMap<String, Machine>,
+    pub(crate) node_events: Vec<(String, NodeEvent)>,
+    pub(crate) replies: BTreeMap<u64, OperatorReply>,
     /// Frames that arrived at ends that are no node: test agents read them.
-    pub inbox: BTreeMap<End, VecDeque<Frame>>,
+    pub(crate) inbox: BTreeMap<End, VecDeque<Frame>>,
     /// Addresses whose frames are lost, in both directions.
-    pub partitioned: BTreeSet<String>,
+    pub(crate) partitioned: BTreeSet<String>,
     /// Pairs of nodes: what the first sends to the second is lost.
-    pub partitioned_pairs: BTreeSet<(String, String)>,
+    pub(crate) partitioned_pairs: BTreeSet<(String, String)>,
     seeds: Vec<String>,
     seed: u64,
     boots: u64,
@@ -62,7 +62,7 @@
 
 impl Cluster {
     /// `nodes` empty machines that are each other's seeds, started.
-    pub fn start(nodes: usize, seed: u64) -> Self {
+    pub(crate) fn start(nodes: usize, seed: u64) -> Self {
         let seeds: Vec<String> = (1..=nodes).map(|number| format!("node-{number}")).collect();
         let mut cluster = Self::empty(seeds.clone(), seed);
         for address in &seeds {
@@ -72,7 +72,7 @@
     }
 
     /// No machine yet.
-    pub fn empty(seeds: Vec<String>, seed: u64) -> Self {
+    pub(crate) fn empty(seeds: Vec<String>, seed: u64) -> Self {
         Self {
             now: MonotonicTime::from_millis(1000),
             machines: BTreeMap::new(),
@@ -95,13 +95,13 @@
     }
 
     /// Groups of this many voters on machines that start from now on.
-    pub fn with_voters(mut self, voters: usize) -> Self {
+    pub(crate) fn with_voters(mut self, voters: usize) -> Self {
         self.voters_per_shard = voters;
         self
     }
 
     /// Starts the machine at this address, with the disk that it has.
-    pub fn boot(&mut self, address: &str) {
+    pub(crate) fn boot(&mut self, address: &str) {
         self.boots += 1;
         let boot = self.boots;
         let seeds = self.seeds_for_a_new_machine();
@@ -142,7 +142,7 @@
     }
 
     /// Ends the process; its links break.
-    pub fn kill(&mut self, address: &str) {
+    pub(crate) fn kill(&mut self, address: &str) {
         self.machines.get_mut(address).expect("a machine").node = None;
         let ends: Vec<End> = self
             .peer_ends
@@ -156,7 +156,7 @@
     }
 
     /// Lets time pass.
-    pub fn run(&mut self, time: Duration) {
+    pub(crate) fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.step();
@@ -164,7 +164,12 @@
     }
 
     /// Lets time pass until the condition holds.
-    pub fn run_until(&mut self, limit: Duration, what: &str, condition: impl Fn(&Self) -> bool) {
+    pub(crate) fn run_until(
+        &mut self,
+        limit: Duration,
+        what: &str,
+        condition: impl Fn(&Self) -> bool,
+    ) {
         let end = self.now + limit;
         while !condition(self) {
             assert!(
@@ -177,12 +182,12 @@
     }
 
     /// Whether every shard has a leader on a running node that reaches a quorum.
-    pub fn has_leaders(&self) -> bool {
+    pub(crate) fn has_leaders(&self) -> bool {
         (0..=2).all(|shard| self.leader(ShardId(shard)).is_some())
     }
 
     /// Address of the shard's leader with the largest term.
-    pub fn leader(&self, shard: ShardId) -> Option<String> {
+    pub(crate) fn leader(&self, shard: ShardId) -> Option<String> {
         let nodes = self.machines.iter().filter_map(|(address, machine)| {
             let core = machine.node.as_ref()?.core(shard)?;
             let status = core.status();
@@ -193,7 +198,7 @@
     }
 
     /// Identities of the voters, as the shard's leader has them committed.
-    pub fn voters(&self, shard: ShardId) -> Vec<NodeId> {
+    pub(crate) fn voters(&self, shard: ShardId) -> Vec<NodeId> {
         let Some(leader) = self.leader(shard) else {
             return Vec::new();
         };
@@ -206,17 +211,17 @@
         }
     }
 
-    pub fn node(&self, address: &str) -> &ControlNode {
+    pub(crate) fn node(&self, address: &str) -> &ControlNode {
         let machine = self.machines.get(address).expect("a machine");
         machine.node.as_ref().expect("a running node")
     }
 
-    pub fn identity(&self, address: &str) -> NodeId {
+    pub(crate) fn identity(&self, address: &str) -> NodeId {
         self.node(address).identity()
     }
 
     /// Sends an operator's request; the answer is awaited with [`Cluster::answer`].
-    pub fn request(&mut self, address: &str, body: OperatorRequest) -> u64 {
+    pub(crate) fn request(&mut self, address: &str, body: OperatorRequest) -> u64 {
         self.last_request += 1;
         let request = self.last_request;
         self.input(address, NodeInput::Operator { request, body });
@@ -224,7 +229,7 @@
     }
 
     /// Waits for the answer to an operator's request.
-    pub fn answer(&mut self, request: u64) -> OperatorReply {
+    pub(crate) fn answer(&mut self, request: u64) -> OperatorReply {
         self.run_until(Duration::from_secs(8), "an operator's answer", |cluster| {
             cluster.replies.contains_key(&request)
         });
@@ -232,7 +237,7 @@
     }
 
     /// Opens a link from a test's own end to a node.
-    pub fn open_link(&mut self, from: &str, to: &str) -> End {
+    pub(crate) fn open_link(&mut self, from: &str, to: &str) -> End {
         self.last_link += 1;
         let near = End {
             address: from.to_owned(),
@@ -244,12 +249,12 @@
     }
 
     /// Sends a frame from a test's own end.
-    pub fn send(&mut self, end: &End, frame: Frame) {
+    pub(crate) fn send(&mut self, end: &End, frame: Frame) {
         self.post(end, frame);
     }
 
     /// Closes a link at both ends.
-    pub fn close(&mut self, end: &End) {
+    pub(crate) fn close(&mut self, end: &End) {
         let Some(other) = self.peer_ends.remove(end) else {
             return;
         };
@@ -258,13 +263,13 @@
     }
 
     /// Takes the frames that arrived at a test's own end.
-    pub fn take_frames(&mut self, end: &End) -> Vec<Frame> {
+    pub(crate) fn take_frames(&mut self, end: &End) -> Vec<Frame> {
         let frames = self.inbox.remove(end);
         frames.unwrap_or_default().into_iter().collect()
     }
 
     /// Gives an input to a node at once.
-    pub fn input(&mut self, address: &str, input: NodeInput) {
+    pub(crate) fn input(&mut self, address: &str, input: NodeInput) {
         let now = self.now;
         let machine = self.machines.get_mut(address);
         let Some(node) = machine.and_then(|machine| machine.node.as_mut()) else {
--- a/crates/control/tests/support/daemons.rs
+++ b/crates/control/tests/support/daemons.rs
@@ -7,7 +7,7 @@
 
 use super::http::{self, Answer};
 
-pub const KEY: &str = "the operator's key";
+pub(crate) const KEY: &str = "the operator's key";
 
 /// Longest wait for anything; only reached on failure.
 const LIMIT: Duration = Duration::from_secs(30);
@@ -15,9 +15,9 @@
 /// Pause between two looks at a condition.
 const POLL: Duration = Duration::from_millis(20);
 
-pub struct Daemon {
-    pub internal: String,
-    pub operator: String,
+pub(crate) struct Daemon {
+    pub(crate) internal: String,
+    pub(crate) operator: String,
     folder: tempfile::TempDir,
     process: Option<Child>,
     seeds: Vec<String>,
@@ -30,7 +30,7 @@
 }
 
 /// Three control nodes that are each other's seeds, started.
-pub fn start_three() -> Vec<Daemon> {
+pub(crate) fn start_three() -> Vec<Daemon> {
     let addresses = free_addresses(6);
     let seeds = addresses[..3].to_vec();
     let nodes =
@@ -54,7 +54,7 @@
 static CHOSEN: AtomicU32 = AtomicU32::new(0);
 
 /// Addresses on loopback that nobody listens on; none is given twice.
-pub fn free_addresses(count: usize) -> Vec<String> {
+pub(crate) fn free_addresses(count: usize) -> Vec<String> {
     let first = FIRST_PORT + std::process::id() % PROCESSES * PORTS_OF_PROCESS;
     let mut addresses = Vec::new();
     while addresses.len() < count {
@@ -69,7 +69,7 @@
 }
 
 /// Waits for a condition, bounded.
-pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
+pub(crate) fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let end = Instant::now() + LIMIT;
     while !condition() {
         assert!(Instant::now() < end, "not within {LIMIT:?}: {what}");
@@ -78,7 +78,7 @@
 }
 
 impl Daemon {
-    pub fn new(internal: &str, operator: &str, seeds: &[String]) -> Self {
+    pub(crate) fn new(internal: &str, operator: &str, seeds: &[String]) -> Self {
         Self {
             internal: internal.to_owned(),
             operator: operator.to_owned(),
@@ -88,7 +88,7 @@
         }
     }
 
-    pub fn start(&mut self) {
+    pub(crate) fn start(&mut self) {
         let folder = self.folder.path().to_string_lossy().into_owned();
         let process = Command::new(env!("CARGO_BIN_EXE_millford-control"))
             .args(["--zone", "zone", "--data-folder", &folder])
@@ -102,7 +102,7 @@
         self.process = Some(process.expect("the daemon starts"));
     }
 
-    pub fn kill(&mut self) {
+    pub(crate) fn kill(&mut self) {
         if let Some(mut process) = self.process.take() {
             let _ = process.kill();
             let _ = process.wait();
@@ -110,7 +110,7 @@
     }
 
     /// Ends the daemon as an operator does.
-    pub fn terminate(&mut self) -> ExitStatus {
+    pub(crate) fn terminate(&mut self) -> ExitStatus {
         let mut process = self.process.take().expect("a running daemon");
         let signal = Command::new("kill")
             .args(["-TERM", &process.id().to_string()])
@@ -119,7 +119,7 @@
         process.wait().expect("the daemon ends")
     }
 
-    pub fn is_ready(&self) -> bool {
+    pub(crate) fn is_ready(&self) -> bool {
         let request = format!(
             "GET /readyz HTTP/1.1\r\nHost: {}\r\nConnection: close\r\n\r\n",
             self.operator
@@ -128,7 +128,7 @@
     }
 
     /// A request with the operator's key and a JSON body.
-    pub fn request(&self, method: &str, path: &str, body: &str) -> Answer {
+    pub(crate) fn request(&self, method: &str, path: &str, body: &str) -> Answer {
         let key = format!("Authorization: Bearer {KEY}");
         let headers = [key.as_str(), "Content-Type: application/json"];
         http::request(&self.operator, method, path, &headers, body)
--- a/crates/control/tests/support/http.rs
+++ b/crates/control/tests/support/http.rs
@@ -1,29 +1,30 @@
 //! A client of the operator interface: one connection a request.
 
+use std::fmt::Write as _;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
 
-pub struct Answer {
-    pub status: u16,
-    pub head: String,
-    pub body: String,
+pub(crate) struct Answer {
+    pub(crate) status: u16,
+    pub(crate) head: String,
+    pub(crate) body: String,
 }
 
 impl Answer {
     /// The body as JSON.
-    pub fn json(&self) -> serde_json::Value {
+    pub(crate) fn json(&self) -> serde_json::Value {
         serde_json::from_str(&self.body).unwrap_or_else(|_| panic!("no JSON: {}", self.body))
     }
 
     /// Number of the result; 0 for success.
-    pub fn code(&self) -> u64 {
+    pub(crate) fn code(&self) -> u64 {
         self.json()["error"]["code"].as_u64().unwrap_or(0)
     }
 }
 
 /// Sends a request as it stands and reads the answer to its end.
-pub fn raw(address: &str, request: &[u8]) -> std::io::Result<Answer> {
+pub(crate) fn raw(address: &str, request: &[u8]) -> std::io::Result<Answer> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_read_timeout(Some(Duration::from_secs(10)))?;
     stream.write_all(request)?;
@@ -44,14 +45,21 @@
 }
 
 /// Sends a request with these header lines.
-pub fn request(address: &str, method: &str, path: &str, headers: &[&str], body: &str) -> Answer {
+pub(crate) fn request(
+    address: &str,
+    method: &str,
+    path: &str,
+    headers: &[&str],
+    body: &str,
+) -> Answer {
     let mut text = format!("{method} {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n");
     for header in headers {
         text.push_str(header);
         text.push_str("\r\n");
     }
     if !body.is_empty() {
-        text.push_str(&format!("Content-Length: {}\r\n", body.len()));
+        let length = body.len();
+        write!(text, "Content-Length: {length}\r\n").expect("writing to a string");
     }
     text.push_str("\r\n");
     text.push_str(body);
--- a/crates/control/tests/support/memory_disk.rs
+++ b/crates/control/tests/support/memory_disk.rs
@@ -9,24 +9,24 @@
 
 /// The disk of one machine: folders with files.
 #[derive(Clone, Default)]
-pub struct MemoryMachine {
+pub(crate) struct MemoryMachine {
     folders: Arc<Mutex<BTreeMap<String, Files>>>,
 }
 
 impl MemoryMachine {
-    pub fn folder(&self, name: &str) -> Box<dyn Disk> {
+    pub(crate) fn folder(&self, name: &str) -> Box<dyn Disk> {
         Box::new(MemoryFolder {
             machine: self.clone(),
             name: name.to_owned(),
         })
     }
 
-    pub fn wipe(&self) {
+    pub(crate) fn wipe(&self) {
         self.folders.lock().unwrap().clear();
     }
 
     /// Flips a bit in the middle of the largest file of a folder.
-    pub fn damage(&self, folder: &str) {
+    pub(crate) fn damage(&self, folder: &str) {
         let mut folders = self.folders.lock().unwrap();
         let files = folders.get_mut(folder).expect("the folder exists");
         let largest = files.values_mut().max_by_key(|bytes| bytes.len());
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -1,13 +1,17 @@
 //! A small cluster of control nodes under simulated time.
 
-#![allow(dead_code, unused_imports)]
+#![allow(
+    dead_code,
+    unused_imports,
+    reason = "each test binary uses a part of the fixture"
+)]
 
-pub mod agent;
-pub mod cluster;
-pub mod daemons;
-pub mod http;
-pub mod memory_disk;
-pub mod orders;
+pub(crate) mod agent;
+pub(crate) mod cluster;
+pub(crate) mod daemons;
+pub(crate) mod http;
+pub(crate) mod memory_disk;
+pub(crate) mod orders;
 
-pub use agent::TestAgent;
-pub use cluster::Cluster;
+pub(crate) use agent::TestAgent;
+pub(crate) use cluster::Cluster;
--- a/crates/control/tests/support/orders.rs
+++ b/crates/control/tests/support/orders.rs
@@ -10,7 +10,7 @@
 use super::cluster::Cluster;
 
 /// A document with one pool and these tenants, each with one key.
-pub fn document(tenants: &[&str]) -> Document {
+pub(crate) fn document(tenants: &[&str]) -> Document {
     let tenants = tenants.iter().map(|name| Tenant {
         name: (*name).to_owned(),
         key_hashes: vec![millford_core::hash_tenant_key(name)],
@@ -37,7 +37,7 @@
     }
 }
 
-pub fn order(base: u64, id: &str, desired: Document) -> OperatorRequest {
+pub(crate) fn order(base: u64, id: &str, desired: Document) -> OperatorRequest {
     OperatorRequest::PutConfig(PutConfig {
         base_revision: base,
         order_id: id.to_owned(),
@@ -48,7 +48,7 @@
 }
 
 /// Sends an order and expects it to be accepted under this number.
-pub fn accept(cluster: &mut Cluster, address: &str, base: u64, id: &str, desired: Document) {
+pub(crate) fn accept(cluster: &mut Cluster, address: &str, base: u64, id: &str, desired: Document) {
     let request = cluster.request(address, order(base, id, desired));
     match cluster.answer(request) {
         OperatorReply::Order(reply) => assert_eq!(reply.revision, base + 1),
@@ -57,7 +57,7 @@
 }
 
 /// Revision that a confirmed read at this node gives.
-pub fn revision(cluster: &mut Cluster, address: &str) -> u64 {
+pub(crate) fn revision(cluster: &mut Cluster, address: &str) -> u64 {
     let request = cluster.request(address, OperatorRequest::GetConfig);
     match cluster.answer(request) {
         OperatorReply::Config(reply) => reply.revision,
@@ -66,7 +66,7 @@
 }
 
 /// A formed cluster with leaders everywhere.
-pub fn cluster_with_leaders(nodes: usize, seed: u64) -> Cluster {
+pub(crate) fn cluster_with_leaders(nodes: usize, seed: u64) -> Cluster {
     let mut cluster = Cluster::start(nodes, seed);
     cluster.run_until(Duration::from_secs(4), "leaders", Cluster::has_leaders);
     cluster.run(Duration::from_secs(1));
