--- a/crates/control/src/daemon/gateway_thread.rs
+++ b/crates/control/src/daemon/gateway_thread.rs
@@ -7,7 +7,7 @@
 
 use millford_api::internal::Frame;
 use millford_core::time::monotonic_now;
-use millford_core::{ResultCode, ShardId, ShardLayout};
+use millford_core::{ResultCode, ShardId};
 use millford_storage::StorageError;
 use tokio::sync::{mpsc as async_mpsc, oneshot};
 
@@ -19,12 +19,12 @@
 use crate::folders;
 use crate::gateway::{Gateway, GatewayInput, GatewayOutput};
 use crate::link::LinkId;
-use crate::node::{FolderOpener, shard_folder};
+use crate::node::{FolderOpener, core_options, shard_folder};
 use crate::node_input::NodeInput;
 use crate::node_output::NodeOutput;
 use crate::operator::OperatorReply;
 use crate::options::ControlOptions;
-use crate::shard::{ShardCoreOptions, ShardInput};
+use crate::shard::{ShardCoreOptions, ShardInput, ShardOutput};
 use crate::storage_code::storage_code;
 use crate::timing::TICK;
 
@@ -132,12 +132,7 @@
         self.input(GatewayInput::Node(input));
     }
 
-    fn take_shard(
-        &mut self,
-        shard: ShardId,
-        generation: Generation,
-        outputs: Vec<crate::shard::ShardOutput>,
-    ) {
+    fn take_shard(&mut self, shard: ShardId, generation: Generation, outputs: Vec<ShardOutput>) {
         let running = self.shards.get(&shard);
         if running.is_none_or(|thread| thread.generation != generation) {
             return;
@@ -171,13 +166,8 @@
             match output {
                 GatewayOutput::Node(output) => self.execute_node_output(output),
                 GatewayOutput::Shard { shard, input } => self.send_to_shard(shard, input),
-                GatewayOutput::StartShard {
-                    shard,
-                    identity,
-                    voters,
-                    data_shards,
-                } => {
-                    let options = self.core_options(shard, identity, voters, data_shards);
+                GatewayOutput::StartShard(start) => {
+                    let options = core_options(&self.options, &self.folders, start);
                     self.start_shard(options);
                 }
                 GatewayOutput::EraseShards => self.erase_shards(),
@@ -220,26 +210,6 @@
         }
     }
 
-    fn core_options(
-        &self,
-        shard: ShardId,
-        identity: millford_core::NodeId,
-        voters: Vec<millford_core::NodeId>,
-        data_shards: u32,
-    ) -> ShardCoreOptions {
-        let folders = self.folders.clone();
-        ShardCoreOptions {
-            shard,
-            identity,
-            voters,
-            layout: ShardLayout::new(data_shards),
-            seed: self.options.seed,
-            voters_per_shard: self.options.voters_per_shard,
-            replace_after: self.options.replace_after,
-            disk: Arc::new(move || folders(&shard_folder(shard))),
-        }
-    }
-
     fn start_shard(&mut self, options: ShardCoreOptions) {
         self.last_generation += 1;
         let shard = options.shard;
--- a/crates/control/src/gateway/core/formation.rs
+++ b/crates/control/src/gateway/core/formation.rs
@@ -10,7 +10,7 @@
 
 use super::Gateway;
 use crate::gateway::decommission::Decommission;
-use crate::gateway::input::GatewayOutput;
+use crate::gateway::input::{GatewayOutput, ShardStart};
 use crate::gateway::member_list::MemberList;
 use crate::gateway::node_file::NodeFile;
 use crate::gateway::node_store::IdentityOrigin;
@@ -178,12 +178,12 @@
 
     fn start_shard(&mut self, shard: ShardId, voters: Vec<NodeId>) {
         self.replicas.start(shard);
-        self.outbox.push(GatewayOutput::StartShard {
+        self.outbox.push(GatewayOutput::StartShard(ShardStart {
             shard,
             identity: self.store.identity(),
             voters,
             data_shards: self.store.file().data_shards,
-        });
+        }));
         let configuration = self.members.configuration().to_vec();
         self.outbox
             .send_to_shard(shard, ShardInput::Configuration(configuration));
--- a/crates/control/src/gateway/dialer.rs
+++ b/crates/control/src/gateway/dialer.rs
@@ -26,7 +26,7 @@
     link: Option<LinkId>,
     open: bool,
     peer: Option<NodeId>,
-    last_heard: MonotonicTime,
+    last_contact: MonotonicTime,
     next_hello: MonotonicTime,
     next_attempt: MonotonicTime,
     backoff: Backoff,
@@ -38,7 +38,7 @@
             link: None,
             open: false,
             peer: None,
-            last_heard: now,
+            last_contact: now,
             next_hello: now,
             next_attempt: now,
             backoff: Backoff::new(DIAL_BACKOFF_INITIAL, DIAL_BACKOFF_MAX),
@@ -82,7 +82,7 @@
     pub(super) fn opened(&mut self, now: MonotonicTime, link: LinkId) {
         if let Some(dial) = self.find(link) {
             dial.open = true;
-            dial.last_heard = now;
+            dial.last_contact = now;
             dial.next_hello = now;
         }
     }
@@ -110,7 +110,7 @@
             .iter_mut()
             .find(|(_, dial)| dial.link == Some(link));
         let (address, dial) = entry?;
-        dial.last_heard = now;
+        dial.last_contact = now;
         dial.peer = Some(peer);
         dial.backoff.reset();
         Some(address.clone())
@@ -121,7 +121,7 @@
         self.dials.values().any(|dial| {
             dial.open
                 && dial.peer == Some(node)
-                && now.since(dial.last_heard) < PEER_INACTIVITY_TIMEOUT
+                && now.since(dial.last_contact) < PEER_INACTIVITY_TIMEOUT
         })
     }
 
@@ -163,11 +163,11 @@
         *links_opened += 1;
         let link = LinkId::outgoing(*links_opened);
         dial.link = Some(link);
-        dial.last_heard = now;
+        dial.last_contact = now;
         dial.peer = None;
         return Some(DialAction::Connect(link, address.to_owned()));
     };
-    if now.since(dial.last_heard) >= PEER_INACTIVITY_TIMEOUT {
+    if now.since(dial.last_contact) >= PEER_INACTIVITY_TIMEOUT {
         dial.fail(now);
         return Some(DialAction::Close(link));
     }
--- a/crates/control/src/gateway/input.rs
+++ b/crates/control/src/gateway/input.rs
@@ -35,16 +35,20 @@
         input: ShardInput,
     },
     /// Open the shard's storage and start its core.
-    StartShard {
-        /// Which shard.
-        shard: ShardId,
-        /// Identity of this node.
-        identity: NodeId,
-        /// The first voters; empty for a replica that is filled by its leader.
-        voters: Vec<NodeId>,
-        /// Data shards of the cluster.
-        data_shards: u32,
-    },
+    StartShard(ShardStart),
     /// Stop every core and remove everything stored by them, before the next `StartShard`.
     EraseShards,
 }
+
+/// A shard whose core is to be started.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ShardStart {
+    /// Which shard.
+    pub shard: ShardId,
+    /// Identity of this node.
+    pub identity: NodeId,
+    /// The first voters; empty for a replica that is filled by its leader.
+    pub voters: Vec<NodeId>,
+    /// Data shards of the cluster.
+    pub data_shards: u32,
+}
--- a/crates/control/src/gateway/mod.rs
+++ b/crates/control/src/gateway/mod.rs
@@ -38,4 +38,4 @@
 pub mod stall_detector;
 
 pub use core::Gateway;
-pub use input::{GatewayInput, GatewayOutput};
+pub use input::{GatewayInput, GatewayOutput, ShardStart};
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -6,7 +6,7 @@
 use millford_core::{MonotonicTime, NodeId, ShardId, ShardLayout};
 use millford_storage::{Disk, StorageError};
 
-use crate::gateway::{Gateway, GatewayInput, GatewayOutput};
+use crate::gateway::{Gateway, GatewayInput, GatewayOutput, ShardStart};
 use crate::node_input::NodeInput;
 use crate::node_output::NodeOutput;
 use crate::options::ControlOptions;
@@ -25,6 +25,26 @@
     format!("shard-{shard}")
 }
 
+/// What a shard's core is opened with on this node.
+pub(crate) fn core_options(
+    node: &ControlOptions,
+    folders: &FolderOpener,
+    start: ShardStart,
+) -> ShardCoreOptions {
+    let shard = start.shard;
+    let folders = folders.clone();
+    ShardCoreOptions {
+        shard,
+        identity: start.identity,
+        voters: start.voters,
+        layout: ShardLayout::new(start.data_shards),
+        seed: node.seed,
+        voters_per_shard: node.voters_per_shard,
+        replace_after: node.replace_after,
+        disk: Arc::new(move || folders(&shard_folder(shard))),
+    }
+}
+
 /// Gateway and shard cores, composed synchronously.
 ///
 /// The daemon runs the same parts on threads of their own; the simulator and the tests use this.
@@ -122,15 +142,7 @@
             match output {
                 GatewayOutput::Node(output) => self.outputs.push(output),
                 GatewayOutput::Shard { shard, input } => self.send_to_core(now, shard, input),
-                GatewayOutput::StartShard {
-                    shard,
-                    identity,
-                    voters,
-                    data_shards,
-                } => {
-                    let layout = ShardLayout::new(data_shards);
-                    self.start(now, shard, identity, voters, layout);
-                }
+                GatewayOutput::StartShard(start) => self.start(now, start),
                 GatewayOutput::EraseShards => self.erase(),
             }
         }
@@ -165,25 +177,9 @@
         self.send_to_gateway(now, GatewayInput::Shard { shard, output });
     }
 
-    fn start(
-        &mut self,
-        now: MonotonicTime,
-        shard: ShardId,
-        identity: NodeId,
-        voters: Vec<NodeId>,
-        layout: ShardLayout,
-    ) {
-        let folders = self.folders.clone();
-        let options = ShardCoreOptions {
-            shard,
-            identity,
-            voters,
-            layout,
-            seed: self.options.seed,
-            voters_per_shard: self.options.voters_per_shard,
-            replace_after: self.options.replace_after,
-            disk: Arc::new(move || folders(&shard_folder(shard))),
-        };
+    fn start(&mut self, now: MonotonicTime, start: ShardStart) {
+        let shard = start.shard;
+        let options = core_options(&self.options, &self.folders, start);
         match ShardCore::open(options, now) {
             Ok(core) => {
                 self.cores.insert(shard, core);
--- a/crates/control/src/shard/group_repair.rs
+++ b/crates/control/src/shard/group_repair.rs
@@ -105,7 +105,7 @@
 ) -> ReplicaView {
     ReplicaView {
         node,
-        last_heard: peer.map_or(now, |peer| peer.last_heard),
+        last_contact: peer.map_or(now, |peer| peer.last_heard),
         caught_up: node == own || peer.is_some_and(|peer| peer.caught_up),
     }
 }
--- a/crates/control/src/shard/repair.rs
+++ b/crates/control/src/shard/repair.rs
@@ -11,7 +11,7 @@
     /// Which node.
     pub node: NodeId,
     /// When the leader heard from it last; its own election if it never did.
-    pub last_heard: MonotonicTime,
+    pub last_contact: MonotonicTime,
     /// It holds everything that is committed.
     pub caught_up: bool,
 }
@@ -122,7 +122,7 @@
     }
 
     fn is_lost(&self, now: MonotonicTime, replica: &ReplicaView, members: &MemberView) -> bool {
-        let unresponsive = now.since(replica.last_heard) >= self.replace_after;
+        let unresponsive = now.since(replica.last_contact) >= self.replace_after;
         unresponsive || members.get(replica.node).removed
     }
 
--- a/crates/control/tests/components.rs
+++ b/crates/control/tests/components.rs
@@ -1,4 +1,4 @@
-//! Parts of the control node by themselves: repair, stalls, pictures, requests under way.
+//! Components of the control node in isolation: repair, stall detection, load snapshots, pending requests.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
 fn replica(node: u64, record_report: u64, caught_up: bool) -> ReplicaView {
     ReplicaView {
         node: NodeId(node),
-        last_heard: at(record_report),
+        last_contact: at(record_report),
         caught_up,
     }
 }
@@ -35,12 +35,12 @@
 fn members(standbys: &[u64]) -> MemberView {
     let mut view = MemberView::default();
     for node in [1, 2, 3].iter().chain(standbys) {
-        let reported_status = MemberStatus {
+        let member = MemberStatus {
             registered: true,
             connected: true,
             removed: false,
         };
-        view.members.insert(NodeId(*node), reported_status);
+        view.members.insert(NodeId(*node), member);
     }
     view
 }
@@ -83,7 +83,7 @@
         learners: Vec::new(),
     };
     assert_eq!(decide(&lost, &members(&[])), None);
-    let silent_for_less = GroupView {
+    let unresponsive_for_less = GroupView {
         voters: vec![
             replica(1, 10_000, true),
             replica(2, 9_900, true),
@@ -91,7 +91,7 @@
         ],
         learners: Vec::new(),
     };
-    assert_eq!(decide(&silent_for_less, &members(&[4])), None);
+    assert_eq!(decide(&unresponsive_for_less, &members(&[4])), None);
 }
 
 #[test]
@@ -109,12 +109,12 @@
         decide(&idle, &members(&[4])),
         Some(RepairStep::Remove(NodeId(4)))
     );
-    let silent = GroupView {
+    let unresponsive = GroupView {
         voters,
         learners: vec![replica(4, 4_000, false)],
     };
     assert_eq!(
-        decide(&silent, &members(&[4])),
+        decide(&unresponsive, &members(&[4])),
         Some(RepairStep::Remove(NodeId(4)))
     );
 }
@@ -129,7 +129,7 @@
     stall_detector.tick(at(1000));
     assert!(
         stall_detector.any_stalled(),
-        "shard 0 is silent for a second"
+        "shard 0 has not reported for a second"
     );
     stall_detector.record_report(at(1010), ShardId(0));
     stall_detector.tick(at(1020));
@@ -147,42 +147,45 @@
 
 #[test]
 fn a_load_snapshot_carries_differences_and_lists_removed_replicas_as_idle() {
-    let mut feed = LoadSnapshotPublisher::default();
-    let first = feed.difference(at(20_000), "pool", vec![load("a", 1), load("b", 2)]);
+    let mut publisher = LoadSnapshotPublisher::default();
+    let first = publisher.difference(at(20_000), "pool", vec![load("a", 1), load("b", 2)]);
     assert_eq!(first.len(), 2);
-    let second = feed.difference(at(20_500), "pool", vec![load("a", 1), load("b", 3)]);
+    let second = publisher.difference(at(20_500), "pool", vec![load("a", 1), load("b", 3)]);
     assert_eq!(second, [load("b", 3)]);
-    let third = feed.difference(at(21_000), "pool", vec![load("a", 1)]);
+    let third = publisher.difference(at(21_000), "pool", vec![load("a", 1)]);
     assert_eq!(third, [load("b", 0)]);
-    let whole = feed.difference(at(31_000), "pool", vec![load("a", 1)]);
-    assert_eq!(whole, [load("a", 1)], "for nodes that came since");
+    let full = publisher.difference(at(31_000), "pool", vec![load("a", 1)]);
+    assert_eq!(full, [load("a", 1)], "for nodes that joined since");
 }
 
 #[test]
 fn large_load_snapshots_are_published_less_often() {
-    let mut feed = LoadSnapshotPublisher::default();
-    feed.sent(at(0), 100);
-    assert!(feed.is_due(at(500)));
-    feed.sent(at(1000), 100_000);
-    assert!(!feed.is_due(at(30_000)));
+    let mut publisher = LoadSnapshotPublisher::default();
+    publisher.sent(at(0), 100);
+    assert!(publisher.is_due(at(500)));
+    publisher.sent(at(1000), 100_000);
+    assert!(!publisher.is_due(at(30_000)));
 }
 
 #[test]
 fn load_snapshots_of_a_small_site_are_published_more_often_within_budget() {
-    let mut feed = LoadSnapshotPublisher::default();
-    feed.set_site(16, 16);
-    feed.sent(at(0), 100);
-    assert!(!feed.is_due(at(249)));
-    assert!(feed.is_due(at(250)));
-    feed.sent(at(1000), 768);
-    assert!(!feed.is_due(at(1999)), "768 bytes a second");
-    assert!(feed.is_due(at(2000)));
+    let mut publisher = LoadSnapshotPublisher::default();
+    publisher.set_site(16, 16);
+    publisher.sent(at(0), 100);
+    assert!(!publisher.is_due(at(249)));
+    assert!(publisher.is_due(at(250)));
+    publisher.sent(at(1000), 768);
+    assert!(!publisher.is_due(at(1999)), "768 bytes a second");
+    assert!(publisher.is_due(at(2000)));
     for (backends, nodes) in [(17, 16), (16, 17)] {
-        feed.set_site(backends, nodes);
-        feed.sent(at(3000), 100);
-        assert!(!feed.is_due(at(3499)), "{backends} backends, {nodes} nodes");
-        feed.sent(at(4000), 512);
-        assert!(!feed.is_due(at(4999)));
+        publisher.set_site(backends, nodes);
+        publisher.sent(at(3000), 100);
+        assert!(
+            !publisher.is_due(at(3499)),
+            "{backends} backends, {nodes} nodes"
+        );
+        publisher.sent(at(4000), 512);
+        assert!(!publisher.is_due(at(4999)));
     }
 }
 
@@ -247,14 +250,14 @@
         });
         steps.collect()
     };
-    let mut node_events = MoveEvents::default();
-    assert_eq!(node_events.of_plan("pool", &moves_of(2)).len(), 2);
+    let mut move_events = MoveEvents::default();
+    assert_eq!(move_events.of_plan("pool", &moves_of(2)).len(), 2);
     assert!(
-        node_events.of_plan("pool", &moves_of(2)).is_empty(),
-        "told already"
+        move_events.of_plan("pool", &moves_of(2)).is_empty(),
+        "reported already"
     );
-    assert!(node_events.of_plan("pool", &[]).is_empty());
-    let many = node_events.of_plan("pool", &moves_of(50));
+    assert!(move_events.of_plan("pool", &[]).is_empty());
+    let many = move_events.of_plan("pool", &moves_of(50));
     assert_eq!(many.len(), 9);
     let rest = NodeEvent::MorePlacements {
         pool: "pool".to_owned(),
@@ -270,5 +273,5 @@
     assert_eq!(maintenance.stalled_time(at(120)), None, "late, but it runs");
     let lost = maintenance.stalled_time(at(1120));
     assert_eq!(lost, Some(Duration::from_millis(900)));
-    assert_eq!(maintenance.stalled_time(at(1140)), None, "told once");
+    assert_eq!(maintenance.stalled_time(at(1140)), None, "reported once");
 }
--- a/crates/control/tests/faults.rs
+++ b/crates/control/tests/faults.rs
@@ -100,7 +100,7 @@
     })
 }
 
-/// One fault or one recovery. A disk is lost only while everything else is whole.
+/// One fault or one recovery. A disk is lost only while everything else is fully replicated.
 fn inject_fault(cluster: &mut Cluster, random: &mut StdRng) {
     let up = running(cluster);
     let down = stopped(cluster);
@@ -133,7 +133,11 @@
 
 /// Lets the repair of a lost disk finish.
 fn finish_operator_requests(cluster: &mut Cluster) {
-    cluster.run_until(Duration::from_secs(20), "whole again", is_fully_replicated);
+    cluster.run_until(
+        Duration::from_secs(20),
+        "full replication",
+        is_fully_replicated,
+    );
 }
 
 fn run(seed: u64) {
@@ -156,7 +160,7 @@
         }
     }
     heal(&mut cluster);
-    // A spare that has not joined yet rightly answers that it is in no cluster.
+    // A standby that has not joined yet rightly answers that it is in no cluster.
     let voter = cluster.leader(ShardId(0)).expect("a leader");
     let request = cluster.request(&voter, OperatorRequest::GetConfig);
     let OperatorReply::Config(reply) = cluster.answer(request) else {
@@ -194,7 +198,7 @@
     );
     cluster.run_until(
         Duration::from_secs(40),
-        "whole after all is well",
+        "full replication after the last fault",
         is_fully_replicated,
     );
 }
--- a/crates/control/tests/feed.rs
+++ b/crates/control/tests/feed.rs
@@ -71,7 +71,7 @@
     cluster.kill("node-2");
     cluster.kill("node-3");
     follow(&mut cluster, &mut agents, Duration::from_millis(1500));
-    assert!(agents[0].stale, "the agent was told to go elsewhere");
+    assert!(agents[0].stale, "the agent was sent elsewhere");
     agents[0].heartbeat(&mut cluster);
     follow(&mut cluster, &mut agents, Duration::from_millis(60));
     let reply = agents[0]
@@ -170,7 +170,7 @@
             .expect("an answer")
             .session_alive
     );
-    // Silence longer than the lease: the session is closed, and the next heartbeat says so.
+    // Inactivity longer than the lease: the session is closed, and the next heartbeat says so.
     cluster.run(Duration::from_secs(5));
     agent.heartbeat_for(&mut cluster, Duration::from_secs(1));
     assert!(
@@ -201,8 +201,8 @@
 }
 
 /// Answers to heartbeats are never waited for longer than this after a start: an agent leaves a
-/// node that is silent for 750 ms.
-const LONGEST_HOLD: Duration = Duration::from_millis(640);
+/// node that is unresponsive for 750 ms.
+const MAX_HEARTBEAT_DELAY: Duration = Duration::from_millis(640);
 
 #[test]
 fn early_heartbeats_of_a_restarting_fleet_are_answered_with_quorum() {
@@ -220,7 +220,7 @@
         for agent in &mut agents {
             agent.heartbeat(&mut cluster);
         }
-        follow(&mut cluster, &mut agents, LONGEST_HOLD);
+        follow(&mut cluster, &mut agents, MAX_HEARTBEAT_DELAY);
         for agent in &agents {
             let reply = agent.last_heartbeat.as_ref();
             let has_quorum = reply.map(|reply| reply.has_quorum);
@@ -239,7 +239,11 @@
     cluster.boot("node-2");
     let mut agent = TestAgent::connect(&mut cluster, "agent", "node-2", ShardId(0));
     agent.heartbeat(&mut cluster);
-    follow(&mut cluster, std::slice::from_mut(&mut agent), LONGEST_HOLD);
+    follow(
+        &mut cluster,
+        std::slice::from_mut(&mut agent),
+        MAX_HEARTBEAT_DELAY,
+    );
     let reply = agent.last_heartbeat.clone().expect("an answer");
     assert!(!reply.has_quorum);
     // Later heartbeats are answered at once.
@@ -253,7 +257,7 @@
     assert!(agent.last_heartbeat.is_some_and(|reply| !reply.has_quorum));
 }
 
-/// The cut lies between two nodes: both are in touch with the third.
+/// The partition lies between two nodes: both are connected to the third.
 #[test]
 fn a_replica_without_leader_contact_opens_no_feed() {
     let mut cluster = cluster_with_leaders(3, 3);
@@ -271,7 +275,7 @@
     let mut agent = TestAgent::connect(&mut cluster, "agent", deaf, ShardId(0));
     let limit = Duration::from_millis(1500);
     follow(&mut cluster, std::slice::from_mut(&mut agent), limit);
-    assert!(agent.stale, "it is told to go elsewhere");
+    assert!(agent.stale, "it is sent elsewhere");
 }
 
 /// Agents subscribe again every second while a shard is not confirmed. That must not begin the wait
@@ -292,5 +296,5 @@
         );
         agent.subscribe(&mut cluster);
     }
-    assert!(agent.stale, "it is told to go elsewhere");
+    assert!(agent.stale, "it is sent elsewhere");
 }
--- a/crates/control/tests/formation.rs
+++ b/crates/control/tests/formation.rs
@@ -11,7 +11,7 @@
 fn formed(cluster: &Cluster) -> usize {
     let node_events = cluster.node_events.iter();
     node_events
-        .filter(|(_, note)| matches!(note, NodeEvent::ClusterFormed(_)))
+        .filter(|(_, event)| matches!(event, NodeEvent::ClusterFormed(_)))
         .count()
 }
 
@@ -53,8 +53,8 @@
         former,
         "a wiped disk is a new identity"
     );
-    let joined = cluster.node_events.iter().any(|(address, note)| {
-        address == "node-2" && matches!(note, NodeEvent::JoinedAsStandby(_))
+    let joined = cluster.node_events.iter().any(|(address, event)| {
+        address == "node-2" && matches!(event, NodeEvent::JoinedAsStandby(_))
     });
     assert!(joined);
 }
@@ -68,7 +68,7 @@
     let (former, _) = cluster
         .node_events
         .iter()
-        .find(|(_, note)| matches!(note, NodeEvent::ClusterFormed(_)))
+        .find(|(_, event)| matches!(event, NodeEvent::ClusterFormed(_)))
         .unwrap()
         .clone();
     // The frames of the forming are still under way: one founder dies before it gets its own.
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of operators: forwarded, raced, resent, kept.
+//! Orders of operators: forwarded, raced, resent, persisted.
 
 mod support;
 
--- a/crates/control/tests/repair.rs
+++ b/crates/control/tests/repair.rs
@@ -172,9 +172,9 @@
     let forced = cluster
         .node_events
         .iter()
-        .filter(|(_, note)| matches!(note, NodeEvent::RecoveryForced(_)));
+        .filter(|(_, event)| matches!(event, NodeEvent::RecoveryForced(_)));
     assert_eq!(forced.count(), 3);
-    // Empty machines make it whole again.
+    // Empty machines restore full replication.
     cluster.boot("node-4");
     cluster.boot("node-5");
     wait_until_fully_replicated(&mut cluster, &["node-1", "node-4", "node-5"]);
--- a/crates/control/tests/services.rs
+++ b/crates/control/tests/services.rs
@@ -189,7 +189,7 @@
             .iter()
             .position(|agent| !agent.name.ends_with(&leader))
             .expect("one");
-        // Asked at once, while the shard has no leader: the answer waits for the election.
+        // Requested at once, while the shard has no leader: the answer waits for the election.
         let refused = granted(&mut agents[other], &mut cluster, "third");
         assert_eq!(refused, (false, RunOutcome::RunUnknown), "seed {seed}");
         let settle = command::Kind::ResolveClaim(ResolveClaim {
@@ -324,7 +324,7 @@
         });
         let picture = load_snapshots
             .next_back()
-            .unwrap_or_else(|| panic!("no picture for {}", agent.name));
+            .unwrap_or_else(|| panic!("no load snapshot for {}", agent.name));
         let load = picture
             .loads
             .iter()
--- a/crates/control/tests/support/agent.rs
+++ b/crates/control/tests/support/agent.rs
@@ -47,7 +47,7 @@
         self.send(cluster, frame::Body::Subscribe(subscribe));
     }
 
-    /// Goes to another control node and keeps what it shows.
+    /// Connects to another control node and retains its view.
     pub(crate) fn move_to(&mut self, cluster: &mut Cluster, to: &str) {
         cluster.close(&self.end);
         self.end = cluster.open_link(&self.name, to);
--- a/crates/control/tests/support/cluster.rs
+++ b/crates/control/tests/support/cluster.rs
@@ -174,7 +174,7 @@
         while !condition(self) {
             assert!(
                 self.now < end,
-                "not within {limit:?}: {what}; last notes {:#?}",
+                "not within {limit:?}: {what}; last events {:#?}",
                 self.node_events.iter().rev().take(24).collect::<Vec<_>>()
             );
             self.step();
