--- a/crates/control/src/daemon/event_log.rs
+++ b/crates/control/src/daemon/event_log.rs
@@ -1,7 +1,7 @@
 //! Severity and part of the log for each event of the node.
 
 use super::{CONTROL, MEMBERS, PLACEMENT, SHARD};
-use crate::node_output::NodeEvent;
+use crate::node_event::NodeEvent;
 
 /// Writes an event to the log.
 pub fn log_event(event: &NodeEvent) {
--- a/crates/control/src/gateway/core/formation.rs
+++ b/crates/control/src/gateway/core/formation.rs
@@ -15,7 +15,7 @@
 use crate::gateway::node_file::NodeFile;
 use crate::gateway::node_store::IdentityOrigin;
 use crate::gateway::own_session::OwnSession;
-use crate::node_output::NodeEvent;
+use crate::node_event::NodeEvent;
 use crate::shard::ShardInput;
 
 impl Gateway {
--- a/crates/control/src/gateway/core/shard_outputs.rs
+++ b/crates/control/src/gateway/core/shard_outputs.rs
@@ -5,7 +5,8 @@
 
 use super::Gateway;
 use crate::link::LinkId;
-use crate::node_output::{NodeEvent, NodeOutput};
+use crate::node_event::NodeEvent;
+use crate::node_output::NodeOutput;
 use crate::shard::{ShardInput, ShardOutput, ShardReplicaStatus};
 
 impl Gateway {
--- a/crates/control/src/gateway/outbox.rs
+++ b/crates/control/src/gateway/outbox.rs
@@ -5,7 +5,8 @@
 
 use super::input::GatewayOutput;
 use crate::link::LinkId;
-use crate::node_output::{NodeEvent, NodeOutput};
+use crate::node_event::NodeEvent;
+use crate::node_output::NodeOutput;
 use crate::shard::ShardInput;
 
 /// Outputs since the last call of [`Outbox::take`].
--- a/crates/control/src/shard/core.rs
+++ b/crates/control/src/shard/core.rs
@@ -5,7 +5,7 @@
 //! shard's behaviour: outputs leave in that order.
 
 use millford_api::command::{AdvanceClock, RemoveControlMember, command, command_result};
-use millford_api::internal::{ShardRequest, Subscribe, shard_reply, shard_request};
+use millford_api::internal::{QuotaRequest, ShardRequest, Subscribe, shard_reply, shard_request};
 use millford_api::replication::LogEntry;
 use millford_api::state::StateItem;
 use millford_control_state::{Applied, ShardMachine};
@@ -33,7 +33,7 @@
 use super::shard_replica::ShardReplica;
 use crate::commands::command_of;
 use crate::link::LinkId;
-use crate::node_output::NodeEvent;
+use crate::node_event::NodeEvent;
 use crate::storage_code::storage_code;
 use crate::timing::CLOCK_PERIOD;
 
@@ -104,14 +104,7 @@
             ShardInput::Quota {
                 correlation_id,
                 request,
-            } => {
-                let outputs = if self.replica.excludes_successor(now) {
-                    self.quota.grant(now, correlation_id, &request)
-                } else {
-                    vec![quota_service::refusal(correlation_id, &request)]
-                };
-                self.outputs.extend(outputs);
-            }
+            } => self.handle_quota_request(now, correlation_id, &request),
             ShardInput::Load(report) => {
                 if self.status.last().leads {
                     self.placement.observe(now, &report);
@@ -458,6 +451,21 @@
 
     // Requests and reads.
 
+    /// An agent requests quota. Only a leader that certainly has no successor may grant any.
+    fn handle_quota_request(
+        &mut self,
+        now: MonotonicTime,
+        correlation_id: CorrelationId,
+        request: &QuotaRequest,
+    ) {
+        let outputs = if self.replica.excludes_successor(now) {
+            self.quota.grant(now, correlation_id, request)
+        } else {
+            vec![quota_service::refusal(correlation_id, request)]
+        };
+        self.outputs.extend(outputs);
+    }
+
     /// A request to the shard's leader.
     fn handle_request(
         &mut self,
--- a/crates/control/src/shard/move_events.rs
+++ b/crates/control/src/shard/move_events.rs
@@ -4,7 +4,7 @@
 
 use millford_placement::{Move, MoveReason, ReplicaKey};
 
-use crate::node_output::NodeEvent;
+use crate::node_event::NodeEvent;
 
 /// Most moves of one plan that are named one by one; the rest are counted.
 const MAX_NAMED_MOVES: usize = 8;
--- a/crates/control/src/shard/output.rs
+++ b/crates/control/src/shard/output.rs
@@ -8,7 +8,7 @@
 use super::input::CorrelationId;
 use super::replica_status::ShardReplicaStatus;
 use crate::link::LinkId;
-use crate::node_output::NodeEvent;
+use crate::node_event::NodeEvent;
 
 /// One output of a shard's core.
 #[derive(Clone, Debug)]
--- a/crates/control/src/shard/placement_controller.rs
+++ b/crates/control/src/shard/placement_controller.rs
@@ -14,7 +14,7 @@
 
 use super::load_snapshot_publisher::LoadSnapshotPublisher;
 use super::move_events::MoveEvents;
-use crate::node_output::NodeEvent;
+use crate::node_event::NodeEvent;
 use crate::timing::PLACEMENT_PERIOD;
 
 /// The plan of one pool.
