--- a/crates/control/src/daemon/connections.rs
+++ b/crates/control/src/daemon/connections.rs
@@ -23,7 +23,7 @@
 const WRITE_BATCH: usize = 64;
 
 /// Longest time to open a connection.
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A write that the other side does not take for this long ends the link.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/control/src/daemon/gateway_thread.rs
+++ b/crates/control/src/daemon/gateway_thread.rs
@@ -153,7 +153,7 @@
             return;
         }
         super::STORE.error(format!("A shard cannot be opened: {error}."));
-        super::exit_with(storage_code(&error));
+        super::exit_with(storage_code(error));
     }
 
     fn input(&mut self, input: GatewayInput) {
--- a/crates/control/src/daemon/operator_http/answer.rs
+++ b/crates/control/src/daemon/operator_http/answer.rs
@@ -58,15 +58,13 @@
 }
 
 fn json(body: &impl Serialize) -> Answer {
-    match serde_json::to_string(body) {
-        Ok(body) => text("application/json", body),
-        Err(_) => {
-            // Only an enumeration number outside its range, written by a newer release.
-            let mut answer = text("text/plain", String::new());
-            *answer.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
-            answer
-        }
-    }
+    let Ok(body) = serde_json::to_string(body) else {
+        // Only an enumeration number outside its range, written by a newer release.
+        let mut answer = text("text/plain", String::new());
+        *answer.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
+        return answer;
+    };
+    text("application/json", body)
 }
 
 fn status_of(code: ResultCode) -> StatusCode {
--- a/crates/control/src/daemon/registry_watch.rs
+++ b/crates/control/src/daemon/registry_watch.rs
@@ -15,7 +15,7 @@
 const MIN_POLL_PERIOD: Duration = Duration::from_millis(500);
 
 /// Longest period of the polls: with what the registry itself trails, the removal of a backend is known in time.
-const MAX_POLL_PERIOD: Duration = Duration::from_millis(1000);
+const MAX_POLL_PERIOD: Duration = Duration::from_secs(1);
 
 /// Time for each call that a reading takes: a registry bounds the calls of all readers together, and the
 /// pages of its list grow with the fleet.
--- a/crates/control/src/gateway/core/formation.rs
+++ b/crates/control/src/gateway/core/formation.rs
@@ -115,7 +115,7 @@
             shards: groups.keys().map(|shard| shard.0).collect(),
         };
         let saved = self.store.form(file);
-        if !self.require_saved(saved) {
+        if !self.require_saved(&saved) {
             return false;
         }
         self.formation = None;
@@ -144,7 +144,7 @@
         let saved = self
             .store
             .join(reply.cluster_id, reply.data_shards, members);
-        if !self.require_saved(saved) {
+        if !self.require_saved(&saved) {
             return;
         }
         self.formation = None;
@@ -159,7 +159,7 @@
             return false;
         }
         let saved = self.store.add_shard(shard);
-        if !self.require_saved(saved) {
+        if !self.require_saved(&saved) {
             return false;
         }
         self.start_shard(shard, Vec::new());
@@ -219,7 +219,7 @@
         self.replicas.clear();
         self.directory.remove(self.store.identity());
         let saved = self.store.start_over(self.directory.to_vec());
-        if !self.require_saved(saved) {
+        if !self.require_saved(&saved) {
             return;
         }
         self.own_session = OwnSession::new(self.store.mint());
--- a/crates/control/src/gateway/core/handshakes.rs
+++ b/crates/control/src/gateway/core/handshakes.rs
@@ -112,7 +112,7 @@
             return;
         }
         let saved = self.store.set_members(members);
-        self.require_saved(saved);
+        self.require_saved(&saved);
     }
 
     pub(super) fn is_other(&self, member: &ControlMember) -> bool {
--- a/crates/control/src/gateway/core/membership.rs
+++ b/crates/control/src/gateway/core/membership.rs
@@ -112,7 +112,7 @@
         }
         self.directory.remove(node);
         let saved = self.store.add_removed(node);
-        self.require_saved(saved);
+        self.require_saved(&saved);
     }
 
     /// Sends every shard's leader the control nodes when they changed.
--- a/crates/control/src/gateway/core/mod.rs
+++ b/crates/control/src/gateway/core/mod.rs
@@ -261,8 +261,8 @@
 
     /// Whether the node's file was stored. A node that cannot store it is of no use: what it would
     /// guarantee is lost, so the process ends.
-    fn require_saved(&mut self, saved: Result<(), StorageError>) -> bool {
-        if let Err(error) = &saved {
+    fn require_saved(&mut self, saved: &Result<(), StorageError>) -> bool {
+        if let Err(error) = saved {
             let code = storage_code(error);
             self.outbox.emit(NodeOutput::Fatal { code });
         }
--- a/crates/control/src/gateway/core/operators.rs
+++ b/crates/control/src/gateway/core/operators.rs
@@ -44,7 +44,7 @@
     /// A shard answered.
     pub(super) fn operator_answered(&mut self, request: u64, reply: ShardReply) {
         if let Some(entry) = self.operator_requests.answered(request, reply) {
-            let reply = self.conclude(entry);
+            let reply = self.conclude(&entry);
             self.outbox
                 .emit(NodeOutput::OperatorReply { request, reply });
         }
@@ -191,7 +191,7 @@
         );
     }
 
-    fn conclude(&self, entry: PendingOperatorRequest) -> OperatorReply {
+    fn conclude(&self, entry: &PendingOperatorRequest) -> OperatorReply {
         match &entry.body {
             OperatorRequest::PutConfig(_) => answers::order(&entry.replies),
             OperatorRequest::GetConfig => answers::configuration(&entry.replies),
--- a/crates/control/src/shard/core.rs
+++ b/crates/control/src/shard/core.rs
@@ -228,7 +228,7 @@
         }
         let purpose = self.replica.take_proposal(entry.index, entry.term);
         if let (Some(applied), Some(purpose)) = (applied, purpose) {
-            self.conclude_proposal(purpose, applied);
+            self.conclude_proposal(&purpose, applied);
         }
     }
 
@@ -247,14 +247,14 @@
     }
 
     /// A command that this replica proposed was applied.
-    fn conclude_proposal(&mut self, purpose: Purpose, applied: Applied) {
+    fn conclude_proposal(&mut self, purpose: &Purpose, applied: Applied) {
         if let Some(event) = acceptance_event(&applied) {
             self.outputs.push(ShardOutput::Event(event));
         }
         if let Purpose::Request(correlation_id) = purpose {
             let code = applied.result.code;
             let kind = shard_reply::Kind::Result(applied.result);
-            let reply = self.replies().result(correlation_id, code, kind);
+            let reply = self.replies().result(*correlation_id, code, kind);
             self.outputs.push(reply);
         }
     }
@@ -279,7 +279,7 @@
             }
         }
         for read in self.reads.take_unconfirmed() {
-            self.retry_read(now, read.purpose);
+            self.retry_read(now, &read.purpose);
         }
     }
 
@@ -519,12 +519,12 @@
     /// This replica cannot confirm the read.
     fn fail_read(&mut self, now: MonotonicTime, number: u64) {
         if let Some(read) = self.reads.take(number) {
-            self.retry_read(now, read.purpose);
+            self.retry_read(now, &read.purpose);
         }
     }
 
-    fn retry_read(&mut self, now: MonotonicTime, purpose: ReadPurpose) {
-        match purpose {
+    fn retry_read(&mut self, now: MonotonicTime, purpose: &ReadPurpose) {
+        match *purpose {
             ReadPurpose::State { correlation_id, .. }
             | ReadPurpose::Index { correlation_id }
             | ReadPurpose::Status { correlation_id } => {
@@ -539,19 +539,19 @@
         let applied = self.state.machine().applied_index();
         for read in self.reads.take_ready(applied) {
             let index = read.index.unwrap_or(applied);
-            self.serve_read(read.purpose, index);
+            self.serve_read(&read.purpose, index);
         }
     }
 
-    fn serve_read(&mut self, purpose: ReadPurpose, index: u64) {
+    fn serve_read(&mut self, purpose: &ReadPurpose, index: u64) {
         let machine = self.state.machine();
-        match purpose {
+        match *purpose {
             ReadPurpose::State {
                 correlation_id,
-                prefix,
+                ref prefix,
                 with_source,
             } => {
-                let mut state = replies::state_under(machine, &prefix);
+                let mut state = replies::state_under(machine, prefix);
                 if with_source {
                     state.config_source = machine.config_source().to_vec();
                 }
--- a/crates/control/src/shard/maintenance.rs
+++ b/crates/control/src/shard/maintenance.rs
@@ -37,7 +37,8 @@
     pub fn stalled_time(&mut self, now: MonotonicTime) -> Option<Duration> {
         let previous = std::mem::replace(&mut self.last_tick, now);
         let gap = now.since(previous);
-        (gap > MAX_TICK_GAP).then(|| gap - MAX_TICK_GAP)
+        let stalled = gap.checked_sub(MAX_TICK_GAP)?;
+        (!stalled.is_zero()).then_some(stalled)
     }
 
     /// Whether the agents are to get a confirmation of the feed's position.
--- a/crates/control/tests/registry_watch.rs
+++ b/crates/control/tests/registry_watch.rs
@@ -10,5 +10,5 @@
     assert_eq!(poll_period(1), Duration::from_millis(500));
     assert_eq!(poll_period(3), Duration::from_millis(500));
     assert_eq!(poll_period(6), Duration::from_millis(900));
-    assert_eq!(poll_period(24), Duration::from_millis(1000));
+    assert_eq!(poll_period(24), Duration::from_secs(1));
 }
--- a/crates/control/tests/services.rs
+++ b/crates/control/tests/services.rs
@@ -67,6 +67,7 @@
 
 #[test]
 fn registry_changes_reach_agents_at_every_node_and_an_operator_can_drain() {
+    use BackendState::{BackendActive, BackendDraining};
     let mut cluster = cluster_with_leaders(3, 1);
     accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
     let mut agents = ["node-1", "node-2", "node-3"].map(|node| follow_service(&mut cluster, node));
@@ -85,7 +86,6 @@
                 assert_eq!(states(agent), desired, "{}", agent.name);
             }
         };
-    use BackendState::{BackendActive, BackendDraining};
     expect(
         &mut cluster,
         &mut agents,
@@ -358,7 +358,7 @@
     cluster.boot("node-2");
     cluster.run_until(Duration::from_secs(4), "leaders", Cluster::has_leaders);
     cluster.boot("node-1");
-    cluster.run(Duration::from_secs(60));
+    cluster.run(Duration::from_mins(1));
     let leaders: std::collections::BTreeSet<_> = (0..=2)
         .map(|shard| cluster.leader(ShardId(shard)).expect("a leader"))
         .collect();
