--- a/crates/control/src/shard/core.rs
+++ b/crates/control/src/shard/core.rs
@@ -4,11 +4,13 @@
 //! No part knows another one or the core. The order in which the core calls them is part of the
 //! shard's behaviour: outputs leave in that order.
 
-use millford_api::command::{AdvanceClock, RemoveControlMember, command, command_result};
+use millford_api::command::{
+    AdvanceClock, CommandResult, RemoveControlMember, command, command_result,
+};
 use millford_api::internal::{QuotaRequest, ShardRequest, Subscribe, shard_reply, shard_request};
 use millford_api::replication::LogEntry;
 use millford_api::state::StateItem;
-use millford_control_state::{Applied, ShardMachine};
+use millford_control_state::ShardMachine;
 use millford_core::{MonotonicTime, NodeId, ResultCode, ShardId};
 use millford_feed::FeedPosition;
 use millford_replication::{Ready, ReplicaStatus, RestoredSnapshot};
@@ -228,7 +230,7 @@
         }
         let purpose = self.replica.take_proposal(entry.index, entry.term);
         if let (Some(applied), Some(purpose)) = (applied, purpose) {
-            self.conclude_proposal(&purpose, applied);
+            self.conclude_proposal(&purpose, applied.result);
         }
     }
 
@@ -247,13 +249,13 @@
     }
 
     /// A command that this replica proposed was applied.
-    fn conclude_proposal(&mut self, purpose: &Purpose, applied: Applied) {
-        if let Some(event) = acceptance_event(&applied) {
+    fn conclude_proposal(&mut self, purpose: &Purpose, result: CommandResult) {
+        if let Some(event) = acceptance_event(&result) {
             self.outputs.push(ShardOutput::Event(event));
         }
         if let Purpose::Request(correlation_id) = purpose {
-            let code = applied.result.code;
-            let kind = shard_reply::Kind::Result(applied.result);
+            let code = result.code;
+            let kind = shard_reply::Kind::Result(result);
             let reply = self.replies().result(*correlation_id, code, kind);
             self.outputs.push(reply);
         }
@@ -633,11 +635,11 @@
 }
 
 /// The event of a configuration that was accepted for the first time.
-fn acceptance_event(applied: &Applied) -> Option<NodeEvent> {
-    let Some(command_result::Kind::PutConfig(result)) = &applied.result.kind else {
+fn acceptance_event(result: &CommandResult) -> Option<NodeEvent> {
+    let Some(command_result::Kind::PutConfig(accepted)) = &result.kind else {
         return None;
     };
-    let succeeded = applied.result.code == ResultCode::Ok.number();
-    (succeeded && !result.repeated_order)
-        .then_some(NodeEvent::ConfigurationAccepted(result.revision))
+    let succeeded = result.code == ResultCode::Ok.number();
+    (succeeded && !accepted.repeated_order)
+        .then_some(NodeEvent::ConfigurationAccepted(accepted.revision))
 }
