--- a/crates/control/src/daemon/shared.rs
+++ b/crates/control/src/daemon/shared.rs
@@ -25,7 +25,7 @@
     requests: IntGauge,
     term: IntGaugeVec,
     commit_index: IntGaugeVec,
-    shard_in_touch: IntGaugeVec,
+    shard_has_quorum: IntGaugeVec,
     leads: IntGaugeVec,
 }
 
@@ -77,7 +77,7 @@
                 |gauge: &IntGaugeVec, value: i64| gauge.with_label_values(labels).set(value);
             gauge(&self.gauges.term, signed(replica.term));
             gauge(&self.gauges.commit_index, signed(replica.commit_index));
-            gauge(&self.gauges.shard_in_touch, replica.has_quorum.into());
+            gauge(&self.gauges.shard_has_quorum, replica.has_quorum.into());
             gauge(&self.gauges.leads, replica.leads.into());
         }
     }
@@ -127,7 +127,7 @@
             )?,
             term: gauges(registry, "shard_term", "Term of the replica.")?,
             commit_index: gauges(registry, "shard_commit_index", "Last committed index.")?,
-            shard_in_touch: gauges(registry, "shard_in_touch", "Whether a quorum is reached.")?,
+            shard_has_quorum: gauges(registry, "shard_in_touch", "Whether a quorum is reached.")?,
             leads: gauges(registry, "shard_leads", "Whether the replica leads.")?,
         })
     }
