--- a/crates/control/src/daemon/gateway_thread.rs
+++ b/crates/control/src/daemon/gateway_thread.rs
@@ -7,7 +7,7 @@
 
 use millford_api::internal::Frame;
 use millford_core::time::monotonic_now;
-use millford_core::{ResultCode, ShardId, ShardLayout};
+use millford_core::{ResultCode, ShardId};
 use millford_storage::StorageError;
 use tokio::sync::{mpsc as async_mpsc, oneshot};
 
@@ -19,13 +19,13 @@
 use crate::folders;
 use crate::gateway::{Gateway, GatewayInput, GatewayOutput};
 use crate::link::LinkId;
-use crate::node::{FolderOpener, shard_folder};
+use crate::node::{FolderOpener, core_options, shard_folder};
 use crate::node_input::NodeInput;
 use crate::node_output::NodeOutput;
 use crate::operator::OperatorReply;
 use crate::options::ControlOptions;
-use crate::shard::core::code_of;
-use crate::shard::{ShardCoreOptions, ShardInput};
+use crate::shard::{ShardCoreOptions, ShardInput, ShardOutput};
+use crate::storage_code::storage_code;
 use crate::timing::TICK;
 
 /// Most events between two looks at the clock.
@@ -49,6 +49,9 @@
 
 impl GatewayThread {
     /// Opens the node's folder and starts its shards.
+    ///
+    /// # Errors
+    /// The node's folder cannot be read or written.
     pub fn open(
         options: ControlOptions,
         folders: FolderOpener,
@@ -129,12 +132,7 @@
         self.input(GatewayInput::Node(input));
     }
 
-    fn take_shard(
-        &mut self,
-        shard: ShardId,
-        generation: Generation,
-        outputs: Vec<crate::shard::ShardOutput>,
-    ) {
+    fn take_shard(&mut self, shard: ShardId, generation: Generation, outputs: Vec<ShardOutput>) {
         let running = self.shards.get(&shard);
         if running.is_none_or(|thread| thread.generation != generation) {
             return;
@@ -155,7 +153,7 @@
             return;
         }
         super::STORE.error(format!("A shard cannot be opened: {error}."));
-        super::exit_with(code_of(error));
+        super::exit_with(storage_code(error));
     }
 
     fn input(&mut self, input: GatewayInput) {
@@ -168,13 +166,8 @@
             match output {
                 GatewayOutput::Node(output) => self.execute_node_output(output),
                 GatewayOutput::Shard { shard, input } => self.send_to_shard(shard, input),
-                GatewayOutput::StartShard {
-                    shard,
-                    identity,
-                    voters,
-                    data_shards,
-                } => {
-                    let options = self.core_options(shard, identity, voters, data_shards);
+                GatewayOutput::StartShard(start) => {
+                    let options = core_options(&self.options, &self.folders, start);
                     self.start_shard(options);
                 }
                 GatewayOutput::EraseShards => self.erase_shards(),
@@ -200,7 +193,7 @@
         }
     }
 
-    /// Queues a frame. A link whose queue is full is closed: its reader is too slow or gone, and
+    /// Queues a frame. A link whose queue is full is closed: its reader is too slow or disconnected, and
     /// starts over with a new link.
     fn send(&mut self, link: LinkId, frame: Frame) {
         let Some(writer) = self.writers.get(&link) else {
@@ -217,26 +210,6 @@
         }
     }
 
-    fn core_options(
-        &self,
-        shard: ShardId,
-        identity: millford_core::NodeId,
-        voters: Vec<millford_core::NodeId>,
-        data_shards: u32,
-    ) -> ShardCoreOptions {
-        let folders = self.folders.clone();
-        ShardCoreOptions {
-            shard,
-            identity,
-            voters,
-            layout: ShardLayout::new(data_shards),
-            seed: self.options.seed,
-            voters_per_shard: self.options.voters_per_shard,
-            replace_after: self.options.replace_after,
-            disk: Arc::new(move || folders(&shard_folder(shard))),
-        }
-    }
-
     fn start_shard(&mut self, options: ShardCoreOptions) {
         self.last_generation += 1;
         let shard = options.shard;
@@ -253,13 +226,12 @@
     }
 
     fn erase_shards(&mut self) {
-        for (_, thread) in std::mem::take(&mut self.shards) {
-            thread.stop();
-        }
+        // Dropping the threads ends and joins them, so that nobody writes to the folders any more.
+        self.shards.clear();
         for shard in (0..=folders::HIGHEST_SHARD).map(ShardId) {
             let mut disk = (self.folders)(&shard_folder(shard));
             if let Err(error) = folders::clear(disk.as_mut()) {
-                super::exit_with(code_of(&error));
+                super::exit_with(storage_code(&error));
             }
         }
     }
--- a/crates/control/src/gateway/dialer.rs
+++ b/crates/control/src/gateway/dialer.rs
@@ -1,4 +1,4 @@
-//! Connections to every known control address, kept up.
+//! Connections to every known control address, opened again when they end.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,12 +12,12 @@
 
 /// What the dialer wants done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum DialAction {
+pub(super) enum DialAction {
     /// Open a connection.
     Connect(LinkId, String),
-    /// Greet the control node on an open link.
+    /// Send a hello to the control node on an open link.
     SendHello(LinkId),
-    /// The node behind the link is silent: close it.
+    /// The node behind the link is unresponsive: close it.
     Close(LinkId),
 }
 
@@ -26,7 +26,7 @@
     link: Option<LinkId>,
     open: bool,
     peer: Option<NodeId>,
-    last_heard: MonotonicTime,
+    last_contact: MonotonicTime,
     next_hello: MonotonicTime,
     next_attempt: MonotonicTime,
     backoff: Backoff,
@@ -38,7 +38,7 @@
             link: None,
             open: false,
             peer: None,
-            last_heard: now,
+            last_contact: now,
             next_hello: now,
             next_attempt: now,
             backoff: Backoff::new(DIAL_BACKOFF_INITIAL, DIAL_BACKOFF_MAX),
@@ -54,14 +54,18 @@
 
 /// One connection for each address.
 #[derive(Debug, Default)]
-pub struct Dialer {
+pub(super) struct Dialer {
     dials: BTreeMap<String, Dial>,
     links_opened: u64,
 }
 
 impl Dialer {
-    /// Brings the connections in line with the wanted addresses and keeps them alive.
-    pub fn tick(&mut self, now: MonotonicTime, desired: &BTreeSet<String>) -> Vec<DialAction> {
+    /// Brings the connections in line with the desired addresses and keeps them alive.
+    pub(super) fn tick(
+        &mut self,
+        now: MonotonicTime,
+        desired: &BTreeSet<String>,
+    ) -> Vec<DialAction> {
         let mut actions = self.drop_undesired(desired);
         for address in desired {
             let dials = &mut self.dials;
@@ -74,17 +78,17 @@
         actions
     }
 
-    /// A link that the dialer asked for is open.
-    pub fn opened(&mut self, now: MonotonicTime, link: LinkId) {
+    /// A link that the dialer requested is open.
+    pub(super) fn opened(&mut self, now: MonotonicTime, link: LinkId) {
         if let Some(dial) = self.find(link) {
             dial.open = true;
-            dial.last_heard = now;
+            dial.last_contact = now;
             dial.next_hello = now;
         }
     }
 
     /// A link ended. Gives its address.
-    pub fn closed(&mut self, now: MonotonicTime, link: LinkId) -> Option<String> {
+    pub(super) fn closed(&mut self, now: MonotonicTime, link: LinkId) -> Option<String> {
         let entry = self
             .dials
             .iter_mut()
@@ -95,30 +99,34 @@
     }
 
     /// The node behind the link answered a greeting. Gives its address.
-    pub fn answered(&mut self, now: MonotonicTime, link: LinkId, peer: NodeId) -> Option<String> {
+    pub(super) fn answered(
+        &mut self,
+        now: MonotonicTime,
+        link: LinkId,
+        peer: NodeId,
+    ) -> Option<String> {
         let entry = self
             .dials
             .iter_mut()
             .find(|(_, dial)| dial.link == Some(link));
         let (address, dial) = entry?;
-        dial.last_heard = now;
+        dial.last_contact = now;
         dial.peer = Some(peer);
         dial.backoff.reset();
         Some(address.clone())
     }
 
     /// Whether the node answered a greeting lately.
-    #[must_use]
-    pub fn is_connected(&self, now: MonotonicTime, node: NodeId) -> bool {
+    pub(super) fn is_connected(&self, now: MonotonicTime, node: NodeId) -> bool {
         self.dials.values().any(|dial| {
             dial.open
                 && dial.peer == Some(node)
-                && now.since(dial.last_heard) < PEER_INACTIVITY_TIMEOUT
+                && now.since(dial.last_contact) < PEER_INACTIVITY_TIMEOUT
         })
     }
 
     /// Greets everyone at once, for news that should not wait.
-    pub fn schedule_hellos(&mut self, now: MonotonicTime) {
+    pub(super) fn schedule_hellos(&mut self, now: MonotonicTime) {
         for dial in self.dials.values_mut() {
             dial.next_hello = now;
         }
@@ -155,11 +163,11 @@
         *links_opened += 1;
         let link = LinkId::outgoing(*links_opened);
         dial.link = Some(link);
-        dial.last_heard = now;
+        dial.last_contact = now;
         dial.peer = None;
         return Some(DialAction::Connect(link, address.to_owned()));
     };
-    if now.since(dial.last_heard) >= PEER_INACTIVITY_TIMEOUT {
+    if now.since(dial.last_contact) >= PEER_INACTIVITY_TIMEOUT {
         dial.fail(now);
         return Some(DialAction::Close(link));
     }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -1,4 +1,4 @@
-//! A whole control node as one synchronous machine.
+//! A complete control node as one synchronous machine.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -6,12 +6,12 @@
 use millford_core::{MonotonicTime, NodeId, ShardId, ShardLayout};
 use millford_storage::{Disk, StorageError};
 
-use crate::gateway::{Gateway, GatewayInput, GatewayOutput};
+use crate::gateway::{Gateway, GatewayInput, GatewayOutput, ShardStart};
 use crate::node_input::NodeInput;
 use crate::node_output::NodeOutput;
 use crate::options::ControlOptions;
-use crate::shard::core::code_of;
 use crate::shard::{ShardCore, ShardCoreOptions, ShardInput, ShardOutput};
+use crate::storage_code::storage_code;
 
 /// Opens the folder with this name.
 pub type FolderOpener = Arc<dyn Fn(&str) -> Box<dyn Disk> + Send + Sync>;
@@ -25,6 +25,26 @@
     format!("shard-{shard}")
 }
 
+/// What a shard's core is opened with on this node.
+pub(crate) fn core_options(
+    node: &ControlOptions,
+    folders: &FolderOpener,
+    start: ShardStart,
+) -> ShardCoreOptions {
+    let shard = start.shard;
+    let folders = folders.clone();
+    ShardCoreOptions {
+        shard,
+        identity: start.identity,
+        voters: start.voters,
+        layout: ShardLayout::new(start.data_shards),
+        seed: node.seed,
+        voters_per_shard: node.voters_per_shard,
+        replace_after: node.replace_after,
+        disk: Arc::new(move || folders(&shard_folder(shard))),
+    }
+}
+
 /// Gateway and shard cores, composed synchronously.
 ///
 /// The daemon runs the same parts on threads of their own; the simulator and the tests use this.
@@ -33,7 +53,7 @@
     folders: FolderOpener,
     gateway: Gateway,
     cores: BTreeMap<ShardId, ShardCore>,
-    /// Shards that were told something, while a batch is taken.
+    /// Shards with inputs that are not flushed yet, while a batch is taken.
     batch: Option<BTreeSet<ShardId>>,
     queue: VecDeque<GatewayOutput>,
     outputs: Vec<NodeOutput>,
@@ -41,6 +61,9 @@
 
 impl ControlNode {
     /// Opens a node on its folders. Its first outputs come with the first input.
+    ///
+    /// # Errors
+    /// The node's folder cannot be read or written.
     pub fn open(
         options: ControlOptions,
         disks: impl Fn(&str) -> Box<dyn Disk> + Send + Sync + 'static,
@@ -119,15 +142,7 @@
             match output {
                 GatewayOutput::Node(output) => self.outputs.push(output),
                 GatewayOutput::Shard { shard, input } => self.send_to_core(now, shard, input),
-                GatewayOutput::StartShard {
-                    shard,
-                    identity,
-                    voters,
-                    data_shards,
-                } => {
-                    let layout = ShardLayout::new(data_shards);
-                    self.start(now, shard, identity, voters, layout);
-                }
+                GatewayOutput::StartShard(start) => self.start(now, start),
                 GatewayOutput::EraseShards => self.erase(),
             }
         }
@@ -162,25 +177,9 @@
         self.send_to_gateway(now, GatewayInput::Shard { shard, output });
     }
 
-    fn start(
-        &mut self,
-        now: MonotonicTime,
-        shard: ShardId,
-        identity: NodeId,
-        voters: Vec<NodeId>,
-        layout: ShardLayout,
-    ) {
-        let folders = self.folders.clone();
-        let options = ShardCoreOptions {
-            shard,
-            identity,
-            voters,
-            layout,
-            seed: self.options.seed,
-            voters_per_shard: self.options.voters_per_shard,
-            replace_after: self.options.replace_after,
-            disk: Arc::new(move || folders(&shard_folder(shard))),
-        };
+    fn start(&mut self, now: MonotonicTime, start: ShardStart) {
+        let shard = start.shard;
+        let options = core_options(&self.options, &self.folders, start);
         match ShardCore::open(options, now) {
             Ok(core) => {
                 self.cores.insert(shard, core);
@@ -189,7 +188,7 @@
                 self.send_to_gateway(now, GatewayInput::StorageCorrupt);
             }
             Err(error) => {
-                let code = code_of(&error);
+                let code = storage_code(&error);
                 self.outputs.push(NodeOutput::Fatal { code });
             }
         }
@@ -202,7 +201,7 @@
         for shard in (0..=highest).map(ShardId) {
             let mut disk = (self.folders)(&shard_folder(shard));
             if let Err(error) = crate::folders::clear(disk.as_mut()) {
-                let code = code_of(&error);
+                let code = storage_code(&error);
                 self.outputs.push(NodeOutput::Fatal { code });
                 return;
             }
--- a/crates/control/src/shard/output.rs
+++ b/crates/control/src/shard/output.rs
@@ -8,7 +8,7 @@
 use super::input::CorrelationId;
 use super::replica_status::ShardReplicaStatus;
 use crate::link::LinkId;
-use crate::node_output::NodeEvent;
+use crate::node_event::NodeEvent;
 
 /// One output of a shard's core.
 #[derive(Clone, Debug)]
@@ -29,9 +29,9 @@
         /// The answer.
         reply: QuotaReply,
     },
-    /// Ask nodes for idle quota.
+    /// Recall idle quota from nodes.
     Recall(QuotaRecall),
-    /// Ask the leader to confirm a read of this replica.
+    /// Let the leader confirm a read of this replica.
     ConfirmRead {
         /// Number of the read.
         read: u64,
@@ -45,7 +45,7 @@
     },
     /// Public items changed in this replica.
     PublicChange(Vec<StateItem>),
-    /// The replica's role or touch changed.
+    /// The replica's status: it changed, or a report is due.
     ReplicaStatus(ShardReplicaStatus),
     /// Load of all nodes together, for the agents.
     LoadSnapshot(LoadSnapshot),
--- a/crates/control/src/shard/repair.rs
+++ b/crates/control/src/shard/repair.rs
@@ -1,6 +1,7 @@
 //! Replacement of lost voters, decided by the shard's leader.
 
 use millford_core::{Duration, MonotonicTime, NodeId};
+use millford_replication::VoterChange;
 
 use super::members::MemberView;
 
@@ -10,7 +11,7 @@
     /// Which node.
     pub node: NodeId,
     /// When the leader heard from it last; its own election if it never did.
-    pub last_heard: MonotonicTime,
+    pub last_contact: MonotonicTime,
     /// It holds everything that is committed.
     pub caught_up: bool,
 }
@@ -35,21 +36,51 @@
     Promote(NodeId),
 }
 
+impl RepairStep {
+    /// The change of the group's voters.
+    #[must_use]
+    pub fn voter_change(self) -> VoterChange {
+        match self {
+            Self::AddLearner(node) => VoterChange::AddLearner(node),
+            Self::Remove(node) => VoterChange::Remove(node),
+            Self::Promote(node) => VoterChange::Promote(node),
+        }
+    }
+
+    /// The step in words, for the log.
+    #[must_use]
+    pub fn label(self) -> &'static str {
+        match self {
+            Self::AddLearner(_) => "add learner",
+            Self::Remove(_) => "remove",
+            Self::Promote(_) => "promote",
+        }
+    }
+
+    /// The node that it is about.
+    #[must_use]
+    pub fn node(self) -> NodeId {
+        match self {
+            Self::AddLearner(node) | Self::Remove(node) | Self::Promote(node) => node,
+        }
+    }
+}
+
 /// Decides one change at a time.
 ///
-/// Order: the spare first catches up as a learner, then the lost voter goes, then the learner
+/// Order: the standby first catches up as a learner, then the lost voter is removed, then the learner
 /// votes. So a voter counts only once it holds everything committed, and a quorum is at every
 /// moment made of replicas that do.
 #[derive(Clone, Copy, Debug)]
-pub struct Repair {
-    /// Silence after which a voter counts as lost.
+pub struct RepairPolicy {
+    /// Inactivity after which a voter counts as lost.
     pub replace_after: Duration,
-    /// Voters of a whole group.
+    /// Voters of a complete group.
     pub voters: usize,
 }
 
-impl Repair {
-    /// The next step, or none when the group is whole or cannot be mended now.
+impl RepairPolicy {
+    /// The next step, or none when the group is complete or cannot be repaired now.
     #[must_use]
     pub fn decide(
         &self,
@@ -91,7 +122,7 @@
     }
 
     fn is_lost(&self, now: MonotonicTime, replica: &ReplicaView, members: &MemberView) -> bool {
-        let unresponsive = now.since(replica.last_heard) >= self.replace_after;
+        let unresponsive = now.since(replica.last_contact) >= self.replace_after;
         unresponsive || members.get(replica.node).removed
     }
 
