--- a/crates/control-state/examples/large_document.rs
+++ b/crates/control-state/examples/large_document.rs
@@ -21,14 +21,14 @@
     let tenants = std::env::args().nth(1).and_then(|text| text.parse().ok());
     let before = large_document(tenants.unwrap_or(DEFAULT_TENANTS));
     let after = changed(&before);
-    let json = serde_json::to_vec(&before).expect("a sound document");
+    let json = serde_json::to_vec(&before).expect("a valid document");
     println!(
         "{} tenants, {} bytes of JSON",
         before.tenants.len(),
         json.len()
     );
     measure("parse", || {
-        document::parse(&json).expect("a sound document")
+        document::parse(&json).expect("a valid document")
     });
     measure("check", || assert!(document::check(&before).is_empty()));
     measure("digest", || document::digest(&before));
--- a/crates/control-state/examples/state_cost.rs
+++ b/crates/control-state/examples/state_cost.rs
@@ -15,13 +15,13 @@
 const CLAIM_STEPS: [u64; 4] = [50_000, 100_000, 200_000, 400_000];
 /// Active tenants at each step of the measurement.
 const TENANT_STEPS: [u64; 4] = [1_000, 2_000, 4_000, 16_000];
-/// Nodes that ask for each tenant.
+/// Nodes that send requests for each tenant.
 const NODES: u64 = 4;
 /// Bytes of a page of memory.
 const PAGE: u64 = 4096;
 
 fn main() {
-    // One kind in a process, so that none measures memory that the other gave back.
+    // One kind in a process, so that none measures memory that the other freed.
     match std::env::args().nth(1).as_deref() {
         Some("claims") => measure_claims(),
         Some("quotas") => measure_quotas(),
@@ -33,8 +33,8 @@
     println!(
         "claims, resident bytes each, apply in microseconds, snapshot bytes each, snapshot in ms"
     );
-    // Kept, so that no step measures memory that an earlier one gave back.
-    let mut kept = Vec::new();
+    // Retained, so that no step measures memory that an earlier one freed.
+    let mut retained = Vec::new();
     for count in CLAIM_STEPS {
         let before = resident_bytes();
         let start = Instant::now();
@@ -43,17 +43,17 @@
             machine.apply(number, 1, &claim(number));
         }
         let applied = start.elapsed();
-        let held = resident_bytes().saturating_sub(before);
+        let resident = resident_bytes().saturating_sub(before);
         let start = Instant::now();
         let snapshot = machine.snapshot();
         println!(
             "{count}, {}, {:.2}, {}, {:.0}",
-            held / count,
+            resident / count,
             applied.as_secs_f64() * 1e6 / count as f64,
             snapshot.len() as u64 / count,
             start.elapsed().as_secs_f64() * 1e3
         );
-        kept.push((machine, snapshot));
+        retained.push((machine, snapshot));
     }
 }
 
@@ -69,31 +69,31 @@
 }
 
 fn measure_quotas() {
-    println!("active tenants, resident bytes each, ask in microseconds, sweep in ms");
-    let mut kept = Vec::new();
+    println!("active tenants, resident bytes each, request in microseconds, sweep in ms");
+    let mut retained = Vec::new();
     for count in TENANT_STEPS {
         let before = resident_bytes();
-        let mut ledger = QuotaLeases::new(ShardId(1), QuotaOptions::default());
-        ledger.lead(MonotonicTime::ZERO, 1);
+        let mut leases = QuotaLeases::new(ShardId(1), QuotaOptions::default());
+        leases.lead(MonotonicTime::ZERO, 1);
         let now = MonotonicTime::from_millis(3_600_000);
         for number in 0..count {
-            ledger.set_quota(now, &tenant(number), Some(quota()));
+            leases.set_quota(now, &tenant(number), Some(quota()));
         }
         let start = Instant::now();
         for number in 0..count * NODES {
-            ledger.handle(now, &request(number, count));
+            leases.handle(now, &request(number, count));
         }
-        let asked = start.elapsed();
-        let held = resident_bytes().saturating_sub(before);
+        let handled = start.elapsed();
+        let resident = resident_bytes().saturating_sub(before);
         let start = Instant::now();
-        ledger.tick(now + QuotaOptions::default().sweep_interval);
+        leases.tick(now + QuotaOptions::default().sweep_interval);
         println!(
             "{count}, {}, {:.2}, {:.1}",
-            held / count,
-            asked.as_secs_f64() * 1e6 / (count * NODES) as f64,
+            resident / count,
+            handled.as_secs_f64() * 1e6 / (count * NODES) as f64,
             start.elapsed().as_secs_f64() * 1e3
         );
-        kept.push(ledger);
+        retained.push(leases);
     }
 }
 
@@ -110,7 +110,7 @@
 }
 
 fn request(number: u64, tenants: u64) -> QuotaRequest {
-    let ask = TenantQuotaRequest {
+    let tenant_request = TenantQuotaRequest {
         tenant: tenant(number % tenants),
         tokens: 1,
         slots_requested: 1,
@@ -122,11 +122,11 @@
         request_id: number + 1,
         member: format!("agent-{}", number / tenants),
         epoch: 1,
-        tenants: vec![ask],
+        tenants: vec![tenant_request],
     }
 }
 
-/// Memory of this process that is resident, in bytes; 0 where the system does not tell.
+/// Memory of this process that is resident, in bytes; 0 where the system does not report it.
 fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1);
--- a/crates/control-state/tests/chosen_revisions.rs
+++ b/crates/control-state/tests/control_state/chosen_revisions.rs
@@ -1,22 +1,25 @@
-//! Numbers that operators choose, and documents that are read back as they were sent.
-
-mod support;
+//! Revisions that operators choose, and documents that are read back as they were sent.
 
+use crate::fixtures::{Machine, tenant, valid_document};
 use millford_api::command::{PutConfig, PutConfigResult, command::Kind, command_result};
 use millford_control_state::document;
 use millford_core::{ResultCode, ShardId};
 use quickcheck::QuickCheck;
-use support::{Machine, sound_document, tenant};
 
 impl Machine {
-    fn put(&mut self, base: u64, revision: u64, text: &str) -> (ResultCode, PutConfigResult) {
-        let mut wanted = sound_document();
-        wanted.tenants.push(tenant(&format!("tenant-{text}")));
+    fn put_revision(
+        &mut self,
+        base: u64,
+        revision: u64,
+        text: &str,
+    ) -> (ResultCode, PutConfigResult) {
+        let mut desired = valid_document();
+        desired.tenants.push(tenant(&format!("tenant-{text}")));
         let order = PutConfig {
             base_revision: base,
             order_id: String::new(),
-            digest: document::digest(&wanted),
-            document: Some(wanted),
+            digest: document::digest(&desired),
+            document: Some(desired),
             revision,
             source: text.as_bytes().to_vec(),
         };
@@ -30,21 +33,25 @@
 }
 
 #[test]
-fn numbers_rise_in_uneven_steps() {
+fn chosen_revisions_may_grow_in_uneven_steps() {
     let mut machine = Machine::new(ShardId::CONFIGURATION);
-    assert_eq!(machine.put(0, 7, "a").1.revision, 7);
-    assert_eq!(machine.put(7, 8, "b").1.revision, 8);
-    assert_eq!(machine.put(8, 1000, "c").1.revision, 1000);
-    assert_eq!(machine.put(1000, 0, "d").1.revision, 1001, "the next one");
+    assert_eq!(machine.put_revision(0, 7, "a").1.revision, 7);
+    assert_eq!(machine.put_revision(7, 8, "b").1.revision, 8);
+    assert_eq!(machine.put_revision(8, 1000, "c").1.revision, 1000);
+    assert_eq!(
+        machine.put_revision(1000, 0, "d").1.revision,
+        1001,
+        "the next one"
+    );
     assert_eq!(machine.machine.config_source(), b"d");
 }
 
 #[test]
-fn a_number_that_is_not_above_the_present_one_is_refused() {
+fn a_revision_not_above_the_current_one_is_refused() {
     let mut machine = Machine::new(ShardId::CONFIGURATION);
-    machine.put(0, 7, "a");
+    machine.put_revision(0, 7, "a");
     for revision in [1, 6, 7] {
-        let (code, result) = machine.put(7, revision, "b");
+        let (code, result) = machine.put_revision(7, revision, "b");
         assert_eq!((code, result.revision), (ResultCode::RevisionNotAbove, 7));
     }
     assert_eq!(machine.machine.config_source(), b"a");
@@ -52,33 +59,39 @@
 }
 
 #[test]
-fn of_two_orders_under_one_number_one_wins_and_resent_ones_are_acknowledged() {
+fn of_two_orders_with_one_revision_one_wins_and_resent_ones_are_acknowledged() {
     let mut machine = Machine::new(ShardId::CONFIGURATION);
-    assert_eq!(machine.put(0, 5, "a").0, ResultCode::Ok);
-    assert_eq!(machine.put(0, 5, "b").0, ResultCode::RevisionConflict);
-    let (code, again) = machine.put(0, 5, "a");
+    assert_eq!(machine.put_revision(0, 5, "a").0, ResultCode::Ok);
+    assert_eq!(
+        machine.put_revision(0, 5, "b").0,
+        ResultCode::RevisionConflict
+    );
+    let (code, again) = machine.put_revision(0, 5, "a");
     assert_eq!(
         (code, again.revision, again.repeated_order),
         (ResultCode::Ok, 5, true)
     );
-    machine.put(5, 6, "c");
+    machine.put_revision(5, 6, "c");
     // Also after later changes, and after a restart from a snapshot.
     let snapshot = machine.machine.snapshot();
     let mut restored = Machine::new(ShardId::CONFIGURATION);
     restored.machine.restore(&snapshot).expect("a snapshot");
     restored.index = machine.index;
-    assert_eq!(restored.put(0, 5, "a").0, ResultCode::Ok);
+    assert_eq!(restored.put_revision(0, 5, "a").0, ResultCode::Ok);
     assert_eq!(
         restored.machine.config_source(),
         b"c",
         "what is in force is read back"
     );
-    assert_eq!(restored.put(0, 5, "b").0, ResultCode::RevisionConflict);
+    assert_eq!(
+        restored.put_revision(0, 5, "b").0,
+        ResultCode::RevisionConflict
+    );
 }
 
 #[test]
-fn numbers_never_fall_whatever_is_ordered() {
-    fn holds(orders: Vec<(u8, u8, u8)>) -> bool {
+fn revisions_never_decrease_whatever_is_ordered() {
+    fn property(orders: Vec<(u8, u8, u8)>) -> bool {
         let mut machine = Machine::new(ShardId::CONFIGURATION);
         let mut last = 0;
         for (base, revision, text) in orders {
@@ -87,7 +100,8 @@
             } else {
                 u64::from(base % 16)
             };
-            let (code, result) = machine.put(base, u64::from(revision % 16), &format!("{text}"));
+            let (code, result) =
+                machine.put_revision(base, u64::from(revision % 16), &format!("{text}"));
             let present = machine.machine.revision();
             let accepted = code == ResultCode::Ok && !result.repeated_order;
             if present < last || accepted && present <= last || !accepted && present != last {
@@ -97,5 +111,5 @@
         }
         true
     }
-    QuickCheck::new().quickcheck(holds as fn(Vec<(u8, u8, u8)>) -> bool);
+    QuickCheck::new().quickcheck(property as fn(Vec<(u8, u8, u8)>) -> bool);
 }
--- a/crates/control-state/tests/claims.rs
+++ b/crates/control-state/tests/control_state/claims.rs
@@ -1,7 +1,6 @@
 //! Claims: at most one run of a request that may not be repeated.
 
-mod support;
-
+use crate::fixtures::Machine;
 use millford_api::command::{
     AdvanceClock, Claim, ClaimResult, ResolveClaim, RunOutcome, command::Kind, command_result,
 };
@@ -9,7 +8,6 @@
 use millford_control_state::machine::CLAIM_RETENTION_MS;
 use millford_core::{ResultCode, ShardId};
 use quickcheck::{Arbitrary, Gen, quickcheck};
-use support::Machine;
 
 impl Machine {
     fn claim(&mut self, attempt: &str) -> ClaimResult {
@@ -20,8 +18,8 @@
         }
     }
 
-    fn settle(&mut self, attempt: &str, outcome: RunOutcome) {
-        let applied = self.apply_kind(Kind::ResolveClaim(settle(attempt, outcome)));
+    fn resolve(&mut self, attempt: &str, outcome: RunOutcome) {
+        let applied = self.apply_kind(Kind::ResolveClaim(resolve(attempt, outcome)));
         assert_eq!(applied.result.code, 0);
     }
 
@@ -39,7 +37,7 @@
     }
 }
 
-fn settle(attempt: &str, outcome: RunOutcome) -> ResolveClaim {
+fn resolve(attempt: &str, outcome: RunOutcome) -> ResolveClaim {
     ResolveClaim {
         tenant: "library".to_owned(),
         request_id: "request".to_owned(),
@@ -59,11 +57,11 @@
 }
 
 #[test]
-fn a_settled_claim_tells_its_outcome_and_grants_nobody() {
+fn a_resolved_claim_returns_its_outcome_and_is_granted_to_nobody() {
     for outcome in [RunOutcome::RunCompleted, RunOutcome::RunFailed] {
         let mut machine = Machine::new(ShardId(1));
         machine.claim("a");
-        machine.settle("a", outcome);
+        machine.resolve("a", outcome);
         for attempt in ["a", "b"] {
             let answer = machine.claim(attempt);
             assert!(!answer.granted);
@@ -73,21 +71,21 @@
 }
 
 #[test]
-fn the_first_settlement_stands_and_only_by_the_granted_attempt() {
+fn the_first_resolution_by_the_granted_attempt_stands() {
     let mut machine = Machine::new(ShardId(1));
     machine.claim("a");
-    machine.settle("b", RunOutcome::RunNotRun);
+    machine.resolve("b", RunOutcome::RunNotRun);
     assert!(!machine.claim("c").granted, "b was never granted");
-    machine.settle("a", RunOutcome::RunCompleted);
-    machine.settle("a", RunOutcome::RunNotRun);
+    machine.resolve("a", RunOutcome::RunCompleted);
+    machine.resolve("a", RunOutcome::RunNotRun);
     assert_eq!(machine.claim("d").outcome(), RunOutcome::RunCompleted);
 }
 
 #[test]
-fn what_did_not_run_may_be_claimed_by_another_attempt_only() {
+fn a_request_that_did_not_run_may_be_claimed_by_another_attempt_only() {
     let mut machine = Machine::new(ShardId(1));
     machine.claim("a");
-    machine.settle("a", RunOutcome::RunNotRun);
+    machine.resolve("a", RunOutcome::RunNotRun);
     assert!(!machine.claim("a").granted, "a late copy of a's claim");
     assert!(machine.claim("b").granted);
 }
@@ -95,13 +93,13 @@
 #[test]
 fn a_claim_that_arrives_after_its_attempt_gave_up_is_not_granted() {
     let mut machine = Machine::new(ShardId(1));
-    machine.settle("a", RunOutcome::RunNotRun);
+    machine.resolve("a", RunOutcome::RunNotRun);
     assert!(!machine.claim("a").granted);
     assert!(machine.claim("b").granted);
 }
 
 #[test]
-fn a_key_that_is_used_for_another_body_is_refused() {
+fn an_idempotency_key_reused_for_another_body_is_refused() {
     let mut machine = Machine::new(ShardId(1));
     machine.claim("a");
     let applied = machine.apply_kind(Kind::Claim(claim("b", 2)));
@@ -110,7 +108,7 @@
 }
 
 #[test]
-fn claims_are_kept_for_a_day_of_shard_time() {
+fn claims_are_retained_for_a_day_of_shard_time() {
     let mut machine = Machine::new(ShardId(1));
     machine.claim("a");
     machine.advance(CLAIM_RETENTION_MS);
@@ -123,7 +121,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     Claim { attempt: u8 },
-    Settle { attempt: u8, outcome: i32 },
+    Resolve { attempt: u8, outcome: i32 },
     SnapshotAndRestore,
 }
 
@@ -132,7 +130,7 @@
         let attempt = u8::arbitrary(generator) % 5;
         match u8::arbitrary(generator) % 5 {
             0 | 1 => Step::Claim { attempt },
-            2 | 3 => Step::Settle {
+            2 | 3 => Step::Resolve {
                 attempt,
                 outcome: i32::from(u8::arbitrary(generator) % 3) + 1,
             },
@@ -157,9 +155,9 @@
                     }
                     running = Some(attempt);
                 }
-                Step::Settle { attempt, outcome } => {
+                Step::Resolve { attempt, outcome } => {
                     let outcome = RunOutcome::try_from(outcome).expect("an outcome");
-                    machine.settle(&attempt.to_string(), outcome);
+                    machine.resolve(&attempt.to_string(), outcome);
                     if outcome == RunOutcome::RunNotRun && running == Some(attempt)
                         && machine.claim(&attempt.to_string()).outcome() == RunOutcome::RunNotRun {
                         running = None;
--- a/crates/control-state/tests/documents.rs
+++ b/crates/control-state/tests/control_state/document_check.rs
@@ -1,20 +1,18 @@
 //! The check of documents: every fault with its path, all at once.
 
-mod support;
-
+use crate::fixtures::{pool, quota, route, tenant, valid_document};
 use millford_api::config::{Document, Hedge, Resume, RouteMatch};
 use millford_control_state::document::{self, Fault, limits};
 use millford_core::ResultCode::DocumentInvalid;
-use support::{pool, route, sound_document, tenant};
 
 /// The faults' paths.
 fn paths(faults: &[Fault]) -> Vec<&str> {
     faults.iter().map(|fault| fault.path.as_str()).collect()
 }
 
-/// Checks that changing the sound document so gives exactly one fault, at this path.
+/// Checks that this change of the valid document causes exactly one fault, at this path.
 fn assert_invalid(path: &str, change: impl FnOnce(&mut Document)) {
-    let mut changed = sound_document();
+    let mut changed = valid_document();
     change(&mut changed);
     let faults = document::check(&changed);
     assert_eq!(paths(&faults), [path], "{faults:?}");
@@ -23,8 +21,8 @@
 }
 
 #[test]
-fn the_sound_document_has_no_fault() {
-    assert_eq!(document::check(&sound_document()), []);
+fn a_valid_document_has_no_fault() {
+    assert_eq!(document::check(&valid_document()), []);
 }
 
 #[test]
@@ -133,10 +131,10 @@
         document.tenants[0].quota = None
     });
     let wrong = [
-        ("requests_per_second", support::quota(0, 20, 4)),
-        ("burst", support::quota(10, 0, 4)),
-        ("requests_per_second", support::quota(1_000_001, 20, 4)),
-        ("concurrent_streams", support::quota(10, 20, 1_000_001)),
+        ("requests_per_second", quota(0, 20, 4)),
+        ("burst", quota(10, 0, 4)),
+        ("requests_per_second", quota(1_000_001, 20, 4)),
+        ("concurrent_streams", quota(10, 20, 1_000_001)),
     ];
     for (field, quota) in wrong {
         assert_invalid(&format!("tenants[0].quota.{field}"), |document| {
@@ -146,7 +144,7 @@
 }
 
 #[test]
-fn what_is_sent_once_is_neither_hedged_nor_resumed() {
+fn a_route_that_is_not_repeatable_is_neither_hedged_nor_resumed() {
     assert_invalid("routes[0].hedge", |document| {
         document.routes[0].repeatable = false;
         document.routes[0].hedge = Some(Hedge { delay_ms: 500 });
@@ -205,7 +203,7 @@
 
 #[test]
 fn all_faults_are_found_at_once() {
-    let mut document = sound_document();
+    let mut document = valid_document();
     document.routes[0].deadline_ms = 1;
     document.routes[1].pool = "nowhere".to_owned();
     document.pools[1].drain_ms = 99_999;
--- a/crates/control-state/tests/document_form.rs
+++ b/crates/control-state/tests/control_state/document_form.rs
@@ -1,21 +1,19 @@
 //! The canonical form of documents, and round trips through JSON.
 
-mod support;
-
+use crate::fixtures::{pool, route, tenant, valid_document};
 use millford_api::config::{Document, Hedge, Quota, Selector};
 use millford_control_state::document;
 use quickcheck::{Arbitrary, Gen, quickcheck};
-use support::{pool, route, sound_document, tenant};
 
 #[test]
 fn the_digest_does_not_depend_on_order_or_on_written_out_defaults() {
-    let mut other = sound_document();
+    let mut other = valid_document();
     other.routes.reverse();
     other.tenants.reverse();
     other.pools.reverse();
     assert_eq!(
         document::digest(&other),
-        document::digest(&sound_document())
+        document::digest(&valid_document())
     );
     let short = document::parse(b"{\"pools\":[{\"name\":\"a\"}]}").expect("readable");
     let long = document::parse(
@@ -28,11 +26,11 @@
     other.routes[0].deadline_ms += 1;
     assert_ne!(
         document::digest(&other),
-        document::digest(&sound_document())
+        document::digest(&valid_document())
     );
 }
 
-/// A document of random values, sound or not.
+/// A document of random values, valid or not.
 #[derive(Clone, Debug)]
 struct AnyDocument(Document);
 
@@ -82,7 +80,7 @@
     }
 
     /// Nothing that an operator sends makes the reader or the check panic.
-    fn a_cut_or_changed_text_is_judged(any: AnyDocument, at: usize, byte: u8) -> bool {
+    fn a_truncated_or_changed_text_never_panics(any: AnyDocument, at: usize, byte: u8) -> bool {
         let mut text = serde_json::to_vec(&any.0).expect("JSON");
         let at = at % text.len();
         text[at] = byte;
--- a/crates/control-state/tests/document_json.rs
+++ b/crates/control-state/tests/control_state/document_json.rs
@@ -1,11 +1,9 @@
 //! Documents and orders that cannot be read: every fault with its code and path.
 
-mod support;
-
+use crate::fixtures::valid_document;
 use millford_control_state::document::{self, Fault};
 use millford_core::ResultCode::{BadField, BadJson, DocumentInvalid};
 use serde_json::{Value, json};
-use support::sound_document;
 
 /// Checks that the JSON cannot be read, with exactly these codes and paths.
 fn assert_unreadable(text: &str, expected: &[(millford_core::ResultCode, &str)]) {
@@ -74,25 +72,25 @@
 
 #[test]
 fn faults_of_orders_are_named() {
-    let sound = serde_json::to_value(sound_document()).expect("JSON");
+    let valid = serde_json::to_value(valid_document()).expect("JSON");
     let bad = json!({"routes": [{"x": 1}]});
     let unknown_pool = json!({"routes": [{"name": "a", "pool": "b", "deadline_ms": 1000}]});
     let cases: [(Value, millford_core::ResultCode, &str); 9] = [
-        (json!([0, "a", sound]), BadField, ""),
-        (json!({"document": sound}), BadField, ""),
+        (json!([0, "a", valid]), BadField, ""),
+        (json!({"document": valid}), BadField, ""),
         (json!({"base_revision": 0}), BadField, ""),
         (
-            json!({"base_revision": -1, "document": sound}),
+            json!({"base_revision": -1, "document": valid}),
             BadField,
             "base_revision",
         ),
         (
-            json!({"base_revision": "1", "document": sound}),
+            json!({"base_revision": "1", "document": valid}),
             BadField,
             "base_revision",
         ),
         (
-            json!({"base_revision": 0, "document": sound, "force": true}),
+            json!({"base_revision": 0, "document": valid, "force": true}),
             BadField,
             "force",
         ),
@@ -107,7 +105,7 @@
             "document.routes[0].pool",
         ),
         (
-            json!({"base_revision": 0, "order_id": "a b", "document": sound}),
+            json!({"base_revision": 0, "order_id": "a b", "document": valid}),
             BadField,
             "order_id",
         ),
@@ -127,13 +125,13 @@
 }
 
 #[test]
-fn a_sound_order_carries_the_digest_of_its_document() {
+fn a_valid_order_carries_the_digest_of_its_document() {
     let order = json!({
         "base_revision": 7,
         "order_id": "order-1",
-        "document": serde_json::to_value(sound_document()).expect("JSON"),
+        "document": serde_json::to_value(valid_document()).expect("JSON"),
     });
-    let put = document::parse_order(order.to_string().as_bytes()).expect("a sound order");
+    let put = document::parse_order(order.to_string().as_bytes()).expect("a valid order");
     assert_eq!((put.base_revision, put.order_id.as_str()), (7, "order-1"));
-    assert_eq!(put.digest, document::digest(&sound_document()));
+    assert_eq!(put.digest, document::digest(&valid_document()));
 }
--- a/crates/control-state/tests/forward_documents.rs
+++ b/crates/control-state/tests/control_state/forward_documents.rs
@@ -1,12 +1,10 @@
 //! Forwarding routes in the operators' document.
 
-mod support;
-
+use crate::fixtures::valid_document;
 use millford_api::config::Document;
 use millford_api::config::{ForwardRoute, HttpLimits, TokenQuota, WeightedPool};
 use millford_api::state::StateValue;
 use millford_control_state::document::{self, check};
-use support::sound_document;
 
 fn route(name: &str, prefix: &str) -> ForwardRoute {
     ForwardRoute {
@@ -14,7 +12,7 @@
         host: "api.example".to_owned(),
         path_prefix: prefix.to_owned(),
         pools: vec![WeightedPool {
-            pool: sound_document().pools[0].name.clone(),
+            pool: valid_document().pools[0].name.clone(),
             weight: 1,
         }],
         timeout_ms: 1000,
@@ -25,12 +23,12 @@
 fn with_routes(routes: Vec<ForwardRoute>) -> Document {
     Document {
         forward_routes: routes,
-        ..sound_document()
+        ..valid_document()
     }
 }
 
 #[test]
-fn sound_routes_survive_the_way_through_items() {
+fn valid_routes_survive_the_conversion_to_items() {
     let mut document = with_routes(vec![route("b", "/b/"), route("a", "/")]);
     document.http_limits = Some(HttpLimits {
         max_header_bytes: 1,
@@ -53,9 +51,9 @@
 }
 
 #[test]
-fn each_breach_is_named_with_its_place() {
+fn each_violation_is_reported_with_its_path() {
     type Change = fn(&mut Document);
-    let breaches: [(&str, Change); 12] = [
+    let violations: [(&str, Change); 12] = [
         ("forward_routes[0].name", |document| {
             document.forward_routes[0].name.clear()
         }),
@@ -98,10 +96,10 @@
             document.tenants[0].quota = None
         }),
     ];
-    for (path, breach) in breaches {
+    for (path, violate) in violations {
         let mut document = with_routes(vec![route("a", "/a/"), route("b", "/b/")]);
         assert_eq!(check(&document), []);
-        breach(&mut document);
+        violate(&mut document);
         let faults = check(&document);
         assert!(
             faults.iter().any(|fault| fault.path == path),
--- a/crates/control-state/tests/openapi_limits.rs
+++ b/crates/control-state/tests/control_state/openapi_limits.rs
@@ -1,4 +1,4 @@
-//! The limits of the document check are those that the OpenAPI file tells operators.
+//! The limits of the document check are those that the OpenAPI file documents for operators.
 
 use std::ops::RangeInclusive;
 
@@ -8,8 +8,8 @@
 fn schemas() -> Value {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../api/openapi/operator.json");
     let text = std::fs::read_to_string(path).expect("the OpenAPI file");
-    let whole: Value = serde_json::from_str(&text).expect("JSON");
-    whole["components"]["schemas"].clone()
+    let specification: Value = serde_json::from_str(&text).expect("JSON");
+    specification["components"]["schemas"].clone()
 }
 
 #[test]
--- a/crates/control-state/tests/orders.rs
+++ b/crates/control-state/tests/control_state/orders.rs
@@ -1,17 +1,15 @@
 //! Orders: one winner for each base, resent ones acknowledged again.
 
-mod support;
-
+use crate::fixtures::{Machine, order, tenant, valid_document};
 use millford_api::command::{PutConfigResult, command_result::Kind};
 use millford_api::config::Document;
 use millford_control_state::machine::ORDER_HISTORY_LIMIT;
 use millford_control_state::{Applied, ShardMachine, document};
 use millford_core::{ResultCode, ShardId};
-use support::{Machine, order, sound_document, tenant};
 
 impl Machine {
-    fn put(&mut self, base: u64, id: &str, wanted: &Document) -> Applied {
-        self.apply(&order(base, id, wanted))
+    fn put(&mut self, base: u64, id: &str, desired: &Document) -> Applied {
+        self.apply(&order(base, id, desired))
     }
 }
 
@@ -27,7 +25,7 @@
 }
 
 fn with_tenant(name: &str) -> Document {
-    let mut document = sound_document();
+    let mut document = valid_document();
     document.tenants.push(tenant(name));
     document
 }
@@ -47,7 +45,7 @@
 #[test]
 fn an_order_ahead_of_the_present_revision_conflicts() {
     let mut machine = Machine::new(ShardId::CONFIGURATION);
-    let ahead = machine.put(5, "a", &sound_document());
+    let ahead = machine.put(5, "a", &valid_document());
     assert_eq!(code(&ahead), ResultCode::RevisionConflict);
     assert_eq!(result(&ahead).revision, 0);
 }
@@ -55,9 +53,9 @@
 #[test]
 fn a_resent_order_is_acknowledged_after_hundreds_of_changes_and_a_snapshot() {
     let mut machine = Machine::new(ShardId::CONFIGURATION);
-    machine.put(0, "first", &sound_document());
+    machine.put(0, "first", &valid_document());
     for change in 1..700 {
-        let applied = machine.put(change, &format!("order-{change}"), &sound_document());
+        let applied = machine.put(change, &format!("order-{change}"), &valid_document());
         assert_eq!(code(&applied), ResultCode::Ok);
     }
     let mut restored = ShardMachine::new(ShardId::CONFIGURATION);
@@ -65,7 +63,7 @@
         .restore(&machine.machine.snapshot())
         .expect("a snapshot of this machine");
     machine.machine = restored;
-    let again = machine.put(0, "first", &sound_document());
+    let again = machine.put(0, "first", &valid_document());
     assert_eq!(code(&again), ResultCode::Ok);
     assert_eq!(result(&again).revision, 1);
     assert!(result(&again).repeated_order);
@@ -99,13 +97,13 @@
 #[test]
 fn a_new_order_id_on_a_used_base_conflicts_even_with_the_same_document() {
     let mut machine = Machine::new(ShardId::CONFIGURATION);
-    machine.put(0, "a", &sound_document());
-    let other = machine.put(0, "b", &sound_document());
+    machine.put(0, "a", &valid_document());
+    let other = machine.put(0, "b", &valid_document());
     assert_eq!(code(&other), ResultCode::RevisionConflict);
 }
 
 #[test]
-fn the_record_is_bounded_and_a_forgotten_order_is_never_accepted_twice() {
+fn the_history_is_bounded_and_a_dropped_order_is_never_accepted_twice() {
     let mut machine = Machine::new(ShardId::CONFIGURATION);
     let limit = ORDER_HISTORY_LIMIT as u64;
     let empty = Document::default();
@@ -122,12 +120,12 @@
 #[test]
 fn an_accepted_order_changes_only_what_differs() {
     let mut machine = Machine::new(ShardId::CONFIGURATION);
-    machine.put(0, "a", &sound_document());
-    let mut wanted = sound_document();
-    wanted.tenants.remove(1);
-    wanted.tenants.push(tenant("shop"));
-    wanted.routes[0].deadline_ms = 9_000;
-    let applied = machine.put(1, "b", &wanted);
+    machine.put(0, "a", &valid_document());
+    let mut desired = valid_document();
+    desired.tenants.remove(1);
+    desired.tenants.push(tenant("shop"));
+    desired.routes[0].deadline_ms = 9_000;
+    let applied = machine.put(1, "b", &desired);
     let keys: Vec<&str> = applied
         .changes
         .iter()
@@ -144,12 +142,12 @@
 }
 
 #[test]
-fn the_public_state_gives_the_document_back() {
+fn the_public_state_yields_the_document() {
     let mut machine = Machine::new(ShardId::CONFIGURATION);
-    let mut wanted = sound_document();
-    wanted.routes.reverse();
-    machine.put(0, "a", &wanted);
+    let mut desired = valid_document();
+    desired.routes.reverse();
+    machine.put(0, "a", &desired);
     let back = document::document_of(machine.machine.public_state().values());
-    assert_eq!(back, document::normalized(&wanted));
-    assert_eq!(document::digest(&back), document::digest(&wanted));
+    assert_eq!(back, document::normalized(&desired));
+    assert_eq!(document::digest(&back), document::digest(&desired));
 }
--- a/crates/control-state/tests/planner.rs
+++ b/crates/control-state/tests/control_state/planner.rs
@@ -1,7 +1,6 @@
 //! Plans: what a change moves, and nothing else.
 
-mod support;
-
+use crate::fixtures::{backend, order, pool, quota, route, tenant, valid_document};
 use millford_api::config::Document;
 use millford_api::operator::{ChangeKind, Plan};
 use millford_api::state::BackendState;
@@ -9,7 +8,6 @@
 use millford_control_state::{ShardMachine, document};
 use millford_core::ShardId;
 use quickcheck::quickcheck;
-use support::{backend, order, pool, quota, route, sound_document, tenant};
 
 fn catalogue(backends: usize) -> PlanCatalogue {
     let mut catalogue = PlanCatalogue::default();
@@ -22,7 +20,7 @@
 
 fn plan_to(after: &Document) -> Plan {
     plan(
-        &sound_document(),
+        &valid_document(),
         after,
         &catalogue(4),
         &sample_sessions(1000),
@@ -31,12 +29,12 @@
 
 #[test]
 fn an_unchanged_document_moves_nothing() {
-    assert_eq!(plan_to(&sound_document()), Plan::default());
+    assert_eq!(plan_to(&valid_document()), Plan::default());
 }
 
 #[test]
 fn a_changed_route_is_named_with_its_fields() {
-    let mut after = sound_document();
+    let mut after = valid_document();
     after.routes[0].deadline_ms = 9_000;
     let moved = plan_to(&after);
     assert_eq!(moved.routes.len(), 1);
@@ -49,7 +47,7 @@
 
 #[test]
 fn keys_and_quotas_that_change_are_listed_without_whole_hashes() {
-    let mut after = sound_document();
+    let mut after = valid_document();
     after.tenants[0].key_hashes = tenant("another").key_hashes;
     after.tenants[1].quota = Some(quota(1, 2, 3));
     let moved = plan_to(&after);
@@ -66,7 +64,7 @@
     if let Some(changed) = catalogue.backends.get_mut("s3") {
         changed.declarations[0].version = "2".to_owned();
     }
-    let mut before = sound_document();
+    let mut before = valid_document();
     before.routes[0].r#match = None;
     let mut after = before.clone();
     let selector = after.pools[0].selector.get_or_insert_default();
@@ -95,7 +93,7 @@
 #[test]
 fn a_lost_backend_moves_its_own_sessions_only() {
     let sessions = sample_sessions(1000);
-    let mut split = sound_document();
+    let mut split = valid_document();
     split.pools[0].name = "other".to_owned();
     split.routes[0].pool = "other".to_owned();
     let selector = split.pools[0].selector.get_or_insert_default();
@@ -105,7 +103,7 @@
         let changed = known.backends.get_mut(id).expect("known");
         changed.declarations[0].adapters.push("captions".to_owned());
     }
-    let moved = plan(&sound_document(), &split, &known, &sessions);
+    let moved = plan(&valid_document(), &split, &known, &sessions);
     assert!(!moved.sessions.is_empty());
     assert!(moved.sessions.iter().all(|session| session.from == "s3"));
     let count: u64 = moved.sessions.iter().map(|session| session.moved).sum();
@@ -116,8 +114,8 @@
 }
 
 #[test]
-fn likely_mistakes_are_warned_of() {
-    let mut after = sound_document();
+fn likely_mistakes_yield_warnings() {
+    let mut after = valid_document();
     after.routes.remove(1);
     after.tenants[0].key_hashes.clear();
     after.pools.push(pool("unserved"));
@@ -137,14 +135,14 @@
 }
 
 #[test]
-fn draining_backends_are_no_homes() {
+fn draining_backends_are_not_session_homes() {
     let mut known = catalogue(2);
     for backend in known.backends.values_mut() {
         backend.state = BackendState::BackendDraining.into();
     }
     let moved = plan(
-        &sound_document(),
-        &sound_document(),
+        &valid_document(),
+        &valid_document(),
         &known,
         &sample_sessions(10),
     );
@@ -155,14 +153,14 @@
 quickcheck! {
     /// The items of a plan are those that an accepted order sends, besides the head.
     fn the_plan_counts_what_the_order_sends(removed: u8, deadline: u32, added: u8) -> bool {
-        let mut after = sound_document();
+        let mut after = valid_document();
         after.tenants.remove(usize::from(removed) % 2);
         after.routes[0].deadline_ms = deadline;
         for number in 0..added % 5 {
             after.tenants.push(tenant(&format!("new-{number}")));
         }
         let mut machine = ShardMachine::new(ShardId::CONFIGURATION);
-        machine.apply(1, 1, &order(0, "a", &sound_document()));
+        machine.apply(1, 1, &order(0, "a", &valid_document()));
         let applied = machine.apply(2, 1, &order(1, "b", &after));
         let planned = plan_to(&after);
         let present = document::document_of(machine.public_state().values());
--- a/crates/control-state/tests/quota.rs
+++ b/crates/control-state/tests/control_state/quota.rs
@@ -1,18 +1,9 @@
 //! The quota holds over every window, and nobody under it is refused, in simulated time.
 
-#[path = "support/exact_bucket.rs"]
-mod exact_bucket;
-#[path = "support/quota_event.rs"]
-mod quota_event;
-#[path = "support/quota_world.rs"]
-mod quota_world;
-#[path = "support/random.rs"]
-mod random;
-
-use exact_bucket::{fits_bucket, served_by_exact_bucket};
+use crate::fixtures::exact_bucket::{fits_bucket, served_by_exact_bucket};
+use crate::fixtures::quota_world::QuotaWorld;
 use millford_api::config::Quota;
 use quickcheck::{Arbitrary, Gen, TestResult, quickcheck};
-use quota_world::QuotaWorld;
 
 const SECOND: u64 = 1_000_000;
 /// Time in which arrivals come.
@@ -62,7 +53,7 @@
     fn add_faults(&self, world: &mut QuotaWorld) {
         let start = world.start();
         world.loss_percent = self.loss_percent;
-        // One election for each stretch, so that a leader stops before the next is elected.
+        // One election in each period, so that a leader stops before the next is elected.
         for election in 0..self.elections {
             let at = start + (election * 2 + 1) * SECOND + world.random(SECOND);
             world.elect(at);
@@ -96,13 +87,13 @@
         let end = now + RUN;
         let mut arrivals = 0;
         while now < end {
-            let pause = match world.random(4) {
+            let delay = match world.random(4) {
                 0 => 0,
                 1 => world.random(2 * SECOND / u64::from(self.rate)),
                 _ => SECOND / u64::from(self.rate),
             };
-            now += pause;
-            level = (level + pause * u64::from(self.rate)).min(burst * SECOND);
+            now += delay;
+            level = (level + delay * u64::from(self.rate)).min(burst * SECOND);
             if level >= SECOND {
                 level -= SECOND;
                 let node = world.random(self.nodes as u64);
@@ -117,9 +108,9 @@
     }
 }
 
-/// The result with what it takes to look into a failure.
-fn judge(held: bool, setting: &Setting, world: &QuotaWorld) -> TestResult {
-    if held {
+/// The result with what it takes to investigate a failure.
+fn test_result(passed: bool, setting: &Setting, world: &QuotaWorld) -> TestResult {
+    if passed {
         return TestResult::passed();
     }
     let tally = &world.tally;
@@ -133,14 +124,14 @@
     ))
 }
 
-/// A quota and a pace at which spare tokens are lent to the busy node.
+/// A quota and a pace at which surplus tokens are granted to the busy node.
 #[derive(Clone, Debug)]
 struct Busy {
     setting: Setting,
     /// Pause between the busy time of one node and the burst at another, in microseconds.
-    pause: u64,
-    elect_in_pause: bool,
-    crash_in_pause: bool,
+    delay: u64,
+    elect_in_delay: bool,
+    crash_in_delay: bool,
 }
 
 impl Arbitrary for Busy {
@@ -151,18 +142,18 @@
         setting.nodes = 2;
         Busy {
             setting,
-            pause: match bool::arbitrary(generator) {
+            delay: match bool::arbitrary(generator) {
                 true => 2_000 + u64::arbitrary(generator) % 50_000,
                 false => 2_000 + u64::arbitrary(generator) % 1_300_000,
             },
-            elect_in_pause: bool::arbitrary(generator),
-            crash_in_pause: bool::arbitrary(generator),
+            elect_in_delay: bool::arbitrary(generator),
+            crash_in_delay: bool::arbitrary(generator),
         }
     }
 }
 
 impl Busy {
-    /// Node 0 is busy at half the rate for three seconds; gives the end of that time.
+    /// Node 0 is busy at half the rate for three seconds; returns the end of that time.
     fn add_busy_time(&self, world: &mut QuotaWorld) -> u64 {
         let between = 2 * SECOND / u64::from(self.setting.rate);
         let mut at = world.start();
@@ -177,7 +168,7 @@
 
 /// A slow bucket: what a crashed node took with it is missing for several seconds.
 #[test]
-fn tokens_that_a_crashed_node_held_make_others_wait_and_refuse_nobody() {
+fn tokens_lost_with_a_crashed_node_delay_others_and_refuse_nobody() {
     let quota = Quota {
         requests_per_second: 1,
         burst: 100,
@@ -196,7 +187,7 @@
     world.run_until(start + 3 * SECOND + SECOND / 10);
     assert!(
         world.tally.left_waiting > 0,
-        "the crashed node held spare tokens"
+        "the crashed node had surplus tokens"
     );
     world.run_until(start + 20 * SECOND);
     assert_eq!((world.tally.refused, world.tally.left_waiting), (0, 0));
@@ -204,40 +195,40 @@
 }
 
 quickcheck! {
-    /// Spare tokens that lie at a node are called back before another node's burst, which is under
+    /// Surplus tokens that lie at a node are recalled before another node's burst, which is under
     /// the quota, would be refused; those of a crashed node only make it wait.
-    fn idle_slices_come_back_before_a_refusal(busy: Busy) -> TestResult {
+    fn surplus_tokens_are_recalled_before_a_refusal(busy: Busy) -> TestResult {
         let setting = &busy.setting;
         let mut world = setting.world();
         let end = busy.add_busy_time(&mut world);
         let slack = 2 + setting.rate / 50;
-        if busy.crash_in_pause {
-            world.crash(end + busy.pause / 2, 0);
+        if busy.crash_in_delay {
+            world.crash(end + busy.delay / 2, 0);
         }
         for _ in slack..setting.burst {
-            world.arrival(end + busy.pause, 1);
+            world.arrival(end + busy.delay, 1);
         }
         // Node 0 renews its slots, before the burst and while the recall is on its way.
         for after in [0, 4_000 + setting.seed % 4_000] {
-            world.renew(end + busy.pause - 2_000 + after, 0);
+            world.renew(end + busy.delay - 2_000 + after, 0);
         }
         world.run_until(end + 30 * SECOND);
         let tally = &world.tally;
         let served = tally.spent.len() as u64 + tally.lost_in_crashes;
-        let held = tally.refused == 0 && served == tally.arrivals.len() as u64;
-        judge(held, setting, &world)
+        let passed = tally.refused == 0 && served == tally.arrivals.len() as u64;
+        test_result(passed, setting, &world)
     }
 
-    /// Spare tokens that are spent late, also those of a former leader, stay within the quota.
-    fn spare_tokens_stay_within_the_quota(busy: Busy) -> TestResult {
+    /// Surplus tokens that are spent late, also those of a former leader, stay within the quota.
+    fn surplus_tokens_stay_within_the_quota(busy: Busy) -> TestResult {
         let setting = &busy.setting;
         let mut world = setting.world();
         let end = busy.add_busy_time(&mut world);
-        if busy.elect_in_pause {
+        if busy.elect_in_delay {
             world.elect(end);
         }
         // Until long after the election both nodes want more than there is.
-        let blast = end + busy.pause;
+        let blast = end + busy.delay;
         for step in 0..20 {
             for node in [0, 1] {
                 for _ in 0..setting.burst {
@@ -246,7 +237,7 @@
             }
         }
         world.run_until(blast + 4 * SECOND);
-        judge(fits_bucket(&setting.quota(), &world.tally.spent), setting, &world)
+        test_result(fits_bucket(&setting.quota(), &world.tally.spent), setting, &world)
     }
 
     /// Granted and spent is at most burst + rate * window, whatever is lost or elected.
@@ -256,7 +247,7 @@
         setting.add_faults(&mut world);
         world.run_until(world.start() + RUN + 3 * SECOND);
         let fits = fits_bucket(&setting.quota(), &world.tally.spent);
-        judge(fits, &setting, &world)
+        test_result(fits, &setting, &world)
     }
 
     /// Demand under the quota is never refused, also when replies are lost, nodes crash and
@@ -271,17 +262,17 @@
         world.run_until(world.start() + RUN + 60 * SECOND);
         let tally = &world.tally;
         let served = tally.spent.len() as u64 + tally.lost_in_crashes;
-        let held = tally.refused == 0 && tally.left_waiting == 0 && served == tally.arrivals.len() as u64;
-        judge(held, &setting, &world)
+        let passed = tally.refused == 0 && tally.left_waiting == 0 && served == tally.arrivals.len() as u64;
+        test_result(passed, &setting, &world)
     }
 
     /// Nothing is wasted: under heavy demand and without faults as much is served as by one bucket.
-    fn heavy_demand_gets_the_whole_quota(setting: Setting) -> TestResult {
+    fn heavy_demand_gets_the_complete_quota(setting: Setting) -> TestResult {
         let mut world = setting.world();
         setting.add_heavy_demand(&mut world);
         world.run_until(world.start() + RUN);
         let spent = world.tally.spent.len() as u64;
         let exact = served_by_exact_bucket(&setting.quota(), &world.tally.arrivals);
-        judge(spent + 2 >= exact * 95 / 100, &setting, &world)
+        test_result(spent + 2 >= exact * 95 / 100, &setting, &world)
     }
 }
--- a/crates/control-state/tests/quota_desks.rs
+++ b/crates/control-state/tests/control_state/quota_clients.rs
@@ -1,30 +1,22 @@
-//! The whole quota path: the agents' desks and the leaders' ledgers together.
+//! The complete quota path: the agents' quota clients and the leaders' leases together.
 
-#[path = "support/desk_world.rs"]
-mod desk_world;
-#[allow(dead_code)]
-#[path = "support/exact_bucket.rs"]
-mod exact_bucket;
-#[path = "support/random.rs"]
-mod random;
-
-use desk_world::DeskWorld;
-use exact_bucket::fits_bucket;
+use crate::fixtures::client_world::ClientWorld;
+use crate::fixtures::exact_bucket::fits_bucket;
 use millford_api::config::Quota;
 use quickcheck::{Arbitrary, Gen, TestResult, quickcheck};
 
-/// Time in which calls arrive, in milliseconds.
+/// Time in which requests arrive, in milliseconds.
 const RUN_MS: u64 = 6_000;
-/// Between lending and admission pass a few milliseconds on the way; with them a window may hold
-/// what the rate gives in that time more.
-const ON_THE_WAY_MS: u32 = 20;
+/// Upper bound of the delay between granting and admission, in milliseconds: a window may contain
+/// what the rate yields in that time more.
+const MAX_GRANT_DELAY_MS: u32 = 20;
 
 /// A random quota, fleet and faults.
 #[derive(Clone, Debug)]
 struct Setting {
     seed: u64,
     quota: Quota,
-    desks: usize,
+    clients: usize,
     elections: Vec<u64>,
     loss_percent: u64,
 }
@@ -41,7 +33,7 @@
         Setting {
             seed: u64::arbitrary(generator),
             quota,
-            desks: usize::from(u8::arbitrary(generator) % 4 + 1),
+            clients: usize::from(u8::arbitrary(generator) % 4 + 1),
             elections: match u8::arbitrary(generator) % 3 {
                 0 => Vec::new(),
                 1 => vec![1_500],
@@ -53,27 +45,27 @@
 }
 
 impl Setting {
-    /// Runs the world; `calls_at` tells how many calls arrive in a millisecond.
+    /// Runs the world; `requests_at` returns how many requests arrive in a millisecond.
     fn run(
         &self,
         streams: bool,
-        mut calls_at: impl FnMut(&mut DeskWorld, u64) -> u64,
-    ) -> DeskWorld {
-        let mut world = DeskWorld::new(self.seed, self.quota, self.desks);
+        mut requests_at: impl FnMut(&mut ClientWorld, u64) -> u64,
+    ) -> ClientWorld {
+        let mut world = ClientWorld::new(self.seed, self.quota, self.clients);
         world.loss_percent = self.loss_percent;
         for now in 0..RUN_MS + 40_000 {
             if self.elections.contains(&now) {
                 world.elect();
             }
-            let calls = if now < RUN_MS {
-                calls_at(&mut world, now)
+            let requests = if now < RUN_MS {
+                requests_at(&mut world, now)
             } else {
                 0
             };
-            for _ in 0..calls {
-                let desk = world.random(self.desks as u64);
+            for _ in 0..requests {
+                let client = world.random(self.clients as u64);
                 let stream = streams && world.random(2) == 0;
-                world.call(usize::try_from(desk).expect("small"), stream);
+                world.request(usize::try_from(client).expect("small"), stream);
             }
             world.step();
         }
@@ -81,7 +73,7 @@
     }
 
     /// Three times the rate, and now and then a burst.
-    fn run_heavy(&self, streams: bool) -> DeskWorld {
+    fn run_heavy(&self, streams: bool) -> ClientWorld {
         let rate = u64::from(self.quota.requests_per_second);
         let burst = u64::from(self.quota.burst);
         self.run(streams, |world, _| {
@@ -92,8 +84,8 @@
     }
 }
 
-fn judge(held: bool, setting: &Setting, world: &DeskWorld) -> TestResult {
-    if held {
+fn test_result(passed: bool, setting: &Setting, world: &ClientWorld) -> TestResult {
+    if passed {
         return TestResult::passed();
     }
     let outcome = &world.outcome;
@@ -108,24 +100,24 @@
 }
 
 quickcheck! {
-    fn what_is_admitted_stays_within_the_quota(setting: Setting) -> TestResult {
+    fn admitted_requests_stay_within_the_quota(setting: Setting) -> TestResult {
         let mut setting = setting;
-        // A lost answer is sent again up to a second later, and counts when lent.
+        // A lost reply is resent up to a second later, and counts when granted.
         setting.loss_percent = 0;
         let world = setting.run_heavy(false);
         let mut allowed = setting.quota;
-        allowed.burst += 1 + allowed.requests_per_second * ON_THE_WAY_MS / 1000;
-        judge(fits_bucket(&allowed, &world.outcome.admitted), &setting, &world)
+        allowed.burst += 1 + allowed.requests_per_second * MAX_GRANT_DELAY_MS / 1000;
+        test_result(fits_bucket(&allowed, &world.outcome.admitted), &setting, &world)
     }
 
     fn streams_stay_within_their_limit(setting: Setting) -> TestResult {
         let world = setting.run_heavy(true);
-        let held = world.outcome.most_streams <= setting.quota.concurrent_streams;
-        judge(held, &setting, &world)
+        let passed = world.outcome.most_streams <= setting.quota.concurrent_streams;
+        test_result(passed, &setting, &world)
     }
 
-    fn calls_under_the_quota_are_admitted(setting: Setting) -> TestResult {
-        // What arrives while answers are lost and sent again bunches up at the leader.
+    fn requests_under_the_quota_are_admitted(setting: Setting) -> TestResult {
+        // What arrives while replies are lost and resent bunches up at the leader.
         let slack = 1 + setting.quota.requests_per_second;
         let Some(burst) = setting.quota.burst.checked_sub(slack) else {
             return TestResult::discard();
@@ -135,25 +127,25 @@
         let mut level = full;
         let world = setting.run(false, |world, _| {
             level = (level + rate).min(full);
-            let wanted = match world.random(400) {
+            let desired = match world.random(400) {
                 0 => u64::from(burst),
                 other => u64::from(other < 100),
             };
-            let calls = wanted.min(level / 1000);
-            level -= calls * 1000;
-            calls
+            let requests = desired.min(level / 1000);
+            level -= requests * 1000;
+            requests
         });
         let outcome = &world.outcome;
-        let held = outcome.refused == 0 && outcome.admitted.len() as u64 == outcome.arrived;
-        judge(held, &setting, &world)
+        let passed = outcome.refused == 0 && outcome.admitted.len() as u64 == outcome.arrived;
+        test_result(passed, &setting, &world)
     }
 }
 
-/// A call takes a slot of the former leader's lease while the node's first ask of the new leader is
-/// under way; the answer tells it to ask again only once slots may be lent, and until then the new
-/// leader has to learn of that stream.
+/// A request takes a slot of the former leader's lease while the node's first request to the new
+/// leader is in flight; the reply lets it retry only once slots may be granted, and until then the
+/// new leader has to learn of that stream.
 #[test]
-fn a_slot_taken_while_the_new_leader_is_asked_is_reported() {
+fn a_slot_used_while_the_request_to_a_new_leader_is_in_flight_is_reported() {
     let setting = Setting {
         seed: 10_700_725_685_278_463_493,
         quota: Quota {
@@ -161,7 +153,7 @@
             burst: 14,
             concurrent_streams: 2,
         },
-        desks: 4,
+        clients: 4,
         elections: vec![1_000, 3_500],
         loss_percent: 2,
     };
--- a/crates/control-state/tests/quota_outage.rs
+++ b/crates/control-state/tests/control_state/quota_outage.rs
@@ -1,4 +1,4 @@
-//! What waited while there was no leader is not held against its tenant.
+//! Requests that waited while there was no leader are not counted against their tenant.
 
 use millford_api::config::Quota;
 use millford_api::internal::{QuotaGrant, QuotaReply, QuotaRequest, TenantQuotaRequest};
@@ -12,46 +12,46 @@
 /// The answer of a leader, just elected, to a node where `waiting` requests wait.
 fn first_answer(waiting: u32, oldest_wait_ms: u32) -> QuotaGrant {
     let elected = MonotonicTime::from_millis(10_000);
-    let mut ledger = led_ledger(elected);
+    let mut leases = leader(elected);
     // The former leader may have led until then.
-    let settled = elected + QuotaOptions::default().step_down_bound;
-    answer(&mut ledger, settled, "front-1", waiting, oldest_wait_ms)
+    let grants_from = elected + QuotaOptions::default().step_down_bound;
+    answer(&mut leases, grants_from, "front-1", waiting, oldest_wait_ms)
 }
 
 fn answer(
-    ledger: &mut QuotaLeases,
+    leases: &mut QuotaLeases,
     now: MonotonicTime,
     member: &str,
     waiting: u32,
     oldest_wait_ms: u32,
 ) -> QuotaGrant {
-    let ask = TenantQuotaRequest {
+    let request_part = TenantQuotaRequest {
         tokens: waiting,
         waiting,
         oldest_wait_ms,
         ..TenantQuotaRequest::default()
     };
-    answer_to(ledger, now, member, 1, ask)
+    answer_to(leases, now, member, 1, request_part)
 }
 
 fn answer_to(
-    ledger: &mut QuotaLeases,
+    leases: &mut QuotaLeases,
     now: MonotonicTime,
     member: &str,
     request_id: u64,
-    ask: TenantQuotaRequest,
+    request_part: TenantQuotaRequest,
 ) -> QuotaGrant {
-    reply_to(ledger, now, member, request_id, ask)
+    reply_to(leases, now, member, request_id, request_part)
         .grants
         .remove(0)
 }
 
 fn reply_to(
-    ledger: &mut QuotaLeases,
+    leases: &mut QuotaLeases,
     now: MonotonicTime,
     member: &str,
     request_id: u64,
-    ask: TenantQuotaRequest,
+    request_part: TenantQuotaRequest,
 ) -> QuotaReply {
     let request = QuotaRequest {
         shard: 1,
@@ -60,10 +60,10 @@
         epoch: 1,
         tenants: vec![TenantQuotaRequest {
             tenant: "tenant".to_owned(),
-            ..ask
+            ..request_part
         }],
     };
-    let outputs = ledger.handle(now, &request);
+    let outputs = leases.handle(now, &request);
     let replies = outputs.into_iter().find_map(|output| match output {
         QuotaOutput::Reply { reply, .. } => Some(reply),
         QuotaOutput::Recall { .. } => None,
@@ -71,17 +71,17 @@
     replies.expect("a reply")
 }
 
-/// A ledger that leads from this moment and knows the tenant's quota.
-fn led_ledger(elected: MonotonicTime) -> QuotaLeases {
-    let mut ledger = QuotaLeases::new(ShardId(1), QuotaOptions::default());
+/// The leases of a leader that was elected at this moment and knows the tenant's quota.
+fn leader(elected: MonotonicTime) -> QuotaLeases {
+    let mut leases = QuotaLeases::new(ShardId(1), QuotaOptions::default());
     let quota = Quota {
         requests_per_second: RATE,
         burst: BURST,
         concurrent_streams: 0,
     };
-    ledger.set_quota(elected, "tenant", Some(quota));
-    ledger.lead(elected, 7);
-    ledger
+    leases.set_quota(elected, "tenant", Some(quota));
+    leases.lead(elected, 7);
+    leases
 }
 
 #[test]
@@ -92,95 +92,95 @@
 }
 
 #[test]
-fn who_waited_through_an_outage_does_not_crowd_out_others() {
-    let mut ledger = led_ledger(MonotonicTime::ZERO);
+fn requests_that_waited_through_an_outage_do_not_displace_others() {
+    let mut leases = leader(MonotonicTime::ZERO);
     // Long after the election, so that the bucket is certainly full.
     let now = MonotonicTime::from_millis(120_000);
-    ledger.tick(now);
-    let cut_off = answer(&mut ledger, now, "front-1", BURST, OUTAGE_MS);
-    assert_eq!(cut_off.tokens, BURST);
-    let other = answer(&mut ledger, now, "front-2", 1, 0);
+    leases.tick(now);
+    let returning = answer(&mut leases, now, "front-1", BURST, OUTAGE_MS);
+    assert_eq!(returning.tokens, BURST);
+    let other = answer(&mut leases, now, "front-2", 1, 0);
     assert!(!other.refused, "an exact bucket would have earned again");
 }
 
 #[test]
-fn what_waits_under_other_asks_is_not_forgotten() {
-    let mut ledger = led_ledger(MonotonicTime::ZERO);
-    let mut ask = |at_ms: u64, request_id: u64, tokens: u32, waiting: u32| {
-        let ask = TenantQuotaRequest {
+fn requests_waiting_under_other_messages_still_count() {
+    let mut leases = leader(MonotonicTime::ZERO);
+    let mut request_part = |at_ms: u64, request_id: u64, tokens: u32, waiting: u32| {
+        let request_part = TenantQuotaRequest {
             tokens,
             waiting,
             oldest_wait_ms: OUTAGE_MS,
             ..TenantQuotaRequest::default()
         };
         let now = MonotonicTime::from_millis(at_ms);
-        answer_to(&mut ledger, now, "front-1", request_id, ask)
+        answer_to(&mut leases, now, "front-1", request_id, request_part)
     };
     // Forty wait after an outage of three seconds; ten are served at once.
-    let first = ask(120_000, 1, 40, 40);
+    let first = request_part(120_000, 1, 40, 40);
     assert_eq!((first.tokens, first.refused_tokens), (BURST, 0));
-    // While their ask is under way, others come as fast as the rate serves them.
+    // While their message is in flight, others arrive as fast as the rate serves them.
     for step in 1..=20 {
-        let next = ask(120_000 + step * 500, 1 + step, 5, 35);
+        let next = request_part(120_000 + step * 500, 1 + step, 5, 35);
         assert_eq!(next.refused_tokens, 0, "step {step}");
     }
-    // The credit of the outage has ended; all that still wait ask again.
-    let last = ask(130_200, 100, 30, 30);
+    // The credit of the outage has ended; all that still wait are requested again.
+    let last = request_part(130_200, 100, 30, 30);
     assert_eq!(last.refused_tokens, 0, "they waited within their quota");
 }
 
-/// A relay that stood still passes on, seconds later, asks that their node gave up long ago.
+/// A relay that was stalled forwards, seconds later, requests that their node gave up long ago.
 #[test]
-fn an_ask_that_was_given_up_is_not_counted_again() {
-    let mut ledger = led_ledger(MonotonicTime::ZERO);
+fn an_abandoned_request_is_not_counted_again() {
+    let mut leases = leader(MonotonicTime::ZERO);
     let start_ms = 120_000;
-    let steady = |ledger: &mut QuotaLeases, step: u64| {
+    let steady = |leases: &mut QuotaLeases, step: u64| {
         let now = MonotonicTime::from_millis(start_ms + step * 100);
-        ledger.tick(now);
-        let ask = TenantQuotaRequest {
+        leases.tick(now);
+        let request_part = TenantQuotaRequest {
             tokens: 1,
             waiting: 1,
             ..TenantQuotaRequest::default()
         };
-        answer_to(ledger, now, "front-1", 10 + step, ask)
+        answer_to(leases, now, "front-1", 10 + step, request_part)
     };
     for step in 0..40 {
-        assert_eq!(steady(&mut ledger, step).refused_tokens, 0, "step {step}");
+        assert_eq!(steady(&mut leases, step).refused_tokens, 0, "step {step}");
     }
-    // Sent before the first of them, passed on by the relay only now.
+    // Sent before the first of them, forwarded by the relay only now.
     let now = MonotonicTime::from_millis(start_ms + 4_000);
-    let crowd = TenantQuotaRequest {
+    let backlog = TenantQuotaRequest {
         tokens: BURST * 3,
         waiting: BURST * 3,
         oldest_wait_ms: OUTAGE_MS,
         ..TenantQuotaRequest::default()
     };
-    let late = reply_to(&mut ledger, now, "front-1", 5, crowd);
+    let late = reply_to(&mut leases, now, "front-1", 5, backlog);
     assert_eq!(late.code, ResultCode::ControlTimeout.number());
-    assert!(late.grants.is_empty(), "nothing is lent or refused");
+    assert!(late.grants.is_empty(), "nothing is granted or refused");
     for step in 40..80 {
-        let grant = steady(&mut ledger, step);
-        let given = (grant.tokens >= 1, grant.refused_tokens);
-        assert_eq!(given, (true, 0), "step {step}");
+        let grant = steady(&mut leases, step);
+        let outcome = (grant.tokens >= 1, grant.refused_tokens);
+        assert_eq!(outcome, (true, 0), "step {step}");
     }
 }
 
 /// An answer that was forgotten must not make its request a new one: what it returns counts once.
 #[test]
 fn a_request_answered_long_ago_is_not_processed_twice() {
-    let mut ledger = led_ledger(MonotonicTime::ZERO);
-    let ask = TenantQuotaRequest {
+    let mut leases = leader(MonotonicTime::ZERO);
+    let request_part = TenantQuotaRequest {
         tokens: 1,
         waiting: 1,
         ..TenantQuotaRequest::default()
     };
     let first = MonotonicTime::from_millis(120_000);
     assert_eq!(
-        reply_to(&mut ledger, first, "front-1", 1, ask.clone()).code,
+        reply_to(&mut leases, first, "front-1", 1, request_part.clone()).code,
         0
     );
     let later = MonotonicTime::from_millis(122_000);
-    ledger.tick(later);
-    let again = reply_to(&mut ledger, later, "front-1", 1, ask);
+    leases.tick(later);
+    let again = reply_to(&mut leases, later, "front-1", 1, request_part);
     assert_eq!(again.code, ResultCode::ControlTimeout.number());
 }
--- a/crates/control-state/tests/quota_slots.rs
+++ b/crates/control-state/tests/control_state/quota_slots.rs
@@ -1,4 +1,4 @@
-//! Stream slots, sessions and idle accounts of the quota ledger.
+//! Stream slots, sessions and idle accounts of the quota leases.
 
 use std::collections::BTreeMap;
 
@@ -11,25 +11,25 @@
 const HOUR_MS: u64 = 3_600_000;
 
 struct Leader {
-    ledger: QuotaLeases,
+    leases: QuotaLeases,
     now_ms: u64,
     next_request: u64,
     recalled: Vec<String>,
 }
 
 impl Leader {
-    /// A ledger that has led for an hour, with one tenant.
+    /// A leader that was elected an hour ago, with one tenant.
     fn new(concurrent_streams: u32) -> Self {
-        let mut ledger = QuotaLeases::new(ShardId(1), QuotaOptions::default());
-        ledger.lead(MonotonicTime::ZERO, 1);
+        let mut leases = QuotaLeases::new(ShardId(1), QuotaOptions::default());
+        leases.lead(MonotonicTime::ZERO, 1);
         let quota = Quota {
             requests_per_second: 100,
             burst: 100,
             concurrent_streams,
         };
-        ledger.set_quota(MonotonicTime::ZERO, "library", Some(quota));
+        leases.set_quota(MonotonicTime::ZERO, "library", Some(quota));
         Self {
-            ledger,
+            leases,
             now_ms: HOUR_MS,
             next_request: 0,
             recalled: Vec::new(),
@@ -40,21 +40,21 @@
         MonotonicTime::from_millis(self.now_ms)
     }
 
-    fn send(&mut self, member: &str, epoch: u64, ask: TenantQuotaRequest) -> QuotaReply {
+    fn send(&mut self, member: &str, epoch: u64, request_part: TenantQuotaRequest) -> QuotaReply {
         self.next_request += 1;
         let request = QuotaRequest {
             shard: 1,
             request_id: self.next_request,
             member: member.to_owned(),
             epoch,
-            tenants: vec![ask],
+            tenants: vec![request_part],
         };
         self.deliver(&request)
     }
 
     fn deliver(&mut self, request: &QuotaRequest) -> QuotaReply {
         let mut replies = Vec::new();
-        for output in self.ledger.handle(self.now(), request) {
+        for output in self.leases.handle(self.now(), request) {
             match output {
                 QuotaOutput::Reply { reply, .. } => replies.push(reply),
                 QuotaOutput::Recall { member, .. } => self.recalled.push(member),
@@ -64,32 +64,32 @@
         replies.remove(0)
     }
 
-    fn slots(&mut self, member: &str, wanted: u32, in_use: u32) -> QuotaGrant {
-        self.slots_of(member, 1, wanted, in_use)
+    fn slots(&mut self, member: &str, requested: u32, in_use: u32) -> QuotaGrant {
+        self.slots_of(member, 1, requested, in_use)
     }
 
-    fn slots_of(&mut self, member: &str, epoch: u64, wanted: u32, in_use: u32) -> QuotaGrant {
-        let ask = TenantQuotaRequest {
+    fn slots_of(&mut self, member: &str, epoch: u64, requested: u32, in_use: u32) -> QuotaGrant {
+        let request_part = TenantQuotaRequest {
             tenant: "library".to_owned(),
-            slots_requested: wanted,
+            slots_requested: requested,
             slots_in_use: in_use,
             ..TenantQuotaRequest::default()
         };
-        self.send(member, epoch, ask).grants.remove(0)
+        self.send(member, epoch, request_part).grants.remove(0)
     }
 
     fn tokens(&mut self, member: &str, tokens: u32) -> QuotaGrant {
-        let ask = TenantQuotaRequest {
+        let request_part = TenantQuotaRequest {
             tenant: "library".to_owned(),
             tokens,
             ..TenantQuotaRequest::default()
         };
-        self.send(member, 1, ask).grants.remove(0)
+        self.send(member, 1, request_part).grants.remove(0)
     }
 }
 
 #[test]
-fn slots_are_lent_up_to_the_limit_and_then_refused() {
+fn slots_are_granted_up_to_the_limit_and_then_refused() {
     let mut leader = Leader::new(4);
     assert_eq!(leader.slots("a", 3, 3).slots, 3);
     let b = leader.slots("b", 2, 0);
@@ -100,13 +100,13 @@
 }
 
 #[test]
-fn without_a_limit_every_slot_is_lent() {
+fn without_a_limit_every_slot_is_granted() {
     let mut leader = Leader::new(0);
     assert_eq!(leader.slots("a", 1_000, 0).slots, 1_000);
 }
 
 #[test]
-fn idle_slots_are_called_back_before_a_refusal() {
+fn idle_slots_are_recalled_before_a_refusal() {
     let mut leader = Leader::new(4);
     leader.slots("a", 4, 1);
     let b = leader.slots("b", 2, 0);
@@ -117,24 +117,27 @@
     assert_eq!(leader.slots("b", 2, 0).slots, 2);
 }
 
-/// A slow bucket, and a node that was lent spare tokens for its demand a second ago.
-fn leader_with_spare_tokens_at_a() -> Leader {
+/// A slow bucket, and a node that was granted surplus tokens for its demand a second ago.
+fn leader_with_surplus_tokens_at_a() -> Leader {
     let mut leader = Leader::new(0);
     let slow = Quota {
         requests_per_second: 1,
         burst: 100,
         concurrent_streams: 0,
     };
-    leader.ledger.set_quota(leader.now(), "library", Some(slow));
+    leader.leases.set_quota(leader.now(), "library", Some(slow));
     leader.tokens("a", 40);
     leader.now_ms += 1_100;
-    assert!(leader.tokens("a", 1).tokens > 1, "spare tokens are lent");
+    assert!(
+        leader.tokens("a", 1).tokens > 1,
+        "surplus tokens are granted"
+    );
     leader
 }
 
 #[test]
-fn a_renewal_is_no_answer_to_a_recall() {
-    let mut leader = leader_with_spare_tokens_at_a();
+fn a_renewal_does_not_confirm_a_recall() {
+    let mut leader = leader_with_surplus_tokens_at_a();
     leader.slots("a", 1, 1);
     leader.slots("a", 1, 1);
     let b = leader.tokens("b", 60);
@@ -143,18 +146,18 @@
     leader.slots("a", 1, 1);
     let again = leader.tokens("b", 60 - b.tokens);
     assert_eq!((again.tokens, again.refused), (0, false));
-    let ask = TenantQuotaRequest {
+    let request_part = TenantQuotaRequest {
         tenant: "library".to_owned(),
         returned_tokens: 60 - b.tokens,
         ..TenantQuotaRequest::default()
     };
-    leader.send("a", 1, ask);
+    leader.send("a", 1, request_part);
     assert_eq!(leader.tokens("b", 60 - b.tokens).tokens, 60 - b.tokens);
 }
 
 #[test]
-fn once_idle_slices_are_recalled_what_is_missing_is_refused() {
-    let mut leader = leader_with_spare_tokens_at_a();
+fn once_surplus_tokens_are_recalled_missing_ones_are_refused() {
+    let mut leader = leader_with_surplus_tokens_at_a();
     let first = leader.tokens("b", 90);
     assert!(!first.refused);
     for _ in 0..2 {
@@ -165,17 +168,17 @@
 }
 
 #[test]
-fn slots_of_a_silent_node_count_on_and_come_back_in_the_end() {
+fn slots_of_an_unresponsive_node_count_until_the_inactivity_timeout() {
     let mut leader = Leader::new(4);
     leader.slots("a", 4, 4);
     leader.now_ms += 20_000;
-    leader.ledger.tick(leader.now());
+    leader.leases.tick(leader.now());
     assert!(
         leader.slots("b", 1, 0).slots_refused,
         "a may only be cut off"
     );
     leader.now_ms += 10_000;
-    leader.ledger.tick(leader.now());
+    leader.leases.tick(leader.now());
     assert_eq!(leader.slots("b", 1, 0).slots, 1);
 }
 
@@ -184,11 +187,11 @@
     let mut leader = Leader::new(4);
     leader.slots("a", 4, 4);
     leader.tokens("b", 1);
-    let ask = TenantQuotaRequest {
+    let request_part = TenantQuotaRequest {
         tenant: "other".to_owned(),
         ..TenantQuotaRequest::default()
     };
-    leader.send("a", 2, ask);
+    leader.send("a", 2, request_part);
     assert!(leader.slots("b", 1, 0).slots_refused);
     leader.now_ms += 2_001;
     assert_eq!(leader.slots("b", 4, 0).slots, 4);
@@ -198,12 +201,12 @@
 fn an_older_epoch_is_fenced() {
     let mut leader = Leader::new(4);
     leader.slots_of("a", 2, 1, 1);
-    let ask = TenantQuotaRequest {
+    let request_part = TenantQuotaRequest {
         tenant: "library".to_owned(),
         tokens: 1,
         ..TenantQuotaRequest::default()
     };
-    let reply = leader.send("a", 1, ask);
+    let reply = leader.send("a", 1, request_part);
     assert_eq!(reply.code, ResultCode::EpochFenced.number());
     assert!(reply.grants.is_empty());
 }
@@ -211,7 +214,7 @@
 #[test]
 fn a_resent_request_gets_the_same_answer() {
     let mut leader = Leader::new(4);
-    let ask = TenantQuotaRequest {
+    let request_part = TenantQuotaRequest {
         tenant: "library".to_owned(),
         tokens: 60,
         ..TenantQuotaRequest::default()
@@ -221,7 +224,7 @@
         request_id: 77,
         member: "a".to_owned(),
         epoch: 1,
-        tenants: vec![ask],
+        tenants: vec![request_part],
     };
     let first = leader.deliver(&request);
     leader.now_ms += 1;
@@ -230,7 +233,7 @@
 }
 
 #[test]
-fn a_late_ask_does_not_change_what_a_newer_one_settled() {
+fn a_late_request_does_not_undo_a_newer_one() {
     let mut leader = Leader::new(4);
     let late = QuotaRequest {
         shard: 1,
@@ -249,9 +252,9 @@
 }
 
 #[test]
-fn a_new_leader_learns_what_is_in_use_before_it_lends() {
+fn a_new_leader_learns_what_is_in_use_before_it_grants() {
     let mut leader = Leader::new(4);
-    leader.ledger.lead(leader.now(), 2);
+    leader.leases.lead(leader.now(), 2);
     let early = leader.slots("b", 2, 0);
     assert_eq!((early.slots, early.slots_refused), (0, false));
     leader.now_ms += 400;
@@ -262,27 +265,27 @@
 }
 
 #[test]
-fn without_leadership_nothing_is_lent() {
+fn without_leadership_nothing_is_granted() {
     let mut leader = Leader::new(4);
-    leader.ledger.resign();
-    let ask = TenantQuotaRequest {
+    leader.leases.resign();
+    let request_part = TenantQuotaRequest {
         tenant: "library".to_owned(),
         tokens: 1,
         ..TenantQuotaRequest::default()
     };
-    let reply = leader.send("a", 1, ask);
+    let reply = leader.send("a", 1, request_part);
     assert_eq!(reply.code, ResultCode::NotLeader.number());
 }
 
 #[test]
 fn an_unknown_tenant_waits_for_its_configuration() {
     let mut leader = Leader::new(4);
-    let ask = TenantQuotaRequest {
+    let request_part = TenantQuotaRequest {
         tenant: "new".to_owned(),
         tokens: 1,
         ..TenantQuotaRequest::default()
     };
-    let grant = leader.send("a", 1, ask).grants.remove(0);
+    let grant = leader.send("a", 1, request_part).grants.remove(0);
     assert_eq!((grant.tokens, grant.refused), (0, false));
     assert!(grant.retry_after_ms > 0);
 }
@@ -297,7 +300,7 @@
         concurrent_streams: 1,
     };
     leader
-        .ledger
+        .leases
         .set_quota(leader.now(), "library", Some(smaller));
     let grant = leader.tokens("a", 50);
     assert_eq!((grant.tokens, grant.refused), (5, true));
@@ -317,36 +320,36 @@
     };
     for number in 0..16_000 {
         let tenant = format!("tenant-{number}");
-        leader.ledger.set_quota(leader.now(), &tenant, Some(quota));
+        leader.leases.set_quota(leader.now(), &tenant, Some(quota));
     }
-    assert_eq!(leader.ledger.active_tenants(), 0);
+    assert_eq!(leader.leases.active_tenants(), 0);
     leader.tokens("a", 3);
     leader.slots("a", 1, 1);
-    assert_eq!(leader.ledger.active_tenants(), 1);
+    assert_eq!(leader.leases.active_tenants(), 1);
     leader.slots("a", 0, 0);
     for _ in 0..5 {
         leader.now_ms += 1_000;
-        leader.ledger.tick(leader.now());
+        leader.leases.tick(leader.now());
     }
-    assert_eq!(leader.ledger.active_tenants(), 0);
+    assert_eq!(leader.leases.active_tenants(), 0);
 }
 
 quickcheck! {
-    /// Whatever the nodes ask for, all that they may hold together stays within the limit.
-    fn held_slots_never_exceed_the_limit(limit: u8, asks: Vec<(u8, u8, u8, u8)>) -> bool {
+    /// Whatever the nodes request, all that they are granted together stays within the limit.
+    fn granted_slots_never_exceed_the_limit(limit: u8, requests: Vec<(u8, u8, u8, u8)>) -> bool {
         let limit = u32::from(limit % 20) + 1;
         let mut leader = Leader::new(limit);
-        let mut held: BTreeMap<u8, u32> = BTreeMap::new();
-        for (node, wanted, in_use, pause) in asks {
+        let mut granted: BTreeMap<u8, u32> = BTreeMap::new();
+        for (node, requested, in_use, pause) in requests {
             let node = node % 4;
-            let wanted = u32::from(wanted % 20);
-            let may_use = held.get(&node).copied().unwrap_or(0);
-            let in_use = u32::from(in_use).min(may_use).min(wanted);
+            let requested = u32::from(requested % 20);
+            let granted_before = granted.get(&node).copied().unwrap_or(0);
+            let in_use = u32::from(in_use).min(granted_before).min(requested);
             leader.now_ms += u64::from(pause) * 4;
-            leader.ledger.tick(leader.now());
-            let grant = leader.slots(&node.to_string(), wanted, in_use);
-            held.insert(node, grant.slots);
-            if grant.slots < in_use || held.values().sum::<u32>() > limit {
+            leader.leases.tick(leader.now());
+            let grant = leader.slots(&node.to_string(), requested, in_use);
+            granted.insert(node, grant.slots);
+            if grant.slots < in_use || granted.values().sum::<u32>() > limit {
                 return false;
             }
         }
@@ -355,7 +358,7 @@
 }
 
 #[test]
-fn an_old_ask_that_comes_after_all_was_given_up_takes_nothing() {
+fn an_outdated_request_after_all_slots_were_given_up_takes_nothing() {
     let mut leader = Leader::new(4);
     assert_eq!(leader.slots("a", 2, 0).slots, 2);
     leader.next_request += 1;
--- a/crates/control-state/tests/machine.rs
+++ b/crates/control-state/tests/control_state/shard_machine.rs
@@ -1,7 +1,6 @@
 //! Sessions, catalogue, placements, control members and snapshots.
 
-mod support;
-
+use crate::fixtures::{Machine, backend, order, valid_document};
 use millford_api::command::{
     CloseSession, DrainBackend, OpenSession, RegisterControlMember, RemoveControlMember,
     SetPlacement, UpdateBackends, command::Kind, command_result,
@@ -12,7 +11,6 @@
 use millford_control_state::{Applied, ShardMachine, keys};
 use millford_core::{ResultCode, ShardId};
 use quickcheck::{Arbitrary, Gen, quickcheck};
-use support::{Machine, backend, order, sound_document};
 
 impl Machine {
     fn open(&mut self, member: &str, boot_id: u64) -> u64 {
@@ -145,7 +143,7 @@
 }
 
 #[test]
-fn the_difference_to_the_registry_is_what_differs_and_knows_no_drains() {
+fn the_difference_to_the_registry_ignores_drain_orders() {
     let mut machine = Machine::new(ShardId(2));
     let seen = vec![backend("b1", "saga"), backend("b2", "saga")];
     machine.update(seen.clone(), Vec::new());
@@ -173,7 +171,7 @@
 }
 
 #[test]
-fn an_unchanged_catalogue_sends_nothing() {
+fn an_unchanged_catalogue_publishes_nothing() {
     let mut machine = Machine::new(ShardId(2));
     machine.update(vec![backend("b1", "saga")], Vec::new());
     let again = machine.update(vec![backend("b1", "saga")], vec!["b9".to_owned()]);
@@ -181,7 +179,7 @@
 }
 
 #[test]
-fn control_members_come_and_go() {
+fn control_members_are_registered_and_removed() {
     let mut machine = Machine::new(ShardId(2));
     let member = ControlMember {
         node_id: 0xab,
@@ -203,8 +201,8 @@
 #[test]
 fn an_entry_that_was_applied_is_not_applied_again() {
     let mut machine = ShardMachine::new(ShardId(0));
-    machine.apply(3, 1, &order(0, "a", &sound_document()));
-    let again = machine.apply(3, 1, &order(1, "b", &sound_document()));
+    machine.apply(3, 1, &order(0, "a", &valid_document()));
+    let again = machine.apply(3, 1, &order(1, "b", &valid_document()));
     assert_eq!(again.result.code, ResultCode::ProtocolViolation.number());
     assert_eq!(machine.revision(), 1);
 }
@@ -251,26 +249,26 @@
                     replicas: Vec::new(),
                 }),
             }),
-            _ => order(small, &id, &sound_document()).kind.expect("a kind"),
+            _ => order(small, &id, &valid_document()).kind.expect("a kind"),
         })
     }
 }
 
 quickcheck! {
     /// A replica that was restored in the middle ends in the same state, byte for byte, as one that
-    /// applied everything, and gives the same results.
-    fn a_restored_replica_goes_on_the_same(before: Vec<AnyCommand>, after: Vec<AnyCommand>) -> bool {
-        let mut whole = Machine::new(ShardId(2));
+    /// applied everything, and returns the same results.
+    fn a_restored_replica_continues_identically(before: Vec<AnyCommand>, after: Vec<AnyCommand>) -> bool {
+        let mut uninterrupted = Machine::new(ShardId(2));
         for any in before {
-            whole.apply_kind(any.0);
+            uninterrupted.apply_kind(any.0);
         }
         let mut restored = Machine::new(ShardId(2));
-        restored.index = whole.index;
-        restored.machine.restore(&whole.machine.snapshot()).expect("a snapshot");
+        restored.index = uninterrupted.index;
+        restored.machine.restore(&uninterrupted.machine.snapshot()).expect("a snapshot");
         let same = after.into_iter().all(|any| {
-            whole.apply_kind(any.0.clone()) == restored.apply_kind(any.0)
+            uninterrupted.apply_kind(any.0.clone()) == restored.apply_kind(any.0)
         });
-        same && whole.machine.snapshot() == restored.machine.snapshot()
+        same && uninterrupted.machine.snapshot() == restored.machine.snapshot()
     }
 
     /// The changes of each command, put together, give the public state.
--- a/crates/feed/tests/first_subscription.rs
+++ b/crates/feed/tests/first_subscription.rs
@@ -1,4 +1,4 @@
-//! What a subscriber that holds nothing is sent first.
+//! What a subscriber without any state is sent first.
 
 use millford_api::internal::{StateSnapshot, Subscribe, feed_message};
 use millford_api::state::{ConfigHead, StateItem, StateValue, state_value};
@@ -20,25 +20,25 @@
 }
 
 #[test]
-fn a_restarted_node_is_never_taken_through_older_revisions() {
+fn a_restarted_node_never_passes_through_older_revisions() {
     let mut publisher = FeedPublisher::new(ShardId::CONFIGURATION);
     for revision in 1..=3 {
         let position = FeedPosition::new(1, revision);
         publisher.apply(position, vec![head(revision)]);
     }
-    let nothing_shown = Subscribe {
+    let nothing_applied = Subscribe {
         shard: 0,
         term: 0,
         offset: 0,
     };
-    let messages = publisher.subscribe(1, &nothing_shown);
+    let messages = publisher.subscribe(1, &nothing_applied);
     assert_eq!(
         messages.len(),
         1,
         "one message brings it to the newest state"
     );
     let Some(feed_message::Kind::PackedSnapshot(packed)) = &messages[0].kind else {
-        panic!("expected the whole state, got {:?}", messages[0]);
+        panic!("expected a snapshot, got {:?}", messages[0]);
     };
     let snapshot = StateSnapshot::decode(packed.as_ref()).expect("a state");
     assert_eq!((snapshot.term, snapshot.offset), (1, 3));
@@ -46,15 +46,15 @@
 }
 
 #[test]
-fn entries_without_public_changes_keep_the_encoded_state_and_bring_a_view_on() {
+fn entries_without_public_changes_reuse_the_encoded_snapshot_and_advance_a_view() {
     let mut publisher = FeedPublisher::new(ShardId::CONFIGURATION);
     publisher.apply(FeedPosition::new(1, 1), vec![head(1)]);
-    let nothing_shown = Subscribe::default();
-    publisher.subscribe(1, &nothing_shown);
+    let nothing_applied = Subscribe::default();
+    publisher.subscribe(1, &nothing_applied);
     publisher.apply(FeedPosition::new(1, 2), Vec::new());
     publisher.apply(FeedPosition::new(2, 3), Vec::new());
     let mut view = FeedView::new(ShardId::CONFIGURATION);
-    for message in publisher.subscribe(2, &nothing_shown) {
+    for message in publisher.subscribe(2, &nothing_applied) {
         assert_ne!(view.apply(message), FeedOutcome::Stale);
     }
     assert_eq!(view.position(), publisher.position());
--- a/crates/feed/tests/view_properties.rs
+++ b/crates/feed/tests/view_properties.rs
@@ -58,7 +58,7 @@
 struct Run {
     publisher: FeedPublisher,
     view: FeedView,
-    travelling: Vec<FeedMessage>,
+    in_flight: Vec<FeedMessage>,
     history: BTreeMap<FeedPosition, BTreeMap<String, StateValue>>,
     term: u64,
 }
@@ -68,7 +68,7 @@
         let mut run = Run {
             publisher: FeedPublisher::new(ShardId(1)),
             view: FeedView::new(ShardId(1)),
-            travelling: Vec::new(),
+            in_flight: Vec::new(),
             history: BTreeMap::from([(FeedPosition::START, BTreeMap::new())]),
             term: 1,
         };
@@ -79,7 +79,7 @@
     fn resubscribe(&mut self) {
         let subscribe = self.view.subscribe();
         let messages = self.publisher.subscribe(SUBSCRIBER, &subscribe);
-        self.travelling.extend(messages);
+        self.in_flight.extend(messages);
     }
 
     fn next_position(&self) -> FeedPosition {
@@ -96,7 +96,7 @@
             Step::Restore => self.restore(),
             Step::Progress => {
                 let deliveries = self.publisher.progress();
-                self.travelling
+                self.in_flight
                     .extend(deliveries.into_iter().map(|d| d.message));
             }
             Step::Lose { pick } => {
@@ -108,7 +108,7 @@
             }
             Step::Repeat { pick } => {
                 if let Some(message) = self.take(*pick) {
-                    self.travelling.push(message.clone());
+                    self.in_flight.push(message.clone());
                     return self.receive(message);
                 }
             }
@@ -124,32 +124,32 @@
             vec![item(key, value)]
         };
         let deliveries = self.publisher.apply(self.next_position(), changed);
-        self.travelling
+        self.in_flight
             .extend(deliveries.into_iter().map(|d| d.message));
-        self.note();
+        self.record();
     }
 
-    /// The replica skips ahead by a snapshot that holds a change which no message carried.
+    /// The replica skips ahead by a snapshot with a change that no message carried.
     fn restore(&mut self) {
         let mut items = self.publisher.state().items;
         items.retain(|present| present.key != "key/0");
         let deliveries = self.publisher.restore(self.next_position(), items);
-        self.travelling
+        self.in_flight
             .extend(deliveries.into_iter().map(|d| d.message));
-        self.note();
+        self.record();
     }
 
-    fn note(&mut self) {
+    fn record(&mut self) {
         let items = self.publisher.items().clone();
         self.history.insert(self.publisher.position(), items);
     }
 
     fn take(&mut self, pick: u8) -> Option<FeedMessage> {
-        if self.travelling.is_empty() {
+        if self.in_flight.is_empty() {
             return None;
         }
-        let place = usize::from(pick) % self.travelling.len();
-        Some(self.travelling.remove(place))
+        let index = usize::from(pick) % self.in_flight.len();
+        Some(self.in_flight.remove(index))
     }
 
     fn receive(&mut self, message: FeedMessage) -> Result<(), String> {
@@ -169,11 +169,11 @@
     }
 
     /// A calm end: what travels arrives in order, then one more subscription in order.
-    fn settle(&mut self) -> Result<(), String> {
+    fn drain(&mut self) -> Result<(), String> {
         for _ in 0..2 {
             self.resubscribe();
-            while !self.travelling.is_empty() {
-                let message = self.travelling.remove(0);
+            while !self.in_flight.is_empty() {
+                let message = self.in_flight.remove(0);
                 self.receive(message)?;
             }
         }
@@ -193,7 +193,7 @@
                 return TestResult::error(fault);
             }
         }
-        match run.settle() {
+        match run.drain() {
             Ok(()) => TestResult::passed(),
             Err(fault) => TestResult::error(fault),
         }
@@ -210,27 +210,27 @@
         let mut first = FeedPublisher::new(ShardId(1));
         let mut second = FeedPublisher::new(ShardId(1));
         let mut view = FeedView::new(ShardId(1));
-        let mut shown = view.position();
-        for (place, value) in values.iter().enumerate() {
-            let position = FeedPosition::new(1, place as u64 + 1);
+        let mut reached = view.position();
+        for (index, value) in values.iter().enumerate() {
+            let position = FeedPosition::new(1, index as u64 + 1);
             let changed = vec![item(value % 5, value % 3)];
             first.apply(position, changed.clone());
-            if place == usize::from(restore_at) {
+            if index == usize::from(restore_at) {
                 second.restore(position, first.state().items);
-            } else if place > usize::from(restore_at) {
+            } else if index > usize::from(restore_at) {
                 second.apply(position, changed);
             }
-            let use_second = moves.get(place).copied().unwrap_or(false);
+            let use_second = moves.get(index).copied().unwrap_or(false);
             let publisher = if use_second { &mut second } else { &mut first };
             for message in publisher.subscribe(SUBSCRIBER, &view.subscribe()) {
                 if view.apply(message) == FeedOutcome::Stale {
                     return false;
                 }
             }
-            if view.position() < shown {
+            if view.position() < reached {
                 return false;
             }
-            shown = view.position();
+            reached = view.position();
         }
         first
             .subscribe(SUBSCRIBER, &view.subscribe())
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn a_history_cut_by_forced_recovery_is_sent_whole() {
+fn a_history_truncated_by_forced_recovery_is_sent_as_a_snapshot() {
     let mut view = FeedView::new(ShardId(1));
     let mut former = FeedPublisher::new(ShardId(1));
     for offset in 1..=5 {
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn an_amendment_at_the_same_position_is_taken_and_undone_by_the_snapshot() {
+fn an_amendment_at_the_same_position_is_applied_and_undone_by_the_snapshot() {
     let mut publisher = FeedPublisher::new(ShardId(1));
     publisher.apply(FeedPosition::new(1, 1), vec![item(1, 1)]);
     let mut view = FeedView::new(ShardId(1));
--- a/crates/membership/tests/members.rs
+++ b/crates/membership/tests/members.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn an_old_or_lost_answer_does_not_count() {
+fn an_expired_or_disconnected_response_does_not_count() {
     let mut formation = Formation::new(member(1, "a:1"), seeds());
     formation.record_response(NOW, "b:1", empty(2, "b:1"));
     let later = NOW + RESPONSE_VALIDITY + RESPONSE_VALIDITY;
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn hearsay_changes_nothing_that_is_known_and_a_removed_node_stays_out() {
+fn reports_of_others_override_nothing_known_and_a_removed_node_stays_out() {
     let mut directory = MemberDirectory::default();
     directory.introduce(&member(1, "a:1"));
     assert!(!directory.learn_of(&member(1, "b:1")), "it said so itself");
--- a/crates/membership/tests/session_table.rs
+++ b/crates/membership/tests/session_table.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_session_expires_after_a_whole_lease_of_silence_and_is_named_once() {
+fn a_session_expires_after_a_lease_without_heartbeat_and_is_returned_once() {
     let mut table = SessionTable::new(Duration::from_secs(3));
     table.opened(at(0), "agent", 1);
     assert!(table.renew(at(1000), "agent", 1, 5));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_new_leader_gives_every_session_a_whole_lease() {
+fn a_new_leader_grants_every_session_a_full_lease() {
     let mut table = SessionTable::new(Duration::from_secs(3));
     let records = [record("a", 1), record("b", 2)];
     table.lead(at(60_000), records.iter());
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn another_epoch_neither_lives_nor_closes() {
+fn another_epoch_neither_renews_nor_closes() {
     let mut table = SessionTable::default();
     table.opened(at(0), "agent", 2);
     assert!(!table.renew(at(1), "agent", 1, 0), "fenced");
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_closing_that_could_not_be_proposed_is_named_again() {
+fn a_closing_that_could_not_be_proposed_is_returned_again() {
     let mut table = SessionTable::new(Duration::from_secs(3));
     table.opened(at(0), "agent", 1);
     assert_eq!(table.take_expired(at(3000)).len(), 1);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_shown_revision_never_steps_back() {
+fn an_applied_revision_never_decreases() {
     let mut table = SessionTable::default();
     table.opened(at(0), "agent", 1);
     table.renew(at(1), "agent", 1, 7);
