--- a/crates/simulation/src/disk/memory_disk.rs
+++ b/crates/simulation/src/disk/memory_disk.rs
@@ -104,6 +104,6 @@
     Err(StorageError::Io {
         operation: "sync",
         name: name.to_owned(),
-        reason: "simulated failure".to_owned(),
+        source: std::io::Error::other("simulated failure").into(),
     })
 }
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,19 +1,54 @@
 //! Errors of the storage.
 
+use std::fmt::{self, Display, Formatter};
+use std::io;
+use std::sync::Arc;
+
 use thiserror::Error;
 
+/// An error of the operating system. It is shared, so that a failed storage can report it again.
+#[derive(Clone, Debug)]
+pub struct DiskError(Arc<io::Error>);
+
+impl From<io::Error> for DiskError {
+    fn from(error: io::Error) -> Self {
+        Self(Arc::new(error))
+    }
+}
+
+impl Display for DiskError {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
+        self.0.fmt(formatter)
+    }
+}
+
+impl std::error::Error for DiskError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        self.0.source()
+    }
+}
+
+/// Errors of the same kind are equal.
+impl PartialEq for DiskError {
+    fn eq(&self, other: &Self) -> bool {
+        self.0.kind() == other.0.kind()
+    }
+}
+
+impl Eq for DiskError {}
+
 /// Why a storage operation failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StorageError {
     /// The disk reported an error.
-    #[error("{operation} of {name} failed: {reason}")]
+    #[error("{operation} of {name} failed: {source}")]
     Io {
         /// The operation that failed.
         operation: &'static str,
         /// File name.
         name: String,
-        /// The system's error message.
-        reason: String,
+        /// The cause.
+        source: DiskError,
     },
     /// The disk is full. Nothing that was synced before is lost, and the operation may be tried
     /// again once there is space.
--- a/crates/storage/src/file_disk.rs
+++ b/crates/storage/src/file_disk.rs
@@ -41,7 +41,7 @@
         // A rename or removal of an earlier process may be visible and not durable yet. What is
         // read from here on must not disappear: it may be a vote.
         let name = disk.directory.display().to_string();
-        sync_directory(&disk.directory).map_err(|error| io_error("sync", &name, &error))?;
+        sync_directory(&disk.directory).map_err(|error| io_error("sync", &name, error))?;
         Ok(disk)
     }
 
@@ -57,14 +57,13 @@
                 _ => break,
             }
         }
-        fs::create_dir_all(&self.directory)
-            .map_err(|error| write_error("create", &name, &error))?;
+        fs::create_dir_all(&self.directory).map_err(|error| write_error("create", &name, error))?;
         for created in missing {
             let parent = match created.parent() {
                 Some(parent) if parent != Path::new("") => parent,
                 _ => Path::new("."),
             };
-            sync_directory(parent).map_err(|error| write_error("sync", &name, &error))?;
+            sync_directory(parent).map_err(|error| write_error("sync", &name, error))?;
         }
         Ok(())
     }
@@ -73,7 +72,7 @@
         for name in self.file_names()? {
             if name.ends_with(TEMPORARY_SUFFIX) {
                 let path = self.path(&name);
-                fs::remove_file(path).map_err(|error| write_error("remove", &name, &error))?;
+                fs::remove_file(path).map_err(|error| write_error("remove", &name, error))?;
             }
         }
         Ok(())
@@ -81,7 +80,7 @@
 
     fn file_names(&self) -> Result<Vec<String>, StorageError> {
         let directory_name = self.directory.display().to_string();
-        let list_error = |error: io::Error| write_error("list", &directory_name, &error);
+        let list_error = |error: io::Error| write_error("list", &directory_name, error);
         let mut names = Vec::new();
         for item in fs::read_dir(&self.directory).map_err(list_error)? {
             let item = item.map_err(list_error)?;
@@ -109,12 +108,6 @@
             .ok_or_else(|| io::Error::from(ErrorKind::NotFound))
     }
 
-    fn write_temporary(&self, temporary: &Path, bytes: &[u8]) -> io::Result<()> {
-        let mut file = File::create(temporary)?;
-        file.write_all(bytes)?;
-        file.sync_all()
-    }
-
     fn sync_file(&mut self, name: &str) -> io::Result<()> {
         let directory = self.directory.clone();
         let open = self.open_for_append(name)?;
@@ -138,7 +131,7 @@
         match fs::read(self.path(name)) {
             Ok(bytes) => Ok(Some(bytes)),
             Err(error) if error.kind() == ErrorKind::NotFound => Ok(None),
-            Err(error) => Err(write_error("read", name, &error)),
+            Err(error) => Err(write_error("read", name, error)),
         }
     }
 
@@ -146,30 +139,28 @@
         let written = self
             .open_for_append(name)
             .and_then(|open| open.file.write_all(bytes));
-        written.map_err(|error| write_error("append", name, &error))
+        written.map_err(|error| write_error("append", name, error))
     }
 
     fn sync(&mut self, name: &str) -> Result<(), StorageError> {
         self.sync_file(name)
-            .map_err(|error| io_error("sync", name, &error))
+            .map_err(|error| io_error("sync", name, error))
     }
 
     fn replace(&mut self, name: &str, bytes: &[u8]) -> Result<(), StorageError> {
         let temporary = self.path(&format!("{name}{TEMPORARY_SUFFIX}"));
         self.open_files.remove(name);
         // Until the rename the old file stands, so no space here is no damage.
-        self.write_temporary(&temporary, bytes)
-            .map_err(|error| write_error("write", name, &error))?;
-        fs::rename(&temporary, self.path(name))
-            .map_err(|error| io_error("rename", name, &error))?;
-        sync_directory(&self.directory).map_err(|error| io_error("sync", name, &error))
+        write_durably(&temporary, bytes).map_err(|error| write_error("write", name, error))?;
+        fs::rename(&temporary, self.path(name)).map_err(|error| io_error("rename", name, error))?;
+        sync_directory(&self.directory).map_err(|error| io_error("sync", name, error))
     }
 
     fn truncate(&mut self, name: &str, len: u64) -> Result<(), StorageError> {
         let truncated = self
             .open_for_append(name)
             .and_then(|open| open.file.set_len(len));
-        truncated.map_err(|error| io_error("truncate", name, &error))
+        truncated.map_err(|error| io_error("truncate", name, error))
     }
 
     fn remove(&mut self, name: &str) -> Result<(), StorageError> {
@@ -177,18 +168,24 @@
         match fs::remove_file(self.path(name)) {
             Ok(()) => {}
             Err(error) if error.kind() == ErrorKind::NotFound => return Ok(()),
-            Err(error) => return Err(io_error("remove", name, &error)),
+            Err(error) => return Err(io_error("remove", name, error)),
         }
-        sync_directory(&self.directory).map_err(|error| io_error("sync", name, &error))
+        sync_directory(&self.directory).map_err(|error| io_error("sync", name, error))
     }
 }
 
+fn write_durably(path: &Path, bytes: &[u8]) -> io::Result<()> {
+    let mut file = File::create(path)?;
+    file.write_all(bytes)?;
+    file.sync_all()
+}
+
 fn sync_directory(directory: &Path) -> io::Result<()> {
     File::open(directory)?.sync_all()
 }
 
 /// An error of a write, where lack of space is told from other causes.
-fn write_error(operation: &'static str, name: &str, error: &io::Error) -> StorageError {
+fn write_error(operation: &'static str, name: &str, error: io::Error) -> StorageError {
     let is_full = matches!(
         error.kind(),
         ErrorKind::StorageFull | ErrorKind::QuotaExceeded | ErrorKind::FileTooLarge
@@ -202,10 +199,10 @@
 }
 
 /// An error after which the file's state is unknown, whatever its kind.
-fn io_error(operation: &'static str, name: &str, error: &io::Error) -> StorageError {
+fn io_error(operation: &'static str, name: &str, error: io::Error) -> StorageError {
     StorageError::Io {
         operation,
         name: name.to_owned(),
-        reason: error.to_string(),
+        source: error.into(),
     }
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -26,7 +26,7 @@
 mod whitening;
 
 pub use disk::Disk;
-pub use error::StorageError;
+pub use error::{DiskError, StorageError};
 pub use file_disk::FileDisk;
 pub use log::SegmentedLog;
 pub use options::StorageOptions;
--- a/crates/storage/src/replica_storage.rs
+++ b/crates/storage/src/replica_storage.rs
@@ -242,11 +242,9 @@
     let Some(body) = checked_file::read(disk, HARD_STATE_FILE)? else {
         return Ok(None);
     };
-    match HardState::decode(body.as_slice()) {
-        Ok(hard_state) => Ok(Some(hard_state)),
-        Err(_) => {
-            let reason = "the hard state cannot be read";
-            Err(StorageError::corrupt(HARD_STATE_FILE, 0, reason))
-        }
-    }
+    let Ok(hard_state) = HardState::decode(body.as_slice()) else {
+        let reason = "the hard state cannot be read";
+        return Err(StorageError::corrupt(HARD_STATE_FILE, 0, reason));
+    };
+    Ok(Some(hard_state))
 }
--- a/crates/storage/tests/crash_points.rs
+++ b/crates/storage/tests/crash_points.rs
@@ -1,19 +1,20 @@
 //! A power failure at every disk operation of a script that appends, truncates, saves and installs
-//! snapshots: what was synced is there afterwards, and nothing else is made up.
+//! snapshots: what was synced is there afterwards, and nothing that was never written.
 
 mod support;
 
-use millford_api::replication::{HardState, LogEntry, VoterSet};
-use millford_storage::{ReplicaStorage, SnapshotMeta, StorageError, StorageOptions};
-use support::command;
+use millford_api::replication::{HardState, LogEntry};
+use millford_storage::{ReplicaStorage, StorageError, StorageOptions};
 use support::crash_disk::{CrashDisk, Faults};
+use support::{command, open, snapshot_meta};
 
 const OPTIONS: StorageOptions = StorageOptions {
     segment_bytes: 300,
     retained_entries: 3,
     retained_bytes: usize::MAX,
 };
-const TEARS: u64 = 12;
+/// Crashes that are tried at each operation, each with other losses.
+const CRASH_SEEDS: u64 = 12;
 /// Within the log, at its end and behind it.
 const INSTALL_INDICES: std::ops::RangeInclusive<u64> = 11..=21;
 
@@ -28,10 +29,11 @@
     possible: Vec<Vec<LogEntry>>,
     snapshot_index: u64,
     possible_snapshot: Option<u64>,
-    /// What the log must agree with if a snapshot that was being installed is found.
+    /// What the log must agree with if a snapshot whose installation was interrupted is found.
     installed: Option<Vec<LogEntry>>,
 }
 
+/// A sequence of operations on a storage, and what is known of its durable state.
 struct Script {
     storage: ReplicaStorage,
     model: Model,
@@ -57,7 +59,7 @@
         self.model.possible.push(self.log.clone());
         self.log
             .truncate(usize::try_from(index - 1).expect("small"));
-        // From here on the old tail may be gone or not.
+        // From here on the old tail may be there or not.
         self.model.synced.clone_from(&self.log);
         self.storage.truncate_from(index)?;
         self.model.possible.clear();
@@ -78,7 +80,7 @@
 
     fn save(&mut self, index: u64) -> Result<(), StorageError> {
         let entry = &self.log[usize::try_from(index - 1).expect("small")];
-        let meta = meta(index, entry.term);
+        let meta = snapshot_meta(index, entry.term);
         self.model.possible_snapshot = Some(index);
         self.storage
             .save_snapshot(meta, index.to_le_bytes().to_vec())?;
@@ -96,7 +98,7 @@
         self.model.possible.push(old);
         self.model.installed = Some(self.log.clone());
         self.storage
-            .install_snapshot(meta(index, term), index.to_le_bytes().to_vec())?;
+            .install_snapshot(snapshot_meta(index, term), index.to_le_bytes().to_vec())?;
         self.model.snapshot_index = index;
         self.model.synced.clone_from(&self.log);
         self.model.possible.clear();
@@ -130,20 +132,12 @@
     }
 }
 
-fn meta(index: u64, term: u64) -> SnapshotMeta {
-    SnapshotMeta {
-        index,
-        term,
-        voters: VoterSet::default(),
-    }
-}
-
 fn run_until_failure(
     disk: &CrashDisk,
     faults: Faults,
     install_index: u64,
 ) -> (Model, Result<(), StorageError>) {
-    let storage = ReplicaStorage::open(Box::new(disk.clone()), OPTIONS).expect("empty disk");
+    let storage = open(disk, OPTIONS).expect("empty disk");
     disk.set_faults(faults);
     let mut script = Script {
         storage,
@@ -156,8 +150,7 @@
 
 /// Compares what a crash left with the model.
 fn check(disk: &CrashDisk, model: &Model) -> Result<(), String> {
-    let storage = ReplicaStorage::open(Box::new(disk.clone()), OPTIONS)
-        .map_err(|error| format!("does not open: {error}"))?;
+    let storage = open(disk, OPTIONS).map_err(|error| format!("does not open: {error}"))?;
     let hard_state = storage.hard_state();
     if hard_state != model.hard_state && hard_state != model.possible_hard_state {
         return Err(format!("hard state {hard_state:?}"));
@@ -180,10 +173,10 @@
     }
     let installed = model.installed.as_ref();
     if let Some(installed) = installed.filter(|_| snapshot > model.snapshot_index) {
-        return match agrees(storage, installed, snapshot) {
-            true => Ok(()),
-            false => Err("entries of the replaced log behind the snapshot".to_owned()),
-        };
+        if agrees(storage, installed, snapshot) {
+            return Ok(());
+        }
+        return Err("entries of the replaced log behind the snapshot".to_owned());
     }
     let synced_last = model.synced.last().map_or(0, |entry| entry.index);
     if storage.last_index() < synced_last && snapshot < synced_last {
@@ -200,11 +193,11 @@
     Ok(())
 }
 
-/// Whether every held entry behind the snapshot is in the log.
+/// Whether every stored entry behind the snapshot is in the log.
 fn agrees(storage: &ReplicaStorage, log: &[LogEntry], snapshot: u64) -> bool {
     let from = (snapshot + 1).max(storage.first_index());
-    let mut held = storage.entries(from, u64::MAX, usize::MAX).into_iter();
-    held.all(|entry| log.contains(&entry))
+    let mut stored = storage.entries(from, u64::MAX, usize::MAX).into_iter();
+    stored.all(|entry| log.contains(&entry))
 }
 
 #[test]
@@ -221,7 +214,7 @@
     let operations = disk.operations();
     assert!(operations > 30);
     for survived in 0..=operations {
-        for seed in 0..TEARS {
+        for seed in 0..CRASH_SEEDS {
             let disk = CrashDisk::default();
             let faults = Faults {
                 operations_left: Some(survived),
@@ -241,7 +234,7 @@
 
 #[test]
 fn the_check_catches_a_disk_that_lies_about_sync() {
-    let caught = (0..TEARS).filter(|seed| {
+    let caught = (0..CRASH_SEEDS).filter(|seed| {
         let disk = CrashDisk::default();
         let faults = Faults {
             lie_about_sync: true,
@@ -252,13 +245,13 @@
         disk.crash(*seed);
         check(&disk, &model).is_err()
     });
-    assert_eq!(caught.count() as u64, TEARS);
+    assert_eq!(caught.count() as u64, CRASH_SEEDS);
 }
 
 #[test]
 fn entries_read_after_a_kill_survive_a_power_failure() {
     let disk = CrashDisk::default();
-    let mut storage = ReplicaStorage::open(Box::new(disk.clone()), OPTIONS).expect("empty disk");
+    let mut storage = open(&disk, OPTIONS).expect("empty disk");
     storage
         .set_hard_state(HardState::default())
         .expect("hard state");
@@ -270,12 +263,12 @@
     storage.sync().expect_err("injected");
     drop(storage);
     // The bytes are still visible to the next process, which counts them as synced.
-    let storage = ReplicaStorage::open(Box::new(disk.clone()), OPTIONS).expect("opens");
+    let storage = open(&disk, OPTIONS).expect("opens");
     assert_eq!(storage.synced_index(), 1);
-    for seed in 0..TEARS {
+    for seed in 0..CRASH_SEEDS {
         let copy = disk.copy_with_unsynced();
         copy.crash(seed);
-        let after = ReplicaStorage::open(Box::new(copy), OPTIONS).expect("opens");
+        let after = open(&copy, OPTIONS).expect("opens");
         assert_eq!(after.last_index(), 1, "seed {seed}");
     }
 }
--- a/crates/storage/tests/disk_faults.rs
+++ b/crates/storage/tests/disk_faults.rs
@@ -1,24 +1,29 @@
-//! A full disk takes a batch back; a failed sync is final; real files behave the same.
+//! A full disk rolls a batch back; a failed sync is final; real files behave the same.
 
 mod support;
 
-use millford_api::replication::{HardState, LogEntry, VoterSet};
-use millford_storage::{
-    Disk, FileDisk, ReplicaStorage, SnapshotMeta, StorageError, StorageOptions,
-};
+use millford_api::replication::{HardState, LogEntry};
+use millford_storage::{Disk, FileDisk, ReplicaStorage, StorageError, StorageOptions};
 use quickcheck::quickcheck;
-use support::command;
 use support::crash_disk::{CrashDisk, Faults};
+use support::{command, open, snapshot_meta};
 
-fn open(disk: impl Disk + 'static) -> ReplicaStorage {
+fn open_default(disk: impl Disk + 'static) -> ReplicaStorage {
     ReplicaStorage::open(Box::new(disk), StorageOptions::default()).expect("opens")
 }
 
-fn started(disk: &CrashDisk) -> ReplicaStorage {
-    let mut storage = open(disk.clone());
+/// Opens a storage that has nothing but its first hard state.
+fn open_empty(disk: &CrashDisk, options: StorageOptions) -> ReplicaStorage {
+    let mut storage = open(disk, options).expect("empty disk");
     storage
         .set_hard_state(HardState::default())
         .expect("hard state");
+    storage
+}
+
+/// A storage with one synced entry.
+fn with_one_entry(disk: &CrashDisk) -> ReplicaStorage {
+    let mut storage = open_empty(disk, StorageOptions::default());
     storage.append([command(1, 1, b"kept")]);
     storage.sync().expect("sync");
     storage
@@ -29,7 +34,7 @@
     let batch = [command(2, 1, &[1; 300]), command(3, 1, &[2; 300])];
     for space in 0..600 {
         let disk = CrashDisk::default();
-        let mut storage = started(&disk);
+        let mut storage = with_one_entry(&disk);
         disk.set_faults(Faults {
             space_left: Some(space),
             ..Faults::default()
@@ -41,7 +46,7 @@
         storage.append([command(2, 2, b"later")]);
         storage.sync().expect("space again");
         disk.crash(space);
-        let recovered = open(disk);
+        let recovered = open_default(disk);
         let expected = vec![command(1, 1, b"kept"), command(2, 2, b"later")];
         assert_eq!(recovered.entries(1, u64::MAX, usize::MAX), expected);
     }
@@ -50,7 +55,7 @@
 #[test]
 fn a_failed_sync_is_never_retried() {
     let disk = CrashDisk::default();
-    let mut storage = started(&disk);
+    let mut storage = with_one_entry(&disk);
     disk.set_faults(Faults {
         fail_sync: true,
         ..Faults::default()
@@ -70,7 +75,7 @@
 #[test]
 fn one_sync_makes_a_complete_batch_durable() {
     let disk = CrashDisk::default();
-    let mut storage = started(&disk);
+    let mut storage = with_one_entry(&disk);
     let before = disk.syncs();
     storage.append((2..=200).map(|index| command(index, 1, b"entry")));
     storage.sync().expect("sync");
@@ -80,9 +85,9 @@
 
 #[test]
 fn real_files_survive_reopening_and_truncation() {
-    let directory = tempfile::tempdir().expect("folder");
+    let directory = tempfile::tempdir().expect("directory");
     let path = directory.path().join("shard").join("0");
-    let mut storage = open(FileDisk::open(&path).expect("folder"));
+    let mut storage = open_default(FileDisk::open(&path).expect("directory"));
     storage
         .set_hard_state(HardState::default())
         .expect("hard state");
@@ -91,7 +96,7 @@
     storage.truncate_from(11).expect("truncate");
     drop(storage);
     std::fs::write(path.join("left-over.tmp"), b"never renamed").expect("write");
-    let disk = FileDisk::open(&path).expect("folder");
+    let disk = FileDisk::open(&path).expect("directory");
     let names = disk.list().expect("names");
     assert!(!path.join("left-over.tmp").exists());
     let log = names
@@ -99,8 +104,8 @@
         .find(|name| name.starts_with("log-"))
         .expect("log");
     let bytes = std::fs::read(path.join(log)).expect("read");
-    std::fs::write(path.join(log), &bytes[..bytes.len() - 3]).expect("cut");
-    let storage = open(disk);
+    std::fs::write(path.join(log), &bytes[..bytes.len() - 3]).expect("truncate");
+    let storage = open_default(disk);
     assert_eq!(storage.last_index(), 9);
 }
 
@@ -112,20 +117,12 @@
         retained_bytes: usize::MAX,
     };
     let disk = CrashDisk::default();
-    let boxed = Box::new(disk.clone());
-    let mut storage = ReplicaStorage::open(boxed, options).expect("empty disk");
-    storage
-        .set_hard_state(HardState::default())
-        .expect("hard state");
+    let mut storage = open_empty(&disk, options);
     for index in 1..=200 {
         storage.append([command(index, 1, &[1; 40])]);
         storage.sync().expect("sync");
         if index % 50 == 0 {
-            let meta = SnapshotMeta {
-                index,
-                term: 1,
-                voters: VoterSet::default(),
-            };
+            let meta = snapshot_meta(index, 1);
             storage.save_snapshot(meta, Vec::new()).expect("saved");
         }
     }
@@ -135,8 +132,8 @@
     assert!(disk.names("log-").len() <= 4);
     assert!(storage.log_bytes() < 2000);
     assert_eq!(disk.names("snapshot-").len(), 1);
-    let again = ReplicaStorage::open(Box::new(disk), options).expect("opens");
-    assert_eq!(again.entries(191, u64::MAX, usize::MAX).len(), 10);
+    let reopened = open(&disk, options).expect("opens");
+    assert_eq!(reopened.entries(191, u64::MAX, usize::MAX).len(), 10);
 }
 
 #[test]
@@ -146,26 +143,18 @@
         retained_entries: 10,
         retained_bytes: 250,
     };
-    let boxed = Box::new(CrashDisk::default());
-    let mut storage = ReplicaStorage::open(boxed, options).expect("empty disk");
-    storage
-        .set_hard_state(HardState::default())
-        .expect("hard state");
+    let mut storage = open_empty(&CrashDisk::default(), options);
     storage.append((1..=20).map(|index| command(index, 1, &[1; 94])));
     storage.sync().expect("sync");
-    let meta = SnapshotMeta {
-        index: 20,
-        term: 1,
-        voters: VoterSet::default(),
-    };
+    let meta = snapshot_meta(20, 1);
     storage.save_snapshot(meta, Vec::new()).expect("saved");
     assert_eq!(storage.first_index(), 19);
 }
 
 #[test]
 fn a_file_without_space_is_reported_as_full() {
-    let directory = tempfile::tempdir().expect("folder");
-    let mut disk = FileDisk::open(directory.path()).expect("folder");
+    let directory = tempfile::tempdir().expect("directory");
+    let mut disk = FileDisk::open(directory.path()).expect("directory");
     std::os::unix::fs::symlink("/dev/full", directory.path().join("full")).expect("link");
     let result = disk.append("full", b"bytes");
     assert!(result.expect_err("no space").is_full());
@@ -179,9 +168,7 @@
             retained_bytes: usize::MAX,
         };
         let disk = CrashDisk::default();
-        let boxed = Box::new(disk.clone());
-        let mut storage = ReplicaStorage::open(boxed, options).expect("empty disk");
-        storage.set_hard_state(HardState::default()).expect("hard state");
+        let mut storage = open_empty(&disk, options);
         let numbered = (1..).zip(&bodies);
         let entries: Vec<LogEntry> = numbered
             .map(|(index, (body, term))| command(index, u64::from(*term), body))
@@ -194,7 +181,7 @@
         }
         storage.sync().expect("sync");
         disk.crash(u64::from(segment_bytes));
-        let recovered = ReplicaStorage::open(Box::new(disk), options).expect("clean");
+        let recovered = open(&disk, options).expect("clean");
         recovered.entries(1, u64::MAX, usize::MAX) == entries
     }
 }
--- a/crates/storage/tests/recovery_damage.rs
+++ b/crates/storage/tests/recovery_corruption.rs
@@ -1,25 +1,23 @@
-//! Cuts and flips at every byte of a small log, of the hard state and of a snapshot.
+//! Truncations and flipped bits at every byte of a small log, of the hard state and of a snapshot.
 
 mod support;
 
-use millford_api::replication::{HardState, LogEntry, VoterSet};
-use millford_storage::{ReplicaStorage, SnapshotMeta, StorageError, StorageOptions};
-use support::command;
+use millford_api::replication::{HardState, LogEntry};
+use millford_storage::{StorageError, StorageOptions};
 use support::crash_disk::CrashDisk;
+use support::{all_entries, command, open, snapshot_meta};
 
-const ALL: u64 = u64::MAX;
+/// Bytes that a disk writes completely or not at all.
+const SECTOR_BYTES: usize = 512;
+/// Small, so that the log has several segments.
 const SMALL_SEGMENTS: StorageOptions = StorageOptions {
     segment_bytes: 60,
     retained_entries: 0,
     retained_bytes: usize::MAX,
 };
 
-fn open(disk: &CrashDisk, options: StorageOptions) -> Result<ReplicaStorage, StorageError> {
-    ReplicaStorage::open(Box::new(disk.clone()), options)
-}
-
 fn entries() -> Vec<LogEntry> {
-    // Long zero runs and commands longer than a sector are in it on purpose.
+    // Long runs of zeros and commands longer than a sector are included on purpose.
     let bodies: [&[u8]; 7] = [b"a", b"", &[0; 600], b"text", &[0xff; 40], &[0; 7], b"z"];
     let numbered = (1..).zip(bodies);
     numbered
@@ -28,7 +26,7 @@
 }
 
 /// A log in several batches, each synced.
-fn written(options: StorageOptions) -> CrashDisk {
+fn disk_with_log(options: StorageOptions) -> CrashDisk {
     let disk = CrashDisk::default();
     let mut storage = open(&disk, options).expect("empty disk");
     storage.set_hard_state(hard_state()).expect("hard state");
@@ -47,37 +45,37 @@
     }
 }
 
-fn held(storage: &ReplicaStorage) -> Vec<LogEntry> {
-    storage.entries(storage.first_index(), ALL, usize::MAX)
-}
-
 #[test]
 fn a_log_truncated_at_any_byte_recovers_a_prefix() {
-    let disk = written(StorageOptions::default());
+    let disk = disk_with_log(StorageOptions::default());
     let name = disk.names("log-").remove(0);
     let bytes = disk.bytes(&name);
-    let mut lengths = Vec::new();
-    for cut in 0..=bytes.len() {
-        let damaged = disk.copy();
-        damaged.set_bytes(&name, bytes[..cut].to_vec());
-        let mut storage = open(&damaged, StorageOptions::default()).expect("a cut is torn");
-        let kept = held(&storage);
-        assert_eq!(kept, entries()[..kept.len()], "cut at {cut}");
-        lengths.push(kept.len());
-        let next = command(kept.len() as u64 + 1, 50, b"after");
+    let mut entry_counts = Vec::new();
+    for length in 0..=bytes.len() {
+        let corrupted = disk.copy();
+        corrupted.set_bytes(&name, bytes[..length].to_vec());
+        let mut storage = open(&corrupted, StorageOptions::default()).expect("a torn write");
+        let recovered = all_entries(&storage);
+        assert_eq!(
+            recovered,
+            entries()[..recovered.len()],
+            "truncated to {length}"
+        );
+        entry_counts.push(recovered.len());
+        let next = command(recovered.len() as u64 + 1, 50, b"after");
         storage.append([next.clone()]);
         storage.sync().expect("sync");
-        let again = open(&damaged, StorageOptions::default()).expect("clean");
-        assert_eq!(held(&again).last(), Some(&next));
-        assert_eq!(held(&again).len(), kept.len() + 1);
+        let reopened = open(&corrupted, StorageOptions::default()).expect("clean");
+        assert_eq!(all_entries(&reopened).last(), Some(&next));
+        assert_eq!(all_entries(&reopened).len(), recovered.len() + 1);
     }
-    assert!(lengths.is_sorted());
-    assert_eq!(lengths.last(), Some(&entries().len()));
+    assert!(entry_counts.is_sorted());
+    assert_eq!(entry_counts.last(), Some(&entries().len()));
 }
 
 #[test]
 fn a_flip_at_any_byte_of_the_log_is_corruption() {
-    let disk = written(SMALL_SEGMENTS);
+    let disk = disk_with_log(SMALL_SEGMENTS);
     let names = disk.names("log-");
     assert!(names.len() > 2);
     for name in names {
@@ -87,7 +85,7 @@
 
 #[test]
 fn a_flip_at_any_byte_of_the_last_synced_batch_is_corruption() {
-    let disk = written(StorageOptions::default());
+    let disk = disk_with_log(StorageOptions::default());
     let name = disk.names("log-").remove(0);
     assert_every_flip_is_corruption(&disk, &name, StorageOptions::default());
 }
@@ -101,27 +99,27 @@
             if mask == 0 {
                 continue;
             }
-            let damaged = disk.copy();
-            damaged.set_bytes(name, flipped);
-            let result = open(&damaged, options);
-            let is_damage = matches!(result, Err(StorageError::Corrupt { .. }));
-            assert!(is_damage, "{name} byte {offset} mask {mask:#x}");
+            let corrupted = disk.copy();
+            corrupted.set_bytes(name, flipped);
+            let result = open(&corrupted, options);
+            let is_corrupt = matches!(result, Err(StorageError::Corrupt { .. }));
+            assert!(is_corrupt, "{name} byte {offset} mask {mask:#x}");
         }
     }
 }
 
 #[test]
 fn a_truncated_sealed_segment_is_corruption() {
-    let disk = written(SMALL_SEGMENTS);
+    let disk = disk_with_log(SMALL_SEGMENTS);
     let name = disk.names("log-").remove(0);
     let bytes = disk.bytes(&name);
-    for cut in 0..bytes.len() {
-        let damaged = disk.copy();
-        damaged.set_bytes(&name, bytes[..cut].to_vec());
-        let result = open(&damaged, SMALL_SEGMENTS);
+    for length in 0..bytes.len() {
+        let corrupted = disk.copy();
+        corrupted.set_bytes(&name, bytes[..length].to_vec());
+        let result = open(&corrupted, SMALL_SEGMENTS);
         assert!(
             matches!(result, Err(StorageError::Corrupt { .. })),
-            "cut at {cut}"
+            "truncated to {length}"
         );
     }
 }
@@ -138,13 +136,13 @@
     let name = disk.names("log-").remove(0);
     let bytes = disk.bytes(&name);
     let record_bytes = bytes.len() / 3;
-    for sector in 0..bytes.len() / 512 {
-        let lost = sector * 512..(sector + 1) * 512;
-        let damaged = disk.copy();
+    for sector in 0..bytes.len() / SECTOR_BYTES {
+        let lost = sector * SECTOR_BYTES..(sector + 1) * SECTOR_BYTES;
+        let corrupted = disk.copy();
         let mut changed = bytes.clone();
         changed[lost.clone()].fill(0);
-        damaged.set_bytes(&name, changed);
-        let result = open(&damaged, StorageOptions::default());
+        corrupted.set_bytes(&name, changed);
+        let result = open(&corrupted, StorageOptions::default());
         if lost.start >= record_bytes * 2 {
             assert_eq!(result.expect("torn").last_index(), 2);
         } else if lost.end <= record_bytes * 2 {
@@ -158,27 +156,22 @@
 
 #[test]
 fn any_corruption_of_hard_state_or_snapshot_is_reported() {
-    let disk = written(StorageOptions::default());
+    let disk = disk_with_log(StorageOptions::default());
     let mut storage = open(&disk, StorageOptions::default()).expect("clean");
-    let meta = SnapshotMeta {
-        index: 5,
-        term: 2,
-        voters: VoterSet::default(),
-    };
     storage
-        .save_snapshot(meta, b"state".to_vec())
+        .save_snapshot(snapshot_meta(5, 2), b"state".to_vec())
         .expect("snapshot");
     let snapshot_name = disk.names("snapshot-").remove(0);
     for name in ["hard-state", &snapshot_name] {
         assert_every_flip_is_corruption(&disk, name, StorageOptions::default());
         let bytes = disk.bytes(name);
-        for cut in 0..bytes.len() {
-            let damaged = disk.copy();
-            damaged.set_bytes(name, bytes[..cut].to_vec());
-            let result = open(&damaged, StorageOptions::default());
+        for length in 0..bytes.len() {
+            let corrupted = disk.copy();
+            corrupted.set_bytes(name, bytes[..length].to_vec());
+            let result = open(&corrupted, StorageOptions::default());
             assert!(
                 matches!(result, Err(StorageError::Corrupt { .. })),
-                "{name} cut at {cut}"
+                "{name} truncated to {length}"
             );
         }
     }
@@ -186,13 +179,13 @@
 
 #[test]
 fn a_missing_segment_or_hard_state_is_corruption() {
-    let disk = written(SMALL_SEGMENTS);
+    let disk = disk_with_log(SMALL_SEGMENTS);
     let names = disk.names("log-");
     let (_, removable) = names.split_last().expect("segments");
     for name in removable.iter().map(String::as_str).chain(["hard-state"]) {
-        let mut damaged = disk.copy();
-        millford_storage::Disk::remove(&mut damaged, name).expect("remove");
-        let result = open(&damaged, SMALL_SEGMENTS);
+        let mut corrupted = disk.copy();
+        millford_storage::Disk::remove(&mut corrupted, name).expect("remove");
+        let result = open(&corrupted, SMALL_SEGMENTS);
         assert!(
             matches!(result, Err(StorageError::Corrupt { .. })),
             "{name}"
--- a/crates/storage/tests/support/crash_disk.rs
+++ b/crates/storage/tests/support/crash_disk.rs
@@ -12,17 +12,17 @@
 
 /// Faults of the disk.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Faults {
+pub(crate) struct Faults {
     /// Operations that still succeed before the power fails; `None` for no failure.
-    pub operations_left: Option<u64>,
+    pub(crate) operations_left: Option<u64>,
     /// Bytes that still fit; `None` for no limit.
-    pub space_left: Option<u64>,
+    pub(crate) space_left: Option<u64>,
     /// The next sync fails.
-    pub fail_sync: bool,
+    pub(crate) fail_sync: bool,
     /// Syncs report success and do nothing.
-    pub lie_about_sync: bool,
+    pub(crate) lie_about_sync: bool,
     /// Replaced files report success before they are durable.
-    pub lie_about_replace: bool,
+    pub(crate) lie_about_replace: bool,
 }
 
 #[derive(Debug, Default)]
@@ -35,7 +35,7 @@
 
 /// Handle of a disk.
 #[derive(Clone, Debug, Default)]
-pub struct CrashDisk {
+pub(crate) struct CrashDisk {
     inner: Arc<Mutex<Inner>>,
 }
 
@@ -47,22 +47,22 @@
     }
 
     /// Sets the faults from now on.
-    pub fn set_faults(&self, faults: Faults) {
+    pub(crate) fn set_faults(&self, faults: Faults) {
         self.lock().faults = faults;
     }
 
     /// Operations that changed the disk or failed to.
-    pub fn operations(&self) -> u64 {
+    pub(crate) fn operations(&self) -> u64 {
         self.lock().operations
     }
 
     /// Successful syncs.
-    pub fn syncs(&self) -> u64 {
+    pub(crate) fn syncs(&self) -> u64 {
         self.lock().syncs
     }
 
     /// Loses unsynced bytes as a power failure does, and ends all faults but lies.
-    pub fn crash(&self, seed: u64) {
+    pub(crate) fn crash(&self, seed: u64) {
         let mut random = StdRng::seed_from_u64(seed);
         let mut inner = self.lock();
         let files = std::mem::take(&mut inner.files);
@@ -79,29 +79,29 @@
     }
 
     /// Removes everything.
-    pub fn wipe(&self) {
+    pub(crate) fn wipe(&self) {
         *self.lock() = Inner::default();
     }
 
     /// Bytes of a file.
-    pub fn bytes(&self, name: &str) -> Vec<u8> {
+    pub(crate) fn bytes(&self, name: &str) -> Vec<u8> {
         self.lock().files[name].current.clone()
     }
 
     /// Replaces the bytes of a file, as damage does.
-    pub fn set_bytes(&self, name: &str, bytes: Vec<u8>) {
+    pub(crate) fn set_bytes(&self, name: &str, bytes: Vec<u8>) {
         self.lock().insert_durable(name, bytes);
     }
 
     /// Names of the files that begin with a prefix.
-    pub fn names(&self, prefix: &str) -> Vec<String> {
+    pub(crate) fn names(&self, prefix: &str) -> Vec<String> {
         let inner = self.lock();
         let names = inner.files.keys().filter(|name| name.starts_with(prefix));
         names.cloned().collect()
     }
 
     /// A disk of its own with the same durable files.
-    pub fn copy(&self) -> CrashDisk {
+    pub(crate) fn copy(&self) -> CrashDisk {
         let copy = CrashDisk::default();
         for (name, file) in &self.lock().files {
             copy.set_bytes(name, file.current.clone());
@@ -110,7 +110,7 @@
     }
 
     /// A disk of its own with the same files, their unsynced bytes still unsynced.
-    pub fn copy_with_unsynced(&self) -> CrashDisk {
+    pub(crate) fn copy_with_unsynced(&self) -> CrashDisk {
         let copy = CrashDisk::default();
         copy.lock().files.clone_from(&self.lock().files);
         copy
@@ -163,7 +163,7 @@
         let mut inner = self.lock();
         let result = inner.operate("append", name);
         let fits = inner.take_space(bytes.len());
-        // A power failure may also strike in the middle of a write; the crash draws how much stays.
+        // A power failure may also strike in the middle of a write; the crash draws how much remains.
         let file = inner.files.entry(name.to_owned()).or_default();
         file.current.extend_from_slice(&bytes[..fits]);
         result?;
@@ -223,7 +223,7 @@
     StorageError::Io {
         operation,
         name: name.to_owned(),
-        reason: "injected".to_owned(),
+        source: std::io::Error::other("injected").into(),
     }
 }
 
