--- a/crates/replication/src/commit.rs
+++ b/crates/replication/src/commit.rs
@@ -4,6 +4,7 @@
 use millford_core::NodeId;
 
 use crate::Replica;
+use crate::progress::Progress;
 use crate::role::RoleState;
 
 impl Replica {
@@ -18,7 +19,7 @@
             if voter == own {
                 return synced_index;
             }
-            state.peers.get(&voter).map_or(0, |peer| peer.match_index())
+            state.peers.get(&voter).map_or(0, Progress::match_index)
         });
         // An entry of an earlier term that a quorum holds can still be replaced by a later leader;
         // it is committed only together with an entry of the own term.
--- a/crates/replication/src/leadership.rs
+++ b/crates/replication/src/leadership.rs
@@ -6,6 +6,7 @@
 use crate::Replica;
 use crate::configuration::Configuration;
 use crate::leader_state::LeaderState;
+use crate::progress::Progress;
 use crate::role::RoleState;
 
 impl Replica {
@@ -98,7 +99,7 @@
         };
         let micros = self.configurations.latest().quorum_value(|voter| {
             let peer = state.peers.get(&voter);
-            let contact = peer.map_or(self.now, |peer| peer.last_contact());
+            let contact = peer.map_or(self.now, Progress::last_contact);
             contact.as_micros()
         });
         Some(MonotonicTime::from_micros(micros))
--- a/crates/replication/src/reads.rs
+++ b/crates/replication/src/reads.rs
@@ -1,6 +1,7 @@
 //! Confirmed reads: proof that this replica still leads, at an index (`ReadIndex`, Raft thesis,
 //! section 6.4).
 
+use crate::progress::Progress;
 use crate::role::RoleState;
 use crate::{NotLeader, Replica};
 
@@ -47,10 +48,7 @@
             if voter == own {
                 return last_sequence;
             }
-            state
-                .peers
-                .get(&voter)
-                .map_or(0, |peer| peer.read_sequence())
+            state.peers.get(&voter).map_or(0, Progress::read_sequence)
         });
         let confirmed = state.reads.take_confirmed(answered);
         self.pending.confirmed_reads.extend(confirmed);
--- a/crates/replication/src/snapshot_receiving.rs
+++ b/crates/replication/src/snapshot_receiving.rs
@@ -10,17 +10,17 @@
 use crate::replica::read_configurations;
 
 impl Replica {
-    pub(crate) fn on_snapshot_chunk(&mut self, from: NodeId, chunk: SnapshotChunk) {
+    pub(crate) fn on_snapshot_chunk(&mut self, from: NodeId, chunk: &SnapshotChunk) {
         if chunk.last_index <= self.commit_index {
             // Everything that the snapshot covers is held already.
             self.reply_installed(from, chunk.last_index, 0);
             return;
         }
-        let mut incoming = self.take_incoming(from, &chunk);
+        let mut incoming = self.take_incoming(from, chunk);
         if incoming.next_offset() == chunk.position {
             incoming.append(&chunk.data);
             if chunk.last {
-                self.finish_snapshot(from, &chunk, incoming);
+                self.finish_snapshot(from, chunk, incoming);
                 return;
             }
         }
--- a/crates/replication/src/status.rs
+++ b/crates/replication/src/status.rs
@@ -5,6 +5,10 @@
 use crate::Role;
 
 /// State of a replica at one moment.
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "independent facts that the owner reads one by one"
+)]
 #[derive(Clone, Debug)]
 pub struct ReplicaStatus {
     /// Role.
--- a/crates/replication/src/step.rs
+++ b/crates/replication/src/step.rs
@@ -13,40 +13,46 @@
     /// Messages may be lost, duplicated, late or out of order; implausible ones are ignored.
     pub fn step(&mut self, now: MonotonicTime, message: ReplicationMessage) {
         self.advance_clock(now);
-        let is_addressed_here = message.shard == self.options.shard.0
-            && message.to == self.options.node.0
-            && message.from != self.options.node.0
-            && message.from != NodeId::NONE.0
-            && is_plausible(&message);
-        if self.failure.is_some() || !is_addressed_here {
+        if self.failure.is_some() || !self.is_addressed_here(&message) || !is_plausible(&message) {
             return;
         }
         self.check_quorum();
         let from = NodeId(message.from);
-        let Some(body) = message.body else {
-            return;
-        };
+        if let Some(body) = message.body {
+            self.dispatch(from, message.term, body);
+        }
+    }
+
+    /// Whether a message comes from another replica of the group and is meant for this one.
+    fn is_addressed_here(&self, message: &ReplicationMessage) -> bool {
+        message.shard == self.options.shard.0
+            && message.to == self.options.node.0
+            && message.from != self.options.node.0
+            && message.from != NodeId::NONE.0
+    }
+
+    fn dispatch(&mut self, from: NodeId, term: u64, body: Body) {
         match body {
-            Body::VoteRequest(request) => self.on_vote_request(from, message.term, request),
-            Body::VoteReply(reply) => self.on_vote_reply(from, message.term, reply),
+            Body::VoteRequest(request) => self.on_vote_request(from, term, request),
+            Body::VoteReply(reply) => self.on_vote_reply(from, term, reply),
             Body::AppendRequest(request) => {
-                if self.accept_leader(from, message.term) {
+                if self.accept_leader(from, term) {
                     self.on_append_request(from, request);
                 }
             }
             Body::SnapshotChunk(chunk) => {
-                if self.accept_leader(from, message.term) {
-                    self.on_snapshot_chunk(from, chunk);
+                if self.accept_leader(from, term) {
+                    self.on_snapshot_chunk(from, &chunk);
                 }
             }
-            Body::TimeoutNow(_) => self.on_timeout_now(from, message.term),
+            Body::TimeoutNow(_) => self.on_timeout_now(from, term),
             Body::AppendReply(reply) => {
-                if self.accept_reply(from, message.term) {
+                if self.accept_reply(from, term) {
                     self.on_append_reply(from, reply);
                 }
             }
             Body::SnapshotReply(reply) => {
-                if self.accept_reply(from, message.term) {
+                if self.accept_reply(from, term) {
                     self.on_snapshot_reply(from, reply);
                 }
             }
