--- a/crates/replication/examples/throughput.rs
+++ b/crates/replication/examples/throughput.rs
@@ -1,7 +1,7 @@
 //! Measures one group of three on real files: entries and fsyncs a second, at several numbers of
-//! proposals under way.
+//! proposals in flight.
 //!
-//! `cargo run --release -p millford-replication --example throughput -- [FOLDER] [SECONDS]`
+//! `cargo run --release -p millford-replication --example throughput -- [DIRECTORY] [SECONDS]`
 //!
 //! Each replica has a thread of its own, as in the daemon; messages go through channels.
 
@@ -58,7 +58,7 @@
     inbox: Receiver<ReplicationMessage>,
     peers: Vec<Sender<ReplicationMessage>>,
     limit: u64,
-    /// When each proposal under way was made, oldest first.
+    /// When each proposal in flight was made, oldest first.
     proposed: std::collections::VecDeque<Instant>,
     latencies: Vec<Duration>,
     applied_since_snapshot: u64,
@@ -130,9 +130,9 @@
     }
 }
 
-fn open(folder: &Path, node: u64, syncs: &Arc<AtomicU64>) -> Replica {
+fn open(directory: &Path, node: u64, syncs: &Arc<AtomicU64>) -> Replica {
     let disk = CountingDisk {
-        disk: FileDisk::open(folder.join(node.to_string())).expect("folder"),
+        disk: FileDisk::open(directory.join(node.to_string())).expect("directory"),
         syncs: Arc::clone(syncs),
     };
     let storage = ReplicaStorage::open(Box::new(disk), StorageOptions::default()).expect("opens");
@@ -144,14 +144,14 @@
     Replica::open(options, storage, monotonic_now()).expect("opens")
 }
 
-fn measure(folder: &Path, limit: u64, seconds: u64) {
+fn measure(directory: &Path, limit: u64, seconds: u64) {
     let syncs = Arc::new(AtomicU64::new(0));
     let stop = Arc::new(AtomicBool::new(false));
     let (senders, inboxes): (Vec<_>, Vec<_>) = (0..NODES).map(|_| channel()).unzip();
     let mut threads = Vec::new();
     for (node, inbox) in (1..=NODES).zip(inboxes) {
         let worker = Worker {
-            replica: open(folder, node, &syncs),
+            replica: open(directory, node, &syncs),
             inbox,
             peers: senders.clone(),
             limit,
@@ -175,11 +175,11 @@
 fn print_line(limit: u64, seconds: u64, latencies: &[Duration], syncs: u64) {
     let entries = latencies.len() as u64;
     let percentile = |percent: usize| {
-        let place = (latencies.len() * percent / 100).min(latencies.len().saturating_sub(1));
-        latencies.get(place).copied().unwrap_or_default()
+        let rank = (latencies.len() * percent / 100).min(latencies.len().saturating_sub(1));
+        latencies.get(rank).copied().unwrap_or_default()
     };
     println!(
-        "{limit:>4} under way: {:>6} entries/s, {:>5} fsyncs/s over {NODES} replicas, \
+        "{limit:>4} in flight: {:>6} entries/s, {:>5} fsyncs/s over {NODES} replicas, \
          {:>6.1} entries per fsync and replica, p50 {:?}, p99 {:?}",
         entries / seconds,
         syncs / seconds,
@@ -191,7 +191,7 @@
 
 fn main() {
     let mut arguments = std::env::args().skip(1);
-    let folder = arguments
+    let directory = arguments
         .next()
         .map_or_else(std::env::temp_dir, PathBuf::from);
     let seconds = arguments
@@ -199,7 +199,7 @@
         .and_then(|text| text.parse().ok())
         .unwrap_or(5);
     for limit in IN_FLIGHT {
-        let run = tempfile::tempdir_in(&folder).expect("folder");
+        let run = tempfile::tempdir_in(&directory).expect("directory");
         measure(run.path(), limit, seconds);
     }
 }
--- a/crates/replication/tests/earlier_terms.rs
+++ b/crates/replication/tests/earlier_terms.rs
@@ -3,6 +3,7 @@
 
 mod group;
 
+use group::simulation::Defect;
 use group::world::{Action, World};
 
 const A: usize = 0;
@@ -12,7 +13,7 @@
 /// A leads and its entry stays alone; B leads with C's vote and its entry of the same index stays
 /// alone; A leads again and brings its old entry, and no more, to C.
 fn old_entry_on_a_quorum() -> World {
-    let mut world = World::new(false);
+    let mut world = World::new(Defect::None);
     for machine in &mut world.machines {
         // One entry in a message, so that the old one goes alone.
         machine.limits.append_bytes = 1;
--- a/crates/replication/tests/group/chaos.rs
+++ b/crates/replication/tests/group/chaos.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use millford_core::{Duration, MonotonicTime, NodeId};
-use millford_replication::VoterChange;
+use millford_replication::{Replica, VoterChange};
 use rand::Rng;
 use rand::seq::IndexedRandom;
 
@@ -24,7 +24,7 @@
 impl Simulation {
     /// Random work and faults for a number of steps, checks throughout. `fault_rate` is the
     /// probability of a fault in a step.
-    pub fn run_chaos(&mut self, steps: u32, desired_voters: usize, fault_rate: f64) {
+    pub(crate) fn run_chaos(&mut self, steps: u32, desired_voters: usize, fault_rate: f64) {
         for step in 0..steps {
             self.step();
             self.work();
@@ -112,7 +112,7 @@
         }
     }
 
-    pub fn lose_power(&mut self, node: NodeId) {
+    pub(crate) fn lose_power(&mut self, node: NodeId) {
         let seed = self.random.random();
         if let Some(machine) = self.machines.get_mut(&node) {
             machine.lose_power(seed);
@@ -232,7 +232,7 @@
 
     /// Ends all faults; then the group must take a proposal and bring it to every voter. The times
     /// are recorded.
-    pub fn recover(&mut self, desired_voters: usize) {
+    pub(crate) fn recover(&mut self, desired_voters: usize) {
         self.network.heal();
         self.network.conditions = NetworkConditions::CALM;
         self.free_disks();
@@ -271,7 +271,7 @@
 
     fn describe(&self) -> String {
         let describe = |machine: &Machine| {
-            let status = machine.replica.as_ref().map(|replica| replica.status());
+            let status = machine.replica.as_ref().map(Replica::status);
             format!(
                 "\n{} applied {} {status:?}",
                 machine.node, machine.applied_index
--- a/crates/replication/tests/group/history.rs
+++ b/crates/replication/tests/group/history.rs
@@ -10,10 +10,10 @@
 use millford_replication::{ConfirmedRead, Replica};
 
 /// Digest of all entries up to one.
-pub type Digest = u64;
+pub(crate) type Digest = u64;
 
 /// Extends a digest by one entry.
-pub fn extend(digest: Digest, entry: &LogEntry) -> Digest {
+pub(crate) fn extend(digest: Digest, entry: &LogEntry) -> Digest {
     let mut hasher = DefaultHasher::new();
     (digest, entry).hash(&mut hasher);
     hasher.finish()
@@ -28,24 +28,24 @@
 
 /// Facts of a run and the violations found so far.
 #[derive(Debug, Default)]
-pub struct History {
+pub(crate) struct History {
     leaders: BTreeMap<u64, NodeId>,
     votes: BTreeMap<(NodeId, u64), NodeId>,
     committed: BTreeMap<u64, CommittedEntry>,
     reads: BTreeMap<u64, u64>,
-    pub confirmed_reads: u64,
-    pub elections: u64,
-    pub snapshots_received: u64,
+    pub(crate) confirmed_reads: u64,
+    pub(crate) elections: u64,
+    pub(crate) snapshots_received: u64,
     /// After all faults: time until a leader had committed an entry of its own term.
-    pub time_to_leader: Option<Duration>,
+    pub(crate) time_to_leader: Option<Duration>,
     /// After all faults: time until the group was complete and all voters had applied a new entry.
-    pub time_to_recovery: Option<Duration>,
-    pub violations: Vec<String>,
+    pub(crate) time_to_recovery: Option<Duration>,
+    pub(crate) violations: Vec<String>,
 }
 
 impl History {
     /// The facts that later violations are judged by.
-    pub fn facts(&self) -> String {
+    pub(crate) fn facts(&self) -> String {
         format!("{:?} {:?} {:?}", self.leaders, self.votes, self.committed)
     }
 
@@ -54,12 +54,12 @@
     }
 
     /// Highest index that any replica delivered as committed: what clients may have seen.
-    pub fn committed_index(&self) -> u64 {
+    pub(crate) fn committed_index(&self) -> u64 {
         self.committed.keys().next_back().copied().unwrap_or(0)
     }
 
     /// Election safety: at most one leader in a term.
-    pub fn record_leader(&mut self, node: NodeId, term: u64) {
+    pub(crate) fn record_leader(&mut self, node: NodeId, term: u64) {
         let known = *self.leaders.entry(term).or_insert(node);
         if known != node {
             self.violate(format!("leaders {known} and {node} in term {term}"));
@@ -67,7 +67,7 @@
     }
 
     /// Leader completeness: a new leader holds every committed entry.
-    pub fn check_new_leader(&mut self, node: NodeId, replica: &Replica) {
+    pub(crate) fn check_new_leader(&mut self, node: NodeId, replica: &Replica) {
         self.elections += 1;
         let storage = replica.storage();
         let covered = storage.snapshot().map_or(0, |snapshot| snapshot.meta.index);
@@ -80,7 +80,7 @@
     }
 
     /// Committed entries never change, on any replica.
-    pub fn record_committed(&mut self, node: NodeId, entry: &LogEntry, digest: Digest) {
+    pub(crate) fn record_committed(&mut self, node: NodeId, entry: &LogEntry, digest: Digest) {
         let fact = CommittedEntry {
             term: entry.term,
             digest,
@@ -92,7 +92,7 @@
     }
 
     /// A snapshot is the state of the committed entries.
-    pub fn record_restored(&mut self, node: NodeId, index: u64, digest: Digest) {
+    pub(crate) fn record_restored(&mut self, node: NodeId, index: u64, digest: Digest) {
         let known = self.committed.get(&index).map(|entry| entry.digest);
         if known.is_some_and(|known| known != digest) {
             self.violate(format!("{node} restored another state of {index}"));
@@ -100,11 +100,16 @@
     }
 
     /// A read must see everything that was committed when it was requested.
-    pub fn record_read_requested(&mut self, request: u64) {
+    pub(crate) fn record_read_requested(&mut self, request: u64) {
         self.reads.insert(request, self.committed_index());
     }
 
-    pub fn record_read_confirmed(&mut self, node: NodeId, read: &ConfirmedRead, applied: u64) {
+    pub(crate) fn record_read_confirmed(
+        &mut self,
+        node: NodeId,
+        read: &ConfirmedRead,
+        applied: u64,
+    ) {
         self.confirmed_reads += 1;
         let required = self.reads.get(&read.request).copied().unwrap_or(u64::MAX);
         if read.index < required || applied < read.index {
@@ -116,7 +121,7 @@
     }
 
     /// One vote per identity and term, judged by what leaves a machine.
-    pub fn record_sent(&mut self, message: &ReplicationMessage) {
+    pub(crate) fn record_sent(&mut self, message: &ReplicationMessage) {
         let node = NodeId(message.from);
         let candidate = match &message.body {
             Some(Body::VoteRequest(VoteRequest {
@@ -139,7 +144,7 @@
     }
 
     /// Log matching: two logs that agree on an entry's term agree on everything before it.
-    pub fn check_logs_match(&mut self, left: &Replica, right: &Replica) {
+    pub(crate) fn check_logs_match(&mut self, left: &Replica, right: &Replica) {
         let (left, right) = (left.storage(), right.storage());
         let mut index = left.last_index().min(right.last_index());
         let first = left.first_index().max(right.first_index());
--- a/crates/replication/tests/group/machine.rs
+++ b/crates/replication/tests/group/machine.rs
@@ -17,7 +17,7 @@
     retained_entries: 6,
     retained_bytes: 150,
 };
-pub const LIMITS: Limits = Limits {
+pub(crate) const LIMITS: Limits = Limits {
     append_bytes: 200,
     appends_in_flight: 3,
     snapshot_chunk_bytes: 5,
@@ -25,7 +25,7 @@
 };
 
 /// A reply to a leader, as one may be queued while its process is stopped.
-pub fn queued_reply(from: NodeId, to: NodeId, term: u64) -> ReplicationMessage {
+pub(crate) fn queued_reply(from: NodeId, to: NodeId, term: u64) -> ReplicationMessage {
     ReplicationMessage {
         shard: SHARD.0,
         from: from.0,
@@ -36,25 +36,25 @@
 }
 
 /// A machine of the group.
-pub struct Machine {
-    pub node: NodeId,
-    pub disk: CrashDisk,
-    pub replica: Option<Replica>,
-    pub applied_index: u64,
-    pub digest: Digest,
-    pub limits: Limits,
+pub(crate) struct Machine {
+    pub(crate) node: NodeId,
+    pub(crate) disk: CrashDisk,
+    pub(crate) replica: Option<Replica>,
+    pub(crate) applied_index: u64,
+    pub(crate) digest: Digest,
+    pub(crate) limits: Limits,
     /// The first configuration, for the first members.
-    pub initial_voters: Option<VoterSet>,
+    pub(crate) initial_voters: Option<VoterSet>,
     /// No ticks and messages before this time: the process is stopped.
-    pub frozen_until: MonotonicTime,
+    pub(crate) frozen_until: MonotonicTime,
     /// Voters as of the last flush.
-    pub flushed_voters: Vec<NodeId>,
+    pub(crate) flushed_voters: Vec<NodeId>,
     /// Voters of the last attempted flush: a failed one may have written them.
-    pub attempted_voters: Vec<NodeId>,
+    pub(crate) attempted_voters: Vec<NodeId>,
 }
 
 impl Machine {
-    pub fn new(node: NodeId, initial_voters: Option<VoterSet>) -> Self {
+    pub(crate) fn new(node: NodeId, initial_voters: Option<VoterSet>) -> Self {
         Self {
             node,
             disk: CrashDisk::default(),
@@ -70,7 +70,7 @@
     }
 
     /// Starts the process. Fails if the disk refuses.
-    pub fn start(&mut self, now: MonotonicTime, seed: u64) -> Result<(), OpenError> {
+    pub(crate) fn start(&mut self, now: MonotonicTime, seed: u64) -> Result<(), OpenError> {
         let storage = ReplicaStorage::open(Box::new(self.disk.clone()), STORAGE)?;
         let mut options = ReplicaOptions::new(self.node, SHARD, seed);
         options.limits = self.limits;
@@ -82,12 +82,12 @@
         Ok(())
     }
 
-    pub fn is_running(&self, now: MonotonicTime) -> bool {
+    pub(crate) fn is_running(&self, now: MonotonicTime) -> bool {
         self.replica.is_some() && now >= self.frozen_until
     }
 
     /// Every set of voters that the disk or the process may hold.
-    pub fn voter_sets(&self) -> Vec<Vec<NodeId>> {
+    pub(crate) fn voter_sets(&self) -> Vec<Vec<NodeId>> {
         let in_memory = self.replica.as_ref().map(|replica| replica.status().voters);
         let mut voter_sets = vec![self.flushed_voters.clone(), self.attempted_voters.clone()];
         voter_sets.extend(in_memory);
@@ -95,7 +95,7 @@
     }
 
     /// Flushes and applies. A dead replica is dropped.
-    pub fn flush(&mut self, now: MonotonicTime, history: &mut History) -> Option<Ready> {
+    pub(crate) fn flush(&mut self, now: MonotonicTime, history: &mut History) -> Option<Ready> {
         let replica = self.replica.as_mut()?;
         self.attempted_voters = replica.status().voters;
         let result = replica.flush(now);
@@ -153,7 +153,7 @@
     }
 
     /// Saves a snapshot of the applied state; several chunks long.
-    pub fn save_snapshot(&mut self) {
+    pub(crate) fn save_snapshot(&mut self) {
         let mut data = self.digest.to_le_bytes().to_vec();
         data.extend([0; 9]);
         if let Some(replica) = &mut self.replica {
@@ -163,7 +163,7 @@
     }
 
     /// The power fails: the process ends, and what was not synced is lost.
-    pub fn lose_power(&mut self, seed: u64) {
+    pub(crate) fn lose_power(&mut self, seed: u64) {
         self.replica = None;
         self.disk.crash(seed);
     }
--- a/crates/replication/tests/group/mod.rs
+++ b/crates/replication/tests/group/mod.rs
@@ -2,13 +2,13 @@
 #![allow(dead_code, reason = "each test file uses a part")]
 
 #[path = "../../../storage/tests/support/mod.rs"]
-pub mod support;
+pub(crate) mod support;
 
-pub mod chaos;
-pub mod fixture;
-pub mod history;
-pub mod machine;
-pub mod network;
-pub mod repair;
-pub mod simulation;
-pub mod world;
+pub(crate) mod chaos;
+pub(crate) mod fixture;
+pub(crate) mod history;
+pub(crate) mod machine;
+pub(crate) mod network;
+pub(crate) mod repair;
+pub(crate) mod simulation;
+pub(crate) mod world;
--- a/crates/replication/tests/group/network.rs
+++ b/crates/replication/tests/group/network.rs
@@ -9,15 +9,15 @@
 
 /// Probabilities of faults, and the longest delay.
 #[derive(Clone, Copy, Debug)]
-pub struct NetworkConditions {
-    pub loss: f64,
-    pub duplication: f64,
-    pub max_delay: Duration,
+pub(crate) struct NetworkConditions {
+    pub(crate) loss: f64,
+    pub(crate) duplication: f64,
+    pub(crate) max_delay: Duration,
 }
 
 impl NetworkConditions {
     /// A network without faults and with short delays.
-    pub const CALM: NetworkConditions = NetworkConditions {
+    pub(crate) const CALM: NetworkConditions = NetworkConditions {
         loss: 0.0,
         duplication: 0.0,
         max_delay: Duration::from_millis(4),
@@ -26,8 +26,8 @@
 
 /// Messages in transit.
 #[derive(Debug)]
-pub struct Network {
-    pub conditions: NetworkConditions,
+pub(crate) struct Network {
+    pub(crate) conditions: NetworkConditions,
     /// Directed links that deliver nothing.
     blocked_links: BTreeSet<(NodeId, NodeId)>,
     /// By the time when they are due; the sequence keeps the order of messages that are due together.
@@ -36,7 +36,7 @@
 }
 
 impl Network {
-    pub fn new(conditions: NetworkConditions) -> Self {
+    pub(crate) fn new(conditions: NetworkConditions) -> Self {
         Self {
             conditions,
             blocked_links: BTreeSet::new(),
@@ -46,17 +46,22 @@
     }
 
     /// Blocks one direction of a link.
-    pub fn block(&mut self, from: NodeId, to: NodeId) {
+    pub(crate) fn block(&mut self, from: NodeId, to: NodeId) {
         self.blocked_links.insert((from, to));
     }
 
     /// Ends all partitions.
-    pub fn heal(&mut self) {
+    pub(crate) fn heal(&mut self) {
         self.blocked_links.clear();
     }
 
     /// Takes a message; the network may lose, duplicate or delay it.
-    pub fn send(&mut self, now: MonotonicTime, message: ReplicationMessage, random: &mut StdRng) {
+    pub(crate) fn send(
+        &mut self,
+        now: MonotonicTime,
+        message: ReplicationMessage,
+        random: &mut StdRng,
+    ) {
         if self.conditions.loss > 0.0 && random.random_bool(self.conditions.loss) {
             return;
         }
@@ -75,7 +80,7 @@
     }
 
     /// The next message that is due, unless its link is blocked.
-    pub fn receive(&mut self, now: MonotonicTime) -> Option<ReplicationMessage> {
+    pub(crate) fn receive(&mut self, now: MonotonicTime) -> Option<ReplicationMessage> {
         loop {
             let first = self.in_transit.first_entry()?;
             if first.key().0 > now {
--- a/crates/replication/tests/group/repair.rs
+++ b/crates/replication/tests/group/repair.rs
@@ -14,7 +14,7 @@
 
 impl Simulation {
     /// One step of repair on every replica that believes to lead.
-    pub fn repair(&mut self, desired_voters: usize) {
+    pub(crate) fn repair(&mut self, desired_voters: usize) {
         if self.has_recent_loss() {
             return;
         }
@@ -67,7 +67,7 @@
     /// Whether a disk was lost so lately that the leader may still count on it. A change that is
     /// made then, when the group is at the limit of what it tolerates, can end it: this is the limit
     /// of changes by one voter, and the runs stay within it.
-    pub fn has_recent_loss(&self) -> bool {
+    pub(crate) fn has_recent_loss(&self) -> bool {
         let latest = self.lost_voter_sets.last().map(|(at, _)| *at);
         latest.is_some_and(|at| self.now.since(at) < RECENT_LOSS)
     }
--- a/crates/replication/tests/group/simulation.rs
+++ b/crates/replication/tests/group/simulation.rs
@@ -24,7 +24,7 @@
 
 /// Faults of the program that a run plants, to show that the checks find them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Defect {
+pub(crate) enum Defect {
     #[default]
     None,
     /// Disks report syncs of the log that they do not make.
@@ -42,25 +42,25 @@
 }
 
 /// A group under simulation.
-pub struct Simulation {
-    pub now: MonotonicTime,
-    pub random: StdRng,
-    pub machines: BTreeMap<NodeId, Machine>,
-    pub network: Network,
-    pub history: History,
-    pub defect: Defect,
+pub(crate) struct Simulation {
+    pub(crate) now: MonotonicTime,
+    pub(crate) random: StdRng,
+    pub(crate) machines: BTreeMap<NodeId, Machine>,
+    pub(crate) network: Network,
+    pub(crate) history: History,
+    pub(crate) defect: Defect,
     /// Whether repair removes a lost voter before it promotes the standby, or after.
-    pub removes_before_promotion: bool,
-    pub next_node: u64,
-    pub next_request: u64,
+    pub(crate) removes_before_promotion: bool,
+    pub(crate) next_node: u64,
+    pub(crate) next_request: u64,
     /// Voters that machines knew when their disks were lost.
-    pub lost_voter_sets: Vec<(MonotonicTime, Vec<NodeId>)>,
+    pub(crate) lost_voter_sets: Vec<(MonotonicTime, Vec<NodeId>)>,
     next_tick: MonotonicTime,
 }
 
 impl Simulation {
     /// A new group of `size` voters, all started.
-    pub fn new(seed: u64, size: u64, conditions: NetworkConditions, defect: Defect) -> Self {
+    pub(crate) fn new(seed: u64, size: u64, conditions: NetworkConditions, defect: Defect) -> Self {
         let mut simulation = Self {
             now: MonotonicTime::ZERO,
             random: StdRng::seed_from_u64(seed),
@@ -85,7 +85,7 @@
     }
 
     /// Adds an empty machine with a new identity and starts it.
-    pub fn add_machine(&mut self, initial_voters: Option<VoterSet>) -> NodeId {
+    pub(crate) fn add_machine(&mut self, initial_voters: Option<VoterSet>) -> NodeId {
         let node = NodeId(self.next_node);
         self.next_node += 1;
         let machine = Machine::new(node, initial_voters);
@@ -96,7 +96,7 @@
     }
 
     /// Disk faults that last: those of the planted defect.
-    pub fn planted_faults(&self) -> Faults {
+    pub(crate) fn planted_faults(&self) -> Faults {
         Faults {
             lie_about_sync: self.defect == Defect::LyingSyncs,
             lie_about_replace: self.defect == Defect::LyingReplaces,
@@ -105,7 +105,7 @@
     }
 
     /// Starts a machine's process if it is not running.
-    pub fn start(&mut self, node: NodeId) {
+    pub(crate) fn start(&mut self, node: NodeId) {
         let seed = self.random.random();
         let now = self.now;
         let forgets = self.defect == Defect::ForgottenVotes;
@@ -133,7 +133,7 @@
     }
 
     /// Runs for a time.
-    pub fn run_for(&mut self, duration: Duration) {
+    pub(crate) fn run_for(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end {
             self.step();
@@ -141,7 +141,7 @@
     }
 
     /// Runs until something holds; fails after a time that is ample for everything.
-    pub fn run_until(&mut self, holds: impl Fn(&Simulation) -> bool) {
+    pub(crate) fn run_until(&mut self, holds: impl Fn(&Simulation) -> bool) {
         let end = self.now + MAX_WAIT;
         while !holds(self) {
             assert!(self.now < end, "the condition never held");
@@ -150,7 +150,7 @@
     }
 
     /// One step: deliveries and ticks, each followed by a flush or not, then the rest flushed.
-    pub fn step(&mut self) {
+    pub(crate) fn step(&mut self) {
         self.now = self.now + STEP;
         while let Some(message) = self.network.receive(self.now) {
             self.deliver(message);
@@ -192,7 +192,7 @@
     }
 
     /// Flushes a machine and sends what may leave.
-    pub fn flush(&mut self, node: NodeId) {
+    pub(crate) fn flush(&mut self, node: NodeId) {
         let now = self.now;
         let machine = self.machines.get_mut(&node);
         let Some(machine) = machine.filter(|machine| machine.is_running(now)) else {
@@ -212,7 +212,7 @@
     }
 
     /// Replicas that believe to lead.
-    pub fn leaders(&self) -> Vec<NodeId> {
+    pub(crate) fn leaders(&self) -> Vec<NodeId> {
         let is_leader = |machine: &&Machine| {
             let replica = machine.replica.as_ref();
             replica.is_some_and(|replica| replica.status().role == Role::Leader)
@@ -222,7 +222,7 @@
     }
 
     /// A running replica.
-    pub fn replica(&mut self, node: NodeId) -> Option<&mut Replica> {
+    pub(crate) fn replica(&mut self, node: NodeId) -> Option<&mut Replica> {
         let now = self.now;
         let machine = self.machines.get_mut(&node)?;
         if !machine.is_running(now) {
@@ -232,7 +232,7 @@
     }
 
     /// Requests a confirmed read.
-    pub fn read(&mut self, node: NodeId) {
+    pub(crate) fn read(&mut self, node: NodeId) {
         let request = self.next_request;
         self.next_request += 1;
         let skips_quorum = self.defect == Defect::UnconfirmedReads;
@@ -252,7 +252,7 @@
     }
 
     /// Compares the logs of all running replicas.
-    pub fn check_logs(&mut self) {
+    pub(crate) fn check_logs(&mut self) {
         let replicas = self.machines.values();
         let replicas: Vec<&Replica> = replicas
             .filter_map(|machine| machine.replica.as_ref())
@@ -266,7 +266,7 @@
 }
 
 /// The planted defect: a restarted replica does not know whom it voted for.
-pub fn forget_vote(machine: &Machine) {
+pub(crate) fn forget_vote(machine: &Machine) {
     let options = StorageOptions::default();
     let disk = Box::new(machine.disk.clone());
     let Ok(mut storage) = ReplicaStorage::open(disk, options) else {
--- a/crates/replication/tests/group/world.rs
+++ b/crates/replication/tests/group/world.rs
@@ -10,10 +10,10 @@
 
 use super::history::History;
 use super::machine::Machine;
-use super::simulation::forget_vote;
+use super::simulation::{Defect, forget_vote};
 
 /// The replicas.
-pub const NODES: [u64; 3] = [1, 2, 3];
+pub(crate) const NODES: [u64; 3] = [1, 2, 3];
 /// Longer than any election timeout, and longer than a quorum may be unresponsive.
 const TIMEOUT: Duration = Duration::from_secs(4);
 
@@ -22,7 +22,7 @@
 
 /// Something that may happen next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Action {
+pub(crate) enum Action {
     Timeout(usize),
     Crash(usize),
     Propose(usize),
@@ -33,17 +33,18 @@
 }
 
 /// The group.
-pub struct World {
-    pub machines: Vec<Machine>,
+pub(crate) struct World {
+    pub(crate) machines: Vec<Machine>,
     clocks: [MonotonicTime; 3],
-    pub in_transit: Vec<ReplicationMessage>,
-    pub history: History,
-    /// A crash also loses the vote: the planted defect.
-    forgets_votes: bool,
+    pub(crate) in_transit: Vec<ReplicationMessage>,
+    pub(crate) history: History,
+    /// Only [`Defect::ForgottenVotes`] has an effect: a crash also loses the vote.
+    defect: Defect,
 }
 
 impl World {
-    pub fn new(forgets_votes: bool) -> Self {
+    /// Three replicas that have just started.
+    pub(crate) fn new(defect: Defect) -> Self {
         let voters = VoterSet {
             voters: NODES.to_vec(),
             learners: Vec::new(),
@@ -54,7 +55,7 @@
             clocks: [MonotonicTime::ZERO; 3],
             in_transit: Vec::new(),
             history: History::default(),
-            forgets_votes,
+            defect,
         };
         for position in 0..NODES.len() {
             world.start(position);
@@ -69,15 +70,17 @@
             .expect("the disk is intact");
     }
 
-    pub fn run(path: &[Action], forgets_votes: bool) -> Self {
-        let mut world = Self::new(forgets_votes);
+    /// The group after a sequence of actions.
+    pub(crate) fn run(path: &[Action], defect: Defect) -> Self {
+        let mut world = Self::new(defect);
         for action in path {
             world.act(*action);
         }
         world
     }
 
-    pub fn act(&mut self, action: Action) {
+    /// Lets one action happen, then compares the logs.
+    pub(crate) fn act(&mut self, action: Action) {
         match action {
             Action::Timeout(position) => self.time_out(position),
             Action::Crash(position) => self.crash(position),
@@ -103,7 +106,7 @@
     fn crash(&mut self, position: usize) {
         let machine = &mut self.machines[position];
         machine.lose_power(0);
-        if self.forgets_votes {
+        if self.defect == Defect::ForgottenVotes {
             forget_vote(machine);
         }
         self.start(position);
@@ -143,7 +146,7 @@
     }
 
     /// A digest that is the same for the same situation.
-    pub fn fingerprint(&self) -> u64 {
+    pub(crate) fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for machine in &self.machines {
             format!("{:?}", machine.replica).hash(&mut hasher);
@@ -156,13 +159,14 @@
         hasher.finish()
     }
 
-    pub fn leads(&self, position: usize) -> bool {
+    /// Whether a replica leads.
+    pub(crate) fn leads(&self, position: usize) -> bool {
         let replica = self.machines[position].replica.as_ref();
         replica.is_some_and(|replica| replica.role() == Role::Leader)
     }
 
     /// Delivers what is in transit between two replicas, until nothing is; the rest stays.
-    pub fn exchange(&mut self, left: usize, right: usize) {
+    pub(crate) fn exchange(&mut self, left: usize, right: usize) {
         let pair = [NODES[left], NODES[right]];
         let is_between = |message: &ReplicationMessage| {
             pair.contains(&message.from) && pair.contains(&message.to)
@@ -173,7 +177,7 @@
     }
 
     /// Loses what is in transit, then times a replica out, with one other in reach, until it leads.
-    pub fn elect(&mut self, candidate: usize, voter: usize) {
+    pub(crate) fn elect(&mut self, candidate: usize, voter: usize) {
         self.in_transit.clear();
         // The voter has had no contact with its leader for as long either.
         self.clocks[voter] = self.clocks[voter] + TIMEOUT;
--- a/crates/replication/tests/implausible_messages.rs
+++ b/crates/replication/tests/implausible_messages.rs
@@ -32,50 +32,74 @@
     }
 }
 
-fn body(generator: &mut Gen) -> Body {
+fn vote_request(generator: &mut Gen) -> VoteRequest {
+    VoteRequest {
+        last_index: number(generator),
+        last_term: number(generator),
+        pre_vote: flag(generator),
+        transfer: flag(generator),
+    }
+}
+
+fn vote_reply(generator: &mut Gen) -> VoteReply {
+    VoteReply {
+        granted: flag(generator),
+        pre_vote: flag(generator),
+        removed: flag(generator),
+    }
+}
+
+fn any_append_request(generator: &mut Gen) -> AppendRequest {
+    AppendRequest {
+        previous_index: number(generator),
+        previous_term: number(generator),
+        entries: vec![entry(generator), entry(generator)],
+        commit_index: number(generator),
+        read_sequence: number(generator),
+    }
+}
+
+fn append_reply(generator: &mut Gen) -> AppendReply {
+    AppendReply {
+        accepted: flag(generator),
+        match_index: number(generator),
+        read_sequence: number(generator),
+        previous_index: number(generator),
+    }
+}
+
+fn snapshot_chunk(generator: &mut Gen) -> SnapshotChunk {
     let voters = VoterSet {
         voters: vec![number(generator)],
         learners: Vec::new(),
     };
+    SnapshotChunk {
+        last_index: number(generator),
+        last_term: number(generator),
+        voters: Some(voters).filter(|_| flag(generator)),
+        position: number(generator),
+        data: Vec::new(),
+        last: flag(generator),
+        commit_index: number(generator),
+    }
+}
+
+fn snapshot_reply(generator: &mut Gen) -> SnapshotReply {
+    SnapshotReply {
+        last_index: number(generator),
+        next_position: number(generator),
+        installed: flag(generator),
+    }
+}
+
+fn body(generator: &mut Gen) -> Body {
     match u8::arbitrary(generator) % 7 {
-        0 => Body::VoteRequest(VoteRequest {
-            last_index: number(generator),
-            last_term: number(generator),
-            pre_vote: flag(generator),
-            transfer: flag(generator),
-        }),
-        1 => Body::VoteReply(VoteReply {
-            granted: flag(generator),
-            pre_vote: flag(generator),
-            removed: flag(generator),
-        }),
-        2 => Body::AppendRequest(AppendRequest {
-            previous_index: number(generator),
-            previous_term: number(generator),
-            entries: vec![entry(generator), entry(generator)],
-            commit_index: number(generator),
-            read_sequence: number(generator),
-        }),
-        3 => Body::AppendReply(AppendReply {
-            accepted: flag(generator),
-            match_index: number(generator),
-            read_sequence: number(generator),
-            previous_index: number(generator),
-        }),
-        4 => Body::SnapshotChunk(SnapshotChunk {
-            last_index: number(generator),
-            last_term: number(generator),
-            voters: Some(voters).filter(|_| flag(generator)),
-            position: number(generator),
-            data: Vec::new(),
-            last: flag(generator),
-            commit_index: number(generator),
-        }),
-        5 => Body::SnapshotReply(SnapshotReply {
-            last_index: number(generator),
-            next_position: number(generator),
-            installed: flag(generator),
-        }),
+        0 => Body::VoteRequest(vote_request(generator)),
+        1 => Body::VoteReply(vote_reply(generator)),
+        2 => Body::AppendRequest(any_append_request(generator)),
+        3 => Body::AppendReply(append_reply(generator)),
+        4 => Body::SnapshotChunk(snapshot_chunk(generator)),
+        5 => Body::SnapshotReply(snapshot_reply(generator)),
         _ => Body::TimeoutNow(TimeoutNow {}),
     }
 }
@@ -114,6 +138,65 @@
     }
 }
 
+/// A message of node 2 to node 1.
+fn message(term: u64, body: Body) -> ReplicationMessage {
+    ReplicationMessage {
+        shard: 3,
+        from: 2,
+        to: 1,
+        term,
+        body: Some(body),
+    }
+}
+
+/// An append request behind `previous_index` with one entry.
+fn append_request(previous_index: u64, index: u64, term: u64, payload: Option<Payload>) -> Body {
+    let entry = LogEntry {
+        index,
+        term,
+        payload,
+    };
+    Body::AppendRequest(AppendRequest {
+        previous_index,
+        previous_term: 1,
+        entries: vec![entry],
+        ..AppendRequest::default()
+    })
+}
+
+/// Messages that no correct replica sends in `term` to one whose last index is `last`.
+fn implausible_bodies(term: u64, last: u64) -> [(&'static str, Body); 5] {
+    let command = Some(Payload::Command(Vec::new()));
+    let chunk_without_voters = SnapshotChunk {
+        last_index: last + 5,
+        last_term: 1,
+        last: true,
+        ..SnapshotChunk::default()
+    };
+    [
+        (
+            "a gap between indices",
+            append_request(last, last + 2, 1, command.clone()),
+        ),
+        (
+            "an entry without a payload",
+            append_request(last, last + 1, 1, None),
+        ),
+        (
+            "an entry of a later term than the message",
+            append_request(last, last + 1, term + 1, command.clone()),
+        ),
+        (
+            "an entry of an earlier term than the one before it",
+            append_request(last, last + 1, 0, command),
+        ),
+        (
+            "a snapshot without voters",
+            Body::SnapshotChunk(chunk_without_voters),
+        ),
+    ]
+}
+
 #[test]
 fn messages_that_no_correct_replica_sends_are_ignored() {
     let mut simulation = new_group(1, 3);
@@ -121,45 +204,10 @@
     let now = simulation.now;
     let replica = simulation.running_replica(NodeId(1));
     let before = format!("{replica:?}");
-    let term = replica.status().term + 1;
-    let last = replica.status().last_index;
-    let append = |previous_index: u64, index: u64, term: u64, payload: Option<Payload>| {
-        Body::AppendRequest(AppendRequest {
-            previous_index,
-            previous_term: 1,
-            entries: vec![LogEntry {
-                index,
-                term,
-                payload,
-            }],
-            ..AppendRequest::default()
-        })
-    };
-    let known = Some(Payload::Command(Vec::new()));
-    let chunk = SnapshotChunk {
-        last_index: last + 5,
-        last_term: 1,
-        last: true,
-        ..SnapshotChunk::default()
-    };
-    let implausible = [
-        append(last, last + 2, 1, known.clone()),
-        append(last, last + 1, 1, None),
-        append(last, last + 1, term + 1, known.clone()),
-        append(last, last + 1, 0, known),
-        Body::SnapshotChunk(chunk),
-    ];
-    for body in implausible {
-        replica.step(
-            now,
-            ReplicationMessage {
-                shard: 3,
-                from: 2,
-                to: 1,
-                term,
-                body: Some(body),
-            },
-        );
-        assert_eq!(format!("{replica:?}"), before);
+    let status = replica.status();
+    let term = status.term + 1;
+    for (case, body) in implausible_bodies(term, status.last_index) {
+        replica.step(now, message(term, body));
+        assert_eq!(format!("{replica:?}"), before, "{case}");
     }
 }
--- a/crates/replication/tests/model_check.rs
+++ b/crates/replication/tests/model_check.rs
@@ -9,6 +9,7 @@
 
 use std::collections::HashSet;
 
+use group::simulation::Defect;
 use group::world::{Action, NODES, World};
 
 /// How often each kind of action may happen in one run.
@@ -21,26 +22,46 @@
     duplicates: usize,
 }
 
+/// How often each bounded kind of action happened in a run.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
+struct ActionCounts {
+    timeouts: usize,
+    crashes: usize,
+    proposals: usize,
+    duplicates: usize,
+}
+
+impl ActionCounts {
+    fn of(path: &[Action]) -> Self {
+        let mut counts = Self::default();
+        for action in path {
+            match action {
+                Action::Timeout(_) => counts.timeouts += 1,
+                Action::Crash(_) => counts.crashes += 1,
+                Action::Propose(_) => counts.proposals += 1,
+                Action::Duplicate(_) => counts.duplicates += 1,
+                Action::Deliver(_) => {}
+            }
+        }
+        counts
+    }
+}
+
 /// What may happen next, given what has happened.
-fn actions(world: &World, path: &[Action], bounds: Bounds) -> Vec<Action> {
-    let count = |kind: fn(&Action) -> bool| path.iter().filter(|action| kind(action)).count();
+fn actions(world: &World, counts: ActionCounts, bounds: Bounds) -> Vec<Action> {
     let mut actions: Vec<Action> = (0..world.in_transit.len()).map(Action::Deliver).collect();
-    if count(|action| matches!(action, Action::Duplicate(_))) < bounds.duplicates {
+    if counts.duplicates < bounds.duplicates {
         actions.extend((0..world.in_transit.len()).map(Action::Duplicate));
     }
     let positions = 0..NODES.len();
-    if count(|action| matches!(action, Action::Timeout(_))) < bounds.timeouts {
+    if counts.timeouts < bounds.timeouts {
         actions.extend(positions.clone().map(Action::Timeout));
     }
-    if count(|action| matches!(action, Action::Crash(_))) < bounds.crashes {
+    if counts.crashes < bounds.crashes {
         actions.extend(positions.clone().map(Action::Crash));
     }
-    if count(|action| matches!(action, Action::Propose(_))) < bounds.proposals {
-        let leaders = positions.filter(|position| {
-            let replica = world.machines[*position].replica.as_ref();
-            let role = replica.map(|replica| replica.status().role);
-            role == Some(millford_replication::Role::Leader)
-        });
+    if counts.proposals < bounds.proposals {
+        let leaders = positions.filter(|position| world.leads(*position));
         actions.extend(leaders.map(Action::Propose));
     }
     actions
@@ -56,22 +77,24 @@
 }
 
 /// Explores breadth first, so that a violation comes with a shortest run.
-fn explore(prefix: &[Action], bounds: Bounds, forgets_votes: bool) -> Findings {
+fn explore(prefix: &[Action], bounds: Bounds, defect: Defect) -> Findings {
     let mut findings = Findings::default();
     let mut seen = HashSet::new();
     let mut paths = vec![prefix.to_vec()];
     for _ in 0..=bounds.depth {
         let mut next_paths = Vec::new();
         for path in paths {
-            let world = World::run(&path, forgets_votes);
-            if !seen.insert((world.fingerprint(), budget(&path, prefix.len()))) {
+            let world = World::run(&path, defect);
+            let counts = ActionCounts::of(&path[prefix.len()..]);
+            // The same situation with more actions left is another one.
+            if !seen.insert((world.fingerprint(), counts)) {
                 continue;
             }
             findings.record(&world, &path);
             if findings.violation.is_some() {
                 return findings;
             }
-            for action in actions(&world, &path[prefix.len()..], bounds) {
+            for action in actions(&world, counts, bounds) {
                 let mut longer = path.clone();
                 longer.push(action);
                 next_paths.push(longer);
@@ -82,21 +105,6 @@
     findings
 }
 
-/// Actions used of each bounded kind: the same situation with more left is another one.
-fn budget(path: &[Action], prefix: usize) -> [usize; 4] {
-    let mut used = [0; 4];
-    for action in &path[prefix..] {
-        match action {
-            Action::Timeout(_) => used[0] += 1,
-            Action::Crash(_) => used[1] += 1,
-            Action::Propose(_) => used[2] += 1,
-            Action::Duplicate(_) => used[3] += 1,
-            Action::Deliver(_) => {}
-        }
-    }
-    used
-}
-
 impl Findings {
     fn record(&mut self, world: &World, path: &[Action]) {
         self.situations += 1;
@@ -121,7 +129,7 @@
 fn stable(first: Action) -> Vec<Action> {
     let mut path = vec![first];
     for _ in 0..STABILISING_DELIVERIES {
-        if World::run(&path, false).in_transit.is_empty() {
+        if World::run(&path, Defect::None).in_transit.is_empty() {
             return path;
         }
         path.push(Action::Deliver(0));
@@ -151,7 +159,7 @@
         proposals: 1,
         duplicates: 0,
     };
-    assert_holds(&explore(&[], bounds, false));
+    assert_holds(&explore(&[], bounds, Defect::None));
 }
 
 #[test]
@@ -163,7 +171,7 @@
         proposals: 1,
         duplicates: 1,
     };
-    assert_holds(&explore(&[], bounds, false));
+    assert_holds(&explore(&[], bounds, Defect::None));
 }
 
 #[test]
@@ -175,7 +183,7 @@
         proposals: 1,
         duplicates: 0,
     };
-    assert_holds(&explore(&half_replicated(), bounds, false));
+    assert_holds(&explore(&half_replicated(), bounds, Defect::None));
 }
 
 #[test]
@@ -187,6 +195,8 @@
         proposals: 0,
         duplicates: 0,
     };
-    let violation = explore(&[], bounds, true).violation.expect("found");
+    let violation = explore(&[], bounds, Defect::ForgottenVotes)
+        .violation
+        .expect("found");
     assert!(violation.contains("voted for"), "{violation}");
 }
--- a/crates/replication/tests/smoke.rs
+++ b/crates/replication/tests/smoke.rs
@@ -10,8 +10,8 @@
 const NODES: [u64; 3] = [1, 2, 3];
 const STEPS: usize = 500;
 
-fn open(folder: &std::path::Path, node: u64) -> Replica {
-    let disk = FileDisk::open(folder.join(node.to_string())).expect("folder");
+fn open(directory: &std::path::Path, node: u64) -> Replica {
+    let disk = FileDisk::open(directory.join(node.to_string())).expect("directory");
     let storage = ReplicaStorage::open(Box::new(disk), StorageOptions::default()).expect("storage");
     let voters = VoterSet {
         voters: NODES.to_vec(),
@@ -31,8 +31,8 @@
 
 #[test]
 fn three_replicas_commit_and_confirm_a_read() {
-    let folder = tempfile::tempdir().expect("folder");
-    let mut replicas = NODES.map(|node| open(folder.path(), node));
+    let directory = tempfile::tempdir().expect("directory");
+    let mut replicas = NODES.map(|node| open(directory.path(), node));
     let mut applied = [const { Vec::new() }; 3];
     let mut is_proposed = false;
     let mut confirmed = Vec::new();
