--- a/crates/replication/src/append_receiving.rs
+++ b/crates/replication/src/append_receiving.rs
@@ -93,7 +93,7 @@
         self.send(to, Body::AppendReply(reply));
     }
 
-    /// Tells a leader of an older term the present one, so that it steps down.
+    /// Sends a leader of an older term the present one, so that it steps down.
     pub(crate) fn reject_stale_leader(&mut self, from: NodeId) {
         self.send(from, Body::AppendReply(AppendReply::default()));
     }
--- a/crates/replication/src/election.rs
+++ b/crates/replication/src/election.rs
@@ -7,14 +7,14 @@
 use crate::role::RoleState;
 use crate::vote_tally::VoteTally;
 
-/// Why a replica asks for votes.
+/// Kind of a campaign for votes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Campaign {
     /// Finds out whether an election would succeed, without raising the term.
     PreVote,
     /// An election in a new term.
     Election,
-    /// An election that the leader asked for: voters grant it although they have contact with a
+    /// An election that the leader requested: voters grant it although they have contact with a
     /// leader.
     Transfer,
 }
@@ -60,7 +60,7 @@
         self.election_timer.reset(self.now, &self.options.timing);
     }
 
-    /// Asks whether an election would succeed, without raising the term: a replica that was
+    /// Requests pre-votes: finds out whether an election would succeed, without raising the term: a replica that was
     /// partitioned does not depose a leader that the others follow.
     fn start_pre_vote(&mut self) {
         let tally = VoteTally::new(self.options.node);
@@ -69,7 +69,7 @@
         self.count_votes();
     }
 
-    /// Raises the term and asks for votes.
+    /// Raises the term and requests votes.
     pub(crate) fn start_election(&mut self, campaign: Campaign) {
         self.term += 1;
         self.voted_for = self.options.node;
--- a/crates/replication/src/inspection.rs
+++ b/crates/replication/src/inspection.rs
@@ -61,7 +61,7 @@
     }
 
     /// Reported by a voter, or known from the own committed log. A learner whose first snapshot is
-    /// older than its addition was no member yet, so it is not taken for removed.
+    /// older than its addition was no member yet, so it does not count as removed.
     fn is_removed(&self) -> bool {
         let node = self.options.node;
         let committed = &self.configurations.as_of(self.commit_index).configuration;
--- a/crates/replication/src/leader_state.rs
+++ b/crates/replication/src/leader_state.rs
@@ -15,7 +15,7 @@
     pub(crate) target: NodeId,
     /// When proposals are accepted again if the transfer has not succeeded.
     pub(crate) deadline: MonotonicTime,
-    /// Whether the target was asked to campaign.
+    /// Whether the target was requested to campaign.
     pub(crate) timeout_now_sent: bool,
 }
 
--- a/crates/replication/src/leadership.rs
+++ b/crates/replication/src/leadership.rs
@@ -64,7 +64,7 @@
     }
 
     /// Steps down when partitioned from the quorum: the others may elect another leader, and nobody
-    /// should wait for this one. Done before any message is taken, so that replies which waited while
+    /// should wait for this one. Done before any message is processed, so that replies that were queued while
     /// the process was stopped do not count as recent.
     pub(crate) fn check_quorum(&mut self) {
         // The first replies to a new leader take as long as the election's messages took.
--- a/crates/replication/src/log_position.rs
+++ b/crates/replication/src/log_position.rs
@@ -1,4 +1,4 @@
-//! A place in the replicated log.
+//! Position of an entry in the replicated log.
 
 /// Term and index of a log entry.
 ///
@@ -8,5 +8,6 @@
 pub(crate) struct LogPosition {
     // Compared first: the order of the fields is the order of the comparison.
     pub(crate) term: u64,
+    /// Index of the entry, from 1; 0 stands for the start of the log.
     pub(crate) index: u64,
 }
--- a/crates/replication/src/options.rs
+++ b/crates/replication/src/options.rs
@@ -14,7 +14,7 @@
 pub(crate) const ELECTION_TIMEOUT_MIN: Duration = Duration::from_millis(500);
 
 /// Longest time without a leader before an election begins.
-pub(crate) const ELECTION_TIMEOUT_MAX: Duration = Duration::from_millis(1000);
+pub(crate) const ELECTION_TIMEOUT_MAX: Duration = Duration::from_secs(1);
 
 /// A leader without contact with a quorum for this long steps down.
 pub const QUORUM_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/replication/src/ready.rs
+++ b/crates/replication/src/ready.rs
@@ -6,7 +6,7 @@
 /// `committed`, and these before `confirmed_reads`.
 #[derive(Debug, Default)]
 pub struct Ready {
-    /// Messages that may leave now. They may be lost, repeated or reordered on the way.
+    /// Messages that may leave now. They may be lost, duplicated or reordered in transit.
     pub messages: Vec<ReplicationMessage>,
     /// A snapshot that replaces the owner's state, from disk at the start or from the leader.
     pub restored: Option<RestoredSnapshot>,
--- a/crates/replication/src/role.rs
+++ b/crates/replication/src/role.rs
@@ -10,9 +10,9 @@
     Learner,
     /// Follows a leader, or waits for one.
     Follower,
-    /// Asks whether an election would succeed.
+    /// Requests pre-votes: finds out whether an election would succeed.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
     /// Leads the group.
     Leader,
--- a/crates/replication/src/snapshot_receiving.rs
+++ b/crates/replication/src/snapshot_receiving.rs
@@ -79,7 +79,7 @@
         self.send(to, Body::SnapshotReply(reply));
     }
 
-    /// Asks for the chunk that begins at an offset.
+    /// Requests the chunk that begins at an offset.
     fn request_chunk(&mut self, to: NodeId, last_index: u64, next_position: u64) {
         let reply = SnapshotReply {
             last_index,
--- a/crates/replication/src/transfer.rs
+++ b/crates/replication/src/transfer.rs
@@ -9,7 +9,7 @@
 use crate::{Replica, TransferError};
 
 impl Replica {
-    /// Transfers the leadership to a voter: once it holds the complete log, it is asked to campaign.
+    /// Transfers the leadership to a voter: once it holds the complete log, it is requested to campaign.
     ///
     /// Proposals are rejected until then; they are accepted again if the transfer has not succeeded
     /// within the shortest election timeout.
@@ -42,7 +42,7 @@
         Ok(())
     }
 
-    /// Asks the target of a transfer to campaign once it holds the complete log.
+    /// Requests the target of a transfer to campaign once it holds the complete log.
     pub(crate) fn advance_transfer(&mut self) {
         let last_index = self.storage.last_index();
         let Some(state) = self.leader_state() else {
@@ -61,7 +61,7 @@
         self.send(transfer.target, Body::TimeoutNow(TimeoutNow {}));
     }
 
-    /// The leader asks this replica to campaign. A late or duplicated message costs an election and
+    /// The leader requests this replica to campaign. A late or duplicated message costs an election and
     /// no safety.
     pub(crate) fn on_timeout_now(&mut self, from: NodeId, term: u64) {
         let is_current = term == self.term && self.leader == from;
--- a/crates/replication/tests/slow_elections.rs
+++ b/crates/replication/tests/slow_elections.rs
@@ -20,7 +20,7 @@
 const SLOW: NetworkConditions = NetworkConditions {
     loss: 0.0,
     duplication: 0.0,
-    max_delay: Duration::from_millis(1000),
+    max_delay: Duration::from_secs(1),
 };
 
 fn has_working_leader(simulation: &mut Simulation) -> bool {
--- a/crates/storage/src/file_disk.rs
+++ b/crates/storage/src/file_disk.rs
@@ -150,7 +150,7 @@
     fn replace(&mut self, name: &str, bytes: &[u8]) -> Result<(), StorageError> {
         let temporary = self.path(&format!("{name}{TEMPORARY_SUFFIX}"));
         self.open_files.remove(name);
-        // Until the rename the old file stands, so no space here is no damage.
+        // The old file is intact until the rename, so lack of space here is recoverable.
         write_durably(&temporary, bytes).map_err(|error| write_error("write", name, error))?;
         fs::rename(&temporary, self.path(name)).map_err(|error| io_error("rename", name, error))?;
         sync_directory(&self.directory).map_err(|error| io_error("sync", name, error))
@@ -184,7 +184,7 @@
     File::open(directory)?.sync_all()
 }
 
-/// An error of a write, where lack of space is told from other causes.
+/// An error of a write, where lack of space is distinguished from other causes.
 fn write_error(operation: &'static str, name: &str, error: io::Error) -> StorageError {
     let is_full = matches!(
         error.kind(),
--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -1,7 +1,7 @@
 //! The replicated log of one shard: entries in memory, segments on disk.
 //!
 //! Entries are appended in memory; [`SegmentedLog::sync`] writes everything new as one batch and
-//! syncs it. What is not synced is told apart by index, so a failed batch is dropped cleanly.
+//! syncs it. What is not synced is distinguished by its index, so a failed batch is dropped cleanly.
 
 use std::collections::VecDeque;
 
