--- a/crates/replication/src/leadership.rs
+++ b/crates/replication/src/leadership.rs
@@ -6,6 +6,7 @@
 use crate::Replica;
 use crate::configuration::Configuration;
 use crate::leader_state::LeaderState;
+use crate::progress::Progress;
 use crate::role::RoleState;
 
 impl Replica {
@@ -63,7 +64,7 @@
     }
 
     /// Steps down when partitioned from the quorum: the others may elect another leader, and nobody
-    /// should wait for this one. Done before any message is taken, so that replies which waited while
+    /// should wait for this one. Done before any message is processed, so that replies that were queued while
     /// the process was stopped do not count as recent.
     pub(crate) fn check_quorum(&mut self) {
         // The first replies to a new leader take as long as the election's messages took.
@@ -98,7 +99,7 @@
         };
         let micros = self.configurations.latest().quorum_value(|voter| {
             let peer = state.peers.get(&voter);
-            let contact = peer.map_or(self.now, |peer| peer.last_contact());
+            let contact = peer.map_or(self.now, Progress::last_contact);
             contact.as_micros()
         });
         Some(MonotonicTime::from_micros(micros))
--- a/crates/simulation/src/disk/memory_disk.rs
+++ b/crates/simulation/src/disk/memory_disk.rs
@@ -106,6 +106,6 @@
     Err(StorageError::Io {
         operation: "sync",
         name: name.to_owned(),
-        reason: "simulated failure".to_owned(),
+        source: std::io::Error::other("simulated failure").into(),
     })
 }
