--- a/crates/agent/src/agent_core/tick.rs
+++ b/crates/agent/src/agent_core/tick.rs
@@ -2,7 +2,7 @@
 
 use millford_api::internal::{Heartbeat, frame};
 use millford_api::local::{AgentStatus, local_frame};
-use millford_core::MonotonicTime;
+use millford_core::{MonotonicTime, ShardLayout};
 
 use super::proxy::send_quota_replies;
 use super::{AgentCore, Shutdown, send_proxy};
@@ -133,7 +133,7 @@
         let status = AgentStatus {
             connected: self.is_connected(),
             session_epoch: self.session.epoch(),
-            data_shards: self.feeds.layout().map_or(0, |layout| layout.data_shards()),
+            data_shards: self.feeds.layout().map_or(0, ShardLayout::data_shards),
             complete: self.feeds.complete(),
         };
         let frame = self.proxy.status_frame(now, status);
--- a/crates/agent/src/quota/tenant_lease.rs
+++ b/crates/agent/src/quota/tenant_lease.rs
@@ -14,7 +14,7 @@
 
 /// Time after the last request for which the leader may count something as granted to the node: a
 /// lease, and the longest time that a request may be in flight.
-const LEADER_RETENTION: Duration = Duration::from_millis(2_000);
+const LEADER_RETENTION: Duration = Duration::from_secs(2);
 
 /// Tokens, stream slots and waiters of one tenant.
 #[derive(Clone, Debug)]
--- a/crates/agent/src/timing.rs
+++ b/crates/agent/src/timing.rs
@@ -23,7 +23,7 @@
 pub const MIN_RECONNECT_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Longest delay between two passes over the endpoints.
-pub const MAX_RECONNECT_BACKOFF: Duration = Duration::from_millis(1000);
+pub const MAX_RECONNECT_BACKOFF: Duration = Duration::from_secs(1);
 
 /// For this long after its start an agent that had no quorum contact yet waits no longer than
 /// [`MIN_RECONNECT_BACKOFF`] between passes, and no longer than [`STARTUP_CONNECT_TIMEOUT`] for a
@@ -36,7 +36,7 @@
 pub const STABLE_AFTER: Duration = Duration::from_secs(2);
 
 /// A shard whose subscription was not confirmed for this long is subscribed again.
-pub const RESUBSCRIBE_DELAY: Duration = Duration::from_millis(1000);
+pub const RESUBSCRIBE_DELAY: Duration = Duration::from_secs(1);
 
 /// A shard may make the agent fail over at most this often, so that a shard that has lost its quorum
 /// everywhere does not keep the agents moving.
@@ -59,7 +59,7 @@
 pub const REGISTRY_OVERLAY_RETENTION: Duration = Duration::from_secs(2);
 
 /// Period of the status sent to the proxy.
-pub const STATUS_PERIOD: Duration = Duration::from_millis(1000);
+pub const STATUS_PERIOD: Duration = Duration::from_secs(1);
 
 /// Shortest time between two new quota requests to one shard.
 pub const QUOTA_BATCH_INTERVAL: Duration = Duration::from_millis(5);
@@ -68,7 +68,7 @@
 pub const QUOTA_RESEND_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A quota request without an answer is abandoned after this long: its grant could not be spent.
-pub const QUOTA_REQUEST_TIMEOUT: Duration = Duration::from_millis(1000);
+pub const QUOTA_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Delay before the next request when the shard's leader could not answer.
 pub const QUOTA_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -100,7 +100,7 @@
 pub const SESSION_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Longest time for the closing of the session when the process stops.
-pub const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(1000);
+pub const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Shortest time to the next tick.
 pub const MIN_TICK_INTERVAL: Duration = Duration::from_millis(1);
--- a/crates/agent/tests/fail_over.rs
+++ b/crates/agent/tests/fail_over.rs
@@ -18,7 +18,7 @@
     fleet.take_proxy_frames();
     fleet.controls[first].unresponsive = true;
     let unresponsive_at = fleet.now;
-    fleet.publish(1, 2, vec![backend("p", "new")]);
+    fleet.publish(1, 2, &[backend("p", "new")]);
     fleet.run(1100);
     assert_ne!(fleet.connected_node(), first);
     let failed_over_at = fleet.connects[1].at;
@@ -123,7 +123,7 @@
 #[test]
 fn a_snapshot_older_than_the_agents_state_is_refused() {
     let mut fleet = Fleet::started(&ADDRESSES);
-    fleet.publish(0, 2, vec![head(2)]);
+    fleet.publish(0, 2, &[head(2)]);
     fleet.run(10);
     let index = fleet.connected_node();
     let old = StateSnapshot {
@@ -153,7 +153,7 @@
 #[test]
 fn a_restarted_agent_fails_over_from_a_node_behind_the_revision_its_proxy_applied() {
     let mut fleet = Fleet::started(&ADDRESSES);
-    fleet.publish(0, 2, vec![head(2)]);
+    fleet.publish(0, 2, &[head(2)]);
     fleet.run(10);
     // All but one node lose the second revision again, as nodes partitioned before it would have.
     let ahead = 2;
@@ -193,7 +193,7 @@
 #[test]
 fn a_restarted_proxy_gets_a_snapshot_of_every_shard() {
     let mut fleet = Fleet::started(&ADDRESSES);
-    fleet.publish(1, 2, vec![backend("p", "new")]);
+    fleet.publish(1, 2, &[backend("p", "new")]);
     fleet.run(10);
     fleet.proxy.clear();
     fleet.handle(AgentInput::ProxyDown);
--- a/crates/agent/tests/quota_and_claims.rs
+++ b/crates/agent/tests/quota_and_claims.rs
@@ -26,7 +26,7 @@
 /// A started fleet with one tenant, for long enough that its bucket is full.
 fn fleet_with(quota: Quota) -> Fleet {
     let mut fleet = Fleet::started(&ADDRESSES);
-    fleet.publish(0, 2, vec![tenant("t", quota)]);
+    fleet.publish(0, 2, &[tenant("t", quota)]);
     let now = fleet.now;
     fleet.shared.set_quota(now, "t", quota);
     fleet.run(3_000);
--- a/crates/agent/tests/quota_over_nodes.rs
+++ b/crates/agent/tests/quota_over_nodes.rs
@@ -20,7 +20,7 @@
 const BURST: u32 = 20;
 const STREAMS: u32 = 12;
 /// Granted tokens count from the grant, and are spent at most one lease later.
-const LEASE: Duration = Duration::from_millis(1_000);
+const LEASE: Duration = Duration::from_secs(1);
 /// Timeout of a request.
 const TIMEOUT_MS: u32 = 800;
 const RUN_MILLIS: u64 = 12_000;
--- a/crates/agent/tests/support/fleet.rs
+++ b/crates/agent/tests/support/fleet.rs
@@ -77,13 +77,9 @@
             arriving: VecDeque::new(),
             sent: VecDeque::new(),
         };
-        fleet.publish(0, 1, vec![super::head(1)]);
-        fleet.publish(
-            1,
-            1,
-            vec![super::backend("p", "a"), super::backend("p", "b")],
-        );
-        fleet.publish(2, 1, vec![super::backend("q", "c")]);
+        fleet.publish(0, 1, &[super::head(1)]);
+        fleet.publish(1, 1, &[super::backend("p", "a"), super::backend("p", "b")]);
+        fleet.publish(2, 1, &[super::backend("q", "c")]);
         fleet
     }
 
@@ -120,9 +116,9 @@
     }
 
     /// Every node applies the entry.
-    pub(crate) fn publish(&mut self, shard: u32, offset: u64, items: Vec<StateItem>) {
+    pub(crate) fn publish(&mut self, shard: u32, offset: u64, items: &[StateItem]) {
         for index in 0..self.controls.len() {
-            self.publish_at(index, shard, offset, items.clone());
+            self.publish_at(index, shard, offset, items.to_vec());
         }
     }
 
--- a/crates/placement/src/options.rs
+++ b/crates/placement/src/options.rs
@@ -61,7 +61,7 @@
             min_replicas: 2,
             size_by_load: false,
             target_utilization: 0.6,
-            scale_down_delay: Duration::from_secs(60),
+            scale_down_delay: Duration::from_mins(1),
             step_interval: Duration::from_secs(2),
             forced_step_interval: Duration::from_secs(15),
             step_share: 0.1,
--- a/crates/placement/src/placer.rs
+++ b/crates/placement/src/placer.rs
@@ -173,7 +173,7 @@
         }
     }
 
-    fn run_steps(&mut self, view: &PoolView, draft: &mut Draft) {
+    fn run_steps(&mut self, view: &PoolView<'_>, draft: &mut Draft) {
         self.drains.follow(draft, view.now);
         retire(view, draft);
         remove_drained(view, &self.drains, draft);
@@ -191,7 +191,7 @@
         transition(view, &mut self.transitions, draft);
     }
 
-    fn withdrawal(&self, view: &PoolView) -> Withdrawal {
+    fn withdrawal(&self, view: &PoolView<'_>) -> Withdrawal {
         let passed = self.last_withdrawal.map(|last| view.now.since(last));
         if passed.is_some_and(|passed| passed < view.options.step_interval) {
             Withdrawal::Paced
--- a/crates/placement/src/plan/retire.rs
+++ b/crates/placement/src/plan/retire.rs
@@ -42,7 +42,7 @@
 }
 
 /// Drains what the platform retires: no gate, no pacing.
-pub fn retire(view: &PoolView, draft: &mut Draft) {
+pub fn retire(view: &PoolView<'_>, draft: &mut Draft) {
     let retired: Vec<ReplicaKey> = draft
         .active()
         .filter(|key| !view.declared.contains(key))
@@ -54,7 +54,7 @@
 }
 
 /// Removes draining replicas that are empty or past `drain_ms`.
-pub fn remove_drained(view: &PoolView, clock: &DrainClock, draft: &mut Draft) {
+pub fn remove_drained(view: &PoolView<'_>, clock: &DrainClock, draft: &mut Draft) {
     // The load snapshot of a new placer is incomplete: a replica that it lacks is not known to be idle.
     let snapshot_is_complete = clock.has_run_for(view.now, view.options.member_stale_after);
     let draining: Vec<ReplicaKey> = draft.draining().cloned().collect();
--- a/crates/placement/src/plan/scale.rs
+++ b/crates/placement/src/plan/scale.rs
@@ -1,5 +1,6 @@
 //! Second step: as many replicas of each model as its load needs.
 
+use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
 use millford_core::MonotonicTime;
@@ -33,7 +34,7 @@
 /// All eligible ones, by default: fewer would idle cores. Sized by load, models that share backends get
 /// what their load needs of processor time and of memory bandwidth.
 #[must_use]
-pub fn desired_replicas(view: &PoolView, model: &str, draft: &Draft) -> usize {
+pub fn desired_replicas(view: &PoolView<'_>, model: &str, draft: &Draft) -> usize {
     let backends = eligible_backends(view, model, draft);
     let shared = backends
         .iter()
@@ -57,7 +58,7 @@
 ///
 /// Those that declare only an old version count while they host it, at the first placement, and when the
 /// target's backends are too few; the margin over the withdrawal's threshold prevents flapping.
-fn eligible_backends<'a>(view: &'a PoolView, model: &str, draft: &Draft) -> BTreeSet<&'a str> {
+fn eligible_backends<'a>(view: &'a PoolView<'_>, model: &str, draft: &Draft) -> BTreeSet<&'a str> {
     let all = view.declared.backends_of_model(model);
     let hosting = hosting_backends(draft, model);
     let with_target: BTreeSet<&str> = view.backends_of_target(model);
@@ -71,7 +72,7 @@
         .collect()
 }
 
-fn replicas_for_bandwidth(view: &PoolView, model: &str, backends: &BTreeSet<&str>) -> usize {
+fn replicas_for_bandwidth(view: &PoolView<'_>, model: &str, backends: &BTreeSet<&str>) -> usize {
     if !view.options.bandwidth_dimension || backends.is_empty() {
         return 0;
     }
@@ -85,18 +86,25 @@
 }
 
 /// Places missing replicas at once, and withdraws surplus ones slowly.
-pub fn scale(view: &PoolView, clock: &mut SurplusClock, withdrawal: Withdrawal, draft: &mut Draft) {
+pub fn scale(
+    view: &PoolView<'_>,
+    clock: &mut SurplusClock,
+    withdrawal: Withdrawal,
+    draft: &mut Draft,
+) {
     let models: Vec<String> = view.declared.models().cloned().collect();
     for model in models {
         let desired = desired_replicas(view, &model, draft);
         let present = hosting_backends(draft, &model).len();
-        if present < desired {
-            clock.since.remove(&model);
-            place_missing(view, &model, desired - present, draft);
-        } else if present > desired {
-            withdraw_surplus(view, &model, clock, withdrawal, draft);
-        } else {
-            clock.since.remove(&model);
+        match present.cmp(&desired) {
+            Ordering::Less => {
+                clock.since.remove(&model);
+                place_missing(view, &model, desired - present, draft);
+            }
+            Ordering::Equal => {
+                clock.since.remove(&model);
+            }
+            Ordering::Greater => withdraw_surplus(view, &model, clock, withdrawal, draft),
         }
     }
 }
@@ -110,7 +118,7 @@
         .collect()
 }
 
-fn place_missing(view: &PoolView, model: &str, missing: usize, draft: &mut Draft) {
+fn place_missing(view: &PoolView<'_>, model: &str, missing: usize, draft: &mut Draft) {
     let first_placement = !draft.active().any(|key| key.model == model);
     let reason = if first_placement {
         MoveReason::Placed
@@ -123,7 +131,7 @@
 }
 
 /// Replicas that could be placed, on the backend that is least used in its tighter dimension first.
-fn candidates(view: &PoolView, model: &str, draft: &Draft) -> Vec<ReplicaKey> {
+fn candidates(view: &PoolView<'_>, model: &str, draft: &Draft) -> Vec<ReplicaKey> {
     let share = expected_gbps(view, model, draft);
     let mut candidates: Vec<Candidate> = eligible_backends(view, model, draft)
         .into_iter()
@@ -149,7 +157,7 @@
     fullness: f64,
 }
 
-fn candidate(view: &PoolView, model: &str, backend: &str) -> Option<Candidate> {
+fn candidate(view: &PoolView<'_>, model: &str, backend: &str) -> Option<Candidate> {
     let version = version_on(view, model, backend)?;
     let limit = view.bandwidth_limit(backend);
     let bandwidth = if limit > 0.0 && view.options.bandwidth_dimension {
@@ -164,7 +172,7 @@
 }
 
 /// The version to place on a backend without the model: the target, else the highest that it declares.
-fn version_on<'a>(view: &'a PoolView, model: &str, backend: &str) -> Option<&'a str> {
+fn version_on<'a>(view: &'a PoolView<'_>, model: &str, backend: &str) -> Option<&'a str> {
     let target = view.target_version(model)?;
     if view.declared.declares(backend, model, target) {
         return Some(target);
@@ -173,13 +181,13 @@
 }
 
 /// Bandwidth that one more replica would take over, in GB/s.
-fn expected_gbps(view: &PoolView, model: &str, draft: &Draft) -> f64 {
+fn expected_gbps(view: &PoolView<'_>, model: &str, draft: &Draft) -> f64 {
     let replicas = hosting_backends(draft, model).len() + 1;
     view.load.bandwidth.stream_gbps(model) * view.streams_of_model(model) / replicas as f64
 }
 
 fn withdraw_surplus(
-    view: &PoolView,
+    view: &PoolView<'_>,
     model: &str,
     clock: &mut SurplusClock,
     withdrawal: Withdrawal,
--- a/crates/placement/src/plan/transition.rs
+++ b/crates/placement/src/plan/transition.rs
@@ -27,7 +27,7 @@
 }
 
 /// Takes the next step of every model's transition that may go on.
-pub fn transition(view: &PoolView, clock: &mut TransitionClock, draft: &mut Draft) {
+pub fn transition(view: &PoolView<'_>, clock: &mut TransitionClock, draft: &mut Draft) {
     let models: Vec<String> = view.declared.models().cloned().collect();
     for model in models {
         let Some(target) = view.target_version(&model) else {
@@ -78,7 +78,7 @@
 }
 
 fn step(
-    view: &PoolView,
+    view: &PoolView<'_>,
     model: &str,
     old: &[ReplicaKey],
     progress: &mut Progress,
@@ -118,14 +118,14 @@
 }
 
 /// Whether an old replica of the model still drains beside its successor. Steps do not overlap.
-fn step_is_under_way(view: &PoolView, model: &str, draft: &Draft) -> bool {
+fn step_is_under_way(view: &PoolView<'_>, model: &str, draft: &Draft) -> bool {
     draft.draining().any(|key| {
         key.model == model && view.is_active(&key.backend) && draft.hosts_model(&key.backend, model)
     })
 }
 
 /// Old replicas on backends that declare the target too, the least used first.
-fn replaceable_in_place(view: &PoolView, target: &str, old: &[ReplicaKey]) -> Vec<ReplicaKey> {
+fn replaceable_in_place(view: &PoolView<'_>, target: &str, old: &[ReplicaKey]) -> Vec<ReplicaKey> {
     let mut replaceable: Vec<ReplicaKey> = old
         .iter()
         .filter(|key| view.declared.declares(&key.backend, &key.model, target))
@@ -141,7 +141,7 @@
 }
 
 /// Decides whether the next step may go on and how many backends it may touch.
-fn gate(view: &PoolView, model: &str, overdue: bool) -> Gate {
+fn gate(view: &PoolView<'_>, model: &str, overdue: bool) -> Gate {
     let backends = view.declared.backends_of_model(model).len();
     let allowed = step_size(view, backends);
     if !view.options.transition_gate {
@@ -167,12 +167,12 @@
     }
 }
 
-fn step_size(view: &PoolView, backends: usize) -> usize {
+fn step_size(view: &PoolView<'_>, backends: usize) -> usize {
     ((backends as f64 * view.options.step_share) as usize).max(1)
 }
 
 /// Backends that the platform retires and that still carry work: they spend the budget.
-fn retiring_backends(view: &PoolView) -> usize {
+fn retiring_backends(view: &PoolView<'_>) -> usize {
     view.backends
         .keys()
         .filter(|backend| !view.is_active(backend))
@@ -186,7 +186,7 @@
 }
 
 /// Forced steps are a quarter of the ordinary ones, at least one backend.
-fn forced_step_size(view: &PoolView, model: &str) -> usize {
+fn forced_step_size(view: &PoolView<'_>, model: &str) -> usize {
     let backends = view.declared.backends_of_model(model).len();
     (step_size(view, backends) / FORCED_STEP_DIVISOR).max(1)
 }
@@ -214,7 +214,7 @@
 ///
 /// This is never forced: a single new replica must not get the load of the whole pool.
 fn withdraw_surplus_old(
-    view: &PoolView,
+    view: &PoolView<'_>,
     model: &str,
     target: &str,
     old: &[ReplicaKey],
--- a/crates/placement/src/plan/weights.rs
+++ b/crates/placement/src/plan/weights.rs
@@ -49,7 +49,7 @@
 }
 
 /// Relieves backends that have been above the limit and lets others recover.
-pub fn adjust_weights(view: &PoolView, clock: &mut PressureClock, draft: &mut Draft) {
+pub fn adjust_weights(view: &PoolView<'_>, clock: &mut PressureClock, draft: &mut Draft) {
     if !view.options.bandwidth_dimension {
         return;
     }
@@ -83,7 +83,7 @@
 }
 
 /// Lowers the weight of the model with most headroom elsewhere, or records that none has any.
-fn relieve(view: &PoolView, backend: &str, pressure: f64, draft: &mut Draft) {
+fn relieve(view: &PoolView<'_>, backend: &str, pressure: f64, draft: &mut Draft) {
     let streams = view.streams_on(backend);
     let candidates: Vec<ReplicaKey> = draft
         .active()
@@ -115,7 +115,7 @@
 }
 
 /// Bandwidth that is free under the limit on the model's other backends, in GB/s.
-fn headroom_elsewhere(view: &PoolView, key: &ReplicaKey, draft: &Draft) -> f64 {
+fn headroom_elsewhere(view: &PoolView<'_>, key: &ReplicaKey, draft: &Draft) -> f64 {
     draft
         .active()
         .filter(|other| other.model == key.model && other.backend != key.backend)
--- a/crates/placement/tests/placer.rs
+++ b/crates/placement/tests/placer.rs
@@ -112,10 +112,10 @@
     };
     assert!(least(&fixture) < Some(1000));
     fixture.streams.clear();
-    fixture.run(Duration::from_secs(300));
+    fixture.run(Duration::from_mins(5));
     assert_eq!(least(&fixture), Some(1000));
     let stable = fixture.history.len();
-    fixture.run(Duration::from_secs(60));
+    fixture.run(Duration::from_mins(1));
     assert_eq!(fixture.history.len(), stable);
 }
 
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -152,7 +152,7 @@
     for number in 0..12 {
         fixture.add_backend(&format!("b{number:02}"), &[("m", "v1"), ("m", "v2")]);
     }
-    fixture.pool.target_version = "v1".to_owned();
+    "v1".clone_into(&mut fixture.pool.target_version);
     fixture.tick();
     fixture
 }
