--- a/crates/experiments/src/quota_age/owner_fleet.rs
+++ b/crates/experiments/src/quota_age/owner_fleet.rs
@@ -189,7 +189,7 @@
         };
         node.silences.remove(&place);
         node.uncharged = 0;
-        node.known.take(self.now, &quota(), self.fleet, &grant);
+        node.known.apply(self.now, &quota(), self.fleet, &grant);
         Some(grant.decision)
     }
 
--- a/crates/forward/src/backend/connection.rs
+++ b/crates/forward/src/backend/connection.rs
@@ -13,14 +13,14 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// Silence of the other end after which the system asks whether it is there.
+/// Idle time of the connection after which the system sends keepalive probes.
 const KEEPALIVE_IDLE_TIME: Duration = Duration::from_secs(1);
-/// Time between two such questions.
+/// Time between two such probes.
 const KEEPALIVE_PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Questions without an answer that end the connection.
+/// Unanswered probes that end the connection.
 const KEEPALIVE_PROBES: u32 = 2;
 /// Bytes that are not acknowledged for this long end the connection. A backend that is only slow
-/// acknowledges them: this notices one that is gone without a word, not one that is silent.
+/// acknowledges them: this notices one that is gone without a word, not one that is busy.
 const USER_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Ends the connection's task, and with it the connection, when dropped.
@@ -43,9 +43,9 @@
 /// How a request failed.
 #[derive(Debug)]
 pub enum SendError {
-    /// Not a byte of it left: the connection had ended before.
+    /// Not a byte of it was sent: the connection had ended before.
     Unsent(Box<Request<Full<Bytes>>>),
-    /// The connection ended after part of it may have left.
+    /// The connection ended after part of it may have been sent.
     Lost,
 }
 
@@ -79,7 +79,7 @@
         self.sender.is_ready()
     }
 
-    /// Sends a request and reads the head of the answer.
+    /// Sends a request and reads the head of the response.
     ///
     /// # Errors
     /// [`SendError::Unsent`] is proof that the backend got nothing.
--- a/crates/forward/src/backend/connection_pools.rs
+++ b/crates/forward/src/backend/connection_pools.rs
@@ -1,24 +1,25 @@
-//! Connections of this node to each backend: kept while idle, bounded in number.
+//! Connections of this node to each backend: pooled while idle, bounded in number.
 
 use std::collections::BTreeMap;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard};
 
 use millford_core::time::monotonic_now;
 use millford_core::{Duration, MonotonicTime};
 
 use crate::backend::connection::Connection;
+use crate::lock::lock;
 
-/// How long an idle connection is kept when the backend does not say.
+/// How long an idle connection stays usable when the backend does not declare it.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
 
 /// An idle connection is given up this long before the backend would close it: a request that meets
-/// the closing has an unknown fate.
+/// the closing has an unknown outcome.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
 /// Why no connection could be had.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcquireError {
-    /// This node has as many connections as it may have.
+    /// This node has as many connections to the backend as it may have.
     AtLimit,
     /// The backend refused the connection.
     Refused,
@@ -45,7 +46,7 @@
     connect_timeout: Duration,
 }
 
-/// A connection in use. Dropped, it is closed; given back, it is kept.
+/// A connection in use. Dropped, it is closed; released, it returns to its pool.
 #[derive(Debug)]
 pub struct PooledConnection {
     pools: Arc<ConnectionPools>,
@@ -93,7 +94,7 @@
         self.open(backend_id, address).await
     }
 
-    /// Requests under way to a backend.
+    /// Connections to a backend that are in use or being opened.
     #[must_use]
     pub fn in_use(&self, backend_id: &str) -> u32 {
         self.lock().get(backend_id).map_or(0, |pool| pool.in_use)
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Closes connections that are idle for too long, and those to backends that are gone.
+    /// Closes connections that are idle for too long, and those to backends that are not `known`.
     pub fn close_expired(&self, now: MonotonicTime, known: impl Fn(&str) -> bool) {
         self.lock().retain(|backend_id, pool| {
             pool.idle.retain(|idle| idle.usable_until > now);
@@ -117,7 +118,7 @@
         });
     }
 
-    /// Takes the newest idle connection that still works, or a place for a new one.
+    /// Takes the newest idle connection that still works. `None`: a new one may be opened, and is counted.
     fn take_idle(
         self: &Arc<Self>,
         backend_id: &str,
@@ -140,7 +141,7 @@
         Ok(None)
     }
 
-    /// Opens a connection for a place that is counted already.
+    /// Opens a connection that is counted already.
     async fn open(
         self: &Arc<Self>,
         backend_id: &str,
@@ -171,7 +172,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, BTreeMap<String, BackendPool>> {
-        self.pools.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.pools)
     }
 }
 
@@ -187,7 +188,7 @@
         self.reused
     }
 
-    /// Keeps the connection for the next request: its answer was read whole.
+    /// Returns the connection to its pool: its response was read completely.
     pub fn release(mut self, keep_alive: Option<Duration>) {
         let Some(connection) = self.connection.take() else {
             return;
--- a/crates/forward/src/backend/health_watch.rs
+++ b/crates/forward/src/backend/health_watch.rs
@@ -1,4 +1,4 @@
-//! Notices backends that are gone without a word, and takes ejected ones back.
+//! Ejects unresponsive backends, and readmits ejected ones.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,21 +14,21 @@
 
 const LOG: PartLog = PartLog::new("HEALTH");
 
-/// Period of the watch.
+/// Time between two checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// A backend with requests under way that is silent for this long is asked for a connection.
+/// A backend with requests in flight that sends nothing for this long is probed.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(600);
-/// Shortest time between two such questions.
+/// Shortest time between two such probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two tries to reach an ejected backend.
+/// Time between two probes of an ejected backend.
 const READMIT_PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// Period at which idle connections are looked through.
+/// Time between two sweeps of idle connections.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// Watches for as long as the process lives.
 ///
-/// The question is a bare connection: the backend's system answers it at once whatever the backend is
-/// busy with, so silence there means that the machine or the way to it is gone. It needs no slot
+/// A probe is a bare connection: the backend's system accepts it at once whatever the backend is
+/// busy with, so a timeout there means that the machine or the way to it is lost. It needs no slot
 /// and is no request.
 pub async fn run<P: ForwardProtocol>(node: Arc<ForwardNode<P>>) {
     let mut last_probes: BTreeMap<String, MonotonicTime> = BTreeMap::new();
@@ -78,7 +78,7 @@
         Ok(pooled) => {
             pooled.release(None);
             if node.state.health.probe_succeeded(&id, monotonic_now()) {
-                LOG.info(format!("Backend {id} is used again."));
+                LOG.info(format!("Backend {id} is readmitted."));
             }
         }
         Err(error) if !ejected => {
--- a/crates/forward/src/backend/mod.rs
+++ b/crates/forward/src/backend/mod.rs
@@ -1,4 +1,4 @@
-//! Kept connections to backends.
+//! Pooled connections to backends, and their health.
 
 pub mod connection;
 pub mod connection_pools;
--- a/crates/forward/src/daemon/callers.rs
+++ b/crates/forward/src/daemon/callers.rs
@@ -20,14 +20,14 @@
 
 /// Wait after a failure to accept, which mostly means that the process has no free descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Longest time for the headers of a request, and for a kept connection to be idle, where the
+/// Longest time for the headers of a request, and for a connection to be idle, where the
 /// configuration sets none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Room for the head of a request, in bytes: the usual limit of headers and the request line. Every
+/// Buffer for the head of a request, in bytes: the usual limit of headers and the request line. Every
 /// open connection may keep as much.
 const HEAD_BUFFER_BYTES: usize = 18 * 1024;
 
-/// Counts open connections, and tells them to close once their request is answered.
+/// Counts open connections, and closes them once their response is complete.
 #[derive(Clone, Debug)]
 pub struct CallerConnections {
     open: Arc<AtomicUsize>,
@@ -51,7 +51,7 @@
         self.open.load(Ordering::Relaxed)
     }
 
-    /// Idle connections close now, the others once their request is answered.
+    /// Idle connections close now, the others once their response is complete.
     pub fn close_when_idle(&self) {
         self.closing.send_replace(true);
     }
@@ -87,7 +87,7 @@
     let idle_timeout = idle_timeout(&node);
     let service = service_fn(move |request| {
         let node = Arc::clone(&node);
-        // In a box of its own: an idle connection need not keep the place of a request under way.
+        // In a box of its own: an idle connection need not hold the memory of a request in flight.
         Box::pin(async move { Ok::<_, Infallible>(serve(node, request).await) })
     });
     let connection = http1::Builder::new()
@@ -97,12 +97,12 @@
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let mut closing = connections.closing.subscribe();
-    // An error here is a caller that left, was too slow or spoke no HTTP.
-    let closes = tokio::select! {
+    // An error here is a caller that disconnected, was too slow or spoke no HTTP.
+    let must_close = tokio::select! {
         _ = connection.as_mut() => false,
         signalled = closing.wait_for(|closing| *closing) => signalled.is_ok(),
     };
-    if closes {
+    if must_close {
         connection.as_mut().graceful_shutdown();
         let _ = connection.await;
     }
--- a/crates/forward/src/daemon/readiness.rs
+++ b/crates/forward/src/daemon/readiness.rs
@@ -1,4 +1,4 @@
-//! Tells whether new callers are welcome, and the metrics.
+//! Serves readiness and metrics.
 
 use std::sync::Arc;
 
--- a/crates/forward/src/daemon/run.rs
+++ b/crates/forward/src/daemon/run.rs
@@ -26,12 +26,12 @@
 
 const LOG: PartLog = PartLog::new("FORWARD");
 
-/// Time from the signal to leave until idle connections are closed: by then no new caller is sent
-/// here, and those who hold a connection were told to close it.
+/// Time from the termination signal until idle connections are closed: by then no new caller is sent
+/// here, and those with a connection received `Connection: close`.
 const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(2200);
-/// Shortest time from the signal to leave to the end.
+/// Shortest time from the termination signal to the end.
 const MIN_DRAIN_TIME: Duration = Duration::from_millis(3200);
-/// Time between two looks at the open connections while leaving.
+/// Time between two checks of the open connections while draining.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Runs until a signal ends the process.
@@ -104,14 +104,14 @@
     miette!(code = "address_in_use_7002", "{code} {address}: {error}")
 }
 
-/// No longer ready; requests go on to be served until callers have gone elsewhere, and open ones end by
-/// themselves within a bound.
+/// Shuts down gracefully: the node is no longer ready, requests are still served until callers have moved
+/// elsewhere, and open ones end by themselves within a bound.
 async fn drain<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     connections: &CallerConnections,
     longest: Duration,
 ) {
-    LOG.info("Leaving: no longer ready.");
+    LOG.info("Draining: no longer ready.");
     let begun = monotonic_now();
     node.drain(begun, longest);
     tokio::time::sleep(IDLE_CLOSE_DELAY.min(longest)).await;
@@ -125,7 +125,7 @@
         tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
     LOG.info(format!(
-        "Left with {} open connections.",
+        "Drained with {} open connections.",
         connections.open()
     ));
 }
--- a/crates/forward/src/exchange/mod.rs
+++ b/crates/forward/src/exchange/mod.rs
@@ -1,9 +1,9 @@
-//! What the proxies tell each other directly, in datagrams: tokens admitted, and what
-//! [`crate::load`] and [`crate::prefix_index`] tell and ask. In a small fleet tokens admitted go to every peer;
-//! all else goes to owners.
+//! Datagrams between proxies: tokens admitted, and what [`crate::load`], [`crate::prefix_index`] and
+//! [`crate::quota`] publish and request. In a small fleet tokens admitted go to every peer; all else goes to
+//! owners.
 //!
-//! Counts are absolute, so that a lost datagram is made good by the next one. Who the peers are
-//! comes with the feed.
+//! Counts are absolute, so that the next datagram makes up for a lost one. Who the peers are comes with the
+//! feed.
 
 pub mod exchange_task;
 pub mod peer_sequences;
--- a/crates/forward/src/exchange/peer_sequences.rs
+++ b/crates/forward/src/exchange/peer_sequences.rs
@@ -1,31 +1,33 @@
-//! Which news of each peer are the newest.
+//! Which message of each peer is the newest.
 
 use std::collections::BTreeMap;
 
 use millford_api::exchange::PeerMessage;
 
+/// The newest message of one peer.
 #[derive(Debug, Default)]
-struct Peer {
+struct Newest {
     boot_id: u64,
     sequence: u64,
 }
 
-/// Peers by name.
+/// The newest messages by the name of their sender.
 #[derive(Debug, Default)]
 pub struct PeerSequences {
-    peers: BTreeMap<String, Peer>,
+    peers: BTreeMap<String, Newest>,
 }
 
 impl PeerSequences {
-    /// Takes news. False: they are older than what is known, and nothing of them counts.
+    /// Whether a message is newer than all before it of the same incarnation of the peer. One that is not
+    /// must be ignored.
     pub fn accept(&mut self, message: &PeerMessage) -> bool {
-        let peer = self.peers.entry(message.member.clone()).or_default();
-        let same_start = peer.boot_id == message.boot_id;
-        if same_start && message.sequence <= peer.sequence {
+        let newest = self.peers.entry(message.member.clone()).or_default();
+        let same_incarnation = newest.boot_id == message.boot_id;
+        if same_incarnation && message.sequence <= newest.sequence {
             return false;
         }
-        peer.boot_id = message.boot_id;
-        peer.sequence = message.sequence;
+        newest.boot_id = message.boot_id;
+        newest.sequence = message.sequence;
         true
     }
 }
--- a/crates/forward/src/exchange/usage_messages.rs
+++ b/crates/forward/src/exchange/usage_messages.rs
@@ -1,4 +1,4 @@
-//! Makes this node's news and takes in those of its peers.
+//! Encodes this node's token usage for its peers, and applies that of its peers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,16 +17,35 @@
 /// Most tenants in one datagram.
 const MAX_TENANTS_PER_DATAGRAM: usize = 256;
 
-/// This node's side: what was told last, so that an idle node is quiet.
+/// Which tenants an update covers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum UpdateScope {
+    /// Those whose usage changed since it was reported last.
+    Changes,
+    /// All.
+    Full,
+}
+
+/// A datagram and where it goes.
+#[derive(Clone, Debug, PartialEq)]
+pub struct AddressedMessage {
+    /// Where the receiver takes datagrams.
+    pub address: SocketAddr,
+    /// The datagram.
+    pub message: PeerMessage,
+}
+
+/// Encodes usage messages and remembers what was reported last, so that an idle node sends nothing.
 #[derive(Debug)]
 pub struct UsageMessageEncoder {
     boot_id: u64,
     sequence: u64,
+    /// Tokens by tenant as they were reported last.
     reported: BTreeMap<String, u64>,
 }
 
 impl UsageMessageEncoder {
-    /// A writer that has told nothing.
+    /// An encoder that has reported nothing.
     #[must_use]
     pub fn new(boot_id: u64) -> Self {
         Self {
@@ -36,67 +55,84 @@
         }
     }
 
-    /// For all peers: what was admitted since they were told last, or everything when `full`; nothing when
-    /// nothing was.
+    /// The message to all peers about what this node admitted; `None` when there is nothing to report.
     pub fn encode_for_all<P: ForwardProtocol>(
         &mut self,
         node: &ForwardNode<P>,
         now: MonotonicTime,
-        full: bool,
+        scope: UpdateScope,
     ) -> Option<PeerMessage> {
         let mut levels = node.quotas.levels(now);
-        levels.retain(|level| {
-            let changed = self.reported.get(&level.tenant) != Some(&level.used_tokens);
-            full || changed
-        });
+        levels.retain(|level| self.is_due(level, scope));
         levels.truncate(MAX_TENANTS_PER_DATAGRAM);
         for level in &levels {
-            self.reported
-                .insert(level.tenant.clone(), level.used_tokens);
+            self.record_reported(level);
         }
-        self.message(node, levels)
+        self.encode(node, levels)
     }
 
-    /// For the other owners of each tenant that this node owns: what was granted since they were told last,
-    /// or everything when `full`. One datagram for each of them, with its address.
+    /// The messages to the other owners of each tenant that this node owns, about what it granted as an
+    /// owner.
     pub fn encode_for_owners<P: ForwardProtocol>(
         &mut self,
         node: &ForwardNode<P>,
         ring: &OwnerRing,
         now: MonotonicTime,
-        full: bool,
-    ) -> Vec<(SocketAddr, PeerMessage)> {
+        scope: UpdateScope,
+    ) -> Vec<AddressedMessage> {
+        let by_owner = self.levels_by_owner(node, ring, now, scope);
+        let mut messages = Vec::new();
+        for for_owner in by_owner {
+            for levels in for_owner.items.chunks(MAX_TENANTS_PER_DATAGRAM) {
+                let Some(mut message) = self.encode(node, levels.to_vec()) else {
+                    continue;
+                };
+                message.is_owner = true;
+                messages.push(AddressedMessage {
+                    address: for_owner.address,
+                    message,
+                });
+            }
+        }
+        messages
+    }
+
+    fn levels_by_owner<'a, P: ForwardProtocol>(
+        &mut self,
+        node: &ForwardNode<P>,
+        ring: &'a OwnerRing,
+        now: MonotonicTime,
+        scope: UpdateScope,
+    ) -> ByOwner<'a, TenantLevel> {
         let mut by_owner = ByOwner::default();
         for level in node.quotas.levels(now) {
-            let known = self.reported.get(&level.tenant) == Some(&level.used_tokens);
-            if known && !full {
+            if !self.is_due(&level, scope) {
                 continue;
             }
             let owners = ring.owners_of_tenant(&level.tenant);
             if !owners.iter().any(|owner| owner.name == node.name) {
                 continue;
             }
-            self.reported
-                .insert(level.tenant.clone(), level.used_tokens);
+            self.record_reported(&level);
             node.quotas.mark_reported(&level.tenant);
             for owner in owners.iter().filter(|owner| owner.name != node.name) {
                 by_owner.add(owner, level.clone());
             }
         }
-        let mut datagrams = Vec::new();
-        for reported in by_owner {
-            for levels in reported.items.chunks(MAX_TENANTS_PER_DATAGRAM) {
-                let Some(mut message) = self.message(node, levels.to_vec()) else {
-                    continue;
-                };
-                message.is_owner = true;
-                datagrams.push((reported.address, message));
-            }
-        }
-        datagrams
+        by_owner
+    }
+
+    fn is_due(&self, level: &TenantLevel, scope: UpdateScope) -> bool {
+        let changed = self.reported.get(&level.tenant) != Some(&level.used_tokens);
+        changed || scope == UpdateScope::Full
+    }
+
+    fn record_reported(&mut self, level: &TenantLevel) {
+        self.reported
+            .insert(level.tenant.clone(), level.used_tokens);
     }
 
-    fn message<P: ForwardProtocol>(
+    fn encode<P: ForwardProtocol>(
         &mut self,
         node: &ForwardNode<P>,
         levels: Vec<TenantLevel>,
@@ -123,14 +159,14 @@
     }
 }
 
-/// Takes in a peer's counts.
+/// Applies a peer's counts to this node's quotas.
 pub fn apply_usage<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     now: MonotonicTime,
     message: &PeerMessage,
 ) {
     let table = node.state.table();
-    let (ring, _) = node.peers.ring(&table);
+    let ring = node.peers.ring(&table);
     let zone = message.is_owner.then(|| {
         let zone = ring.zone_of(&message.member);
         zone.unwrap_or_default().to_owned()
@@ -156,7 +192,7 @@
     limiting(table.tenant_named(name)?).copied()
 }
 
-/// A sender of an earlier version does not say.
+/// A sender of an earlier version leaves it out.
 fn counted_for(usage: &TenantUsage) -> Option<Duration> {
     (usage.counted_for_ms > 0).then(|| Duration::from_millis(usage.counted_for_ms))
 }
--- a/crates/forward/src/load/mod.rs
+++ b/crates/forward/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! The load of each backend, counted at its owners and asked for before each choice.
+//! The load of each backend, summed at its owners and queried before each choice.
 
 pub mod owned_loads;
 pub mod shared_load;
--- a/crates/forward/src/load/owned_loads.rs
+++ b/crates/forward/src/load/owned_loads.rs
@@ -5,13 +5,13 @@
 use millford_api::exchange::{BackendInFlight, InFlightUpdate, ReplicaInFlight};
 use millford_core::{Duration, MonotonicTime};
 
-/// Nodes repeat unchanged work at this period: what a lost update said is then made good.
+/// Nodes publish unchanged work again at this interval, which makes up for lost updates.
 pub const REPUBLISH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Work of a node that was not repeated for this long counts no more: three repetitions were missed.
+/// Work of a node that was not published for this long no longer counts: three repetitions were missed.
 pub const WORK_EXPIRY: Duration = Duration::from_secs(3);
 
-/// What one node said last of its work on one backend.
+/// What one node published last of its work on one backend.
 #[derive(Clone, Debug)]
 struct MemberWork {
     boot_id: u64,
@@ -21,14 +21,14 @@
 }
 
 /// Work by backend and node. Every entry is absolute, so that updates may be lost, repeated and
-/// overtaken: the newest of each node stands.
+/// reordered: the newest of each node wins.
 #[derive(Debug, Default)]
 pub struct OwnedLoads {
     backends: BTreeMap<String, BTreeMap<String, MemberWork>>,
 }
 
 impl OwnedLoads {
-    /// Takes a node's update. What is older than what is known is passed over.
+    /// Applies a node's update. What is older than what is known is ignored.
     pub fn apply(
         &mut self,
         now: MonotonicTime,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Forgets nodes that were not heard for long.
+    /// Forgets nodes whose updates expired.
     pub fn expire(&mut self, now: MonotonicTime) {
         self.backends.retain(|_, members| {
             members.retain(|_, work| now.since(work.received_at) < WORK_EXPIRY);
--- a/crates/forward/src/load/shared_load.rs
+++ b/crates/forward/src/load/shared_load.rs
@@ -1,4 +1,4 @@
-//! This node's part in counting the load of backends: tells, asks and answers.
+//! This node's part in counting the load of backends: publishes, queries and replies.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,14 +13,14 @@
 use millford_routing::{LoadTable, ReplicaCounts, ReplicaKey};
 
 use crate::load::owned_loads::OwnedLoads;
-use crate::owners::peer_link::{OwnerRoute, lock};
-use crate::owners::{ByOwner, InFlightRequests, OwnerReply, OwnerRing, PeerLink};
+use crate::lock::lock;
+use crate::owners::{ByOwner, InFlightRequests, OwnerReply, OwnerRing, OwnerRoute, PeerLink};
 
-/// Counts this old may stand in for an answer that did not come. Older ones say less than nothing:
-/// a whole prompt is read in less time.
+/// Counts this old may stand in for a reply that did not come. Older ones are worse than none:
+/// a complete prompt is read in less time.
 const FRESH_FOR: Duration = Duration::from_millis(500);
 
-/// Counts that this node owns, and how old those are that it asked for.
+/// Counts that this node owns, and how old those are that it queried.
 #[derive(Debug, Default)]
 pub struct SharedLoad {
     sequence: AtomicU64,
@@ -29,7 +29,7 @@
 }
 
 impl SharedLoad {
-    /// Tells the owners what this node has in flight on these backends.
+    /// Publishes to the owners what this node has in flight on these backends.
     pub fn publish(
         &self,
         link: &PeerLink,
@@ -48,18 +48,18 @@
                 updates.add(owner, work.clone());
             }
         }
-        for update_for_owner in updates {
+        for for_owner in updates {
             let update = InFlightUpdate {
                 sequence: self.sequence.fetch_add(1, Ordering::Relaxed) + 1,
-                backends: update_for_owner.items,
+                backends: for_owner.items,
             };
-            if update_for_owner.owner == link.member() {
+            if for_owner.owner == link.member() {
                 lock(&self.owned).apply(now, link.member(), link.boot_id(), &update);
                 continue;
             }
             let mut datagram = link.datagram();
             datagram.in_flight_update = Some(update);
-            link.send(update_for_owner.address, &datagram);
+            link.send(for_owner.address, &datagram);
         }
     }
 
@@ -69,8 +69,8 @@
         refreshed.extend(backend_ids.iter().map(|id| ((*id).to_owned(), now)));
     }
 
-    /// Asks the owners for the counts of these backends. They are on the board once the questions are
-    /// answered.
+    /// Queries the owners for the counts of these backends. They are in the load table once the replies
+    /// arrived.
     pub fn query(
         &self,
         link: &PeerLink,
@@ -109,7 +109,7 @@
         backend_ids.iter().map(is_fresh).collect()
     }
 
-    /// Takes a datagram about counts. False: it is about something else.
+    /// Takes a datagram about counts. `false`: it is about something else.
     pub fn receive(
         &self,
         link: &PeerLink,
@@ -122,41 +122,41 @@
             lock(&self.owned).apply(now, &datagram.member, datagram.boot_id, update);
             return true;
         }
-        if let Some(question) = &datagram.load_request {
-            self.answer(now, link, from, &datagram.member, question);
+        if let Some(request) = &datagram.load_request {
+            self.reply(now, link, from, &datagram.member, request);
             return true;
         }
-        let Some(answer) = &datagram.load_reply else {
+        let Some(reply) = &datagram.load_reply else {
             return false;
         };
-        for work in &answer.backends {
+        for work in &reply.backends {
             self.apply_counts(now, load_table, work);
         }
-        link.complete(now, answer.id, OwnerReply::Counts);
+        link.complete(now, reply.id, OwnerReply::Counts);
         true
     }
 
-    /// Forgets what is old.
+    /// Forgets counts that are too old to be used.
     pub fn expire(&self, now: MonotonicTime) {
         lock(&self.owned).expire(now);
         lock(&self.refreshed).retain(|_, at| now.since(*at) < FRESH_FOR);
     }
 
-    fn answer(
+    fn reply(
         &self,
         now: MonotonicTime,
         link: &PeerLink,
         from: SocketAddr,
         member: &str,
-        question: &LoadRequest,
+        request: &LoadRequest,
     ) {
         let owned = lock(&self.owned);
-        let ids = question.backend_ids.iter();
+        let ids = request.backend_ids.iter();
         let backends = ids.map(|id| owned.others(now, id, member)).collect();
         drop(owned);
         let mut datagram = link.datagram();
         datagram.load_reply = Some(LoadReply {
-            id: question.id,
+            id: request.id,
             backends,
         });
         link.send(from, &datagram);
--- a/crates/forward/src/mechanism.rs
+++ b/crates/forward/src/mechanism.rs
@@ -1,27 +1,27 @@
-//! Parts of a decision that can be left out, to measure what each is worth.
+//! Parts of a decision that can be disabled, to measure what each is worth.
 
 use std::collections::BTreeSet;
 
-/// A mechanism that makes answers better or cheaper, and that no promise rests on.
+/// A mechanism that makes responses better or cheaper, and that no guarantee depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
-    /// Work of all nodes on a backend is asked for before a choice.
+    /// The load of all nodes on a backend is queried before a choice.
     SharedLoad,
-    /// Where prompt parts were read is asked for before a choice.
+    /// The backends that have prefix blocks cached are queried before a choice.
     SharedPrefixIndex,
-    /// Prompts go where their parts were read.
+    /// Prompts go where their prefix blocks are cached.
     Affinity,
     /// Models' costs are learned from the traffic.
     LearnedCost,
     /// Placement's weights bound the use of memory bandwidth.
     BandwidthWeight,
-    /// Backends that do not answer are taken out of use.
+    /// Unresponsive backends are taken out of use.
     Ejection,
     /// A request that did not run, or may run again, goes to another backend.
     Retries,
-    /// Another backend goes on with a stream.
+    /// Another backend resumes a stream.
     Resumption,
-    /// Backends are told which requests are more urgent.
+    /// Backends receive the urgency of requests.
     Urgency,
     /// A backend of the own zone goes before an equal one elsewhere.
     ZonePreference,
@@ -71,7 +71,15 @@
     }
 }
 
-/// The mechanisms in use: all but those that the settings leave out.
+/// A name that no mechanism has.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("There is no mechanism \"{name}\".")]
+pub struct UnknownMechanism {
+    /// The name.
+    pub name: String,
+}
+
+/// The mechanisms in use: all but those that the settings disable.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Mechanisms {
     disabled: BTreeSet<Mechanism>,
@@ -82,11 +90,13 @@
     ///
     /// # Errors
     /// The first name that no mechanism has.
-    pub fn all_but(names: &str) -> Result<Self, String> {
+    pub fn all_but(names: &str) -> Result<Self, UnknownMechanism> {
         let names = names.split(',').map(str::trim);
-        let disabled = names
-            .filter(|name| !name.is_empty())
-            .map(|name| Mechanism::from_name(name).ok_or_else(|| name.to_owned()));
+        let disabled = names.filter(|name| !name.is_empty()).map(|name| {
+            Mechanism::from_name(name).ok_or_else(|| UnknownMechanism {
+                name: name.to_owned(),
+            })
+        });
         Ok(Self {
             disabled: disabled.collect::<Result<_, _>>()?,
         })
--- a/crates/forward/src/millford_protocol.rs
+++ b/crates/forward/src/millford_protocol.rs
@@ -1,33 +1,33 @@
 //! The product's own headers.
 
-use http::header::{AUTHORIZATION, HeaderName};
+use http::header::AUTHORIZATION;
 use http::{HeaderMap, HeaderValue};
 use millford_core::Duration;
-use millford_routing::PrefixBlock;
 
+use crate::header_values::{keep_alive, number, parse_prefix_blocks, set, text, token_pair};
 use crate::protocol::{Dispatch, ForwardProtocol, RequestFacts, ResponseFacts};
 
-/// Identity of a request, on requests and answers.
+/// Identity of a request, on requests and responses.
 pub const REQUEST_ID: &str = "x-millford-request-id";
 /// Time that the sender waits, in milliseconds.
 pub const DEADLINE: &str = "x-millford-deadline-ms";
-/// Model that is asked for.
+/// Requested model.
 pub const MODEL: &str = "x-millford-model";
-/// Tokens of the prompt and most tokens of the answer, as `PROMPT,OUTPUT`.
+/// Tokens of the prompt and most tokens of the response, as `PROMPT,OUTPUT`.
 pub const TOKENS: &str = "x-millford-tokens";
-/// Parts of the prompt in order, as `ID:TOKENS` by commas with the id in hexadecimal.
-pub const PROMPT_PARTS: &str = "x-millford-prompt-parts";
+/// Prefix blocks of the prompt in order, as `ID:TOKENS` separated by commas with the id in hexadecimal.
+pub const PREFIX_BLOCKS: &str = "x-millford-prompt-parts";
 /// The backend that is meant.
 pub const BACKEND: &str = "x-millford-backend";
 /// Name of the caller's tenant, towards backends.
 pub const TENANT: &str = "x-millford-tenant";
-/// Rank of the request, towards backends.
+/// Urgency of the request, towards backends.
 pub const URGENCY: &str = "x-millford-urgency";
-/// On an answer: `not_run` when the backend did not run the request and never will.
+/// On a response: `not_run` when the backend did not run the request and never will.
 pub const RUN_STATE: &str = "x-millford-run-state";
-/// Signature of a backend's answer.
+/// Signature of a backend's response.
 pub const SIGNATURE: &str = "x-millford-signature";
-/// The event after which a stream goes on.
+/// The event after which a stream is resumed.
 pub const LAST_EVENT: &str = "last-event-id";
 
 const NOT_RUN: &str = "not_run";
@@ -50,7 +50,7 @@
             model: text(headers, MODEL).unwrap_or_default().to_owned(),
             prompt_tokens,
             output_tokens,
-            prefix_blocks: parse_prefix_blocks(text(headers, PROMPT_PARTS)),
+            prefix_blocks: parse_prefix_blocks(text(headers, PREFIX_BLOCKS)),
             resume_after: number(headers, LAST_EVENT),
         }
     }
@@ -89,60 +89,3 @@
         READINESS_PATH
     }
 }
-
-/// A header's value as text, without surrounding blanks.
-#[must_use]
-pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
-    let value = headers.get(name)?;
-    value.to_str().ok().map(str::trim)
-}
-
-/// A header's value as a whole number.
-#[must_use]
-pub fn number(headers: &HeaderMap, name: &str) -> Option<u64> {
-    text(headers, name)?.parse().ok()
-}
-
-/// Sets a header; a value that no header can carry is left out.
-pub fn set(headers: &mut HeaderMap, name: &str, value: &str) {
-    let name = HeaderName::try_from(name);
-    if let (Ok(name), Ok(value)) = (name, HeaderValue::from_str(value)) {
-        headers.insert(name, value);
-    }
-}
-
-/// Two numbers by a comma.
-#[must_use]
-pub fn token_pair(value: Option<&str>) -> (Option<u64>, Option<u64>) {
-    let Some((prompt, output)) = value.and_then(|value| value.split_once(',')) else {
-        return (None, None);
-    };
-    (prompt.trim().parse().ok(), output.trim().parse().ok())
-}
-
-/// Parts as `ID:TOKENS` by commas, the id in hexadecimal. A list with a fault counts as absent.
-#[must_use]
-pub fn parse_prefix_blocks(value: Option<&str>) -> Vec<PrefixBlock> {
-    let Some(value) = value else {
-        return Vec::new();
-    };
-    let parts: Option<Vec<PrefixBlock>> = value.split(',').map(prompt_part).collect();
-    parts.unwrap_or_default()
-}
-
-fn prompt_part(text: &str) -> Option<PrefixBlock> {
-    let (id, tokens) = text.trim().split_once(':')?;
-    Some(PrefixBlock {
-        id: u64::from_str_radix(id, 16).ok()?,
-        tokens: tokens.parse().ok()?,
-    })
-}
-
-/// The time in a `Keep-Alive` header, in whole seconds.
-#[must_use]
-pub fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
-    let value = text(headers, "keep-alive")?;
-    let mut fields = value.split(',').map(str::trim);
-    let seconds = fields.find_map(|field| field.strip_prefix("timeout="))?;
-    seconds.trim().parse().ok().map(Duration::from_secs)
-}
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -26,7 +26,7 @@
     pub zone: String,
     /// Routing table, work in flight, costs, health and budgets.
     pub state: Arc<ProxyState>,
-    /// Where prompt parts were read.
+    /// Which backends have which prefix blocks cached.
     pub prefix_index: PrefixIndex,
     /// The way to the nodes that own keys.
     pub peers: PeerLink,
@@ -47,7 +47,7 @@
 }
 
 impl<P: ForwardProtocol> ForwardNode<P> {
-    /// A node that has been told nothing.
+    /// A node that has received nothing.
     #[must_use]
     pub fn new(settings: &ForwardSettings, state: Arc<ProxyState>, protocol: P) -> Self {
         state.board.follow_peers();
@@ -69,7 +69,7 @@
             quotas: TenantQuotas::default(),
             quota_client,
             connections: Arc::new(ConnectionPools::new(settings.connect_timeout())),
-            // Settings with a wrong name are refused before a node is made of them.
+            // Settings with an unknown name are refused before a node is built from them.
             mechanisms: Mechanisms::all_but(&settings.disabled_mechanisms).unwrap_or_default(),
             decision_log_per_mille: settings.decision_log_per_mille,
             graceful_shutdown: OnceLock::new(),
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The node leaves, and its process ends within `longest`.
+    /// The node drains, and its process ends within `longest`.
     pub fn drain(&self, now: MonotonicTime, longest: Duration) {
         self.state.set_draining();
         let _ = self
@@ -85,14 +85,14 @@
             .set(GracefulShutdown::begin(now, longest));
     }
 
-    /// Whether a request that has to be answered by `deadline` is taken now.
+    /// Whether a request with this `deadline` is accepted now.
     #[must_use]
     pub fn accepts(&self, now: MonotonicTime, deadline: MonotonicTime) -> bool {
-        let graceful_shutdown = self.graceful_shutdown.get();
-        graceful_shutdown.is_none_or(|graceful_shutdown| graceful_shutdown.accepts(now, deadline))
+        let shutdown = self.graceful_shutdown.get();
+        shutdown.is_none_or(|shutdown| shutdown.accepts(now, deadline))
     }
 
-    /// Takes a backend out of use; requests that wait for it and may go elsewhere hear of it.
+    /// Takes a backend out of use; requests that wait for it and may be retried elsewhere are woken.
     pub fn eject(&self, backend_id: &str, reason: EjectionReason) {
         let ejected = self.state.health.ejection(backend_id).is_some();
         if ejected || !self.mechanisms.has(Mechanism::Ejection) {
@@ -104,7 +104,7 @@
     }
 
     /// Bytes came from a backend.
-    pub fn heard(&self, backend_id: &str, now: MonotonicTime) {
+    pub fn record_activity(&self, backend_id: &str, now: MonotonicTime) {
         self.state.health.record_activity(backend_id, now);
     }
 
--- a/crates/forward/src/owners/by_owner.rs
+++ b/crates/forward/src/owners/by_owner.rs
@@ -1,4 +1,4 @@
-//! Items sorted by the owners that they are for.
+//! Items grouped by the owners that they are for.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,11 +12,11 @@
     pub owner: &'a str,
     /// Where it takes datagrams.
     pub address: SocketAddr,
-    /// What is for it, in the order of the adding.
+    /// What is for it, in the order of insertion.
     pub items: Vec<T>,
 }
 
-/// Items for each of some owners, so that each gets one datagram.
+/// Items for each of some owners, so that each gets one datagram. Iterates in the order of the owners' names.
 #[derive(Clone, Debug)]
 pub struct ByOwner<'a, T>(BTreeMap<&'a str, OwnerItems<'a, T>>);
 
--- a/crates/forward/src/owners/owner_ring.rs
+++ b/crates/forward/src/owners/owner_ring.rs
@@ -8,10 +8,13 @@
 
 use crate::quota::FleetSize;
 
-/// In a fleet of up to this many proxies tenants have no owners: each node counts for itself and tells all
-/// others, which costs fewer datagrams than a question before each admission, and no wait.
+/// In a fleet of up to this many proxies tenants have no owners: each node counts for itself and notifies all
+/// others, which costs fewer datagrams than a request before each admission, and no wait.
 const MAX_NODES_WITHOUT_TENANT_OWNERS: usize = 17;
 
+/// Owners of one key in one group of proxies.
+const OWNERS_PER_KEY: usize = 2;
+
 /// A proxy that may own keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Owner {
@@ -31,17 +34,17 @@
     }
 }
 
-/// The proxies among which keys are divided, this node included.
+/// The proxies among which keys are divided, this node included, by rendezvous hashing.
 ///
-/// A proxy that comes or goes moves only the keys that it owns. While nodes disagree on who the
-/// proxies are, they may ask another owner than others tell; the repeated updates heal this.
+/// A proxy that joins or leaves moves only the keys that it owns. While nodes disagree on who the
+/// proxies are, they may request from another owner than others publish to; the repeated updates heal this.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OwnerRing {
     members: Vec<Owner>,
 }
 
 impl OwnerRing {
-    /// The ring of these proxies; one whose address cannot be read owns nothing.
+    /// The ring of these proxies; one whose address cannot be parsed owns nothing.
     #[must_use]
     pub fn of(peers: &[ProxyMember]) -> Self {
         let members = peers.iter().filter_map(|peer| {
@@ -63,54 +66,47 @@
         self.owners(xxh3_64(backend_id.as_bytes()))
     }
 
-    /// The owners of a prompt part's places.
+    /// The owners of a prefix block's locations.
     #[must_use]
-    pub fn owners_of_block(&self, part: u64) -> Vec<&Owner> {
-        self.owners(xxh3_64(&part.to_le_bytes()))
+    pub fn owners_of_block(&self, block: u64) -> Vec<&Owner> {
+        self.owners(xxh3_64(&block.to_le_bytes()))
     }
 
-    /// The owners of a tenant's bucket whom nodes of a zone ask: two of that zone, so that a question
-    /// never leaves it and a zone that is cut off has owners of its own.
+    /// The owners of a tenant's bucket that nodes of a zone use: two of that zone, so that a request never
+    /// leaves it and a partitioned zone has owners of its own.
     #[must_use]
     pub fn owners_of_tenant_in(&self, zone: &str, tenant: &str) -> Vec<&Owner> {
         let key = xxh3_64(tenant.as_bytes());
         let in_zone = self.members.iter().filter(|owner| owner.zone == zone);
-        let best = top_two(in_zone, key);
+        let best = highest_ranked(in_zone, key);
         match best.is_empty() {
-            true => top_two(self.members.iter(), key),
+            true => highest_ranked(self.members.iter(), key),
             false => best,
         }
     }
 
-    /// The owners of a tenant's bucket whom nodes of a zone ask while none of their own zone answers, the
+    /// The owners of a tenant's bucket that nodes of a zone use while none of their own zone replies, the
     /// same order for all: one of each other zone, which knows what all zones granted.
     #[must_use]
     pub fn owners_of_tenant_outside(&self, zone: &str, tenant: &str) -> Vec<&Owner> {
         let key = xxh3_64(tenant.as_bytes());
         let outside = self.members.iter().filter(|owner| owner.zone != zone);
-        let mut best: BTreeMap<&str, (u64, &Owner)> = BTreeMap::new();
-        for owner in outside {
-            let hash = owner.rank(key);
-            let known = best.entry(&owner.zone).or_insert((hash, owner));
-            if hash > known.0 {
-                *known = (hash, owner);
-            }
-        }
-        let mut best: Vec<(u64, &Owner)> = best.into_values().collect();
-        best.sort_by_key(|(hash, _)| std::cmp::Reverse(*hash));
-        best.into_iter().map(|(_, owner)| owner).collect()
+        let first_of_each = by_zone(outside)
+            .into_values()
+            .filter_map(|owners| highest_ranked(owners, key).into_iter().next());
+        let mut best: Vec<&Owner> = first_of_each.collect();
+        best.sort_by_key(|owner| std::cmp::Reverse(owner.rank(key)));
+        best
     }
 
     /// All owners of a tenant's bucket, two in each zone.
     #[must_use]
     pub fn owners_of_tenant(&self, tenant: &str) -> Vec<&Owner> {
         let key = xxh3_64(tenant.as_bytes());
-        let mut zones: BTreeMap<&str, Vec<&Owner>> = BTreeMap::new();
-        for owner in &self.members {
-            zones.entry(&owner.zone).or_default().push(owner);
-        }
-        let best = zones.into_values().map(|owners| top_two(owners, key));
-        best.flatten().collect()
+        let zones = by_zone(&self.members).into_values();
+        zones
+            .flat_map(|owners| highest_ranked(owners, key))
+            .collect()
     }
 
     /// Number of proxies.
@@ -119,8 +115,8 @@
         self.members.len()
     }
 
-    /// Proxies of the fleet and of a zone, for a node of that zone: it counts also where the ring does not
-    /// show it yet.
+    /// Proxies of the fleet and of a zone, for a node of that zone: the node counts also where the ring does
+    /// not contain it yet.
     #[must_use]
     pub fn size_for(&self, zone: &str) -> FleetSize {
         let in_zone = self.members.iter().filter(|member| member.zone == zone);
@@ -152,33 +148,41 @@
         Some(&member.zone)
     }
 
-    /// The owners of a key, the first one before its stand-in. The stand-in is of another zone where there
-    /// is one, so that both are not lost together.
+    /// The first and the second owner of a key. The second one is of another zone where there is one, so
+    /// that both are not lost together.
     fn owners(&self, key: u64) -> Vec<&Owner> {
-        let best = |zone_to_avoid: Option<&str>, taken: Option<&str>| {
+        let highest = |excluded_zone: Option<&str>, excluded_name: Option<&str>| {
             self.members
                 .iter()
-                .filter(|owner| Some(owner.zone.as_str()) != zone_to_avoid)
-                .filter(|owner| Some(owner.name.as_str()) != taken)
+                .filter(|owner| Some(owner.zone.as_str()) != excluded_zone)
+                .filter(|owner| Some(owner.name.as_str()) != excluded_name)
                 .max_by_key(|owner| owner.rank(key))
         };
-        let Some(first) = best(None, None) else {
+        let Some(first) = highest(None, None) else {
             return Vec::new();
         };
-        let elsewhere = best(Some(&first.zone), None);
-        let second = elsewhere.or_else(|| best(None, Some(&first.name)));
+        let elsewhere = highest(Some(&first.zone), None);
+        let second = elsewhere.or_else(|| highest(None, Some(&first.name)));
         std::iter::once(first).chain(second).collect()
     }
 }
 
-/// The two of `owners` with the highest hash for `key`, the highest first.
-fn top_two<'a>(owners: impl IntoIterator<Item = &'a Owner>, key: u64) -> Vec<&'a Owner> {
-    let mut best: Vec<(u64, &Owner)> = Vec::with_capacity(3);
+fn by_zone<'a>(owners: impl IntoIterator<Item = &'a Owner>) -> BTreeMap<&'a str, Vec<&'a Owner>> {
+    let mut zones: BTreeMap<&str, Vec<&Owner>> = BTreeMap::new();
+    for owner in owners {
+        zones.entry(&owner.zone).or_default().push(owner);
+    }
+    zones
+}
+
+/// The [`OWNERS_PER_KEY`] highest-ranked of `owners` for `key`, the highest first.
+fn highest_ranked<'a>(owners: impl IntoIterator<Item = &'a Owner>, key: u64) -> Vec<&'a Owner> {
+    let mut best: Vec<(u64, &Owner)> = Vec::with_capacity(OWNERS_PER_KEY + 1);
     for owner in owners {
-        let hash = owner.rank(key);
-        let place = best.partition_point(|(better, _)| *better >= hash);
-        best.insert(place, (hash, owner));
-        best.truncate(2);
+        let rank = owner.rank(key);
+        let position = best.partition_point(|(better, _)| *better >= rank);
+        best.insert(position, (rank, owner));
+        best.truncate(OWNERS_PER_KEY);
     }
     best.into_iter().map(|(_, owner)| owner).collect()
 }
--- a/crates/forward/src/owners/peer_link.rs
+++ b/crates/forward/src/owners/peer_link.rs
@@ -1,7 +1,7 @@
-//! How this node reaches the owners of a key, and waits for their answers.
+//! How this node reaches the owners of a key, and waits for their replies.
 
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
+use std::sync::{Arc, Mutex, OnceLock};
 
 use millford_api::exchange::PeerMessage;
 use millford_core::MonotonicTime;
@@ -11,6 +11,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::oneshot;
 
+use crate::lock::lock;
 use crate::owners::by_owner::ByOwner;
 use crate::owners::owner_ring::{Owner, OwnerRing};
 use crate::owners::pending_requests::{OwnerReply, PendingRequests};
@@ -22,18 +23,25 @@
     ring: Arc<OwnerRing>,
 }
 
-/// Questions that were sent and wait for their answers.
+/// One request that was sent and waits for its reply.
+#[derive(Debug)]
+struct InFlightRequest {
+    id: u64,
+    reply: oneshot::Receiver<OwnerReply>,
+}
+
+/// Requests that were sent and wait for their replies.
 #[derive(Debug, Default)]
-pub struct InFlightRequests(Vec<(u64, oneshot::Receiver<OwnerReply>)>);
+pub struct InFlightRequests(Vec<InFlightRequest>);
 
 impl InFlightRequests {
-    /// Number of the first question, if there is one.
+    /// Id of the first request, if there is one.
     #[must_use]
     pub fn first_id(&self) -> Option<u64> {
-        self.0.first().map(|(id, _)| *id)
+        self.0.first().map(|request| request.id)
     }
 
-    /// Both together.
+    /// These requests and those of `other`.
     #[must_use]
     pub fn and(mut self, other: Self) -> Self {
         self.0.extend(other.0);
@@ -41,18 +49,18 @@
     }
 }
 
-/// Who is to be asked about a key.
+/// Where requests about a key go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnerRoute<'a> {
-    /// Nobody is known.
+    /// No owner is known.
     Unknown,
     /// This node owns the key itself.
     Local,
-    /// Another node.
+    /// Another node owns it.
     Remote(&'a Owner),
 }
 
-/// The node's socket to its peers, the ring of owners, and open questions.
+/// The node's socket to its peers, the ring of owners, and pending requests.
 #[derive(Debug)]
 pub struct PeerLink {
     member: String,
@@ -63,7 +71,7 @@
 }
 
 impl PeerLink {
-    /// The link of the node with this name. Until it has a socket nothing leaves.
+    /// The link of the node with this name. Until it is connected it sends nothing.
     #[must_use]
     pub fn new(member: &str) -> Self {
         Self {
@@ -81,43 +89,52 @@
         &self.member
     }
 
-    /// Minted at the start of the process: counts begin again.
+    /// Minted at the start of the process: peers begin its counts again when it changes.
     #[must_use]
     pub fn boot_id(&self) -> u64 {
         self.boot_id
     }
 
-    /// Datagrams leave through this socket from now on.
+    /// Datagrams are sent through this socket from now on.
     pub fn connect(&self, socket: Arc<UdpSocket>) {
         let _ = self.socket.set(socket);
     }
 
-    /// Who owns what at present. Answers also whether that changed with this call.
-    pub fn ring(&self, table: &Arc<RoutingTable>) -> (Arc<OwnerRing>, bool) {
+    /// The ring of the table's proxies.
+    pub fn ring(&self, table: &Arc<RoutingTable>) -> Arc<OwnerRing> {
+        self.refresh_ring(table).ring
+    }
+
+    /// The ring of the table's proxies, and whether it changed with this call.
+    pub fn refresh_ring(&self, table: &Arc<RoutingTable>) -> RefreshedRing {
         let mut cached = lock(&self.ring);
-        let cached_table = cached.table.as_ref();
-        if cached_table.is_some_and(|cached_table| Arc::ptr_eq(cached_table, table)) {
-            return (Arc::clone(&cached.ring), false);
+        let known = cached.table.as_ref();
+        let mut has_changed = false;
+        if !known.is_some_and(|known| Arc::ptr_eq(known, table)) {
+            cached.table = Some(Arc::clone(table));
+            let ring = OwnerRing::of(table.forward().peers());
+            has_changed = ring != *cached.ring;
+            if has_changed {
+                cached.ring = Arc::new(ring);
+            }
         }
-        cached.table = Some(Arc::clone(table));
-        let ring = OwnerRing::of(table.forward().peers());
-        let changed = ring != *cached.ring;
-        if changed {
-            cached.ring = Arc::new(ring);
+        RefreshedRing {
+            ring: Arc::clone(&cached.ring),
+            has_changed,
         }
-        (Arc::clone(&cached.ring), changed)
     }
 
-    /// The owner to ask about a key: the first one that answers lately.
+    /// Where to send requests about a key: to the first of its owners that is responsive, or else to the
+    /// first.
     pub fn route_of<'a>(&self, now: MonotonicTime, owners: &[&'a Owner]) -> OwnerRoute<'a> {
-        let first_responsive = self.first_responsive(now, owners);
-        match first_responsive.or_else(|| owners.first().copied()) {
+        let responsive = self.first_responsive(now, owners);
+        match responsive.or_else(|| owners.first().copied()) {
             None => OwnerRoute::Unknown,
             Some(owner) => self.route_to(owner),
         }
     }
 
-    /// The first of these owners that is believed to answer.
+    /// The first of these owners that is believed to be responsive.
     pub fn first_responsive<'a>(
         &self,
         now: MonotonicTime,
@@ -128,7 +145,7 @@
         owners.find(|owner| !pending.is_suspect(now, &owner.name))
     }
 
-    /// How this owner is asked.
+    /// How requests reach this owner.
     #[must_use]
     pub fn route_to<'a>(&self, owner: &'a Owner) -> OwnerRoute<'a> {
         match owner.name == self.member {
@@ -137,25 +154,24 @@
         }
     }
 
-    /// Sends one question to each owner. `write` puts the number and the items into a datagram.
+    /// Sends one request to each owner. `encode` puts the request's id and the items into a datagram.
     pub fn send_requests<T>(
         &self,
-        wanted: ByOwner<'_, T>,
-        write: impl Fn(u64, Vec<T>, &mut PeerMessage),
+        by_owner: ByOwner<'_, T>,
+        encode: impl Fn(u64, Vec<T>, &mut PeerMessage),
     ) -> InFlightRequests {
         let now = monotonic_now();
-        let mut in_flight = Vec::new();
-        for wanted in wanted {
-            let (id, reply) = lock(&self.pending).begin(now, wanted.owner);
+        let requests = by_owner.into_iter().map(|for_owner| {
+            let (id, reply) = lock(&self.pending).begin(now, for_owner.owner);
             let mut datagram = self.datagram();
-            write(id, wanted.items, &mut datagram);
-            self.send(wanted.address, &datagram);
-            in_flight.push((id, reply));
-        }
-        InFlightRequests(in_flight)
+            encode(id, for_owner.items, &mut datagram);
+            self.send(for_owner.address, &datagram);
+            InFlightRequest { id, reply }
+        });
+        InFlightRequests(requests.collect())
     }
 
-    /// Waits until the questions are answered or the usual time for an answer is over.
+    /// Waits until all replies arrived or the request timeout is over.
     pub async fn wait(&self, in_flight: InFlightRequests) -> Vec<OwnerReply> {
         if in_flight.0.is_empty() {
             return Vec::new();
@@ -163,8 +179,8 @@
         let timeout = lock(&self.pending).timeout();
         let deadline = tokio::time::Instant::now() + timeout;
         let mut replies = Vec::new();
-        for (id, receiver) in in_flight.0 {
-            match tokio::time::timeout_at(deadline, receiver).await {
+        for InFlightRequest { id, reply } in in_flight.0 {
+            match tokio::time::timeout_at(deadline, reply).await {
                 Ok(Ok(reply)) => replies.push(reply),
                 Ok(Err(_)) | Err(_) => lock(&self.pending).time_out(monotonic_now(), id),
             }
@@ -172,14 +188,12 @@
         replies
     }
 
-    /// The answer to a question arrived.
-    ///
-    /// False: nobody waits for it any longer.
+    /// The reply to a request arrived. `false`: nobody waits for it any longer.
     pub fn complete(&self, now: MonotonicTime, id: u64, reply: OwnerReply) -> bool {
         lock(&self.pending).complete(now, id, reply)
     }
 
-    /// Forgets what is old.
+    /// Forgets requests whose callers went away.
     pub fn expire(&self, now: MonotonicTime) {
         lock(&self.pending).expire(now);
     }
@@ -194,7 +208,8 @@
         }
     }
 
-    /// A datagram that cannot be sent is as good as lost: what is told is repeated, questions time out.
+    /// Sends a datagram. One that cannot be sent is as good as lost: updates are repeated, requests time
+    /// out.
     pub fn send(&self, address: SocketAddr, datagram: &PeerMessage) {
         if let Some(socket) = self.socket.get() {
             let _ = socket.try_send_to(&datagram.encode_to_vec(), address);
@@ -202,7 +217,11 @@
     }
 }
 
-/// The guarded value, also after a panic of another holder: what is guarded here is soft state.
-pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+/// The ring of owners at present.
+#[derive(Clone, Debug)]
+pub struct RefreshedRing {
+    /// Which proxy owns what.
+    pub ring: Arc<OwnerRing>,
+    /// Whether it differs from the ring before.
+    pub has_changed: bool,
 }
--- a/crates/forward/src/owners/pending_requests.rs
+++ b/crates/forward/src/owners/pending_requests.rs
@@ -1,4 +1,4 @@
-//! Questions to owners that wait for their answers.
+//! Requests to owners that wait for their replies.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,23 +9,23 @@
 use crate::owners::round_trip::RoundTrip;
 use crate::quota::Grant;
 
-/// Questions in a row without an answer after which an owner's stand-in is asked. One alone may be a
-/// lost datagram.
+/// Timeouts in a row after which the second owner of a key is preferred. A single one may be a lost
+/// datagram.
 const TIMEOUTS_TO_SUSPECT: u32 = 2;
 
-/// How long a silent owner is passed over: a restarted process is back within this time, and every try
-/// costs one choice its fresh counts.
+/// How long an unresponsive owner is passed over: a restarted process is back within this time, and every
+/// attempt costs one choice its fresh counts.
 const SUSPECT_FOR: Duration = Duration::from_secs(1);
 
-/// What an owner answered.
+/// What an owner replied.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OwnerReply {
-    /// Counts of backends, which are on the board already.
+    /// Counts of backends, which are in the load table already.
     Counts,
-    /// The backends that keep some parts.
+    /// The backends that have some prefix blocks cached.
     Blocks(Vec<BlockBackends>),
-    /// The decision on a request of a tenant; nothing where the owner knows of no quota.
-    Quota(Option<Grant>),
+    /// The decision on a tenant's request; `None` where the owner has no quota of the tenant.
+    Admission(Option<Grant>),
 }
 
 #[derive(Debug)]
@@ -41,7 +41,7 @@
     suspect_until: Option<MonotonicTime>,
 }
 
-/// Questions by number, and which owners leave them unanswered.
+/// Requests by id, and which owners let them time out.
 #[derive(Debug, Default)]
 pub struct PendingRequests {
     last_id: u64,
@@ -51,60 +51,60 @@
 }
 
 impl PendingRequests {
-    /// Begins a question. The receiver resolves once it is answered.
+    /// Begins a request to `owner`: its id, and the receiver of its reply.
     pub fn begin(
         &mut self,
         now: MonotonicTime,
         owner: &str,
     ) -> (u64, oneshot::Receiver<OwnerReply>) {
-        let (reply_sender, complete) = oneshot::channel();
+        let (reply_sender, reply) = oneshot::channel();
         self.last_id += 1;
-        let pending = PendingRequest {
+        let request = PendingRequest {
             owner: owner.to_owned(),
             sent_at: now,
             reply_sender,
         };
-        self.requests.insert(self.last_id, pending);
-        (self.last_id, complete)
+        self.requests.insert(self.last_id, request);
+        (self.last_id, reply)
     }
 
-    /// An answer came. False: nobody asked, or nobody waits any longer and the owner is only heard.
-    pub fn complete(&mut self, now: MonotonicTime, id: u64, answer: OwnerReply) -> bool {
-        let Some(pending) = self.requests.remove(&id) else {
+    /// A reply arrived. `false`: no such request is pending, or nobody waits for it any longer.
+    pub fn complete(&mut self, now: MonotonicTime, id: u64, reply: OwnerReply) -> bool {
+        let Some(request) = self.requests.remove(&id) else {
             return false;
         };
-        self.round_trip.add(now.since(pending.sent_at));
-        self.timeouts.remove(&pending.owner);
-        pending.reply_sender.send(answer).is_ok()
+        self.round_trip.add(now.since(request.sent_at));
+        self.timeouts.remove(&request.owner);
+        request.reply_sender.send(reply).is_ok()
     }
 
-    /// The wait for an answer is over.
+    /// The wait for a reply is over.
     pub fn time_out(&mut self, now: MonotonicTime, id: u64) {
-        let Some(pending) = self.requests.remove(&id) else {
+        let Some(request) = self.requests.remove(&id) else {
             return;
         };
-        let owner_timeouts = self.timeouts.entry(pending.owner).or_default();
-        owner_timeouts.consecutive += 1;
-        if owner_timeouts.consecutive >= TIMEOUTS_TO_SUSPECT {
-            owner_timeouts.suspect_until = Some(now + SUSPECT_FOR);
+        let timeouts = self.timeouts.entry(request.owner).or_default();
+        timeouts.consecutive += 1;
+        if timeouts.consecutive >= TIMEOUTS_TO_SUSPECT {
+            timeouts.suspect_until = Some(now + SUSPECT_FOR);
         }
     }
 
-    /// Forgets questions whose request went away while it waited.
+    /// Forgets requests whose caller went away while they were in flight.
     pub fn expire(&mut self, now: MonotonicTime) {
         self.requests
-            .retain(|_, pending| now.since(pending.sent_at) < SUSPECT_FOR);
+            .retain(|_, request| now.since(request.sent_at) < SUSPECT_FOR);
     }
 
-    /// Whether an owner left questions unanswered lately.
+    /// Whether requests to an owner timed out lately.
     #[must_use]
     pub fn is_suspect(&self, now: MonotonicTime, owner: &str) -> bool {
-        let owner_timeouts = self.timeouts.get(owner);
-        let until = owner_timeouts.and_then(|owner_timeouts| owner_timeouts.suspect_until);
+        let timeouts = self.timeouts.get(owner);
+        let until = timeouts.and_then(|timeouts| timeouts.suspect_until);
         until.is_some_and(|until| now < until)
     }
 
-    /// How long to wait for an answer.
+    /// How long to wait for a reply.
     #[must_use]
     pub fn timeout(&self) -> Duration {
         self.round_trip.timeout()
--- a/crates/forward/src/prefix_index.rs
+++ b/crates/forward/src/prefix_index.rs
@@ -1,4 +1,6 @@
-//! This node's part in keeping where prompt parts were read: tells, asks and answers.
+//! Which backends have which prefix blocks cached, kept at each block's owners and queried before each choice.
+//!
+//! This node publishes what it sends, queries the owners, and replies as an owner.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,16 +12,15 @@
 use millford_core::time::monotonic_now;
 use millford_routing::{CachedBlock, PrefixBlock, PrefixIndex};
 
-use crate::owners::peer_link::OwnerRoute;
-use crate::owners::{ByOwner, InFlightRequests, OwnerReply, OwnerRing, PeerLink};
+use crate::owners::{ByOwner, InFlightRequests, OwnerReply, OwnerRing, OwnerRoute, PeerLink};
 
-/// Most holders of a part that an owner names: those that used it last. More are of no use to one choice.
+/// Most backends of a block that an owner names: those that used it last. More are of no use to one choice.
 pub const MAX_BACKENDS_PER_BLOCK: usize = 8;
 
-/// The backends that keep each of some parts, as far as this node knows.
+/// The ids of the backends that have each block cached, as far as this node knows.
 pub type BackendsByBlock = BTreeMap<u64, Vec<String>>;
 
-/// Tells the parts' owners which places this node used.
+/// Publishes to the blocks' owners where this node sent them.
 pub fn publish(link: &PeerLink, ring: &OwnerRing, locations: Vec<CachedBlock>) {
     let mut updates = ByOwner::default();
     for location in locations {
@@ -44,8 +45,8 @@
     }
 }
 
-/// Asks the owners who keeps these parts, among some backends or all. What this node knows itself is
-/// noted at once.
+/// Queries the owners which backends have these blocks cached, among some backends or all. What this node
+/// knows itself is added to `known` at once.
 pub fn query(
     link: &PeerLink,
     ring: &OwnerRing,
@@ -82,7 +83,7 @@
     }
 }
 
-/// Adds what owners answered to what is known.
+/// Adds what owners replied to what is known.
 pub fn merge_replies(known: &mut BackendsByBlock, replies: Vec<OwnerReply>) {
     for reply in replies {
         let OwnerReply::Blocks(blocks) = reply else {
@@ -94,7 +95,7 @@
     }
 }
 
-/// Takes a datagram about parts. False: it is about something else.
+/// Takes a datagram about prefix blocks. `false`: it is about something else.
 pub fn receive(
     link: &PeerLink,
     prefix_index: &PrefixIndex,
--- a/crates/forward/src/quota/cluster_bucket.rs
+++ b/crates/forward/src/quota/cluster_bucket.rs
@@ -1,11 +1,11 @@
-//! One tenant's token bucket, as one node believes it to stand in the whole fleet.
+//! One tenant's token bucket over the whole fleet, as one node estimates it.
 
 use millford_api::config::TokenQuota;
 use millford_core::{Duration, MonotonicTime};
 
-/// Debt never exceeds this many bursts: whatever a peer tells must not shut a tenant out for long.
-/// What nodes admit at the same time stays far below it, and must not be forgiven: a tenant that
-/// presses on would exceed its quota by it again and again.
+/// Debt never exceeds this many bursts: whatever a peer reports must not shut a tenant out for long.
+/// What nodes admit at the same time stays far below it, and must not be forgiven: a tenant that keeps
+/// sending more than its quota would exceed it by that again and again.
 const MAX_DEBT_BURSTS: f64 = 4.0;
 
 /// Debt from a request itself never exceeds what the rate gives in this time: its size is what the caller
@@ -23,16 +23,16 @@
 /// come a little closer together.
 const PEAK_S: f64 = 0.25;
 
-/// Part of the difference to a peer's belief by which this node's moves with each of its news.
+/// Share of the difference to a peer's estimate by which this node's moves with each of its messages.
 const AGREEMENT_SHARE: f64 = 1.0 / 64.0;
 
-/// A peer whose belief differs by more than this part of a burst has not heard of the others, or
+/// A peer whose estimate differs by more than this share of a burst has not received from the others, or
 /// this node has not: there is nothing to agree on.
 const AGREEMENT_RANGE: f64 = 0.5;
 
 /// A bucket that may be in debt: a request is admitted while anything is left, whatever its size, so
 /// that large requests are not refused more often than small ones. Over any span the admitted
-/// tokens exceed rate and burst by at most one request and what peers had not told of yet.
+/// tokens exceed rate and burst by at most one request and what peers had not reported yet.
 #[derive(Clone, Debug)]
 pub struct ClusterBucket {
     figures: BucketFigures,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Takes a changed quota over. What is left stays, up to the new burst.
+    /// Applies a changed quota. What is left stays, up to the new burst.
     pub fn set_quota(&mut self, quota: &TokenQuota, now: MonotonicTime) {
         self.refill(now);
         self.figures = BucketFigures::of(quota);
@@ -73,7 +73,7 @@
         Err(self.figures.wait(self.level))
     }
 
-    /// Gives back what a request took that never left for a backend.
+    /// Puts back what a request took that was never sent to a backend.
     pub fn refund(&mut self, now: MonotonicTime, tokens: u64) {
         self.refill(now);
         self.level = (self.level + tokens as f64).min(self.figures.burst);
@@ -86,17 +86,17 @@
         self.level = (self.level - tokens).clamp(floor, self.figures.burst);
     }
 
-    /// Believes a peer that knows of less: for a node that has just started.
+    /// Adopts a peer's level if it is lower: for a node that has just started.
     pub fn lower_to(&mut self, now: MonotonicTime, level: f64) {
         self.refill(now);
         self.level = self.level.min(level.max(-self.max_reported_debt()));
     }
 
-    /// Moves a little towards what a peer believes to be left.
+    /// Moves a little towards what a peer estimates to be left.
     ///
-    /// Counts that cross on their way, or are given back, leave nodes with beliefs that differ for
-    /// as long as the bucket does not fill up. While a tenant presses on, the node that believes
-    /// most would admit nearly all of its requests, and the others nearly none.
+    /// Counts that cross on their way, or are refunded, leave nodes with estimates that differ for
+    /// as long as the bucket does not fill up. While a tenant sends more than its quota, the node with the
+    /// highest estimate would admit nearly all of its requests, and the others nearly none.
     pub fn agree(&mut self, now: MonotonicTime, peer_level: f64) {
         self.refill(now);
         let difference = peer_level - self.level;
--- a/crates/forward/src/quota/level_estimate.rs
+++ b/crates/forward/src/quota/level_estimate.rs
@@ -1,4 +1,4 @@
-//! What a node that does not own a tenant knows of its bucket.
+//! What a node that does not own a tenant's bucket knows of its level.
 
 use millford_api::config::TokenQuota;
 use millford_core::{Duration, MonotonicTime};
@@ -6,7 +6,7 @@
 use super::cluster_bucket::BucketFigures;
 use super::grant::Grant;
 
-/// Nodes that hold a quota together.
+/// Nodes that share a quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSize {
     /// All of them, at least 1.
@@ -15,17 +15,23 @@
     pub in_zone: usize,
 }
 
-/// Why a node decides on a request alone.
+/// Why a node decides on a request without an owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DegradedReason {
-    /// An answer did not come in time. The other nodes of the zone have theirs.
+    /// A reply did not come in time. The other nodes of the zone get theirs.
     AnswerLost,
-    /// No owner that this zone asks has answered lately: all its nodes decide alone.
+    /// No owner that this zone uses has replied lately: none of its nodes has an owner.
     OwnersUnreachable,
 }
 
 impl DegradedReason {
-    /// As metrics name it.
+    /// Every reason.
+    pub const ALL: [DegradedReason; 2] = [
+        DegradedReason::AnswerLost,
+        DegradedReason::OwnersUnreachable,
+    ];
+
+    /// The value of the metric's label, which dates from before the present terms.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -42,24 +48,27 @@
     }
 }
 
-/// The owner's last answer, and what this node admitted since without one.
+/// The owner's last reply, and what this node admitted since without one.
 ///
-/// # Why a refusal without asking is right
-/// Only time adds to the owner's bucket, at the quota's rate. What the owner last told, and all that
-/// the rate gave since, is therefore at least what is left.
+/// # Why a refusal without a request is right
+/// Only time adds to the owner's bucket, at the quota's rate. What the owner last reported, and all that
+/// the rate added since, is therefore at least what is left.
 #[derive(Clone, Copy, Debug)]
 pub struct LevelEstimate {
     figures: BucketFigures,
+    /// Tokens left, as the owner reported it.
     level: f64,
     reported_at: MonotonicTime,
+    /// What the whole fleet admits, in tokens a second.
     admitted_per_second: f64,
+    /// Tokens that this node admitted since without a reply.
     admitted_degraded: f64,
     fleet: FleetSize,
 }
 
 impl LevelEstimate {
-    /// Nothing was told yet: the node goes by its equal share of the fleet. A whole bucket at each node that
-    /// has just started would be many times the quota.
+    /// Nothing was reported yet: the node goes by its equal share of the fleet. A full bucket at each node
+    /// that has just started would be many times the quota.
     #[must_use]
     pub fn unknown(quota: &TokenQuota, fleet: FleetSize, now: MonotonicTime) -> Self {
         let figures = BucketFigures::of(quota);
@@ -74,8 +83,8 @@
         }
     }
 
-    /// An owner answered.
-    pub fn take(
+    /// An owner replied.
+    pub fn apply(
         &mut self,
         now: MonotonicTime,
         quota: &TokenQuota,
@@ -96,16 +105,16 @@
     #[must_use]
     pub fn certain_wait(&self, now: MonotonicTime) -> Option<Duration> {
         let passed = now.since(self.reported_at).as_secs_f64();
-        let most = self.level + passed * self.figures.rate;
-        (most <= 0.0).then(|| self.figures.wait(most))
+        let upper_bound = self.level + passed * self.figures.rate;
+        (upper_bound <= 0.0).then(|| self.figures.wait(upper_bound))
     }
 
-    /// Admits a request while no owner answers. The fleet is assumed to go on as before, with this zone's
-    /// part of what it admitted left to this zone.
+    /// Admits a request while no owner replies. The fleet is assumed to go on as before, with this zone's
+    /// share of what it admitted left to this zone.
     ///
-    /// # Why this node's admissions count for the whole zone once its owners are gone
-    /// They are lost for all its nodes together, and each of them was told the same. If each took what is
-    /// left for itself, the zone would admit all that a tenant asks for.
+    /// # Why this node's admissions count for the whole zone once its owners are unreachable
+    /// They are lost for all its nodes together, and each of them has the same report. If each took what is
+    /// left for itself, the zone would admit all that a tenant sends.
     ///
     /// # Errors
     /// The time until something is left.
--- a/crates/forward/src/quota/quota_client.rs
+++ b/crates/forward/src/quota/quota_client.rs
@@ -1,59 +1,98 @@
-//! This node's part in quotas with owners: asks before each admission, answers as an owner, and tells
-//! the other owners.
+//! The requesting side of token quotas with owners: before each admission a node requests it from an owner
+//! of the tenant's bucket, and decides by its own estimate while no owner replies.
 
 use std::collections::BTreeMap;
-use std::net::SocketAddr;
 use std::sync::Mutex;
 
 use millford_api::config::{Tenant, TokenQuota};
-use millford_api::exchange::{AdmissionReply, AdmissionRequest, PeerMessage};
+use millford_api::exchange::{AdmissionRequest, PeerMessage};
 use millford_core::time::monotonic_now;
 use millford_core::{Duration, MonotonicTime};
-use millford_routing::RoutingTable;
 use prometheus::{IntCounterVec, Opts};
 
 use super::grant::Grant;
 use super::level_estimate::{DegradedReason, FleetSize, LevelEstimate};
+use super::quota_service::grant_of;
 use super::tenant_quotas::{TenantQuotas, limiting};
-use crate::owners::peer_link::{OwnerRoute, lock};
-use crate::owners::{ByOwner, InFlightRequests, Owner, OwnerReply, OwnerRing, PeerLink};
+use crate::lock::lock;
+use crate::owners::{
+    ByOwner, InFlightRequests, Owner, OwnerReply, OwnerRing, OwnerRoute, PeerLink,
+};
 
-/// Answers that come later than this after their time are not waited for: the owner is gone.
-const LATE_RESPONSE_WINDOW: Duration = Duration::from_secs(2);
+/// How long after its timeout a reply is still accounted for; later the owner counts as lost.
+const LATE_REPLY_WINDOW: Duration = Duration::from_secs(2);
 
-/// Owners that are asked about one request, one after the other: each costs the usual time for an answer.
+/// Owners that are tried for one request, one after the other: each costs a request timeout.
 const MAX_OWNERS_TRIED: usize = 3;
 
-/// What this node knows of one tenant that it does not own.
+/// Name of the metric. Its label `reason` has the values of [`DegradedReason::name`].
+const DEGRADED_DECISIONS_METRIC: &str = "millford_proxy_quota_decided_alone";
+
+/// What this node knows of the bucket of one tenant that it does not own.
 #[derive(Clone, Copy, Debug)]
 struct TenantEstimate {
-    known: LevelEstimate,
-    /// Admitted here without an answer and charged by nobody, as far as is known; goes along with the next
-    /// question. Less than 0 where an owner charged what was not admitted.
+    level: LevelEstimate,
+    /// Tokens admitted here without a reply and charged by nobody, as far as is known; carried by the next
+    /// request. Less than 0 where an owner charged what was not admitted.
     uncharged: i64,
 }
 
-/// A question whose answer did not come in time. If it comes yet, the owner has charged the tokens.
+/// A request whose reply did not come in time. If it still comes, the owner has charged the tokens.
 #[derive(Clone, Debug)]
 struct TimedOutRequest {
     tenant: String,
     timed_out_at: MonotonicTime,
     tokens: u64,
-    /// Tokens that the question brought along.
+    /// Uncharged tokens that the request carried.
     carried: i64,
 }
 
-/// A request that wants to be admitted.
+/// A caller's request that is to be admitted.
 #[derive(Clone, Copy, Debug)]
 struct Admission<'a> {
     tenant: &'a str,
     quota: &'a TokenQuota,
     tokens: u64,
-    /// Proxies that hold the quota.
+    /// Proxies that share the quota.
     fleet: FleetSize,
 }
 
-/// Tenants that this node asks owners about.
+/// What came of a request to an owner.
+#[derive(Clone, Copy, Debug)]
+enum RequestOutcome {
+    /// The owner decided.
+    Granted(Grant),
+    /// The owner has not received the tenant's quota yet.
+    QuotaUnknown,
+    /// No reply came in time.
+    TimedOut,
+}
+
+/// The owners of tenants' buckets, as a node of `zone` reaches them.
+#[derive(Clone, Copy, Debug)]
+pub struct QuotaOwners<'a> {
+    /// The way to other nodes.
+    pub link: &'a PeerLink,
+    /// Which node owns what.
+    pub ring: &'a OwnerRing,
+    /// Zone of the requesting node.
+    pub zone: &'a str,
+}
+
+impl<'a> QuotaOwners<'a> {
+    /// The first owner that is believed to be responsive, of this zone before the others, without those
+    /// that were `tried` for this very request.
+    fn next(&self, now: MonotonicTime, tenant: &str, tried: &[&str]) -> Option<&'a Owner> {
+        let first_responsive = |mut owners: Vec<&'a Owner>| {
+            owners.retain(|owner| !tried.contains(&owner.name.as_str()));
+            self.link.first_responsive(now, &owners)
+        };
+        first_responsive(self.ring.owners_of_tenant_in(self.zone, tenant))
+            .or_else(|| first_responsive(self.ring.owners_of_tenant_outside(self.zone, tenant)))
+    }
+}
+
+/// Requests admissions from owners and keeps an estimate of each tenant's bucket.
 #[derive(Debug)]
 pub struct QuotaClient {
     estimates: Mutex<BTreeMap<String, TenantEstimate>>,
@@ -63,8 +102,8 @@
 
 impl Default for QuotaClient {
     fn default() -> Self {
-        let help = "Admissions that were decided without an owner's answer, by the reason.";
-        let options = Opts::new("millford_proxy_quota_decided_alone", help);
+        let help = "Admissions that were decided without an owner's reply, by reason.";
+        let options = Opts::new(DEGRADED_DECISIONS_METRIC, help);
         let degraded_decisions = IntCounterVec::new(options, &["reason"]);
         Self {
             estimates: Mutex::default(),
@@ -75,22 +114,20 @@
 }
 
 impl QuotaClient {
-    /// The metric of what was decided alone.
+    /// The metric of degraded decisions, to be registered.
     #[must_use]
     pub fn metric(&self) -> IntCounterVec {
         self.degraded_decisions.clone()
     }
 
-    /// Admits a request of a tenant by an owner of its bucket, of `zone` where one answers, or says when to
-    /// come back. Without any answer the node decides by what it was told last.
+    /// Admits a request of a tenant by an owner of its bucket, or says when to come back. Without any reply
+    /// the node decides by its estimate.
     ///
     /// # Errors
     /// The time until the tenant's bucket holds anything.
     pub async fn admit(
         &self,
-        link: &PeerLink,
-        ring: &OwnerRing,
-        zone: &str,
+        owners: QuotaOwners<'_>,
         quotas: &TenantQuotas,
         tenant: &Tenant,
         tokens: u64,
@@ -98,266 +135,194 @@
         let Some(quota) = limiting(tenant) else {
             return Ok(());
         };
-        let request = Admission {
+        let admission = Admission {
             tenant: &tenant.name,
             quota,
             tokens,
-            fleet: ring.size_for(zone),
+            fleet: owners.ring.size_for(owners.zone),
         };
         let mut tried = Vec::with_capacity(MAX_OWNERS_TRIED);
         for _ in 0..MAX_OWNERS_TRIED {
             let now = monotonic_now();
-            let owner = next_owner(now, link, ring, zone, &tenant.name, &tried);
-            let Some(owner) = owner else {
+            let Some(owner) = owners.next(now, admission.tenant, &tried) else {
                 break;
             };
-            if link.route_to(owner) == OwnerRoute::Local {
+            if owners.link.route_to(owner) == OwnerRoute::Local {
                 let grant = quotas.grant(now, tenant, tokens, 0);
                 return grant.map_or(Ok(()), |grant| grant.decision);
             }
-            let carried = self.begin(now, request)?;
-            if let Some(grant) = self.ask(link, owner, request, carried).await {
-                return self.take(monotonic_now(), request, grant);
+            let carried = self.take_uncharged(now, admission)?;
+            match self.request(owners.link, owner, admission, carried).await {
+                RequestOutcome::Granted(grant) => {
+                    self.apply_grant(monotonic_now(), admission, &grant);
+                    return grant.decision;
+                }
+                RequestOutcome::QuotaUnknown => {
+                    let reason = DegradedReason::AnswerLost;
+                    return self.admit_degraded(monotonic_now(), admission, reason);
+                }
+                RequestOutcome::TimedOut => tried.push(owner.name.as_str()),
             }
-            tried.push(owner.name.as_str());
         }
         let now = monotonic_now();
-        let reason = match next_owner(now, link, ring, zone, &tenant.name, &[]) {
+        let reason = match owners.next(now, admission.tenant, &[]) {
             Some(_) => DegradedReason::AnswerLost,
             None => DegradedReason::OwnersUnreachable,
         };
-        self.admit_degraded(now, request, reason)
+        self.admit_degraded(now, admission, reason)
     }
 
-    /// Asks an owner. Nothing: its answer did not come in time.
-    async fn ask(
-        &self,
-        link: &PeerLink,
-        owner: &Owner,
-        request: Admission<'_>,
-        carried: i64,
-    ) -> Option<Option<Grant>> {
-        let pending = send_request(link, owner, request, carried);
-        let id = pending.first_id().unwrap_or_default();
-        let reply = link.wait(pending).await.pop();
-        if let Some(OwnerReply::Quota(grant)) = reply {
-            return Some(grant);
-        }
-        let now = monotonic_now();
-        let timed_out = TimedOutRequest {
-            tenant: request.tenant.to_owned(),
-            timed_out_at: now,
-            tokens: request.tokens,
-            carried,
-        };
-        lock(&self.timed_out).insert(id, timed_out);
-        self.change(now, request, |estimates| {
-            estimates.uncharged = estimates.uncharged.saturating_add(carried);
-        });
-        None
-    }
-
-    /// Requests that this node decided on without an answer so far.
+    /// Number of requests that this node decided on without a reply so far.
     #[must_use]
     pub fn degraded_decisions(&self) -> u64 {
-        let reasons = [
-            DegradedReason::AnswerLost,
-            DegradedReason::OwnersUnreachable,
-        ]
-        .map(DegradedReason::name);
-        let counts =
-            reasons.map(|reason| self.degraded_decisions.with_label_values(&[reason]).get());
+        let counts = DegradedReason::ALL.map(|reason| {
+            let counter = self.degraded_decisions.with_label_values(&[reason.name()]);
+            counter.get()
+        });
         counts.iter().sum()
     }
 
-    /// Takes a datagram about quotas with owners. False: it is about something else.
-    pub fn receive(
-        &self,
-        link: &PeerLink,
-        table: &RoutingTable,
-        quotas: &TenantQuotas,
-        from: SocketAddr,
-        datagram: &PeerMessage,
-    ) -> bool {
-        let now = monotonic_now();
-        if let Some(timed_out) = &datagram.admission_request {
-            let mut reply = link.datagram();
-            reply.admission_reply = Some(reply_to(now, table, quotas, timed_out));
-            link.send(from, &reply);
-            return true;
-        }
+    /// Takes an owner's reply. `false`: the datagram holds none.
+    pub fn receive(&self, link: &PeerLink, datagram: &PeerMessage) -> bool {
         let Some(reply) = &datagram.admission_reply else {
             return false;
         };
         let grant = grant_of(reply);
-        if !link.complete(now, reply.id, OwnerReply::Quota(grant)) {
+        if !link.complete(monotonic_now(), reply.id, OwnerReply::Admission(grant)) {
             self.complete_late(reply.id, grant);
         }
         true
     }
 
-    /// Forgets what is old.
+    /// Forgets requests that timed out long ago.
     pub fn expire(&self, now: MonotonicTime) {
-        lock(&self.timed_out)
-            .retain(|_, timed_out| now.since(timed_out.timed_out_at) < LATE_RESPONSE_WINDOW);
+        let is_recent = |at: MonotonicTime| now.since(at) < LATE_REPLY_WINDOW;
+        lock(&self.timed_out).retain(|_, request| is_recent(request.timed_out_at));
+    }
+
+    /// Requests admission from an owner and waits for its reply.
+    async fn request(
+        &self,
+        link: &PeerLink,
+        owner: &Owner,
+        admission: Admission<'_>,
+        carried: i64,
+    ) -> RequestOutcome {
+        let in_flight = send_request(link, owner, admission, carried);
+        let id = in_flight.first_id().unwrap_or_default();
+        let reply = link.wait(in_flight).await.pop();
+        if let Some(OwnerReply::Admission(grant)) = reply {
+            return grant.map_or(RequestOutcome::QuotaUnknown, RequestOutcome::Granted);
+        }
+        let now = monotonic_now();
+        let timed_out = TimedOutRequest {
+            tenant: admission.tenant.to_owned(),
+            timed_out_at: now,
+            tokens: admission.tokens,
+            carried,
+        };
+        lock(&self.timed_out).insert(id, timed_out);
+        self.update_estimate(now, admission, |estimate| {
+            estimate.uncharged = estimate.uncharged.saturating_add(carried);
+        });
+        RequestOutcome::TimedOut
     }
 
     /// The owner charged what this node counted as uncharged.
     fn complete_late(&self, id: u64, grant: Option<Grant>) {
-        let Some(timed_out) = lock(&self.timed_out).remove(&id) else {
+        let Some(request) = lock(&self.timed_out).remove(&id) else {
             return;
         };
         let Some(grant) = grant else {
             return;
         };
         let admitted = match grant.decision {
-            Ok(()) => tokens_of(timed_out.tokens),
+            Ok(()) => signed(request.tokens),
             Err(_) => 0,
         };
-        if let Some(estimates) = lock(&self.estimates).get_mut(&timed_out.tenant) {
-            let charged = timed_out.carried.saturating_add(admitted);
-            estimates.uncharged = estimates.uncharged.saturating_sub(charged);
+        if let Some(estimate) = lock(&self.estimates).get_mut(&request.tenant) {
+            let charged = request.carried.saturating_add(admitted);
+            estimate.uncharged = estimate.uncharged.saturating_sub(charged);
         }
     }
 
-    /// What the next question has to bring along, unless it is certain what its answer would be.
-    fn begin(&self, now: MonotonicTime, request: Admission<'_>) -> Result<i64, Duration> {
-        self.change(now, request, |estimates| {
-            match estimates.known.certain_wait(now) {
+    /// The uncharged tokens that the next request carries.
+    ///
+    /// # Errors
+    /// The time until anything can be left, where a refusal is certain without a request.
+    fn take_uncharged(
+        &self,
+        now: MonotonicTime,
+        admission: Admission<'_>,
+    ) -> Result<i64, Duration> {
+        self.update_estimate(now, admission, |estimate| {
+            match estimate.level.certain_wait(now) {
                 Some(wait) => Err(wait),
-                None => Ok(std::mem::take(&mut estimates.uncharged)),
+                None => Ok(std::mem::take(&mut estimate.uncharged)),
             }
         })
     }
 
-    fn take(
-        &self,
-        now: MonotonicTime,
-        request: Admission<'_>,
-        grant: Option<Grant>,
-    ) -> Result<(), Duration> {
-        let Some(grant) = grant else {
-            // The owner has not heard of the quota yet.
-            return self.admit_degraded(now, request, DegradedReason::AnswerLost);
-        };
-        self.change(now, request, |estimates| {
-            estimates
-                .known
-                .take(now, request.quota, request.fleet, &grant);
+    fn apply_grant(&self, now: MonotonicTime, admission: Admission<'_>, grant: &Grant) {
+        self.update_estimate(now, admission, |estimate| {
+            let Admission { quota, fleet, .. } = admission;
+            estimate.level.apply(now, quota, fleet, grant);
         });
-        grant.decision
     }
 
     fn admit_degraded(
         &self,
         now: MonotonicTime,
-        request: Admission<'_>,
+        admission: Admission<'_>,
         reason: DegradedReason,
     ) -> Result<(), Duration> {
-        self.degraded_decisions
-            .with_label_values(&[reason.name()])
-            .inc();
-        self.change(now, request, |estimates| {
-            estimates
-                .known
-                .admit_degraded(now, reason, request.tokens)?;
-            estimates.uncharged = estimates
-                .uncharged
-                .saturating_add(tokens_of(request.tokens));
+        let labels = [reason.name()];
+        self.degraded_decisions.with_label_values(&labels).inc();
+        let tokens = admission.tokens;
+        self.update_estimate(now, admission, |estimate| {
+            estimate.level.admit_degraded(now, reason, tokens)?;
+            estimate.uncharged = estimate.uncharged.saturating_add(signed(tokens));
             Ok(())
         })
     }
 
-    fn change<T>(
+    fn update_estimate<T>(
         &self,
         now: MonotonicTime,
-        request: Admission<'_>,
-        change: impl FnOnce(&mut TenantEstimate) -> T,
+        admission: Admission<'_>,
+        update: impl FnOnce(&mut TenantEstimate) -> T,
     ) -> T {
-        let mut all = lock(&self.estimates);
-        let estimates = all
-            .entry(request.tenant.to_owned())
+        let mut estimates = lock(&self.estimates);
+        let estimate = estimates
+            .entry(admission.tenant.to_owned())
             .or_insert_with(|| TenantEstimate {
-                known: LevelEstimate::unknown(request.quota, request.fleet, now),
+                level: LevelEstimate::unknown(admission.quota, admission.fleet, now),
                 uncharged: 0,
             });
-        change(estimates)
+        update(estimate)
     }
 }
 
-/// The first owner that is believed to answer, of this zone before the others, passing over those that were
-/// asked in vain for this very request.
-fn next_owner<'a>(
-    now: MonotonicTime,
-    link: &PeerLink,
-    ring: &'a OwnerRing,
-    zone: &str,
-    tenant: &str,
-    tried: &[&str],
-) -> Option<&'a Owner> {
-    let first_sound = |mut owners: Vec<&'a Owner>| {
-        owners.retain(|owner| !tried.contains(&owner.name.as_str()));
-        link.first_responsive(now, &owners)
-    };
-    first_sound(ring.owners_of_tenant_in(zone, tenant))
-        .or_else(|| first_sound(ring.owners_of_tenant_outside(zone, tenant)))
-}
-
 fn send_request(
     link: &PeerLink,
     owner: &Owner,
-    request: Admission<'_>,
+    admission: Admission<'_>,
     uncharged_tokens: i64,
 ) -> InFlightRequests {
-    let mut questions = ByOwner::default();
-    questions.add(owner, request.tenant.to_owned());
-    link.send_requests(questions, |id, tenants, datagram| {
-        let timed_out = tenants.into_iter().next().map(|tenant| AdmissionRequest {
+    let mut by_owner = ByOwner::default();
+    by_owner.add(owner, admission.tenant.to_owned());
+    link.send_requests(by_owner, |id, tenants, datagram| {
+        let request = tenants.into_iter().next().map(|tenant| AdmissionRequest {
             id,
             tenant,
-            tokens: request.tokens,
+            tokens: admission.tokens,
             uncharged_tokens,
         });
-        datagram.admission_request = timed_out;
-    })
-}
-
-fn reply_to(
-    now: MonotonicTime,
-    table: &RoutingTable,
-    quotas: &TenantQuotas,
-    timed_out: &AdmissionRequest,
-) -> AdmissionReply {
-    let tenant = table.tenant_named(&timed_out.tenant);
-    let grant = tenant
-        .and_then(|tenant| quotas.grant(now, tenant, timed_out.tokens, timed_out.uncharged_tokens));
-    let Some(grant) = grant else {
-        return AdmissionReply {
-            id: timed_out.id,
-            unlimited: true,
-            ..AdmissionReply::default()
-        };
-    };
-    let wait = grant.decision.err().unwrap_or_default();
-    AdmissionReply {
-        id: timed_out.id,
-        unlimited: false,
-        admitted: grant.decision.is_ok(),
-        retry_after_us: u64::try_from(wait.as_micros()).unwrap_or(u64::MAX),
-        level_tokens: grant.level_tokens,
-        admitted_tokens_per_second: grant.admitted_per_second,
-    }
-}
-
-fn grant_of(reply: &AdmissionReply) -> Option<Grant> {
-    let wait = Duration::from_micros(reply.retry_after_us);
-    (!reply.unlimited).then_some(Grant {
-        decision: if reply.admitted { Ok(()) } else { Err(wait) },
-        level_tokens: reply.level_tokens,
-        admitted_per_second: reply.admitted_tokens_per_second,
+        datagram.admission_request = request;
     })
 }
 
-fn tokens_of(tokens: u64) -> i64 {
+/// Tokens as a number that may be subtracted from.
+fn signed(tokens: u64) -> i64 {
     i64::try_from(tokens).unwrap_or(i64::MAX)
 }
--- a/crates/forward/src/quota/usage_meter.rs
+++ b/crates/forward/src/quota/usage_meter.rs
@@ -14,7 +14,7 @@
 }
 
 impl UsageMeter {
-    /// A meter that has seen nothing.
+    /// A meter of no admissions.
     #[must_use]
     pub fn new(now: MonotonicTime) -> Self {
         Self {
--- a/crates/forward/src/request/attempt.rs
+++ b/crates/forward/src/request/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a request: from the connection to the head of the answer.
+//! One attempt at a request: from the connection to the head of the response.
 
 use bytes::Bytes;
 use http::header::{CONTENT_ENCODING, HOST};
@@ -13,26 +13,34 @@
 use crate::backend::connection::SendError;
 use crate::backend::connection_pools::{AcquireError, PooledConnection};
 use crate::backend::health_watch::ejection_reason;
+use crate::header_values::number;
 use crate::mechanism::Mechanism;
-use crate::millford_protocol::number;
 use crate::node::ForwardNode;
 use crate::protocol::{Dispatch, ForwardProtocol, ResponseFacts};
 use crate::request::choose::{Target, shareable_blocks};
 use crate::request::headers::{remove_hop_by_hop, remove_length};
 use crate::request::plan::Plan;
 
-/// Rank of all requests where none is more urgent than another.
+/// Urgency of all requests where none is more urgent than another.
 const EQUAL_URGENCY: u32 = 5;
 
-/// Connections that had ended before anything left that one attempt may meet.
+/// Connections that the backend had closed before anything was sent that one attempt may meet.
 const MAX_STALE_CONNECTIONS: u32 = 3;
 
-/// An answer whose head has arrived, with all that it holds.
+/// Without the backend's word that the request did not run, these statuses would tell the caller what nobody
+/// knows.
+const NOT_RUN_STATUSES: [StatusCode; 3] = [
+    StatusCode::REQUEST_TIMEOUT,
+    StatusCode::TOO_MANY_REQUESTS,
+    StatusCode::SERVICE_UNAVAILABLE,
+];
+
+/// A response whose head has arrived, with all that it holds.
 #[derive(Debug)]
-pub struct Opened {
+pub struct OpenResponse {
     /// Where it comes from.
     pub target: Target,
-    /// Counts the request.
+    /// Counts the request as in flight.
     pub in_flight: InFlightGuard,
     /// The connection.
     pub pooled: PooledConnection,
@@ -41,30 +49,30 @@
     /// Head and body.
     pub response: Response<Incoming>,
     /// When the request was sent.
-    pub sent: MonotonicTime,
-    /// Prompt tokens under way on the backend at that time, its own included.
+    pub sent_at: MonotonicTime,
+    /// Prompt tokens in flight on the backend at that time, its own included.
     pub queued_tokens: u64,
     /// Streams on the backend at that time.
     pub streams: u32,
 }
 
-/// An attempt that brought no answer.
+/// Why an attempt brought no response that may go to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// Nothing left for the backend.
+    /// Nothing was sent to the backend.
     NotSent,
-    /// The backend said that it did not run the request and never will.
+    /// The backend declared that it did not run the request and never will.
     NotRun {
-        /// When it wants to be asked again.
+        /// When it wants to be tried again.
         retry_after: Option<Duration>,
     },
     /// The request may have run.
     Lost(ResultCode),
-    /// The time is over; the request may have run.
+    /// The deadline passed; the request may have run.
     TimedOut,
 }
 
-/// Sends the request to the target and reads the head of the answer.
+/// Sends the request to the target and reads the head of the response.
 ///
 /// # Errors
 /// See [`AttemptFailure`].
@@ -73,66 +81,82 @@
     plan: &Plan,
     target: Target,
     resume_after: Option<u64>,
-) -> Result<Opened, AttemptFailure> {
+) -> Result<OpenResponse, AttemptFailure> {
     let id = target.key.backend_id.clone();
     let tokens = target.uncached_tokens;
     let queued_tokens = target.belief.queued_tokens.saturating_add(tokens);
     let streams = target.belief.streams;
     let in_flight = node.state.board.start(target.key.clone(), tokens);
-    node.prefix_index.record_dispatch(
-        monotonic_now(),
-        &id,
-        &plan.facts.prefix_blocks,
-        shareable_blocks(plan).len(),
-    );
-    let max_connections = node.connection_share(target.max_connections);
+    let shareable = shareable_blocks(plan).len();
+    let blocks = &plan.facts.prefix_blocks;
+    node.prefix_index
+        .record_dispatch(monotonic_now(), &id, blocks, shareable);
+    let limit = node.connection_share(target.max_connections);
     for _ in 0..MAX_STALE_CONNECTIONS {
-        let acquired = node
-            .connections
-            .acquire(&id, &target.address, max_connections)
-            .await;
-        let mut pooled = acquired.map_err(|error| unreachable_backend(node, &id, error))?;
-        let now = monotonic_now();
-        let time_left = plan.deadline.since(now);
-        if time_left.is_zero() {
-            return Err(AttemptFailure::NotSent);
-        }
-        let request = request_for(node, plan, &id, time_left, resume_after)?;
-        node.state.health.record_dispatch(&id, now);
-        let Some(connection) = pooled.connection() else {
-            return Err(AttemptFailure::NotSent);
-        };
-        let sending = connection.send(request);
-        let sent = tokio::select! {
-            sent = sending => sent,
-            () = tokio::time::sleep(time_left) => return Err(AttemptFailure::TimedOut),
-            () = node.until_ejected(&id), if plan.is_repeatable() => {
-                return Err(AttemptFailure::Lost(ResultCode::BackendSilent));
-            }
+        let acquired = node.connections.acquire(&id, &target.address, limit).await;
+        let mut pooled = acquired.map_err(|error| acquire_failed(node, &id, error))?;
+        let sent_at = monotonic_now();
+        let sent = send(node, plan, &id, &mut pooled, sent_at, resume_after);
+        let Some(response) = sent.await? else {
+            continue;
         };
-        let response = match sent {
-            Ok(response) => response,
-            // The backend had closed the kept connection: a fresh one may do.
-            Err(SendError::Unsent(_)) => continue,
-            Err(SendError::Lost) => return Err(connection_lost(node, &id, pooled.is_reused())),
-        };
-        node.heard(&id, monotonic_now());
+        node.record_activity(&id, monotonic_now());
         let facts = node.protocol.read_response(response.headers());
-        let opened = Opened {
+        let opened = OpenResponse {
             target,
             in_flight,
             pooled,
             facts,
             response,
-            sent: now,
+            sent_at,
             queued_tokens,
             streams,
         };
-        return judge(node, plan, opened);
+        return check(node, plan, opened);
     }
     Err(AttemptFailure::NotSent)
 }
 
+/// Sends the request on one connection and reads the head of the response. `None`: the backend had closed the
+/// reused connection, nothing was sent, and another connection may do.
+async fn send<P: ForwardProtocol>(
+    node: &ForwardNode<P>,
+    plan: &Plan,
+    backend_id: &str,
+    pooled: &mut PooledConnection,
+    sent_at: MonotonicTime,
+    resume_after: Option<u64>,
+) -> Result<Option<Response<Incoming>>, AttemptFailure> {
+    let time_left = plan.deadline.since(sent_at);
+    if time_left.is_zero() {
+        return Err(AttemptFailure::NotSent);
+    }
+    let request = request_for(node, plan, backend_id, time_left, resume_after)?;
+    node.state.health.record_dispatch(backend_id, sent_at);
+    let is_reused = pooled.is_reused();
+    let Some(connection) = pooled.connection() else {
+        return Err(AttemptFailure::NotSent);
+    };
+    let sent = tokio::select! {
+        sent = connection.send(request) => sent,
+        () = tokio::time::sleep(time_left) => return Err(AttemptFailure::TimedOut),
+        () = node.until_ejected(backend_id), if plan.is_repeatable() => {
+            return Err(AttemptFailure::Lost(ResultCode::BackendSilent));
+        }
+    };
+    match sent {
+        Ok(response) => Ok(Some(response)),
+        Err(SendError::Unsent(_)) => Ok(None),
+        Err(SendError::Lost) => {
+            // A reused connection may have met its ordinary end, which says nothing about the backend.
+            if !is_reused {
+                node.connections.close_idle(backend_id);
+            }
+            Err(AttemptFailure::Lost(ResultCode::BackendLost))
+        }
+    }
+}
+
 fn request_for<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     plan: &Plan,
@@ -163,43 +187,35 @@
     Ok(request)
 }
 
-/// Tells an answer that may go to the caller from everything else.
-fn judge<P: ForwardProtocol>(
+/// Lets a response pass that may go to the caller.
+fn check<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     plan: &Plan,
-    mut opened: Opened,
-) -> Result<Opened, AttemptFailure> {
+    mut opened: OpenResponse,
+) -> Result<OpenResponse, AttemptFailure> {
     let status = opened.response.status();
+    let headers = opened.response.headers();
     let facts = &opened.facts;
-    if facts.not_run {
-        let retry_after = retry_after(opened.response.headers());
-        if status == StatusCode::MISDIRECTED_REQUEST {
-            // Another backend has the address: the one that was meant is gone.
-            let id = &opened.target.key.backend_id;
-            node.eject(id, EjectionReason::ConnectFailed);
-        }
-        return Err(AttemptFailure::NotRun { retry_after });
-    }
-    if status == StatusCode::MISDIRECTED_REQUEST {
+    let is_misdirected = status == StatusCode::MISDIRECTED_REQUEST;
+    if is_misdirected {
+        // Another backend has the address: the one that was meant is gone.
         let id = &opened.target.key.backend_id;
         node.eject(id, EjectionReason::ConnectFailed);
-        return Err(AttemptFailure::NotRun { retry_after: None });
     }
-    // A surplus answer may arrive in the place where the next one is due.
-    if facts.request_id.is_some() && facts.request_id != plan.facts.request_id {
-        return Err(AttemptFailure::Lost(ResultCode::AnswerMismatch));
+    if facts.not_run || is_misdirected {
+        let retry_after = match facts.not_run {
+            true => retry_after(headers),
+            false => None,
+        };
+        return Err(AttemptFailure::NotRun { retry_after });
     }
-    let foreign = opened.response.headers().contains_key(CONTENT_ENCODING);
-    if status.is_success() && (!facts.signed || foreign) {
+    // A surplus response may arrive in the place where the next one is due.
+    let is_foreign = facts.request_id.is_some() && facts.request_id != plan.facts.request_id;
+    let is_altered = !facts.signed || headers.contains_key(CONTENT_ENCODING);
+    if is_foreign || (status.is_success() && is_altered) {
         return Err(AttemptFailure::Lost(ResultCode::AnswerMismatch));
     }
-    // Without the backend's word these statuses would promise what nobody knows.
-    let promises = [
-        StatusCode::REQUEST_TIMEOUT,
-        StatusCode::TOO_MANY_REQUESTS,
-        StatusCode::SERVICE_UNAVAILABLE,
-    ];
-    if promises.contains(&status) {
+    if NOT_RUN_STATUSES.contains(&status) {
         return Err(AttemptFailure::Lost(ResultCode::BackendError));
     }
     remove_hop_by_hop(opened.response.headers_mut());
@@ -210,26 +226,13 @@
     number(headers, "retry-after").map(Duration::from_secs)
 }
 
-fn unreachable_backend<P: ForwardProtocol>(
+fn acquire_failed<P: ForwardProtocol>(
     node: &ForwardNode<P>,
-    id: &str,
+    backend_id: &str,
     error: AcquireError,
 ) -> AttemptFailure {
     if error != AcquireError::AtLimit {
-        node.eject(id, ejection_reason(error));
+        node.eject(backend_id, ejection_reason(error));
     }
     AttemptFailure::NotSent
 }
-
-/// The connection broke with the request on it. On a kept connection this may have been its
-/// ordinary end, which says nothing about the backend.
-fn connection_lost<P: ForwardProtocol>(
-    node: &ForwardNode<P>,
-    id: &str,
-    reused: bool,
-) -> AttemptFailure {
-    if !reused {
-        node.connections.close_idle(id);
-    }
-    AttemptFailure::Lost(ResultCode::BackendLost)
-}
--- a/crates/forward/src/request/candidates.rs
+++ b/crates/forward/src/request/candidates.rs
@@ -1,4 +1,4 @@
-//! Which backends are looked at for a request, and what of its prompt each of them keeps.
+//! Which backends are considered for a request, and what of its prompt each of them has cached.
 
 use millford_routing::{ModelRequest, PrefixBlock, ServingPool, ServingReplica, rendezvous};
 use rand::Rng;
@@ -10,17 +10,20 @@
 use crate::protocol::ForwardProtocol;
 use crate::request::plan::Plan;
 
-/// Share of a part that nobody keeps that its home counts as saving, so that nodes which meet the
-/// part at the same time send it to the same backend.
+/// Share of a block that no backend has cached that counts as saved at its home, so that nodes which receive
+/// the block at the same time send it to the same backend.
 const HOME_SAVING: f64 = 0.3;
 
-/// Pools of at most this many backends are looked at whole.
+/// Weight of each backend in the choice of a block's home, in thousandths.
+const HOME_WEIGHT_MILLI: u32 = 1000;
+
+/// Of a pool of at most this many backends all are considered.
 const MAX_FULL_SCAN: usize = 8;
 
-/// Most backends looked at because they save reading.
+/// Most backends considered because they save reading.
 const MAX_CACHED_CANDIDATES: usize = 4;
 
-/// Backends looked at beside these. With counts of the moment the longest queue shrinks steeply with the
+/// Backends considered beside these. With current counts the longest queue shrinks steeply with the
 /// second draw and slowly after; more draws find idle backends for prompts whose home is busy.
 const RANDOM_CANDIDATES: usize = 4;
 
@@ -48,7 +51,8 @@
     candidates
 }
 
-/// Candidates to look at, by their place: those where least is read again, then others at random.
+/// Indices of the candidates to consider: those where least is read again, then others at random. `reread`
+/// are the tokens that each candidate would read again.
 pub fn shortlist(
     candidates: &[&ServingReplica],
     reread: &[u64],
@@ -58,22 +62,22 @@
         return (0..candidates.len()).collect();
     }
     let (least, most) = (reread.iter().min(), reread.iter().max());
-    let caches = |index: &usize| least != most && Some(&reread[*index]) == least;
-    let (mut caching, mut others): (Vec<usize>, Vec<usize>) =
-        (0..candidates.len()).partition(caches);
-    caching.partial_shuffle(random, MAX_CACHED_CANDIDATES);
-    caching.truncate(MAX_CACHED_CANDIDATES);
+    let is_cached = |index: &usize| least != most && Some(&reread[*index]) == least;
+    let (mut cached, mut others): (Vec<usize>, Vec<usize>) =
+        (0..candidates.len()).partition(is_cached);
+    cached.partial_shuffle(random, MAX_CACHED_CANDIDATES);
+    cached.truncate(MAX_CACHED_CANDIDATES);
     let (drawn, _) = others.partial_shuffle(random, RANDOM_CANDIDATES);
-    caching.extend_from_slice(drawn);
-    caching
+    cached.extend_from_slice(drawn);
+    cached
 }
 
-/// For each candidate, the tokens of the most special shared part that it would read although another
-/// one keeps them. Where nobody keeps the part its home counts as saving some, so that nodes which
-/// meet the part at the same time send it to the same backend.
+/// For each candidate, the tokens of the most specific shareable block that it would read although another
+/// one has them cached. Where none has the block cached, some of it counts as saved at its home, so that
+/// nodes which receive the block at the same time send it to the same backend.
 ///
-/// The beginnings that many prompts have in common are soon kept everywhere; what is to stay in one
-/// place is the part that few prompts share.
+/// The beginnings that many prompts have in common are soon cached everywhere; what is to stay in one
+/// place is the block that few prompts share.
 pub fn reread_tokens(
     specific: Option<&PrefixBlock>,
     locations: &BackendsByBlock,
@@ -86,15 +90,15 @@
         .iter()
         .map(|replica| replica.backend.id.as_str())
         .collect();
-    let cached_on = |id: &str| is_cached(locations, specific.id, id);
-    let home = match ids.iter().any(|id| cached_on(id)) {
+    let is_cached_on = |id: &str| is_cached(locations, specific.id, id);
+    let home = match ids.iter().any(|id| is_cached_on(id)) {
         true => None,
         false => home_of(specific, &ids),
     };
     let tokens = u64::from(specific.tokens);
     let saved_at_home = (tokens as f64 * HOME_SAVING) as u64;
     let reread = ids.iter().enumerate().map(|(index, id)| {
-        if cached_on(id) {
+        if is_cached_on(id) {
             0
         } else if home == Some(index) {
             tokens - saved_at_home
@@ -105,12 +109,7 @@
     reread.collect()
 }
 
-fn is_cached(locations: &BackendsByBlock, block: u64, backend_id: &str) -> bool {
-    let locations = locations.get(&block);
-    locations.is_some_and(|locations| locations.iter().any(|backend| backend == backend_id))
-}
-
-/// Tokens of the parts that a backend keeps, each with all parts before it.
+/// Tokens of the blocks that a backend has cached, each with all blocks before it.
 pub fn cached_tokens(blocks: &[PrefixBlock], locations: &BackendsByBlock, backend_id: &str) -> u64 {
     let cached = blocks
         .iter()
@@ -118,12 +117,18 @@
     cached.map(|block| u64::from(block.tokens)).sum()
 }
 
+fn is_cached(locations: &BackendsByBlock, block: u64, backend_id: &str) -> bool {
+    let backends = locations.get(&block);
+    backends.is_some_and(|backends| backends.iter().any(|backend| backend == backend_id))
+}
+
+/// Index of the backend that is the block's home.
 fn home_of(block: &PrefixBlock, ids: &[&str]) -> Option<usize> {
     let key = xxh3_64(&block.id.to_be_bytes());
     let scores = ids
         .iter()
         .enumerate()
-        .map(|(index, id)| (rendezvous::score(key, id, 1000), index));
+        .map(|(index, id)| (rendezvous::score(key, id, HOME_WEIGHT_MILLI), index));
     let best = scores.max_by(|(left, _), (right, _)| left.total_cmp(right))?;
     Some(best.1)
 }
--- a/crates/forward/src/request/event_splitter.rs
+++ b/crates/forward/src/request/event_splitter.rs
@@ -1,4 +1,4 @@
-//! Splits an event stream into whole events.
+//! Splits an event stream into complete events.
 
 use bytes::{Buf, Bytes, BytesMut};
 
@@ -11,14 +11,14 @@
     pub id: Option<u64>,
 }
 
-/// Takes bytes as they arrive and gives the events that are whole.
+/// Takes bytes as they arrive and returns the events that are complete.
 ///
-/// A backend that breaks off may do so in the middle of an event; what is not whole must not reach
-/// the caller of a stream that another backend goes on with.
+/// A backend may be lost in the middle of an event; an incomplete event must not reach
+/// the caller of a stream that another backend resumes.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// The buffer holds no end of an event before this place.
+    /// The buffer holds no end of an event before this offset.
     searched: usize,
 }
 
@@ -28,7 +28,7 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// The next complete event.
     pub fn next_event(&mut self) -> Option<Event> {
         let end = self.event_end()?;
         let bytes = self.buffer.split_to(end).freeze();
@@ -44,7 +44,7 @@
         self.buffer.split_to(length).freeze()
     }
 
-    /// Drops what is left of a stream that broke off.
+    /// Drops what is left of a stream whose backend was lost.
     pub fn reset(&mut self) {
         self.buffer.clear();
         self.searched = 0;
--- a/crates/forward/src/request/first_response.rs
+++ b/crates/forward/src/request/first_response.rs
@@ -1,4 +1,6 @@
-//! Attempts at a request until one brings an answer that may go to the caller.
+//! Attempts at a request until one brings a response that may go to the caller.
+
+use std::ops::ControlFlow;
 
 use millford_core::time::monotonic_now;
 use millford_core::{Duration, ResultCode};
@@ -7,13 +9,13 @@
 use crate::mechanism::Mechanism;
 use crate::node::{DEFAULT_RETRY_AFTER, ForwardNode};
 use crate::protocol::ForwardProtocol;
-use crate::request::attempt::{AttemptFailure, Opened, attempt};
-use crate::request::choose::choose;
+use crate::request::attempt::{AttemptFailure, OpenResponse, attempt};
+use crate::request::choose::{Target, choose};
 use crate::request::plan::Plan;
 use crate::request::refusal::Refusal;
 use crate::request::trace::Trace;
 
-/// Backends that one request may be offered to, those that it never left for included.
+/// Backends that may be tried for one request, those that it was never sent to included.
 const MAX_BACKENDS_TRIED: usize = 6;
 
 /// Backends that may refuse one request before it is given up.
@@ -24,85 +26,122 @@
 pub struct AttemptHistory {
     /// Backends that were tried.
     pub tried: Vec<String>,
-    /// Sends that arrived or may have.
+    /// Dispatches that arrived or may have.
     pub sends: u32,
-    /// Sends that the backend may have run.
+    /// Dispatches that the backend may have run.
     pub runs: u32,
-    /// Sends that the backend refused.
+    /// Dispatches that the backend refused.
     pub refusals: u32,
     /// What the decision record will say.
     pub trace: Trace,
 }
 
-/// The first answer that may go to the caller.
+/// The first response that may go to the caller.
 ///
 /// # Errors
-/// Why there is none. A refusal that says "not run" is true: nothing left, or each backend that got
+/// Why there is none. A refusal that says "not run" is true: nothing was sent, or each backend that got
 /// the request gave its word.
 pub async fn first_response<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     plan: &Plan,
     history: &mut AttemptHistory,
-) -> Result<Opened, Refusal> {
-    let mut last = Refusal::new(ResultCode::NoBackend).with_retry_after(DEFAULT_RETRY_AFTER);
+) -> Result<OpenResponse, Refusal> {
+    let mut refusal = Refusal::new(ResultCode::NoBackend).with_retry_after(DEFAULT_RETRY_AFTER);
     node.state.budget.earn();
     while history.tried.len() < MAX_BACKENDS_TRIED {
         if plan.deadline <= monotonic_now() {
             return Err(out_of_time(history));
         }
         let Some(target) = choose(node, plan, &history.tried).await else {
-            return Err(last);
+            return Err(refusal);
         };
-        // Every send after the first comes out of the fleet's budget, wherever it goes.
-        let may_retry = node.mechanisms.has(Mechanism::Retries);
-        if history.sends > 0 && !(may_retry && node.state.budget.try_spend()) {
-            return Err(last);
+        if !may_send(node, history) {
+            return Err(refusal);
         }
-        history.tried.push(target.key.backend_id.clone());
-        history.trace.chosen(&target);
-        let tried = attempt(node, plan, target, None).await;
-        history.trace.outcome(outcome_of(&tried));
-        match tried {
+        match try_backend(node, plan, history, target, None).await {
             Ok(opened) => {
                 history.sends += 1;
                 history.runs += 1;
                 return Ok(opened);
             }
-            Err(AttemptFailure::NotSent) => {
-                if history.sends > 0 {
-                    node.state.budget.refund();
-                }
-            }
-            Err(AttemptFailure::NotRun { retry_after }) => {
-                history.sends += 1;
-                history.refusals += 1;
-                if history.runs == 0 {
-                    last = busy(retry_after);
-                }
-                if history.refusals >= MAX_REFUSALS {
-                    return Err(last);
-                }
+            Err(failure) => match after_failure(node, plan, history, failure, refusal) {
+                ControlFlow::Continue(next) => refusal = next,
+                ControlFlow::Break(last) => return Err(last),
+            },
+        }
+    }
+    Err(refusal)
+}
+
+/// Sends the request to a backend and records what came of it.
+///
+/// # Errors
+/// See [`AttemptFailure`].
+pub async fn try_backend<P: ForwardProtocol>(
+    node: &ForwardNode<P>,
+    plan: &Plan,
+    history: &mut AttemptHistory,
+    target: Target,
+    resume_after: Option<u64>,
+) -> Result<OpenResponse, AttemptFailure> {
+    history.tried.push(target.key.backend_id.clone());
+    history.trace.chosen(&target);
+    let result = attempt(node, plan, target, resume_after).await;
+    history.trace.outcome(outcome_of(&result));
+    result
+}
+
+/// Every dispatch after the first comes out of the fleet's retry budget, wherever it goes.
+fn may_send<P: ForwardProtocol>(node: &ForwardNode<P>, history: &AttemptHistory) -> bool {
+    let may_retry = node.mechanisms.has(Mechanism::Retries);
+    history.sends == 0 || (may_retry && node.state.budget.try_spend())
+}
+
+/// Accounts for a failed attempt. `refusal` is what the caller would get so far; it goes on to the next
+/// attempt, or back to the caller.
+fn after_failure<P: ForwardProtocol>(
+    node: &ForwardNode<P>,
+    plan: &Plan,
+    history: &mut AttemptHistory,
+    failure: AttemptFailure,
+    refusal: Refusal,
+) -> ControlFlow<Refusal, Refusal> {
+    match failure {
+        AttemptFailure::NotSent => {
+            if history.sends > 0 {
+                node.state.budget.refund();
             }
-            Err(AttemptFailure::Lost(code)) => {
-                history.sends += 1;
-                history.runs += 1;
-                last = Refusal::new(code);
-                if !plan.is_repeatable() || history.runs >= plan.max_runs() {
-                    return Err(last);
-                }
+            ControlFlow::Continue(refusal)
+        }
+        AttemptFailure::NotRun { retry_after } => {
+            history.sends += 1;
+            history.refusals += 1;
+            // Once the request may have run, no later refusal may say that it did not.
+            let refusal = match history.runs {
+                0 => backend_refused(retry_after),
+                _ => refusal,
+            };
+            match history.refusals >= MAX_REFUSALS {
+                true => ControlFlow::Break(refusal),
+                false => ControlFlow::Continue(refusal),
             }
-            Err(AttemptFailure::TimedOut) => {
-                return Err(Refusal::new(ResultCode::DeadlineAfterSend));
+        }
+        AttemptFailure::Lost(code) => {
+            history.sends += 1;
+            history.runs += 1;
+            let refusal = Refusal::new(code);
+            match plan.is_repeatable() && history.runs < plan.max_runs() {
+                true => ControlFlow::Continue(refusal),
+                false => ControlFlow::Break(refusal),
             }
         }
+        AttemptFailure::TimedOut => ControlFlow::Break(Refusal::new(ResultCode::DeadlineAfterSend)),
     }
-    Err(last)
 }
 
 /// What the decision record says of an attempt.
-#[must_use]
-pub fn outcome_of(tried: &Result<Opened, AttemptFailure>) -> AttemptOutcome {
-    match tried {
+fn outcome_of(result: &Result<OpenResponse, AttemptFailure>) -> AttemptOutcome {
+    match result {
         Ok(_) => AttemptOutcome::Answered,
         Err(AttemptFailure::NotSent) => AttemptOutcome::NotSent,
         Err(AttemptFailure::NotRun { .. }) => AttemptOutcome::Refused,
@@ -111,7 +150,7 @@
     }
 }
 
-fn busy(retry_after: Option<Duration>) -> Refusal {
+fn backend_refused(retry_after: Option<Duration>) -> Refusal {
     let delay = retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
     Refusal::new(ResultCode::BackendRefused).with_retry_after(delay)
 }
--- a/crates/forward/src/request/headers.rs
+++ b/crates/forward/src/request/headers.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// Removes the length of a body that is sent on in another framing.
+/// Removes the length of a body that is forwarded in another framing.
 pub fn remove_length(headers: &mut HeaderMap) {
     headers.remove(CONTENT_LENGTH);
 }
--- a/crates/forward/src/request/mod.rs
+++ b/crates/forward/src/request/mod.rs
@@ -4,6 +4,7 @@
 
 pub mod attempt;
 pub mod authorize;
+pub mod backend_stream;
 pub mod candidates;
 pub mod choose;
 pub mod event_splitter;
--- a/crates/forward/src/request/plan.rs
+++ b/crates/forward/src/request/plan.rs
@@ -9,19 +9,19 @@
 
 use crate::protocol::RequestFacts;
 
-/// Longest time that a request without a limit of its own is held.
-const DEFAULT_DEADLINE: Duration = Duration::from_secs(3600);
+/// Time that a request without any limit may take.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(3600);
 
-/// Ranks of routes within one rank of tenants.
-const ROUTE_RANKS: u32 = 3;
+/// Priorities of routes within one priority of tenants.
+const ROUTE_PRIORITIES: u32 = 3;
 
-/// The last of the ranks that backends know.
-const LOWEST_URGENCY: u32 = 9;
+/// The least urgent of the urgencies that backends know.
+const LEAST_URGENT: u32 = 9;
 
 /// Everything that the attempts at a request have in common.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The route that takes the request.
+    /// The route that the request matches.
     pub route: Arc<ForwardRoute>,
     /// Pool of the route that serves this request.
     pub pool: String,
@@ -29,34 +29,34 @@
     pub tenant: Option<Arc<Tenant>>,
     /// What the caller's headers say.
     pub facts: RequestFacts,
-    /// Method, path and body go to the backend as they came.
+    /// Method; with path and body it goes to the backend as it came.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
     /// The caller's headers without those of the connection.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// When the request was read.
+    /// When the request's head was read.
     pub arrived: MonotonicTime,
-    /// When it has to be answered.
+    /// When the response has to be complete.
     pub deadline: MonotonicTime,
 }
 
 impl Plan {
-    /// When a request of these facts on the route has to be answered.
+    /// Deadline of a request with these facts on the route.
     #[must_use]
     pub fn deadline_of(
         arrived: MonotonicTime,
         route: &ForwardRoute,
         facts: &RequestFacts,
     ) -> MonotonicTime {
-        let route_limit = match route.timeout_ms {
-            0 => DEFAULT_DEADLINE,
+        let route_timeout = match route.timeout_ms {
+            0 => DEFAULT_TIMEOUT,
             millis => Duration::from_millis(u64::from(millis)),
         };
-        let budget = facts.time_budget.unwrap_or(DEFAULT_DEADLINE);
-        arrived + route_limit.min(budget)
+        let budget = facts.time_budget.unwrap_or(DEFAULT_TIMEOUT);
+        arrived + route_timeout.min(budget)
     }
 
     /// Whether the request may run more than once.
@@ -65,7 +65,7 @@
         self.route.repeatable || self.is_resumable()
     }
 
-    /// Whether another backend may continue the answer.
+    /// Whether another backend may continue the response.
     #[must_use]
     pub fn is_resumable(&self) -> bool {
         self.route.stream && self.route.resumable
@@ -81,23 +81,20 @@
         }
     }
 
-    /// Rank among requests at a backend: the tenant's goes before the route's.
+    /// Urgency at a backend, 0 first: the tenant's priority goes before the route's.
     #[must_use]
     pub fn urgency(&self) -> u32 {
         let tenant = self.tenant.as_ref().map_or(0, |tenant| tenant.priority);
-        let route = self.route.priority.min(ROUTE_RANKS - 1);
-        (tenant.saturating_mul(ROUTE_RANKS) + route).min(LOWEST_URGENCY)
+        let route = self.route.priority.min(ROUTE_PRIORITIES - 1);
+        (tenant.saturating_mul(ROUTE_PRIORITIES) + route).min(LEAST_URGENT)
     }
 
     /// Tokens of the prompt.
     #[must_use]
     pub fn prompt_tokens(&self) -> u64 {
-        let parts = self
-            .facts
-            .prefix_blocks
-            .iter()
-            .map(|part| u64::from(part.tokens));
-        self.facts.prompt_tokens.unwrap_or_else(|| parts.sum())
+        let blocks = self.facts.prefix_blocks.iter();
+        let tokens = blocks.map(|block| u64::from(block.tokens));
+        self.facts.prompt_tokens.unwrap_or_else(|| tokens.sum())
     }
 
     /// Tokens that the request counts for its tenant's quota.
--- a/crates/forward/src/request/read_body.rs
+++ b/crates/forward/src/request/read_body.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's body whole, so that it can be sent more than once.
+//! Reads a caller's complete body, so that it can be sent more than once.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -10,7 +10,7 @@
 /// Reads the body.
 ///
 /// # Errors
-/// A body that is larger than `max_bytes` bytes, or that breaks off.
+/// A body that is larger than `max_bytes`, or that is truncated.
 pub async fn read_body(mut body: Incoming, max_bytes: u64) -> Result<Bytes, Refusal> {
     let too_large = Refusal::new(ResultCode::BodyTooLarge).closing();
     let broken = Refusal::new(ResultCode::BodyIncomplete).closing();
--- a/crates/forward/src/request/refusal.rs
+++ b/crates/forward/src/request/refusal.rs
@@ -1,4 +1,4 @@
-//! The proxy's own answers to requests that were not served.
+//! The proxy's own responses to requests that were not served.
 
 use http::header::{CONNECTION, CONTENT_TYPE, RETRY_AFTER};
 use http::{HeaderValue, Response, StatusCode};
@@ -11,15 +11,15 @@
 
 /// Why a request was not served.
 ///
-/// A code whose status is 429 or 503 promises that the request did not run and never will; the
-/// codes for an unknown fate have 502 and 504.
+/// A code whose status is 429 or 503 guarantees that the request did not run and never will; the
+/// codes for an unknown outcome have 502 and 504.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// The numbered code.
     pub code: ResultCode,
     /// When the caller should come back.
     pub retry_after: Option<Duration>,
-    /// The request was not read whole: its connection cannot be used again.
+    /// The request was not read completely: its connection cannot be used again.
     pub close: bool,
 }
 
--- a/crates/forward/src/request/relay.rs
+++ b/crates/forward/src/request/relay.rs
@@ -1,4 +1,4 @@
-//! Passes an answer's body on, and lets another backend go on with a stream.
+//! Forwards a response's body to the caller, and lets another backend resume a stream.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -6,143 +6,68 @@
 use bytes::Bytes;
 use futures::stream;
 use http::Response;
-use http::response::Parts;
 use http_body_util::{BodyExt, StreamBody};
-use hyper::body::{Body, Frame, Incoming};
-use millford_api::internal::CostSample;
+use hyper::body::Frame;
 use millford_core::time::monotonic_now;
-use millford_core::{Duration, MonotonicTime};
 use millford_decisions::Ending;
-use millford_routing::InFlightGuard;
 use tokio::time::Sleep;
 
-use crate::backend::PooledConnection;
 use crate::mechanism::Mechanism;
 use crate::node::ForwardNode;
 use crate::protocol::ForwardProtocol;
-use crate::request::attempt::{AttemptFailure, Opened, attempt};
+use crate::request::attempt::{AttemptFailure, OpenResponse};
+use crate::request::backend_stream::{Arrival, BackendStream};
 use crate::request::choose::choose;
-use crate::request::event_splitter::EventSplitter;
-use crate::request::first_response::{AttemptHistory, outcome_of};
+use crate::request::event_splitter::{Event, EventSplitter};
+use crate::request::first_response::{AttemptHistory, try_backend};
 use crate::request::headers::remove_length;
 use crate::request::plan::Plan;
-use crate::request::response_body::{BrokenOff, ResponseBody};
+use crate::request::response_body::{ResponseBody, TruncatedResponse};
 
-/// Backends that may be tried to go on with a stream.
+/// Backends that may be tried to resume a stream.
 const MAX_RESUME_ATTEMPTS: u32 = 4;
 
-/// The answer for the caller: the backend's head, and its body as it comes.
+/// The response for the caller: the backend's head, and its body as it comes.
 ///
-/// The body is pulled by the caller's connection. When the caller leaves, the body is dropped, and
+/// The body is pulled by the caller's connection. When the caller disconnects, the body is dropped, and
 /// with it the connection to the backend: its work ends there too.
 pub fn relay<P: ForwardProtocol>(
     node: Arc<ForwardNode<P>>,
     mut plan: Plan,
     history: AttemptHistory,
-    opened: Opened,
+    opened: OpenResponse,
 ) -> Response<ResponseBody> {
-    let (mut head, stream_part) = BackendStream::of(opened);
-    let is_events = plan.is_resumable() && head.status.is_success();
-    if is_events {
+    let (mut head, backend) = BackendStream::of(opened);
+    let is_resumable = plan.is_resumable() && head.status.is_success();
+    if is_resumable {
         // Another backend's part of the stream may have another length.
         remove_length(&mut head.headers);
     } else {
-        // It is not sent again; a long stream need not keep a long prompt.
+        // It is not sent again; a long stream need not hold a long prompt.
         plan.body = Bytes::new();
     }
-    let left = plan.deadline.since(monotonic_now());
-    let is_empty = stream_part.body.is_end_stream();
-    let ending = if head.status.is_success() {
-        Ending::Complete
-    } else {
-        Ending::BackendFailure
-    };
-    let mut relay = Relay {
-        ending,
-        time_limit: Box::pin(tokio::time::sleep(left)),
-        stream_part,
-        splitter: is_events.then(EventSplitter::default),
-        last_event: plan.facts.resume_after,
-        resumed: false,
-        node,
-        plan,
-        history,
-        ended: false,
+    let ending = match head.status.is_success() {
+        true => Ending::Complete,
+        false => Ending::BackendFailure,
     };
-    if is_empty {
-        relay.finish();
-    }
-    let chunks = stream::unfold(Some(relay), |relay| async move {
-        let mut relay = relay?;
-        match relay.next().await {
-            Ok(Some(bytes)) => {
-                relay.history.trace.bytes();
-                Some((Ok(Frame::data(bytes)), Some(relay)))
-            }
-            Ok(None) => None,
-            Err(broken) => {
-                relay.history.trace.end(Ending::BrokenOff);
-                Some((Err(broken), None))
-            }
-        }
-    });
-    Response::from_parts(head, BodyExt::boxed_unsync(StreamBody::new(chunks)))
-}
-
-/// What is held while a backend's part of the answer is read.
-struct OpenedParts {
-    pooled: Option<PooledConnection>,
-    keep_alive: Option<Duration>,
-    in_flight: InFlightGuard,
-    sent: MonotonicTime,
-    queued_tokens: u64,
-    streams: u32,
-}
-
-/// One backend's part of the answer.
-struct BackendStream {
-    backend_id: String,
-    body: Incoming,
-    opened: OpenedParts,
-    first_chunk: Option<MonotonicTime>,
-    chunks: u32,
-}
-
-impl BackendStream {
-    /// Takes an answer apart: its head, and what is read from now on.
-    fn of(opened: Opened) -> (Parts, Self) {
-        let (head, body) = opened.response.into_parts();
-        let stream_part = Self {
-            backend_id: opened.target.key.backend_id,
-            body,
-            opened: OpenedParts {
-                pooled: Some(opened.pooled),
-                keep_alive: opened.facts.keep_alive,
-                in_flight: opened.in_flight,
-                sent: opened.sent,
-                queued_tokens: opened.queued_tokens,
-                streams: opened.streams,
-            },
-            first_chunk: None,
-            chunks: 0,
-        };
-        (head, stream_part)
-    }
+    let relay = Relay::new(node, plan, history, backend, is_resumable, ending);
+    let body = StreamBody::new(relay.into_frames());
+    Response::from_parts(head, BodyExt::boxed_unsync(body))
 }
 
 struct Relay<P> {
     node: Arc<ForwardNode<P>>,
     plan: Plan,
     history: AttemptHistory,
-    stream_part: BackendStream,
-    time_limit: Pin<Box<Sleep>>,
-    /// Set for streams that another backend may continue.
+    backend: BackendStream,
+    deadline: Pin<Box<Sleep>>,
+    /// Set for streams that another backend may resume.
     splitter: Option<EventSplitter>,
-    /// Id of the last event that was passed on.
+    /// Id of the last event that was forwarded.
     last_event: Option<u64>,
     resumed: bool,
     ended: bool,
-    /// What the decision record says once the answer is whole.
+    /// What the decision record says once the response is complete.
     ending: Ending,
 }
 
@@ -154,16 +79,55 @@
     }
 }
 
-/// What came from the backend.
-enum Arrival {
-    Chunk(Bytes),
-    End,
-    Lost,
-}
-
 impl<P: ForwardProtocol> Relay<P> {
-    /// The next bytes for the caller; nothing at the end of a whole answer.
-    async fn next(&mut self) -> Result<Option<Bytes>, BrokenOff> {
+    fn new(
+        node: Arc<ForwardNode<P>>,
+        plan: Plan,
+        history: AttemptHistory,
+        backend: BackendStream,
+        is_resumable: bool,
+        ending: Ending,
+    ) -> Self {
+        let time_left = plan.deadline.since(monotonic_now());
+        let is_empty = backend.is_at_end();
+        let mut relay = Self {
+            deadline: Box::pin(tokio::time::sleep(time_left)),
+            backend,
+            splitter: is_resumable.then(EventSplitter::default),
+            last_event: plan.facts.resume_after,
+            resumed: false,
+            ended: false,
+            node,
+            plan,
+            history,
+            ending,
+        };
+        if is_empty {
+            relay.finish();
+        }
+        relay
+    }
+
+    /// The frames of the caller's body; an error where it is truncated.
+    fn into_frames(self) -> impl stream::Stream<Item = Result<Frame<Bytes>, TruncatedResponse>> {
+        stream::unfold(Some(self), |relay| async move {
+            let mut relay = relay?;
+            match relay.next().await {
+                Ok(Some(bytes)) => {
+                    relay.history.trace.bytes();
+                    Some((Ok(Frame::data(bytes)), Some(relay)))
+                }
+                Ok(None) => None,
+                Err(truncated) => {
+                    relay.history.trace.end(Ending::BrokenOff);
+                    Some((Err(truncated), None))
+                }
+            }
+        })
+    }
+
+    /// The next bytes for the caller; `None` at the end of a complete response.
+    async fn next(&mut self) -> Result<Option<Bytes>, TruncatedResponse> {
         loop {
             if let Some(events) = self.complete_events()? {
                 return Ok(Some(events));
@@ -171,39 +135,40 @@
             if self.ended {
                 return Ok(None);
             }
-            match self.arrival().await? {
+            let is_resumable = self.splitter.is_some();
+            let deadline = self.deadline.as_mut();
+            match self.backend.next(&self.node, deadline, is_resumable).await {
                 Arrival::Chunk(bytes) => {
-                    self.record_chunk();
+                    self.backend
+                        .record_chunk(&self.node, &self.plan.facts.model);
                     let Some(splitter) = &mut self.splitter else {
-                        // Of a body with a length nobody asks for the end once it was sent whole.
-                        if self.stream_part.body.is_end_stream() {
+                        // Once a body with a length was sent completely, nobody polls for its end.
+                        if self.backend.is_at_end() {
                             self.finish();
                         }
                         return Ok(Some(bytes));
                     };
                     splitter.push(&bytes);
                 }
-                Arrival::End => self.end().await?,
+                Arrival::End => self.end_of_backend().await?,
                 Arrival::Lost => self.resume().await?,
+                Arrival::TimedOut => return Err(TruncatedResponse::TimedOut),
             }
         }
     }
 
-    /// The events that are whole, joined; none of them was passed on before.
-    fn complete_events(&mut self) -> Result<Option<Bytes>, BrokenOff> {
+    /// The complete events, joined; none of them was forwarded before.
+    fn complete_events(&mut self) -> Result<Option<Bytes>, TruncatedResponse> {
         let Some(splitter) = &mut self.splitter else {
             return Ok(None);
         };
         let mut joined: Vec<u8> = Vec::new();
         while let Some(event) = splitter.next_event() {
-            if let (Some(id), Some(last)) = (event.id, self.last_event)
-                && self.resumed
-            {
-                if id <= last {
-                    continue;
-                }
-                if id > last + 1 {
-                    return Err(BrokenOff::OutOfOrder);
+            if self.resumed {
+                match position(&event, self.last_event) {
+                    EventPosition::Next => {}
+                    EventPosition::Repeated => continue,
+                    EventPosition::AfterGap => return Err(TruncatedResponse::OutOfOrder),
                 }
             }
             self.last_event = event.id.or(self.last_event);
@@ -212,46 +177,8 @@
         Ok((!joined.is_empty()).then(|| Bytes::from(joined)))
     }
 
-    async fn arrival(&mut self) -> Result<Arrival, BrokenOff> {
-        let may_move = self.splitter.is_some();
-        loop {
-            let frame = tokio::select! {
-                frame = self.stream_part.body.frame() => frame,
-                () = &mut self.time_limit => return Err(BrokenOff::TimedOut),
-                () = self.node.until_ejected(&self.stream_part.backend_id), if may_move => {
-                    return Ok(Arrival::Lost);
-                }
-            };
-            return Ok(match frame {
-                None => Arrival::End,
-                Some(Err(_)) => Arrival::Lost,
-                Some(Ok(frame)) => match frame.into_data() {
-                    Ok(bytes) => Arrival::Chunk(bytes),
-                    Err(_trailers) => continue,
-                },
-            });
-        }
-    }
-
-    fn record_chunk(&mut self) {
-        let now = monotonic_now();
-        self.node.heard(&self.stream_part.backend_id, now);
-        self.stream_part.chunks += 1;
-        if self.stream_part.first_chunk.is_some() {
-            return;
-        }
-        self.stream_part.first_chunk = Some(now);
-        self.stream_part.opened.in_flight.begin_decode();
-        let model = &self.plan.facts.model;
-        if !model.is_empty() && self.node.mechanisms.has(Mechanism::LearnedCost) {
-            let waited = now.since(self.stream_part.opened.sent).as_secs_f64() * 1000.0;
-            let queued = self.stream_part.opened.queued_tokens;
-            self.node.state.costs.add_first_token(model, queued, waited);
-        }
-    }
-
-    /// The backend's part ended whole by its framing. A stream that ends within an event did not.
-    async fn end(&mut self) -> Result<(), BrokenOff> {
+    /// The backend's part ended, complete by its framing. A stream that ends within an event is not.
+    async fn end_of_backend(&mut self) -> Result<(), TruncatedResponse> {
         let rest = self.splitter.as_mut().map(EventSplitter::take_rest);
         if rest.is_some_and(|rest| !rest.is_empty()) {
             return self.resume().await;
@@ -260,96 +187,62 @@
         Ok(())
     }
 
-    /// The answer was read whole: its connection can carry another request.
+    /// The response is complete.
     fn finish(&mut self) {
         self.ended = true;
-        self.learn();
-        let reuses = self.node.mechanisms.has(Mechanism::ConnectionReuse);
-        if let Some(pooled) = self.stream_part.opened.pooled.take()
-            && reuses
-        {
-            pooled.release(self.stream_part.opened.keep_alive);
-        }
+        self.backend.record_cost(&self.node, &self.plan.facts.model);
+        self.backend.release(&self.node);
     }
 
-    /// Adds what the answer cost to what placement and routing learn from.
-    fn learn(&self) {
-        let stream_part = &self.stream_part;
-        let (Some(first), false) = (stream_part.first_chunk, self.plan.facts.model.is_empty())
-        else {
-            return;
-        };
-        let first_token = first.since(stream_part.opened.sent);
-        let decode = monotonic_now().since(first);
-        let sample = CostSample {
-            prompt_tokens: clamp(stream_part.opened.queued_tokens),
-            first_token_ms: millis(first_token),
-            output_tokens: stream_part.chunks,
-            decode_ms: millis(decode),
-            streams_at_start: stream_part.opened.streams,
-        };
-        let model = &self.plan.facts.model;
-        let learns = self.node.mechanisms.has(Mechanism::LearnedCost);
-        if learns && sample.output_tokens > 1 {
-            let between = f64::from(sample.decode_ms) / f64::from(sample.output_tokens - 1);
-            let streams = sample.streams_at_start.saturating_add(1);
-            self.node
-                .state
-                .costs
-                .add_inter_token(model, streams, between);
-            self.node
-                .state
-                .costs
-                .add_output_tokens(model, sample.output_tokens);
-        }
-        let key = stream_part.opened.in_flight.key();
-        self.node.state.board.add_sample(key, sample);
-    }
-
-    /// Another backend goes on after the last whole event, inside the same answer.
-    async fn resume(&mut self) -> Result<(), BrokenOff> {
+    /// Another backend continues after the last complete event, inside the same response.
+    async fn resume(&mut self) -> Result<(), TruncatedResponse> {
         let Some(splitter) = &mut self.splitter else {
-            return Err(BrokenOff::BackendLost);
+            return Err(TruncatedResponse::BackendLost);
         };
         splitter.reset();
         if !self.node.mechanisms.has(Mechanism::Resumption) {
-            return Err(BrokenOff::BackendLost);
+            return Err(TruncatedResponse::BackendLost);
         }
         for _ in 0..MAX_RESUME_ATTEMPTS {
-            if self.history.runs >= self.plan.max_runs() || !self.node.state.budget.try_spend() {
-                return Err(BrokenOff::BackendLost);
+            let history = &mut self.history;
+            if history.runs >= self.plan.max_runs() || !self.node.state.budget.try_spend() {
+                return Err(TruncatedResponse::BackendLost);
             }
-            let target = choose(&self.node, &self.plan, &self.history.tried).await;
-            let target = target.ok_or(BrokenOff::BackendLost)?;
-            self.history.tried.push(target.key.backend_id.clone());
-            self.history.trace.chosen(&target);
-            let tried = attempt(&self.node, &self.plan, target, self.last_event).await;
-            self.history.trace.outcome(outcome_of(&tried));
-            match tried {
+            let target = choose(&self.node, &self.plan, &history.tried).await;
+            let target = target.ok_or(TruncatedResponse::BackendLost)?;
+            let last_event = self.last_event;
+            match try_backend(&self.node, &self.plan, history, target, last_event).await {
                 Ok(opened) if opened.response.status().is_success() => {
-                    self.history.runs += 1;
-                    self.take_over(opened);
+                    history.runs += 1;
+                    self.resumed = true;
+                    (_, self.backend) = BackendStream::of(opened);
                     return Ok(());
                 }
-                Ok(_) | Err(AttemptFailure::Lost(_)) => self.history.runs += 1,
+                Ok(_) | Err(AttemptFailure::Lost(_)) => history.runs += 1,
                 Err(AttemptFailure::NotSent) => self.node.state.budget.refund(),
                 Err(AttemptFailure::NotRun { .. }) => {}
-                Err(AttemptFailure::TimedOut) => return Err(BrokenOff::TimedOut),
+                Err(AttemptFailure::TimedOut) => return Err(TruncatedResponse::TimedOut),
             }
         }
-        Err(BrokenOff::BackendLost)
-    }
-
-    fn take_over(&mut self, opened: Opened) {
-        self.resumed = true;
-        (_, self.stream_part) = BackendStream::of(opened);
+        Err(TruncatedResponse::BackendLost)
     }
 }
 
-fn millis(duration: Duration) -> u32 {
-    u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
+/// Where an event stands after the last one that was forwarded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum EventPosition {
+    /// It is the next one, or ids do not tell.
+    Next,
+    /// It was forwarded before.
+    Repeated,
+    /// Events before it are missing.
+    AfterGap,
 }
 
-fn clamp(number: u64) -> u32 {
-    u32::try_from(number).unwrap_or(u32::MAX)
+fn position(event: &Event, last: Option<u64>) -> EventPosition {
+    match (event.id, last) {
+        (Some(id), Some(last)) if id <= last => EventPosition::Repeated,
+        (Some(id), Some(last)) if id > last + 1 => EventPosition::AfterGap,
+        _ => EventPosition::Next,
+    }
 }
--- a/crates/forward/src/request/response_body.rs
+++ b/crates/forward/src/request/response_body.rs
@@ -1,20 +1,19 @@
-//! Bodies of answers.
+//! Bodies of responses to callers.
 
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
 
-/// Body of any answer. An error ends the connection, so that a body that breaks off never looks
-/// whole.
-pub type ResponseBody = UnsyncBoxBody<Bytes, BrokenOff>;
+/// Body of any response. An error ends the connection, so that a truncated body never looks complete.
+pub type ResponseBody = UnsyncBoxBody<Bytes, TruncatedResponse>;
 
-/// The answer ends before its end.
+/// Why a response ends before it is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BrokenOff {
-    /// The backend was lost and no other may go on.
-    #[error("the backend was lost in the middle of its answer")]
+pub enum TruncatedResponse {
+    /// The backend was lost and no other may resume its stream.
+    #[error("the backend was lost in the middle of its response")]
     BackendLost,
-    /// The time of the route is over.
-    #[error("the time of the route is over")]
+    /// The deadline of the request passed.
+    #[error("the deadline of the request passed")]
     TimedOut,
     /// The events of the stream do not follow each other.
     #[error("the stream skipped or repeated an event")]
--- a/crates/forward/src/request/serve.rs
+++ b/crates/forward/src/request/serve.rs
@@ -1,4 +1,4 @@
-//! A forwarded request, from the caller's head to the answer.
+//! A forwarded request, from the caller's head to the response.
 
 use std::sync::Arc;
 
@@ -13,6 +13,7 @@
 
 use crate::node::{DEFAULT_RETRY_AFTER, ForwardNode};
 use crate::protocol::ForwardProtocol;
+use crate::quota::QuotaOwners;
 use crate::request::authorize::authorize;
 use crate::request::first_response::{AttemptHistory, first_response};
 use crate::request::headers::{remove_hop_by_hop, size_of};
@@ -26,14 +27,14 @@
 /// Largest body where the configuration sets no limit, in bytes.
 const DEFAULT_MAX_BODY_BYTES: u64 = 4 * 1024 * 1024;
 
-/// Time to come back to a node that has no confirmed configuration yet: after a loss of power the
-/// control plane leads again, and nodes have its state, about this long after their start.
+/// `Retry-After` of a node that has no confirmed configuration yet: after a loss of power the control plane
+/// has a leader again, and nodes have its state, about this long after their start.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(450);
 
 /// Largest headers where the configuration sets no limit, in bytes.
 const DEFAULT_MAX_HEADER_BYTES: u32 = 16 * 1024;
 
-/// Serves one request. Whatever happens, the caller gets its final answer at once.
+/// Serves one request. Whatever happens, the caller gets its final response at once.
 pub async fn serve<P: ForwardProtocol>(
     node: Arc<ForwardNode<P>>,
     request: Request<Incoming>,
@@ -49,16 +50,49 @@
     response
 }
 
+/// The steps of a request: plan it, charge its quota, get a response, relay it.
 async fn forward<P: ForwardProtocol>(
     node: &Arc<ForwardNode<P>>,
     request: Request<Incoming>,
 ) -> Result<Response<ResponseBody>, Refusal> {
+    let plan = plan(node, request).await?;
+    let tokens = plan.quota_tokens();
+    let mut history = AttemptHistory {
+        trace: Trace::begin(node, &plan),
+        ..AttemptHistory::default()
+    };
+    if let Some(tenant) = &plan.tenant
+        && let Err(delay) = admit(node, tenant, tokens).await
+    {
+        history.trace.end(Ending::OverQuota);
+        return Err(over_quota(delay));
+    }
+    match first_response(node, &plan, &mut history).await {
+        Ok(opened) => Ok(relay(Arc::clone(node), plan, history, opened)),
+        Err(refusal) => {
+            if let (Some(tenant), 0) = (&plan.tenant, history.runs) {
+                node.quotas.refund(monotonic_now(), tenant, tokens);
+            }
+            history.trace.end(ending_of(&refusal, &history));
+            Err(refusal)
+        }
+    }
+}
+
+/// Reads a request and finds its route and tenant.
+///
+/// # Errors
+/// The node is not ready or about to end, or the request breaks a limit, has no route or no valid key.
+async fn plan<P: ForwardProtocol>(
+    node: &ForwardNode<P>,
+    request: Request<Incoming>,
+) -> Result<Plan, Refusal> {
     let arrived = monotonic_now();
     let (mut head, body) = request.into_parts();
     let table = node.state.table();
     if !node.state.is_ready() {
-        let not_ready = Refusal::new(ResultCode::NotReady).with_retry_after(NOT_READY_RETRY_AFTER);
-        return Err(not_ready.closing());
+        let not_ready = Refusal::new(ResultCode::NotReady);
+        return Err(not_ready.with_retry_after(NOT_READY_RETRY_AFTER).closing());
     }
     let limits = table.forward().limits().copied().unwrap_or_default();
     check_headers(&head.headers, &limits)?;
@@ -82,31 +116,10 @@
         arrived,
     };
     if !node.accepts(arrived, plan.deadline) {
-        let graceful_shutdown =
-            Refusal::new(ResultCode::NotReady).with_retry_after(DEFAULT_RETRY_AFTER);
-        return Err(graceful_shutdown.closing());
-    }
-    let tokens = plan.quota_tokens();
-    let mut history = AttemptHistory {
-        trace: Trace::begin(node, &plan),
-        ..AttemptHistory::default()
-    };
-    if let Some(tenant) = &plan.tenant
-        && let Err(delay) = admit(node, tenant, tokens).await
-    {
-        history.trace.end(Ending::OverQuota);
-        return Err(over_quota(delay));
-    }
-    match first_response(node, &plan, &mut history).await {
-        Ok(opened) => Ok(relay(Arc::clone(node), plan, history, opened)),
-        Err(refusal) => {
-            if let (Some(tenant), 0) = (&plan.tenant, history.runs) {
-                node.quotas.refund(monotonic_now(), tenant, tokens);
-            }
-            history.trace.end(ending_of(&refusal, &history));
-            Err(refusal)
-        }
+        let draining = Refusal::new(ResultCode::NotReady);
+        return Err(draining.with_retry_after(DEFAULT_RETRY_AFTER).closing());
     }
+    Ok(plan)
 }
 
 /// Charges the tenant's quota, or says when to come back.
@@ -118,18 +131,21 @@
     tenant: &Tenant,
     tokens: u64,
 ) -> Result<(), Duration> {
-    let (ring, _) = node.peers.ring(&node.state.table());
+    let ring = node.peers.ring(&node.state.table());
     if !ring.has_tenant_owners() {
         return node.quotas.admit(monotonic_now(), tenant, tokens);
     }
-    let (link, zone) = (&node.peers, &node.zone);
-    let shared = &node.quota_client;
-    shared
-        .admit(link, &ring, zone, &node.quotas, tenant, tokens)
+    let owners = QuotaOwners {
+        link: &node.peers,
+        ring: &ring,
+        zone: &node.zone,
+    };
+    node.quota_client
+        .admit(owners, &node.quotas, tenant, tokens)
         .await
 }
 
-/// What the decision record says of a request that brought no answer.
+/// What the decision record says of a request that brought no response.
 fn ending_of(refusal: &Refusal, history: &AttemptHistory) -> Ending {
     match refusal.code {
         ResultCode::DeadlineAfterSend => Ending::TimedOut,
@@ -139,18 +155,18 @@
 }
 
 /// The caller comes back on a new connection, if at all: the present one would stay open for nothing,
-/// and a tenant that presses on leaves hundreds of them.
+/// and a tenant far over its quota leaves hundreds of them.
 fn over_quota(delay: Duration) -> Refusal {
     let refusal = Refusal::new(ResultCode::QuotaExceeded);
     refusal.with_retry_after(delay).closing()
 }
 
 fn check_headers(headers: &HeaderMap, limits: &HttpLimits) -> Result<(), Refusal> {
-    let most = match limits.max_header_bytes {
+    let limit = match limits.max_header_bytes {
         0 => DEFAULT_MAX_HEADER_BYTES,
         bytes => bytes,
     };
-    if size_of(headers) as u64 > u64::from(most) {
+    if size_of(headers) as u64 > u64::from(limit) {
         return Err(Refusal::new(ResultCode::HeadersTooLarge).closing());
     }
     Ok(())
--- a/crates/forward/src/request/trace.rs
+++ b/crates/forward/src/request/trace.rs
@@ -26,13 +26,13 @@
     record: DecisionRecord,
 }
 
-/// The trace of one request; nothing for one that is not sampled. A trace that is dropped unended is
-/// that of a caller who left.
+/// The trace of one request; empty for one that is not sampled. A trace that is dropped before its end is
+/// that of a caller who disconnected.
 #[derive(Debug, Default)]
 pub struct Trace(Option<Box<SampledRequest>>);
 
 impl Trace {
-    /// Begins the trace of a request, if it is drawn.
+    /// Begins the trace of a request, if it is sampled.
     #[must_use]
     pub fn begin<P>(node: &ForwardNode<P>, plan: &Plan) -> Self {
         let per_mille = node.decision_log_per_mille;
@@ -94,7 +94,7 @@
         last.for_each(|attempt| attempt.outcome = outcome);
     }
 
-    /// Bytes of the body go on to the caller.
+    /// Bytes of the body are forwarded to the caller.
     pub fn bytes(&mut self) {
         let Some(sampled) = &mut self.0 else {
             return;
--- a/crates/forward/src/settings.rs
+++ b/crates/forward/src/settings.rs
@@ -28,14 +28,14 @@
     pub log_level: String,
     /// Form of a log line.
     pub log_format: LogFormat,
-    /// Longest time from the signal to leave to the end of the process, in milliseconds.
+    /// Longest time from the termination signal to the end of the process, in milliseconds.
     #[serde(rename = "leave_timeout_ms")]
     pub drain_timeout_ms: u64,
     /// Longest time to open a connection to a backend, in milliseconds.
     pub connect_timeout_ms: u64,
     /// Requests whose decisions are logged, in thousandths.
     pub decision_log_per_mille: u32,
-    /// Names of mechanisms that are left out, with commas between them, to measure what they are worth.
+    /// Names of disabled mechanisms, with commas between them, to measure what they are worth.
     #[serde(rename = "leave_out")]
     pub disabled_mechanisms: String,
 }
@@ -114,9 +114,8 @@
             let too_many = "The value must be at most 1000.";
             faults.push(SettingsFault::new("decision_log_per_mille", too_many));
         }
-        if let Err(name) = Mechanisms::all_but(&self.disabled_mechanisms) {
-            let unknown = format!("There is no mechanism \"{name}\".");
-            faults.push(SettingsFault::new("leave_out", unknown));
+        if let Err(unknown) = Mechanisms::all_but(&self.disabled_mechanisms) {
+            faults.push(SettingsFault::new("leave_out", unknown.to_string()));
         }
         let positive = [
             ("leave_timeout_ms", self.drain_timeout_ms),
--- a/crates/forward/tests/owners.rs
+++ b/crates/forward/tests/owners.rs
@@ -7,17 +7,18 @@
 use millford_api::config::TokenQuota;
 use millford_core::time::monotonic_now;
 use millford_forward::prefix_index as index;
+use millford_forward::quota::QuotaOwners;
 use millford_forward::{ForwardNode, MillfordProtocol};
 use millford_routing::{InFlightGuard, PrefixBlock, ReplicaKey};
 use support::backend::{Step, StubBackend, signed};
 use support::caller::{call, request};
 use support::node::{Setup, TestNode};
 
-/// Backends that no one answers at: nothing is sent to them here.
+/// Backends without a server: nothing is sent to them here.
 const BACKENDS: [&str; 3] = ["backend-0", "backend-1", "backend-2"];
 
-/// Questions until an answer must have come: a datagram may be lost on a busy machine, and a question to
-/// an owner that is gone takes its time.
+/// Queries until a reply must have come: a datagram may be lost on a busy machine, and a query to an
+/// unresponsive owner takes its timeout.
 const MAX_QUERIES: u32 = 2000;
 
 fn start_work(node: &TestNode, backend: &str, tokens: u64) -> InFlightGuard {
@@ -33,9 +34,9 @@
     }
 }
 
-/// Prompt tokens on a backend as a node sees them when it asks now.
+/// Prompt tokens in flight on a backend as a node learns them by a query now.
 async fn queried_tokens(node: &ForwardNode<MillfordProtocol>, backend: &str) -> u64 {
-    let (ring, _) = node.peers.ring(&node.state.table());
+    let ring = node.peers.ring(&node.state.table());
     let board = &node.state.board;
     let pending = node.load.query(&node.peers, &ring, board, &[backend]);
     node.peers.wait(pending).await;
@@ -54,10 +55,10 @@
         if queried_tokens(&node.node, backend).await == tokens {
             return;
         }
-        // A node that owns the counts itself asks nobody: the others get their turn here.
+        // A node that owns the counts itself sends no query: the others get their turn here.
         let_replies_arrive().await;
     }
-    panic!("{backend} never showed {tokens} tokens");
+    panic!("{backend} never had {tokens} tokens");
 }
 
 #[tokio::test]
@@ -84,7 +85,7 @@
     let backend = StubBackend::start(vec![Step::Hang]).await;
     for backend_id in BACKENDS {
         let nodes = TestNode::start_fleet(6, &Setup::with(|_| {}), &[&backend]).await;
-        let (ring, _) = nodes[0].node.peers.ring(&nodes[0].node.state.table());
+        let ring = nodes[0].node.peers.ring(&nodes[0].node.state.table());
         let owner = ring.owners_of_backend(backend_id)[0].name.clone();
         let others: Vec<&TestNode> = nodes
             .iter()
@@ -110,7 +111,7 @@
         .iter()
         .map(|node| start_work(node, BACKENDS[0], 10))
         .collect();
-    let (ring, _) = nodes[0].node.peers.ring(&nodes[0].node.state.table());
+    let ring = nodes[0].node.peers.ring(&nodes[0].node.state.table());
     let owners: Vec<String> = ring
         .owners_of_backend(BACKENDS[0])
         .iter()
@@ -127,7 +128,7 @@
     }
     for node in &nodes {
         if !owners.contains(&node.node.name) {
-            // What the owners themselves had in flight went with them.
+            // What the owners themselves had in flight is lost with them.
             until_queried(node, BACKENDS[0], 40).await;
         }
     }
@@ -144,7 +145,7 @@
         .record_dispatch(monotonic_now(), "backend-1", &parts, parts.len());
     for node in &nodes {
         let node = &node.node;
-        let (ring, _) = node.peers.ring(&node.state.table());
+        let ring = node.peers.ring(&node.state.table());
         let mut known = BTreeMap::new();
         for _ in 0..MAX_QUERIES {
             let prefix_index = &node.prefix_index;
@@ -208,7 +209,7 @@
 async fn large_fleet(setup: &Setup) -> Vec<TestNode> {
     let backend = StubBackend::start(vec![Step::Hang]).await;
     let nodes = TestNode::start_fleet(18, setup, &[&backend]).await;
-    let (ring, _) = nodes[0].node.peers.ring(&nodes[0].node.state.table());
+    let ring = nodes[0].node.peers.ring(&nodes[0].node.state.table());
     assert!(ring.has_tenant_owners());
     nodes
 }
@@ -216,16 +217,20 @@
 async fn admit(node: &TestNode, tokens: u64) -> bool {
     let node = &node.node;
     let table = node.state.table();
-    let (ring, _) = node.peers.ring(&table);
+    let ring = node.peers.ring(&table);
     let tenant = table.tenant_named("tenant").expect("a tenant");
-    let shared = &node.quota_client;
-    shared
-        .admit(&node.peers, &ring, &node.zone, &node.quotas, tenant, tokens)
-        .await
-        .is_ok()
+    let owners = QuotaOwners {
+        link: &node.peers,
+        ring: &ring,
+        zone: &node.zone,
+    };
+    let admission = node
+        .quota_client
+        .admit(owners, &node.quotas, tenant, tokens);
+    admission.await.is_ok()
 }
 
-/// What is admitted when the nodes ask in turn, far more often than the bucket lasts for.
+/// Tokens admitted when the nodes request in turn, far more often than the bucket lasts for.
 async fn admitted_in_turn(nodes: &[&TestNode]) -> u64 {
     let mut admitted = 0;
     let mut left = 10 * nodes.len();
@@ -236,7 +241,7 @@
         if admit(node, 50).await {
             admitted += 50;
         }
-        // A busy machine holds answers up: the bucket has to be used up all the same.
+        // A busy machine delays replies: the bucket has to be used up all the same.
         if admitted >= slow_quota().burst || queries > MAX_QUERIES as usize {
             left -= 1;
         }
@@ -245,8 +250,8 @@
     admitted
 }
 
-/// Whatever a busy machine holds up: the owners of a zone grant no more than one bucket, and beyond it nodes
-/// admit only what they decide on alone.
+/// Whatever a busy machine delays: the owners of a zone grant no more than one bucket, and beyond it nodes
+/// admit only by degraded decisions.
 fn assert_one_bucket_a_zone(admitted: u64, nodes: &[&TestNode]) {
     let degraded = nodes
         .iter()
@@ -256,7 +261,7 @@
     assert!(admitted >= slow_quota().burst, "{admitted}");
     assert!(
         admitted <= most,
-        "{admitted} of {most}, {degraded} decided alone"
+        "{admitted} of {most}, {degraded} degraded decisions"
     );
 }
 
@@ -275,7 +280,7 @@
     let mut setup = Setup::with(|_| {});
     setup.quota = Some(slow_quota());
     let nodes = large_fleet(&setup).await;
-    let (ring, _) = nodes[0].node.peers.ring(&nodes[0].node.state.table());
+    let ring = nodes[0].node.peers.ring(&nodes[0].node.state.table());
     let zones: BTreeSet<&str> = nodes.iter().map(|node| node.node.zone.as_str()).collect();
     let unresponsive: Vec<&str> = zones
         .into_iter()
@@ -295,7 +300,7 @@
     let mut setup = Setup::with(|_| {});
     setup.quota = Some(slow_quota());
     let nodes = large_fleet(&setup).await;
-    let (ring, _) = nodes[0].node.peers.ring(&nodes[0].node.state.table());
+    let ring = nodes[0].node.peers.ring(&nodes[0].node.state.table());
     let zone = nodes[0].node.zone.clone();
     let outside = ring.owners_of_tenant_outside(&zone, "tenant");
     let zones: BTreeSet<&str> = outside.iter().map(|owner| owner.zone.as_str()).collect();
--- a/crates/forward/tests/usage_messages.rs
+++ b/crates/forward/tests/usage_messages.rs
@@ -1,10 +1,10 @@
-//! What news hold: whom a count was told to decides whether it is told again.
+//! What usage messages contain: to whom a count was reported decides whether it is reported again.
 
 mod support;
 
 use millford_api::config::{Tenant, TokenQuota};
 use millford_core::time::monotonic_now;
-use millford_forward::exchange::usage_messages::UsageMessageEncoder;
+use millford_forward::exchange::usage_messages::{UpdateScope, UsageMessageEncoder};
 use support::backend::{Step, StubBackend};
 use support::node::{Setup, TestNode};
 
@@ -29,27 +29,27 @@
     let now = monotonic_now();
     let mut encoder = UsageMessageEncoder::new(1);
     assert_eq!(
-        encoder.encode_for_all(&node, now, true),
+        encoder.encode_for_all(&node, now, UpdateScope::Full),
         None,
         "nothing was admitted"
     );
     node.quotas
         .admit(now, &tenant(), 70)
         .expect("under its quota");
-    let news = encoder
-        .encode_for_all(&node, now, false)
+    let message = encoder
+        .encode_for_all(&node, now, UpdateScope::Changes)
         .expect("an admission");
-    assert_eq!(news.usage[0].used_tokens, 70);
-    assert!(!news.is_owner);
+    assert_eq!(message.usage[0].used_tokens, 70);
+    assert!(!message.is_owner, "{message:?}");
     assert_eq!(
-        encoder.encode_for_all(&node, now, false),
+        encoder.encode_for_all(&node, now, UpdateScope::Changes),
         None,
-        "all were told"
+        "all were reported"
     );
     let again = encoder
-        .encode_for_all(&node, now, true)
-        .expect("all over again");
-    assert!(again.sequence > news.sequence);
+        .encode_for_all(&node, now, UpdateScope::Full)
+        .expect("a full update");
+    assert!(again.sequence > message.sequence);
 }
 
 #[tokio::test]
@@ -57,7 +57,7 @@
     let backend = StubBackend::start(vec![Step::Hang]).await;
     let nodes = TestNode::start_fleet(12, &Setup::with(|_| {}), &[&backend]).await;
     let now = monotonic_now();
-    let (ring, _) = nodes[0].node.peers.ring(&nodes[0].node.state.table());
+    let ring = nodes[0].node.peers.ring(&nodes[0].node.state.table());
     let owners = ring.owners_of_tenant("tenant");
     assert_eq!(owners.len(), 4, "two in each of two zones");
     for test_node in &nodes {
@@ -66,7 +66,7 @@
             .grant(now, &tenant(), 70, 0)
             .expect("the tenant has a quota");
         let mut encoder = UsageMessageEncoder::new(1);
-        let messages = encoder.encode_for_owners(node, &ring, now, false);
+        let messages = encoder.encode_for_owners(node, &ring, now, UpdateScope::Changes);
         let is_owner = owners.iter().any(|owner| owner.name == node.name);
         assert_eq!(
             messages.len(),
@@ -74,19 +74,22 @@
             "{}",
             node.name
         );
-        for (address, news) in &messages {
-            assert!(news.is_owner);
-            assert_eq!(news.usage[0].used_tokens, 70);
-            let to = owners.iter().find(|owner| owner.address == *address);
+        for addressed in &messages {
+            let message = &addressed.message;
+            assert!(message.is_owner, "{message:?}");
+            assert_eq!(message.usage[0].used_tokens, 70);
+            let to = owners
+                .iter()
+                .find(|owner| owner.address == addressed.address);
             assert_ne!(to.expect("an owner").name, node.name);
         }
         assert!(
             encoder
-                .encode_for_owners(node, &ring, now, false)
+                .encode_for_owners(node, &ring, now, UpdateScope::Changes)
                 .is_empty()
         );
-        let complete = encoder.encode_for_owners(node, &ring, now, true);
-        assert_eq!(complete.len(), messages.len(), "all over again");
+        let full = encoder.encode_for_owners(node, &ring, now, UpdateScope::Full);
+        assert_eq!(full.len(), messages.len(), "a full update");
     }
 }
 
@@ -97,7 +100,7 @@
     let nodes = TestNode::start_fleet(2, &Setup::with(|_| {}), &[&backend]).await;
     let node = &nodes[0].node;
     let now = monotonic_now();
-    let (ring, _) = node.peers.ring(&node.state.table());
+    let ring = node.peers.ring(&node.state.table());
     for number in 0..TENANTS {
         let tenant = Tenant {
             name: format!("tenant-{number}"),
@@ -105,7 +108,11 @@
         };
         node.quotas.grant(now, &tenant, 1, 0).expect("a quota");
     }
-    let messages = UsageMessageEncoder::new(1).encode_for_owners(node, &ring, now, false);
-    let tenants: usize = messages.iter().map(|(_, news)| news.usage.len()).sum();
+    let messages =
+        UsageMessageEncoder::new(1).encode_for_owners(node, &ring, now, UpdateScope::Changes);
+    let tenants: usize = messages
+        .iter()
+        .map(|addressed| addressed.message.usage.len())
+        .sum();
     assert_eq!(tenants, TENANTS);
 }
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -4,7 +4,7 @@
 
 use crate::cost_estimates::CostEstimates;
 
-/// What admission knows about the backend that a request would go to.
+/// What admission knows about the backend that a request would go to, in tokens.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionEstimate {
     /// Uncached prompt tokens in flight on the backend for the model.
@@ -14,7 +14,7 @@
 }
 
 impl AdmissionEstimate {
-    /// Estimated time to the first token.
+    /// Estimated time to the first token of `model`.
     #[must_use]
     pub fn first_token(&self, model: &str, costs: &CostEstimates) -> Duration {
         let tokens = self.queued_tokens.saturating_add(self.own_tokens);
--- a/crates/routing/src/backend_health.rs
+++ b/crates/routing/src/backend_health.rs
@@ -1,11 +1,13 @@
-//! Which backends are ejected, from what this node itself sees of them.
+//! Which backends are ejected, from what this node itself observes of them.
 
 use std::collections::BTreeMap;
-use std::sync::{Mutex, MutexGuard, PoisonError};
+use std::sync::{Mutex, MutexGuard};
 
 use millford_core::{Duration, MonotonicTime};
 
-/// Probes in a row that must succeed before an ejected backend is used again.
+use crate::lock::lock;
+
+/// Probes in a row that must succeed before an ejected backend is readmitted.
 pub const PROBES_TO_READMIT: u32 = 2;
 
 /// Failed probes in a row that eject a backend.
@@ -24,7 +26,7 @@
     ConnectFailed,
     /// A connection broke with a request on it.
     ConnectionLost,
-    /// Nothing was heard on a stream or a probe for too long.
+    /// Nothing was received on a stream or a probe for too long.
     Unresponsive,
 }
 
@@ -47,7 +49,7 @@
     bad_probes: u32,
     last_used: Option<MonotonicTime>,
     last_active: Option<MonotonicTime>,
-    /// The first use since it was heard last.
+    /// The first use since its last activity.
     unanswered_since: Option<MonotonicTime>,
     /// Probed whether or not it is in use.
     watched: bool,
@@ -55,8 +57,8 @@
 
 /// Health of the backends by id.
 ///
-/// The registry trails reality, so a vanished backend is ejected by connect errors, by silence
-/// and by failed probes. Only successful probes bring it back.
+/// The registry trails reality, so a vanished backend is ejected by connect errors, by inactivity
+/// and by failed probes. Only successful probes readmit it.
 #[derive(Debug, Default)]
 pub struct BackendHealth {
     backends: Mutex<BTreeMap<String, Health>>,
@@ -80,7 +82,7 @@
         });
     }
 
-    /// Takes the backend out of use. Answers whether it was in use before.
+    /// Takes the backend out of use. Returns whether it was in use before.
     pub fn eject(&self, id: &str, reason: EjectionReason) -> bool {
         self.entry(id, |health| {
             let newly = health.ejected.is_none();
@@ -105,7 +107,7 @@
         self.lock().get(id).and_then(|health| health.ejected)
     }
 
-    /// A probe was answered. Answers whether it brought the backend back.
+    /// A probe succeeded. Returns whether it readmitted the backend.
     pub fn probe_succeeded(&self, id: &str, now: MonotonicTime) -> bool {
         self.entry(id, |health| {
             health.last_active = Some(now);
@@ -119,7 +121,7 @@
         })
     }
 
-    /// A probe failed. Answers whether it ejected the backend.
+    /// A probe failed. Returns whether it ejected the backend.
     pub fn probe_failed(&self, id: &str) -> bool {
         self.entry(id, |health| {
             health.good_probes = 0;
@@ -132,7 +134,7 @@
         })
     }
 
-    /// Backends to probe now: the ejected ones, and those in recent use that are quiet.
+    /// Backends to probe now: the ejected ones, and those in recent use that were inactive for `quiet`.
     #[must_use]
     pub fn to_probe(&self, now: MonotonicTime, quiet: Duration) -> Vec<String> {
         let backends = self.lock();
@@ -145,8 +147,8 @@
         due.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Whether nothing was heard for `span`, neither since the last sign of life nor since the first
-    /// use after it. Only of interest while requests are under way.
+    /// Whether nothing was received for `span`, neither since the last activity nor since the first
+    /// use after it. Only of interest while requests are in flight.
     #[must_use]
     pub fn is_unresponsive(&self, id: &str, now: MonotonicTime, span: Duration) -> bool {
         let backends = self.lock();
@@ -157,7 +159,7 @@
         newest.is_some_and(|at| now.since(at) >= span)
     }
 
-    /// Whether any other backend was heard within `span`.
+    /// Whether any other backend was active within `span`.
     #[must_use]
     pub fn others_responsive(&self, id: &str, now: MonotonicTime, span: Duration) -> bool {
         let backends = self.lock();
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Forgets backends that the feed no longer shows.
+    /// Forgets backends that the feed no longer lists.
     pub fn keep_only(&self, known: impl Fn(&str) -> bool) {
         self.lock().retain(|id, _| known(id));
     }
@@ -211,6 +213,6 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, BTreeMap<String, Health>> {
-        self.backends.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.backends)
     }
 }
--- a/crates/routing/src/choice.rs
+++ b/crates/routing/src/choice.rs
@@ -6,7 +6,7 @@
 /// How far a home that saves all prefill may be behind the alternative, as a multiple of the mean load.
 pub const HOME_LOAD_TOLERANCE: f64 = 1.5;
 
-/// How many backends of a key's rendezvous order are tried before the key's affinity is given up.
+/// How many backends of a key's rendezvous order are considered before the key's affinity is given up.
 pub const HOMES_TRIED: usize = 2;
 
 /// A backend that may take the request.
@@ -43,7 +43,7 @@
 /// Chooses a candidate; nothing only if there is none.
 ///
 /// The request goes to a home of its key unless the better of two drawn candidates is ahead of it by more
-/// than the warm cache at home saves, with some patience in proportion to the gain: a busy home keeps only what
+/// than the warm cache at home saves, with some tolerance in proportion to the gain: a busy home keeps only what
 /// still gains there. `random` are two fresh random numbers.
 #[must_use]
 pub fn choose(
--- a/crates/routing/src/cost_estimates.rs
+++ b/crates/routing/src/cost_estimates.rs
@@ -1,9 +1,10 @@
 //! Cost of each model, learned from the traffic that this node carries.
 
 use std::collections::BTreeMap;
-use std::sync::{Mutex, PoisonError};
+use std::sync::Mutex;
 
 use crate::linear_fit::LinearFit;
+use crate::lock::lock;
 use crate::running_mean::RunningMean;
 
 /// First token of an unknown model: fixed part, in milliseconds.
@@ -14,12 +15,12 @@
 const PRIOR_INTER_TOKEN_MS: f64 = 20.0;
 /// What each further stream adds to the time between tokens, in milliseconds.
 const PRIOR_INTER_TOKEN_MS_PER_STREAM: f64 = 0.5;
-/// Length of an answer of an unknown model, in tokens.
+/// Length of a response of an unknown model, in tokens.
 const PRIOR_OUTPUT_TOKENS: f64 = 64.0;
 /// Most streams that are believed to fit into twice the time of an empty step: guards against a fitted
 /// slope of nearly nothing.
 const MAX_STREAMS_PER_BATCH: f64 = 256.0;
-/// Cached share of a prompt to expect at home and elsewhere before any answer.
+/// Cached share of a prompt to expect at home before any response; elsewhere it is 0.
 const PRIOR_CACHED_AT_HOME: f64 = 0.5;
 
 /// What was learned about one model.
@@ -47,7 +48,7 @@
     }
 }
 
-/// The costs of all models seen by this node.
+/// The costs of all models that this node carried traffic of.
 #[derive(Debug, Default)]
 pub struct CostEstimates {
     models: Mutex<BTreeMap<String, ModelCost>>,
@@ -69,7 +70,7 @@
         });
     }
 
-    /// An answer had this many tokens.
+    /// A response had this many tokens.
     pub fn add_output_tokens(&self, model: &str, tokens: u32) {
         self.change(model, |cost| {
             cost.output_tokens.add(f64::from(tokens));
@@ -138,12 +139,10 @@
     }
 
     fn change(&self, model: &str, change: impl FnOnce(&mut ModelCost)) {
-        let mut models = self.models.lock().unwrap_or_else(PoisonError::into_inner);
-        change(models.entry(model.to_owned()).or_default());
+        change(lock(&self.models).entry(model.to_owned()).or_default());
     }
 
     fn read(&self, model: &str) -> ModelCost {
-        let models = self.models.lock().unwrap_or_else(PoisonError::into_inner);
-        models.get(model).copied().unwrap_or_default()
+        lock(&self.models).get(model).copied().unwrap_or_default()
     }
 }
--- a/crates/routing/src/fair_queue.rs
+++ b/crates/routing/src/fair_queue.rs
@@ -1,9 +1,11 @@
 //! Fair turns among tenants while the backends are too busy.
 
 use std::collections::{BTreeMap, VecDeque};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard};
 
-/// Number of a waiting request.
+use crate::lock::lock;
+
+/// Id of a waiting request.
 pub type WaiterId = u64;
 
 /// Queues by what their requests compete for: a pool and a model.
@@ -25,7 +27,7 @@
     /// The queue of this pool and model.
     #[must_use]
     pub fn queue(&self, key: &QueueKey) -> Arc<FairQueue> {
-        let mut queues = self.queues.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut queues = lock(&self.queues);
         if let Some(queue) = queues.get(key) {
             return Arc::clone(queue);
         }
@@ -49,7 +51,7 @@
 
 /// Work in flight per tenant and the requests that wait for their turn.
 ///
-/// While there is no room, tenants over their share are refused at once and the others wait;
+/// While there is no capacity, tenants over their share are refused at once and the others wait;
 /// the tenant with the least work in flight goes first.
 #[derive(Debug, Default)]
 pub struct FairQueue {
@@ -90,7 +92,7 @@
         competing > 0 && own > total / (competing + 1)
     }
 
-    /// Lines a request up behind those of its tenant.
+    /// Queues a request behind those of its tenant.
     #[must_use]
     pub fn join(&self, tenant: &str) -> WaiterId {
         let mut state = self.lock();
@@ -122,7 +124,7 @@
         state.forget_if_idle(tenant);
     }
 
-    /// Whether anyone waits: then newcomers line up too.
+    /// Whether anyone waits: then newcomers queue up too.
     #[must_use]
     pub fn has_waiters(&self) -> bool {
         let state = self.lock();
@@ -133,7 +135,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, QueueState> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.state)
     }
 }
 
--- a/crates/routing/src/forward_table.rs
+++ b/crates/routing/src/forward_table.rs
@@ -6,7 +6,7 @@
 use millford_api::config::{ForwardRoute, HttpLimits};
 use millford_api::state::ProxyMember;
 
-/// Forwarding routes, HTTP limits and the other proxies, as the feed shows them.
+/// Forwarding routes, HTTP limits and the proxies, as the feed lists them.
 #[derive(Clone, Debug, Default)]
 pub struct ForwardTable {
     /// Routes of each host in lower case, the longest prefix first.
@@ -40,8 +40,8 @@
     pub(crate) fn add_route(&mut self, route: &ForwardRoute) {
         let routes = self.hosts.entry(host_name(&route.host)).or_default();
         let length = route.path_prefix.len();
-        let place = routes.partition_point(|other| other.path_prefix.len() >= length);
-        routes.insert(place, Arc::new(route.clone()));
+        let position = routes.partition_point(|other| other.path_prefix.len() >= length);
+        routes.insert(position, Arc::new(route.clone()));
     }
 
     pub(crate) fn set_limits(&mut self, limits: HttpLimits) {
--- a/crates/routing/src/linear_fit.rs
+++ b/crates/routing/src/linear_fit.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Takes one sample in.
+    /// Adds one sample.
     pub fn add(&mut self, x: f64, y: f64) {
         self.weight = self.weight * FORGETTING + 1.0;
         self.sum_x = self.sum_x * FORGETTING + x;
--- a/crates/routing/src/load_table.rs
+++ b/crates/routing/src/load_table.rs
@@ -2,56 +2,31 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Mutex, MutexGuard};
 
-use millford_api::internal::{CostSample, LoadReport, LoadSnapshot, ReplicaLoad};
+use millford_api::internal::{CostSample, LoadReport, LoadSnapshot};
 use tokio::sync::Notify;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::cost_estimates::CostEstimates;
-use crate::in_flight_guard::InFlightGuard;
+use crate::lock::lock;
 use crate::replica_key::ReplicaKey;
+use crate::replica_load::{ReplicaCounts, ReplicaEntry};
 
 /// Number of shards; a power of two.
 const TABLE_SHARDS: usize = 16;
 
-/// Most cost samples kept per replica between two reports.
-const MAX_SAMPLES_PER_REPORT: usize = 64;
-
-/// Unchanged work in flight is reported again after this many reports without it: the placement role
-/// forgets counts that are not refreshed for five seconds. Four reports a second make this three.
-const REFRESH_AFTER_REPORTS: u32 = 12;
-
-/// Counts of one replica.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ReplicaCounts {
-    /// Prompt tokens sent and not yet answered by a first piece.
-    pub prefill_tokens: u64,
-    /// Streams past their first piece.
-    pub decode_streams: u32,
-    /// Requests held open while the backend drains.
-    pub held_requests: u32,
-}
-
-#[derive(Debug, Default)]
-struct ReplicaEntry {
-    own: ReplicaCounts,
-    reported: ReplicaCounts,
-    others: ReplicaCounts,
-    samples: Vec<CostSample>,
-    failures: u32,
-    reports_skipped: u32,
-}
-
 type TableShard = BTreeMap<ReplicaKey, ReplicaEntry>;
 
 /// Counts of this node's work in flight, with what the other nodes reported.
+///
+/// [`LoadTable::start`] (in [`crate::in_flight_guard`]) counts a request.
 #[derive(Debug)]
 pub struct LoadTable {
     shards: Vec<Mutex<TableShard>>,
-    /// Whether the other nodes themselves tell what they have in flight.
+    /// Whether the other nodes themselves publish what they have in flight.
     follows_peers: AtomicBool,
-    /// Backends on which this node's own work changed since peers were told.
+    /// Backends on which this node's own work changed since peers were notified.
     changed: Mutex<BTreeSet<String>>,
     change: Notify,
 }
@@ -69,18 +44,14 @@
 }
 
 impl LoadTable {
-    /// Counts a request with this many uncached prompt tokens until the ticket is dropped.
-    #[must_use]
-    pub fn start(self: &Arc<Self>, key: ReplicaKey, uncached_tokens: u64) -> InFlightGuard {
-        self.change_own(&key, |own| own.prefill_tokens += uncached_tokens);
-        InFlightGuard::new(Arc::clone(self), key, uncached_tokens)
-    }
-
     /// Counts of one replica, all nodes together.
     #[must_use]
     pub fn counts(&self, key: &ReplicaKey) -> ReplicaCounts {
-        let shard = self.lock(&key.backend_id);
-        shard.get(key).map(all_nodes).unwrap_or_default()
+        let shard = self.shard_of(&key.backend_id);
+        shard
+            .get(key)
+            .map(ReplicaEntry::all_nodes)
+            .unwrap_or_default()
     }
 
     /// Estimated processor time in flight on a backend over its cores, in milliseconds.
@@ -88,13 +59,10 @@
     /// Each model's work counts at that model's own cost.
     #[must_use]
     pub fn backend_load(&self, backend_id: &str, cores: u32, costs: &CostEstimates) -> f64 {
-        let shard = self.lock(backend_id);
-        let of_backend = shard
-            .range(first_key(backend_id)..)
-            .take_while(|(key, _)| key.backend_id == backend_id);
-        let work: f64 = of_backend
+        let shard = self.shard_of(backend_id);
+        let work: f64 = entries_of(&shard, backend_id)
             .map(|(key, entry)| {
-                let counts = all_nodes(entry);
+                let counts = entry.all_nodes();
                 let streams = counts.decode_streams.saturating_add(counts.held_requests);
                 costs.work_ms(&key.model, counts.prefill_tokens, streams)
             })
@@ -104,16 +72,12 @@
 
     /// Adds a sample for the cost fit of the placement role.
     pub fn add_sample(&self, key: &ReplicaKey, sample: CostSample) {
-        self.change(key, |entry| {
-            if entry.samples.len() < MAX_SAMPLES_PER_REPORT {
-                entry.samples.push(sample);
-            }
-        });
+        self.change(key, |entry| entry.add_sample(sample));
     }
 
     /// Counts a failed request.
     pub fn add_failure(&self, key: &ReplicaKey) {
-        self.change(key, |entry| entry.failures += 1);
+        self.change(key, ReplicaEntry::add_failure);
     }
 
     /// Reports of the replicas that changed since the last call, one report a pool; unchanged work in flight
@@ -122,29 +86,29 @@
     pub fn take_reports(&self) -> Vec<LoadReport> {
         let mut reports: BTreeMap<String, LoadReport> = BTreeMap::new();
         for shard in &self.shards {
-            let mut shard = shard.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut shard = lock(shard);
             for (key, entry) in shard.iter_mut() {
-                let Some(load) = take_report(key, entry) else {
+                let Some(load) = entry.take_report(key) else {
                     continue;
                 };
                 let report = reports.entry(key.pool.clone()).or_default();
                 report.service.clone_from(&key.pool);
                 report.loads.push(load);
             }
-            shard.retain(|_, entry| is_in_use(entry));
+            shard.retain(|_, entry| entry.is_in_use());
         }
         reports.into_values().collect()
     }
 
     /// From now on the other nodes' counts come from [`Self::set_others`] only: they are fresher
-    /// there than in the pictures of the control plane.
+    /// there than in the load snapshots of the control plane.
     pub fn follow_peers(&self) {
         self.follows_peers.store(true, Ordering::Relaxed);
     }
 
-    /// Sets what the other nodes have in flight on a backend; a replica that is not named is idle there.
+    /// Sets what the other nodes have in flight on a backend; a replica that is not listed is idle there.
     pub fn set_others(&self, backend_id: &str, others: &BTreeMap<ReplicaKey, ReplicaCounts>) {
-        let mut shard = self.lock(backend_id);
+        let mut shard = self.shard_of(backend_id);
         let known = shard
             .range_mut(first_key(backend_id)..)
             .take_while(|(key, _)| key.backend_id == backend_id);
@@ -159,11 +123,8 @@
     /// This node's own work in flight on a backend, idle replicas left out.
     #[must_use]
     pub fn own_work_on(&self, backend_id: &str) -> Vec<(ReplicaKey, ReplicaCounts)> {
-        let shard = self.lock(backend_id);
-        let of_backend = shard
-            .range(first_key(backend_id)..)
-            .take_while(|(key, _)| key.backend_id == backend_id);
-        let busy = of_backend.filter(|(_, entry)| entry.own != ReplicaCounts::default());
+        let shard = self.shard_of(backend_id);
+        let busy = entries_of(&shard, backend_id).filter(|(_, entry)| !entry.own.is_idle());
         busy.map(|(key, entry)| (key.clone(), entry.own)).collect()
     }
 
@@ -172,10 +133,8 @@
     pub fn busy_backends(&self) -> BTreeSet<String> {
         let mut ids = BTreeSet::new();
         for shard in &self.shards {
-            let shard = shard.lock().unwrap_or_else(PoisonError::into_inner);
-            let busy = shard
-                .iter()
-                .filter(|(_, entry)| entry.own != ReplicaCounts::default());
+            let shard = lock(shard);
+            let busy = shard.iter().filter(|(_, entry)| !entry.own.is_idle());
             ids.extend(busy.map(|(key, _)| key.backend_id.clone()));
         }
         ids
@@ -184,8 +143,7 @@
     /// Backends on which this node's own work changed since the last call.
     #[must_use]
     pub fn take_changed(&self) -> BTreeSet<String> {
-        let mut changed = self.changed.lock().unwrap_or_else(PoisonError::into_inner);
-        std::mem::take(&mut *changed)
+        std::mem::take(&mut *lock(&self.changed))
     }
 
     /// Resolves once this node's own work changed.
@@ -193,20 +151,20 @@
         self.change.notified().await;
     }
 
-    /// Takes in what all nodes together have in flight; this node's last report is part of it.
-    pub fn merge_snapshot(&self, picture: &LoadSnapshot) {
+    /// Applies what all nodes together have in flight; this node's last report is part of it.
+    pub fn merge_snapshot(&self, snapshot: &LoadSnapshot) {
         if self.follows_peers.load(Ordering::Relaxed) {
             return;
         }
-        for load in &picture.loads {
+        for load in &snapshot.loads {
             let key = ReplicaKey {
-                pool: picture.service.clone(),
+                pool: snapshot.service.clone(),
                 backend_id: load.backend_id.clone(),
                 model: load.model.clone(),
                 version: load.version.clone(),
             };
             self.change(&key, |entry| {
-                entry.others = excluding_own(load, entry.reported)
+                entry.others = ReplicaCounts::from(load).saturating_sub(entry.reported);
             });
         }
     }
@@ -217,23 +175,31 @@
         if !self.follows_peers.load(Ordering::Relaxed) {
             return;
         }
-        let mut changed = self.changed.lock().unwrap_or_else(PoisonError::into_inner);
-        changed.insert(key.backend_id.clone());
+        lock(&self.changed).insert(key.backend_id.clone());
         self.change.notify_one();
     }
 
     fn change(&self, key: &ReplicaKey, change: impl FnOnce(&mut ReplicaEntry)) {
-        let mut shard = self.lock(&key.backend_id);
+        let mut shard = self.shard_of(&key.backend_id);
         change(shard.entry(key.clone()).or_default());
     }
 
-    fn lock(&self, backend_id: &str) -> MutexGuard<'_, TableShard> {
+    fn shard_of(&self, backend_id: &str) -> MutexGuard<'_, TableShard> {
         let slot = xxh3_64(backend_id.as_bytes()) as usize % TABLE_SHARDS;
-        let shard = &self.shards[slot];
-        shard.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.shards[slot])
     }
 }
 
+/// The entries of one backend, in the order of their keys.
+fn entries_of<'a>(
+    shard: &'a TableShard,
+    backend_id: &'a str,
+) -> impl Iterator<Item = (&'a ReplicaKey, &'a ReplicaEntry)> {
+    shard
+        .range(first_key(backend_id)..)
+        .take_while(move |(key, _)| key.backend_id == backend_id)
+}
+
 /// Sorts before every replica of the backend.
 fn first_key(backend_id: &str) -> ReplicaKey {
     ReplicaKey {
@@ -241,50 +207,3 @@
         ..ReplicaKey::default()
     }
 }
-
-fn all_nodes(entry: &ReplicaEntry) -> ReplicaCounts {
-    let ReplicaEntry { own, others, .. } = entry;
-    ReplicaCounts {
-        // Others' counts come from the network and may be anything.
-        prefill_tokens: own.prefill_tokens.saturating_add(others.prefill_tokens),
-        decode_streams: own.decode_streams.saturating_add(others.decode_streams),
-        held_requests: own.held_requests.saturating_add(others.held_requests),
-    }
-}
-
-fn is_in_use(entry: &ReplicaEntry) -> bool {
-    let idle = ReplicaCounts::default();
-    entry.own != idle || entry.reported != idle || entry.others != idle
-}
-
-/// The report of one replica, if anything changed since its last one.
-fn take_report(key: &ReplicaKey, entry: &mut ReplicaEntry) -> Option<ReplicaLoad> {
-    let unchanged = entry.own == entry.reported;
-    if unchanged && entry.samples.is_empty() && entry.failures == 0 {
-        entry.reports_skipped += 1;
-        let idle = entry.own == ReplicaCounts::default();
-        if idle || entry.reports_skipped < REFRESH_AFTER_REPORTS {
-            return None;
-        }
-    }
-    entry.reports_skipped = 0;
-    entry.reported = entry.own;
-    Some(ReplicaLoad {
-        backend_id: key.backend_id.clone(),
-        model: key.model.clone(),
-        version: key.version.clone(),
-        prefill_tokens: entry.own.prefill_tokens,
-        decode_streams: entry.own.decode_streams,
-        held_requests: entry.own.held_requests,
-        samples: std::mem::take(&mut entry.samples),
-        failures: std::mem::take(&mut entry.failures),
-    })
-}
-
-fn excluding_own(load: &ReplicaLoad, own: ReplicaCounts) -> ReplicaCounts {
-    ReplicaCounts {
-        prefill_tokens: load.prefill_tokens.saturating_sub(own.prefill_tokens),
-        decode_streams: load.decode_streams.saturating_sub(own.decode_streams),
-        held_requests: load.held_requests.saturating_sub(own.held_requests),
-    }
-}
--- a/crates/routing/src/model_request.rs
+++ b/crates/routing/src/model_request.rs
@@ -1,4 +1,4 @@
-//! What a request asks for.
+//! Which model a request names.
 
 /// Model, version, stage and adapter that a request names. Empty fields were not named.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/routing/src/prefix.rs
+++ b/crates/routing/src/prefix.rs
@@ -1,4 +1,4 @@
-//! Hashes that keep related requests on one backend.
+//! Hashes by which related requests get the same home.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -18,7 +18,7 @@
     xxh3_64_with_seed(text.as_bytes(), SESSION_SEED)
 }
 
-/// Hash of the first part of a prompt, or nothing for a short prompt.
+/// Hash of the beginning of a prompt; `None` for a short prompt.
 #[must_use]
 pub fn prefix_hash(model: &str, prompt: &[u8]) -> Option<u64> {
     if prompt.len() < SHORTEST_SHARED_PREFIX {
