--- a/crates/routing/src/prefix_index.rs
+++ b/crates/routing/src/prefix_index.rs
@@ -1,37 +1,39 @@
-//! Which backends have lately read which parts of prompts.
+//! Which backends have lately read which prefix blocks of prompts.
 
 use std::collections::{BTreeMap, HashMap};
-use std::sync::{Mutex, MutexGuard, PoisonError};
+use std::sync::{Mutex, MutexGuard};
 
 use millford_core::{Duration, MonotonicTime};
 use tokio::sync::Notify;
 
+use crate::lock::lock;
+
 /// Number of shards; a power of two.
 const INDEX_SHARDS: usize = 16;
 
-/// A part that was not used for this long is believed to have given way to others.
+/// A block that was not used for this long is believed to have been evicted from the backend's cache.
 pub const RETENTION: Duration = Duration::from_secs(25);
 
-/// A part that is used again is told to the other nodes at most this often.
+/// A block that is used again is announced to the other nodes at most this often.
 const MIN_ANNOUNCE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// One part of a prompt: its identity includes its place, so that equal ids are equal parts.
+/// One block of a prompt: its identity includes its position, so that equal ids are equal prefixes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixBlock {
-    /// Identity of the part.
+    /// Identity of the block.
     pub id: u64,
-    /// Its length.
+    /// Its length, in tokens.
     pub tokens: u32,
 }
 
-/// A part that a backend has read.
+/// A block that a backend has read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CachedBlock {
-    /// Identity of the part.
+    /// Identity of the block.
     pub block: u64,
     /// The backend.
     pub backend_id: String,
-    /// Length of the part.
+    /// Length of the block, in tokens.
     pub tokens: u32,
 }
 
@@ -44,10 +46,19 @@
 
 type UsesByBackend = BTreeMap<String, BlockUse>;
 
-/// Parts by id with the backends that read them, in shards that each have their own lock.
+/// Whether other nodes are to be notified of a use.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Announcement {
+    /// The block is the request's own; no other prompt has it.
+    Never,
+    /// At most once in [`MIN_ANNOUNCE_INTERVAL`].
+    WhenDue,
+}
+
+/// Blocks by id with the backends that read them, in shards that each have their own lock.
 ///
-/// Backends do not tell what they keep. What was sent to them decides it, and they let the least
-/// recently used parts give way; so a part counts as kept for a while after its last use.
+/// Backends do not report what they have cached. What was sent to them decides it, and they evict the least
+/// recently used blocks; so a block counts as cached for a while after its last use.
 #[derive(Debug)]
 pub struct PrefixIndex {
     shards: Vec<Mutex<HashMap<u64, UsesByBackend>>>,
@@ -67,7 +78,8 @@
 }
 
 impl PrefixIndex {
-    /// This node sends a prompt with these parts to a backend. `shareable` of them may come again.
+    /// This node sends a prompt with these blocks to a backend. The first `shareable` of them may come
+    /// again in other prompts.
     pub fn record_dispatch(
         &self,
         now: MonotonicTime,
@@ -76,14 +88,17 @@
         shareable: usize,
     ) {
         for (index, block) in blocks.iter().enumerate() {
-            let announce = index < shareable;
-            self.record_use(now, backend_id, *block, announce);
+            let announcement = match index < shareable {
+                true => Announcement::WhenDue,
+                false => Announcement::Never,
+            };
+            self.record_use(now, backend_id, *block, announcement);
         }
     }
 
-    /// Another node tells where a part was read.
+    /// Another node announced where a block was read.
     pub fn record_remote_use(&self, now: MonotonicTime, location: &CachedBlock) {
-        let mut shard = self.lock(location.block);
+        let mut shard = self.shard_of(location.block);
         let uses = shard.entry(location.block).or_default();
         let block_use = uses.entry(location.backend_id.clone()).or_insert(BlockUse {
             last_used: now,
@@ -93,7 +108,7 @@
         block_use.last_used = now;
     }
 
-    /// The backends that used a part last, the newest first: at most `max`, and only of those in
+    /// The backends that used a block last, the newest first: at most `limit`, and only of those in
     /// `among` unless that is empty.
     #[must_use]
     pub fn most_recent_backends(
@@ -101,9 +116,9 @@
         now: MonotonicTime,
         block: u64,
         among: &[&str],
-        max: usize,
+        limit: usize,
     ) -> Vec<String> {
-        let shard = self.lock(block);
+        let shard = self.shard_of(block);
         let uses = shard.get(&block).into_iter().flatten();
         let mut recent: Vec<(MonotonicTime, &String)> = uses
             .filter(|(_, block_use)| now.since(block_use.last_used) < RETENTION)
@@ -111,38 +126,39 @@
             .map(|(id, block_use)| (block_use.last_used, id))
             .collect();
         recent.sort_by(|left, right| right.cmp(left));
-        recent.truncate(max);
+        recent.truncate(limit);
         recent.into_iter().map(|(_, id)| id.clone()).collect()
     }
 
-    /// Places to tell the other nodes, once each.
+    /// Locations to announce to the other nodes, once each.
     #[must_use]
     pub fn take_announcements(&self) -> Vec<CachedBlock> {
-        let mut announcements = self
-            .announcements
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner);
-        std::mem::take(&mut *announcements)
+        std::mem::take(&mut *lock(&self.announcements))
     }
 
-    /// Resolves once there are places to tell.
+    /// Resolves once there are locations to announce.
     pub async fn until_announcements(&self) {
         self.announcements_pending.notified().await;
     }
 
-    /// Forgets what was not used for long.
+    /// Forgets what was not used for longer than [`RETENTION`].
     pub fn expire(&self, now: MonotonicTime) {
         for shard in &self.shards {
-            let mut shard = shard.lock().unwrap_or_else(PoisonError::into_inner);
-            shard.retain(|_, uses| {
+            lock(shard).retain(|_, uses| {
                 uses.retain(|_, block_use| now.since(block_use.last_used) < RETENTION);
                 !uses.is_empty()
             });
         }
     }
 
-    fn record_use(&self, now: MonotonicTime, backend_id: &str, block: PrefixBlock, announce: bool) {
-        let mut shard = self.lock(block.id);
+    fn record_use(
+        &self,
+        now: MonotonicTime,
+        backend_id: &str,
+        block: PrefixBlock,
+        announcement: Announcement,
+    ) {
+        let mut shard = self.shard_of(block.id);
         let uses = shard.entry(block.id).or_default();
         let block_use = uses.entry(backend_id.to_owned()).or_insert(BlockUse {
             last_used: now,
@@ -150,30 +166,25 @@
             tokens: block.tokens,
         });
         block_use.last_used = now;
-        let due = block_use
+        let is_due = block_use
             .last_announced
-            .is_none_or(|record_remote_use| now.since(record_remote_use) >= MIN_ANNOUNCE_INTERVAL);
-        if announce && due {
-            block_use.last_announced = Some(now);
-            let tokens = block_use.tokens;
-            drop(shard);
-            let mut announcements = self
-                .announcements
-                .lock()
-                .unwrap_or_else(PoisonError::into_inner);
-            announcements.push(CachedBlock {
-                block: block.id,
-                backend_id: backend_id.to_owned(),
-                tokens,
-            });
-            self.announcements_pending.notify_one();
+            .is_none_or(|announced| now.since(announced) >= MIN_ANNOUNCE_INTERVAL);
+        if announcement == Announcement::Never || !is_due {
+            return;
         }
+        block_use.last_announced = Some(now);
+        let tokens = block_use.tokens;
+        drop(shard);
+        lock(&self.announcements).push(CachedBlock {
+            block: block.id,
+            backend_id: backend_id.to_owned(),
+            tokens,
+        });
+        self.announcements_pending.notify_one();
     }
 
-    fn lock(&self, block: u64) -> MutexGuard<'_, HashMap<u64, UsesByBackend>> {
+    fn shard_of(&self, block: u64) -> MutexGuard<'_, HashMap<u64, UsesByBackend>> {
         let slot = usize::try_from(block % INDEX_SHARDS as u64).unwrap_or_default();
-        self.shards[slot]
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
+        lock(&self.shards[slot])
     }
 }
--- a/crates/routing/src/route_entry.rs
+++ b/crates/routing/src/route_entry.rs
@@ -13,22 +13,22 @@
 pub struct RouteEntry {
     /// Unique name of the route.
     pub name: String,
-    /// What the route takes.
+    /// What the route matches.
     pub matches: RouteMatch,
     /// Name of the pool that serves it.
     pub pool: String,
     /// Whether a request may be sent to a second backend.
     pub repeatable: bool,
-    /// What may happen to a stream after its first piece.
+    /// What may happen to a stream after its first chunk.
     pub resume: Resume,
     /// Longest time from arrival to the last byte.
     pub deadline: Duration,
-    /// Silence before a hedged request, if the route hedges.
+    /// Time without a response before a hedged request, if the route hedges.
     pub hedge_delay: Option<Duration>,
 }
 
 impl RouteEntry {
-    /// Takes over a configured route.
+    /// Converts a configured route.
     #[must_use]
     pub fn from_config(route: &Route) -> Self {
         let deadline_ms = match route.deadline_ms {
@@ -53,7 +53,7 @@
         !self.matches.path_prefix.is_empty()
     }
 
-    /// Whether the route takes a request for this model.
+    /// Whether the route matches a request for this model.
     #[must_use]
     pub fn matches_model(&self, requested: &ModelRequest) -> bool {
         let matches = &self.matches;
@@ -64,7 +64,7 @@
             && field_matches(&matches.adapter, &requested.adapter)
     }
 
-    /// Whether the route takes a lookup of this path. A prefix ends at a path segment.
+    /// Whether the route matches a lookup of this path. A prefix ends at a path segment.
     #[must_use]
     pub fn matches_path(&self, path: &str) -> bool {
         let prefix = self.matches.path_prefix.as_str();
--- a/crates/routing/src/routing_table.rs
+++ b/crates/routing/src/routing_table.rs
@@ -70,7 +70,7 @@
         table
     }
 
-    /// Number of the configuration revision shown; 0 before any.
+    /// Number of the configuration revision; 0 before any.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
@@ -88,7 +88,7 @@
         !self.tenants_by_key_hash.is_empty()
     }
 
-    /// The tenants that hold a valid key, in the order of their keys' hashes; one may come twice.
+    /// The tenants that hold a valid key, in the order of their keys' hashes; one may be listed twice.
     pub fn tenants(&self) -> impl Iterator<Item = &Arc<Tenant>> {
         self.tenants_by_key_hash.values()
     }
@@ -106,6 +106,10 @@
     }
 
     /// The most specific route for a model request.
+    ///
+    /// # Errors
+    /// [`ResultCode::ModelUnknown`], or [`ResultCode::NoRoute`] for a known model in a combination without
+    /// a route.
     pub fn match_model(&self, requested: &ModelRequest) -> Result<&Arc<RouteEntry>, ResultCode> {
         let found = self
             .routes
@@ -115,6 +119,9 @@
     }
 
     /// The route with the longest prefix of a lookup path.
+    ///
+    /// # Errors
+    /// [`ResultCode::PathUnknown`].
     pub fn match_path(&self, path: &str) -> Result<&Arc<RouteEntry>, ResultCode> {
         let found = self.routes.iter().find(|route| route.matches_path(path));
         found.ok_or(ResultCode::PathUnknown)
@@ -137,7 +144,7 @@
         &self.routes
     }
 
-    /// Names by which callers can ask for models: the model, and the model with its version where
+    /// Names by which callers can request models: the model, and the model with its version where
     /// a route names one. Lookup routes and routes for any model name none.
     #[must_use]
     pub fn models(&self) -> BTreeSet<String> {
@@ -163,7 +170,7 @@
         }
     }
 
-    /// An unknown model is told apart from a known model in an unrouted combination.
+    /// Distinguishes an unknown model from a known model in a combination without a route.
     fn no_route_reason(&self, requested: &ModelRequest) -> ResultCode {
         let mut routes = self.routes.iter().filter(|route| !route.is_lookup());
         if routes.any(|route| route.matches.model == requested.model) {
--- a/crates/routing/src/running_mean.rs
+++ b/crates/routing/src/running_mean.rs
@@ -23,11 +23,11 @@
         }
     }
 
-    /// Takes one sample in.
+    /// Adds one sample.
     pub fn add(&mut self, sample: f64) {
         self.samples = self.samples.saturating_add(1);
-        let share = (1.0 / f64::from(self.samples)).max(MIN_SAMPLE_WEIGHT);
-        self.value += (sample - self.value) * share;
+        let weight = (1.0 / f64::from(self.samples)).max(MIN_SAMPLE_WEIGHT);
+        self.value += (sample - self.value) * weight;
     }
 
     /// The mean.
--- a/crates/routing/src/serving_pool.rs
+++ b/crates/routing/src/serving_pool.rs
@@ -1,4 +1,4 @@
-//! A pool's backends and replicas as the feed shows them.
+//! A pool's backends and replicas as the feed lists them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -41,7 +41,7 @@
 pub struct ServingPool {
     /// Name of the pool.
     pub name: String,
-    /// Time for a draining backend's streams to finish or move.
+    /// Time for a draining backend's streams to finish or be resumed elsewhere.
     pub drain: Duration,
     /// Version that should serve requests that name none. Empty: the highest one.
     pub target_version: String,
@@ -52,7 +52,7 @@
 }
 
 impl ServingPool {
-    /// Puts together what the feed says about one pool.
+    /// Combines what the feed says about one pool.
     #[must_use]
     pub fn build(
         pool: &Pool,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The backend with this id, if the feed still shows it.
+    /// The backend with this id, if the feed still lists it.
     #[must_use]
     pub fn backend(&self, id: &str) -> Option<&Arc<Backend>> {
         self.backends.get(id)
@@ -107,7 +107,7 @@
         self.replicas.iter().any(|replica| replica.model == model)
     }
 
-    /// Replicas that may take new work of this kind. Draining and gone backends are never listed.
+    /// Replicas that may take new work of this kind. Draining and removed backends are never listed.
     #[must_use]
     pub fn candidates(&self, requested: &ModelRequest) -> Vec<&ServingReplica> {
         let serving =
--- a/crates/routing/tests/load.rs
+++ b/crates/routing/tests/load.rs
@@ -4,10 +4,9 @@
 
 use millford_api::internal::{LoadSnapshot, ReplicaLoad};
 use millford_core::{Duration, MonotonicTime};
-use millford_routing::load_table::ReplicaCounts;
 use millford_routing::{
     AdmissionEstimate, BackendHealth, CostEstimates, EjectionReason, FairQueue, LoadTable,
-    ReplicaKey,
+    ReplicaCounts, ReplicaKey,
 };
 use quickcheck::quickcheck;
 
--- a/crates/scale/tests/exchange.rs
+++ b/crates/scale/tests/exchange.rs
@@ -63,7 +63,7 @@
     for (count, has_owners) in [(6, false), (24, true)] {
         let fleet = ProxyFleet::start(count).await.expect("sockets");
         let node = &fleet.nodes[0];
-        let (ring, _) = node.peers.ring(&node.state.table());
+        let ring = node.peers.ring(&node.state.table());
         assert_eq!(ring.member_count(), count);
         assert_eq!(ring.has_tenant_owners(), has_owners);
         assert_eq!(fleet.counts().len(), count);
