--- a/crates/forward/src/backend/connection_pools.rs
+++ b/crates/forward/src/backend/connection_pools.rs
@@ -23,7 +23,7 @@
     AtLimit,
     /// The backend refused the connection.
     Refused,
-    /// The backend did not answer in time.
+    /// The backend did not respond in time.
     TimedOut,
 }
 
--- a/crates/forward/src/backend/health_watch.rs
+++ b/crates/forward/src/backend/health_watch.rs
@@ -23,7 +23,7 @@
 /// Time between two probes of an ejected backend.
 const READMIT_PROBE_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between two sweeps of idle connections.
-const SWEEP_INTERVAL: Duration = Duration::from_millis(1000);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Watches for as long as the process lives.
 ///
@@ -31,7 +31,7 @@
 /// busy with, so a timeout there means that the machine or the way to it is lost. It needs no slot
 /// and is no request.
 pub async fn run<P: ForwardProtocol>(node: Arc<ForwardNode<P>>) {
-    let mut last_probes: BTreeMap<String, MonotonicTime> = BTreeMap::new();
+    let mut last_probes: LastProbes = BTreeMap::new();
     let mut next_sweep = monotonic_now();
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
@@ -44,35 +44,55 @@
             last_probes.retain(|id, _| known(id));
         }
         for backend in table.pools().flat_map(|pool| pool.backends()) {
-            let ejected = node.state.health.ejection(&backend.id).is_some();
-            let period = if ejected {
-                READMIT_PROBE_INTERVAL
-            } else {
-                PROBE_INTERVAL
-            };
-            let recently = last_probes
-                .get(&backend.id)
-                .is_some_and(|at| now.since(*at) < period);
-            let suspect = node.connections.in_use(&backend.id) > 0
-                && node
-                    .state
-                    .health
-                    .is_unresponsive(&backend.id, now, UNRESPONSIVE_AFTER);
-            if recently || !(ejected || suspect) {
+            let Some(purpose) = due_probe(&node, &backend.id, now, &last_probes) else {
                 continue;
-            }
+            };
             last_probes.insert(backend.id.clone(), now);
             let (id, address) = (backend.id.clone(), backend.address.clone());
-            tokio::spawn(probe(Arc::clone(&node), id, address, ejected));
+            tokio::spawn(probe(Arc::clone(&node), id, address, purpose));
         }
     }
 }
 
+/// When each backend was probed last.
+type LastProbes = BTreeMap<String, MonotonicTime>;
+
+/// What a probe is to find out.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ProbePurpose {
+    /// Whether an ejected backend may be readmitted.
+    Readmission,
+    /// Whether an unresponsive backend has to be ejected.
+    Ejection,
+}
+
+fn due_probe<P: ForwardProtocol>(
+    node: &ForwardNode<P>,
+    backend_id: &str,
+    now: MonotonicTime,
+    last_probes: &LastProbes,
+) -> Option<ProbePurpose> {
+    let health = &node.state.health;
+    let (purpose, interval) = match health.ejection(backend_id) {
+        Some(_) => (ProbePurpose::Readmission, READMIT_PROBE_INTERVAL),
+        None => (ProbePurpose::Ejection, PROBE_INTERVAL),
+    };
+    let last = last_probes.get(backend_id);
+    if last.is_some_and(|at| now.since(*at) < interval) {
+        return None;
+    }
+    let is_suspect = || {
+        node.connections.in_use(backend_id) > 0
+            && health.is_unresponsive(backend_id, now, UNRESPONSIVE_AFTER)
+    };
+    (purpose == ProbePurpose::Readmission || is_suspect()).then_some(purpose)
+}
+
 async fn probe<P: ForwardProtocol>(
     node: Arc<ForwardNode<P>>,
     id: String,
     address: String,
-    ejected: bool,
+    purpose: ProbePurpose,
 ) {
     match node.connections.dial(&id, &address).await {
         Ok(pooled) => {
@@ -81,7 +101,7 @@
                 LOG.info(format!("Backend {id} is readmitted."));
             }
         }
-        Err(error) if !ejected => {
+        Err(error) if purpose == ProbePurpose::Ejection => {
             let reason = ejection_reason(error);
             LOG.warn(format!("Backend {id} is ejected: {}.", reason.name()));
             node.eject(&id, reason);
--- a/crates/forward/src/daemon/callers.rs
+++ b/crates/forward/src/daemon/callers.rs
@@ -24,7 +24,7 @@
 /// configuration sets none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Buffer for the head of a request, in bytes: the usual limit of headers and the request line. Every
-/// open connection may keep as much.
+/// open connection may allocate as much.
 const HEAD_BUFFER_BYTES: usize = 18 * 1024;
 
 /// Counts open connections, and closes them once their response is complete.
@@ -44,6 +44,16 @@
     }
 }
 
+/// Counts one connection as open until it is dropped.
+#[derive(Debug)]
+struct OpenConnection(Arc<AtomicUsize>);
+
+impl Drop for OpenConnection {
+    fn drop(&mut self) {
+        self.0.fetch_sub(1, Ordering::Relaxed);
+    }
+}
+
 impl CallerConnections {
     /// Number of open connections.
     #[must_use]
@@ -51,6 +61,11 @@
         self.open.load(Ordering::Relaxed)
     }
 
+    fn begin(&self) -> OpenConnection {
+        self.open.fetch_add(1, Ordering::Relaxed);
+        OpenConnection(Arc::clone(&self.open))
+    }
+
     /// Idle connections close now, the others once their response is complete.
     pub fn close_when_idle(&self) {
         self.closing.send_replace(true);
@@ -83,7 +98,7 @@
     node: Arc<ForwardNode<P>>,
     connections: CallerConnections,
 ) {
-    connections.open.fetch_add(1, Ordering::Relaxed);
+    let _open = connections.begin();
     let idle_timeout = idle_timeout(&node);
     let service = service_fn(move |request| {
         let node = Arc::clone(&node);
@@ -106,7 +121,6 @@
         connection.as_mut().graceful_shutdown();
         let _ = connection.await;
     }
-    connections.open.fetch_sub(1, Ordering::Relaxed);
 }
 
 fn idle_timeout<P: ForwardProtocol>(node: &ForwardNode<P>) -> Duration {
--- a/crates/forward/src/daemon/run.rs
+++ b/crates/forward/src/daemon/run.rs
@@ -15,6 +15,7 @@
 use millford_settings::PartLog;
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::signal::unix::{SignalKind, signal};
+use tokio::task::JoinSet;
 
 use crate::backend::health_watch;
 use crate::daemon::callers::{CallerConnections, serve_callers};
@@ -72,14 +73,16 @@
     let mut interrupt = signal(SignalKind::interrupt()).into_diagnostic()?;
     let mut hang_up = signal(SignalKind::hangup()).into_diagnostic()?;
     let connections = CallerConnections::default();
-    tokio::spawn(serve_callers(
+    // Dropped at the end of the process, it aborts its tasks.
+    let mut tasks = JoinSet::new();
+    tasks.spawn(serve_callers(
         callers,
         Arc::clone(&node),
         connections.clone(),
     ));
-    tokio::spawn(serve_readiness(readiness, Arc::clone(&node)));
-    tokio::spawn(exchange::run(Arc::clone(&node), exchange_socket));
-    tokio::spawn(health_watch::run(Arc::clone(&node)));
+    tasks.spawn(serve_readiness(readiness, Arc::clone(&node)));
+    tasks.spawn(exchange::run(Arc::clone(&node), exchange_socket));
+    tasks.spawn(health_watch::run(Arc::clone(&node)));
     println!("millford-forward ready callers={}", settings.caller_address);
     LOG.info(format!("Serving callers at {}.", settings.caller_address));
     loop {
--- a/crates/forward/src/exchange/exchange_task.rs
+++ b/crates/forward/src/exchange/exchange_task.rs
@@ -35,7 +35,7 @@
 const MIN_URGENT_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time between two updates that cover all tenants, for peers that missed some.
-const FULL_UPDATE_INTERVAL: Duration = Duration::from_millis(1000);
+const FULL_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Datagrams received in one go before other tasks get their turn.
 const MAX_DATAGRAMS_PER_WAKE_UP: usize = 64;
@@ -100,9 +100,10 @@
         node.quotas.tick(now, &node.zone);
         self.republish_load(node, now);
         let ring = node.peers.ring(&node.state.table());
-        let scope = match now >= self.next_full {
-            true => UpdateScope::Full,
-            false => UpdateScope::Changes,
+        let scope = if now >= self.next_full {
+            UpdateScope::Full
+        } else {
+            UpdateScope::Changes
         };
         if scope == UpdateScope::Full {
             self.next_full = now + FULL_UPDATE_INTERVAL;
--- a/crates/forward/src/load/owned_loads.rs
+++ b/crates/forward/src/load/owned_loads.rs
@@ -20,6 +20,24 @@
     replicas: Vec<ReplicaInFlight>,
 }
 
+/// Identity of a replica on one backend, in the order of summing.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ReplicaName<'a> {
+    pool: &'a str,
+    model: &'a str,
+    version: &'a str,
+}
+
+impl<'a> From<&'a ReplicaInFlight> for ReplicaName<'a> {
+    fn from(replica: &'a ReplicaInFlight) -> Self {
+        Self {
+            pool: &replica.pool,
+            model: &replica.model,
+            version: &replica.version,
+        }
+    }
+}
+
 /// Work by backend and node. Every entry is absolute, so that updates may be lost, repeated and
 /// reordered: the newest of each node wins.
 #[derive(Debug, Default)]
@@ -57,27 +75,16 @@
     /// What all nodes but `except` have in flight on a backend, summed by replica.
     #[must_use]
     pub fn others(&self, now: MonotonicTime, backend_id: &str, except: &str) -> BackendInFlight {
-        let mut sums: BTreeMap<(&str, &str, &str), ReplicaInFlight> = BTreeMap::new();
+        let mut sums: BTreeMap<ReplicaName<'_>, ReplicaInFlight> = BTreeMap::new();
         let members = self.backends.get(backend_id).into_iter().flatten();
         let live = members.filter(|(member, work)| {
             *member != except && now.since(work.received_at) < WORK_EXPIRY
         });
         for replica in live.flat_map(|(_, work)| &work.replicas) {
-            let key = (
-                replica.pool.as_str(),
-                replica.model.as_str(),
-                replica.version.as_str(),
-            );
-            match sums.get_mut(&key) {
-                Some(sum) => {
-                    sum.prefill_tokens = sum.prefill_tokens.saturating_add(replica.prefill_tokens);
-                    sum.decode_streams = sum.decode_streams.saturating_add(replica.decode_streams);
-                    sum.held_requests = sum.held_requests.saturating_add(replica.held_requests);
-                }
-                None => {
-                    sums.insert(key, replica.clone());
-                }
-            }
+            let name = ReplicaName::from(replica);
+            sums.entry(name)
+                .and_modify(|sum| add(sum, replica))
+                .or_insert_with(|| replica.clone());
         }
         BackendInFlight {
             backend_id: backend_id.to_owned(),
@@ -93,3 +100,10 @@
         });
     }
 }
+
+/// The counts come from the network and may be anything.
+fn add(sum: &mut ReplicaInFlight, replica: &ReplicaInFlight) {
+    sum.prefill_tokens = sum.prefill_tokens.saturating_add(replica.prefill_tokens);
+    sum.decode_streams = sum.decode_streams.saturating_add(replica.decode_streams);
+    sum.held_requests = sum.held_requests.saturating_add(replica.held_requests);
+}
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -16,7 +16,7 @@
 use crate::quota::{QuotaClient, TenantQuotas};
 use crate::settings::ForwardSettings;
 
-/// Everything that a request needs. Each part has its own locks.
+/// Everything that a request needs. Each field has its own locks.
 pub struct ForwardNode<P> {
     /// What the deployment's headers mean.
     pub protocol: P,
@@ -38,7 +38,7 @@
     pub quota_client: QuotaClient,
     /// Connections to backends.
     pub connections: Arc<ConnectionPools>,
-    /// What takes part in decisions.
+    /// Mechanisms that take part in decisions.
     pub mechanisms: Mechanisms,
     /// Requests whose decisions are logged, in thousandths.
     pub decision_log_per_mille: u32,
--- a/crates/forward/src/owners/owner_ring.rs
+++ b/crates/forward/src/owners/owner_ring.rs
@@ -79,9 +79,10 @@
         let key = xxh3_64(tenant.as_bytes());
         let in_zone = self.members.iter().filter(|owner| owner.zone == zone);
         let best = highest_ranked(in_zone, key);
-        match best.is_empty() {
-            true => highest_ranked(self.members.iter(), key),
-            false => best,
+        if best.is_empty() {
+            highest_ranked(self.members.iter(), key)
+        } else {
+            best
         }
     }
 
--- a/crates/forward/src/owners/peer_link.rs
+++ b/crates/forward/src/owners/peer_link.rs
@@ -148,9 +148,10 @@
     /// How requests reach this owner.
     #[must_use]
     pub fn route_to<'a>(&self, owner: &'a Owner) -> OwnerRoute<'a> {
-        match owner.name == self.member {
-            true => OwnerRoute::Local,
-            false => OwnerRoute::Remote(owner),
+        if owner.name == self.member {
+            OwnerRoute::Local
+        } else {
+            OwnerRoute::Remote(owner)
         }
     }
 
--- a/crates/forward/src/quota/tenant_quotas.rs
+++ b/crates/forward/src/quota/tenant_quotas.rs
@@ -133,9 +133,10 @@
     /// Counted from the first call, not from the start of the process.
     fn age(&self, now: MonotonicTime) -> NodeAge {
         let started = *lock(&self.started).get_or_insert(now);
-        match now.since(started) < WARM_UP_TIME {
-            true => NodeAge::WarmingUp,
-            false => NodeAge::Established,
+        if now.since(started) < WARM_UP_TIME {
+            NodeAge::WarmingUp
+        } else {
+            NodeAge::Established
         }
     }
 
--- a/crates/forward/src/quota/tenant_state.rs
+++ b/crates/forward/src/quota/tenant_state.rs
@@ -208,9 +208,10 @@
             self.apply_known(now, count);
         } else {
             self.insert_peer(now, count);
-            match count.is_recent() {
-                true => self.charge(now, count.used_tokens as f64),
-                false => self.bucket.lower_to(now, level),
+            if count.is_recent() {
+                self.charge(now, count.used_tokens as f64);
+            } else {
+                self.bucket.lower_to(now, level);
             }
         }
         if now < self.defers_until {
@@ -218,7 +219,7 @@
         }
     }
 
-    /// Charges what unresponsive peers are assumed to admit. An owner whose zone is heard of through another
+    /// Charges what unresponsive peers are assumed to admit. An owner whose zone has another responsive
     /// owner, or is this node's own, is replaced: the nodes that requested admission from it now use that
     /// other one.
     pub(super) fn charge_assumed(&mut self, now: MonotonicTime, own_zone: &str) {
--- a/crates/forward/src/request/attempt.rs
+++ b/crates/forward/src/request/attempt.rs
@@ -27,8 +27,8 @@
 /// Connections that the backend had closed before anything was sent that one attempt may meet.
 const MAX_STALE_CONNECTIONS: u32 = 3;
 
-/// Without the backend's word that the request did not run, these statuses would tell the caller what nobody
-/// knows.
+/// Statuses that guarantee to the caller that the request did not run. Without the backend's declaration nobody
+/// knows that.
 const NOT_RUN_STATUSES: [StatusCode; 3] = [
     StatusCode::REQUEST_TIMEOUT,
     StatusCode::TOO_MANY_REQUESTS,
@@ -170,9 +170,10 @@
         backend_id,
         time_left,
         tenant: plan.tenant.as_ref().map(|tenant| tenant.name.as_str()),
-        urgency: match node.mechanisms.has(Mechanism::Urgency) {
-            true => plan.urgency(),
-            false => EQUAL_URGENCY,
+        urgency: if node.mechanisms.has(Mechanism::Urgency) {
+            plan.urgency()
+        } else {
+            EQUAL_URGENCY
         },
         resume_after: resume_after.or(plan.facts.resume_after),
     };
@@ -203,9 +204,10 @@
         node.eject(id, EjectionReason::ConnectFailed);
     }
     if facts.not_run || is_misdirected {
-        let retry_after = match facts.not_run {
-            true => retry_after(headers),
-            false => None,
+        let retry_after = if facts.not_run {
+            retry_after(headers)
+        } else {
+            None
         };
         return Err(AttemptFailure::NotRun { retry_after });
     }
--- a/crates/forward/src/request/candidates.rs
+++ b/crates/forward/src/request/candidates.rs
@@ -91,9 +91,10 @@
         .map(|replica| replica.backend.id.as_str())
         .collect();
     let is_cached_on = |id: &str| is_cached(locations, specific.id, id);
-    let home = match ids.iter().any(|id| is_cached_on(id)) {
-        true => None,
-        false => home_of(specific, &ids),
+    let home = if ids.iter().any(|id| is_cached_on(id)) {
+        None
+    } else {
+        home_of(specific, &ids)
     };
     let tokens = u64::from(specific.tokens);
     let saved_at_home = (tokens as f64 * HOME_SAVING) as u64;
--- a/crates/forward/src/request/choose.rs
+++ b/crates/forward/src/request/choose.rs
@@ -37,7 +37,7 @@
     pub uncached_tokens: u64,
     /// Connections that the backend takes from all nodes together; 0 when no limit is known.
     pub max_connections: u32,
-    /// What was believed when it was chosen.
+    /// What was known when it was chosen.
     pub belief: Belief,
 }
 
@@ -209,15 +209,17 @@
         let work_ms = node.state.board.backend_load(id, 1, costs);
         let own_ms = costs.work_ms(model, own_tokens, 0);
         let reread_ms = costs.work_ms(model, reread_tokens, 0);
-        let weight = match node.mechanisms.has(Mechanism::BandwidthWeight) {
-            true => f64::from(replica.weight_milli.max(1)) / 1000.0,
-            false => 1.0,
+        let weight = if node.mechanisms.has(Mechanism::BandwidthWeight) {
+            f64::from(replica.weight_milli.max(1)) / 1000.0
+        } else {
+            1.0
         };
         let same_zone = replica.backend.zone == node.zone;
         let prefers_zone = node.mechanisms.has(Mechanism::ZonePreference);
-        let zone_ms = match prefers_zone && !same_zone {
-            true => OTHER_ZONE_MS,
-            false => 0.0,
+        let zone_ms = if prefers_zone && !same_zone {
+            OTHER_ZONE_MS
+        } else {
+            0.0
         };
         let jitter = 1.0 + JITTER * rand::rng().random::<f64>();
         let load_ms = (work_ms + own_ms + REREAD_PENALTY * reread_ms) / weight;
--- a/crates/forward/src/request/event_splitter.rs
+++ b/crates/forward/src/request/event_splitter.rs
@@ -7,7 +7,7 @@
 pub struct Event {
     /// The bytes as the backend sent them.
     pub bytes: Bytes,
-    /// The event's id, if it is a whole number.
+    /// The event's id, if it is an unsigned integer.
     pub id: Option<u64>,
 }
 
--- a/crates/forward/src/request/first_response.rs
+++ b/crates/forward/src/request/first_response.rs
@@ -40,7 +40,7 @@
 ///
 /// # Errors
 /// Why there is none. A refusal that says "not run" is true: nothing was sent, or each backend that got
-/// the request gave its word.
+/// the request declared it.
 pub async fn first_response<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     plan: &Plan,
@@ -121,18 +121,20 @@
                 0 => backend_refused(retry_after),
                 _ => refusal,
             };
-            match history.refusals >= MAX_REFUSALS {
-                true => ControlFlow::Break(refusal),
-                false => ControlFlow::Continue(refusal),
+            if history.refusals >= MAX_REFUSALS {
+                ControlFlow::Break(refusal)
+            } else {
+                ControlFlow::Continue(refusal)
             }
         }
         AttemptFailure::Lost(code) => {
             history.sends += 1;
             history.runs += 1;
             let refusal = Refusal::new(code);
-            match plan.is_repeatable() && history.runs < plan.max_runs() {
-                true => ControlFlow::Continue(refusal),
-                false => ControlFlow::Break(refusal),
+            if plan.is_repeatable() && history.runs < plan.max_runs() {
+                ControlFlow::Continue(refusal)
+            } else {
+                ControlFlow::Break(refusal)
             }
         }
         AttemptFailure::TimedOut => ControlFlow::Break(Refusal::new(ResultCode::DeadlineAfterSend)),
--- a/crates/forward/src/request/plan.rs
+++ b/crates/forward/src/request/plan.rs
@@ -10,7 +10,7 @@
 use crate::protocol::RequestFacts;
 
 /// Time that a request without any limit may take.
-const DEFAULT_TIMEOUT: Duration = Duration::from_secs(3600);
+const DEFAULT_TIMEOUT: Duration = Duration::from_hours(1);
 
 /// Priorities of routes within one priority of tenants.
 const ROUTE_PRIORITIES: u32 = 3;
--- a/crates/forward/src/request/relay.rs
+++ b/crates/forward/src/request/relay.rs
@@ -40,15 +40,16 @@
     let (mut head, backend) = BackendStream::of(opened);
     let is_resumable = plan.is_resumable() && head.status.is_success();
     if is_resumable {
-        // Another backend's part of the stream may have another length.
+        // The rest of the stream from another backend may have another length.
         remove_length(&mut head.headers);
     } else {
         // It is not sent again; a long stream need not hold a long prompt.
         plan.body = Bytes::new();
     }
-    let ending = match head.status.is_success() {
-        true => Ending::Complete,
-        false => Ending::BackendFailure,
+    let ending = if head.status.is_success() {
+        Ending::Complete
+    } else {
+        Ending::BackendFailure
     };
     let relay = Relay::new(node, plan, history, backend, is_resumable, ending);
     let body = StreamBody::new(relay.into_frames());
--- a/crates/forward/src/request/trace.rs
+++ b/crates/forward/src/request/trace.rs
@@ -90,7 +90,7 @@
     /// What came of the last attempt.
     pub fn outcome(&mut self, outcome: AttemptOutcome) {
         let attempts = self.0.iter_mut();
-        let last = attempts.flat_map(|sampled| sampled.record.attempts.last_mut());
+        let last = attempts.filter_map(|sampled| sampled.record.attempts.last_mut());
         last.for_each(|attempt| attempt.outcome = outcome);
     }
 
--- a/crates/forward/src/settings.rs
+++ b/crates/forward/src/settings.rs
@@ -18,7 +18,7 @@
     pub zone: String,
     /// IP address and port for callers.
     pub caller_address: String,
-    /// IP address and port that tells whether new callers are welcome, and metrics.
+    /// IP address and port of readiness and metrics.
     pub readiness_address: String,
     /// IP address and port for datagrams of other proxies.
     pub exchange_address: String,
--- a/crates/forward/tests/absurd_counts.rs
+++ b/crates/forward/tests/absurd_counts.rs
@@ -6,7 +6,7 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
 
 const RATE: u64 = 1000;
-/// Whatever was told or asked before, a tenant is served again within this time.
+/// Whatever was reported or requested before, a tenant is served again within this time.
 const SERVED_AGAIN_WITHIN: Duration = Duration::from_secs(61);
 
 /// A number that is small, huge or on a border.
@@ -17,9 +17,10 @@
     fn arbitrary(generator: &mut Gen) -> Self {
         let borders = [0, 1, RATE, u64::from(u32::MAX), i64::MAX as u64, u64::MAX];
         let border = *generator.choose(&borders).expect("not empty");
-        match bool::arbitrary(generator) {
-            true => Self(border),
-            false => Self(u64::arbitrary(generator)),
+        if bool::arbitrary(generator) {
+            Self(border)
+        } else {
+            Self(u64::arbitrary(generator))
         }
     }
 }
--- a/crates/forward/tests/event_splitter.rs
+++ b/crates/forward/tests/event_splitter.rs
@@ -1,13 +1,13 @@
-//! Streams are split into whole events wherever the bytes are cut.
+//! Streams are split into complete events wherever the chunks end.
 
 use millford_forward::request::event_splitter::EventSplitter;
 use quickcheck::QuickCheck;
 
-fn events_of(parts: &[&[u8]]) -> (Vec<(String, Option<u64>)>, String) {
+fn events_of(chunks: &[&[u8]]) -> (Vec<(String, Option<u64>)>, String) {
     let mut splitter = EventSplitter::default();
     let mut events = Vec::new();
-    for part in parts {
-        splitter.push(part);
+    for chunk in chunks {
+        splitter.push(chunk);
         while let Some(event) = splitter.next_event() {
             let text = String::from_utf8(event.bytes.to_vec()).unwrap();
             events.push((text, event.id));
@@ -29,20 +29,25 @@
 
 #[test]
 fn chunk_boundaries_do_not_change_the_events() {
+    #[expect(
+        clippy::needless_pass_by_value,
+        reason = "quickcheck passes owned values"
+    )]
     fn same(ids: Vec<u16>, cuts: Vec<usize>) -> bool {
-        let text: String = ids
+        let events: Vec<String> = ids
             .iter()
             .map(|id| format!("id: {id}\ndata: piece\n\n"))
             .collect();
+        let text = events.concat();
         let bytes = text.as_bytes();
-        let mut places: Vec<usize> = cuts.iter().map(|cut| cut % (bytes.len() + 1)).collect();
-        places.extend([0, bytes.len()]);
-        places.sort_unstable();
-        let parts: Vec<&[u8]> = places
+        let mut offsets: Vec<usize> = cuts.iter().map(|cut| cut % (bytes.len() + 1)).collect();
+        offsets.extend([0, bytes.len()]);
+        offsets.sort_unstable();
+        let chunks: Vec<&[u8]> = offsets
             .windows(2)
             .map(|pair| &bytes[pair[0]..pair[1]])
             .collect();
-        let (events, rest) = events_of(&parts);
+        let (events, rest) = events_of(&chunks);
         let found: Vec<Option<u64>> = events.iter().map(|(_, id)| *id).collect();
         let expected: Vec<Option<u64>> = ids.iter().map(|id| Some(u64::from(*id))).collect();
         let joined: String = events.iter().map(|(text, _)| text.as_str()).collect();
--- a/crates/forward/tests/forwarding.rs
+++ b/crates/forward/tests/forwarding.rs
@@ -2,10 +2,17 @@
 
 mod support;
 
+use std::sync::Arc;
+
 use millford_api::config::{HttpLimits, TokenQuota};
+use millford_forward::daemon::callers::serve_callers;
+use millford_forward::{ForwardNode, ForwardSettings, MillfordProtocol};
+use millford_proxy::limits::RequestLimits;
+use millford_proxy::proxy_state::ProxyState;
 use support::backend::{Step, StubBackend, not_run, signed};
 use support::caller::{call, request};
 use support::node::{HOST, Setup, TestNode};
+use tokio::net::TcpListener;
 
 #[tokio::test]
 async fn method_path_and_body_are_forwarded_unchanged_without_the_key() {
@@ -98,7 +105,7 @@
         Step::AnswerThenReset("HTTP/1.1 200 OK\r\n".to_owned()),
         Step::Answer("HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n".to_owned()),
         Step::Answer("HTTP/1.1 429 Busy\r\ncontent-length: 0\r\n\r\n".to_owned()),
-        // Another request's answer, and one without a signature.
+        // Another request's response, and one without a signature.
         Step::Answer(signed("other").replace("REQUEST-ID", "id-of-another")),
         Step::Answer(signed("bare").replace("x-millford-signature: s\r\n", "")),
         Step::Answer(
@@ -219,22 +226,12 @@
     let backend = StubBackend::start(vec![Step::Answer(signed(""))]).await;
     let setup = Setup::with(|_| {});
     let node = TestNode::start(&setup, &[&backend]).await;
-    let settings = millford_forward::ForwardSettings::default();
-    let state = std::sync::Arc::new(millford_proxy::proxy_state::ProxyState::new(
-        Default::default(),
-    ));
-    let empty = std::sync::Arc::new(millford_forward::ForwardNode::new(
-        &settings,
-        state,
-        millford_forward::MillfordProtocol,
-    ));
-    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let settings = ForwardSettings::default();
+    let state = Arc::new(ProxyState::new(RequestLimits::default()));
+    let empty = Arc::new(ForwardNode::new(&settings, state, MillfordProtocol));
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    tokio::spawn(millford_forward::daemon::callers::serve_callers(
-        listener,
-        empty,
-        node.connections.clone(),
-    ));
+    tokio::spawn(serve_callers(listener, empty, node.connections.clone()));
     let reply = call(address, &request("/jobs/", "", "")).await;
     assert_eq!(reply.status, 503);
     assert!(reply.header("retry-after").is_some());
--- a/crates/forward/tests/graceful_shutdown.rs
+++ b/crates/forward/tests/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! Requests that reach a node while it leaves.
+//! Requests that reach a node while it drains.
 
 mod support;
 
@@ -25,7 +25,7 @@
     assert!(!graceful_shutdown.accepts(at(5500), at(8501)));
     assert!(
         graceful_shutdown.accepts(at(5500), at(8500)),
-        "answered or given up before the end"
+        "complete or timed out before the end"
     );
 }
 
@@ -45,7 +45,7 @@
 async fn a_node_that_just_began_draining_still_serves() {
     let backend = StubBackend::start(vec![Step::Answer(signed("done"))]).await;
     let node = TestNode::start(&Setup::with(|_| {}), &[&backend]).await;
-    node.node.drain(monotonic_now(), Duration::from_secs(60));
+    node.node.drain(monotonic_now(), Duration::from_mins(1));
     let reply = call(node.callers, &request("/jobs/", "", "")).await;
     assert_eq!(reply.status, 200);
     assert_eq!(reply.header("connection").as_deref(), Some("close"));
--- a/crates/forward/tests/mechanisms.rs
+++ b/crates/forward/tests/mechanisms.rs
@@ -1,4 +1,4 @@
-//! Mechanisms that are left out: checked names, and that each takes no part in what it is about.
+//! Disabled mechanisms: checked names, and that each takes no part in what it is about.
 
 mod support;
 
--- a/crates/forward/tests/owned_loads.rs
+++ b/crates/forward/tests/owned_loads.rs
@@ -1,4 +1,4 @@
-//! Counts of backends at their owners: newest first, restarts, silence, owners that come and go.
+//! Counts of backends at their owners: newest first, restarts, expiry, owners that join and leave.
 
 use std::collections::BTreeMap;
 
@@ -43,7 +43,11 @@
     owned.apply(now, "node-1", 1, &update(4, &[("a", 99)]));
     owned.apply(now, "node-1", 1, &update(5, &[("a", 99)]));
     assert_eq!(tokens(&owned, now, "a", ""), 13, "older and repeated ones");
-    assert_eq!(tokens(&owned, now, "a", "node-1"), 3, "all but the asking");
+    assert_eq!(
+        tokens(&owned, now, "a", "node-1"),
+        3,
+        "all but the requesting"
+    );
     owned.apply(now, "node-1", 1, &update(6, &[("b", 5)]));
     assert_eq!(
         tokens(&owned, now, "a", ""),
@@ -172,10 +176,10 @@
     for key in 0..500 {
         let key = format!("backend-{key}");
         let (was, is) = (owners(&before, &key), owners(&after, &key));
-        if !was.contains(&"node-0".to_owned()) {
-            assert_eq!(was, is);
+        if was.contains(&"node-0".to_owned()) {
+            assert!(!is.contains(&"node-0".to_owned()), "{is:?}");
         } else {
-            assert!(!is.contains(&"node-0".to_owned()));
+            assert_eq!(was, is);
         }
     }
 }
@@ -201,13 +205,13 @@
     queries.time_out(at(50), second);
     assert!(queries.is_suspect(at(50), "node-1"));
     assert!(!queries.is_suspect(at(50), "node-2"));
-    assert!(!queries.is_suspect(at(1100), "node-1"), "asked again");
+    assert!(!queries.is_suspect(at(1100), "node-1"), "tried again");
     let (third, answer) = queries.begin(at(1100), "node-1");
     assert!(queries.complete(at(1102), third, OwnerReply::Counts));
     assert_eq!(answer.blocking_recv(), Ok(OwnerReply::Counts));
     let (fourth, _answer) = queries.begin(at(1200), "node-1");
     queries.time_out(at(1220), fourth);
-    assert!(!queries.is_suspect(at(1220), "node-1"), "it was heard");
+    assert!(!queries.is_suspect(at(1220), "node-1"), "it replied");
     assert!(
         !queries.complete(at(1300), fourth, OwnerReply::Counts),
         "too late"
@@ -237,7 +241,7 @@
     for millis in [8, 24].into_iter().cycle().take(50) {
         round_trip.add(Duration::from_millis(millis));
     }
-    assert!(round_trip.timeout() > steady, "uneven answers");
+    assert!(round_trip.timeout() > steady, "uneven round trips");
     for _ in 0..50 {
         round_trip.add(Duration::from_secs(3));
     }
--- a/crates/forward/tests/owners.rs
+++ b/crates/forward/tests/owners.rs
@@ -138,26 +138,26 @@
 async fn a_prefix_block_sent_by_one_node_is_known_to_all() {
     let backend = StubBackend::start(vec![Step::Hang]).await;
     let nodes = TestNode::start_fleet(6, &Setup::with(|_| {}), &[&backend]).await;
-    let parts: Vec<PrefixBlock> = (1..20).map(|id| PrefixBlock { id, tokens: 100 }).collect();
+    let blocks: Vec<PrefixBlock> = (1..20).map(|id| PrefixBlock { id, tokens: 100 }).collect();
     let sender = &nodes[0].node;
     sender
         .prefix_index
-        .record_dispatch(monotonic_now(), "backend-1", &parts, parts.len());
+        .record_dispatch(monotonic_now(), "backend-1", &blocks, blocks.len());
     for node in &nodes {
         let node = &node.node;
         let ring = node.peers.ring(&node.state.table());
         let mut known = BTreeMap::new();
         for _ in 0..MAX_QUERIES {
             let prefix_index = &node.prefix_index;
-            let pending = index::query(&node.peers, &ring, prefix_index, &parts, &[], &mut known);
+            let pending = index::query(&node.peers, &ring, prefix_index, &blocks, &[], &mut known);
             index::merge_replies(&mut known, node.peers.wait(pending).await);
-            if known.values().all(|holders| holders == &["backend-1"]) {
+            if known.values().all(|backends| backends == &["backend-1"]) {
                 break;
             }
             let_replies_arrive().await;
         }
         assert!(
-            known.values().all(|holders| holders == &["backend-1"]),
+            known.values().all(|backends| backends == &["backend-1"]),
             "{known:?}"
         );
     }
@@ -187,8 +187,8 @@
 async fn requests_are_served_while_no_peer_responds() {
     let backend = StubBackend::start(vec![Step::Answer(signed("done"))]).await;
     let nodes = TestNode::start_fleet(4, &Setup::with(|_| {}), &[&backend]).await;
-    for silent in &nodes[1..] {
-        silent.stop_exchange();
+    for peer in &nodes[1..] {
+        peer.stop_exchange();
     }
     for _ in 0..20 {
         let reply = call(nodes[0].callers, &request("/jobs/", "", "")).await;
@@ -290,7 +290,9 @@
         .iter()
         .partition(|node| unresponsive.contains(&node.node.name.as_str()));
     assert_eq!(unresponsive.len(), 2, "one of each zone");
-    unresponsive.iter().for_each(|node| node.stop_exchange());
+    for node in &unresponsive {
+        node.stop_exchange();
+    }
     let admitted = admitted_in_turn(&left).await;
     assert_one_bucket_a_zone(admitted, &left);
 }
@@ -318,7 +320,9 @@
     };
     let (unresponsive, left): (Vec<&TestNode>, Vec<&TestNode>) = nodes.iter().partition(is_gone);
     assert_eq!(unresponsive.len(), 2, "both owners of one zone");
-    unresponsive.iter().for_each(|node| node.stop_exchange());
+    for node in &unresponsive {
+        node.stop_exchange();
+    }
     let admitted = admitted_in_turn(&left).await;
     assert_one_bucket_a_zone(admitted, &left);
 }
--- a/crates/forward/tests/peer_sequences.rs
+++ b/crates/forward/tests/peer_sequences.rs
@@ -1,9 +1,9 @@
-//! News of peers: the newest ones count, restarts begin anew.
+//! Messages of peers: only newer ones count, and a restart begins anew.
 
 use millford_api::exchange::PeerMessage;
 use millford_forward::exchange::PeerSequences;
 
-fn news(boot_id: u64, sequence: u64) -> PeerMessage {
+fn message(boot_id: u64, sequence: u64) -> PeerMessage {
     PeerMessage {
         member: "node-2".to_owned(),
         boot_id,
@@ -15,9 +15,9 @@
 #[test]
 fn only_newer_messages_are_accepted_until_a_restart() {
     let mut sequences = PeerSequences::default();
-    assert!(sequences.accept(&news(1, 5)));
-    assert!(!sequences.accept(&news(1, 4)), "older");
-    assert!(!sequences.accept(&news(1, 5)), "the same again");
-    assert!(sequences.accept(&news(1, 6)));
-    assert!(sequences.accept(&news(2, 1)), "restarted");
+    assert!(sequences.accept(&message(1, 5)));
+    assert!(!sequences.accept(&message(1, 4)), "older");
+    assert!(!sequences.accept(&message(1, 5)), "the same again");
+    assert!(sequences.accept(&message(1, 6)));
+    assert!(sequences.accept(&message(2, 1)), "restarted");
 }
--- a/crates/forward/tests/quota.rs
+++ b/crates/forward/tests/quota.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// Nodes that tell each other their counts, some of which are lost.
+/// Nodes that report their counts to each other, some of which are lost.
 struct Fleet {
     nodes: Vec<TenantQuotas>,
     boots: Vec<u64>,
@@ -50,7 +50,7 @@
         admitted
     }
 
-    /// Every node tells every other one, but for those that `lost` names.
+    /// Every node reports to every other one, but for those that `lost` names.
     fn exchange(&mut self, lost: impl Fn(usize, usize) -> bool) {
         let quota = tenant().token_quota.unwrap();
         for from in 0..self.nodes.len() {
@@ -97,7 +97,7 @@
     }
 }
 
-/// What may run within eight seconds, with `late` tokens admitted before peers hear of each other.
+/// What may run within eight seconds, with `late` tokens admitted before peers receive each other's reports.
 fn bound(late: u64) -> u64 {
     ((RATE * 8 + BURST) as f64 * HEADROOM) as u64 + late
 }
@@ -107,7 +107,7 @@
     let mut fleet = Fleet::new(8);
     for step in 0..4000_usize {
         for node in 0..8 {
-            // Six times the rate; each admission is told within ten milliseconds.
+            // Six times the rate; each admission is reported within ten milliseconds.
             if step % 2 == 0 {
                 fleet.admit(node, 15);
             }
@@ -165,7 +165,7 @@
     assert!(large * 3 > small, "{large} large, {small} small");
 }
 
-/// Admissions of each node while the tenant presses on with six times its rate at all of them, at
+/// Admissions of each node while the tenant sends six times its rate to all of them, at
 /// random.
 fn admissions_under_pressure(fleet: &mut Fleet, steps: usize) -> Vec<usize> {
     let mut random = StdRng::seed_from_u64(7);
@@ -185,7 +185,7 @@
 #[test]
 fn a_node_with_a_higher_level_estimate_does_not_take_the_others_share() {
     let mut fleet = Fleet::new(8);
-    // The peers heard of these admissions; that they were given back only the node itself knows.
+    // The peers received these admissions; that they were refunded only the node itself knows.
     for _ in 0..10 {
         assert!(fleet.admit(2, 40));
     }
@@ -201,7 +201,7 @@
 #[test]
 fn a_node_that_receives_nothing_does_not_raise_the_others_estimates() {
     let mut fleet = Fleet::new(8);
-    // All hear of node 5, which hears of nobody and believes the bucket to be full.
+    // All receive from node 5, which receives nothing and estimates the bucket to be full.
     for step in 0..1000_usize {
         for request in 0..8 {
             fleet.admit((step * 3 + request) % 8, 15);
@@ -261,7 +261,11 @@
 
 #[test]
 fn any_message_losses_leave_the_quota_bounded() {
-    /// `loss_percent`: of the datagrams, by round; at most half.
+    /// `loss_percent`: of the datagrams, by step; at most half.
+    #[expect(
+        clippy::needless_pass_by_value,
+        reason = "quickcheck passes owned values"
+    )]
     fn holds(seed: u64, loss_percent: Vec<u8>, offered: Vec<u8>) -> TestResult {
         if loss_percent.is_empty() || offered.is_empty() {
             return TestResult::discard();
--- a/crates/forward/tests/streams.rs
+++ b/crates/forward/tests/streams.rs
@@ -42,7 +42,7 @@
     ])
     .await;
     let second = StubBackend::start(vec![Step::AnswerThenReset(broken), Step::Answer(rest)]).await;
-    // Whichever comes first breaks off; the other is made to go on.
+    // Whichever comes first is lost; the other resumes.
     let node = TestNode::start(&resumable(), &[&first, &second]).await;
     let mut complete = 0;
     for _ in 0..4 {
@@ -52,7 +52,7 @@
             let text = reply.body.clone();
             assert!(text == events(1..8) || text == events(4..8), "{text}");
         } else {
-            assert_eq!(reply.body, events(1..4), "only whole events");
+            assert_eq!(reply.body, events(1..4), "only complete events");
         }
     }
     assert!(complete >= 2);
@@ -79,7 +79,7 @@
             .await,
             StubBackend::start(vec![Step::Answer(rest)]).await,
         ];
-        // Only the first is offered the request; the second takes over.
+        // Only the first gets the request; the second resumes.
         let node = TestNode::start(&resumable(), &[&backends[0], &backends[1]]).await;
         let reply = loop {
             let reply = call(node.callers, &request("/jobs/", "", "")).await;
--- a/crates/forward/tests/support/backend.rs
+++ b/crates/forward/tests/support/backend.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a backend: answers connections with scripted bytes and records what it was sent.
+//! A stub of a backend: responds with scripted bytes and records what it received.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -10,35 +10,35 @@
 
 /// One request as it arrived.
 #[derive(Clone, Debug)]
-pub struct Received {
-    pub head: String,
-    pub body: Vec<u8>,
+pub(crate) struct Received {
+    pub(crate) head: String,
+    pub(crate) body: Vec<u8>,
 }
 
 impl Received {
     /// Value of a header.
-    pub fn header(&self, name: &str) -> Option<String> {
+    pub(crate) fn header(&self, name: &str) -> Option<String> {
         header_of(&self.head, name)
     }
 }
 
 /// What the backend does with its next request.
 #[derive(Clone, Debug)]
-pub enum Step {
-    /// Sends these bytes and goes on.
+pub(crate) enum Step {
+    /// Sends these bytes and takes the next request.
     Answer(String),
     /// Sends these bytes and resets the connection.
     AnswerThenReset(String),
-    /// Closes the connection without a word.
+    /// Closes the connection without a response.
     Close,
-    /// Never answers.
+    /// Never responds.
     Hang,
 }
 
 /// A running backend.
 #[derive(Clone)]
-pub struct StubBackend {
-    pub address: SocketAddr,
+pub(crate) struct StubBackend {
+    pub(crate) address: SocketAddr,
     received: Arc<Mutex<Vec<Received>>>,
     steps: Arc<Mutex<Vec<Step>>>,
     connections: Arc<Mutex<u32>>,
@@ -46,7 +46,7 @@
 
 impl StubBackend {
     /// Starts a backend that takes these steps, one a request; the last one is repeated.
-    pub async fn start(steps: Vec<Step>) -> Self {
+    pub(crate) async fn start(steps: Vec<Step>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let backend = Self {
             address: listener.local_addr().expect("an address"),
@@ -68,12 +68,12 @@
     }
 
     /// Everything that arrived.
-    pub fn received(&self) -> Vec<Received> {
+    pub(crate) fn received(&self) -> Vec<Received> {
         self.received.lock().unwrap().clone()
     }
 
     /// Connections that were opened.
-    pub fn connections(&self) -> u32 {
+    pub(crate) fn connections(&self) -> u32 {
         *self.connections.lock().unwrap()
     }
 
@@ -151,8 +151,8 @@
         .position(|window| window == pattern)
 }
 
-/// A whole signed answer.
-pub fn signed(body: &str) -> String {
+/// A complete signed response.
+pub(crate) fn signed(body: &str) -> String {
     let length = body.len();
     format!(
         "HTTP/1.1 200 OK\r\nx-millford-request-id: REQUEST-ID\r\nx-millford-signature: s\r\n\
@@ -161,14 +161,14 @@
 }
 
 /// A refusal that says that the request did not run.
-pub fn not_run(status: u16) -> String {
+pub(crate) fn not_run(status: u16) -> String {
     format!(
         "HTTP/1.1 {status} Refused\r\nx-millford-run-state: not_run\r\ncontent-length: 0\r\n\r\n"
     )
 }
 
 /// The head of a signed event stream, and events with these ids.
-pub fn stream_start(ids: std::ops::Range<u64>) -> String {
+pub(crate) fn stream_start(ids: std::ops::Range<u64>) -> String {
     let head = "HTTP/1.1 200 OK\r\nx-millford-request-id: REQUEST-ID\r\nx-millford-signature: s\r\n\
                 content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
     let events: String = ids.map(|id| chunk(&event(id))).collect();
@@ -176,14 +176,14 @@
 }
 
 /// One event.
-pub fn event(id: u64) -> String {
+pub(crate) fn event(id: u64) -> String {
     format!("id: {id}\ndata: piece {id}\n\n")
 }
 
 /// Bytes as one chunk.
-pub fn chunk(text: &str) -> String {
+pub(crate) fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
 /// The last chunk.
-pub const LAST_CHUNK: &str = "0\r\n\r\n";
+pub(crate) const LAST_CHUNK: &str = "0\r\n\r\n";
--- a/crates/forward/tests/support/caller.rs
+++ b/crates/forward/tests/support/caller.rs
@@ -8,24 +8,24 @@
 use super::head::header_of;
 use super::node::{HOST, KEY};
 
-/// An answer as it came, and whether it was whole by its framing.
+/// A response as it came, and whether it was complete by its framing.
 #[derive(Clone, Debug)]
-pub struct Reply {
-    pub status: u16,
-    pub head: String,
-    pub body: String,
-    pub complete: bool,
+pub(crate) struct Reply {
+    pub(crate) status: u16,
+    pub(crate) head: String,
+    pub(crate) body: String,
+    pub(crate) complete: bool,
 }
 
 impl Reply {
     /// Value of a header.
-    pub fn header(&self, name: &str) -> Option<String> {
+    pub(crate) fn header(&self, name: &str) -> Option<String> {
         header_of(&self.head, name)
     }
 }
 
 /// A request below `/jobs/` with the tenant's key.
-pub fn request(path: &str, headers: &str, body: &str) -> String {
+pub(crate) fn request(path: &str, headers: &str, body: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nHost: {HOST}\r\nAuthorization: Bearer {KEY}\r\n\
          x-millford-request-id: id-1\r\n{headers}Content-Length: {}\r\n\r\n{body}",
@@ -33,15 +33,15 @@
     )
 }
 
-/// Sends raw bytes on a new connection and reads one answer.
-pub async fn call(address: SocketAddr, text: &str) -> Reply {
+/// Sends raw bytes on a new connection and reads one response.
+pub(crate) async fn call(address: SocketAddr, text: &str) -> Reply {
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     stream.write_all(text.as_bytes()).await.expect("sent");
-    read_reply(&mut stream).await.expect("an answer")
+    read_reply(&mut stream).await.expect("a response")
 }
 
-/// Reads one answer; nothing when the connection ends before its head.
-pub async fn read_reply(stream: &mut TcpStream) -> Option<Reply> {
+/// Reads one response; `None` when the connection ends before its head.
+pub(crate) async fn read_reply(stream: &mut TcpStream) -> Option<Reply> {
     let mut bytes = Vec::new();
     let mut buffer = [0; 4096];
     let mut open = true;
@@ -78,7 +78,7 @@
         reply.complete = complete;
     } else {
         reply.complete = length.is_some_and(|length| body.len() >= length);
-        reply.body = body.to_owned();
+        body.clone_into(&mut reply.body);
     }
     (reply.complete || ended).then_some(reply)
 }
--- a/crates/forward/tests/support/head.rs
+++ b/crates/forward/tests/support/head.rs
@@ -1,7 +1,7 @@
 //! The head of an HTTP/1.1 message as text.
 
 /// Value of the first header with this name.
-pub fn header_of(head: &str, name: &str) -> Option<String> {
+pub(crate) fn header_of(head: &str, name: &str) -> Option<String> {
     let mut lines = head.lines().skip(1);
     lines.find_map(|line| {
         let (found, value) = line.split_once(':')?;
--- a/crates/forward/tests/support/mod.rs
+++ b/crates/forward/tests/support/mod.rs
@@ -1,9 +1,11 @@
 //! A forwarding node in this process, in front of stand-ins for backends that tests script.
 
-// Each test binary uses its own part of the support.
-#![allow(dead_code)]
+#![allow(
+    dead_code,
+    reason = "each test binary uses another selection of the fixtures"
+)]
 
-pub mod backend;
-pub mod caller;
-pub mod head;
-pub mod node;
+pub(crate) mod backend;
+pub(crate) mod caller;
+pub(crate) mod head;
+pub(crate) mod node;
--- a/crates/forward/tests/support/node.rs
+++ b/crates/forward/tests/support/node.rs
@@ -20,20 +20,20 @@
 use super::backend::StubBackend;
 
 /// Key of the tenant that tests call with.
-pub const KEY: &str = "key-of-the-tenant";
+pub(crate) const KEY: &str = "key-of-the-tenant";
 /// Host of every route.
-pub const HOST: &str = "api.example";
+pub(crate) const HOST: &str = "api.example";
 
 /// What a test's table says.
-pub struct Setup {
-    pub routes: Vec<ForwardRoute>,
-    pub quota: Option<TokenQuota>,
-    pub limits: Option<HttpLimits>,
+pub(crate) struct Setup {
+    pub(crate) routes: Vec<ForwardRoute>,
+    pub(crate) quota: Option<TokenQuota>,
+    pub(crate) limits: Option<HttpLimits>,
 }
 
 impl Setup {
     /// One route below `/jobs/`, and no quota.
-    pub fn with(change: impl FnOnce(&mut ForwardRoute)) -> Self {
+    pub(crate) fn with(change: impl FnOnce(&mut ForwardRoute)) -> Self {
         let mut route = ForwardRoute {
             name: "jobs".to_owned(),
             host: HOST.to_owned(),
@@ -56,21 +56,21 @@
 }
 
 /// A node with its callers' address.
-pub struct TestNode {
-    pub node: Arc<ForwardNode<MillfordProtocol>>,
-    pub callers: SocketAddr,
-    pub connections: CallerConnections,
+pub(crate) struct TestNode {
+    pub(crate) node: Arc<ForwardNode<MillfordProtocol>>,
+    pub(crate) callers: SocketAddr,
+    pub(crate) connections: CallerConnections,
     exchange: Option<JoinHandle<()>>,
 }
 
 impl TestNode {
     /// Starts a node in front of these backends.
-    pub async fn start(setup: &Setup, backends: &[&StubBackend]) -> Self {
+    pub(crate) async fn start(setup: &Setup, backends: &[&StubBackend]) -> Self {
         Self::start_named("node-1", setup, backends).await
     }
 
     /// Starts a node without some mechanisms.
-    pub async fn start_without(
+    pub(crate) async fn start_without(
         disabled_mechanisms: &str,
         setup: &Setup,
         backends: &[&StubBackend],
@@ -83,7 +83,11 @@
     }
 
     /// Starts nodes that know each other and talk over UDP.
-    pub async fn start_fleet(count: usize, setup: &Setup, backends: &[&StubBackend]) -> Vec<Self> {
+    pub(crate) async fn start_fleet(
+        count: usize,
+        setup: &Setup,
+        backends: &[&StubBackend],
+    ) -> Vec<Self> {
         let mut nodes = Vec::new();
         let mut sockets = Vec::new();
         let mut members = Vec::new();
@@ -143,20 +147,25 @@
         }
     }
 
-    /// The feed shows these proxies from now on.
-    pub fn know_members(&self, setup: &Setup, backends: &[&StubBackend], members: &[ProxyMember]) {
+    /// The feed lists these proxies from now on.
+    pub(crate) fn know_members(
+        &self,
+        setup: &Setup,
+        backends: &[&StubBackend],
+        members: &[ProxyMember],
+    ) {
         let table = table(setup, backends, members);
         self.node.state.set_table(table);
     }
 
-    /// The proxies that the feed shows.
-    pub fn members(&self) -> Vec<ProxyMember> {
+    /// The proxies that the feed lists.
+    pub(crate) fn members(&self) -> Vec<ProxyMember> {
         self.node.state.table().forward().peers().to_vec()
     }
 
-    /// The node hears and tells its peers nothing from now on.
-    pub fn stop_exchange(&self) {
-        self.exchange.iter().for_each(|task| task.abort());
+    /// The node neither receives nor sends peer messages from now on.
+    pub(crate) fn stop_exchange(&self) {
+        self.exchange.iter().for_each(JoinHandle::abort);
     }
 }
 
@@ -179,7 +188,7 @@
 
 impl TestNode {
     /// Lets the node's tasks run until the condition holds.
-    pub async fn until(&self, holds: impl Fn() -> bool) {
+    pub(crate) async fn until(&self, holds: impl Fn() -> bool) {
         for _ in 0..MAX_POLLS {
             if holds() {
                 return;
@@ -191,7 +200,11 @@
 }
 
 /// The table of a setup.
-pub fn table(setup: &Setup, backends: &[&StubBackend], members: &[ProxyMember]) -> RoutingTable {
+pub(crate) fn table(
+    setup: &Setup,
+    backends: &[&StubBackend],
+    members: &[ProxyMember],
+) -> RoutingTable {
     let mut items: Vec<(String, Kind)> = Vec::new();
     let head = ConfigHead {
         revision: 1,
--- a/crates/routing/src/backend_health.rs
+++ b/crates/routing/src/backend_health.rs
@@ -14,7 +14,7 @@
 pub const PROBES_TO_EJECT: u32 = 2;
 
 /// Backends used within this time are watched.
-pub const WATCH_AFTER_USE: Duration = Duration::from_secs(60);
+pub const WATCH_AFTER_USE: Duration = Duration::from_mins(1);
 
 /// Most backends that a node probes without using them.
 pub const MAX_WATCHED: usize = 64;
--- a/crates/routing/src/prefix_index.rs
+++ b/crates/routing/src/prefix_index.rs
@@ -88,9 +88,10 @@
         shareable: usize,
     ) {
         for (index, block) in blocks.iter().enumerate() {
-            let announcement = match index < shareable {
-                true => Announcement::WhenDue,
-                false => Announcement::Never,
+            let announcement = if index < shareable {
+                Announcement::WhenDue
+            } else {
+                Announcement::Never
             };
             self.record_use(now, backend_id, *block, announcement);
         }
--- a/crates/routing/src/routing_table.rs
+++ b/crates/routing/src/routing_table.rs
@@ -39,7 +39,7 @@
             match &value.kind {
                 Some(Kind::ConfigHead(head)) => table.revision = head.revision,
                 Some(Kind::Route(route)) => {
-                    table.routes.push(Arc::new(RouteEntry::from_config(route)))
+                    table.routes.push(Arc::new(RouteEntry::from_config(route)));
                 }
                 Some(Kind::Pool(pool)) => pools.push(pool),
                 Some(Kind::Tenant(tenant)) => table.add_tenant(tenant),
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -13,12 +13,12 @@
     loads.iter().enumerate().map(candidate).collect()
 }
 
-fn affinity(key: u64, saving: f64) -> Option<Affinity> {
-    Some(Affinity {
+fn affinity(key: u64, saving: f64) -> Affinity {
+    Affinity {
         key,
         saving,
         gain: 0.0,
-    })
+    }
 }
 
 fn home(candidates: &[Candidate], key: u64) -> usize {
@@ -35,7 +35,7 @@
     /// Something is chosen whenever there is something to choose.
     fn a_choice_exists(loads: Vec<u8>, key: Option<u64>, first: u64, second: u64) -> bool {
         let list = candidates(&loads);
-        let choice = choose(&list, key.and_then(|key| affinity(key, 1.0)), [first, second]);
+        let choice = choose(&list, key.map(|key| affinity(key, 1.0)), [first, second]);
         choice.is_some() != list.is_empty()
             && choice.is_none_or(|choice| choice.index < list.len())
     }
@@ -43,7 +43,7 @@
     /// An idle fleet sends a key always to its home, whatever the random numbers.
     fn an_idle_fleet_sends_a_key_to_its_home(count: u8, key: u64, first: u64, second: u64) -> bool {
         let list = candidates(&vec![0; usize::from(count % 20) + 1]);
-        let choice = choose(&list, affinity(key, 1.0), [first, second]).expect("a choice");
+        let choice = choose(&list, Some(affinity(key, 1.0)), [first, second]).expect("a choice");
         choice.by_affinity && choice.index == home(&list, key)
     }
 
@@ -58,12 +58,12 @@
         before == lost || after.backend_id == list[before].backend_id
     }
 
-    /// A home is kept only while it is not behind the drawn alternative by more than it saves.
+    /// A home is chosen only while it is not behind the drawn alternative by more than it saves.
     fn affinity_keeps_the_load_bound(loads: Vec<u8>, key: u64, saving: u8) -> bool {
         let list = candidates(&loads);
         let saving = f64::from(saving);
         let alternative = choose(&list, None, [3, 5]);
-        let chosen = choose(&list, affinity(key, saving), [3, 5]);
+        let chosen = choose(&list, Some(affinity(key, saving)), [3, 5]);
         match (chosen, alternative) {
             (Some(choice), Some(alternative)) if choice.by_affinity => {
                 list[choice.index].load <= list[alternative.index].load + saving
@@ -92,7 +92,7 @@
     fn a_home_whose_saving_exceeds_its_load_is_chosen(loads: Vec<u8>, key: u64) -> bool {
         let list = candidates(&loads);
         let enough = f64::from(u8::MAX);
-        choose(&list, affinity(key, enough), [3, 5])
+        choose(&list, Some(affinity(key, enough)), [3, 5])
             .is_none_or(|choice| choice.by_affinity && choice.index == home(&list, key))
     }
 
--- a/crates/routing/tests/forward_table.rs
+++ b/crates/routing/tests/forward_table.rs
@@ -1,4 +1,4 @@
-//! Forwarding routes, what prompts are known to be kept where, and counts told by peers.
+//! Forwarding routes, locations of prefix blocks, and counts published by peers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -110,7 +110,7 @@
         .iter()
         .map(|location| location.block)
         .collect();
-    assert_eq!(announced, [1, 2], "what nobody shares is not told");
+    assert_eq!(announced, [1, 2], "what nobody shares is not announced");
     assert!(prefix_index.take_announcements().is_empty());
     assert_eq!(backends(25_500, 1), Vec::<String>::new());
     assert_eq!(backends(25_500, 2), ["b-2"]);
@@ -176,6 +176,6 @@
     health.record_dispatch("b", at(20_000));
     assert!(
         !health.is_unresponsive("b", at(20_100), span),
-        "it was idle, not silent"
+        "it was idle, not unresponsive"
     );
 }
--- a/crates/routing/tests/load.rs
+++ b/crates/routing/tests/load.rs
@@ -172,7 +172,7 @@
     assert!(health.probe_failed("b1"));
     assert!(!health.is_usable("b1"));
     // Long after its last use only an ejected backend is still probed.
-    let much_later = later + Duration::from_secs(120);
+    let much_later = later + Duration::from_mins(2);
     assert_eq!(health.to_probe(much_later, quiet), ["b1"]);
 }
 
