--- a/crates/forward/tests/forwarding.rs
+++ b/crates/forward/tests/forwarding.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 
 use millford_api::config::{HttpLimits, TokenQuota};
+use millford_data_plane::limits::RequestLimits;
+use millford_data_plane::proxy_state::ProxyState;
 use millford_forward::daemon::callers::serve_callers;
 use millford_forward::{ForwardNode, ForwardSettings, MillfordProtocol};
-use millford_proxy::limits::RequestLimits;
-use millford_proxy::proxy_state::ProxyState;
 use support::backend::{Step, StubBackend, not_run, signed};
 use support::caller::{call, request};
 use support::node::{HOST, Setup, TestNode};
