--- a/crates/forward/src/daemon/run.rs
+++ b/crates/forward/src/daemon/run.rs
@@ -15,6 +15,7 @@
 use millford_settings::PartLog;
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::signal::unix::{SignalKind, signal};
+use tokio::task::JoinSet;
 
 use crate::backend::health_watch;
 use crate::daemon::callers::{CallerConnections, serve_callers};
@@ -26,12 +27,12 @@
 
 const LOG: PartLog = PartLog::new("FORWARD");
 
-/// Time from the signal to leave until idle connections are closed: by then no new caller is sent
-/// here, and those who hold a connection were told to close it.
+/// Time from the termination signal until idle connections are closed: by then no new caller is sent
+/// here, and those with a connection received `Connection: close`.
 const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(2200);
-/// Shortest time from the signal to leave to the end.
+/// Shortest time from the termination signal to the end.
 const MIN_DRAIN_TIME: Duration = Duration::from_millis(3200);
-/// Time between two looks at the open connections while leaving.
+/// Time between two checks of the open connections while draining.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Runs until a signal ends the process.
@@ -72,14 +73,16 @@
     let mut interrupt = signal(SignalKind::interrupt()).into_diagnostic()?;
     let mut hang_up = signal(SignalKind::hangup()).into_diagnostic()?;
     let connections = CallerConnections::default();
-    tokio::spawn(serve_callers(
+    // Dropped at the end of the process, it aborts its tasks.
+    let mut tasks = JoinSet::new();
+    tasks.spawn(serve_callers(
         callers,
         Arc::clone(&node),
         connections.clone(),
     ));
-    tokio::spawn(serve_readiness(readiness, Arc::clone(&node)));
-    tokio::spawn(exchange::run(Arc::clone(&node), exchange_socket));
-    tokio::spawn(health_watch::run(Arc::clone(&node)));
+    tasks.spawn(serve_readiness(readiness, Arc::clone(&node)));
+    tasks.spawn(exchange::run(Arc::clone(&node), exchange_socket));
+    tasks.spawn(health_watch::run(Arc::clone(&node)));
     println!("millford-forward ready callers={}", settings.caller_address);
     LOG.info(format!("Serving callers at {}.", settings.caller_address));
     loop {
@@ -104,14 +107,14 @@
     miette!(code = "address_in_use_7002", "{code} {address}: {error}")
 }
 
-/// No longer ready; requests go on to be served until callers have gone elsewhere, and open ones end by
-/// themselves within a bound.
+/// Shuts down gracefully: the node is no longer ready, requests are still served until callers have moved
+/// elsewhere, and open ones end by themselves within a bound.
 async fn drain<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     connections: &CallerConnections,
     longest: Duration,
 ) {
-    LOG.info("Leaving: no longer ready.");
+    LOG.info("Draining: no longer ready.");
     let begun = monotonic_now();
     node.drain(begun, longest);
     tokio::time::sleep(IDLE_CLOSE_DELAY.min(longest)).await;
@@ -125,7 +128,7 @@
         tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
     LOG.info(format!(
-        "Left with {} open connections.",
+        "Drained with {} open connections.",
         connections.open()
     ));
 }
