--- a/crates/data-plane/src/agent_link/link.rs
+++ b/crates/data-plane/src/agent_link/link.rs
@@ -1,4 +1,4 @@
-//! What the requests ask of the agent beside the proxy.
+//! The requests' side of the link to the agent.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,24 +7,23 @@
 use millford_api::local::{
     LocalClaim, LocalFrame, LocalQuotaRelease, LocalQuotaRequest, LocalResolveClaim, local_frame,
 };
-use millford_core::Duration;
 use millford_core::time::monotonic_now;
+use millford_core::{Duration, ResultCode};
 use tokio::sync::mpsc;
 
-use crate::agent_link::held_streams::HeldStreams;
-use crate::agent_link::outstanding::Outstanding;
-use crate::agent_link::send_times::SendTimes;
+use crate::agent_link::granted_streams::GrantedStreams;
+use crate::agent_link::in_flight::{Delivery, InFlightRequests};
 use crate::agent_message::{AdmissionReply, AdmissionRequest, ClaimAnswer, QuotaRelease};
 
-/// The requests' side of the link.
+/// The requests' side of the link: sends to the agent and waits for its answers.
 #[derive(Clone, Debug)]
 pub struct AgentLink {
     frames: mpsc::UnboundedSender<LocalFrame>,
     next_id: Arc<AtomicU64>,
-    pub(super) quotas: Outstanding<AdmissionReply>,
-    pub(super) claims: Outstanding<ClaimAnswer>,
-    pub(super) settles: Outstanding<()>,
-    pub(super) held: HeldStreams,
+    quotas: InFlightRequests<AdmissionReply>,
+    claims: InFlightRequests<ClaimAnswer>,
+    claim_resolutions: InFlightRequests<()>,
+    granted_streams: GrantedStreams,
 }
 
 impl AgentLink {
@@ -33,68 +32,74 @@
         Self {
             frames,
             next_id: Arc::new(AtomicU64::new(1)),
-            quotas: Outstanding::default(),
-            claims: Outstanding::default(),
-            settles: Outstanding::default(),
-            held: HeldStreams::default(),
+            quotas: InFlightRequests::default(),
+            claims: InFlightRequests::default(),
+            claim_resolutions: InFlightRequests::default(),
+            granted_streams: GrantedStreams::default(),
         }
     }
 
-    /// Asks for one admission. A restart of the agent within the timeout only delays it.
-    pub async fn ask_quota(&self, ask: AdmissionRequest) -> AdmissionReply {
-        let request_id = self.fresh_id();
+    /// Requests the admission of one request. A restart of the agent within the timeout only
+    /// delays it.
+    pub async fn request_quota(&self, request: AdmissionRequest) -> AdmissionReply {
+        let request_id = self.next_request_id();
         let body = local_frame::Body::QuotaRequest(LocalQuotaRequest {
             request_id,
-            tenant: ask.tenant,
-            stream: ask.stream,
-            timeout_ms: millis(ask.timeout),
+            tenant: request.tenant,
+            stream: request.stream,
+            timeout_ms: millis(request.timeout),
             waited_ms: 0,
         });
-        let mut asked = self.quotas.ask(request_id, frame(body.clone()));
+        let waiter = self.quotas.register(request_id, frame(body.clone()));
         self.send(body);
-        let answer = tokio::time::timeout(ask.timeout, asked.answer()).await;
-        let answer = answer.unwrap_or_else(|_| asked.stop());
+        let answer = waiter.answer(request.timeout).await;
         answer.unwrap_or(AdmissionReply::Refused {
-            code: millford_core::ResultCode::QuotaUnavailable,
+            code: ResultCode::QuotaUnavailable,
             retry_after_ms: 0,
         })
     }
 
     /// Gives a slot or a token back.
     pub fn release_quota(&self, release: QuotaRelease) {
-        let mut held = self.held.lock();
+        let mut granted_streams = self.granted_streams.lock();
         if release.stream {
-            held.remove(&release.tenant);
+            granted_streams.remove(&release.tenant);
         }
         self.send(release_body(release));
     }
 
     /// Reserves a run. Sent again on a new connection under the same attempt id.
     pub async fn claim(&self, claim: Claim, timeout: Duration) -> ClaimAnswer {
-        let request_id = self.fresh_id();
+        let request_id = self.next_request_id();
         let body = local_frame::Body::Claim(LocalClaim {
             request_id,
             claim: Some(claim),
             timeout_ms: millis(timeout),
         });
-        let mut asked = self.claims.ask(request_id, frame(body.clone()));
+        let waiter = self.claims.register(request_id, frame(body.clone()));
         self.send(body);
-        let answer = tokio::time::timeout(timeout, asked.answer()).await;
-        let answer = answer.unwrap_or_else(|_| asked.stop());
+        let answer = waiter.answer(timeout).await;
         answer.unwrap_or(ClaimAnswer::Unavailable)
     }
 
-    /// Records an outcome. Sent again on a new connection until it is acknowledged.
-    pub fn settle(&self, settle: ResolveClaim) {
-        let request_id = self.fresh_id();
+    /// Records a claim's outcome. Sent again on a new connection until it is acknowledged.
+    pub fn resolve_claim(&self, resolution: ResolveClaim) {
+        let request_id = self.next_request_id();
         let body = local_frame::Body::ResolveClaim(LocalResolveClaim {
             request_id,
-            resolution: Some(settle),
+            resolution: Some(resolution),
         });
-        self.settles.keep(request_id, frame(body.clone()));
+        let resolutions = &self.claim_resolutions;
+        resolutions.register_unawaited(request_id, frame(body.clone()));
         self.send(body);
     }
 
+    /// Whether every resolution of a claim was acknowledged.
+    #[must_use]
+    pub fn claims_are_resolved(&self) -> bool {
+        self.claim_resolutions.is_empty()
+    }
+
     /// Sends a frame that needs no answer; lost while there is no connection.
     pub fn send(&self, body: local_frame::Body) {
         // The receiver lives as long as the process.
@@ -103,57 +108,54 @@
 
     /// Passes a quota decision on. A grant that came too late is given back.
     ///
-    /// A process that stood still finds grants whose lease has ended meanwhile: the leader has lent
-    /// those tokens again. They are not used, and the ask is sent again.
-    pub(super) fn answer_quota(
+    /// A process that stood still finds grants whose lease has ended meanwhile: the leader has
+    /// granted those tokens again. They are not used, and the request is sent again.
+    pub(super) fn complete_quota(
         &self,
         request_id: u64,
         answer: AdmissionReply,
         use_within: Option<Duration>,
     ) {
-        let mut held = self.held.lock();
-        let Some(asked) = self.asked_quota(request_id) else {
+        // Locked to the end: the counts change together with what the requester is told.
+        let mut granted_streams = self.granted_streams.lock();
+        let Some(request) = self.quota_in_flight(request_id) else {
             return;
         };
         if answer == AdmissionReply::Granted
-            && self.ask_again_if_late(request_id, use_within, &asked)
+            && self.resend_quota_if_late(request_id, use_within, &request)
         {
             return;
         }
-        let unclaimed = self.quotas.give(request_id, answer);
+        let delivery = self.quotas.complete(request_id, answer);
         if answer != AdmissionReply::Granted {
             return;
         }
-        let release = QuotaRelease {
-            tenant: asked.tenant,
-            stream: asked.stream,
-            unused: true,
-        };
-        match unclaimed {
-            Some(_) => self.send(release_body(release)),
-            None if release.stream => held.add(&release.tenant),
-            None => {}
+        match delivery {
+            Delivery::Unclaimed => self.send(release_body(QuotaRelease {
+                tenant: request.tenant,
+                stream: request.stream,
+                unused: true,
+            })),
+            Delivery::Done if request.stream => granted_streams.add(&request.tenant),
+            Delivery::Done => {}
         }
     }
 
-    fn ask_again_if_late(
+    fn resend_quota_if_late(
         &self,
         request_id: u64,
         use_within: Option<Duration>,
-        asked: &LocalQuotaRequest,
+        request: &LocalQuotaRequest,
     ) -> bool {
         let now = monotonic_now();
-        let is_late = |times: &SendTimes| times.is_late(now, use_within);
-        let renewed = self
-            .quotas
-            .renew_late(request_id, is_late, |frame, times| times.renew(now, frame));
-        let Some(body) = renewed.and_then(|frame| frame.body) else {
+        let resent = self.quotas.resend_if_late(request_id, now, use_within);
+        let Some(body) = resent.and_then(|frame| frame.body) else {
             return false;
         };
-        if asked.stream {
+        if request.stream {
             // The agent counts the slot as taken; its token is gone.
             self.send(release_body(QuotaRelease {
-                tenant: asked.tenant.clone(),
+                tenant: request.tenant.clone(),
                 stream: true,
                 unused: false,
             }));
@@ -162,31 +164,46 @@
         true
     }
 
-    fn asked_quota(&self, request_id: u64) -> Option<LocalQuotaRequest> {
+    fn quota_in_flight(&self, request_id: u64) -> Option<LocalQuotaRequest> {
         match self.quotas.frame(request_id)?.body {
-            Some(local_frame::Body::QuotaRequest(ask)) => Some(ask),
+            Some(local_frame::Body::QuotaRequest(request)) => Some(request),
             _ => None,
         }
     }
 
-    /// Whether every settlement was acknowledged.
-    #[must_use]
-    pub fn is_settled(&self) -> bool {
-        self.settles.is_empty()
+    /// Passes a claim's answer on. A claim granted too late was resolved as not run by its
+    /// requester.
+    pub(super) fn complete_claim(&self, request_id: u64, answer: ClaimAnswer) {
+        self.claims.complete(request_id, answer);
     }
 
-    fn fresh_id(&self) -> u64 {
-        self.next_id.fetch_add(1, Ordering::Relaxed)
+    /// The resolution of a claim is acknowledged.
+    pub(super) fn complete_claim_resolution(&self, request_id: u64) {
+        self.claim_resolutions.complete(request_id, ());
     }
 
-    /// Frames to send again on a new connection.
-    pub(super) fn unanswered(&self) -> Vec<LocalFrame> {
-        let mut frames = self.settles.frames();
-        frames.extend(self.claims.frames());
+    /// What goes before all other frames on a new connection: the stream slots that are granted.
+    ///
+    /// `drop_queued` drops the frames that were queued for the old connection, while the counts
+    /// cannot change.
+    pub(super) fn open_streams(&self, drop_queued: impl FnOnce()) -> LocalFrame {
+        let granted_streams = self.granted_streams.lock();
+        drop_queued();
+        frame(local_frame::Body::OpenStreams(granted_streams.to_message()))
+    }
+
+    /// The requests in flight, to be sent again on a new connection.
+    pub(super) fn resend_all(&self) -> Vec<LocalFrame> {
         let now = monotonic_now();
-        frames.extend(self.quotas.renewed(|frame, times| times.renew(now, frame)));
+        let mut frames = self.claim_resolutions.resend_all(now);
+        frames.extend(self.claims.resend_all(now));
+        frames.extend(self.quotas.resend_all(now));
         frames
     }
+
+    fn next_request_id(&self) -> u64 {
+        self.next_id.fetch_add(1, Ordering::Relaxed)
+    }
 }
 
 fn release_body(release: QuotaRelease) -> local_frame::Body {
--- a/crates/data-plane/src/agent_link/mod.rs
+++ b/crates/data-plane/src/agent_link/mod.rs
@@ -1,9 +1,9 @@
-//! The link to the agent beside the proxy: what the requests ask of it, and the connection that
-//! carries it.
+//! The link to the agent beside the proxy: the requests sent to it, and the connection that
+//! carries them.
 
-pub mod held_streams;
+mod granted_streams;
+mod in_flight;
 mod link;
-pub mod outstanding;
 pub mod send_times;
 mod task;
 
--- a/crates/data-plane/src/agent_link/send_times.rs
+++ b/crates/data-plane/src/agent_link/send_times.rs
@@ -1,9 +1,9 @@
-//! When an ask was sent.
+//! When a request to the agent was sent.
 
 use millford_api::local::{LocalFrame, local_frame};
 use millford_core::{Duration, MonotonicTime};
 
-/// Times of an ask that may be sent again.
+/// When a request that may be sent again was first sent, and when last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SendTimes {
     first: MonotonicTime,
@@ -11,7 +11,7 @@
 }
 
 impl SendTimes {
-    /// An ask that is sent for the first time.
+    /// A request that is sent for the first time.
     #[must_use]
     pub fn at(now: MonotonicTime) -> Self {
         Self {
@@ -26,16 +26,16 @@
         use_within.is_some_and(|limit| now.since(self.last) >= limit)
     }
 
-    /// Sends a quota ask again: it states how long the request has waited, and what is left of its
-    /// time. Other frames stay as they are.
+    /// The request is sent again. A quota request then states how long it has waited, and what is
+    /// left of its time; other frames stay as they are.
     pub fn renew(&mut self, now: MonotonicTime, frame: &mut LocalFrame) {
         self.last = now;
-        let Some(local_frame::Body::QuotaRequest(ask)) = &mut frame.body else {
+        let Some(local_frame::Body::QuotaRequest(request)) = &mut frame.body else {
             return;
         };
         let waited = millis(now.since(self.first));
-        ask.waited_ms = waited;
-        ask.timeout_ms = ask.timeout_ms.saturating_sub(waited);
+        request.waited_ms = waited;
+        request.timeout_ms = request.timeout_ms.saturating_sub(waited);
     }
 }
 
--- a/crates/data-plane/src/agent_link/task.rs
+++ b/crates/data-plane/src/agent_link/task.rs
@@ -15,9 +15,11 @@
 
 const LOG: PartLog = PartLog::new("AGENT");
 
+/// Longest time to open a connection to the agent.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-const FIRST_RECONNECT: Duration = Duration::from_millis(20);
-const LONGEST_RECONNECT: Duration = Duration::from_millis(500);
+/// Bounds of the backoff between two attempts to connect.
+const FIRST_BACKOFF: Duration = Duration::from_millis(20);
+const LONGEST_BACKOFF: Duration = Duration::from_millis(500);
 
 /// The control thread's side of the link.
 pub struct AgentLinkTask {
@@ -45,22 +47,22 @@
         }
     }
 
-    /// Keeps a connection to the agent for as long as the process lives.
+    /// Keeps a connection to the agent for as long as the process lives; never returns.
     pub async fn run(mut self) {
-        let mut backoff = Backoff::new(FIRST_RECONNECT, LONGEST_RECONNECT);
-        let mut reported = false;
+        let mut backoff = Backoff::new(FIRST_BACKOFF, LONGEST_BACKOFF);
+        let mut failure_logged = false;
         loop {
             match connect::<LocalFrame>(self.address, CONNECT_TIMEOUT).await {
                 Ok((reader, writer)) => {
                     LOG.info("Connected to the agent.");
                     backoff.reset();
-                    reported = false;
-                    let ended = self.serve(reader, writer).await;
-                    LOG.warn(format!("Lost the agent: {ended}."));
+                    failure_logged = false;
+                    let error = self.serve(reader, writer).await;
+                    LOG.warn(format!("Lost the connection to the agent: {error}."));
                 }
-                Err(error) if !reported => {
+                Err(error) if !failure_logged => {
                     LOG.warn(format!("No connection to the agent: {error}."));
-                    reported = true;
+                    failure_logged = true;
                 }
                 Err(_) => {}
             }
@@ -68,18 +70,19 @@
         }
     }
 
+    /// Serves one connection until it fails.
     async fn serve(
         &mut self,
         mut reader: FramedReader<LocalFrame>,
         mut writer: FramedWriter<LocalFrame>,
     ) -> TransportError {
-        if let Err(error) = self.greet(&mut writer).await {
+        if let Err(error) = self.handshake(&mut writer).await {
             return error;
         }
         loop {
             let served = tokio::select! {
                 biased;
-                // What the agent says comes before what the requests want to say.
+                // The agent's frames go before the requests' own: a drain is applied in time.
                 received = reader.next() => match received {
                     Some(Ok(first)) => self.receive(first, &mut reader, &mut writer).await,
                     Some(Err(error)) => Err(error),
@@ -96,44 +99,50 @@
         }
     }
 
-    async fn greet(&mut self, writer: &mut FramedWriter<LocalFrame>) -> Result<(), TransportError> {
+    /// Sends what the agent must know before anything else, and again what it has not answered.
+    async fn handshake(
+        &mut self,
+        writer: &mut FramedWriter<LocalFrame>,
+    ) -> Result<(), TransportError> {
         let hello = local_frame::Body::ProxyHello(self.hello.clone());
         writer.feed(frame(hello)).await?;
-        writer.feed(self.handler.shown_frame()).await?;
-        writer.feed(self.start_over()).await?;
-        for unanswered in self.link.unanswered() {
-            writer.feed(unanswered).await?;
+        writer.feed(self.handler.applied_revision_frame()).await?;
+        writer.feed(self.open_streams()).await?;
+        for request in self.link.resend_all() {
+            writer.feed(request).await?;
         }
         writer.flush().await
     }
 
-    /// The slots held now. Frames queued for the old connection are dropped: asks, claims and
-    /// settlements are sent again, releases are part of the counts, and load is reported again anyway.
-    fn start_over(&mut self) -> LocalFrame {
-        let held = self.link.held.lock();
-        while self.frames.try_recv().is_ok() {}
-        frame(local_frame::Body::OpenStreams(held.to_frame()))
+    /// The stream slots that are granted now. Frames queued for the old connection are dropped:
+    /// requests in flight are sent again, releases are part of the counts, and load is reported
+    /// again anyway.
+    fn open_streams(&mut self) -> LocalFrame {
+        let frames = &mut self.frames;
+        self.link
+            .open_streams(|| while frames.try_recv().is_ok() {})
     }
 
-    /// Takes every frame that has arrived, then shows the result once.
+    /// Handles every frame that has arrived, then applies the result once.
     async fn receive(
         &mut self,
         first: LocalFrame,
         reader: &mut FramedReader<LocalFrame>,
         writer: &mut FramedWriter<LocalFrame>,
     ) -> Result<(), TransportError> {
-        let mut changed = self.take(first)?;
+        let mut changed = self.handle(first)?;
         while let Some(next) = reader.next().now_or_never() {
             let next = next.unwrap_or_else(|| Err(closed()))?;
-            changed |= self.take(next)?;
+            changed |= self.handle(next)?;
         }
-        if changed && let Some(shown) = self.handler.show() {
-            writer.send(shown).await?;
+        if changed && let Some(applied) = self.handler.apply_changes() {
+            writer.send(applied).await?;
         }
         Ok(())
     }
 
-    fn take(&mut self, received: LocalFrame) -> Result<bool, TransportError> {
+    /// Handles one frame; whether the view of the control state changed.
+    fn handle(&mut self, received: LocalFrame) -> Result<bool, TransportError> {
         match self.handler.handle(received) {
             FrameOutcome::Nothing => {}
             FrameOutcome::Changed => return Ok(true),
@@ -142,18 +151,18 @@
                 request_id,
                 answer,
                 use_within,
-            } => self.link.answer_quota(request_id, answer, use_within),
+            } => self.link.complete_quota(request_id, answer, use_within),
             FrameOutcome::Claim { request_id, answer } => {
-                // A claim granted too late was settled as not run by its asker.
-                self.link.claims.answered(request_id, answer);
+                self.link.complete_claim(request_id, answer);
             }
-            FrameOutcome::Settled { request_id } => {
-                self.link.settles.answered(request_id, ());
+            FrameOutcome::ClaimResolved { request_id } => {
+                self.link.complete_claim_resolution(request_id);
             }
         }
         Ok(false)
     }
 
+    /// Sends every frame that is queued.
     async fn forward(
         &mut self,
         first: LocalFrame,
--- a/crates/data-plane/src/agent_message.rs
+++ b/crates/data-plane/src/agent_message.rs
@@ -1,29 +1,29 @@
-//! What the requests ask of the agent, and its answers.
+//! Messages between the request path and the agent.
 
 use millford_api::command::RunOutcome;
 use millford_core::{Duration, ResultCode};
 
-/// One request of a tenant wants to be admitted.
+/// Requests the admission of one request of a tenant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdmissionRequest {
     /// Tenant.
     pub tenant: String,
     /// Whether a stream slot is needed too.
     pub stream: bool,
-    /// Longest time to wait for the decision.
+    /// Longest time to wait for the decision; the agent waits that long for the tenant's shard.
     pub timeout: Duration,
 }
 
-/// The agent's decision.
+/// The agent's decision about an admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionReply {
-    /// The request may go.
+    /// The request is admitted.
     Granted,
-    /// The request may not go.
+    /// The request is not admitted.
     Refused {
-        /// Why.
+        /// The reason, as a numbered code.
         code: ResultCode,
-        /// When to come back, in milliseconds.
+        /// When to come back, in milliseconds; 0 if unknown.
         retry_after_ms: u32,
     },
 }
@@ -39,7 +39,7 @@
     pub unused: bool,
 }
 
-/// What became of a claim.
+/// The control plane's decision about a claim of a single run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimAnswer {
     /// The single run is this request's.
@@ -48,6 +48,6 @@
     Taken(RunOutcome),
     /// The key belongs to a request with another body.
     KeyReused,
-    /// Not recorded in time.
+    /// Not confirmed in time.
     Unavailable,
 }
--- a/crates/data-plane/src/control_view.rs
+++ b/crates/data-plane/src/control_view.rs
@@ -1,4 +1,4 @@
-//! The public state of all shards, as the agent passes it on.
+//! The control plane's public state of all shards, as the agent passes it on.
 
 use std::collections::BTreeMap;
 
@@ -12,45 +12,46 @@
 pub enum ViewOutcome {
     /// Items changed.
     Changed,
-    /// Older than what is shown: ignored.
+    /// Older than what the view has: ignored.
     Stale,
-    /// A change does not join on to what is shown: a snapshot is needed.
+    /// A change does not follow on the view's position: a snapshot is needed.
     Gap,
 }
 
-/// A place in a shard's history. It never goes back.
+/// Position in a shard's history. It never goes back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct FeedPosition {
     term: u64,
     offset: u64,
 }
 
+/// Items of one shard at one position of its history.
 #[derive(Debug, Default)]
 struct ShardItems {
-    place: Place,
+    position: FeedPosition,
     items: BTreeMap<String, StateValue>,
 }
 
-/// Items of every shard, each at its own place.
+/// Items of every shard, each at its own position.
 #[derive(Debug, Default)]
 pub struct ControlView {
     shards: BTreeMap<u32, ShardItems>,
 }
 
 impl ControlView {
-    /// Replaces a shard's items, unless the snapshot is older than what was shown.
+    /// Replaces a shard's items, unless the snapshot is older than they are.
     pub fn apply_snapshot(&mut self, snapshot: StateSnapshot) -> ViewOutcome {
-        let place = Place {
+        let position = FeedPosition {
             term: snapshot.term,
             offset: snapshot.offset,
         };
-        let shown = self.shards.get(&snapshot.shard);
-        // A node that has shown a revision never goes back to an older one.
-        if shown.is_some_and(|shown| place < shown.place) {
+        let current = self.shards.get(&snapshot.shard);
+        // A node that has applied a revision never goes back to an older one.
+        if current.is_some_and(|current| position < current.position) {
             return ViewOutcome::Stale;
         }
         let mut shard = ShardItems {
-            place,
+            position,
             items: BTreeMap::new(),
         };
         apply_items(&mut shard.items, snapshot.items);
@@ -58,28 +59,28 @@
         ViewOutcome::Changed
     }
 
-    /// Applies a change that follows on what is shown, or that amends it at its own offset.
+    /// Applies a change that follows on the view's position, or that amends it at that position.
     pub fn apply_change(&mut self, change: StateChange) -> ViewOutcome {
-        let Some(shown) = self.shards.get_mut(&change.shard) else {
+        let Some(current) = self.shards.get_mut(&change.shard) else {
             return ViewOutcome::Gap;
         };
-        let place = Place {
+        let position = FeedPosition {
             term: change.term,
             offset: change.offset,
         };
         let amends = change.previous_offset == change.offset;
-        if place < shown.place || (place == shown.place && !amends) {
+        if position < current.position || (position == current.position && !amends) {
             return ViewOutcome::Stale;
         }
-        if shown.place.offset < change.previous_offset {
+        if current.position.offset < change.previous_offset {
             return ViewOutcome::Gap;
         }
-        apply_items(&mut shown.items, change.items);
-        shown.place = place;
+        apply_items(&mut current.items, change.items);
+        current.position = position;
         ViewOutcome::Changed
     }
 
-    /// The routing table for what is shown.
+    /// Builds the routing table of the items.
     #[must_use]
     pub fn table(&self) -> RoutingTable {
         let shards = self.shards.values();
@@ -102,11 +103,11 @@
     }
 }
 
-/// Whether a placement comes from a role that has since been taken over.
-fn is_fenced(shown: Option<&StateValue>, value: &StateValue) -> bool {
+/// Whether a placement comes from an older epoch of the placement role than the current one.
+fn is_fenced(current: Option<&StateValue>, value: &StateValue) -> bool {
     let epoch = |value: &StateValue| match &value.kind {
         Some(Kind::Placement(placement)) => Some(placement.epoch),
         _ => None,
     };
-    epoch(value) < shown.and_then(epoch)
+    epoch(value) < current.and_then(epoch)
 }
--- a/crates/data-plane/src/frame_handler.rs
+++ b/crates/data-plane/src/frame_handler.rs
@@ -13,82 +13,87 @@
 use crate::control_view::{ControlView, ViewOutcome};
 use crate::proxy_state::ProxyState;
 
-/// What a frame asks its carrier to do.
+/// What the carrier of a frame has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FrameOutcome {
     /// Nothing.
     Nothing,
-    /// The state changed: [`FrameHandler::show`] when no more frames wait.
+    /// The view changed: call [`FrameHandler::apply_changes`] when no more frames wait.
     Changed,
-    /// A change was missed: connect to the agent again for whole snapshots.
+    /// A change was missed: connect to the agent again for complete snapshots.
     Reconnect,
-    /// A quota ask is answered.
+    /// A quota request is answered.
     Quota {
-        /// Number of the ask.
+        /// Number of the request.
         request_id: u64,
         /// The decision.
         answer: AdmissionReply,
-        /// How long a grant may be used, counted from when the ask was sent.
+        /// How long a grant may be used, counted from when the request was last sent.
         use_within: Option<Duration>,
     },
     /// A claim is answered.
     Claim {
-        /// Number of the claim.
+        /// Number of the request.
         request_id: u64,
         /// The decision.
         answer: ClaimAnswer,
     },
-    /// A settlement is acknowledged.
-    Settled {
-        /// Number of the settlement.
+    /// The resolution of a claim is acknowledged.
+    ClaimResolved {
+        /// Number of the request.
         request_id: u64,
     },
 }
 
-/// Feed and link state of one proxy.
+/// Control state of one proxy, as received from its agent and applied to its [`ProxyState`].
 #[derive(Debug)]
 pub struct FrameHandler {
     state: Arc<ProxyState>,
     view: ControlView,
-    complete: bool,
+    /// Whether the agent has had a confirmed snapshot of every shard.
+    is_complete: bool,
     applied_revision: u64,
 }
 
 impl FrameHandler {
-    /// A handler that has been told nothing.
+    /// A handler that has received nothing.
     #[must_use]
     pub fn new(state: Arc<ProxyState>) -> Self {
         Self {
             state,
             view: ControlView::default(),
-            complete: false,
+            is_complete: false,
             applied_revision: 0,
         }
     }
 
-    /// Takes one frame from the agent.
+    /// Handles one frame from the agent.
     pub fn handle(&mut self, frame: LocalFrame) -> FrameOutcome {
         match frame.body {
             Some(local_frame::Body::Snapshot(snapshot)) => {
                 view_outcome(self.view.apply_snapshot(snapshot))
             }
             Some(local_frame::Body::Change(change)) => view_outcome(self.view.apply_change(change)),
-            Some(local_frame::Body::Status(status)) => self.status(status),
+            Some(local_frame::Body::Status(status)) => {
+                self.apply_status(status);
+                FrameOutcome::Nothing
+            }
             Some(local_frame::Body::QuotaReply(reply)) => quota_outcome(&reply),
             Some(local_frame::Body::ClaimReply(reply)) => claim_outcome(&reply),
-            Some(local_frame::Body::ResolveClaimReply(reply)) => FrameOutcome::Settled {
+            Some(local_frame::Body::ResolveClaimReply(reply)) => FrameOutcome::ClaimResolved {
                 request_id: reply.request_id,
             },
-            Some(local_frame::Body::LoadSnapshot(picture)) => {
-                self.state.board.merge_snapshot(&picture);
+            Some(local_frame::Body::LoadSnapshot(snapshot)) => {
+                self.state.load_table.merge_snapshot(&snapshot);
                 FrameOutcome::Nothing
             }
             _ => FrameOutcome::Nothing,
         }
     }
 
-    /// Puts what was received in force. Answers with the frame that tells the agent.
-    pub fn show(&mut self) -> Option<LocalFrame> {
+    /// Applies what was received to the routing table. Returns the frame that tells the agent of a
+    /// newer revision, if it is one.
+    pub fn apply_changes(&mut self) -> Option<LocalFrame> {
         let table = self.view.table();
         let revision = table.revision();
         // The view of each shard never goes back, so the revision cannot either; this holds even
@@ -102,15 +107,15 @@
         let ids = backends.map(|backend| backend.id.as_str());
         self.state.health.watch(ids);
         self.state.set_table(table);
-        let newly_shown = revision > self.applied_revision;
+        let is_newer = revision > self.applied_revision;
         self.applied_revision = revision;
-        self.become_ready();
-        newly_shown.then(|| self.shown_frame())
+        self.update_readiness();
+        is_newer.then(|| self.applied_revision_frame())
     }
 
-    /// The frame that tells the agent which revision is shown.
+    /// The frame that tells the agent which revision is applied.
     #[must_use]
-    pub fn shown_frame(&self) -> LocalFrame {
+    pub fn applied_revision_frame(&self) -> LocalFrame {
         LocalFrame {
             body: Some(local_frame::Body::Applied(ProxyApplied {
                 revision: self.applied_revision,
@@ -118,19 +123,18 @@
         }
     }
 
-    fn status(&mut self, status: AgentStatus) -> FrameOutcome {
-        self.complete |= status.complete;
+    fn apply_status(&mut self, status: AgentStatus) {
+        self.is_complete |= status.complete;
         self.state
             .metrics
-            .agent_in_touch
+            .agent_connected
             .set(i64::from(status.connected));
-        self.become_ready();
-        FrameOutcome::Nothing
+        self.update_readiness();
     }
 
-    /// Ready once every shard was confirmed and a configuration is shown; it stays so.
-    fn become_ready(&mut self) {
-        if self.complete && self.applied_revision > 0 {
+    /// Ready once every shard was confirmed and a configuration is applied; it stays so.
+    fn update_readiness(&mut self) {
+        if self.is_complete && self.applied_revision > 0 {
             self.state.set_ready();
         }
     }
--- a/crates/data-plane/src/proxy_metrics.rs
+++ b/crates/data-plane/src/proxy_metrics.rs
@@ -10,7 +10,7 @@
     0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.75, 1.0, 1.3, 2.0, 4.0, 8.0, 16.0,
 ];
 
-/// Buckets of the time between two pieces, in seconds.
+/// Buckets of the time between two chunks, in seconds.
 const INTER_TOKEN_BUCKETS: &[f64] = &[
     0.001, 0.0025, 0.005, 0.01, 0.02, 0.033, 0.05, 0.066, 0.1, 0.25, 1.0, 2.0,
 ];
@@ -22,9 +22,9 @@
     pub registry: Registry,
     /// Ended requests by route and result code.
     pub requests: IntCounterVec,
-    /// Time to the first token.
+    /// Time to the first token, in seconds.
     pub first_token_seconds: Histogram,
-    /// Time between two pieces.
+    /// Time between two chunks of a stream, in seconds.
     pub inter_token_seconds: Histogram,
     /// First sends to a backend.
     pub first_sends: IntCounter,
@@ -38,10 +38,10 @@
     pub open_streams: IntGauge,
     /// Requests in progress.
     pub open_requests: IntGauge,
-    /// Configuration revision shown.
+    /// Applied configuration revision.
     pub applied_revision: IntGauge,
-    /// Whether the agent is in touch with the control plane.
-    pub agent_in_touch: IntGauge,
+    /// Whether the agent is connected to the control plane: 1 or 0.
+    pub agent_connected: IntGauge,
     /// Dropped answers by cause.
     pub dropped_answers: IntCounterVec,
     /// Requests whose decisions are logged, by route and verdict.
@@ -61,13 +61,13 @@
             first_token_seconds: histogram(
                 &registry,
                 "first_token_seconds",
-                "Time from arrival to the first piece of a stream.",
+                "Time from arrival to the first chunk of a stream.",
                 FIRST_TOKEN_BUCKETS,
             ),
             inter_token_seconds: histogram(
                 &registry,
                 "inter_token_seconds",
-                "Time between two pieces of a stream.",
+                "Time between two chunks of a stream.",
                 INTER_TOKEN_BUCKETS,
             ),
             first_sends: counter(&registry, "first_sends_total", "First sends to a backend."),
@@ -90,11 +90,15 @@
             ),
             open_streams: gauge(&registry, "open_streams", "Streams open to callers."),
             open_requests: gauge(&registry, "open_requests", "Requests in progress."),
-            applied_revision: gauge(&registry, "shown_revision", "Configuration revision shown."),
-            agent_in_touch: gauge(
+            applied_revision: gauge(
+                &registry,
+                "shown_revision",
+                "Applied configuration revision.",
+            ),
+            agent_connected: gauge(
                 &registry,
                 "agent_in_touch",
-                "Whether the agent is in touch with the control plane.",
+                "Whether the agent is connected to the control plane.",
             ),
             dropped_answers: counters(
                 &registry,
@@ -105,7 +109,7 @@
             verdicts: counters(
                 &registry,
                 "sampled_verdicts_total",
-                "Requests whose decisions are logged, by what they earned or lost.",
+                "Requests whose decisions are logged, by verdict.",
                 &["route", "verdict"],
             ),
             registry,
--- a/crates/data-plane/src/proxy_state.rs
+++ b/crates/data-plane/src/proxy_state.rs
@@ -11,7 +11,7 @@
 use crate::limits::RequestLimits;
 use crate::proxy_metrics::ProxyMetrics;
 
-/// Routing table, counts and budgets of one proxy. Each part has its own locks.
+/// Routing table, load, costs and budgets of one proxy. Each part has its own locks.
 #[derive(Debug)]
 pub struct ProxyState {
     table: ArcSwap<RoutingTable>,
@@ -19,14 +19,14 @@
     draining: AtomicBool,
     stopping: AtomicBool,
     /// Work in flight.
-    pub board: Arc<LoadTable>,
-    /// Learned costs.
+    pub load_table: Arc<LoadTable>,
+    /// Learned costs of requests.
     pub costs: CostEstimates,
-    /// Budget of second sends.
+    /// Budget of retries, hedges and resumed streams.
     pub budget: RetryBudget,
     /// Ejected backends.
     pub health: BackendHealth,
-    /// Turns among tenants.
+    /// Turns among tenants while the backends are too busy.
     pub queues: FairQueues,
     /// Limits and times.
     pub limits: RequestLimits,
@@ -35,7 +35,7 @@
 }
 
 impl ProxyState {
-    /// An empty state: not ready until a confirmed configuration is shown.
+    /// An empty state: not ready until a confirmed configuration is applied.
     #[must_use]
     pub fn new(limits: RequestLimits) -> Self {
         Self {
@@ -43,7 +43,7 @@
             ready: AtomicBool::new(false),
             draining: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
-            board: Arc::default(),
+            load_table: Arc::default(),
             costs: CostEstimates::default(),
             budget: RetryBudget::default(),
             health: BackendHealth::default(),
@@ -53,13 +53,13 @@
         }
     }
 
-    /// The table in force.
+    /// The current routing table.
     #[must_use]
     pub fn table(&self) -> Arc<RoutingTable> {
         self.table.load_full()
     }
 
-    /// Puts a newer table in force.
+    /// Replaces the routing table by a newer one.
     pub fn set_table(&self, table: RoutingTable) {
         self.metrics
             .applied_revision
@@ -75,24 +75,24 @@
         }
     }
 
-    /// Whether a confirmed configuration is shown.
+    /// Whether a confirmed configuration is applied.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::SeqCst)
     }
 
-    /// A confirmed configuration is shown now.
+    /// A confirmed configuration is applied from now on.
     pub fn set_ready(&self) {
         self.ready.store(true, Ordering::SeqCst);
     }
 
-    /// Whether the proxy leaves.
+    /// Whether the proxy drains.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::SeqCst)
     }
 
-    /// The proxy leaves: new requests are refused from now on.
+    /// The proxy drains: new requests are refused from now on.
     pub fn set_draining(&self) {
         self.draining.store(true, Ordering::SeqCst);
     }
@@ -103,7 +103,7 @@
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// The time to leave is over: open streams end with an explicit error.
+    /// The drain time is over: open streams end with an explicit error from now on.
     pub fn set_stopping(&self) {
         self.stopping.store(true, Ordering::SeqCst);
     }
--- a/crates/data-plane/tests/send_times.rs
+++ b/crates/data-plane/tests/send_times.rs
@@ -1,4 +1,4 @@
-//! Asks that are sent again say how long they waited, and old grants are not used.
+//! Quota requests that are sent again state how long they have waited, and late grants are not used.
 
 use millford_api::local::{LocalFrame, LocalQuotaRequest, local_frame};
 use millford_core::{Duration, MonotonicTime};
@@ -10,7 +10,7 @@
     START + Duration::from_millis(millis)
 }
 
-fn ask() -> LocalQuotaRequest {
+fn quota_request() -> LocalQuotaRequest {
     LocalQuotaRequest {
         request_id: 1,
         tenant: "t".to_owned(),
@@ -21,16 +21,16 @@
 }
 
 #[test]
-fn an_ask_sent_again_states_its_age_and_the_time_left() {
+fn a_quota_request_sent_again_states_its_age_and_the_time_left() {
     let mut times = SendTimes::at(START);
     let mut frame = LocalFrame {
-        body: Some(local_frame::Body::QuotaRequest(ask())),
+        body: Some(local_frame::Body::QuotaRequest(quota_request())),
     };
     times.renew(after(1_200), &mut frame);
     let expected = LocalQuotaRequest {
         timeout_ms: 1_800,
         waited_ms: 1_200,
-        ..ask()
+        ..quota_request()
     };
     assert_eq!(frame.body, Some(local_frame::Body::QuotaRequest(expected)));
 }
--- a/crates/forward/src/exchange/exchange_task.rs
+++ b/crates/forward/src/exchange/exchange_task.rs
@@ -64,7 +64,7 @@
         tokio::select! {
             _ = ticks.tick() => exchange.tick(&node, &socket).await,
             () = until_urgent(&node, exchange.urgent_after) => exchange.send_usage(&node, &socket).await,
-            () = node.state.board.until_changed() => exchange.tell_work(&node),
+            () = node.state.load_table.until_changed() => exchange.tell_work(&node),
             () = node.directory.until_news() => tell_places(&node),
             received = socket.recv_from(&mut buffer) => match received {
                 Ok((length, from)) => {
@@ -141,9 +141,9 @@
 
     /// Tells the owners of the counts what changed on their backends.
     fn tell_work<P: ForwardProtocol>(&mut self, node: &ForwardNode<P>) {
-        let changed = node.state.board.take_changed();
+        let changed = node.state.load_table.take_changed();
         let (ring, _) = node.peers.ring(&node.state.table());
-        let board = &node.state.board;
+        let board = &node.state.load_table;
         node.load.tell(&node.peers, &ring, board, &changed);
         self.told_lately.extend(changed);
     }
@@ -158,9 +158,9 @@
         node.load.expire(now);
         node.peers.expire(now);
         node.shared_quotas.expire(now);
-        let mut backends = node.state.board.busy_backends();
+        let mut backends = node.state.load_table.busy_backends();
         backends.append(&mut self.told_lately);
-        let board = &node.state.board;
+        let board = &node.state.load_table;
         node.load.tell(&node.peers, &ring, board, &backends);
     }
 
@@ -202,7 +202,7 @@
             return;
         };
         let now = monotonic_now();
-        let board = &node.state.board;
+        let board = &node.state.load_table;
         if news.member == node.name
             || node.load.receive(&node.peers, board, from, &news)
             || shared_parts::receive(&node.peers, &node.directory, from, &news)
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -50,7 +50,7 @@
     /// A node that has been told nothing.
     #[must_use]
     pub fn new(settings: &ForwardSettings, state: Arc<ProxyState>, protocol: P) -> Self {
-        state.board.follow_peers();
+        state.load_table.follow_peers();
         let (ejections, _) = watch::channel(0);
         let shared_quotas = SharedQuotas::default();
         // Only a second node of the same process could have registered it already.
--- a/crates/forward/src/request/attempt.rs
+++ b/crates/forward/src/request/attempt.rs
@@ -78,7 +78,7 @@
     let tokens = target.uncached_tokens;
     let queued_tokens = target.belief.queued_tokens.saturating_add(tokens);
     let streams = target.belief.streams;
-    let ticket = node.state.board.start(target.key.clone(), tokens);
+    let ticket = node.state.load_table.start(target.key.clone(), tokens);
     node.directory.sent(
         monotonic_now(),
         &id,
--- a/crates/forward/src/request/choose.rs
+++ b/crates/forward/src/request/choose.rs
@@ -131,7 +131,8 @@
         node.load.assume_idle(monotonic_now(), ids);
         return Pending::default();
     }
-    node.load.ask(&node.peers, ring, &node.state.board, ids)
+    node.load
+        .ask(&node.peers, ring, &node.state.load_table, ids)
 }
 
 /// Those whose counts are fresh, unless that leaves nobody.
@@ -166,7 +167,7 @@
         let replica = candidates[*index];
         let id = &replica.backend.id;
         let own_tokens = own_tokens(plan, prompt, cached_tokens(parts, holders, id));
-        let load = node.state.board.backend_load(id, 1, costs);
+        let load = node.state.load_table.backend_load(id, 1, costs);
         let own = costs.work_ms(&plan.facts.model, own_tokens, 0);
         let again = costs.work_ms(&plan.facts.model, again[*index], 0);
         let weight = match node.mechanisms.has(Mechanism::BandwidthWeight) {
@@ -206,7 +207,7 @@
         model: plan.facts.model.clone(),
         version: replica.version.clone(),
     };
-    let counts = node.state.board.counts(&key);
+    let counts = node.state.load_table.counts(&key);
     Target {
         key,
         address: replica.backend.address.clone(),
--- a/crates/forward/src/request/relay.rs
+++ b/crates/forward/src/request/relay.rs
@@ -302,7 +302,7 @@
                 .add_output_tokens(model, sample.output_tokens);
         }
         let key = source.opened.ticket.key();
-        self.node.state.board.add_sample(key, sample);
+        self.node.state.load_table.add_sample(key, sample);
     }
 
     /// Another backend goes on after the last whole event, inside the same answer.
--- a/crates/forward/tests/owners.rs
+++ b/crates/forward/tests/owners.rs
@@ -21,7 +21,7 @@
 const MOST_QUESTIONS: u32 = 2000;
 
 fn start_work(node: &TestNode, backend: &str, tokens: u64) -> InFlightGuard {
-    node.node.state.board.start(key(backend), tokens)
+    node.node.state.load_table.start(key(backend), tokens)
 }
 
 fn key(backend: &str) -> ReplicaKey {
@@ -36,7 +36,7 @@
 /// Prompt tokens on a backend as a node sees them when it asks now.
 async fn asked(node: &ForwardNode<MillfordProtocol>, backend: &str) -> u64 {
     let (ring, _) = node.peers.ring(&node.state.table());
-    let board = &node.state.board;
+    let board = &node.state.load_table;
     let pending = node.load.ask(&node.peers, &ring, board, &[backend]);
     node.peers.wait(pending).await;
     board.counts(&key(backend)).prefill_tokens
--- a/crates/proxy/src/daemon/environment.rs
+++ b/crates/proxy/src/daemon/environment.rs
@@ -46,8 +46,8 @@
         rand::rng().random()
     }
 
-    async fn ask_quota(&self, ask: AdmissionRequest) -> AdmissionReply {
-        self.agent.ask_quota(ask).await
+    async fn request_quota(&self, ask: AdmissionRequest) -> AdmissionReply {
+        self.agent.request_quota(ask).await
     }
 
     fn release_quota(&self, release: QuotaRelease) {
@@ -58,8 +58,8 @@
         self.agent.claim(claim, timeout).await
     }
 
-    fn settle(&self, settle: ResolveClaim) {
-        self.agent.settle(settle);
+    fn resolve_claim(&self, resolution: ResolveClaim) {
+        self.agent.resolve_claim(resolution);
     }
 
     async fn dispatch(&self, request: BackendRequest) -> Result<HttpAnswer, DispatchError> {
--- a/crates/proxy/src/daemon/run.rs
+++ b/crates/proxy/src/daemon/run.rs
@@ -103,7 +103,7 @@
     wait_while(timeout, || state.metrics.open_requests.get() > 0).await;
     state.set_stopping();
     wait_while(STOP_TIMEOUT, || state.metrics.open_requests.get() > 0).await;
-    wait_while(SETTLE_TIMEOUT, || !agent.is_settled()).await;
+    wait_while(SETTLE_TIMEOUT, || !agent.claims_are_resolved()).await;
     let open = state.metrics.open_requests.get();
     LOG.info(format!("Left with {open} open requests."));
 }
--- a/crates/proxy/src/daemon/settings.rs
+++ b/crates/proxy/src/daemon/settings.rs
@@ -60,7 +60,7 @@
             header_timeout_ms: 15_000,
             connect_timeout_ms: 300,
             first_token_limit_ms: to_millis(limits.first_token_limit),
-            stream_silence_ms: to_millis(limits.stream_silence),
+            stream_silence_ms: to_millis(limits.stream_inactivity_timeout),
             leave_timeout_ms: 30_000,
         }
     }
@@ -72,7 +72,7 @@
     pub fn limits(&self) -> RequestLimits {
         RequestLimits {
             first_token_limit: Duration::from_millis(self.first_token_limit_ms),
-            stream_silence: Duration::from_millis(self.stream_silence_ms),
+            stream_inactivity_timeout: Duration::from_millis(self.stream_silence_ms),
             ..RequestLimits::default()
         }
     }
--- a/crates/proxy/src/request/admit.rs
+++ b/crates/proxy/src/request/admit.rs
@@ -80,7 +80,9 @@
         if queue.is_next(&plan.tenant, place.id) && has_room(environment, plan) {
             return Ok(());
         }
-        environment.sleep(state.limits.admission_check).await;
+        environment
+            .sleep(state.limits.admission_check_interval)
+            .await;
     }
     Err(overloaded(environment, plan))
 }
@@ -114,7 +116,7 @@
         .filter(|replica| state.health.is_usable(&replica.backend.id));
     let queued = usable.map(|replica| {
         let key = replica_key(&pool.name, replica);
-        state.board.counts(&key).prefill_tokens
+        state.load_table.counts(&key).prefill_tokens
     });
     Some(AdmissionEstimate {
         queued_tokens: queued.min()?,
--- a/crates/proxy/src/request/attempt.rs
+++ b/crates/proxy/src/request/attempt.rs
@@ -22,7 +22,7 @@
     pub replica: ChosenReplica,
     /// Run that it starts or continues.
     pub run: String,
-    /// Counts it in the load board.
+    /// Counts it in the load table.
     pub ticket: InFlightGuard,
     /// When it started.
     pub started: MonotonicTime,
@@ -89,9 +89,9 @@
         run: String,
         resume_from: Option<ResumeFrom>,
     ) -> Self {
-        let board = &environment.state().board;
-        let before = board.counts(&replica.key);
-        let ticket = board.start(replica.key.clone(), replica.uncached_tokens);
+        let load_table = &environment.state().load_table;
+        let before = load_table.counts(&replica.key);
+        let ticket = load_table.start(replica.key.clone(), replica.uncached_tokens);
         Self {
             environment,
             run,
@@ -243,7 +243,7 @@
 
     fn note_failure(&self, failure: AttemptFailure) {
         let state = self.environment.state();
-        state.board.add_failure(&self.replica.key);
+        state.load_table.add_failure(&self.replica.key);
         let reason = match failure.code {
             ResultCode::ConnectFailed => EjectionReason::ConnectFailed,
             ResultCode::BackendLost => EjectionReason::ConnectionLost,
--- a/crates/proxy/src/request/choose_backend.rs
+++ b/crates/proxy/src/request/choose_backend.rs
@@ -85,7 +85,7 @@
     let state = environment.state();
     let backend = &replica.backend;
     let load = state
-        .board
+        .load_table
         .backend_load(&backend.id, backend.cores, &state.costs);
     Candidate {
         backend_id: backend.id.clone(),
--- a/crates/proxy/src/request/claim_hold.rs
+++ b/crates/proxy/src/request/claim_hold.rs
@@ -40,7 +40,7 @@
 
     /// Records what became of the run.
     pub fn settle<E: RequestEnvironment>(&self, environment: &E, outcome: RunOutcome) {
-        environment.settle(ResolveClaim {
+        environment.resolve_claim(ResolveClaim {
             tenant: self.claim.tenant.clone(),
             request_id: self.claim.request_id.clone(),
             attempt_id: self.claim.attempt_id.clone(),
--- a/crates/proxy/src/request/completion.rs
+++ b/crates/proxy/src/request/completion.rs
@@ -134,7 +134,7 @@
         totals.usage
     };
     learn(state, &plan, sample, usage, by_affinity);
-    state.board.add_sample(&sample_key, sample);
+    state.load_table.add_sample(&sample_key, sample);
     not_given.map_or(Ok(()), Err)
 }
 
--- a/crates/proxy/src/request/environment.rs
+++ b/crates/proxy/src/request/environment.rs
@@ -35,7 +35,7 @@
     fn random(&self) -> u64;
 
     /// Asks the agent to admit one request of a tenant. Resolves within the ask's timeout.
-    fn ask_quota(&self, ask: AdmissionRequest) -> impl Future<Output = AdmissionReply> + Send;
+    fn request_quota(&self, ask: AdmissionRequest) -> impl Future<Output = AdmissionReply> + Send;
 
     /// Gives a stream slot or an unused token back.
     fn release_quota(&self, release: QuotaRelease);
@@ -44,7 +44,7 @@
     fn claim(&self, claim: Claim, timeout: Duration) -> impl Future<Output = ClaimAnswer> + Send;
 
     /// Records what became of a claimed run; the agent repeats it until it is acknowledged.
-    fn settle(&self, settle: ResolveClaim);
+    fn resolve_claim(&self, resolution: ResolveClaim);
 
     /// Opens a new connection, sends the request and reads the head of the answer.
     ///
--- a/crates/proxy/src/request/lookup.rs
+++ b/crates/proxy/src/request/lookup.rs
@@ -18,7 +18,7 @@
 use crate::request::refusal::Refusal;
 use crate::request::reply::Reply;
 
-/// What a lookup counts as in the load board, so that busy backends are told from idle ones.
+/// What a lookup counts as in the load table, so that busy backends are told from idle ones.
 const LOOKUP_TOKENS: u64 = 1;
 
 /// Serves one lookup and writes its whole answer to the caller.
--- a/crates/proxy/src/request/quota_hold.rs
+++ b/crates/proxy/src/request/quota_hold.rs
@@ -31,7 +31,7 @@
             stream,
             timeout,
         };
-        match environment.ask_quota(ask).await {
+        match environment.request_quota(ask).await {
             AdmissionReply::Granted => Ok(Self {
                 environment,
                 tenant: tenant.to_owned(),
--- a/crates/proxy/src/request/relay.rs
+++ b/crates/proxy/src/request/relay.rs
@@ -163,7 +163,7 @@
         if watch.is_draining() {
             attempt.ticket.held();
         }
-        let look_again = environment.now() + environment.state().limits.backend_check;
+        let look_again = environment.now() + environment.state().limits.backend_check_interval;
         let until = look_again.min(plan.deadline);
         match wait_until(environment, presence, until, reader.next()).await {
             Waited::Ready(Ok(item)) => {
@@ -197,7 +197,7 @@
 fn note_broken<E: RequestEnvironment>(environment: &E, attempt: &Attempt<'_, E>, code: ResultCode) {
     let state = environment.state();
     let key = &attempt.replica.key;
-    state.board.add_failure(key);
+    state.load_table.add_failure(key);
     let pool_shows_active = state
         .table()
         .pool(&key.pool)
--- a/crates/proxy/src/request/stream_watch.rs
+++ b/crates/proxy/src/request/stream_watch.rs
@@ -43,7 +43,7 @@
     let state = environment.state();
     let mut future = pin!(future);
     let mut waited = Duration::ZERO;
-    let check = state.limits.backend_check;
+    let check = state.limits.backend_check_interval;
     loop {
         let pause = pin!(environment.sleep(check));
         match select(future.as_mut(), pause).await {
@@ -53,7 +53,7 @@
         // Looks are counted, not time: after a freeze of this process nothing is held against it.
         waited += check;
         let ejected = state.health.ejection(backend_id) == Some(EjectionReason::Silent);
-        if ejected && waited >= state.limits.stream_silence {
+        if ejected && waited >= state.limits.stream_inactivity_timeout {
             return Err(AttemptFailure::unknown(ResultCode::BackendSilent));
         }
     }
@@ -99,7 +99,7 @@
     ) -> WatchVerdict {
         let now = environment.now();
         let limits = &environment.state().limits;
-        let counted_gap = limits.backend_check * LARGEST_COUNTED_GAP;
+        let counted_gap = limits.backend_check_interval * LARGEST_COUNTED_GAP;
         self.silent += now.since(self.looked_at).min(counted_gap);
         self.looked_at = now;
         if environment.state().is_stopping() {
@@ -116,7 +116,7 @@
 
     fn is_silent<E: RequestEnvironment>(&self, environment: &E, backend_id: &str) -> bool {
         let state = environment.state();
-        let limit = state.limits.stream_silence;
+        let limit = state.limits.stream_inactivity_timeout;
         if self.silent < limit {
             return false;
         }
@@ -143,10 +143,10 @@
             return false;
         }
         let since = *self.draining_since.get_or_insert(now);
-        // Looks come every `backend_check`: one less than the pool's time keeps within it.
+        // Looks come every `backend_check_interval`: one less than the pool's time keeps within it.
         let allowed = pool
             .drain
-            .saturating_sub(environment.state().limits.backend_check * 2);
+            .saturating_sub(environment.state().limits.backend_check_interval * 2);
         now.since(since) >= allowed
     }
 }
--- a/crates/proxy/tests/bad_inputs/main.rs
+++ b/crates/proxy/tests/bad_inputs/main.rs
@@ -53,7 +53,7 @@
         4
     }
 
-    async fn ask_quota(&self, _ask: AdmissionRequest) -> AdmissionReply {
+    async fn request_quota(&self, _ask: AdmissionRequest) -> AdmissionReply {
         AdmissionReply::Granted
     }
 
@@ -63,7 +63,7 @@
         ClaimAnswer::Granted
     }
 
-    fn settle(&self, _settle: ResolveClaim) {}
+    fn resolve_claim(&self, _resolution: ResolveClaim) {}
 
     async fn dispatch(&self, request: BackendRequest) -> Result<ScriptedAnswer, DispatchError> {
         if request.path.contains("never") {
--- a/crates/proxy/tests/capacity.rs
+++ b/crates/proxy/tests/capacity.rs
@@ -147,7 +147,7 @@
             model: "saga".to_owned(),
             version: "2".to_owned(),
         };
-        state.board.start(key, 10_000_000)
+        state.load_table.start(key, 10_000_000)
     };
     ["b1", "b2", "b3"].map(fill).into()
 }
@@ -222,7 +222,7 @@
     assert_eq!(state.metrics.open_requests.get(), 0);
     assert_eq!(state.metrics.open_streams.get(), 0);
     for id in ["b1", "b2", "b3"] {
-        assert!(state.board.backend_load(id, 8, &state.costs) == 0.0);
+        assert!(state.load_table.backend_load(id, 8, &state.costs) == 0.0);
     }
     let recorded = environment.recorded();
     let asked = recorded.quota_asks.iter().filter(|ask| ask.stream).count();
--- a/crates/proxy/tests/support/environment.rs
+++ b/crates/proxy/tests/support/environment.rs
@@ -158,7 +158,7 @@
         self.scripts().random.random()
     }
 
-    async fn ask_quota(&self, ask: AdmissionRequest) -> AdmissionReply {
+    async fn request_quota(&self, ask: AdmissionRequest) -> AdmissionReply {
         self.recorded().quota_asks.push(ask);
         self.scripts().quota
     }
@@ -172,8 +172,8 @@
         self.scripts().claim
     }
 
-    fn settle(&self, settle: ResolveClaim) {
-        self.recorded().settles.push(settle);
+    fn resolve_claim(&self, resolution: ResolveClaim) {
+        self.recorded().settles.push(resolution);
     }
 
     async fn dispatch(&self, request: BackendRequest) -> Result<ScriptedAnswer, DispatchError> {
--- a/crates/scale/src/exchange/traffic.rs
+++ b/crates/scale/src/exchange/traffic.rs
@@ -55,7 +55,10 @@
         return;
     };
     let id = target.key.backend_id.clone();
-    let mut ticket = node.state.board.start(target.key, target.uncached_tokens);
+    let mut ticket = node
+        .state
+        .load_table
+        .start(target.key, target.uncached_tokens);
     let shared = shared_parts(&plan).len();
     node.directory
         .sent(monotonic_now(), &id, &plan.facts.parts, shared);
--- a/crates/simulation/src/world/agent_link_driver.rs
+++ b/crates/simulation/src/world/agent_link_driver.rs
@@ -38,7 +38,7 @@
             caller_address: format!("10.0.2.{number}:8080"),
         });
         let mut frames = vec![LocalFrame { body: Some(hello) }];
-        frames.push(core.handler.shown_frame());
+        frames.push(core.handler.applied_revision_frame());
         // What tasks queued for the old connection is among the unanswered, or out of date.
         let mut port = lock(&core.port);
         port.actions
@@ -85,7 +85,7 @@
         match core.handler.handle(frame) {
             FrameOutcome::Nothing => self.note_shown(number),
             FrameOutcome::Changed => {
-                let shown = core.handler.show();
+                let shown = core.handler.apply_changes();
                 self.note_shown(number);
                 if let Some(frame) = shown {
                     self.proxy_to_agent(number, frame);
--- a/crates/simulation/src/world/probe_driver.rs
+++ b/crates/simulation/src/world/probe_driver.rs
@@ -32,7 +32,7 @@
             false => core.state.health.to_probe(now, QUIET_BEFORE_PROBE),
         };
         let reports = match reports_due {
-            true => core.state.board.take_reports(),
+            true => core.state.load_table.take_reports(),
             false => Vec::new(),
         };
         for report in reports {
--- a/crates/simulation/src/world/proxy/agent_desk.rs
+++ b/crates/simulation/src/world/proxy/agent_desk.rs
@@ -30,7 +30,7 @@
 
 impl AgentDesk {
     /// Asks for one admission, and notes a granted one.
-    pub async fn ask_quota(
+    pub async fn request_quota(
         &self,
         port: &SharedPort,
         call: CallNumber,
@@ -151,7 +151,7 @@
             FrameOutcome::Claim { request_id, answer } => {
                 self.claims.answered(request_id, answer);
             }
-            FrameOutcome::Settled { request_id } => {
+            FrameOutcome::ClaimResolved { request_id } => {
                 self.settles.answered(request_id, ());
             }
             _ => {}
--- a/crates/simulation/src/world/proxy/environment.rs
+++ b/crates/simulation/src/world/proxy/environment.rs
@@ -73,8 +73,8 @@
         lock(&self.port).random()
     }
 
-    async fn ask_quota(&self, ask: AdmissionRequest) -> AdmissionReply {
-        self.agent.ask_quota(&self.port, self.call, ask).await
+    async fn request_quota(&self, ask: AdmissionRequest) -> AdmissionReply {
+        self.agent.request_quota(&self.port, self.call, ask).await
     }
 
     fn release_quota(&self, release: QuotaRelease) {
@@ -85,8 +85,8 @@
         self.agent.claim(&self.port, claim, timeout).await
     }
 
-    fn settle(&self, settle: ResolveClaim) {
-        self.agent.settle(&self.port, settle);
+    fn resolve_claim(&self, resolution: ResolveClaim) {
+        self.agent.settle(&self.port, resolution);
     }
 
     async fn dispatch(&self, request: BackendRequest) -> Result<SimulatedAnswer, DispatchError> {
