--- a/crates/forward/tests/support/node.rs
+++ b/crates/forward/tests/support/node.rs
@@ -70,9 +70,13 @@
     }
 
     /// Starts a node without some mechanisms.
-    pub async fn start_without(leave_out: &str, setup: &Setup, backends: &[&StubBackend]) -> Self {
+    pub async fn start_without(
+        disabled_mechanisms: &str,
+        setup: &Setup,
+        backends: &[&StubBackend],
+    ) -> Self {
         let settings = ForwardSettings {
-            leave_out: leave_out.to_owned(),
+            disabled_mechanisms: disabled_mechanisms.to_owned(),
             ..settings_of("node-1")
         };
         Self::start_with(&settings, setup, backends).await
@@ -151,7 +155,7 @@
     }
 
     /// The node hears and tells its peers nothing from now on.
-    pub fn go_silent(&self) {
+    pub fn stop_exchange(&self) {
         self.exchange.iter().for_each(|task| task.abort());
     }
 }
@@ -171,12 +175,12 @@
 }
 
 /// Polls of a condition before a test gives up.
-const MOST_POLLS: u32 = 100_000;
+const MAX_POLLS: u32 = 100_000;
 
 impl TestNode {
     /// Lets the node's tasks run until the condition holds.
     pub async fn until(&self, holds: impl Fn() -> bool) {
-        for _ in 0..MOST_POLLS {
+        for _ in 0..MAX_POLLS {
             if holds() {
                 return;
             }
