--- a/crates/forward/src/exchange/exchange_task.rs
+++ b/crates/forward/src/exchange/exchange_task.rs
@@ -57,7 +57,7 @@
         tokio::select! {
             _ = ticks.tick() => exchange.tick(&node, &socket).await,
             () = until_urgent(&node, exchange.urgent_after) => exchange.send_urgent_usage(&node, &socket).await,
-            () = node.state.board.until_changed() => exchange.publish_load(&node),
+            () = node.state.load_table.until_changed() => exchange.publish_load(&node),
             () = node.prefix_index.until_announcements() => publish_locations(&node),
             received = socket.recv_from(&mut buffer) => match received {
                 Ok((length, from)) => {
@@ -170,9 +170,9 @@
 
     /// Publishes to the owners of backends' counts what changed there.
     fn publish_load<P: ForwardProtocol>(&mut self, node: &ForwardNode<P>) {
-        let changed = node.state.board.take_changed();
+        let changed = node.state.load_table.take_changed();
         let ring = node.peers.ring(&node.state.table());
-        let load_table = &node.state.board;
+        let load_table = &node.state.load_table;
         node.load.publish(&node.peers, &ring, load_table, &changed);
         self.recently_published.extend(changed);
     }
@@ -187,7 +187,7 @@
         node.load.expire(now);
         node.peers.expire(now);
         node.quota_client.expire(now);
-        let load_table = &node.state.board;
+        let load_table = &node.state.load_table;
         let mut backends = load_table.busy_backends();
         backends.append(&mut self.recently_published);
         node.load
@@ -220,7 +220,7 @@
             return;
         };
         let now = monotonic_now();
-        let load_table = &node.state.board;
+        let load_table = &node.state.load_table;
         if message.member == node.name
             || node.load.receive(&node.peers, load_table, from, &message)
             || prefix_index::receive(&node.peers, &node.prefix_index, from, &message)
--- a/crates/forward/src/request/attempt.rs
+++ b/crates/forward/src/request/attempt.rs
@@ -86,7 +86,7 @@
     let tokens = target.uncached_tokens;
     let queued_tokens = target.belief.queued_tokens.saturating_add(tokens);
     let streams = target.belief.streams;
-    let in_flight = node.state.board.start(target.key.clone(), tokens);
+    let in_flight = node.state.load_table.start(target.key.clone(), tokens);
     let shareable = shareable_blocks(plan).len();
     let blocks = &plan.facts.prefix_blocks;
     node.prefix_index
--- a/crates/forward/src/request/backend_stream.rs
+++ b/crates/forward/src/request/backend_stream.rs
@@ -134,7 +134,9 @@
             costs.add_inter_token(model, streams, between_ms);
             costs.add_output_tokens(model, sample.output_tokens);
         }
-        node.state.board.add_sample(self.in_flight.key(), sample);
+        node.state
+            .load_table
+            .add_sample(self.in_flight.key(), sample);
     }
 
     /// The response was read completely: its connection can carry another request.
--- a/crates/forward/src/request/choose.rs
+++ b/crates/forward/src/request/choose.rs
@@ -161,7 +161,8 @@
         node.load.assume_idle(monotonic_now(), ids);
         return InFlightRequests::default();
     }
-    node.load.query(&node.peers, ring, &node.state.board, ids)
+    node.load
+        .query(&node.peers, ring, &node.state.load_table, ids)
 }
 
 /// The candidates whose counts are fresh, or all of them where none is.
@@ -206,7 +207,7 @@
         let id = &replica.backend.id;
         let cached = cached_tokens(shareable_blocks(plan), locations, id);
         let own_tokens = own_tokens(plan, cached);
-        let work_ms = node.state.board.backend_load(id, 1, costs);
+        let work_ms = node.state.load_table.backend_load(id, 1, costs);
         let own_ms = costs.work_ms(model, own_tokens, 0);
         let reread_ms = costs.work_ms(model, reread_tokens, 0);
         let weight = if node.mechanisms.has(Mechanism::BandwidthWeight) {
@@ -255,7 +256,7 @@
         model: plan.facts.model.clone(),
         version: replica.version.clone(),
     };
-    let counts = node.state.board.counts(&key);
+    let counts = node.state.load_table.counts(&key);
     Target {
         key,
         address: replica.backend.address.clone(),
--- a/crates/forward/tests/owners.rs
+++ b/crates/forward/tests/owners.rs
@@ -22,7 +22,7 @@
 const MAX_QUERIES: u32 = 2000;
 
 fn start_work(node: &TestNode, backend: &str, tokens: u64) -> InFlightGuard {
-    node.node.state.board.start(key(backend), tokens)
+    node.node.state.load_table.start(key(backend), tokens)
 }
 
 fn key(backend: &str) -> ReplicaKey {
@@ -37,7 +37,7 @@
 /// Prompt tokens in flight on a backend as a node learns them by a query now.
 async fn queried_tokens(node: &ForwardNode<MillfordProtocol>, backend: &str) -> u64 {
     let ring = node.peers.ring(&node.state.table());
-    let board = &node.state.board;
+    let board = &node.state.load_table;
     let pending = node.load.query(&node.peers, &ring, board, &[backend]);
     node.peers.wait(pending).await;
     board.counts(&key(backend)).prefill_tokens
--- a/crates/scale/src/exchange/traffic.rs
+++ b/crates/scale/src/exchange/traffic.rs
@@ -55,7 +55,10 @@
         return;
     };
     let id = target.key.backend_id.clone();
-    let mut ticket = node.state.board.start(target.key, target.uncached_tokens);
+    let mut ticket = node
+        .state
+        .load_table
+        .start(target.key, target.uncached_tokens);
     let shared = shareable_blocks(&plan).len();
     node.prefix_index
         .record_dispatch(monotonic_now(), &id, &plan.facts.prefix_blocks, shared);
--- a/crates/simulation/src/world/agent_link_driver.rs
+++ b/crates/simulation/src/world/agent_link_driver.rs
@@ -38,7 +38,7 @@
             caller_address: format!("10.0.2.{number}:8080"),
         });
         let mut frames = vec![LocalFrame { body: Some(hello) }];
-        frames.push(running.handler.shown_frame());
+        frames.push(running.handler.applied_revision_frame());
         // What tasks queued for the old connection is among the unanswered, or out of date.
         let mut port = lock(&running.port);
         port.actions
--- a/crates/simulation/src/world/probe_driver.rs
+++ b/crates/simulation/src/world/probe_driver.rs
@@ -37,7 +37,7 @@
             running.state.health.to_probe(now, QUIET_BEFORE_PROBE)
         };
         let reports = if reports_due {
-            running.state.board.take_reports()
+            running.state.load_table.take_reports()
         } else {
             Vec::new()
         };
