--- /dev/null
+++ b/crates/settings/tests/support/daemon_flags.rs
@@ -0,0 +1,141 @@
+//! What every daemon's command line and settings file must go on taking.
+
+#![allow(dead_code, reason = "each program has a part of this")]
+
+use std::net::TcpListener;
+use std::process::{Command, Output};
+
+use super::committed::assert_committed;
+
+/// Exit status of a daemon whose settings have faults.
+const SETTINGS_FAULT: i32 = 2;
+
+/// A daemon and where its committed lists lie.
+pub struct DaemonUnderTest<'a> {
+    /// Path of the program.
+    pub program: &'a str,
+    /// Folder with `flags.txt` and `settings.toml`, both of b3d3e00.
+    pub data: &'a str,
+    /// Flag of the address that is bound first.
+    pub address_flag: &'a str,
+    /// Exit status when that address is taken.
+    pub address_taken_status: i32,
+}
+
+impl DaemonUnderTest<'_> {
+    fn run(&self, arguments: &[&str]) -> Output {
+        let output = Command::new(self.program).args(arguments).output();
+        output.expect("the program runs")
+    }
+
+    fn settings_file(&self) -> String {
+        format!("{}/settings.toml", self.data)
+    }
+
+    /// The flags with their kinds of value; the sentences behind them may change.
+    #[track_caller]
+    pub fn assert_flags(&self) {
+        let output = self.run(&["--help"]);
+        assert_eq!(output.status.code(), Some(0));
+        let help = String::from_utf8(output.stdout).expect("text");
+        assert_committed(&format!("{}/flags.txt", self.data), &flags(&help));
+    }
+
+    /// A file with every key is valid, and the flags name the same keys.
+    #[track_caller]
+    pub fn assert_keys(&self) {
+        let output = self.run(&["--settings", &self.settings_file(), "--check"]);
+        let told = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(0), "{told}");
+        let text = std::fs::read_to_string(self.settings_file()).expect("the settings file");
+        let mut keys: Vec<String> = text
+            .lines()
+            .filter_map(|line| line.split_once(" = "))
+            .map(|(key, _)| format!("--{}", key.replace('_', "-")))
+            .collect();
+        keys.sort();
+        let list = std::fs::read_to_string(format!("{}/flags.txt", self.data)).expect("the list");
+        let common = ["--settings", "--check", "--help", "--version"];
+        let mut named: Vec<String> = list
+            .split_whitespace()
+            .filter(|word| word.starts_with("--") && !common.contains(word))
+            .map(str::to_owned)
+            .collect();
+        named.sort();
+        assert_eq!(keys, named);
+    }
+
+    /// Faults of the settings and an address that is taken end the process with their statuses.
+    #[track_caller]
+    pub fn assert_exit_statuses(&self) {
+        let settings = self.settings_file();
+        let cases: [&[&str]; 4] = [
+            &["--no-such-flag"],
+            &["free argument"],
+            &["--settings", "/nonexistent/settings.toml"],
+            &["--settings", &settings, "--log-level", "loud"],
+        ];
+        for arguments in cases {
+            let output = self.run(arguments);
+            assert_eq!(output.status.code(), Some(SETTINGS_FAULT), "{arguments:?}");
+            let told = String::from_utf8_lossy(&output.stderr);
+            assert!(told.contains("7001"), "{arguments:?}: {told}");
+        }
+        let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let address = taken.local_addr().expect("an address").to_string();
+        let output = self.run(&["--settings", &settings, self.address_flag, &address]);
+        let told = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(
+            output.status.code(),
+            Some(self.address_taken_status),
+            "{told}"
+        );
+        assert!(told.contains("7002"), "{told}");
+    }
+}
+
+/// The options of a usage text, a line for each, without the sentences behind them.
+pub fn flags(help: &str) -> String {
+    let options = help
+        .lines()
+        .filter(|line| line.trim_start().starts_with('-'));
+    options.map(|line| format!("{}\n", column(line))).collect()
+}
+
+/// The first word of a line and what belongs to it: further flags, and names of values in capitals.
+pub fn column(line: &str) -> String {
+    let is_value = |word: &str| {
+        let mut letters = word.chars();
+        word == "true|false" || letters.all(|letter| letter.is_ascii_uppercase() || letter == ',')
+    };
+    let mut words = line.split_whitespace();
+    let first = words.next().unwrap_or_default().to_owned();
+    let others = words.take_while(|word| word.starts_with('-') || is_value(word));
+    others.fold(first, |column, word| format!("{column} {word}"))
+}
+
+/// Name, type and labels of each metric of a text form that has a sample.
+#[allow(
+    dead_code,
+    reason = "the proxies list their metrics by their descriptions"
+)]
+pub fn metrics(text: &str) -> String {
+    let mut lines = Vec::new();
+    for line in text.lines() {
+        if let Some(typed) = line.strip_prefix("# TYPE ") {
+            lines.push(format!("{typed}\n"));
+        } else if !line.starts_with('#') {
+            let name = line.rsplit_once(' ').map_or(line, |(name, _)| name);
+            let (name, labels) = name.split_once('{').unwrap_or((name, ""));
+            let labels = labels.trim_end_matches('}').split(',');
+            let labels: Vec<&str> = labels
+                .filter_map(|l| l.split_once('='))
+                .map(|l| l.0)
+                .collect();
+            lines.push(format!("{name} {{{}}}\n", labels.join(",")));
+        }
+    }
+    lines.sort();
+    lines.dedup();
+    lines.concat()
+}
