--- a/crates/control/tests/feed.rs
+++ b/crates/control/tests/feed.rs
@@ -17,7 +17,7 @@
         .collect()
 }
 
-fn shown_revision(agent: &TestAgent) -> u64 {
+fn applied_revision(agent: &TestAgent) -> u64 {
     let head = agent.view.items().get("config/head");
     match head.and_then(|head| head.kind.as_ref()) {
         Some(Kind::ConfigHead(head)) => head.revision,
@@ -78,7 +78,7 @@
         .last_heartbeat
         .clone()
         .expect("a heartbeat's answer");
-    assert!(!reply.in_touch);
+    assert!(!reply.has_quorum);
     // A newcomer gets no state, however old.
     let mut newcomer = TestAgent::connect(&mut cluster, "newcomer", "node-1", ShardId(0));
     cluster.run(Duration::from_secs(3));
@@ -104,7 +104,7 @@
         for _ in 0..100 {
             cluster.run(Duration::from_millis(20));
             agent.receive(&mut cluster);
-            let shown = shown_revision(&agent);
+            let shown = applied_revision(&agent);
             assert!(
                 shown == 0 || shown == 2,
                 "seed {seed}: revision {shown} is old"
@@ -113,7 +113,7 @@
                 agent.move_to(&mut cluster, &cut);
             }
         }
-        assert_eq!(shown_revision(&agent), 2, "seed {seed}");
+        assert_eq!(applied_revision(&agent), 2, "seed {seed}");
     }
 }
 
@@ -136,7 +136,7 @@
         cluster.run(Duration::from_millis(60));
         // The support panics when a message is older than what is shown.
         agent.receive(&mut cluster);
-        let now_shown = shown_revision(&agent);
+        let now_shown = applied_revision(&agent);
         assert!(now_shown >= shown);
         shown = now_shown;
     }
@@ -223,7 +223,7 @@
         follow(&mut cluster, &mut agents, LONGEST_HOLD);
         for agent in &agents {
             let reply = agent.last_heartbeat.as_ref();
-            let in_touch = reply.map(|reply| reply.in_touch);
+            let in_touch = reply.map(|reply| reply.has_quorum);
             assert_eq!(in_touch, Some(true), "seed {seed}, {}", agent.name);
         }
     }
@@ -241,7 +241,7 @@
     agent.heartbeat(&mut cluster);
     follow(&mut cluster, std::slice::from_mut(&mut agent), LONGEST_HOLD);
     let reply = agent.last_heartbeat.clone().expect("an answer");
-    assert!(!reply.in_touch);
+    assert!(!reply.has_quorum);
     // Later heartbeats are answered at once.
     agent.last_heartbeat = None;
     agent.heartbeat(&mut cluster);
@@ -250,7 +250,7 @@
         std::slice::from_mut(&mut agent),
         Duration::from_millis(40),
     );
-    assert!(agent.last_heartbeat.is_some_and(|reply| !reply.in_touch));
+    assert!(agent.last_heartbeat.is_some_and(|reply| !reply.has_quorum));
 }
 
 /// The cut lies between two nodes: both are in touch with the third.
