--- a/crates/simulation/src/world/agent_link_driver.rs
+++ b/crates/simulation/src/world/agent_link_driver.rs
@@ -77,7 +77,7 @@
         match running.handler.handle(frame) {
             FrameOutcome::Nothing => self.record_applied_revision(number),
             FrameOutcome::Changed => {
-                let applied = running.handler.show();
+                let applied = running.handler.apply_changes();
                 self.record_applied_revision(number);
                 if let Some(frame) = applied {
                     self.proxy_to_agent(number, frame);
--- a/crates/simulation/src/world/proxy/agent_client.rs
+++ b/crates/simulation/src/world/proxy/agent_client.rs
@@ -148,7 +148,7 @@
             FrameOutcome::Claim { request_id, answer } => {
                 self.claims.answer(request_id, answer);
             }
-            FrameOutcome::Settled { request_id } => {
+            FrameOutcome::ClaimResolved { request_id } => {
                 self.resolutions.answer(request_id, ());
             }
             _ => {}
--- a/crates/simulation/src/world/proxy/environment.rs
+++ b/crates/simulation/src/world/proxy/environment.rs
@@ -73,7 +73,7 @@
         lock(&self.port).random()
     }
 
-    async fn ask_quota(&self, request: AdmissionRequest) -> AdmissionReply {
+    async fn request_quota(&self, request: AdmissionRequest) -> AdmissionReply {
         self.agent
             .admit(&self.port, self.client_request, request)
             .await
@@ -88,8 +88,8 @@
         self.agent.claim(&self.port, claim, timeout).await
     }
 
-    fn settle(&self, settle: ResolveClaim) {
-        self.agent.resolve(&self.port, settle);
+    fn resolve_claim(&self, resolution: ResolveClaim) {
+        self.agent.resolve(&self.port, resolution);
     }
 
     async fn dispatch(&self, request: BackendRequest) -> Result<SimulatedAnswer, DispatchError> {
