--- a/crates/control/src/gateway/mod.rs
+++ b/crates/control/src/gateway/mod.rs
@@ -26,7 +26,7 @@
 mod leadership_balancer;
 mod links;
 mod member_list;
-mod node_file;
+pub mod node_file;
 mod node_store;
 mod operator_answers;
 mod outbox;
--- a/crates/control/src/gateway/node_file.rs
+++ b/crates/control/src/gateway/node_file.rs
@@ -13,33 +13,33 @@
 
 /// Identity, cluster and known control nodes.
 #[derive(Clone, PartialEq, Message)]
-pub(super) struct NodeFile {
+pub struct NodeFile {
     /// Identity of this node, minted on the empty disk.
     #[prost(uint64, tag = "1")]
-    pub(super) node_id: u64,
+    pub node_id: u64,
     /// The cluster that the node belongs to; 0 before it formed or joined one.
     #[prost(uint64, tag = "2")]
-    pub(super) cluster_id: u64,
+    pub cluster_id: u64,
     /// Data shards of the cluster.
     #[prost(uint32, tag = "3")]
-    pub(super) data_shards: u32,
+    pub data_shards: u32,
     /// Control nodes known, with their addresses. Seeds are only where to begin.
     #[prost(message, repeated, tag = "4")]
-    pub(super) members: Vec<ControlMember>,
+    pub members: Vec<ControlMember>,
     /// The nodes that the cluster was formed of, on a node that was one of them.
     #[prost(message, repeated, tag = "5")]
-    pub(super) founders: Vec<ControlMember>,
+    pub founders: Vec<ControlMember>,
     /// Identities that the cluster removed.
     #[prost(uint64, repeated, tag = "6")]
-    pub(super) removed: Vec<u64>,
+    pub removed: Vec<u64>,
     /// Shards whose replica this node holds.
     #[prost(uint32, repeated, tag = "7")]
-    pub(super) shards: Vec<u32>,
+    pub shards: Vec<u32>,
 }
 
 impl NodeFile {
     /// Reads the file; absent on an empty disk.
-    pub(super) fn load(disk: &dyn Disk) -> Result<Option<Self>, StorageError> {
+    pub fn load(disk: &dyn Disk) -> Result<Option<Self>, StorageError> {
         let Some(bytes) = disk.read(NODE_FILE)? else {
             return Ok(None);
         };
@@ -49,7 +49,7 @@
     }
 
     /// Writes the file; durable on return.
-    pub(super) fn store(&self, disk: &mut dyn Disk) -> Result<(), StorageError> {
+    pub fn store(&self, disk: &mut dyn Disk) -> Result<(), StorageError> {
         let message = self.encode_to_vec();
         let mut bytes = crc32c::crc32c(&message).to_be_bytes().to_vec();
         bytes.extend_from_slice(&message);
@@ -57,12 +57,12 @@
     }
 
     /// Identity of this node.
-    pub(super) fn identity(&self) -> NodeId {
+    pub fn identity(&self) -> NodeId {
         NodeId(self.node_id)
     }
 
     /// Whether the node belongs to a cluster.
-    pub(super) fn is_formed(&self) -> bool {
+    pub fn is_formed(&self) -> bool {
         self.cluster_id != 0
     }
 }
--- a/crates/control/src/shard/shard_replica.rs
+++ b/crates/control/src/shard/shard_replica.rs
@@ -4,8 +4,8 @@
 use millford_api::replication::{ReplicationMessage, VoterSet};
 use millford_core::{Duration, MonotonicTime, NodeId};
 use millford_replication::{
-    ChangeRefused, NotLeader, OpenError, QUORUM_TIMEOUT, Ready, Replica, ReplicaOptions,
-    ReplicaStatus, Role, VoterChange,
+    NotLeader, OpenError, QUORUM_TIMEOUT, Ready, Replica, ReplicaOptions, ReplicaStatus, Role,
+    VoterChange, VoterChangeError,
 };
 use millford_storage::{ReplicaStorage, StorageError, StorageOptions};
 use prost::Message;
@@ -135,7 +135,7 @@
     ///
     /// # Errors
     /// The change is not possible now.
-    pub(super) fn change_voters(&mut self, change: VoterChange) -> Result<(), ChangeRefused> {
+    pub(super) fn change_voters(&mut self, change: VoterChange) -> Result<(), VoterChangeError> {
         self.replica.change_voters(change).map(drop)
     }
 
--- a/crates/control/tests/outside_names.rs
+++ b/crates/control/tests/outside_names.rs
@@ -12,7 +12,7 @@
 use daemon_flags::DaemonUnderTest;
 use millford_control::daemon::shared::NodeShared;
 use millford_settings::metrics::render;
-use support::orders::led;
+use support::orders::cluster_with_leaders;
 
 const DATA: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data/outside");
 
@@ -40,7 +40,7 @@
 
 #[test]
 fn metrics_are_the_committed_ones() {
-    let mut cluster = led(3, 1);
+    let mut cluster = cluster_with_leaders(3, 1);
     cluster.run(Duration::from_millis(20));
     let shared = NodeShared::new().expect("the metrics");
     shared.publish(cluster.node("node-1").gateway(), 1);
--- a/crates/forward/tests/outside_names.rs
+++ b/crates/forward/tests/outside_names.rs
@@ -11,7 +11,7 @@
 use daemon_flags::DaemonUnderTest;
 use http::{HeaderMap, HeaderName, HeaderValue};
 use millford_core::Duration;
-use millford_forward::quota::SharedQuotas;
+use millford_forward::quota::QuotaClient;
 use millford_forward::{Dispatch, ForwardProtocol, MillfordProtocol};
 use prometheus::core::Collector;
 
@@ -41,7 +41,7 @@
 
 #[test]
 fn the_metric_beside_the_proxies_common_ones_is_the_committed_one() {
-    let metric = SharedQuotas::default().metric();
+    let metric = QuotaClient::default().metric();
     let descriptions = metric.desc();
     let [description] = descriptions[..] else {
         panic!("one metric, not {descriptions:?}");
@@ -75,7 +75,11 @@
     assert_eq!(facts.model, "saga");
     assert_eq!(facts.prompt_tokens, Some(12));
     assert_eq!(facts.output_tokens, Some(34));
-    let parts: Vec<(u64, u32)> = facts.parts.iter().map(|p| (p.id, p.tokens)).collect();
+    let parts: Vec<(u64, u32)> = facts
+        .prefix_blocks
+        .iter()
+        .map(|p| (p.id, p.tokens))
+        .collect();
     assert_eq!(parts, [(0xff, 5), (1, 6)]);
     assert_eq!(facts.resume_after, Some(7));
 }
@@ -103,7 +107,7 @@
     }
     lines.sort();
     assert_committed(&format!("{DATA}/dispatch.txt"), &lines.concat());
-    let facts = MillfordProtocol.read_answer(&headers(&[
+    let facts = MillfordProtocol.read_response(&headers(&[
         ("x-millford-request-id", "request"),
         ("x-millford-run-state", "not_run"),
         ("x-millford-signature", "00"),
--- a/crates/proxy/tests/outside_names.rs
+++ b/crates/proxy/tests/outside_names.rs
@@ -10,10 +10,10 @@
 use committed::assert_committed;
 use daemon_flags::DaemonUnderTest;
 use http::{HeaderMap, HeaderValue};
+use millford_data_plane::proxy_metrics::ProxyMetrics;
 use millford_proxy::backend_protocol;
 use millford_proxy::daemon::caller_headers::read_headers;
 use millford_proxy::daemon::responses;
-use millford_proxy::proxy_metrics::ProxyMetrics;
 use millford_settings::metrics::render;
 use prometheus::core::Collector;
 
@@ -63,8 +63,8 @@
         &metrics.ejections,
         &metrics.open_streams,
         &metrics.open_requests,
-        &metrics.shown_revision,
-        &metrics.agent_in_touch,
+        &metrics.applied_revision,
+        &metrics.agent_connected,
         &metrics.dropped_answers,
         &metrics.verdicts,
     ];
--- a/crates/storage/tests/committed_folder.rs
+++ b/crates/storage/tests/committed_folder.rs
@@ -12,8 +12,8 @@
 /// Sizes at which the few entries fill several segments.
 const OPTIONS: StorageOptions = StorageOptions {
     segment_bytes: 160,
-    kept_entries: 3,
-    kept_bytes: 1 << 20,
+    retained_entries: 3,
+    retained_bytes: 1 << 20,
 };
 
 const HARD_STATE: HardState = HardState {
