--- a/crates/control/src/gateway/node_file.rs
+++ b/crates/control/src/gateway/node_file.rs
@@ -39,6 +39,10 @@
 
 impl NodeFile {
     /// Reads the file; absent on an empty disk.
+    ///
+    /// # Errors
+    ///
+    /// Where the disk cannot be read.
     pub fn load(disk: &dyn Disk) -> Result<Option<Self>, StorageError> {
         let Some(bytes) = disk.read(NODE_FILE)? else {
             return Ok(None);
@@ -49,6 +53,10 @@
     }
 
     /// Writes the file; durable on return.
+    ///
+    /// # Errors
+    ///
+    /// Where the disk refuses the write: the former file stays.
     pub fn store(&self, disk: &mut dyn Disk) -> Result<(), StorageError> {
         let message = self.encode_to_vec();
         let mut bytes = crc32c::crc32c(&message).to_be_bytes().to_vec();
--- a/crates/experiments/src/fleet/event.rs
+++ b/crates/experiments/src/fleet/event.rs
@@ -6,14 +6,30 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The next request of a model load arrives.
-    Arrival { load: usize },
+    Arrival {
+        /// Index of the model load.
+        load: usize,
+    },
     /// A host's next phase change, unless the host changed since.
-    HostChange { host: usize, generation: u64 },
-    /// The attempt has been silent for too long.
-    AttemptTimeout { request: u64, attempt: u32 },
+    HostChange {
+        /// Index of the host.
+        host: usize,
+        /// State of the host that the change was computed for; a later state voids it.
+        generation: u64,
+    },
+    /// The attempt has been unresponsive for too long.
+    AttemptTimeout {
+        /// Number of the request.
+        request: u64,
+        /// Number of the attempt within the request.
+        attempt: u32,
+    },
     /// The caller gives up.
-    Deadline { request: u64 },
-    /// Proxies report their work and get the picture.
+    Deadline {
+        /// Number of the request.
+        request: u64,
+    },
+    /// Proxies report their load and receive the load snapshot.
     Report,
     /// The placement role plans.
     Plan,
@@ -24,5 +40,8 @@
     /// A fault or an operator's act.
     Fault(FaultKind),
     /// The platform ends a retired backend.
-    Retired { host: usize },
+    Retired {
+        /// Index of the host.
+        host: usize,
+    },
 }
--- a/crates/experiments/src/fleet/fleet_options.rs
+++ b/crates/experiments/src/fleet/fleet_options.rs
@@ -76,13 +76,27 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
     /// The host refuses connections and loses its work.
-    Kill { host: usize },
+    Kill {
+        /// Index of the host.
+        host: usize,
+    },
     /// The host comes back empty.
-    Revive { host: usize },
+    Revive {
+        /// Index of the host.
+        host: usize,
+    },
     /// The host runs at this share of its speed.
-    Slow { host: usize, speed: f64 },
+    Slow {
+        /// Index of the host.
+        host: usize,
+        /// Share of its full speed, above 0 and up to 1.
+        speed: f64,
+    },
     /// The platform announces the host's retirement; it ends after the pool's drain time.
-    Retire { host: usize },
+    Retire {
+        /// Index of the host.
+        host: usize,
+    },
     /// The pool's target version changes.
     TargetVersion(&'static str),
 }
--- a/crates/experiments/src/fleet/proxy_node.rs
+++ b/crates/experiments/src/fleet/proxy_node.rs
@@ -80,7 +80,7 @@
         policy: Policy,
         pool: &ServingPool,
         hosts: &[Host],
-        wanted: Wanted,
+        wanted: Wanted<'_>,
         random: &mut ChaCha8Rng,
     ) -> Option<Chosen> {
         let request = ModelRequest {
@@ -126,7 +126,7 @@
         policy: Policy,
         replicas: &[&ServingReplica],
         hosts: &[Host],
-        wanted: Wanted,
+        wanted: Wanted<'_>,
         random: &mut ChaCha8Rng,
     ) -> Option<(usize, bool)> {
         let count = replicas.len();
@@ -171,7 +171,7 @@
     fn ours(
         &self,
         replicas: &[&ServingReplica],
-        wanted: Wanted,
+        wanted: Wanted<'_>,
         affinity: Option<u64>,
         random: &mut ChaCha8Rng,
     ) -> Option<(usize, bool)> {
--- a/crates/experiments/src/report/table.rs
+++ b/crates/experiments/src/report/table.rs
@@ -1,5 +1,7 @@
 //! A table of a report.
 
+use std::fmt::Write;
+
 use serde::Serialize;
 
 /// A titled table of texts; the first column names the row.
@@ -54,9 +56,9 @@
     let mut text = String::new();
     for (position, (cell, width)) in cells.iter().zip(widths).enumerate() {
         if position == 0 {
-            text.push_str(&format!("{cell:<width$}"));
+            let _ = write!(text, "{cell:<width$}");
         } else {
-            text.push_str(&format!("  {cell:>width$}"));
+            let _ = write!(text, "  {cell:>width$}");
         }
     }
     text.truncate(text.trim_end().len());
--- a/crates/experiments/src/suite/bandwidth.rs
+++ b/crates/experiments/src/suite/bandwidth.rs
@@ -139,8 +139,8 @@
             placer,
             load_core_seconds: 0.0,
         }),
-        warm_up: Duration::from_secs(120),
-        length: Duration::from_secs(240),
+        warm_up: Duration::from_mins(2),
+        length: Duration::from_mins(4),
         ..plain_fleet(seed, Policy::Millford, hosts, workload.scaled(factor))
     }
 }
--- a/crates/experiments/src/suite/site.rs
+++ b/crates/experiments/src/suite/site.rs
@@ -140,7 +140,7 @@
         first_token_limit: FIRST_TOKEN_LIMIT,
         faults: Vec::new(),
         warm_up: Duration::from_secs(15),
-        length: Duration::from_secs(60),
+        length: Duration::from_mins(1),
     }
 }
 
--- a/crates/experiments/tests/quota_age.rs
+++ b/crates/experiments/tests/quota_age.rs
@@ -133,14 +133,14 @@
     let quotas = TenantQuotas::default();
     let now = MonotonicTime::from_millis(100_000);
     let first = quotas.grant(now, &tenant(), REQUEST, 0).expect("a quota");
-    let later = now + Duration::from_secs(60);
+    let later = now + Duration::from_mins(1);
     let count = PeerCount {
         member: "owner",
         boot_id: 1,
         tenant: "tenant",
         used_tokens: 1_000_000,
         level_tokens: 9_000,
-        counted_for: Some(Duration::from_secs(60)),
+        counted_for: Some(Duration::from_mins(1)),
         owner_zone: Some("elsewhere"),
     };
     quotas.apply_peer_count(later, &quota(), count);
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -35,13 +35,14 @@
             return ExitCode::from(2);
         }
     };
-    let outcome = match options.exchange {
-        true => exchange::run::run(
+    let outcome = if options.exchange {
+        exchange::run::run(
             options.requests_per_node,
             std::time::Duration::from_secs(options.steady_seconds),
             &options.output,
-        ),
-        false => sweep::run(&options),
+        )
+    } else {
+        sweep::run(&options)
     };
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/scale/src/rig/operator_client.rs
+++ b/crates/scale/src/rig/operator_client.rs
@@ -20,6 +20,10 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 #[derive(Serialize)]
+#[expect(
+    clippy::struct_field_names,
+    reason = "the fields are keys of the operators' API"
+)]
 struct Order<'order> {
     base_revision: u64,
     order_id: &'order str,
