--- a/crates/forward/src/request/mod.rs
+++ b/crates/forward/src/request/mod.rs
@@ -1,6 +1,6 @@
 //! The request path: one function a request, read from top to bottom.
 //!
-//! [`serve`] holds the order of the steps; the other modules are the steps.
+//! [`serve()`] holds the order of the steps; the other modules are the steps.
 
 pub mod attempt;
 pub mod authorize;
--- a/crates/forward/tests/absurd_counts.rs
+++ b/crates/forward/tests/absurd_counts.rs
@@ -1,5 +1,7 @@
 //! Absurd counts, of peers and of callers: nothing overflows, and no tenant is shut out for long.
 
+mod support;
+
 use millford_api::config::{Tenant, TokenQuota};
 use millford_core::{Duration, MonotonicTime};
 use millford_forward::quota::{PeerCount, TenantQuotas};
@@ -60,11 +62,7 @@
 }
 
 fn tenant() -> Tenant {
-    Tenant {
-        name: "tenant".to_owned(),
-        token_quota: Some(quota()),
-        ..Tenant::default()
-    }
+    support::tenant::tenant(quota())
 }
 
 fn take(quotas: &TenantQuotas, now: MonotonicTime, input: &Input) {
--- a/crates/forward/tests/forwarding.rs
+++ b/crates/forward/tests/forwarding.rs
@@ -205,7 +205,7 @@
         assert_eq!(reply.status, status, "{text}");
         assert!(reply.body.starts_with(code), "{}", reply.body);
     }
-    assert!(backend.received().is_empty());
+    assert_eq!(backend.received().len(), 0);
     let malformed = [
         "GARBAGE\r\n\r\n",
         "GET / HTTP/9.9\r\n\r\n",
--- a/crates/forward/tests/owned_loads.rs
+++ b/crates/forward/tests/owned_loads.rs
@@ -187,7 +187,7 @@
 #[test]
 fn small_fleets_have_fewer_owners() {
     let ring = OwnerRing::of(&[]);
-    assert!(owners(&ring, "a").is_empty());
+    assert_eq!(owners(&ring, "a"), Vec::<String>::new());
     let ring = OwnerRing::of(&[member(1)]);
     assert_eq!(owners(&ring, "a"), ["node-1"]);
     let ring = OwnerRing::of(&[member(1), member(4)]);
--- a/crates/forward/tests/quota.rs
+++ b/crates/forward/tests/quota.rs
@@ -1,5 +1,7 @@
 //! Token quotas over several nodes, in simulated time.
 
+mod support;
+
 use millford_api::config::{Tenant, TokenQuota};
 use millford_core::{Duration, MonotonicTime};
 use millford_forward::quota::{PeerCount, TenantQuotas};
@@ -13,15 +15,11 @@
 const HEADROOM: f64 = 1.15;
 
 fn tenant() -> Tenant {
-    Tenant {
-        name: "tenant".to_owned(),
-        token_quota: Some(TokenQuota {
-            tokens_per_second: RATE,
-            burst: BURST,
-            default_tokens: 1,
-        }),
-        ..Tenant::default()
-    }
+    support::tenant::tenant(TokenQuota {
+        tokens_per_second: RATE,
+        burst: BURST,
+        default_tokens: 1,
+    })
 }
 
 /// Nodes that report their counts to each other, some of which are lost.
--- a/crates/forward/tests/support/mod.rs
+++ b/crates/forward/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A forwarding node in this process, in front of stand-ins for backends that tests script.
+//! A forwarding node in this process, in front of stub backends that tests script.
 
 #![allow(
     dead_code,
@@ -9,3 +9,4 @@
 pub(crate) mod caller;
 pub(crate) mod head;
 pub(crate) mod node;
+pub(crate) mod tenant;
--- /dev/null
+++ b/crates/forward/tests/support/tenant.rs
@@ -0,0 +1,12 @@
+//! A tenant with a token quota.
+
+use millford_api::config::{Tenant, TokenQuota};
+
+/// The tenant `tenant`.
+pub(crate) fn tenant(quota: TokenQuota) -> Tenant {
+    Tenant {
+        name: "tenant".to_owned(),
+        token_quota: Some(quota),
+        ..Tenant::default()
+    }
+}
--- a/crates/forward/tests/usage_messages.rs
+++ b/crates/forward/tests/usage_messages.rs
@@ -9,15 +9,11 @@
 use support::node::{Setup, TestNode};
 
 fn tenant() -> Tenant {
-    Tenant {
-        name: "tenant".to_owned(),
-        token_quota: Some(TokenQuota {
-            tokens_per_second: 1000,
-            burst: 1000,
-            default_tokens: 10,
-        }),
-        ..Tenant::default()
-    }
+    support::tenant::tenant(TokenQuota {
+        tokens_per_second: 1000,
+        burst: 1000,
+        default_tokens: 10,
+    })
 }
 
 #[tokio::test]
--- a/crates/routing/src/backend_health.rs
+++ b/crates/routing/src/backend_health.rs
@@ -31,7 +31,7 @@
 }
 
 impl EjectionReason {
-    /// Name for metrics and logs.
+    /// Name for metrics and logs. `silent` dates from before the present terms and stays.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
--- a/crates/routing/tests/forward_table.rs
+++ b/crates/routing/tests/forward_table.rs
@@ -1,17 +1,19 @@
 //! Forwarding routes, locations of prefix blocks, and counts published by peers.
 
+mod support;
+
 use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
 
 use millford_api::config::ForwardRoute;
+use millford_api::state::ProxyMember;
 use millford_api::state::state_value::Kind;
-use millford_api::state::{ProxyMember, StateValue};
 use millford_core::{Duration, MonotonicTime};
 use millford_routing::{
-    BackendHealth, CachedBlock, LoadTable, PrefixBlock, PrefixIndex, ReplicaCounts, ReplicaKey,
-    RoutingTable,
+    BackendHealth, CachedBlock, LoadTable, PrefixBlock, PrefixIndex, ReplicaCounts, RoutingTable,
 };
 use quickcheck::quickcheck;
-use std::sync::Arc;
+use support::{replica_key, routing_table};
 
 fn table(routes: &[(&str, &str)]) -> RoutingTable {
     let items = routes.iter().enumerate().map(|(number, (host, prefix))| {
@@ -30,11 +32,8 @@
         name: "node-2".to_owned(),
         ..ProxyMember::default()
     };
-    let items: Vec<(String, StateValue)> = items
-        .chain([("proxy/node-2".to_owned(), Kind::ProxyMember(peer))])
-        .map(|(key, kind)| (key, StateValue { kind: Some(kind) }))
-        .collect();
-    RoutingTable::build(items.iter().map(|(key, value)| (key.as_str(), value)))
+    let peer = ("proxy/node-2".to_owned(), Kind::ProxyMember(peer));
+    routing_table(items.chain([peer]).collect())
 }
 
 fn found(table: &RoutingTable, host: &str, path: &str) -> Option<String> {
@@ -52,14 +51,19 @@
         ("a.example", "/x/y/"),
         ("B.example", "/x/"),
     ]);
-    let name = |number: u32| Some(format!("route-{number}"));
-    assert_eq!(found(&table, "a.example", "/x/y/z"), name(2));
-    assert_eq!(found(&table, "a.example", "/x/yz"), name(1));
-    assert_eq!(found(&table, "a.example", "/x"), name(0));
-    assert_eq!(found(&table, "A.Example:8080", "/x/"), name(1));
-    assert_eq!(found(&table, "b.example", "/x/1"), name(3));
-    assert_eq!(found(&table, "b.example", "/"), None);
-    assert_eq!(found(&table, "", "/x/"), None);
+    let cases = [
+        ("a.example", "/x/y/z", Some("route-2")),
+        ("a.example", "/x/yz", Some("route-1")),
+        ("a.example", "/x", Some("route-0")),
+        ("A.Example:8080", "/x/", Some("route-1")),
+        ("b.example", "/x/1", Some("route-3")),
+        ("b.example", "/", None),
+        ("", "/x/", None),
+    ];
+    for (host, path, expected) in cases {
+        let found = found(&table, host, path);
+        assert_eq!(found.as_deref(), expected, "{host}{path}");
+    }
     assert_eq!(table.forward().peers().len(), 1);
 }
 
@@ -111,7 +115,7 @@
         .map(|location| location.block)
         .collect();
     assert_eq!(announced, [1, 2], "what nobody shares is not announced");
-    assert!(prefix_index.take_announcements().is_empty());
+    assert_eq!(prefix_index.take_announcements(), []);
     assert_eq!(backends(25_500, 1), Vec::<String>::new());
     assert_eq!(backends(25_500, 2), ["b-2"]);
     prefix_index.expire(at(60_000));
@@ -124,12 +128,7 @@
 fn counts_of_peers_replace_load_snapshots() {
     let table = Arc::new(LoadTable::default());
     table.follow_peers();
-    let key = ReplicaKey {
-        backend_id: "b-1".to_owned(),
-        pool: "p".to_owned(),
-        model: "m".to_owned(),
-        version: "1".to_owned(),
-    };
+    let key = replica_key("b-1", "m");
     let guard = table.start(key.clone(), 100);
     let theirs = ReplicaCounts {
         prefill_tokens: 50,
@@ -148,11 +147,15 @@
     assert_eq!(table.counts(&key).decode_streams, 2, "of another backend");
     table.set_others("b-1", &BTreeMap::new());
     assert_eq!(table.counts(&key).decode_streams, 0);
-    assert!(table.take_changed().is_empty(), "others are no own change");
+    assert_eq!(
+        table.take_changed(),
+        BTreeSet::new(),
+        "others are no own change"
+    );
     drop(guard);
     assert_eq!(table.take_changed(), BTreeSet::from(["b-1".to_owned()]));
-    assert!(table.own_work_on("b-1").is_empty());
-    assert!(table.busy_backends().is_empty());
+    assert_eq!(table.own_work_on("b-1"), []);
+    assert_eq!(table.busy_backends(), BTreeSet::new());
 }
 
 #[test]
--- a/crates/routing/tests/load.rs
+++ b/crates/routing/tests/load.rs
@@ -1,23 +1,17 @@
 //! Counts in flight, cost fit, fair turns, health.
 
+mod support;
+
 use std::sync::Arc;
 
 use millford_api::internal::{LoadSnapshot, ReplicaLoad};
 use millford_core::{Duration, MonotonicTime};
 use millford_routing::{
     AdmissionEstimate, BackendHealth, CostEstimates, EjectionReason, FairQueue, LoadTable,
-    ReplicaCounts, ReplicaKey,
+    ReplicaCounts,
 };
 use quickcheck::quickcheck;
-
-fn key(backend: &str, model: &str) -> ReplicaKey {
-    ReplicaKey {
-        pool: "models".to_owned(),
-        backend_id: backend.to_owned(),
-        model: model.to_owned(),
-        version: "1".to_owned(),
-    }
-}
+use support::replica_key as key;
 
 quickcheck! {
     /// Whatever a request went through, its end leaves nothing behind.
@@ -57,11 +51,11 @@
     let reports = table.take_reports();
     assert_eq!(reports.len(), 1);
     assert_eq!(reports[0].loads[0].prefill_tokens, 100);
-    assert!(table.take_reports().is_empty());
+    assert_eq!(table.take_reports(), []);
     drop(guard);
     let reports = table.take_reports();
     assert_eq!(reports[0].loads[0].prefill_tokens, 0);
-    assert!(table.take_reports().is_empty());
+    assert_eq!(table.take_reports(), []);
 }
 
 #[test]
@@ -165,7 +159,7 @@
     health.record_dispatch("b1", used_at);
     health.record_activity("b1", used_at);
     let soon = used_at + Duration::from_millis(500);
-    assert!(health.to_probe(soon, quiet).is_empty());
+    assert_eq!(health.to_probe(soon, quiet), Vec::<String>::new());
     let later = used_at + Duration::from_millis(1_100);
     assert_eq!(health.to_probe(later, quiet), ["b1"]);
     assert!(!health.probe_failed("b1"));
@@ -179,13 +173,8 @@
 /// The placement role forgets counts that are not refreshed: a long stream must show again and again.
 #[test]
 fn unchanged_work_is_reported_again_and_idle_replicas_are_not() {
-    let table = std::sync::Arc::new(millford_routing::LoadTable::default());
-    let key = millford_routing::ReplicaKey {
-        pool: "pool".to_owned(),
-        backend_id: "b1".to_owned(),
-        ..millford_routing::ReplicaKey::default()
-    };
-    let guard = table.start(key, 10);
+    let table: Arc<LoadTable> = Arc::default();
+    let guard = table.start(key("b1", "saga"), 10);
     assert_eq!(table.take_reports().len(), 1);
     let repeated = (0..24).filter(|_| !table.take_reports().is_empty()).count();
     assert_eq!(repeated, 2);
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -1,16 +1,18 @@
 //! Matching and the candidates of a pool.
 
+mod support;
+
 use millford_api::config::{Pool, Route, RouteMatch, Tenant};
 use millford_api::state::state_value::Kind;
 use millford_api::state::{
     Backend, BackendState, ConfigHead, Declaration, PoolPlacement, Replica, ReplicaState,
-    StateValue,
 };
 use millford_core::ResultCode;
 use millford_routing::{ModelRequest, RoutingTable};
 use quickcheck::quickcheck;
 
-struct Items(Vec<(String, StateValue)>);
+/// The items of a feed.
+struct Items(Vec<(String, Kind)>);
 
 impl Items {
     fn new() -> Self {
@@ -33,8 +35,7 @@
     }
 
     fn add(&mut self, key: &str, kind: Kind) {
-        self.0
-            .push((key.to_owned(), StateValue { kind: Some(kind) }));
+        self.0.push((key.to_owned(), kind));
     }
 
     fn route(&mut self, name: &str, matches: RouteMatch) {
@@ -78,7 +79,7 @@
     }
 
     fn table(&self) -> RoutingTable {
-        RoutingTable::build(self.0.iter().map(|(key, value)| (key.as_str(), value)))
+        support::routing_table(self.0.clone())
     }
 
     fn candidates(&self, requested: &ModelRequest) -> Vec<String> {
@@ -247,7 +248,7 @@
     request.adapter = "captions".to_owned();
     assert_eq!(items.candidates(&request), ["one"]);
     request.adapter = "unknown".to_owned();
-    assert!(items.candidates(&request).is_empty());
+    assert_eq!(items.candidates(&request), Vec::<String>::new());
 }
 
 fn state_of(number: u8) -> BackendState {
--- a/crates/routing/tests/watched_backends.rs
+++ b/crates/routing/tests/watched_backends.rs
@@ -20,5 +20,5 @@
     let ids: Vec<String> = (0..=MAX_WATCHED).map(|number| number.to_string()).collect();
     health.watch(ids.iter().map(String::as_str));
     let due = health.to_probe(MonotonicTime::from_millis(1_000), QUIET);
-    assert!(due.is_empty());
+    assert_eq!(due, Vec::<String>::new());
 }
