--- a/crates/replication/tests/group/machine.rs
+++ b/crates/replication/tests/group/machine.rs
@@ -74,7 +74,7 @@
         let storage = ReplicaStorage::open(Box::new(self.disk.clone()), STORAGE)?;
         let mut options = ReplicaOptions::new(self.node, SHARD, seed);
         options.limits = self.limits;
-        options.initial_voters = self.initial_voters.clone();
+        options.initial_voters.clone_from(&self.initial_voters);
         let replica = Replica::open(options, storage, now)?;
         self.applied_index = 0;
         self.digest = 0;
--- a/crates/replication/tests/group/simulation.rs
+++ b/crates/replication/tests/group/simulation.rs
@@ -20,7 +20,7 @@
 const STEP: Duration = Duration::from_millis(5);
 
 /// Longest simulated time that a test waits for something.
-const MAX_WAIT: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_mins(1);
 
 /// Faults of the program that a run plants, to show that the checks find them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
