--- a/crates/replication/tests/leadership.rs
+++ b/crates/replication/tests/leadership.rs
@@ -17,10 +17,11 @@
         let end = simulation.now + FAILOVER;
         while simulation.now < end {
             simulation.step();
-            assert!(simulation.leaders().len() <= 1, "seed {seed}");
+            let leaders = simulation.leaders();
+            assert!(leaders.len() <= 1, "seed {seed}: {leaders:?}");
         }
         let leaders = simulation.leaders();
-        assert_eq!(leaders.len(), 1, "seed {seed}");
+        assert_eq!(leaders.len(), 1, "seed {seed}: {leaders:?}");
         assert_ne!(leaders[0], leader);
     }
 }
--- a/crates/replication/tests/membership.rs
+++ b/crates/replication/tests/membership.rs
@@ -19,7 +19,7 @@
 
 fn only_leader(simulation: &Simulation) -> NodeId {
     let leaders = simulation.leaders();
-    assert_eq!(leaders.len(), 1);
+    assert_eq!(leaders.len(), 1, "{leaders:?}");
     leaders[0]
 }
 
--- a/crates/replication/tests/planted_defects.rs
+++ b/crates/replication/tests/planted_defects.rs
@@ -1,4 +1,4 @@
-//! Every check finds the fault that it is there for, when the fault is planted.
+//! Every check detects the defect that it is there for, when the defect is planted.
 
 mod group;
 
@@ -12,106 +12,101 @@
 const HIGH_FAULT_RATE: f64 = 0.05;
 const SIZE: u64 = 3;
 
-const WEATHER: NetworkConditions = NetworkConditions {
+/// A network that loses and duplicates messages.
+const LOSSY: NetworkConditions = NetworkConditions {
     loss: 0.1,
     duplication: 0.05,
     max_delay: Duration::from_millis(60),
 };
 /// Slow messages make elections long, so that a restart falls into one.
-const SLOW: NetworkConditions = NetworkConditions {
+const LOSSY_AND_SLOW: NetworkConditions = NetworkConditions {
     loss: 0.1,
     duplication: 0.05,
     max_delay: Duration::from_millis(400),
 };
 
-/// Whether one of the first seeds shows a violation that holds the words.
-fn is_caught(defect: Defect, conditions: NetworkConditions, fault_rate: f64, words: &str) -> bool {
-    (0..SEEDS).any(|seed| {
+/// Asserts that one of the first seeds shows a violation that contains `words`.
+fn assert_detected(defect: Defect, conditions: NetworkConditions, fault_rate: f64, words: &str) {
+    let is_detected = (0..SEEDS).any(|seed| {
         let mut simulation = Simulation::new(seed, SIZE, conditions, defect);
         simulation.run_chaos(STEPS, usize::try_from(SIZE).expect("small"), fault_rate);
         let violations = &simulation.history.violations;
         violations.iter().any(|violation| violation.contains(words))
-    })
+    });
+    assert!(
+        is_detected,
+        "{defect:?}: no violation with {words:?} in the first {SEEDS} seeds"
+    );
 }
 
 #[test]
 fn lying_syncs_lose_committed_entries() {
-    assert!(is_caught(
+    assert_detected(
         Defect::LyingSyncs,
-        WEATHER,
+        LOSSY,
         FAULT_RATE,
-        "lacks committed entry"
-    ));
+        "lacks committed entry",
+    );
 }
 
 #[test]
 fn lying_replaces_vote_twice() {
-    assert!(is_caught(
-        Defect::LyingReplaces,
-        WEATHER,
-        FAULT_RATE,
-        "voted for"
-    ));
+    assert_detected(Defect::LyingReplaces, LOSSY, FAULT_RATE, "voted for");
 }
 
 #[test]
 fn forgotten_votes_elect_two_leaders() {
-    assert!(is_caught(
+    assert_detected(
         Defect::ForgottenVotes,
-        SLOW,
+        LOSSY_AND_SLOW,
         HIGH_FAULT_RATE,
-        "voted for"
-    ));
-    assert!(is_caught(
+        "voted for",
+    );
+    assert_detected(
         Defect::ForgottenVotes,
-        SLOW,
+        LOSSY_AND_SLOW,
         HIGH_FAULT_RATE,
-        "in term"
-    ));
+        "in term",
+    );
 }
 
 #[test]
 fn a_reused_identity_loses_committed_entries() {
-    assert!(is_caught(
+    assert_detected(
         Defect::ReusedIdentity,
-        WEATHER,
+        LOSSY,
         FAULT_RATE,
-        "lacks committed entry"
-    ));
+        "lacks committed entry",
+    );
 }
 
 #[test]
 fn a_reused_identity_changes_committed_entries() {
-    assert!(is_caught(
+    assert_detected(
         Defect::ReusedIdentity,
-        WEATHER,
+        LOSSY,
         FAULT_RATE,
-        "committed another entry"
-    ));
+        "committed another entry",
+    );
 }
 
 #[test]
 fn unconfirmed_reads_are_stale() {
-    assert!(is_caught(
+    assert_detected(
         Defect::UnconfirmedReads,
-        WEATHER,
+        LOSSY,
         FAULT_RATE,
-        "confirmed a read"
-    ));
+        "confirmed a read",
+    );
 }
 
 #[test]
 fn altered_commands_break_log_matching() {
-    assert!(is_caught(
-        Defect::AlteredCommands,
-        WEATHER,
-        FAULT_RATE,
-        "differ at"
-    ));
-    assert!(is_caught(
+    assert_detected(Defect::AlteredCommands, LOSSY, FAULT_RATE, "differ at");
+    assert_detected(
         Defect::AlteredCommands,
-        WEATHER,
+        LOSSY,
         FAULT_RATE,
-        "committed another entry"
-    ));
+        "committed another entry",
+    );
 }
--- a/crates/replication/tests/random_group.rs
+++ b/crates/replication/tests/random_group.rs
@@ -65,7 +65,11 @@
          {reads} confirmed reads, {snapshots} restored snapshots; after the faults, worst: \
          confirmed leader {time_to_leader:?}, recovered {time_to_recovery:?}"
     );
-    assert!(entries > count && elections > count && reads > count && snapshots > 0);
+    assert!(
+        entries > count && elections > count && reads > count && snapshots > 0,
+        "too little happened: {entries} entries, {elections} elections, {reads} reads, \
+         {snapshots} snapshots in {count} runs"
+    );
 }
 
 #[test]
--- a/crates/replication/tests/smoke.rs
+++ b/crates/replication/tests/smoke.rs
@@ -1,8 +1,9 @@
 //! A group of three on real files elects a leader, commits and confirms a read.
 
 use std::collections::VecDeque;
+use std::path::Path;
 
-use millford_api::replication::{LogEntry, VoterSet, log_entry::Payload};
+use millford_api::replication::{LogEntry, ReplicationMessage, VoterSet, log_entry::Payload};
 use millford_core::{Duration, MonotonicTime, NodeId, ShardId};
 use millford_replication::{Ready, Replica, ReplicaOptions, Role};
 use millford_storage::{FileDisk, ReplicaStorage, StorageOptions};
@@ -10,7 +11,7 @@
 const NODES: [u64; 3] = [1, 2, 3];
 const STEPS: usize = 500;
 
-fn open(directory: &std::path::Path, node: u64) -> Replica {
+fn open(directory: &Path, node: u64) -> Replica {
     let disk = FileDisk::open(directory.join(node.to_string())).expect("directory");
     let storage = ReplicaStorage::open(Box::new(disk), StorageOptions::default()).expect("storage");
     let voters = VoterSet {
@@ -37,11 +38,10 @@
     let mut is_proposed = false;
     let mut confirmed = Vec::new();
     let mut now = MonotonicTime::ZERO;
-    let mut messages = VecDeque::new();
+    let mut messages: VecDeque<ReplicationMessage> = VecDeque::new();
     for _ in 0..STEPS {
         now = now + Duration::from_millis(20);
         while let Some(message) = messages.pop_front() {
-            let message: millford_api::replication::ReplicationMessage = message;
             let target = usize::try_from(message.to - 1).expect("index");
             replicas[target].step(now, message);
         }
@@ -61,7 +61,8 @@
     assert!(
         applied
             .iter()
-            .all(|commands| commands == &[b"one".to_vec()])
+            .all(|commands| commands == &[b"one".to_vec()]),
+        "{applied:?}"
     );
     assert_eq!(confirmed, [7]);
 }
