--- a/crates/control-state/src/document/check/route.rs
+++ b/crates/control-state/src/document/check/route.rs
@@ -135,16 +135,11 @@
     else {
         return;
     };
-    check_served(field_path, route_match, selector, faults);
+    check_served(&field_path, route_match, selector, faults);
 }
 
 /// A route whose pool selects another model, version or stage could never be served.
-fn check_served(
-    path: String,
-    route_match: &RouteMatch,
-    selector: &Selector,
-    faults: &mut FaultList,
-) {
+fn check_served(path: &str, route_match: &RouteMatch, selector: &Selector, faults: &mut FaultList) {
     let pairs = [
         ("model", &route_match.model, &selector.model),
         ("version", &route_match.version, &selector.version),
@@ -154,7 +149,7 @@
         if !matched.is_empty() && !selected.is_empty() && matched != selected {
             let text =
                 format!("the pool selects {field} \"{selected}\", the route takes \"{matched}\"");
-            faults.add(path.clone(), text);
+            faults.add(path, text);
         }
     }
 }
--- a/crates/control-state/src/quota/bucket.rs
+++ b/crates/control-state/src/quota/bucket.rs
@@ -12,7 +12,7 @@
 const MAX_VACANCY: Duration = Duration::from_secs(5);
 
 /// When to retry under a quota whose rate is 0.
-const RETRY_WITHOUT_RATE: Duration = Duration::from_secs(60);
+const RETRY_WITHOUT_RATE: Duration = Duration::from_mins(1);
 
 /// Largest part of a burst that may be granted as surplus tokens at any time, in whole tokens.
 pub(super) fn surplus_limit(burst: u32) -> u64 {
--- a/crates/control-state/src/quota/member_lease.rs
+++ b/crates/control-state/src/quota/member_lease.rs
@@ -9,7 +9,7 @@
 use super::recall::is_recall_due;
 
 /// Inactivity that is assumed before the first request of a process.
-const ASSUMED_FIRST_INACTIVITY: Duration = Duration::from_secs(3_600);
+const ASSUMED_FIRST_INACTIVITY: Duration = Duration::from_hours(1);
 
 /// Requests after a recall, the last of which the node certainly sent after it received the recall.
 const REQUESTS_THAT_CONFIRM_RECALL: u32 = 2;
--- a/crates/control-state/src/quota/options.rs
+++ b/crates/control-state/src/quota/options.rs
@@ -3,7 +3,7 @@
 use millford_core::Duration;
 
 /// How long granted tokens may be spent, counted by the node from when it sent the request.
-pub const QUOTA_LEASE: Duration = Duration::from_millis(1000);
+pub const QUOTA_LEASE: Duration = Duration::from_secs(1);
 /// How long after an election the former leader may still have granted: it steps down when it has
 /// had no contact to a quorum for this long.
 pub const STEP_DOWN_BOUND: Duration = Duration::from_millis(500);
@@ -14,7 +14,7 @@
 /// When to retry a request, or to repeat a recall, while idle tokens or slots are being recalled.
 pub const RECALL_RETRY_DELAY: Duration = Duration::from_millis(10);
 /// How long after a change of leader the spending of the former one's grants counts as unknown.
-pub const TAKEOVER_UNCERTAINTY: Duration = Duration::from_secs(60);
+pub const TAKEOVER_UNCERTAINTY: Duration = Duration::from_mins(1);
 /// How often the leader looks for accounts that nobody uses.
 pub const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
@@ -22,7 +22,7 @@
 const CLOCK_MARGIN: Duration = Duration::from_millis(50);
 
 /// How long after one node's return from an outage others of the same outage may still return.
-pub(super) const OUTAGE_RETURN_WINDOW: Duration = Duration::from_millis(10_000);
+pub(super) const OUTAGE_RETURN_WINDOW: Duration = Duration::from_secs(10);
 
 /// Times of quota leases; only tests deviate from the defaults.
 #[derive(Clone, Copy, Debug)]
