--- a/crates/control-state/src/machine/applied.rs
+++ b/crates/control-state/src/machine/applied.rs
@@ -11,7 +11,8 @@
 pub struct Applied {
     /// Reply to the proposer.
     pub result: CommandResult,
-    /// Changed items only, in the order of their keys; an absent value is a deletion.
+    /// Changed items only; an absent value is a deletion. An order's are in the order of their keys,
+    /// a catalogue update's in that of the update, removals last.
     pub changes: Vec<StateItem>,
 }
 
--- a/crates/control-state/tests/control_state/claims.rs
+++ b/crates/control-state/tests/control_state/claims.rs
@@ -20,7 +20,7 @@
 
     fn resolve(&mut self, attempt: &str, outcome: RunOutcome) {
         let applied = self.apply_kind(Kind::ResolveClaim(resolve(attempt, outcome)));
-        assert_eq!(applied.result.code, 0);
+        assert_eq!(applied.result.code, 0, "{applied:?}");
     }
 
     fn advance(&mut self, elapsed_ms: u64) {
@@ -63,9 +63,9 @@
         machine.claim("a");
         machine.resolve("a", outcome);
         for attempt in ["a", "b"] {
-            let answer = machine.claim(attempt);
-            assert!(!answer.granted);
-            assert_eq!(answer.outcome(), outcome);
+            let result = machine.claim(attempt);
+            assert!(!result.granted, "{result:?}");
+            assert_eq!(result.outcome(), outcome);
         }
     }
 }
--- a/crates/control-state/tests/control_state/document_check.rs
+++ b/crates/control-state/tests/control_state/document_check.rs
@@ -32,7 +32,7 @@
         document.routes[1].name = "captions".to_owned();
     });
     assert_invalid("pools[2].name", |document| {
-        document.pools.push(pool("saga"))
+        document.pools.push(pool("saga"));
     });
     assert_invalid("tenants[2].name", |document| {
         let mut twice = tenant("library");
@@ -128,7 +128,7 @@
 #[test]
 fn quotas_are_checked() {
     assert_invalid("tenants[0].quota", |document| {
-        document.tenants[0].quota = None
+        document.tenants[0].quota = None;
     });
     let wrong = [
         ("requests_per_second", quota(0, 20, 4)),
--- a/crates/control-state/tests/control_state/openapi_limits.rs
+++ b/crates/control-state/tests/control_state/openapi_limits.rs
@@ -1,4 +1,4 @@
-//! The limits of the document check are those that the OpenAPI file documents for operators.
+//! The limits of the document check are those that the `OpenAPI` file documents for operators.
 
 use std::ops::RangeInclusive;
 
--- a/crates/control-state/tests/control_state/planner.rs
+++ b/crates/control-state/tests/control_state/planner.rs
@@ -80,13 +80,15 @@
         moved
             .replicas
             .iter()
-            .all(|replica| replica.change == ChangeKind::Removed)
+            .all(|replica| replica.change == ChangeKind::Removed),
+        "{moved:?}"
     );
     assert!(
         moved
             .sessions
             .iter()
-            .all(|session| session.route == "captions")
+            .all(|session| session.route == "captions"),
+        "{moved:?}"
     );
 }
 
@@ -105,7 +107,11 @@
     }
     let moved = plan(&valid_document(), &split, &known, &sessions);
     assert!(!moved.sessions.is_empty());
-    assert!(moved.sessions.iter().all(|session| session.from == "s3"));
+    assert!(
+        moved.sessions.iter().all(|session| session.from == "s3"),
+        "{:?}",
+        moved.sessions
+    );
     let count: u64 = moved.sessions.iter().map(|session| session.moved).sum();
     assert!(
         (180..=320).contains(&count),
--- a/crates/control-state/tests/control_state/quota.rs
+++ b/crates/control-state/tests/control_state/quota.rs
@@ -142,9 +142,10 @@
         setting.nodes = 2;
         Busy {
             setting,
-            delay: match bool::arbitrary(generator) {
-                true => 2_000 + u64::arbitrary(generator) % 50_000,
-                false => 2_000 + u64::arbitrary(generator) % 1_300_000,
+            delay: if bool::arbitrary(generator) {
+                2_000 + u64::arbitrary(generator) % 50_000
+            } else {
+                2_000 + u64::arbitrary(generator) % 1_300_000
             },
             elect_in_delay: bool::arbitrary(generator),
             crash_in_delay: bool::arbitrary(generator),
--- a/crates/control-state/tests/control_state/quota_outage.rs
+++ b/crates/control-state/tests/control_state/quota_outage.rs
@@ -9,7 +9,7 @@
 const BURST: u32 = 10;
 const OUTAGE_MS: u32 = 3_000;
 
-/// The answer of a leader, just elected, to a node where `waiting` requests wait.
+/// What a leader, just elected, grants a node where `waiting` requests wait.
 fn first_answer(waiting: u32, oldest_wait_ms: u32) -> QuotaGrant {
     let elected = MonotonicTime::from_millis(10_000);
     let mut leases = leader(elected);
@@ -25,13 +25,13 @@
     waiting: u32,
     oldest_wait_ms: u32,
 ) -> QuotaGrant {
-    let request_part = TenantQuotaRequest {
+    let tenant_request = TenantQuotaRequest {
         tokens: waiting,
         waiting,
         oldest_wait_ms,
         ..TenantQuotaRequest::default()
     };
-    answer_to(leases, now, member, 1, request_part)
+    answer_to(leases, now, member, 1, tenant_request)
 }
 
 fn answer_to(
@@ -39,9 +39,9 @@
     now: MonotonicTime,
     member: &str,
     request_id: u64,
-    request_part: TenantQuotaRequest,
+    tenant_request: TenantQuotaRequest,
 ) -> QuotaGrant {
-    reply_to(leases, now, member, request_id, request_part)
+    reply_to(leases, now, member, request_id, tenant_request)
         .grants
         .remove(0)
 }
@@ -51,17 +51,15 @@
     now: MonotonicTime,
     member: &str,
     request_id: u64,
-    request_part: TenantQuotaRequest,
+    mut tenant_request: TenantQuotaRequest,
 ) -> QuotaReply {
+    "tenant".clone_into(&mut tenant_request.tenant);
     let request = QuotaRequest {
         shard: 1,
         request_id,
         member: member.to_owned(),
         epoch: 1,
-        tenants: vec![TenantQuotaRequest {
-            tenant: "tenant".to_owned(),
-            ..request_part
-        }],
+        tenants: vec![tenant_request],
     };
     let outputs = leases.handle(now, &request);
     let replies = outputs.into_iter().find_map(|output| match output {
@@ -106,26 +104,26 @@
 #[test]
 fn requests_waiting_under_other_messages_still_count() {
     let mut leases = leader(MonotonicTime::ZERO);
-    let mut request_part = |at_ms: u64, request_id: u64, tokens: u32, waiting: u32| {
-        let request_part = TenantQuotaRequest {
+    let mut tenant_request = |at_ms: u64, request_id: u64, tokens: u32, waiting: u32| {
+        let tenant_request = TenantQuotaRequest {
             tokens,
             waiting,
             oldest_wait_ms: OUTAGE_MS,
             ..TenantQuotaRequest::default()
         };
         let now = MonotonicTime::from_millis(at_ms);
-        answer_to(&mut leases, now, "front-1", request_id, request_part)
+        answer_to(&mut leases, now, "front-1", request_id, tenant_request)
     };
     // Forty wait after an outage of three seconds; ten are served at once.
-    let first = request_part(120_000, 1, 40, 40);
+    let first = tenant_request(120_000, 1, 40, 40);
     assert_eq!((first.tokens, first.refused_tokens), (BURST, 0));
     // While their message is in flight, others arrive as fast as the rate serves them.
     for step in 1..=20 {
-        let next = request_part(120_000 + step * 500, 1 + step, 5, 35);
+        let next = tenant_request(120_000 + step * 500, 1 + step, 5, 35);
         assert_eq!(next.refused_tokens, 0, "step {step}");
     }
     // The credit of the outage has ended; all that still wait are requested again.
-    let last = request_part(130_200, 100, 30, 30);
+    let last = tenant_request(130_200, 100, 30, 30);
     assert_eq!(last.refused_tokens, 0, "they waited within their quota");
 }
 
@@ -137,12 +135,12 @@
     let steady = |leases: &mut QuotaLeases, step: u64| {
         let now = MonotonicTime::from_millis(start_ms + step * 100);
         leases.tick(now);
-        let request_part = TenantQuotaRequest {
+        let tenant_request = TenantQuotaRequest {
             tokens: 1,
             waiting: 1,
             ..TenantQuotaRequest::default()
         };
-        answer_to(leases, now, "front-1", 10 + step, request_part)
+        answer_to(leases, now, "front-1", 10 + step, tenant_request)
     };
     for step in 0..40 {
         assert_eq!(steady(&mut leases, step).refused_tokens, 0, "step {step}");
@@ -169,18 +167,18 @@
 #[test]
 fn a_request_answered_long_ago_is_not_processed_twice() {
     let mut leases = leader(MonotonicTime::ZERO);
-    let request_part = TenantQuotaRequest {
+    let tenant_request = TenantQuotaRequest {
         tokens: 1,
         waiting: 1,
         ..TenantQuotaRequest::default()
     };
     let first = MonotonicTime::from_millis(120_000);
     assert_eq!(
-        reply_to(&mut leases, first, "front-1", 1, request_part.clone()).code,
+        reply_to(&mut leases, first, "front-1", 1, tenant_request.clone()).code,
         0
     );
     let later = MonotonicTime::from_millis(122_000);
     leases.tick(later);
-    let again = reply_to(&mut leases, later, "front-1", 1, request_part);
+    let again = reply_to(&mut leases, later, "front-1", 1, tenant_request);
     assert_eq!(again.code, ResultCode::ControlTimeout.number());
 }
--- a/crates/control-state/tests/control_state/quota_slots.rs
+++ b/crates/control-state/tests/control_state/quota_slots.rs
@@ -40,14 +40,14 @@
         MonotonicTime::from_millis(self.now_ms)
     }
 
-    fn send(&mut self, member: &str, epoch: u64, request_part: TenantQuotaRequest) -> QuotaReply {
+    fn send(&mut self, member: &str, epoch: u64, tenant_request: TenantQuotaRequest) -> QuotaReply {
         self.next_request += 1;
         let request = QuotaRequest {
             shard: 1,
             request_id: self.next_request,
             member: member.to_owned(),
             epoch,
-            tenants: vec![request_part],
+            tenants: vec![tenant_request],
         };
         self.deliver(&request)
     }
@@ -69,22 +69,22 @@
     }
 
     fn slots_of(&mut self, member: &str, epoch: u64, requested: u32, in_use: u32) -> QuotaGrant {
-        let request_part = TenantQuotaRequest {
+        let tenant_request = TenantQuotaRequest {
             tenant: "library".to_owned(),
             slots_requested: requested,
             slots_in_use: in_use,
             ..TenantQuotaRequest::default()
         };
-        self.send(member, epoch, request_part).grants.remove(0)
+        self.send(member, epoch, tenant_request).grants.remove(0)
     }
 
     fn tokens(&mut self, member: &str, tokens: u32) -> QuotaGrant {
-        let request_part = TenantQuotaRequest {
+        let tenant_request = TenantQuotaRequest {
             tenant: "library".to_owned(),
             tokens,
             ..TenantQuotaRequest::default()
         };
-        self.send(member, 1, request_part).grants.remove(0)
+        self.send(member, 1, tenant_request).grants.remove(0)
     }
 }
 
@@ -146,12 +146,12 @@
     leader.slots("a", 1, 1);
     let again = leader.tokens("b", 60 - b.tokens);
     assert_eq!((again.tokens, again.refused), (0, false));
-    let request_part = TenantQuotaRequest {
+    let tenant_request = TenantQuotaRequest {
         tenant: "library".to_owned(),
         returned_tokens: 60 - b.tokens,
         ..TenantQuotaRequest::default()
     };
-    leader.send("a", 1, request_part);
+    leader.send("a", 1, tenant_request);
     assert_eq!(leader.tokens("b", 60 - b.tokens).tokens, 60 - b.tokens);
 }
 
@@ -187,11 +187,11 @@
     let mut leader = Leader::new(4);
     leader.slots("a", 4, 4);
     leader.tokens("b", 1);
-    let request_part = TenantQuotaRequest {
+    let tenant_request = TenantQuotaRequest {
         tenant: "other".to_owned(),
         ..TenantQuotaRequest::default()
     };
-    leader.send("a", 2, request_part);
+    leader.send("a", 2, tenant_request);
     assert!(leader.slots("b", 1, 0).slots_refused);
     leader.now_ms += 2_001;
     assert_eq!(leader.slots("b", 4, 0).slots, 4);
@@ -201,12 +201,12 @@
 fn an_older_epoch_is_fenced() {
     let mut leader = Leader::new(4);
     leader.slots_of("a", 2, 1, 1);
-    let request_part = TenantQuotaRequest {
+    let tenant_request = TenantQuotaRequest {
         tenant: "library".to_owned(),
         tokens: 1,
         ..TenantQuotaRequest::default()
     };
-    let reply = leader.send("a", 1, request_part);
+    let reply = leader.send("a", 1, tenant_request);
     assert_eq!(reply.code, ResultCode::EpochFenced.number());
     assert!(reply.grants.is_empty());
 }
@@ -214,7 +214,7 @@
 #[test]
 fn a_resent_request_gets_the_same_answer() {
     let mut leader = Leader::new(4);
-    let request_part = TenantQuotaRequest {
+    let tenant_request = TenantQuotaRequest {
         tenant: "library".to_owned(),
         tokens: 60,
         ..TenantQuotaRequest::default()
@@ -224,7 +224,7 @@
         request_id: 77,
         member: "a".to_owned(),
         epoch: 1,
-        tenants: vec![request_part],
+        tenants: vec![tenant_request],
     };
     let first = leader.deliver(&request);
     leader.now_ms += 1;
@@ -268,24 +268,24 @@
 fn without_leadership_nothing_is_granted() {
     let mut leader = Leader::new(4);
     leader.leases.resign();
-    let request_part = TenantQuotaRequest {
+    let tenant_request = TenantQuotaRequest {
         tenant: "library".to_owned(),
         tokens: 1,
         ..TenantQuotaRequest::default()
     };
-    let reply = leader.send("a", 1, request_part);
+    let reply = leader.send("a", 1, tenant_request);
     assert_eq!(reply.code, ResultCode::NotLeader.number());
 }
 
 #[test]
 fn an_unknown_tenant_waits_for_its_configuration() {
     let mut leader = Leader::new(4);
-    let request_part = TenantQuotaRequest {
+    let tenant_request = TenantQuotaRequest {
         tenant: "new".to_owned(),
         tokens: 1,
         ..TenantQuotaRequest::default()
     };
-    let grant = leader.send("a", 1, request_part).grants.remove(0);
+    let grant = leader.send("a", 1, tenant_request).grants.remove(0);
     assert_eq!((grant.tokens, grant.refused), (0, false));
     assert!(grant.retry_after_ms > 0);
 }
--- a/crates/feed/tests/view_properties.rs
+++ b/crates/feed/tests/view_properties.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// A publisher, a view and the messages between them.
+/// A publisher, a view and the messages in flight between them.
 struct Run {
     publisher: FeedPublisher,
     view: FeedView,
@@ -97,7 +97,7 @@
             Step::Progress => {
                 let deliveries = self.publisher.progress();
                 self.in_flight
-                    .extend(deliveries.into_iter().map(|d| d.message));
+                    .extend(deliveries.into_iter().map(|delivery| delivery.message));
             }
             Step::Lose { pick } => {
                 self.take(*pick);
@@ -125,7 +125,7 @@
         };
         let deliveries = self.publisher.apply(self.next_position(), changed);
         self.in_flight
-            .extend(deliveries.into_iter().map(|d| d.message));
+            .extend(deliveries.into_iter().map(|delivery| delivery.message));
         self.record();
     }
 
@@ -135,7 +135,7 @@
         items.retain(|present| present.key != "key/0");
         let deliveries = self.publisher.restore(self.next_position(), items);
         self.in_flight
-            .extend(deliveries.into_iter().map(|d| d.message));
+            .extend(deliveries.into_iter().map(|delivery| delivery.message));
         self.record();
     }
 
@@ -168,7 +168,7 @@
         Ok(())
     }
 
-    /// A calm end: what travels arrives in order, then one more subscription in order.
+    /// An end without faults: messages in flight arrive in order, then one more subscription.
     fn drain(&mut self) -> Result<(), String> {
         for _ in 0..2 {
             self.resubscribe();
@@ -188,8 +188,8 @@
 fn any_order_loss_or_repetition_ends_at_the_publishers_state() {
     fn property(steps: Vec<Step>) -> TestResult {
         let mut run = Run::new();
-        for step in &steps {
-            if let Err(fault) = run.step(step) {
+        for step in steps {
+            if let Err(fault) = run.step(&step) {
                 return TestResult::error(fault);
             }
         }
@@ -211,7 +211,8 @@
         let mut second = FeedPublisher::new(ShardId(1));
         let mut view = FeedView::new(ShardId(1));
         let mut reached = view.position();
-        for (index, value) in values.iter().enumerate() {
+        let mut moves = moves.into_iter();
+        for (index, value) in values.into_iter().enumerate() {
             let position = FeedPosition::new(1, index as u64 + 1);
             let changed = vec![item(value % 5, value % 3)];
             first.apply(position, changed.clone());
@@ -220,7 +221,7 @@
             } else if index > usize::from(restore_at) {
                 second.apply(position, changed);
             }
-            let use_second = moves.get(index).copied().unwrap_or(false);
+            let use_second = moves.next().unwrap_or(false);
             let publisher = if use_second { &mut second } else { &mut first };
             for message in publisher.subscribe(SUBSCRIBER, &view.subscribe()) {
                 if view.apply(message) == FeedOutcome::Stale {
