--- a/crates/control/src/gateway/node_file.rs
+++ b/crates/control/src/gateway/node_file.rs
@@ -1,4 +1,4 @@
-//! What a control node keeps on its disk besides the shards.
+//! What a control node stores on its disk besides the shards.
 
 use millford_api::state::ControlMember;
 use millford_core::NodeId;
@@ -57,13 +57,11 @@
     }
 
     /// Identity of this node.
-    #[must_use]
     pub fn identity(&self) -> NodeId {
         NodeId(self.node_id)
     }
 
     /// Whether the node belongs to a cluster.
-    #[must_use]
     pub fn is_formed(&self) -> bool {
         self.cluster_id != 0
     }
--- /dev/null
+++ b/crates/control/tests/components.rs
@@ -0,0 +1,277 @@
+//! Components of the control node in isolation: repair, stall detection, load snapshots, pending requests.
+
+use std::time::Duration;
+
+use millford_api::internal::{ReplicaLoad, ShardRequest};
+use millford_control::LinkId;
+use millford_control::NodeEvent;
+use millford_control::gateway::pending_requests::{Origin, PendingRequests, refusal};
+use millford_control::gateway::stall_detector::StallDetector;
+use millford_control::shard::load_snapshot_publisher::LoadSnapshotPublisher;
+use millford_control::shard::maintenance::MaintenanceSchedule;
+use millford_control::shard::move_events::MoveEvents;
+use millford_control::shard::repair::{GroupView, RepairPolicy, RepairStep, ReplicaView};
+use millford_control::shard::{MemberStatus, MemberView};
+use millford_core::{MonotonicTime, NodeId, ResultCode, ShardId};
+use millford_placement::{Move, MoveReason, ReplicaKey};
+
+const REPAIR: RepairPolicy = RepairPolicy {
+    replace_after: Duration::from_secs(5),
+    voters: 3,
+};
+
+fn at(millis: u64) -> MonotonicTime {
+    MonotonicTime::from_millis(millis)
+}
+
+fn replica(node: u64, record_report: u64, caught_up: bool) -> ReplicaView {
+    ReplicaView {
+        node: NodeId(node),
+        last_contact: at(record_report),
+        caught_up,
+    }
+}
+
+fn members(standbys: &[u64]) -> MemberView {
+    let mut view = MemberView::default();
+    for node in [1, 2, 3].iter().chain(standbys) {
+        let member = MemberStatus {
+            registered: true,
+            connected: true,
+            removed: false,
+        };
+        view.members.insert(NodeId(*node), member);
+    }
+    view
+}
+
+fn decide(group: &GroupView, members: &MemberView) -> Option<RepairStep> {
+    REPAIR.decide(at(10_000), NodeId(1), group, members)
+}
+
+#[test]
+fn a_learner_catches_up_before_the_lost_voter_is_removed_and_is_promoted_after() {
+    let mut group = GroupView {
+        voters: vec![
+            replica(1, 10_000, true),
+            replica(2, 9_900, true),
+            replica(3, 5_000, false),
+        ],
+        learners: Vec::new(),
+    };
+    let view = members(&[4]);
+    assert_eq!(
+        decide(&group, &view),
+        Some(RepairStep::AddLearner(NodeId(4)))
+    );
+    group.learners = vec![replica(4, 9_900, false)];
+    assert_eq!(decide(&group, &view), None, "it is behind");
+    group.learners = vec![replica(4, 9_900, true)];
+    assert_eq!(decide(&group, &view), Some(RepairStep::Remove(NodeId(3))));
+    group.voters.pop();
+    assert_eq!(decide(&group, &view), Some(RepairStep::Promote(NodeId(4))));
+}
+
+#[test]
+fn no_repair_without_a_standby_or_without_a_lost_voter() {
+    let lost = GroupView {
+        voters: vec![
+            replica(1, 10_000, true),
+            replica(2, 9_900, true),
+            replica(3, 5_000, false),
+        ],
+        learners: Vec::new(),
+    };
+    assert_eq!(decide(&lost, &members(&[])), None);
+    let unresponsive_for_less = GroupView {
+        voters: vec![
+            replica(1, 10_000, true),
+            replica(2, 9_900, true),
+            replica(3, 5_001, false),
+        ],
+        learners: Vec::new(),
+    };
+    assert_eq!(decide(&unresponsive_for_less, &members(&[4])), None);
+}
+
+#[test]
+fn a_learner_is_removed_when_the_voter_returned_or_the_learner_is_lost() {
+    let voters = vec![
+        replica(1, 10_000, true),
+        replica(2, 9_900, true),
+        replica(3, 9_900, true),
+    ];
+    let idle = GroupView {
+        voters: voters.clone(),
+        learners: vec![replica(4, 9_900, true)],
+    };
+    assert_eq!(
+        decide(&idle, &members(&[4])),
+        Some(RepairStep::Remove(NodeId(4)))
+    );
+    let unresponsive = GroupView {
+        voters,
+        learners: vec![replica(4, 4_000, false)],
+    };
+    assert_eq!(
+        decide(&unresponsive, &members(&[4])),
+        Some(RepairStep::Remove(NodeId(4)))
+    );
+}
+
+#[test]
+fn a_core_without_reports_counts_as_stalled_until_the_next_report() {
+    let mut stall_detector = StallDetector::default();
+    stall_detector.record_report(at(0), ShardId(0));
+    stall_detector.record_report(at(900), ShardId(1));
+    stall_detector.tick(at(999));
+    assert!(!stall_detector.any_stalled());
+    stall_detector.tick(at(1000));
+    assert!(
+        stall_detector.any_stalled(),
+        "shard 0 has not reported for a second"
+    );
+    stall_detector.record_report(at(1010), ShardId(0));
+    stall_detector.tick(at(1020));
+    assert!(!stall_detector.any_stalled());
+}
+
+fn load(backend: &str, streams: u32) -> ReplicaLoad {
+    ReplicaLoad {
+        backend_id: backend.to_owned(),
+        model: "saga".to_owned(),
+        decode_streams: streams,
+        ..ReplicaLoad::default()
+    }
+}
+
+#[test]
+fn a_load_snapshot_carries_differences_and_lists_removed_replicas_as_idle() {
+    let mut publisher = LoadSnapshotPublisher::default();
+    let first = publisher.difference(at(20_000), "pool", vec![load("a", 1), load("b", 2)]);
+    assert_eq!(first.len(), 2);
+    let second = publisher.difference(at(20_500), "pool", vec![load("a", 1), load("b", 3)]);
+    assert_eq!(second, [load("b", 3)]);
+    let third = publisher.difference(at(21_000), "pool", vec![load("a", 1)]);
+    assert_eq!(third, [load("b", 0)]);
+    let full = publisher.difference(at(31_000), "pool", vec![load("a", 1)]);
+    assert_eq!(full, [load("a", 1)], "for nodes that joined since");
+}
+
+#[test]
+fn large_load_snapshots_are_published_less_often() {
+    let mut publisher = LoadSnapshotPublisher::default();
+    publisher.sent(at(0), 100);
+    assert!(publisher.is_due(at(500)));
+    publisher.sent(at(1000), 100_000);
+    assert!(!publisher.is_due(at(30_000)));
+}
+
+#[test]
+fn load_snapshots_of_a_small_site_are_published_more_often_within_budget() {
+    let mut publisher = LoadSnapshotPublisher::default();
+    publisher.set_site(16, 16);
+    publisher.sent(at(0), 100);
+    assert!(!publisher.is_due(at(249)));
+    assert!(publisher.is_due(at(250)));
+    publisher.sent(at(1000), 768);
+    assert!(!publisher.is_due(at(1999)), "768 bytes a second");
+    assert!(publisher.is_due(at(2000)));
+    for (backends, nodes) in [(17, 16), (16, 17)] {
+        publisher.set_site(backends, nodes);
+        publisher.sent(at(3000), 100);
+        assert!(
+            !publisher.is_due(at(3499)),
+            "{backends} backends, {nodes} nodes"
+        );
+        publisher.sent(at(4000), 512);
+        assert!(!publisher.is_due(at(4999)));
+    }
+}
+
+fn submitted(requests: &mut PendingRequests, forwarded: bool) -> u64 {
+    let origin = Origin::Link {
+        link: LinkId(1),
+        request_id: 77,
+    };
+    let request = ShardRequest::default();
+    let timeout = Duration::from_secs(2);
+    if forwarded {
+        requests.submit_forwarded(at(0), origin, request, timeout)
+    } else {
+        requests.submit(at(0), origin, request, timeout)
+    }
+}
+
+#[test]
+fn a_misdirected_request_is_retried_at_the_hinted_leader_and_a_forwarded_one_is_returned() {
+    let mut requests = PendingRequests::default();
+    let correlation_id = submitted(&mut requests, false);
+    assert_eq!(requests.take_due(at(0)).len(), 1);
+    let wrong = refusal(&ShardRequest::default(), ResultCode::NotLeader, NodeId(5));
+    assert!(
+        requests
+            .answer(at(10), correlation_id, wrong.clone())
+            .is_none()
+    );
+    let again = requests.take_due(at(100));
+    assert_eq!((again.len(), again[0].hint), (1, NodeId(5)));
+
+    let mut requests = PendingRequests::default();
+    let correlation_id = submitted(&mut requests, true);
+    assert_eq!(requests.take_due(at(0)).len(), 1);
+    assert!(requests.take_due(at(1500)).is_empty(), "tried once only");
+    let completed = requests
+        .answer(at(1510), correlation_id, wrong)
+        .expect("it goes back");
+    assert_eq!(completed.reply.leader_hint, 5);
+}
+
+#[test]
+fn a_request_without_a_reply_is_resent_and_times_out_at_its_deadline() {
+    let mut requests = PendingRequests::default();
+    submitted(&mut requests, false);
+    assert_eq!(requests.take_due(at(0)).len(), 1);
+    assert!(requests.take_due(at(600)).is_empty());
+    assert_eq!(requests.take_due(at(700)).len(), 1);
+    assert!(requests.take_overdue(at(1999)).is_empty());
+    let overdue = requests.take_overdue(at(2000));
+    assert_eq!(overdue.len(), 1);
+    assert_eq!(overdue[0].reply.code, ResultCode::ControlTimeout.number());
+    assert!(requests.is_empty());
+}
+
+#[test]
+fn moves_are_reported_once_and_a_large_plan_is_counted() {
+    let moves_of = |count: usize| -> Vec<Move> {
+        let steps = (0..count).map(|number| Move {
+            replica: ReplicaKey::new(&format!("b{number:02}"), "m", "1"),
+            reason: MoveReason::TransitionDeferred,
+        });
+        steps.collect()
+    };
+    let mut move_events = MoveEvents::default();
+    assert_eq!(move_events.of_plan("pool", &moves_of(2)).len(), 2);
+    assert!(
+        move_events.of_plan("pool", &moves_of(2)).is_empty(),
+        "reported already"
+    );
+    assert!(move_events.of_plan("pool", &[]).is_empty());
+    let many = move_events.of_plan("pool", &moves_of(50));
+    assert_eq!(many.len(), 9);
+    let rest = NodeEvent::MorePlacements {
+        pool: "pool".to_owned(),
+        more: 42,
+    };
+    assert_eq!(many[8], rest);
+}
+
+#[test]
+fn stalled_time_is_the_tick_gap_beyond_its_maximum() {
+    let mut maintenance = MaintenanceSchedule::new(at(0));
+    assert_eq!(maintenance.stalled_time(at(20)), None);
+    assert_eq!(maintenance.stalled_time(at(120)), None, "late, but it runs");
+    let lost = maintenance.stalled_time(at(1120));
+    assert_eq!(lost, Some(Duration::from_millis(900)));
+    assert_eq!(maintenance.stalled_time(at(1140)), None, "reported once");
+}
--- /dev/null
+++ b/crates/forward/src/load/owned_loads.rs
@@ -0,0 +1,109 @@
+//! What every node has in flight on the backends whose counts this node owns.
+
+use std::collections::BTreeMap;
+
+use millford_api::exchange::{BackendInFlight, InFlightUpdate, ReplicaInFlight};
+use millford_core::{Duration, MonotonicTime};
+
+/// Nodes publish unchanged work again at this interval, which makes up for lost updates.
+pub const REPUBLISH_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Work of a node that was not published for this long no longer counts: three repetitions were missed.
+pub const WORK_EXPIRY: Duration = Duration::from_secs(3);
+
+/// What one node published last of its work on one backend.
+#[derive(Clone, Debug)]
+struct MemberWork {
+    boot_id: u64,
+    sequence: u64,
+    received_at: MonotonicTime,
+    replicas: Vec<ReplicaInFlight>,
+}
+
+/// Identity of a replica on one backend, in the order of summing.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ReplicaName<'a> {
+    pool: &'a str,
+    model: &'a str,
+    version: &'a str,
+}
+
+impl<'a> From<&'a ReplicaInFlight> for ReplicaName<'a> {
+    fn from(replica: &'a ReplicaInFlight) -> Self {
+        Self {
+            pool: &replica.pool,
+            model: &replica.model,
+            version: &replica.version,
+        }
+    }
+}
+
+/// Work by backend and node. Every entry is absolute, so that updates may be lost, repeated and
+/// reordered: the newest of each node wins.
+#[derive(Debug, Default)]
+pub struct OwnedLoads {
+    backends: BTreeMap<String, BTreeMap<String, MemberWork>>,
+}
+
+impl OwnedLoads {
+    /// Applies a node's update. What is older than what is known is ignored.
+    pub fn apply(
+        &mut self,
+        now: MonotonicTime,
+        member: &str,
+        boot_id: u64,
+        update: &InFlightUpdate,
+    ) {
+        for work in &update.backends {
+            let members = self.backends.entry(work.backend_id.clone()).or_default();
+            let known = members.get(member);
+            let outdated = known
+                .is_some_and(|known| known.boot_id == boot_id && update.sequence <= known.sequence);
+            if outdated {
+                continue;
+            }
+            let newest = MemberWork {
+                boot_id,
+                sequence: update.sequence,
+                received_at: now,
+                replicas: work.replicas.clone(),
+            };
+            members.insert(member.to_owned(), newest);
+        }
+    }
+
+    /// What all nodes but `except` have in flight on a backend, summed by replica.
+    #[must_use]
+    pub fn others(&self, now: MonotonicTime, backend_id: &str, except: &str) -> BackendInFlight {
+        let mut sums: BTreeMap<ReplicaName<'_>, ReplicaInFlight> = BTreeMap::new();
+        let members = self.backends.get(backend_id).into_iter().flatten();
+        let live = members.filter(|(member, work)| {
+            *member != except && now.since(work.received_at) < WORK_EXPIRY
+        });
+        for replica in live.flat_map(|(_, work)| &work.replicas) {
+            let name = ReplicaName::from(replica);
+            sums.entry(name)
+                .and_modify(|sum| add(sum, replica))
+                .or_insert_with(|| replica.clone());
+        }
+        BackendInFlight {
+            backend_id: backend_id.to_owned(),
+            replicas: sums.into_values().collect(),
+        }
+    }
+
+    /// Forgets nodes whose updates expired.
+    pub fn expire(&mut self, now: MonotonicTime) {
+        self.backends.retain(|_, members| {
+            members.retain(|_, work| now.since(work.received_at) < WORK_EXPIRY);
+            !members.is_empty()
+        });
+    }
+}
+
+/// The counts come from the network and may be anything.
+fn add(sum: &mut ReplicaInFlight, replica: &ReplicaInFlight) {
+    sum.prefill_tokens = sum.prefill_tokens.saturating_add(replica.prefill_tokens);
+    sum.decode_streams = sum.decode_streams.saturating_add(replica.decode_streams);
+    sum.held_requests = sum.held_requests.saturating_add(replica.held_requests);
+}
--- a/crates/proxy/src/daemon/prober.rs
+++ b/crates/proxy/src/daemon/prober.rs
@@ -7,11 +7,11 @@
 use futures::stream;
 use millford_core::Duration;
 use millford_core::time::monotonic_now;
+use millford_data_plane::proxy_state::ProxyState;
 use millford_routing::EjectionReason;
 use millford_settings::PartLog;
 
 use crate::daemon::backend_client::BackendClient;
-use crate::proxy_state::ProxyState;
 
 const LOG: PartLog = PartLog::new("HEALTH");
 
@@ -79,7 +79,7 @@
         state.health.probe_succeeded(&id, monotonic_now());
     } else if state.health.probe_failed(&id) {
         let ejections = &state.metrics.ejections;
-        let reason = EjectionReason::Silent.name();
+        let reason = EjectionReason::Unresponsive.name();
         ejections.with_label_values(&[reason]).inc();
     }
 }
--- a/crates/replication/tests/earlier_terms.rs
+++ b/crates/replication/tests/earlier_terms.rs
@@ -3,6 +3,7 @@
 
 mod group;
 
+use group::simulation::Defect;
 use group::world::{Action, World};
 
 const A: usize = 0;
@@ -12,7 +13,7 @@
 /// A leads and its entry stays alone; B leads with C's vote and its entry of the same index stays
 /// alone; A leads again and brings its old entry, and no more, to C.
 fn old_entry_on_a_quorum() -> World {
-    let mut world = World::new(false);
+    let mut world = World::new(Defect::None);
     for machine in &mut world.machines {
         // One entry in a message, so that the old one goes alone.
         machine.limits.append_bytes = 1;
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn an_entry_that_only_an_older_term_wrote_is_not_committed_by_counting() {
+fn an_entry_of_an_earlier_term_is_not_committed_by_counting_replicas() {
     let mut world = old_entry_on_a_quorum();
     let old = entry_term(&world, A, 2);
     // The probe, its refusal, and the old entry until C holds it.
@@ -55,9 +56,9 @@
 /// Delivers one message between two replicas.
 fn deliver_between(world: &mut World, left: usize, right: usize) {
     let pair = [group::world::NODES[left], group::world::NODES[right]];
-    let place = world
-        .under_way
+    let index = world
+        .in_transit
         .iter()
         .position(|message| pair.contains(&message.from) && pair.contains(&message.to));
-    world.act(Action::Deliver(place.expect("a message is under way")));
+    world.act(Action::Deliver(index.expect("a message is in transit")));
 }
--- a/crates/simulation/src/checkers/adoption.rs
+++ b/crates/simulation/src/checkers/adoption.rs
@@ -1,4 +1,4 @@
-//! An acknowledged revision governs every node in touch within two seconds.
+//! Every connected node applies an acknowledged revision within two seconds.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,29 +6,40 @@
 use millford_core::MonotonicTime;
 
 use crate::checkers::checker::Checker;
-use crate::checkers::promise::Promise;
-use crate::checkers::touch_table::TouchTable;
+use crate::checkers::connectivity_table::ConnectivityTable;
+use crate::checkers::guarantee::Guarantee;
 use crate::checkers::verdict::Verdict;
-use crate::history::{FrontNumber, OrderAnswer, Record};
+use crate::history::{OrderAnswer, ProxyNodeNumber, Record};
 use crate::scenario::Figure;
 
+/// Time from the acknowledgement of a revision to its use by every connected node.
 const LIMIT: Duration = Duration::from_secs(2);
 
-/// Follows the revision of each front machine behind the acknowledged ones.
+/// A revision that a proxy node has not applied.
+#[derive(Clone, Copy)]
+struct PendingRevision {
+    revision: u64,
+    /// Since when the proxy node could have applied it.
+    since: MonotonicTime,
+}
+
+/// Follows the revision of each proxy node behind the acknowledged ones.
 #[derive(Default)]
 pub struct AdoptionChecker {
-    touch: TouchTable,
+    connectivity: ConnectivityTable,
     /// Time of the first acknowledgement of each revision.
     acknowledged: BTreeMap<u64, MonotonicTime>,
-    shown: BTreeMap<FrontNumber, u64>,
-    reported: BTreeMap<FrontNumber, u64>,
+    /// Revision that each proxy node routes by.
+    applied: BTreeMap<ProxyNodeNumber, u64>,
+    /// Revision up to which a proxy node was reported as late.
+    reported: BTreeMap<ProxyNodeNumber, u64>,
 }
 
 impl Checker for AdoptionChecker {
     fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
-        // Before the record is taken in: what was overdue under the touch that held until now.
+        // Before the record is applied: what was overdue under the connectivity until now.
         self.check_overdue(at, verdict);
-        self.touch.observe(at, record);
+        self.connectivity.observe(at, record);
         match record {
             Record::OrderAnswered {
                 answer: OrderAnswer::Accepted { revision, .. },
@@ -36,12 +47,15 @@
             } => {
                 self.acknowledged.entry(*revision).or_insert(at);
             }
-            Record::FrontStarted { front } => {
-                self.shown.remove(front);
+            Record::ProxyNodeStarted { proxy_node } => {
+                self.applied.remove(proxy_node);
             }
-            Record::RevisionShown { front, revision } => {
-                self.measure(at, *front, *revision, verdict);
-                self.shown.insert(*front, *revision);
+            Record::RevisionApplied {
+                proxy_node,
+                revision,
+            } => {
+                self.measure(at, *proxy_node, *revision, verdict);
+                self.applied.insert(*proxy_node, *revision);
             }
             _ => {}
         }
@@ -49,44 +63,51 @@
 }
 
 impl AdoptionChecker {
-    // The first acknowledged revision that the front machine does not show.
-    fn behind(&self, front: FrontNumber) -> Option<(u64, MonotonicTime)> {
-        // Who shows nothing serves nothing; how long that may last is the recovery's promise.
-        let shown = self.shown.get(&front)?;
-        let next = self.acknowledged.range(shown + 1..).next()?;
-        Some((*next.0, *next.1))
-    }
-
-    fn waiting_since(&self, front: FrontNumber) -> Option<(u64, MonotonicTime)> {
-        let (revision, acknowledged) = self.behind(front)?;
-        let touch = self.touch.touch_since(front)?;
-        Some((revision, acknowledged.max(touch)))
+    /// The first acknowledged revision that a connected proxy node has not applied.
+    fn pending(&self, proxy_node: ProxyNodeNumber) -> Option<PendingRevision> {
+        // A node that applied nothing serves nothing; how long that may last is the recovery's guarantee.
+        let applied = self.applied.get(&proxy_node)?;
+        let (revision, acknowledged) = self.acknowledged.range(applied + 1..).next()?;
+        let connected = self.connectivity.connected_since(proxy_node)?;
+        Some(PendingRevision {
+            revision: *revision,
+            since: connected.max(*acknowledged),
+        })
     }
 
     fn check_overdue(&mut self, at: MonotonicTime, verdict: &mut Verdict) {
-        let fronts: Vec<FrontNumber> = self.touch.fronts().collect();
-        for front in fronts {
-            let Some((revision, since)) = self.waiting_since(front) else {
+        let proxy_nodes: Vec<ProxyNodeNumber> = self.connectivity.proxy_nodes().collect();
+        for proxy_node in proxy_nodes {
+            let Some(PendingRevision { revision, since }) = self.pending(proxy_node) else {
                 continue;
             };
-            let reported = self.reported.entry(front).or_default();
+            let reported = self.reported.entry(proxy_node).or_default();
             if at.since(since) <= LIMIT || *reported >= revision {
                 continue;
             }
             *reported = revision;
-            let shown = self.shown.get(&front).copied().unwrap_or(0);
-            let text = format!("{front:?} in touch shows {shown}, not {revision}, after 2 s");
-            verdict.broken(at, Promise::Adoption, text);
+            let applied = self.applied.get(&proxy_node).copied().unwrap_or(0);
+            let text = format!(
+                "{proxy_node:?} is connected and routes by {applied}, not {revision}, after 2 s"
+            );
+            verdict.record_violation(at, Guarantee::Adoption, text);
         }
     }
 
-    fn measure(&self, at: MonotonicTime, front: FrontNumber, revision: u64, verdict: &mut Verdict) {
-        let Some((behind, since)) = self.waiting_since(front) else {
+    fn measure(
+        &self,
+        at: MonotonicTime,
+        proxy_node: ProxyNodeNumber,
+        revision: u64,
+        verdict: &mut Verdict,
+    ) {
+        let Some(pending) = self.pending(proxy_node) else {
             return;
         };
-        if revision >= behind {
-            let millis = u64::try_from(at.since(since).as_millis()).unwrap_or(u64::MAX);
-            verdict.figures.raise(Figure::Adoption, millis);
+        if revision >= pending.revision {
+            verdict
+                .figures
+                .raise_duration(Figure::Adoption, at.since(pending.since));
         }
     }
 }
--- a/crates/simulation/src/scenario/fault_parser.rs
+++ b/crates/simulation/src/scenario/fault_parser.rs
@@ -1,177 +1,206 @@
-//! Reads one fault from the words after `at TIME`.
+//! Parses one fault from the tokens after `at TIME`.
 
 use std::time::Duration;
 
 use crate::scenario::answer_fault::AnswerFault;
 use crate::scenario::disk_fault::DiskFault;
-use crate::scenario::fault::{CutSense, Fault, RollKind};
+use crate::scenario::fault::{Fault, PartitionDirection, RollKind};
+use crate::scenario::parse_error::StatementError;
 use crate::scenario::target::{Choice, Target, TargetKind};
-use crate::scenario::words::Words;
+use crate::scenario::tokens::Tokens;
 
+/// How long a process stays down when the file names no time.
 const DEFAULT_DOWN: Duration = Duration::from_secs(2);
 
-/// Reads the fault; the caller checks that nothing follows.
-pub fn parse_fault(words: &mut Words) -> Result<Fault, String> {
-    match words.next("a fault")? {
+/// Whether a target keyword names one of its kind or all.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Count {
+    One,
+    All,
+}
+
+/// Parses the fault; the caller checks that nothing follows.
+pub(crate) fn parse_fault(tokens: &mut Tokens<'_>) -> Result<Fault, StatementError> {
+    match tokens.next("a fault")? {
+        "race" => Ok(Fault::Race),
+        "revoke" => Ok(Fault::Revoke),
+        "lose-answers" => Ok(Fault::LostReplies {
+            length: tokens.length()?,
+        }),
+        "orders" => Ok(Fault::Orders {
+            count: tokens.number()?,
+        }),
+        "burst" => Ok(Fault::Burst {
+            times: tokens.number()?,
+            length: tokens.length()?,
+        }),
+        "hot-tenant" => Ok(Fault::HotTenant {
+            length: tokens.length()?,
+        }),
+        "answers" => parse_answer_fault(tokens),
+        "registry" => parse_registry_fault(tokens),
+        "roll" => parse_roll(tokens),
+        keyword => parse_target_fault(keyword, tokens),
+    }
+}
+
+/// Parses a fault that strikes a target.
+fn parse_target_fault(keyword: &str, tokens: &mut Tokens<'_>) -> Result<Fault, StatementError> {
+    match keyword {
         "kill" => Ok(Fault::Kill {
-            target: parse_target(words)?,
-            down: words.length_or(DEFAULT_DOWN)?,
+            target: parse_target(tokens)?,
+            down: tokens.length_or(DEFAULT_DOWN)?,
         }),
         "wipe" => Ok(Fault::Wipe {
-            target: parse_target(words)?,
-            down: words.length_or(DEFAULT_DOWN)?,
+            target: parse_target(tokens)?,
+            down: tokens.length_or(DEFAULT_DOWN)?,
         }),
         "replace" => Ok(Fault::Replace {
-            target: parse_target(words)?,
-            down: words.length_or(DEFAULT_DOWN)?,
+            target: parse_target(tokens)?,
+            down: tokens.length_or(DEFAULT_DOWN)?,
         }),
         "freeze" => Ok(Fault::Freeze {
-            target: parse_target(words)?,
-            length: words.length()?,
+            target: parse_target(tokens)?,
+            length: tokens.length()?,
         }),
-        "cut" => parse_cut(words),
         "reset" => Ok(Fault::Reset {
-            target: parse_target(words)?,
+            target: parse_target(tokens)?,
         }),
-        "disk" => parse_disk(words),
-        "clock" => parse_clock(words),
         "retire" => Ok(Fault::Retire {
-            target: parse_target(words)?,
-        }),
-        "answers" => parse_answers(words),
-        "registry" => {
-            words.expect("still")?;
-            Ok(Fault::RegistryStill {
-                length: words.length()?,
-            })
-        }
-        "race" => Ok(Fault::Race),
-        "lose-answers" => Ok(Fault::LostAnswers {
-            length: words.length()?,
-        }),
-        "revoke" => Ok(Fault::Revoke),
-        "burst" => Ok(Fault::Burst {
-            times: words.number("")?,
-            length: words.length()?,
-        }),
-        "hot-tenant" => Ok(Fault::HotTenant {
-            length: words.length()?,
+            target: parse_target(tokens)?,
         }),
-        "roll" => parse_roll(words),
-        "orders" => Ok(Fault::Orders {
-            count: words.number("")?,
-        }),
-        other => Err(format!("unknown fault {other:?}")),
+        "cut" => parse_partition(tokens),
+        "disk" => parse_disk_fault(tokens),
+        "clock" => parse_clock_fault(tokens),
+        other => Err(StatementError::unknown("fault", other)),
     }
 }
 
-fn parse_target(words: &mut Words) -> Result<Target, String> {
-    let word = words.next("a target")?;
-    let (kind, all) = target_kind(word).ok_or_else(|| format!("unknown target {word:?}"))?;
-    if all {
+fn parse_target(tokens: &mut Tokens<'_>) -> Result<Target, StatementError> {
+    let keyword = tokens.next("a target")?;
+    let (kind, count) =
+        target_kind(keyword).ok_or_else(|| StatementError::unknown("target", keyword))?;
+    if count == Count::All {
         return Ok(Target {
             kind,
             choice: Choice::All,
         });
     }
-    let choice = match words.next("which one")? {
+    let choice = match tokens.next("which one")? {
         "any" => Choice::Any,
-        "leader" if kind == TargetKind::Core => Choice::Leader,
-        number => Choice::Number(
-            number
+        "leader" if kind == TargetKind::ControlNode => Choice::Leader,
+        number => {
+            let number = number
                 .parse()
-                .map_err(|_| format!("{number:?} is not a number, any or leader"))?,
-        ),
+                .map_err(|source| StatementError::InvalidChoice {
+                    found: number.to_owned(),
+                    source,
+                })?;
+            Choice::Number(number)
+        }
     };
     Ok(Target { kind, choice })
 }
 
-fn target_kind(word: &str) -> Option<(TargetKind, bool)> {
-    Some(match word {
-        "core" => (TargetKind::Core, false),
-        "cores" => (TargetKind::Core, true),
-        "front" => (TargetKind::Front, false),
-        "fronts" => (TargetKind::Front, true),
-        "agent" => (TargetKind::Agent, false),
-        "agents" => (TargetKind::Agent, true),
-        "proxy" => (TargetKind::Proxy, false),
-        "proxies" => (TargetKind::Proxy, true),
-        "model" => (TargetKind::Model, false),
-        "models" => (TargetKind::Model, true),
-        "lookup" => (TargetKind::Lookup, false),
-        "lookups" => (TargetKind::Lookup, true),
+/// The scenario files' keywords for machines and processes.
+fn target_kind(keyword: &str) -> Option<(TargetKind, Count)> {
+    Some(match keyword {
+        "core" => (TargetKind::ControlNode, Count::One),
+        "cores" => (TargetKind::ControlNode, Count::All),
+        "front" => (TargetKind::ProxyNode, Count::One),
+        "fronts" => (TargetKind::ProxyNode, Count::All),
+        "agent" => (TargetKind::Agent, Count::One),
+        "agents" => (TargetKind::Agent, Count::All),
+        "proxy" => (TargetKind::Proxy, Count::One),
+        "proxies" => (TargetKind::Proxy, Count::All),
+        "model" => (TargetKind::Model, Count::One),
+        "models" => (TargetKind::Model, Count::All),
+        "lookup" => (TargetKind::Lookup, Count::One),
+        "lookups" => (TargetKind::Lookup, Count::All),
         _ => return None,
     })
 }
 
-fn parse_cut(words: &mut Words) -> Result<Fault, String> {
-    let target = parse_target(words)?;
-    let from = match words.take("from") {
-        true => Some(parse_target(words)?),
-        false => None,
+fn parse_partition(tokens: &mut Tokens<'_>) -> Result<Fault, StatementError> {
+    let target = parse_target(tokens)?;
+    let from = if tokens.take("from") {
+        Some(parse_target(tokens)?)
+    } else {
+        None
     };
-    let sense = if words.take("outward") {
-        CutSense::Outward
-    } else if words.take("inward") {
-        CutSense::Inward
+    let direction = if tokens.take("outward") {
+        PartitionDirection::Outward
+    } else if tokens.take("inward") {
+        PartitionDirection::Inward
     } else {
-        CutSense::Both
+        PartitionDirection::Both
     };
-    Ok(Fault::Cut {
+    Ok(Fault::Partition {
         target,
         from,
-        sense,
-        length: words.length()?,
+        direction,
+        length: tokens.length()?,
     })
 }
 
-fn parse_disk(words: &mut Words) -> Result<Fault, String> {
-    let target = parse_target(words)?;
-    let fault = match words.next("a disk fault")? {
-        "slow" => DiskFault::Slow(words.duration()?),
+fn parse_disk_fault(tokens: &mut Tokens<'_>) -> Result<Fault, StatementError> {
+    let target = parse_target(tokens)?;
+    let fault = match tokens.next("a disk fault")? {
+        "slow" => DiskFault::Slow(tokens.duration()?),
         "stalled" => DiskFault::Stalled,
         "full" => DiskFault::Full,
         "failing" => DiskFault::FailingSync,
-        other => return Err(format!("unknown disk fault {other:?}")),
+        other => return Err(StatementError::unknown("disk fault", other)),
     };
     Ok(Fault::Disk {
         target,
         fault,
-        length: words.length()?,
+        length: tokens.length()?,
     })
 }
 
-fn parse_clock(words: &mut Words) -> Result<Fault, String> {
-    let target = parse_target(words)?;
-    match words.next("jump or drift")? {
+fn parse_clock_fault(tokens: &mut Tokens<'_>) -> Result<Fault, StatementError> {
+    let target = parse_target(tokens)?;
+    match tokens.next("jump or drift")? {
         "jump" => Ok(Fault::ClockJump {
             target,
-            by: words.duration()?,
+            by: tokens.duration()?,
         }),
         "drift" => Ok(Fault::ClockDrift {
             target,
-            ppm: words.number("ppm")?,
+            ppm: tokens.number_with_suffix("ppm")?,
         }),
-        other => Err(format!("unknown clock fault {other:?}")),
+        other => Err(StatementError::unknown("clock fault", other)),
     }
 }
 
-fn parse_answers(words: &mut Words) -> Result<Fault, String> {
-    let word = words.next("an answer fault")?;
-    let fault =
-        AnswerFault::from_word(word).ok_or_else(|| format!("unknown answer fault {word:?}"))?;
+fn parse_answer_fault(tokens: &mut Tokens<'_>) -> Result<Fault, StatementError> {
+    let keyword = tokens.next("an answer fault")?;
+    let fault = AnswerFault::from_keyword(keyword)
+        .ok_or_else(|| StatementError::unknown("answer fault", keyword))?;
     Ok(Fault::Answers {
         fault,
-        length: words.length()?,
+        length: tokens.length()?,
     })
 }
 
-fn parse_roll(words: &mut Words) -> Result<Fault, String> {
-    let kind = match words.next("what to roll")? {
-        "cores" => RollKind::Cores,
-        "fronts" => RollKind::Fronts,
+fn parse_registry_fault(tokens: &mut Tokens<'_>) -> Result<Fault, StatementError> {
+    tokens.expect("still")?;
+    Ok(Fault::FrozenRegistry {
+        length: tokens.length()?,
+    })
+}
+
+fn parse_roll(tokens: &mut Tokens<'_>) -> Result<Fault, StatementError> {
+    let kind = match tokens.next("what to roll")? {
+        "cores" => RollKind::ControlNodes,
+        "fronts" => RollKind::ProxyNodes,
         "models" => RollKind::Models,
-        other => return Err(format!("cannot roll {other:?}")),
+        other => {
+            return Err(StatementError::InvalidRoll {
+                found: other.to_owned(),
+            });
+        }
     };
     Ok(Fault::Roll { kind })
 }
--- a/crates/simulation/src/world/agent_link_driver.rs
+++ b/crates/simulation/src/world/agent_link_driver.rs
@@ -3,14 +3,13 @@
 use std::time::Duration;
 
 use millford_api::local::{LocalFrame, ProxyHello, local_frame};
-use millford_proxy::control::frame_handler::FrameOutcome;
+use millford_data_plane::frame_handler::FrameOutcome;
 
-use crate::history::{FrontNumber, Record};
+use crate::history::{ProxyNodeNumber, Record};
 use crate::network::ProcessId;
 use crate::world::defect::Defect;
-use crate::world::event::Event;
 use crate::world::process_input::ProcessInput;
-use crate::world::proxy::{ProxyAction, lock};
+use crate::world::proxy::{AgentLink, ProxyAction, ProxyProcess, lock};
 use crate::world::site::Site;
 
 const RECONNECT: Duration = Duration::from_millis(50);
@@ -19,18 +18,19 @@
     pub(super) fn connect_to_agent(&mut self, number: u16) {
         let link = self.open_link(ProcessId::Proxy(number), ProcessId::Agent(number));
         if let Some(proxy) = self.proxies.get_mut(&number) {
-            proxy.agent = Some(link);
-            proxy.agent_open = false;
+            proxy.agent = AgentLink::Connecting(link);
         }
     }
 
-    pub(super) fn greet_agent(&mut self, number: u16) {
-        let boot_id = self.boot_of(ProcessId::Proxy(number));
+    pub(super) fn send_hello(&mut self, number: u16) {
+        let boot_id = self.incarnation_of(ProcessId::Proxy(number));
         let Some(proxy) = self.proxies.get_mut(&number) else {
             return;
         };
-        proxy.agent_open = true;
-        let Some(core) = proxy.core.as_ref() else {
+        if let Some(link) = proxy.agent.number() {
+            proxy.agent = AgentLink::Open(link);
+        }
+        let Some(running) = proxy.running.as_ref() else {
             return;
         };
         let hello = local_frame::Body::ProxyHello(ProxyHello {
@@ -38,35 +38,27 @@
             caller_address: format!("10.0.2.{number}:8080"),
         });
         let mut frames = vec![LocalFrame { body: Some(hello) }];
-        frames.push(core.handler.shown_frame());
+        frames.push(running.handler.applied_revision_frame());
         // What tasks queued for the old connection is among the unanswered, or out of date.
-        let mut port = lock(&core.port);
+        let mut port = lock(&running.port);
         port.actions
             .retain(|action| !matches!(action, ProxyAction::ToAgent(_)));
         let now = port.now;
         drop(port);
-        frames.extend(core.desk.unanswered(now));
+        frames.extend(running.agent_client.in_flight_frames(now));
         for frame in frames {
             self.proxy_to_agent(number, frame);
         }
     }
 
-    pub(super) fn lose_agent(&mut self, number: u16) {
+    pub(super) fn agent_disconnected(&mut self, number: u16) {
         let process = ProcessId::Proxy(number);
-        let boot = self.boot_of(process);
+        let incarnation = self.incarnation_of(process);
         if let Some(proxy) = self.proxies.get_mut(&number) {
-            proxy.agent = None;
-            proxy.agent_open = false;
+            proxy.agent = AgentLink::Disconnected;
         }
         let input = ProcessInput::Reconnect;
-        self.after(
-            RECONNECT,
-            Event::Input {
-                process,
-                boot,
-                input,
-            },
-        );
+        self.schedule_input(RECONNECT, process, incarnation, input);
     }
 
     pub(super) fn local_frame(&mut self, number: u16, frame: LocalFrame) {
@@ -79,55 +71,51 @@
         if is_configuration(&frame) && !proxy.first_frames.iter().any(names_revision) {
             proxy.first_frames.push(frame.clone());
         }
-        let Some(core) = proxy.core.as_mut() else {
+        let Some(running) = proxy.running.as_mut() else {
             return;
         };
-        match core.handler.handle(frame) {
-            FrameOutcome::Nothing => self.note_shown(number),
+        match running.handler.handle(frame) {
+            FrameOutcome::Nothing => self.record_applied_revision(number),
             FrameOutcome::Changed => {
-                let shown = core.handler.show();
-                self.note_shown(number);
-                if let Some(frame) = shown {
+                let applied = running.handler.apply_changes();
+                self.record_applied_revision(number);
+                if let Some(frame) = applied {
                     self.proxy_to_agent(number, frame);
                 }
             }
             FrameOutcome::Reconnect => {
-                if let Some(link) = proxy.agent {
+                if let Some(link) = proxy.agent.number() {
                     self.close_link(ProcessId::Proxy(number), link);
                 }
-                self.lose_agent(number);
+                self.agent_disconnected(number);
             }
-            answer => core.desk.answered(&core.port, answer),
+            answer => running.agent_client.handle_answer(&running.port, answer),
         }
     }
 
-    // A planted defect: the first front machine takes no state after its first revision.
+    // A planted defect: the first proxy node applies no state after its first revision.
     pub(super) fn holds_back(&self, number: u16, frame: &LocalFrame) -> bool {
-        let shows = self.proxies.get(&number).is_some_and(|it| it.shown > 0);
+        let proxy = self.proxies.get(&number);
+        let has_revision = proxy.is_some_and(ProxyProcess::has_recorded_revision);
         let is_state = matches!(
             frame.body,
             Some(local_frame::Body::Snapshot(_) | local_frame::Body::Change(_))
         );
-        self.options.defect == Some(Defect::HoldsRevisions) && number == 1 && shows && is_state
+        self.options.defect == Some(Defect::HoldsRevisions)
+            && number == 1
+            && has_revision
+            && is_state
     }
 
-    pub(super) fn note_shown(&mut self, number: u16) {
-        let Some(proxy) = self.proxies.get_mut(&number) else {
-            return;
-        };
-        let Some(core) = proxy.core.as_ref() else {
-            return;
-        };
-        // Until it is ready a proxy serves nothing, so it shows nothing.
-        let revision = core.state.table().revision();
-        if revision == proxy.shown || !core.state.is_ready() {
-            return;
+    /// Records the revision that a proxy routes by, if it changed.
+    pub(super) fn record_applied_revision(&mut self, number: u16) {
+        let proxy = self.proxies.get_mut(&number);
+        if let Some(revision) = proxy.and_then(ProxyProcess::take_applied_revision) {
+            self.record(Record::RevisionApplied {
+                proxy_node: ProxyNodeNumber(number),
+                revision,
+            });
         }
-        proxy.shown = revision;
-        self.record(Record::RevisionShown {
-            front: FrontNumber(number),
-            revision,
-        });
     }
 }
 
