--- a/crates/agent/tests/daemon.rs
+++ b/crates/agent/tests/daemon.rs
@@ -78,7 +78,8 @@
         .read_to_string(&mut rest)
         .expect("end of output");
     assert!(process.child.wait().expect("status").success());
-    assert!(signalled.elapsed() < Duration::from_secs(5));
+    let shutdown_time = signalled.elapsed();
+    assert!(shutdown_time < Duration::from_secs(5), "{shutdown_time:?}");
 }
 
 fn refused(arguments: &[&str]) -> String {
--- a/crates/agent/tests/fail_over.rs
+++ b/crates/agent/tests/fail_over.rs
@@ -22,10 +22,15 @@
     fleet.run(1100);
     assert_ne!(fleet.connected_node(), first);
     let failed_over_at = fleet.connects[1].at;
-    assert!(failed_over_at.since(unresponsive_at) <= Duration::from_millis(1010));
-    assert!(fleet.core.is_connected());
+    let failed_over_after = failed_over_at.since(unresponsive_at);
+    assert!(
+        failed_over_after <= Duration::from_millis(1010),
+        "{failed_over_after:?}"
+    );
+    assert!(fleet.core.is_connected(), "{:?}", fleet.core.counters());
     let second = fleet.connected_node();
-    assert!(fleet.controls[second].subscriptions.contains(&(1, 1)));
+    let subscriptions = &fleet.controls[second].subscriptions;
+    assert!(subscriptions.contains(&(1, 1)), "{subscriptions:?}");
     let sent = fleet.take_proxy_frames();
     let snapshots = sent
         .iter()
@@ -41,7 +46,7 @@
     fleet.controls[first].has_quorum = false;
     fleet.run(300);
     assert_ne!(fleet.connected_node(), first);
-    assert!(fleet.core.is_connected());
+    assert!(fleet.core.is_connected(), "{:?}", fleet.core.counters());
 }
 
 #[test]
@@ -117,7 +122,7 @@
     fleet.controls[0].unresponsive = true;
     fleet.run(3_000);
     assert_eq!(fleet.connected_node(), 1);
-    assert!(fleet.core.is_connected());
+    assert!(fleet.core.is_connected(), "{:?}", fleet.core.counters());
 }
 
 #[test]
@@ -165,14 +170,14 @@
         fleet.controls[index] = behind;
     }
     fleet.restart_agent(&ADDRESSES);
-    assert!(!fleet.core.complete());
+    assert!(!fleet.core.complete(), "{:?}", fleet.core.counters());
     fleet.link_proxy();
     let applied = millford_api::local::ProxyApplied { revision: 2 };
     fleet.proxy_sends(local_frame::Body::Applied(applied));
     fleet.run(3_000);
     assert_eq!(fleet.connected_node(), ahead);
     assert_eq!(fleet.core.revision(), 2);
-    assert!(fleet.core.complete());
+    assert!(fleet.core.complete(), "{:?}", fleet.core.counters());
 }
 
 #[test]
@@ -183,11 +188,11 @@
     fleet.controls[0].publishers.insert(2, withheld);
     // Shard 2 has nothing at all yet: its empty state still has to be confirmed.
     fleet.run(500);
-    assert!(fleet.core.complete());
+    assert!(fleet.core.complete(), "{:?}", fleet.core.counters());
     let mut fleet = Fleet::new(&["c1"]);
     fleet.controls[0].unresponsive = true;
     fleet.run(500);
-    assert!(!fleet.core.complete());
+    assert!(!fleet.core.complete(), "{:?}", fleet.core.counters());
 }
 
 #[test]
@@ -221,8 +226,8 @@
         control.unresponsive = true;
     }
     fleet.run(2_500);
-    assert!(!fleet.core.is_connected());
-    assert!(fleet.registry_reads >= 2);
+    assert!(!fleet.core.is_connected(), "{:?}", fleet.core.counters());
+    assert!(fleet.registry_reads >= 2, "{} reads", fleet.registry_reads);
     let entries = vec![
         entry("a", BackendState::BackendDraining),
         entry("stranger", BackendState::BackendActive),
@@ -244,7 +249,7 @@
         control.unresponsive = false;
     }
     fleet.run(1_500);
-    assert!(fleet.core.is_connected());
+    assert!(fleet.core.is_connected(), "{:?}", fleet.core.counters());
     assert_eq!(fleet.proxy_backend(1, "backend/p/a"), Some(draining));
     fleet.run(3_000);
     assert_eq!(fleet.proxy_backend(1, "backend/p/a"), Some(0));
@@ -261,8 +266,8 @@
     let index = fleet.connected_node();
     fleet.control_sends(index, vec![FakeControlNode::stale(1)]);
     fleet.run(2_000);
-    assert!(fleet.core.is_connected());
-    assert!(fleet.registry_reads >= 1);
+    assert!(fleet.core.is_connected(), "{:?}", fleet.core.counters());
+    assert!(fleet.registry_reads >= 1, "{} reads", fleet.registry_reads);
     let entries = vec![entry("a", BackendState::BackendDraining)];
     fleet.handle(AgentInput::Registry(RegistryView { entries }));
     let draining = BackendState::BackendDraining as i32;
@@ -313,7 +318,11 @@
         let entries = vec![entry("a", BackendState::BackendActive)];
         fleet.handle(AgentInput::Registry(RegistryView { entries }));
     }
-    assert!(fleet.registry_reads > before + 1);
+    assert!(
+        fleet.registry_reads > before + 1,
+        "{} reads",
+        fleet.registry_reads
+    );
 }
 
 #[test]
@@ -322,7 +331,8 @@
     let epoch = fleet.core.session_epoch();
     fleet.shared.sessions.clear();
     fleet.run(400);
-    assert!(fleet.core.session_epoch() > epoch);
+    let reopened = fleet.core.session_epoch();
+    assert!(reopened > epoch, "{reopened} after {epoch}");
     fleet.handle(AgentInput::Stop);
     fleet.run(10);
     assert!(fleet.stopped);
--- a/crates/agent/tests/open_streams.rs
+++ b/crates/agent/tests/open_streams.rs
@@ -49,7 +49,7 @@
         ..QuotaReply::default()
     };
     let answers = client.reply(now, &reply);
-    assert!(answers[0].granted);
+    assert!(answers[0].granted, "{answers:?}");
     assert_eq!(client.slots_in_use(), 1);
     client
 }
@@ -68,7 +68,7 @@
     assert_eq!(client.slots_in_use(), 0);
     // The old connection's request is void: nobody would take its answer.
     let later = now + Duration::from_secs(10);
-    assert!(client.tick(later).is_empty());
+    assert_eq!(client.tick(later), Vec::new());
 }
 
 #[test]
--- a/crates/agent/tests/quota_ages.rs
+++ b/crates/agent/tests/quota_ages.rs
@@ -65,7 +65,7 @@
     };
     let answers = client.reply(after(200), &reply);
     assert_eq!(answers.len(), 1);
-    assert!(answers[0].granted);
+    assert!(answers[0].granted, "{answers:?}");
     // Counted from the proxy's request: the lease runs from when the request was sent, 30 ms later.
     assert_eq!(answers[0].use_within_ms, LEASE_MS + 30);
 }
--- a/crates/agent/tests/quota_and_claims.rs
+++ b/crates/agent/tests/quota_and_claims.rs
@@ -61,7 +61,7 @@
     fleet.run(8);
     let replies = replies(&mut fleet);
     assert_eq!(replies.len(), 1);
-    assert!(replies[0].granted);
+    assert!(replies[0].granted, "{replies:?}");
 }
 
 #[test]
@@ -78,7 +78,7 @@
     assert_eq!(refused.len(), 6, "no refusal is delayed");
     for reply in refused {
         assert_eq!(reply.code, ResultCode::QuotaExceeded.number());
-        assert!(reply.retry_after_ms > 0);
+        assert!(reply.retry_after_ms > 0, "{reply:?}");
     }
 }
 
@@ -88,8 +88,9 @@
     fleet.shared.lose_leaders();
     request_quota(&mut fleet, 1, false, 5_000);
     fleet.run(800);
-    assert!(
-        replies(&mut fleet).is_empty(),
+    assert_eq!(
+        replies(&mut fleet),
+        Vec::new(),
         "neither granted nor refused yet"
     );
     let now = fleet.now;
@@ -97,7 +98,7 @@
     fleet.run(1_000);
     let replies = replies(&mut fleet);
     assert_eq!(replies.len(), 1);
-    assert!(replies[0].granted);
+    assert!(replies[0].granted, "{replies:?}");
 }
 
 #[test]
@@ -106,7 +107,7 @@
     fleet.shared.lose_leaders();
     request_quota(&mut fleet, 1, false, 300);
     fleet.run(298);
-    assert!(replies(&mut fleet).is_empty());
+    assert_eq!(replies(&mut fleet), Vec::new());
     fleet.run(4);
     let replies = replies(&mut fleet);
     assert_eq!(replies.len(), 1);
@@ -148,7 +149,7 @@
     );
     fleet.run(2_000);
     request_quota(&mut fleet, 200, false, 100);
-    assert!(replies(&mut fleet).is_empty(), "the leases have expired");
+    assert_eq!(replies(&mut fleet), Vec::new(), "the leases have expired");
 }
 
 #[test]
@@ -168,9 +169,10 @@
     assert_eq!(fleet.core.available_quota_tokens(fleet.now), 0);
     // No idle token is left here: the next request needs a round trip.
     request_quota(&mut fleet, 500, false, 1_000);
-    assert!(replies(&mut fleet).is_empty());
+    assert_eq!(replies(&mut fleet), Vec::new());
     fleet.run(8);
-    assert!(replies(&mut fleet)[0].granted);
+    let replies = replies(&mut fleet);
+    assert!(replies[0].granted, "{replies:?}");
 }
 
 #[test]
@@ -192,7 +194,7 @@
     request_quota(&mut fleet, 10, true, 1_000);
     fleet.run(50);
     let second = replies(&mut fleet);
-    assert!(second.len() == 1 && second[0].granted);
+    assert!(second.len() == 1 && second[0].granted, "{second:?}");
 }
 
 #[test]
--- a/crates/agent/tests/quota_over_nodes.rs
+++ b/crates/agent/tests/quota_over_nodes.rs
@@ -101,30 +101,48 @@
     }
 
     fn work(&mut self, node: usize) {
-        // About twice the quota, in waves, so that leases run out and lie idle in turns.
+        self.request_at_random(node);
+        self.release_ended_streams(node);
+        let now = self.now;
+        let replies = self.clients[node].tick(now);
+        self.take(node, replies);
+        let layout = ShardLayout::new(1);
+        let name = name_of(node);
+        let id = &mut self.ids[node];
+        for request in self.clients[node].due_requests(now, layout, &name, 1 + node as u64, id) {
+            self.send(Message::Request(request));
+        }
+    }
+
+    /// About twice the quota, in waves, so that leases run out and lie idle in turns.
+    fn request_at_random(&mut self, node: usize) {
         let busy = (self.now.as_millis() / 1_500) as usize % NODES == node;
         let chance = match busy {
             _ if self.quiet => 0.0,
             true => 0.06,
             false => 0.01,
         };
-        if self.random.random_bool(chance) {
-            self.requested += 1;
-            let request = LocalQuotaRequest {
-                request_id: self.requested,
-                tenant: TENANT.to_owned(),
-                stream: true,
-                timeout_ms: TIMEOUT_MS,
-                waited_ms: 0,
-            };
-            let replies = self.clients[node].request(self.now, &request, StreamLimit::Limited);
-            self.take(node, replies);
+        if !self.random.random_bool(chance) {
+            return;
         }
+        self.requested += 1;
+        let request = LocalQuotaRequest {
+            request_id: self.requested,
+            tenant: TENANT.to_owned(),
+            stream: true,
+            timeout_ms: TIMEOUT_MS,
+            waited_ms: 0,
+        };
+        let replies = self.clients[node].request(self.now, &request, StreamLimit::Limited);
+        self.take(node, replies);
+    }
+
+    fn release_ended_streams(&mut self, node: usize) {
         let now = self.now;
-        let over: Vec<usize> = (0..self.open.len())
+        let ended: Vec<usize> = (0..self.open.len())
             .filter(|at| self.open[*at].ends_at <= now && self.open[*at].node == node)
             .collect();
-        for at in over.into_iter().rev() {
+        for at in ended.into_iter().rev() {
             self.open.remove(at);
             let release = LocalQuotaRelease {
                 tenant: TENANT.to_owned(),
@@ -134,14 +152,6 @@
             let replies = self.clients[node].release(now, &release, StreamLimit::Limited);
             self.take(node, replies);
         }
-        let replies = self.clients[node].tick(now);
-        self.take(node, replies);
-        let layout = ShardLayout::new(1);
-        let name = name_of(node);
-        let id = &mut self.ids[node];
-        for request in self.clients[node].due_requests(now, layout, &name, 1 + node as u64, id) {
-            self.send(Message::Request(request));
-        }
     }
 
     fn take(&mut self, node: usize, replies: Vec<LocalQuotaReply>) {
--- a/crates/agent/tests/support/fleet.rs
+++ b/crates/agent/tests/support/fleet.rs
@@ -36,12 +36,14 @@
     frame: Frame,
 }
 
+/// One agent with its proxy and the control nodes, in simulated time of one millisecond a step.
 pub(crate) struct Fleet {
     pub(crate) now: MonotonicTime,
     pub(crate) core: AgentCore,
     pub(crate) shared: SharedShards,
     pub(crate) controls: Vec<FakeControlNode>,
     pub(crate) link: Option<FleetLink>,
+    /// The proxy's view of each shard.
     pub(crate) proxy: BTreeMap<u32, FeedView>,
     pub(crate) proxy_frames: Vec<(MonotonicTime, LocalFrame)>,
     pub(crate) connects: Vec<ConnectAttempt>,
@@ -110,6 +112,7 @@
         self.proxy_sends(local_frame::Body::ProxyHello(ProxyHello::default()));
     }
 
+    /// The proxy sends a frame, which the agent receives at once.
     pub(crate) fn proxy_sends(&mut self, body: local_frame::Body) {
         let frame = Box::new(LocalFrame { body: Some(body) });
         self.handle(AgentInput::ProxyFrame(frame));
@@ -163,6 +166,7 @@
         }
     }
 
+    /// Passes an input to the agent and performs its outputs.
     pub(crate) fn handle(&mut self, input: AgentInput) {
         for output in self.core.handle(self.now, input) {
             self.perform(output);
--- a/crates/placement/tests/placer.rs
+++ b/crates/placement/tests/placer.rs
@@ -58,7 +58,7 @@
     assert_eq!(fixture.draining(), vec![ReplicaKey::new("b03", "m", "v1")]);
     fixture.streams.clear();
     fixture.run(Duration::from_secs(2));
-    assert!(fixture.draining().is_empty());
+    assert_eq!(fixture.draining(), Vec::new());
     assert_eq!(fixture.times_of(MoveReason::Drained).len(), 1);
 }
 
@@ -72,8 +72,9 @@
     let started = fixture.times_of(MoveReason::Retired)[0];
     let ended = fixture.times_of(MoveReason::DrainTimedOut)[0];
     let drain = Duration::from_millis(u64::from(fixture.pool.drain_ms));
-    assert!(ended.since(started) <= drain + TICK);
-    assert!(ended.since(started) >= drain);
+    let drained_for = ended.since(started);
+    assert!(drained_for <= drain + TICK, "{drained_for:?}");
+    assert!(drained_for >= drain, "{drained_for:?}");
 }
 
 #[test]
@@ -110,7 +111,8 @@
         let replicas = &fixture.placement.as_ref().unwrap().replicas;
         replicas.iter().map(|replica| replica.weight_milli).min()
     };
-    assert!(least(&fixture) < Some(1000));
+    let lowered = least(&fixture);
+    assert!(lowered < Some(1000), "{lowered:?}");
     fixture.streams.clear();
     fixture.run(Duration::from_mins(5));
     assert_eq!(least(&fixture), Some(1000));
@@ -133,8 +135,8 @@
         fixture.load_active(LOW_LOAD_STREAMS);
     }
     assert!(fixture.active().iter().all(|key| key.version == "v2"));
-    assert!(fixture.draining().is_empty());
-    assert!(fixture.times_of(MoveReason::TransitionForced).is_empty());
+    assert_eq!(fixture.draining(), Vec::new());
+    assert_eq!(fixture.times_of(MoveReason::TransitionForced), Vec::new());
 }
 
 #[test]
@@ -149,11 +151,12 @@
         fixture.load_active(HIGH_LOAD_STREAMS);
     }
     let deferral = Duration::from_millis(u64::from(fixture.pool.longest_deferral_ms));
-    assert!(fixture.times_of(MoveReason::TransitionStep).is_empty());
+    assert_eq!(fixture.times_of(MoveReason::TransitionStep), Vec::new());
     let forced = fixture.times_of(MoveReason::TransitionForced);
     assert_eq!(forced.len(), 12);
-    assert!(forced[0].since(requested_at) >= deferral);
-    assert!(forced[0].since(requested_at) <= deferral + TICK + TICK);
+    let deferred_for = forced[0].since(requested_at);
+    assert!(deferred_for >= deferral, "{deferred_for:?}");
+    assert!(deferred_for <= deferral + TICK + TICK, "{deferred_for:?}");
     let paced = forced
         .windows(2)
         .all(|pair| pair[1].since(pair[0]) >= Duration::from_secs(15));
@@ -168,11 +171,11 @@
     fixture.run(Duration::from_secs(10));
     fixture.pool.target_version = "v2".to_owned();
     fixture.run(Duration::from_secs(10));
-    assert!(fixture.times_of(MoveReason::TransitionStep).is_empty());
-    assert!(!fixture.times_of(MoveReason::TransitionDeferred).is_empty());
+    assert_eq!(fixture.times_of(MoveReason::TransitionStep), Vec::new());
+    assert_ne!(fixture.times_of(MoveReason::TransitionDeferred), Vec::new());
     fixture.load_active(LOW_LOAD_STREAMS);
     fixture.run(Duration::from_secs(15));
-    assert!(!fixture.times_of(MoveReason::TransitionStep).is_empty());
+    assert_ne!(fixture.times_of(MoveReason::TransitionStep), Vec::new());
 }
 
 #[test]
@@ -190,11 +193,12 @@
             .times_of(MoveReason::TransitionBehindRetirements)
             .is_empty()
     );
-    assert!(fixture.times_of(MoveReason::TransitionStep).is_empty());
+    assert_eq!(fixture.times_of(MoveReason::TransitionStep), Vec::new());
     // Its work ends; the transition goes on.
     fixture.streams.retain(|key, _| key.backend != "b07");
     fixture.run(Duration::from_secs(4));
-    assert!(fixture.times_of(MoveReason::TransitionStep)[0] > start);
+    let steps = fixture.times_of(MoveReason::TransitionStep);
+    assert!(steps[0] > start, "{steps:?} after {start:?}");
 }
 
 #[test]
@@ -239,12 +243,12 @@
         .insert(ReplicaKey::new("s0", "heavy", "v1"), 100);
     // The smoothed work passes the ceiling after about two seconds, and must hold there for three.
     fixture.run(Duration::from_secs(8));
-    assert!(!fixture.times_of(MoveReason::BandwidthRelief).is_empty());
+    assert_ne!(fixture.times_of(MoveReason::BandwidthRelief), Vec::new());
     for key in fixture.active() {
         fixture.streams.insert(key, 100);
     }
     fixture.run(Duration::from_secs(8));
-    assert!(!fixture.times_of(MoveReason::BandwidthExceeded).is_empty());
+    assert_ne!(fixture.times_of(MoveReason::BandwidthExceeded), Vec::new());
 }
 
 fn shared_options() -> PlacerOptions {
@@ -280,7 +284,7 @@
         placer.load_snapshot(start + second * 6)[0].decode_streams,
         3
     );
-    assert!(placer.load_snapshot(start + second * 9).is_empty());
+    assert_eq!(placer.load_snapshot(start + second * 9), Vec::new());
 }
 
 #[test]
@@ -298,7 +302,7 @@
         .collect();
     assert_eq!(streams, vec![0, 5]);
     placer.forget("agent-1");
-    assert!(placer.load_snapshot(start + TICK).is_empty());
+    assert_eq!(placer.load_snapshot(start + TICK), Vec::new());
 }
 
 /// Estimated use of each backend, in GB/s.
