--- a/crates/control/src/gateway/dialer.rs
+++ b/crates/control/src/gateway/dialer.rs
@@ -1,4 +1,4 @@
-//! Connections to every known control address, kept up.
+//! Connections to every known control address, opened again when they end.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,16 +6,18 @@
 use millford_core::{MonotonicTime, NodeId};
 
 use crate::link::LinkId;
-use crate::timing::{DIAL_CEILING, DIAL_FIRST, HELLO_PERIOD, PEER_SILENCE};
+use crate::timing::{
+    DIAL_BACKOFF_INITIAL, DIAL_BACKOFF_MAX, HELLO_PERIOD, PEER_INACTIVITY_TIMEOUT,
+};
 
 /// What the dialer wants done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum DialAction {
+pub(super) enum DialAction {
     /// Open a connection.
     Connect(LinkId, String),
-    /// Greet the control node on an open link.
-    Greet(LinkId),
-    /// The node behind the link is silent: close it.
+    /// Send a hello to the control node on an open link.
+    SendHello(LinkId),
+    /// The node behind the link is unresponsive: close it.
     Close(LinkId),
 }
 
@@ -24,8 +26,8 @@
     link: Option<LinkId>,
     open: bool,
     peer: Option<NodeId>,
-    last_heard: MonotonicTime,
-    next_greeting: MonotonicTime,
+    last_contact: MonotonicTime,
+    next_hello: MonotonicTime,
     next_attempt: MonotonicTime,
     backoff: Backoff,
 }
@@ -36,10 +38,10 @@
             link: None,
             open: false,
             peer: None,
-            last_heard: now,
-            next_greeting: now,
+            last_contact: now,
+            next_hello: now,
             next_attempt: now,
-            backoff: Backoff::new(DIAL_FIRST, DIAL_CEILING),
+            backoff: Backoff::new(DIAL_BACKOFF_INITIAL, DIAL_BACKOFF_MAX),
         }
     }
 
@@ -52,16 +54,20 @@
 
 /// One connection for each address.
 #[derive(Debug, Default)]
-pub struct Dialer {
+pub(super) struct Dialer {
     dials: BTreeMap<String, Dial>,
     links_opened: u64,
 }
 
 impl Dialer {
-    /// Brings the connections in line with the wanted addresses and keeps them alive.
-    pub fn tick(&mut self, now: MonotonicTime, wanted: &BTreeSet<String>) -> Vec<DialAction> {
-        let mut actions = self.drop_unwanted(wanted);
-        for address in wanted {
+    /// Brings the connections in line with the desired addresses and keeps them alive.
+    pub(super) fn tick(
+        &mut self,
+        now: MonotonicTime,
+        desired: &BTreeSet<String>,
+    ) -> Vec<DialAction> {
+        let mut actions = self.drop_undesired(desired);
+        for address in desired {
             let dials = &mut self.dials;
             let dial = dials
                 .entry(address.clone())
@@ -72,17 +78,17 @@
         actions
     }
 
-    /// A link that the dialer asked for is open.
-    pub fn opened(&mut self, now: MonotonicTime, link: LinkId) {
+    /// A link that the dialer requested is open.
+    pub(super) fn opened(&mut self, now: MonotonicTime, link: LinkId) {
         if let Some(dial) = self.find(link) {
             dial.open = true;
-            dial.last_heard = now;
-            dial.next_greeting = now;
+            dial.last_contact = now;
+            dial.next_hello = now;
         }
     }
 
     /// A link ended. Gives its address.
-    pub fn closed(&mut self, now: MonotonicTime, link: LinkId) -> Option<String> {
+    pub(super) fn closed(&mut self, now: MonotonicTime, link: LinkId) -> Option<String> {
         let entry = self
             .dials
             .iter_mut()
@@ -93,30 +99,36 @@
     }
 
     /// The node behind the link answered a greeting. Gives its address.
-    pub fn answered(&mut self, now: MonotonicTime, link: LinkId, peer: NodeId) -> Option<String> {
+    pub(super) fn answered(
+        &mut self,
+        now: MonotonicTime,
+        link: LinkId,
+        peer: NodeId,
+    ) -> Option<String> {
         let entry = self
             .dials
             .iter_mut()
             .find(|(_, dial)| dial.link == Some(link));
         let (address, dial) = entry?;
-        dial.last_heard = now;
+        dial.last_contact = now;
         dial.peer = Some(peer);
         dial.backoff.reset();
         Some(address.clone())
     }
 
     /// Whether the node answered a greeting lately.
-    #[must_use]
-    pub fn is_connected(&self, now: MonotonicTime, node: NodeId) -> bool {
+    pub(super) fn is_connected(&self, now: MonotonicTime, node: NodeId) -> bool {
         self.dials.values().any(|dial| {
-            dial.open && dial.peer == Some(node) && now.since(dial.last_heard) < PEER_SILENCE
+            dial.open
+                && dial.peer == Some(node)
+                && now.since(dial.last_contact) < PEER_INACTIVITY_TIMEOUT
         })
     }
 
     /// Greets everyone at once, for news that should not wait.
-    pub fn greet_soon(&mut self, now: MonotonicTime) {
+    pub(super) fn schedule_hellos(&mut self, now: MonotonicTime) {
         for dial in self.dials.values_mut() {
-            dial.next_greeting = now;
+            dial.next_hello = now;
         }
     }
 
@@ -125,10 +137,10 @@
         dials.find(|dial| dial.link == Some(link))
     }
 
-    fn drop_unwanted(&mut self, wanted: &BTreeSet<String>) -> Vec<DialAction> {
+    fn drop_undesired(&mut self, desired: &BTreeSet<String>) -> Vec<DialAction> {
         let mut closed = Vec::new();
         self.dials.retain(|address, dial| {
-            let keep = wanted.contains(address);
+            let keep = desired.contains(address);
             if !keep {
                 closed.extend(dial.link.map(DialAction::Close));
             }
@@ -151,17 +163,17 @@
         *links_opened += 1;
         let link = LinkId::outgoing(*links_opened);
         dial.link = Some(link);
-        dial.last_heard = now;
+        dial.last_contact = now;
         dial.peer = None;
         return Some(DialAction::Connect(link, address.to_owned()));
     };
-    if now.since(dial.last_heard) >= PEER_SILENCE {
+    if now.since(dial.last_contact) >= PEER_INACTIVITY_TIMEOUT {
         dial.fail(now);
         return Some(DialAction::Close(link));
     }
-    if dial.open && now >= dial.next_greeting {
-        dial.next_greeting = now + HELLO_PERIOD;
-        return Some(DialAction::Greet(link));
+    if dial.open && now >= dial.next_hello {
+        dial.next_hello = now + HELLO_PERIOD;
+        return Some(DialAction::SendHello(link));
     }
     None
 }
--- a/crates/control/tests/committed_folders.rs
+++ b/crates/control/tests/committed_folders.rs
@@ -17,7 +17,7 @@
 
 use committed::assert_committed;
 use millford_api::command::{
-    Claim, Command, CommandResult, RunOutcome, SettleClaim, command, command_result,
+    Claim, Command, CommandResult, ResolveClaim, RunOutcome, command, command_result,
 };
 use millford_api::internal::shard_reply;
 use millford_api::replication::log_entry::Payload;
@@ -33,7 +33,7 @@
 use millford_storage::{Disk, FileDisk, ReplicaStorage, SnapshotMeta, StorageOptions};
 use prost::Message;
 use support::memory_disk::MemoryMachine;
-use support::orders::{accept, document, led, revision};
+use support::orders::{accept, cluster_with_leaders, document, revision};
 use support::{Cluster, TestAgent};
 
 const DATA: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data");
@@ -52,7 +52,7 @@
 /// Three nodes that form a cluster, accept two configurations, read a registry, drain a backend,
 /// open a session and settle a claim, and are stopped.
 fn write_folders() -> Cluster {
-    let mut cluster = led(3, 24);
+    let mut cluster = cluster_with_leaders(3, 24);
     accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
     accept(&mut cluster, "node-2", 1, "two", document(&["a", "b"]));
     let registry = Arc::new(RegistryView {
@@ -63,7 +63,7 @@
         cluster.input(address, NodeInput::Registry(registry.clone()));
     }
     cluster.run(Duration::from_millis(200));
-    let drain = cluster.ask(
+    let drain = cluster.request(
         "node-3",
         OperatorRequest::Drain {
             pool: "pool".to_owned(),
@@ -75,7 +75,7 @@
     let mut agent = TestAgent::connect(&mut cluster, "agent-1", "node-1", ShardId::CONFIGURATION);
     agent.open_session(&mut cluster, 7);
     assert_eq!(claim(&mut cluster, &mut agent, RUN.2), (true, 0));
-    let settle = SettleClaim {
+    let settle = ResolveClaim {
         tenant: RUN.0.to_owned(),
         request_id: RUN.1.to_owned(),
         attempt_id: RUN.2.to_owned(),
@@ -84,7 +84,7 @@
     agent.propose(
         &mut cluster,
         claims_shard(),
-        command::Kind::SettleClaim(settle),
+        command::Kind::ResolveClaim(settle),
     );
     assert_eq!(agent.reply(&mut cluster).code, ResultCode::Ok.number());
     cluster.run(Duration::from_secs(1));
@@ -138,7 +138,7 @@
 /// some thousand entries.
 fn compact(machine: &MemoryMachine) {
     let options = StorageOptions {
-        kept_entries: ENTRIES_BEHIND,
+        retained_entries: ENTRIES_BEHIND,
         ..StorageOptions::default()
     };
     let disk = machine.folder(&shard_folder(COMPACTED));
@@ -363,11 +363,11 @@
             }
         }
     }
-    cluster.notes.clear();
+    cluster.node_events.clear();
     for address in NODES {
         cluster.boot(address);
     }
-    cluster.run_until(Duration::from_secs(8), "leaders", Cluster::is_led);
+    cluster.run_until(Duration::from_secs(8), "leaders", Cluster::has_leaders);
     cluster.run(Duration::from_secs(1));
     for address in NODES {
         assert_eq!(revision(&mut cluster, address), 2, "{address}");
--- a/crates/control/tests/support/orders.rs
+++ b/crates/control/tests/support/orders.rs
@@ -10,7 +10,7 @@
 use super::cluster::Cluster;
 
 /// A document with one pool and these tenants, each with one key.
-pub fn document(tenants: &[&str]) -> Document {
+pub(crate) fn document(tenants: &[&str]) -> Document {
     let tenants = tenants.iter().map(|name| Tenant {
         name: (*name).to_owned(),
         key_hashes: vec![millford_core::hash_tenant_key(name)],
@@ -37,19 +37,19 @@
     }
 }
 
-pub fn order(base: u64, id: &str, wanted: Document) -> OperatorRequest {
+pub(crate) fn order(base: u64, id: &str, desired: Document) -> OperatorRequest {
     OperatorRequest::PutConfig(PutConfig {
         base_revision: base,
         order_id: id.to_owned(),
-        digest: document::digest(&wanted),
-        document: Some(wanted),
+        digest: document::digest(&desired),
+        document: Some(desired),
         ..Default::default()
     })
 }
 
 /// Sends an order and expects it to be accepted under this number.
-pub fn accept(cluster: &mut Cluster, address: &str, base: u64, id: &str, wanted: Document) {
-    let request = cluster.ask(address, order(base, id, wanted));
+pub(crate) fn accept(cluster: &mut Cluster, address: &str, base: u64, id: &str, desired: Document) {
+    let request = cluster.request(address, order(base, id, desired));
     match cluster.answer(request) {
         OperatorReply::Order(reply) => assert_eq!(reply.revision, base + 1),
         other => panic!("order {id}: {other:?}"),
@@ -57,8 +57,8 @@
 }
 
 /// Revision that a confirmed read at this node gives.
-pub fn revision(cluster: &mut Cluster, address: &str) -> u64 {
-    let request = cluster.ask(address, OperatorRequest::GetConfig);
+pub(crate) fn revision(cluster: &mut Cluster, address: &str) -> u64 {
+    let request = cluster.request(address, OperatorRequest::GetConfig);
     match cluster.answer(request) {
         OperatorReply::Config(reply) => reply.revision,
         other => panic!("no configuration: {other:?}"),
@@ -66,9 +66,9 @@
 }
 
 /// A formed cluster with leaders everywhere.
-pub fn led(nodes: usize, seed: u64) -> Cluster {
+pub(crate) fn cluster_with_leaders(nodes: usize, seed: u64) -> Cluster {
     let mut cluster = Cluster::start(nodes, seed);
-    cluster.run_until(Duration::from_secs(4), "leaders", Cluster::is_led);
+    cluster.run_until(Duration::from_secs(4), "leaders", Cluster::has_leaders);
     cluster.run(Duration::from_secs(1));
     cluster
 }
--- a/crates/forward/src/backend/mod.rs
+++ b/crates/forward/src/backend/mod.rs
@@ -1,8 +1,8 @@
-//! Kept connections to backends.
+//! Pooled connections to backends, and their health.
 
 pub mod connection;
 pub mod connection_pools;
 pub mod health_watch;
 
 pub use connection::Connection;
-pub use connection_pools::{AcquireError, ConnectionPools, Lease};
+pub use connection_pools::{AcquireError, ConnectionPools, PooledConnection};
--- a/crates/forward/src/exchange/exchange_task.rs
+++ b/crates/forward/src/exchange/exchange_task.rs
@@ -1,4 +1,4 @@
-//! Carries news over UDP.
+//! Sends and receives peer messages over UDP.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -12,60 +12,53 @@
 use tokio::net::UdpSocket;
 use tokio::time::MissedTickBehavior;
 
-use crate::exchange::news::{NewsWriter, take_news};
-use crate::exchange::peer_table::PeerTable;
-use crate::load::work_ledger::REPEAT_PERIOD;
+use crate::exchange::peer_sequences::PeerSequences;
+use crate::exchange::usage_messages::{UpdateScope, UsageMessageEncoder, apply_usage};
+use crate::load::owned_loads::REPUBLISH_INTERVAL;
 use crate::node::ForwardNode;
 use crate::owners::OwnerRing;
-use crate::parts::shared_parts;
+use crate::prefix_index;
 use crate::protocol::ForwardProtocol;
+use crate::quota::quota_service;
 
 const LOG: PartLog = PartLog::new("PEERS");
 
-/// Time between two rounds of news.
-const ROUND_PERIOD: Duration = Duration::from_millis(100);
+/// Time between two usage updates to all peers.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two rounds of news between owners of a tenant. What they grant in between is bounded by
-/// their telling each other at once.
-const OWNERS_PERIOD: Duration = Duration::from_millis(200);
+/// Time between two usage updates between owners of a tenant. What they grant in between is bounded by their
+/// urgent updates.
+const OWNER_UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Shortest time between two tellings at once between owners of a tenant: while a tenant presses on,
-/// each of its requests would cost a datagram to every one of them.
-const OWNERS_PAUSE: Duration = Duration::from_millis(20);
+/// Shortest time between two urgent updates between owners of a tenant: while a tenant sends more than its
+/// quota, each of its requests would cost a datagram to every one of them.
+const MIN_URGENT_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Everything is told again after this long, for peers that missed it.
-const WHOLE_PERIOD: Duration = Duration::from_millis(1000);
+/// Time between two updates that cover all tenants, for peers that missed some.
+const FULL_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Datagrams taken in one go before other tasks get their turn.
-const MOST_IN_ONE_GO: usize = 64;
+/// Datagrams received in one go before other tasks get their turn.
+const MAX_DATAGRAMS_PER_WAKE_UP: usize = 64;
 
 /// Largest datagram that is read, in bytes.
-const MOST_BYTES: usize = 65_536;
+const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-/// Exchanges news for as long as the process lives.
+/// Exchanges messages with the peers for as long as the process lives.
 pub async fn run<P: ForwardProtocol>(node: Arc<ForwardNode<P>>, socket: UdpSocket) {
     let socket = Arc::new(socket);
-    // Before the first event of the socket nothing would leave.
+    // Before the first event of the socket nothing would be sent.
     let _ = socket.writable().await;
     node.peers.connect(Arc::clone(&socket));
-    let mut exchange = Exchange {
-        writer: NewsWriter::new(rand::random()),
-        peers: PeerTable::default(),
-        next_whole: monotonic_now(),
-        next_owned: monotonic_now(),
-        urgent_after: monotonic_now(),
-        next_repeat: monotonic_now(),
-        told_lately: BTreeSet::new(),
-    };
-    let mut ticks = tokio::time::interval(ROUND_PERIOD);
+    let mut exchange = Exchange::new();
+    let mut ticks = tokio::time::interval(UPDATE_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut buffer = vec![0; MOST_BYTES];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         tokio::select! {
             _ = ticks.tick() => exchange.tick(&node, &socket).await,
-            () = until_urgent(&node, exchange.urgent_after) => exchange.send_usage(&node, &socket).await,
-            () = node.state.board.until_changed() => exchange.tell_work(&node),
-            () = node.directory.until_news() => tell_places(&node),
+            () = until_urgent(&node, exchange.urgent_after) => exchange.send_urgent_usage(&node, &socket).await,
+            () = node.state.load_table.until_changed() => exchange.publish_load(&node),
+            () = node.prefix_index.until_announcements() => publish_locations(&node),
             received = socket.recv_from(&mut buffer) => match received {
                 Ok((length, from)) => {
                     exchange.receive(&node, from, &buffer[..length]);
@@ -78,100 +71,137 @@
 }
 
 struct Exchange {
-    writer: NewsWriter,
-    peers: PeerTable,
-    next_whole: MonotonicTime,
-    next_owned: MonotonicTime,
-    /// When owners may next tell each other at once.
+    encoder: UsageMessageEncoder,
+    peers: PeerSequences,
+    next_full: MonotonicTime,
+    next_owner_update: MonotonicTime,
+    /// When the next urgent update between owners may be sent.
     urgent_after: MonotonicTime,
-    next_repeat: MonotonicTime,
-    /// Backends whose owners were told of work since the last repetition.
-    told_lately: BTreeSet<String>,
+    next_republish: MonotonicTime,
+    /// Backends whose load was published since the last repetition.
+    recently_published: BTreeSet<String>,
 }
 
 impl Exchange {
+    fn new() -> Self {
+        Self {
+            encoder: UsageMessageEncoder::new(rand::random()),
+            peers: PeerSequences::default(),
+            next_full: monotonic_now(),
+            next_owner_update: monotonic_now(),
+            urgent_after: monotonic_now(),
+            next_republish: monotonic_now(),
+            recently_published: BTreeSet::new(),
+        }
+    }
+
     async fn tick<P: ForwardProtocol>(&mut self, node: &ForwardNode<P>, socket: &UdpSocket) {
         let now = monotonic_now();
         node.quotas.tick(now, &node.zone);
-        self.repeat_work(node, now);
-        let (ring, _) = node.peers.ring(&node.state.table());
-        let whole = now >= self.next_whole;
-        if whole {
-            self.next_whole = now + WHOLE_PERIOD;
-            node.directory.expire(now);
+        self.republish_load(node, now);
+        let ring = node.peers.ring(&node.state.table());
+        let scope = if now >= self.next_full {
+            UpdateScope::Full
+        } else {
+            UpdateScope::Changes
+        };
+        if scope == UpdateScope::Full {
+            self.next_full = now + FULL_UPDATE_INTERVAL;
+            node.prefix_index.expire(now);
         }
         if ring.has_tenant_owners() {
-            if whole || now >= self.next_owned {
-                self.next_owned = now + OWNERS_PERIOD;
-                self.tell_owners(node, &ring, now, whole);
+            if scope == UpdateScope::Full || now >= self.next_owner_update {
+                self.next_owner_update = now + OWNER_UPDATE_INTERVAL;
+                self.send_to_owners(node, &ring, now, scope);
             }
             return;
         }
-        if let Some(news) = self.writer.write(node, now, whole) {
-            send_to_all(socket, &news, &ring.addresses_of_others(&node.name)).await;
-        }
+        self.send_to_all(node, &ring, socket, now, scope).await;
     }
 
-    /// Tells what was admitted, between two rounds of news.
-    async fn send_usage<P: ForwardProtocol>(&mut self, node: &ForwardNode<P>, socket: &UdpSocket) {
+    /// Reports what was admitted, between two periodic updates.
+    async fn send_urgent_usage<P: ForwardProtocol>(
+        &mut self,
+        node: &ForwardNode<P>,
+        socket: &UdpSocket,
+    ) {
         let now = monotonic_now();
-        let (ring, _) = node.peers.ring(&node.state.table());
+        let ring = node.peers.ring(&node.state.table());
         if ring.has_tenant_owners() {
-            self.urgent_after = now + OWNERS_PAUSE;
-            self.tell_owners(node, &ring, now, false);
+            self.urgent_after = now + MIN_URGENT_INTERVAL;
+            self.send_to_owners(node, &ring, now, UpdateScope::Changes);
             return;
         }
-        if let Some(news) = self.writer.write(node, now, false) {
-            send_to_all(socket, &news, &ring.addresses_of_others(&node.name)).await;
+        let scope = UpdateScope::Changes;
+        self.send_to_all(node, &ring, socket, now, scope).await;
+    }
+
+    /// Reports to all peers what this node admitted.
+    async fn send_to_all<P: ForwardProtocol>(
+        &mut self,
+        node: &ForwardNode<P>,
+        ring: &OwnerRing,
+        socket: &UdpSocket,
+        now: MonotonicTime,
+        scope: UpdateScope,
+    ) {
+        let Some(message) = self.encoder.encode_for_all(node, now, scope) else {
+            return;
+        };
+        let bytes = message.encode_to_vec();
+        for address in ring.addresses_of_others(&node.name) {
+            // A datagram that cannot be sent is as good as lost: the next one makes up for it.
+            let _ = socket.send_to(&bytes, address).await;
         }
     }
 
-    /// Tells the other owners of tenants what this node granted as one.
-    fn tell_owners<P: ForwardProtocol>(
+    /// Reports to the other owners of tenants what this node granted as one.
+    fn send_to_owners<P: ForwardProtocol>(
         &mut self,
         node: &ForwardNode<P>,
         ring: &OwnerRing,
         now: MonotonicTime,
-        whole: bool,
+        scope: UpdateScope,
     ) {
-        for (address, news) in self.writer.write_owned(node, ring, now, whole) {
-            node.peers.send(address, &news);
+        for addressed in self.encoder.encode_for_owners(node, ring, now, scope) {
+            node.peers.send(addressed.address, &addressed.message);
         }
     }
 
-    /// Tells the owners of the counts what changed on their backends.
-    fn tell_work<P: ForwardProtocol>(&mut self, node: &ForwardNode<P>) {
-        let changed = node.state.board.take_changed();
-        let (ring, _) = node.peers.ring(&node.state.table());
-        let board = &node.state.board;
-        node.load.tell(&node.peers, &ring, board, &changed);
-        self.told_lately.extend(changed);
+    /// Publishes to the owners of backends' counts what changed there.
+    fn publish_load<P: ForwardProtocol>(&mut self, node: &ForwardNode<P>) {
+        let changed = node.state.load_table.take_changed();
+        let ring = node.peers.ring(&node.state.table());
+        let load_table = &node.state.load_table;
+        node.load.publish(&node.peers, &ring, load_table, &changed);
+        self.recently_published.extend(changed);
     }
 
-    /// Tells unchanged work again: what was lost is made good, and new owners learn what there is.
-    fn repeat_work<P: ForwardProtocol>(&mut self, node: &ForwardNode<P>, now: MonotonicTime) {
-        let (ring, changed) = node.peers.ring(&node.state.table());
-        if now < self.next_repeat && !changed {
+    /// Publishes unchanged load again, which makes up for lost updates and brings new owners up to date.
+    fn republish_load<P: ForwardProtocol>(&mut self, node: &ForwardNode<P>, now: MonotonicTime) {
+        let refreshed = node.peers.refresh_ring(&node.state.table());
+        if now < self.next_republish && !refreshed.has_changed {
             return;
         }
-        self.next_repeat = now + REPEAT_PERIOD;
+        self.next_republish = now + REPUBLISH_INTERVAL;
         node.load.expire(now);
         node.peers.expire(now);
-        node.shared_quotas.expire(now);
-        let mut backends = node.state.board.busy_backends();
-        backends.append(&mut self.told_lately);
-        let board = &node.state.board;
-        node.load.tell(&node.peers, &ring, board, &backends);
+        node.quota_client.expire(now);
+        let load_table = &node.state.load_table;
+        let mut backends = load_table.busy_backends();
+        backends.append(&mut self.recently_published);
+        node.load
+            .publish(&node.peers, &refreshed.ring, load_table, &backends);
     }
 
-    /// Takes what else has arrived: one wake-up serves all of it.
+    /// Receives what else has arrived: one wake-up serves all of it.
     fn receive_waiting<P: ForwardProtocol>(
         &mut self,
         node: &ForwardNode<P>,
         socket: &UdpSocket,
         buffer: &mut [u8],
     ) {
-        for _ in 0..MOST_IN_ONE_GO {
+        for _ in 0..MAX_DATAGRAMS_PER_WAKE_UP {
             let Ok((length, from)) = socket.try_recv_from(buffer) else {
                 return;
             };
@@ -179,60 +209,50 @@
         }
     }
 
-    /// Takes a datagram about quotas with owners. False: it is about something else.
-    fn receive_quota<P: ForwardProtocol>(
-        &self,
-        node: &ForwardNode<P>,
-        from: SocketAddr,
-        news: &PeerMessage,
-    ) -> bool {
-        let table = node.state.table();
-        let shared = &node.shared_quotas;
-        shared.receive(&node.peers, &table, &node.quotas, from, news)
-    }
-
     fn receive<P: ForwardProtocol>(
         &mut self,
         node: &ForwardNode<P>,
         from: SocketAddr,
         bytes: &[u8],
     ) {
-        let Ok(news) = PeerMessage::decode(bytes) else {
-            LOG.debug("A datagram is no news of a proxy.");
+        let Ok(message) = PeerMessage::decode(bytes) else {
+            LOG.debug("A datagram is not a peer message.");
             return;
         };
         let now = monotonic_now();
-        let board = &node.state.board;
-        if news.member == node.name
-            || node.load.receive(&node.peers, board, from, &news)
-            || shared_parts::receive(&node.peers, &node.directory, from, &news)
-            || self.receive_quota(node, from, &news)
+        let load_table = &node.state.load_table;
+        if message.member == node.name
+            || node.load.receive(&node.peers, load_table, from, &message)
+            || prefix_index::receive(&node.peers, &node.prefix_index, from, &message)
+            || receive_quota(node, from, &message)
         {
             return;
         }
-        if !self.peers.take(&news) {
-            return;
+        if self.peers.accept(&message) {
+            apply_usage(node, now, &message);
         }
-        take_news(node, now, &news);
     }
 }
 
-/// Resolves once peers should hear of an admission at once, not before `earliest`.
+/// Takes a datagram about quotas with owners. `false`: it is about something else.
+fn receive_quota<P: ForwardProtocol>(
+    node: &ForwardNode<P>,
+    from: SocketAddr,
+    message: &PeerMessage,
+) -> bool {
+    let table = node.state.table();
+    quota_service::receive(&node.peers, &table, &node.quotas, from, message)
+        || node.quota_client.receive(&node.peers, message)
+}
+
+/// Resolves once peers are to be notified of an admission at once, not before `earliest`.
 async fn until_urgent<P: ForwardProtocol>(node: &ForwardNode<P>, earliest: MonotonicTime) {
     tokio::time::sleep(earliest.since(monotonic_now())).await;
     node.quotas.until_urgent().await;
 }
 
-/// Tells the owners of parts where they were read.
-fn tell_places<P: ForwardProtocol>(node: &ForwardNode<P>) {
-    let (ring, _) = node.peers.ring(&node.state.table());
-    shared_parts::tell(&node.peers, &ring, node.directory.take_news());
-}
-
-async fn send_to_all(socket: &UdpSocket, news: &PeerMessage, addresses: &[SocketAddr]) {
-    let bytes = news.encode_to_vec();
-    for address in addresses {
-        // A datagram that cannot be sent is as good as lost: the next one makes it good.
-        let _ = socket.send_to(&bytes, address).await;
-    }
+/// Publishes to the owners of prefix blocks which backends have them cached.
+fn publish_locations<P: ForwardProtocol>(node: &ForwardNode<P>) {
+    let ring = node.peers.ring(&node.state.table());
+    prefix_index::publish(&node.peers, &ring, node.prefix_index.take_announcements());
 }
--- a/crates/forward/src/settings.rs
+++ b/crates/forward/src/settings.rs
@@ -18,7 +18,7 @@
     pub zone: String,
     /// IP address and port for callers.
     pub caller_address: String,
-    /// IP address and port that tells whether new callers are welcome, and metrics.
+    /// IP address and port of readiness and metrics.
     pub readiness_address: String,
     /// IP address and port for datagrams of other proxies.
     pub exchange_address: String,
@@ -28,14 +28,16 @@
     pub log_level: String,
     /// Form of a log line.
     pub log_format: LogFormat,
-    /// Longest time from the signal to leave to the end of the process, in milliseconds.
-    pub leave_timeout_ms: u64,
+    /// Longest time from the termination signal to the end of the process, in milliseconds.
+    #[serde(rename = "leave_timeout_ms")]
+    pub drain_timeout_ms: u64,
     /// Longest time to open a connection to a backend, in milliseconds.
     pub connect_timeout_ms: u64,
     /// Requests whose decisions are logged, in thousandths.
     pub decision_log_per_mille: u32,
-    /// Names of mechanisms that are left out, with commas between them, to measure what they are worth.
-    pub leave_out: String,
+    /// Names of disabled mechanisms, with commas between them, to measure what they are worth.
+    #[serde(rename = "leave_out")]
+    pub disabled_mechanisms: String,
 }
 
 impl Default for ForwardSettings {
@@ -49,10 +51,10 @@
             agent_address: String::new(),
             log_level: "info".to_owned(),
             log_format: LogFormat::default(),
-            leave_timeout_ms: 7500,
+            drain_timeout_ms: 7500,
             connect_timeout_ms: 400,
             decision_log_per_mille: 0,
-            leave_out: String::new(),
+            disabled_mechanisms: String::new(),
         }
     }
 }
@@ -112,12 +114,11 @@
             let too_many = "The value must be at most 1000.";
             faults.push(SettingsFault::new("decision_log_per_mille", too_many));
         }
-        if let Err(name) = Mechanisms::all_but(&self.leave_out) {
-            let unknown = format!("There is no mechanism \"{name}\".");
-            faults.push(SettingsFault::new("leave_out", unknown));
+        if let Err(unknown) = Mechanisms::all_but(&self.disabled_mechanisms) {
+            faults.push(SettingsFault::new("leave_out", unknown.to_string()));
         }
         let positive = [
-            ("leave_timeout_ms", self.leave_timeout_ms),
+            ("leave_timeout_ms", self.drain_timeout_ms),
             ("connect_timeout_ms", self.connect_timeout_ms),
         ];
         for (key, value) in positive {
--- a/crates/forward/tests/bad_counts.rs
+++ b/crates/forward/tests/absurd_counts.rs
@@ -6,7 +6,7 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
 
 const RATE: u64 = 1000;
-/// Whatever was told or asked before, a tenant is served again within this time.
+/// Whatever was reported or requested before, a tenant is served again within this time.
 const SERVED_AGAIN_WITHIN: Duration = Duration::from_secs(61);
 
 /// A number that is small, huge or on a border.
@@ -17,9 +17,10 @@
     fn arbitrary(generator: &mut Gen) -> Self {
         let borders = [0, 1, RATE, u64::from(u32::MAX), i64::MAX as u64, u64::MAX];
         let border = *generator.choose(&borders).expect("not empty");
-        match bool::arbitrary(generator) {
-            true => Self(border),
-            false => Self(u64::arbitrary(generator)),
+        if bool::arbitrary(generator) {
+            Self(border)
+        } else {
+            Self(u64::arbitrary(generator))
         }
     }
 }
@@ -67,26 +68,26 @@
 }
 
 fn take(quotas: &TenantQuotas, now: MonotonicTime, input: &Input) {
-    let count = |owner_in, boot_id| PeerCount {
+    let count = |owner_zone, boot_id| PeerCount {
         member: "peer",
         boot_id,
         tenant: "tenant",
         used_tokens: input.number.0,
         level_tokens: input.other.signed(),
         counted_for: Some(Duration::from_millis(input.other.0)),
-        owner_in,
+        owner_zone,
     };
     match input.kind {
-        0 => quotas.peer_count(now, &quota(), count(None, 1)),
-        1 => quotas.peer_count(now, &quota(), count(Some("elsewhere"), input.other.0 % 3)),
+        0 => quotas.apply_peer_count(now, &quota(), count(None, 1)),
+        1 => quotas.apply_peer_count(now, &quota(), count(Some("elsewhere"), input.other.0 % 3)),
         2 => _ = quotas.grant(now, &tenant(), input.number.0, input.other.signed()),
         3 => _ = quotas.admit(now, &tenant(), input.number.0),
-        _ => quotas.give_back(now, &tenant(), input.number.0),
+        _ => quotas.refund(now, &tenant(), input.number.0),
     }
 }
 
 quickcheck! {
-    fn a_tenant_is_served_again_whatever_was_told(inputs: Vec<Input>) -> bool {
+    fn a_tenant_is_served_again_whatever_counts_were_received(inputs: Vec<Input>) -> bool {
         let quotas = TenantQuotas::default();
         // At least a minute of debt, at most a burst with its headroom.
         let possible = -61 * RATE.cast_signed()..=2 * RATE.cast_signed();
@@ -109,7 +110,7 @@
 }
 
 #[test]
-fn a_caller_that_names_an_absurd_number_of_tokens_shuts_its_tenant_out_for_a_minute_at_most() {
+fn an_absurd_token_count_blocks_its_tenant_for_at_most_a_minute() {
     let quotas = TenantQuotas::default();
     let now = MonotonicTime::from_millis(1000);
     assert!(quotas.admit(now, &tenant(), u64::MAX).is_ok());
--- a/crates/proxy/tests/support/environment.rs
+++ b/crates/proxy/tests/support/environment.rs
@@ -7,11 +7,13 @@
 use futures::future::pending;
 use millford_api::command::{Claim, ResolveClaim};
 use millford_core::{Duration, MonotonicTime};
-use millford_proxy::proxy_state::ProxyState;
+use millford_data_plane::agent_message::{
+    AdmissionReply, AdmissionRequest, ClaimAnswer, QuotaRelease,
+};
+use millford_data_plane::proxy_state::ProxyState;
 use millford_proxy::request::environment::{BackendAnswer, RequestEnvironment};
 use millford_proxy::request::message::{
-    AdmissionReply, AdmissionRequest, AnswerError, AnswerHead, BackendRequest, ClaimAnswer,
-    DispatchError, QuotaRelease, WithdrawAnswer, WithdrawRequest,
+    AnswerError, AnswerHead, BackendRequest, DispatchError, WithdrawAnswer, WithdrawRequest,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -156,7 +158,7 @@
         self.scripts().random.random()
     }
 
-    async fn ask_quota(&self, ask: AdmissionRequest) -> AdmissionReply {
+    async fn request_quota(&self, ask: AdmissionRequest) -> AdmissionReply {
         self.recorded().quota_asks.push(ask);
         self.scripts().quota
     }
@@ -170,8 +172,8 @@
         self.scripts().claim
     }
 
-    fn settle(&self, settle: ResolveClaim) {
-        self.recorded().settles.push(settle);
+    fn resolve_claim(&self, resolution: ResolveClaim) {
+        self.recorded().settles.push(resolution);
     }
 
     async fn dispatch(&self, request: BackendRequest) -> Result<ScriptedAnswer, DispatchError> {
--- a/crates/replication/tests/group/simulation.rs
+++ b/crates/replication/tests/group/simulation.rs
@@ -2,26 +2,29 @@
 
 use std::collections::BTreeMap;
 
-use millford_api::replication::VoterSet;
+use millford_api::replication::{
+    ReplicationMessage, VoterSet, log_entry::Payload, replication_message::Body,
+};
 use millford_core::{Duration, MonotonicTime, NodeId};
-use millford_replication::{OpenError, Replica, Role, TICK};
-use millford_storage::StorageError;
+use millford_replication::{ConfirmedRead, OpenError, Replica, Role, TICK};
+use millford_storage::{ReplicaStorage, StorageError, StorageOptions};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
 use super::history::History;
 use super::machine::Machine;
-use super::network::{Network, Weather};
+use super::network::{Network, NetworkConditions};
+use super::support::crash_disk::Faults;
 
-/// Time between two rounds of the loop.
+/// Simulated time of one step.
 const STEP: Duration = Duration::from_millis(5);
 
 /// Longest simulated time that a test waits for something.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
 /// Faults of the program that a run plants, to show that the checks find them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Defect {
+pub(crate) enum Defect {
     #[default]
     None,
     /// Disks report syncs of the log that they do not make.
@@ -32,43 +35,43 @@
     ForgottenVotes,
     /// A wiped disk comes back under its old identity.
     ReusedIdentity,
-    /// Reads are answered without asking the others.
+    /// Reads are answered without a quorum's confirmation.
     UnconfirmedReads,
-    /// Commands change on the way.
+    /// Commands change in transit.
     AlteredCommands,
 }
 
 /// A group under simulation.
-pub struct Simulation {
-    pub now: MonotonicTime,
-    pub random: StdRng,
-    pub machines: BTreeMap<NodeId, Machine>,
-    pub network: Network,
-    pub history: History,
-    pub defect: Defect,
-    /// Whether repair removes a lost voter before it promotes the spare, or after.
-    pub removes_first: bool,
-    pub next_node: u64,
-    pub next_request: u64,
+pub(crate) struct Simulation {
+    pub(crate) now: MonotonicTime,
+    pub(crate) random: StdRng,
+    pub(crate) machines: BTreeMap<NodeId, Machine>,
+    pub(crate) network: Network,
+    pub(crate) history: History,
+    pub(crate) defect: Defect,
+    /// Whether repair removes a lost voter before it promotes the standby, or after.
+    pub(crate) removes_before_promotion: bool,
+    pub(crate) next_node: u64,
+    pub(crate) next_request: u64,
     /// Voters that machines knew when their disks were lost.
-    pub lost_voters: Vec<(MonotonicTime, Vec<NodeId>)>,
+    pub(crate) lost_voter_sets: Vec<(MonotonicTime, Vec<NodeId>)>,
     next_tick: MonotonicTime,
 }
 
 impl Simulation {
     /// A new group of `size` voters, all started.
-    pub fn new(seed: u64, size: u64, weather: Weather, defect: Defect) -> Self {
+    pub(crate) fn new(seed: u64, size: u64, conditions: NetworkConditions, defect: Defect) -> Self {
         let mut simulation = Self {
             now: MonotonicTime::ZERO,
             random: StdRng::seed_from_u64(seed),
             machines: BTreeMap::new(),
-            network: Network::new(weather),
+            network: Network::new(conditions),
             history: History::default(),
             defect,
-            removes_first: seed.is_multiple_of(2),
+            removes_before_promotion: seed.is_multiple_of(2),
             next_node: 1,
             next_request: 1,
-            lost_voters: Vec::new(),
+            lost_voter_sets: Vec::new(),
             next_tick: MonotonicTime::ZERO,
         };
         let voters = VoterSet {
@@ -82,18 +85,19 @@
     }
 
     /// Adds an empty machine with a new identity and starts it.
-    pub fn add_machine(&mut self, initial_voters: Option<VoterSet>) -> NodeId {
+    pub(crate) fn add_machine(&mut self, initial_voters: Option<VoterSet>) -> NodeId {
         let node = NodeId(self.next_node);
         self.next_node += 1;
         let machine = Machine::new(node, initial_voters);
-        machine.disk.set_faults(self.standing_faults());
+        machine.disk.set_faults(self.planted_faults());
         self.machines.insert(node, machine);
         self.start(node);
         node
     }
 
-    pub fn standing_faults(&self) -> super::support::crash_disk::Faults {
-        super::support::crash_disk::Faults {
+    /// Disk faults that last: those of the planted defect.
+    pub(crate) fn planted_faults(&self) -> Faults {
+        Faults {
             lie_about_sync: self.defect == Defect::LyingSyncs,
             lie_about_replace: self.defect == Defect::LyingReplaces,
             ..Default::default()
@@ -101,7 +105,7 @@
     }
 
     /// Starts a machine's process if it is not running.
-    pub fn start(&mut self, node: NodeId) {
+    pub(crate) fn start(&mut self, node: NodeId) {
         let seed = self.random.random();
         let now = self.now;
         let forgets = self.defect == Defect::ForgottenVotes;
@@ -129,7 +133,7 @@
     }
 
     /// Runs for a time.
-    pub fn run_for(&mut self, duration: Duration) {
+    pub(crate) fn run_for(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end {
             self.step();
@@ -137,16 +141,16 @@
     }
 
     /// Runs until something holds; fails after a time that is ample for everything.
-    pub fn run_until(&mut self, holds: impl Fn(&Simulation) -> bool) {
-        let end = self.now + LONGEST_WAIT;
+    pub(crate) fn run_until(&mut self, holds: impl Fn(&Simulation) -> bool) {
+        let end = self.now + MAX_WAIT;
         while !holds(self) {
-            assert!(self.now < end, "it never came about");
+            assert!(self.now < end, "the condition never held");
             self.step();
         }
     }
 
-    /// One round: deliveries and ticks, each followed by a flush or not, then the rest flushed.
-    pub fn step(&mut self) {
+    /// One step: deliveries and ticks, each followed by a flush or not, then the rest flushed.
+    pub(crate) fn step(&mut self) {
         self.now = self.now + STEP;
         while let Some(message) = self.network.receive(self.now) {
             self.deliver(message);
@@ -161,7 +165,7 @@
         }
     }
 
-    fn deliver(&mut self, message: millford_api::replication::ReplicationMessage) {
+    fn deliver(&mut self, message: ReplicationMessage) {
         let node = NodeId(message.to);
         let now = self.now;
         let machine = self.machines.get_mut(&node);
@@ -188,7 +192,7 @@
     }
 
     /// Flushes a machine and sends what may leave.
-    pub fn flush(&mut self, node: NodeId) {
+    pub(crate) fn flush(&mut self, node: NodeId) {
         let now = self.now;
         let machine = self.machines.get_mut(&node);
         let Some(machine) = machine.filter(|machine| machine.is_running(now)) else {
@@ -208,7 +212,7 @@
     }
 
     /// Replicas that believe to lead.
-    pub fn leaders(&self) -> Vec<NodeId> {
+    pub(crate) fn leaders(&self) -> Vec<NodeId> {
         let is_leader = |machine: &&Machine| {
             let replica = machine.replica.as_ref();
             replica.is_some_and(|replica| replica.status().role == Role::Leader)
@@ -218,7 +222,7 @@
     }
 
     /// A running replica.
-    pub fn replica(&mut self, node: NodeId) -> Option<&mut Replica> {
+    pub(crate) fn replica(&mut self, node: NodeId) -> Option<&mut Replica> {
         let now = self.now;
         let machine = self.machines.get_mut(&node)?;
         if !machine.is_running(now) {
@@ -227,28 +231,28 @@
         machine.replica.as_mut()
     }
 
-    /// Asks a replica for a confirmed read.
-    pub fn read(&mut self, node: NodeId) {
+    /// Requests a confirmed read.
+    pub(crate) fn read(&mut self, node: NodeId) {
         let request = self.next_request;
         self.next_request += 1;
-        let skips_round = self.defect == Defect::UnconfirmedReads;
+        let skips_quorum = self.defect == Defect::UnconfirmedReads;
         let Some(replica) = self.replica(node) else {
             return;
         };
-        if skips_round && replica.status().role == Role::Leader {
+        if skips_quorum && replica.status().role == Role::Leader {
             let index = replica.status().commit_index;
-            self.history.note_read_asked(request);
-            let read = millford_replication::ConfirmedRead { request, index };
-            self.history.note_read_confirmed(node, &read, index);
+            self.history.record_read_requested(request);
+            let read = ConfirmedRead { request, index };
+            self.history.record_read_confirmed(node, &read, index);
             return;
         }
         if replica.read_index(request).is_ok() {
-            self.history.note_read_asked(request);
+            self.history.record_read_requested(request);
         }
     }
 
     /// Compares the logs of all running replicas.
-    pub fn check_logs(&mut self) {
+    pub(crate) fn check_logs(&mut self) {
         let replicas = self.machines.values();
         let replicas: Vec<&Replica> = replicas
             .filter_map(|machine| machine.replica.as_ref())
@@ -262,10 +266,10 @@
 }
 
 /// The planted defect: a restarted replica does not know whom it voted for.
-pub fn forget_vote(machine: &Machine) {
-    let options = millford_storage::StorageOptions::default();
+pub(crate) fn forget_vote(machine: &Machine) {
+    let options = StorageOptions::default();
     let disk = Box::new(machine.disk.clone());
-    let Ok(mut storage) = millford_storage::ReplicaStorage::open(disk, options) else {
+    let Ok(mut storage) = ReplicaStorage::open(disk, options) else {
         return;
     };
     if let Some(mut state) = storage.hard_state() {
@@ -274,8 +278,7 @@
     }
 }
 
-fn alter(message: &mut millford_api::replication::ReplicationMessage) {
-    use millford_api::replication::{log_entry::Payload, replication_message::Body};
+fn alter(message: &mut ReplicationMessage) {
     let Some(Body::AppendRequest(request)) = &mut message.body else {
         return;
     };
--- a/crates/simulation/src/checkers/durability.rs
+++ b/crates/simulation/src/checkers/durability.rs
@@ -5,7 +5,7 @@
 use millford_core::MonotonicTime;
 
 use crate::checkers::checker::Checker;
-use crate::checkers::promise::Promise;
+use crate::checkers::guarantee::Guarantee;
 use crate::checkers::verdict::Verdict;
 use crate::history::{OrderAnswer, Record};
 
@@ -14,7 +14,9 @@
 pub struct DurabilityChecker {
     /// Highest acknowledged revision from each time on.
     acknowledged: BTreeMap<MonotonicTime, u64>,
+    /// Digest of the document of each revision.
     documents: BTreeMap<u64, u64>,
+    /// Confirmed reads so far.
     reads: u64,
 }
 
@@ -44,7 +46,7 @@
     fn finish(&mut self, at: MonotonicTime, verdict: &mut Verdict) {
         if self.reads == 0 {
             let text = "no confirmed read succeeded by the end".to_string();
-            verdict.broken(at, Promise::Durability, text);
+            verdict.record_violation(at, Guarantee::Durability, text);
         }
     }
 }
@@ -70,15 +72,15 @@
         let floor = self.acknowledged_by(sent);
         if revision < floor {
             let text = format!("a read sent after {floor} was acknowledged shows {revision}");
-            verdict.broken(at, Promise::Durability, text);
+            verdict.record_violation(at, Guarantee::Durability, text);
         }
     }
 
     fn check_document(&self, at: MonotonicTime, revision: u64, digest: u64, verdict: &mut Verdict) {
-        let wanted = self.documents.get(&revision);
-        if wanted.is_some_and(|wanted| *wanted != digest) {
+        let expected = self.documents.get(&revision);
+        if expected.is_some_and(|expected| *expected != digest) {
             let text = format!("revision {revision} reads back as another document");
-            verdict.broken(at, Promise::Durability, text);
+            verdict.record_violation(at, Guarantee::Durability, text);
         }
     }
 }
--- a/crates/simulation/src/world/agent_driver.rs
+++ b/crates/simulation/src/world/agent_driver.rs
@@ -5,10 +5,9 @@
 use millford_agent::{AgentCore, AgentInput, AgentOptions, AgentOutput};
 use rand::Rng;
 
-use crate::history::{FrontNumber, Record};
-use crate::network::{LinkNumber, MachineId, Packet, ProcessId};
+use crate::history::{ProxyNodeNumber, Record};
+use crate::network::{LinkNumber, Packet, ProcessId};
 use crate::world::control_driver::{control_at, seed_addresses};
-use crate::world::event::Event;
 use crate::world::process_input::ProcessInput;
 use crate::world::site::Site;
 
@@ -19,17 +18,17 @@
 
 impl Site {
     /// Starts the agent's core.
-    pub fn start_agent(&mut self, number: u16) {
+    pub(super) fn start_agent(&mut self, number: u16) {
         let process = ProcessId::Agent(number);
         let local = self.local_time(process);
-        let boot = self.boot_of(process);
+        let incarnation = self.incarnation_of(process);
         let zone = self.zone(number);
         let random_seed = self.random.random();
         let boot_id = self.random.random();
         let Some(agent) = self.agents.get_mut(&number) else {
             return;
         };
-        agent.forget_core();
+        agent.forget_incarnation();
         let mut control_addresses = seed_addresses();
         for address in &agent.saved_addresses {
             if !control_addresses.contains(address) {
@@ -46,24 +45,24 @@
             ..Default::default()
         };
         agent.core = Some(AgentCore::new(&options, local));
-        self.tick_after(process, boot, START_TICK);
+        self.tick_after(process, incarnation, START_TICK);
     }
 
     /// The agent died.
-    pub fn agent_died(&mut self, number: u16) {
+    pub(super) fn agent_died(&mut self, number: u16) {
         if let Some(agent) = self.agents.get_mut(&number) {
-            agent.forget_core();
+            agent.forget_incarnation();
         }
-        self.say_touch(number, false);
+        self.record_connectivity(number, false);
     }
 
     /// Hands an input to an agent.
-    pub fn agent_input(&mut self, number: u16, input: ProcessInput, waits: bool) {
+    pub(super) fn agent_input(&mut self, number: u16, input: ProcessInput, waits: bool) {
         let process = ProcessId::Agent(number);
         let is_tick = matches!(input, ProcessInput::Tick);
         if is_tick && waits {
-            let boot = self.boot_of(process);
-            self.tick_after(process, boot, MAX_TICK);
+            let incarnation = self.incarnation_of(process);
+            self.tick_after(process, incarnation, MAX_TICK);
             return;
         }
         let Some(input) = self.agent_core_input(number, input) else {
@@ -82,24 +81,23 @@
         for output in outputs {
             self.agent_output(number, output);
         }
-        self.say_touch(number, in_touch);
+        self.record_connectivity(number, in_touch);
         if is_tick {
-            let boot = self.boot_of(process);
+            let incarnation = self.incarnation_of(process);
             let delay = next.since(local).clamp(MIN_TICK, MAX_TICK);
-            self.tick_after(process, boot, delay);
+            self.tick_after(process, incarnation, delay);
         }
     }
 
-    fn say_touch(&mut self, number: u16, in_touch: bool) {
-        let Some(agent) = self.agents.get_mut(&number) else {
-            return;
-        };
-        if agent.said_in_touch == in_touch {
-            return;
+    fn record_connectivity(&mut self, number: u16, connected: bool) {
+        let agent = self.agents.get_mut(&number);
+        if agent.is_some_and(|agent| agent.update_connected(connected)) {
+            let proxy_node = ProxyNodeNumber(number);
+            self.record(Record::AgentConnectivity {
+                proxy_node,
+                connected,
+            });
         }
-        agent.said_in_touch = in_touch;
-        let front = FrontNumber(number);
-        self.record(Record::Touch { front, in_touch });
     }
 
     fn agent_core_input(&mut self, number: u16, input: ProcessInput) -> Option<AgentInput> {
@@ -114,7 +112,7 @@
                 Some(AgentInput::ProxyUp)
             }
             ProcessInput::LinkOpened { link, .. } => {
-                let link = *agent.ids.get(&link)?;
+                let link = agent.links.name_of(link)?;
                 Some(AgentInput::LinkUp { link })
             }
             ProcessInput::LinkClosed { link } if agent.proxy == Some(link) => {
@@ -122,14 +120,14 @@
                 Some(AgentInput::ProxyDown)
             }
             ProcessInput::LinkClosed { link } => {
-                let link = agent.forget_link(link)?;
+                let link = agent.links.remove(link)?;
                 Some(AgentInput::LinkDown { link })
             }
             ProcessInput::Packet {
                 link,
                 packet: Packet::Frame(frame),
             } => {
-                let link = *agent.ids.get(&link)?;
+                let link = agent.links.name_of(link)?;
                 Some(AgentInput::ControlFrame { link, frame })
             }
             ProcessInput::Packet {
@@ -153,10 +151,9 @@
                 }
             }
             AgentOutput::CloseControl { link } => {
-                if let Some(link) = self.agent_link(number, link) {
-                    if let Some(agent) = self.agents.get_mut(&number) {
-                        agent.forget_link(link);
-                    }
+                let agent = self.agents.get_mut(&number);
+                let link = agent.and_then(|agent| agent.links.remove_name(link));
+                if let Some(link) = link {
                     self.close_link(process, link);
                 }
             }
@@ -167,8 +164,8 @@
                 }
             }
             AgentOutput::ReadRegistry => {
-                let boot = self.boot_of(process);
-                self.after(REGISTRY_DELAY, Event::ReadRegistry { process, boot });
+                let incarnation = self.incarnation_of(process);
+                self.schedule_registry_read(REGISTRY_DELAY, process, incarnation);
             }
             AgentOutput::SaveMembers(members) => {
                 if let Some(agent) = self.agents.get_mut(&number) {
@@ -181,7 +178,7 @@
     }
 
     fn agent_link(&self, number: u16, link: u64) -> Option<LinkNumber> {
-        self.agents.get(&number)?.numbers.get(&link).copied()
+        self.agents.get(&number)?.links.link_of(link)
     }
 
     fn agent_connects(&mut self, number: u16, id: u64, address: &str) {
@@ -189,24 +186,7 @@
         let target = control_at(address).unwrap_or(ProcessId::Control(u16::MAX));
         let link = self.open_link(process, target);
         if let Some(agent) = self.agents.get_mut(&number) {
-            agent.name_link(link, id);
-        }
-    }
-
-    /// A process reads the registry, if it can reach it; control nodes do so again and again.
-    pub fn read_registry(&mut self, process: ProcessId, boot: u64) {
-        if self.boot_of(process) != boot {
-            return;
-        }
-        let reachable = self
-            .cuts
-            .is_passable(process.machine(), MachineId::Registry);
-        if reachable {
-            self.give(process, boot, ProcessInput::Registry);
-        }
-        if matches!(process, ProcessId::Control(_)) {
-            let event = Event::ReadRegistry { process, boot };
-            self.after(crate::world::registry::POLL_PERIOD, event);
+            agent.links.insert(link, id);
         }
     }
 }
--- a/crates/simulation/src/world/control_driver.rs
+++ b/crates/simulation/src/world/control_driver.rs
@@ -15,25 +15,28 @@
 use crate::world::control_process::ControlProcess;
 use crate::world::defect::Defect;
 use crate::world::event::{Event, OperatorEvent};
+use crate::world::process::ProcessLoss;
 use crate::world::process_input::ProcessInput;
 use crate::world::site::Site;
 
-/// Syncs up to this long delay messages; longer ones stop the whole node.
+/// Syncs up to this long delay messages; longer ones block the node.
 const LONGEST_UNNOTICED_SYNC: Duration = Duration::from_millis(200);
 const SEEDS: u16 = 3;
 const DATA_SHARDS: u32 = 6;
 const REPLACE_AFTER: Duration = Duration::from_secs(5);
 const RESTART_AFTER_FATAL: Duration = Duration::from_secs(1);
+/// Time from a start to the first read of the registry.
+const FIRST_REGISTRY_READ_AFTER: Duration = Duration::from_millis(10);
 const INTERNAL_PORT: u16 = 7000;
 const OPERATOR_PORT: u16 = 7001;
 
-/// Internal address of a core machine.
+/// Internal address of a control node.
 #[must_use]
 pub fn control_address(number: u16) -> String {
     format!("10.0.1.{number}:{INTERNAL_PORT}")
 }
 
-/// The core machine with an internal address.
+/// The control node with an internal address.
 #[must_use]
 pub fn control_at(address: &str) -> Option<ProcessId> {
     let rest = address.strip_prefix("10.0.1.")?;
@@ -48,50 +51,45 @@
 }
 
 impl Site {
-    /// Adds a core machine with an empty disk.
-    pub fn add_control(&mut self, number: u16) {
+    /// Adds a control node with an empty disk.
+    pub(super) fn add_control(&mut self, number: u16) {
         let seeds = self.seeds_for_a_new_machine(number);
-        let control = ControlProcess::new(self.fresh_process(), seeds);
-        if self.options.defect == Some(Defect::LyingDisks) {
-            control.disk().lie_about_syncs();
+        let control = ControlProcess::new(self.new_process(), seeds);
+        if self.options.defect == Some(Defect::IgnoredSyncs) {
+            control.disk().ignore_syncs();
         }
         self.controls.insert(number, control);
     }
 
     /// Opens the control node of a process that starts.
-    pub fn start_control(&mut self, number: u16) {
+    pub(super) fn start_control(&mut self, number: u16) {
         let process = ProcessId::Control(number);
         let local = self.local_time(process);
-        let boot = self.boot_of(process);
+        let incarnation = self.incarnation_of(process);
         let options = self.control_options(number);
         let Some(control) = self.controls.get_mut(&number) else {
             return;
         };
-        control.forget_node();
-        let platter = Arc::clone(&control.platter);
+        control.forget_incarnation();
+        let disk_image = Arc::clone(&control.disk_image);
         let disks = move |folder: &str| {
-            Box::new(MemoryDisk::new(Arc::clone(&platter), folder)) as Box<dyn Disk>
+            Box::new(MemoryDisk::new(Arc::clone(&disk_image), folder)) as Box<dyn Disk>
         };
         match ControlNode::open(options, disks, local) {
             Ok(node) => {
                 control.node = Some(node);
-                self.tick_after(process, boot, TICK);
-                self.after(
-                    Duration::from_millis(10),
-                    Event::ReadRegistry { process, boot },
-                );
+                self.tick_after(process, incarnation, TICK);
+                self.schedule_registry_read(FIRST_REGISTRY_READ_AFTER, process, incarnation);
             }
             Err(error) => {
-                let now = self.now();
-                self.recorder
-                    .note(now, || format!("control {number} cannot open: {error}"));
+                self.log(|| format!("control {number} cannot open: {error}"));
                 self.control_fatal(number);
             }
         }
     }
 
     /// The first machines name each other. Who sets up a later one names machines that serve, as the
-    /// operators' guide asks.
+    /// operators' guide says.
     fn seeds_for_a_new_machine(&self, number: u16) -> Vec<String> {
         if number <= SEEDS {
             return seed_addresses();
@@ -121,56 +119,56 @@
 
     /// Zone of the machine with this number among its kind.
     #[must_use]
-    pub fn zone(&self, number: u16) -> String {
+    pub(super) fn zone(&self, number: u16) -> String {
         format!("zone-{}", number % self.topology.zones.max(1))
     }
 
-    /// The process died: its node is gone, and unsynced bytes with it.
-    pub fn control_died(&mut self, number: u16) {
+    /// The process died: its node is dropped, and unsynced bytes are lost.
+    pub(super) fn control_died(&mut self, number: u16) {
         let Some(control) = self.controls.get_mut(&number) else {
             return;
         };
-        control.forget_node();
-        let platter = Arc::clone(&control.platter);
-        let mut platter = platter
+        control.forget_incarnation();
+        let disk_image = Arc::clone(&control.disk_image);
+        let mut disk_image = disk_image
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
-        platter.lose_power(&mut self.random);
+        disk_image.lose_power(&mut self.random);
     }
 
     fn control_fatal(&mut self, number: u16) {
         let process = ProcessId::Control(number);
-        self.kill_process(process, false);
-        self.after(RESTART_AFTER_FATAL, Event::Start { process });
+        self.kill_process(process, ProcessLoss::Crash);
+        self.schedule_after(RESTART_AFTER_FATAL, Event::Start { process });
     }
 
     /// Hands an input to a control node.
-    pub fn control_input(&mut self, number: u16, input: ProcessInput, waits: bool) {
+    pub(super) fn control_input(&mut self, number: u16, input: ProcessInput, waits: bool) {
         let process = ProcessId::Control(number);
-        let boot = self.boot_of(process);
+        let incarnation = self.incarnation_of(process);
         if matches!(input, ProcessInput::Tick) {
-            self.tick_after(process, boot, TICK);
+            self.tick_after(process, incarnation, TICK);
             if waits {
                 return;
             }
         }
         if let Some(input) = self.control_node_input(number, input) {
-            self.give_control(number, vec![input]);
+            self.handle_batch(number, vec![input]);
         }
     }
 
     /// Hands everything that waited while the disk was busy to a control node, for one flush.
-    pub fn control_batch(&mut self, number: u16, inputs: Vec<ProcessInput>) {
+    pub(super) fn control_batch(&mut self, number: u16, inputs: Vec<ProcessInput>) {
         let inputs = inputs.into_iter();
         let inputs: Vec<_> = inputs
             .filter_map(|input| self.control_node_input(number, input))
             .collect();
-        self.give_control(number, inputs);
+        self.handle_batch(number, inputs);
     }
 
-    fn give_control(&mut self, number: u16, inputs: Vec<NodeInput>) {
+    fn handle_batch(&mut self, number: u16, inputs: Vec<NodeInput>) {
         let process = ProcessId::Control(number);
-        let boot = self.boot_of(process);
+        let incarnation = self.incarnation_of(process);
         let local = self.local_time(process);
         let Some(control) = self.controls.get_mut(&number) else {
             return;
@@ -190,45 +188,51 @@
         // In the daemon each shard syncs on its own thread, all that waits with one sync: a short
         // sync delays what it makes durable, and only a long one holds up the node.
         if free_at > self.now() + LONGEST_UNNOTICED_SYNC {
-            self.busy_until(process, boot, free_at);
+            self.busy_until(process, incarnation, free_at);
         }
         for output in outputs {
             self.control_output(number, output, free_at);
         }
     }
 
-    fn busy_until(&mut self, process: ProcessId, boot: u64, free_at: MonotonicTime) {
+    fn busy_until(&mut self, process: ProcessId, incarnation: u64, free_at: MonotonicTime) {
         if let Some(state) = self.process_mut(process) {
             state.busy_until = free_at;
         }
-        self.queue.push(free_at, Event::Ready { process, boot });
+        self.queue.push(
+            free_at,
+            Event::Ready {
+                process,
+                incarnation,
+            },
+        );
     }
 
     fn control_node_input(&mut self, number: u16, input: ProcessInput) -> Option<NodeInput> {
-        let registry = Arc::clone(&self.registry.view);
+        let registry = self.registry.view();
         let control = self.controls.get_mut(&number)?;
         match input {
             ProcessInput::LinkOpened { link, accepted } => {
-                let peer = match accepted {
-                    true => PeerKind::Incoming,
-                    false => PeerKind::Outgoing,
+                let peer = if accepted {
+                    PeerKind::Incoming
+                } else {
+                    PeerKind::Outgoing
                 };
                 if accepted {
-                    control.accepted += 1;
-                    control.name_link(link, LinkId(control.accepted));
+                    control.accept_link(link);
                 }
-                let link = *control.ids.get(&link)?;
+                let link = control.links.name_of(link)?;
                 Some(NodeInput::LinkOpened { link, peer })
             }
             ProcessInput::LinkClosed { link } => {
-                let link = control.forget_link(link)?;
+                let link = control.links.remove(link)?;
                 Some(NodeInput::LinkClosed { link })
             }
             ProcessInput::Packet {
                 link,
                 packet: Packet::Frame(frame),
             } => {
-                let link = *control.ids.get(&link)?;
+                let link = control.links.name_of(link)?;
                 Some(NodeInput::Frame {
                     link,
                     frame: *frame,
@@ -249,50 +253,56 @@
         match output {
             NodeOutput::Send { link, frame } => {
                 if let Some(link) = self.control_link(number, link) {
-                    let packet = Box::new(Packet::Frame(Box::new(frame)));
-                    let boot = self.boot_of(process);
-                    let send = Event::SendLater {
-                        process,
-                        boot,
-                        link,
-                        packet,
-                    };
-                    self.queue.push(at, send);
+                    let packet = Packet::Frame(Box::new(frame));
+                    self.schedule_send(at, process, link, packet);
                 }
             }
             NodeOutput::Connect { link, address } => self.control_connects(number, link, &address),
             NodeOutput::Close { link } => {
-                if let Some(link) = self.control_link(number, link) {
-                    if let Some(control) = self.controls.get_mut(&number) {
-                        control.forget_link(link);
-                    }
+                let control = self.controls.get_mut(&number);
+                let link = control.and_then(|control| control.links.remove_name(link));
+                if let Some(link) = link {
                     self.close_link(process, link);
                 }
             }
             NodeOutput::OperatorReply { request, reply } => {
                 let delay = self.network_delay(process, ProcessId::Backend(0));
-                self.operators.keep_answer(request, reply);
+                self.operators.send_reply(request, reply);
                 self.queue.push(
                     at + delay,
-                    Event::Operator(OperatorEvent::Answer { request }),
+                    Event::Operator(OperatorEvent::Reply { request }),
                 );
             }
-            NodeOutput::Note(note) => {
-                let now = self.now();
-                self.recorder
-                    .note(now, || format!("control {number}: {note:?}"));
+            NodeOutput::Event(event) => {
+                self.log(|| format!("control {number}: {event:?}"));
             }
             NodeOutput::Fatal { code } => {
-                let now = self.now();
-                self.recorder
-                    .note(now, || format!("control {number} stops: {code}"));
+                self.log(|| format!("control {number} stops: {code}"));
                 self.control_fatal(number);
             }
         }
     }
 
+    fn schedule_send(
+        &mut self,
+        at: MonotonicTime,
+        process: ProcessId,
+        link: LinkNumber,
+        packet: Packet,
+    ) {
+        let incarnation = self.incarnation_of(process);
+        let packet = Box::new(packet);
+        let send = Event::SendLater {
+            process,
+            incarnation,
+            link,
+            packet,
+        };
+        self.queue.push(at, send);
+    }
+
     fn control_link(&self, number: u16, link: LinkId) -> Option<LinkNumber> {
-        self.controls.get(&number)?.numbers.get(&link).copied()
+        self.controls.get(&number)?.links.link_of(link)
     }
 
     fn control_connects(&mut self, number: u16, id: LinkId, address: &str) {
@@ -301,7 +311,7 @@
         let target = control_at(address).unwrap_or(ProcessId::Control(u16::MAX));
         let link = self.open_link(process, target);
         if let Some(control) = self.controls.get_mut(&number) {
-            control.name_link(link, id);
+            control.links.insert(link, id);
         }
     }
 }
--- a/crates/simulation/src/world/proxy/environment.rs
+++ b/crates/simulation/src/world/proxy/environment.rs
@@ -6,29 +6,31 @@
 use futures::channel::{mpsc, oneshot};
 use millford_api::command::{Claim, ResolveClaim};
 use millford_core::{Duration, MonotonicTime};
-use millford_proxy::proxy_state::ProxyState;
+use millford_data_plane::agent_message::{
+    AdmissionReply, AdmissionRequest, ClaimAnswer, QuotaRelease,
+};
+use millford_data_plane::proxy_state::ProxyState;
 use millford_proxy::request::environment::RequestEnvironment;
 use millford_proxy::request::message::{
-    AdmissionReply, AdmissionRequest, BackendRequest, ClaimAnswer, DispatchError, QuotaRelease,
-    WithdrawAnswer, WithdrawRequest,
+    BackendRequest, DispatchError, WithdrawAnswer, WithdrawRequest,
 };
 
-use crate::history::CallNumber;
-use crate::world::proxy::action::ProxyAction;
-use crate::world::proxy::agent_desk::AgentDesk;
+use crate::history::RequestNumber;
+use crate::world::proxy::action::{ExchangeNumber, ProxyAction};
+use crate::world::proxy::agent_client::AgentClient;
 use crate::world::proxy::answer::{ExchangeGuard, SimulatedAnswer};
 use crate::world::proxy::port::{ExchangeWaiter, SharedPort, lock};
 
-/// Environment of one call on a proxy.
+/// Environment of one client request on a proxy.
 pub struct SimulatedEnvironment {
-    /// Where wishes go.
+    /// Where actions are queued.
     pub port: SharedPort,
     /// State of the proxy.
     pub state: Arc<ProxyState>,
-    /// What waits for the agent.
-    pub agent: Arc<AgentDesk>,
-    /// The call that is served.
-    pub call: CallNumber,
+    /// Requests to the agent.
+    pub agent: Arc<AgentClient>,
+    /// The client request that is served.
+    pub client_request: RequestNumber,
 }
 
 impl SimulatedEnvironment {
@@ -39,11 +41,11 @@
         }
     }
 
-    fn open(&self) -> u64 {
+    fn new_exchange(&self) -> ExchangeNumber {
         lock(&self.port).next_number()
     }
 
-    fn guard(&self, exchange: u64) -> ExchangeGuard {
+    fn guard(&self, exchange: ExchangeNumber) -> ExchangeGuard {
         ExchangeGuard {
             port: Arc::clone(&self.port),
             exchange,
@@ -71,24 +73,27 @@
         lock(&self.port).random()
     }
 
-    async fn ask_quota(&self, ask: AdmissionRequest) -> AdmissionReply {
-        self.agent.ask_quota(&self.port, self.call, ask).await
+    async fn request_quota(&self, request: AdmissionRequest) -> AdmissionReply {
+        self.agent
+            .admit(&self.port, self.client_request, request)
+            .await
     }
 
     fn release_quota(&self, release: QuotaRelease) {
-        self.agent.release_quota(&self.port, self.call, release);
+        self.agent
+            .release_quota(&self.port, self.client_request, release);
     }
 
     async fn claim(&self, claim: Claim, timeout: Duration) -> ClaimAnswer {
         self.agent.claim(&self.port, claim, timeout).await
     }
 
-    fn settle(&self, settle: ResolveClaim) {
-        self.agent.settle(&self.port, settle);
+    fn resolve_claim(&self, resolution: ResolveClaim) {
+        self.agent.resolve(&self.port, resolution);
     }
 
     async fn dispatch(&self, request: BackendRequest) -> Result<SimulatedAnswer, DispatchError> {
-        let exchange = self.open();
+        let exchange = self.new_exchange();
         let guard = self.guard(exchange);
         let (head_sender, head) = oneshot::channel();
         let (part_sender, parts) = mpsc::unbounded();
@@ -102,7 +107,7 @@
             port.exchanges.insert(exchange, waiter);
             port.actions.push(ProxyAction::Dispatch {
                 exchange,
-                call: self.call,
+                client_request: self.client_request,
                 request: Box::new(request),
             });
         }
@@ -111,7 +116,7 @@
     }
 
     async fn withdraw(&self, request: WithdrawRequest) -> WithdrawAnswer {
-        let exchange = self.open();
+        let exchange = self.new_exchange();
         let _guard = self.guard(exchange);
         let (sender, answer) = oneshot::channel();
         let at = self.now() + request.timeout;
@@ -130,7 +135,7 @@
     }
 
     fn withdraw_later(&self, request: WithdrawRequest) {
-        let exchange = self.open();
+        let exchange = self.new_exchange();
         let mut port = lock(&self.port);
         port.exchanges
             .insert(exchange, ExchangeWaiter::Withdrawal(None));
--- a/crates/simulation/tests/planted_defects.rs
+++ b/crates/simulation/tests/planted_defects.rs
@@ -1,8 +1,9 @@
 //! Every checker catches its fault: a planted defect makes a scenario fail that passes without it.
 
-use millford_simulation::runner::run_scenario;
-use millford_simulation::scenario::Scenario;
-use millford_simulation::world::{Defect, RunOptions};
+use millford_simulation::checkers::Guarantee;
+use millford_simulation::world::Defect;
+
+mod fixture;
 
 /// Enough of everything for each defect to show.
 const TEXT: &str = "
@@ -21,28 +22,22 @@
 at 17s kill cores for 1s
 ";
 
-fn violated(defect: Option<Defect>, seed: u64) -> Vec<millford_simulation::checkers::Promise> {
-    let scenario = Scenario::parse(TEXT).expect("the text is right");
-    let options = RunOptions {
-        seed,
-        defect,
-        ..RunOptions::default()
-    };
-    let report = run_scenario(&scenario, options);
+fn violated(defect: Option<Defect>, seed: u64) -> Vec<Guarantee> {
+    let report = fixture::run(TEXT, seed, defect);
     let violations = report.verdict.violations.into_iter();
-    violations.map(|violation| violation.promise).collect()
+    violations.map(|violation| violation.guarantee).collect()
 }
 
 #[test]
-fn nothing_is_caught_without_a_defect() {
+fn without_a_defect_no_guarantee_is_violated() {
     assert_eq!(violated(None, 1), []);
 }
 
 #[test]
-fn each_planted_defect_is_caught_by_its_checker() {
+fn each_planted_defect_is_reported_by_its_checker() {
     let missed: Vec<_> = Defect::ALL
         .into_iter()
-        .filter(|(defect, promise)| !violated(Some(*defect), 1).contains(promise))
+        .filter(|(defect, guarantee)| !violated(Some(*defect), 1).contains(guarantee))
         .collect();
     assert_eq!(missed, [], "defects that no checker caught");
 }
