--- a/crates/control/src/daemon/operator_http/port.rs
+++ b/crates/control/src/daemon/operator_http/port.rs
@@ -12,7 +12,7 @@
 use crate::operator::{OperatorFailure, OperatorReply, OperatorRequest};
 use crate::timing::OPERATOR_REQUEST_TIMEOUT;
 
-/// Added to the gateway's own patience before HTTP gives up on it.
+/// Added to the gateway's own timeout before HTTP answers without it.
 const GATEWAY_REPLY_MARGIN: Duration = Duration::from_secs(2);
 
 /// Passes operators' requests to the gateway.
--- a/crates/control/src/gateway/agents.rs
+++ b/crates/control/src/gateway/agents.rs
@@ -34,7 +34,7 @@
 }
 
 impl AgentTable {
-    /// A heartbeat arrived. Gives whether the session lives as far as this node knows.
+    /// A heartbeat arrived. Returns whether the session lives as far as this node knows.
     pub(super) fn heartbeat(&mut self, link: Option<LinkId>, heartbeat: &Heartbeat) -> bool {
         if heartbeat.epoch == 0 {
             return false;
@@ -117,13 +117,13 @@
         !known
     }
 
-    /// A link ended: its members' heartbeats arrive elsewhere from now on.
+    /// A link closed: its members' heartbeats arrive elsewhere from now on.
     pub(super) fn forget_link(&mut self, ended: LinkId) {
         self.lists.remove(&ended);
         self.members.retain(|_, entry| entry.link != Some(ended));
     }
 
-    /// Forgets everything.
+    /// Drops every session.
     pub(super) fn clear(&mut self) {
         self.members.clear();
     }
--- a/crates/control/src/gateway/core/formation.rs
+++ b/crates/control/src/gateway/core/formation.rs
@@ -153,7 +153,7 @@
             .record_event(NodeEvent::JoinedAsStandby(reply.cluster_id));
     }
 
-    /// The shard's leader wants a replica on this node. Gives whether one was started.
+    /// The shard's leader wants a replica on this node. Returns whether one was started.
     pub(super) fn adopt_shard(&mut self, shard: ShardId) -> bool {
         if !self.store.is_formed() || self.decommission.is_some() {
             return false;
--- a/crates/control/src/gateway/core/handshakes.rs
+++ b/crates/control/src/gateway/core/handshakes.rs
@@ -13,7 +13,7 @@
 use crate::node_output::NodeOutput;
 
 impl Gateway {
-    /// Opens and closes connections, and greets.
+    /// Opens and closes connections, and sends the hellos that are due.
     pub(super) fn tick_dialer(&mut self, now: MonotonicTime) {
         let desired = self.desired_addresses();
         for action in self.dialer.tick(now, &desired) {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Sends the greeting of this node.
+    /// Sends the hello of this node.
     pub(super) fn send_hello(&mut self, link: LinkId) {
         let hello = Hello {
             sender: Some(self.own_member()),
@@ -37,7 +37,7 @@
         self.outbox.send(link, frame::Body::Hello(hello));
     }
 
-    /// A control node greeted.
+    /// A hello of a control node.
     pub(super) fn handle_hello(&mut self, link: LinkId, hello: &Hello) {
         let Some(sender) = &hello.sender else {
             return;
@@ -47,7 +47,7 @@
         self.learn_from(sender, hello.cluster_id, &hello.known);
         let unformed_founder = hello.cluster_id == 0 && self.store.is_founder(identity);
         if self.store.is_formed() && unformed_founder {
-            // It missed the forming: its disk never held a vote, so it may still take its place.
+            // It missed the formation: its disk never held a vote, so it may still join as a founder.
             let form = self.form_cluster_frame();
             self.outbox.send(link, form);
             return;
@@ -56,7 +56,7 @@
         self.outbox.send(link, reply);
     }
 
-    /// A control node answered a greeting.
+    /// The reply to a hello.
     pub(super) fn handle_hello_reply(
         &mut self,
         now: MonotonicTime,
--- a/crates/control/src/gateway/core/mod.rs
+++ b/crates/control/src/gateway/core/mod.rs
@@ -112,7 +112,7 @@
         Ok((gateway, outputs))
     }
 
-    /// Takes one input and gives what is to be done.
+    /// Takes one input and returns what is to be done.
     pub fn handle(&mut self, now: MonotonicTime, input: GatewayInput) -> Vec<GatewayOutput> {
         match input {
             GatewayInput::Node(input) => self.handle_node(now, input),
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Sends to a control node if a link to it is open. Gives whether it was sent.
+    /// Sends to a control node if a link to it is open. Returns whether it was sent.
     fn send_to_node(&mut self, node: NodeId, body: frame::Body) -> bool {
         let Some(link) = self.links.to_node(node) else {
             return false;
--- a/crates/control/src/gateway/core/shard_outputs.rs
+++ b/crates/control/src/gateway/core/shard_outputs.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Sends the recall to the agent if it is linked here; an empty name means every agent. Gives
+    /// Sends the recall to the agent if it is linked here; an empty name means every agent. Returns
     /// whether the one agent was found.
     pub(super) fn recall_own_agent(&mut self, recall: &QuotaRecall) -> bool {
         if recall.member.is_empty() {
--- a/crates/control/src/gateway/dialer.rs
+++ b/crates/control/src/gateway/dialer.rs
@@ -87,7 +87,7 @@
         }
     }
 
-    /// A link ended. Gives its address.
+    /// A link closed. Returns its address.
     pub(super) fn closed(&mut self, now: MonotonicTime, link: LinkId) -> Option<String> {
         let entry = self
             .dials
@@ -98,7 +98,7 @@
         Some(address.clone())
     }
 
-    /// The node behind the link answered a greeting. Gives its address.
+    /// The node behind the link answered a hello. Returns its address.
     pub(super) fn answered(
         &mut self,
         now: MonotonicTime,
@@ -116,7 +116,7 @@
         Some(address.clone())
     }
 
-    /// Whether the node answered a greeting lately.
+    /// Whether the node answered a hello within the inactivity timeout.
     pub(super) fn is_connected(&self, now: MonotonicTime, node: NodeId) -> bool {
         self.dials.values().any(|dial| {
             dial.open
@@ -125,7 +125,7 @@
         })
     }
 
-    /// Greets everyone at once, for news that should not wait.
+    /// Sends a hello to every control node at the next tick, for changes that should not wait.
     pub(super) fn schedule_hellos(&mut self, now: MonotonicTime) {
         for dial in self.dials.values_mut() {
             dial.next_hello = now;
--- a/crates/control/src/gateway/links.rs
+++ b/crates/control/src/gateway/links.rs
@@ -30,7 +30,7 @@
         self.links.entry(link).or_insert(LinkPeer::Unknown);
     }
 
-    /// A link ended. Gives who was there.
+    /// A link closed. Returns who was there.
     pub(super) fn close(&mut self, link: LinkId) -> Option<LinkPeer> {
         let peer = self.links.remove(&link)?;
         if let LinkPeer::Control(node) = peer {
--- a/crates/control/src/gateway/mod.rs
+++ b/crates/control/src/gateway/mod.rs
@@ -3,7 +3,7 @@
 //! It holds no replicated state of its own. It talks with the shards' cores in messages only, so
 //! that each can run on a thread of its own.
 //!
-//! [`Gateway`] (in [`core`]) routes inputs to the parts that own the state:
+//! [`Gateway`] (in `core`) routes inputs to the parts that own the state:
 //!
 //! | part | owns |
 //! |---|---|
--- a/crates/control/src/gateway/pending_operator_requests.rs
+++ b/crates/control/src/gateway/pending_operator_requests.rs
@@ -33,7 +33,7 @@
         self.entries.insert(request, entry);
     }
 
-    /// An answer came in. Gives the request once it was the last one.
+    /// An answer came in. Returns the request once it was the last one.
     pub(super) fn answered(
         &mut self,
         request: u64,
--- a/crates/control/src/gateway/pending_requests.rs
+++ b/crates/control/src/gateway/pending_requests.rs
@@ -135,7 +135,7 @@
         self.next
     }
 
-    /// Takes an answer. Gives the settled request, or nothing when it will be tried again.
+    /// Takes an answer. Returns the completed request, or nothing when it will be tried again.
     pub fn answer(
         &mut self,
         now: MonotonicTime,
@@ -215,7 +215,7 @@
             .collect()
     }
 
-    /// A link ended: nobody waits there any more.
+    /// A link closed: nobody waits there any more.
     pub fn forget_link(&mut self, ended: LinkId) {
         self.pending.retain(
             |_, pending| !matches!(pending.origin, Origin::Link { link, .. } if link == ended),
--- a/crates/control/src/gateway/quota_relay.rs
+++ b/crates/control/src/gateway/quota_relay.rs
@@ -42,17 +42,17 @@
         self.waiters.insert(correlation_id, waiter);
     }
 
-    /// The request was answered. Gives who waits, unless nobody does any more.
+    /// The request was answered. Returns who waits, unless nobody does any more.
     pub(super) fn take(&mut self, correlation_id: CorrelationId) -> Option<QuotaWaiter> {
         self.waiters.remove(&correlation_id)
     }
 
-    /// Forgets requests that nobody will answer any more.
+    /// Drops the requests that timed out.
     pub(super) fn expire(&mut self, now: MonotonicTime) {
         self.waiters.retain(|_, waiter| waiter.deadline > now);
     }
 
-    /// A link ended.
+    /// A link closed.
     pub(super) fn forget_link(&mut self, link: LinkId) {
         self.waiters.retain(|_, waiter| waiter.link != link);
     }
--- a/crates/control/src/gateway/replica_table.rs
+++ b/crates/control/src/gateway/replica_table.rs
@@ -72,7 +72,7 @@
         self.statuses.insert(shard, unknown);
     }
 
-    /// A core reported its status. Gives the former one, or nothing if the core was stopped in the
+    /// A core reported its status. Returns the former one, or nothing if the core was stopped in the
     /// meantime.
     pub(super) fn update(
         &mut self,
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -84,7 +84,7 @@
         Ok(node)
     }
 
-    /// Takes one input and gives what is to be done.
+    /// Takes one input and returns what is to be done.
     pub fn handle(&mut self, now: MonotonicTime, input: NodeInput) -> Vec<NodeOutput> {
         self.take_input(now, input);
         std::mem::take(&mut self.outputs)
--- a/crates/control/src/node_input.rs
+++ b/crates/control/src/node_input.rs
@@ -25,7 +25,7 @@
         /// Which side opened it.
         peer: PeerKind,
     },
-    /// A link ended or could not be opened.
+    /// A link closed or could not be opened.
     LinkClosed {
         /// The link.
         link: LinkId,
--- a/crates/control/src/shard/applied_state.rs
+++ b/crates/control/src/shard/applied_state.rs
@@ -63,7 +63,7 @@
             .collect()
     }
 
-    /// Replaces the state by a snapshot. Gives the deletions of the public items that the snapshot
+    /// Replaces the state by a snapshot. Returns the deletions of the public items that the snapshot
     /// does not hold.
     ///
     /// # Errors
@@ -91,7 +91,7 @@
         self.snapshot_index = 0;
     }
 
-    /// Applies a committed entry. Gives the command, if the entry holds one.
+    /// Applies a committed entry. Returns the command, if the entry holds one.
     pub(super) fn apply(&mut self, entry: &LogEntry) -> Option<AppliedCommand> {
         let Some(Payload::Command(bytes)) = &entry.payload else {
             self.machine.skip(entry.index, entry.term);
--- a/crates/control/src/shard/core.rs
+++ b/crates/control/src/shard/core.rs
@@ -41,7 +41,7 @@
 
 /// The core of one shard on this node.
 ///
-/// Inputs go to [`ShardCore::handle`]; what they lead to leaves with the next
+/// Inputs go to [`ShardCore::handle`]; what they lead to is returned by the next
 /// [`ShardCore::flush`], after one fsync for all of them.
 pub struct ShardCore {
     shard: ShardId,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Makes durable what came in and gives what may leave.
+    /// Makes durable what came in and returns what may leave.
     pub fn flush(&mut self, now: MonotonicTime) -> Vec<ShardOutput> {
         if !self.failed {
             match self.replica.flush(now) {
--- a/crates/control/src/shard/mod.rs
+++ b/crates/control/src/shard/mod.rs
@@ -1,7 +1,7 @@
 //! One shard of the control state on this node: the replica and everything that hangs on it.
 //!
 //! [`ShardCore`] routes inputs to its parts. Each part owns its state, takes what it needs as
-//! arguments and gives back what is to be done:
+//! arguments and returns what is to be done:
 //!
 //! | part | owns |
 //! |---|---|
--- a/crates/control/src/shard/move_events.rs
+++ b/crates/control/src/shard/move_events.rs
@@ -43,7 +43,7 @@
         events
     }
 
-    /// Forgets pools that are not this shard's any more.
+    /// Drops the pools that are not this shard's any more.
     pub fn retain(&mut self, is_owned: impl Fn(&String) -> bool) {
         self.reported.retain(|pool, _| is_owned(pool));
     }
--- a/crates/control/src/shard/quota_service.rs
+++ b/crates/control/src/shard/quota_service.rs
@@ -73,7 +73,7 @@
         outputs
     }
 
-    /// Lets leases run out. Gives the recalls to be sent.
+    /// Lets leases run out. Returns the recalls to be sent.
     pub(super) fn tick(&mut self, now: MonotonicTime) -> Vec<ShardOutput> {
         self.leases.tick(now);
         self.take_recalls()
--- a/crates/control/src/shard/reads.rs
+++ b/crates/control/src/shard/reads.rs
@@ -51,7 +51,7 @@
 }
 
 impl Reads {
-    /// Adds a read and gives its number.
+    /// Adds a read and returns its number.
     pub(super) fn start(&mut self, purpose: ReadPurpose) -> u64 {
         self.next += 1;
         let read = PendingRead {
--- a/crates/control/src/shard/replica_status.rs
+++ b/crates/control/src/shard/replica_status.rs
@@ -55,7 +55,8 @@
         let contact = replica.leader_contact;
         let in_contact = contact.is_some_and(|contact| now.since(contact) < QUORUM_CONTACT_TIMEOUT);
         let is_voter = replica.role != Role::Learner;
-        // A replica that hears its leader and cannot store what it says would feed an old state.
+        // A replica that has contact to its leader and cannot store what it sends would feed an old
+        // state.
         let stores = !replica.storage_full;
         Self {
             shard,
--- a/crates/control/src/shard/session_service.rs
+++ b/crates/control/src/shard/session_service.rs
@@ -44,7 +44,7 @@
         RenewSessionsReply { closed_members }
     }
 
-    /// Keeps the table in line with the replicated sessions. Gives the member whose session the
+    /// Keeps the table in line with the replicated sessions. Returns the member whose session the
     /// command closed.
     pub(super) fn follow<'a>(
         &mut self,
--- a/crates/control/src/shard/shard_replica.rs
+++ b/crates/control/src/shard/shard_replica.rs
@@ -92,7 +92,7 @@
         self.proposals.contains(purpose)
     }
 
-    /// The entry at `index` was applied. Gives the purpose if this replica proposed it.
+    /// The entry at `index` was applied. Returns the purpose if this replica proposed it.
     pub(super) fn take_proposal(&mut self, index: u64, term: u64) -> Option<Purpose> {
         self.proposals.take(index, term)
     }
@@ -115,7 +115,7 @@
         self.replica.tick(now);
     }
 
-    /// Makes durable what came in and gives what follows from it.
+    /// Makes durable what came in and returns what follows from it.
     ///
     /// # Errors
     /// The storage failed; the replica cannot go on.
@@ -162,7 +162,7 @@
         let _ = self.replica.transfer_leadership(node);
     }
 
-    /// Makes this node the only voter in the storage, and gives a replica opened on it.
+    /// Makes this node the only voter in the storage, and returns a replica opened on it.
     ///
     /// # Errors
     /// The storage cannot be written or opened again.
--- a/crates/control/tests/components.rs
+++ b/crates/control/tests/components.rs
@@ -125,7 +125,7 @@
     stall_detector.record_report(at(0), ShardId(0));
     stall_detector.record_report(at(900), ShardId(1));
     stall_detector.tick(at(999));
-    assert!(!stall_detector.any_stalled());
+    assert!(!stall_detector.any_stalled(), "{stall_detector:?}");
     stall_detector.tick(at(1000));
     assert!(
         stall_detector.any_stalled(),
@@ -133,7 +133,7 @@
     );
     stall_detector.record_report(at(1010), ShardId(0));
     stall_detector.tick(at(1020));
-    assert!(!stall_detector.any_stalled());
+    assert!(!stall_detector.any_stalled(), "{stall_detector:?}");
 }
 
 fn load(backend: &str, streams: u32) -> ReplicaLoad {
@@ -162,9 +162,9 @@
 fn large_load_snapshots_are_published_less_often() {
     let mut publisher = LoadSnapshotPublisher::default();
     publisher.sent(at(0), 100);
-    assert!(publisher.is_due(at(500)));
+    assert!(publisher.is_due(at(500)), "{publisher:?}");
     publisher.sent(at(1000), 100_000);
-    assert!(!publisher.is_due(at(30_000)));
+    assert!(!publisher.is_due(at(30_000)), "{publisher:?}");
 }
 
 #[test]
@@ -172,11 +172,11 @@
     let mut publisher = LoadSnapshotPublisher::default();
     publisher.set_site(16, 16);
     publisher.sent(at(0), 100);
-    assert!(!publisher.is_due(at(249)));
-    assert!(publisher.is_due(at(250)));
+    assert!(!publisher.is_due(at(249)), "{publisher:?}");
+    assert!(publisher.is_due(at(250)), "{publisher:?}");
     publisher.sent(at(1000), 768);
     assert!(!publisher.is_due(at(1999)), "768 bytes a second");
-    assert!(publisher.is_due(at(2000)));
+    assert!(publisher.is_due(at(2000)), "{publisher:?}");
     for (backends, nodes) in [(17, 16), (16, 17)] {
         publisher.set_site(backends, nodes);
         publisher.sent(at(3000), 100);
@@ -185,7 +185,7 @@
             "{backends} backends, {nodes} nodes"
         );
         publisher.sent(at(4000), 512);
-        assert!(!publisher.is_due(at(4999)));
+        assert!(!publisher.is_due(at(4999)), "{publisher:?}");
     }
 }
 
@@ -232,13 +232,15 @@
     let mut requests = PendingRequests::default();
     submitted(&mut requests, false);
     assert_eq!(requests.take_due(at(0)).len(), 1);
-    assert!(requests.take_due(at(600)).is_empty());
+    let due = requests.take_due(at(600));
+    assert!(due.is_empty(), "{due:?}");
     assert_eq!(requests.take_due(at(700)).len(), 1);
-    assert!(requests.take_overdue(at(1999)).is_empty());
+    let due = requests.take_overdue(at(1999));
+    assert!(due.is_empty(), "{due:?}");
     let overdue = requests.take_overdue(at(2000));
     assert_eq!(overdue.len(), 1);
     assert_eq!(overdue[0].reply.code, ResultCode::ControlTimeout.number());
-    assert!(requests.is_empty());
+    assert!(requests.is_empty(), "{requests:?}");
 }
 
 #[test]
--- a/crates/control/tests/daemon.rs
+++ b/crates/control/tests/daemon.rs
@@ -103,10 +103,15 @@
         metrics.body
     );
 
-    let survivors = format!(
-        r#"{{"survivors":["{}"],"confirm":"I accept that orders may be lost"}}"#,
-        status.node
-    );
+    check_bad_requests(node, &status.node);
+    check_credentials_and_headers(&node.operator);
+    assert!(node.is_ready(), "it still serves");
+}
+
+/// Requests that are refused, each with its status and code; `own` is the identity of the node.
+fn check_bad_requests(node: &Daemon, own: &str) {
+    let survivors =
+        format!(r#"{{"survivors":["{own}"],"confirm":"I accept that orders may be lost"}}"#);
     let drain = "/v1/services/p/backends/b/drain";
     let long = "x".repeat(200);
     let cases: &[(&str, &str, &str, u16, u64)] = &[
@@ -212,8 +217,6 @@
             answer.body
         );
     }
-    check_credentials_and_headers(&node.operator);
-    assert!(node.is_ready(), "it still serves");
 }
 
 fn check_credentials_and_headers(address: &str) {
--- a/crates/control/tests/feed.rs
+++ b/crates/control/tests/feed.rs
@@ -54,7 +54,7 @@
     }
     accept(&mut cluster, "node-3", 1, "two", document(&["a"]));
     let revoked = cluster.now;
-    assert!(revoked > accepted);
+    assert!(revoked > accepted, "{revoked:?} after {accepted:?}");
     follow(&mut cluster, &mut agents, Duration::from_millis(500));
     for agent in &agents {
         assert_eq!(tenants(agent), ["a"], "{}", agent.name);
@@ -78,13 +78,14 @@
         .last_heartbeat
         .clone()
         .expect("a heartbeat's answer");
-    assert!(!reply.has_quorum);
+    assert!(!reply.has_quorum, "{reply:?}");
     // A newcomer gets no state, however old.
     let mut newcomer = TestAgent::connect(&mut cluster, "newcomer", "node-1", ShardId(0));
     cluster.run(Duration::from_secs(3));
     newcomer.receive(&mut cluster);
-    assert!(newcomer.stale);
-    assert!(newcomer.view.items().is_empty());
+    assert!(newcomer.stale, "the newcomer was not sent elsewhere");
+    let items = newcomer.view.items();
+    assert!(items.is_empty(), "{items:?}");
 }
 
 #[test]
@@ -137,7 +138,7 @@
         // The support panics when a message is older than what is shown.
         agent.receive(&mut cluster);
         let now_shown = applied_revision(&agent);
-        assert!(now_shown >= shown);
+        assert!(now_shown >= shown, "{now_shown} after {shown}");
         shown = now_shown;
     }
     assert_eq!(shown, 30);
@@ -197,7 +198,7 @@
     agent.open_session(&mut cluster, 1);
     assert_eq!(agent.epoch, first);
     agent.open_session(&mut cluster, 2);
-    assert!(agent.epoch > first);
+    assert!(agent.epoch > first, "{} after {first}", agent.epoch);
 }
 
 /// Answers to heartbeats are never waited for longer than this after a start: an agent leaves a
@@ -245,7 +246,7 @@
         MAX_HEARTBEAT_DELAY,
     );
     let reply = agent.last_heartbeat.clone().expect("an answer");
-    assert!(!reply.has_quorum);
+    assert!(!reply.has_quorum, "{reply:?}");
     // Later heartbeats are answered at once.
     agent.last_heartbeat = None;
     agent.heartbeat(&mut cluster);
@@ -254,7 +255,11 @@
         std::slice::from_mut(&mut agent),
         Duration::from_millis(40),
     );
-    assert!(agent.last_heartbeat.is_some_and(|reply| !reply.has_quorum));
+    let reply = agent.last_heartbeat.clone();
+    assert!(
+        reply.as_ref().is_some_and(|reply| !reply.has_quorum),
+        "{reply:?}"
+    );
 }
 
 /// The partition lies between two nodes: both are connected to the third.
--- a/crates/control/tests/formation.rs
+++ b/crates/control/tests/formation.rs
@@ -56,7 +56,7 @@
     let joined = cluster.node_events.iter().any(|(address, event)| {
         address == "node-2" && matches!(event, NodeEvent::JoinedAsStandby(_))
     });
-    assert!(joined);
+    assert!(joined, "{:?}", cluster.node_events);
 }
 
 #[test]
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -112,7 +112,8 @@
     let restarted = cluster.now;
     cluster.run_until(Duration::from_secs(12), "leaders", Cluster::has_leaders);
     assert_eq!(revision(&mut cluster, "node-2"), 700);
-    assert!(cluster.now.since(restarted) < Duration::from_secs(12));
+    let time = cluster.now.since(restarted);
+    assert!(time < Duration::from_secs(12), "{time:?}");
     // The first order is still known.
     accept(
         &mut cluster,
--- a/crates/control/tests/repair.rs
+++ b/crates/control/tests/repair.rs
@@ -202,7 +202,7 @@
         cluster.kill(FIVE[first]);
         cluster.kill(FIVE[second]);
         let mut left = FIVE.iter().enumerate();
-        let left = left.find(|(place, _)| *place != first && *place != second);
+        let left = left.find(|(index, _)| *index != first && *index != second);
         let (_, survivor) = left.expect("three are left");
         cluster.run_until(Duration::from_secs(12), "leaders", Cluster::has_leaders);
         assert_eq!(revision(&mut cluster, survivor), 1, "{first} and {second}");
--- a/crates/control/tests/services.rs
+++ b/crates/control/tests/services.rs
@@ -108,7 +108,8 @@
         drain: true,
     };
     let request = cluster.request("node-3", drain);
-    assert!(matches!(cluster.answer(request), OperatorReply::Drain(_)));
+    let reply = cluster.answer(request);
+    assert!(matches!(reply, OperatorReply::Drain(_)), "{reply:?}");
     // The registry knows nothing of the order and does not undo it.
     read_registry(&mut cluster, vec![entry("m2", "active")]);
     expect(&mut cluster, &mut agents, &[("m2", BackendDraining)]);
@@ -254,7 +255,10 @@
         "a tenant under its quota gets its burst: {tokens}"
     );
     let last = request_quota(&mut cluster, &mut agents[0], 99);
-    assert!(last.grants[0].refused || last.grants[0].retry_after_ms > 0);
+    assert!(
+        last.grants[0].refused || last.grants[0].retry_after_ms > 0,
+        "{last:?}"
+    );
 }
 
 #[test]
@@ -271,19 +275,19 @@
         let mut agents = ["node-1", "node-2", "node-3"].map(|node| {
             TestAgent::connect(&mut cluster, &format!("agent-{node}"), node, ShardId(0))
         });
-        let mut lent = 0;
+        let mut granted = 0;
         for round in 1..=90 {
             let agent = &mut agents[round as usize % 3];
             let reply = request_quota(&mut cluster, agent, round);
             for grant in &reply.grants {
                 assert!(!grant.refused, "seed {seed}, round {round}: {reply:?}");
-                lent += grant.tokens;
+                granted += grant.tokens;
             }
-            if lent > 0 {
+            if granted > 0 {
                 break;
             }
         }
-        assert!(lent > 0, "seed {seed}: nothing was lent");
+        assert!(granted > 0, "seed {seed}: nothing was granted");
     }
 }
 
@@ -319,13 +323,13 @@
     for agent in &agents {
         let frames = cluster.take_frames(&agent.end);
         let mut load_snapshots = frames.into_iter().filter_map(|frame| match frame.body {
-            Some(frame::Body::LoadSnapshot(picture)) => Some(picture),
+            Some(frame::Body::LoadSnapshot(snapshot)) => Some(snapshot),
             _ => None,
         });
-        let picture = load_snapshots
+        let snapshot = load_snapshots
             .next_back()
             .unwrap_or_else(|| panic!("no load snapshot for {}", agent.name));
-        let load = picture
+        let load = snapshot
             .loads
             .iter()
             .find(|load| load.backend_id == "m1")
--- a/crates/control/tests/support/agent.rs
+++ b/crates/control/tests/support/agent.rs
@@ -82,12 +82,12 @@
         for _ in 0..200 {
             self.receive(cluster);
             let desired = self.next_request;
-            let place = self
+            let index = self
                 .replies
                 .iter()
                 .position(|reply| reply.request_id == desired);
-            if let Some(place) = place {
-                return self.replies.remove(place);
+            if let Some(index) = index {
+                return self.replies.remove(index);
             }
             cluster.run(Duration::from_millis(20));
         }
--- a/crates/control/tests/support/cluster.rs
+++ b/crates/control/tests/support/cluster.rs
@@ -268,7 +268,7 @@
         frames.unwrap_or_default().into_iter().collect()
     }
 
-    /// Gives an input to a node at once.
+    /// Returns an input to a node at once.
     pub(crate) fn input(&mut self, address: &str, input: NodeInput) {
         let now = self.now;
         let machine = self.machines.get_mut(address);
