--- a/crates/control/src/gateway/core/frames.rs
+++ b/crates/control/src/gateway/core/frames.rs
@@ -10,6 +10,7 @@
 use crate::shard::ShardInput;
 
 impl Gateway {
+    /// A frame arrived on a link. The kind of the frame shows who is at the other end.
     pub(super) fn handle_frame(&mut self, now: MonotonicTime, link: LinkId, frame: Frame) {
         use frame::Body;
         let Some(body) = frame.body else {
@@ -87,6 +88,7 @@
         }
     }
 
+    /// To every agent with a link to this node.
     pub(super) fn send_to_own_agents(&mut self, body: &frame::Body) {
         let links: Vec<LinkId> = self.links.agents().collect();
         for link in links {
--- a/crates/control/src/gateway/core/handshakes.rs
+++ b/crates/control/src/gateway/core/handshakes.rs
@@ -115,6 +115,7 @@
         self.require_saved(&saved);
     }
 
+    /// Whether the member is another machine: neither this identity nor this address.
     pub(super) fn is_other(&self, member: &ControlMember) -> bool {
         let own_address = member.internal_address == self.options.internal_address;
         member.node_id != self.store.file().node_id && !own_address
--- a/crates/control/src/gateway/core/sessions.rs
+++ b/crates/control/src/gateway/core/sessions.rs
@@ -17,6 +17,8 @@
 use crate::timing::{AGENT_REQUEST_TIMEOUT, RENEWAL_PERIOD};
 
 impl Gateway {
+    /// A heartbeat of an agent. A node that just started defers the answer until it has a quorum, or
+    /// the time for that is over.
     pub(super) fn handle_heartbeat(
         &mut self,
         now: MonotonicTime,
@@ -75,6 +77,7 @@
         }
     }
 
+    /// The leader answered which sessions do not exist any more.
     pub(super) fn renewals_answered(&mut self, renewed: &[SessionRenewal], reply: &ShardReply) {
         if let Some(shard_reply::Kind::RenewedSessions(reply)) = &reply.kind {
             self.agents.closed(renewed, &reply.closed_members);
--- a/crates/control/src/gateway/core/shard_outputs.rs
+++ b/crates/control/src/gateway/core/shard_outputs.rs
@@ -10,6 +10,7 @@
 use crate::shard::{ShardInput, ShardOutput, ShardReplicaStatus};
 
 impl Gateway {
+    /// An output of a shard's core.
     pub(super) fn handle_shard(&mut self, now: MonotonicTime, shard: ShardId, output: ShardOutput) {
         match output {
             ShardOutput::Replication(message) => {
@@ -46,6 +47,7 @@
         }
     }
 
+    /// An agent subscribes to a shard. Without a replica here, it goes to another node.
     pub(super) fn subscribe(&mut self, link: LinkId, subscribe: Subscribe) {
         let shard = ShardId(subscribe.shard);
         if self.replicas.holds(shard) {
--- a/crates/control/tests/support/agent.rs
+++ b/crates/control/tests/support/agent.rs
@@ -14,17 +14,25 @@
 
 /// Follows one shard and holds a session.
 pub(crate) struct TestAgent {
+    /// Name of its session's member.
     pub(crate) name: String,
+    /// Its end of the link to a control node.
     pub(crate) end: End,
+    /// What the feed showed so far.
     pub(crate) view: FeedView,
+    /// Epoch of its session; 0 before it is open.
     pub(crate) epoch: u64,
+    /// The node sent it elsewhere.
     pub(crate) stale: bool,
+    /// The last answer to a heartbeat.
     pub(crate) last_heartbeat: Option<HeartbeatReply>,
+    /// Replies that nobody has taken yet.
     pub(crate) replies: Vec<ShardReply>,
     next_request: u64,
 }
 
 impl TestAgent {
+    /// Connects to a control node and subscribes to a shard.
     pub(crate) fn connect(cluster: &mut Cluster, name: &str, to: &str, shard: ShardId) -> Self {
         let end = cluster.open_link(name, to);
         let mut agent = Self {
@@ -42,6 +50,7 @@
         agent
     }
 
+    /// Subscribes from where its view is.
     pub(crate) fn subscribe(&mut self, cluster: &mut Cluster) {
         let subscribe: Subscribe = self.view.subscribe();
         self.send(cluster, frame::Body::Subscribe(subscribe));
@@ -56,6 +65,7 @@
         self.subscribe(cluster);
     }
 
+    /// Sends a request to a shard's leader; the answer is awaited with [`TestAgent::reply`].
     pub(crate) fn request(
         &mut self,
         cluster: &mut Cluster,
@@ -72,6 +82,7 @@
         self.send(cluster, frame::Body::ShardRequest(request));
     }
 
+    /// Sends a command to a shard's leader.
     pub(crate) fn propose(&mut self, cluster: &mut Cluster, shard: ShardId, kind: command::Kind) {
         let command = Command { kind: Some(kind) };
         self.request(cluster, shard, shard_request::Kind::Propose(command));
@@ -94,6 +105,7 @@
         panic!("no answer for {}", self.name);
     }
 
+    /// Opens its session and takes its epoch. Panics when it is refused.
     pub(crate) fn open_session(&mut self, cluster: &mut Cluster, boot_id: u64) {
         let shard = ShardLayout::new(2).shard_of(&session_key(&self.name));
         let open = OpenSession {
@@ -114,6 +126,7 @@
         self.epoch = opened.epoch;
     }
 
+    /// Sends one heartbeat.
     pub(crate) fn heartbeat(&mut self, cluster: &mut Cluster) {
         let heartbeat = Heartbeat {
             member: self.name.clone(),
--- a/crates/control/tests/support/cluster.rs
+++ b/crates/control/tests/support/cluster.rs
@@ -21,7 +21,9 @@
 /// One end of a link.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct End {
+    /// Address of the machine.
     pub(crate) address: String,
+    /// Number of the link at that machine.
     pub(crate) link: LinkId,
 }
 
@@ -31,16 +33,24 @@
     Closed(End),
 }
 
+/// A machine with its disk, running or stopped.
 pub(crate) struct Machine {
+    /// Its folders; they survive a stop.
     pub(crate) disk: MemoryMachine,
+    /// The process; absent while it is stopped.
     pub(crate) node: Option<ControlNode>,
     seeds: Vec<String>,
 }
 
+/// Control nodes, the network between them and the simulated time.
 pub(crate) struct Cluster {
+    /// The simulated time.
     pub(crate) now: MonotonicTime,
+    /// Machines by address.
     pub(crate) machines: BTreeMap<String, Machine>,
+    /// Events of the nodes, with the address, in order.
     pub(crate) node_events: Vec<(String, NodeEvent)>,
+    /// Replies to operators by number of the request.
     pub(crate) replies: BTreeMap<u64, OperatorReply>,
     /// Frames that arrived at ends that are no node: test agents read them.
     pub(crate) inbox: BTreeMap<End, VecDeque<Frame>>,
@@ -211,11 +221,13 @@
         }
     }
 
+    /// The running node at this address. Panics when it is stopped.
     pub(crate) fn node(&self, address: &str) -> &ControlNode {
         let machine = self.machines.get(address).expect("a machine");
         machine.node.as_ref().expect("a running node")
     }
 
+    /// Identity of the running node at this address.
     pub(crate) fn identity(&self, address: &str) -> NodeId {
         self.node(address).identity()
     }
--- a/crates/control/tests/support/daemons.rs
+++ b/crates/control/tests/support/daemons.rs
@@ -7,6 +7,7 @@
 
 use super::http::{self, Answer};
 
+/// Key of the operators.
 pub(crate) const KEY: &str = "the operator's key";
 
 /// Longest wait for anything; only reached on failure.
@@ -15,8 +16,11 @@
 /// Pause between two looks at a condition.
 const POLL: Duration = Duration::from_millis(20);
 
+/// One control node as a process; killed when dropped.
 pub(crate) struct Daemon {
+    /// Address for control nodes and agents.
     pub(crate) internal: String,
+    /// Address of the operator interface.
     pub(crate) operator: String,
     folder: tempfile::TempDir,
     process: Option<Child>,
@@ -78,6 +82,7 @@
 }
 
 impl Daemon {
+    /// A daemon on an empty folder, not started yet.
     pub(crate) fn new(internal: &str, operator: &str, seeds: &[String]) -> Self {
         Self {
             internal: internal.to_owned(),
@@ -88,6 +93,7 @@
         }
     }
 
+    /// Starts the process on its folder.
     pub(crate) fn start(&mut self) {
         let folder = self.folder.path().to_string_lossy().into_owned();
         let process = Command::new(env!("CARGO_BIN_EXE_millford-control"))
@@ -102,6 +108,7 @@
         self.process = Some(process.expect("the daemon starts"));
     }
 
+    /// Kills the process, as a crash does.
     pub(crate) fn kill(&mut self) {
         if let Some(mut process) = self.process.take() {
             let _ = process.kill();
@@ -119,6 +126,7 @@
         process.wait().expect("the daemon ends")
     }
 
+    /// Whether the daemon answers that it is ready.
     pub(crate) fn is_ready(&self) -> bool {
         let request = format!(
             "GET /readyz HTTP/1.1\r\nHost: {}\r\nConnection: close\r\n\r\n",
--- a/crates/control/tests/support/http.rs
+++ b/crates/control/tests/support/http.rs
@@ -5,9 +5,13 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
+/// An answer as it came.
 pub(crate) struct Answer {
+    /// Status; 0 if the answer is not HTTP.
     pub(crate) status: u16,
+    /// Head, in lower case.
     pub(crate) head: String,
+    /// Body as text.
     pub(crate) body: String,
 }
 
--- a/crates/control/tests/support/memory_disk.rs
+++ b/crates/control/tests/support/memory_disk.rs
@@ -14,6 +14,7 @@
 }
 
 impl MemoryMachine {
+    /// Opens the folder with this name.
     pub(crate) fn folder(&self, name: &str) -> Box<dyn Disk> {
         Box::new(MemoryFolder {
             machine: self.clone(),
@@ -21,6 +22,7 @@
         })
     }
 
+    /// Removes everything, as a lost disk.
     pub(crate) fn wipe(&self) {
         self.folders.lock().unwrap().clear();
     }
--- a/crates/control/tests/support/orders.rs
+++ b/crates/control/tests/support/orders.rs
@@ -37,6 +37,7 @@
     }
 }
 
+/// An order for this document on a base revision.
 pub(crate) fn order(base: u64, id: &str, desired: Document) -> OperatorRequest {
     OperatorRequest::PutConfig(PutConfig {
         base_revision: base,
