--- a/crates/proxy/src/backend_protocol.rs
+++ b/crates/proxy/src/backend_protocol.rs
@@ -29,7 +29,7 @@
 /// With a withdrawal: an upper bound of the attempt's age, in milliseconds.
 pub const ATTEMPT_AGE_HEADER: &str = "x-millford-attempt-age-ms";
 /// Field of a stream piece that carries its run and sequence number.
-pub const PIECE_FIELD: &str = "millford";
+pub const CHUNK_FIELD: &str = "millford";
 /// Data of the event that ends a whole stream.
 pub const DONE_MARKER: &str = "[DONE]";
 /// Name of the event that ends a failed stream.
--- a/crates/proxy/src/daemon/backend_client.rs
+++ b/crates/proxy/src/daemon/backend_client.rs
@@ -61,9 +61,9 @@
         &self.head
     }
 
-    async fn next_chunk(&mut self) -> Result<Option<Bytes>, AnswerError> {
+    async fn next_bytes(&mut self) -> Result<Option<Bytes>, AnswerError> {
         while let Some(frame) = self.body.frame().await {
-            let frame = frame.map_err(|_| AnswerError::Cut)?;
+            let frame = frame.map_err(|_| AnswerError::Disconnected)?;
             if let Ok(data) = frame.into_data() {
                 return Ok(Some(data));
             }
--- a/crates/proxy/src/daemon/body_reader.rs
+++ b/crates/proxy/src/daemon/body_reader.rs
@@ -24,7 +24,7 @@
     if announced.is_some_and(|length| length > max_bytes) {
         return Err(too_large());
     }
-    let reading = read_parts(body, max_bytes);
+    let reading = collect_body(body, max_bytes);
     let incomplete = || Refusal::not_run(ResultCode::BodyIncomplete);
     match tokio::time::timeout(BODY_TIMEOUT, reading).await {
         Ok(Ok(body)) => Ok(body),
@@ -38,17 +38,17 @@
     Incomplete,
 }
 
-async fn read_parts<B: Buf>(
+async fn collect_body<B: Buf>(
     mut body: impl Stream<Item = Result<B, warp::Error>> + Unpin,
     max_bytes: u64,
 ) -> Result<Bytes, ReadFault> {
-    let mut whole = BytesMut::new();
+    let mut collected = BytesMut::new();
     while let Some(part) = body.next().await {
         let mut part = part.map_err(|_| ReadFault::Incomplete)?;
-        if (whole.len() + part.remaining()) as u64 > max_bytes {
+        if (collected.len() + part.remaining()) as u64 > max_bytes {
             return Err(ReadFault::TooLarge);
         }
-        whole.extend_from_slice(&part.copy_to_bytes(part.remaining()));
+        collected.extend_from_slice(&part.copy_to_bytes(part.remaining()));
     }
-    Ok(whole.freeze())
+    Ok(collected.freeze())
 }
--- a/crates/proxy/src/daemon/caller_channel.rs
+++ b/crates/proxy/src/daemon/caller_channel.rs
@@ -10,18 +10,18 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-use crate::request::caller::{CallerGone, CallerHead, CallerPresence, CallerSink};
+use crate::request::caller::{CallerDisconnected, CallerHead, CallerPresence, CallerSink};
 
 /// Parts of a body that may wait for a slow caller.
-const PARTS_IN_FLIGHT: usize = 16;
+const BUFFERED_CHUNKS: usize = 16;
 
 /// The request path's end.
 #[derive(Debug)]
 pub struct ChannelSink {
     head: Option<oneshot::Sender<CallerHead>>,
-    parts: mpsc::Sender<Bytes>,
-    whole: Arc<AtomicBool>,
-    gone: CancellationToken,
+    chunks: mpsc::Sender<Bytes>,
+    complete: Arc<AtomicBool>,
+    disconnected: CancellationToken,
 }
 
 /// Tells when the HTTP connection was dropped.
@@ -40,8 +40,8 @@
 /// Body of the answer. Unless it was ended as whole, it ends in an error.
 #[derive(Debug)]
 pub struct CallerBody {
-    parts: mpsc::Receiver<Bytes>,
-    whole: Arc<AtomicBool>,
+    chunks: mpsc::Receiver<Bytes>,
+    complete: Arc<AtomicBool>,
     ended: bool,
     _present: DropGuard,
 }
@@ -49,32 +49,32 @@
 /// The request path ended without ending the body.
 #[derive(Debug, thiserror::Error)]
 #[error("the answer was cut short")]
-pub struct BodyCut;
+pub struct BodyTruncated;
 
 /// Makes both ends.
 #[must_use]
 pub fn caller_channel() -> (ChannelSink, CallerChannel) {
     let (head_sender, head) = oneshot::channel();
-    let (parts_sender, parts) = mpsc::channel(PARTS_IN_FLIGHT);
-    let gone = CancellationToken::new();
-    let whole = Arc::new(AtomicBool::new(false));
+    let (chunk_sender, chunks) = mpsc::channel(BUFFERED_CHUNKS);
+    let disconnected = CancellationToken::new();
+    let complete = Arc::new(AtomicBool::new(false));
     let sink = ChannelSink {
         head: Some(head_sender),
-        parts: parts_sender,
-        whole: Arc::clone(&whole),
-        gone: gone.clone(),
+        chunks: chunk_sender,
+        complete: Arc::clone(&complete),
+        disconnected: disconnected.clone(),
     };
     let body = CallerBody {
-        parts,
-        whole,
+        chunks,
+        complete,
         ended: false,
-        _present: gone.drop_guard(),
+        _present: disconnected.drop_guard(),
     };
     (sink, CallerChannel { head, body })
 }
 
 impl CallerPresence for ChannelPresence {
-    fn gone(&self) -> impl Future<Output = ()> + Send {
+    fn disconnected(&self) -> impl Future<Output = ()> + Send {
         self.0.cancelled()
     }
 }
@@ -83,38 +83,41 @@
     type Presence = ChannelPresence;
 
     fn presence(&self) -> ChannelPresence {
-        ChannelPresence(self.gone.clone())
+        ChannelPresence(self.disconnected.clone())
     }
 
-    async fn begin(&mut self, head: CallerHead) -> Result<(), CallerGone> {
-        let sender = self.head.take().ok_or(CallerGone)?;
-        sender.send(head).map_err(|_| CallerGone)
+    async fn begin(&mut self, head: CallerHead) -> Result<(), CallerDisconnected> {
+        let sender = self.head.take().ok_or(CallerDisconnected)?;
+        sender.send(head).map_err(|_| CallerDisconnected)
     }
 
-    async fn send(&mut self, bytes: Bytes) -> Result<(), CallerGone> {
-        self.parts.send(bytes).await.map_err(|_| CallerGone)
+    async fn send(&mut self, bytes: Bytes) -> Result<(), CallerDisconnected> {
+        self.chunks
+            .send(bytes)
+            .await
+            .map_err(|_| CallerDisconnected)
     }
 
     fn finish(&mut self) {
-        self.whole.store(true, Ordering::SeqCst);
+        self.complete.store(true, Ordering::SeqCst);
     }
 }
 
 impl Stream for CallerBody {
-    type Item = Result<Bytes, BodyCut>;
+    type Item = Result<Bytes, BodyTruncated>;
 
     fn poll_next(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         if self.ended {
             return Poll::Ready(None);
         }
-        match self.parts.poll_recv(context) {
+        match self.chunks.poll_recv(context) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(Some(bytes)) => Poll::Ready(Some(Ok(bytes))),
             Poll::Ready(None) => {
                 self.ended = true;
                 // A body that was not ended as whole breaks the connection instead of looking so.
-                let whole = self.whole.load(Ordering::SeqCst);
-                Poll::Ready((!whole).then_some(Err(BodyCut)))
+                let complete = self.complete.load(Ordering::SeqCst);
+                Poll::Ready((!complete).then_some(Err(BodyTruncated)))
             }
         }
     }
--- a/crates/proxy/src/daemon/connections.rs
+++ b/crates/proxy/src/daemon/connections.rs
@@ -20,7 +20,7 @@
 const LOG: PartLog = PartLog::new("CALLERS");
 
 /// Wait after a failure to accept, which mostly means that the process has no free descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 /// Connections above the cap that are refused with an answer at one time; further ones are closed.
 const MAX_REFUSALS: usize = 64;
 /// Longest time that a connection above the cap may take.
@@ -44,21 +44,21 @@
     F::Future: TryFuture<Ok = (HttpResponse,), Error = Infallible> + Send,
 {
     let max_connections = limits.max_connections.min(Semaphore::MAX_PERMITS);
-    let places = Arc::new(Semaphore::new(max_connections));
-    let refusals = Arc::new(Semaphore::new(MAX_REFUSALS));
+    let permits = Arc::new(Semaphore::new(max_connections));
+    let refusal_permits = Arc::new(Semaphore::new(MAX_REFUSALS));
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
                 LOG.warn(format!("A connection could not be accepted: {error}"));
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
                 continue;
             }
         };
-        if let Ok(place) = Arc::clone(&places).try_acquire_owned() {
-            tokio::spawn(serve(stream, filter.clone(), limits.header_timeout, place));
-        } else if let Ok(place) = Arc::clone(&refusals).try_acquire_owned() {
-            tokio::spawn(refuse(stream, place));
+        if let Ok(permit) = Arc::clone(&permits).try_acquire_owned() {
+            tokio::spawn(serve(stream, filter.clone(), limits.header_timeout, permit));
+        } else if let Ok(permit) = Arc::clone(&refusal_permits).try_acquire_owned() {
+            tokio::spawn(refuse(stream, permit));
         }
     }
 }
@@ -67,7 +67,7 @@
     stream: TcpStream,
     filter: F,
     header_timeout: Duration,
-    _place: OwnedSemaphorePermit,
+    _permit: OwnedSemaphorePermit,
 ) where
     F: Filter<Extract = (HttpResponse,), Error = Infallible> + Clone + Send + Sync + 'static,
     F::Future: TryFuture<Ok = (HttpResponse,), Error = Infallible> + Send,
@@ -82,15 +82,15 @@
 }
 
 /// Says that there is no place. Nothing of the request is read beyond its headers.
-async fn refuse(stream: TcpStream, _place: OwnedSemaphorePermit) {
-    let service = service_fn(|_| async { Ok::<_, Infallible>(no_place()) });
+async fn refuse(stream: TcpStream, _permit: OwnedSemaphorePermit) {
+    let service = service_fn(|_| async { Ok::<_, Infallible>(connection_limit_response()) });
     let connection = http1::Builder::new()
         .keep_alive(false)
         .serve_connection(TokioIo::new(stream), service);
     let _ = tokio::time::timeout(REFUSAL_TIMEOUT, connection).await;
 }
 
-fn no_place() -> HttpResponse {
+fn connection_limit_response() -> HttpResponse {
     let refusal = Refusal::not_run(ResultCode::Overloaded)
         .with_retry_after(RETRY_AFTER_MS)
         .with_detail("Too many connections are open.");
--- a/crates/proxy/src/daemon/models.rs
+++ b/crates/proxy/src/daemon/models.rs
@@ -9,7 +9,7 @@
 use crate::daemon::responses::{HttpResponse, REQUEST_ID_HEADER, set, set_revision, text_response};
 use crate::request::authenticate::{authenticate, check_open};
 use crate::request::environment::RequestEnvironment;
-use crate::request::plan::fresh_id;
+use crate::request::plan::random_id;
 use crate::request::record::RequestRecord;
 use crate::request::refusal::Refusal;
 
@@ -42,7 +42,7 @@
     check_open(state)?;
     let table = state.table();
     authenticate(&table, &headers)?;
-    let mut record = RequestRecord::new(fresh_id([environment.random(), environment.random()]));
+    let mut record = RequestRecord::new(random_id([environment.random(), environment.random()]));
     record.code = ResultCode::Ok;
     record.count(state);
     let mut response = text_response(StatusCode::OK, body(&table));
--- a/crates/proxy/src/daemon/run.rs
+++ b/crates/proxy/src/daemon/run.rs
@@ -25,11 +25,11 @@
 const LOG: PartLog = PartLog::new("PROXY");
 
 /// Time between two looks at the open requests while leaving.
-const LEAVE_CHECK: Duration = Duration::from_millis(20);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Longest wait for streams to end once they are told to.
 const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 /// Longest wait for the last settlements to be acknowledged.
-const SETTLE_TIMEOUT: Duration = Duration::from_secs(2);
+const RESOLUTION_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Runs until a signal ends the process.
 pub fn run(settings: &ProxySettings) -> miette::Result<()> {
@@ -92,18 +92,18 @@
         _ = interrupt.recv() => {}
     }
     let leave_timeout = Duration::from_millis(settings.leave_timeout_ms);
-    leave(&state, &agent, leave_timeout).await;
+    drain(&state, &agent, leave_timeout).await;
     Ok(())
 }
 
 /// New requests are refused at once; open ones end by themselves within a bound.
-async fn leave(state: &ProxyState, agent: &AgentLink, timeout: Duration) {
+async fn drain(state: &ProxyState, agent: &AgentLink, timeout: Duration) {
     LOG.info("Leaving: new requests are refused.");
     state.set_draining();
     wait_while(timeout, || state.metrics.open_requests.get() > 0).await;
     state.set_stopping();
     wait_while(STOP_TIMEOUT, || state.metrics.open_requests.get() > 0).await;
-    wait_while(SETTLE_TIMEOUT, || !agent.claims_are_resolved()).await;
+    wait_while(RESOLUTION_TIMEOUT, || !agent.claims_are_resolved()).await;
     let open = state.metrics.open_requests.get();
     LOG.info(format!("Left with {open} open requests."));
 }
@@ -111,7 +111,7 @@
 async fn wait_while(timeout: Duration, condition: impl Fn() -> bool) {
     let waiting = async {
         while condition() {
-            tokio::time::sleep(LEAVE_CHECK).await;
+            tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
         }
     };
     let _ = tokio::time::timeout(timeout, waiting).await;
--- a/crates/proxy/src/daemon/server.rs
+++ b/crates/proxy/src/daemon/server.rs
@@ -248,7 +248,7 @@
 
 fn log_record(record: &RequestRecord) {
     let (id, route) = (&record.request_id, &record.route);
-    if record.caller_left {
+    if record.caller_disconnected {
         LOG.debug(format!(
             "Request {id} on route \"{route}\": the caller left."
         ));
--- a/crates/proxy/src/request/admit.rs
+++ b/crates/proxy/src/request/admit.rs
@@ -12,26 +12,26 @@
 use crate::request::refusal::Refusal;
 
 /// An admitted request's share of its tenant's work, until its prefill ends.
-pub struct Turn {
+pub struct AdmissionGuard {
     queue: Arc<FairQueue>,
     tenant: String,
     tokens: u64,
 }
 
-impl Drop for Turn {
+impl Drop for AdmissionGuard {
     fn drop(&mut self) {
         self.queue.finish(&self.tenant, self.tokens);
     }
 }
 
 /// A place in the queue, left on whatever path the wait ends.
-struct Place<'a> {
+struct QueuePosition<'a> {
     queue: &'a FairQueue,
     tenant: &'a str,
     id: WaiterId,
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueuePosition<'_> {
     fn drop(&mut self) {
         self.queue.leave(self.tenant, self.id);
     }
@@ -44,20 +44,20 @@
 pub async fn admit<E: RequestEnvironment>(
     environment: &E,
     plan: &RequestPlan,
-) -> Result<Turn, Refusal> {
+) -> Result<AdmissionGuard, Refusal> {
     let queue = environment.state().queues.queue(&QueueKey {
         pool: plan.route.pool.clone(),
         model: plan.requirement.model.clone(),
     });
-    let room = has_room(environment, plan);
-    if !room && queue.is_over_share(&plan.tenant) {
+    let has_capacity = has_capacity(environment, plan);
+    if !has_capacity && queue.is_over_share(&plan.tenant) {
         return Err(overloaded(environment, plan));
     }
-    if !room || queue.has_waiters() {
+    if !has_capacity || queue.has_waiters() {
         wait_for_turn(environment, plan, &queue).await?;
     }
     queue.begin(&plan.tenant, plan.prompt_tokens);
-    Ok(Turn {
+    Ok(AdmissionGuard {
         queue,
         tenant: plan.tenant.clone(),
         tokens: plan.prompt_tokens,
@@ -70,14 +70,14 @@
     queue: &FairQueue,
 ) -> Result<(), Refusal> {
     let state = environment.state();
-    let place = Place {
+    let position = QueuePosition {
         queue,
         tenant: &plan.tenant,
         id: queue.join(&plan.tenant),
     };
     let until = (environment.now() + state.limits.admission_wait).min(plan.deadline);
     while environment.now() < until {
-        if queue.is_next(&plan.tenant, place.id) && has_room(environment, plan) {
+        if queue.is_next(&plan.tenant, position.id) && has_capacity(environment, plan) {
             return Ok(());
         }
         environment
@@ -88,7 +88,7 @@
 }
 
 /// Whether some backend would give the first token in time.
-fn has_room<E: RequestEnvironment>(environment: &E, plan: &RequestPlan) -> bool {
+fn has_capacity<E: RequestEnvironment>(environment: &E, plan: &RequestPlan) -> bool {
     let state = environment.state();
     let limit = first_token_limit(environment, plan.deadline);
     match best_estimate(environment, plan) {
--- a/crates/proxy/src/request/attempt.rs
+++ b/crates/proxy/src/request/attempt.rs
@@ -5,14 +5,14 @@
 use millford_routing::{EjectionReason, InFlightGuard};
 
 use crate::request::choose_backend::ChosenReplica;
+use crate::request::chunk_reader::{ChunkReader, StreamItem};
 use crate::request::environment::{BackendAnswer, RequestEnvironment};
 use crate::request::failure::AttemptFailure;
 use crate::request::message::{
-    AnswerHead, BackendRequest, DispatchError, ResumeFrom, SentMark, WithdrawRequest,
+    AnswerHead, BackendRequest, DispatchError, ResumeFrom, SentFlag, WithdrawRequest,
 };
-use crate::request::piece_reader::{PieceReader, StreamItem};
-use crate::request::plain_body::read_whole;
-use crate::request::plan::{RequestPlan, fresh_id};
+use crate::request::plain_body::read_complete;
+use crate::request::plan::{RequestPlan, random_id};
 use crate::request::stream_watch::until_ejected;
 
 /// An attempt in progress. Dropped unfinished, it is withdrawn from the backend.
@@ -31,17 +31,17 @@
     /// Streams on the backend at the start.
     pub streams_at_start: u32,
     id: String,
-    sent: SentMark,
+    sent: SentFlag,
     resume_from: Option<ResumeFrom>,
     finished: bool,
 }
 
 /// The first part of an answer.
-pub enum FirstPart<A> {
+pub enum AnswerStart<A> {
     /// A stream and its first item.
     Stream {
         /// Reads the rest.
-        reader: PieceReader<A>,
+        reader: ChunkReader<A>,
         /// The first piece, or the end of an empty stream.
         first: StreamItem,
     },
@@ -55,11 +55,11 @@
 }
 
 /// An attempt that brought an answer.
-pub struct Opened<'a, E: RequestEnvironment> {
+pub struct OpenedAttempt<'a, E: RequestEnvironment> {
     /// The attempt.
     pub attempt: Attempt<'a, E>,
     /// Its answer.
-    pub part: FirstPart<E::Answer>,
+    pub part: AnswerStart<E::Answer>,
 }
 
 /// An attempt that brought none.
@@ -74,7 +74,7 @@
 impl<'a, E: RequestEnvironment> Attempt<'a, E> {
     /// Prepares an attempt that starts a run of its own.
     pub fn start(environment: &'a E, replica: ChosenReplica) -> Self {
-        let run = fresh_id([environment.random(), environment.random()]);
+        let run = random_id([environment.random(), environment.random()]);
         Self::prepare(environment, replica, run, None)
     }
 
@@ -99,8 +99,8 @@
             started: environment.now(),
             queued_tokens: before.prefill_tokens + replica.uncached_tokens,
             streams_at_start: before.decode_streams,
-            id: fresh_id([environment.random(), environment.random()]),
-            sent: SentMark::default(),
+            id: random_id([environment.random(), environment.random()]),
+            sent: SentFlag::default(),
             resume_from,
             finished: false,
             replica,
@@ -121,7 +121,7 @@
 
     /// The mark that is set once a byte may have left.
     #[must_use]
-    pub fn sent_mark(&self) -> SentMark {
+    pub fn sent_flag(&self) -> SentFlag {
         self.sent.clone()
     }
 
@@ -131,17 +131,17 @@
     }
 
     /// Sends the request and reads until the first part of the answer.
-    pub async fn run(mut self, plan: &RequestPlan) -> Result<Opened<'a, E>, FailedAttempt> {
+    pub async fn run(mut self, plan: &RequestPlan) -> Result<OpenedAttempt<'a, E>, FailedAttempt> {
         let backend_id = self.replica.key.backend_id.clone();
         let environment = self.environment;
-        let first_part = self.first_part(plan);
-        match until_ejected(environment, &backend_id, first_part).await {
-            Ok(part) => Ok(Opened {
+        let answer_start = self.answer_start(plan);
+        match until_ejected(environment, &backend_id, answer_start).await {
+            Ok(part) => Ok(OpenedAttempt {
                 attempt: self,
                 part,
             }),
             Err(failure) => {
-                self.note_failure(failure);
+                self.record_failure(failure);
                 self.finish();
                 Err(FailedAttempt {
                     failure,
@@ -151,7 +151,10 @@
         }
     }
 
-    async fn first_part(&self, plan: &RequestPlan) -> Result<FirstPart<E::Answer>, AttemptFailure> {
+    async fn answer_start(
+        &self,
+        plan: &RequestPlan,
+    ) -> Result<AnswerStart<E::Answer>, AttemptFailure> {
         let environment = self.environment;
         let request = self.backend_request(plan);
         environment
@@ -163,29 +166,32 @@
             DispatchError::NotConnected if !self.sent.is_set() => AttemptFailure::not_sent(),
             _ => AttemptFailure::unknown(ResultCode::BackendLost),
         })?;
-        self.heard();
+        self.record_activity();
         self.check_head(answer.head())?;
         if plan.stream {
             return self.first_item(answer).await;
         }
         let content_type = answer.head().content_type.clone();
         let max_bytes = environment.state().limits.max_answer_bytes;
-        let body = read_whole(&mut answer, max_bytes).await;
-        Ok(FirstPart::Plain {
+        let body = read_complete(&mut answer, max_bytes).await;
+        Ok(AnswerStart::Plain {
             body: body.map_err(AttemptFailure::unknown)?,
             content_type,
         })
     }
 
-    async fn first_item(&self, answer: E::Answer) -> Result<FirstPart<E::Answer>, AttemptFailure> {
+    async fn first_item(
+        &self,
+        answer: E::Answer,
+    ) -> Result<AnswerStart<E::Answer>, AttemptFailure> {
         let sequence = self.resume_from.map_or(0, |resume| resume.0);
-        let mut reader = PieceReader::new(answer, self.run.clone(), sequence);
+        let mut reader = ChunkReader::new(answer, self.run.clone(), sequence);
         let first = reader.next().await.map_err(AttemptFailure::unknown)?;
-        self.heard();
+        self.record_activity();
         if first == StreamItem::BackendError {
             return Err(AttemptFailure::backend_error(true));
         }
-        Ok(FirstPart::Stream { reader, first })
+        Ok(AnswerStart::Stream { reader, first })
     }
 
     fn backend_request(&self, plan: &RequestPlan) -> BackendRequest {
@@ -222,15 +228,15 @@
 
     /// A continued run must be confirmed at exactly the wanted sequence number.
     fn check_resume(&self, head: &AnswerHead) -> Result<(), AttemptFailure> {
-        let wanted = self.resume_from.map(|resume| resume.0);
-        if wanted.is_none() || head.resume_at == wanted {
+        let requested = self.resume_from.map(|resume| resume.0);
+        if requested.is_none() || head.resume_at == requested {
             return Ok(());
         }
         self.dropped("resume_mismatch");
         Err(AttemptFailure::unknown(ResultCode::StreamOutOfOrder))
     }
 
-    fn heard(&self) {
+    fn record_activity(&self) {
         let id = &self.replica.key.backend_id;
         let environment = self.environment;
         environment
@@ -244,7 +250,7 @@
         metrics.dropped_answers.with_label_values(&[cause]).inc();
     }
 
-    fn note_failure(&self, failure: AttemptFailure) {
+    fn record_failure(&self, failure: AttemptFailure) {
         let state = self.environment.state();
         state.load_table.add_failure(&self.replica.key);
         let reason = match failure.code {
--- a/crates/proxy/src/request/caller.rs
+++ b/crates/proxy/src/request/caller.rs
@@ -66,12 +66,12 @@
 
 /// The caller is not there any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CallerGone;
+pub struct CallerDisconnected;
 
 /// Tells when the caller goes away.
 pub trait CallerPresence: Clone + Send + Sync {
     /// Resolves once the caller has gone.
-    fn gone(&self) -> impl Future<Output = ()> + Send;
+    fn disconnected(&self) -> impl Future<Output = ()> + Send;
 }
 
 /// The way back to the caller.
@@ -86,10 +86,14 @@
     fn presence(&self) -> Self::Presence;
 
     /// Sends the head.
-    fn begin(&mut self, head: CallerHead) -> impl Future<Output = Result<(), CallerGone>> + Send;
+    fn begin(
+        &mut self,
+        head: CallerHead,
+    ) -> impl Future<Output = Result<(), CallerDisconnected>> + Send;
 
     /// Sends a part of the body; waits while the caller reads slowly.
-    fn send(&mut self, bytes: Bytes) -> impl Future<Output = Result<(), CallerGone>> + Send;
+    fn send(&mut self, bytes: Bytes)
+    -> impl Future<Output = Result<(), CallerDisconnected>> + Send;
 
     /// Ends the body as whole.
     fn finish(&mut self);
--- a/crates/proxy/src/request/chat_request.rs
+++ b/crates/proxy/src/request/chat_request.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub struct ChatRequest {
     /// What the request asks for.
-    pub wanted: ModelRequest,
+    pub requested: ModelRequest,
     /// Whether the answer is a stream.
     pub stream: bool,
     /// Text of all messages, with their roles.
@@ -42,13 +42,13 @@
     pub fn read(request: &CallerRequest) -> Result<Self, Refusal> {
         check_content_type(request.headers.content_type.as_deref())?;
         let mut fields = parse_object(&request.body)?;
-        let wanted = read_wanted(&fields, request)?;
+        let requested = read_requested_model(&fields, request)?;
         let stream = read_stream(&fields)?;
         check_numbers(&fields)?;
         let prompt = read_prompt(&fields)?;
-        let body = backend_body(&mut fields, &wanted, &request.body);
+        let body = backend_body(&mut fields, &requested, &request.body);
         Ok(Self {
-            wanted,
+            requested,
             stream,
             prompt,
             body,
@@ -100,21 +100,21 @@
     }
 }
 
-fn read_wanted(
+fn read_requested_model(
     fields: &Map<String, Value>,
     request: &CallerRequest,
 ) -> Result<ModelRequest, Refusal> {
     let Some(Value::String(model)) = fields.get("model") else {
         return Err(bad_field("model must be a string."));
     };
-    let mut wanted = ModelRequest::from_model_field(model);
-    if wanted.model.is_empty() || model.len() > LONGEST_NAME {
+    let mut requested = ModelRequest::from_model_field(model);
+    if requested.model.is_empty() || model.len() > LONGEST_NAME {
         return Err(bad_field("model must be 1 to 200 characters."));
     }
-    wanted.stage = checked_key("x-millford-stage", &request.headers.stage)?.unwrap_or_default();
-    wanted.adapter =
+    requested.stage = checked_key("x-millford-stage", &request.headers.stage)?.unwrap_or_default();
+    requested.adapter =
         checked_key("x-millford-adapter", &request.headers.adapter)?.unwrap_or_default();
-    Ok(wanted)
+    Ok(requested)
 }
 
 fn read_stream(fields: &Map<String, Value>) -> Result<bool, Refusal> {
@@ -190,11 +190,11 @@
 }
 
 /// The backend learns the version from a header; its body names the plain model.
-fn backend_body(fields: &mut Map<String, Value>, wanted: &ModelRequest, body: &Bytes) -> Bytes {
-    if wanted.version.is_empty() {
+fn backend_body(fields: &mut Map<String, Value>, requested: &ModelRequest, body: &Bytes) -> Bytes {
+    if requested.version.is_empty() {
         return body.clone();
     }
-    fields.insert("model".to_owned(), Value::String(wanted.model.clone()));
+    fields.insert("model".to_owned(), Value::String(requested.model.clone()));
     serde_json::to_vec(fields).map_or_else(|_| body.clone(), Bytes::from)
 }
 
--- a/crates/proxy/src/request/piece.rs
+++ b/crates/proxy/src/request/chunk.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use serde_json::{Map, Value};
 
-use crate::backend_protocol::PIECE_FIELD;
+use crate::backend_protocol::CHUNK_FIELD;
 
 /// Tokens that a backend counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -32,29 +32,29 @@
 
 /// A piece with the run and the sequence number that the backend gave it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Piece {
+pub struct Chunk {
     /// Run of the piece.
     pub run: String,
     /// Place in the run, from 0.
     pub sequence: u64,
     /// Usage, in the last piece of a run.
     pub usage: Option<Usage>,
-    chunk: Map<String, Value>,
+    fields: Map<String, Value>,
 }
 
-impl Piece {
+impl Chunk {
     /// Reads the data of an event; nothing if it is not a numbered piece.
     #[must_use]
     pub fn parse(data: &str) -> Option<Self> {
-        let Ok(Value::Object(mut chunk)) = serde_json::from_str(data) else {
+        let Ok(Value::Object(mut fields)) = serde_json::from_str(data) else {
             return None;
         };
-        let mark = chunk.remove(PIECE_FIELD)?;
+        let mark = fields.remove(CHUNK_FIELD)?;
         Some(Self {
             run: mark.get("run")?.as_str()?.to_owned(),
             sequence: mark.get("seq")?.as_u64()?,
-            usage: Usage::read(&chunk),
-            chunk,
+            usage: Usage::read(&fields),
+            fields,
         })
     }
 
@@ -62,14 +62,14 @@
     #[must_use]
     pub fn into_caller_event(mut self, request_id: &str) -> Bytes {
         // One id over the whole stream, also when another backend continues it.
-        self.chunk.insert(
+        self.fields.insert(
             "id".to_owned(),
             Value::String(format!("chatcmpl-{request_id}")),
         );
-        self.chunk
+        self.fields
             .entry("object")
             .or_insert_with(|| Value::String("chat.completion.chunk".to_owned()));
-        let data = Value::Object(self.chunk);
+        let data = Value::Object(self.fields);
         Bytes::from(format!("id: {}\ndata: {data}\n\n", self.sequence))
     }
 }
--- a/crates/proxy/src/request/piece_reader.rs
+++ b/crates/proxy/src/request/chunk_reader.rs
@@ -3,16 +3,16 @@
 use millford_core::ResultCode;
 
 use crate::backend_protocol::{DONE_MARKER, ERROR_EVENT};
+use crate::request::chunk::Chunk;
 use crate::request::environment::BackendAnswer;
 use crate::request::message::AnswerError;
-use crate::request::piece::Piece;
 use crate::request::sse::{SseDecoder, SseEvent};
 
 /// What a stream brings next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StreamItem {
     /// The next piece, in sequence and of the right run.
-    Piece(Piece),
+    Chunk(Chunk),
     /// The end marker: the stream is whole.
     Done,
     /// The backend reports that the run failed.
@@ -21,14 +21,14 @@
 
 /// Reads one answer. Nothing is delivered that is not the next piece of the expected run.
 #[derive(Debug)]
-pub struct PieceReader<A> {
+pub struct ChunkReader<A> {
     answer: A,
     decoder: SseDecoder,
     run: String,
     next_sequence: u64,
 }
 
-impl<A: BackendAnswer> PieceReader<A> {
+impl<A: BackendAnswer> ChunkReader<A> {
     /// Expects the pieces of `run` from `next_sequence` on.
     #[must_use]
     pub fn new(answer: A, run: String, next_sequence: u64) -> Self {
@@ -60,11 +60,11 @@
             if let Some(event) = event {
                 return self.accept(&event);
             }
-            match self.answer.next_chunk().await {
+            match self.answer.next_bytes().await {
                 Ok(Some(bytes)) => self.decoder.push(&bytes),
                 // The body is whole by its framing, but the end marker is missing.
                 Ok(None) => return Err(ResultCode::AnswerTruncated),
-                Err(AnswerError::Cut) => return Err(ResultCode::BackendLost),
+                Err(AnswerError::Disconnected) => return Err(ResultCode::BackendLost),
                 Err(AnswerError::Malformed) => return Err(ResultCode::AnswerTruncated),
             }
         }
@@ -77,16 +77,16 @@
         if event.data == DONE_MARKER {
             return Ok(StreamItem::Done);
         }
-        let piece = Piece::parse(&event.data).ok_or(ResultCode::StreamOutOfOrder)?;
+        let chunk = Chunk::parse(&event.data).ok_or(ResultCode::StreamOutOfOrder)?;
         // A piece of another run is another request's answer or a splice: never delivered.
-        if piece.run != self.run {
+        if chunk.run != self.run {
             return Err(ResultCode::AnswerMismatch);
         }
         // Neither a skip nor a repeat reaches the caller.
-        if piece.sequence != self.next_sequence {
+        if chunk.sequence != self.next_sequence {
             return Err(ResultCode::StreamOutOfOrder);
         }
         self.next_sequence += 1;
-        Ok(StreamItem::Piece(piece))
+        Ok(StreamItem::Chunk(chunk))
     }
 }
--- a/crates/proxy/src/request/claim_hold.rs
+++ b/crates/proxy/src/request/claim_guard.rs
@@ -9,11 +9,11 @@
 
 /// A granted claim. Unless settled, it stays "may have run".
 #[derive(Clone, Debug)]
-pub struct ClaimHold {
+pub struct ClaimGuard {
     claim: Claim,
 }
 
-impl ClaimHold {
+impl ClaimGuard {
     /// Reserves the single run before a byte goes to a backend.
     ///
     /// A claim that was not confirmed in time is never used for a run, so it is settled as not
--- a/crates/proxy/src/request/completion.rs
+++ b/crates/proxy/src/request/completion.rs
@@ -12,19 +12,19 @@
 
 use crate::backend_protocol::COMPLETIONS_PATH;
 use crate::request::admit::admit;
-use crate::request::attempt::FirstPart;
+use crate::request::attempt::AnswerStart;
 use crate::request::authenticate::{authenticate, check_open};
 use crate::request::caller::{CallerRequest, CallerSink};
 use crate::request::chat_request::ChatRequest;
-use crate::request::claim_hold::ClaimHold;
+use crate::request::chunk::Usage;
+use crate::request::claim_guard::ClaimGuard;
 use crate::request::conclude::conclude;
 use crate::request::deadline::deadline_of;
 use crate::request::environment::RequestEnvironment;
-use crate::request::first_answer::{Ended, first_answer};
+use crate::request::first_answer::{Unserved, first_answer};
 use crate::request::message::BackendMethod;
-use crate::request::piece::Usage;
-use crate::request::plan::{RequestPlan, fresh_id};
-use crate::request::quota_hold::QuotaHold;
+use crate::request::plan::{RequestPlan, random_id};
+use crate::request::quota_guard::QuotaGuard;
 use crate::request::record::{OpenRequest, RequestRecord};
 use crate::request::refusal::Refusal;
 use crate::request::relay::relay_stream;
@@ -40,7 +40,7 @@
     E: RequestEnvironment,
     C: CallerSink,
 {
-    let request_id = fresh_id([environment.random(), environment.random()]);
+    let request_id = random_id([environment.random(), environment.random()]);
     let revision = environment.state().table().revision();
     let mut record = RequestRecord::new(request_id.clone());
     let mut reply = Reply::new(environment, caller, request_id, revision);
@@ -57,7 +57,7 @@
     request: &CallerRequest,
     reply: &mut Reply<'a, E, C>,
     record: &mut RequestRecord,
-) -> Result<(), Ended>
+) -> Result<(), Unserved>
 where
     E: RequestEnvironment,
     C: CallerSink,
@@ -67,13 +67,15 @@
     let table = state.table();
     let tenant = authenticate(&table, &request.headers)?;
     let chat = ChatRequest::read(request)?;
-    let route = table.match_model(&chat.wanted).map_err(Refusal::not_run)?;
+    let route = table
+        .match_model(&chat.requested)
+        .map_err(Refusal::not_run)?;
     record.route.clone_from(&route.name);
     let plan = RequestPlan {
         request_id: record.request_id.clone(),
         tenant: tenant.name.clone(),
         route: route.clone(),
-        requirement: route.requirement(&chat.wanted),
+        requirement: route.requirement(&chat.requested),
         affinity: affinity_of(&tenant, &chat),
         prompt_tokens: chat.prompt_tokens(),
         deadline: deadline_of(route, request)?,
@@ -82,7 +84,7 @@
         path: COMPLETIONS_PATH.to_owned(),
         body: chat.body.clone(),
     };
-    let mut quota = QuotaHold::ask(environment, &plan.tenant, plan.stream, plan.deadline).await?;
+    let mut quota = QuotaGuard::ask(environment, &plan.tenant, plan.stream, plan.deadline).await?;
     let turn = admit(environment, &plan).await?;
     let claim = claim_if_needed(environment, &plan, &chat, request).await?;
 
@@ -100,7 +102,7 @@
     quota.spend();
     drop(turn);
     let first_token = environment.now().since(opened.attempt.started);
-    note_first_token(environment, &plan, &opened.attempt, request, first_token);
+    record_first_token(environment, &plan, &opened.attempt, request, first_token);
 
     let sample_key = opened.attempt.replica.key.clone();
     let mut sample = CostSample {
@@ -110,16 +112,18 @@
         ..CostSample::default()
     };
     let by_affinity = opened.attempt.replica.by_affinity;
-    let not_given;
-    let usage = if let FirstPart::Plain { body, content_type } = &opened.part {
+    let undelivered;
+    let usage = if let AnswerStart::Plain { body, content_type } = &opened.part {
         let (body, content_type) = (body.clone(), content_type.clone());
         let mut attempt = opened.attempt;
         attempt.finish();
         settle(environment, claim.as_ref(), RunOutcome::RunCompleted);
         let usage = plain_usage(&body);
         // The run is complete, whether or not the caller still takes the answer.
-        let given = reply.whole(body, &content_type).await;
-        not_given = given.err().map(|_| Ended::CallerGone(RunState::MayHaveRun));
+        let given = reply.send_complete(body, &content_type).await;
+        undelivered = given
+            .err()
+            .map(|_| Unserved::CallerDisconnected(RunState::MayHaveRun));
         usage
     } else {
         let relayed = relay_stream(environment, &plan, opened, reply).await;
@@ -128,14 +132,14 @@
             Err(ended) => settle_ended(environment, claim.as_ref(), ended),
         }
         let totals = relayed?;
-        sample.output_tokens = clamp_to_u32(totals.pieces);
+        sample.output_tokens = clamp_to_u32(totals.chunks);
         sample.decode_ms = millis(totals.decode);
-        not_given = totals.not_given;
+        undelivered = totals.undelivered;
         totals.usage
     };
     learn(state, &plan, sample, usage, by_affinity);
     state.load_table.add_sample(&sample_key, sample);
-    not_given.map_or(Ok(()), Err)
+    undelivered.map_or(Ok(()), Err)
 }
 
 /// Learns the model's cost from a whole answer.
@@ -167,7 +171,7 @@
 fn affinity_of(tenant: &Tenant, chat: &ChatRequest) -> Option<u64> {
     match &chat.session {
         Some(session) => Some(session_hash(&tenant.name, session)),
-        None => prefix_hash(&chat.wanted.model, &chat.prompt),
+        None => prefix_hash(&chat.requested.model, &chat.prompt),
     }
 }
 
@@ -177,7 +181,7 @@
     plan: &RequestPlan,
     chat: &ChatRequest,
     request: &CallerRequest,
-) -> Result<Option<ClaimHold>, Refusal> {
+) -> Result<Option<ClaimGuard>, Refusal> {
     let Some(key) = chat
         .idempotency_key
         .as_ref()
@@ -188,17 +192,17 @@
     let claim = Claim {
         tenant: plan.tenant.clone(),
         request_id: key.clone(),
-        attempt_id: fresh_id([environment.random(), environment.random()]),
+        attempt_id: random_id([environment.random(), environment.random()]),
         digest: request_digest(chat, request),
     };
-    let hold = ClaimHold::take(environment, claim, plan.deadline).await?;
+    let hold = ClaimGuard::take(environment, claim, plan.deadline).await?;
     Ok(Some(hold))
 }
 
 /// Digest of everything that decides the answer: the body, the stage and the adapter.
 fn request_digest(chat: &ChatRequest, request: &CallerRequest) -> Vec<u8> {
     let mut hasher = Sha256::new();
-    for part in [&chat.wanted.stage, &chat.wanted.adapter] {
+    for part in [&chat.requested.stage, &chat.requested.adapter] {
         hasher.update((part.len() as u64).to_be_bytes());
         hasher.update(part.as_bytes());
     }
@@ -206,31 +210,37 @@
     hasher.finalize().to_vec()
 }
 
-fn settle<E: RequestEnvironment>(environment: &E, claim: Option<&ClaimHold>, outcome: RunOutcome) {
+fn settle<E: RequestEnvironment>(environment: &E, claim: Option<&ClaimGuard>, outcome: RunOutcome) {
     if let Some(claim) = claim {
         claim.settle(environment, outcome);
     }
 }
 
-fn settle_ended<E: RequestEnvironment>(environment: &E, claim: Option<&ClaimHold>, ended: &Ended) {
+fn settle_ended<E: RequestEnvironment>(
+    environment: &E,
+    claim: Option<&ClaimGuard>,
+    ended: &Unserved,
+) {
     let Some(claim) = claim else {
         return;
     };
     match ended {
-        Ended::Refused(refusal) => claim.settle_refused(environment, refusal),
-        Ended::CallerGone(RunState::NotRun) => claim.settle(environment, RunOutcome::RunNotRun),
-        Ended::CallerGone(RunState::MayHaveRun) => {}
+        Unserved::Refused(refusal) => claim.settle_refused(environment, refusal),
+        Unserved::CallerDisconnected(RunState::NotRun) => {
+            claim.settle(environment, RunOutcome::RunNotRun)
+        }
+        Unserved::CallerDisconnected(RunState::MayHaveRun) => {}
     }
 }
 
-fn is_certainly_unsent(ended: &Ended) -> bool {
+fn is_certainly_unsent(ended: &Unserved) -> bool {
     match ended {
-        Ended::Refused(refusal) => refusal.run == RunState::NotRun,
-        Ended::CallerGone(run) => *run == RunState::NotRun,
+        Unserved::Refused(refusal) => refusal.run == RunState::NotRun,
+        Unserved::CallerDisconnected(run) => *run == RunState::NotRun,
     }
 }
 
-fn note_first_token<E: RequestEnvironment>(
+fn record_first_token<E: RequestEnvironment>(
     environment: &E,
     plan: &RequestPlan,
     attempt: &crate::request::attempt::Attempt<'_, E>,
--- a/crates/proxy/src/request/conclude.rs
+++ b/crates/proxy/src/request/conclude.rs
@@ -4,13 +4,13 @@
 
 use crate::request::caller::CallerSink;
 use crate::request::environment::RequestEnvironment;
-use crate::request::first_answer::Ended;
+use crate::request::first_answer::Unserved;
 use crate::request::record::RequestRecord;
 use crate::request::reply::Reply;
 
 /// Writes how the request ended into its record and gives the caller a refusal.
 pub async fn conclude<E, C>(
-    served: Result<(), Ended>,
+    served: Result<(), Unserved>,
     reply: &mut Reply<'_, E, C>,
     record: &mut RequestRecord,
 ) where
@@ -19,11 +19,11 @@
 {
     match served {
         Ok(()) => record.code = ResultCode::Ok,
-        Err(Ended::Refused(refusal)) => {
+        Err(Unserved::Refused(refusal)) => {
             record.code = refusal.code;
             // The refusal goes out at once; a caller that left does not need it.
             let _ = reply.refuse(&refusal).await;
         }
-        Err(Ended::CallerGone(_)) => record.caller_left = true,
+        Err(Unserved::CallerDisconnected(_)) => record.caller_disconnected = true,
     }
 }
--- a/crates/proxy/src/request/environment.rs
+++ b/crates/proxy/src/request/environment.rs
@@ -48,7 +48,7 @@
 
     /// Opens a new connection, sends the request and reads the head of the answer.
     ///
-    /// The request's [`SentMark`](crate::request::message::SentMark) is set before the first byte
+    /// The request's [`SentFlag`](crate::request::message::SentFlag) is set before the first byte
     /// is handed to the connection. Dropping the future closes the connection.
     fn dispatch(
         &self,
@@ -70,5 +70,5 @@
     /// The next part of the body; nothing once the body ended whole by its framing.
     ///
     /// Dropping the future loses no bytes.
-    fn next_chunk(&mut self) -> impl Future<Output = Result<Option<Bytes>, AnswerError>> + Send;
+    fn next_bytes(&mut self) -> impl Future<Output = Result<Option<Bytes>, AnswerError>> + Send;
 }
--- a/crates/proxy/src/request/first_answer.rs
+++ b/crates/proxy/src/request/first_answer.rs
@@ -4,12 +4,12 @@
 use futures::{FutureExt, StreamExt};
 use millford_core::{MonotonicTime, ResultCode, RunState};
 
-use crate::request::attempt::{Attempt, FailedAttempt, Opened};
+use crate::request::attempt::{Attempt, FailedAttempt, OpenedAttempt};
 use crate::request::caller::CallerPresence;
 use crate::request::choose_backend::{ChosenReplica, choose_backend};
 use crate::request::environment::RequestEnvironment;
 use crate::request::failure::{AttemptFailure, RunFate};
-use crate::request::message::{SentMark, WithdrawRequest};
+use crate::request::message::{SentFlag, WithdrawRequest};
 use crate::request::plan::RequestPlan;
 use crate::request::refusal::Refusal;
 use crate::request::send_progress::SendProgress;
@@ -17,23 +17,23 @@
 
 /// Why a request ended without an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum Unserved {
     /// It is refused.
     Refused(Refusal),
     /// The caller left; whether the request may have run.
-    CallerGone(RunState),
+    CallerDisconnected(RunState),
 }
 
-impl From<Refusal> for Ended {
+impl From<Refusal> for Unserved {
     fn from(refusal: Refusal) -> Self {
-        Ended::Refused(refusal)
+        Unserved::Refused(refusal)
     }
 }
 
 /// An attempt in flight, as needed to withdraw it.
 struct InFlight {
     reference: WithdrawRequest,
-    sent: SentMark,
+    sent: SentFlag,
     second: bool,
 }
 
@@ -48,7 +48,7 @@
     environment: &'a E,
     plan: &RequestPlan,
     presence: &P,
-) -> Result<Opened<'a, E>, Ended>
+) -> Result<OpenedAttempt<'a, E>, Unserved>
 where
     E: RequestEnvironment,
     P: CallerPresence,
@@ -61,43 +61,43 @@
     let end = loop {
         if attempts.is_empty() {
             // Nothing is sent for a caller that has left.
-            if presence.gone().now_or_never().is_some() {
-                break Ended::CallerGone(RunState::NotRun);
+            if presence.disconnected().now_or_never().is_some() {
+                break Unserved::CallerDisconnected(RunState::NotRun);
             }
             let replica = match next_replica(environment, plan, &progress, connects) {
                 Ok(replica) => replica,
-                Err(refusal) => break Ended::Refused(refusal),
+                Err(refusal) => break Unserved::Refused(refusal),
             };
             connects += 1;
             let attempt = Attempt::start(environment, replica);
-            in_flight.push(note_launch(environment, &mut progress, &attempt, RETRY));
+            in_flight.push(record_dispatch(environment, &mut progress, &attempt, RETRY));
             attempts.push(attempt.run(plan));
             hedge_at = hedge_time(environment, plan);
         }
         let until = hedge_at.unwrap_or(plan.deadline).min(plan.deadline);
         match wait_until(environment, presence, until, attempts.next()).await {
             Waited::Ready(Some(Ok(opened))) => {
-                note_first_send(environment, &in_flight, &opened.attempt.reference());
+                record_first_send(environment, &in_flight, &opened.attempt.reference());
                 progress.withdraw_rest(environment);
                 return Ok(opened);
             }
             Waited::Ready(Some(Err(failed))) => {
-                note_failed(environment, &mut progress, &mut in_flight, failed);
+                record_failed(environment, &mut progress, &mut in_flight, failed);
             }
             Waited::Ready(None) => {}
-            Waited::TimeUp if environment.now() >= plan.deadline => {
-                break Ended::Refused(deadline_refusal(&progress));
+            Waited::TimedOut if environment.now() >= plan.deadline => {
+                break Unserved::Refused(deadline_refusal(&progress));
             }
-            Waited::TimeUp => {
+            Waited::TimedOut => {
                 hedge_at = None;
                 let Some(replica) = hedge_replica(environment, plan, &progress, &in_flight) else {
                     continue;
                 };
                 let attempt = Attempt::start(environment, replica);
-                in_flight.push(note_launch(environment, &mut progress, &attempt, HEDGE));
+                in_flight.push(record_dispatch(environment, &mut progress, &attempt, HEDGE));
                 attempts.push(attempt.run(plan));
             }
-            Waited::CallerGone => break Ended::CallerGone(RunState::NotRun),
+            Waited::CallerDisconnected => break Unserved::CallerDisconnected(RunState::NotRun),
         }
     };
     // Dropping the attempts closes their connections before the backends are asked.
@@ -170,7 +170,7 @@
     environment.state().budget.try_spend().then_some(replica)
 }
 
-fn note_launch<E: RequestEnvironment>(
+fn record_dispatch<E: RequestEnvironment>(
     environment: &E,
     progress: &mut SendProgress,
     attempt: &Attempt<'_, E>,
@@ -184,12 +184,12 @@
     }
     InFlight {
         reference: attempt.reference(),
-        sent: attempt.sent_mark(),
+        sent: attempt.sent_flag(),
         second,
     }
 }
 
-fn note_failed<E: RequestEnvironment>(
+fn record_failed<E: RequestEnvironment>(
     environment: &E,
     progress: &mut SendProgress,
     in_flight: &mut Vec<InFlight>,
@@ -205,14 +205,14 @@
             environment.state().budget.refund();
         }
     } else {
-        note_first_send(environment, in_flight, &failed.reference);
+        record_first_send(environment, in_flight, &failed.reference);
     }
     in_flight.retain(|flight| flight.reference != failed.reference);
-    progress.note_failure(failed.failure, failed.reference);
+    progress.record_failure(failed.failure, failed.reference);
 }
 
 /// Only a first send whose byte left earns.
-fn note_first_send<E: RequestEnvironment>(
+fn record_first_send<E: RequestEnvironment>(
     environment: &E,
     in_flight: &[InFlight],
     reference: &WithdrawRequest,
@@ -236,8 +236,8 @@
     environment: &'a E,
     mut progress: SendProgress,
     in_flight: Vec<InFlight>,
-    end: Ended,
-) -> Result<Opened<'a, E>, Ended> {
+    end: Unserved,
+) -> Result<OpenedAttempt<'a, E>, Unserved> {
     for flight in in_flight {
         let failure = if flight.sent.is_set() {
             earn_if_first(environment, flight.second);
@@ -245,17 +245,17 @@
         } else {
             AttemptFailure::not_sent()
         };
-        progress.note_failure(failure, flight.reference);
+        progress.record_failure(failure, flight.reference);
     }
     match end {
-        Ended::Refused(refusal) => {
+        Unserved::Refused(refusal) => {
             let refusal = progress.give_up(environment, refusal).await;
-            Err(Ended::Refused(refusal))
+            Err(Unserved::Refused(refusal))
         }
-        Ended::CallerGone(_) => {
+        Unserved::CallerDisconnected(_) => {
             let placeholder = Refusal::may_have_run(ResultCode::DeadlineAfterSend);
             let refusal = progress.give_up(environment, placeholder).await;
-            Err(Ended::CallerGone(refusal.run))
+            Err(Unserved::CallerDisconnected(refusal.run))
         }
     }
 }
--- a/crates/proxy/src/request/lookup.rs
+++ b/crates/proxy/src/request/lookup.rs
@@ -4,16 +4,16 @@
 use millford_core::{ResultCode, RunState};
 use millford_routing::ModelRequest;
 
-use crate::request::attempt::FirstPart;
+use crate::request::attempt::AnswerStart;
 use crate::request::authenticate::{authenticate, check_open};
 use crate::request::caller::{CallerRequest, CallerSink};
 use crate::request::conclude::conclude;
 use crate::request::deadline::deadline_of;
 use crate::request::environment::RequestEnvironment;
-use crate::request::first_answer::{Ended, first_answer};
+use crate::request::first_answer::{Unserved, first_answer};
 use crate::request::message::BackendMethod;
-use crate::request::plan::{RequestPlan, fresh_id};
-use crate::request::quota_hold::QuotaHold;
+use crate::request::plan::{RequestPlan, random_id};
+use crate::request::quota_guard::QuotaGuard;
 use crate::request::record::{OpenRequest, RequestRecord};
 use crate::request::refusal::Refusal;
 use crate::request::reply::Reply;
@@ -31,7 +31,7 @@
     E: RequestEnvironment,
     C: CallerSink,
 {
-    let request_id = fresh_id([environment.random(), environment.random()]);
+    let request_id = random_id([environment.random(), environment.random()]);
     let revision = environment.state().table().revision();
     let mut record = RequestRecord::new(request_id.clone());
     let mut reply = Reply::new(environment, caller, request_id, revision);
@@ -48,7 +48,7 @@
     request: &CallerRequest,
     reply: &mut Reply<'a, E, C>,
     record: &mut RequestRecord,
-) -> Result<(), Ended>
+) -> Result<(), Unserved>
 where
     E: RequestEnvironment,
     C: CallerSink,
@@ -72,13 +72,13 @@
         path: request.path_and_query.clone(),
         body: Bytes::new(),
     };
-    let mut quota = QuotaHold::ask(environment, &plan.tenant, false, plan.deadline).await?;
+    let mut quota = QuotaGuard::ask(environment, &plan.tenant, false, plan.deadline).await?;
     let opened = first_answer(environment, &plan, &reply.presence()).await;
     let opened = match opened {
         Ok(opened) => opened,
         Err(ended) => {
             let unsent =
-                matches!(&ended, Ended::Refused(refusal) if refusal.run == RunState::NotRun);
+                matches!(&ended, Unserved::Refused(refusal) if refusal.run == RunState::NotRun);
             if !unsent {
                 quota.spend();
             }
@@ -88,9 +88,9 @@
     quota.spend();
     let mut attempt = opened.attempt;
     attempt.finish();
-    let FirstPart::Plain { body, content_type } = opened.part else {
+    let AnswerStart::Plain { body, content_type } = opened.part else {
         return Err(Refusal::may_have_run(ResultCode::BackendError).into());
     };
-    let given = reply.whole(body, &content_type).await;
-    given.map_err(|_| Ended::CallerGone(RunState::MayHaveRun))
+    let given = reply.send_complete(body, &content_type).await;
+    given.map_err(|_| Unserved::CallerDisconnected(RunState::MayHaveRun))
 }
--- a/crates/proxy/src/request/message.rs
+++ b/crates/proxy/src/request/message.rs
@@ -8,9 +8,9 @@
 
 /// Set once a byte of a request may have left for a backend.
 #[derive(Clone, Debug, Default)]
-pub struct SentMark(Arc<AtomicBool>);
+pub struct SentFlag(Arc<AtomicBool>);
 
-impl SentMark {
+impl SentFlag {
     /// From now on the request may have run.
     pub fn set(&self) {
         self.0.store(true, Ordering::SeqCst);
@@ -64,7 +64,7 @@
     /// Body; empty for lookups.
     pub body: Bytes,
     /// Set before the first byte leaves.
-    pub sent: SentMark,
+    pub sent: SentFlag,
 }
 
 /// Why no answer head arrived.
@@ -110,7 +110,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerError {
     /// The connection ended before the body did.
-    Cut,
+    Disconnected,
     /// The bytes break the protocol.
     Malformed,
 }
--- a/crates/proxy/src/request/move_stream.rs
+++ b/crates/proxy/src/request/move_stream.rs
@@ -3,12 +3,12 @@
 use millford_api::config::Resume;
 use millford_core::{ResultCode, RunState};
 
-use crate::request::attempt::{Attempt, Opened};
+use crate::request::attempt::{Attempt, OpenedAttempt};
 use crate::request::caller::CallerPresence;
 use crate::request::choose_backend::choose_backend;
 use crate::request::environment::RequestEnvironment;
 use crate::request::failure::RunFate;
-use crate::request::first_answer::Ended;
+use crate::request::first_answer::Unserved;
 use crate::request::plan::RequestPlan;
 use crate::request::refusal::Refusal;
 use crate::request::wait::{Waited, wait_until};
@@ -52,9 +52,9 @@
     plan: &RequestPlan,
     presence: &P,
     lost: &LostStream,
-) -> Result<Opened<'a, E>, Ended> {
+) -> Result<OpenedAttempt<'a, E>, Unserved> {
     let state = environment.state();
-    let broken = || Ended::Refused(Refusal::may_have_run(lost.code));
+    let broken = || Unserved::Refused(Refusal::may_have_run(lost.code));
     let allowed = plan.is_repeatable() && plan.route.resume == Resume::Continue;
     if !allowed {
         return Err(broken());
@@ -84,10 +84,12 @@
                 state.budget.refund();
             }
             Waited::Ready(Err(failed)) => environment.withdraw_later(failed.reference),
-            Waited::TimeUp => {
+            Waited::TimedOut => {
                 return Err(Refusal::may_have_run(ResultCode::DeadlineAfterSend).into());
             }
-            Waited::CallerGone => return Err(Ended::CallerGone(RunState::MayHaveRun)),
+            Waited::CallerDisconnected => {
+                return Err(Unserved::CallerDisconnected(RunState::MayHaveRun));
+            }
         }
     }
     Err(broken())
--- a/crates/proxy/src/request/plain_body.rs
+++ b/crates/proxy/src/request/plain_body.rs
@@ -7,17 +7,17 @@
 use crate::request::message::{AnswerError, Framing};
 
 /// Reads the body to its end and checks that it is whole.
-pub async fn read_whole<A: BackendAnswer>(
+pub async fn read_complete<A: BackendAnswer>(
     answer: &mut A,
     max_bytes: usize,
 ) -> Result<Bytes, ResultCode> {
     let framing = answer.head().framing;
     let mut body = BytesMut::new();
     loop {
-        match answer.next_chunk().await {
+        match answer.next_bytes().await {
             Ok(Some(bytes)) => body.extend_from_slice(&bytes),
             Ok(None) => break,
-            Err(AnswerError::Cut) => return Err(ResultCode::AnswerTruncated),
+            Err(AnswerError::Disconnected) => return Err(ResultCode::AnswerTruncated),
             Err(AnswerError::Malformed) => return Err(ResultCode::BackendError),
         }
         if body.len() > max_bytes {
--- a/crates/proxy/src/request/plan.rs
+++ b/crates/proxy/src/request/plan.rs
@@ -45,6 +45,6 @@
 
 /// A fresh identifier from two random numbers.
 #[must_use]
-pub fn fresh_id(random: [u64; 2]) -> String {
+pub fn random_id(random: [u64; 2]) -> String {
     format!("{:016x}{:016x}", random[0], random[1])
 }
--- a/crates/proxy/src/request/quota_hold.rs
+++ b/crates/proxy/src/request/quota_guard.rs
@@ -7,14 +7,14 @@
 use crate::request::refusal::Refusal;
 
 /// One admitted request of a tenant.
-pub struct QuotaHold<'a, E: RequestEnvironment> {
+pub struct QuotaGuard<'a, E: RequestEnvironment> {
     environment: &'a E,
     tenant: String,
     stream: bool,
     used: bool,
 }
 
-impl<'a, E: RequestEnvironment> QuotaHold<'a, E> {
+impl<'a, E: RequestEnvironment> QuotaGuard<'a, E> {
     /// Asks the agent, which waits for the tenant's shard within the deadline before it refuses.
     pub async fn ask(
         environment: &'a E,
@@ -51,7 +51,7 @@
     }
 }
 
-impl<E: RequestEnvironment> Drop for QuotaHold<'_, E> {
+impl<E: RequestEnvironment> Drop for QuotaGuard<'_, E> {
     fn drop(&mut self) {
         if self.used && !self.stream {
             return;
--- a/crates/proxy/src/request/record.rs
+++ b/crates/proxy/src/request/record.rs
@@ -14,7 +14,7 @@
     /// How it ended.
     pub code: ResultCode,
     /// Whether the caller left before the end.
-    pub caller_left: bool,
+    pub caller_disconnected: bool,
 }
 
 impl RequestRecord {
@@ -25,13 +25,13 @@
             request_id,
             route: String::new(),
             code: ResultCode::Ok,
-            caller_left: false,
+            caller_disconnected: false,
         }
     }
 
     /// Counts the ended request.
     pub fn count(&self, state: &ProxyState) {
-        let code = if self.caller_left {
+        let code = if self.caller_disconnected {
             "caller_left".to_owned()
         } else {
             self.code.number().to_string()
--- a/crates/proxy/src/request/relay.rs
+++ b/crates/proxy/src/request/relay.rs
@@ -4,13 +4,13 @@
 use millford_data_plane::proxy_metrics::ProxyMetrics;
 use millford_routing::EjectionReason;
 
-use crate::request::attempt::{Attempt, FirstPart, Opened};
+use crate::request::attempt::{AnswerStart, Attempt, OpenedAttempt};
 use crate::request::caller::{CallerPresence, CallerSink};
+use crate::request::chunk::{Chunk, Usage};
+use crate::request::chunk_reader::{ChunkReader, StreamItem};
 use crate::request::environment::RequestEnvironment;
-use crate::request::first_answer::Ended;
+use crate::request::first_answer::Unserved;
 use crate::request::move_stream::{LostStream, move_stream};
-use crate::request::piece::{Piece, Usage};
-use crate::request::piece_reader::{PieceReader, StreamItem};
 use crate::request::plan::RequestPlan;
 use crate::request::record::OpenStream;
 use crate::request::refusal::Refusal;
@@ -26,11 +26,11 @@
     /// Time from the first piece to the last.
     pub decode: Duration,
     /// Pieces relayed.
-    pub pieces: u64,
+    pub chunks: u64,
     /// Usage, if the backend sent it.
     pub usage: Option<Usage>,
     /// Why the caller did not get the end of the whole stream, if it did not.
-    pub not_given: Option<Ended>,
+    pub undelivered: Option<Unserved>,
 }
 
 /// Why the present backend gives no more pieces.
@@ -38,7 +38,7 @@
 enum Interruption {
     Broken(ResultCode),
     Deadline,
-    CallerGone,
+    CallerDisconnected,
     Stopping,
 }
 
@@ -46,9 +46,9 @@
 pub async fn relay_stream<'a, E, C>(
     environment: &'a E,
     plan: &RequestPlan,
-    opened: Opened<'a, E>,
+    opened: OpenedAttempt<'a, E>,
     reply: &mut Reply<'a, E, C>,
-) -> Result<StreamTotals, Ended>
+) -> Result<StreamTotals, Unserved>
 where
     E: RequestEnvironment,
     C: CallerSink,
@@ -59,36 +59,38 @@
         ..StreamTotals::default()
     };
     let mut attempt = opened.attempt;
-    let FirstPart::Stream { mut reader, first } = opened.part else {
+    let AnswerStart::Stream { mut reader, first } = opened.part else {
         return Err(Refusal::may_have_run(ResultCode::BackendError).into());
     };
     attempt.ticket.begin_decode();
-    let first_piece_at = environment.now();
-    let mut watch = StreamWatch::new(first_piece_at);
+    let first_chunk_at = environment.now();
+    let mut watch = StreamWatch::new(first_chunk_at);
     let mut item = Ok(first);
     let _open = OpenStream::start(environment.state());
     reply.begin_stream().await.map_err(ended_by_reply)?;
     loop {
         match item {
-            Ok(StreamItem::Piece(piece)) => {
-                totals.pieces += 1;
-                totals.usage = piece.usage.or(totals.usage);
-                totals.decode = environment.now().since(first_piece_at);
-                send_piece(plan, piece, reply).await?;
+            Ok(StreamItem::Chunk(chunk)) => {
+                totals.chunks += 1;
+                totals.usage = chunk.usage.or(totals.usage);
+                totals.decode = environment.now().since(first_chunk_at);
+                send_chunk(plan, chunk, reply).await?;
             }
             Ok(StreamItem::Done) => {
-                note_stray_bytes(environment, &reader);
+                record_stray_bytes(environment, &reader);
                 attempt.finish();
                 // The run is complete, whether or not the caller still takes its end.
-                let given = reply.done(plan.deadline).await;
-                totals.not_given = given.err().map(ended_by_reply);
+                let given = reply.send_done(plan.deadline).await;
+                totals.undelivered = given.err().map(ended_by_reply);
                 return Ok(totals);
             }
             Ok(StreamItem::BackendError) => {
                 attempt.finish();
                 return Err(Refusal::may_have_run(ResultCode::BackendError).into());
             }
-            Err(Interruption::CallerGone) => return Err(Ended::CallerGone(RunState::MayHaveRun)),
+            Err(Interruption::CallerDisconnected) => {
+                return Err(Unserved::CallerDisconnected(RunState::MayHaveRun));
+            }
             Err(Interruption::Stopping) => {
                 return Err(Refusal::may_have_run(ResultCode::ProxyDraining).into());
             }
@@ -96,7 +98,7 @@
                 return Err(Refusal::may_have_run(ResultCode::DeadlineAfterSend).into());
             }
             Err(Interruption::Broken(code)) => {
-                note_broken(environment, &attempt, code);
+                record_lost_backend(environment, &attempt, code);
                 let lost = LostStream::of(&attempt, reader.next_sequence(), code);
                 // The old connection is closed and its attempt withdrawn before another backend
                 // is asked: nothing of the old one can come between the pieces of the new one.
@@ -104,7 +106,7 @@
                 drop(attempt);
                 let moved = move_stream(environment, plan, &presence, &lost).await?;
                 attempt = moved.attempt;
-                let FirstPart::Stream {
+                let AnswerStart::Stream {
                     reader: rest,
                     first,
                 } = moved.part
@@ -130,12 +132,12 @@
     }
 }
 
-async fn send_piece<E: RequestEnvironment, C: CallerSink>(
+async fn send_chunk<E: RequestEnvironment, C: CallerSink>(
     plan: &RequestPlan,
-    piece: Piece,
+    chunk: Chunk,
     reply: &mut Reply<'_, E, C>,
-) -> Result<(), Ended> {
-    let event = piece.into_caller_event(&plan.request_id);
+) -> Result<(), Unserved> {
+    let event = chunk.into_caller_event(&plan.request_id);
     reply
         .send_event(event, plan.deadline)
         .await
@@ -147,7 +149,7 @@
     environment: &E,
     plan: &RequestPlan,
     presence: &P,
-    reader: &mut PieceReader<E::Answer>,
+    reader: &mut ChunkReader<E::Answer>,
     watch: &mut StreamWatch,
     attempt: &mut Attempt<'_, E>,
 ) -> Result<StreamItem, Interruption> {
@@ -156,7 +158,9 @@
     loop {
         match watch.look(environment, plan, &backend_id) {
             WatchVerdict::Wait => {}
-            WatchVerdict::Silent => return Err(Interruption::Broken(ResultCode::BackendSilent)),
+            WatchVerdict::Unresponsive => {
+                return Err(Interruption::Broken(ResultCode::BackendSilent));
+            }
             WatchVerdict::Drained => return Err(Interruption::Broken(ResultCode::BackendLost)),
             WatchVerdict::Stopping => return Err(Interruption::Stopping),
         }
@@ -167,20 +171,20 @@
         let until = look_again.min(plan.deadline);
         match wait_until(environment, presence, until, reader.next()).await {
             Waited::Ready(Ok(item)) => {
-                note_heard(environment, watch, &backend_id, waited_from);
+                record_activity(environment, watch, &backend_id, waited_from);
                 return Ok(item);
             }
             Waited::Ready(Err(code)) => return Err(Interruption::Broken(code)),
-            Waited::TimeUp if environment.now() >= plan.deadline => {
+            Waited::TimedOut if environment.now() >= plan.deadline => {
                 return Err(Interruption::Deadline);
             }
-            Waited::TimeUp => {}
-            Waited::CallerGone => return Err(Interruption::CallerGone),
+            Waited::TimedOut => {}
+            Waited::CallerDisconnected => return Err(Interruption::CallerDisconnected),
         }
     }
 }
 
-fn note_heard<E: RequestEnvironment>(
+fn record_activity<E: RequestEnvironment>(
     environment: &E,
     watch: &mut StreamWatch,
     backend_id: &str,
@@ -188,13 +192,17 @@
 ) {
     let state = environment.state();
     let now = environment.now();
-    watch.heard(now);
+    watch.record_activity(now);
     state.health.record_activity(backend_id, now);
     let waited = now.since(waited_from);
     ProxyMetrics::observe(&state.metrics.inter_token_seconds, waited);
 }
 
-fn note_broken<E: RequestEnvironment>(environment: &E, attempt: &Attempt<'_, E>, code: ResultCode) {
+fn record_lost_backend<E: RequestEnvironment>(
+    environment: &E,
+    attempt: &Attempt<'_, E>,
+    code: ResultCode,
+) {
     let state = environment.state();
     let key = &attempt.replica.key;
     state.load_table.add_failure(key);
@@ -213,16 +221,16 @@
 }
 
 /// Bytes after the end marker are dropped with the connection and never attributed.
-fn note_stray_bytes<E: RequestEnvironment>(environment: &E, reader: &PieceReader<E::Answer>) {
+fn record_stray_bytes<E: RequestEnvironment>(environment: &E, reader: &ChunkReader<E::Answer>) {
     if reader.pending_bytes() > 0 {
         let dropped = &environment.state().metrics.dropped_answers;
         dropped.with_label_values(&["stray_bytes"]).inc();
     }
 }
 
-fn ended_by_reply(error: ReplyError) -> Ended {
+fn ended_by_reply(error: ReplyError) -> Unserved {
     match error {
-        ReplyError::CallerGone => Ended::CallerGone(RunState::MayHaveRun),
-        ReplyError::TimeUp => Refusal::may_have_run(ResultCode::DeadlineAfterSend).into(),
+        ReplyError::CallerDisconnected => Unserved::CallerDisconnected(RunState::MayHaveRun),
+        ReplyError::TimedOut => Refusal::may_have_run(ResultCode::DeadlineAfterSend).into(),
     }
 }
--- a/crates/proxy/src/request/reply.rs
+++ b/crates/proxy/src/request/reply.rs
@@ -4,7 +4,7 @@
 use millford_core::{MonotonicTime, ResultCode};
 
 use crate::backend_protocol::{DONE_MARKER, ERROR_EVENT};
-use crate::request::caller::{CallerGone, CallerHead, CallerSink};
+use crate::request::caller::{CallerDisconnected, CallerHead, CallerSink};
 use crate::request::environment::RequestEnvironment;
 use crate::request::refusal::Refusal;
 use crate::request::wait::{Waited, wait_until};
@@ -13,20 +13,20 @@
 const EVENT_STREAM: &str = "text/event-stream";
 
 /// Time for a caller to take the end of an answer after its deadline.
-const LAST_WORDS: millford_core::Duration = millford_core::Duration::from_secs(1);
+const FINAL_SEND_TIMEOUT: millford_core::Duration = millford_core::Duration::from_secs(1);
 
 /// Why a part could not be given to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyError {
     /// The caller left.
-    CallerGone,
+    CallerDisconnected,
     /// The deadline passed while the caller read slowly.
-    TimeUp,
+    TimedOut,
 }
 
-impl From<CallerGone> for ReplyError {
-    fn from(_: CallerGone) -> Self {
-        ReplyError::CallerGone
+impl From<CallerDisconnected> for ReplyError {
+    fn from(_: CallerDisconnected) -> Self {
+        ReplyError::CallerDisconnected
     }
 }
 
@@ -74,13 +74,13 @@
         let sending = self.sink.send(event);
         match wait_until(self.environment, &presence, deadline, sending).await {
             Waited::Ready(sent) => Ok(sent?),
-            Waited::TimeUp => Err(ReplyError::TimeUp),
-            Waited::CallerGone => Err(ReplyError::CallerGone),
+            Waited::TimedOut => Err(ReplyError::TimedOut),
+            Waited::CallerDisconnected => Err(ReplyError::CallerDisconnected),
         }
     }
 
     /// Ends a whole stream.
-    pub async fn done(&mut self, deadline: MonotonicTime) -> Result<(), ReplyError> {
+    pub async fn send_done(&mut self, deadline: MonotonicTime) -> Result<(), ReplyError> {
         let event = Bytes::from(format!("data: {DONE_MARKER}\n\n"));
         self.send_event(event, deadline).await?;
         self.sink.finish();
@@ -88,7 +88,11 @@
     }
 
     /// Gives a whole plain answer.
-    pub async fn whole(&mut self, body: Bytes, content_type: &str) -> Result<(), ReplyError> {
+    pub async fn send_complete(
+        &mut self,
+        body: Bytes,
+        content_type: &str,
+    ) -> Result<(), ReplyError> {
         let head = self.head(200, content_type, Some(body.len()), None);
         self.begun = true;
         self.sink.begin(head).await?;
@@ -115,7 +119,7 @@
     /// There is no end marker after an error event: a cut stream never looks whole.
     async fn end_stream_with_error(&mut self, refusal: &Refusal) -> Result<(), ReplyError> {
         let event = format!("event: {ERROR_EVENT}\ndata: {}\n\n", refusal.body());
-        let until = self.environment.now() + LAST_WORDS;
+        let until = self.environment.now() + FINAL_SEND_TIMEOUT;
         self.send_event(Bytes::from(event), until).await?;
         self.sink.finish();
         Ok(())
@@ -143,7 +147,7 @@
 #[must_use]
 pub fn code_of(error: ReplyError) -> ResultCode {
     match error {
-        ReplyError::CallerGone => ResultCode::Ok,
-        ReplyError::TimeUp => ResultCode::DeadlineAfterSend,
+        ReplyError::CallerDisconnected => ResultCode::Ok,
+        ReplyError::TimedOut => ResultCode::DeadlineAfterSend,
     }
 }
--- a/crates/proxy/src/request/send_progress.rs
+++ b/crates/proxy/src/request/send_progress.rs
@@ -21,7 +21,7 @@
 
 impl SendProgress {
     /// Notes a failed attempt.
-    pub fn note_failure(&mut self, failure: AttemptFailure, attempt: WithdrawRequest) {
+    pub fn record_failure(&mut self, failure: AttemptFailure, attempt: WithdrawRequest) {
         self.tried.push(attempt.backend_id.clone());
         match failure.fate {
             RunFate::NotSent | RunFate::RefusedBeforeWork => {}
--- a/crates/proxy/src/request/sse.rs
+++ b/crates/proxy/src/request/sse.rs
@@ -14,7 +14,7 @@
 
 /// The bytes are not an event stream, or an event is too large.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SseFault;
+pub struct SseError;
 
 /// Cuts a byte stream into events.
 #[derive(Debug, Default)]
@@ -35,7 +35,7 @@
     }
 
     /// Takes the next whole event; nothing while more bytes are needed.
-    pub fn next_event(&mut self) -> Result<Option<SseEvent>, SseFault> {
+    pub fn next_event(&mut self) -> Result<Option<SseEvent>, SseError> {
         while let Some(end) = event_end(&self.buffer) {
             let block: Vec<u8> = self.buffer.drain(..end).collect();
             let event = parse_event(&block)?;
@@ -44,7 +44,7 @@
             }
         }
         if self.buffer.len() > MAX_EVENT_BYTES {
-            return Err(SseFault);
+            return Err(SseError);
         }
         Ok(None)
     }
@@ -66,8 +66,8 @@
     None
 }
 
-fn parse_event(block: &[u8]) -> Result<SseEvent, SseFault> {
-    let text = std::str::from_utf8(block).map_err(|_| SseFault)?;
+fn parse_event(block: &[u8]) -> Result<SseEvent, SseError> {
+    let text = std::str::from_utf8(block).map_err(|_| SseError)?;
     let mut event = SseEvent::default();
     let mut has_data = false;
     for line in text.lines() {
--- a/crates/proxy/src/request/stream_watch.rs
+++ b/crates/proxy/src/request/stream_watch.rs
@@ -17,7 +17,7 @@
 const LARGEST_COUNTED_GAP: u32 = 2;
 
 /// Silence beyond this many limits ends a stream even if no other backend is heard.
-const SILENCE_ALONE_FACTOR: u32 = 2;
+const LONE_INACTIVITY_FACTOR: u32 = 2;
 
 /// What a look at a stream's backend tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     /// Keep waiting.
     Wait,
     /// Silent for too long: the backend is ejected.
-    Silent,
+    Unresponsive,
     /// The drain time of the backend is over.
     Drained,
     /// The proxy itself leaves now.
@@ -62,7 +62,7 @@
 /// Silence and drain of one open stream.
 #[derive(Debug)]
 pub struct StreamWatch {
-    silent: Duration,
+    inactive_for: Duration,
     looked_at: MonotonicTime,
     draining_since: Option<MonotonicTime>,
 }
@@ -72,15 +72,15 @@
     #[must_use]
     pub fn new(now: MonotonicTime) -> Self {
         Self {
-            silent: Duration::ZERO,
+            inactive_for: Duration::ZERO,
             looked_at: now,
             draining_since: None,
         }
     }
 
     /// A piece came.
-    pub fn heard(&mut self, now: MonotonicTime) {
-        self.silent = Duration::ZERO;
+    pub fn record_activity(&mut self, now: MonotonicTime) {
+        self.inactive_for = Duration::ZERO;
         self.looked_at = now;
     }
 
@@ -100,13 +100,13 @@
         let now = environment.now();
         let limits = &environment.state().limits;
         let counted_gap = limits.backend_check_interval * LARGEST_COUNTED_GAP;
-        self.silent += now.since(self.looked_at).min(counted_gap);
+        self.inactive_for += now.since(self.looked_at).min(counted_gap);
         self.looked_at = now;
         if environment.state().is_stopping() {
             return WatchVerdict::Stopping;
         }
-        if self.is_silent(environment, backend_id) {
-            return WatchVerdict::Silent;
+        if self.is_unresponsive(environment, backend_id) {
+            return WatchVerdict::Unresponsive;
         }
         if self.drain_is_over(environment, plan, backend_id) {
             return WatchVerdict::Drained;
@@ -114,17 +114,17 @@
         WatchVerdict::Wait
     }
 
-    fn is_silent<E: RequestEnvironment>(&self, environment: &E, backend_id: &str) -> bool {
+    fn is_unresponsive<E: RequestEnvironment>(&self, environment: &E, backend_id: &str) -> bool {
         let state = environment.state();
         let limit = state.limits.stream_inactivity_timeout;
-        if self.silent < limit {
+        if self.inactive_for < limit {
             return false;
         }
         let others_go_on = state
             .health
             .others_responsive(backend_id, environment.now(), limit);
         let already_ejected = !state.health.is_usable(backend_id);
-        others_go_on || already_ejected || self.silent >= limit * SILENCE_ALONE_FACTOR
+        others_go_on || already_ejected || self.inactive_for >= limit * LONE_INACTIVITY_FACTOR
     }
 
     fn drain_is_over<E: RequestEnvironment>(
--- a/crates/proxy/src/request/wait.rs
+++ b/crates/proxy/src/request/wait.rs
@@ -15,9 +15,9 @@
     /// It came.
     Ready(T),
     /// The time was up first.
-    TimeUp,
+    TimedOut,
     /// The caller left first.
-    CallerGone,
+    CallerDisconnected,
 }
 
 /// Waits for `future` until the time `until`, as long as the caller is there.
@@ -38,10 +38,10 @@
     let left = until.since(environment.now());
     let future = pin!(future);
     let timer = pin!(environment.sleep(left));
-    let gone = pin!(presence.gone());
-    match select(future, select(timer, gone)).await {
+    let disconnected = pin!(presence.disconnected());
+    match select(future, select(timer, disconnected)).await {
         Either::Left((output, _)) => Waited::Ready(output),
-        Either::Right((Either::Left(_), _)) => Waited::TimeUp,
-        Either::Right((Either::Right(_), _)) => Waited::CallerGone,
+        Either::Right((Either::Left(_), _)) => Waited::TimedOut,
+        Either::Right((Either::Right(_), _)) => Waited::CallerDisconnected,
     }
 }
--- a/crates/proxy/tests/bad_inputs/cases.rs
+++ b/crates/proxy/tests/bad_inputs/cases.rs
@@ -241,14 +241,14 @@
         ),
         case(
             "a cut chunked body",
-            cut_chunks(),
+            truncated_chunks(),
             400,
             Code::BodyIncomplete,
         ),
     ]
 }
 
-fn cut_chunks() -> Vec<u8> {
+fn truncated_chunks() -> Vec<u8> {
     let head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\n";
     let framing = "transfer-encoding: chunked\r\n\r\n";
     format!("{head}{}{framing}zz\r\nnot a chunk", headers("")).into_bytes()
--- a/crates/proxy/tests/callers_interface.rs
+++ b/crates/proxy/tests/callers_interface.rs
@@ -96,7 +96,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_is_slow_over_its_headers_is_cut_off_and_others_are_served() {
+async fn a_caller_slow_over_its_headers_is_disconnected_and_others_are_served() {
     let limits = ConnectionLimits {
         header_timeout: Duration::from_millis(100),
         ..LIMITS
@@ -115,7 +115,7 @@
 }
 
 #[tokio::test]
-async fn connections_above_the_cap_are_told_so_until_one_is_free() {
+async fn connections_above_the_limit_are_refused_until_one_is_free() {
     let limits = ConnectionLimits {
         max_connections: 2,
         ..LIMITS
--- a/crates/proxy/tests/capacity.rs
+++ b/crates/proxy/tests/capacity.rs
@@ -13,8 +13,10 @@
 use millford_routing::QueueKey;
 use quickcheck::quickcheck;
 use support::environment::ScriptedEnvironment;
-use support::fixture::{Fixture, SECOND_KEY, SECOND_TENANT, TENANT, request, serve, serve_leaving};
-use support::script::{Script, Step, pieces, status, stream, whole_stream};
+use support::fixture::{
+    Fixture, SECOND_KEY, SECOND_TENANT, TENANT, request, serve, serve_disconnecting,
+};
+use support::script::{Script, Step, chunks, complete_stream, status, stream};
 use support::sink::RecordingSink;
 
 fn hedging() -> Fixture {
@@ -26,11 +28,11 @@
 
 /// The first attempt never answers; every later one is a whole stream.
 fn first_never_answers(environment: &ScriptedEnvironment) -> support::sink::Seen {
-    environment.usually(Script::NeverAnswer);
+    environment.by_default(Script::NeverAnswer);
     let mut sink = RecordingSink::new(environment.clock.clone());
     let switch = async {
         environment.sleep(Duration::from_millis(100)).await;
-        environment.usually(whole_stream(0, 3));
+        environment.by_default(complete_stream(0, 3));
     };
     let serving = serve_completion(environment, request(true), &mut sink);
     environment.clock.run(join(serving, switch));
@@ -38,9 +40,9 @@
 }
 
 #[test]
-fn a_hedge_answers_for_a_silent_backend_and_the_loser_is_withdrawn() {
+fn a_hedge_answers_for_an_unresponsive_backend_and_the_loser_is_withdrawn() {
     let environment = hedging().environment();
-    environment.save_up(1);
+    environment.fill_retry_budget(1);
     let seen = first_never_answers(&environment);
     assert!(seen.is_done());
     let sent = environment.sent();
@@ -60,7 +62,7 @@
     };
     for (fixture, saved) in [(hedging(), 0), (not_repeatable, 3)] {
         let environment = fixture.environment();
-        environment.save_up(saved);
+        environment.fill_retry_budget(saved);
         let seen = first_never_answers(&environment);
         assert_eq!(seen.error().code, ResultCode::DeadlineAfterSend);
         assert_eq!(environment.sent().len(), 1);
@@ -68,9 +70,9 @@
 }
 
 #[test]
-fn a_request_whose_caller_has_left_is_never_sent() {
+fn a_request_whose_caller_has_disconnected_is_never_sent() {
     let environment = Fixture::default().environment();
-    serve_leaving(&environment, request(true), 0);
+    serve_disconnecting(&environment, request(true), 0);
     assert!(environment.recorded().dispatches.is_empty());
     assert!(environment.recorded().quota_releases[0].unused);
 }
@@ -82,13 +84,13 @@
         let environment = ScriptedEnvironment::new(state, seed);
         let (mut firsts, mut seconds) = (0, 0);
         for fault in faults {
-            environment.usually(match fault % 6 {
+            environment.by_default(match fault % 6 {
                 0 => Script::LoseBeforeHead,
                 1 => status(503, true),
                 2 => Script::NeverAnswer,
-                3 => stream(pieces(0..2), Step::Cut(millford_proxy::request::message::AnswerError::Cut)),
+                3 => stream(chunks(0..2), Step::Disconnected(millford_proxy::request::message::AnswerError::Disconnected)),
                 4 => Script::RefuseConnection,
-                _ => whole_stream(0, 3),
+                _ => complete_stream(0, 3),
             });
             let before = environment.sent().len();
             serve(&environment, request(true));
@@ -107,7 +109,7 @@
     }
 
     /// A draining, gone or ejected backend gets no new work.
-    fn no_new_work_for_what_leaves(states: Vec<u8>, seed: u64) -> bool {
+    fn no_new_work_for_draining_backends(states: Vec<u8>, seed: u64) -> bool {
         let ids: Vec<String> = (0..states.len()).map(|index| format!("b{index}")).collect();
         let names: Vec<&str> = ids.iter().map(String::as_str).collect();
         let mut fixture = Fixture::default().with_backends(&names);
@@ -206,9 +208,9 @@
 }
 
 #[test]
-fn many_requests_leave_nothing_behind() {
+fn many_requests_release_everything() {
     let environment = Fixture::default().environment();
-    environment.save_up(5);
+    environment.fill_retry_budget(5);
     let serving = (0..40).map(|index| {
         let environment = environment.clone();
         async move {
@@ -225,7 +227,11 @@
         assert!(state.load_table.backend_load(id, 8, &state.costs) == 0.0);
     }
     let recorded = environment.recorded();
-    let asked = recorded.quota_asks.iter().filter(|ask| ask.stream).count();
+    let asked = recorded
+        .quota_requests
+        .iter()
+        .filter(|ask| ask.stream)
+        .count();
     let freed = recorded
         .quota_releases
         .iter()
@@ -241,7 +247,7 @@
         ..Fixture::default()
     };
     let environment = fixture.environment();
-    environment.usually(stream(pieces(0..500), Step::Done));
+    environment.by_default(stream(chunks(0..500), Step::Done));
     let mut sink = RecordingSink::new(environment.clock.clone());
     let stop = async {
         environment.sleep(Duration::from_millis(300)).await;
--- a/crates/proxy/tests/daemon_path.rs
+++ b/crates/proxy/tests/daemon_path.rs
@@ -108,11 +108,11 @@
 
 fn events(request: &RawRequest, count: u64, done: bool) -> String {
     let run = request.header("x-millford-run");
-    let piece = |sequence: u64| {
+    let chunk = |sequence: u64| {
         let mark = format!("{{\"run\":\"{run}\",\"seq\":{sequence}}}");
         format!("data: {{\"choices\":[],\"millford\":{mark}}}\n\n")
     };
-    let mut events: String = (0..count).map(piece).collect();
+    let mut events: String = (0..count).map(chunk).collect();
     if done {
         events.push_str("data: [DONE]\n\n");
     }
@@ -130,24 +130,24 @@
     assert!(seen.ends_with(r#"{"choices":[1]}"#), "{seen}");
     let requests = proxy.backend_requests.lock().expect("requests").clone();
     assert_eq!(requests.len(), 1);
-    let whole = format!("{}\n{}", requests[0].head, requests[0].body);
-    assert!(!whole.contains(KEY) && !whole.to_ascii_lowercase().contains("authorization"));
-    assert!(!whole.contains("library") && !whole.contains("order-9"));
+    let complete = format!("{}\n{}", requests[0].head, requests[0].body);
+    assert!(!complete.contains(KEY) && !complete.to_ascii_lowercase().contains("authorization"));
+    assert!(!complete.contains("library") && !complete.contains("order-9"));
     assert_eq!(requests[0].body, CHAT);
-    let settled = || {
+    let resolved_outcomes = || {
         let received = proxy.agent_received.lock().expect("received");
         let mut frames = received.iter();
         frames.any(|body| matches!(body, local_frame::Body::ResolveClaim(_)))
     };
-    until("the claim is settled", settled).await;
+    until("the claim is settled", resolved_outcomes).await;
 }
 
 #[tokio::test]
 async fn bytes_after_the_announced_length_reach_nobody() {
     let answer = answering(|request| {
-        let whole = with_length(request, r#"{"choices":[1]}"#);
+        let complete = with_length(request, r#"{"choices":[1]}"#);
         format!(
-            "{whole}{}",
+            "{complete}{}",
             with_length(request, r#"{"choices":["stray"]}"#)
         )
     });
@@ -163,8 +163,8 @@
 #[tokio::test]
 async fn a_body_shorter_than_announced_is_no_success() {
     let answer = answering(|request| {
-        let whole = with_length(request, r#"{"choices":[1]}"#);
-        whole[..whole.len() - 4].to_owned()
+        let complete = with_length(request, r#"{"choices":[1]}"#);
+        complete[..complete.len() - 4].to_owned()
     });
     let proxy = start(&Fixture::once(), answer).await;
     let seen = exchange(proxy.address, &post(&headers(""), CHAT)).await;
@@ -192,7 +192,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_is_cut_ends_with_an_error_event() {
+async fn a_truncated_stream_ends_with_an_error_event() {
     let fixture = Fixture {
         resume: millford_api::config::Resume::Never,
         ..Fixture::default()
@@ -245,7 +245,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_frees_its_stream_slot() {
+async fn a_caller_that_disconnects_frees_its_stream_slot() {
     let answer: Answer = Arc::new(|_| Vec::new());
     let proxy = start(&Fixture::default(), answer).await;
     let mut stream = tokio::net::TcpStream::connect(proxy.address)
@@ -291,7 +291,7 @@
 }
 
 #[tokio::test]
-async fn a_leaving_proxy_refuses_and_says_not_run() {
+async fn a_draining_proxy_refuses_and_says_not_run() {
     let answer = answering(|request| with_length(request, "{}"));
     let proxy = start(&Fixture::default(), answer).await;
     let ready = exchange(proxy.address, &get("/readyz", "")).await;
@@ -309,7 +309,7 @@
 }
 
 #[tokio::test]
-async fn a_restarted_agent_is_told_of_the_open_streams() {
+async fn a_restarted_agent_receives_the_open_streams() {
     let answer: Answer = Arc::new(|_| Vec::new());
     let proxy = start(&Fixture::default(), answer).await;
     let mut stream = tokio::net::TcpStream::connect(proxy.address)
@@ -323,7 +323,7 @@
         !proxy.backend_requests.lock().expect("requests").is_empty()
     })
     .await;
-    let told = || {
+    let reported_streams = || {
         let received = proxy.agent_received.lock().expect("received");
         let frames = received.iter().filter_map(|body| match body {
             local_frame::Body::OpenStreams(streams) => Some(streams.tenants.clone()),
@@ -331,13 +331,19 @@
         });
         frames.collect::<Vec<_>>()
     };
-    assert_eq!(told().len(), 1);
-    assert!(told()[0].is_empty());
+    assert_eq!(reported_streams().len(), 1);
+    assert!(reported_streams()[0].is_empty());
     proxy.agent.send(stub_agent::hang_up());
-    until("the proxy has linked again", || told().len() == 2).await;
-    assert_eq!(told()[1].len(), 1);
+    until("the proxy has linked again", || {
+        reported_streams().len() == 2
+    })
+    .await;
+    assert_eq!(reported_streams()[1].len(), 1);
     assert_eq!(
-        (told()[1][0].tenant.as_str(), told()[1][0].streams),
+        (
+            reported_streams()[1][0].tenant.as_str(),
+            reported_streams()[1][0].streams
+        ),
         ("library", 1)
     );
 }
--- a/crates/proxy/tests/process_life.rs
+++ b/crates/proxy/tests/process_lifecycle.rs
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_signal_lets_open_requests_end_and_leaves_with_status_0() {
+async fn a_signal_lets_open_requests_end_and_the_process_exits_with_status_0() {
     let release = tokio::sync::Notify::new();
     let release = std::sync::Arc::new(release);
     let (backend, requests) = slow_backend(std::sync::Arc::clone(&release)).await;
--- a/crates/proxy/tests/stream_continuity.rs
+++ b/crates/proxy/tests/stream_continuity.rs
@@ -11,29 +11,29 @@
 use millford_proxy::request::message::AnswerError;
 use support::environment::ScriptedEnvironment;
 use support::fixture::{Fixture, request, serve};
-use support::script::{AnswerScript, Script, Step, pieces, stream, whole_stream};
+use support::script::{AnswerScript, Script, Step, chunks, complete_stream, stream};
 use support::sink::{RecordingSink, Seen};
 
-fn assert_ends_in_error(seen: &Seen, pieces: u64, code: ResultCode) {
-    let expected: Vec<u64> = (0..pieces).collect();
+fn assert_ends_in_error(seen: &Seen, chunks: u64, code: ResultCode) {
+    let expected: Vec<u64> = (0..chunks).collect();
     assert_eq!(seen.sequences(), expected);
     assert!(!seen.text().contains("[DONE]"));
     assert_eq!(seen.error().code, code);
     assert_eq!(seen.error().run, "may_have_run");
 }
 
-fn assert_whole(seen: &Seen, pieces: u64) {
-    let expected: Vec<u64> = (0..pieces).collect();
+fn assert_complete(seen: &Seen, chunks: u64) {
+    let expected: Vec<u64> = (0..chunks).collect();
     assert_eq!(seen.sequences(), expected);
-    assert!(seen.is_done() && seen.whole);
+    assert!(seen.is_done() && seen.complete);
 }
 
 #[test]
-fn a_whole_stream_has_numbered_pieces_and_an_end() {
+fn a_complete_stream_has_numbered_chunks_and_an_end() {
     let environment = Fixture::default().environment();
     let seen = serve(&environment, request(true));
     assert_eq!(seen.status(), 200);
-    assert_whole(&seen, 5);
+    assert_complete(&seen, 5);
     assert!(!seen.text().contains("\"millford\""));
     assert!(environment.recorded().withdrawals.is_empty());
     let releases = environment.recorded().quota_releases.clone();
@@ -44,27 +44,30 @@
 fn a_broken_sequence_is_never_delivered() {
     let other = "another-run".to_owned();
     let cases = [
-        (Step::Piece(4), ResultCode::StreamOutOfOrder),
-        (Step::Piece(2), ResultCode::StreamOutOfOrder),
-        (Step::PieceOfRun(other, 3), ResultCode::AnswerMismatch),
+        (Step::Chunk(4), ResultCode::StreamOutOfOrder),
+        (Step::Chunk(2), ResultCode::StreamOutOfOrder),
+        (Step::ChunkOfRun(other, 3), ResultCode::AnswerMismatch),
         (
             raw("data: {\"choices\":[]}\n\n"),
             ResultCode::StreamOutOfOrder,
         ),
         (raw("data: not json\n\n"), ResultCode::StreamOutOfOrder),
         (raw("event: error\ndata: {}\n\n"), ResultCode::BackendError),
-        (Step::Cut(AnswerError::Cut), ResultCode::BackendLost),
         (
-            Step::Cut(AnswerError::Malformed),
+            Step::Disconnected(AnswerError::Disconnected),
+            ResultCode::BackendLost,
+        ),
+        (
+            Step::Disconnected(AnswerError::Malformed),
             ResultCode::AnswerTruncated,
         ),
     ];
     for (bad, code) in cases {
         let environment = never_moving().environment();
-        let mut steps = pieces(0..3);
+        let mut steps = chunks(0..3);
         steps.push(bad);
-        steps.extend(pieces(3..6));
-        environment.usually(stream(steps, Step::Done));
+        steps.extend(chunks(3..6));
+        environment.by_default(stream(steps, Step::Done));
         let seen = serve(&environment, request(true));
         assert_ends_in_error(&seen, 3, code);
     }
@@ -73,7 +76,7 @@
 #[test]
 fn a_body_that_ends_without_the_end_marker_is_an_error() {
     let environment = never_moving().environment();
-    environment.usually(Script::Answer(AnswerScript::new(pieces(0..3))));
+    environment.by_default(Script::Answer(AnswerScript::new(chunks(0..3))));
     let seen = serve(&environment, request(true));
     assert_ends_in_error(&seen, 3, ResultCode::AnswerTruncated);
 }
@@ -81,22 +84,22 @@
 #[test]
 fn bytes_after_the_end_marker_reach_nobody() {
     let environment = Fixture::default().environment();
-    let mut steps = pieces(0..2);
+    let mut steps = chunks(0..2);
     steps.push(raw("data: [DONE]\n\ndata: {\"choices\":[\"stray\"]}\n\n"));
-    environment.usually(Script::Answer(AnswerScript::new(steps)));
+    environment.by_default(Script::Answer(AnswerScript::new(steps)));
     let seen = serve(&environment, request(true));
-    assert_whole(&seen, 2);
+    assert_complete(&seen, 2);
     assert!(!seen.text().contains("stray"));
 }
 
 #[test]
-fn a_repeatable_request_moves_before_its_first_piece() {
+fn a_repeatable_request_moves_before_its_first_chunk() {
     for script in [
         Script::LoseBeforeHead,
-        stream(Vec::new(), Step::Cut(AnswerError::Cut)),
+        stream(Vec::new(), Step::Disconnected(AnswerError::Disconnected)),
     ] {
         let environment = never_moving().with_backends(&["b1", "b2"]).environment();
-        environment.save_up(1);
+        environment.fill_retry_budget(1);
         environment.next("b1", script.clone());
         environment.next("b2", script);
         let seen = serve(&environment, request(true));
@@ -111,20 +114,20 @@
 #[test]
 fn without_budget_nothing_is_sent_twice() {
     let environment = Fixture::default().environment();
-    environment.usually(Script::LoseBeforeHead);
+    environment.by_default(Script::LoseBeforeHead);
     let seen = serve(&environment, request(true));
     assert_eq!(environment.sent().len(), 1);
     assert_eq!(seen.error().run, "may_have_run");
 }
 
 #[test]
-fn a_lost_stream_is_continued_at_exactly_the_next_piece() {
+fn a_lost_stream_is_continued_at_exactly_the_next_chunk() {
     let environment = Fixture::default()
         .with_backends(&["b1", "b2"])
         .environment();
-    environment.save_up(1);
-    let seen = serve_lost_then(&environment, whole_stream(3, 4));
-    assert_whole(&seen, 7);
+    environment.fill_retry_budget(1);
+    let seen = serve_lost_then(&environment, complete_stream(3, 4));
+    assert_complete(&seen, 7);
     let sent = environment.sent();
     assert_eq!(sent.len(), 2);
     assert_eq!(sent[1].request.resume_from.map(|resume| resume.0), Some(3));
@@ -134,15 +137,15 @@
 }
 
 #[test]
-fn a_continuation_at_another_place_is_refused() {
+fn a_continuation_at_another_sequence_number_is_refused() {
     for (resume_at, first) in [(Some(2), 2), (Some(4), 4), (None, 4), (None, 2)] {
         let environment = Fixture::default()
             .with_backends(&["b1", "b2"])
             .environment();
-        environment.save_up(1);
+        environment.fill_retry_budget(1);
         let wrong = Script::Answer(AnswerScript {
             resume_at,
-            ..AnswerScript::new(pieces(first..first + 4))
+            ..AnswerScript::new(chunks(first..first + 4))
         });
         let seen = serve_lost_then(&environment, wrong);
         assert_ends_in_error(&seen, 3, ResultCode::BackendLost);
@@ -162,22 +165,22 @@
     };
     for fixture in [never, from_start, not_repeatable] {
         let environment = fixture.with_backends(&["b1", "b2"]).environment();
-        environment.save_up(3);
-        let seen = serve_lost_then(&environment, whole_stream(3, 4));
+        environment.fill_retry_budget(3);
+        let seen = serve_lost_then(&environment, complete_stream(3, 4));
         assert_ends_in_error(&seen, 3, ResultCode::BackendLost);
         assert_eq!(environment.sent().len(), 1);
     }
 }
 
 #[test]
-fn a_silent_stream_is_moved_and_its_backend_ejected() {
+fn an_inactive_stream_is_moved_and_its_backend_ejected() {
     let environment = Fixture::default()
         .with_backends(&["b1", "b2"])
         .environment();
-    environment.save_up(1);
-    let silent = stream(pieces(0..3), Step::Silence);
-    let seen = serve_lost_then_by(&environment, silent, whole_stream(3, 2));
-    assert_whole(&seen, 5);
+    environment.fill_retry_budget(1);
+    let unresponsive = stream(chunks(0..3), Step::Inactivity);
+    let seen = serve_lost_then_by(&environment, unresponsive, complete_stream(3, 2));
+    assert_complete(&seen, 5);
     let first = environment.sent()[0].request.backend_id.clone();
     assert!(!environment.state().health.is_usable(&first));
     // No other backend was heard, so the wait is twice the limit of two seconds.
@@ -185,19 +188,19 @@
 }
 
 #[test]
-fn a_stream_leaves_a_draining_backend_within_the_drain_time() {
+fn a_stream_moves_off_a_draining_backend_within_the_drain_time() {
     let fixture = Fixture::default().with_backends(&["b1", "b2"]);
     let environment = fixture.environment();
-    environment.save_up(1);
+    environment.fill_retry_budget(1);
     let slow: Vec<Step> = (0..60)
         .flat_map(|sequence| {
             [
                 Step::Wait(Duration::from_millis(100)),
-                Step::Piece(sequence),
+                Step::Chunk(sequence),
             ]
         })
         .collect();
-    environment.usually(stream(slow, Step::Done));
+    environment.by_default(stream(slow, Step::Done));
     let mut sink = RecordingSink::new(environment.clock.clone());
     let drain = async {
         environment.sleep(Duration::from_millis(500)).await;
@@ -240,17 +243,17 @@
 }
 
 fn serve_lost_then(environment: &ScriptedEnvironment, then: Script) -> Seen {
-    let lost = stream(pieces(0..3), Step::Cut(AnswerError::Cut));
+    let lost = stream(chunks(0..3), Step::Disconnected(AnswerError::Disconnected));
     serve_lost_then_by(environment, lost, then)
 }
 
 /// The first attempt gets `first`, every later one `then`.
 fn serve_lost_then_by(environment: &ScriptedEnvironment, first: Script, then: Script) -> Seen {
-    environment.usually(first);
+    environment.by_default(first);
     let mut sink = RecordingSink::new(environment.clock.clone());
     let switch = async {
         environment.sleep(Duration::from_millis(5)).await;
-        environment.usually(then);
+        environment.by_default(then);
     };
     let serving = serve_completion(environment, request(true), &mut sink);
     environment
@@ -260,12 +263,12 @@
 }
 
 #[test]
-fn a_request_leaves_a_silent_backend_only_when_it_is_ejected_and_silent() {
+fn a_request_abandons_a_backend_only_when_it_is_ejected_and_unresponsive() {
     let environment = Fixture::default()
         .with_backends(&["b1", "b2"])
         .environment();
-    environment.save_up(1);
-    environment.usually(Script::NeverAnswer);
+    environment.fill_retry_budget(1);
+    environment.by_default(Script::NeverAnswer);
     let mut sink = RecordingSink::new(environment.clock.clone());
     let eject = async {
         environment.sleep(Duration::from_millis(500)).await;
@@ -273,11 +276,11 @@
         environment
             .state()
             .eject(&first, millford_routing::EjectionReason::Unresponsive);
-        environment.usually(whole_stream(0, 2));
+        environment.by_default(complete_stream(0, 2));
     };
     let serving = serve_completion(&environment, request(true), &mut sink);
     environment.clock.run(futures::future::join(serving, eject));
-    assert_whole(&sink.seen(), 2);
+    assert_complete(&sink.seen(), 2);
     let second_at = environment.sent()[1].at;
     assert_eq!(second_at, MonotonicTime::from_millis(2_000));
 }
--- a/crates/proxy/tests/support/environment.rs
+++ b/crates/proxy/tests/support/environment.rs
@@ -19,7 +19,7 @@
 use rand::{Rng, SeedableRng};
 
 use super::clock::SimulatedClock;
-use super::script::{AnswerScript, Script, Step, whole_stream};
+use super::script::{AnswerScript, Script, Step, complete_stream};
 
 /// One recorded attempt.
 #[derive(Clone, Debug)]
@@ -34,8 +34,8 @@
     pub dispatches: Vec<Dispatch>,
     pub withdrawals: Vec<WithdrawRequest>,
     pub claims: Vec<Claim>,
-    pub settles: Vec<ResolveClaim>,
-    pub quota_asks: Vec<AdmissionRequest>,
+    pub claim_resolutions: Vec<ResolveClaim>,
+    pub quota_requests: Vec<AdmissionRequest>,
     pub quota_releases: Vec<QuotaRelease>,
 }
 
@@ -64,7 +64,7 @@
     pub fn new(state: ProxyState, seed: u64) -> Self {
         let scripts = Scripts {
             by_backend: BTreeMap::new(),
-            usual: whole_stream(0, 5),
+            usual: complete_stream(0, 5),
             quota: AdmissionReply::Granted,
             claim: ClaimAnswer::Granted,
             withdrawal: WithdrawAnswer::Unknown,
@@ -80,7 +80,7 @@
     }
 
     /// What every backend does unless told otherwise.
-    pub fn usually(&self, script: Script) {
+    pub fn by_default(&self, script: Script) {
         self.scripts().usual = script;
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// Lets the state's budget allow this many second sends.
-    pub fn save_up(&self, second_sends: u32) {
+    pub fn fill_retry_budget(&self, second_sends: u32) {
         for _ in 0..second_sends * 7 {
             self.state.budget.earn();
         }
@@ -159,7 +159,7 @@
     }
 
     async fn request_quota(&self, ask: AdmissionRequest) -> AdmissionReply {
-        self.recorded().quota_asks.push(ask);
+        self.recorded().quota_requests.push(ask);
         self.scripts().quota
     }
 
@@ -173,7 +173,7 @@
     }
 
     fn resolve_claim(&self, resolution: ResolveClaim) {
-        self.recorded().settles.push(resolution);
+        self.recorded().claim_resolutions.push(resolution);
     }
 
     async fn dispatch(&self, request: BackendRequest) -> Result<ScriptedAnswer, DispatchError> {
@@ -242,17 +242,17 @@
         &self.head
     }
 
-    async fn next_chunk(&mut self) -> Result<Option<Bytes>, AnswerError> {
+    async fn next_bytes(&mut self) -> Result<Option<Bytes>, AnswerError> {
         while let Some(step) = self.steps.front().cloned() {
             let chunk = match step {
                 Step::Wait(duration) => {
                     self.wait(duration).await;
                     continue;
                 }
-                Step::Silence => pending().await,
-                Step::Cut(error) => return Err(error),
-                Step::Piece(sequence) => piece(&self.run, sequence),
-                Step::PieceOfRun(run, sequence) => piece(&run, sequence),
+                Step::Inactivity => pending().await,
+                Step::Disconnected(error) => return Err(error),
+                Step::Chunk(sequence) => chunk(&self.run, sequence),
+                Step::ChunkOfRun(run, sequence) => chunk(&run, sequence),
                 Step::Raw(bytes) => bytes,
                 Step::Done => Bytes::from_static(b"data: [DONE]\n\n"),
             };
@@ -263,7 +263,7 @@
     }
 }
 
-fn piece(run: &str, sequence: u64) -> Bytes {
+fn chunk(run: &str, sequence: u64) -> Bytes {
     let choices = format!("[{{\"index\":0,\"delta\":{{\"content\":\"w{sequence} \"}}}}]");
     let mark = format!("{{\"run\":\"{run}\",\"seq\":{sequence}}}");
     Bytes::from(format!(
--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -230,13 +230,13 @@
 }
 
 /// Serves one request to a caller that leaves after this many milliseconds.
-pub fn serve_leaving(
+pub fn serve_disconnecting(
     environment: &ScriptedEnvironment,
     request: CallerRequest,
-    leaves_after_ms: u64,
+    disconnects_after_ms: u64,
 ) -> Seen {
     let sink = RecordingSink::new(environment.clock.clone());
-    let mut sink = sink.leaving_at(MonotonicTime::from_millis(leaves_after_ms));
+    let mut sink = sink.disconnecting_at(MonotonicTime::from_millis(disconnects_after_ms));
     let served = serve_completion(environment, request, &mut sink);
     environment.clock.run(served);
     sink.seen()
--- a/crates/proxy/tests/support/script.rs
+++ b/crates/proxy/tests/support/script.rs
@@ -10,17 +10,17 @@
     /// Time passes.
     Wait(Duration),
     /// A piece with this sequence number; the run is the attempt's.
-    Piece(u64),
+    Chunk(u64),
     /// A piece of this run with this sequence number.
-    PieceOfRun(String, u64),
+    ChunkOfRun(String, u64),
     /// These bytes.
     Raw(Bytes),
     /// The end marker.
     Done,
     /// The connection breaks.
-    Cut(AnswerError),
+    Disconnected(AnswerError),
     /// Nothing more ever comes.
-    Silence,
+    Inactivity,
 }
 
 /// What a scripted backend does with one attempt.
@@ -80,15 +80,15 @@
 }
 
 /// A stream of these pieces without an end marker, 10 ms apart.
-pub fn pieces(sequences: std::ops::Range<u64>) -> Vec<Step> {
+pub fn chunks(sequences: std::ops::Range<u64>) -> Vec<Step> {
     let steps = sequences
-        .flat_map(|sequence| [Step::Wait(Duration::from_millis(10)), Step::Piece(sequence)]);
+        .flat_map(|sequence| [Step::Wait(Duration::from_millis(10)), Step::Chunk(sequence)]);
     steps.collect()
 }
 
 /// A whole stream of `count` pieces from `first` on.
-pub fn whole_stream(first: u64, count: u64) -> Script {
-    stream(pieces(first..first + count), Step::Done)
+pub fn complete_stream(first: u64, count: u64) -> Script {
+    stream(chunks(first..first + count), Step::Done)
 }
 
 /// A stream with another end.
--- a/crates/proxy/tests/support/sink.rs
+++ b/crates/proxy/tests/support/sink.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use futures::future::pending;
 use millford_core::{MonotonicTime, ResultCode};
-use millford_proxy::request::caller::{CallerGone, CallerHead, CallerPresence, CallerSink};
+use millford_proxy::request::caller::{CallerDisconnected, CallerHead, CallerPresence, CallerSink};
 
 use super::clock::SimulatedClock;
 
@@ -14,7 +14,7 @@
 pub struct Seen {
     pub head: Option<CallerHead>,
     pub body: Vec<u8>,
-    pub whole: bool,
+    pub complete: bool,
     pub ended_at: MonotonicTime,
 }
 
@@ -69,7 +69,7 @@
 pub struct RecordingSink {
     clock: SimulatedClock,
     seen: Arc<Mutex<Seen>>,
-    leaves_at: Option<MonotonicTime>,
+    disconnects_at: Option<MonotonicTime>,
 }
 
 impl RecordingSink {
@@ -77,12 +77,12 @@
         Self {
             clock,
             seen: Arc::default(),
-            leaves_at: None,
+            disconnects_at: None,
         }
     }
 
-    pub fn leaving_at(mut self, at: MonotonicTime) -> Self {
-        self.leaves_at = Some(at);
+    pub fn disconnecting_at(mut self, at: MonotonicTime) -> Self {
+        self.disconnects_at = Some(at);
         self
     }
 
@@ -90,17 +90,17 @@
         self.seen.lock().expect("seen").clone()
     }
 
-    fn check_present(&self) -> Result<(), CallerGone> {
-        match self.leaves_at {
-            Some(at) if self.clock.now() >= at => Err(CallerGone),
+    fn check_present(&self) -> Result<(), CallerDisconnected> {
+        match self.disconnects_at {
+            Some(at) if self.clock.now() >= at => Err(CallerDisconnected),
             _ => Ok(()),
         }
     }
 }
 
 impl CallerPresence for RecordingSink {
-    async fn gone(&self) {
-        match self.leaves_at {
+    async fn disconnected(&self) {
+        match self.disconnects_at {
             Some(at) => self.clock.sleep(at.since(self.clock.now())).await,
             None => pending().await,
         }
@@ -114,7 +114,7 @@
         self.clone()
     }
 
-    async fn begin(&mut self, head: CallerHead) -> Result<(), CallerGone> {
+    async fn begin(&mut self, head: CallerHead) -> Result<(), CallerDisconnected> {
         self.check_present()?;
         let mut seen = self.seen.lock().expect("seen");
         assert!(seen.head.is_none(), "an answer has one head");
@@ -122,17 +122,17 @@
         Ok(())
     }
 
-    async fn send(&mut self, bytes: Bytes) -> Result<(), CallerGone> {
+    async fn send(&mut self, bytes: Bytes) -> Result<(), CallerDisconnected> {
         self.check_present()?;
         let mut seen = self.seen.lock().expect("seen");
-        assert!(!seen.whole, "nothing follows the end of an answer");
+        assert!(!seen.complete, "nothing follows the end of an answer");
         seen.body.extend_from_slice(&bytes);
         Ok(())
     }
 
     fn finish(&mut self) {
         let mut seen = self.seen.lock().expect("seen");
-        seen.whole = true;
+        seen.complete = true;
         seen.ended_at = self.clock.now();
     }
 }
--- a/crates/simulation/src/world/proxy/answer.rs
+++ b/crates/simulation/src/world/proxy/answer.rs
@@ -64,7 +64,7 @@
         &self.head
     }
 
-    async fn next_chunk(&mut self) -> Result<Option<Bytes>, AnswerError> {
+    async fn next_bytes(&mut self) -> Result<Option<Bytes>, AnswerError> {
         if self.finished {
             return Ok(None);
         }
@@ -75,7 +75,7 @@
                 Ok(None)
             }
             // The connection ended before the body did.
-            None => Err(AnswerError::Cut),
+            None => Err(AnswerError::Disconnected),
         }
     }
 }
--- a/crates/simulation/src/world/proxy/port.rs
+++ b/crates/simulation/src/world/proxy/port.rs
@@ -5,7 +5,7 @@
 
 use futures::channel::{mpsc, oneshot};
 use millford_core::MonotonicTime;
-use millford_proxy::request::message::{AnswerHead, DispatchError, SentMark, WithdrawAnswer};
+use millford_proxy::request::message::{AnswerHead, DispatchError, SentFlag, WithdrawAnswer};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
@@ -19,7 +19,7 @@
     Head {
         head: oneshot::Sender<Result<AnswerHead, DispatchError>>,
         parts: mpsc::UnboundedSender<AnswerPart>,
-        sent: SentMark,
+        sent: SentFlag,
     },
     /// The rest of an answer.
     Parts(mpsc::UnboundedSender<AnswerPart>),
--- a/crates/simulation/src/world/proxy/sink.rs
+++ b/crates/simulation/src/world/proxy/sink.rs
@@ -6,7 +6,7 @@
 use futures::FutureExt;
 use futures::channel::oneshot;
 use futures::future::Shared;
-use millford_proxy::request::caller::{CallerGone, CallerHead, CallerPresence, CallerSink};
+use millford_proxy::request::caller::{CallerDisconnected, CallerHead, CallerPresence, CallerSink};
 
 use crate::history::CallNumber;
 use crate::world::proxy::action::ProxyAction;
@@ -17,7 +17,7 @@
 pub struct PipePresence(Shared<oneshot::Receiver<()>>);
 
 impl CallerPresence for PipePresence {
-    fn gone(&self) -> impl Future<Output = ()> + Send {
+    fn disconnected(&self) -> impl Future<Output = ()> + Send {
         let left = self.0.clone();
         async move {
             let _ = left.await;
@@ -49,10 +49,10 @@
         }
     }
 
-    fn push(&self, action: ProxyAction) -> Result<(), CallerGone> {
+    fn push(&self, action: ProxyAction) -> Result<(), CallerDisconnected> {
         let mut port = lock(&self.port);
         if !port.presences.contains_key(&self.call) {
-            return Err(CallerGone);
+            return Err(CallerDisconnected);
         }
         port.actions.push(action);
         Ok(())
@@ -66,13 +66,13 @@
         self.presence.clone()
     }
 
-    async fn begin(&mut self, head: CallerHead) -> Result<(), CallerGone> {
+    async fn begin(&mut self, head: CallerHead) -> Result<(), CallerDisconnected> {
         self.begun = true;
         let call = self.call;
         self.push(ProxyAction::CallerHead { call, head })
     }
 
-    async fn send(&mut self, bytes: Bytes) -> Result<(), CallerGone> {
+    async fn send(&mut self, bytes: Bytes) -> Result<(), CallerDisconnected> {
         let call = self.call;
         self.push(ProxyAction::CallerBytes { call, bytes })
     }
