--- a/crates/simulation/src/world/proxy/environment.rs
+++ b/crates/simulation/src/world/proxy/environment.rs
@@ -15,22 +15,22 @@
     BackendRequest, DispatchError, WithdrawAnswer, WithdrawRequest,
 };
 
-use crate::history::CallNumber;
-use crate::world::proxy::action::ProxyAction;
-use crate::world::proxy::agent_desk::AgentDesk;
+use crate::history::RequestNumber;
+use crate::world::proxy::action::{ExchangeNumber, ProxyAction};
+use crate::world::proxy::agent_client::AgentClient;
 use crate::world::proxy::answer::{ExchangeGuard, SimulatedAnswer};
 use crate::world::proxy::port::{ExchangeWaiter, SharedPort, lock};
 
-/// Environment of one call on a proxy.
+/// Environment of one client request on a proxy.
 pub struct SimulatedEnvironment {
-    /// Where wishes go.
+    /// Where actions are queued.
     pub port: SharedPort,
     /// State of the proxy.
     pub state: Arc<ProxyState>,
-    /// What waits for the agent.
-    pub agent: Arc<AgentDesk>,
-    /// The call that is served.
-    pub call: CallNumber,
+    /// Requests to the agent.
+    pub agent: Arc<AgentClient>,
+    /// The client request that is served.
+    pub client_request: RequestNumber,
 }
 
 impl SimulatedEnvironment {
@@ -41,11 +41,11 @@
         }
     }
 
-    fn open(&self) -> u64 {
+    fn new_exchange(&self) -> ExchangeNumber {
         lock(&self.port).next_number()
     }
 
-    fn guard(&self, exchange: u64) -> ExchangeGuard {
+    fn guard(&self, exchange: ExchangeNumber) -> ExchangeGuard {
         ExchangeGuard {
             port: Arc::clone(&self.port),
             exchange,
@@ -73,12 +73,15 @@
         lock(&self.port).random()
     }
 
-    async fn request_quota(&self, ask: AdmissionRequest) -> AdmissionReply {
-        self.agent.request_quota(&self.port, self.call, ask).await
+    async fn request_quota(&self, request: AdmissionRequest) -> AdmissionReply {
+        self.agent
+            .admit(&self.port, self.client_request, request)
+            .await
     }
 
     fn release_quota(&self, release: QuotaRelease) {
-        self.agent.release_quota(&self.port, self.call, release);
+        self.agent
+            .release_quota(&self.port, self.client_request, release);
     }
 
     async fn claim(&self, claim: Claim, timeout: Duration) -> ClaimAnswer {
@@ -86,11 +89,11 @@
     }
 
     fn resolve_claim(&self, resolution: ResolveClaim) {
-        self.agent.settle(&self.port, resolution);
+        self.agent.resolve(&self.port, resolution);
     }
 
     async fn dispatch(&self, request: BackendRequest) -> Result<SimulatedAnswer, DispatchError> {
-        let exchange = self.open();
+        let exchange = self.new_exchange();
         let guard = self.guard(exchange);
         let (head_sender, head) = oneshot::channel();
         let (part_sender, parts) = mpsc::unbounded();
@@ -104,7 +107,7 @@
             port.exchanges.insert(exchange, waiter);
             port.actions.push(ProxyAction::Dispatch {
                 exchange,
-                call: self.call,
+                client_request: self.client_request,
                 request: Box::new(request),
             });
         }
@@ -113,7 +116,7 @@
     }
 
     async fn withdraw(&self, request: WithdrawRequest) -> WithdrawAnswer {
-        let exchange = self.open();
+        let exchange = self.new_exchange();
         let _guard = self.guard(exchange);
         let (sender, answer) = oneshot::channel();
         let at = self.now() + request.timeout;
@@ -132,7 +135,7 @@
     }
 
     fn withdraw_later(&self, request: WithdrawRequest) {
-        let exchange = self.open();
+        let exchange = self.new_exchange();
         let mut port = lock(&self.port);
         port.exchanges
             .insert(exchange, ExchangeWaiter::Withdrawal(None));
--- a/crates/simulation/src/world/proxy/mod.rs
+++ b/crates/simulation/src/world/proxy/mod.rs
@@ -1,19 +1,21 @@
 //! A proxy whose request path is the daemon's own, run by an executor of the simulator.
 
 pub mod action;
-pub mod agent_desk;
+pub mod agent_client;
 pub mod answer;
-pub mod asks;
+pub mod backend_links;
 pub mod environment;
 pub mod executor;
+pub mod in_flight_requests;
 pub mod port;
 pub mod proxy_process;
 pub mod sink;
 
 pub use action::ProxyAction;
 pub use answer::SimulatedAnswer;
+pub use backend_links::{BackendLink, BackendLinks};
 pub use environment::SimulatedEnvironment;
 pub use executor::Executor;
 pub use port::{ProxyPort, SharedPort, lock};
-pub use proxy_process::{BackendLink, ProxyCore, ProxyProcess};
+pub use proxy_process::{AgentLink, ProxyProcess, RunningProxy};
 pub use sink::CallerPipe;
