--- a/crates/proxy/src/daemon/models.rs
+++ b/crates/proxy/src/daemon/models.rs
@@ -7,7 +7,7 @@
 
 use crate::daemon::caller_headers::read_headers;
 use crate::daemon::responses::{HttpResponse, REQUEST_ID_HEADER, set, set_revision, text_response};
-use crate::request::authenticate::{authenticate, check_open};
+use crate::request::authenticate::authenticate;
 use crate::request::environment::RequestEnvironment;
 use crate::request::plan::random_id;
 use crate::request::record::RequestRecord;
@@ -39,9 +39,7 @@
 ) -> Result<HttpResponse, Refusal> {
     let headers = read_headers(headers, max_header_bytes)?;
     let state = environment.state();
-    check_open(state)?;
-    let table = state.table();
-    authenticate(&table, &headers)?;
+    let table = authenticate(state, &headers)?.table;
     let mut record = RequestRecord::new(random_id([environment.random(), environment.random()]));
     record.code = ResultCode::Ok;
     record.count(state);
--- a/crates/proxy/src/request/attempt.rs
+++ b/crates/proxy/src/request/attempt.rs
@@ -23,7 +23,7 @@
     /// Run that it starts or continues.
     pub run: String,
     /// Counts it in the load table.
-    pub ticket: InFlightGuard,
+    pub in_flight: InFlightGuard,
     /// When it started.
     pub started: MonotonicTime,
     /// Uncached prompt tokens on the backend at the start, its own included.
@@ -59,7 +59,7 @@
     /// The attempt.
     pub attempt: Attempt<'a, E>,
     /// Its answer.
-    pub part: AnswerStart<E::Answer>,
+    pub answer: AnswerStart<E::Answer>,
 }
 
 /// An attempt that brought none.
@@ -91,11 +91,11 @@
     ) -> Self {
         let load_table = &environment.state().load_table;
         let before = load_table.counts(&replica.key);
-        let ticket = load_table.start(replica.key.clone(), replica.uncached_tokens);
+        let in_flight = load_table.start(replica.key.clone(), replica.uncached_tokens);
         Self {
             environment,
             run,
-            ticket,
+            in_flight,
             started: environment.now(),
             queued_tokens: before.prefill_tokens + replica.uncached_tokens,
             streams_at_start: before.decode_streams,
@@ -136,9 +136,9 @@
         let environment = self.environment;
         let answer_start = self.answer_start(plan);
         match until_ejected(environment, &backend_id, answer_start).await {
-            Ok(part) => Ok(OpenedAttempt {
+            Ok(answer) => Ok(OpenedAttempt {
                 attempt: self,
-                part,
+                answer,
             }),
             Err(failure) => {
                 self.record_failure(failure);
@@ -189,7 +189,7 @@
         let first = reader.next().await.map_err(AttemptFailure::unknown)?;
         self.record_activity();
         if first == StreamItem::BackendError {
-            return Err(AttemptFailure::backend_error(true));
+            return Err(AttemptFailure::backend_fault());
         }
         Ok(AnswerStart::Stream { reader, first })
     }
@@ -222,7 +222,8 @@
         match head.status {
             200 => self.check_resume(head),
             429 | 503 if head.not_run => Err(AttemptFailure::refused(head.retry_after_ms)),
-            status => Err(AttemptFailure::backend_error(status >= 500)),
+            500.. => Err(AttemptFailure::backend_fault()),
+            _ => Err(AttemptFailure::request_fault()),
         }
     }
 
--- a/crates/proxy/src/request/authenticate.rs
+++ b/crates/proxy/src/request/authenticate.rs
@@ -12,8 +12,31 @@
 
 const BEARER_SCHEME: &str = "bearer";
 
-/// Refuses while the proxy leaves or shows no confirmed configuration.
-pub fn check_open(state: &ProxyState) -> Result<(), Refusal> {
+/// A caller whose key is known, and the routing table that knows it.
+#[derive(Clone, Debug)]
+pub struct AuthenticatedCaller {
+    /// The table that decides the request's route.
+    pub table: Arc<RoutingTable>,
+    /// The caller's tenant.
+    pub tenant: Arc<Tenant>,
+}
+
+/// Finds the tenant by the hash of its key. The key itself goes no further than this module.
+///
+/// # Errors
+/// Refuses while the proxy drains or has no confirmed configuration, and a caller without a known
+/// key.
+pub fn authenticate(
+    state: &ProxyState,
+    headers: &CallerHeaders,
+) -> Result<AuthenticatedCaller, Refusal> {
+    check_open(state)?;
+    let table = state.table();
+    let tenant = find_tenant(&table, headers)?;
+    Ok(AuthenticatedCaller { table, tenant })
+}
+
+fn check_open(state: &ProxyState) -> Result<(), Refusal> {
     if state.is_draining() {
         return Err(Refusal::not_run(ResultCode::ProxyDraining));
     }
@@ -23,8 +46,7 @@
     Ok(())
 }
 
-/// Finds the tenant by the hash of its key. The key itself goes no further than this function.
-pub fn authenticate(table: &RoutingTable, headers: &CallerHeaders) -> Result<Arc<Tenant>, Refusal> {
+fn find_tenant(table: &RoutingTable, headers: &CallerHeaders) -> Result<Arc<Tenant>, Refusal> {
     let missing = || Refusal::not_run(ResultCode::KeyMissing);
     let authorization = headers.authorization.as_deref().ok_or_else(missing)?;
     let (scheme, key) = authorization.split_once(' ').ok_or_else(missing)?;
--- a/crates/proxy/src/request/claim_guard.rs
+++ b/crates/proxy/src/request/claim_guard.rs
@@ -1,65 +1,113 @@
 //! The claim of a request that may run only once.
 
 use millford_api::command::{Claim, ResolveClaim, RunOutcome};
-use millford_core::{MonotonicTime, ResultCode, RunState};
+use millford_core::{ResultCode, RunState};
 use millford_data_plane::agent_message::ClaimAnswer;
+use sha2::{Digest, Sha256};
 
+use crate::request::caller::CallerRequest;
+use crate::request::chat_request::ChatRequest;
 use crate::request::environment::RequestEnvironment;
+use crate::request::plan::{RequestPlan, random_id};
 use crate::request::refusal::Refusal;
+use crate::request::unserved::Unserved;
 
-/// A granted claim. Unless settled, it stays "may have run".
+/// A granted claim, or none for a request that needs none. Unless resolved, a claim stays "may
+/// have run".
 #[derive(Clone, Debug)]
 pub struct ClaimGuard {
-    claim: Claim,
+    claim: Option<Claim>,
 }
 
 impl ClaimGuard {
-    /// Reserves the single run before a byte goes to a backend.
+    /// Claims the key of a request that may not be repeated, before a byte goes to a backend.
     ///
-    /// A claim that was not confirmed in time is never used for a run, so it is settled as not
+    /// # Errors
+    /// Refuses when the key is taken or reused, or when the claim was not confirmed in time.
+    pub async fn acquire_if_needed<E: RequestEnvironment>(
+        environment: &E,
+        plan: &RequestPlan,
+        chat: &ChatRequest,
+        request: &CallerRequest,
+    ) -> Result<Self, Refusal> {
+        let Some(key) = chat
+            .idempotency_key
+            .as_ref()
+            .filter(|_| !plan.is_repeatable())
+        else {
+            return Ok(Self { claim: None });
+        };
+        let claim = Claim {
+            tenant: plan.tenant.clone(),
+            request_id: key.clone(),
+            attempt_id: random_id([environment.random(), environment.random()]),
+            digest: request_digest(chat, request),
+        };
+        Self::acquire(environment, plan, claim).await
+    }
+
+    /// A claim that was not confirmed in time is never used for a run, so it is resolved as not
     /// run: it may have been recorded all the same, and the key can then be claimed again.
-    pub async fn take<E: RequestEnvironment>(
+    async fn acquire<E: RequestEnvironment>(
         environment: &E,
+        plan: &RequestPlan,
         claim: Claim,
-        deadline: MonotonicTime,
     ) -> Result<Self, Refusal> {
-        let timeout = deadline.since(environment.now());
-        let hold = Self {
-            claim: claim.clone(),
+        let timeout = plan.deadline.since(environment.now());
+        let guard = Self {
+            claim: Some(claim.clone()),
         };
         match environment.claim(claim, timeout).await {
-            ClaimAnswer::Granted => Ok(hold),
+            ClaimAnswer::Granted => Ok(guard),
             ClaimAnswer::Taken(outcome) => Err(taken(outcome)),
             ClaimAnswer::KeyReused => Err(Refusal::not_run(ResultCode::IdempotencyKeyReused)),
             ClaimAnswer::Unavailable => {
-                hold.settle(environment, RunOutcome::RunNotRun);
+                guard.resolve(environment, RunOutcome::RunNotRun);
                 Err(Refusal::not_run(ResultCode::ClaimUnavailable))
             }
         }
     }
 
     /// Records what became of the run.
-    pub fn settle<E: RequestEnvironment>(&self, environment: &E, outcome: RunOutcome) {
+    pub fn resolve<E: RequestEnvironment>(&self, environment: &E, outcome: RunOutcome) {
+        let Some(claim) = &self.claim else {
+            return;
+        };
         environment.resolve_claim(ResolveClaim {
-            tenant: self.claim.tenant.clone(),
-            request_id: self.claim.request_id.clone(),
-            attempt_id: self.claim.attempt_id.clone(),
+            tenant: claim.tenant.clone(),
+            request_id: claim.request_id.clone(),
+            attempt_id: claim.attempt_id.clone(),
             outcome: outcome.into(),
         });
     }
 
-    /// Records a failed request: not run, failed, or nothing while its fate is unknown.
-    pub fn settle_refused<E: RequestEnvironment>(&self, environment: &E, refusal: &Refusal) {
-        match (refusal.run, refusal.code) {
-            (RunState::NotRun, _) => self.settle(environment, RunOutcome::RunNotRun),
-            (RunState::MayHaveRun, ResultCode::BackendError) => {
-                self.settle(environment, RunOutcome::RunFailed);
+    /// Records a request without an answer: not run, failed, or nothing while its fate is unknown.
+    pub fn resolve_unserved<E: RequestEnvironment>(&self, environment: &E, unserved: &Unserved) {
+        match unserved {
+            Unserved::Refused(Refusal {
+                run: RunState::MayHaveRun,
+                code: ResultCode::BackendError,
+                ..
+            }) => self.resolve(environment, RunOutcome::RunFailed),
+            _ if unserved.run_state() == RunState::NotRun => {
+                self.resolve(environment, RunOutcome::RunNotRun);
             }
-            (RunState::MayHaveRun, _) => {}
+            _ => {}
         }
     }
 }
 
+/// Digest of everything that decides the answer: the body, the stage and the adapter.
+fn request_digest(chat: &ChatRequest, request: &CallerRequest) -> Vec<u8> {
+    let mut hasher = Sha256::new();
+    for part in [&chat.requested.stage, &chat.requested.adapter] {
+        hasher.update((part.len() as u64).to_be_bytes());
+        hasher.update(part.as_bytes());
+    }
+    hasher.update(&request.body);
+    hasher.finalize().to_vec()
+}
+
 fn taken(outcome: RunOutcome) -> Refusal {
     match outcome {
         RunOutcome::RunCompleted => Refusal::may_have_run(ResultCode::AlreadyCompleted),
--- a/crates/proxy/src/request/completion.rs
+++ b/crates/proxy/src/request/completion.rs
@@ -1,36 +1,33 @@
-//! A completion request, from the caller's headers to the settled claim.
+//! A completion request, from the caller's headers to the resolved claim.
 
 use bytes::Bytes;
-use millford_api::command::{Claim, RunOutcome};
+use millford_api::command::RunOutcome;
 use millford_api::config::Tenant;
-use millford_api::internal::CostSample;
-use millford_core::{Duration, RunState};
-use millford_data_plane::proxy_metrics::ProxyMetrics;
-use millford_data_plane::proxy_state::ProxyState;
+use millford_core::RunState;
 use millford_routing::prefix::{prefix_hash, session_hash};
-use sha2::{Digest, Sha256};
 
 use crate::backend_protocol::COMPLETIONS_PATH;
 use crate::request::admit::admit;
-use crate::request::attempt::AnswerStart;
-use crate::request::authenticate::{authenticate, check_open};
+use crate::request::attempt::{AnswerStart, Attempt};
+use crate::request::authenticate::authenticate;
 use crate::request::caller::{CallerRequest, CallerSink};
 use crate::request::chat_request::ChatRequest;
-use crate::request::chunk::Usage;
 use crate::request::claim_guard::ClaimGuard;
-use crate::request::conclude::conclude;
 use crate::request::deadline::deadline_of;
 use crate::request::environment::RequestEnvironment;
-use crate::request::first_answer::{Unserved, first_answer};
+use crate::request::first_answer::first_answer;
 use crate::request::message::BackendMethod;
-use crate::request::plan::{RequestPlan, random_id};
+use crate::request::plan::RequestPlan;
 use crate::request::quota_guard::QuotaGuard;
-use crate::request::record::{OpenRequest, RequestRecord};
+use crate::request::record::RequestRecord;
 use crate::request::refusal::Refusal;
 use crate::request::relay::relay_stream;
 use crate::request::reply::Reply;
+use crate::request::request_scope::RequestScope;
+use crate::request::run_cost::RunCost;
+use crate::request::unserved::Unserved;
 
-/// Serves one completion request and writes its whole answer to the caller.
+/// Serves one completion request and writes its complete answer to the caller.
 pub async fn serve_completion<E, C>(
     environment: &E,
     request: CallerRequest,
@@ -40,43 +37,34 @@
     E: RequestEnvironment,
     C: CallerSink,
 {
-    let request_id = random_id([environment.random(), environment.random()]);
-    let revision = environment.state().table().revision();
-    let mut record = RequestRecord::new(request_id.clone());
-    let mut reply = Reply::new(environment, caller, request_id, revision);
-    let open = OpenRequest::start(environment.state());
-    let served = complete(environment, &request, &mut reply, &mut record).await;
-    conclude(served, &mut reply, &mut record).await;
-    drop(open);
-    record.count(environment.state());
-    record
+    let mut scope = RequestScope::begin(environment, caller);
+    let served = complete(environment, &request, &mut scope).await;
+    scope.conclude(served).await
 }
 
 async fn complete<'a, E, C>(
     environment: &'a E,
     request: &CallerRequest,
-    reply: &mut Reply<'a, E, C>,
-    record: &mut RequestRecord,
+    scope: &mut RequestScope<'a, E, C>,
 ) -> Result<(), Unserved>
 where
     E: RequestEnvironment,
     C: CallerSink,
 {
     let state = environment.state();
-    check_open(state)?;
-    let table = state.table();
-    let tenant = authenticate(&table, &request.headers)?;
+    let caller = authenticate(state, &request.headers)?;
     let chat = ChatRequest::read(request)?;
-    let route = table
+    let route = caller
+        .table
         .match_model(&chat.requested)
         .map_err(Refusal::not_run)?;
-    record.route.clone_from(&route.name);
+    scope.record.route.clone_from(&route.name);
     let plan = RequestPlan {
-        request_id: record.request_id.clone(),
-        tenant: tenant.name.clone(),
+        request_id: scope.record.request_id.clone(),
+        tenant: caller.tenant.name.clone(),
         route: route.clone(),
         requirement: route.requirement(&chat.requested),
-        affinity: affinity_of(&tenant, &chat),
+        affinity: affinity_of(&caller.tenant, &chat),
         prompt_tokens: chat.prompt_tokens(),
         deadline: deadline_of(route, request)?,
         stream: chat.stream,
@@ -84,87 +72,58 @@
         path: COMPLETIONS_PATH.to_owned(),
         body: chat.body.clone(),
     };
-    let mut quota = QuotaGuard::ask(environment, &plan.tenant, plan.stream, plan.deadline).await?;
-    let turn = admit(environment, &plan).await?;
-    let claim = claim_if_needed(environment, &plan, &chat, request).await?;
+    let mut quota = QuotaGuard::acquire(environment, &plan).await?;
+    let admission = admit(environment, &plan).await?;
+    let claim = ClaimGuard::acquire_if_needed(environment, &plan, &chat, request).await?;
 
-    let opened = first_answer(environment, &plan, &reply.presence()).await;
-    let opened = match opened {
+    let opened = match first_answer(environment, &plan, &scope.reply.presence()).await {
         Ok(opened) => opened,
-        Err(ended) => {
-            if !is_certainly_unsent(&ended) {
+        Err(unserved) => {
+            if unserved.run_state() == RunState::MayHaveRun {
                 quota.spend();
             }
-            settle_ended(environment, claim.as_ref(), &ended);
-            return Err(ended);
+            claim.resolve_unserved(environment, &unserved);
+            return Err(unserved);
         }
     };
     quota.spend();
-    drop(turn);
-    let first_token = environment.now().since(opened.attempt.started);
-    record_first_token(environment, &plan, &opened.attempt, request, first_token);
-
-    let sample_key = opened.attempt.replica.key.clone();
-    let mut sample = CostSample {
-        prompt_tokens: clamp_to_u32(opened.attempt.replica.uncached_tokens),
-        first_token_ms: millis(first_token),
-        streams_at_start: opened.attempt.streams_at_start,
-        ..CostSample::default()
-    };
-    let by_affinity = opened.attempt.replica.by_affinity;
-    let undelivered;
-    let usage = if let AnswerStart::Plain { body, content_type } = &opened.part {
-        let (body, content_type) = (body.clone(), content_type.clone());
-        let mut attempt = opened.attempt;
-        attempt.finish();
-        settle(environment, claim.as_ref(), RunOutcome::RunCompleted);
-        let usage = plain_usage(&body);
-        // The run is complete, whether or not the caller still takes the answer.
-        let given = reply.send_complete(body, &content_type).await;
-        undelivered = given
-            .err()
-            .map(|_| Unserved::CallerDisconnected(RunState::MayHaveRun));
-        usage
-    } else {
-        let relayed = relay_stream(environment, &plan, opened, reply).await;
-        match &relayed {
-            Ok(_) => settle(environment, claim.as_ref(), RunOutcome::RunCompleted),
-            Err(ended) => settle_ended(environment, claim.as_ref(), ended),
+    drop(admission);
+
+    let attempt = opened.attempt;
+    let mut cost = RunCost::at_first_token(environment, &plan, request, &attempt);
+    let reply = &mut scope.reply;
+    let undelivered = match opened.answer {
+        AnswerStart::Plain { body, content_type } => {
+            claim.resolve(environment, RunOutcome::RunCompleted);
+            cost.add_plain(&body);
+            deliver_plain(attempt, body, &content_type, reply).await
+        }
+        AnswerStart::Stream { reader, first } => {
+            let relayed = relay_stream(environment, &plan, attempt, reader, first, reply).await;
+            match &relayed {
+                Ok(_) => claim.resolve(environment, RunOutcome::RunCompleted),
+                Err(unserved) => claim.resolve_unserved(environment, unserved),
+            }
+            let totals = relayed?;
+            cost.add_stream(&totals);
+            totals.undelivered
         }
-        let totals = relayed?;
-        sample.output_tokens = clamp_to_u32(totals.chunks);
-        sample.decode_ms = millis(totals.decode);
-        undelivered = totals.undelivered;
-        totals.usage
     };
-    learn(state, &plan, sample, usage, by_affinity);
-    state.load_table.add_sample(&sample_key, sample);
+    cost.learn(state, &plan);
     undelivered.map_or(Ok(()), Err)
 }
 
-/// Learns the model's cost from a whole answer.
-fn learn(
-    state: &ProxyState,
-    plan: &RequestPlan,
-    sample: CostSample,
-    usage: Option<Usage>,
-    by_affinity: bool,
-) {
-    let model = &plan.requirement.model;
-    if let Some(usage) = usage.filter(|usage| usage.prompt_tokens > 0) {
-        let share = usage.cached_tokens as f64 / usage.prompt_tokens as f64;
-        if by_affinity {
-            state.costs.add_cached_share(model, share);
-        } else {
-            state.costs.add_cached_share_elsewhere(model, share);
-        }
-    }
-    if sample.output_tokens > 1 {
-        state.costs.add_output_tokens(model, sample.output_tokens);
-        let inter_token = f64::from(sample.decode_ms) / f64::from(sample.output_tokens - 1);
-        let streams = sample.streams_at_start + 1;
-        state.costs.add_inter_token(model, streams, inter_token);
-    }
+/// Gives the caller a plain answer. The run is complete, whether or not the caller still takes it.
+async fn deliver_plain<E: RequestEnvironment, C: CallerSink>(
+    mut attempt: Attempt<'_, E>,
+    body: Bytes,
+    content_type: &str,
+    reply: &mut Reply<'_, E, C>,
+) -> Option<Unserved> {
+    attempt.finish();
+    let sent = reply.send_complete(body, content_type).await;
+    sent.err()
+        .map(|_| Unserved::CallerDisconnected(RunState::MayHaveRun))
 }
 
 /// A session stays with its backend; without one, requests that share a prefix do.
@@ -174,101 +133,3 @@
         None => prefix_hash(&chat.requested.model, &chat.prompt),
     }
 }
-
-/// A request that may not be repeated claims its key before a byte goes to a backend.
-async fn claim_if_needed<E: RequestEnvironment>(
-    environment: &E,
-    plan: &RequestPlan,
-    chat: &ChatRequest,
-    request: &CallerRequest,
-) -> Result<Option<ClaimGuard>, Refusal> {
-    let Some(key) = chat
-        .idempotency_key
-        .as_ref()
-        .filter(|_| !plan.is_repeatable())
-    else {
-        return Ok(None);
-    };
-    let claim = Claim {
-        tenant: plan.tenant.clone(),
-        request_id: key.clone(),
-        attempt_id: random_id([environment.random(), environment.random()]),
-        digest: request_digest(chat, request),
-    };
-    let hold = ClaimGuard::take(environment, claim, plan.deadline).await?;
-    Ok(Some(hold))
-}
-
-/// Digest of everything that decides the answer: the body, the stage and the adapter.
-fn request_digest(chat: &ChatRequest, request: &CallerRequest) -> Vec<u8> {
-    let mut hasher = Sha256::new();
-    for part in [&chat.requested.stage, &chat.requested.adapter] {
-        hasher.update((part.len() as u64).to_be_bytes());
-        hasher.update(part.as_bytes());
-    }
-    hasher.update(&request.body);
-    hasher.finalize().to_vec()
-}
-
-fn settle<E: RequestEnvironment>(environment: &E, claim: Option<&ClaimGuard>, outcome: RunOutcome) {
-    if let Some(claim) = claim {
-        claim.settle(environment, outcome);
-    }
-}
-
-fn settle_ended<E: RequestEnvironment>(
-    environment: &E,
-    claim: Option<&ClaimGuard>,
-    ended: &Unserved,
-) {
-    let Some(claim) = claim else {
-        return;
-    };
-    match ended {
-        Unserved::Refused(refusal) => claim.settle_refused(environment, refusal),
-        Unserved::CallerDisconnected(RunState::NotRun) => {
-            claim.settle(environment, RunOutcome::RunNotRun)
-        }
-        Unserved::CallerDisconnected(RunState::MayHaveRun) => {}
-    }
-}
-
-fn is_certainly_unsent(ended: &Unserved) -> bool {
-    match ended {
-        Unserved::Refused(refusal) => refusal.run == RunState::NotRun,
-        Unserved::CallerDisconnected(run) => *run == RunState::NotRun,
-    }
-}
-
-fn record_first_token<E: RequestEnvironment>(
-    environment: &E,
-    plan: &RequestPlan,
-    attempt: &crate::request::attempt::Attempt<'_, E>,
-    request: &CallerRequest,
-    first_token: Duration,
-) {
-    let state = environment.state();
-    if !plan.stream {
-        return;
-    }
-    let model = &plan.requirement.model;
-    let millis = first_token.as_secs_f64() * 1000.0;
-    state
-        .costs
-        .add_first_token(model, attempt.queued_tokens, millis);
-    let since_arrival = environment.now().since(request.arrived);
-    ProxyMetrics::observe(&state.metrics.first_token_seconds, since_arrival);
-}
-
-fn plain_usage(body: &Bytes) -> Option<Usage> {
-    let fields: serde_json::Map<String, serde_json::Value> = serde_json::from_slice(body).ok()?;
-    Usage::read(&fields)
-}
-
-fn millis(duration: Duration) -> u32 {
-    u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
-}
-
-fn clamp_to_u32(number: u64) -> u32 {
-    u32::try_from(number).unwrap_or(u32::MAX)
-}
--- a/crates/proxy/src/request/failure.rs
+++ b/crates/proxy/src/request/failure.rs
@@ -59,13 +59,21 @@
         }
     }
 
-    /// The backend reported an error; a fault of the request would repeat itself elsewhere.
+    /// The backend reported an error of its own.
     #[must_use]
-    pub fn backend_error(elsewhere: bool) -> Self {
+    pub fn backend_fault() -> Self {
         Self {
             fate: RunFate::Failed,
-            elsewhere,
             ..Self::unknown(ResultCode::BackendError)
         }
     }
+
+    /// The backend found a fault in the request, which would repeat itself elsewhere.
+    #[must_use]
+    pub fn request_fault() -> Self {
+        Self {
+            elsewhere: false,
+            ..Self::backend_fault()
+        }
+    }
 }
--- a/crates/proxy/src/request/lookup.rs
+++ b/crates/proxy/src/request/lookup.rs
@@ -1,27 +1,27 @@
-//! A lookup by path, from the caller's headers to the whole answer.
+//! A lookup by path, from the caller's headers to the complete answer.
 
 use bytes::Bytes;
 use millford_core::{ResultCode, RunState};
 use millford_routing::ModelRequest;
 
 use crate::request::attempt::AnswerStart;
-use crate::request::authenticate::{authenticate, check_open};
+use crate::request::authenticate::authenticate;
 use crate::request::caller::{CallerRequest, CallerSink};
-use crate::request::conclude::conclude;
 use crate::request::deadline::deadline_of;
 use crate::request::environment::RequestEnvironment;
-use crate::request::first_answer::{Unserved, first_answer};
+use crate::request::first_answer::first_answer;
 use crate::request::message::BackendMethod;
-use crate::request::plan::{RequestPlan, random_id};
+use crate::request::plan::RequestPlan;
 use crate::request::quota_guard::QuotaGuard;
-use crate::request::record::{OpenRequest, RequestRecord};
+use crate::request::record::RequestRecord;
 use crate::request::refusal::Refusal;
-use crate::request::reply::Reply;
+use crate::request::request_scope::RequestScope;
+use crate::request::unserved::Unserved;
 
 /// What a lookup counts as in the load table, so that busy backends are told from idle ones.
 const LOOKUP_TOKENS: u64 = 1;
 
-/// Serves one lookup and writes its whole answer to the caller.
+/// Serves one lookup and writes its complete answer to the caller.
 pub async fn serve_lookup<E, C>(
     environment: &E,
     request: CallerRequest,
@@ -31,37 +31,29 @@
     E: RequestEnvironment,
     C: CallerSink,
 {
-    let request_id = random_id([environment.random(), environment.random()]);
-    let revision = environment.state().table().revision();
-    let mut record = RequestRecord::new(request_id.clone());
-    let mut reply = Reply::new(environment, caller, request_id, revision);
-    let open = OpenRequest::start(environment.state());
-    let served = look_up(environment, &request, &mut reply, &mut record).await;
-    conclude(served, &mut reply, &mut record).await;
-    drop(open);
-    record.count(environment.state());
-    record
+    let mut scope = RequestScope::begin(environment, caller);
+    let served = look_up(environment, &request, &mut scope).await;
+    scope.conclude(served).await
 }
 
 async fn look_up<'a, E, C>(
     environment: &'a E,
     request: &CallerRequest,
-    reply: &mut Reply<'a, E, C>,
-    record: &mut RequestRecord,
+    scope: &mut RequestScope<'a, E, C>,
 ) -> Result<(), Unserved>
 where
     E: RequestEnvironment,
     C: CallerSink,
 {
-    let state = environment.state();
-    check_open(state)?;
-    let table = state.table();
-    let tenant = authenticate(&table, &request.headers)?;
-    let route = table.match_path(request.path()).map_err(Refusal::not_run)?;
-    record.route.clone_from(&route.name);
+    let caller = authenticate(environment.state(), &request.headers)?;
+    let route = caller
+        .table
+        .match_path(request.path())
+        .map_err(Refusal::not_run)?;
+    scope.record.route.clone_from(&route.name);
     let plan = RequestPlan {
-        request_id: record.request_id.clone(),
-        tenant: tenant.name.clone(),
+        request_id: scope.record.request_id.clone(),
+        tenant: caller.tenant.name.clone(),
         route: route.clone(),
         requirement: route.requirement(&ModelRequest::default()),
         affinity: None,
@@ -72,25 +64,25 @@
         path: request.path_and_query.clone(),
         body: Bytes::new(),
     };
-    let mut quota = QuotaGuard::ask(environment, &plan.tenant, false, plan.deadline).await?;
-    let opened = first_answer(environment, &plan, &reply.presence()).await;
-    let opened = match opened {
+    let mut quota = QuotaGuard::acquire(environment, &plan).await?;
+    let opened = match first_answer(environment, &plan, &scope.reply.presence()).await {
         Ok(opened) => opened,
-        Err(ended) => {
-            let unsent =
-                matches!(&ended, Unserved::Refused(refusal) if refusal.run == RunState::NotRun);
-            if !unsent {
+        Err(unserved) => {
+            // Unlike a completion, a lookup whose caller disconnected always spends its token.
+            let is_refused_unrun =
+                matches!(&unserved, Unserved::Refused(refusal) if refusal.run == RunState::NotRun);
+            if !is_refused_unrun {
                 quota.spend();
             }
-            return Err(ended);
+            return Err(unserved);
         }
     };
     quota.spend();
     let mut attempt = opened.attempt;
     attempt.finish();
-    let AnswerStart::Plain { body, content_type } = opened.part else {
+    let AnswerStart::Plain { body, content_type } = opened.answer else {
         return Err(Refusal::may_have_run(ResultCode::BackendError).into());
     };
-    let given = reply.send_complete(body, &content_type).await;
-    given.map_err(|_| Unserved::CallerDisconnected(RunState::MayHaveRun))
+    let sent = scope.reply.send_complete(body, &content_type).await;
+    sent.map_err(|_| Unserved::CallerDisconnected(RunState::MayHaveRun))
 }
--- a/crates/proxy/src/request/move_stream.rs
+++ b/crates/proxy/src/request/move_stream.rs
@@ -8,9 +8,9 @@
 use crate::request::choose_backend::choose_backend;
 use crate::request::environment::RequestEnvironment;
 use crate::request::failure::RunFate;
-use crate::request::first_answer::Unserved;
 use crate::request::plan::RequestPlan;
 use crate::request::refusal::Refusal;
+use crate::request::unserved::Unserved;
 use crate::request::wait::{Waited, wait_until};
 
 /// A stream that lost its backend.
--- a/crates/proxy/src/request/quota_guard.rs
+++ b/crates/proxy/src/request/quota_guard.rs
@@ -1,9 +1,10 @@
 //! A tenant's admission, given back on whatever path the request ends.
 
-use millford_core::{MonotonicTime, ResultCode};
+use millford_core::ResultCode;
 use millford_data_plane::agent_message::{AdmissionReply, AdmissionRequest, QuotaRelease};
 
 use crate::request::environment::RequestEnvironment;
+use crate::request::plan::RequestPlan;
 use crate::request::refusal::Refusal;
 
 /// One admitted request of a tenant.
@@ -15,27 +16,26 @@
 }
 
 impl<'a, E: RequestEnvironment> QuotaGuard<'a, E> {
-    /// Asks the agent, which waits for the tenant's shard within the deadline before it refuses.
-    pub async fn ask(
-        environment: &'a E,
-        tenant: &str,
-        stream: bool,
-        deadline: MonotonicTime,
-    ) -> Result<Self, Refusal> {
-        let timeout = deadline.since(environment.now());
+    /// Requests the admission from the agent, which waits for the tenant's shard within the
+    /// deadline before it refuses.
+    ///
+    /// # Errors
+    /// Refuses when the deadline has passed, and when the agent does.
+    pub async fn acquire(environment: &'a E, plan: &RequestPlan) -> Result<Self, Refusal> {
+        let timeout = plan.deadline.since(environment.now());
         if timeout.is_zero() {
             return Err(Refusal::not_run(ResultCode::DeadlineBeforeSend));
         }
-        let ask = AdmissionRequest {
-            tenant: tenant.to_owned(),
-            stream,
+        let request = AdmissionRequest {
+            tenant: plan.tenant.clone(),
+            stream: plan.stream,
             timeout,
         };
-        match environment.request_quota(ask).await {
+        match environment.request_quota(request).await {
             AdmissionReply::Granted => Ok(Self {
                 environment,
-                tenant: tenant.to_owned(),
-                stream,
+                tenant: plan.tenant.clone(),
+                stream: plan.stream,
                 used: false,
             }),
             AdmissionReply::Refused {
--- a/crates/proxy/src/request/relay.rs
+++ b/crates/proxy/src/request/relay.rs
@@ -4,49 +4,53 @@
 use millford_data_plane::proxy_metrics::ProxyMetrics;
 use millford_routing::EjectionReason;
 
-use crate::request::attempt::{AnswerStart, Attempt, OpenedAttempt};
+use crate::request::attempt::{AnswerStart, Attempt};
 use crate::request::caller::{CallerPresence, CallerSink};
 use crate::request::chunk::{Chunk, Usage};
 use crate::request::chunk_reader::{ChunkReader, StreamItem};
 use crate::request::environment::RequestEnvironment;
-use crate::request::first_answer::Unserved;
 use crate::request::move_stream::{LostStream, move_stream};
 use crate::request::plan::RequestPlan;
 use crate::request::record::OpenStream;
 use crate::request::refusal::Refusal;
 use crate::request::reply::{Reply, ReplyError};
 use crate::request::stream_watch::{StreamWatch, WatchVerdict};
+use crate::request::unserved::Unserved;
 use crate::request::wait::{Waited, wait_until};
 
-/// What the stream brought, for the cost fit.
+/// What a complete stream brought, for the learned costs.
 #[derive(Clone, Debug, Default)]
 pub struct StreamTotals {
-    /// Time from the attempt's start to its first piece.
-    pub first_token: Duration,
-    /// Time from the first piece to the last.
+    /// Time from the first chunk to the last.
     pub decode: Duration,
-    /// Pieces relayed.
+    /// Number of chunks relayed.
     pub chunks: u64,
     /// Usage, if the backend sent it.
     pub usage: Option<Usage>,
-    /// Why the caller did not get the end of the whole stream, if it did not.
+    /// Why the caller did not get the end of the complete stream, if it did not.
     pub undelivered: Option<Unserved>,
 }
 
-/// Why the present backend gives no more pieces.
+/// Why the present backend gives no more chunks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Interruption {
-    Broken(ResultCode),
+    /// The backend is lost; another one may continue the run.
+    Lost(ResultCode),
     Deadline,
     CallerDisconnected,
     Stopping,
 }
 
-/// Relays the stream to its end marker, or says why the run did not come to its end.
+/// Relays the stream to its end marker, or returns why the run did not come to its end.
+///
+/// # Errors
+/// Fails when no backend brings the stream to its end, and when the caller does not take it.
 pub async fn relay_stream<'a, E, C>(
     environment: &'a E,
     plan: &RequestPlan,
-    opened: OpenedAttempt<'a, E>,
+    attempt: Attempt<'a, E>,
+    reader: ChunkReader<E::Answer>,
+    first: StreamItem,
     reply: &mut Reply<'a, E, C>,
 ) -> Result<StreamTotals, Unserved>
 where
@@ -54,183 +58,196 @@
     C: CallerSink,
 {
     let presence = reply.presence();
-    let mut totals = StreamTotals {
-        first_token: environment.now().since(opened.attempt.started),
-        ..StreamTotals::default()
-    };
-    let mut attempt = opened.attempt;
-    let AnswerStart::Stream { mut reader, first } = opened.part else {
-        return Err(Refusal::may_have_run(ResultCode::BackendError).into());
-    };
-    attempt.ticket.begin_decode();
+    let mut totals = StreamTotals::default();
+    let mut source = StreamSource::begin(environment, attempt, reader);
     let first_chunk_at = environment.now();
-    let mut watch = StreamWatch::new(first_chunk_at);
-    let mut item = Ok(first);
     let _open = OpenStream::start(environment.state());
-    reply.begin_stream().await.map_err(ended_by_reply)?;
+    reply.begin_stream().await?;
+    let mut item = Ok(first);
     loop {
-        match item {
+        item = match item {
             Ok(StreamItem::Chunk(chunk)) => {
                 totals.chunks += 1;
                 totals.usage = chunk.usage.or(totals.usage);
                 totals.decode = environment.now().since(first_chunk_at);
                 send_chunk(plan, chunk, reply).await?;
+                source.next_item(plan, &presence).await
             }
             Ok(StreamItem::Done) => {
-                record_stray_bytes(environment, &reader);
-                attempt.finish();
+                source.finish();
                 // The run is complete, whether or not the caller still takes its end.
-                let given = reply.send_done(plan.deadline).await;
-                totals.undelivered = given.err().map(ended_by_reply);
+                let sent = reply.send_done(plan.deadline).await;
+                totals.undelivered = sent.err().map(Unserved::from);
                 return Ok(totals);
             }
             Ok(StreamItem::BackendError) => {
-                attempt.finish();
+                source.attempt.finish();
                 return Err(Refusal::may_have_run(ResultCode::BackendError).into());
             }
-            Err(Interruption::CallerDisconnected) => {
-                return Err(Unserved::CallerDisconnected(RunState::MayHaveRun));
-            }
-            Err(Interruption::Stopping) => {
-                return Err(Refusal::may_have_run(ResultCode::ProxyDraining).into());
+            Err(Interruption::Lost(code)) => {
+                let moved = source.continue_elsewhere(plan, &presence, code).await?;
+                source = moved.source;
+                Ok(moved.first)
             }
             Err(Interruption::Deadline) => {
                 return Err(Refusal::may_have_run(ResultCode::DeadlineAfterSend).into());
             }
-            Err(Interruption::Broken(code)) => {
-                record_lost_backend(environment, &attempt, code);
-                let lost = LostStream::of(&attempt, reader.next_sequence(), code);
-                // The old connection is closed and its attempt withdrawn before another backend
-                // is asked: nothing of the old one can come between the pieces of the new one.
-                drop(reader);
-                drop(attempt);
-                let moved = move_stream(environment, plan, &presence, &lost).await?;
-                attempt = moved.attempt;
-                let AnswerStart::Stream {
-                    reader: rest,
-                    first,
-                } = moved.part
-                else {
-                    return Err(Refusal::may_have_run(code).into());
-                };
-                attempt.ticket.begin_decode();
-                reader = rest;
-                watch = StreamWatch::new(environment.now());
-                item = Ok(first);
-                continue;
+            Err(Interruption::Stopping) => {
+                return Err(Refusal::may_have_run(ResultCode::ProxyDraining).into());
             }
-        }
-        item = next_item(
-            environment,
-            plan,
-            &presence,
-            &mut reader,
-            &mut watch,
-            &mut attempt,
-        )
-        .await;
+            Err(Interruption::CallerDisconnected) => {
+                return Err(Unserved::CallerDisconnected(RunState::MayHaveRun));
+            }
+        };
     }
 }
 
-async fn send_chunk<E: RequestEnvironment, C: CallerSink>(
-    plan: &RequestPlan,
-    chunk: Chunk,
-    reply: &mut Reply<'_, E, C>,
-) -> Result<(), Unserved> {
-    let event = chunk.into_caller_event(&plan.request_id);
-    reply
-        .send_event(event, plan.deadline)
-        .await
-        .map_err(ended_by_reply)
+/// The backend that a stream comes from at present.
+///
+/// The reader is the first field, so that its connection is closed before the attempt is withdrawn.
+struct StreamSource<'a, E: RequestEnvironment> {
+    reader: ChunkReader<E::Answer>,
+    attempt: Attempt<'a, E>,
+    watch: StreamWatch,
+    environment: &'a E,
 }
 
-/// Waits for the next item, looking at the backend's state from time to time.
-async fn next_item<E: RequestEnvironment, P: CallerPresence>(
-    environment: &E,
-    plan: &RequestPlan,
-    presence: &P,
-    reader: &mut ChunkReader<E::Answer>,
-    watch: &mut StreamWatch,
-    attempt: &mut Attempt<'_, E>,
-) -> Result<StreamItem, Interruption> {
-    let backend_id = attempt.replica.key.backend_id.clone();
-    let waited_from = environment.now();
-    loop {
-        match watch.look(environment, plan, &backend_id) {
-            WatchVerdict::Wait => {}
-            WatchVerdict::Unresponsive => {
-                return Err(Interruption::Broken(ResultCode::BackendSilent));
-            }
-            WatchVerdict::Drained => return Err(Interruption::Broken(ResultCode::BackendLost)),
-            WatchVerdict::Stopping => return Err(Interruption::Stopping),
-        }
-        if watch.is_draining() {
-            attempt.ticket.begin_draining();
+/// A stream that another backend continues.
+struct MovedStream<'a, E: RequestEnvironment> {
+    source: StreamSource<'a, E>,
+    first: StreamItem,
+}
+
+impl<'a, E: RequestEnvironment> StreamSource<'a, E> {
+    /// The first item of the reader has arrived.
+    fn begin(
+        environment: &'a E,
+        mut attempt: Attempt<'a, E>,
+        reader: ChunkReader<E::Answer>,
+    ) -> Self {
+        attempt.in_flight.begin_decode();
+        Self {
+            reader,
+            attempt,
+            watch: StreamWatch::new(environment.now()),
+            environment,
         }
-        let look_again = environment.now() + environment.state().limits.backend_check_interval;
-        let until = look_again.min(plan.deadline);
-        match wait_until(environment, presence, until, reader.next()).await {
-            Waited::Ready(Ok(item)) => {
-                record_activity(environment, watch, &backend_id, waited_from);
-                return Ok(item);
+    }
+
+    /// Waits for the next item, checking the backend's state from time to time.
+    async fn next_item<P: CallerPresence>(
+        &mut self,
+        plan: &RequestPlan,
+        presence: &P,
+    ) -> Result<StreamItem, Interruption> {
+        let environment = self.environment;
+        let backend_id = self.attempt.replica.key.backend_id.clone();
+        let waited_from = environment.now();
+        loop {
+            match self.watch.check(environment, plan, &backend_id) {
+                WatchVerdict::Wait => {}
+                WatchVerdict::Unresponsive => {
+                    return Err(Interruption::Lost(ResultCode::BackendSilent));
+                }
+                WatchVerdict::Drained => return Err(Interruption::Lost(ResultCode::BackendLost)),
+                WatchVerdict::Stopping => return Err(Interruption::Stopping),
+            }
+            if self.watch.is_draining() {
+                self.attempt.in_flight.begin_draining();
             }
-            Waited::Ready(Err(code)) => return Err(Interruption::Broken(code)),
-            Waited::TimedOut if environment.now() >= plan.deadline => {
-                return Err(Interruption::Deadline);
+            let next_check = environment.now() + environment.state().limits.backend_check_interval;
+            let until = next_check.min(plan.deadline);
+            match wait_until(environment, presence, until, self.reader.next()).await {
+                Waited::Ready(Ok(item)) => {
+                    self.record_activity(&backend_id, waited_from);
+                    return Ok(item);
+                }
+                Waited::Ready(Err(code)) => return Err(Interruption::Lost(code)),
+                Waited::TimedOut if environment.now() >= plan.deadline => {
+                    return Err(Interruption::Deadline);
+                }
+                Waited::TimedOut => {}
+                Waited::CallerDisconnected => return Err(Interruption::CallerDisconnected),
             }
-            Waited::TimedOut => {}
-            Waited::CallerDisconnected => return Err(Interruption::CallerDisconnected),
         }
     }
-}
 
-fn record_activity<E: RequestEnvironment>(
-    environment: &E,
-    watch: &mut StreamWatch,
-    backend_id: &str,
-    waited_from: MonotonicTime,
-) {
-    let state = environment.state();
-    let now = environment.now();
-    watch.record_activity(now);
-    state.health.record_activity(backend_id, now);
-    let waited = now.since(waited_from);
-    ProxyMetrics::observe(&state.metrics.inter_token_seconds, waited);
-}
+    fn record_activity(&mut self, backend_id: &str, waited_from: MonotonicTime) {
+        let state = self.environment.state();
+        let now = self.environment.now();
+        self.watch.record_activity(now);
+        state.health.record_activity(backend_id, now);
+        let waited = now.since(waited_from);
+        ProxyMetrics::observe(&state.metrics.inter_token_seconds, waited);
+    }
 
-fn record_lost_backend<E: RequestEnvironment>(
-    environment: &E,
-    attempt: &Attempt<'_, E>,
-    code: ResultCode,
-) {
-    let state = environment.state();
-    let key = &attempt.replica.key;
-    state.load_table.add_failure(key);
-    let pool_shows_active = state
-        .table()
-        .pool(&key.pool)
-        .is_some_and(|pool| pool.backend_is_active(&key.backend_id));
-    match code {
-        ResultCode::BackendSilent => state.eject(&key.backend_id, EjectionReason::Unresponsive),
-        // A stream cut off at the end of a drain says nothing about the backend's health.
-        ResultCode::BackendLost if pool_shows_active => {
-            state.eject(&key.backend_id, EjectionReason::ConnectionLost);
+    /// The end marker arrived: nothing is left to withdraw. Bytes after it are dropped with the
+    /// connection and never attributed.
+    fn finish(&mut self) {
+        if self.reader.pending_bytes() > 0 {
+            let dropped = &self.environment.state().metrics.dropped_answers;
+            dropped.with_label_values(&["stray_bytes"]).inc();
         }
-        _ => {}
+        self.attempt.finish();
+    }
+
+    /// Lets another backend continue the run from the next chunk on.
+    async fn continue_elsewhere<P: CallerPresence>(
+        self,
+        plan: &RequestPlan,
+        presence: &P,
+        code: ResultCode,
+    ) -> Result<MovedStream<'a, E>, Unserved> {
+        self.record_loss(code);
+        let environment = self.environment;
+        let lost = LostStream::of(&self.attempt, self.reader.next_sequence(), code);
+        // The old connection is closed and its attempt withdrawn before another backend is asked:
+        // nothing of the old one can come between the chunks of the new one.
+        drop(self);
+        let moved = move_stream(environment, plan, presence, &lost).await?;
+        let AnswerStart::Stream { reader, first } = moved.answer else {
+            return Err(Refusal::may_have_run(code).into());
+        };
+        let source = StreamSource::begin(environment, moved.attempt, reader);
+        Ok(MovedStream { source, first })
     }
-}
 
-/// Bytes after the end marker are dropped with the connection and never attributed.
-fn record_stray_bytes<E: RequestEnvironment>(environment: &E, reader: &ChunkReader<E::Answer>) {
-    if reader.pending_bytes() > 0 {
-        let dropped = &environment.state().metrics.dropped_answers;
-        dropped.with_label_values(&["stray_bytes"]).inc();
+    fn record_loss(&self, code: ResultCode) {
+        let state = self.environment.state();
+        let key = &self.attempt.replica.key;
+        state.load_table.add_failure(key);
+        let is_active = state
+            .table()
+            .pool(&key.pool)
+            .is_some_and(|pool| pool.backend_is_active(&key.backend_id));
+        match code {
+            ResultCode::BackendSilent => {
+                state.eject(&key.backend_id, EjectionReason::Unresponsive);
+            }
+            // A stream that ends with its backend's drain says nothing about the backend's health.
+            ResultCode::BackendLost if is_active => {
+                state.eject(&key.backend_id, EjectionReason::ConnectionLost);
+            }
+            _ => {}
+        }
     }
 }
 
-fn ended_by_reply(error: ReplyError) -> Unserved {
-    match error {
-        ReplyError::CallerDisconnected => Unserved::CallerDisconnected(RunState::MayHaveRun),
-        ReplyError::TimedOut => Refusal::may_have_run(ResultCode::DeadlineAfterSend).into(),
+async fn send_chunk<E: RequestEnvironment, C: CallerSink>(
+    plan: &RequestPlan,
+    chunk: Chunk,
+    reply: &mut Reply<'_, E, C>,
+) -> Result<(), Unserved> {
+    let event = chunk.into_caller_event(&plan.request_id);
+    reply.send_event(event, plan.deadline).await?;
+    Ok(())
+}
+
+impl From<ReplyError> for Unserved {
+    fn from(error: ReplyError) -> Self {
+        match error {
+            ReplyError::CallerDisconnected => Unserved::CallerDisconnected(RunState::MayHaveRun),
+            ReplyError::TimedOut => Refusal::may_have_run(ResultCode::DeadlineAfterSend).into(),
+        }
     }
 }
--- a/crates/proxy/src/request/stream_watch.rs
+++ b/crates/proxy/src/request/stream_watch.rs
@@ -91,7 +91,7 @@
     }
 
     /// Looks at the backend after a while without a piece, or between two pieces.
-    pub fn look<E: RequestEnvironment>(
+    pub fn check<E: RequestEnvironment>(
         &mut self,
         environment: &E,
         plan: &RequestPlan,
