--- a/crates/proxy/src/daemon/backend_client.rs
+++ b/crates/proxy/src/daemon/backend_client.rs
@@ -37,6 +37,12 @@
 #[derive(Debug)]
 struct ConnectionTask(JoinHandle<()>);
 
+/// A connection on which one request can be sent.
+struct BackendConnection {
+    sender: http1::SendRequest<Full<Bytes>>,
+    task: ConnectionTask,
+}
+
 impl Drop for ConnectionTask {
     fn drop(&mut self) {
         self.0.abort();
@@ -74,23 +80,21 @@
 
 impl BackendClient {
     /// Sends one attempt and reads the head of its answer.
+    ///
+    /// # Errors
+    /// Fails when no connection was opened, and when the connection broke before the head came.
     pub async fn dispatch(&self, request: BackendRequest) -> Result<HttpAnswer, DispatchError> {
         let message = http_request(&request).ok_or(DispatchError::NotConnected)?;
-        let stream = self.connect(&request.address).await;
-        let stream = stream.ok_or(DispatchError::NotConnected)?;
-        let handshake = http1::handshake(TokioIo::new(stream)).await;
-        let (mut sender, connection) = handshake.map_err(|_| DispatchError::NotConnected)?;
+        let connection = self.open(&request.address).await;
+        let mut connection = connection.ok_or(DispatchError::NotConnected)?;
         // From here on a byte may leave at any time.
         request.sent.set();
-        let task = ConnectionTask(tokio::spawn(async move {
-            let _ = connection.await;
-        }));
-        let response = sender.send_request(message).await;
+        let response = connection.sender.send_request(message).await;
         let response = response.map_err(|_| DispatchError::Lost)?;
         Ok(HttpAnswer {
             head: answer_head(&response),
             body: response.into_body(),
-            _connection: task,
+            _connection: connection.task,
         })
     }
 
@@ -122,12 +126,8 @@
     /// A small request on a connection of its own; nothing unless it is answered with success.
     async fn exchange(&self, address: &str, request: request::Builder) -> Option<Bytes> {
         let request = request.body(Full::<Bytes>::default()).ok()?;
-        let stream = self.connect(address).await?;
-        let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-        let _task = ConnectionTask(tokio::spawn(async move {
-            let _ = connection.await;
-        }));
-        let response = sender.send_request(request).await.ok()?;
+        let mut connection = self.open(address).await?;
+        let response = connection.sender.send_request(request).await.ok()?;
         if !response.status().is_success() {
             return None;
         }
@@ -135,6 +135,17 @@
         Some(body.to_bytes())
     }
 
+    /// Opens a connection; no byte leaves before a request is sent on it.
+    async fn open(&self, address: &str) -> Option<BackendConnection> {
+        let stream = self.connect(address).await?;
+        let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
+        let task = ConnectionTask(tokio::spawn(async move {
+            // An error here shows as the error of the request.
+            let _ = connection.await;
+        }));
+        Some(BackendConnection { sender, task })
+    }
+
     async fn connect(&self, address: &str) -> Option<TcpStream> {
         let address: SocketAddr = address.parse().ok()?;
         let connecting = TcpStream::connect(address);
--- a/crates/proxy/src/daemon/run.rs
+++ b/crates/proxy/src/daemon/run.rs
@@ -24,14 +24,17 @@
 
 const LOG: PartLog = PartLog::new("PROXY");
 
-/// Time between two looks at the open requests while leaving.
+/// Time between two checks of the open requests while draining.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Longest wait for streams to end once they are told to.
 const STOP_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for the last settlements to be acknowledged.
+/// Longest wait for the last resolutions of claims to be acknowledged.
 const RESOLUTION_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Runs until a signal ends the process.
+///
+/// # Errors
+/// Fails when the process cannot start, above all when its address is in use.
 pub fn run(settings: &ProxySettings) -> miette::Result<()> {
     let agent_address: SocketAddr = settings.agent_address.parse().into_diagnostic()?;
     let state = Arc::new(ProxyState::new(settings.limits()));
@@ -63,11 +66,7 @@
 
 async fn serve(settings: &ProxySettings, environment: DaemonEnvironment) -> miette::Result<()> {
     let address: SocketAddr = settings.caller_address.parse().into_diagnostic()?;
-    let listener = TcpListener::bind(address).await;
-    let listener = listener.map_err(|error| {
-        let code = ResultCode::AddressInUse;
-        miette!(code = "address_in_use_7002", "{code} {address}: {error}")
-    })?;
+    let listener = bind(address).await?;
     let bound = listener.local_addr().into_diagnostic()?;
     let mut terminate = signal(SignalKind::terminate())
         .into_diagnostic()
@@ -91,21 +90,28 @@
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    let leave_timeout = Duration::from_millis(settings.leave_timeout_ms);
-    drain(&state, &agent, leave_timeout).await;
+    let drain_timeout = Duration::from_millis(settings.drain_timeout_ms);
+    drain(&state, &agent, drain_timeout).await;
     Ok(())
 }
 
+async fn bind(address: SocketAddr) -> miette::Result<TcpListener> {
+    TcpListener::bind(address).await.map_err(|error| {
+        let code = ResultCode::AddressInUse;
+        miette!(code = "address_in_use_7002", "{code} {address}: {error}")
+    })
+}
+
 /// New requests are refused at once; open ones end by themselves within a bound.
 async fn drain(state: &ProxyState, agent: &AgentLink, timeout: Duration) {
-    LOG.info("Leaving: new requests are refused.");
+    LOG.info("Draining: new requests are refused.");
     state.set_draining();
     wait_while(timeout, || state.metrics.open_requests.get() > 0).await;
     state.set_stopping();
     wait_while(STOP_TIMEOUT, || state.metrics.open_requests.get() > 0).await;
     wait_while(RESOLUTION_TIMEOUT, || !agent.claims_are_resolved()).await;
     let open = state.metrics.open_requests.get();
-    LOG.info(format!("Left with {open} open requests."));
+    LOG.info(format!("Stopped with {open} open requests."));
 }
 
 async fn wait_while(timeout: Duration, condition: impl Fn() -> bool) {
--- a/crates/proxy/src/daemon/server.rs
+++ b/crates/proxy/src/daemon/server.rs
@@ -8,7 +8,8 @@
 use http::{HeaderMap, StatusCode};
 use millford_core::ResultCode;
 use millford_settings::{PartLog, metrics};
-use warp::Filter;
+use warp::path::FullPath;
+use warp::{Filter, Rejection};
 
 use crate::backend_protocol::COMPLETIONS_PATH;
 use crate::daemon::body_reader::read_body;
@@ -48,10 +49,29 @@
 where
     E: RequestEnvironment + 'static,
 {
-    let environment = warp::any().map(move || Arc::clone(&environment));
-    let query = warp::query::raw()
-        .map(Some)
-        .or_else(|_| async { Ok::<_, Infallible>((None,)) });
+    own_pages(&environment)
+        .or(completion_route(&environment, limits))
+        .unify()
+        .or(models_route(&environment, limits))
+        .unify()
+        .or(lookup_route(&environment, limits))
+        .unify()
+        .or(unserved_route(&environment))
+        .unify()
+}
+
+/// Hands the environment to a handler.
+fn with<E: RequestEnvironment + 'static>(
+    environment: &Arc<E>,
+) -> impl Filter<Extract = (Arc<E>,), Error = Infallible> + Clone + use<E> {
+    let environment = Arc::clone(environment);
+    warp::any().map(move || Arc::clone(&environment))
+}
+
+/// Health, readiness and metrics.
+fn own_pages<E: RequestEnvironment + 'static>(
+    environment: &Arc<E>,
+) -> impl Filter<Extract = (HttpResponse,), Error = Rejection> + Clone + use<E> {
     let health = warp::path("healthz")
         .and(warp::path::end())
         .and(warp::get())
@@ -59,55 +79,69 @@
     let ready = warp::path("readyz")
         .and(warp::path::end())
         .and(warp::get())
-        .and(environment.clone())
+        .and(with(environment))
         .map(|environment: Arc<E>| ready_response(environment.as_ref()));
     let metrics = warp::path("metrics")
         .and(warp::path::end())
         .and(warp::get())
-        .and(environment.clone())
+        .and(with(environment))
         .map(|environment: Arc<E>| metrics_response(environment.as_ref()));
-    let completion = warp::path!("v1" / "chat" / "completions")
+    health.or(ready).unify().or(metrics).unify()
+}
+
+fn completion_route<E: RequestEnvironment + 'static>(
+    environment: &Arc<E>,
+    limits: HttpLimits,
+) -> impl Filter<Extract = (HttpResponse,), Error = Rejection> + Clone + use<E> {
+    warp::path!("v1" / "chat" / "completions")
         .and(warp::post())
-        .and(environment.clone())
+        .and(with(environment))
         .and(warp::header::headers_cloned())
         .and(warp::body::stream())
-        .then(move |environment, headers, body| completion(environment, limits, headers, body));
-    let models = warp::path!("v1" / "models")
+        .then(move |environment, headers, body| completion(environment, limits, headers, body))
+}
+
+fn models_route<E: RequestEnvironment + 'static>(
+    environment: &Arc<E>,
+    limits: HttpLimits,
+) -> impl Filter<Extract = (HttpResponse,), Error = Rejection> + Clone + use<E> {
+    warp::path!("v1" / "models")
         .and(warp::get())
-        .and(environment.clone())
+        .and(with(environment))
         .and(warp::header::headers_cloned())
         .map(move |environment: Arc<E>, headers: HeaderMap| {
             models(environment.as_ref(), limits, &headers)
-        });
-    let lookup = warp::get()
+        })
+}
+
+fn lookup_route<E: RequestEnvironment + 'static>(
+    environment: &Arc<E>,
+    limits: HttpLimits,
+) -> impl Filter<Extract = (HttpResponse,), Error = Rejection> + Clone + use<E> {
+    let query = warp::query::raw()
+        .map(Some)
+        .or_else(|_| async { Ok::<_, Infallible>((None,)) });
+    warp::get()
         .and(warp::path::full())
         .and(query)
-        .and(environment.clone())
+        .and(with(environment))
         .and(warp::header::headers_cloned())
         .then(
-            move |path: warp::path::FullPath, query: Option<String>, environment, headers| {
+            move |path: FullPath, query: Option<String>, environment, headers| {
                 let target = path_and_query(path.as_str(), query.as_deref());
                 lookup(environment, limits, headers, target)
             },
-        );
-    let refused = warp::any().and(warp::path::full()).and(environment).map(
-        |path: warp::path::FullPath, environment: Arc<E>| {
-            unserved(path.as_str(), environment.as_ref())
-        },
-    );
-    health
-        .or(ready)
-        .unify()
-        .or(metrics)
-        .unify()
-        .or(completion)
-        .unify()
-        .or(models)
-        .unify()
-        .or(lookup)
-        .unify()
-        .or(refused)
-        .unify()
+        )
+}
+
+/// Takes what no other route serves.
+fn unserved_route<E: RequestEnvironment + 'static>(
+    environment: &Arc<E>,
+) -> impl Filter<Extract = (HttpResponse,), Error = Infallible> + Clone + use<E> {
+    warp::any()
+        .and(warp::path::full())
+        .and(with(environment))
+        .map(|path: FullPath, environment: Arc<E>| unserved(path.as_str(), environment.as_ref()))
 }
 
 async fn completion<E, S, B>(
@@ -138,7 +172,8 @@
         arrived,
     };
     let (mut sink, channel) = caller_channel();
-    // The request runs on its own task to its settlement, also when the caller leaves.
+    // The request runs on its own task to the resolution of its claim, also when the caller
+    // disconnects.
     tokio::spawn(async move {
         let record = serve_completion(environment.as_ref(), request, &mut sink).await;
         log_record(&record);
@@ -207,17 +242,14 @@
         READY_PATH,
         METRICS_PATH,
     ];
-    let known = own_paths.contains(&path) || environment.state().table().match_path(path).is_ok();
-    let refusal = if known {
-        Refusal::not_run(ResultCode::MethodNotAllowed)
+    let is_known =
+        own_paths.contains(&path) || environment.state().table().match_path(path).is_ok();
+    let code = if is_known {
+        ResultCode::MethodNotAllowed
     } else {
-        path_unknown()
+        ResultCode::PathUnknown
     };
-    early_refusal(environment, &refusal)
-}
-
-fn path_unknown() -> Refusal {
-    Refusal::not_run(ResultCode::PathUnknown)
+    early_refusal(environment, &Refusal::not_run(code))
 }
 
 fn ready_response<E: RequestEnvironment>(environment: &E) -> HttpResponse {
@@ -250,7 +282,7 @@
     let (id, route) = (&record.request_id, &record.route);
     if record.caller_disconnected {
         LOG.debug(format!(
-            "Request {id} on route \"{route}\": the caller left."
+            "Request {id} on route \"{route}\": the caller disconnected."
         ));
     } else if record.code == ResultCode::Ok {
         LOG.debug(format!("Request {id} on route \"{route}\" is served."));
--- a/crates/proxy/src/daemon/settings.rs
+++ b/crates/proxy/src/daemon/settings.rs
@@ -38,10 +38,12 @@
     pub connect_timeout_ms: u64,
     /// Estimated time to the first token above which requests wait or are shed, in milliseconds.
     pub first_token_limit_ms: u64,
-    /// Silence within a stream after which its backend is ejected, in milliseconds.
-    pub stream_silence_ms: u64,
-    /// Longest wait for open requests when the process leaves, in milliseconds.
-    pub leave_timeout_ms: u64,
+    /// Inactivity of a stream after which its backend is ejected, in milliseconds.
+    #[serde(rename = "stream_silence_ms")]
+    pub stream_inactivity_timeout_ms: u64,
+    /// Longest wait for open requests when the process drains, in milliseconds.
+    #[serde(rename = "leave_timeout_ms")]
+    pub drain_timeout_ms: u64,
 }
 
 impl Default for ProxySettings {
@@ -60,8 +62,8 @@
             header_timeout_ms: 15_000,
             connect_timeout_ms: 300,
             first_token_limit_ms: to_millis(limits.first_token_limit),
-            stream_silence_ms: to_millis(limits.stream_inactivity_timeout),
-            leave_timeout_ms: 30_000,
+            stream_inactivity_timeout_ms: to_millis(limits.stream_inactivity_timeout),
+            drain_timeout_ms: 30_000,
         }
     }
 }
@@ -72,7 +74,7 @@
     pub fn limits(&self) -> RequestLimits {
         RequestLimits {
             first_token_limit: Duration::from_millis(self.first_token_limit_ms),
-            stream_inactivity_timeout: Duration::from_millis(self.stream_silence_ms),
+            stream_inactivity_timeout: Duration::from_millis(self.stream_inactivity_timeout_ms),
             ..RequestLimits::default()
         }
     }
@@ -137,7 +139,7 @@
             ("header_timeout_ms", self.header_timeout_ms),
             ("connect_timeout_ms", self.connect_timeout_ms),
             ("first_token_limit_ms", self.first_token_limit_ms),
-            ("stream_silence_ms", self.stream_silence_ms),
+            ("stream_silence_ms", self.stream_inactivity_timeout_ms),
         ];
         for (key, value) in positive {
             if value == 0 {
