--- a/crates/control/src/gateway/pending.rs
+++ b/crates/control/src/gateway/pending_requests.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use millford_api::internal::{SessionRenewal, ShardReply, ShardRequest};
+use millford_api::internal::{SessionRenewal, ShardReply, ShardRequest, shard_request};
 use millford_core::{Duration, MonotonicTime, NodeId, ResultCode, ShardId};
 
 use crate::link::LinkId;
-use crate::shard::input::Ticket;
+use crate::shard::input::CorrelationId;
 use crate::timing::{RESEND, RETRY_HINTED, RETRY_NO_LEADER};
 
 /// Who waits for the answer.
@@ -25,20 +25,29 @@
         request: u64,
     },
     /// This node's own report of heartbeats.
-    Touch(Vec<SessionRenewal>),
+    SessionRenewals(Vec<SessionRenewal>),
     /// This node's own session.
     OwnSession,
     /// This node checks the list of control nodes.
     MemberList,
     /// This node registers itself; nobody looks at the answer.
     Registration,
-    /// A replica of this node asks its leader to confirm a read.
+    /// A replica of this node wants its leader to confirm a read.
     Read {
         /// Number of the read in its shard.
         read: u64,
     },
 }
 
+/// How often a request is sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum RetryPolicy {
+    /// Again and again, until it is answered or its deadline passes.
+    UntilDeadline,
+    /// Once: another node forwarded it and retries it itself.
+    Once,
+}
+
 #[derive(Debug)]
 struct Pending {
     origin: Origin,
@@ -47,15 +56,15 @@
     next_attempt: MonotonicTime,
     hint: NodeId,
     attempts: u32,
-    single: bool,
+    retry: RetryPolicy,
 }
 
 /// A request to be sent now.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// Number for the answer.
-    pub ticket: Ticket,
-    /// The request; its number is the ticket.
+    pub correlation_id: CorrelationId,
+    /// The request; its number is the correlation id.
     pub request: ShardRequest,
     /// The leader that the last answer named.
     pub hint: NodeId,
@@ -65,23 +74,23 @@
 
 /// A request that is answered.
 #[derive(Clone, Debug)]
-pub struct Settled {
+pub struct CompletedRequest {
     /// Who waits.
     pub origin: Origin,
     /// The answer.
     pub reply: ShardReply,
 }
 
-/// Requests by ticket, tried until answered or overdue.
+/// Requests by correlation id, tried until answered or overdue.
 ///
 /// Trying again is safe: every request either reads or carries what makes a repeated command
 /// harmless (order id, attempt id, boot id, epoch).
 #[derive(Debug, Default)]
 pub struct PendingRequests {
-    next: Ticket,
-    pending: BTreeMap<Ticket, Pending>,
+    next: CorrelationId,
+    pending: BTreeMap<CorrelationId, Pending>,
     /// No request is due before this time.
-    quiet_until: MonotonicTime,
+    next_due: MonotonicTime,
 }
 
 impl PendingRequests {
@@ -91,9 +100,9 @@
         now: MonotonicTime,
         origin: Origin,
         request: ShardRequest,
-        patience: Duration,
-    ) -> Ticket {
-        self.insert(now, origin, request, patience, false)
+        timeout: Duration,
+    ) -> CorrelationId {
+        self.insert(now, origin, request, timeout, RetryPolicy::UntilDeadline)
     }
 
     /// Takes a request that another node forwarded: it is tried on this node only, once, so that
@@ -103,9 +112,9 @@
         now: MonotonicTime,
         origin: Origin,
         request: ShardRequest,
-        patience: Duration,
-    ) -> Ticket {
-        self.insert(now, origin, request, patience, true)
+        timeout: Duration,
+    ) -> CorrelationId {
+        self.insert(now, origin, request, timeout, RetryPolicy::Once)
     }
 
     /// Number of requests under way.
@@ -120,8 +129,8 @@
         self.pending.is_empty()
     }
 
-    /// A number for an answer that is kept elsewhere.
-    pub fn next_ticket(&mut self) -> Ticket {
+    /// A number for an answer that another part waits for.
+    pub fn next_correlation_id(&mut self) -> CorrelationId {
         self.next += 1;
         self.next
     }
@@ -130,21 +139,23 @@
     pub fn answer(
         &mut self,
         now: MonotonicTime,
-        ticket: Ticket,
+        correlation_id: CorrelationId,
         reply: ShardReply,
-    ) -> Option<Settled> {
-        let pending = self.pending.get_mut(&ticket)?;
-        let retry = is_misdirected(reply.code) && !pending.single && now < pending.deadline;
-        if retry {
+    ) -> Option<CompletedRequest> {
+        let pending = self.pending.get_mut(&correlation_id)?;
+        let retried = is_misdirected(reply.code)
+            && pending.retry == RetryPolicy::UntilDeadline
+            && now < pending.deadline;
+        if retried {
             pending.hint = NodeId(reply.leader_hint);
             let named = pending.hint.is_some();
             let delay = if named { RETRY_HINTED } else { RETRY_NO_LEADER };
             pending.next_attempt = now + delay;
-            self.quiet_until = self.quiet_until.min(now + delay);
+            self.next_due = self.next_due.min(now + delay);
             return None;
         }
-        let pending = self.pending.remove(&ticket)?;
-        Some(Settled {
+        let pending = self.pending.remove(&correlation_id)?;
+        Some(CompletedRequest {
             origin: pending.origin,
             reply,
         })
@@ -152,18 +163,18 @@
 
     /// Requests that are due now; each is due again later unless answered.
     pub fn take_due(&mut self, now: MonotonicTime) -> Vec<Attempt> {
-        if now < self.quiet_until {
+        if now < self.next_due {
             return Vec::new();
         }
         let due = self
             .pending
             .iter_mut()
             .filter(|(_, pending)| pending.next_attempt <= now && !pending.is_spent());
-        let attempts = due.map(|(ticket, pending)| {
+        let attempts = due.map(|(correlation_id, pending)| {
             pending.next_attempt = now + RESEND;
             pending.attempts += 1;
             Attempt {
-                ticket: *ticket,
+                correlation_id: *correlation_id,
                 request: pending.request.clone(),
                 hint: pending.hint,
                 attempts: pending.attempts - 1,
@@ -172,32 +183,32 @@
         let attempts = attempts.collect();
         let open = self.pending.values().filter(|pending| !pending.is_spent());
         let next = open.map(|pending| pending.next_attempt).min();
-        self.quiet_until = next.unwrap_or(now + RESEND);
+        self.next_due = next.unwrap_or(now + RESEND);
         attempts
     }
 
     /// No node could be found for the attempt: it is due again soon.
-    pub fn postpone(&mut self, now: MonotonicTime, ticket: Ticket) {
-        if let Some(pending) = self.pending.get_mut(&ticket) {
+    pub fn postpone(&mut self, now: MonotonicTime, correlation_id: CorrelationId) {
+        if let Some(pending) = self.pending.get_mut(&correlation_id) {
             pending.next_attempt = now + RETRY_NO_LEADER;
             pending.hint = NodeId::NONE;
-            self.quiet_until = self.quiet_until.min(pending.next_attempt);
+            self.next_due = self.next_due.min(pending.next_attempt);
         }
     }
 
     /// Removes the requests whose time is over, with the answer that says so.
-    pub fn take_overdue(&mut self, now: MonotonicTime) -> Vec<Settled> {
-        let overdue: Vec<Ticket> = self
+    pub fn take_overdue(&mut self, now: MonotonicTime) -> Vec<CompletedRequest> {
+        let overdue: Vec<CorrelationId> = self
             .pending
             .iter()
             .filter(|(_, pending)| pending.deadline <= now)
-            .map(|(ticket, _)| *ticket)
+            .map(|(correlation_id, _)| *correlation_id)
             .collect();
         let removed = overdue
             .into_iter()
-            .filter_map(|ticket| self.pending.remove(&ticket));
+            .filter_map(|correlation_id| self.pending.remove(&correlation_id));
         removed
-            .map(|pending| Settled {
+            .map(|pending| CompletedRequest {
                 reply: refusal(&pending.request, ResultCode::ControlTimeout, NodeId::NONE),
                 origin: pending.origin,
             })
@@ -216,29 +227,29 @@
         now: MonotonicTime,
         origin: Origin,
         mut request: ShardRequest,
-        patience: Duration,
-        single: bool,
-    ) -> Ticket {
-        let ticket = self.next_ticket();
-        request.request_id = ticket;
+        timeout: Duration,
+        retry: RetryPolicy,
+    ) -> CorrelationId {
+        let correlation_id = self.next_correlation_id();
+        request.request_id = correlation_id;
         let pending = Pending {
             origin,
             request,
-            deadline: now + patience,
+            deadline: now + timeout,
             next_attempt: now,
             hint: NodeId::NONE,
             attempts: 0,
-            single,
+            retry,
         };
-        self.pending.insert(ticket, pending);
-        self.quiet_until = self.quiet_until.min(now);
-        ticket
+        self.pending.insert(correlation_id, pending);
+        self.next_due = self.next_due.min(now);
+        correlation_id
     }
 }
 
 impl Pending {
     fn is_spent(&self) -> bool {
-        self.single && self.attempts > 0
+        self.retry == RetryPolicy::Once && self.attempts > 0
     }
 }
 
@@ -269,3 +280,19 @@
     ];
     misdirected.iter().any(|known| known.number() == code)
 }
+
+/// A request to a shard's leader.
+#[must_use]
+pub fn request_to(shard: ShardId, kind: shard_request::Kind) -> ShardRequest {
+    ShardRequest {
+        shard: shard.0,
+        kind: Some(kind),
+        ..ShardRequest::default()
+    }
+}
+
+/// Whether a code says that everything went well.
+#[must_use]
+pub fn is_ok(code: u32) -> bool {
+    code == ResultCode::Ok.number()
+}
--- a/crates/control/src/shard/input.rs
+++ b/crates/control/src/shard/input.rs
@@ -12,7 +12,7 @@
 use crate::link::LinkId;
 
 /// Number under which the gateway remembers who is to be answered.
-pub type Ticket = u64;
+pub type CorrelationId = u64;
 
 /// One input of a shard's core.
 #[derive(Clone, Debug)]
@@ -24,14 +24,14 @@
     /// A request to the shard's leader.
     Request {
         /// For the answer.
-        ticket: Ticket,
+        correlation_id: CorrelationId,
         /// The request.
         request: ShardRequest,
     },
-    /// An agent asks for quota.
+    /// An agent requests quota.
     Quota {
         /// For the answer.
-        ticket: Ticket,
+        correlation_id: CorrelationId,
         /// The request.
         request: QuotaRequest,
     },
@@ -44,12 +44,12 @@
         /// From where.
         subscribe: Subscribe,
     },
-    /// An agent is gone.
+    /// An agent is disconnected.
     Unsubscribe {
         /// Its link.
         subscriber: LinkId,
     },
-    /// The leader's answer to a confirmed read that this replica asked for.
+    /// The leader's answer to a read that this replica wanted confirmed.
     LeaderIndex {
         /// Number of the read.
         read: u64,
@@ -65,10 +65,10 @@
     /// An operator forces recovery: this replica becomes the only voter.
     ForceRecovery,
     /// Hand leadership to this voter.
-    HandOver {
+    TransferLeadership {
         /// The voter.
         to: NodeId,
     },
-    /// The process leaves: hand leadership over if possible.
-    Leave,
+    /// The process shuts down: transfer leadership if possible.
+    Shutdown,
 }
--- a/crates/forward/src/backend/health_watch.rs
+++ b/crates/forward/src/backend/health_watch.rs
@@ -1,4 +1,4 @@
-//! Notices backends that are gone without a word, and takes ejected ones back.
+//! Ejects unresponsive backends, and readmits ejected ones.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,24 +14,24 @@
 
 const LOG: PartLog = PartLog::new("HEALTH");
 
-/// Period of the watch.
+/// Time between two checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// A backend with requests under way that is silent for this long is asked for a connection.
+/// A backend with requests in flight that sends nothing for this long is probed.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(600);
-/// Shortest time between two such questions.
+/// Shortest time between two such probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two tries to reach an ejected backend.
+/// Time between two probes of an ejected backend.
 const READMIT_PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// Period at which idle connections are looked through.
-const SWEEP_INTERVAL: Duration = Duration::from_millis(1000);
+/// Time between two sweeps of idle connections.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Watches for as long as the process lives.
 ///
-/// The question is a bare connection: the backend's system answers it at once whatever the backend is
-/// busy with, so silence there means that the machine or the way to it is gone. It needs no slot
+/// A probe is a bare connection: the backend's system accepts it at once whatever the backend is
+/// busy with, so a timeout there means that the machine or the way to it is lost. It needs no slot
 /// and is no request.
 pub async fn run<P: ForwardProtocol>(node: Arc<ForwardNode<P>>) {
-    let mut last_probes: BTreeMap<String, MonotonicTime> = BTreeMap::new();
+    let mut last_probes: LastProbes = BTreeMap::new();
     let mut next_sweep = monotonic_now();
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
@@ -44,44 +44,64 @@
             last_probes.retain(|id, _| known(id));
         }
         for backend in table.pools().flat_map(|pool| pool.backends()) {
-            let ejected = node.state.health.ejection(&backend.id).is_some();
-            let period = if ejected {
-                READMIT_PROBE_INTERVAL
-            } else {
-                PROBE_INTERVAL
-            };
-            let recently = last_probes
-                .get(&backend.id)
-                .is_some_and(|at| now.since(*at) < period);
-            let suspect = node.connections.in_use(&backend.id) > 0
-                && node
-                    .state
-                    .health
-                    .is_unresponsive(&backend.id, now, UNRESPONSIVE_AFTER);
-            if recently || !(ejected || suspect) {
+            let Some(purpose) = due_probe(&node, &backend.id, now, &last_probes) else {
                 continue;
-            }
+            };
             last_probes.insert(backend.id.clone(), now);
             let (id, address) = (backend.id.clone(), backend.address.clone());
-            tokio::spawn(probe(Arc::clone(&node), id, address, ejected));
+            tokio::spawn(probe(Arc::clone(&node), id, address, purpose));
         }
     }
 }
 
+/// When each backend was probed last.
+type LastProbes = BTreeMap<String, MonotonicTime>;
+
+/// What a probe is to find out.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ProbePurpose {
+    /// Whether an ejected backend may be readmitted.
+    Readmission,
+    /// Whether an unresponsive backend has to be ejected.
+    Ejection,
+}
+
+fn due_probe<P: ForwardProtocol>(
+    node: &ForwardNode<P>,
+    backend_id: &str,
+    now: MonotonicTime,
+    last_probes: &LastProbes,
+) -> Option<ProbePurpose> {
+    let health = &node.state.health;
+    let (purpose, interval) = match health.ejection(backend_id) {
+        Some(_) => (ProbePurpose::Readmission, READMIT_PROBE_INTERVAL),
+        None => (ProbePurpose::Ejection, PROBE_INTERVAL),
+    };
+    let last = last_probes.get(backend_id);
+    if last.is_some_and(|at| now.since(*at) < interval) {
+        return None;
+    }
+    let is_suspect = || {
+        node.connections.in_use(backend_id) > 0
+            && health.is_unresponsive(backend_id, now, UNRESPONSIVE_AFTER)
+    };
+    (purpose == ProbePurpose::Readmission || is_suspect()).then_some(purpose)
+}
+
 async fn probe<P: ForwardProtocol>(
     node: Arc<ForwardNode<P>>,
     id: String,
     address: String,
-    ejected: bool,
+    purpose: ProbePurpose,
 ) {
     match node.connections.dial(&id, &address).await {
         Ok(pooled) => {
             pooled.release(None);
             if node.state.health.probe_succeeded(&id, monotonic_now()) {
-                LOG.info(format!("Backend {id} is used again."));
+                LOG.info(format!("Backend {id} is readmitted."));
             }
         }
-        Err(error) if !ejected => {
+        Err(error) if purpose == ProbePurpose::Ejection => {
             let reason = ejection_reason(error);
             LOG.warn(format!("Backend {id} is ejected: {}.", reason.name()));
             node.eject(&id, reason);
--- a/crates/forward/src/load/owned_loads.rs
+++ b/crates/forward/src/load/owned_loads.rs
@@ -5,13 +5,13 @@
 use millford_api::exchange::{BackendInFlight, InFlightUpdate, ReplicaInFlight};
 use millford_core::{Duration, MonotonicTime};
 
-/// Nodes repeat unchanged work at this period: what a lost update said is then made good.
+/// Nodes publish unchanged work again at this interval, which makes up for lost updates.
 pub const REPUBLISH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Work of a node that was not repeated for this long counts no more: three repetitions were missed.
+/// Work of a node that was not published for this long no longer counts: three repetitions were missed.
 pub const WORK_EXPIRY: Duration = Duration::from_secs(3);
 
-/// What one node said last of its work on one backend.
+/// What one node published last of its work on one backend.
 #[derive(Clone, Debug)]
 struct MemberWork {
     boot_id: u64,
@@ -20,15 +20,33 @@
     replicas: Vec<ReplicaInFlight>,
 }
 
+/// Identity of a replica on one backend, in the order of summing.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ReplicaName<'a> {
+    pool: &'a str,
+    model: &'a str,
+    version: &'a str,
+}
+
+impl<'a> From<&'a ReplicaInFlight> for ReplicaName<'a> {
+    fn from(replica: &'a ReplicaInFlight) -> Self {
+        Self {
+            pool: &replica.pool,
+            model: &replica.model,
+            version: &replica.version,
+        }
+    }
+}
+
 /// Work by backend and node. Every entry is absolute, so that updates may be lost, repeated and
-/// overtaken: the newest of each node stands.
+/// reordered: the newest of each node wins.
 #[derive(Debug, Default)]
 pub struct OwnedLoads {
     backends: BTreeMap<String, BTreeMap<String, MemberWork>>,
 }
 
 impl OwnedLoads {
-    /// Takes a node's update. What is older than what is known is passed over.
+    /// Applies a node's update. What is older than what is known is ignored.
     pub fn apply(
         &mut self,
         now: MonotonicTime,
@@ -57,27 +75,16 @@
     /// What all nodes but `except` have in flight on a backend, summed by replica.
     #[must_use]
     pub fn others(&self, now: MonotonicTime, backend_id: &str, except: &str) -> BackendInFlight {
-        let mut sums: BTreeMap<(&str, &str, &str), ReplicaInFlight> = BTreeMap::new();
+        let mut sums: BTreeMap<ReplicaName<'_>, ReplicaInFlight> = BTreeMap::new();
         let members = self.backends.get(backend_id).into_iter().flatten();
         let live = members.filter(|(member, work)| {
             *member != except && now.since(work.received_at) < WORK_EXPIRY
         });
         for replica in live.flat_map(|(_, work)| &work.replicas) {
-            let key = (
-                replica.pool.as_str(),
-                replica.model.as_str(),
-                replica.version.as_str(),
-            );
-            match sums.get_mut(&key) {
-                Some(sum) => {
-                    sum.prefill_tokens = sum.prefill_tokens.saturating_add(replica.prefill_tokens);
-                    sum.decode_streams = sum.decode_streams.saturating_add(replica.decode_streams);
-                    sum.held_requests = sum.held_requests.saturating_add(replica.held_requests);
-                }
-                None => {
-                    sums.insert(key, replica.clone());
-                }
-            }
+            let name = ReplicaName::from(replica);
+            sums.entry(name)
+                .and_modify(|sum| add(sum, replica))
+                .or_insert_with(|| replica.clone());
         }
         BackendInFlight {
             backend_id: backend_id.to_owned(),
@@ -85,7 +92,7 @@
         }
     }
 
-    /// Forgets nodes that were not heard for long.
+    /// Forgets nodes whose updates expired.
     pub fn expire(&mut self, now: MonotonicTime) {
         self.backends.retain(|_, members| {
             members.retain(|_, work| now.since(work.received_at) < WORK_EXPIRY);
@@ -93,3 +100,10 @@
         });
     }
 }
+
+/// The counts come from the network and may be anything.
+fn add(sum: &mut ReplicaInFlight, replica: &ReplicaInFlight) {
+    sum.prefill_tokens = sum.prefill_tokens.saturating_add(replica.prefill_tokens);
+    sum.decode_streams = sum.decode_streams.saturating_add(replica.decode_streams);
+    sum.held_requests = sum.held_requests.saturating_add(replica.held_requests);
+}
--- a/crates/replication/tests/membership.rs
+++ b/crates/replication/tests/membership.rs
@@ -2,16 +2,17 @@
 
 mod group;
 
-use group::network::Weather;
-use group::simulation::{Defect, Simulation};
+use group::fixture::{SECOND, group_with_leader, new_group};
+use group::simulation::Simulation;
 use millford_core::{Duration, NodeId};
-use millford_replication::{ChangeRefused, ReplicaStatus, Role, VoterChange};
+use millford_replication::{Role, VoterChange, VoterChangeError};
 
-const SECOND: Duration = Duration::from_secs(1);
+/// Seed of every group here.
+const SEED: u64 = 5;
 
+/// A group and its only leader.
 fn started(size: u64) -> (Simulation, NodeId) {
-    let mut simulation = Simulation::new(5, size, Weather::CALM, Defect::None);
-    simulation.run_for(SECOND * 3);
+    let (simulation, _) = group_with_leader(SEED, size);
     let leader = only_leader(&simulation);
     (simulation, leader)
 }
@@ -26,18 +27,14 @@
     simulation: &mut Simulation,
     leader: NodeId,
     change: VoterChange,
-) -> Result<u64, ChangeRefused> {
-    let replica = simulation.replica(leader).expect("runs");
+) -> Result<u64, VoterChangeError> {
+    let replica = simulation.running_replica(leader);
     replica.change_voters(change)
 }
 
-fn status(simulation: &mut Simulation, node: NodeId) -> ReplicaStatus {
-    simulation.replica(node).expect("runs").status()
-}
-
 fn propose(simulation: &mut Simulation, leader: NodeId, count: u64) {
     for number in 0..count {
-        let replica = simulation.replica(leader).expect("runs");
+        let replica = simulation.running_replica(leader);
         replica
             .propose(number.to_le_bytes().to_vec())
             .expect("leads");
@@ -55,17 +52,13 @@
         .get_mut(&leader)
         .expect("machine")
         .save_snapshot();
-    let lost = *simulation
-        .machines
-        .keys()
-        .find(|node| **node != leader)
-        .expect("other");
+    let lost = simulation.others(leader)[0];
     simulation.machines.remove(&lost);
-    let spare = simulation.add_machine(None);
-    change(&mut simulation, leader, VoterChange::AddLearner(spare)).expect("added");
+    let standby = simulation.add_machine(None);
+    change(&mut simulation, leader, VoterChange::AddLearner(standby)).expect("added");
     simulation.run_for(SECOND);
-    assert_eq!(status(&mut simulation, spare).role, Role::Learner);
-    change(&mut simulation, leader, VoterChange::Promote(spare)).expect("promoted");
+    assert_eq!(simulation.status(standby).role, Role::Learner);
+    change(&mut simulation, leader, VoterChange::Promote(standby)).expect("promoted");
     simulation.run_for(SECOND);
     change(&mut simulation, leader, VoterChange::Remove(lost)).expect("removed");
     simulation.run_for(SECOND);
@@ -74,140 +67,125 @@
     simulation.run_for(SECOND * 4);
     let next = only_leader(&simulation);
     propose(&mut simulation, next, 5);
-    assert!(status(&mut simulation, next).commit_index > 60);
+    assert!(simulation.status(next).commit_index > 60);
     assert_eq!(simulation.history.snapshots_received, 1);
     assert_eq!(simulation.history.violations, Vec::<String>::new());
 }
 
 #[test]
-fn one_change_at_a_time_and_not_before_an_entry_of_the_own_term() {
-    let mut simulation = Simulation::new(5, 3, Weather::CALM, Defect::None);
-    let spare = simulation.add_machine(None);
+fn one_change_at_a_time_and_none_before_an_entry_of_the_own_term_is_committed() {
+    let mut simulation = new_group(SEED, 3);
+    let standby = simulation.add_machine(None);
     simulation.run_until(|simulation| !simulation.leaders().is_empty());
     let leader = only_leader(&simulation);
-    let add = VoterChange::AddLearner(spare);
+    let add = VoterChange::AddLearner(standby);
     assert_eq!(
         change(&mut simulation, leader, add),
-        Err(ChangeRefused::TermNotCommitted)
+        Err(VoterChangeError::TermNotCommitted)
     );
     simulation.run_for(SECOND);
     change(&mut simulation, leader, add).expect("added");
-    let remove = VoterChange::Remove(spare);
+    let remove = VoterChange::Remove(standby);
     assert_eq!(
         change(&mut simulation, leader, remove),
-        Err(ChangeRefused::ChangePending)
+        Err(VoterChangeError::ChangePending)
     );
-    let promote = VoterChange::Promote(spare);
+    let promote = VoterChange::Promote(standby);
     assert_eq!(
         change(&mut simulation, leader, promote),
-        Err(ChangeRefused::ChangePending)
+        Err(VoterChangeError::ChangePending)
     );
     simulation.run_for(SECOND);
     change(&mut simulation, leader, promote).expect("caught up");
     simulation.run_for(SECOND);
-    assert_eq!(status(&mut simulation, leader).voters.len(), 4);
+    assert_eq!(simulation.status(leader).voters.len(), 4);
 }
 
 #[test]
-fn a_learner_out_of_touch_is_not_promoted() {
+fn an_unreachable_learner_is_not_promoted() {
     let (mut simulation, leader) = started(3);
-    let spare = simulation.add_machine(None);
-    change(&mut simulation, leader, VoterChange::AddLearner(spare)).expect("added");
+    let standby = simulation.add_machine(None);
+    change(&mut simulation, leader, VoterChange::AddLearner(standby)).expect("added");
     simulation.run_for(SECOND);
-    simulation.lose_power(spare);
+    simulation.lose_power(standby);
     simulation.run_for(SECOND);
-    let promote = VoterChange::Promote(spare);
+    let promote = VoterChange::Promote(standby);
     assert_eq!(
         change(&mut simulation, leader, promote),
-        Err(ChangeRefused::NotCaughtUp)
+        Err(VoterChangeError::NotCaughtUp)
     );
 }
 
 #[test]
-fn a_change_that_would_leave_no_quorum_in_touch_is_refused() {
+fn a_change_that_would_leave_no_reachable_quorum_is_rejected() {
     let (mut simulation, leader) = started(3);
-    let mut others = simulation
-        .machines
-        .keys()
-        .copied()
-        .filter(|node| *node != leader);
-    let (lost, healthy) = (others.next().expect("other"), others.next().expect("other"));
+    let others = simulation.others(leader);
+    let (lost, healthy) = (others[0], others[1]);
     simulation.lose_power(lost);
     simulation.run_for(SECOND);
     let remove = VoterChange::Remove(healthy);
     assert_eq!(
         change(&mut simulation, leader, remove),
-        Err(ChangeRefused::NoQuorum)
+        Err(VoterChangeError::NoQuorum)
     );
-    change(&mut simulation, leader, VoterChange::Remove(lost)).expect("the lost one may go");
+    change(&mut simulation, leader, VoterChange::Remove(lost))
+        .expect("the lost voter may be removed");
 }
 
 #[test]
-fn a_removed_leader_hands_over_and_does_not_come_back() {
+fn a_removed_leader_transfers_leadership_and_does_not_return() {
     let (mut simulation, leader) = started(3);
     propose(&mut simulation, leader, 3);
     change(&mut simulation, leader, VoterChange::Remove(leader)).expect("appended");
     simulation.run_for(Duration::from_millis(300));
     let next = only_leader(&simulation);
     assert_ne!(next, leader);
-    let term = status(&mut simulation, next).term;
+    let term = simulation.status(next).term;
     simulation.run_for(SECOND * 5);
-    assert_eq!(status(&mut simulation, next).term, term);
-    assert!(status(&mut simulation, leader).removed);
+    assert_eq!(simulation.status(next).term, term);
+    assert!(simulation.status(leader).removed);
     assert_eq!(simulation.history.violations, Vec::<String>::new());
 }
 
 #[test]
-fn a_voter_that_was_removed_while_cut_off_learns_it_and_disturbs_nobody() {
+fn a_voter_removed_while_partitioned_learns_of_it_and_disrupts_nobody() {
     let (mut simulation, leader) = started(3);
-    let cut = *simulation
-        .machines
-        .keys()
-        .find(|node| **node != leader)
-        .expect("other");
-    let others: Vec<NodeId> = simulation.machines.keys().copied().collect();
-    for other in others {
-        simulation.network.cut.insert((cut, other));
-        simulation.network.cut.insert((other, cut));
-    }
+    let partitioned = simulation.others(leader)[0];
+    simulation.isolate(partitioned);
     simulation.run_for(SECOND);
-    change(&mut simulation, leader, VoterChange::Remove(cut)).expect("removed");
+    change(&mut simulation, leader, VoterChange::Remove(partitioned)).expect("removed");
     simulation.run_for(SECOND * 3);
-    let term = status(&mut simulation, leader).term;
-    simulation.network.cut.clear();
+    let term = simulation.status(leader).term;
+    simulation.network.heal();
     simulation.run_for(SECOND * 3);
-    assert_eq!(status(&mut simulation, leader).term, term);
+    assert_eq!(simulation.status(leader).term, term);
     assert_eq!(only_leader(&simulation), leader);
-    let removed = status(&mut simulation, cut);
+    let removed = simulation.status(partitioned);
     assert!(removed.removed);
     assert_eq!(removed.role, Role::Follower);
     // It may come back with its old disk and identity.
-    change(&mut simulation, leader, VoterChange::AddLearner(cut)).expect("added");
+    change(
+        &mut simulation,
+        leader,
+        VoterChange::AddLearner(partitioned),
+    )
+    .expect("added");
     simulation.run_for(SECOND);
-    change(&mut simulation, leader, VoterChange::Promote(cut)).expect("promoted");
+    change(&mut simulation, leader, VoterChange::Promote(partitioned)).expect("promoted");
     simulation.run_for(SECOND);
-    assert!(!status(&mut simulation, cut).removed);
+    assert!(!simulation.status(partitioned).removed);
 }
 
 #[test]
-fn a_change_that_a_new_leader_replaces_is_taken_back() {
+fn a_change_that_a_new_leader_overwrites_is_rolled_back() {
     let (mut simulation, leader) = started(3);
-    let others: Vec<NodeId> = simulation
-        .machines
-        .keys()
-        .copied()
-        .filter(|node| *node != leader)
-        .collect();
-    for other in &others {
-        simulation.network.cut.insert((leader, *other));
-        simulation.network.cut.insert((*other, leader));
-    }
+    simulation.isolate(leader);
     change(&mut simulation, leader, VoterChange::AddLearner(NodeId(77))).expect("appended");
     simulation.run_for(SECOND * 4);
-    simulation.network.cut.clear();
+    simulation.network.heal();
     simulation.run_for(SECOND * 2);
-    let back = status(&mut simulation, leader);
-    assert_eq!(back.learners, Vec::new());
-    assert!(back.configuration_committed);
+    let returned = simulation.status(leader);
+    assert_eq!(returned.learners, Vec::new());
+    assert!(returned.configuration_committed);
     assert_eq!(simulation.history.violations, Vec::<String>::new());
 }
--- a/crates/simulation/src/world/control_driver.rs
+++ b/crates/simulation/src/world/control_driver.rs
@@ -273,7 +273,7 @@
                     Event::Operator(OperatorEvent::Reply { request }),
                 );
             }
-            NodeOutput::Note(event) => {
+            NodeOutput::Event(event) => {
                 self.log(|| format!("control {number}: {event:?}"));
             }
             NodeOutput::Fatal { code } => {
