--- a/crates/backend-model/tests/backend.rs
+++ b/crates/backend-model/tests/backend.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_lone_prefill_takes_its_processor_time_over_the_cores() {
+fn a_lone_prefill_is_spread_over_all_cores() {
     let profile = ModelProfile::heavy();
     let expected = 1000.0 * profile.prefill_core_micros_per_token / 16.0;
     let stall =
--- a/crates/simulation/src/checkers/panel.rs
+++ b/crates/simulation/src/checkers/panel.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Ends the run and gives the verdict.
+    /// Ends the run and returns the verdict.
     pub fn finish(&mut self, at: MonotonicTime) -> Verdict {
         for checker in &mut self.checkers {
             checker.finish(at, &mut self.verdict);
--- a/crates/simulation/src/checkers/quota.rs
+++ b/crates/simulation/src/checkers/quota.rs
@@ -153,7 +153,7 @@
         }
     }
 
-    /// What piled up before a frozen agent arrives at once when it goes on: nobody can tell by
+    /// What piled up before a frozen agent arrives at once when it continues: nobody can know by
     /// then how long it waited.
     fn arrive_again(&mut self, at: MonotonicTime, proxy_node: ProxyNodeNumber) {
         let waiting = self.waiting.iter().filter(|(_, it)| **it == proxy_node);
--- a/crates/simulation/src/command.rs
+++ b/crates/simulation/src/command.rs
@@ -14,9 +14,9 @@
 /// Exit status of a wrong command line or scenario file.
 const USAGE_EXIT: u8 = 2;
 /// Violations printed of one failed run.
-const VIOLATIONS_SHOWN: usize = 3;
+const MAX_PRINTED_VIOLATIONS: usize = 3;
 /// Failed runs printed of one scenario.
-const FAILURES_SHOWN: usize = 20;
+const MAX_PRINTED_FAILURES: usize = 20;
 
 /// Why the command cannot start.
 #[derive(Debug, Error)]
@@ -71,7 +71,7 @@
     let seeds = arguments.seeds.unwrap_or(file.scenario.seeds);
     let summary = sweep(&file.scenario, arguments.from, seeds, arguments.jobs);
     println!("{summary}");
-    for failure in summary.failures.iter().take(FAILURES_SHOWN) {
+    for failure in summary.failures.iter().take(MAX_PRINTED_FAILURES) {
         print_failure(file, failure);
     }
     summary.failed
@@ -105,7 +105,7 @@
         report.seed
     );
     let violations = &report.verdict.violations;
-    for violation in violations.iter().take(VIOLATIONS_SHOWN) {
+    for violation in violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!(
             "    at {} ms, {:?}: {}",
             violation.at.as_millis(),
@@ -113,7 +113,7 @@
             violation.text
         );
     }
-    if violations.len() > VIOLATIONS_SHOWN {
-        println!("    and {} more", violations.len() - VIOLATIONS_SHOWN);
+    if violations.len() > MAX_PRINTED_VIOLATIONS {
+        println!("    and {} more", violations.len() - MAX_PRINTED_VIOLATIONS);
     }
 }
--- a/crates/simulation/src/disk/condition.rs
+++ b/crates/simulation/src/disk/condition.rs
@@ -10,7 +10,7 @@
     Slow(u64),
     /// The next sync takes until the fault ends.
     Stalled,
-    /// Writes fail for want of space.
+    /// Writes fail because no space is left.
     Full,
     /// Syncs fail; the unsynced bytes may be lost.
     FailingSync,
--- a/crates/simulation/src/disk/disk_image.rs
+++ b/crates/simulation/src/disk/disk_image.rs
@@ -55,7 +55,7 @@
         self.files.clear();
     }
 
-    /// What a kill of the machine leaves: synced bytes, and perhaps a torn part of the others.
+    /// What is left after a kill of the machine: synced bytes, and perhaps a torn part of the others.
     pub fn lose_power(&mut self, random: &mut ChaCha8Rng) {
         for file in self.files.values_mut() {
             file.lose_power(random);
--- a/crates/simulation/src/disk/file.rs
+++ b/crates/simulation/src/disk/file.rs
@@ -6,7 +6,7 @@
 /// Bytes that a disk writes as one.
 const SECTOR_BYTES: usize = 512;
 
-/// A file: what a kill would leave for certain, and what a reader sees now.
+/// A file: what certainly survives a kill, and what a reader sees now.
 #[derive(Clone, Debug, Default)]
 pub struct DiskFile {
     /// Bytes at the last sync; `None` if the file's name was never synced.
@@ -57,7 +57,7 @@
         self.durable.is_none() && self.current.is_none()
     }
 
-    /// What a power loss leaves: the durable bytes, and perhaps some of what followed them.
+    /// What is left after a power loss: the durable bytes, and perhaps some of what followed them.
     pub fn lose_power(&mut self, random: &mut ChaCha8Rng) {
         let survivor = match (self.durable.take(), self.current.take()) {
             (None, None) => None,
--- a/crates/simulation/src/world/agent_driver.rs
+++ b/crates/simulation/src/world/agent_driver.rs
@@ -17,7 +17,7 @@
 const START_TICK: Duration = Duration::from_millis(1);
 
 impl Site {
-    /// Starts the agent's core.
+    /// Starts the agent.
     pub(super) fn start_agent(&mut self, number: u16) {
         let process = ProcessId::Agent(number);
         let local = self.local_time(process);
@@ -93,7 +93,7 @@
         let agent = self.agents.get_mut(&number);
         if agent.is_some_and(|agent| agent.update_connected(connected)) {
             let proxy_node = ProxyNodeNumber(number);
-            self.record(Record::AgentConnectivity {
+            self.record(&Record::AgentConnectivity {
                 proxy_node,
                 connected,
             });
--- a/crates/simulation/src/world/agent_link_driver.rs
+++ b/crates/simulation/src/world/agent_link_driver.rs
@@ -12,9 +12,11 @@
 use crate::world::proxy::{AgentLink, ProxyAction, ProxyProcess, lock};
 use crate::world::site::Site;
 
-const RECONNECT: Duration = Duration::from_millis(50);
+/// Time from the end of a connection to the next attempt.
+const RECONNECT_AFTER: Duration = Duration::from_millis(50);
 
 impl Site {
+    /// Opens the connection of a proxy to its agent.
     pub(super) fn connect_to_agent(&mut self, number: u16) {
         let link = self.open_link(ProcessId::Proxy(number), ProcessId::Agent(number));
         if let Some(proxy) = self.proxies.get_mut(&number) {
@@ -22,6 +24,7 @@
         }
     }
 
+    /// The connection is open: the proxy says who it is, what it applied and what is in flight.
     pub(super) fn send_hello(&mut self, number: u16) {
         let boot_id = self.incarnation_of(ProcessId::Proxy(number));
         let Some(proxy) = self.proxies.get_mut(&number) else {
@@ -39,7 +42,7 @@
         });
         let mut frames = vec![LocalFrame { body: Some(hello) }];
         frames.push(running.handler.shown_frame());
-        // What tasks queued for the old connection is among the unanswered, or out of date.
+        // What tasks queued for the old connection is among the frames in flight, or out of date.
         let mut port = lock(&running.port);
         port.actions
             .retain(|action| !matches!(action, ProxyAction::ToAgent(_)));
@@ -51,6 +54,7 @@
         }
     }
 
+    /// The connection ended: the proxy connects again after a moment.
     pub(super) fn agent_disconnected(&mut self, number: u16) {
         let process = ProcessId::Proxy(number);
         let incarnation = self.incarnation_of(process);
@@ -58,9 +62,10 @@
             proxy.agent = AgentLink::Disconnected;
         }
         let input = ProcessInput::Reconnect;
-        self.schedule_input(RECONNECT, process, incarnation, input);
+        self.schedule_input(RECONNECT_AFTER, process, incarnation, input);
     }
 
+    /// A frame of the agent arrived.
     pub(super) fn local_frame(&mut self, number: u16, frame: LocalFrame) {
         if self.holds_back(number, &frame) {
             return;
@@ -89,12 +94,12 @@
                 }
                 self.agent_disconnected(number);
             }
-            answer => running.agent_client.handle_answer(&running.port, answer),
+            answer => running.agent_client.handle_answer(&running.port, &answer),
         }
     }
 
-    // A planted defect: the first proxy node applies no state after its first revision.
-    pub(super) fn holds_back(&self, number: u16, frame: &LocalFrame) -> bool {
+    /// A planted defect: the first proxy node applies no state after its first revision.
+    fn holds_back(&self, number: u16, frame: &LocalFrame) -> bool {
         let proxy = self.proxies.get(&number);
         let has_revision = proxy.is_some_and(ProxyProcess::has_recorded_revision);
         let is_state = matches!(
@@ -111,7 +116,7 @@
     pub(super) fn record_applied_revision(&mut self, number: u16) {
         let proxy = self.proxies.get_mut(&number);
         if let Some(revision) = proxy.and_then(ProxyProcess::take_applied_revision) {
-            self.record(Record::RevisionApplied {
+            self.record(&Record::RevisionApplied {
                 proxy_node: ProxyNodeNumber(number),
                 revision,
             });
--- a/crates/simulation/src/world/answer_driver.rs
+++ b/crates/simulation/src/world/answer_driver.rs
@@ -11,7 +11,7 @@
 
 const OK: u16 = 200;
 
-/// Whether a stream goes on.
+/// Whether a stream continues.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum StreamProgress {
     /// More is to be sent.
--- a/crates/simulation/src/world/backend_driver.rs
+++ b/crates/simulation/src/world/backend_driver.rs
@@ -77,7 +77,7 @@
 
     fn backend_packet(&mut self, number: u16, link: LinkNumber, packet: HttpPacket) {
         match packet {
-            HttpPacket::Request(request) => self.backend_request(number, link, *request),
+            HttpPacket::Request(request) => self.backend_request(number, link, &request),
             HttpPacket::Withdraw { attempt, age } => {
                 let answer = self.withdraw_attempt(number, attempt, age);
                 self.backend_sends(number, link, HttpPacket::WithdrawAnswer(answer));
@@ -95,11 +95,11 @@
         }
     }
 
-    fn backend_request(&mut self, number: u16, link: LinkNumber, request: BackendRequest) {
+    fn backend_request(&mut self, number: u16, link: LinkNumber, request: &BackendRequest) {
         let backend = BackendNumber(number);
         let attempt = attempt_number(&request.attempt);
-        let key_seen = holds_key(&request);
-        self.record(Record::BackendReceived {
+        let key_seen = holds_key(request);
+        self.record(&Record::BackendReceived {
             backend,
             attempt,
             key_seen,
@@ -112,15 +112,15 @@
         let refused = self.random.random_bool(REFUSAL_SHARE)
             || (resumes && self.random.random_bool(RESUME_REFUSED_SHARE));
         if withdrawn || refused {
-            self.backend_refuses(number, link, &request);
+            self.backend_refuses(number, link, request);
             return;
         }
-        let Some(content) = content_of(&request) else {
-            self.backend_refuses(number, link, &request);
+        let Some(content) = content_of(request) else {
+            self.backend_refuses(number, link, request);
             return;
         };
-        let answering = self.answering(&request, content);
-        self.record(Record::BackendStarted {
+        let answering = self.answering(request, content);
+        self.record(&Record::BackendStarted {
             backend,
             attempt,
             content,
@@ -224,17 +224,19 @@
         self.work_after(number, link, delay);
     }
 
+    /// A backend did all the work of an attempt.
     pub(super) fn finish_work(&mut self, number: u16, work: &Answering) {
         if let Some(backend) = self.backends.get_mut(&number) {
             backend.finish(work.attempt.clone());
         }
-        self.record(Record::BackendFinished {
+        self.record(&Record::BackendFinished {
             attempt: work.number,
             content: work.content,
             chunks: work.total,
         });
     }
 
+    /// A backend sends a packet on a connection.
     pub(super) fn backend_sends(&mut self, number: u16, link: LinkNumber, packet: HttpPacket) {
         let now = self.now();
         let process = ProcessId::Backend(number);
--- a/crates/simulation/src/world/caller_driver.rs
+++ b/crates/simulation/src/world/caller_driver.rs
@@ -35,7 +35,7 @@
     pub(super) fn start_callers(&mut self) {
         let workload = self.scenario.workload;
         for tenant in 0..self.topology.tenants {
-            self.record(Record::Quota {
+            self.record(&Record::Quota {
                 tenant,
                 per_second: workload.quota_per_second,
                 burst: workload.quota_burst,
@@ -68,7 +68,7 @@
     fn send_request(&mut self, submission: Submission) {
         let now = self.now();
         let sent = self.callers.open(submission, now, &mut self.random);
-        self.record(Record::RequestSent(sent));
+        self.record(&Record::RequestSent(sent));
         self.deliver_request(sent, submission.kind);
     }
 
@@ -179,12 +179,12 @@
             return;
         }
         match delivery {
-            CallerDelivery::Chunk(chunk) => self.record(Record::ChunkReceived {
+            CallerDelivery::Chunk(chunk) => self.record(&Record::ChunkReceived {
                 client_request,
                 chunk,
             }),
             CallerDelivery::End { end, revision } => {
-                self.record(Record::RequestEnded {
+                self.record(&Record::RequestEnded {
                     client_request,
                     end,
                     revision,
--- a/crates/simulation/src/world/control_driver.rs
+++ b/crates/simulation/src/world/control_driver.rs
@@ -32,13 +32,13 @@
 
 /// Internal address of a control node.
 #[must_use]
-pub fn control_address(number: u16) -> String {
+pub(super) fn control_address(number: u16) -> String {
     format!("10.0.1.{number}:{INTERNAL_PORT}")
 }
 
 /// The control node with an internal address.
 #[must_use]
-pub fn control_at(address: &str) -> Option<ProcessId> {
+pub(super) fn control_at(address: &str) -> Option<ProcessId> {
     let rest = address.strip_prefix("10.0.1.")?;
     let number = rest.split(':').next()?;
     number.parse().ok().map(ProcessId::Control)
@@ -46,7 +46,7 @@
 
 /// Addresses that every process is started with.
 #[must_use]
-pub fn seed_addresses() -> Vec<String> {
+pub(super) fn seed_addresses() -> Vec<String> {
     (1..=SEEDS).map(control_address).collect()
 }
 
--- a/crates/simulation/src/world/exchange_driver.rs
+++ b/crates/simulation/src/world/exchange_driver.rs
@@ -10,7 +10,7 @@
 use crate::world::client_request::key_text;
 use crate::world::defect::Defect;
 use crate::world::probe_driver::ProbeOutcome;
-use crate::world::proxy::answer::AnswerPart;
+use crate::world::proxy::answer::BodyPart;
 use crate::world::proxy::port::ExchangeWaiter;
 use crate::world::proxy::{BackendLink, lock};
 use crate::world::service_registry::backend_at;
@@ -62,7 +62,7 @@
             sent.set();
         }
         let second = proxy.is_second_dispatch(client_request);
-        self.record(Record::Dispatched {
+        self.record(&Record::Dispatched {
             client_request,
             attempt: attempt_number(&request.attempt),
             proxy_node: ProxyNodeNumber(number),
@@ -100,7 +100,7 @@
                 MonotonicTime::ZERO,
             );
         }
-        self.record(Record::Dispatched {
+        self.record(&Record::Dispatched {
             client_request,
             attempt: attempt_number(&again.attempt),
             proxy_node: ProxyNodeNumber(number),
@@ -217,17 +217,17 @@
 /// Hands a packet to its waiter. Returns what is awaited afterwards.
 fn take_packet(waiter: ExchangeWaiter, packet: HttpPacket) -> Option<ExchangeWaiter> {
     match (waiter, packet) {
-        (ExchangeWaiter::Head { head, parts, .. }, HttpPacket::Head(answer)) => {
+        (ExchangeWaiter::Head { head, body, .. }, HttpPacket::Head(answer)) => {
             let _ = head.send(Ok(*answer));
-            Some(ExchangeWaiter::Parts(parts))
+            Some(ExchangeWaiter::Body(body))
         }
-        (ExchangeWaiter::Parts(parts), HttpPacket::Body(bytes)) => {
-            let _ = parts.unbounded_send(AnswerPart::Body(bytes));
-            Some(ExchangeWaiter::Parts(parts))
+        (ExchangeWaiter::Body(body), HttpPacket::Body(bytes)) => {
+            let _ = body.unbounded_send(BodyPart::Bytes(bytes));
+            Some(ExchangeWaiter::Body(body))
         }
-        (ExchangeWaiter::Parts(parts), HttpPacket::Finish) => {
-            let _ = parts.unbounded_send(AnswerPart::Finish);
-            Some(ExchangeWaiter::Parts(parts))
+        (ExchangeWaiter::Body(body), HttpPacket::Finish) => {
+            let _ = body.unbounded_send(BodyPart::Finish);
+            Some(ExchangeWaiter::Body(body))
         }
         (ExchangeWaiter::Withdrawal(requester), HttpPacket::WithdrawAnswer(answer)) => {
             if let Some(requester) = requester {
--- a/crates/simulation/src/world/fault_driver.rs
+++ b/crates/simulation/src/world/fault_driver.rs
@@ -60,13 +60,13 @@
             Fault::ClockDrift { target, ppm } => self.drift_clocks(target, ppm),
             Fault::Retire { target } => self.retire(target),
             Fault::Roll { kind } => self.roll(kind),
-            other => self.traffic_fault_begins(other),
+            other => self.traffic_fault_begins(&other),
         }
     }
 
     /// A fault begins that strikes no machine: of answers, registry, operators or load.
-    fn traffic_fault_begins(&mut self, fault: Fault) {
-        match fault {
+    fn traffic_fault_begins(&mut self, fault: &Fault) {
+        match *fault {
             Fault::Answers { fault, length } => {
                 self.faults.add_answer_fault(fault);
                 self.begin_fault(vec![Undo::CorrectAnswers(fault)], Vec::new(), length);
@@ -109,7 +109,7 @@
             undo,
             machines: machines.clone(),
         });
-        self.record(Record::FaultBegan { fault, machines });
+        self.record(&Record::FaultBegan { fault, machines });
         self.schedule_after(length, Event::FaultEnds { fault });
     }
 
@@ -121,7 +121,7 @@
         for undo in fault.undo {
             self.undo(undo);
         }
-        self.record(Record::FaultEnded {
+        self.record(&Record::FaultEnded {
             fault: number,
             machines: fault.machines,
         });
--- a/crates/simulation/src/world/link_names.rs
+++ b/crates/simulation/src/world/link_names.rs
@@ -1,4 +1,4 @@
-//! The names that a process gives to its connections.
+//! A process's own names of its connections.
 
 use std::collections::BTreeMap;
 
--- a/crates/simulation/src/world/machine_fault_driver.rs
+++ b/crates/simulation/src/world/machine_fault_driver.rs
@@ -11,7 +11,7 @@
 use crate::world::site::Site;
 
 /// Longest sync of a slow disk.
-const MAX_SYNC: Duration = Duration::from_secs(3600);
+const MAX_SYNC: Duration = Duration::from_hours(1);
 
 impl Site {
     /// Packets between the machines of the target and others, or all others, vanish.
--- a/crates/simulation/src/world/operator_driver.rs
+++ b/crates/simulation/src/world/operator_driver.rs
@@ -34,9 +34,9 @@
 /// Whether an order revokes the keys of a tenant.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum KeyChange {
-    /// It leaves all keys as they are.
+    /// All keys stay as they are.
     Keep,
-    /// It gives one tenant a new key for its old ones.
+    /// One tenant gets a new key for its old ones.
     Revoke,
 }
 
@@ -115,7 +115,7 @@
         let body = Box::new(self.operators.request_body(order));
         if let Some(order) = order {
             let (order, base) = (order.number, order.base);
-            self.record(Record::OrderSent { order, base });
+            self.record(&Record::OrderSent { order, base });
         }
         let process = self.draw_control_process();
         let delay = self.operator_delay();
@@ -167,7 +167,7 @@
             return;
         };
         let base = order.base;
-        self.record(Record::OrderAnswered {
+        self.record(&Record::OrderAnswered {
             order: number,
             base,
             answer: OrderAnswer::Undecided,
@@ -183,7 +183,7 @@
         };
         let base = order.base;
         let answer = answer_of(reply, order, self.options.defect);
-        self.record(Record::OrderAnswered {
+        self.record(&Record::OrderAnswered {
             order: number,
             base,
             answer,
@@ -208,12 +208,12 @@
         let Some(order) = self.operators.accept(number, revision) else {
             return;
         };
-        self.record(Record::RevisionWritten {
+        self.record(&Record::RevisionWritten {
             revision,
             digest: u64::from(order.draft.serial),
         });
         for key in &order.revoked {
-            self.record(Record::KeyRevoked {
+            self.record(&Record::KeyRevoked {
                 key: key.revoked,
                 revision,
             });
@@ -230,7 +230,7 @@
             return;
         };
         let serial = serial_of(&config.document);
-        self.record(Record::RevisionRead {
+        self.record(&Record::RevisionRead {
             revision: config.revision,
             digest: u64::from(serial),
             sent: pending.sent,
--- a/crates/simulation/src/world/process_fault_driver.rs
+++ b/crates/simulation/src/world/process_fault_driver.rs
@@ -110,7 +110,7 @@
         let incarnation = state.incarnation;
         if let ProcessId::Agent(number) | ProcessId::Proxy(number) = process {
             let proxy_node = ProxyNodeNumber(number);
-            self.record(Record::ProxyNodeResumed { proxy_node });
+            self.record(&Record::ProxyNodeResumed { proxy_node });
         }
         self.schedule_after(
             Duration::ZERO,
--- a/crates/simulation/src/world/proxy/action.rs
+++ b/crates/simulation/src/world/proxy/action.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a proxy want done.
+//! Actions that the tasks of a proxy request.
 
 use bytes::Bytes;
 use millford_api::local::LocalFrame;
--- a/crates/simulation/src/world/proxy/agent_client.rs
+++ b/crates/simulation/src/world/proxy/agent_client.rs
@@ -138,8 +138,8 @@
     }
 
     /// Hands an answer to its requester. A grant that came too late is returned.
-    pub fn handle_answer(&self, port: &SharedPort, outcome: FrameOutcome) {
-        match outcome {
+    pub fn handle_answer(&self, port: &SharedPort, outcome: &FrameOutcome) {
+        match *outcome {
             FrameOutcome::Quota {
                 request_id,
                 answer,
--- a/crates/simulation/src/world/proxy/answer.rs
+++ b/crates/simulation/src/world/proxy/answer.rs
@@ -9,11 +9,11 @@
 use crate::world::proxy::action::{ExchangeNumber, ProxyAction};
 use crate::world::proxy::port::{SharedPort, lock};
 
-/// A part of an answer after its head.
+/// A part of an answer's body.
 #[derive(Clone, Debug)]
-pub enum AnswerPart {
+pub enum BodyPart {
     /// Bytes of the body.
-    Body(Bytes),
+    Bytes(Bytes),
     /// The body ended complete by its framing.
     Finish,
 }
@@ -34,10 +34,10 @@
     }
 }
 
-/// Head and parts of an answer.
+/// Head and body of an answer.
 pub struct SimulatedAnswer {
     head: AnswerHead,
-    parts: mpsc::UnboundedReceiver<AnswerPart>,
+    body: mpsc::UnboundedReceiver<BodyPart>,
     finished: bool,
     _guard: ExchangeGuard,
 }
@@ -47,12 +47,12 @@
     #[must_use]
     pub fn new(
         head: AnswerHead,
-        parts: mpsc::UnboundedReceiver<AnswerPart>,
+        body: mpsc::UnboundedReceiver<BodyPart>,
         guard: ExchangeGuard,
     ) -> Self {
         Self {
             head,
-            parts,
+            body,
             finished: false,
             _guard: guard,
         }
@@ -68,9 +68,9 @@
         if self.finished {
             return Ok(None);
         }
-        match self.parts.next().await {
-            Some(AnswerPart::Body(bytes)) => Ok(Some(bytes)),
-            Some(AnswerPart::Finish) => {
+        match self.body.next().await {
+            Some(BodyPart::Bytes(bytes)) => Ok(Some(bytes)),
+            Some(BodyPart::Finish) => {
                 self.finished = true;
                 Ok(None)
             }
--- a/crates/simulation/src/world/proxy/environment.rs
+++ b/crates/simulation/src/world/proxy/environment.rs
@@ -86,20 +86,20 @@
         self.agent.claim(&self.port, claim, timeout).await
     }
 
-    fn settle(&self, settle: ResolveClaim) {
-        self.agent.resolve(&self.port, settle);
+    fn settle(&self, resolution: ResolveClaim) {
+        self.agent.resolve(&self.port, resolution);
     }
 
     async fn dispatch(&self, request: BackendRequest) -> Result<SimulatedAnswer, DispatchError> {
         let exchange = self.new_exchange();
         let guard = self.guard(exchange);
         let (head_sender, head) = oneshot::channel();
-        let (part_sender, parts) = mpsc::unbounded();
+        let (body_sender, body) = mpsc::unbounded();
         {
             let mut port = lock(&self.port);
             let waiter = ExchangeWaiter::Head {
                 head: head_sender,
-                parts: part_sender,
+                body: body_sender,
                 sent: request.sent.clone(),
             };
             port.exchanges.insert(exchange, waiter);
@@ -110,7 +110,7 @@
             });
         }
         let head = head.await.unwrap_or(Err(DispatchError::Lost))?;
-        Ok(SimulatedAnswer::new(head, parts, guard))
+        Ok(SimulatedAnswer::new(head, body, guard))
     }
 
     async fn withdraw(&self, request: WithdrawRequest) -> WithdrawAnswer {
--- a/crates/simulation/src/world/proxy/port.rs
+++ b/crates/simulation/src/world/proxy/port.rs
@@ -11,7 +11,7 @@
 
 use crate::history::RequestNumber;
 use crate::world::proxy::action::{ExchangeNumber, ProxyAction};
-use crate::world::proxy::answer::AnswerPart;
+use crate::world::proxy::answer::BodyPart;
 
 /// What a task waits for on an exchange.
 pub enum ExchangeWaiter {
@@ -20,12 +20,12 @@
         /// Where the head goes.
         head: oneshot::Sender<Result<AnswerHead, DispatchError>>,
         /// Where the rest of the answer goes.
-        parts: mpsc::UnboundedSender<AnswerPart>,
+        body: mpsc::UnboundedSender<BodyPart>,
         /// Set once the request may have run.
         sent: SentMark,
     },
     /// The rest of an answer.
-    Parts(mpsc::UnboundedSender<AnswerPart>),
+    Body(mpsc::UnboundedSender<BodyPart>),
     /// The answer to a withdrawal; nobody may be waiting.
     Withdrawal(Option<oneshot::Sender<WithdrawAnswer>>),
 }
--- a/crates/simulation/src/world/proxy_driver.rs
+++ b/crates/simulation/src/world/proxy_driver.rs
@@ -42,8 +42,8 @@
         proxy.forget_incarnation();
         proxy.running = Some(RunningProxy::new(local, random, agent_client));
         let proxy_node = ProxyNodeNumber(number);
-        self.record(Record::ProxyNodeResumed { proxy_node });
-        self.record(Record::ProxyNodeStarted { proxy_node });
+        self.record(&Record::ProxyNodeResumed { proxy_node });
+        self.record(&Record::ProxyNodeStarted { proxy_node });
         self.replay_first_frame(number);
         self.connect_to_agent(number);
         self.tick_after(process, incarnation, PROBE_PERIOD);
@@ -117,11 +117,11 @@
             ProcessInput::Packet { link, packet } => self.proxy_packet(number, link, packet),
             ProcessInput::ClientRequest(request) => self.proxy_request(number, *request),
             ProcessInput::CallerDisconnected(client_request) => {
-                self.proxy_caller_disconnected(number, client_request)
+                self.proxy_caller_disconnected(number, client_request);
             }
             ProcessInput::ConnectOverdue { link } => self.connect_overdue(number, link),
             ProcessInput::ProbeOverdue { link } => {
-                self.probe_ends(number, link, ProbeOutcome::Failed)
+                self.probe_ends(number, link, ProbeOutcome::Failed);
             }
             ProcessInput::Reconnect => self.connect_to_agent(number),
             ProcessInput::Tick => self.proxy_tick(number),
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Lets the tasks run until none wants anything.
+    /// Runs the tasks until none requests an action.
     fn run_proxy(&mut self, number: u16) {
         loop {
             let local = self.local_time(ProcessId::Proxy(number));
@@ -168,10 +168,10 @@
             }
             ProxyAction::CloseExchange(exchange) => self.close_exchange(number, exchange),
             ProxyAction::Admitted(client_request) => {
-                self.record(Record::Admitted { client_request })
+                self.record(&Record::Admitted { client_request });
             }
             ProxyAction::AdmissionReturned(client_request) => {
-                self.record(Record::AdmissionReturned { client_request });
+                self.record(&Record::AdmissionReturned { client_request });
             }
             ProxyAction::CallerHead {
                 client_request,
@@ -259,7 +259,7 @@
 
     fn proxy_request(&mut self, number: u16, arrival: ArrivingRequest) {
         let client_request = arrival.client_request;
-        self.record(Record::RequestArrived { client_request });
+        self.record(&Record::RequestArrived { client_request });
         let mut request = arrival.request;
         self.keep_old_key(client_request, &mut request.headers.authorization);
         let Some(running) = self
--- a/crates/simulation/src/world/registry_driver.rs
+++ b/crates/simulation/src/world/registry_driver.rs
@@ -85,7 +85,7 @@
 
     fn record_unavailable(&mut self, number: u16) {
         let backend = BackendNumber(number);
-        self.record(Record::BackendUnavailable { backend });
+        self.record(&Record::BackendUnavailable { backend });
     }
 
     /// The list changes again.
@@ -121,7 +121,7 @@
             return;
         }
         let backend = BackendNumber(number);
-        self.record(Record::BackendAvailable { backend });
+        self.record(&Record::BackendAvailable { backend });
         let register = RegistryEvent::Register { backend: number };
         self.schedule_after(REGISTER_AFTER, Event::Registry(register));
     }
--- a/crates/simulation/src/world/service_registry.rs
+++ b/crates/simulation/src/world/service_registry.rs
@@ -66,7 +66,7 @@
     /// Lists a backend as draining.
     pub fn drain(&mut self, number: u16) {
         if let Some(entry) = self.entries.get_mut(&number) {
-            entry.state = DRAINING.to_owned();
+            DRAINING.clone_into(&mut entry.state);
         }
     }
 
@@ -92,7 +92,7 @@
         self.freezes += 1;
     }
 
-    /// Ends a freeze. Returns the backends whose retirement the list shows only now.
+    /// Ends a freeze. Returns the backends whose retirement is published only now.
     pub fn unfreeze(&mut self) -> Vec<u16> {
         self.freezes = self.freezes.saturating_sub(1);
         self.publish();
@@ -102,7 +102,7 @@
         std::mem::take(&mut self.unannounced)
     }
 
-    /// Whether the published list shows a retirement at once; else [`Self::unfreeze`] returns it later.
+    /// Whether a retirement is published at once; else [`Self::unfreeze`] returns it later.
     pub fn announces_retirement(&mut self, number: u16) -> bool {
         if self.freezes > 0 {
             self.unannounced.push(number);
--- a/crates/simulation/src/world/site.rs
+++ b/crates/simulation/src/world/site.rs
@@ -176,9 +176,9 @@
     }
 
     /// Adds to the history.
-    pub(super) fn record(&mut self, record: Record) {
+    pub(super) fn record(&mut self, record: &Record) {
         let now = self.now();
-        self.recorder.record(now, &record);
+        self.recorder.record(now, record);
     }
 
     /// Prints a line in verbose runs.
--- a/crates/simulation/src/world/targets.rs
+++ b/crates/simulation/src/world/targets.rs
@@ -8,11 +8,11 @@
 
 impl Site {
     /// The processes that a target stands for now.
-    pub fn resolve(&mut self, target: Target) -> Vec<ProcessId> {
+    pub(super) fn resolve(&mut self, target: Target) -> Vec<ProcessId> {
         let present = self.present(target.kind);
         let numbers = match target.choice {
             Choice::All => present,
-            Choice::Number(number) => self.numbered(target.kind, &present, number),
+            Choice::Number(number) => numbered(target.kind, &present, number),
             Choice::Any => self.draw_one(&present),
             Choice::Leader => match self.configuration_leader() {
                 Some(leader) => vec![leader],
@@ -49,16 +49,6 @@
         present.map(|(number, _)| *number).collect()
     }
 
-    // Control nodes and proxy nodes by their own number, backends by their position among the present.
-    fn numbered(&self, kind: TargetKind, present: &[u16], number: u16) -> Vec<u16> {
-        let by_place = matches!(kind, TargetKind::Model | TargetKind::Lookup);
-        if by_place {
-            let place = usize::from(number.saturating_sub(1));
-            return present.get(place).copied().into_iter().collect();
-        }
-        present.iter().copied().filter(|it| *it == number).collect()
-    }
-
     fn draw_one(&mut self, present: &[u16]) -> Vec<u16> {
         if present.is_empty() {
             return Vec::new();
@@ -69,7 +59,7 @@
 
     /// The control node that leads the configuration shard, as its own node sees it.
     #[must_use]
-    pub fn configuration_leader(&self) -> Option<u16> {
+    pub(super) fn configuration_leader(&self) -> Option<u16> {
         let shard = millford_core::ShardId::CONFIGURATION;
         let mut leaders = self.controls.iter().filter(|(_, control)| {
             let node = control.node.as_ref();
@@ -85,7 +75,7 @@
     ///
     /// Only then may a disk be lost: the guarantee is to survive the loss of any one of them.
     #[must_use]
-    pub fn is_repaired(&self) -> bool {
+    pub(super) fn is_repaired(&self) -> bool {
         let present = self.controls.values().filter(|control| !control.lost);
         let nodes: Option<Vec<_>> = present.map(|control| control.node.as_ref()).collect();
         let Some(nodes) = nodes else { return false };
@@ -100,3 +90,13 @@
         })
     }
 }
+
+/// Control nodes and proxy nodes by their own number, backends by their position among the present.
+fn numbered(kind: TargetKind, present: &[u16], number: u16) -> Vec<u16> {
+    let by_place = matches!(kind, TargetKind::Model | TargetKind::Lookup);
+    if by_place {
+        let place = usize::from(number.saturating_sub(1));
+        return present.get(place).copied().into_iter().collect();
+    }
+    present.iter().copied().filter(|it| *it == number).collect()
+}
--- a/crates/simulation/tests/determinism.rs
+++ b/crates/simulation/tests/determinism.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_trace_hash_and_another_seed_another() {
+fn runs_of_one_seed_are_equal_and_runs_of_two_seeds_differ() {
     let first = trace(7);
     assert_eq!(first, trace(7));
     assert_ne!(first, trace(8));
