--- a/crates/backend-model/src/rates.rs
+++ b/crates/backend-model/src/rates.rs
@@ -30,6 +30,43 @@
     pub(crate) bandwidth_utilization: f64,
 }
 
+/// How decode and prefill share the cores.
+struct CoreShares {
+    /// Cores that decode would use at full pace.
+    decode_demand: f64,
+    /// Cores that decode uses.
+    decode: f64,
+    /// Cores that prefill uses.
+    prefill: f64,
+}
+
+impl CoreShares {
+    /// Decode goes first, but leaves some cores to prefill; prefill uses all the others.
+    fn new(cores: f64, decode_demand: f64, prefills: usize) -> Self {
+        let decode_limit = if prefills > 0 {
+            cores * (1.0 - MIN_PREFILL_SHARE)
+        } else {
+            cores
+        };
+        let decode = decode_demand.min(decode_limit);
+        let prefill = if prefills > 0 { cores - decode } else { 0.0 };
+        Self {
+            decode_demand,
+            decode,
+            prefill,
+        }
+    }
+
+    /// Factor on the time of a decode step for want of cores.
+    fn decode_slowdown(&self) -> f64 {
+        if self.decode > 0.0 {
+            self.decode_demand / self.decode
+        } else {
+            1.0
+        }
+    }
+}
+
 /// Works out the rates for the runs of a backend at a speed factor.
 pub(crate) fn rates(
     options: &BackendOptions,
@@ -42,38 +79,24 @@
         .iter()
         .map(|(name, model)| profiles[name].decode_cores_per_stream * model.streams as f64)
         .sum();
-    let decode_limit = if prefills > 0 {
-        options.cores * (1.0 - MIN_PREFILL_SHARE)
-    } else {
-        options.cores
-    };
-    let decode_cores = decode_demand.min(decode_limit);
-    let processor_slowdown = if decode_cores > 0.0 {
-        decode_demand / decode_cores
-    } else {
-        1.0
-    };
-    let prefill_cores = if prefills > 0 {
-        options.cores - decode_cores
-    } else {
-        0.0
-    };
+    let shares = CoreShares::new(options.cores, decode_demand, prefills);
     let bandwidth_utilization =
-        bandwidth_demand(profiles, runs, prefill_cores, prefills) / options.bandwidth_gbps;
+        bandwidth_demand(profiles, runs, shares.prefill, prefills) / options.bandwidth_gbps;
     let stall = options.curve.steady_state_slowdown(bandwidth_utilization);
+    let decode_slowdown = shares.decode_slowdown();
     let token_micros = runs
         .iter()
         .filter(|(_, model)| model.streams > 0)
         .map(|(name, model)| {
             let step = profiles[name].step_micros(model.streams);
-            (name.clone(), step * stall * processor_slowdown / speed)
+            (name.clone(), step * stall * decode_slowdown / speed)
         })
         .collect();
     Rates {
-        prefill_cores_per_run: prefill_cores / prefills.max(1) as f64 / stall * speed,
+        prefill_cores_per_run: shares.prefill / prefills.max(1) as f64 / stall * speed,
         token_micros,
-        busy_cores: decode_cores + prefill_cores,
-        processor_utilization: (decode_demand + prefill_cores) / options.cores,
+        busy_cores: shares.decode + shares.prefill,
+        processor_utilization: (decode_demand + shares.prefill) / options.cores,
         bandwidth_utilization,
     }
 }
--- a/crates/simulation/src/world/agent_driver.rs
+++ b/crates/simulation/src/world/agent_driver.rs
@@ -7,13 +7,16 @@
 
 use crate::history::{ProxyNodeNumber, Record};
 use crate::network::{LinkNumber, Packet, ProcessId};
-use crate::world::control_driver::{control_at, seed_addresses};
+use crate::world::addresses::{agent_address, control_at, seed_addresses};
 use crate::world::process_input::ProcessInput;
 use crate::world::site::Site;
 
+/// Longest and shortest time between two ticks.
 const MAX_TICK: Duration = Duration::from_millis(50);
 const MIN_TICK: Duration = Duration::from_micros(500);
+/// Time that a read of the registry takes.
 const REGISTRY_DELAY: Duration = Duration::from_millis(3);
+/// Time from a start to the first tick.
 const START_TICK: Duration = Duration::from_millis(1);
 
 impl Site {
@@ -38,7 +41,7 @@
         let options = AgentOptions {
             name: format!("front-{number}"),
             zone,
-            address: format!("10.0.2.{number}:7100"),
+            address: agent_address(number),
             boot_id,
             control_addresses,
             random_seed,
@@ -183,8 +186,7 @@
 
     fn agent_connects(&mut self, number: u16, id: u64, address: &str) {
         let process = ProcessId::Agent(number);
-        let target = control_at(address).unwrap_or(ProcessId::Control(u16::MAX));
-        let link = self.open_link(process, target);
+        let link = self.open_link(process, control_at(address));
         if let Some(agent) = self.agents.get_mut(&number) {
             agent.links.insert(link, id);
         }
--- a/crates/simulation/src/world/agent_link_driver.rs
+++ b/crates/simulation/src/world/agent_link_driver.rs
@@ -7,6 +7,7 @@
 
 use crate::history::{ProxyNodeNumber, Record};
 use crate::network::ProcessId;
+use crate::world::addresses::caller_address;
 use crate::world::defect::Defect;
 use crate::world::process_input::ProcessInput;
 use crate::world::proxy::{AgentLink, ProxyAction, ProxyProcess, lock};
@@ -38,7 +39,7 @@
         };
         let hello = local_frame::Body::ProxyHello(ProxyHello {
             boot_id,
-            caller_address: format!("10.0.2.{number}:8080"),
+            caller_address: caller_address(number),
         });
         let mut frames = vec![LocalFrame { body: Some(hello) }];
         frames.push(running.handler.shown_frame());
--- a/crates/simulation/src/world/control_driver.rs
+++ b/crates/simulation/src/world/control_driver.rs
@@ -12,6 +12,9 @@
 
 use crate::disk::MemoryDisk;
 use crate::network::{LinkNumber, Packet, ProcessId};
+use crate::world::addresses::{
+    SEEDS, control_address, control_at, operator_address, seed_addresses,
+};
 use crate::world::control_process::ControlProcess;
 use crate::world::defect::Defect;
 use crate::world::event::{Event, OperatorEvent};
@@ -21,34 +24,14 @@
 
 /// Syncs up to this long delay messages; longer ones block the node.
 const LONGEST_UNNOTICED_SYNC: Duration = Duration::from_millis(200);
-const SEEDS: u16 = 3;
+/// Shards beside that of the configuration.
 const DATA_SHARDS: u32 = 6;
+/// Time after which a node that is not there is replaced in its shards.
 const REPLACE_AFTER: Duration = Duration::from_secs(5);
+/// Time until a node that stopped with a fatal error is started again.
 const RESTART_AFTER_FATAL: Duration = Duration::from_secs(1);
 /// Time from a start to the first read of the registry.
 const FIRST_REGISTRY_READ_AFTER: Duration = Duration::from_millis(10);
-const INTERNAL_PORT: u16 = 7000;
-const OPERATOR_PORT: u16 = 7001;
-
-/// Internal address of a control node.
-#[must_use]
-pub(super) fn control_address(number: u16) -> String {
-    format!("10.0.1.{number}:{INTERNAL_PORT}")
-}
-
-/// The control node with an internal address.
-#[must_use]
-pub(super) fn control_at(address: &str) -> Option<ProcessId> {
-    let rest = address.strip_prefix("10.0.1.")?;
-    let number = rest.split(':').next()?;
-    number.parse().ok().map(ProcessId::Control)
-}
-
-/// Addresses that every process is started with.
-#[must_use]
-pub(super) fn seed_addresses() -> Vec<String> {
-    (1..=SEEDS).map(control_address).collect()
-}
 
 impl Site {
     /// Adds a control node with an empty disk.
@@ -108,7 +91,7 @@
         ControlOptions {
             zone: self.zone(number),
             internal_address: control_address(number),
-            operator_address: format!("10.0.1.{number}:{OPERATOR_PORT}"),
+            operator_address: operator_address(number),
             seeds,
             data_shards: DATA_SHARDS,
             voters_per_shard: VOTERS_PER_SHARD,
@@ -129,11 +112,7 @@
             return;
         };
         control.forget_incarnation();
-        let disk_image = Arc::clone(&control.disk_image);
-        let mut disk_image = disk_image
-            .lock()
-            .unwrap_or_else(std::sync::PoisonError::into_inner);
-        disk_image.lose_power(&mut self.random);
+        control.disk().lose_power(&mut self.random);
     }
 
     fn control_fatal(&mut self, number: u16) {
@@ -307,9 +286,7 @@
 
     fn control_connects(&mut self, number: u16, id: LinkId, address: &str) {
         let process = ProcessId::Control(number);
-        // An address that nobody has is as good as a machine that is down.
-        let target = control_at(address).unwrap_or(ProcessId::Control(u16::MAX));
-        let link = self.open_link(process, target);
+        let link = self.open_link(process, control_at(address));
         if let Some(control) = self.controls.get_mut(&number) {
             control.links.insert(link, id);
         }
--- a/crates/simulation/src/world/exchange_driver.rs
+++ b/crates/simulation/src/world/exchange_driver.rs
@@ -6,6 +6,7 @@
 
 use crate::history::{BackendNumber, ProxyNodeNumber, Record, RequestNumber};
 use crate::network::{HttpPacket, LinkNumber, LinkState, Packet, ProcessId};
+use crate::world::addresses::backend_at;
 use crate::world::backend::attempt_number;
 use crate::world::client_request::key_text;
 use crate::world::defect::Defect;
@@ -13,7 +14,6 @@
 use crate::world::proxy::answer::BodyPart;
 use crate::world::proxy::port::ExchangeWaiter;
 use crate::world::proxy::{BackendLink, lock};
-use crate::world::service_registry::backend_at;
 use crate::world::site::Site;
 
 impl Site {
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -6,6 +6,7 @@
 //! schedules what follows.
 
 pub mod active_faults;
+mod addresses;
 mod agent_driver;
 mod agent_link_driver;
 pub mod agent_process;
--- a/crates/simulation/src/world/probe_driver.rs
+++ b/crates/simulation/src/world/probe_driver.rs
@@ -4,9 +4,9 @@
 use millford_proxy::daemon::prober::{PROBE_TIMEOUT, QUIET_BEFORE_PROBE};
 
 use crate::network::{LinkNumber, ProcessId};
+use crate::world::addresses::backend_of_id;
 use crate::world::process_input::ProcessInput;
 use crate::world::proxy::{BackendLink, lock};
-use crate::world::service_registry::backend_of_id;
 use crate::world::site::Site;
 
 /// Ticks of a proxy between two load reports.
--- a/crates/simulation/src/world/proxy_driver.rs
+++ b/crates/simulation/src/world/proxy_driver.rs
@@ -7,12 +7,13 @@
 use millford_proxy::daemon::prober::PROBE_PERIOD;
 use millford_proxy::request::completion::serve_completion;
 use millford_proxy::request::lookup::serve_lookup;
-use millford_proxy::request::message::WithdrawRequest;
+use millford_proxy::request::message::{BackendRequest, WithdrawRequest};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 use crate::history::{ProxyNodeNumber, Record, RequestNumber};
 use crate::network::{LinkNumber, Packet, ProcessId};
+use crate::world::addresses::backend_at;
 use crate::world::client_request::{ArrivingRequest, authorization};
 use crate::world::defect::Defect;
 use crate::world::event::CallerDelivery;
@@ -23,9 +24,9 @@
 use crate::world::proxy::{
     AgentLink, BackendLink, CallerPipe, ProxyAction, RunningProxy, SimulatedEnvironment, lock,
 };
-use crate::world::service_registry::backend_at;
 use crate::world::site::Site;
 
+/// Time until a connection to a backend counts as failed.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Site {
@@ -155,13 +156,7 @@
                 client_request,
                 request,
             } => {
-                let address = request.address.clone();
-                let purpose = BackendLink::Dispatch {
-                    exchange,
-                    client_request,
-                    request,
-                };
-                self.open_backend_link(number, &address, purpose);
+                self.dispatch_request(number, exchange, client_request, request);
             }
             ProxyAction::Withdraw { exchange, request } => {
                 self.withdraw(number, exchange, request);
@@ -188,6 +183,22 @@
         }
     }
 
+    fn dispatch_request(
+        &mut self,
+        number: u16,
+        exchange: ExchangeNumber,
+        client_request: RequestNumber,
+        request: Box<BackendRequest>,
+    ) {
+        let address = request.address.clone();
+        let purpose = BackendLink::Dispatch {
+            exchange,
+            client_request,
+            request,
+        };
+        self.open_backend_link(number, &address, purpose);
+    }
+
     fn withdraw(&mut self, number: u16, exchange: ExchangeNumber, request: WithdrawRequest) {
         let purpose = BackendLink::Withdraw {
             exchange,
--- a/crates/simulation/src/world/service_registry.rs
+++ b/crates/simulation/src/world/service_registry.rs
@@ -8,6 +8,8 @@
 use millford_control::{RegistryEntry, RegistryView};
 use millford_registry::RegistryDeclaration;
 
+use crate::world::addresses::{backend_address, backend_id};
+
 /// Processor cores that every backend declares.
 const CORES: u32 = 16;
 /// Memory bandwidth that every backend declares, in GB/s.
@@ -51,7 +53,7 @@
             adapters: Vec::new(),
         });
         let entry = RegistryEntry {
-            id: format!("backend-{number}"),
+            id: backend_id(number),
             address: backend_address(number),
             zone,
             cores: CORES,
@@ -132,22 +134,3 @@
         }
     }
 }
-
-/// Address of a backend.
-#[must_use]
-pub fn backend_address(number: u16) -> String {
-    format!("10.0.3.{number}:8000")
-}
-
-/// Number of the backend with an address.
-#[must_use]
-pub fn backend_at(address: &str) -> Option<u16> {
-    let rest = address.strip_prefix("10.0.3.")?;
-    rest.split(':').next()?.parse().ok()
-}
-
-/// Number of the backend with an id.
-#[must_use]
-pub fn backend_of_id(id: &str) -> Option<u16> {
-    id.strip_prefix("backend-")?.parse().ok()
-}
