--- a/crates/simulation/src/world/backend/backend_process.rs
+++ b/crates/simulation/src/world/backend/backend_process.rs
@@ -10,12 +10,21 @@
 use crate::world::backend::answering::Answering;
 use crate::world::process::ProcessState;
 
+/// What a backend serves.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum BackendKind {
+    /// Models.
+    Model,
+    /// Lookups.
+    Lookup,
+}
+
 /// A simulated backend.
 pub struct BackendProcess {
     /// The process.
     pub process: ProcessState,
-    /// Whether it serves lookups rather than models.
-    pub lookup: bool,
+    /// What it serves.
+    pub kind: BackendKind,
     /// Whether the platform retired it: it never comes back.
     pub retired: bool,
     /// When its present incarnation started.
@@ -33,10 +42,10 @@
 impl BackendProcess {
     /// A backend that was not started yet.
     #[must_use]
-    pub fn new(process: ProcessState, lookup: bool) -> Self {
+    pub fn new(process: ProcessState, kind: BackendKind) -> Self {
         Self {
             process,
-            lookup,
+            kind,
             retired: false,
             started_at: MonotonicTime::ZERO,
             work: BTreeMap::new(),
--- a/crates/simulation/src/world/backend/mod.rs
+++ b/crates/simulation/src/world/backend/mod.rs
@@ -7,6 +7,6 @@
 pub mod request_text;
 
 pub use answering::{Answering, attempt_number, run_number};
-pub use backend_process::BackendProcess;
+pub use backend_process::{BackendKind, BackendProcess};
 pub use chunk_text::{chunk_text, read_chunks};
 pub use recent_runs::RecentRuns;
--- a/crates/simulation/src/world/backend_driver.rs
+++ b/crates/simulation/src/world/backend_driver.rs
@@ -12,7 +12,7 @@
 use crate::scenario::AnswerFault;
 use crate::world::answer_driver::StreamProgress;
 use crate::world::backend::request_text::{content_of, holds_key, is_stream};
-use crate::world::backend::{Answering, BackendProcess, attempt_number, run_number};
+use crate::world::backend::{Answering, BackendKind, BackendProcess, attempt_number, run_number};
 use crate::world::process_input::ProcessInput;
 use crate::world::site::Site;
 
@@ -36,9 +36,9 @@
 
 impl Site {
     /// Adds a backend with a new number.
-    pub(super) fn add_backend(&mut self, lookup: bool) -> u16 {
+    pub(super) fn add_backend(&mut self, kind: BackendKind) -> u16 {
         let number = self.backends.keys().next_back().map_or(1, |last| last + 1);
-        let backend = BackendProcess::new(self.new_process(), lookup);
+        let backend = BackendProcess::new(self.new_process(), kind);
         self.backends.insert(number, backend);
         number
     }
@@ -172,11 +172,11 @@
     }
 
     fn first_delay(&mut self, number: u16, answering: &Answering) -> Duration {
-        let lookup = self.backends.get(&number).is_some_and(|it| it.lookup);
-        let range = match (lookup, answering.fault) {
+        let kind = self.backends.get(&number).map(|backend| backend.kind);
+        let range = match (kind, answering.fault) {
             (_, Some(AnswerFault::Late)) => LATE_MICROS,
-            (true, _) => LOOKUP_MICROS,
-            (false, _) => FIRST_CHUNK_MICROS,
+            (Some(BackendKind::Lookup), _) => LOOKUP_MICROS,
+            _ => FIRST_CHUNK_MICROS,
         };
         Duration::from_micros(self.random.random_range(range))
     }
--- a/crates/simulation/src/world/exchange_driver.rs
+++ b/crates/simulation/src/world/exchange_driver.rs
@@ -7,7 +7,7 @@
 use crate::history::{BackendNumber, ProxyNodeNumber, Record, RequestNumber};
 use crate::network::{HttpPacket, LinkNumber, LinkState, Packet, ProcessId};
 use crate::world::addresses::backend_at;
-use crate::world::backend::attempt_number;
+use crate::world::backend::{BackendKind, attempt_number};
 use crate::world::client_request::key_text;
 use crate::world::defect::Defect;
 use crate::world::probe_driver::ProbeOutcome;
@@ -74,16 +74,20 @@
 
     /// Planted defects: the same request goes to a second backend as well.
     fn send_twice(&mut self, number: u16, client_request: RequestNumber, request: &BackendRequest) {
-        let lookup = request.body.is_empty();
+        let kind = if request.body.is_empty() {
+            BackendKind::Lookup
+        } else {
+            BackendKind::Model
+        };
         let planted = match self.options.defect {
-            Some(Defect::SendsTwice) => !lookup,
-            Some(Defect::HedgesAlways) => lookup,
+            Some(Defect::SendsTwice) => kind == BackendKind::Model,
+            Some(Defect::HedgesAlways) => kind == BackendKind::Lookup,
             _ => false,
         };
         if !planted {
             return;
         }
-        let Some(other) = self.draw_backend(lookup) else {
+        let Some(other) = self.draw_backend(kind) else {
             return;
         };
         let mut again = request.clone();
@@ -112,8 +116,8 @@
         self.send_packet(process, link, packet, now);
     }
 
-    fn draw_backend(&mut self, lookup: bool) -> Option<u16> {
-        let backends = self.backends.iter().filter(|(_, it)| it.lookup == lookup);
+    fn draw_backend(&mut self, kind: BackendKind) -> Option<u16> {
+        let backends = self.backends.iter().filter(|(_, it)| it.kind == kind);
         let numbers: Vec<u16> = backends.map(|(number, _)| *number).collect();
         let index = self.random.random_range(0..numbers.len().max(1));
         numbers.get(index).copied()
--- a/crates/simulation/src/world/registry_driver.rs
+++ b/crates/simulation/src/world/registry_driver.rs
@@ -52,7 +52,7 @@
             return;
         };
         if backend.process.alive && !backend.retired {
-            self.registry.register(number, backend.lookup, zone);
+            self.registry.register(number, backend.kind, zone);
         }
     }
 
@@ -65,7 +65,7 @@
             return;
         }
         backend.retired = true;
-        let lookup = backend.lookup;
+        let kind = backend.kind;
         if self.options.defect != Some(Defect::HidesRetirements) {
             self.registry.drain(number);
         }
@@ -76,7 +76,7 @@
         }
         let shut_down = RegistryEvent::ShutDown { backend: number };
         self.schedule_after(SHUTDOWN_AFTER, Event::Registry(shut_down));
-        let replacement = self.add_backend(lookup);
+        let replacement = self.add_backend(kind);
         self.start_process(ProcessId::Backend(replacement));
         self.handle_registry(RegistryEvent::Register {
             backend: replacement,
--- a/crates/simulation/src/world/service_registry.rs
+++ b/crates/simulation/src/world/service_registry.rs
@@ -9,6 +9,7 @@
 use millford_registry::RegistryDeclaration;
 
 use crate::world::addresses::{backend_address, backend_id};
+use crate::world::backend::BackendKind;
 
 /// Processor cores that every backend declares.
 const CORES: u32 = 16;
@@ -40,11 +41,10 @@
 
 impl ServiceRegistry {
     /// Lists a backend of a zone as active.
-    pub fn register(&mut self, number: u16, lookup: bool, zone: String) {
-        let (stage, models): (&str, &[&str]) = if lookup {
-            (LOOKUP_STAGE, &[LOOKUP_MODEL])
-        } else {
-            (MODEL_STAGE, &MODELS)
+    pub fn register(&mut self, number: u16, kind: BackendKind, zone: String) {
+        let (stage, models): (&str, &[&str]) = match kind {
+            BackendKind::Lookup => (LOOKUP_STAGE, &[LOOKUP_MODEL]),
+            BackendKind::Model => (MODEL_STAGE, &MODELS),
         };
         let declarations = models.iter().map(|model| RegistryDeclaration {
             model: (*model).to_owned(),
--- a/crates/simulation/src/world/site.rs
+++ b/crates/simulation/src/world/site.rs
@@ -14,7 +14,7 @@
 use crate::scenario::{Scenario, Topology};
 use crate::world::active_faults::ActiveFaults;
 use crate::world::agent_process::AgentProcess;
-use crate::world::backend::{BackendProcess, RecentRuns};
+use crate::world::backend::{BackendKind, BackendProcess, RecentRuns};
 use crate::world::callers::Callers;
 use crate::world::control_process::ControlProcess;
 use crate::world::defect::Defect;
@@ -117,11 +117,11 @@
         }
         self.start_at_random_times();
         for _ in 0..self.topology.models {
-            let backend = self.add_backend(false);
+            let backend = self.add_backend(BackendKind::Model);
             self.register_now(backend);
         }
         for _ in 0..self.topology.lookups {
-            let backend = self.add_backend(true);
+            let backend = self.add_backend(BackendKind::Lookup);
             self.register_now(backend);
         }
         self.start_callers();
--- a/crates/simulation/src/world/targets.rs
+++ b/crates/simulation/src/world/targets.rs
@@ -4,6 +4,7 @@
 
 use crate::network::ProcessId;
 use crate::scenario::{Choice, Target, TargetKind};
+use crate::world::backend::BackendKind;
 use crate::world::site::Site;
 
 impl Site {
@@ -38,14 +39,14 @@
             TargetKind::ProxyNode | TargetKind::Agent | TargetKind::Proxy => {
                 self.proxies.keys().copied().collect()
             }
-            TargetKind::Model => self.present_backends(false),
-            TargetKind::Lookup => self.present_backends(true),
+            TargetKind::Model => self.present_backends(BackendKind::Model),
+            TargetKind::Lookup => self.present_backends(BackendKind::Lookup),
         }
     }
 
-    fn present_backends(&self, lookup: bool) -> Vec<u16> {
+    fn present_backends(&self, kind: BackendKind) -> Vec<u16> {
         let backends = self.backends.iter();
-        let present = backends.filter(|(_, it)| it.lookup == lookup && !it.retired);
+        let present = backends.filter(|(_, it)| it.kind == kind && !it.retired);
         present.map(|(number, _)| *number).collect()
     }
 
