--- a/crates/simulation/src/world/backend/request_text.rs
+++ b/crates/simulation/src/world/backend/request_text.rs
@@ -3,6 +3,7 @@
 use millford_proxy::request::message::BackendRequest;
 
 use crate::history::ContentNumber;
+use crate::world::backend::backend_process::BackendKind;
 use crate::world::client_request::KEY_PREFIX;
 
 /// Number of the content that a request names.
@@ -19,6 +20,16 @@
     digits.parse().ok().map(ContentNumber)
 }
 
+/// What the backend of a request serves: only lookups have no body.
+#[must_use]
+pub fn kind_of(request: &BackendRequest) -> BackendKind {
+    if request.body.is_empty() {
+        BackendKind::Lookup
+    } else {
+        BackendKind::Model
+    }
+}
+
 /// Whether a body requests a stream.
 #[must_use]
 pub fn is_stream(body: &[u8]) -> bool {
--- a/crates/simulation/src/world/exchange_driver.rs
+++ b/crates/simulation/src/world/exchange_driver.rs
@@ -7,6 +7,7 @@
 use crate::history::{BackendNumber, ProxyNodeNumber, Record, RequestNumber};
 use crate::network::{HttpPacket, LinkNumber, LinkState, Packet, ProcessId};
 use crate::world::addresses::backend_at;
+use crate::world::backend::request_text::kind_of;
 use crate::world::backend::{BackendKind, attempt_number};
 use crate::world::client_request::key_text;
 use crate::world::defect::Defect;
@@ -74,11 +75,7 @@
 
     /// Planted defects: the same request goes to a second backend as well.
     fn send_twice(&mut self, number: u16, client_request: RequestNumber, request: &BackendRequest) {
-        let kind = if request.body.is_empty() {
-            BackendKind::Lookup
-        } else {
-            BackendKind::Model
-        };
+        let kind = kind_of(request);
         let planted = match self.options.defect {
             Some(Defect::SendsTwice) => kind == BackendKind::Model,
             Some(Defect::HedgesAlways) => kind == BackendKind::Lookup,
