--- a/crates/control/src/daemon/dialling.rs
+++ b/crates/control/src/daemon/connections.rs
@@ -23,7 +23,7 @@
 const WRITE_BATCH: usize = 64;
 
 /// Longest time to open a connection.
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A write that the other side does not take for this long ends the link.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -42,7 +42,7 @@
         Self { runtime, queue }
     }
 
-    /// Opens a link; the gateway hears of the success or the failure.
+    /// Opens a link; the gateway is notified of the success or the failure.
     pub fn connect(&self, link: LinkId, address: String) {
         let queue = self.queue.clone();
         self.runtime.spawn(async move {
@@ -98,8 +98,8 @@
         link,
         writer: sender,
     });
-    let told = queue.send(GatewayEvent::Input(NodeInput::LinkOpened { link, peer }));
-    if opened.is_err() || told.is_err() {
+    let announced = queue.send(GatewayEvent::Input(NodeInput::LinkOpened { link, peer }));
+    if opened.is_err() || announced.is_err() {
         return;
     }
     tokio::select! {
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -1,4 +1,4 @@
-//! A whole control node as one synchronous machine.
+//! A complete control node as one synchronous machine.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -6,12 +6,12 @@
 use millford_core::{MonotonicTime, NodeId, ShardId, ShardLayout};
 use millford_storage::{Disk, StorageError};
 
-use crate::gateway::{Gateway, GatewayInput, GatewayOutput};
+use crate::gateway::{Gateway, GatewayInput, GatewayOutput, ShardStart};
 use crate::node_input::NodeInput;
 use crate::node_output::NodeOutput;
 use crate::options::ControlOptions;
-use crate::shard::core::code_of;
 use crate::shard::{ShardCore, ShardCoreOptions, ShardInput, ShardOutput};
+use crate::storage_code::storage_code;
 
 /// Opens the folder with this name.
 pub type FolderOpener = Arc<dyn Fn(&str) -> Box<dyn Disk> + Send + Sync>;
@@ -25,6 +25,26 @@
     format!("shard-{shard}")
 }
 
+/// What a shard's core is opened with on this node.
+pub(crate) fn core_options(
+    node: &ControlOptions,
+    folders: &FolderOpener,
+    start: ShardStart,
+) -> ShardCoreOptions {
+    let shard = start.shard;
+    let folders = folders.clone();
+    ShardCoreOptions {
+        shard,
+        identity: start.identity,
+        voters: start.voters,
+        layout: ShardLayout::new(start.data_shards),
+        seed: node.seed,
+        voters_per_shard: node.voters_per_shard,
+        replace_after: node.replace_after,
+        disk: Arc::new(move || folders(&shard_folder(shard))),
+    }
+}
+
 /// Gateway and shard cores, composed synchronously.
 ///
 /// The daemon runs the same parts on threads of their own; the simulator and the tests use this.
@@ -33,14 +53,17 @@
     folders: FolderOpener,
     gateway: Gateway,
     cores: BTreeMap<ShardId, ShardCore>,
-    /// Shards that were told something, while a batch is taken.
-    batched: Option<BTreeSet<ShardId>>,
+    /// Shards with inputs that are not flushed yet, while a batch is taken.
+    batch: Option<BTreeSet<ShardId>>,
     queue: VecDeque<GatewayOutput>,
     outputs: Vec<NodeOutput>,
 }
 
 impl ControlNode {
     /// Opens a node on its folders. Its first outputs come with the first input.
+    ///
+    /// # Errors
+    /// The node's folder cannot be read or written.
     pub fn open(
         options: ControlOptions,
         disks: impl Fn(&str) -> Box<dyn Disk> + Send + Sync + 'static,
@@ -53,7 +76,7 @@
             folders,
             gateway,
             cores: BTreeMap::new(),
-            batched: None,
+            batch: None,
             queue: first.into(),
             outputs: Vec::new(),
         };
@@ -70,11 +93,11 @@
     /// Takes inputs that waited while the disk was busy, all with one flush of each shard, as the
     /// shards' threads of the daemon do.
     pub fn handle_batch(&mut self, now: MonotonicTime, inputs: Vec<NodeInput>) -> Vec<NodeOutput> {
-        self.batched = Some(BTreeSet::new());
+        self.batch = Some(BTreeSet::new());
         for input in inputs {
             self.take_input(now, input);
         }
-        for shard in self.batched.take().unwrap_or_default() {
+        for shard in self.batch.take().unwrap_or_default() {
             self.flush_core(now, shard);
         }
         self.run_queue(now);
@@ -103,14 +126,14 @@
         if matches!(input, NodeInput::Tick) {
             self.tick_cores(now);
         }
-        self.tell_gateway(now, GatewayInput::Node(input));
+        self.send_to_gateway(now, GatewayInput::Node(input));
         self.run_queue(now);
     }
 
     fn tick_cores(&mut self, now: MonotonicTime) {
         let shards: Vec<ShardId> = self.cores.keys().copied().collect();
         for shard in shards {
-            self.tell_core(now, shard, ShardInput::Tick);
+            self.send_to_core(now, shard, ShardInput::Tick);
         }
     }
 
@@ -118,34 +141,26 @@
         while let Some(output) = self.queue.pop_front() {
             match output {
                 GatewayOutput::Node(output) => self.outputs.push(output),
-                GatewayOutput::Shard { shard, input } => self.tell_core(now, shard, input),
-                GatewayOutput::StartShard {
-                    shard,
-                    identity,
-                    voters,
-                    data_shards,
-                } => {
-                    let layout = ShardLayout::new(data_shards);
-                    self.start(now, shard, identity, voters, layout);
-                }
+                GatewayOutput::Shard { shard, input } => self.send_to_core(now, shard, input),
+                GatewayOutput::StartShard(start) => self.start(now, start),
                 GatewayOutput::EraseShards => self.erase(),
             }
         }
     }
 
-    fn tell_gateway(&mut self, now: MonotonicTime, input: GatewayInput) {
+    fn send_to_gateway(&mut self, now: MonotonicTime, input: GatewayInput) {
         let outputs = self.gateway.handle(now, input);
         self.queue.extend(outputs);
     }
 
-    fn tell_core(&mut self, now: MonotonicTime, shard: ShardId, input: ShardInput) {
+    fn send_to_core(&mut self, now: MonotonicTime, shard: ShardId, input: ShardInput) {
         let Some(core) = self.cores.get_mut(&shard) else {
             return;
         };
         core.handle(now, input);
-        match &mut self.batched {
-            Some(touched) => {
-                touched.insert(shard);
+        match &mut self.batch {
+            Some(pending_flush) => {
+                pending_flush.insert(shard);
             }
             None => self.flush_core(now, shard),
         }
@@ -159,37 +174,21 @@
     }
 
     fn take_from_core(&mut self, now: MonotonicTime, shard: ShardId, output: ShardOutput) {
-        self.tell_gateway(now, GatewayInput::Shard { shard, output });
+        self.send_to_gateway(now, GatewayInput::Shard { shard, output });
     }
 
-    fn start(
-        &mut self,
-        now: MonotonicTime,
-        shard: ShardId,
-        identity: NodeId,
-        voters: Vec<NodeId>,
-        layout: ShardLayout,
-    ) {
-        let folders = self.folders.clone();
-        let options = ShardCoreOptions {
-            shard,
-            identity,
-            voters,
-            layout,
-            seed: self.options.seed,
-            voters_per_shard: self.options.voters_per_shard,
-            replace_after: self.options.replace_after,
-            disk: Arc::new(move || folders(&shard_folder(shard))),
-        };
+    fn start(&mut self, now: MonotonicTime, start: ShardStart) {
+        let shard = start.shard;
+        let options = core_options(&self.options, &self.folders, start);
         match ShardCore::open(options, now) {
             Ok(core) => {
                 self.cores.insert(shard, core);
             }
             Err(StorageError::Corrupt { .. }) => {
-                self.tell_gateway(now, GatewayInput::StorageCorrupt);
+                self.send_to_gateway(now, GatewayInput::StorageCorrupt);
             }
             Err(error) => {
-                let code = code_of(&error);
+                let code = storage_code(&error);
                 self.outputs.push(NodeOutput::Fatal { code });
             }
         }
@@ -202,7 +201,7 @@
         for shard in (0..=highest).map(ShardId) {
             let mut disk = (self.folders)(&shard_folder(shard));
             if let Err(error) = crate::folders::clear(disk.as_mut()) {
-                let code = code_of(&error);
+                let code = storage_code(&error);
                 self.outputs.push(NodeOutput::Fatal { code });
                 return;
             }
--- a/crates/forward/tests/support/node.rs
+++ b/crates/forward/tests/support/node.rs
@@ -9,10 +9,10 @@
 use millford_api::state::state_value::Kind;
 use millford_api::state::{Backend, ConfigHead, ProxyMember, StateValue};
 use millford_core::hash_tenant_key;
+use millford_data_plane::limits::RequestLimits;
+use millford_data_plane::proxy_state::ProxyState;
 use millford_forward::daemon::callers::{CallerConnections, serve_callers};
 use millford_forward::{ForwardNode, ForwardSettings, MillfordProtocol};
-use millford_proxy::limits::RequestLimits;
-use millford_proxy::proxy_state::ProxyState;
 use millford_routing::RoutingTable;
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::task::JoinHandle;
@@ -20,20 +20,20 @@
 use super::backend::StubBackend;
 
 /// Key of the tenant that tests call with.
-pub const KEY: &str = "key-of-the-tenant";
+pub(crate) const KEY: &str = "key-of-the-tenant";
 /// Host of every route.
-pub const HOST: &str = "api.example";
+pub(crate) const HOST: &str = "api.example";
 
 /// What a test's table says.
-pub struct Setup {
-    pub routes: Vec<ForwardRoute>,
-    pub quota: Option<TokenQuota>,
-    pub limits: Option<HttpLimits>,
+pub(crate) struct Setup {
+    pub(crate) routes: Vec<ForwardRoute>,
+    pub(crate) quota: Option<TokenQuota>,
+    pub(crate) limits: Option<HttpLimits>,
 }
 
 impl Setup {
     /// One route below `/jobs/`, and no quota.
-    pub fn with(change: impl FnOnce(&mut ForwardRoute)) -> Self {
+    pub(crate) fn with(change: impl FnOnce(&mut ForwardRoute)) -> Self {
         let mut route = ForwardRoute {
             name: "jobs".to_owned(),
             host: HOST.to_owned(),
@@ -56,30 +56,38 @@
 }
 
 /// A node with its callers' address.
-pub struct TestNode {
-    pub node: Arc<ForwardNode<MillfordProtocol>>,
-    pub callers: SocketAddr,
-    pub connections: CallerConnections,
+pub(crate) struct TestNode {
+    pub(crate) node: Arc<ForwardNode<MillfordProtocol>>,
+    pub(crate) callers: SocketAddr,
+    pub(crate) connections: CallerConnections,
     exchange: Option<JoinHandle<()>>,
 }
 
 impl TestNode {
     /// Starts a node in front of these backends.
-    pub async fn start(setup: &Setup, backends: &[&StubBackend]) -> Self {
+    pub(crate) async fn start(setup: &Setup, backends: &[&StubBackend]) -> Self {
         Self::start_named("node-1", setup, backends).await
     }
 
     /// Starts a node without some mechanisms.
-    pub async fn start_without(leave_out: &str, setup: &Setup, backends: &[&StubBackend]) -> Self {
+    pub(crate) async fn start_without(
+        disabled_mechanisms: &str,
+        setup: &Setup,
+        backends: &[&StubBackend],
+    ) -> Self {
         let settings = ForwardSettings {
-            leave_out: leave_out.to_owned(),
+            disabled_mechanisms: disabled_mechanisms.to_owned(),
             ..settings_of("node-1")
         };
         Self::start_with(&settings, setup, backends).await
     }
 
     /// Starts nodes that know each other and talk over UDP.
-    pub async fn start_fleet(count: usize, setup: &Setup, backends: &[&StubBackend]) -> Vec<Self> {
+    pub(crate) async fn start_fleet(
+        count: usize,
+        setup: &Setup,
+        backends: &[&StubBackend],
+    ) -> Vec<Self> {
         let mut nodes = Vec::new();
         let mut sockets = Vec::new();
         let mut members = Vec::new();
@@ -139,20 +147,25 @@
         }
     }
 
-    /// The feed shows these proxies from now on.
-    pub fn know_members(&self, setup: &Setup, backends: &[&StubBackend], members: &[ProxyMember]) {
+    /// The feed lists these proxies from now on.
+    pub(crate) fn know_members(
+        &self,
+        setup: &Setup,
+        backends: &[&StubBackend],
+        members: &[ProxyMember],
+    ) {
         let table = table(setup, backends, members);
         self.node.state.set_table(table);
     }
 
-    /// The proxies that the feed shows.
-    pub fn members(&self) -> Vec<ProxyMember> {
+    /// The proxies that the feed lists.
+    pub(crate) fn members(&self) -> Vec<ProxyMember> {
         self.node.state.table().forward().peers().to_vec()
     }
 
-    /// The node hears and tells its peers nothing from now on.
-    pub fn go_silent(&self) {
-        self.exchange.iter().for_each(|task| task.abort());
+    /// The node neither receives nor sends peer messages from now on.
+    pub(crate) fn stop_exchange(&self) {
+        self.exchange.iter().for_each(JoinHandle::abort);
     }
 }
 
@@ -171,12 +184,12 @@
 }
 
 /// Polls of a condition before a test gives up.
-const MOST_POLLS: u32 = 100_000;
+const MAX_POLLS: u32 = 100_000;
 
 impl TestNode {
     /// Lets the node's tasks run until the condition holds.
-    pub async fn until(&self, holds: impl Fn() -> bool) {
-        for _ in 0..MOST_POLLS {
+    pub(crate) async fn until(&self, holds: impl Fn() -> bool) {
+        for _ in 0..MAX_POLLS {
             if holds() {
                 return;
             }
@@ -187,7 +200,11 @@
 }
 
 /// The table of a setup.
-pub fn table(setup: &Setup, backends: &[&StubBackend], members: &[ProxyMember]) -> RoutingTable {
+pub(crate) fn table(
+    setup: &Setup,
+    backends: &[&StubBackend],
+    members: &[ProxyMember],
+) -> RoutingTable {
     let mut items: Vec<(String, Kind)> = Vec::new();
     let head = ConfigHead {
         revision: 1,
--- a/crates/proxy/src/request/relay.rs
+++ b/crates/proxy/src/request/relay.rs
@@ -1,9 +1,9 @@
 //! Relays a stream to the caller, from one backend or, where the route allows, from the next.
 
 use millford_core::{Duration, MonotonicTime, ResultCode, RunState};
+use millford_data_plane::proxy_metrics::ProxyMetrics;
 use millford_routing::EjectionReason;
 
-use crate::proxy_metrics::ProxyMetrics;
 use crate::request::attempt::{Attempt, FirstPart, Opened};
 use crate::request::caller::{CallerPresence, CallerSink};
 use crate::request::environment::RequestEnvironment;
@@ -62,7 +62,7 @@
     let FirstPart::Stream { mut reader, first } = opened.part else {
         return Err(Refusal::may_have_run(ResultCode::BackendError).into());
     };
-    attempt.ticket.first_piece();
+    attempt.ticket.begin_decode();
     let first_piece_at = environment.now();
     let mut watch = StreamWatch::new(first_piece_at);
     let mut item = Ok(first);
@@ -111,7 +111,7 @@
                 else {
                     return Err(Refusal::may_have_run(code).into());
                 };
-                attempt.ticket.first_piece();
+                attempt.ticket.begin_decode();
                 reader = rest;
                 watch = StreamWatch::new(environment.now());
                 item = Ok(first);
@@ -161,9 +161,9 @@
             WatchVerdict::Stopping => return Err(Interruption::Stopping),
         }
         if watch.is_draining() {
-            attempt.ticket.held();
+            attempt.ticket.begin_draining();
         }
-        let look_again = environment.now() + environment.state().limits.backend_check;
+        let look_again = environment.now() + environment.state().limits.backend_check_interval;
         let until = look_again.min(plan.deadline);
         match wait_until(environment, presence, until, reader.next()).await {
             Waited::Ready(Ok(item)) => {
@@ -189,7 +189,7 @@
     let state = environment.state();
     let now = environment.now();
     watch.heard(now);
-    state.health.heard(backend_id, now);
+    state.health.record_activity(backend_id, now);
     let waited = now.since(waited_from);
     ProxyMetrics::observe(&state.metrics.inter_token_seconds, waited);
 }
@@ -197,13 +197,13 @@
 fn note_broken<E: RequestEnvironment>(environment: &E, attempt: &Attempt<'_, E>, code: ResultCode) {
     let state = environment.state();
     let key = &attempt.replica.key;
-    state.board.add_failure(key);
+    state.load_table.add_failure(key);
     let pool_shows_active = state
         .table()
         .pool(&key.pool)
         .is_some_and(|pool| pool.backend_is_active(&key.backend_id));
     match code {
-        ResultCode::BackendSilent => state.eject(&key.backend_id, EjectionReason::Silent),
+        ResultCode::BackendSilent => state.eject(&key.backend_id, EjectionReason::Unresponsive),
         // A stream cut off at the end of a drain says nothing about the backend's health.
         ResultCode::BackendLost if pool_shows_active => {
             state.eject(&key.backend_id, EjectionReason::ConnectionLost);
--- a/crates/scale/src/hollow/hollow_proxy.rs
+++ b/crates/scale/src/hollow/hollow_proxy.rs
@@ -77,7 +77,7 @@
 
     /// Works until it is aborted.
     pub async fn run(mut self, mut frames: ProxyFrames) {
-        self.queues.state(AgentInput::ProxyUp).await;
+        self.queues.send_state(AgentInput::ProxyUp).await;
         let boot_id = self.random.random();
         self.send(local_frame::Body::ProxyHello(ProxyHello {
             boot_id,
@@ -228,7 +228,7 @@
     async fn advance_streams(&mut self, now: Instant) {
         for stream in &mut self.streams {
             if stream.first_piece_at <= now {
-                stream.ticket.first_piece();
+                stream.ticket.begin_decode();
             }
         }
         let (ended, open): (Vec<OpenStream>, Vec<OpenStream>) = std::mem::take(&mut self.streams)
@@ -258,7 +258,7 @@
 
     async fn send(&self, body: local_frame::Body) {
         let frame = LocalFrame { body: Some(body) };
-        self.queues.proxy_frame(frame).await;
+        self.queues.send_proxy_frame(frame).await;
     }
 
     fn pause(&mut self) -> Duration {
--- a/crates/simulation/src/world/agent_link_driver.rs
+++ b/crates/simulation/src/world/agent_link_driver.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use millford_api::local::{LocalFrame, ProxyHello, local_frame};
-use millford_proxy::control::frame_handler::FrameOutcome;
+use millford_data_plane::frame_handler::FrameOutcome;
 
 use crate::history::{ProxyNodeNumber, Record};
 use crate::network::ProcessId;
@@ -42,7 +42,7 @@
             caller_address: caller_address(number),
         });
         let mut frames = vec![LocalFrame { body: Some(hello) }];
-        frames.push(running.handler.shown_frame());
+        frames.push(running.handler.applied_revision_frame());
         // What tasks queued for the old connection is among the frames in flight, or out of date.
         let mut port = lock(&running.port);
         port.actions
@@ -83,7 +83,7 @@
         match running.handler.handle(frame) {
             FrameOutcome::Nothing => self.record_applied_revision(number),
             FrameOutcome::Changed => {
-                let applied = running.handler.show();
+                let applied = running.handler.apply_changes();
                 self.record_applied_revision(number);
                 if let Some(frame) = applied {
                     self.proxy_to_agent(number, frame);
--- a/crates/simulation/src/world/proxy/environment.rs
+++ b/crates/simulation/src/world/proxy/environment.rs
@@ -6,11 +6,13 @@
 use futures::channel::{mpsc, oneshot};
 use millford_api::command::{Claim, ResolveClaim};
 use millford_core::{Duration, MonotonicTime};
-use millford_proxy::proxy_state::ProxyState;
+use millford_data_plane::agent_message::{
+    AdmissionReply, AdmissionRequest, ClaimAnswer, QuotaRelease,
+};
+use millford_data_plane::proxy_state::ProxyState;
 use millford_proxy::request::environment::RequestEnvironment;
 use millford_proxy::request::message::{
-    AdmissionReply, AdmissionRequest, BackendRequest, ClaimAnswer, DispatchError, QuotaRelease,
-    WithdrawAnswer, WithdrawRequest,
+    BackendRequest, DispatchError, WithdrawAnswer, WithdrawRequest,
 };
 
 use crate::history::RequestNumber;
@@ -71,7 +73,7 @@
         lock(&self.port).random()
     }
 
-    async fn ask_quota(&self, request: AdmissionRequest) -> AdmissionReply {
+    async fn request_quota(&self, request: AdmissionRequest) -> AdmissionReply {
         self.agent
             .admit(&self.port, self.client_request, request)
             .await
@@ -86,7 +88,7 @@
         self.agent.claim(&self.port, claim, timeout).await
     }
 
-    fn settle(&self, resolution: ResolveClaim) {
+    fn resolve_claim(&self, resolution: ResolveClaim) {
         self.agent.resolve(&self.port, resolution);
     }
 
--- a/crates/simulation/src/world/proxy/proxy_process.rs
+++ b/crates/simulation/src/world/proxy/proxy_process.rs
@@ -5,9 +5,9 @@
 
 use millford_api::local::LocalFrame;
 use millford_core::MonotonicTime;
-use millford_proxy::control::frame_handler::FrameHandler;
-use millford_proxy::limits::RequestLimits;
-use millford_proxy::proxy_state::ProxyState;
+use millford_data_plane::frame_handler::FrameHandler;
+use millford_data_plane::limits::RequestLimits;
+use millford_data_plane::proxy_state::ProxyState;
 use rand_chacha::ChaCha8Rng;
 
 use crate::history::RequestNumber;
--- a/crates/simulation/src/world/targets.rs
+++ b/crates/simulation/src/world/targets.rs
@@ -65,8 +65,8 @@
         let mut leaders = self.controls.iter().filter(|(_, control)| {
             let node = control.node.as_ref();
             node.is_some_and(|node| {
-                let standing = node.gateway().standings().get(&shard);
-                standing.is_some_and(|standing| standing.leader == node.identity())
+                let status = node.gateway().replica_statuses().get(&shard);
+                status.is_some_and(|status| status.leader == node.identity())
             })
         });
         leaders.next().map(|(number, _)| *number)
@@ -82,11 +82,11 @@
         let Some(nodes) = nodes else { return false };
         let identities: Vec<_> = nodes.iter().map(|node| node.identity()).collect();
         nodes.iter().all(|node| {
-            let standings = node.gateway().standings();
-            !standings.is_empty()
-                && standings.values().all(|standing| {
-                    standing.voters.len() >= 3
-                        && standing.voters.iter().all(|it| identities.contains(it))
+            let replica_statuses = node.gateway().replica_statuses();
+            !replica_statuses.is_empty()
+                && replica_statuses.values().all(|status| {
+                    status.voters.len() >= 3
+                        && status.voters.iter().all(|it| identities.contains(it))
                 })
         })
     }
