--- a/crates/simulation/src/world/service_registry.rs
+++ b/crates/simulation/src/world/service_registry.rs
@@ -8,6 +8,9 @@
 use millford_control::{RegistryEntry, RegistryView};
 use millford_registry::RegistryDeclaration;
 
+use crate::world::addresses::{backend_address, backend_id};
+use crate::world::backend::BackendKind;
+
 /// Processor cores that every backend declares.
 const CORES: u32 = 16;
 /// Memory bandwidth that every backend declares, in GB/s.
@@ -38,11 +41,10 @@
 
 impl ServiceRegistry {
     /// Lists a backend of a zone as active.
-    pub fn register(&mut self, number: u16, lookup: bool, zone: String) {
-        let (stage, models): (&str, &[&str]) = if lookup {
-            (LOOKUP_STAGE, &[LOOKUP_MODEL])
-        } else {
-            (MODEL_STAGE, &MODELS)
+    pub fn register(&mut self, number: u16, kind: BackendKind, zone: String) {
+        let (stage, models): (&str, &[&str]) = match kind {
+            BackendKind::Lookup => (LOOKUP_STAGE, &[LOOKUP_MODEL]),
+            BackendKind::Model => (MODEL_STAGE, &MODELS),
         };
         let declarations = models.iter().map(|model| RegistryDeclaration {
             model: (*model).to_owned(),
@@ -51,7 +53,7 @@
             adapters: Vec::new(),
         });
         let entry = RegistryEntry {
-            id: format!("backend-{number}"),
+            id: backend_id(number),
             address: backend_address(number),
             zone,
             cores: CORES,
@@ -66,7 +68,7 @@
     /// Lists a backend as draining.
     pub fn drain(&mut self, number: u16) {
         if let Some(entry) = self.entries.get_mut(&number) {
-            entry.state = DRAINING.to_owned();
+            DRAINING.clone_into(&mut entry.state);
         }
     }
 
@@ -92,7 +94,7 @@
         self.freezes += 1;
     }
 
-    /// Ends a freeze. Returns the backends whose retirement the list shows only now.
+    /// Ends a freeze. Returns the backends whose retirement is published only now.
     pub fn unfreeze(&mut self) -> Vec<u16> {
         self.freezes = self.freezes.saturating_sub(1);
         self.publish();
@@ -102,7 +104,7 @@
         std::mem::take(&mut self.unannounced)
     }
 
-    /// Whether the published list shows a retirement at once; else [`Self::unfreeze`] returns it later.
+    /// Whether a retirement is published at once; else [`Self::unfreeze`] returns it later.
     pub fn announces_retirement(&mut self, number: u16) -> bool {
         if self.freezes > 0 {
             self.unannounced.push(number);
@@ -132,22 +134,3 @@
         }
     }
 }
-
-/// Address of a backend.
-#[must_use]
-pub fn backend_address(number: u16) -> String {
-    format!("10.0.3.{number}:8000")
-}
-
-/// Number of the backend with an address.
-#[must_use]
-pub fn backend_at(address: &str) -> Option<u16> {
-    let rest = address.strip_prefix("10.0.3.")?;
-    rest.split(':').next()?.parse().ok()
-}
-
-/// Number of the backend with an id.
-#[must_use]
-pub fn backend_of_id(id: &str) -> Option<u16> {
-    id.strip_prefix("backend-")?.parse().ok()
-}
--- a/crates/simulation/src/world/targets.rs
+++ b/crates/simulation/src/world/targets.rs
@@ -4,15 +4,16 @@
 
 use crate::network::ProcessId;
 use crate::scenario::{Choice, Target, TargetKind};
+use crate::world::backend::BackendKind;
 use crate::world::site::Site;
 
 impl Site {
     /// The processes that a target stands for now.
-    pub fn resolve(&mut self, target: Target) -> Vec<ProcessId> {
+    pub(super) fn resolve(&mut self, target: Target) -> Vec<ProcessId> {
         let present = self.present(target.kind);
         let numbers = match target.choice {
             Choice::All => present,
-            Choice::Number(number) => self.numbered(target.kind, &present, number),
+            Choice::Number(number) => numbered(target.kind, &present, number),
             Choice::Any => self.draw_one(&present),
             Choice::Leader => match self.configuration_leader() {
                 Some(leader) => vec![leader],
@@ -38,27 +39,17 @@
             TargetKind::ProxyNode | TargetKind::Agent | TargetKind::Proxy => {
                 self.proxies.keys().copied().collect()
             }
-            TargetKind::Model => self.present_backends(false),
-            TargetKind::Lookup => self.present_backends(true),
+            TargetKind::Model => self.present_backends(BackendKind::Model),
+            TargetKind::Lookup => self.present_backends(BackendKind::Lookup),
         }
     }
 
-    fn present_backends(&self, lookup: bool) -> Vec<u16> {
+    fn present_backends(&self, kind: BackendKind) -> Vec<u16> {
         let backends = self.backends.iter();
-        let present = backends.filter(|(_, it)| it.lookup == lookup && !it.retired);
+        let present = backends.filter(|(_, it)| it.kind == kind && !it.retired);
         present.map(|(number, _)| *number).collect()
     }
 
-    // Control nodes and proxy nodes by their own number, backends by their position among the present.
-    fn numbered(&self, kind: TargetKind, present: &[u16], number: u16) -> Vec<u16> {
-        let by_place = matches!(kind, TargetKind::Model | TargetKind::Lookup);
-        if by_place {
-            let place = usize::from(number.saturating_sub(1));
-            return present.get(place).copied().into_iter().collect();
-        }
-        present.iter().copied().filter(|it| *it == number).collect()
-    }
-
     fn draw_one(&mut self, present: &[u16]) -> Vec<u16> {
         if present.is_empty() {
             return Vec::new();
@@ -69,13 +60,13 @@
 
     /// The control node that leads the configuration shard, as its own node sees it.
     #[must_use]
-    pub fn configuration_leader(&self) -> Option<u16> {
+    pub(super) fn configuration_leader(&self) -> Option<u16> {
         let shard = millford_core::ShardId::CONFIGURATION;
         let mut leaders = self.controls.iter().filter(|(_, control)| {
             let node = control.node.as_ref();
             node.is_some_and(|node| {
-                let standing = node.gateway().replica_statuses().get(&shard);
-                standing.is_some_and(|standing| standing.leader == node.identity())
+                let status = node.gateway().replica_statuses().get(&shard);
+                status.is_some_and(|status| status.leader == node.identity())
             })
         });
         leaders.next().map(|(number, _)| *number)
@@ -85,7 +76,7 @@
     ///
     /// Only then may a disk be lost: the guarantee is to survive the loss of any one of them.
     #[must_use]
-    pub fn is_repaired(&self) -> bool {
+    pub(super) fn is_repaired(&self) -> bool {
         let present = self.controls.values().filter(|control| !control.lost);
         let nodes: Option<Vec<_>> = present.map(|control| control.node.as_ref()).collect();
         let Some(nodes) = nodes else { return false };
@@ -93,10 +84,20 @@
         nodes.iter().all(|node| {
             let replica_statuses = node.gateway().replica_statuses();
             !replica_statuses.is_empty()
-                && replica_statuses.values().all(|standing| {
-                    standing.voters.len() >= 3
-                        && standing.voters.iter().all(|it| identities.contains(it))
+                && replica_statuses.values().all(|status| {
+                    status.voters.len() >= 3
+                        && status.voters.iter().all(|it| identities.contains(it))
                 })
         })
     }
 }
+
+/// Control nodes and proxy nodes by their own number, backends by their position among the present.
+fn numbered(kind: TargetKind, present: &[u16], number: u16) -> Vec<u16> {
+    let by_place = matches!(kind, TargetKind::Model | TargetKind::Lookup);
+    if by_place {
+        let place = usize::from(number.saturating_sub(1));
+        return present.get(place).copied().into_iter().collect();
+    }
+    present.iter().copied().filter(|it| *it == number).collect()
+}
