--- a/crates/control/src/gateway/core/mod.rs
+++ b/crates/control/src/gateway/core/mod.rs
@@ -216,7 +216,7 @@
         self.send_to_every_shard(&ShardInput::Unsubscribe { subscriber: link });
         let address = self.dialer.closed(now, link);
         if let (Some(formation), Some(address)) = (&mut self.formation, address) {
-            formation.lost(&address);
+            formation.record_disconnect(&address);
         }
     }
 
--- a/crates/control/src/shard/session_service.rs
+++ b/crates/control/src/shard/session_service.rs
@@ -31,7 +31,7 @@
     ) -> RenewSessionsReply {
         let mut closed_members = Vec::new();
         for renewal in &request.renewals {
-            let alive = self.table.touch(
+            let alive = self.table.renew(
                 now,
                 &renewal.member,
                 renewal.epoch,
--- a/crates/forward/src/daemon/run.rs
+++ b/crates/forward/src/daemon/run.rs
@@ -7,14 +7,15 @@
 use millford_api::local::ProxyHello;
 use millford_core::time::monotonic_now;
 use millford_core::{Duration, ResultCode};
-use millford_proxy::daemon::agent_link::agent_link;
-use millford_proxy::daemon::control_thread::spawn_control_thread;
-use millford_proxy::daemon::reporter;
-use millford_proxy::limits::RequestLimits;
-use millford_proxy::proxy_state::ProxyState;
+use millford_data_plane::agent_link::agent_link;
+use millford_data_plane::control_thread::spawn_control_thread;
+use millford_data_plane::limits::RequestLimits;
+use millford_data_plane::load_reporter;
+use millford_data_plane::proxy_state::ProxyState;
 use millford_settings::PartLog;
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::signal::unix::{SignalKind, signal};
+use tokio::task::JoinSet;
 
 use crate::backend::health_watch;
 use crate::daemon::callers::{CallerConnections, serve_callers};
@@ -26,13 +27,13 @@
 
 const LOG: PartLog = PartLog::new("FORWARD");
 
-/// Time from the signal to leave until idle connections are closed: by then no new caller is sent
-/// here, and those who hold a connection were told to close it.
-const CLOSE_IDLE_AFTER: Duration = Duration::from_millis(2200);
-/// Shortest time from the signal to leave to the end.
-const SHORTEST_LEAVE: Duration = Duration::from_millis(3200);
-/// Time between two looks at the open connections while leaving.
-const LEAVE_CHECK: Duration = Duration::from_millis(20);
+/// Time from the termination signal until idle connections are closed: by then no new caller is sent
+/// here, and those with a connection received `Connection: close`.
+const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(2200);
+/// Shortest time from the termination signal to the end.
+const MIN_DRAIN_TIME: Duration = Duration::from_millis(3200);
+/// Time between two checks of the open connections while draining.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Runs until a signal ends the process.
 ///
@@ -48,7 +49,7 @@
     };
     let (agent, task) = agent_link(Arc::clone(&state), agent_address, hello);
     spawn_control_thread(async move {
-        tokio::join!(task.run(), reporter::run(state, agent));
+        tokio::join!(task.run(), load_reporter::run(state, agent));
     })?;
     let traffic = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -72,14 +73,16 @@
     let mut interrupt = signal(SignalKind::interrupt()).into_diagnostic()?;
     let mut hang_up = signal(SignalKind::hangup()).into_diagnostic()?;
     let connections = CallerConnections::default();
-    tokio::spawn(serve_callers(
+    // Dropped at the end of the process, it aborts its tasks.
+    let mut tasks = JoinSet::new();
+    tasks.spawn(serve_callers(
         callers,
         Arc::clone(&node),
         connections.clone(),
     ));
-    tokio::spawn(serve_readiness(readiness, Arc::clone(&node)));
-    tokio::spawn(exchange::run(Arc::clone(&node), exchange_socket));
-    tokio::spawn(health_watch::run(Arc::clone(&node)));
+    tasks.spawn(serve_readiness(readiness, Arc::clone(&node)));
+    tasks.spawn(exchange::run(Arc::clone(&node), exchange_socket));
+    tasks.spawn(health_watch::run(Arc::clone(&node)));
     println!("millford-forward ready callers={}", settings.caller_address);
     LOG.info(format!("Serving callers at {}.", settings.caller_address));
     loop {
@@ -89,8 +92,8 @@
             _ = hang_up.recv() => LOG.info("The settings file is read at the next start."),
         }
     }
-    let longest = Duration::from_millis(settings.leave_timeout_ms);
-    leave(&node, &connections, longest).await;
+    let longest = Duration::from_millis(settings.drain_timeout_ms);
+    drain(&node, &connections, longest).await;
     Ok(())
 }
 
@@ -104,28 +107,28 @@
     miette!(code = "address_in_use_7002", "{code} {address}: {error}")
 }
 
-/// No longer ready; requests go on to be served until callers have gone elsewhere, and open ones end by
-/// themselves within a bound.
-async fn leave<P: ForwardProtocol>(
+/// Shuts down gracefully: the node is no longer ready, requests are still served until callers have moved
+/// elsewhere, and open ones end by themselves within a bound.
+async fn drain<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     connections: &CallerConnections,
     longest: Duration,
 ) {
-    LOG.info("Leaving: no longer ready.");
+    LOG.info("Draining: no longer ready.");
     let begun = monotonic_now();
-    node.leave(begun, longest);
-    tokio::time::sleep(CLOSE_IDLE_AFTER.min(longest)).await;
+    node.drain(begun, longest);
+    tokio::time::sleep(IDLE_CLOSE_DELAY.min(longest)).await;
     connections.close_when_idle();
     loop {
         let passed = monotonic_now().since(begun);
         let empty = connections.open() == 0;
-        if passed >= longest || (empty && passed >= SHORTEST_LEAVE.min(longest)) {
+        if passed >= longest || (empty && passed >= MIN_DRAIN_TIME.min(longest)) {
             break;
         }
-        tokio::time::sleep(LEAVE_CHECK).await;
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
     LOG.info(format!(
-        "Left with {} open connections.",
+        "Drained with {} open connections.",
         connections.open()
     ));
 }
--- a/crates/forward/src/request/refusal.rs
+++ b/crates/forward/src/request/refusal.rs
@@ -1,4 +1,4 @@
-//! The proxy's own answers to requests that were not served.
+//! The proxy's own responses to requests that were not served.
 
 use http::header::{CONNECTION, CONTENT_TYPE, RETRY_AFTER};
 use http::{HeaderValue, Response, StatusCode};
@@ -7,19 +7,19 @@
 use millford_core::{Duration, ResultCode};
 
 use crate::protocol::ForwardProtocol;
-use crate::request::answer_body::AnswerBody;
+use crate::request::response_body::ResponseBody;
 
 /// Why a request was not served.
 ///
-/// A code whose status is 429 or 503 promises that the request did not run and never will; the
-/// codes for an unknown fate have 502 and 504.
+/// A code whose status is 429 or 503 guarantees that the request did not run and never will; the
+/// codes for an unknown outcome have 502 and 504.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// The numbered code.
     pub code: ResultCode,
     /// When the caller should come back.
     pub retry_after: Option<Duration>,
-    /// The request was not read whole: its connection cannot be used again.
+    /// The request was not read completely: its connection cannot be used again.
     pub close: bool,
 }
 
@@ -50,7 +50,7 @@
 
     /// The refusal as HTTP.
     #[must_use]
-    pub fn response<P: ForwardProtocol>(&self, protocol: &P) -> Response<AnswerBody> {
+    pub fn response<P: ForwardProtocol>(&self, protocol: &P) -> Response<ResponseBody> {
         let text = format!("{}\n", self.code);
         let body = Full::from(text).map_err(|never| match never {});
         let mut response = Response::new(body.boxed_unsync());
--- a/crates/proxy/src/request/claim_hold.rs
+++ b/crates/proxy/src/request/claim_hold.rs
@@ -2,9 +2,9 @@
 
 use millford_api::command::{Claim, ResolveClaim, RunOutcome};
 use millford_core::{MonotonicTime, ResultCode, RunState};
+use millford_data_plane::agent_message::ClaimAnswer;
 
 use crate::request::environment::RequestEnvironment;
-use crate::request::message::ClaimAnswer;
 use crate::request::refusal::Refusal;
 
 /// A granted claim. Unless settled, it stays "may have run".
@@ -40,7 +40,7 @@
 
     /// Records what became of the run.
     pub fn settle<E: RequestEnvironment>(&self, environment: &E, outcome: RunOutcome) {
-        environment.settle(ResolveClaim {
+        environment.resolve_claim(ResolveClaim {
             tenant: self.claim.tenant.clone(),
             request_id: self.claim.request_id.clone(),
             attempt_id: self.claim.attempt_id.clone(),
--- a/crates/replication/src/snapshot_sending.rs
+++ b/crates/replication/src/snapshot_sending.rs
@@ -1,10 +1,11 @@
-//! Snapshots that a leader sends to a replica whose entries are compacted away.
+//! Snapshots that a leader sends to a replica whose entries are compacted away (Raft thesis,
+//! section 5.1).
 
 use millford_api::replication::{SnapshotChunk, SnapshotReply, replication_message::Body};
 use millford_core::{MonotonicTime, NodeId};
 
 use crate::Replica;
-use crate::progress::{Progress, SendState, SnapshotTransfer};
+use crate::progress::{Progress, ProgressState, SnapshotTransfer};
 
 /// A chunk that was not answered within this many heartbeats is sent again.
 const RESEND_HEARTBEATS: u32 = 3;
@@ -12,25 +13,25 @@
 impl Replica {
     pub(crate) fn start_snapshot(&self, peer: &mut Progress) {
         if let Some(snapshot) = self.storage.snapshot() {
-            peer.send_snapshot(snapshot.clone());
+            peer.become_snapshot(snapshot.clone());
         }
     }
 
-    /// Sends the next chunk unless one is under way, and a heartbeat when one is due.
-    pub(crate) fn send_chunk(&mut self, node: NodeId, peer: &mut Progress, message_due: bool) {
-        if message_due {
+    /// Sends the next chunk unless one is in flight, and a heartbeat when one is due.
+    pub(crate) fn send_chunk(&mut self, node: NodeId, peer: &mut Progress, broadcast_due: bool) {
+        if broadcast_due {
             // Index 0 matches always: the message keeps the leadership and confirms reads.
             self.send_append(node, peer, 0, Vec::new());
         }
         let now = self.now;
         let resend_after = self.options.timing.heartbeat * RESEND_HEARTBEATS;
-        let SendState::Snapshot(transfer) = &mut peer.state else {
+        let ProgressState::Snapshot(transfer) = &mut peer.state else {
             return;
         };
-        let is_waiting = transfer
+        let is_in_flight = transfer
             .sent_at
             .is_some_and(|sent_at| now.since(sent_at) < resend_after);
-        if is_waiting {
+        if is_in_flight {
             return;
         }
         let chunk = self.next_chunk(transfer, now);
@@ -40,7 +41,7 @@
     fn next_chunk(&self, transfer: &mut SnapshotTransfer, now: MonotonicTime) -> SnapshotChunk {
         transfer.sent_at = Some(now);
         let data = &transfer.snapshot.data;
-        let start = usize::try_from(transfer.position).unwrap_or(usize::MAX);
+        let start = usize::try_from(transfer.offset).unwrap_or(usize::MAX);
         let start = start.min(data.len());
         let end = (start + self.options.limits.snapshot_chunk_bytes).min(data.len());
         SnapshotChunk {
@@ -59,17 +60,17 @@
         let Some(peer) = state.and_then(|state| state.peers.get_mut(&from)) else {
             return;
         };
-        let SendState::Snapshot(transfer) = &mut peer.state else {
+        let ProgressState::Snapshot(transfer) = &mut peer.state else {
             return;
         };
         if transfer.snapshot.meta.index != reply.last_index {
             return;
         }
         if reply.installed {
-            peer.accepted(reply.last_index);
-            peer.replicate();
-        } else if transfer.position != reply.next_position {
-            transfer.position = reply.next_position;
+            peer.record_match(reply.last_index);
+            peer.become_replicate();
+        } else if transfer.offset != reply.next_position {
+            transfer.offset = reply.next_position;
             transfer.sent_at = None;
         }
     }
--- a/crates/replication/tests/group/world.rs
+++ b/crates/replication/tests/group/world.rs
@@ -10,11 +10,11 @@
 
 use super::history::History;
 use super::machine::Machine;
-use super::simulation::forget_vote;
+use super::simulation::{Defect, forget_vote};
 
 /// The replicas.
-pub const NODES: [u64; 3] = [1, 2, 3];
-/// Longer than any election timeout, and longer than a quorum may be silent.
+pub(crate) const NODES: [u64; 3] = [1, 2, 3];
+/// Longer than any election timeout, and longer than a quorum may be unresponsive.
 const TIMEOUT: Duration = Duration::from_secs(4);
 
 /// More actions than an election takes, a refused first one included.
@@ -22,28 +22,29 @@
 
 /// Something that may happen next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Action {
+pub(crate) enum Action {
     Timeout(usize),
     Crash(usize),
     Propose(usize),
-    /// Delivers a message, by its place among those under way.
+    /// Delivers a message, by its position among those in transit.
     Deliver(usize),
-    /// Delivers a message and keeps it under way.
-    Repeat(usize),
+    /// Delivers a message and keeps it in transit.
+    Duplicate(usize),
 }
 
 /// The group.
-pub struct World {
-    pub machines: Vec<Machine>,
+pub(crate) struct World {
+    pub(crate) machines: Vec<Machine>,
     clocks: [MonotonicTime; 3],
-    pub under_way: Vec<ReplicationMessage>,
-    pub history: History,
-    /// A crash also loses the vote: the planted defect.
-    forgets_votes: bool,
+    pub(crate) in_transit: Vec<ReplicationMessage>,
+    pub(crate) history: History,
+    /// Only [`Defect::ForgottenVotes`] has an effect: a crash also loses the vote.
+    defect: Defect,
 }
 
 impl World {
-    pub fn new(forgets_votes: bool) -> Self {
+    /// Three replicas that have just started.
+    pub(crate) fn new(defect: Defect) -> Self {
         let voters = VoterSet {
             voters: NODES.to_vec(),
             learners: Vec::new(),
@@ -52,9 +53,9 @@
         let mut world = Self {
             machines: machines.into(),
             clocks: [MonotonicTime::ZERO; 3],
-            under_way: Vec::new(),
+            in_transit: Vec::new(),
             history: History::default(),
-            forgets_votes,
+            defect,
         };
         for position in 0..NODES.len() {
             world.start(position);
@@ -66,27 +67,29 @@
         let machine = &mut self.machines[position];
         machine
             .start(self.clocks[position], NODES[position])
-            .expect("the disk is whole");
+            .expect("the disk is intact");
     }
 
-    pub fn run(path: &[Action], forgets_votes: bool) -> Self {
-        let mut world = Self::new(forgets_votes);
+    /// The group after a sequence of actions.
+    pub(crate) fn run(path: &[Action], defect: Defect) -> Self {
+        let mut world = Self::new(defect);
         for action in path {
             world.act(*action);
         }
         world
     }
 
-    pub fn act(&mut self, action: Action) {
+    /// Lets one action happen, then compares the logs.
+    pub(crate) fn act(&mut self, action: Action) {
         match action {
             Action::Timeout(position) => self.time_out(position),
             Action::Crash(position) => self.crash(position),
             Action::Propose(position) => self.propose(position),
-            Action::Deliver(place) => {
-                let message = self.under_way.remove(place);
+            Action::Deliver(index) => {
+                let message = self.in_transit.remove(index);
                 self.deliver(message);
             }
-            Action::Repeat(place) => self.deliver(self.under_way[place].clone()),
+            Action::Duplicate(index) => self.deliver(self.in_transit[index].clone()),
         }
         self.check_logs();
     }
@@ -103,7 +106,7 @@
     fn crash(&mut self, position: usize) {
         let machine = &mut self.machines[position];
         machine.lose_power(0);
-        if self.forgets_votes {
+        if self.defect == Defect::ForgottenVotes {
             forget_vote(machine);
         }
         self.start(position);
@@ -130,8 +133,8 @@
     fn flush(&mut self, position: usize) {
         let now = self.clocks[position];
         let ready = self.machines[position].flush(now, &mut self.history);
-        self.under_way
-            .extend(ready.expect("the disk is whole").messages);
+        self.in_transit
+            .extend(ready.expect("the disk is intact").messages);
     }
 
     fn check_logs(&mut self) {
@@ -142,40 +145,41 @@
         }
     }
 
-    /// A number that is the same for the same situation.
-    pub fn fingerprint(&self) -> u64 {
+    /// A digest that is the same for the same situation.
+    pub(crate) fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for machine in &self.machines {
             format!("{:?}", machine.replica).hash(&mut hasher);
         }
         let mut messages: Vec<Vec<u8>> =
-            self.under_way.iter().map(Message::encode_to_vec).collect();
+            self.in_transit.iter().map(Message::encode_to_vec).collect();
         messages.sort_unstable();
         messages.hash(&mut hasher);
         self.history.facts().hash(&mut hasher);
         hasher.finish()
     }
 
-    pub fn leads(&self, position: usize) -> bool {
+    /// Whether a replica leads.
+    pub(crate) fn leads(&self, position: usize) -> bool {
         let replica = self.machines[position].replica.as_ref();
         replica.is_some_and(|replica| replica.role() == Role::Leader)
     }
 
-    /// Delivers what is under way between two replicas, until nothing is; the rest stays.
-    pub fn exchange(&mut self, left: usize, right: usize) {
+    /// Delivers what is in transit between two replicas, until nothing is; the rest stays.
+    pub(crate) fn exchange(&mut self, left: usize, right: usize) {
         let pair = [NODES[left], NODES[right]];
         let is_between = |message: &ReplicationMessage| {
             pair.contains(&message.from) && pair.contains(&message.to)
         };
-        while let Some(place) = self.under_way.iter().position(is_between) {
-            self.act(Action::Deliver(place));
+        while let Some(index) = self.in_transit.iter().position(is_between) {
+            self.act(Action::Deliver(index));
         }
     }
 
-    /// Loses what is under way, then times a replica out, with one other in reach, until it leads.
-    pub fn elect(&mut self, candidate: usize, voter: usize) {
-        self.under_way.clear();
-        // The voter has not heard of its leader for as long either.
+    /// Loses what is in transit, then times a replica out, with one other in reach, until it leads.
+    pub(crate) fn elect(&mut self, candidate: usize, voter: usize) {
+        self.in_transit.clear();
+        // The voter has had no contact with its leader for as long either.
         self.clocks[voter] = self.clocks[voter] + TIMEOUT;
         let pair = [NODES[candidate], NODES[voter]];
         self.act(Action::Timeout(candidate));
@@ -183,11 +187,11 @@
             if self.leads(candidate) {
                 return;
             }
-            let place = self
-                .under_way
+            let index = self
+                .in_transit
                 .iter()
                 .position(|message| pair.contains(&message.from) && pair.contains(&message.to));
-            self.act(place.map_or(Action::Timeout(candidate), Action::Deliver));
+            self.act(index.map_or(Action::Timeout(candidate), Action::Deliver));
         }
         panic!("replica {candidate} is not elected");
     }
--- a/crates/routing/src/backend_health.rs
+++ b/crates/routing/src/backend_health.rs
@@ -1,21 +1,23 @@
-//! Which backends are ejected, from what this node itself sees of them.
+//! Which backends are ejected, from what this node itself observes of them.
 
 use std::collections::BTreeMap;
-use std::sync::{Mutex, MutexGuard, PoisonError};
+use std::sync::{Mutex, MutexGuard};
 
 use millford_core::{Duration, MonotonicTime};
 
-/// Probes in a row that must succeed before an ejected backend is used again.
+use crate::lock::lock;
+
+/// Probes in a row that must succeed before an ejected backend is readmitted.
 pub const PROBES_TO_READMIT: u32 = 2;
 
 /// Failed probes in a row that eject a backend.
 pub const PROBES_TO_EJECT: u32 = 2;
 
 /// Backends used within this time are watched.
-pub const WATCH_AFTER_USE: Duration = Duration::from_secs(60);
+pub const WATCH_AFTER_USE: Duration = Duration::from_mins(1);
 
 /// Most backends that a node probes without using them.
-pub const MOST_WATCHED: usize = 64;
+pub const MAX_WATCHED: usize = 64;
 
 /// Why a backend was ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -24,8 +26,8 @@
     ConnectFailed,
     /// A connection broke with a request on it.
     ConnectionLost,
-    /// Nothing was heard on a stream or a probe for too long.
-    Silent,
+    /// Nothing was received on a stream or a probe for too long.
+    Unresponsive,
 }
 
 impl EjectionReason {
@@ -35,7 +37,7 @@
         match self {
             EjectionReason::ConnectFailed => "connect_failed",
             EjectionReason::ConnectionLost => "connection_lost",
-            EjectionReason::Silent => "silent",
+            EjectionReason::Unresponsive => "silent",
         }
     }
 }
@@ -46,17 +48,17 @@
     good_probes: u32,
     bad_probes: u32,
     last_used: Option<MonotonicTime>,
-    last_heard: Option<MonotonicTime>,
-    /// The first use since it was heard last.
-    unheard_since: Option<MonotonicTime>,
+    last_active: Option<MonotonicTime>,
+    /// The first use since its last activity.
+    unanswered_since: Option<MonotonicTime>,
     /// Probed whether or not it is in use.
     watched: bool,
 }
 
 /// Health of the backends by id.
 ///
-/// The registry trails reality, so a vanished backend is ejected by connect errors, by silence
-/// and by failed probes. Only successful probes bring it back.
+/// The registry trails reality, so a vanished backend is ejected by connect errors, by inactivity
+/// and by failed probes. Only successful probes readmit it.
 #[derive(Debug, Default)]
 pub struct BackendHealth {
     backends: Mutex<BTreeMap<String, Health>>,
@@ -64,23 +66,23 @@
 
 impl BackendHealth {
     /// Work was sent to the backend.
-    pub fn used(&self, id: &str, now: MonotonicTime) {
+    pub fn record_dispatch(&self, id: &str, now: MonotonicTime) {
         self.entry(id, |health| {
             health.last_used = Some(now);
-            health.unheard_since.get_or_insert(now);
+            health.unanswered_since.get_or_insert(now);
         });
     }
 
     /// Bytes came from the backend.
-    pub fn heard(&self, id: &str, now: MonotonicTime) {
+    pub fn record_activity(&self, id: &str, now: MonotonicTime) {
         self.entry(id, |health| {
-            health.last_heard = Some(now);
-            health.unheard_since = None;
+            health.last_active = Some(now);
+            health.unanswered_since = None;
             health.bad_probes = 0;
         });
     }
 
-    /// Takes the backend out of use. Answers whether it was in use before.
+    /// Takes the backend out of use. Returns whether it was in use before.
     pub fn eject(&self, id: &str, reason: EjectionReason) -> bool {
         self.entry(id, |health| {
             let newly = health.ejected.is_none();
@@ -105,10 +107,10 @@
         self.lock().get(id).and_then(|health| health.ejected)
     }
 
-    /// A probe was answered. Answers whether it brought the backend back.
+    /// A probe succeeded. Returns whether it readmitted the backend.
     pub fn probe_succeeded(&self, id: &str, now: MonotonicTime) -> bool {
         self.entry(id, |health| {
-            health.last_heard = Some(now);
+            health.last_active = Some(now);
             health.bad_probes = 0;
             health.good_probes += 1;
             let readmitted = health.ejected.is_some() && health.good_probes >= PROBES_TO_READMIT;
@@ -119,57 +121,57 @@
         })
     }
 
-    /// A probe failed. Answers whether it ejected the backend.
+    /// A probe failed. Returns whether it ejected the backend.
     pub fn probe_failed(&self, id: &str) -> bool {
         self.entry(id, |health| {
             health.good_probes = 0;
             health.bad_probes += 1;
             let ejects = health.ejected.is_none() && health.bad_probes >= PROBES_TO_EJECT;
             if ejects {
-                health.ejected = Some(EjectionReason::Silent);
+                health.ejected = Some(EjectionReason::Unresponsive);
             }
             ejects
         })
     }
 
-    /// Backends to probe now: the ejected ones, and those in recent use that are quiet.
+    /// Backends to probe now: the ejected ones, and those in recent use that were inactive for `quiet`.
     #[must_use]
     pub fn to_probe(&self, now: MonotonicTime, quiet: Duration) -> Vec<String> {
         let backends = self.lock();
         let due = backends.iter().filter(|(_, health)| {
             let recently = |at: MonotonicTime| now.since(at) < WATCH_AFTER_USE;
             let in_use = health.last_used.is_some_and(recently);
-            let is_quiet = health.last_heard.is_none_or(|at| now.since(at) >= quiet);
+            let is_quiet = health.last_active.is_none_or(|at| now.since(at) >= quiet);
             health.ejected.is_some() || ((in_use || health.watched) && is_quiet)
         });
         due.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Whether nothing was heard for `span`, neither since the last sign of life nor since the first
-    /// use after it. Only of interest while requests are under way.
+    /// Whether nothing was received for `span`, neither since the last activity nor since the first
+    /// use after it. Only of interest while requests are in flight.
     #[must_use]
-    pub fn is_silent(&self, id: &str, now: MonotonicTime, span: Duration) -> bool {
+    pub fn is_unresponsive(&self, id: &str, now: MonotonicTime, span: Duration) -> bool {
         let backends = self.lock();
         let Some(health) = backends.get(id) else {
             return false;
         };
-        let newest = health.unheard_since.max(health.last_heard);
+        let newest = health.unanswered_since.max(health.last_active);
         newest.is_some_and(|at| now.since(at) >= span)
     }
 
-    /// Whether any other backend was heard within `span`.
+    /// Whether any other backend was active within `span`.
     #[must_use]
-    pub fn others_heard(&self, id: &str, now: MonotonicTime, span: Duration) -> bool {
+    pub fn others_responsive(&self, id: &str, now: MonotonicTime, span: Duration) -> bool {
         let backends = self.lock();
         let mut others = backends.iter().filter(|(other, _)| other.as_str() != id);
-        others.any(|(_, health)| health.last_heard.is_some_and(|at| now.since(at) < span))
+        others.any(|(_, health)| health.last_active.is_some_and(|at| now.since(at) < span))
     }
 
-    /// Watches backends before they are used, if they are at most [`MOST_WATCHED`]: the first
+    /// Watches backends before they are used, if they are at most [`MAX_WATCHED`]: the first
     /// work for a backend that vanished would find it out too late.
     pub fn watch<'a>(&self, ids: impl Iterator<Item = &'a str>) {
-        let ids: Vec<&str> = ids.take(MOST_WATCHED + 1).collect();
-        if ids.len() > MOST_WATCHED {
+        let ids: Vec<&str> = ids.take(MAX_WATCHED + 1).collect();
+        if ids.len() > MAX_WATCHED {
             return;
         }
         for id in ids {
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Forgets backends that the feed no longer shows.
+    /// Forgets backends that the feed no longer lists.
     pub fn keep_only(&self, known: impl Fn(&str) -> bool) {
         self.lock().retain(|id, _| known(id));
     }
@@ -211,6 +213,6 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, BTreeMap<String, Health>> {
-        self.backends.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.backends)
     }
 }
--- a/crates/scale/src/exchange/proxy_fleet.rs
+++ b/crates/scale/src/exchange/proxy_fleet.rs
@@ -7,9 +7,9 @@
 use millford_api::state::state_value::Kind;
 use millford_api::state::{Backend, ConfigHead, ProxyMember, StateValue};
 use millford_core::hash_tenant_key;
+use millford_data_plane::limits::RequestLimits;
+use millford_data_plane::proxy_state::ProxyState;
 use millford_forward::{ForwardNode, ForwardSettings, MillfordProtocol};
-use millford_proxy::limits::RequestLimits;
-use millford_proxy::proxy_state::ProxyState;
 use millford_routing::RoutingTable;
 use tokio::net::UdpSocket;
 use tokio::task::JoinHandle;
@@ -91,9 +91,11 @@
 
     /// Admissions that proxies decided on without an owner's answer so far.
     #[must_use]
-    pub fn decided_alone(&self) -> u64 {
+    pub fn degraded_decisions(&self) -> u64 {
         let nodes = self.nodes.iter();
-        nodes.map(|node| node.shared_quotas.decided_alone()).sum()
+        nodes
+            .map(|node| node.quota_client.degraded_decisions())
+            .sum()
     }
 }
 
--- a/crates/simulation/src/disk/platter.rs
+++ b/crates/simulation/src/disk/disk_image.rs
@@ -12,16 +12,18 @@
 
 /// State of a disk; it outlives the process, but not a wipe.
 #[derive(Debug, Default)]
-pub struct Platter {
+pub struct DiskImage {
     files: BTreeMap<String, DiskFile>,
     condition: DiskCondition,
+    /// Time that operations took since this was last read.
     busy_micros: u64,
-    syncs: u64,
-    lies: bool,
+    /// A planted defect: syncs make nothing durable.
+    ignores_syncs: bool,
+    /// Whether a sync met a stalled disk since this was last read.
     stalled: bool,
 }
 
-impl Platter {
+impl DiskImage {
     /// Changes how the disk behaves.
     pub fn set_condition(&mut self, condition: DiskCondition) {
         self.condition = condition;
@@ -33,25 +35,19 @@
         self.condition
     }
 
-    /// Time that operations took since the last call, in microseconds.
+    /// Time that operations took since this was last read, in microseconds.
     pub fn take_busy_micros(&mut self) -> u64 {
         std::mem::take(&mut self.busy_micros)
     }
 
-    /// Whether a sync since the last call met a stalled disk.
+    /// Whether a sync since this was last read met a stalled disk.
     pub fn take_stalled(&mut self) -> bool {
         std::mem::take(&mut self.stalled)
     }
 
-    /// Syncs done so far.
-    #[must_use]
-    pub fn syncs(&self) -> u64 {
-        self.syncs
-    }
-
     /// From now on syncs do nothing: a planted defect.
-    pub fn lie_about_syncs(&mut self) {
-        self.lies = true;
+    pub fn ignore_syncs(&mut self) {
+        self.ignores_syncs = true;
     }
 
     /// Forgets every file.
@@ -64,7 +60,7 @@
         for file in self.files.values_mut() {
             file.lose_power(random);
         }
-        self.drop_gone();
+        self.drop_removed();
         self.busy_micros = 0;
     }
 
@@ -94,19 +90,18 @@
 
     /// Syncs a file and counts the time it takes.
     pub fn sync(&mut self, name: &str) {
-        self.syncs += 1;
         self.stalled |= self.condition == DiskCondition::Stalled;
         self.busy_micros += match self.condition {
             DiskCondition::Slow(micros) => micros,
             _ => HEALTHY_SYNC_MICROS,
         };
-        if let Some(file) = self.files.get_mut(name).filter(|_| !self.lies) {
+        if let Some(file) = self.files.get_mut(name).filter(|_| !self.ignores_syncs) {
             file.sync();
         }
-        self.drop_gone();
+        self.drop_removed();
     }
 
-    fn drop_gone(&mut self) {
-        self.files.retain(|_, file| !file.is_gone());
+    fn drop_removed(&mut self) {
+        self.files.retain(|_, file| !file.is_removed());
     }
 }
--- a/crates/simulation/src/scenario/parser.rs
+++ b/crates/simulation/src/scenario/parser.rs
@@ -1,22 +1,26 @@
-//! Reads a scenario file. The crate's README describes the format.
+//! Parses a scenario file. The crate's README describes the format.
 
 use std::time::Duration;
 
 use crate::scenario::definition::Scenario;
 use crate::scenario::draw::{Draw, FaultClass};
-use crate::scenario::expectation::{Expectation, Figure};
+use crate::scenario::expectation::{Bound, Expectation, Figure};
 use crate::scenario::fault::TimedFault;
 use crate::scenario::fault_parser::parse_fault;
-use crate::scenario::parse_error::ParseError;
+use crate::scenario::parse_error::{ParseError, StatementError};
+use crate::scenario::tokens::Tokens;
 use crate::scenario::topology::Topology;
-use crate::scenario::words::Words;
 use crate::scenario::workload::Workload;
 
 const DEFAULT_DURATION: Duration = Duration::from_secs(30);
 const DEFAULT_SEEDS: u64 = 3;
 
 impl Scenario {
-    /// Reads the text of a scenario file.
+    /// Parses the text of a scenario file.
+    ///
+    /// # Errors
+    /// [`ParseError`] names the first line that is no statement; a file without a name or a site
+    /// counts as wrong in its first line.
     pub fn parse(text: &str) -> Result<Scenario, ParseError> {
         let mut scenario = Scenario {
             name: String::new(),
@@ -30,97 +34,106 @@
         };
         for (index, line) in text.lines().enumerate() {
             let statement = line.split('#').next().unwrap_or_default();
-            parse_line(&mut scenario, statement).map_err(|text| ParseError {
+            parse_line(&mut scenario, statement).map_err(|source| ParseError {
                 line: index + 1,
-                text,
+                source,
             })?;
         }
-        finish(scenario)
+        check_complete(&scenario).map_err(|source| ParseError { line: 1, source })?;
+        scenario.faults.sort_by_key(|fault| fault.at);
+        Ok(scenario)
     }
 }
 
-fn finish(mut scenario: Scenario) -> Result<Scenario, ParseError> {
-    let whole_file = |text: &str| ParseError {
-        line: 1,
-        text: text.to_string(),
-    };
+fn check_complete(scenario: &Scenario) -> Result<(), StatementError> {
     if scenario.name.is_empty() {
-        return Err(whole_file("the scenario has no name"));
+        return Err(StatementError::NoName);
     }
     if scenario.sites.is_empty() {
-        return Err(whole_file("the scenario names no site"));
+        return Err(StatementError::NoSite);
     }
-    scenario.faults.sort_by_key(|fault| fault.at);
-    Ok(scenario)
+    Ok(())
 }
 
-fn parse_line(scenario: &mut Scenario, line: &str) -> Result<(), String> {
-    let mut words = Words::new(line);
-    let Ok(statement) = words.next("a statement") else {
+fn parse_line(scenario: &mut Scenario, line: &str) -> Result<(), StatementError> {
+    let mut tokens = Tokens::new(line);
+    let Ok(statement) = tokens.next("a statement") else {
         return Ok(());
     };
     match statement {
-        "scenario" => scenario.name = words.next("the name")?.to_string(),
-        "site" => scenario.sites.push(parse_site(&mut words)?),
-        "duration" => scenario.duration = words.duration()?,
-        "seeds" => scenario.seeds = words.number("")?,
-        "calls" => scenario.workload.calls_per_second = words.number("/s")?,
-        "lookups" => scenario.workload.lookups_per_second = words.number("/s")?,
-        "keyed" => scenario.workload.keyed_percent = words.number("%")?,
-        "unkeyed" => scenario.workload.unkeyed_percent = words.number("%")?,
-        "resend" => scenario.workload.resend_percent = words.number("%")?,
-        "order-every" => scenario.workload.order_every = words.duration()?,
-        "quota" => {
-            scenario.workload.quota_per_second = words.number("/s")?;
-            words.expect("burst")?;
-            scenario.workload.quota_burst = words.number("")?;
-        }
+        "scenario" => scenario.name = tokens.next("the name")?.to_string(),
+        "site" => scenario.sites.push(parse_site(&mut tokens)?),
+        "duration" => scenario.duration = tokens.duration()?,
+        "seeds" => scenario.seeds = tokens.number()?,
         "at" => {
-            let at = words.duration()?;
-            let fault = parse_fault(&mut words)?;
+            let at = tokens.duration()?;
+            let fault = parse_fault(&mut tokens)?;
             scenario.faults.push(TimedFault { at, fault });
         }
-        "draw" => scenario.draws.push(parse_draw(&mut words)?),
-        "expect" => scenario.expectations.push(parse_expectation(&mut words)?),
-        other => return Err(format!("unknown statement {other:?}")),
+        "draw" => scenario.draws.push(parse_draw(&mut tokens)?),
+        "expect" => scenario.expectations.push(parse_expectation(&mut tokens)?),
+        keyword => parse_workload(&mut scenario.workload, keyword, &mut tokens)?,
     }
-    words.end()
+    tokens.end()
 }
 
-fn parse_site(words: &mut Words) -> Result<Topology, String> {
-    let word = words.next("a site")?;
-    if word != "fronts" {
-        return Topology::from_word(word).ok_or_else(|| format!("unknown site {word:?}"));
+fn parse_workload(
+    workload: &mut Workload,
+    keyword: &str,
+    tokens: &mut Tokens<'_>,
+) -> Result<(), StatementError> {
+    match keyword {
+        "calls" => workload.requests_per_second = tokens.number_with_suffix("/s")?,
+        "lookups" => workload.lookups_per_second = tokens.number_with_suffix("/s")?,
+        "keyed" => workload.keyed_percent = tokens.number_with_suffix("%")?,
+        "unkeyed" => workload.unkeyed_percent = tokens.number_with_suffix("%")?,
+        "resend" => workload.resend_percent = tokens.number_with_suffix("%")?,
+        "order-every" => workload.order_every = tokens.duration()?,
+        "quota" => {
+            workload.quota_per_second = tokens.number_with_suffix("/s")?;
+            tokens.expect("burst")?;
+            workload.quota_burst = tokens.number()?;
+        }
+        other => return Err(StatementError::unknown("statement", other)),
+    }
+    Ok(())
+}
+
+fn parse_site(tokens: &mut Tokens<'_>) -> Result<Topology, StatementError> {
+    let keyword = tokens.next("a site")?;
+    if keyword != "fronts" {
+        return Topology::from_keyword(keyword)
+            .ok_or_else(|| StatementError::unknown("site", keyword));
     }
     let mut topology = Topology::SMALL;
-    topology.fronts = words.number("")?;
-    words.expect("zones")?;
-    topology.zones = words.number("")?;
-    words.expect("cores")?;
-    topology.cores = words.number("")?;
-    words.expect("models")?;
-    topology.models = words.number("")?;
-    words.expect("lookups")?;
-    topology.lookups = words.number("")?;
-    words.expect("tenants")?;
-    topology.tenants = words.number("")?;
+    topology.proxy_nodes = tokens.number()?;
+    tokens.expect("zones")?;
+    topology.zones = tokens.number()?;
+    tokens.expect("cores")?;
+    topology.control_nodes = tokens.number()?;
+    tokens.expect("models")?;
+    topology.models = tokens.number()?;
+    tokens.expect("lookups")?;
+    topology.lookups = tokens.number()?;
+    tokens.expect("tenants")?;
+    topology.tenants = tokens.number()?;
     Ok(topology)
 }
 
-fn parse_draw(words: &mut Words) -> Result<Draw, String> {
-    let count = words.number("")?;
-    words.expect("from")?;
-    let from = words.duration()?;
-    words.expect("to")?;
-    let to = words.duration()?;
+fn parse_draw(tokens: &mut Tokens<'_>) -> Result<Draw, StatementError> {
+    let count = tokens.number()?;
+    tokens.expect("from")?;
+    let from = tokens.duration()?;
+    tokens.expect("to")?;
+    let to = tokens.duration()?;
     if to <= from {
-        return Err("the draw ends before it starts".to_string());
+        return Err(StatementError::EmptyDraw);
     }
     let mut classes = Vec::new();
-    if words.take("over") {
-        for word in words.next("classes of faults")?.split(',') {
-            let class = FaultClass::from_word(word)
-                .ok_or_else(|| format!("unknown class of faults {word:?}"))?;
+    if tokens.take("over") {
+        for keyword in tokens.next("classes of faults")?.split(',') {
+            let class = FaultClass::from_keyword(keyword)
+                .ok_or_else(|| StatementError::unknown("class of faults", keyword))?;
             classes.push(class);
         }
     } else {
@@ -134,22 +147,27 @@
     })
 }
 
-fn parse_expectation(words: &mut Words) -> Result<Expectation, String> {
-    let word = words.next("a figure")?;
-    let figure = Figure::from_word(word).ok_or_else(|| format!("unknown figure {word:?}"))?;
-    let at_least = match words.next("<= or >=")? {
-        "<=" => false,
-        ">=" => true,
-        other => return Err(format!("expected <= or >=, found {other:?}")),
+fn parse_expectation(tokens: &mut Tokens<'_>) -> Result<Expectation, StatementError> {
+    let keyword = tokens.next("a figure")?;
+    let figure =
+        Figure::from_keyword(keyword).ok_or_else(|| StatementError::unknown("figure", keyword))?;
+    let bound = match tokens.next("<= or >=")? {
+        "<=" => Bound::AtMost,
+        ">=" => Bound::AtLeast,
+        other => {
+            return Err(StatementError::UnexpectedComparison {
+                found: other.to_owned(),
+            });
+        }
     };
     let value = match figure {
-        Figure::SecondSends | Figure::Served => words.number("%")?,
-        Figure::Orders => words.number("")?,
-        _ => u64::try_from(words.duration()?.as_millis()).unwrap_or(u64::MAX),
+        Figure::SecondSends | Figure::Served => tokens.number_with_suffix("%")?,
+        Figure::Orders => tokens.number()?,
+        _ => u64::try_from(tokens.duration()?.as_millis()).unwrap_or(u64::MAX),
     };
     Ok(Expectation {
         figure,
-        at_least,
+        bound,
         value,
     })
 }
--- a/crates/simulation/src/world/process.rs
+++ b/crates/simulation/src/world/process.rs
@@ -7,13 +7,22 @@
 use crate::kernel::ProcessClock;
 use crate::world::process_input::ProcessInput;
 
-/// Life, clock and waiting inputs of a process.
+/// How a process ends without warning.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ProcessLoss {
+    /// It crashes: its machine closes its connections.
+    Crash,
+    /// Its machine is lost: its peers get no more packets and no end.
+    MachineLost,
+}
+
+/// Incarnation, clock and inbox of a process.
 pub struct ProcessState {
-    /// Incarnation; 0 before the first start.
-    pub boot: u64,
+    /// Number of the incarnation; 0 before the first start.
+    pub incarnation: u64,
     /// Whether it runs, frozen or not.
     pub alive: bool,
-    /// Number of freezes that hold it.
+    /// Number of active freezes.
     pub frozen: u32,
     /// Its thread waits for the disk until then.
     pub busy_until: MonotonicTime,
@@ -28,7 +37,7 @@
     #[must_use]
     pub fn new(clock: ProcessClock) -> Self {
         Self {
-            boot: 0,
+            incarnation: 0,
             alive: false,
             frozen: 0,
             busy_until: MonotonicTime::ZERO,
@@ -37,21 +46,21 @@
         }
     }
 
-    /// Whether it can take an input now.
+    /// Whether it can handle an input now.
     #[must_use]
     pub fn is_free(&self, now: MonotonicTime) -> bool {
         self.alive && self.frozen == 0 && self.busy_until <= now
     }
 
     /// Starts a new incarnation.
-    pub fn start(&mut self, boot: u64) {
-        self.boot = boot;
+    pub fn start(&mut self, incarnation: u64) {
+        self.incarnation = incarnation;
         self.alive = true;
         self.busy_until = MonotonicTime::ZERO;
         self.inbox.clear();
     }
 
-    /// Ends the incarnation; what waited is lost.
+    /// Ends the incarnation; the inbox is lost.
     pub fn stop(&mut self) {
         self.alive = false;
         self.inbox.clear();
--- a/crates/simulation/src/world/proxy/action.rs
+++ b/crates/simulation/src/world/proxy/action.rs
@@ -6,12 +6,12 @@
 use millford_proxy::request::caller::CallerHead;
 use millford_proxy::request::message::{BackendRequest, WithdrawRequest};
 
-use crate::history::CallNumber;
+use crate::history::RequestNumber;
 
 /// Number of an exchange with a backend, given by the proxy.
 pub type ExchangeNumber = u64;
 
-/// One wish of a task.
+/// One action that a task requests.
 #[derive(Debug)]
 pub enum ProxyAction {
     /// Send to the agent.
@@ -20,25 +20,45 @@
     WakeAt(MonotonicTime),
     /// Connect to a backend, then send the request.
     Dispatch {
+        /// The exchange that waits for the answer.
         exchange: ExchangeNumber,
-        call: CallNumber,
+        /// The client request that is served.
+        client_request: RequestNumber,
+        /// What is sent.
         request: Box<BackendRequest>,
     },
     /// Connect to a backend, then send the withdrawal.
     Withdraw {
+        /// The exchange that waits for the answer.
         exchange: ExchangeNumber,
+        /// What is sent.
         request: WithdrawRequest,
     },
     /// Close the connection of an exchange.
     CloseExchange(ExchangeNumber),
-    /// A call was admitted under its tenant's quota.
-    Admitted(CallNumber),
-    /// The token of an admitted call was given back: nothing was sent.
-    AdmissionReturned(CallNumber),
+    /// A client request was admitted under its tenant's quota.
+    Admitted(RequestNumber),
+    /// The token of an admitted client request was returned: nothing was sent.
+    AdmissionReturned(RequestNumber),
     /// Send the head of an answer to the caller.
-    CallerHead { call: CallNumber, head: CallerHead },
+    CallerHead {
+        /// The request that is answered.
+        client_request: RequestNumber,
+        /// The head.
+        head: CallerHead,
+    },
     /// Send a part of the body to the caller.
-    CallerBytes { call: CallNumber, bytes: Bytes },
-    /// The body is whole, or the connection breaks.
-    CallerEnd { call: CallNumber, whole: bool },
+    CallerBytes {
+        /// The request that is answered.
+        client_request: RequestNumber,
+        /// The part.
+        bytes: Bytes,
+    },
+    /// The body ends.
+    CallerEnd {
+        /// The request that is answered.
+        client_request: RequestNumber,
+        /// Whether the body is complete; else the connection breaks.
+        complete: bool,
+    },
 }
