--- a/crates/control/src/gateway/node_file.rs
+++ b/crates/control/src/gateway/node_file.rs
@@ -38,7 +38,10 @@
 }
 
 impl NodeFile {
-    /// Reads the file; absent on an empty disk.
+    /// Reads the file; absent on an empty disk, or when its checksum is wrong.
+    ///
+    /// # Errors
+    /// The disk cannot be read.
     pub fn load(disk: &dyn Disk) -> Result<Option<Self>, StorageError> {
         let Some(bytes) = disk.read(NODE_FILE)? else {
             return Ok(None);
@@ -49,6 +52,9 @@
     }
 
     /// Writes the file; durable on return.
+    ///
+    /// # Errors
+    /// The disk cannot be written.
     pub fn store(&self, disk: &mut dyn Disk) -> Result<(), StorageError> {
         let message = self.encode_to_vec();
         let mut bytes = crc32c::crc32c(&message).to_be_bytes().to_vec();
