--- a/crates/control-state/tests/control_state/planner.rs
+++ b/crates/control-state/tests/control_state/planner.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn keys_and_quotas_that_change_are_listed_without_whole_hashes() {
+fn keys_and_quotas_that_change_are_listed_without_complete_hashes() {
     let mut after = valid_document();
     after.tenants[0].key_hashes = tenant("another").key_hashes;
     after.tenants[1].quota = Some(quota(1, 2, 3));
--- a/crates/control-state/tests/control_state/proxy_members.rs
+++ b/crates/control-state/tests/control_state/proxy_members.rs
@@ -8,7 +8,7 @@
 
 fn open(boot_id: u64, exchange_address: &str) -> Kind {
     Kind::OpenSession(OpenSession {
-        member: "front-1".to_owned(),
+        member: "agent-1".to_owned(),
         boot_id,
         zone: "a".to_owned(),
         address: String::new(),
@@ -17,7 +17,7 @@
 }
 
 fn published_address(machine: &ShardMachine) -> Option<String> {
-    let value: &StateValue = machine.public_state().get(&keys::proxy_member("front-1"))?;
+    let value: &StateValue = machine.public_state().get(&keys::proxy_member("agent-1"))?;
     match &value.kind {
         Some(state_value::Kind::ProxyMember(member)) => Some(member.exchange_address.clone()),
         _ => None,
@@ -42,7 +42,7 @@
     );
     let close = |epoch| {
         command(Kind::CloseSession(CloseSession {
-            member: "front-1".to_owned(),
+            member: "agent-1".to_owned(),
             epoch,
             expired: true,
         }))
--- a/crates/control-state/tests/control_state/quota_outage.rs
+++ b/crates/control-state/tests/control_state/quota_outage.rs
@@ -15,7 +15,7 @@
     let mut leases = leader(elected);
     // The former leader may have led until then.
     let grants_from = elected + QuotaOptions::default().step_down_bound;
-    answer(&mut leases, grants_from, "front-1", waiting, oldest_wait_ms)
+    answer(&mut leases, grants_from, "agent-1", waiting, oldest_wait_ms)
 }
 
 fn answer(
@@ -95,9 +95,9 @@
     // Long after the election, so that the bucket is certainly full.
     let now = MonotonicTime::from_millis(120_000);
     leases.tick(now);
-    let returning = answer(&mut leases, now, "front-1", BURST, OUTAGE_MS);
+    let returning = answer(&mut leases, now, "agent-1", BURST, OUTAGE_MS);
     assert_eq!(returning.tokens, BURST);
-    let other = answer(&mut leases, now, "front-2", 1, 0);
+    let other = answer(&mut leases, now, "agent-2", 1, 0);
     assert!(!other.refused, "an exact bucket would have earned again");
 }
 
@@ -112,7 +112,7 @@
             ..TenantQuotaRequest::default()
         };
         let now = MonotonicTime::from_millis(at_ms);
-        answer_to(&mut leases, now, "front-1", request_id, tenant_request)
+        answer_to(&mut leases, now, "agent-1", request_id, tenant_request)
     };
     // Forty wait after an outage of three seconds; ten are served at once.
     let first = tenant_request(120_000, 1, 40, 40);
@@ -140,7 +140,7 @@
             waiting: 1,
             ..TenantQuotaRequest::default()
         };
-        answer_to(leases, now, "front-1", 10 + step, tenant_request)
+        answer_to(leases, now, "agent-1", 10 + step, tenant_request)
     };
     for step in 0..40 {
         assert_eq!(steady(&mut leases, step).refused_tokens, 0, "step {step}");
@@ -153,7 +153,7 @@
         oldest_wait_ms: OUTAGE_MS,
         ..TenantQuotaRequest::default()
     };
-    let late = reply_to(&mut leases, now, "front-1", 5, backlog);
+    let late = reply_to(&mut leases, now, "agent-1", 5, backlog);
     assert_eq!(late.code, ResultCode::ControlTimeout.number());
     assert!(late.grants.is_empty(), "nothing is granted or refused");
     for step in 40..80 {
@@ -174,11 +174,11 @@
     };
     let first = MonotonicTime::from_millis(120_000);
     assert_eq!(
-        reply_to(&mut leases, first, "front-1", 1, tenant_request.clone()).code,
+        reply_to(&mut leases, first, "agent-1", 1, tenant_request.clone()).code,
         0
     );
     let later = MonotonicTime::from_millis(122_000);
     leases.tick(later);
-    let again = reply_to(&mut leases, later, "front-1", 1, tenant_request);
+    let again = reply_to(&mut leases, later, "agent-1", 1, tenant_request);
     assert_eq!(again.code, ResultCode::ControlTimeout.number());
 }
--- a/crates/control-state/tests/control_state/quota_slots.rs
+++ b/crates/control-state/tests/control_state/quota_slots.rs
@@ -42,13 +42,7 @@
 
     fn send(&mut self, member: &str, epoch: u64, tenant_request: TenantQuotaRequest) -> QuotaReply {
         self.next_request += 1;
-        let request = QuotaRequest {
-            shard: 1,
-            request_id: self.next_request,
-            member: member.to_owned(),
-            epoch,
-            tenants: vec![tenant_request],
-        };
+        let request = request(member, epoch, self.next_request, tenant_request);
         self.deliver(&request)
     }
 
@@ -60,7 +54,7 @@
                 QuotaOutput::Recall { member, .. } => self.recalled.push(member),
             }
         }
-        assert_eq!(replies.len(), 1, "one answer to each request");
+        assert_eq!(replies.len(), 1, "one reply to each request");
         replies.remove(0)
     }
 
@@ -69,22 +63,47 @@
     }
 
     fn slots_of(&mut self, member: &str, epoch: u64, requested: u32, in_use: u32) -> QuotaGrant {
-        let tenant_request = TenantQuotaRequest {
-            tenant: "library".to_owned(),
-            slots_requested: requested,
-            slots_in_use: in_use,
-            ..TenantQuotaRequest::default()
-        };
+        let tenant_request = slot_request(requested, in_use);
         self.send(member, epoch, tenant_request).grants.remove(0)
     }
 
     fn tokens(&mut self, member: &str, tokens: u32) -> QuotaGrant {
-        let tenant_request = TenantQuotaRequest {
-            tenant: "library".to_owned(),
-            tokens,
-            ..TenantQuotaRequest::default()
-        };
-        self.send(member, 1, tenant_request).grants.remove(0)
+        self.send(member, 1, token_request(tokens)).grants.remove(0)
+    }
+}
+
+/// A message of a node with one tenant's request.
+fn request(
+    member: &str,
+    epoch: u64,
+    request_id: u64,
+    tenant_request: TenantQuotaRequest,
+) -> QuotaRequest {
+    QuotaRequest {
+        shard: 1,
+        request_id,
+        member: member.to_owned(),
+        epoch,
+        tenants: vec![tenant_request],
+    }
+}
+
+/// A request for tokens of the tenant that every leader knows.
+fn token_request(tokens: u32) -> TenantQuotaRequest {
+    TenantQuotaRequest {
+        tenant: "library".to_owned(),
+        tokens,
+        ..TenantQuotaRequest::default()
+    }
+}
+
+/// A request for stream slots of the tenant that every leader knows.
+fn slot_request(requested: u32, in_use: u32) -> TenantQuotaRequest {
+    TenantQuotaRequest {
+        tenant: "library".to_owned(),
+        slots_requested: requested,
+        slots_in_use: in_use,
+        ..TenantQuotaRequest::default()
     }
 }
 
@@ -201,50 +220,25 @@
 fn an_older_epoch_is_fenced() {
     let mut leader = Leader::new(4);
     leader.slots_of("a", 2, 1, 1);
-    let tenant_request = TenantQuotaRequest {
-        tenant: "library".to_owned(),
-        tokens: 1,
-        ..TenantQuotaRequest::default()
-    };
-    let reply = leader.send("a", 1, tenant_request);
+    let reply = leader.send("a", 1, token_request(1));
     assert_eq!(reply.code, ResultCode::EpochFenced.number());
     assert!(reply.grants.is_empty());
 }
 
 #[test]
-fn a_resent_request_gets_the_same_answer() {
+fn a_resent_request_gets_the_same_reply() {
     let mut leader = Leader::new(4);
-    let tenant_request = TenantQuotaRequest {
-        tenant: "library".to_owned(),
-        tokens: 60,
-        ..TenantQuotaRequest::default()
-    };
-    let request = QuotaRequest {
-        shard: 1,
-        request_id: 77,
-        member: "a".to_owned(),
-        epoch: 1,
-        tenants: vec![tenant_request],
-    };
-    let first = leader.deliver(&request);
+    let resent = request("a", 1, 77, token_request(60));
+    let first = leader.deliver(&resent);
     leader.now_ms += 1;
-    assert_eq!(leader.deliver(&request), first);
+    assert_eq!(leader.deliver(&resent), first);
     assert_eq!(leader.tokens("b", 60).tokens, 40, "60 were taken once");
 }
 
 #[test]
 fn a_late_request_does_not_undo_a_newer_one() {
     let mut leader = Leader::new(4);
-    let late = QuotaRequest {
-        shard: 1,
-        request_id: 1,
-        member: "a".to_owned(),
-        epoch: 1,
-        tenants: vec![TenantQuotaRequest {
-            tenant: "library".to_owned(),
-            ..TenantQuotaRequest::default()
-        }],
-    };
+    let late = request("a", 1, 1, slot_request(0, 0));
     leader.next_request = 1;
     leader.slots("a", 4, 4);
     leader.deliver(&late);
@@ -268,12 +262,7 @@
 fn without_leadership_nothing_is_granted() {
     let mut leader = Leader::new(4);
     leader.leases.resign();
-    let tenant_request = TenantQuotaRequest {
-        tenant: "library".to_owned(),
-        tokens: 1,
-        ..TenantQuotaRequest::default()
-    };
-    let reply = leader.send("a", 1, tenant_request);
+    let reply = leader.send("a", 1, token_request(1));
     assert_eq!(reply.code, ResultCode::NotLeader.number());
 }
 
@@ -340,12 +329,12 @@
         let limit = u32::from(limit % 20) + 1;
         let mut leader = Leader::new(limit);
         let mut granted: BTreeMap<u8, u32> = BTreeMap::new();
-        for (node, requested, in_use, pause) in requests {
+        for (node, requested, in_use, delay) in requests {
             let node = node % 4;
             let requested = u32::from(requested % 20);
             let granted_before = granted.get(&node).copied().unwrap_or(0);
             let in_use = u32::from(in_use).min(granted_before).min(requested);
-            leader.now_ms += u64::from(pause) * 4;
+            leader.now_ms += u64::from(delay) * 4;
             leader.leases.tick(leader.now());
             let grant = leader.slots(&node.to_string(), requested, in_use);
             granted.insert(node, grant.slots);
@@ -358,22 +347,11 @@
 }
 
 #[test]
-fn an_outdated_request_after_all_slots_were_given_up_takes_nothing() {
+fn an_outdated_request_after_all_slots_were_given_up_reserves_nothing() {
     let mut leader = Leader::new(4);
     assert_eq!(leader.slots("a", 2, 0).slots, 2);
     leader.next_request += 1;
-    let late = QuotaRequest {
-        shard: 1,
-        request_id: leader.next_request,
-        member: "a".to_owned(),
-        epoch: 1,
-        tenants: vec![TenantQuotaRequest {
-            tenant: "library".to_owned(),
-            slots_requested: 4,
-            slots_in_use: 2,
-            ..TenantQuotaRequest::default()
-        }],
-    };
+    let late = request("a", 1, leader.next_request, slot_request(4, 2));
     assert_eq!(leader.slots("a", 0, 0).slots, 0);
     leader.deliver(&late);
     assert_eq!(leader.slots("b", 4, 0).slots, 4);
--- a/crates/control-state/tests/control_state/shard_machine.rs
+++ b/crates/control-state/tests/control_state/shard_machine.rs
@@ -46,7 +46,7 @@
         }))
     }
 
-    fn place(&mut self, epoch: u64) -> Applied {
+    fn set_placement(&mut self, epoch: u64) -> Applied {
         let placement = PoolPlacement {
             pool: "pool-saga".to_owned(),
             epoch,
@@ -114,11 +114,11 @@
 #[test]
 fn a_placement_with_an_older_epoch_is_fenced() {
     let mut machine = Machine::new(ShardId(2));
-    assert_eq!(machine.place(4).result.code, 0);
-    let late = machine.place(3);
+    assert_eq!(machine.set_placement(4).result.code, 0);
+    let late = machine.set_placement(3);
     assert_eq!(late.result.code, ResultCode::EpochFenced.number());
     assert!(late.changes.is_empty());
-    assert_eq!(machine.place(4).result.code, 0);
+    assert_eq!(machine.set_placement(4).result.code, 0);
 }
 
 #[test]
