--- a/crates/control/src/gateway/core/shard_outputs.rs
+++ b/crates/control/src/gateway/core/shard_outputs.rs
@@ -10,6 +10,7 @@
 use crate::shard::{ShardInput, ShardOutput, ShardReplicaStatus};
 
 impl Gateway {
+    /// An output of a shard's core.
     pub(super) fn handle_shard(&mut self, now: MonotonicTime, shard: ShardId, output: ShardOutput) {
         match output {
             ShardOutput::Replication(message) => {
@@ -46,6 +47,7 @@
         }
     }
 
+    /// An agent subscribes to a shard. Without a replica here, it goes to another node.
     pub(super) fn subscribe(&mut self, link: LinkId, subscribe: Subscribe) {
         let shard = ShardId(subscribe.shard);
         if self.replicas.holds(shard) {
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Sends the recall to the agent if it is linked here; an empty name means every agent. Gives
+    /// Sends the recall to the agent if it is linked here; an empty name means every agent. Returns
     /// whether the one agent was found.
     pub(super) fn recall_own_agent(&mut self, recall: &QuotaRecall) -> bool {
         if recall.member.is_empty() {
--- a/crates/simulation/src/world/proxy/environment.rs
+++ b/crates/simulation/src/world/proxy/environment.rs
@@ -96,12 +96,12 @@
         let exchange = self.new_exchange();
         let guard = self.guard(exchange);
         let (head_sender, head) = oneshot::channel();
-        let (part_sender, parts) = mpsc::unbounded();
+        let (body_sender, body) = mpsc::unbounded();
         {
             let mut port = lock(&self.port);
             let waiter = ExchangeWaiter::Head {
                 head: head_sender,
-                parts: part_sender,
+                body: body_sender,
                 sent: request.sent.clone(),
             };
             port.exchanges.insert(exchange, waiter);
@@ -112,7 +112,7 @@
             });
         }
         let head = head.await.unwrap_or(Err(DispatchError::Lost))?;
-        Ok(SimulatedAnswer::new(head, parts, guard))
+        Ok(SimulatedAnswer::new(head, body, guard))
     }
 
     async fn withdraw(&self, request: WithdrawRequest) -> WithdrawAnswer {
--- a/crates/simulation/src/world/proxy_driver.rs
+++ b/crates/simulation/src/world/proxy_driver.rs
@@ -7,12 +7,13 @@
 use millford_proxy::daemon::prober::PROBE_PERIOD;
 use millford_proxy::request::completion::serve_completion;
 use millford_proxy::request::lookup::serve_lookup;
-use millford_proxy::request::message::WithdrawRequest;
+use millford_proxy::request::message::{BackendRequest, WithdrawRequest};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 use crate::history::{ProxyNodeNumber, Record, RequestNumber};
 use crate::network::{LinkNumber, Packet, ProcessId};
+use crate::world::addresses::backend_at;
 use crate::world::client_request::{ArrivingRequest, authorization};
 use crate::world::defect::Defect;
 use crate::world::event::CallerDelivery;
@@ -23,9 +24,9 @@
 use crate::world::proxy::{
     AgentLink, BackendLink, CallerPipe, ProxyAction, RunningProxy, SimulatedEnvironment, lock,
 };
-use crate::world::service_registry::backend_at;
 use crate::world::site::Site;
 
+/// Time until a connection to a backend counts as failed.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Site {
@@ -42,8 +43,8 @@
         proxy.forget_incarnation();
         proxy.running = Some(RunningProxy::new(local, random, agent_client));
         let proxy_node = ProxyNodeNumber(number);
-        self.record(Record::ProxyNodeResumed { proxy_node });
-        self.record(Record::ProxyNodeStarted { proxy_node });
+        self.record(&Record::ProxyNodeResumed { proxy_node });
+        self.record(&Record::ProxyNodeStarted { proxy_node });
         self.replay_first_frame(number);
         self.connect_to_agent(number);
         self.tick_after(process, incarnation, PROBE_PERIOD);
@@ -117,11 +118,11 @@
             ProcessInput::Packet { link, packet } => self.proxy_packet(number, link, packet),
             ProcessInput::ClientRequest(request) => self.proxy_request(number, *request),
             ProcessInput::CallerDisconnected(client_request) => {
-                self.proxy_caller_disconnected(number, client_request)
+                self.proxy_caller_disconnected(number, client_request);
             }
             ProcessInput::ConnectOverdue { link } => self.connect_overdue(number, link),
             ProcessInput::ProbeOverdue { link } => {
-                self.probe_ends(number, link, ProbeOutcome::Failed)
+                self.probe_ends(number, link, ProbeOutcome::Failed);
             }
             ProcessInput::Reconnect => self.connect_to_agent(number),
             ProcessInput::Tick => self.proxy_tick(number),
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Lets the tasks run until none wants anything.
+    /// Runs the tasks until none requests an action.
     fn run_proxy(&mut self, number: u16) {
         loop {
             let local = self.local_time(ProcessId::Proxy(number));
@@ -155,23 +156,17 @@
                 client_request,
                 request,
             } => {
-                let address = request.address.clone();
-                let purpose = BackendLink::Dispatch {
-                    exchange,
-                    client_request,
-                    request,
-                };
-                self.open_backend_link(number, &address, purpose);
+                self.dispatch_request(number, exchange, client_request, request);
             }
             ProxyAction::Withdraw { exchange, request } => {
                 self.withdraw(number, exchange, request);
             }
             ProxyAction::CloseExchange(exchange) => self.close_exchange(number, exchange),
             ProxyAction::Admitted(client_request) => {
-                self.record(Record::Admitted { client_request })
+                self.record(&Record::Admitted { client_request });
             }
             ProxyAction::AdmissionReturned(client_request) => {
-                self.record(Record::AdmissionReturned { client_request });
+                self.record(&Record::AdmissionReturned { client_request });
             }
             ProxyAction::CallerHead {
                 client_request,
@@ -188,6 +183,22 @@
         }
     }
 
+    fn dispatch_request(
+        &mut self,
+        number: u16,
+        exchange: ExchangeNumber,
+        client_request: RequestNumber,
+        request: Box<BackendRequest>,
+    ) {
+        let address = request.address.clone();
+        let purpose = BackendLink::Dispatch {
+            exchange,
+            client_request,
+            request,
+        };
+        self.open_backend_link(number, &address, purpose);
+    }
+
     fn withdraw(&mut self, number: u16, exchange: ExchangeNumber, request: WithdrawRequest) {
         let purpose = BackendLink::Withdraw {
             exchange,
@@ -259,7 +270,7 @@
 
     fn proxy_request(&mut self, number: u16, arrival: ArrivingRequest) {
         let client_request = arrival.client_request;
-        self.record(Record::RequestArrived { client_request });
+        self.record(&Record::RequestArrived { client_request });
         let mut request = arrival.request;
         self.keep_old_key(client_request, &mut request.headers.authorization);
         let Some(running) = self
