--- a/crates/agent/tests/support/fleet.rs
+++ b/crates/agent/tests/support/fleet.rs
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Bodies sent to the proxy since the last call.
+    /// Takes the bodies sent to the proxy since they were last taken.
     pub(crate) fn take_proxy_frames(&mut self) -> Vec<local_frame::Body> {
         let frames = std::mem::take(&mut self.proxy_frames).into_iter();
         frames.filter_map(|(_, frame)| frame.body).collect()
--- a/crates/placement/src/cost/model_cost.rs
+++ b/crates/placement/src/cost/model_cost.rs
@@ -73,14 +73,14 @@
     /// Processor time left in a stream of unknown length, in core milliseconds.
     ///
     /// A stream observed at a random moment has half of its tokens left. Each costs a stream's own part
-    /// of a step, which the whole backend spends.
+    /// of a step, during which all of the backend's cores are in use.
     #[must_use]
     pub fn stream_core_ms(&self, cores: f64) -> f64 {
         let tokens_left = self.mean_output_tokens / 2.0;
         tokens_left * self.stream_step_ms() * cores
     }
 
-    /// What one more stream adds to a step, in milliseconds of the whole backend.
+    /// Time that one more stream adds to a step, in milliseconds of all the backend's cores.
     #[must_use]
     pub fn stream_step_ms(&self) -> f64 {
         self.decode
--- a/crates/placement/src/load/smoothed_load.rs
+++ b/crates/placement/src/load/smoothed_load.rs
@@ -13,7 +13,7 @@
 /// Moving means of one replica's work.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SmoothedWork {
-    /// Streams past their first token, held ones included.
+    /// Streams past their first token, and requests held open while the backend drains.
     pub streams: f64,
     /// Share of the moments at which a prompt was in service: how busy prefill keeps the backend.
     pub prefill_busy: f64,
--- a/crates/placement/src/placer.rs
+++ b/crates/placement/src/placer.rs
@@ -19,7 +19,7 @@
 use crate::plan::weights::{PressureClock, adjust_weights};
 use crate::replica_key::ReplicaKey;
 
-/// Samples kept until the next tick knows the backends' cores.
+/// Most samples that wait for the next tick, which knows the backends' cores; more are dropped.
 const MAX_PENDING_SAMPLES: usize = 4096;
 
 /// Plans the placement of one pool. Its state can be learned again after a change of leader.
--- a/crates/placement/src/plan/draft.rs
+++ b/crates/placement/src/plan/draft.rs
@@ -7,7 +7,7 @@
 use crate::plan::moves::{Move, MoveReason};
 use crate::replica_key::ReplicaKey;
 
-/// Full share of new work.
+/// Weight of a replica without any reduction, in thousandths.
 pub const FULL_WEIGHT_MILLI: u32 = 1000;
 
 /// One replica of a draft.
@@ -15,7 +15,7 @@
 pub struct DraftReplica {
     /// Takes new work, or drains.
     pub state: ReplicaState,
-    /// Share of new work in thousandths.
+    /// Weight of new work in thousandths.
     pub weight_milli: u32,
 }
 
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Changes a replica's share of new work.
+    /// Changes a replica's weight of new work, in thousandths.
     pub fn reweight(&mut self, replica: &ReplicaKey, weight_milli: u32, reason: MoveReason) {
         if let Some(present) = self.replicas.get_mut(replica)
             && present.weight_milli != weight_milli
--- a/crates/placement/tests/costs.rs
+++ b/crates/placement/tests/costs.rs
@@ -21,7 +21,7 @@
     let mut fit = LineFit::new(0.0, 5.0, 100.0);
     for _ in 0..2000 {
         let x = random.random_range(5.0..400.0);
-        // A third of the samples waited, by up to the whole time again.
+        // A third of the samples contain waiting, of up to the service time.
         let waiting = if random.random_bool(0.33) {
             random.random_range(1.0..2.0)
         } else {
--- a/crates/placement/tests/placer.rs
+++ b/crates/placement/tests/placer.rs
@@ -88,7 +88,7 @@
     fixture.placer = Placer::new(PlacerOptions::default());
     fixture.epoch += 1;
     fixture.streams.clear();
-    // No report has come yet: nothing changes, although the draining replica shows no work.
+    // No report has come yet: nothing changes, although no work of the draining replica is known.
     for _ in 0..8 {
         assert_eq!(fixture.tick(), Vec::new());
     }
@@ -241,7 +241,7 @@
     fixture
         .streams
         .insert(ReplicaKey::new("s0", "heavy", "v1"), 100);
-    // The smoothed work passes the ceiling after about two seconds, and must hold there for three.
+    // The smoothed work exceeds the limit after about two seconds, and must stay there for five.
     fixture.run(Duration::from_secs(8));
     assert_ne!(fixture.times_of(MoveReason::BandwidthRelief), Vec::new());
     for key in fixture.active() {
@@ -317,7 +317,7 @@
 }
 
 quickcheck! {
-    /// New work is never placed on a backend over the ceiling.
+    /// New work is never placed on a backend over its bandwidth limit.
     fn no_replica_is_added_over_the_bandwidth_limit(counts: Vec<u8>, ticks: u8) -> TestResult {
         if counts.is_empty() {
             return TestResult::discard();
@@ -338,7 +338,7 @@
                     let added = matches!(step.reason, MoveReason::ScaledUp | MoveReason::Placed);
                     let over = loaded.get(&step.replica.backend).is_some_and(|used| *used > 131.0);
                     if added && over {
-                        return TestResult::error(format!("{} added over the ceiling", step.replica));
+                        return TestResult::error(format!("{} added over the limit", step.replica));
                     }
                 }
             }
--- a/crates/settings/tests/support/daemon_flags.rs
+++ b/crates/settings/tests/support/daemon_flags.rs
@@ -11,15 +11,15 @@
 const SETTINGS_FAULT: i32 = 2;
 
 /// A daemon and where its committed lists lie.
-pub struct DaemonUnderTest<'a> {
+pub(crate) struct DaemonUnderTest<'a> {
     /// Path of the program.
-    pub program: &'a str,
+    pub(crate) program: &'a str,
     /// Folder with `flags.txt` and `settings.toml`, both of b3d3e00.
-    pub data: &'a str,
+    pub(crate) data: &'a str,
     /// Flag of the address that is bound first.
-    pub address_flag: &'a str,
+    pub(crate) address_flag: &'a str,
     /// Exit status when that address is taken.
-    pub address_taken_status: i32,
+    pub(crate) address_taken_status: i32,
 }
 
 impl DaemonUnderTest<'_> {
@@ -34,7 +34,7 @@
 
     /// The flags with their kinds of value; the sentences behind them may change.
     #[track_caller]
-    pub fn assert_flags(&self) {
+    pub(crate) fn assert_flags(&self) {
         let output = self.run(&["--help"]);
         assert_eq!(output.status.code(), Some(0));
         let help = String::from_utf8(output.stdout).expect("text");
@@ -43,10 +43,10 @@
 
     /// A file with every key is valid, and the flags name the same keys.
     #[track_caller]
-    pub fn assert_keys(&self) {
+    pub(crate) fn assert_keys(&self) {
         let output = self.run(&["--settings", &self.settings_file(), "--check"]);
-        let told = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(0), "{told}");
+        let output_text = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(0), "{output_text}");
         let text = std::fs::read_to_string(self.settings_file()).expect("the settings file");
         let mut keys: Vec<String> = text
             .lines()
@@ -67,7 +67,7 @@
 
     /// Faults of the settings and an address that is taken end the process with their statuses.
     #[track_caller]
-    pub fn assert_exit_statuses(&self) {
+    pub(crate) fn assert_exit_statuses(&self) {
         let settings = self.settings_file();
         let cases: [&[&str]; 4] = [
             &["--no-such-flag"],
@@ -78,32 +78,32 @@
         for arguments in cases {
             let output = self.run(arguments);
             assert_eq!(output.status.code(), Some(SETTINGS_FAULT), "{arguments:?}");
-            let told = String::from_utf8_lossy(&output.stderr);
-            assert!(told.contains("7001"), "{arguments:?}: {told}");
+            let output_text = String::from_utf8_lossy(&output.stderr);
+            assert!(output_text.contains("7001"), "{arguments:?}: {output_text}");
         }
         let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = taken.local_addr().expect("an address").to_string();
         let output = self.run(&["--settings", &settings, self.address_flag, &address]);
-        let told = String::from_utf8_lossy(&output.stderr);
+        let output_text = String::from_utf8_lossy(&output.stderr);
         assert_eq!(
             output.status.code(),
             Some(self.address_taken_status),
-            "{told}"
+            "{output_text}"
         );
-        assert!(told.contains("7002"), "{told}");
+        assert!(output_text.contains("7002"), "{output_text}");
     }
 }
 
 /// The options of a usage text, a line for each, without the sentences behind them.
-pub fn flags(help: &str) -> String {
+pub(crate) fn flags(help: &str) -> String {
     let options = help
         .lines()
         .filter(|line| line.trim_start().starts_with('-'));
-    options.map(|line| format!("{}\n", column(line))).collect()
+    options.fold(String::new(), |lines, line| lines + &column(line) + "\n")
 }
 
 /// The first word of a line and what belongs to it: further flags, and names of values in capitals.
-pub fn column(line: &str) -> String {
+pub(crate) fn column(line: &str) -> String {
     let is_value = |word: &str| {
         let mut letters = word.chars();
         word == "true|false" || letters.all(|letter| letter.is_ascii_uppercase() || letter == ',')
@@ -119,7 +119,7 @@
     dead_code,
     reason = "the proxies list their metrics by their descriptions"
 )]
-pub fn metrics(text: &str) -> String {
+pub(crate) fn metrics(text: &str) -> String {
     let mut lines = Vec::new();
     for line in text.lines() {
         if let Some(typed) = line.strip_prefix("# TYPE ") {
@@ -129,8 +129,8 @@
             let (name, labels) = name.split_once('{').unwrap_or((name, ""));
             let labels = labels.trim_end_matches('}').split(',');
             let labels: Vec<&str> = labels
-                .filter_map(|l| l.split_once('='))
-                .map(|l| l.0)
+                .filter_map(|label| label.split_once('='))
+                .map(|(name, _)| name)
                 .collect();
             lines.push(format!("{name} {{{}}}\n", labels.join(",")));
         }
