--- a/crates/simulation/src/checkers/quota.rs
+++ b/crates/simulation/src/checkers/quota.rs
@@ -10,11 +10,12 @@
 use crate::checkers::verdict::Verdict;
 use crate::history::{ProxyNodeNumber, Record, RequestEnd, RequestNumber};
 
-/// Rounding and the drift of the machines' clocks.
+/// Tokens by which a bucket may be overdrawn: rounding and the drift of the machines' clocks.
 const TOLERANCE: f64 = 0.05;
 
-/// A token is lent at one moment and admits a client request when the answer has arrived, up to a slow
-/// packet later. The leader's count is exact at the time of lending; this is the difference.
+/// A token is granted at one moment and admits a client request when the answer has arrived, up to a
+/// slow packet later. The leader's count is exact at the time of the grant; this is the difference, in
+/// seconds.
 const DELIVERY_SECONDS: f64 = 0.06;
 
 /// Tokens that leases of several nodes may leave unused for a moment: a tenant that comes this
@@ -22,12 +23,13 @@
 const NEAR_LIMIT: f64 = 2.0;
 
 /// A tenant that an exact bucket would have refused within this time is over its quota.
-const CONFORMING: Duration = Duration::from_secs(5);
+const OVER_QUOTA_FOR: Duration = Duration::from_secs(5);
 
 /// One counter for all nodes, without faults and without delay.
 struct ExactBucket {
     per_second: f64,
     burst: f64,
+    /// Tokens in the bucket at `at`.
     level: f64,
     at: MonotonicTime,
 }
@@ -48,7 +50,8 @@
         self.at = at;
     }
 
-    fn add(&mut self, at: MonotonicTime, tokens: f64) -> f64 {
+    /// Adds tokens, or takes them if below 0. Returns the level.
+    fn add_tokens(&mut self, at: MonotonicTime, tokens: f64) -> f64 {
         self.advance(at);
         self.level = (self.level + tokens).min(self.burst);
         self.level
@@ -66,7 +69,7 @@
 }
 
 impl TenantBuckets {
-    fn arrive(&mut self, at: MonotonicTime) {
+    fn record_arrival(&mut self, at: MonotonicTime) {
         self.arrived.advance(at);
         if self.arrived.level < 1.0 + NEAR_LIMIT {
             self.over_quota = Some(at);
@@ -78,9 +81,9 @@
         }
     }
 
-    fn conforms(&self, at: MonotonicTime) -> bool {
+    fn is_under_quota(&self, at: MonotonicTime) -> bool {
         self.over_quota
-            .is_none_or(|over| at.since(over) > CONFORMING)
+            .is_none_or(|over| at.since(over) > OVER_QUOTA_FOR)
     }
 }
 
@@ -105,17 +108,17 @@
                 tenant,
                 per_second,
                 burst,
-            } => self.add(at, *tenant, *per_second, *burst),
+            } => self.add_tenant(at, *tenant, *per_second, *burst),
             Record::RequestSent(sent) => {
                 self.requests.insert(sent.client_request, sent.tenant);
                 self.waiting.insert(sent.client_request, sent.proxy_node);
             }
-            Record::RequestArrived { client_request } => self.arrive(at, *client_request),
-            Record::ProxyNodeResumed { proxy_node } => self.arrive_again(at, *proxy_node),
+            Record::RequestArrived { client_request } => self.record_arrival(at, *client_request),
+            Record::ProxyNodeResumed { proxy_node } => self.record_queued_arrivals(at, *proxy_node),
             Record::Admitted { client_request } => self.admit(at, *client_request, verdict),
             Record::AdmissionReturned { client_request } => {
                 if let Some(buckets) = self.buckets(*client_request) {
-                    buckets.admitted.add(at, 1.0);
+                    buckets.admitted.add_tokens(at, 1.0);
                 }
             }
             Record::RequestEnded {
@@ -133,7 +136,7 @@
 }
 
 impl QuotaChecker {
-    fn add(&mut self, at: MonotonicTime, tenant: u16, per_second: u32, burst: u32) {
+    fn add_tenant(&mut self, at: MonotonicTime, tenant: u16, per_second: u32, burst: u32) {
         let buckets = TenantBuckets {
             admitted: ExactBucket::new(per_second, burst, at),
             arrived: ExactBucket::new(per_second, burst, at),
@@ -147,20 +150,20 @@
         self.tenants.get_mut(tenant)
     }
 
-    fn arrive(&mut self, at: MonotonicTime, client_request: RequestNumber) {
+    fn record_arrival(&mut self, at: MonotonicTime, client_request: RequestNumber) {
         if let Some(buckets) = self.buckets(client_request) {
-            buckets.arrive(at);
+            buckets.record_arrival(at);
         }
     }
 
     /// What piled up before a frozen agent arrives at once when it continues: nobody can know by
     /// then how long it waited.
-    fn arrive_again(&mut self, at: MonotonicTime, proxy_node: ProxyNodeNumber) {
+    fn record_queued_arrivals(&mut self, at: MonotonicTime, proxy_node: ProxyNodeNumber) {
         let waiting = self.waiting.iter().filter(|(_, it)| **it == proxy_node);
         let requests: Vec<RequestNumber> =
             waiting.map(|(client_request, _)| *client_request).collect();
         for client_request in requests {
-            self.arrive(at, client_request);
+            self.record_arrival(at, client_request);
         }
     }
 
@@ -168,7 +171,7 @@
         let Some(buckets) = self.buckets(client_request) else {
             return;
         };
-        let level = buckets.admitted.add(at, -1.0);
+        let level = buckets.admitted.add_tokens(at, -1.0);
         let delivery = buckets.admitted.per_second * DELIVERY_SECONDS;
         if level < -TOLERANCE - delivery {
             // Each excess is reported once.
@@ -190,7 +193,7 @@
         let Some(buckets) = self.buckets(client_request) else {
             return;
         };
-        if buckets.conforms(at) {
+        if buckets.is_under_quota(at) {
             let text = format!("{client_request:?} was refused, but its tenant is under its quota");
             verdict.record_violation(at, Guarantee::Quota, text);
         }
--- a/crates/simulation/src/runner/arguments.rs
+++ b/crates/simulation/src/runner/arguments.rs
@@ -33,7 +33,7 @@
         /// The argument.
         argument: String,
     },
-    /// An option stands last, without its value.
+    /// The last option lacks its value.
     #[error("{option} needs a value")]
     MissingValue {
         /// The option.
--- a/crates/simulation/src/runner/sweep.rs
+++ b/crates/simulation/src/runner/sweep.rs
@@ -22,22 +22,25 @@
     });
     std::thread::scope(|scope| {
         for _ in 0..jobs.max(1) {
-            scope.spawn(|| {
-                loop {
-                    let seed = next.fetch_add(1, Ordering::Relaxed);
-                    if seed >= end {
-                        return;
-                    }
-                    let options = RunOptions {
-                        seed,
-                        ..RunOptions::default()
-                    };
-                    let report = run_scenario(scenario, options);
-                    let mut summary = summary.lock().unwrap_or_else(PoisonError::into_inner);
-                    summary.add(report);
-                }
-            });
+            scope.spawn(|| run_seeds(scenario, &next, end, &summary));
         }
     });
     summary.into_inner().unwrap_or_else(PoisonError::into_inner)
 }
+
+/// Runs the next seed and the next again, until `end`.
+fn run_seeds(scenario: &Scenario, next: &AtomicU64, end: u64, summary: &Mutex<Summary>) {
+    loop {
+        let seed = next.fetch_add(1, Ordering::Relaxed);
+        if seed >= end {
+            return;
+        }
+        let options = RunOptions {
+            seed,
+            ..RunOptions::default()
+        };
+        let report = run_scenario(scenario, options);
+        let mut summary = summary.lock().unwrap_or_else(PoisonError::into_inner);
+        summary.add(report);
+    }
+}
--- a/crates/simulation/src/scenario/parse_error.rs
+++ b/crates/simulation/src/scenario/parse_error.rs
@@ -23,7 +23,7 @@
         /// What should follow.
         expected: &'static str,
     },
-    /// Another token stands where a keyword is due.
+    /// Another token is found where a keyword is due.
     #[error("expected {expected:?}, found {found:?}")]
     UnexpectedToken {
         /// The keyword.
--- a/crates/simulation/src/world/agent_driver.rs
+++ b/crates/simulation/src/world/agent_driver.rs
@@ -79,12 +79,12 @@
             return;
         };
         let outputs = core.handle(local, input);
-        let in_touch = core.is_connected();
+        let connected = core.is_connected();
         let next = core.next_tick(local);
         for output in outputs {
             self.agent_output(number, output);
         }
-        self.record_connectivity(number, in_touch);
+        self.record_connectivity(number, connected);
         if is_tick {
             let incarnation = self.incarnation_of(process);
             let delay = next.since(local).clamp(MIN_TICK, MAX_TICK);
--- a/crates/simulation/src/world/backend/chunk_text.rs
+++ b/crates/simulation/src/world/backend/chunk_text.rs
@@ -15,18 +15,16 @@
     )
 }
 
-/// Chunks whose marks stand in a text.
+/// Chunks in a text.
 #[must_use]
 pub fn read_chunks(text: &str) -> Vec<Chunk> {
     let starts = text.split(START).skip(1);
-    let marks = starts.filter_map(|rest| rest.split_once(END));
-    marks
-        .filter_map(|(chunk_text, _)| read_chunk(chunk_text))
-        .collect()
+    let texts = starts.filter_map(|rest| rest.split_once(END));
+    texts.filter_map(|(text, _)| read_chunk(text)).collect()
 }
 
-fn read_chunk(chunk_text: &str) -> Option<Chunk> {
-    let mut tokens = chunk_text.split(' ');
+fn read_chunk(text: &str) -> Option<Chunk> {
+    let mut tokens = text.split(' ');
     let content = ContentNumber(tokens.next()?.parse().ok()?);
     let run = u64::from_str_radix(tokens.next()?, 16).ok()?;
     let sequence = tokens.next()?.parse().ok()?;
--- a/crates/simulation/src/world/targets.rs
+++ b/crates/simulation/src/world/targets.rs
@@ -8,7 +8,7 @@
 use crate::world::site::Site;
 
 impl Site {
-    /// The processes that a target stands for now.
+    /// The processes that a target means now.
     pub(super) fn resolve(&mut self, target: Target) -> Vec<ProcessId> {
         let present = self.present(target.kind);
         let numbers = match target.choice {
--- a/crates/simulation/tests/outside_names.rs
+++ b/crates/simulation/tests/outside_names.rs
@@ -3,6 +3,7 @@
 #[path = "../../api/tests/support/committed.rs"]
 mod committed;
 
+use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 
 use committed::assert_committed;
@@ -40,7 +41,8 @@
             let statement = line.split('#').next().expect("a part");
             let words: Vec<&str> = statement.split_whitespace().collect();
             if !words.is_empty() {
-                lines.push_str(&format!("{}: {}\n", name.display(), words.join(" ")));
+                writeln!(lines, "{}: {}", name.display(), words.join(" "))
+                    .expect("a string takes it");
             }
         }
     }
