--- a/crates/control-state/tests/control_state/document_json.rs
+++ b/crates/control-state/tests/control_state/document_json.rs
@@ -2,11 +2,11 @@
 
 use crate::fixtures::valid_document;
 use millford_control_state::document::{self, Fault};
-use millford_core::ResultCode::{BadField, BadJson, DocumentInvalid};
+use millford_core::ResultCode::{self, BadField, BadJson, DocumentInvalid};
 use serde_json::{Value, json};
 
 /// Checks that the JSON cannot be read, with exactly these codes and paths.
-fn assert_unreadable(text: &str, expected: &[(millford_core::ResultCode, &str)]) {
+fn assert_unreadable(text: &str, expected: &[(ResultCode, &str)]) {
     let faults = document::parse(text.as_bytes()).expect_err("must not be read");
     let found: Vec<_> = faults
         .iter()
@@ -70,12 +70,12 @@
     );
 }
 
-#[test]
-fn faults_of_orders_are_named() {
+/// Orders that are refused, each with the code and path of its only fault.
+fn invalid_orders() -> [(Value, ResultCode, &'static str); 9] {
     let valid = serde_json::to_value(valid_document()).expect("JSON");
     let bad = json!({"routes": [{"x": 1}]});
     let unknown_pool = json!({"routes": [{"name": "a", "pool": "b", "deadline_ms": 1000}]});
-    let cases: [(Value, millford_core::ResultCode, &str); 9] = [
+    [
         (json!([0, "a", valid]), BadField, ""),
         (json!({"document": valid}), BadField, ""),
         (json!({"base_revision": 0}), BadField, ""),
@@ -109,8 +109,12 @@
             BadField,
             "order_id",
         ),
-    ];
-    for (order, code, path) in cases {
+    ]
+}
+
+#[test]
+fn faults_of_orders_are_named() {
+    for (order, code, path) in invalid_orders() {
         let text = order.to_string();
         let faults = document::parse_order(text.as_bytes()).expect_err("must be refused");
         assert_eq!(
