--- a/crates/control-state/tests/control_state/forward_documents.rs
+++ b/crates/control-state/tests/control_state/forward_documents.rs
@@ -54,53 +54,55 @@
 type Change = fn(&mut Document);
 
 /// The path of each violation and the change that causes it.
-const VIOLATIONS: [(&str, Change); 12] = [
-    ("forward_routes[0].name", |document| {
-        document.forward_routes[0].name.clear();
-    }),
-    ("forward_routes[1].name", |document| {
-        document.forward_routes[1].name = "a".to_owned();
-    }),
-    ("forward_routes[0].host", |document| {
-        document.forward_routes[0].host.clear();
-    }),
-    ("forward_routes[0].path_prefix", |document| {
-        document.forward_routes[0].path_prefix = "a/".to_owned();
-    }),
-    ("forward_routes[1].path_prefix", |document| {
-        document.forward_routes[1].path_prefix = "/a/".to_owned();
-    }),
-    ("forward_routes[0].pools[0].pool", |document| {
-        document.forward_routes[0].pools[0].pool = "none".to_owned();
-    }),
-    ("forward_routes[0].pools", |document| {
-        document.forward_routes[0].pools[0].weight = 0;
-    }),
-    ("forward_routes[0].pools", |document| {
-        document.forward_routes[0].pools.clear();
-    }),
-    ("forward_routes[0].timeout_ms", |document| {
-        document.forward_routes[0].timeout_ms = 0;
-    }),
-    ("forward_routes[0].resumable", |document| {
-        document.forward_routes[0].resumable = true;
-    }),
-    ("http_limits.max_body_bytes", |document| {
-        document.http_limits = Some(HttpLimits {
-            max_header_bytes: 1,
-            max_body_bytes: 0,
-            header_timeout_ms: 1,
-            idle_timeout_ms: 1,
-        });
-    }),
-    ("tenants[0].quota", |document| {
-        document.tenants[0].quota = None;
-    }),
-];
+fn violations() -> [(&'static str, Change); 12] {
+    [
+        ("forward_routes[0].name", |document| {
+            document.forward_routes[0].name.clear();
+        }),
+        ("forward_routes[1].name", |document| {
+            document.forward_routes[1].name = "a".to_owned();
+        }),
+        ("forward_routes[0].host", |document| {
+            document.forward_routes[0].host.clear();
+        }),
+        ("forward_routes[0].path_prefix", |document| {
+            document.forward_routes[0].path_prefix = "a/".to_owned();
+        }),
+        ("forward_routes[1].path_prefix", |document| {
+            document.forward_routes[1].path_prefix = "/a/".to_owned();
+        }),
+        ("forward_routes[0].pools[0].pool", |document| {
+            document.forward_routes[0].pools[0].pool = "none".to_owned();
+        }),
+        ("forward_routes[0].pools", |document| {
+            document.forward_routes[0].pools[0].weight = 0;
+        }),
+        ("forward_routes[0].pools", |document| {
+            document.forward_routes[0].pools.clear();
+        }),
+        ("forward_routes[0].timeout_ms", |document| {
+            document.forward_routes[0].timeout_ms = 0;
+        }),
+        ("forward_routes[0].resumable", |document| {
+            document.forward_routes[0].resumable = true;
+        }),
+        ("http_limits.max_body_bytes", |document| {
+            document.http_limits = Some(HttpLimits {
+                max_header_bytes: 1,
+                max_body_bytes: 0,
+                header_timeout_ms: 1,
+                idle_timeout_ms: 1,
+            });
+        }),
+        ("tenants[0].quota", |document| {
+            document.tenants[0].quota = None;
+        }),
+    ]
+}
 
 #[test]
 fn each_violation_is_reported_with_its_path() {
-    for (path, violate) in VIOLATIONS {
+    for (path, violate) in violations() {
         let mut document = with_routes(vec![route("a", "/a/"), route("b", "/b/")]);
         assert_eq!(check(&document), []);
         violate(&mut document);
