--- a/crates/control-state/tests/control_state/forward_documents.rs
+++ b/crates/control-state/tests/control_state/forward_documents.rs
@@ -72,7 +72,7 @@
             document.forward_routes[1].path_prefix = "/a/".to_owned();
         }),
         ("forward_routes[0].pools[0].pool", |document| {
-            document.forward_routes[0].pools[0].pool = "none".to_owned();
+            "none".clone_into(&mut document.forward_routes[0].pools[0].pool);
         }),
         ("forward_routes[0].pools", |document| {
             document.forward_routes[0].pools[0].weight = 0;
