--- a/crates/control-state/tests/control_state/forward_documents.rs
+++ b/crates/control-state/tests/control_state/forward_documents.rs
@@ -60,16 +60,16 @@
             document.forward_routes[0].name.clear();
         }),
         ("forward_routes[1].name", |document| {
-            document.forward_routes[1].name = "a".to_owned();
+            "a".clone_into(&mut document.forward_routes[1].name);
         }),
         ("forward_routes[0].host", |document| {
             document.forward_routes[0].host.clear();
         }),
         ("forward_routes[0].path_prefix", |document| {
-            document.forward_routes[0].path_prefix = "a/".to_owned();
+            "a/".clone_into(&mut document.forward_routes[0].path_prefix);
         }),
         ("forward_routes[1].path_prefix", |document| {
-            document.forward_routes[1].path_prefix = "/a/".to_owned();
+            "/a/".clone_into(&mut document.forward_routes[1].path_prefix);
         }),
         ("forward_routes[0].pools[0].pool", |document| {
             "none".clone_into(&mut document.forward_routes[0].pools[0].pool);
