--- a/crates/data-plane/tests/send_times.rs
+++ b/crates/data-plane/tests/send_times.rs
@@ -37,7 +37,7 @@
 
 #[test]
 fn a_grant_is_late_once_its_time_since_the_last_sending_is_over() {
-    let limit = Some(Duration::from_millis(1_000));
+    let limit = Some(Duration::from_secs(1));
     let mut times = SendTimes::at(START);
     assert!(!times.is_late(after(999), limit));
     assert!(times.is_late(after(1_000), limit));
--- a/crates/proxy/src/backend_protocol.rs
+++ b/crates/proxy/src/backend_protocol.rs
@@ -4,7 +4,7 @@
 pub const ATTEMPT_HEADER: &str = "x-millford-attempt";
 /// Names the run that the attempt starts or continues.
 pub const RUN_HEADER: &str = "x-millford-run";
-/// Time left for the whole answer, in milliseconds.
+/// Time left for the complete answer, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-millford-deadline-ms";
 /// Sequence number from which a run should be continued.
 pub const RESUME_FROM_HEADER: &str = "x-millford-resume-from";
@@ -28,9 +28,9 @@
 pub const ATTEMPTS_PATH: &str = "/v1/attempts/";
 /// With a withdrawal: an upper bound of the attempt's age, in milliseconds.
 pub const ATTEMPT_AGE_HEADER: &str = "x-millford-attempt-age-ms";
-/// Field of a stream piece that carries its run and sequence number.
+/// Field of a stream chunk that carries its run and sequence number.
 pub const CHUNK_FIELD: &str = "millford";
-/// Data of the event that ends a whole stream.
+/// Data of the event that ends a complete stream.
 pub const DONE_MARKER: &str = "[DONE]";
 /// Name of the event that ends a failed stream.
 pub const ERROR_EVENT: &str = "error";
--- a/crates/proxy/src/daemon/backend_client.rs
+++ b/crates/proxy/src/daemon/backend_client.rs
@@ -101,9 +101,9 @@
     /// Withdraws an attempt.
     pub async fn withdraw(&self, request: WithdrawRequest) -> WithdrawAnswer {
         let exchange = self.exchange(&request.address, withdrawal(&request));
-        let body = match tokio::time::timeout(request.timeout, exchange).await {
-            Ok(Some(body)) => body,
-            Ok(None) | Err(_) => return WithdrawAnswer::Unknown,
+        let answered = tokio::time::timeout(request.timeout, exchange).await;
+        let Ok(Some(body)) = answered else {
+            return WithdrawAnswer::Unknown;
         };
         let Ok(body) = serde_json::from_slice::<WithdrawBody>(&body) else {
             return WithdrawAnswer::Unknown;
--- a/crates/proxy/src/daemon/body_reader.rs
+++ b/crates/proxy/src/daemon/body_reader.rs
@@ -11,7 +11,10 @@
 /// Longest time for a body to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Reads the whole body. A body announced as too large is refused before it is read.
+/// Reads the complete body. A body announced as too large is refused before it is read.
+///
+/// # Errors
+/// Refuses a body that is too large, and one that does not arrive completely and in time.
 pub async fn read_body<B: Buf>(
     headers: &HeaderMap,
     body: impl Stream<Item = Result<B, warp::Error>> + Unpin,
--- a/crates/proxy/src/daemon/caller_channel.rs
+++ b/crates/proxy/src/daemon/caller_channel.rs
@@ -24,7 +24,7 @@
     disconnected: CancellationToken,
 }
 
-/// Tells when the HTTP connection was dropped.
+/// Resolves when the HTTP connection was dropped.
 #[derive(Clone, Debug)]
 pub struct ChannelPresence(CancellationToken);
 
@@ -37,7 +37,7 @@
     pub body: CallerBody,
 }
 
-/// Body of the answer. Unless it was ended as whole, it ends in an error.
+/// Body of the answer. Unless it was ended as complete, it ends in an error.
 #[derive(Debug)]
 pub struct CallerBody {
     chunks: mpsc::Receiver<Bytes>,
@@ -48,7 +48,7 @@
 
 /// The request path ended without ending the body.
 #[derive(Debug, thiserror::Error)]
-#[error("the answer was cut short")]
+#[error("the answer was truncated")]
 pub struct BodyTruncated;
 
 /// Makes both ends.
@@ -115,7 +115,7 @@
             Poll::Ready(Some(bytes)) => Poll::Ready(Some(Ok(bytes))),
             Poll::Ready(None) => {
                 self.ended = true;
-                // A body that was not ended as whole breaks the connection instead of looking so.
+                // A body that was not ended as complete breaks the connection instead of looking so.
                 let complete = self.complete.load(Ordering::SeqCst);
                 Poll::Ready((!complete).then_some(Err(BodyTruncated)))
             }
--- a/crates/proxy/src/daemon/caller_headers.rs
+++ b/crates/proxy/src/daemon/caller_headers.rs
@@ -7,6 +7,9 @@
 use crate::request::refusal::Refusal;
 
 /// Takes the headers that the request path reads; each may be there once, as text.
+///
+/// # Errors
+/// Refuses headers that are too large, not text, or there more than once.
 pub fn read_headers(headers: &HeaderMap, max_bytes: u64) -> Result<CallerHeaders, Refusal> {
     check_size(headers, max_bytes)?;
     Ok(CallerHeaders {
--- a/crates/proxy/src/daemon/connections.rs
+++ b/crates/proxy/src/daemon/connections.rs
@@ -33,7 +33,7 @@
 pub struct ConnectionLimits {
     /// Most connections open at one time.
     pub max_connections: usize,
-    /// Longest time for the whole headers of a request, and for a kept connection to be idle.
+    /// Longest time for the complete headers of a request, and for a kept-alive connection to be idle.
     pub header_timeout: Duration,
 }
 
@@ -73,7 +73,7 @@
     F::Future: TryFuture<Ok = (HttpResponse,), Error = Infallible> + Send,
 {
     let service = TowerToHyperService::new(warp::service(filter));
-    // An error here is a caller that left, was too slow or spoke no HTTP.
+    // An error here is a caller that disconnected, was too slow or spoke no HTTP.
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(header_timeout)
@@ -81,7 +81,7 @@
         .await;
 }
 
-/// Says that there is no place. Nothing of the request is read beyond its headers.
+/// Says that no further connection is served. Nothing of the request is read beyond its headers.
 async fn refuse(stream: TcpStream, _permit: OwnedSemaphorePermit) {
     let service = service_fn(|_| async { Ok::<_, Infallible>(connection_limit_response()) });
     let connection = http1::Builder::new()
--- a/crates/proxy/src/daemon/models.rs
+++ b/crates/proxy/src/daemon/models.rs
@@ -1,4 +1,4 @@
-//! The list of models in the shape that OpenAI clients ask for.
+//! The list of models in the shape that `OpenAI` clients ask for.
 
 use http::{HeaderMap, StatusCode};
 use millford_core::ResultCode;
@@ -32,6 +32,9 @@
 }
 
 /// Lists the models of the routes in force. It takes nothing from the tenant's quota.
+///
+/// # Errors
+/// Refuses what a request of the same caller would be refused for.
 pub fn list_models<E: RequestEnvironment>(
     environment: &E,
     headers: &HeaderMap,
--- a/crates/proxy/src/daemon/run.rs
+++ b/crates/proxy/src/daemon/run.rs
@@ -26,7 +26,7 @@
 
 /// Time between two checks of the open requests while draining.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Longest wait for streams to end once they are told to.
+/// Longest wait for streams to end once they must.
 const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 /// Longest wait for the last resolutions of claims to be acknowledged.
 const RESOLUTION_TIMEOUT: Duration = Duration::from_secs(2);
@@ -78,7 +78,7 @@
     };
     let state = Arc::clone(&environment.shared);
     let agent = environment.agent.clone();
-    let filter = service(Arc::new(environment), limits);
+    let filter = service(&Arc::new(environment), limits);
     tokio::spawn(serve_connections(
         listener,
         filter,
--- a/crates/proxy/src/daemon/server.rs
+++ b/crates/proxy/src/daemon/server.rs
@@ -43,20 +43,20 @@
 
 /// The service for callers, over any environment.
 pub fn service<E>(
-    environment: Arc<E>,
+    environment: &Arc<E>,
     limits: HttpLimits,
-) -> impl Filter<Extract = (HttpResponse,), Error = Infallible> + Clone
+) -> impl Filter<Extract = (HttpResponse,), Error = Infallible> + Clone + use<E>
 where
     E: RequestEnvironment + 'static,
 {
-    own_pages(&environment)
-        .or(completion_route(&environment, limits))
+    own_pages(environment)
+        .or(completion_route(environment, limits))
         .unify()
-        .or(models_route(&environment, limits))
+        .or(models_route(environment, limits))
         .unify()
-        .or(lookup_route(&environment, limits))
+        .or(lookup_route(environment, limits))
         .unify()
-        .or(unserved_route(&environment))
+        .or(unserved_route(environment))
         .unify()
 }
 
--- a/crates/proxy/src/daemon/settings.rs
+++ b/crates/proxy/src/daemon/settings.rs
@@ -31,7 +31,7 @@
     pub max_header_bytes: u64,
     /// Most connections of callers open at one time.
     pub max_connections: u64,
-    /// Longest time for the whole headers of a request, and for a kept connection to be idle, in
+    /// Longest time for the complete headers of a request, and for a kept-alive connection to be idle, in
     /// milliseconds.
     pub header_timeout_ms: u64,
     /// Longest time to open a connection to a backend, in milliseconds.
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,4 +1,4 @@
-//! Proxy for the callers: one function a request, from authentication to settlement.
+//! Proxy for the callers: one function a request, from authentication to the resolution of its claim.
 
 pub mod backend_protocol;
 pub mod daemon;
--- a/crates/proxy/src/request/admit.rs
+++ b/crates/proxy/src/request/admit.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// A place in the queue, left on whatever path the wait ends.
+/// A position in the queue, given up on whatever path the wait ends.
 struct QueuePosition<'a> {
     queue: &'a FairQueue,
     tenant: &'a str,
@@ -41,6 +41,9 @@
 ///
 /// While the first token would come too late, a tenant over its share is refused at once; the
 /// others wait for a bounded time.
+///
+/// # Errors
+/// Refuses a request that would get its first token too late.
 pub async fn admit<E: RequestEnvironment>(
     environment: &E,
     plan: &RequestPlan,
--- a/crates/proxy/src/request/attempt.rs
+++ b/crates/proxy/src/request/attempt.rs
@@ -42,10 +42,10 @@
     Stream {
         /// Reads the rest.
         reader: ChunkReader<A>,
-        /// The first piece, or the end of an empty stream.
+        /// The first chunk, or the end of an empty stream.
         first: StreamItem,
     },
-    /// A whole plain answer.
+    /// A complete plain answer.
     Plain {
         /// The body.
         body: Bytes,
@@ -119,18 +119,21 @@
         }
     }
 
-    /// The mark that is set once a byte may have left.
+    /// The flag that is set once a byte may have left.
     #[must_use]
     pub fn sent_flag(&self) -> SentFlag {
         self.sent.clone()
     }
 
-    /// The answer is whole, or the failure is known: nothing is left to withdraw.
+    /// The answer is complete, or the failure is known: nothing is left to withdraw.
     pub fn finish(&mut self) {
         self.finished = true;
     }
 
     /// Sends the request and reads until the first part of the answer.
+    ///
+    /// # Errors
+    /// Fails when no answer came, or one that this attempt may not use.
     pub async fn run(mut self, plan: &RequestPlan) -> Result<OpenedAttempt<'a, E>, FailedAttempt> {
         let backend_id = self.replica.key.backend_id.clone();
         let environment = self.environment;
@@ -227,7 +230,7 @@
         }
     }
 
-    /// A continued run must be confirmed at exactly the wanted sequence number.
+    /// A continued run must be confirmed at exactly the requested sequence number.
     fn check_resume(&self, head: &AnswerHead) -> Result<(), AttemptFailure> {
         let requested = self.resume_from.map(|resume| resume.0);
         if requested.is_none() || head.resume_at == requested {
--- a/crates/proxy/src/request/caller.rs
+++ b/crates/proxy/src/request/caller.rs
@@ -25,7 +25,7 @@
     pub adapter: Option<String>,
 }
 
-/// A whole request of a caller.
+/// A complete request of a caller.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
     /// Path with the query, as it was sent.
@@ -65,21 +65,22 @@
 }
 
 /// The caller is not there any more.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the caller disconnected")]
 pub struct CallerDisconnected;
 
-/// Tells when the caller goes away.
+/// Resolves when the caller disconnects.
 pub trait CallerPresence: Clone + Send + Sync {
-    /// Resolves once the caller has gone.
+    /// Resolves once the caller has disconnected.
     fn disconnected(&self) -> impl Future<Output = ()> + Send;
 }
 
 /// The way back to the caller.
 ///
 /// A sink that is dropped after [`CallerSink::begin`] and before [`CallerSink::finish`] breaks the
-/// caller's connection, so that a cut body never looks whole.
+/// caller's connection, so that a truncated body never looks complete.
 pub trait CallerSink: Send {
-    /// Handle to wait for the caller's leaving.
+    /// Handle to wait for the caller's disconnect.
     type Presence: CallerPresence;
 
     /// The presence of this caller.
@@ -95,6 +96,6 @@
     fn send(&mut self, bytes: Bytes)
     -> impl Future<Output = Result<(), CallerDisconnected>> + Send;
 
-    /// Ends the body as whole.
+    /// Ends the body as complete.
     fn finish(&mut self);
 }
--- a/crates/proxy/src/request/chat_request.rs
+++ b/crates/proxy/src/request/chat_request.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a completion request in the shape that OpenAI clients send.
+//! Reads the body of a completion request in the shape that `OpenAI` clients send.
 
 use bytes::Bytes;
 use millford_core::ResultCode;
@@ -39,6 +39,9 @@
 
 impl ChatRequest {
     /// Reads and checks headers and body.
+    ///
+    /// # Errors
+    /// Refuses a body that is not a completion request, and headers that name nothing.
     pub fn read(request: &CallerRequest) -> Result<Self, Refusal> {
         check_content_type(request.headers.content_type.as_deref())?;
         let mut fields = parse_object(&request.body)?;
@@ -65,6 +68,9 @@
 }
 
 /// A header value that names something of the caller's: short, printable, not empty.
+///
+/// # Errors
+/// Refuses an empty, too long or unprintable value.
 pub fn checked_key(name: &str, value: &Option<String>) -> Result<Option<String>, Refusal> {
     let Some(value) = value else {
         return Ok(None);
--- a/crates/proxy/src/request/chunk.rs
+++ b/crates/proxy/src/request/chunk.rs
@@ -1,4 +1,4 @@
-//! One piece of a stream.
+//! One chunk of a stream.
 
 use bytes::Bytes;
 use serde_json::{Map, Value};
@@ -17,7 +17,7 @@
 }
 
 impl Usage {
-    /// Reads the `usage` field of a piece or a body.
+    /// Reads the `usage` field of a chunk or a body.
     #[must_use]
     pub fn read(fields: &Map<String, Value>) -> Option<Self> {
         let usage = fields.get("usage")?.as_object()?;
@@ -30,20 +30,20 @@
     }
 }
 
-/// A piece with the run and the sequence number that the backend gave it.
+/// A chunk with the run and the sequence number that the backend gave it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Chunk {
-    /// Run of the piece.
+    /// Run of the chunk.
     pub run: String,
     /// Place in the run, from 0.
     pub sequence: u64,
-    /// Usage, in the last piece of a run.
+    /// Usage, in the last chunk of a run.
     pub usage: Option<Usage>,
     fields: Map<String, Value>,
 }
 
 impl Chunk {
-    /// Reads the data of an event; nothing if it is not a numbered piece.
+    /// Reads the data of an event; nothing if it is not a numbered chunk.
     #[must_use]
     pub fn parse(data: &str) -> Option<Self> {
         let Ok(Value::Object(mut fields)) = serde_json::from_str(data) else {
--- a/crates/proxy/src/request/chunk_reader.rs
+++ b/crates/proxy/src/request/chunk_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a stream from a backend and checks each piece.
+//! Reads a stream from a backend and checks each chunk.
 
 use millford_core::ResultCode;
 
@@ -11,15 +11,15 @@
 /// What a stream brings next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StreamItem {
-    /// The next piece, in sequence and of the right run.
+    /// The next chunk, in sequence and of the right run.
     Chunk(Chunk),
-    /// The end marker: the stream is whole.
+    /// The end marker: the stream is complete.
     Done,
     /// The backend reports that the run failed.
     BackendError,
 }
 
-/// Reads one answer. Nothing is delivered that is not the next piece of the expected run.
+/// Reads one answer. Nothing is delivered that is not the next chunk of the expected run.
 #[derive(Debug)]
 pub struct ChunkReader<A> {
     answer: A,
@@ -29,7 +29,7 @@
 }
 
 impl<A: BackendAnswer> ChunkReader<A> {
-    /// Expects the pieces of `run` from `next_sequence` on.
+    /// Expects the chunks of `run` from `next_sequence` on.
     #[must_use]
     pub fn new(answer: A, run: String, next_sequence: u64) -> Self {
         Self {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Sequence number of the next piece.
+    /// Sequence number of the next chunk.
     #[must_use]
     pub fn next_sequence(&self) -> u64 {
         self.next_sequence
@@ -53,6 +53,9 @@
     }
 
     /// The next item. Dropping the future loses nothing.
+    ///
+    /// # Errors
+    /// Fails with the result code of a stream that ended early or broke its sequence.
     pub async fn next(&mut self) -> Result<StreamItem, ResultCode> {
         loop {
             let event = self.decoder.next_event();
@@ -62,10 +65,9 @@
             }
             match self.answer.next_bytes().await {
                 Ok(Some(bytes)) => self.decoder.push(&bytes),
-                // The body is whole by its framing, but the end marker is missing.
-                Ok(None) => return Err(ResultCode::AnswerTruncated),
+                // `None`: the body is complete by its framing, but the end marker is missing.
+                Ok(None) | Err(AnswerError::Malformed) => return Err(ResultCode::AnswerTruncated),
                 Err(AnswerError::Disconnected) => return Err(ResultCode::BackendLost),
-                Err(AnswerError::Malformed) => return Err(ResultCode::AnswerTruncated),
             }
         }
     }
@@ -78,7 +80,7 @@
             return Ok(StreamItem::Done);
         }
         let chunk = Chunk::parse(&event.data).ok_or(ResultCode::StreamOutOfOrder)?;
-        // A piece of another run is another request's answer or a splice: never delivered.
+        // A chunk of another run is another request's answer or a splice: never delivered.
         if chunk.run != self.run {
             return Err(ResultCode::AnswerMismatch);
         }
--- a/crates/proxy/src/request/deadline.rs
+++ b/crates/proxy/src/request/deadline.rs
@@ -10,6 +10,9 @@
 pub const LONGEST_DEADLINE_MS: u64 = 3_600_000;
 
 /// The earlier of the route's deadline and the caller's own.
+///
+/// # Errors
+/// Refuses a caller's deadline that is not a number of milliseconds up to one hour.
 pub fn deadline_of(route: &RouteEntry, request: &CallerRequest) -> Result<MonotonicTime, Refusal> {
     let mut allowed = route.deadline;
     if let Some(text) = &request.headers.deadline_ms {
--- a/crates/proxy/src/request/environment.rs
+++ b/crates/proxy/src/request/environment.rs
@@ -34,7 +34,7 @@
     /// A fresh random number.
     fn random(&self) -> u64;
 
-    /// Asks the agent to admit one request of a tenant. Resolves within the ask's timeout.
+    /// Requests the admission of one request of a tenant. Resolves within its timeout.
     fn request_quota(&self, ask: AdmissionRequest) -> impl Future<Output = AdmissionReply> + Send;
 
     /// Gives a stream slot or an unused token back.
@@ -67,7 +67,7 @@
     /// The head of the answer.
     fn head(&self) -> &AnswerHead;
 
-    /// The next part of the body; nothing once the body ended whole by its framing.
+    /// The next part of the body; nothing once the body ended complete by its framing.
     ///
     /// Dropping the future loses no bytes.
     fn next_bytes(&mut self) -> impl Future<Output = Result<Option<Bytes>, AnswerError>> + Send;
--- a/crates/proxy/src/request/failure.rs
+++ b/crates/proxy/src/request/failure.rs
@@ -24,7 +24,7 @@
     pub fate: RunFate,
     /// Whether another backend may do better.
     pub elsewhere: bool,
-    /// When the backend wants to be asked again, in milliseconds.
+    /// When the backend wants to be sent the request again, in milliseconds.
     pub retry_after_ms: Option<u32>,
 }
 
--- a/crates/proxy/src/request/message.rs
+++ b/crates/proxy/src/request/message.rs
@@ -59,7 +59,7 @@
     pub adapter: String,
     /// Where to continue a run, if the attempt does not start one.
     pub resume_from: Option<ResumeFrom>,
-    /// Time left for the whole answer.
+    /// Time left for the complete answer.
     pub time_left: Duration,
     /// Body; empty for lookups.
     pub body: Bytes,
@@ -68,22 +68,24 @@
 }
 
 /// Why no answer head arrived.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DispatchError {
     /// No connection was opened: no byte left.
+    #[error("no connection to the backend was opened")]
     NotConnected,
     /// The connection broke or carried something that is not HTTP.
+    #[error("the connection to the backend was lost before its answer")]
     Lost,
 }
 
-/// How the end of a body is told.
+/// How the end of a body is marked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// By its length in bytes.
     Length(u64),
     /// By its last chunk.
     Chunked,
-    /// Not at all: it ends with the connection, so a cut cannot be seen.
+    /// Not at all: it ends with the connection, so a truncation cannot be seen.
     UntilClose,
 }
 
@@ -98,20 +100,22 @@
     pub not_run: bool,
     /// Sequence number at which the backend continues the run.
     pub resume_at: Option<u64>,
-    /// When the backend wants to be asked again, in milliseconds.
+    /// When the backend wants to be sent the request again, in milliseconds.
     pub retry_after_ms: Option<u32>,
     /// Content type.
     pub content_type: String,
-    /// How the end of the body is told.
+    /// How the end of the body is marked.
     pub framing: Framing,
 }
 
 /// Why a body ended early.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AnswerError {
     /// The connection ended before the body did.
+    #[error("the connection to the backend ended before the body did")]
     Disconnected,
     /// The bytes break the protocol.
+    #[error("the body breaks the protocol")]
     Malformed,
 }
 
--- a/crates/proxy/src/request/move_stream.rs
+++ b/crates/proxy/src/request/move_stream.rs
@@ -22,7 +22,7 @@
     pub version: String,
     /// The run.
     pub run: String,
-    /// Sequence number of the first piece that the caller has not got.
+    /// Sequence number of the first chunk that the caller has not got.
     pub next_sequence: u64,
     /// Why it was lost.
     pub code: ResultCode,
@@ -47,6 +47,9 @@
 }
 
 /// Lets another backend continue the run at exactly the next sequence number.
+///
+/// # Errors
+/// Fails when the route, the budget or the time allow no other backend, or none confirms the run.
 pub async fn move_stream<'a, E: RequestEnvironment, P: CallerPresence>(
     environment: &'a E,
     plan: &RequestPlan,
--- a/crates/proxy/src/request/plain_body.rs
+++ b/crates/proxy/src/request/plain_body.rs
@@ -1,4 +1,4 @@
-//! Reads a whole body from a backend.
+//! Reads a complete body from a backend.
 
 use bytes::{Bytes, BytesMut};
 use millford_core::ResultCode;
@@ -6,7 +6,10 @@
 use crate::request::environment::BackendAnswer;
 use crate::request::message::{AnswerError, Framing};
 
-/// Reads the body to its end and checks that it is whole.
+/// Reads the body to its end and checks that it is complete.
+///
+/// # Errors
+/// Fails with the result code of a body that is truncated, malformed or too large.
 pub async fn read_complete<A: BackendAnswer>(
     answer: &mut A,
     max_bytes: usize,
@@ -26,7 +29,7 @@
     }
     match framing {
         Framing::Length(length) if length != body.len() as u64 => Err(ResultCode::AnswerTruncated),
-        // Without a length or a last chunk a cut cannot be told from the end.
+        // Without a length or a last chunk a truncation cannot be told from the end.
         Framing::UntilClose => Err(ResultCode::AnswerTruncated),
         Framing::Length(_) | Framing::Chunked => Ok(body.freeze()),
     }
--- a/crates/proxy/src/request/record.rs
+++ b/crates/proxy/src/request/record.rs
@@ -13,7 +13,7 @@
     pub route: String,
     /// How it ended.
     pub code: ResultCode,
-    /// Whether the caller left before the end.
+    /// Whether the caller disconnected before the end.
     pub caller_disconnected: bool,
 }
 
@@ -69,7 +69,7 @@
 }
 
 impl<'a> OpenStream<'a> {
-    /// The first piece goes to the caller.
+    /// The first chunk goes to the caller.
     #[must_use]
     pub fn start(state: &'a ProxyState) -> Self {
         state.metrics.open_streams.inc();
--- a/crates/proxy/src/request/reply.rs
+++ b/crates/proxy/src/request/reply.rs
@@ -18,7 +18,7 @@
 /// Why a part could not be given to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyError {
-    /// The caller left.
+    /// The caller disconnected.
     CallerDisconnected,
     /// The deadline passed while the caller read slowly.
     TimedOut,
@@ -51,13 +51,16 @@
         }
     }
 
-    /// Handle to wait for the caller's leaving.
+    /// Handle to wait for the caller's disconnect.
     #[must_use]
     pub fn presence(&self) -> C::Presence {
         self.sink.presence()
     }
 
     /// Begins a stream.
+    ///
+    /// # Errors
+    /// Fails when the caller disconnected.
     pub async fn begin_stream(&mut self) -> Result<(), ReplyError> {
         let head = self.head(200, EVENT_STREAM, None, None);
         self.begun = true;
@@ -65,6 +68,9 @@
     }
 
     /// Gives the caller an event of the stream, within the deadline.
+    ///
+    /// # Errors
+    /// Fails when the caller disconnected or the time is up.
     pub async fn send_event(
         &mut self,
         event: Bytes,
@@ -79,7 +85,10 @@
         }
     }
 
-    /// Ends a whole stream.
+    /// Ends a complete stream.
+    ///
+    /// # Errors
+    /// Fails when the caller disconnected or the time is up.
     pub async fn send_done(&mut self, deadline: MonotonicTime) -> Result<(), ReplyError> {
         let event = Bytes::from(format!("data: {DONE_MARKER}\n\n"));
         self.send_event(event, deadline).await?;
@@ -87,7 +96,10 @@
         Ok(())
     }
 
-    /// Gives a whole plain answer.
+    /// Gives a complete plain answer.
+    ///
+    /// # Errors
+    /// Fails when the caller disconnected.
     pub async fn send_complete(
         &mut self,
         body: Bytes,
@@ -102,6 +114,9 @@
     }
 
     /// Ends the answer with a refusal: as its body, or as the last event of a stream.
+    ///
+    /// # Errors
+    /// Fails when the caller disconnected or the time is up.
     pub async fn refuse(&mut self, refusal: &Refusal) -> Result<(), ReplyError> {
         if self.begun {
             return self.end_stream_with_error(refusal).await;
@@ -116,7 +131,7 @@
         Ok(())
     }
 
-    /// There is no end marker after an error event: a cut stream never looks whole.
+    /// There is no end marker after an error event: a truncated stream never looks complete.
     async fn end_stream_with_error(&mut self, refusal: &Refusal) -> Result<(), ReplyError> {
         let event = format!("event: {ERROR_EVENT}\ndata: {}\n\n", refusal.body());
         let until = self.environment.now() + FINAL_SEND_TIMEOUT;
--- a/crates/proxy/src/request/sse.rs
+++ b/crates/proxy/src/request/sse.rs
@@ -12,11 +12,18 @@
     pub data: String,
 }
 
-/// The bytes are not an event stream, or an event is too large.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SseError;
+/// Why bytes are not taken as an event stream.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SseError {
+    /// An event is not text.
+    #[error("an event is not UTF-8")]
+    NotUtf8(#[from] std::str::Utf8Error),
+    /// An event is larger than [`MAX_EVENT_BYTES`].
+    #[error("an event is larger than {MAX_EVENT_BYTES} bytes")]
+    TooLarge,
+}
 
-/// Cuts a byte stream into events.
+/// Splits a byte stream into events.
 #[derive(Debug, Default)]
 pub struct SseDecoder {
     buffer: Vec<u8>,
@@ -34,7 +41,10 @@
         self.buffer.len()
     }
 
-    /// Takes the next whole event; nothing while more bytes are needed.
+    /// Takes the next complete event; nothing while more bytes are needed.
+    ///
+    /// # Errors
+    /// Fails when the bytes are not an event stream, or an event is too large.
     pub fn next_event(&mut self) -> Result<Option<SseEvent>, SseError> {
         while let Some(end) = event_end(&self.buffer) {
             let block: Vec<u8> = self.buffer.drain(..end).collect();
@@ -44,7 +54,7 @@
             }
         }
         if self.buffer.len() > MAX_EVENT_BYTES {
-            return Err(SseError);
+            return Err(SseError::TooLarge);
         }
         Ok(None)
     }
@@ -67,7 +77,7 @@
 }
 
 fn parse_event(block: &[u8]) -> Result<SseEvent, SseError> {
-    let text = std::str::from_utf8(block).map_err(|_| SseError)?;
+    let text = std::str::from_utf8(block)?;
     let mut event = SseEvent::default();
     let mut has_data = false;
     for line in text.lines() {
--- a/crates/proxy/src/request/stream_watch.rs
+++ b/crates/proxy/src/request/stream_watch.rs
@@ -1,4 +1,4 @@
-//! Watches the backend of a waiting request: silence, ejection, drain.
+//! Watches the backend of a waiting request: inactivity, ejection, drain.
 
 use std::future::Future;
 use std::pin::pin;
@@ -11,30 +11,33 @@
 use crate::request::failure::AttemptFailure;
 use crate::request::plan::RequestPlan;
 
-/// A gap between two looks counts as at most this many times the usual one.
+/// A gap between two checks counts as at most this many times the usual one.
 ///
-/// When the whole process was frozen, silence during the freeze says nothing about the backend.
+/// When the whole process was frozen, inactivity during the freeze says nothing about the backend.
 const LARGEST_COUNTED_GAP: u32 = 2;
 
-/// Silence beyond this many limits ends a stream even if no other backend is heard.
+/// Inactivity beyond this many timeouts ends a stream even if no other backend responds.
 const LONE_INACTIVITY_FACTOR: u32 = 2;
 
-/// What a look at a stream's backend tells.
+/// Result of a check of a stream's backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchVerdict {
     /// Keep waiting.
     Wait,
-    /// Silent for too long: the backend is ejected.
+    /// Inactive for too long: the backend is ejected.
     Unresponsive,
     /// The drain time of the backend is over.
     Drained,
-    /// The proxy itself leaves now.
+    /// The proxy itself stops now.
     Stopping,
 }
 
-/// Runs a future until its backend has been silent for too long and is ejected for it.
+/// Runs a future until its backend has been unresponsive for too long and is ejected for it.
 ///
 /// Ejection alone is not enough: a probe may fail on a busy machine while the answer is on its way.
+///
+/// # Errors
+/// Fails with the future's own failure, or when the backend is ejected.
 pub async fn until_ejected<E: RequestEnvironment, T>(
     environment: &E,
     backend_id: &str,
@@ -50,7 +53,7 @@
             Either::Left((output, _)) => return output,
             Either::Right(_) => {}
         }
-        // Looks are counted, not time: after a freeze of this process nothing is held against it.
+        // Checks are counted, not time: after a freeze of this process nothing is held against it.
         waited += check;
         let ejected = state.health.ejection(backend_id) == Some(EjectionReason::Unresponsive);
         if ejected && waited >= state.limits.stream_inactivity_timeout {
@@ -59,7 +62,7 @@
     }
 }
 
-/// Silence and drain of one open stream.
+/// Inactivity and drain of one open stream.
 #[derive(Debug)]
 pub struct StreamWatch {
     inactive_for: Duration,
@@ -68,7 +71,7 @@
 }
 
 impl StreamWatch {
-    /// A watch that starts at the time of the first piece.
+    /// A watch that starts at the time of the first chunk.
     #[must_use]
     pub fn new(now: MonotonicTime) -> Self {
         Self {
@@ -78,7 +81,7 @@
         }
     }
 
-    /// A piece came.
+    /// A chunk came.
     pub fn record_activity(&mut self, now: MonotonicTime) {
         self.inactive_for = Duration::ZERO;
         self.looked_at = now;
@@ -90,7 +93,7 @@
         self.draining_since.is_some()
     }
 
-    /// Looks at the backend after a while without a piece, or between two pieces.
+    /// Checks the backend after a while without a chunk, or between two chunks.
     pub fn check<E: RequestEnvironment>(
         &mut self,
         environment: &E,
@@ -143,7 +146,7 @@
             return false;
         }
         let since = *self.draining_since.get_or_insert(now);
-        // Looks come every `backend_check_interval`: one less than the pool's time keeps within it.
+        // Checks come every `backend_check_interval`: one less than the pool's time keeps within it.
         let allowed = pool
             .drain
             .saturating_sub(environment.state().limits.backend_check_interval * 2);
--- a/crates/proxy/src/request/wait.rs
+++ b/crates/proxy/src/request/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting for something, the deadline or the caller's leaving, whichever comes first.
+//! Waiting for something, the deadline or the caller's disconnect, whichever comes first.
 
 use std::future::Future;
 use std::pin::pin;
@@ -16,13 +16,13 @@
     Ready(T),
     /// The time was up first.
     TimedOut,
-    /// The caller left first.
+    /// The caller disconnected first.
     CallerDisconnected,
 }
 
 /// Waits for `future` until the time `until`, as long as the caller is there.
 ///
-/// What is ready is taken before the time is looked at: after a freeze of the whole process an
+/// What is ready is taken before the time is checked: after a freeze of the whole process an
 /// answer that lies ready is not thrown away.
 pub async fn wait_until<E, P, F>(
     environment: &E,
--- a/crates/proxy/tests/bad_inputs/cases.rs
+++ b/crates/proxy/tests/bad_inputs/cases.rs
@@ -6,11 +6,11 @@
 use super::support::raw_backend::{get, post};
 
 /// A request and what it must be answered with.
-pub struct Case {
-    pub name: &'static str,
-    pub request: Vec<u8>,
-    pub status: u16,
-    pub code: ResultCode,
+pub(crate) struct Case {
+    pub(crate) name: &'static str,
+    pub(crate) request: Vec<u8>,
+    pub(crate) status: u16,
+    pub(crate) code: ResultCode,
 }
 
 fn case(name: &'static str, request: Vec<u8>, status: u16, code: ResultCode) -> Case {
@@ -22,7 +22,7 @@
     }
 }
 
-pub fn headers(extra: &str) -> String {
+pub(crate) fn headers(extra: &str) -> String {
     format!("authorization: Bearer {KEY}\r\ncontent-type: application/json\r\n{extra}")
 }
 
@@ -33,7 +33,7 @@
 
 const GOOD: &str = r#"{"model":"saga","messages":[{"role":"user","content":"One."}]}"#;
 
-pub fn header_cases() -> Vec<Case> {
+pub(crate) fn header_cases() -> Vec<Case> {
     use ResultCode as Code;
     let json = "content-type: application/json\r\n";
     let with = |extra: &str| post(&headers(extra), GOOD);
@@ -138,7 +138,7 @@
     ]
 }
 
-pub fn body_cases() -> Vec<Case> {
+pub(crate) fn body_cases() -> Vec<Case> {
     use ResultCode as Code;
     let large = format!(r#"{{"model":"saga","pad":"{}"}}"#, "p".repeat(5000));
     let chunks = {
@@ -254,7 +254,7 @@
     format!("{head}{}{framing}zz\r\nnot a chunk", headers("")).into_bytes()
 }
 
-pub fn path_cases() -> Vec<Case> {
+pub(crate) fn path_cases() -> Vec<Case> {
     use ResultCode as Code;
     let method = |method: &str, path: &str| {
         format!("{method} {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n").into_bytes()
--- a/crates/proxy/tests/bad_inputs/main.rs
+++ b/crates/proxy/tests/bad_inputs/main.rs
@@ -89,7 +89,7 @@
     };
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address");
-    let filter = service(Arc::new(environment), limits);
+    let filter = service(&Arc::new(environment), limits);
     tokio::spawn(warp::serve(filter).incoming(listener).run());
     address
 }
--- a/crates/proxy/tests/callers_interface.rs
+++ b/crates/proxy/tests/callers_interface.rs
@@ -32,7 +32,7 @@
     };
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address");
-    let filter = service(Arc::new(environment), http_limits);
+    let filter = service(&Arc::new(environment), http_limits);
     tokio::spawn(serve_connections(listener, filter, limits));
     address
 }
--- a/crates/proxy/tests/capacity.rs
+++ b/crates/proxy/tests/capacity.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// The first attempt never answers; every later one is a whole stream.
+/// The first attempt never answers; every later one is a complete stream.
 fn first_never_answers(environment: &ScriptedEnvironment) -> support::sink::Seen {
     environment.by_default(Script::NeverAnswer);
     let mut sink = RecordingSink::new(environment.clock.clone());
--- a/crates/proxy/tests/daemon_path.rs
+++ b/crates/proxy/tests/daemon_path.rs
@@ -51,7 +51,7 @@
     };
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address");
-    let filter = service(Arc::new(environment), limits);
+    let filter = service(&Arc::new(environment), limits);
     tokio::spawn(warp::serve(filter).incoming(listener).run());
     until("the proxy is ready", || state.is_ready()).await;
     Proxy {
@@ -270,13 +270,13 @@
 
 #[tokio::test]
 async fn a_withdrawal_carries_the_age_of_its_attempt() {
-    let answer: Answer =
-        Arc::new(
-            |request: &RawRequest| match request.head.starts_with("DELETE") {
-                true => with_length(request, r#"{"state":"unknown"}"#).into_bytes(),
-                false => Vec::new(),
-            },
-        );
+    let answer: Answer = Arc::new(|request: &RawRequest| {
+        if request.head.starts_with("DELETE") {
+            with_length(request, r#"{"state":"unknown"}"#).into_bytes()
+        } else {
+            Vec::new()
+        }
+    });
     let proxy = start(&Fixture::default(), answer).await;
     let request = post(&headers("x-millford-deadline-ms: 200\r\n"), CHAT);
     let seen = exchange(proxy.address, &request).await;
--- a/crates/proxy/tests/outside_names.rs
+++ b/crates/proxy/tests/outside_names.rs
@@ -96,7 +96,7 @@
         ("health", backend_protocol::HEALTH_PATH),
         ("attempts", backend_protocol::ATTEMPTS_PATH),
         ("attempt age", backend_protocol::ATTEMPT_AGE_HEADER),
-        ("field of an event", backend_protocol::PIECE_FIELD),
+        ("field of an event", backend_protocol::CHUNK_FIELD),
         ("end of a stream", backend_protocol::DONE_MARKER),
         ("failure of a stream", backend_protocol::ERROR_EVENT),
         ("request id", responses::REQUEST_ID_HEADER),
--- a/crates/proxy/tests/run_state.rs
+++ b/crates/proxy/tests/run_state.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use millford_api::command::RunOutcome;
+use millford_api::command::{ResolveClaim, RunOutcome};
 use millford_core::{Duration, MonotonicTime, ResultCode};
 use millford_data_plane::agent_message::{AdmissionReply, ClaimAnswer};
 use millford_proxy::request::environment::RequestEnvironment as _;
@@ -296,8 +296,8 @@
 fn the_admission_may_be_waited_for_until_the_deadline() {
     let environment = Fixture::default().environment();
     serve(&environment, request(true));
-    let asked = environment.recorded().quota_requests[0].timeout;
-    assert_eq!(asked, Duration::from_millis(10_000));
+    let timeout = environment.recorded().quota_requests[0].timeout;
+    assert_eq!(timeout, Duration::from_secs(10));
 }
 
 #[test]
@@ -330,7 +330,7 @@
     recorded
         .claim_resolutions
         .iter()
-        .map(|settle| settle.outcome())
+        .map(ResolveClaim::outcome)
         .collect()
 }
 
--- a/crates/proxy/tests/stream_continuity.rs
+++ b/crates/proxy/tests/stream_continuity.rs
@@ -218,16 +218,13 @@
     assert_eq!(sent.len(), 2);
     assert_ne!(sent[0].request.backend_id, sent[1].request.backend_id);
     let since_drain = sent[1].at.since(MonotonicTime::from_millis(500));
-    assert!(
-        since_drain <= Duration::from_millis(1_000),
-        "{since_drain:?}"
-    );
+    assert!(since_drain <= Duration::from_secs(1), "{since_drain:?}");
     assert!(sink.seen().is_done());
 }
 
-/// An answer that continues wherever it is asked to, with one more piece and the end.
+/// An answer that continues wherever it is asked to, with one more chunk and the end.
 fn resumed() -> AnswerScript {
-    // The stream above has ten pieces a second and is moved 900 ms after the drain began.
+    // The stream above has ten chunks a second and is moved 900 ms after the drain began.
     AnswerScript::new(vec![Step::Done])
 }
 
--- a/crates/proxy/tests/support/clock.rs
+++ b/crates/proxy/tests/support/clock.rs
@@ -18,14 +18,14 @@
 
 /// Simulated time.
 #[derive(Clone, Debug, Default)]
-pub struct SimulatedClock(Arc<Mutex<Timers>>);
+pub(crate) struct SimulatedClock(Arc<Mutex<Timers>>);
 
 impl SimulatedClock {
-    pub fn now(&self) -> MonotonicTime {
+    pub(crate) fn now(&self) -> MonotonicTime {
         self.0.lock().expect("clock").now
     }
 
-    pub fn sleep(&self, duration: Duration) -> Sleep {
+    pub(crate) fn sleep(&self, duration: Duration) -> Sleep {
         Sleep {
             clock: self.clone(),
             until: self.now() + duration,
@@ -34,7 +34,7 @@
     }
 
     /// Runs a future to its end; panics when it waits for something that can never come.
-    pub fn run<F: Future>(&self, future: F) -> F::Output {
+    pub(crate) fn run<F: Future>(&self, future: F) -> F::Output {
         let woken = Arc::new(Woken(AtomicBool::new(true)));
         let waker = Waker::from(Arc::clone(&woken));
         let mut context = Context::from_waker(&waker);
@@ -68,7 +68,7 @@
 }
 
 /// Resolves at its time; forgets its timer when dropped.
-pub struct Sleep {
+pub(crate) struct Sleep {
     clock: SimulatedClock,
     until: MonotonicTime,
     timer: Option<(MonotonicTime, u64)>,
--- a/crates/proxy/tests/support/environment.rs
+++ b/crates/proxy/tests/support/environment.rs
@@ -23,20 +23,20 @@
 
 /// One recorded attempt.
 #[derive(Clone, Debug)]
-pub struct Dispatch {
-    pub at: MonotonicTime,
-    pub request: BackendRequest,
+pub(crate) struct Dispatch {
+    pub(crate) at: MonotonicTime,
+    pub(crate) request: BackendRequest,
 }
 
 /// Everything that the request path asked for.
 #[derive(Debug, Default)]
-pub struct Recorded {
-    pub dispatches: Vec<Dispatch>,
-    pub withdrawals: Vec<WithdrawRequest>,
-    pub claims: Vec<Claim>,
-    pub claim_resolutions: Vec<ResolveClaim>,
-    pub quota_requests: Vec<AdmissionRequest>,
-    pub quota_releases: Vec<QuotaRelease>,
+pub(crate) struct Recorded {
+    pub(crate) dispatches: Vec<Dispatch>,
+    pub(crate) withdrawals: Vec<WithdrawRequest>,
+    pub(crate) claims: Vec<Claim>,
+    pub(crate) claim_resolutions: Vec<ResolveClaim>,
+    pub(crate) quota_requests: Vec<AdmissionRequest>,
+    pub(crate) quota_releases: Vec<QuotaRelease>,
 }
 
 #[derive(Debug)]
@@ -53,15 +53,15 @@
 
 /// The scripted environment.
 #[derive(Clone, Debug)]
-pub struct ScriptedEnvironment {
-    pub clock: SimulatedClock,
+pub(crate) struct ScriptedEnvironment {
+    pub(crate) clock: SimulatedClock,
     state: Arc<ProxyState>,
     scripts: Arc<Mutex<Scripts>>,
     recorded: Arc<Mutex<Recorded>>,
 }
 
 impl ScriptedEnvironment {
-    pub fn new(state: ProxyState, seed: u64) -> Self {
+    pub(crate) fn new(state: ProxyState, seed: u64) -> Self {
         let scripts = Scripts {
             by_backend: BTreeMap::new(),
             usual: complete_stream(0, 5),
@@ -80,40 +80,40 @@
     }
 
     /// What every backend does unless told otherwise.
-    pub fn by_default(&self, script: Script) {
+    pub(crate) fn by_default(&self, script: Script) {
         self.scripts().usual = script;
     }
 
     /// What one backend does with its next attempt.
-    pub fn next(&self, backend_id: &str, script: Script) {
+    pub(crate) fn next(&self, backend_id: &str, script: Script) {
         let mut scripts = self.scripts();
         let queue = scripts.by_backend.entry(backend_id.to_owned());
         queue.or_default().push_back(script);
     }
 
-    pub fn answer_quota(&self, answer: AdmissionReply) {
+    pub(crate) fn answer_quota(&self, answer: AdmissionReply) {
         self.scripts().quota = answer;
     }
 
-    pub fn answer_claims(&self, answer: ClaimAnswer) {
+    pub(crate) fn answer_claims(&self, answer: ClaimAnswer) {
         self.scripts().claim = answer;
     }
 
-    pub fn answer_withdrawals(&self, answer: WithdrawAnswer) {
+    pub(crate) fn answer_withdrawals(&self, answer: WithdrawAnswer) {
         self.scripts().withdrawal = answer;
     }
 
     /// Withdrawals are answered this long after they are asked for.
-    pub fn delay_withdrawals(&self, delay: Duration) {
+    pub(crate) fn delay_withdrawals(&self, delay: Duration) {
         self.scripts().withdrawal_delay = delay;
     }
 
-    pub fn recorded(&self) -> MutexGuard<'_, Recorded> {
+    pub(crate) fn recorded(&self) -> MutexGuard<'_, Recorded> {
         self.recorded.lock().expect("record")
     }
 
     /// Attempts of which a byte left.
-    pub fn sent(&self) -> Vec<Dispatch> {
+    pub(crate) fn sent(&self) -> Vec<Dispatch> {
         let recorded = self.recorded();
         let dispatches = recorded.dispatches.iter();
         let sent = dispatches.filter(|dispatch| dispatch.request.sent.is_set());
@@ -121,7 +121,7 @@
     }
 
     /// Lets the state's budget allow this many second sends.
-    pub fn fill_retry_budget(&self, second_sends: u32) {
+    pub(crate) fn fill_retry_budget(&self, second_sends: u32) {
         for _ in 0..second_sends * 7 {
             self.state.budget.earn();
         }
@@ -209,7 +209,7 @@
 
 /// A scripted answer.
 #[derive(Debug)]
-pub struct ScriptedAnswer {
+pub(crate) struct ScriptedAnswer {
     clock: SimulatedClock,
     head: AnswerHead,
     run: String,
--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -15,20 +15,20 @@
 use super::environment::ScriptedEnvironment;
 use super::sink::{RecordingSink, Seen};
 
-pub const TENANT: &str = "library";
-pub const KEY: &str = "key-of-the-library";
-pub const SECOND_TENANT: &str = "shop";
-pub const SECOND_KEY: &str = "key-of-the-shop";
+pub(crate) const TENANT: &str = "library";
+pub(crate) const KEY: &str = "key-of-the-library";
+pub(crate) const SECOND_TENANT: &str = "shop";
+pub(crate) const SECOND_KEY: &str = "key-of-the-shop";
 
 /// What a test varies in the configuration.
 #[derive(Clone, Debug)]
-pub struct Fixture {
-    pub backends: Vec<(String, BackendState)>,
-    pub repeatable: bool,
-    pub resume: Resume,
-    pub deadline_ms: u32,
-    pub hedge_ms: Option<u32>,
-    pub drain_ms: u32,
+pub(crate) struct Fixture {
+    pub(crate) backends: Vec<(String, BackendState)>,
+    pub(crate) repeatable: bool,
+    pub(crate) resume: Resume,
+    pub(crate) deadline_ms: u32,
+    pub(crate) hedge_ms: Option<u32>,
+    pub(crate) drain_ms: u32,
 }
 
 impl Default for Fixture {
@@ -46,7 +46,7 @@
 }
 
 impl Fixture {
-    pub fn once() -> Self {
+    pub(crate) fn once() -> Self {
         Self {
             repeatable: false,
             resume: Resume::Never,
@@ -54,14 +54,14 @@
         }
     }
 
-    pub fn with_backends(mut self, ids: &[&str]) -> Self {
+    pub(crate) fn with_backends(mut self, ids: &[&str]) -> Self {
         let active = |id: &&str| ((*id).to_owned(), BackendState::BackendActive);
         self.backends = ids.iter().map(active).collect();
         self
     }
 
     /// The same with one backend in another state.
-    pub fn with_state(mut self, id: &str, state: BackendState) -> Self {
+    pub(crate) fn with_state(mut self, id: &str, state: BackendState) -> Self {
         for backend in &mut self.backends {
             if backend.0 == id {
                 backend.1 = state;
@@ -70,24 +70,24 @@
         self
     }
 
-    pub fn environment(&self) -> ScriptedEnvironment {
+    pub(crate) fn environment(&self) -> ScriptedEnvironment {
         ScriptedEnvironment::new(self.state(), 7)
     }
 
-    pub fn state(&self) -> ProxyState {
+    pub(crate) fn state(&self) -> ProxyState {
         let state = ProxyState::new(RequestLimits::default());
         state.set_table(self.table());
         state.set_ready();
         state
     }
 
-    pub fn table(&self) -> RoutingTable {
+    pub(crate) fn table(&self) -> RoutingTable {
         let items = self.items();
         RoutingTable::build(items.iter().map(|(key, value)| (key.as_str(), value)))
     }
 
     /// The same as feed items, with the backends at these addresses.
-    pub fn feed_items(&self, address: &str) -> Vec<StateItem> {
+    pub(crate) fn feed_items(&self, address: &str) -> Vec<StateItem> {
         let items = self.items().into_iter().map(|(key, mut value)| {
             if let Some(Kind::Backend(backend)) = &mut value.kind {
                 address.clone_into(&mut backend.address);
@@ -198,7 +198,7 @@
 }
 
 /// A request of the library's.
-pub fn request(stream: bool) -> CallerRequest {
+pub(crate) fn request(stream: bool) -> CallerRequest {
     let messages = r#"[{"role":"user","content":"Caption panel one."}]"#;
     let body = format!(r#"{{"model":"saga","stream":{stream},"messages":{messages}}}"#);
     CallerRequest {
@@ -214,14 +214,14 @@
 }
 
 /// The same with an idempotency key.
-pub fn keyed_request(stream: bool) -> CallerRequest {
+pub(crate) fn keyed_request(stream: bool) -> CallerRequest {
     let mut request = request(stream);
     request.headers.idempotency_key = Some("order-17".to_owned());
     request
 }
 
 /// Serves one request to its end.
-pub fn serve(environment: &ScriptedEnvironment, mut request: CallerRequest) -> Seen {
+pub(crate) fn serve(environment: &ScriptedEnvironment, mut request: CallerRequest) -> Seen {
     request.arrived = environment.now();
     let mut sink = RecordingSink::new(environment.clock.clone());
     let served = serve_completion(environment, request, &mut sink);
@@ -230,7 +230,7 @@
 }
 
 /// Serves one request to a caller that leaves after this many milliseconds.
-pub fn serve_disconnecting(
+pub(crate) fn serve_disconnecting(
     environment: &ScriptedEnvironment,
     request: CallerRequest,
     disconnects_after_ms: u64,
--- a/crates/proxy/tests/support/raw_backend.rs
+++ b/crates/proxy/tests/support/raw_backend.rs
@@ -7,18 +7,18 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Makes the bytes of an answer from a request's head.
-pub type Answer = Arc<dyn Fn(&RawRequest) -> Vec<u8> + Send + Sync>;
+pub(crate) type Answer = Arc<dyn Fn(&RawRequest) -> Vec<u8> + Send + Sync>;
 
 /// A request as it came.
 #[derive(Clone, Debug, Default)]
-pub struct RawRequest {
-    pub head: String,
-    pub body: String,
+pub(crate) struct RawRequest {
+    pub(crate) head: String,
+    pub(crate) body: String,
 }
 
 impl RawRequest {
     /// Value of a header.
-    pub fn header(&self, name: &str) -> String {
+    pub(crate) fn header(&self, name: &str) -> String {
         let lines = self.head.lines().filter_map(|line| line.split_once(':'));
         let mut found = lines.filter(|(key, _)| key.eq_ignore_ascii_case(name));
         found
@@ -28,10 +28,10 @@
 }
 
 /// Requests that reached the backend.
-pub type Requests = Arc<Mutex<Vec<RawRequest>>>;
+pub(crate) type Requests = Arc<Mutex<Vec<RawRequest>>>;
 
 /// Starts a backend; it lives as long as the runtime.
-pub async fn start(answer: Answer) -> (SocketAddr, Requests) {
+pub(crate) async fn start(answer: Answer) -> (SocketAddr, Requests) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address");
     let requests = Requests::default();
@@ -80,7 +80,7 @@
 }
 
 /// Sends raw bytes and reads until the other side closes.
-pub async fn exchange(address: SocketAddr, request: &[u8]) -> String {
+pub(crate) async fn exchange(address: SocketAddr, request: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).await.expect("connect");
     // The server may answer and close before it has read everything.
     let _ = stream.write_all(request).await;
@@ -90,13 +90,13 @@
 }
 
 /// A POST of this body that asks for the connection to be closed.
-pub fn post(headers: &str, body: &str) -> Vec<u8> {
+pub(crate) fn post(headers: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     let head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\n";
     format!("{head}{headers}content-length: {length}\r\n\r\n{body}").into_bytes()
 }
 
 /// A GET that asks for the connection to be closed.
-pub fn get(path: &str, headers: &str) -> Vec<u8> {
+pub(crate) fn get(path: &str, headers: &str) -> Vec<u8> {
     format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n{headers}\r\n").into_bytes()
 }
--- a/crates/proxy/tests/support/script.rs
+++ b/crates/proxy/tests/support/script.rs
@@ -6,12 +6,12 @@
 
 /// One step of a body.
 #[derive(Clone, Debug)]
-pub enum Step {
+pub(crate) enum Step {
     /// Time passes.
     Wait(Duration),
-    /// A piece with this sequence number; the run is the attempt's.
+    /// A chunk with this sequence number; the run is the attempt's.
     Chunk(u64),
-    /// A piece of this run with this sequence number.
+    /// A chunk of this run with this sequence number.
     ChunkOfRun(String, u64),
     /// These bytes.
     Raw(Bytes),
@@ -25,7 +25,7 @@
 
 /// What a scripted backend does with one attempt.
 #[derive(Clone, Debug)]
-pub enum Script {
+pub(crate) enum Script {
     /// No connection.
     RefuseConnection,
     /// The connection breaks before the head.
@@ -38,21 +38,21 @@
 
 /// An answer: head after a delay, then the steps, then the end of the body.
 #[derive(Clone, Debug)]
-pub struct AnswerScript {
-    pub delay: Duration,
-    pub status: u16,
-    pub not_run: bool,
+pub(crate) struct AnswerScript {
+    pub(crate) delay: Duration,
+    pub(crate) status: u16,
+    pub(crate) not_run: bool,
     /// Another attempt's id instead of this one's.
-    pub crossed: bool,
+    pub(crate) crossed: bool,
     /// Confirms another sequence number than the wanted one.
-    pub resume_at: Option<u64>,
-    pub framing: Framing,
-    pub steps: Vec<Step>,
+    pub(crate) resume_at: Option<u64>,
+    pub(crate) framing: Framing,
+    pub(crate) steps: Vec<Step>,
 }
 
 impl AnswerScript {
     /// An answer with these steps.
-    pub fn new(steps: Vec<Step>) -> Self {
+    pub(crate) fn new(steps: Vec<Step>) -> Self {
         Self {
             delay: Duration::from_millis(20),
             status: 200,
@@ -65,7 +65,7 @@
     }
 
     /// The head of the answer to an attempt.
-    pub fn head(&self, attempt: &str, resume_from: Option<u64>) -> AnswerHead {
+    pub(crate) fn head(&self, attempt: &str, resume_from: Option<u64>) -> AnswerHead {
         let echoed = if self.crossed { "another" } else { attempt };
         AnswerHead {
             status: self.status,
@@ -79,26 +79,26 @@
     }
 }
 
-/// A stream of these pieces without an end marker, 10 ms apart.
-pub fn chunks(sequences: std::ops::Range<u64>) -> Vec<Step> {
+/// A stream of these chunks without an end marker, 10 ms apart.
+pub(crate) fn chunks(sequences: std::ops::Range<u64>) -> Vec<Step> {
     let steps = sequences
         .flat_map(|sequence| [Step::Wait(Duration::from_millis(10)), Step::Chunk(sequence)]);
     steps.collect()
 }
 
-/// A whole stream of `count` pieces from `first` on.
-pub fn complete_stream(first: u64, count: u64) -> Script {
+/// A whole stream of `count` chunks from `first` on.
+pub(crate) fn complete_stream(first: u64, count: u64) -> Script {
     stream(chunks(first..first + count), Step::Done)
 }
 
 /// A stream with another end.
-pub fn stream(mut steps: Vec<Step>, end: Step) -> Script {
+pub(crate) fn stream(mut steps: Vec<Step>, end: Step) -> Script {
     steps.push(end);
     Script::Answer(AnswerScript::new(steps))
 }
 
-/// A whole plain answer.
-pub fn plain(body: &str) -> Script {
+/// A complete plain answer.
+pub(crate) fn plain(body: &str) -> Script {
     let steps = vec![Step::Raw(Bytes::copy_from_slice(body.as_bytes()))];
     Script::Answer(AnswerScript {
         framing: Framing::Length(body.len() as u64),
@@ -107,7 +107,7 @@
 }
 
 /// An answer with this status and no body.
-pub fn status(status: u16, not_run: bool) -> Script {
+pub(crate) fn status(status: u16, not_run: bool) -> Script {
     Script::Answer(AnswerScript {
         status,
         not_run,
--- a/crates/proxy/tests/support/sink.rs
+++ b/crates/proxy/tests/support/sink.rs
@@ -11,35 +11,35 @@
 
 /// What the caller saw.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    pub head: Option<CallerHead>,
-    pub body: Vec<u8>,
-    pub complete: bool,
-    pub ended_at: MonotonicTime,
+pub(crate) struct Seen {
+    pub(crate) head: Option<CallerHead>,
+    pub(crate) body: Vec<u8>,
+    pub(crate) complete: bool,
+    pub(crate) ended_at: MonotonicTime,
 }
 
 impl Seen {
-    pub fn status(&self) -> u16 {
+    pub(crate) fn status(&self) -> u16 {
         self.head.as_ref().map_or(0, |head| head.status)
     }
 
-    pub fn text(&self) -> String {
+    pub(crate) fn text(&self) -> String {
         String::from_utf8(self.body.clone()).expect("text")
     }
 
-    /// Sequence numbers of the pieces, in the order in which they came.
-    pub fn sequences(&self) -> Vec<u64> {
+    /// Sequence numbers of the chunks, in the order in which they came.
+    pub(crate) fn sequences(&self) -> Vec<u64> {
         let text = self.text();
         let ids = text.lines().filter_map(|line| line.strip_prefix("id: "));
         ids.map(|id| id.parse().expect("sequence")).collect()
     }
 
-    pub fn is_done(&self) -> bool {
+    pub(crate) fn is_done(&self) -> bool {
         self.text().ends_with("data: [DONE]\n\n")
     }
 
-    /// The error body, of the whole answer or of its last event.
-    pub fn error(&self) -> SeenError {
+    /// The error body, of the complete answer or of its last event.
+    pub(crate) fn error(&self) -> SeenError {
         let text = self.text();
         let json = match text.rsplit_once("event: error\ndata: ") {
             Some((_, event)) => event.trim().to_owned(),
@@ -58,22 +58,22 @@
 
 /// An error body as the caller reads it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SeenError {
-    pub code: ResultCode,
-    pub run: String,
-    pub retry_after_ms: Option<u64>,
+pub(crate) struct SeenError {
+    pub(crate) code: ResultCode,
+    pub(crate) run: String,
+    pub(crate) retry_after_ms: Option<u64>,
 }
 
 /// A caller under simulated time.
 #[derive(Clone, Debug)]
-pub struct RecordingSink {
+pub(crate) struct RecordingSink {
     clock: SimulatedClock,
     seen: Arc<Mutex<Seen>>,
     disconnects_at: Option<MonotonicTime>,
 }
 
 impl RecordingSink {
-    pub fn new(clock: SimulatedClock) -> Self {
+    pub(crate) fn new(clock: SimulatedClock) -> Self {
         Self {
             clock,
             seen: Arc::default(),
@@ -81,12 +81,12 @@
         }
     }
 
-    pub fn disconnecting_at(mut self, at: MonotonicTime) -> Self {
+    pub(crate) fn disconnecting_at(mut self, at: MonotonicTime) -> Self {
         self.disconnects_at = Some(at);
         self
     }
 
-    pub fn seen(&self) -> Seen {
+    pub(crate) fn seen(&self) -> Seen {
         self.seen.lock().expect("seen").clone()
     }
 
--- a/crates/proxy/tests/support/stub_agent.rs
+++ b/crates/proxy/tests/support/stub_agent.rs
@@ -15,10 +15,10 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Frames that the proxy sent.
-pub type Received = Arc<Mutex<Vec<local_frame::Body>>>;
+pub(crate) type Received = Arc<Mutex<Vec<local_frame::Body>>>;
 
 /// Starts the agent; it lives as long as the runtime.
-pub async fn start(items: Vec<StateItem>) -> (SocketAddr, Received) {
+pub(crate) async fn start(items: Vec<StateItem>) -> (SocketAddr, Received) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address");
     let received = Received::default();
@@ -32,7 +32,7 @@
 }
 
 /// A frame at which the stub ends the connection, as a dying agent does.
-pub fn hang_up() -> local_frame::Body {
+pub(crate) fn hang_up() -> local_frame::Body {
     local_frame::Body::Applied(ProxyApplied { revision: u64::MAX })
 }
 
