--- a/crates/simulation/src/world/exchange_driver.rs
+++ b/crates/simulation/src/world/exchange_driver.rs
@@ -6,14 +6,15 @@
 
 use crate::history::{BackendNumber, ProxyNodeNumber, Record, RequestNumber};
 use crate::network::{HttpPacket, LinkNumber, LinkState, Packet, ProcessId};
-use crate::world::backend::attempt_number;
+use crate::world::addresses::backend_at;
+use crate::world::backend::request_text::kind_of;
+use crate::world::backend::{BackendKind, attempt_number};
 use crate::world::client_request::key_text;
 use crate::world::defect::Defect;
 use crate::world::probe_driver::ProbeOutcome;
-use crate::world::proxy::answer::AnswerPart;
+use crate::world::proxy::answer::BodyPart;
 use crate::world::proxy::port::ExchangeWaiter;
 use crate::world::proxy::{BackendLink, lock};
-use crate::world::service_registry::backend_at;
 use crate::world::site::Site;
 
 impl Site {
@@ -62,7 +63,7 @@
             sent.set();
         }
         let second = proxy.is_second_dispatch(client_request);
-        self.record(Record::Dispatched {
+        self.record(&Record::Dispatched {
             client_request,
             attempt: attempt_number(&request.attempt),
             proxy_node: ProxyNodeNumber(number),
@@ -74,16 +75,16 @@
 
     /// Planted defects: the same request goes to a second backend as well.
     fn send_twice(&mut self, number: u16, client_request: RequestNumber, request: &BackendRequest) {
-        let lookup = request.body.is_empty();
+        let kind = kind_of(request);
         let planted = match self.options.defect {
-            Some(Defect::SendsTwice) => !lookup,
-            Some(Defect::HedgesAlways) => lookup,
+            Some(Defect::SendsTwice) => kind == BackendKind::Model,
+            Some(Defect::HedgesAlways) => kind == BackendKind::Lookup,
             _ => false,
         };
         if !planted {
             return;
         }
-        let Some(other) = self.draw_backend(lookup) else {
+        let Some(other) = self.draw_backend(kind) else {
             return;
         };
         let mut again = request.clone();
@@ -100,7 +101,7 @@
                 MonotonicTime::ZERO,
             );
         }
-        self.record(Record::Dispatched {
+        self.record(&Record::Dispatched {
             client_request,
             attempt: attempt_number(&again.attempt),
             proxy_node: ProxyNodeNumber(number),
@@ -112,8 +113,8 @@
         self.send_packet(process, link, packet, now);
     }
 
-    fn draw_backend(&mut self, lookup: bool) -> Option<u16> {
-        let backends = self.backends.iter().filter(|(_, it)| it.lookup == lookup);
+    fn draw_backend(&mut self, kind: BackendKind) -> Option<u16> {
+        let backends = self.backends.iter().filter(|(_, it)| it.kind == kind);
         let numbers: Vec<u16> = backends.map(|(number, _)| *number).collect();
         let index = self.random.random_range(0..numbers.len().max(1));
         numbers.get(index).copied()
@@ -217,17 +218,17 @@
 /// Hands a packet to its waiter. Returns what is awaited afterwards.
 fn take_packet(waiter: ExchangeWaiter, packet: HttpPacket) -> Option<ExchangeWaiter> {
     match (waiter, packet) {
-        (ExchangeWaiter::Head { head, parts, .. }, HttpPacket::Head(answer)) => {
+        (ExchangeWaiter::Head { head, body, .. }, HttpPacket::Head(answer)) => {
             let _ = head.send(Ok(*answer));
-            Some(ExchangeWaiter::Parts(parts))
+            Some(ExchangeWaiter::Body(body))
         }
-        (ExchangeWaiter::Parts(parts), HttpPacket::Body(bytes)) => {
-            let _ = parts.unbounded_send(AnswerPart::Body(bytes));
-            Some(ExchangeWaiter::Parts(parts))
+        (ExchangeWaiter::Body(body), HttpPacket::Body(bytes)) => {
+            let _ = body.unbounded_send(BodyPart::Bytes(bytes));
+            Some(ExchangeWaiter::Body(body))
         }
-        (ExchangeWaiter::Parts(parts), HttpPacket::Finish) => {
-            let _ = parts.unbounded_send(AnswerPart::Finish);
-            Some(ExchangeWaiter::Parts(parts))
+        (ExchangeWaiter::Body(body), HttpPacket::Finish) => {
+            let _ = body.unbounded_send(BodyPart::Finish);
+            Some(ExchangeWaiter::Body(body))
         }
         (ExchangeWaiter::Withdrawal(requester), HttpPacket::WithdrawAnswer(answer)) => {
             if let Some(requester) = requester {
