--- a/crates/control/tests/committed_folders.rs
+++ b/crates/control/tests/committed_folders.rs
@@ -17,7 +17,7 @@
 
 use committed::assert_committed;
 use millford_api::command::{
-    Claim, Command, CommandResult, RunOutcome, SettleClaim, command, command_result,
+    Claim, Command, CommandResult, ResolveClaim, RunOutcome, command, command_result,
 };
 use millford_api::internal::shard_reply;
 use millford_api::replication::log_entry::Payload;
@@ -75,7 +75,7 @@
     let mut agent = TestAgent::connect(&mut cluster, "agent-1", "node-1", ShardId::CONFIGURATION);
     agent.open_session(&mut cluster, 7);
     assert_eq!(claim(&mut cluster, &mut agent, RUN.2), (true, 0));
-    let settle = SettleClaim {
+    let settle = ResolveClaim {
         tenant: RUN.0.to_owned(),
         request_id: RUN.1.to_owned(),
         attempt_id: RUN.2.to_owned(),
@@ -84,7 +84,7 @@
     agent.propose(
         &mut cluster,
         claims_shard(),
-        command::Kind::SettleClaim(settle),
+        command::Kind::ResolveClaim(settle),
     );
     assert_eq!(agent.reply(&mut cluster).code, ResultCode::Ok.number());
     cluster.run(Duration::from_secs(1));
--- a/crates/proxy/tests/outside_names.rs
+++ b/crates/proxy/tests/outside_names.rs
@@ -63,7 +63,7 @@
         &metrics.ejections,
         &metrics.open_streams,
         &metrics.open_requests,
-        &metrics.shown_revision,
+        &metrics.applied_revision,
         &metrics.agent_in_touch,
         &metrics.dropped_answers,
         &metrics.verdicts,
