--- a/crates/ctl/src/client/attempt.rs
+++ b/crates/ctl/src/client/attempt.rs
@@ -1,74 +1,58 @@
-//! How one attempt with one control node ended.
+//! Outcome of one attempt at sending a request to one control node.
 
+use hyper::StatusCode;
 use millford_api::operator::ErrorBody;
 use millford_core::ResultCode;
 use serde::de::DeserializeOwned;
 
 use crate::failure::Failure;
 
-/// End of an attempt.
+/// Outcome of one attempt.
 #[derive(Clone, Debug)]
-pub enum Attempt {
-    /// The node answered with success.
-    Answered(Vec<u8>),
-    /// The node answered with a refusal or failure.
-    Refused(Failure),
-    /// No connection: the node did not get the request.
+pub enum AttemptOutcome {
+    /// The node responded with a success status; the response body.
+    Succeeded(Vec<u8>),
+    /// The node responded with a failure status.
+    Rejected(Failure),
+    /// No connection was established, so the node did not receive the request.
     NotSent(String),
-    /// The answer was lost: the node may have got the request.
-    Lost(String),
+    /// The request was sent but no complete response arrived: the node may have executed it.
+    ResponseLost(String),
 }
 
-impl Attempt {
-    /// An answer with its HTTP status.
+impl AttemptOutcome {
+    /// Classifies an HTTP response by its status.
     #[must_use]
-    pub fn of_answer(success: bool, body: Vec<u8>) -> Self {
-        if success {
-            return Self::Answered(body);
+    pub fn from_response(status: StatusCode, body: Vec<u8>) -> Self {
+        if status.is_success() {
+            return Self::Succeeded(body);
         }
         match serde_json::from_slice::<ErrorBody>(&body) {
-            Ok(error) => Self::Refused(Failure::of_body(error)),
-            Err(_) => Self::Refused(unreadable()),
+            Ok(error) => Self::Rejected(Failure::from_body(error)),
+            Err(_) => Self::Rejected(malformed_response()),
         }
     }
 
-    /// Whether another node, or the same one later, may do better.
+    /// Whether the node may have executed the request although it did not succeed.
     #[must_use]
-    pub fn is_passing(&self) -> bool {
+    pub fn may_have_executed(&self) -> bool {
         match self {
-            Self::Answered(_) => false,
-            Self::NotSent(_) | Self::Lost(_) => true,
-            Self::Refused(failure) => matches!(
-                failure.code,
-                ResultCode::NoLeader
-                    | ResultCode::NotLeader
-                    | ResultCode::ControlTimeout
-                    | ResultCode::NotFormed
-                    | ResultCode::OrderUncertain
-            ),
-        }
-    }
-
-    /// Whether the node may have carried out the request all the same.
-    #[must_use]
-    pub fn may_have_worked(&self) -> bool {
-        match self {
-            Self::Lost(_) => true,
-            Self::Refused(failure) => matches!(
+            Self::ResponseLost(_) => true,
+            Self::Rejected(failure) => matches!(
                 failure.code,
                 ResultCode::OrderUncertain | ResultCode::ControlTimeout
             ),
-            Self::Answered(_) | Self::NotSent(_) => false,
+            Self::Succeeded(_) | Self::NotSent(_) => false,
         }
     }
 }
 
-/// Reads the body of a successful answer.
+/// Decodes the body of a successful response.
 pub(super) fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, Failure> {
-    serde_json::from_slice(body).map_err(|_| unreadable())
+    serde_json::from_slice(body).map_err(|_| malformed_response())
 }
 
-fn unreadable() -> Failure {
+fn malformed_response() -> Failure {
     Failure::with_message(
         ResultCode::ProtocolViolation,
         "the answer is not one of a control node; check the address and the releases",
--- a/crates/ctl/src/client/control_client.rs
+++ b/crates/ctl/src/client/control_client.rs
@@ -1,4 +1,4 @@
-//! HTTP client that goes from one control node to the next.
+//! HTTP client that tries the control nodes in turn.
 
 use std::time::{Duration, Instant};
 
@@ -10,21 +10,23 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
 use millford_core::ResultCode;
+use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use super::attempt::{Attempt, decode};
+use super::PLAN_PATH;
+use super::attempt::{AttemptOutcome, decode};
 use crate::failure::Failure;
 use crate::invocation::CommonOptions;
 use crate::operator_key::OperatorKey;
 
-/// Longest time for a connection.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest time for one answer; a cut-off node is silent.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause after every node was tried.
-const ROUND_PAUSE: Duration = Duration::from_millis(250);
-/// Largest answer that is read, in bytes.
-const LARGEST_ANSWER: usize = 256 * 1024 * 1024;
+/// Timeout for one response: a partitioned node never responds.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Delay after all nodes have been tried once.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 256 * 1024 * 1024;
 
 /// A request that any control node may answer.
 #[derive(Clone, Debug)]
@@ -38,7 +40,7 @@
 }
 
 impl Request {
-    /// A read.
+    /// A read without a body.
     #[must_use]
     pub fn get(path: &str) -> Self {
         Self {
@@ -49,17 +51,30 @@
     }
 
     /// A request with a JSON body.
-    #[must_use]
-    pub fn with_body(method: Method, path: impl Into<String>, body: Vec<u8>) -> Self {
-        Self {
+    ///
+    /// # Errors
+    /// [`ResultCode::BadJson`] when the body cannot be serialized.
+    pub fn with_json(
+        method: Method,
+        path: impl Into<String>,
+        body: &impl Serialize,
+    ) -> Result<Self, Failure> {
+        let body = serde_json::to_vec(body)
+            .map_err(|error| Failure::with_message(ResultCode::BadJson, error.to_string()))?;
+        Ok(Self {
             method,
             path: path.into(),
             body: body.into(),
-        }
+        })
+    }
+
+    /// Whether the request changes state when it is executed.
+    fn is_write(&self) -> bool {
+        self.method != Method::GET && self.path != PLAN_PATH
     }
 }
 
-/// Client of all control nodes.
+/// Client of the control nodes that the command line names.
 pub struct ControlClient {
     http: Client<HttpConnector, Full<Bytes>>,
     addresses: Vec<String>,
@@ -68,10 +83,10 @@
 }
 
 impl ControlClient {
-    /// A client for the addresses and the key of the command line.
+    /// Creates a client for the addresses and the operator key of the command line.
     ///
     /// # Errors
-    /// When no address is named.
+    /// [`ResultCode::BadArgument`] when no address is named.
     pub fn new(common: &CommonOptions, key: OperatorKey) -> Result<Self, Failure> {
         if common.addresses.is_empty() {
             let text = "no control node: use --control or MILLFORD_CONTROL";
@@ -90,67 +105,71 @@
         })
     }
 
-    /// Sends the same request to one node after the other until one answers for good.
+    /// Sends the same request to one node after the other until one succeeds or rejects it
+    /// permanently.
     ///
-    /// Only for requests that may be carried out twice: reads, and orders that carry an id.
+    /// Only for idempotent requests: reads, and orders that carry an id.
     ///
     /// # Errors
-    /// The refusal; [`ResultCode::ServerUnreachable`] when no node was reached in time;
-    /// [`ResultCode::OrderUncertain`] when one may have carried out the request.
+    /// The rejection; [`ResultCode::ServerUnreachable`] when no node was reached before the
+    /// deadline; [`ResultCode::OrderUncertain`] when one may have executed the request.
     pub async fn send<T: DeserializeOwned>(&self, request: &Request) -> Result<T, Failure> {
-        let until = Instant::now() + self.timeout;
-        let mut may_have_worked = false;
+        let deadline = Instant::now() + self.timeout;
+        let mut may_have_executed = false;
         loop {
             let mut last = None;
             for address in &self.addresses {
-                let attempt = self.attempt(address, request, until).await;
-                if let Attempt::Answered(body) = &attempt {
-                    return decode(body);
+                let outcome = self.attempt(address, request, deadline).await;
+                match outcome {
+                    AttemptOutcome::Succeeded(body) => return decode(&body),
+                    AttemptOutcome::Rejected(failure) if !failure.is_retryable() => {
+                        return Err(failure);
+                    }
+                    outcome => {
+                        may_have_executed |= outcome.may_have_executed();
+                        last = Some(outcome);
+                    }
                 }
-                if let (Attempt::Refused(failure), false) = (&attempt, attempt.is_passing()) {
-                    return Err(failure.clone());
-                }
-                may_have_worked |= attempt.may_have_worked();
-                last = Some(attempt);
             }
-            if Instant::now() + ROUND_PAUSE >= until {
-                return Err(give_up(last, may_have_worked && is_order(request)));
+            if Instant::now() + RETRY_DELAY >= deadline {
+                let uncertain = may_have_executed && request.is_write();
+                return Err(final_failure(last, uncertain));
             }
-            tokio::time::sleep(ROUND_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Sends a request to the only node that is named, once.
+    /// Sends a request once, to the only node that is named.
     ///
-    /// For what must not reach a second node.
+    /// For requests that must not reach a second node.
     ///
     /// # Errors
-    /// The refusal, or as [`ControlClient::send`].
+    /// [`ResultCode::BadArgument`] when several nodes are named, else as [`ControlClient::send`].
     pub async fn send_once<T: DeserializeOwned>(&self, request: &Request) -> Result<T, Failure> {
         let [address] = self.addresses.as_slice() else {
             let text = "name exactly one control node with --control";
             return Err(Failure::with_message(ResultCode::BadArgument, text));
         };
-        let until = Instant::now() + self.timeout;
-        match self.attempt(address, request, until).await {
-            Attempt::Answered(body) => decode(&body),
+        let deadline = Instant::now() + self.timeout;
+        match self.attempt(address, request, deadline).await {
+            AttemptOutcome::Succeeded(body) => decode(&body),
             other => {
-                let uncertain = other.may_have_worked();
-                Err(give_up(Some(other), uncertain))
+                let uncertain = other.may_have_executed();
+                Err(final_failure(Some(other), uncertain))
             }
         }
     }
 
-    async fn attempt(&self, address: &str, request: &Request, until: Instant) -> Attempt {
-        let left = until.saturating_duration_since(Instant::now());
-        let answer = self.exchange(address, request);
-        match tokio::time::timeout(left.min(ANSWER_TIMEOUT), answer).await {
-            Ok(attempt) => attempt,
-            Err(_) => Attempt::Lost(format!("{address}: no answer in time")),
+    async fn attempt(&self, address: &str, request: &Request, deadline: Instant) -> AttemptOutcome {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let exchange = self.exchange(address, request);
+        match tokio::time::timeout(remaining.min(RESPONSE_TIMEOUT), exchange).await {
+            Ok(outcome) => outcome,
+            Err(_) => AttemptOutcome::ResponseLost(format!("{address}: no answer in time")),
         }
     }
 
-    async fn exchange(&self, address: &str, request: &Request) -> Attempt {
+    async fn exchange(&self, address: &str, request: &Request) -> AttemptOutcome {
         let built = hyper::Request::builder()
             .method(request.method.clone())
             .uri(format!("http://{address}{}", request.path))
@@ -159,36 +178,34 @@
             .body(Full::new(request.body.clone()));
         let built = match built {
             Ok(built) => built,
-            Err(error) => return Attempt::NotSent(error.to_string()),
+            Err(error) => return AttemptOutcome::NotSent(error.to_string()),
         };
         let response = match self.http.request(built).await {
             Ok(response) => response,
             Err(error) if error.is_connect() => {
-                return Attempt::NotSent(format!("{address}: no connection"));
+                return AttemptOutcome::NotSent(format!("{address}: no connection"));
             }
-            Err(error) => return Attempt::Lost(format!("{address}: {error}")),
+            Err(error) => return AttemptOutcome::ResponseLost(format!("{address}: {error}")),
         };
-        let success = response.status().is_success();
-        match Limited::new(response.into_body(), LARGEST_ANSWER)
+        let status = response.status();
+        match Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
             .collect()
             .await
         {
-            Ok(body) => Attempt::of_answer(success, body.to_bytes().to_vec()),
-            Err(error) => Attempt::Lost(format!("{address}: {error}")),
+            Ok(body) => AttemptOutcome::from_response(status, body.to_bytes().to_vec()),
+            Err(error) => AttemptOutcome::ResponseLost(format!("{address}: {error}")),
         }
     }
 }
 
-fn is_order(request: &Request) -> bool {
-    request.method != Method::GET && request.path != "/v1/plan"
-}
-
-fn give_up(last: Option<Attempt>, uncertain: bool) -> Failure {
+/// The failure to report once the deadline has passed, from the last outcome. A write that a node may
+/// have executed is reported as uncertain whatever came last.
+fn final_failure(last: Option<AttemptOutcome>, uncertain: bool) -> Failure {
     let text = match last {
-        Some(Attempt::Refused(failure)) if !uncertain => return failure,
-        Some(Attempt::Refused(failure)) => failure.message,
-        Some(Attempt::NotSent(text) | Attempt::Lost(text)) => text,
-        Some(Attempt::Answered(_)) | None => String::new(),
+        Some(AttemptOutcome::Rejected(failure)) if !uncertain => return failure,
+        Some(AttemptOutcome::Rejected(failure)) => failure.message,
+        Some(AttemptOutcome::NotSent(text) | AttemptOutcome::ResponseLost(text)) => text,
+        Some(AttemptOutcome::Succeeded(_)) | None => String::new(),
     };
     if uncertain {
         return Failure::with_message(ResultCode::OrderUncertain, text);
--- a/crates/ctl/src/client/mod.rs
+++ b/crates/ctl/src/client/mod.rs
@@ -1,7 +1,16 @@
-//! Requests to the control nodes, tried in turn.
+//! Requests to the operators' interface of the control nodes, which are tried in turn.
 
 mod attempt;
 mod control_client;
 
-pub use attempt::Attempt;
+pub use attempt::AttemptOutcome;
 pub use control_client::{ControlClient, Request};
+
+/// Path of the configuration.
+pub const CONFIG_PATH: &str = "/v1/config";
+/// Path that computes what a document would change, without applying it.
+pub const PLAN_PATH: &str = "/v1/plan";
+/// Path of the status.
+pub const STATUS_PATH: &str = "/v1/status";
+/// Path of the forced recovery.
+pub const RECOVERY_PATH: &str = "/v1/recovery";
--- a/crates/ctl/src/command/apply.rs
+++ b/crates/ctl/src/command/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: replaces the configuration.
+//! `apply`: replaces the configuration with a document.
 
 use hyper::Method;
 use millford_api::operator::{ConfigReply, PutConfigBody, PutConfigReply};
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 use super::document_file::read_document;
-use crate::client::{ControlClient, Request};
+use crate::client::{CONFIG_PATH, ControlClient, Request};
 use crate::failure::Failure;
 use crate::invocation::ApplyOptions;
 use crate::report::Report;
@@ -15,26 +15,27 @@
 /// An accepted order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ApplyReport {
-    /// Number that the order got.
+    /// Revision that the order was accepted as.
     pub revision: u64,
-    /// Whether it had been accepted before.
+    /// Whether an earlier request with the same order id had been accepted.
     pub repeated: bool,
-    /// Revision that it was built on.
+    /// Revision that the document was built on.
     pub base_revision: u64,
     /// Identity of the order.
     pub order_id: String,
 }
 
-/// Checks the document, then sends the same order, under one id, until it is acknowledged or
-/// refused: after a lost answer the same or another node acknowledges it again.
+/// Checks the document offline, then sends the order under one id until it is acknowledged or
+/// rejected. The order id makes the request idempotent: after a lost response the same or another
+/// node acknowledges it again.
 ///
 /// # Errors
-/// Faults, a conflict, or [`ResultCode::OrderUncertain`] with the id to send again.
+/// [`ResultCode::DocumentInvalid`] with every fault, [`ResultCode::RevisionConflict`], or [`ResultCode::OrderUncertain`] with the id to send again.
 pub async fn apply(client: &ControlClient, options: &ApplyOptions) -> Result<ApplyReport, Failure> {
     let document = read_document(&options.file)?;
     let base_revision = match options.base_revision {
         Some(base_revision) => base_revision,
-        None => present_revision(client).await?,
+        None => current_revision(client).await?,
     };
     let order_id = options.order_id.clone().unwrap_or_else(new_order_id);
     let body = PutConfigBody {
@@ -43,9 +44,9 @@
         document,
     };
     let reply: PutConfigReply = client
-        .send(&request(&body)?)
+        .send(&Request::with_json(Method::PUT, CONFIG_PATH, &body)?)
         .await
-        .map_err(|failure| advise(failure, base_revision, &order_id))?;
+        .map_err(|failure| with_resend_advice(failure, base_revision, &order_id))?;
     Ok(ApplyReport {
         revision: reply.revision,
         repeated: reply.repeated,
@@ -54,18 +55,13 @@
     })
 }
 
-async fn present_revision(client: &ControlClient) -> Result<u64, Failure> {
-    let reply: ConfigReply = client.send(&Request::get("/v1/config")).await?;
+async fn current_revision(client: &ControlClient) -> Result<u64, Failure> {
+    let reply: ConfigReply = client.send(&Request::get(CONFIG_PATH)).await?;
     Ok(reply.revision)
 }
 
-fn request(body: &PutConfigBody) -> Result<Request, Failure> {
-    let body = serde_json::to_vec(body)
-        .map_err(|error| Failure::with_message(ResultCode::BadJson, error.to_string()))?;
-    Ok(Request::with_body(Method::PUT, "/v1/config", body))
-}
-
-fn advise(failure: Failure, base_revision: u64, order_id: &str) -> Failure {
+/// Names the command that finds out what became of the order: resending it under its id.
+fn with_resend_advice(failure: Failure, base_revision: u64, order_id: &str) -> Failure {
     if failure.code != ResultCode::OrderUncertain {
         return failure;
     }
--- a/crates/ctl/src/command/check.rs
+++ b/crates/ctl/src/command/check.rs
@@ -1,4 +1,4 @@
-//! `check`: a document, offline.
+//! `check`: validates a document offline.
 
 use std::path::Path;
 
@@ -9,7 +9,7 @@
 use crate::failure::Failure;
 use crate::report::Report;
 
-/// What a sound document holds.
+/// Summary of a valid document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct CheckReport {
     /// SHA-256 of its canonical JSON in hexadecimal.
@@ -22,17 +22,18 @@
     pub tenants: usize,
 }
 
-/// Checks the file.
+/// Validates the document in the file.
 ///
 /// # Errors
-/// Every fault at once.
+/// [`ResultCode::DocumentInvalid`](millford_core::ResultCode::DocumentInvalid) with every fault, or
+/// [`ResultCode::BadArgument`](millford_core::ResultCode::BadArgument) when the file cannot be read.
 pub fn check(file: &Path) -> Result<CheckReport, Failure> {
-    let wanted = read_document(file)?;
+    let document = read_document(file)?;
     Ok(CheckReport {
-        digest: hex::encode(document::digest(&wanted)),
-        routes: wanted.routes.len(),
-        pools: wanted.pools.len(),
-        tenants: wanted.tenants.len(),
+        digest: hex::encode(document::digest(&document)),
+        routes: document.routes.len(),
+        pools: document.pools.len(),
+        tenants: document.tenants.len(),
     })
 }
 
--- a/crates/ctl/src/command/document_file.rs
+++ b/crates/ctl/src/command/document_file.rs
@@ -1,4 +1,4 @@
-//! Reads and checks a document's file.
+//! Reads a document from a file and validates it.
 
 use std::path::Path;
 
@@ -8,20 +8,20 @@
 
 use crate::failure::Failure;
 
-/// Reads the file and checks the document.
+/// Reads the file and validates the document.
 ///
 /// # Errors
-/// Every fault at once.
+/// [`ResultCode::BadArgument`] when the file cannot be read, else the document's faults, all at once.
 pub fn read_document(file: &Path) -> Result<Document, Failure> {
     let text = std::fs::read(file).map_err(|error| {
         let message = format!("{}: {error}", file.display());
         Failure::with_message(ResultCode::BadArgument, message)
     })?;
-    let wanted = document::parse(&text).map_err(|faults| Failure::of_faults(&faults))?;
-    let faults = document::check(&wanted);
+    let document = document::parse(&text).map_err(|faults| Failure::from_faults(&faults))?;
+    let faults = document::check(&document);
     if faults.is_empty() {
-        Ok(wanted)
+        Ok(document)
     } else {
-        Err(Failure::of_faults(&faults))
+        Err(Failure::from_faults(&faults))
     }
 }
--- a/crates/ctl/src/command/drain.rs
+++ b/crates/ctl/src/command/drain.rs
@@ -1,4 +1,4 @@
-//! `drain`: keeps new work off a backend, or lifts that.
+//! `drain`: stops new work from being routed to a backend, or allows it again.
 
 use hyper::Method;
 use millford_api::operator::{DrainBody, DrainReply};
@@ -6,34 +6,33 @@
 
 use crate::client::{ControlClient, Request};
 use crate::failure::Failure;
-use crate::invocation::DrainOptions;
+use crate::invocation::{DrainAction, DrainOptions};
 use crate::report::Report;
 
-/// Sends the order until it is acknowledged; carrying it out twice changes nothing.
+/// Sends the request until it is acknowledged; it is idempotent.
 ///
 /// # Errors
-/// [`ResultCode::BackendUnknown`], a refusal, or no node in reach.
+/// [`ResultCode::BadArgument`] for a name that cannot stand in a path, [`ResultCode::BackendUnknown`],
+/// another rejection, or no reachable node.
 pub async fn drain(client: &ControlClient, options: &DrainOptions) -> Result<DrainReply, Failure> {
-    check_segment("pool", &options.pool)?;
-    check_segment("backend", &options.backend_id)?;
+    validate_path_segment("pool", &options.pool)?;
+    validate_path_segment("backend", &options.backend_id)?;
     let body = DrainBody {
-        drain: !options.undo,
+        drain: options.action == DrainAction::Drain,
     };
-    let body = serde_json::to_vec(&body)
-        .map_err(|error| Failure::with_message(ResultCode::BadJson, error.to_string()))?;
     let path = format!(
         "/v1/services/{}/backends/{}/drain",
         options.pool, options.backend_id
     );
     client
-        .send(&Request::with_body(Method::POST, path, body))
+        .send(&Request::with_json(Method::POST, path, &body)?)
         .await
 }
 
-/// A name that would change the path is refused.
-fn check_segment(what: &str, name: &str) -> Result<(), Failure> {
-    let plain = |byte: u8| byte.is_ascii_graphic() && !b"/?#%".contains(&byte);
-    if !name.is_empty() && name.bytes().all(plain) {
+/// Rejects a name that would change the structure of the path.
+fn validate_path_segment(what: &str, name: &str) -> Result<(), Failure> {
+    let is_plain = |byte: u8| byte.is_ascii_graphic() && !b"/?#%".contains(&byte);
+    if !name.is_empty() && name.bytes().all(is_plain) {
         return Ok(());
     }
     let text = format!("\"{name}\" is no name of a {what}");
--- a/crates/ctl/src/command/get.rs
+++ b/crates/ctl/src/command/get.rs
@@ -1,22 +1,22 @@
-//! `get`: the configuration in force.
+//! `get`: the current configuration.
 
 use millford_api::operator::ConfigReply;
 
-use crate::client::{ControlClient, Request};
+use crate::client::{CONFIG_PATH, ControlClient, Request};
 use crate::failure::Failure;
 use crate::report::Report;
 
-/// Reads the configuration, confirmed by a quorum.
+/// Reads the current configuration by a linearizable read: a quorum confirms it.
 ///
 /// # Errors
-/// A refusal, or no node in reach.
+/// A rejection, or no reachable node.
 pub async fn get(client: &ControlClient) -> Result<ConfigReply, Failure> {
-    client.send(&Request::get("/v1/config")).await
+    client.send(&Request::get(CONFIG_PATH)).await
 }
 
 impl Report for ConfigReply {
-    /// The document alone, ready to be changed and applied; the number goes beside it as JSON or
-    /// with `status`.
+    /// The document alone, ready to be edited and applied. The revision is in the JSON output and in
+    /// `status`.
     fn text(&self) -> String {
         let text = serde_json::to_string_pretty(&self.document).unwrap_or_default();
         format!("{text}\n")
--- a/crates/ctl/src/command/mod.rs
+++ b/crates/ctl/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! One function for each command.
+//! The commands: one module and one function each.
 
 pub mod apply;
 pub mod check;
--- a/crates/ctl/src/command/plan.rs
+++ b/crates/ctl/src/command/plan.rs
@@ -1,4 +1,4 @@
-//! `plan`: what a change would move.
+//! `plan`: what applying a document would change.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -8,27 +8,24 @@
 use millford_api::operator::{
     ChangeKind, NamedChange, Plan, PlanBody, PlanReply, QuotaMove, SessionMove,
 };
-use millford_core::ResultCode;
 
 use super::document_file::read_document;
-use crate::client::{ControlClient, Request};
+use crate::client::{ControlClient, PLAN_PATH, Request};
 use crate::failure::Failure;
 use crate::report::Report;
 
-/// Most lines of one kind in the human output; JSON has them all.
-const SHOWN_LINES: usize = 20;
+/// Maximum number of lines of a section in the text output; the JSON output has all.
+const MAX_LINES_PER_SECTION: usize = 20;
 
-/// Asks a control node what the document would move.
+/// Requests from a control node what the document would change.
 ///
 /// # Errors
-/// Faults, a refusal, or no node in reach.
+/// Every fault of the document, the node's rejection, or no reachable node.
 pub async fn plan(client: &ControlClient, file: &Path) -> Result<PlanReply, Failure> {
     let body = PlanBody {
         document: read_document(file)?,
     };
-    let body = serde_json::to_vec(&body)
-        .map_err(|error| Failure::with_message(ResultCode::BadJson, error.to_string()))?;
-    let request = Request::with_body(Method::POST, "/v1/plan", body);
+    let request = Request::with_json(Method::POST, PLAN_PATH, &body)?;
     client.send(&request).await
 }
 
@@ -39,40 +36,40 @@
             "against revision {}: {} items, {} bytes to every node\n",
             self.revision, plan.changed_items, plan.changed_bytes
         );
-        add_lines(&mut text, "routes", named_lines(&plan.routes));
-        add_lines(&mut text, "pools", named_lines(&plan.pools));
-        add_lines(&mut text, "tenants", named_lines(&plan.tenants));
-        add_lines(&mut text, "keys", key_lines(plan));
-        add_lines(
+        write_section(&mut text, "routes", named_lines(&plan.routes));
+        write_section(&mut text, "pools", named_lines(&plan.pools));
+        write_section(&mut text, "tenants", named_lines(&plan.tenants));
+        write_section(&mut text, "keys", key_lines(plan));
+        write_section(
             &mut text,
             "quotas",
             plan.quotas.iter().map(quota_line).collect(),
         );
-        add_lines(&mut text, "replicas", replica_lines(plan));
-        add_lines(
+        write_section(&mut text, "replicas", replica_lines(plan));
+        write_section(
             &mut text,
             "session homes",
             plan.sessions.iter().map(session_line).collect(),
         );
-        add_lines(&mut text, "warnings", warning_lines(plan));
+        write_section(&mut text, "warnings", warning_lines(plan));
         text
     }
 }
 
-fn add_lines(text: &mut String, title: &str, lines: Vec<String>) {
+fn write_section(text: &mut String, title: &str, lines: Vec<String>) {
     if lines.is_empty() {
         return;
     }
     // Writing to a string cannot fail.
     let _ = writeln!(text, "{title} ({}):", lines.len());
-    for line in lines.iter().take(SHOWN_LINES) {
+    for line in lines.iter().take(MAX_LINES_PER_SECTION) {
         let _ = writeln!(text, "  {line}");
     }
-    if lines.len() > SHOWN_LINES {
+    if lines.len() > MAX_LINES_PER_SECTION {
         let _ = writeln!(
             text,
             "  and {} more; --json has all",
-            lines.len() - SHOWN_LINES
+            lines.len() - MAX_LINES_PER_SECTION
         );
     }
 }
@@ -145,6 +142,7 @@
         .collect()
 }
 
+/// Mark of a change as in a diff.
 fn sign(change: ChangeKind) -> char {
     match change {
         ChangeKind::Added => '+',
--- a/crates/ctl/src/command/recover.rs
+++ b/crates/ctl/src/command/recover.rs
@@ -1,19 +1,20 @@
-//! `recover`: goes on with the named survivors after a quorum was lost for good.
+//! `recover`: continues with the named survivors after a permanent loss of quorum.
 
 use hyper::Method;
 use millford_api::operator::{RecoveryBody, RecoveryReply};
 use millford_core::ResultCode;
 
-use crate::client::{ControlClient, Request};
+use crate::client::{ControlClient, RECOVERY_PATH, Request};
 use crate::failure::Failure;
 use crate::invocation::RecoverOptions;
 use crate::report::Report;
 
-/// Sends the order to the one node that is named. A second node that also went on alone would make
-/// two clusters of one.
+/// Sends the request once, to the one node that is named: a second node that also continued without a
+/// quorum would split the cluster in two.
 ///
 /// # Errors
-/// [`ResultCode::RecoveryRefused`], a refusal, or no node in reach.
+/// [`ResultCode::BadArgument`] when the confirmation differs from
+/// [`RecoveryBody::CONFIRMATION`], [`ResultCode::RecoveryRefused`], or no reachable node.
 pub async fn recover(
     client: &ControlClient,
     options: &RecoverOptions,
@@ -29,9 +30,7 @@
         survivors: options.survivors.clone(),
         confirm: options.confirm.clone(),
     };
-    let body = serde_json::to_vec(&body)
-        .map_err(|error| Failure::with_message(ResultCode::BadJson, error.to_string()))?;
-    let request = Request::with_body(Method::POST, "/v1/recovery", body);
+    let request = Request::with_json(Method::POST, RECOVERY_PATH, &body)?;
     client.send_once(&request).await
 }
 
--- a/crates/ctl/src/command/status.rs
+++ b/crates/ctl/src/command/status.rs
@@ -1,19 +1,19 @@
-//! `status`: the control plane as one node sees it.
+//! `status`: members, shards, sessions and placements as one control node sees them.
 
 use std::fmt::Write;
 
-use millford_api::operator::{MemberBody, SessionBody, ShardBody, StatusReply};
+use millford_api::operator::{MemberBody, PlacementBody, SessionBody, ShardBody, StatusReply};
 
-use crate::client::{ControlClient, Request};
+use crate::client::{ControlClient, Request, STATUS_PATH};
 use crate::failure::Failure;
 use crate::report::Report;
 
-/// Asks the first node in reach.
+/// Requests the status from the first reachable node.
 ///
 /// # Errors
-/// A refusal, or no node in reach.
+/// A rejection, or no reachable node.
 pub async fn status(client: &ControlClient) -> Result<StatusReply, Failure> {
-    client.send(&Request::get("/v1/status")).await
+    client.send(&Request::get(STATUS_PATH)).await
 }
 
 impl Report for StatusReply {
@@ -30,40 +30,24 @@
         let _ = writeln!(text, "\ncontrol members ({}):", self.members.len());
         self.members
             .iter()
-            .for_each(|member| add_member(&mut text, member));
+            .for_each(|member| write_member(&mut text, member));
         let _ = writeln!(text, "\nshards ({}):", self.shards.len());
         self.shards
             .iter()
-            .for_each(|shard| add_shard(&mut text, shard));
+            .for_each(|shard| write_shard(&mut text, shard));
         let _ = writeln!(text, "\nsessions ({}):", self.sessions.len());
         self.sessions
             .iter()
-            .for_each(|session| add_session(&mut text, session, self.revision));
+            .for_each(|session| write_session(&mut text, session, self.revision));
         let _ = writeln!(text, "\nplacements ({}):", self.placements.len());
-        for placement in &self.placements {
-            let count = placement.replicas.len();
-            let _ = writeln!(
-                text,
-                "  {} epoch {}: {count} replicas",
-                placement.pool, placement.epoch
-            );
-            for replica in &placement.replicas {
-                let _ = writeln!(
-                    text,
-                    "    {} {} {} {} weight {}",
-                    replica.backend_id,
-                    replica.model,
-                    replica.version,
-                    replica.state,
-                    replica.weight_milli
-                );
-            }
-        }
+        self.placements
+            .iter()
+            .for_each(|placement| write_placement(&mut text, placement));
         text
     }
 }
 
-fn add_member(text: &mut String, member: &MemberBody) {
+fn write_member(text: &mut String, member: &MemberBody) {
     let contact = if member.connected {
         "in touch"
     } else {
@@ -76,7 +60,7 @@
     );
 }
 
-fn add_shard(text: &mut String, shard: &ShardBody) {
+fn write_shard(text: &mut String, shard: &ShardBody) {
     let _ = writeln!(
         text,
         "  {} leader {} term {} commit {} voters {} learners {}",
@@ -89,7 +73,7 @@
     );
 }
 
-fn add_session(text: &mut String, session: &SessionBody, revision: u64) {
+fn write_session(text: &mut String, session: &SessionBody, revision: u64) {
     let behind = if session.applied_revision < revision {
         " BEHIND"
     } else {
@@ -102,6 +86,22 @@
     );
 }
 
+fn write_placement(text: &mut String, placement: &PlacementBody) {
+    let count = placement.replicas.len();
+    let _ = writeln!(
+        text,
+        "  {} epoch {}: {count} replicas",
+        placement.pool, placement.epoch
+    );
+    for replica in &placement.replicas {
+        let _ = writeln!(
+            text,
+            "    {} {} {} {} weight {}",
+            replica.backend_id, replica.model, replica.version, replica.state, replica.weight_milli
+        );
+    }
+}
+
 fn or_none(text: &str) -> &str {
     if text.is_empty() { "none" } else { text }
 }
--- a/crates/ctl/src/command_line.rs
+++ b/crates/ctl/src/command_line.rs
@@ -1,4 +1,4 @@
-//! Reads the command line.
+//! Parses the command line.
 
 use std::path::PathBuf;
 
@@ -6,12 +6,14 @@
 use millford_core::{Duration, ResultCode};
 
 use crate::failure::Failure;
-use crate::invocation::RecoverOptions;
-use crate::invocation::{ApplyOptions, Command, CommonOptions, DrainOptions, Invocation};
+use crate::invocation::{
+    ApplyOptions, Command, CommonOptions, DrainAction, DrainOptions, Invocation, OnlineCommand,
+    OutputFormat, RecoverOptions,
+};
 
 /// Environment variable with the control nodes' operator addresses, separated by commas.
 pub const ADDRESSES_VARIABLE: &str = "MILLFORD_CONTROL";
-/// How long to go on trying, in milliseconds.
+/// Default of `--timeout-ms`.
 const DEFAULT_TIMEOUT_MS: u64 = 30_000;
 
 const BRIEF: &str = "Usage: millfordctl [options] COMMAND
@@ -27,15 +29,15 @@
 
 The operator key comes from --key-file or from the environment variable MILLFORD_OPERATOR_KEY.";
 
-/// Reads the arguments, the program's name left out. `environment` has the addresses to use when
+/// Parses the arguments without the program's name. `environment` has the addresses to use when
 /// the command line names none.
 ///
 /// # Errors
-/// [`ResultCode::BadArgument`] with what is wrong.
+/// [`ResultCode::BadArgument`] with a message that names the argument.
 pub fn parse(arguments: &[String], environment: Option<&str>) -> Result<Invocation, Failure> {
     let matches = options()
         .parse(arguments)
-        .map_err(|error| wrong(error.to_string()))?;
+        .map_err(|error| usage_error(error.to_string()))?;
     let command = command(&matches)?;
     let common = common(&matches, environment)?;
     Ok(Invocation { common, command })
@@ -96,28 +98,28 @@
         return Ok(Command::Version);
     }
     let Some((name, operands)) = matches.free.split_first() else {
-        return Err(wrong("no command is named"));
+        return Err(usage_error("no command is named"));
     };
     let command = match name.as_str() {
         "check" => Command::Check {
             file: file(operands)?,
         },
-        "plan" => Command::Plan {
+        "plan" => Command::Online(OnlineCommand::Plan {
             file: file(operands)?,
-        },
-        "apply" => Command::Apply(apply_options(matches, operands)?),
-        "get" => no_operands(operands, Command::Get)?,
-        "status" => no_operands(operands, Command::Status)?,
-        "drain" => Command::Drain(drain_options(matches, operands)?),
-        "recover" => Command::Recover(recover_options(matches, operands)?),
-        other => return Err(wrong(format!("there is no command \"{other}\""))),
+        }),
+        "apply" => Command::Online(OnlineCommand::Apply(apply_options(matches, operands)?)),
+        "get" => no_operands(operands, OnlineCommand::Get)?,
+        "status" => no_operands(operands, OnlineCommand::Status)?,
+        "drain" => Command::Online(OnlineCommand::Drain(drain_options(matches, operands)?)),
+        "recover" => Command::Online(OnlineCommand::Recover(recover_options(matches, operands)?)),
+        other => return Err(usage_error(format!("there is no command \"{other}\""))),
     };
-    check_options(name, matches)?;
+    reject_foreign_options(name, matches)?;
     Ok(command)
 }
 
-/// An option that the command does not take is a mistake, not a thing to pass over.
-fn check_options(command: &str, matches: &Matches) -> Result<(), Failure> {
+/// Rejects options that belong to another command instead of ignoring them.
+fn reject_foreign_options(command: &str, matches: &Matches) -> Result<(), Failure> {
     let belongs = [
         ("base", "apply"),
         ("order-id", "apply"),
@@ -127,7 +129,7 @@
     ];
     for (option, owner) in belongs {
         if matches.opt_present(option) && owner != command {
-            return Err(wrong(format!("--{option} belongs to `{owner}`")));
+            return Err(usage_error(format!("--{option} belongs to `{owner}`")));
         }
     }
     Ok(())
@@ -142,18 +144,26 @@
     }
     for address in &addresses {
         if address.parse::<std::net::SocketAddr>().is_err() {
-            return Err(wrong(format!("\"{address}\" is not IP:PORT")));
+            return Err(usage_error(format!("\"{address}\" is not IP:PORT")));
         }
     }
     let timeout_ms = number(matches, "timeout-ms")?.unwrap_or(DEFAULT_TIMEOUT_MS);
     Ok(CommonOptions {
         addresses,
         key_file: matches.opt_str("key-file").map(PathBuf::from),
-        json: matches.opt_present("json"),
+        output: output_format(matches),
         timeout: Duration::from_millis(timeout_ms),
     })
 }
 
+fn output_format(matches: &Matches) -> OutputFormat {
+    if matches.opt_present("json") {
+        OutputFormat::Json
+    } else {
+        OutputFormat::Text
+    }
+}
+
 fn apply_options(matches: &Matches, operands: &[String]) -> Result<ApplyOptions, Failure> {
     Ok(ApplyOptions {
         file: file(operands)?,
@@ -164,22 +174,30 @@
 
 fn drain_options(matches: &Matches, operands: &[String]) -> Result<DrainOptions, Failure> {
     let [pool, backend_id] = operands else {
-        return Err(wrong("drain takes a pool and a backend"));
+        return Err(usage_error("drain takes a pool and a backend"));
     };
     Ok(DrainOptions {
         pool: pool.clone(),
         backend_id: backend_id.clone(),
-        undo: matches.opt_present("undo"),
+        action: if matches.opt_present("undo") {
+            DrainAction::Undo
+        } else {
+            DrainAction::Drain
+        },
     })
 }
 
 fn recover_options(matches: &Matches, operands: &[String]) -> Result<RecoverOptions, Failure> {
     let survivors = matches.opt_strs("survivor");
     if survivors.is_empty() || !operands.is_empty() {
-        return Err(wrong("recover takes --survivor for each node that remains"));
+        return Err(usage_error(
+            "recover takes --survivor for each node that remains",
+        ));
     }
     let Some(confirm) = matches.opt_str("confirm") else {
-        return Err(wrong("recover takes --confirm with the words of the help"));
+        return Err(usage_error(
+            "recover takes --confirm with the words of the help",
+        ));
     };
     Ok(RecoverOptions { survivors, confirm })
 }
@@ -187,14 +205,14 @@
 fn file(operands: &[String]) -> Result<PathBuf, Failure> {
     match operands {
         [file] => Ok(PathBuf::from(file)),
-        _ => Err(wrong("the command takes one file")),
+        _ => Err(usage_error("the command takes one file")),
     }
 }
 
-fn no_operands(operands: &[String], command: Command) -> Result<Command, Failure> {
+fn no_operands(operands: &[String], command: OnlineCommand) -> Result<Command, Failure> {
     match operands.first() {
-        None => Ok(command),
-        Some(extra) => Err(wrong(format!("\"{extra}\" is one argument too many"))),
+        None => Ok(Command::Online(command)),
+        Some(extra) => Err(usage_error(format!("\"{extra}\" is one argument too many"))),
     }
 }
 
@@ -204,12 +222,12 @@
     };
     match text.parse() {
         Ok(number) => Ok(Some(number)),
-        Err(_) => Err(wrong(format!(
+        Err(_) => Err(usage_error(format!(
             "--{option} takes a whole number, not \"{text}\""
         ))),
     }
 }
 
-fn wrong(message: impl Into<String>) -> Failure {
+fn usage_error(message: impl Into<String>) -> Failure {
     Failure::with_message(ResultCode::BadArgument, message).with_help("see millfordctl --help")
 }
--- a/crates/ctl/src/exit_status.rs
+++ b/crates/ctl/src/exit_status.rs
@@ -2,12 +2,12 @@
 
 use millford_core::ResultCode;
 
-/// How the program ends.
+/// Exit status of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ExitStatus {
     /// Done.
-    Done = 0,
+    Success = 0,
     /// Failed for a reason without a status of its own.
     Failed = 1,
     /// Wrong arguments or settings.
@@ -23,7 +23,7 @@
     /// The operator key was not accepted.
     KeyWrong = 7,
     /// No such backend, or recovery was refused.
-    Refused = 8,
+    Rejected = 8,
 }
 
 impl ExitStatus {
@@ -31,7 +31,7 @@
     #[must_use]
     pub fn of(code: ResultCode) -> Self {
         match code {
-            ResultCode::Ok => Self::Done,
+            ResultCode::Ok => Self::Success,
             ResultCode::BadArgument => Self::Usage,
             ResultCode::BadJson | ResultCode::BadField | ResultCode::DocumentInvalid => {
                 Self::Faults
@@ -43,7 +43,7 @@
             | ResultCode::NotFormed => Self::Unreachable,
             ResultCode::OrderUncertain => Self::Uncertain,
             ResultCode::OperatorKeyWrong => Self::KeyWrong,
-            ResultCode::BackendUnknown | ResultCode::RecoveryRefused => Self::Refused,
+            ResultCode::BackendUnknown | ResultCode::RecoveryRefused => Self::Rejected,
             _ => Self::Failed,
         }
     }
--- a/crates/ctl/src/failure.rs
+++ b/crates/ctl/src/failure.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, as a report for people or as JSON.
+//! Failure of a command, printed as a diagnostic or as JSON.
 
 use miette::Diagnostic;
 use millford_api::operator::{ErrorBody, FaultBody};
@@ -8,25 +8,25 @@
 
 use crate::exit_status::ExitStatus;
 
-/// A failure with its numbered code.
+/// A failed command with its numbered result code.
 #[derive(Clone, Debug, Error, Diagnostic)]
 #[error("{number} {name}: {message}", number = code.number(), name = code.name())]
 pub struct Failure {
-    /// The numbered code.
+    /// Numbered result code; it decides the exit status.
     pub code: ResultCode,
     /// One sentence.
     pub message: String,
-    /// What to do, when there is something to say.
+    /// Advice on what to do, if there is any.
     #[help]
     pub help: Option<String>,
-    /// Present revision, beside a conflict.
+    /// Current revision, with [`ResultCode::RevisionConflict`].
     pub revision: Option<u64>,
     /// Faults of a document or order.
     #[related]
     pub faults: Vec<FaultReport>,
 }
 
-/// One fault in a report.
+/// One fault of a document or order, as a diagnostic.
 #[derive(Clone, Debug, Error, Diagnostic, PartialEq, Eq)]
 #[error("{path}: {message}")]
 pub struct FaultReport {
@@ -37,13 +37,13 @@
 }
 
 impl Failure {
-    /// A failure with the code's own sentence.
+    /// A failure with the result code's own text.
     #[must_use]
     pub fn new(code: ResultCode) -> Self {
         Self::with_message(code, code.text())
     }
 
-    /// A failure with another sentence.
+    /// A failure with a message of its own.
     #[must_use]
     pub fn with_message(code: ResultCode, message: impl Into<String>) -> Self {
         Self {
@@ -55,24 +55,24 @@
         }
     }
 
-    /// With advice.
+    /// Adds advice.
     #[must_use]
     pub fn with_help(mut self, help: impl Into<String>) -> Self {
         self.help = Some(help.into());
         self
     }
 
-    /// Faults that were found here, offline.
+    /// A failure for faults that were found offline.
     #[must_use]
-    pub fn of_faults(faults: &[Fault]) -> Self {
+    pub fn from_faults(faults: &[Fault]) -> Self {
         let mut failure = Self::new(Fault::overall(faults));
         failure.faults = faults.iter().map(FaultReport::from).collect();
         failure
     }
 
-    /// What a control node answered.
+    /// Converts the error body of a control node.
     #[must_use]
-    pub fn of_body(body: ErrorBody) -> Self {
+    pub fn from_body(body: ErrorBody) -> Self {
         let known = ResultCode::from_number(body.error.code);
         let code = known.unwrap_or(ResultCode::ProtocolViolation);
         let mut failure = Self::with_message(code, body.error.message);
@@ -91,7 +91,7 @@
         failure
     }
 
-    /// The same as JSON, in the shape of the interface.
+    /// The error body of the operators' interface for this failure.
     #[must_use]
     pub fn to_body(&self) -> ErrorBody {
         let mut body = ErrorBody::with_message(self.code, &self.message);
@@ -100,7 +100,20 @@
         body
     }
 
-    /// How the program ends.
+    /// Whether another node, or the same one later, may succeed.
+    #[must_use]
+    pub fn is_retryable(&self) -> bool {
+        matches!(
+            self.code,
+            ResultCode::NoLeader
+                | ResultCode::NotLeader
+                | ResultCode::ControlTimeout
+                | ResultCode::NotFormed
+                | ResultCode::OrderUncertain
+        )
+    }
+
+    /// Exit status of the process.
     #[must_use]
     pub fn exit_status(&self) -> ExitStatus {
         ExitStatus::of(self.code)
@@ -110,7 +123,7 @@
 impl From<&Fault> for FaultReport {
     fn from(fault: &Fault) -> Self {
         Self {
-            path: whole_if_empty(&fault.path),
+            path: path_or_root(&fault.path),
             message: fault.text.clone(),
         }
     }
@@ -119,7 +132,7 @@
 impl From<FaultBody> for FaultReport {
     fn from(fault: FaultBody) -> Self {
         Self {
-            path: whole_if_empty(&fault.path),
+            path: path_or_root(&fault.path),
             message: fault.message,
         }
     }
@@ -134,7 +147,7 @@
     }
 }
 
-/// An empty path stands for the whole text.
-fn whole_if_empty(path: &str) -> String {
+/// An empty path refers to the whole document.
+fn path_or_root(path: &str) -> String {
     if path.is_empty() { "(whole)" } else { path }.to_owned()
 }
--- a/crates/ctl/src/invocation.rs
+++ b/crates/ctl/src/invocation.rs
@@ -1,4 +1,4 @@
-//! What the command line asks for.
+//! A parsed command line.
 
 use std::path::PathBuf;
 
@@ -11,39 +11,55 @@
     pub addresses: Vec<String>,
     /// File with the operator key; else the environment has it.
     pub key_file: Option<PathBuf>,
-    /// Whether to print JSON.
-    pub json: bool,
-    /// How long to go on trying.
+    /// Form of the output.
+    pub output: OutputFormat,
+    /// How long to keep retrying.
     pub timeout: Duration,
 }
 
-/// One command with its own options.
+/// Form of what is printed, for people or for programs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum OutputFormat {
+    /// Text for people.
+    Text,
+    /// One line of JSON, for failures too.
+    Json,
+}
+
+/// What the command line requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
+    /// Print the help.
+    Help,
+    /// Print the version.
+    Version,
+    /// Check a document offline.
+    Check {
+        /// File of the document.
+        file: PathBuf,
+    },
+    /// A command that needs a control node.
+    Online(OnlineCommand),
+}
+
+/// A command that is sent to the control nodes, with its own options.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum OnlineCommand {
     /// Replace the configuration.
     Apply(ApplyOptions),
-    /// Print the configuration in force.
+    /// Print the current configuration.
     Get,
-    /// Print what a change would move.
+    /// Print what a document would change.
     Plan {
         /// File of the document.
         file: PathBuf,
     },
     /// Print members, shards, sessions and replicas.
     Status,
-    /// Check a document offline.
-    Check {
-        /// File of the document.
-        file: PathBuf,
-    },
-    /// Keep new work off a backend, or lift that.
+    /// Drain a backend, or lift that.
     Drain(DrainOptions),
-    /// Go on with the named survivors after a quorum was lost for good.
+    /// Continue with the named survivors after a permanent loss of quorum.
     Recover(RecoverOptions),
-    /// Print the help.
-    Help,
-    /// Print the version.
-    Version,
 }
 
 /// Options of `apply`.
@@ -51,12 +67,21 @@
 pub struct ApplyOptions {
     /// File of the document.
     pub file: PathBuf,
-    /// Revision that the document was built on; read from a control node when absent.
+    /// Revision that the document was built on; the current one when absent.
     pub base_revision: Option<u64>,
-    /// Identity of the order; made up when absent.
+    /// Identity of the order; generated when absent.
     pub order_id: Option<String>,
 }
 
+/// What `drain` does with a backend.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DrainAction {
+    /// Stop routing new work to it.
+    Drain,
+    /// Lift an earlier drain.
+    Undo,
+}
+
 /// Options of `drain`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DrainOptions {
@@ -64,8 +89,8 @@
     pub pool: String,
     /// Identity of the backend.
     pub backend_id: String,
-    /// Whether to lift the order.
-    pub undo: bool,
+    /// What to do with the backend.
+    pub action: DrainAction,
 }
 
 /// Options of `recover`.
@@ -73,11 +98,11 @@
 pub struct RecoverOptions {
     /// Identities of the survivors, in hexadecimal.
     pub survivors: Vec<String>,
-    /// The operator's acceptance, word for word.
+    /// The operator's confirmation, verbatim.
     pub confirm: String,
 }
 
-/// A whole command line.
+/// A complete command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Invocation {
     /// Options that hold for every command.
--- a/crates/ctl/src/operator_key.rs
+++ b/crates/ctl/src/operator_key.rs
@@ -10,15 +10,16 @@
 /// Environment variable with the operator key.
 pub const KEY_VARIABLE: &str = "MILLFORD_OPERATOR_KEY";
 
-/// A key that is not shown when it is printed.
+/// An operator key; its `Debug` form hides the value.
 #[derive(Clone, PartialEq, Eq)]
 pub struct OperatorKey(String);
 
 impl OperatorKey {
-    /// Reads the key from a file or, without one, takes that of the environment.
+    /// Reads the key from the file or, if none is named, from the environment variable's value.
     ///
     /// # Errors
-    /// When there is none, or the file cannot be read.
+    /// [`ResultCode::BadArgument`] when there is no key, the file cannot be read or the key cannot stand
+    /// in a header.
     pub fn find(file: Option<&Path>, environment: Option<String>) -> Result<Self, Failure> {
         let text = match file {
             Some(file) => read(file)?,
@@ -26,12 +27,12 @@
         };
         let key = text.trim();
         if key.is_empty() {
-            return Err(missing(
+            return Err(invalid_key(
                 "no operator key: use --key-file or MILLFORD_OPERATOR_KEY",
             ));
         }
         if !key.bytes().all(|byte| byte.is_ascii_graphic()) {
-            return Err(missing(
+            return Err(invalid_key(
                 "the operator key has characters that a header cannot carry",
             ));
         }
@@ -52,9 +53,10 @@
 }
 
 fn read(file: &Path) -> Result<String, Failure> {
-    std::fs::read_to_string(file).map_err(|error| missing(format!("{}: {error}", file.display())))
+    std::fs::read_to_string(file)
+        .map_err(|error| invalid_key(format!("{}: {error}", file.display())))
 }
 
-fn missing(message: impl Into<String>) -> Failure {
+fn invalid_key(message: impl Into<String>) -> Failure {
     Failure::with_message(ResultCode::BadArgument, message)
 }
--- a/crates/ctl/src/report.rs
+++ b/crates/ctl/src/report.rs
@@ -1,17 +1,19 @@
-//! Output for people or as JSON.
+//! Results of commands, as text or as JSON.
 
 use serde::Serialize;
 
-/// Something that a command prints.
+use crate::invocation::OutputFormat;
+
+/// Result of a command.
 pub trait Report: Serialize {
-    /// For people; ends with a line break.
+    /// The result as text for people; ends with a newline.
     fn text(&self) -> String;
 }
 
-/// What goes to the standard output.
+/// The result in the requested form; ends with a newline.
 #[must_use]
-pub fn render<R: Report>(report: &R, json: bool) -> String {
-    if !json {
+pub fn render<R: Report>(report: &R, format: OutputFormat) -> String {
+    if format == OutputFormat::Text {
         return report.text();
     }
     let text = serde_json::to_string(report).unwrap_or_default();
--- a/crates/ctl/tests/commands.rs
+++ b/crates/ctl/tests/commands.rs
@@ -5,7 +5,9 @@
 use std::io::Write;
 
 use serde_json::Value;
-use support::{ScriptedNode, Step, closed_address, ctl, error, program, stderr, stdout};
+use support::{
+    ScriptedNode, ScriptedResponse, closed_address, ctl, error, program, stderr, stdout,
+};
 use tempfile::NamedTempFile;
 
 const SOUND: &str = r#"{"routes":[{"name":"captions","match":{"model":"saga"},"pool":"saga",
@@ -22,18 +24,18 @@
     file.path().to_str().expect("a path")
 }
 
-fn accepted(revision: u64, repeated: bool) -> Step {
+fn accepted(revision: u64, repeated: bool) -> ScriptedResponse {
     let body = format!("{{\"revision\":{revision},\"repeated\":{repeated}}}");
-    Step::Answer(200, body)
+    ScriptedResponse::Respond(200, body)
 }
 
 fn json(text: &str) -> Value {
     serde_json::from_str(text).expect("JSON")
 }
 
-fn config(revision: u64) -> Step {
+fn config(revision: u64) -> ScriptedResponse {
     let body = format!("{{\"revision\":{revision},\"digest\":\"00\",\"document\":{SOUND}}}");
-    Step::Answer(200, body)
+    ScriptedResponse::Respond(200, body)
 }
 
 #[test]
@@ -70,7 +72,7 @@
     let file = file("{\"lanes\":[]}");
     let output = ctl(&["-c", &node.address, "apply", path(&file)]);
     assert_eq!(output.status.code(), Some(3));
-    assert!(node.seen().is_empty());
+    assert!(node.received().is_empty());
 }
 
 #[test]
@@ -80,37 +82,41 @@
     let output = ctl(&["--json", "-c", &node.address, "apply", path(&file)]);
     assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
     assert_eq!(json(&stdout(&output))["revision"], 7);
-    let seen = node.seen();
-    assert!(seen[0].line.starts_with("GET /v1/config"));
-    assert!(seen[1].line.starts_with("PUT /v1/config"));
-    assert_eq!(seen[1].authorization, "Bearer the-operator-key");
-    assert_eq!(json(&seen[1].body)["base_revision"], 6);
+    let received = node.received();
+    assert!(received[0].line.starts_with("GET /v1/config"));
+    assert!(received[1].line.starts_with("PUT /v1/config"));
+    assert_eq!(received[1].authorization, "Bearer the-operator-key");
+    assert_eq!(json(&received[1].body)["base_revision"], 6);
 }
 
 #[test]
-fn a_lost_answer_is_followed_by_the_same_order_until_acknowledged() {
+fn a_lost_response_is_followed_by_the_same_order_until_acknowledged() {
     let node = ScriptedNode::start(vec![
-        Step::Lose,
-        Step::Answer(504, error(4006, "OrderUncertain", "")),
-        Step::Answer(503, error(5001, "NoLeader", "")),
+        ScriptedResponse::CloseWithoutResponse,
+        ScriptedResponse::Respond(504, error(4006, "OrderUncertain", "")),
+        ScriptedResponse::Respond(503, error(5001, "NoLeader", "")),
         accepted(3, true),
     ]);
     let file = file(SOUND);
     let output = ctl(&["-c", &node.address, "apply", "--base", "2", path(&file)]);
     assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
     assert!(stdout(&output).contains("revision 3 had been accepted before"));
-    let seen = node.seen();
-    assert_eq!(seen.len(), 4);
+    let received = node.received();
+    assert_eq!(received.len(), 4);
     assert!(
-        json(&seen[0].body)["order_id"]
+        json(&received[0].body)["order_id"]
             .as_str()
             .is_some_and(|id| id.len() > 16)
     );
-    assert!(seen.iter().all(|request| request.body == seen[0].body));
+    assert!(
+        received
+            .iter()
+            .all(|request| request.body == received[0].body)
+    );
 }
 
 #[test]
-fn a_node_out_of_reach_is_passed_over() {
+fn an_unreachable_node_is_skipped() {
     let closed = closed_address();
     let node = ScriptedNode::start(vec![accepted(1, false)]);
     let file = file(SOUND);
@@ -130,7 +136,7 @@
 #[test]
 fn a_conflict_names_the_present_revision() {
     let body = error(4002, "RevisionConflict", ",\"revision\":9");
-    let node = ScriptedNode::start(vec![Step::Answer(409, body)]);
+    let node = ScriptedNode::start(vec![ScriptedResponse::Respond(409, body)]);
     let file = file(SOUND);
     let output = ctl(&[
         "--json",
@@ -143,12 +149,12 @@
     ]);
     assert_eq!(output.status.code(), Some(4));
     assert_eq!(json(&stdout(&output))["revision"], 9);
-    assert_eq!(node.seen().len(), 1, "a conflict is final");
+    assert_eq!(node.received().len(), 1, "a conflict is final");
 }
 
 #[test]
-fn an_order_of_unknown_fate_is_told_with_its_id() {
-    let node = ScriptedNode::start(vec![Step::Lose]);
+fn an_order_with_an_uncertain_outcome_is_reported_with_its_id() {
+    let node = ScriptedNode::start(vec![ScriptedResponse::CloseWithoutResponse]);
     let file = file(SOUND);
     let arguments = [
         "-t",
@@ -165,11 +171,11 @@
     assert_eq!(output.status.code(), Some(6));
     let report = stderr(&output);
     assert!(report.contains("--order-id order-7"), "{report}");
-    assert!(node.seen().len() > 1);
+    assert!(node.received().len() > 1);
 }
 
 #[test]
-fn without_any_node_the_order_is_known_not_to_be_sent() {
+fn without_a_reachable_node_the_order_is_reported_as_not_sent() {
     let closed = closed_address();
     let file = file(SOUND);
     let output = ctl(&["-t", "400", "-c", &closed, "apply", "-b", "2", path(&file)]);
@@ -177,10 +183,10 @@
 }
 
 #[test]
-fn faults_found_by_the_node_are_printed() {
+fn faults_reported_by_the_node_are_printed() {
     let body = r#"{"error":{"code":4001,"name":"DocumentInvalid","message":"scripted",
         "faults":[{"path":"document.routes[0].pool","message":"no pool"}]}}"#;
-    let node = ScriptedNode::start(vec![Step::Answer(400, body.to_owned())]);
+    let node = ScriptedNode::start(vec![ScriptedResponse::Respond(400, body.to_owned())]);
     let file = file(SOUND);
     let output = ctl(&["-c", &node.address, "apply", "-b", "2", path(&file)]);
     assert_eq!(output.status.code(), Some(3));
@@ -190,7 +196,7 @@
 #[test]
 fn a_wrong_key_has_its_own_status_and_is_not_printed() {
     let body = error(4004, "OperatorKeyWrong", "");
-    let node = ScriptedNode::start(vec![Step::Answer(401, body)]);
+    let node = ScriptedNode::start(vec![ScriptedResponse::Respond(401, body)]);
     let output = ctl(&["-c", &node.address, "get"]);
     assert_eq!(output.status.code(), Some(7));
     assert!(!stderr(&output).contains("the-operator-key"));
@@ -203,13 +209,13 @@
     let arguments = ["-k", path(&key), "-c", &node.address, "get"];
     let output = program(&arguments).output().expect("runs");
     assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
-    assert_eq!(node.seen()[0].authorization, "Bearer key-from-file");
+    assert_eq!(node.received()[0].authorization, "Bearer key-from-file");
 }
 
 #[test]
-fn wrong_command_lines_are_refused() {
+fn invalid_command_lines_are_rejected() {
     let file = file(SOUND);
-    let wrong: [&[&str]; 14] = [
+    let usage_error: [&[&str]; 14] = [
         &[],
         &["nonsense"],
         &["check"],
@@ -233,7 +239,7 @@
         ],
         &["check", "/nowhere/at/all.json"],
     ];
-    for arguments in wrong {
+    for arguments in usage_error {
         let output = ctl(arguments);
         assert_eq!(
             output.status.code(),
@@ -245,7 +251,7 @@
 }
 
 #[test]
-fn without_key_or_address_nothing_is_tried() {
+fn without_key_or_address_no_request_is_sent() {
     let output = program(&["-c", "127.0.0.1:1", "get"])
         .output()
         .expect("runs");
@@ -271,7 +277,7 @@
         "routes":[{"name":"captions","change":"changed","fields":["pool"]}],
         "sessions":[{"route":"captions","from":"a","to":"b","moved":250,"sampled":1000}],
         "warnings":[{"path":"pools/saga","message":"no route names the pool"}]}}"#;
-    let node = ScriptedNode::start(vec![Step::Answer(200, body.to_owned())]);
+    let node = ScriptedNode::start(vec![ScriptedResponse::Respond(200, body.to_owned())]);
     let file = file(SOUND);
     let output = ctl(&["-c", &node.address, "plan", path(&file)]);
     let text = stdout(&output);
@@ -284,17 +290,17 @@
     ] {
         assert!(text.contains(part), "{text}");
     }
-    assert!(node.seen()[0].line.starts_with("POST /v1/plan"));
+    assert!(node.received()[0].line.starts_with("POST /v1/plan"));
 }
 
 #[test]
-fn status_prints_members_and_who_is_behind() {
+fn status_prints_members_and_sessions_on_an_older_revision() {
     let body = r#"{"node":"0a","cluster":"0b","revision":5,"members":[{"node":"0a",
         "internal_address":"127.0.0.1:1","operator_address":"127.0.0.1:2","zone":"a",
         "in_touch":false}],"shards":[{"shard":0,"leader":"","term":2,"commit_index":9,
         "voters":["0a"],"learners":[]}],"sessions":[{"member":"agent-1","epoch":3,"zone":"a",
         "address":"127.0.0.1:3","shown_revision":4}],"placements":[]}"#;
-    let node = ScriptedNode::start(vec![Step::Answer(200, body.to_owned())]);
+    let node = ScriptedNode::start(vec![ScriptedResponse::Respond(200, body.to_owned())]);
     let output = ctl(&["-c", &node.address, "status"]);
     let text = stdout(&output);
     for part in ["OUT OF TOUCH", "leader none", "shows 4 BEHIND"] {
@@ -305,32 +311,32 @@
 #[test]
 fn drain_names_the_backend_in_the_path() {
     let body = r#"{"pool":"saga","backend_id":"b1","drain":false}"#;
-    let node = ScriptedNode::start(vec![Step::Answer(200, body.to_owned())]);
+    let node = ScriptedNode::start(vec![ScriptedResponse::Respond(200, body.to_owned())]);
     let output = ctl(&["-c", &node.address, "drain", "--undo", "saga", "b1"]);
     assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
-    let seen = node.seen();
+    let received = node.received();
     assert!(
-        seen[0]
+        received[0]
             .line
             .starts_with("POST /v1/services/saga/backends/b1/drain")
     );
-    assert_eq!(seen[0].body, "{\"drain\":false}");
+    assert_eq!(received[0].body, "{\"drain\":false}");
     let refused = ctl(&["-c", &node.address, "drain", "saga", "../b1"]);
     assert_eq!(refused.status.code(), Some(2));
-    assert_eq!(node.seen().len(), 1);
+    assert_eq!(node.received().len(), 1);
 }
 
 #[test]
-fn an_unknown_backend_is_refused() {
+fn an_unknown_backend_is_rejected() {
     let body = error(4005, "BackendUnknown", "");
-    let node = ScriptedNode::start(vec![Step::Answer(404, body)]);
+    let node = ScriptedNode::start(vec![ScriptedResponse::Respond(404, body)]);
     let output = ctl(&["-c", &node.address, "drain", "saga", "b1"]);
     assert_eq!(output.status.code(), Some(8));
 }
 
 #[test]
-fn recovery_goes_to_one_node_once() {
-    let node = ScriptedNode::start(vec![Step::Lose]);
+fn recovery_is_sent_to_one_node_once() {
+    let node = ScriptedNode::start(vec![ScriptedResponse::CloseWithoutResponse]);
     let words = "I accept that orders may be lost";
     let two = [
         "-c",
@@ -354,12 +360,12 @@
         "recover",
     ];
     assert_eq!(ctl(&one).status.code(), Some(6));
-    assert_eq!(node.seen().len(), 1);
+    assert_eq!(node.received().len(), 1);
 }
 
 #[test]
-fn an_answer_that_is_not_of_a_control_node_is_told() {
-    let node = ScriptedNode::start(vec![Step::Answer(200, "<html>".to_owned())]);
+fn a_response_that_is_not_from_a_control_node_is_reported() {
+    let node = ScriptedNode::start(vec![ScriptedResponse::Respond(200, "<html>".to_owned())]);
     let output = ctl(&["-c", &node.address, "get"]);
     assert_eq!(output.status.code(), Some(1));
     assert!(stderr(&output).contains("5008"));
--- a/crates/ctl/tests/exit_statuses.rs
+++ b/crates/ctl/tests/exit_statuses.rs
@@ -33,11 +33,11 @@
 #[test]
 fn every_status_has_a_row_with_its_codes() {
     let mut expected: BTreeMap<u8, Vec<u32>> = BTreeMap::new();
-    expected.insert(ExitStatus::Done.number(), Vec::new());
+    expected.insert(ExitStatus::Success.number(), Vec::new());
     expected.insert(ExitStatus::Failed.number(), Vec::new());
     for code in ResultCode::ALL {
         let status = ExitStatus::of(*code);
-        if status != ExitStatus::Done && status != ExitStatus::Failed {
+        if status != ExitStatus::Success && status != ExitStatus::Failed {
             expected
                 .entry(status.number())
                 .or_default()
--- a/crates/ctl/tests/support/mod.rs
+++ b/crates/ctl/tests/support/mod.rs
@@ -7,16 +7,16 @@
 
 /// What the node does with one request.
 #[derive(Clone, Debug)]
-pub enum Step {
+pub enum ScriptedResponse {
     /// Answers with a status and a body.
-    Answer(u16, String),
+    Respond(u16, String),
     /// Reads the request and closes the connection.
-    Lose,
+    CloseWithoutResponse,
 }
 
 /// One request that the node got.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct ReceivedRequest {
     pub line: String,
     pub authorization: String,
     pub body: String,
@@ -25,31 +25,35 @@
 /// A control node on loopback; the last step of the script is repeated.
 pub struct ScriptedNode {
     pub address: String,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
 }
 
 impl ScriptedNode {
-    pub fn start(script: Vec<Step>) -> Self {
+    pub fn start(script: Vec<ScriptedResponse>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address").to_string();
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let shared = Arc::clone(&seen);
+        let received = Arc::new(Mutex::new(Vec::new()));
+        let shared = Arc::clone(&received);
         std::thread::spawn(move || serve(&listener, &script, &shared));
-        Self { address, seen }
+        Self { address, received }
     }
 
-    pub fn seen(&self) -> Vec<Seen> {
-        self.seen.lock().expect("no panic").clone()
+    pub fn received(&self) -> Vec<ReceivedRequest> {
+        self.received.lock().expect("no panic").clone()
     }
 }
 
-fn serve(listener: &TcpListener, script: &[Step], seen: &Mutex<Vec<Seen>>) {
+fn serve(
+    listener: &TcpListener,
+    script: &[ScriptedResponse],
+    received: &Mutex<Vec<ReceivedRequest>>,
+) {
     for (number, stream) in listener.incoming().enumerate() {
         let Ok(mut stream) = stream else { return };
         let request = read(&stream);
-        seen.lock().expect("no panic").push(request);
+        received.lock().expect("no panic").push(request);
         let step = script.get(number).or(script.last()).expect("a step");
-        if let Step::Answer(status, body) = step {
+        if let ScriptedResponse::Respond(status, body) = step {
             let length = body.len();
             let head = format!(
                 "HTTP/1.1 {status} Scripted\r\ncontent-length: {length}\r\nconnection: close\r\n\r\n"
@@ -60,9 +64,9 @@
     }
 }
 
-fn read(stream: &TcpStream) -> Seen {
+fn read(stream: &TcpStream) -> ReceivedRequest {
     let mut reader = BufReader::new(stream);
-    let mut seen = Seen::default();
+    let mut received = ReceivedRequest::default();
     let mut length = 0;
     loop {
         let mut line = String::new();
@@ -73,15 +77,15 @@
         if let Some(value) = line.strip_prefix("content-length: ") {
             length = value.parse().expect("a length");
         } else if let Some(value) = line.strip_prefix("authorization: ") {
-            seen.authorization = value.to_owned();
-        } else if seen.line.is_empty() {
-            seen.line = line;
+            received.authorization = value.to_owned();
+        } else if received.line.is_empty() {
+            received.line = line;
         }
     }
     let mut body = vec![0; length];
     let _ = reader.read_exact(&mut body);
-    seen.body = String::from_utf8_lossy(&body).into_owned();
-    seen
+    received.body = String::from_utf8_lossy(&body).into_owned();
+    received
 }
 
 /// Runs `millfordctl` with the key in the environment.
