--- a/crates/lab/src/answer_text.rs
+++ b/crates/lab/src/answer_text.rs
@@ -1,5 +1,5 @@
-//! Text of an emulated answer: a pure function of the prompt's marker, the run and the sequence
-//! number, so that a caller can tell whose answer each piece is.
+//! Text of an emulated response: a pure function of the prompt's marker, the run and the sequence
+//! number, so that a caller can tell whose response each chunk is.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -12,7 +12,7 @@
     "mil", "vent", "station", "semis", "lac", "sable", "ciel", "aube", "marée", "crue", "soir",
 ];
 
-/// One emulated answer.
+/// One emulated response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnswerText {
     marker: String,
@@ -20,7 +20,7 @@
 }
 
 impl AnswerText {
-    /// The answer of `run` to the prompt that carries `marker`.
+    /// The response of `run` to the prompt that carries `marker`.
     #[must_use]
     pub fn new(marker: &str, run: &str) -> Self {
         Self {
@@ -29,9 +29,9 @@
         }
     }
 
-    /// Text of the piece `sequence`. The first one names the marker and the run.
+    /// Text of the chunk `sequence`. The first one names the marker and the run.
     #[must_use]
-    pub fn piece(&self, sequence: u64) -> String {
+    pub fn chunk(&self, sequence: u64) -> String {
         if sequence == 0 {
             return format!("{{{} {}}} ", self.marker, self.run);
         }
@@ -41,16 +41,16 @@
         format!("{first} {second} ")
     }
 
-    /// The whole answer of `pieces` pieces.
+    /// The complete response of `chunks` chunks.
     #[must_use]
-    pub fn whole(&self, pieces: u64) -> String {
-        (0..pieces).map(|sequence| self.piece(sequence)).collect()
+    pub fn full_text(&self, chunks: u64) -> String {
+        (0..chunks).map(|sequence| self.chunk(sequence)).collect()
     }
 
-    /// The answer that a first piece announces.
+    /// The response that a first chunk announces.
     #[must_use]
-    pub fn announced_by(first_piece: &str) -> Option<Self> {
-        let inner = first_piece.trim_end().strip_prefix('{')?.split_once('}')?.0;
+    pub fn announced_by(first_chunk: &str) -> Option<Self> {
+        let inner = first_chunk.trim_end().strip_prefix('{')?.split_once('}')?.0;
         let (marker, run) = inner.split_once(' ')?;
         Some(Self::new(marker, run))
     }
@@ -61,7 +61,7 @@
         &self.marker
     }
 
-    /// The run that wrote the answer.
+    /// The run that wrote the response.
     #[must_use]
     pub fn run(&self) -> &str {
         &self.run
--- a/crates/lab/src/bench/concurrent_streams.rs
+++ b/crates/lab/src/bench/concurrent_streams.rs
@@ -17,15 +17,17 @@
 use crate::caller::CompletionRequest;
 use crate::caller::http_client::send;
 
-/// Longest wait for every stream's first piece.
+/// Longest wait for every stream's first chunk.
 const OPEN_BOUND: Duration = Duration::from_secs(20);
 
 /// Streams that one proxy held.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct HeldStreams {
-    /// Streams asked for.
-    pub asked: usize,
-    /// Streams open at once, each past its first piece.
+pub struct ConcurrentStreams {
+    /// Streams requested.
+    #[serde(rename = "asked")]
+    pub requested: usize,
+    /// Streams open at once, each past its first chunk.
+    #[serde(rename = "held")]
     pub held: usize,
     /// Memory of the proxy with them, in KiB.
     pub resident_kib: u64,
@@ -36,27 +38,27 @@
 #[derive(Debug, Default)]
 struct Count {
     open: AtomicUsize,
-    settled: AtomicUsize,
+    attempted: AtomicUsize,
     changed: Notify,
 }
 
-/// Opens `asked` streams and counts those that are open together.
+/// Opens `requested` streams and counts those that are open together.
 pub async fn measure(
     address: SocketAddr,
     proxy_id: u32,
-    asked: usize,
+    requested: usize,
     request: &CompletionRequest,
-) -> Option<HeldStreams> {
+) -> Option<ConcurrentStreams> {
     let before = ProcessUsage::of(proxy_id)?;
     let count = Arc::new(Count::default());
     let mut tasks = JoinSet::new();
-    for number in 0..asked {
+    for number in 0..requested {
         let mut request = request.clone();
         request.marker = format!("{}-{number}", request.marker);
         tasks.spawn(hold(address, request, Arc::clone(&count)));
     }
     let all = async {
-        while count.settled.load(Ordering::Acquire) < asked {
+        while count.attempted.load(Ordering::Acquire) < requested {
             count.changed.notified().await;
         }
     };
@@ -64,8 +66,8 @@
     let held = count.open.load(Ordering::Acquire);
     let with = ProcessUsage::of(proxy_id)?;
     tasks.shutdown().await;
-    Some(HeldStreams {
-        asked,
+    Some(ConcurrentStreams {
+        requested,
         held,
         resident_kib: with.resident_kib,
         resident_before_kib: before.resident_kib,
@@ -75,12 +77,12 @@
 /// Opens one stream and reads it to its end.
 async fn hold(address: SocketAddr, request: CompletionRequest, count: Arc<Count>) {
     let Some(body) = open(address, &request).await else {
-        count.settled.fetch_add(1, Ordering::AcqRel);
+        count.attempted.fetch_add(1, Ordering::AcqRel);
         count.changed.notify_one();
         return;
     };
     count.open.fetch_add(1, Ordering::AcqRel);
-    count.settled.fetch_add(1, Ordering::AcqRel);
+    count.attempted.fetch_add(1, Ordering::AcqRel);
     count.changed.notify_one();
     let _ = body.collect().await;
     count.open.fetch_sub(1, Ordering::AcqRel);
--- a/crates/lab/src/bench/latency.rs
+++ b/crates/lab/src/bench/latency.rs
@@ -55,8 +55,8 @@
 }
 
 impl Times {
-    /// Notes one pair.
-    pub fn note(&mut self, by_proxy: Option<u64>, direct: Option<u64>) {
+    /// Records one pair.
+    pub fn record(&mut self, by_proxy: Option<u64>, direct: Option<u64>) {
         let (Some(by_proxy), Some(direct)) = (by_proxy, direct) else {
             self.failures += 1;
             return;
@@ -99,7 +99,7 @@
     }
 }
 
-/// Time of one lookup, whole.
+/// Time of one complete lookup.
 pub async fn lookup_time(address: SocketAddr, request: &LookupRequest) -> Option<u64> {
     let http_request = Request::builder()
         .uri(request.path_with_marker())
@@ -116,7 +116,7 @@
         .then(|| machine_micros() - started)
 }
 
-/// Time to the first piece of one stream.
+/// Time to the first chunk of one stream.
 pub async fn first_token_time(address: SocketAddr, request: &CompletionRequest) -> Option<u64> {
     let http_request = Request::post("/v1/chat/completions")
         .header(header::HOST, "millford")
--- a/crates/lab/src/bench/mod.rs
+++ b/crates/lab/src/bench/mod.rs
@@ -1,6 +1,6 @@
 //! `millford-lab bench`: measurements on real processes.
 
-pub mod held_streams;
+pub mod concurrent_streams;
 pub mod latency;
 pub mod overhead;
 pub mod process_usage;
@@ -8,14 +8,14 @@
 
 use std::process::ExitCode;
 
-use crate::arguments::argument;
+use crate::arguments::ArgumentError;
 use crate::fleet::FleetError;
 
 /// Runs the named measurement.
 pub async fn run(arguments: &[String]) -> Result<ExitCode, FleetError> {
     match arguments.split_first() {
         Some((name, rest)) if name == "overhead" => overhead::run(rest).await,
-        Some((name, _)) => Err(argument(&format!("unknown measurement \"{name}\""))),
-        None => Err(argument("usage: millford-lab bench overhead [options]")),
+        Some((name, _)) => Err(ArgumentError::UnknownMeasurement(name.clone()).into()),
+        None => Err(ArgumentError::NoMeasurement.into()),
     }
 }
--- a/crates/lab/src/bench/overhead.rs
+++ b/crates/lab/src/bench/overhead.rs
@@ -7,7 +7,7 @@
 use getopts::Options;
 use serde::Serialize;
 
-use super::held_streams::{self, HeldStreams};
+use super::concurrent_streams::{self, ConcurrentStreams};
 use super::latency::{AddedLatency, Times, first_token_time, lookup_time};
 use super::throughput::{self, Throughput};
 use crate::arguments::{optional, parse, value};
@@ -22,8 +22,8 @@
 const CALLERS: usize = 64;
 /// Length of the throughput measurement.
 const LENGTH: Duration = Duration::from_secs(5);
-/// Pieces of a held stream: more than come in the measurement.
-const HELD_PIECES: u64 = 20_000;
+/// Chunks of a held stream: more than come in the measurement.
+const UNENDING_CHUNKS: u64 = 20_000;
 
 /// Everything that was measured.
 #[derive(Clone, Debug, Serialize)]
@@ -31,7 +31,8 @@
     lookups: AddedLatency,
     first_tokens: AddedLatency,
     throughput: Throughput,
-    held: HeldStreams,
+    #[serde(rename = "held")]
+    held: ConcurrentStreams,
 }
 
 /// Runs the measurement.
@@ -83,7 +84,7 @@
     let first_tokens = measure_streams(fleet, streams).await?;
     println!("{}", first_tokens.text("stream, first token"));
     let proxy = fleet.proxy_address(0);
-    let proxy_id = fleet.fronts[0].proxy.id().unwrap_or_default();
+    let proxy_id = fleet.proxy_nodes[0].proxy.id().unwrap_or_default();
     let gone = || FleetError::Operator("the proxy ended during the measurement".to_owned());
     let request = lookup(fleet, 0, "throughput");
     let throughput = throughput::measure(proxy, proxy_id, CALLERS, LENGTH, &request)
@@ -93,13 +94,13 @@
         "lookups through one proxy  {:.0}/s with {CALLERS} callers, {:.0} for a core second, failed {}",
         throughput.per_second, throughput.per_core_second, throughput.failed
     );
-    let request = question(fleet, 0, "held", HELD_PIECES);
-    let held = held_streams::measure(proxy, proxy_id, held, &request)
+    let request = question(fleet, 0, "held", UNENDING_CHUNKS);
+    let held = concurrent_streams::measure(proxy, proxy_id, held, &request)
         .await
         .ok_or_else(gone)?;
     println!(
         "streams held by one proxy  {} of {} asked, resident {} KiB before, {} KiB with them",
-        held.held, held.asked, held.resident_before_kib, held.resident_kib
+        held.held, held.requested, held.resident_before_kib, held.resident_kib
     );
     Ok(OverheadReport {
         lookups,
@@ -116,7 +117,7 @@
     for number in 0..pairs {
         let by_proxy = lookup_time(proxy, &lookup(fleet, number, "proxy")).await;
         let direct = lookup_time(direct, &lookup(fleet, number, "direct")).await;
-        times.note(by_proxy, direct);
+        times.record(by_proxy, direct);
     }
     Ok(times.summary())
 }
@@ -128,7 +129,7 @@
     for number in 0..pairs {
         let by_proxy = first_token_time(proxy, &question(fleet, number, "proxy", 2)).await;
         let direct = first_token_time(direct, &question(fleet, number, "direct", 2)).await;
-        times.note(by_proxy, direct);
+        times.record(by_proxy, direct);
     }
     Ok(times.summary())
 }
@@ -137,9 +138,9 @@
     let backend = fleet
         .backends
         .iter()
-        .find(|backend| backend.place.kind == kind);
+        .find(|backend| backend.spec.kind == kind);
     let backend = backend.ok_or_else(|| FleetError::Operator("no such backend".to_owned()))?;
-    Ok(backend.place.address)
+    Ok(backend.spec.address)
 }
 
 fn lookup(fleet: &Fleet, number: u64, way: &str) -> LookupRequest {
@@ -151,7 +152,7 @@
     }
 }
 
-fn question(fleet: &Fleet, number: u64, way: &str, pieces: u64) -> CompletionRequest {
+fn question(fleet: &Fleet, number: u64, way: &str, chunks: u64) -> CompletionRequest {
     CompletionRequest {
         marker: format!("{way}-{number}"),
         tenant: "load".to_owned(),
@@ -160,7 +161,7 @@
         shared_prefix: String::new(),
         question: "Which years were the driest?".to_owned(),
         stream: true,
-        pieces,
+        chunks,
         session: None,
         idempotency_key: None,
         deadline_ms: None,
--- a/crates/lab/src/caller/exchange.rs
+++ b/crates/lab/src/caller/exchange.rs
@@ -1,4 +1,4 @@
-//! One call, from the request to what the caller saw.
+//! Sends one request and records what its caller saw.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 use serde_json::Value;
 
 use super::http_client::{HttpFailure, send};
-use super::outcome::{CallOutcome, Ending, PieceSeen};
+use super::outcome::{Ending, ReceivedChunk, RequestOutcome};
 use super::request::{CompletionRequest, LookupRequest};
 use super::sse::{SseEvent, SseReader};
 use crate::emulator::lookup::LOOKUP_MODEL;
@@ -25,10 +25,10 @@
     address: SocketAddr,
     request: &CompletionRequest,
     repeatable: bool,
-) -> CallOutcome {
+) -> RequestOutcome {
     let mut outcome = new_outcome(proxy, &request.marker, &request.tenant, &request.model);
     outcome.repeatable = repeatable;
-    outcome.pieces_wanted = request.pieces;
+    outcome.requested_chunks = request.chunks;
     outcome.streamed = request.stream;
     match completion_http_request(request) {
         Ok(http_request) => run(address, http_request, &mut outcome).await,
@@ -39,7 +39,7 @@
 }
 
 /// Asks a proxy for a lookup.
-pub async fn look_up(proxy: usize, address: SocketAddr, request: &LookupRequest) -> CallOutcome {
+pub async fn look_up(proxy: usize, address: SocketAddr, request: &LookupRequest) -> RequestOutcome {
     let mut outcome = new_outcome(proxy, &request.marker, &request.tenant, LOOKUP_MODEL);
     let http_request = Request::builder()
         .uri(request.path_with_marker())
@@ -54,20 +54,20 @@
     outcome
 }
 
-fn new_outcome(proxy: usize, marker: &str, tenant: &str, model: &str) -> CallOutcome {
-    CallOutcome {
+fn new_outcome(proxy: usize, marker: &str, tenant: &str, model: &str) -> RequestOutcome {
+    RequestOutcome {
         marker: marker.to_owned(),
         model: model.to_owned(),
         tenant: tenant.to_owned(),
         repeatable: true,
         proxy,
-        pieces_wanted: 0,
+        requested_chunks: 0,
         streamed: false,
         started_micros: machine_micros(),
         ended_micros: 0,
         status: None,
         revision: None,
-        pieces: Vec::new(),
+        chunks: Vec::new(),
         ending: Ending::Broken,
     }
 }
@@ -91,7 +91,7 @@
     builder.body(Full::new(Bytes::from(request.body().to_string())))
 }
 
-async fn run(address: SocketAddr, request: Request<Full<Bytes>>, outcome: &mut CallOutcome) {
+async fn run(address: SocketAddr, request: Request<Full<Bytes>>, outcome: &mut RequestOutcome) {
     let response = match send(address, request).await {
         Ok(response) => response,
         Err(HttpFailure::Connect(_)) => {
@@ -115,7 +115,7 @@
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
-async fn read_stream(mut body: Incoming, outcome: &mut CallOutcome) {
+async fn read_stream(mut body: Incoming, outcome: &mut RequestOutcome) {
     let mut reader = SseReader::default();
     outcome.ending = Ending::FalseEnd;
     while let Some(frame) = body.frame().await {
@@ -132,7 +132,7 @@
     }
 }
 
-fn take_event(event: &SseEvent, outcome: &mut CallOutcome) {
+fn take_event(event: &SseEvent, outcome: &mut RequestOutcome) {
     if event.data == DONE {
         outcome.ending = Ending::Success;
         return;
@@ -145,14 +145,14 @@
     let text = value["choices"][0]["delta"]["content"]
         .as_str()
         .unwrap_or_default();
-    outcome.pieces.push(PieceSeen {
+    outcome.chunks.push(ReceivedChunk {
         sequence: event.id.as_deref().and_then(|id| id.parse().ok()),
         text: text.to_owned(),
         at_micros: machine_micros(),
     });
 }
 
-async fn read_plain(body: Incoming, success: bool, outcome: &mut CallOutcome) {
+async fn read_plain(body: Incoming, success: bool, outcome: &mut RequestOutcome) {
     let Ok(collected) = body.collect().await else {
         outcome.ending = Ending::Broken;
         return;
@@ -173,7 +173,7 @@
     let completion = value["choices"][0]["message"]["content"].as_str();
     let text = completion.map_or_else(|| value.to_string(), str::to_owned);
     let at_micros = machine_micros();
-    outcome.pieces.push(PieceSeen {
+    outcome.chunks.push(ReceivedChunk {
         sequence: Some(0),
         text,
         at_micros,
--- a/crates/lab/src/caller/http_client.rs
+++ b/crates/lab/src/caller/http_client.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// Why a request got no whole answer.
+/// Why no complete response was received.
 #[derive(Debug, Error)]
 pub enum HttpFailure {
     /// No connection; nothing was sent.
@@ -25,16 +25,16 @@
     Request(#[from] http::Error),
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
-pub struct WholeAnswer {
-    /// Status of the answer.
+pub struct FullResponse {
+    /// Status of the response.
     pub status: StatusCode,
     /// Whole body.
     pub body: Bytes,
 }
 
-/// Sends a request on a new connection and returns the head of the answer.
+/// Sends a request on a new connection and returns the head of the response.
 pub async fn send(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -49,13 +49,13 @@
     Ok(sender.send_request(request).await?)
 }
 
-/// Sends a JSON body and reads the whole answer.
+/// Sends a JSON body and reads the complete response.
 pub async fn send_json(
     address: SocketAddr,
     method: Method,
     path: &str,
     body: &impl Serialize,
-) -> Result<WholeAnswer, HttpFailure> {
+) -> Result<FullResponse, HttpFailure> {
     let bytes = serde_json::to_vec(body).unwrap_or_default();
     let request = Request::builder()
         .method(method)
@@ -66,15 +66,15 @@
             HeaderValue::from_static("application/json"),
         )
         .body(Full::new(Bytes::from(bytes)))?;
-    read_whole(send(address, request).await?).await
+    read_full(send(address, request).await?).await
 }
 
-/// Sends a `GET` with an optional bearer credential and reads the whole answer.
+/// Sends a `GET` with an optional bearer credential and reads the complete response.
 pub async fn get(
     address: SocketAddr,
     path: &str,
     bearer: Option<&str>,
-) -> Result<WholeAnswer, HttpFailure> {
+) -> Result<FullResponse, HttpFailure> {
     let mut builder = Request::builder()
         .uri(path)
         .header(header::HOST, "millford");
@@ -82,11 +82,11 @@
         builder = builder.header(header::AUTHORIZATION, format!("Bearer {bearer}"));
     }
     let request = builder.body(Full::default())?;
-    read_whole(send(address, request).await?).await
+    read_full(send(address, request).await?).await
 }
 
-async fn read_whole(response: Response<Incoming>) -> Result<WholeAnswer, HttpFailure> {
+async fn read_full(response: Response<Incoming>) -> Result<FullResponse, HttpFailure> {
     let status = response.status();
     let body = response.into_body().collect().await?.to_bytes();
-    Ok(WholeAnswer { status, body })
+    Ok(FullResponse { status, body })
 }
--- a/crates/lab/src/caller/request.rs
+++ b/crates/lab/src/caller/request.rs
@@ -8,13 +8,13 @@
 /// One chat completion to ask for.
 #[derive(Clone, Debug)]
 pub struct CompletionRequest {
-    /// Unique marker, which the answer repeats.
+    /// Unique marker, which the response repeats.
     pub marker: String,
     /// Tenant name, for the checks; it is not sent.
     pub tenant: String,
     /// Tenant key.
     pub key: String,
-    /// Model asked for.
+    /// Model requested.
     pub model: String,
     /// Long text shared by many prompts.
     pub shared_prefix: String,
@@ -22,8 +22,8 @@
     pub question: String,
     /// Whether to stream.
     pub stream: bool,
-    /// Pieces wanted.
-    pub pieces: u64,
+    /// Number of chunks requested.
+    pub chunks: u64,
     /// Conversation, if any.
     pub session: Option<String>,
     /// Idempotency key, if any.
@@ -40,7 +40,7 @@
         json!({
             "model": self.model,
             "stream": self.stream,
-            "max_tokens": self.pieces,
+            "max_tokens": self.chunks,
             "messages": [
                 {"role": "system", "content": self.shared_prefix},
                 {"role": "user", "content": question},
@@ -52,7 +52,7 @@
 /// One lookup to ask for.
 #[derive(Clone, Debug)]
 pub struct LookupRequest {
-    /// Unique marker, which the answer repeats.
+    /// Unique marker, which the response repeats.
     pub marker: String,
     /// Tenant name, for the checks; it is not sent.
     pub tenant: String,
--- a/crates/lab/src/caller/sse.rs
+++ b/crates/lab/src/caller/sse.rs
@@ -11,7 +11,7 @@
     pub data: String,
 }
 
-/// Collects bytes and gives out whole events.
+/// Collects bytes and gives out complete events.
 #[derive(Debug, Default)]
 pub struct SseReader {
     buffer: Vec<u8>,
--- a/crates/lab/src/chaos/backend_faults.rs
+++ b/crates/lab/src/chaos/backend_faults.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use super::driver::{Driver, Healed};
+use super::driver::{Driver, Recovery};
 use super::fault_kind::FaultKind;
 use crate::caller::http_client::send_json;
 use crate::checks::history::DrainSeen;
@@ -24,16 +24,16 @@
 const DRAIN_TIME: Duration = Duration::from_secs(6);
 /// Slowdown of a slow backend.
 const SLOW_FACTOR: f64 = 10.0;
-/// How long late answers are held back, in milliseconds.
+/// How long late responses are held back, in milliseconds.
 const LATE_MS: u64 = 1_500;
-/// Pieces after which a cut answer ends.
-const CUT_AFTER: u64 = 5;
+/// Chunks after which a truncated response ends.
+const TRUNCATE_AFTER_CHUNKS: u64 = 5;
 
 impl Driver {
     /// Kills, replaces, stops or drains a backend.
-    pub async fn strike_backend(&mut self, kind: FaultKind) -> Result<Healed, FleetError> {
+    pub async fn inject_backend_fault(&mut self, kind: FaultKind) -> Result<Recovery, FleetError> {
         let index = self.draw(self.fleet.backends.len());
-        let id = self.fleet.backends[index].place.id.clone();
+        let id = self.fleet.backends[index].spec.id.clone();
         let time = self.draw_time(SHORTEST, LONGEST);
         match kind {
             FaultKind::BackendKill => {
@@ -50,14 +50,17 @@
             FaultKind::PlatformDrain => self.drain_by_platform(&id).await?,
             _ => self.drain_by_operator(index, &id).await?,
         }
-        Ok(Healed::now(&id))
+        Ok(Recovery::now(&id))
     }
 
     /// Shows a fault of the emulator for a while.
-    pub async fn switch_backend(&mut self, kind: FaultKind) -> Result<Healed, FleetError> {
+    pub async fn inject_backend_misbehavior(
+        &mut self,
+        kind: FaultKind,
+    ) -> Result<Recovery, FleetError> {
         let index = self.draw(self.fleet.backends.len());
         let time = self.draw_time(SHORTEST, LONGEST);
-        let id = self.fleet.backends[index].place.id.clone();
+        let id = self.fleet.backends[index].spec.id.clone();
         self.fleet.backends[index]
             .set_faults(&switches(kind))
             .await?;
@@ -65,13 +68,13 @@
         self.fleet.backends[index]
             .set_faults(&FaultSwitches::default())
             .await?;
-        Ok(Healed::now(&id))
+        Ok(Recovery::now(&id))
     }
 
     async fn replace_backend(&mut self, index: usize) -> Result<(), FleetError> {
-        let place = self.fleet.backends[index].place.clone();
+        let spec = self.fleet.backends[index].spec.clone();
         self.fleet.backends[index].process.kill().await;
-        self.fleet.add_backend(place.kind, place.zone).await?;
+        self.fleet.add_backend(spec.kind, spec.zone).await?;
         // The new one takes the old one's index; the old one's execution log is still read.
         let last = self.fleet.backends.len() - 1;
         self.fleet.backends.swap(index, last);
@@ -80,7 +83,7 @@
     }
 
     async fn drain_by_operator(&mut self, index: usize, id: &str) -> Result<(), FleetError> {
-        let pools = pools_of(self.fleet.backends[index].place.kind);
+        let pools = pools_of(self.fleet.backends[index].spec.kind);
         let mut ordered_micros = 0;
         for pool in pools {
             self.order_drain(pool, id, true).await?;
@@ -91,7 +94,7 @@
         for pool in pools {
             self.order_drain(pool, id, false).await?;
         }
-        self.note_drain(id, ordered_micros, readmitted_micros);
+        self.record_drain(id, ordered_micros, readmitted_micros);
         Ok(())
     }
 
@@ -118,11 +121,11 @@
         let readmitted_micros = Some(machine_micros());
         let order = json!({"draining": false});
         let _ = send_json(registry, Method::PUT, &path, &order).await;
-        self.note_drain(id, ordered_micros, readmitted_micros);
+        self.record_drain(id, ordered_micros, readmitted_micros);
         Ok(())
     }
 
-    fn note_drain(&self, id: &str, ordered_micros: u64, readmitted_micros: Option<u64>) {
+    fn record_drain(&self, id: &str, ordered_micros: u64, readmitted_micros: Option<u64>) {
         let drain = DrainSeen {
             backend: id.to_owned(),
             ordered_micros,
@@ -145,7 +148,7 @@
 pub fn switches(kind: FaultKind) -> FaultSwitches {
     let none = FaultSwitches::default();
     match kind {
-        FaultKind::BackendDark => FaultSwitches { dark: true, ..none },
+        FaultKind::BackendUnresponsive => FaultSwitches { dark: true, ..none },
         FaultKind::BackendRefuse => FaultSwitches {
             refuse: true,
             ..none
@@ -166,8 +169,8 @@
             stray_bytes: true,
             ..none
         },
-        FaultKind::BackendCut => FaultSwitches {
-            cut_after: Some(CUT_AFTER),
+        FaultKind::BackendTruncation => FaultSwitches {
+            truncate_after: Some(TRUNCATE_AFTER_CHUNKS),
             ..none
         },
         _ => none,
--- a/crates/lab/src/chaos/companion.rs
+++ b/crates/lab/src/chaos/companion.rs
@@ -1,4 +1,4 @@
-//! Backend faults that last while another fault is carried out.
+//! Backend faults that last while another fault is active.
 
 use super::backend_faults::switches;
 use super::driver::Driver;
@@ -10,14 +10,14 @@
 const COMPANION_ODDS: usize = 3;
 /// Faults that may accompany others.
 const COMPANIONS: [FaultKind; 5] = [
-    FaultKind::BackendDark,
+    FaultKind::BackendUnresponsive,
     FaultKind::BackendSlow,
     FaultKind::BackendLate,
     FaultKind::BackendCrossed,
     FaultKind::BackendStray,
 ];
 
-/// A backend fault that lasts while another fault is carried out.
+/// A backend fault that lasts while another fault is active.
 #[derive(Clone, Debug)]
 pub struct Companion {
     kind: FaultKind,
@@ -38,7 +38,7 @@
         &mut self,
         main: FaultKind,
     ) -> Result<Option<Companion>, FleetError> {
-        if main.strikes_backends() || self.draw(COMPANION_ODDS) > 0 {
+        if main.targets_backend() || self.draw(COMPANION_ODDS) > 0 {
             return Ok(None);
         }
         let kind = COMPANIONS[self.draw(COMPANIONS.len())];
@@ -47,14 +47,14 @@
         backend.set_faults(&switches(kind)).await?;
         Ok(Some(Companion {
             kind,
-            backend: backend.place.id.clone(),
+            backend: backend.spec.id.clone(),
         }))
     }
 
     /// Ends a companion.
     pub async fn end_companion(&self, companion: &Companion) -> Result<(), FleetError> {
         let mut backends = self.fleet.backends.iter();
-        match backends.find(|backend| backend.place.id == companion.backend) {
+        match backends.find(|backend| backend.spec.id == companion.backend) {
             Some(backend) => backend.set_faults(&FaultSwitches::default()).await,
             None => Ok(()),
         }
--- a/crates/lab/src/chaos/control_faults.rs
+++ b/crates/lab/src/chaos/control_faults.rs
@@ -5,7 +5,7 @@
 use rustix::process::Signal;
 use tokio::time::sleep;
 
-use super::driver::{Driver, Healed};
+use super::driver::{Driver, Recovery};
 use super::fault_kind::FaultKind;
 use super::status_view::wait_for_repair;
 use crate::demo::faults::leader_index;
@@ -20,9 +20,9 @@
 
 impl Driver {
     /// Strikes one or more control nodes.
-    pub async fn strike_control(&mut self, kind: FaultKind) -> Result<Healed, FleetError> {
+    pub async fn inject_control_fault(&mut self, kind: FaultKind) -> Result<Recovery, FleetError> {
         let index = self.draw(self.fleet.controls.len());
-        let name = self.fleet.controls[index].place.name.clone();
+        let name = self.fleet.controls[index].spec.name.clone();
         let outage = self.draw_time(SHORTEST, LONGEST);
         match kind {
             FaultKind::LeaderKill => return self.kill_leader(outage).await,
@@ -37,13 +37,13 @@
                 self.fleet.controls[index].restart().await?;
             }
             FaultKind::ControlReplace => self.fleet.replace_control(index).await?,
-            FaultKind::ControlSecondLoss => return self.lose_a_second(index).await,
-            FaultKind::ControlRolling => return self.roll_controls().await,
+            FaultKind::ControlSecondLoss => return self.kill_second_after_repair(index).await,
+            FaultKind::ControlRolling => return self.restart_control_nodes_in_turn().await,
             FaultKind::ControlHerd => {
                 self.kill_every_control().await;
                 sleep(outage).await;
                 self.restart_every_control().await?;
-                return Ok(Healed::now("every control node"));
+                return Ok(Recovery::now("every control node"));
             }
             _ => {
                 self.fleet.controls[index].process.kill().await;
@@ -51,7 +51,7 @@
                 self.fleet.controls[index].restart().await?;
             }
         }
-        Ok(Healed::now(&name))
+        Ok(Recovery::now(&name))
     }
 
     /// Kills every control node.
@@ -72,7 +72,7 @@
         Ok(())
     }
 
-    async fn kill_leader(&mut self, outage: Duration) -> Result<Healed, FleetError> {
+    async fn kill_leader(&mut self, outage: Duration) -> Result<Recovery, FleetError> {
         let status = self
             .fleet
             .operator
@@ -82,32 +82,32 @@
             .as_ref()
             .and_then(|status| leader_index(&self.fleet, status));
         let index = leader.unwrap_or(0);
-        let name = self.fleet.controls[index].place.name.clone();
+        let name = self.fleet.controls[index].spec.name.clone();
         self.fleet.controls[index].process.kill().await;
         sleep(outage).await;
         self.fleet.controls[index].restart().await?;
-        Ok(Healed::now(&name))
+        Ok(Recovery::now(&name))
     }
 
     /// Replaces one control node and, right after the repair, kills another.
-    async fn lose_a_second(&mut self, index: usize) -> Result<Healed, FleetError> {
+    async fn kill_second_after_repair(&mut self, index: usize) -> Result<Recovery, FleetError> {
         self.fleet.replace_control(index).await?;
         wait_for_repair(&self.fleet).await?;
         let second = (index + 1) % self.fleet.controls.len();
-        let name = self.fleet.controls[second].place.name.clone();
+        let name = self.fleet.controls[second].spec.name.clone();
         self.fleet.controls[second].process.kill().await;
         // With the new node and the one left there is a quorum: an order must pass.
         self.change(|_| {}).await?;
         self.fleet.controls[second].restart().await?;
-        Ok(Healed::now(&format!("a replacement, then {name}")))
+        Ok(Recovery::now(&format!("a replacement, then {name}")))
     }
 
-    async fn roll_controls(&mut self) -> Result<Healed, FleetError> {
+    async fn restart_control_nodes_in_turn(&mut self) -> Result<Recovery, FleetError> {
         for index in 0..self.fleet.controls.len() {
             self.fleet.controls[index].process.leave().await;
             self.fleet.controls[index].restart().await?;
             wait_for_repair(&self.fleet).await?;
         }
-        Ok(Healed::now("every control node"))
+        Ok(Recovery::now("every control node"))
     }
 }
--- a/crates/lab/src/chaos/driver.rs
+++ b/crates/lab/src/chaos/driver.rs
@@ -1,4 +1,4 @@
-//! Chooses and carries out the faults.
+//! Chooses and injects the faults.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -18,23 +18,23 @@
 use crate::workload::CallersOptions;
 use crate::workload::service_probe::ServiceProbe;
 
-/// Quiet time after each fault, in which adoption and revocation are judged.
-const QUIET: Duration = Duration::from_secs(2);
+/// Time after each fault, in which adoption and revocation are judged.
+const SETTLING_TIME: Duration = Duration::from_secs(2);
 
-/// One fault that was carried out.
+/// One injected fault.
 #[derive(Clone, Debug, Serialize)]
-pub struct FaultDone {
+pub struct InjectedFault {
     /// Kind of the fault.
     pub kind: &'static str,
-    /// What it struck.
+    /// The target that it was injected into.
     pub target: String,
     /// Machine clock at its start, in microseconds.
     pub from_micros: u64,
-    /// Milliseconds from the repair to whole service; absent if it never came.
+    /// Milliseconds from the repair to full service; absent if it never came.
     pub recovery_ms: Option<u64>,
 }
 
-/// Chooses and carries out the faults.
+/// Chooses and injects the faults.
 #[derive(Debug)]
 pub struct Driver {
     /// The fleet under test.
@@ -43,10 +43,10 @@
     pub log: HistoryLog,
     /// Choices.
     pub random: ChaCha8Rng,
-    /// Who calls, for the probes and the revocations.
+    /// Tenants that send requests, for the probes and the revocations.
     pub callers: CallersOptions,
-    /// What was done.
-    pub faults_done: Vec<FaultDone>,
+    /// The injected faults.
+    pub injected_faults: Vec<InjectedFault>,
     /// Number of caller groups so far, each with markers of its own.
     pub marker_seeds: u64,
     probe: ServiceProbe,
@@ -54,16 +54,16 @@
     seed: u64,
 }
 
-/// What a fault struck, and when everything it took was back.
+/// Target of a fault and the time at which everything that it stopped ran again.
 #[derive(Debug)]
-pub struct Healed {
-    /// What was struck.
+pub struct Recovery {
+    /// The target.
     pub target: String,
     /// Machine clock when the last machine was back, in microseconds.
     pub at_micros: u64,
 }
 
-impl Healed {
+impl Recovery {
     /// Everything is back now.
     #[must_use]
     pub fn now(target: &str) -> Self {
@@ -85,14 +85,14 @@
             random: ChaCha8Rng::seed_from_u64(seed),
             probe: ServiceProbe::new(prober, seed),
             callers,
-            faults_done: Vec::new(),
+            injected_faults: Vec::new(),
             marker_seeds: 0,
             orders: 0,
             seed,
         }
     }
 
-    /// Carries out faults until the time is over. Each kind comes once before any comes twice.
+    /// Injects faults until the time is over. Each kind comes once before any comes twice.
     pub async fn run(&mut self, options: &ChaosOptions) -> Result<(), FleetError> {
         let start = Instant::now();
         let length = Duration::from_secs_f64(options.minutes * 60.0);
@@ -107,32 +107,32 @@
                     kinds.pop().unwrap_or(FaultKind::BackendKill)
                 }
             };
-            self.strike(kind).await?;
+            self.inject(kind).await?;
         }
         let outcomes = std::mem::take(&mut self.probe.outcomes);
         self.log.add(|history| history.calls.extend(outcomes));
         Ok(())
     }
 
-    async fn strike(&mut self, kind: FaultKind) -> Result<(), FleetError> {
+    async fn inject(&mut self, kind: FaultKind) -> Result<(), FleetError> {
         let from_micros = machine_micros();
         let companion = self.begin_companion(kind).await?;
-        let mut healed = self.carry_out(kind).await?;
+        let mut recovered = self.inject_kind(kind).await?;
         if let Some(companion) = companion {
             self.end_companion(&companion).await?;
-            healed = Healed::now(&format!("{} with {}", healed.target, companion.text()));
+            recovered = Recovery::now(&format!("{} with {}", recovered.target, companion.text()));
         }
         let served_micros = self.probe.wait(&self.fleet).await;
         let recovery_ms =
-            served_micros.map(|served| served.saturating_sub(healed.at_micros) / 1_000);
+            served_micros.map(|served| served.saturating_sub(recovered.at_micros) / 1_000);
         println!(
             "{:<22} {:<28} service after {recovery_ms:?} ms",
             kind.name(),
-            healed.target
+            recovered.target
         );
         let recovery = RecoverySeen {
-            what: format!("{} of {}", kind.name(), healed.target),
-            healed_micros: healed.at_micros,
+            what: format!("{} of {}", kind.name(), recovered.target),
+            healed_micros: recovered.at_micros,
             served_micros,
         };
         let until_micros = served_micros.unwrap_or_else(machine_micros);
@@ -145,22 +145,22 @@
                 });
             }
         });
-        let target = healed.target;
-        self.faults_done.push(FaultDone {
+        let target = recovered.target;
+        self.injected_faults.push(InjectedFault {
             kind: kind.name(),
             target,
             from_micros,
             recovery_ms,
         });
         if kind.disturbs_control() {
-            self.note_repair(kind).await;
+            self.record_repair(kind).await;
         }
-        sleep(QUIET).await;
+        sleep(SETTLING_TIME).await;
         Ok(())
     }
 
     /// A control plane that does not repair itself counts as an outage that never ended.
-    async fn note_repair(&self, kind: FaultKind) {
+    async fn record_repair(&self, kind: FaultKind) {
         let healed_micros = machine_micros();
         let repaired = wait_for_repair(&self.fleet).await;
         if repaired.is_ok() {
@@ -176,30 +176,30 @@
         self.log.add(|history| history.recoveries.push(recovery));
     }
 
-    async fn carry_out(&mut self, kind: FaultKind) -> Result<Healed, FleetError> {
+    async fn inject_kind(&mut self, kind: FaultKind) -> Result<Recovery, FleetError> {
         match kind {
             FaultKind::BackendKill
             | FaultKind::BackendReplace
             | FaultKind::BackendStop
             | FaultKind::OperatorDrain
-            | FaultKind::PlatformDrain => self.strike_backend(kind).await,
-            FaultKind::BackendDark
+            | FaultKind::PlatformDrain => self.inject_backend_fault(kind).await,
+            FaultKind::BackendUnresponsive
             | FaultKind::BackendRefuse
             | FaultKind::BackendSlow
             | FaultKind::BackendLate
             | FaultKind::BackendCrossed
             | FaultKind::BackendStray
-            | FaultKind::BackendCut => self.switch_backend(kind).await,
+            | FaultKind::BackendTruncation => self.inject_backend_misbehavior(kind).await,
             FaultKind::AgentKill
             | FaultKind::ProxyKill
             | FaultKind::FrontHerd
-            | FaultKind::FrontRolling => self.strike_front(kind).await,
+            | FaultKind::FrontRolling => self.inject_proxy_fault(kind).await,
             FaultKind::OperatorRace => self.race_operators().await,
             FaultKind::OrderResent => self.resend_order().await,
             FaultKind::KeyRevocation => self.revoke_keys().await,
-            FaultKind::HotTenant => self.press_quota().await,
+            FaultKind::HotTenant => self.exceed_quota().await,
             FaultKind::FullRestart => self.restart_after_changes().await,
-            _ => self.strike_control(kind).await,
+            _ => self.inject_control_fault(kind).await,
         }
     }
 
@@ -213,7 +213,7 @@
     #[must_use]
     pub fn control_address(&self, turn: usize) -> SocketAddr {
         self.fleet.controls[turn % self.fleet.controls.len()]
-            .place
+            .spec
             .operator
     }
 
--- a/crates/lab/src/chaos/fault_kind.rs
+++ b/crates/lab/src/chaos/fault_kind.rs
@@ -29,22 +29,22 @@
     BackendKill = "backend-kill";
     /// A backend is killed and another takes its place at a new address.
     BackendReplace = "backend-replace";
-    /// A backend goes dark in the middle of its streams.
-    BackendDark = "backend-dark";
+    /// A backend becomes unresponsive in the middle of its streams.
+    BackendUnresponsive = "backend-dark";
     /// A backend is stopped for a while.
     BackendStop = "backend-stop";
-    /// A backend refuses everything.
+    /// A backend rejects every request.
     BackendRefuse = "backend-refuse";
     /// A backend is ten times slower.
     BackendSlow = "backend-slow";
-    /// A backend holds back its answers.
+    /// A backend holds back its responses.
     BackendLate = "backend-late";
-    /// A backend crosses its answers.
+    /// A backend crosses its responses.
     BackendCrossed = "backend-crossed";
-    /// A backend sends stray bytes after its answers.
+    /// A backend sends stray bytes after its responses.
     BackendStray = "backend-stray";
-    /// A backend cuts its answers.
-    BackendCut = "backend-cut";
+    /// A backend truncates its responses.
+    BackendTruncation = "backend-cut";
     /// An operator drains a backend and readmits it.
     OperatorDrain = "operator-drain";
     /// The platform retires a backend and takes that back.
@@ -61,7 +61,7 @@
     ControlReplace = "control-replace";
     /// The same, and another control node is killed right after the repair.
     ControlSecondLoss = "control-second-loss";
-    /// The control nodes leave and come back one by one.
+    /// The control nodes are shut down and restarted one by one.
     ControlRolling = "control-rolling";
     /// Every control node is killed and comes back.
     ControlHerd = "control-herd";
@@ -71,11 +71,11 @@
     ProxyKill = "proxy-kill";
     /// All agents and proxies of one half of the site are killed and come back.
     FrontHerd = "front-herd";
-    /// The front machines leave and come back one by one.
+    /// The proxy nodes are shut down and restarted one by one.
     FrontRolling = "front-rolling";
     /// Two operators build on the same number, at two nodes.
     OperatorRace = "operator-race";
-    /// An order's answer is lost; it is sent again to another node.
+    /// An order's response is lost; it is sent again to another node.
     OrderResent = "order-resent";
     /// A tenant's keys are revoked, and restored later.
     KeyRevocation = "key-revocation";
@@ -107,11 +107,11 @@
 
     /// Whether the fault is one of backends.
     #[must_use]
-    pub fn strikes_backends(self) -> bool {
+    pub fn targets_backend(self) -> bool {
         self.name().starts_with("backend-") || self.name().ends_with("-drain")
     }
 
-    /// Whether the fault may cut front machines off the control plane for a while.
+    /// Whether the fault may disconnect proxy nodes from the control plane for a while.
     #[must_use]
     pub fn disturbs_control(self) -> bool {
         matches!(
--- a/crates/lab/src/chaos/mod.rs
+++ b/crates/lab/src/chaos/mod.rs
@@ -1,4 +1,4 @@
-//! `millford-lab chaos`: real processes under every fault of the brief, with the promises checked
+//! `millford-lab chaos`: real processes under every fault of the brief, with the guarantees checked
 //! over the whole history.
 
 pub mod backend_faults;
@@ -6,11 +6,11 @@
 pub mod control_faults;
 pub mod driver;
 pub mod fault_kind;
-pub mod front_faults;
 pub mod history_log;
 pub mod operator_faults;
 pub mod options;
 pub mod orders;
+pub mod proxy_faults;
 pub mod report;
 pub mod status_view;
 pub mod tenant_faults;
@@ -75,9 +75,9 @@
         site: driver.fleet.plan.name,
         seed: options.seed,
         minutes: options.minutes,
-        faults: driver.faults_done.clone(),
+        faults: driver.injected_faults.clone(),
         figures: Figures::of(&history),
-        promises: check_all(&history),
+        guarantees: check_all(&history),
     };
     report.publish(options.json.as_deref())?;
     if let Err(error) = result {
@@ -85,11 +85,11 @@
         driver.fleet.stop().await;
         return Err(error);
     }
-    if !report.promises.held() {
+    if !report.guarantees.holds() {
         println!("logs are kept in {}", driver.fleet.keep_folder().display());
     }
     driver.fleet.stop().await;
-    Ok(if report.promises.held() {
+    Ok(if report.guarantees.holds() {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/lab/src/chaos/operator_faults.rs
+++ b/crates/lab/src/chaos/operator_faults.rs
@@ -5,8 +5,8 @@
 use millford_api::config::Document;
 use tokio::time::timeout;
 
-use super::driver::{Driver, Healed};
-use super::tenant_faults::call_steadily;
+use super::driver::{Driver, Recovery};
+use super::tenant_faults::send_steadily;
 use crate::checks::history::RevocationSeen;
 use crate::fleet::FleetError;
 use crate::fleet::operator::{Order, OrderAnswer};
@@ -16,18 +16,18 @@
 const CHANGES: usize = 300;
 /// How long a key stays revoked: past its bound, so that late use would show.
 const REVOKED_TIME: Duration = Duration::from_secs(5);
-/// Time between two calls with the revoked key.
+/// Time between two requests with the revoked key.
 const REVOKED_PERIOD: Duration = Duration::from_millis(100);
-/// Shortest time after which an answer is lost.
+/// Shortest time after which a response is lost.
 const SOONEST_LOSS: Duration = Duration::from_micros(200);
-/// Longest time after which an answer is lost.
+/// Longest time after which a response is lost.
 const LATEST_LOSS: Duration = Duration::from_millis(30);
 /// Base of the drain times that the orders set.
 const DRAIN_MS_BASE: u32 = 3_000;
 
 impl Driver {
     /// Two operators build on the same number; the winner's order is sent again elsewhere.
-    pub async fn race_operators(&mut self) -> Result<Healed, FleetError> {
+    pub async fn race_operators(&mut self) -> Result<Recovery, FleetError> {
         let (base_revision, document) = self.read_configuration().await?;
         let orders = [1, 2].map(|variant| Order {
             base_revision,
@@ -44,14 +44,14 @@
                 self.send_order(self.control_address(turn), order).await;
             }
             if matches!(answer, OrderAnswer::Accepted { .. }) {
-                self.settle_order(order).await?;
+                self.resolve_order(order).await?;
             }
         }
-        Ok(Healed::now("two operators"))
+        Ok(Recovery::now("two operators"))
     }
 
-    /// The operator goes away before the answer and sends the order to another node.
-    pub async fn resend_order(&mut self) -> Result<Healed, FleetError> {
+    /// The operator disconnects before the response and sends the order to another node.
+    pub async fn resend_order(&mut self) -> Result<Recovery, FleetError> {
         let (base_revision, document) = self.read_configuration().await?;
         let order = Order {
             base_revision,
@@ -61,15 +61,15 @@
         let patience = self.draw_time(SOONEST_LOSS, LATEST_LOSS);
         let _ = timeout(patience, self.send_order(self.control_address(0), &order)).await;
         self.send_order(self.control_address(1), &order).await;
-        let settled = self.settle_order(&order).await?;
+        let settled = self.resolve_order(&order).await?;
         for turn in 0..self.fleet.controls.len() {
             self.send_order(self.control_address(turn), &order).await;
         }
-        Ok(Healed::now(&format!("revision {}", settled.revision)))
+        Ok(Recovery::now(&format!("revision {}", settled.revision)))
     }
 
     /// Revokes the keys of the last tenant and restores them.
-    pub async fn revoke_keys(&mut self) -> Result<Healed, FleetError> {
+    pub async fn revoke_keys(&mut self) -> Result<Recovery, FleetError> {
         let calling = self.last_tenant();
         let tenant = calling.name.clone();
         let (_, before) = self.read_configuration().await?;
@@ -81,7 +81,7 @@
             .change(|document| set_keys(document, &tenant, &[]))
             .await?;
         let mut callers = self.callers_of(&calling);
-        call_steadily(&mut callers, REVOKED_PERIOD, REVOKED_TIME).await;
+        send_steadily(&mut callers, REVOKED_PERIOD, REVOKED_TIME).await;
         let calls = callers.finish().await;
         self.log.add(|history| history.calls.extend(calls));
         let restored_micros = Some(machine_micros());
@@ -93,19 +93,19 @@
             restored_micros,
         };
         self.log.add(|history| history.revocations.push(revocation));
-        Ok(Healed::now(&tenant))
+        Ok(Recovery::now(&tenant))
     }
 
     /// Many changes, then every control node is killed and started again; an order from before
     /// the changes must still be acknowledged.
-    pub async fn restart_after_changes(&mut self) -> Result<Healed, FleetError> {
+    pub async fn restart_after_changes(&mut self) -> Result<Recovery, FleetError> {
         let (base_revision, document) = self.read_configuration().await?;
         let first = Order {
             base_revision,
             order_id: self.next_order_id(),
             document: varied(&document, 4),
         };
-        let mut base_revision = self.settle_order(&first).await?.revision;
+        let mut base_revision = self.resolve_order(&first).await?.revision;
         for number in 0..CHANGES {
             let variant = u32::try_from(number % 50).unwrap_or(0) + 5;
             let document = varied(&document, variant);
@@ -114,14 +114,14 @@
                 order_id: self.next_order_id(),
                 document,
             };
-            base_revision = self.settle_order(&order).await?.revision;
+            base_revision = self.resolve_order(&order).await?.revision;
         }
         self.kill_every_control().await;
         self.restart_every_control().await?;
-        let healed = Healed::now(&format!("the control plane at {base_revision}"));
-        self.settle_order(&first).await?;
+        let recovered = Recovery::now(&format!("the control plane at {base_revision}"));
+        self.resolve_order(&first).await?;
         self.read_configuration().await?;
-        Ok(healed)
+        Ok(recovered)
     }
 }
 
--- a/crates/lab/src/chaos/options.rs
+++ b/crates/lab/src/chaos/options.rs
@@ -5,8 +5,8 @@
 use getopts::{Matches, Options};
 
 use super::fault_kind::FaultKind;
-use crate::arguments::{argument, optional, value};
-use crate::fleet::{FleetError, Site};
+use crate::arguments::{ArgumentError, add_keep_logs, add_site, optional, site, value};
+use crate::fleet::Site;
 
 /// Options of the chaos command.
 #[derive(Clone, Debug)]
@@ -19,7 +19,7 @@
     pub seed: u64,
     /// Only this fault, again and again.
     pub only: Option<FaultKind>,
-    /// File for everything that was seen, call by call.
+    /// File for everything that was seen, request by request.
     pub history: Option<PathBuf>,
     /// File for the report.
     pub json: Option<PathBuf>,
@@ -27,32 +27,28 @@
     pub keep_logs: bool,
 }
 
-/// The flags.
+/// The command's options.
 #[must_use]
 pub fn getopts() -> Options {
     let mut options = Options::new();
-    options.optopt("", "site", "topology", "demo|reykjavik|dakar");
+    add_site(&mut options);
     options.optopt("", "minutes", "length of the run", "NUMBER");
     options.optopt("", "seed", "seed of the choice of faults", "NUMBER");
     options.optopt("", "only", "one fault, again and again", "FAULT");
     options.optopt("", "history", "file for every call, run and order", "FILE");
     options.optopt("", "json", "file for the report", "FILE");
-    options.optflag(
-        "",
-        "keep-logs",
-        "keep the folder of settings, logs and data",
-    );
+    add_keep_logs(&mut options);
     options
 }
 
 impl ChaosOptions {
-    /// Reads the flags.
-    pub fn read(matches: &Matches) -> Result<Self, FleetError> {
-        let name: String = value(matches, "site", "reykjavik".to_owned())?;
-        let site = Site::from_name(&name)
-            .ok_or_else(|| argument(&format!("--site: unknown site \"{name}\"")))?;
+    /// Reads the options of the command line.
+    ///
+    /// # Errors
+    /// [`ArgumentError`] for a value that cannot be used.
+    pub fn read(matches: &Matches) -> Result<Self, ArgumentError> {
         Ok(Self {
-            site,
+            site: site(matches, Site::Reykjavik)?,
             minutes: value(matches, "minutes", 1.0)?,
             seed: value(matches, "seed", 1)?,
             only: optional(matches, "only")?,
--- a/crates/lab/src/chaos/orders.rs
+++ b/crates/lab/src/chaos/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of the chaos command: sent until their fate is known, every answer noted.
+//! Orders of the chaos command: sent until their outcome is known, every response recorded.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,19 +14,19 @@
 use crate::protocol::machine_micros;
 
 /// How often an order is sent before the run gives up.
-const MOST_SENDINGS: usize = 120;
+const MAX_SENDS: usize = 120;
 /// Pause before an order is sent again.
-const RESEND_PAUSE: Duration = Duration::from_millis(250);
+const RESEND_DELAY: Duration = Duration::from_millis(250);
 
 impl Driver {
-    /// Sends an order to one node and notes the answer.
+    /// Sends an order to one node and records the response.
     pub async fn send_order(&self, server: SocketAddr, order: &Order) -> OrderAnswer {
-        send_and_note(&self.fleet.operator, server, order, &self.log).await
+        send_and_record(&self.fleet.operator, server, order, &self.log).await
     }
 
     /// Reads the configuration in force from any node.
     pub async fn read_configuration(&self) -> Result<(u64, Document), FleetError> {
-        for turn in 0..MOST_SENDINGS {
+        for turn in 0..MAX_SENDS {
             if let Some(read) = self
                 .fleet
                 .operator
@@ -35,7 +35,7 @@
             {
                 return Ok(read);
             }
-            sleep(RESEND_PAUSE).await;
+            sleep(RESEND_DELAY).await;
         }
         Err(FleetError::Operator("no confirmed read".to_owned()))
     }
@@ -53,12 +53,12 @@
             order_id: self.next_order_id(),
             document,
         };
-        self.settle_order(&order).await
+        self.resolve_order(&order).await
     }
 
     /// Sends an order to one node after the other until it is accepted.
-    pub async fn settle_order(&mut self, order: &Order) -> Result<Acknowledgement, FleetError> {
-        for turn in 0..MOST_SENDINGS {
+    pub async fn resolve_order(&mut self, order: &Order) -> Result<Acknowledgement, FleetError> {
+        for turn in 0..MAX_SENDS {
             match self.send_order(self.control_address(turn), order).await {
                 OrderAnswer::Accepted { revision, .. } => {
                     return Ok(Acknowledgement {
@@ -72,7 +72,7 @@
                         "order {id} was refused: {code}"
                     )));
                 }
-                _ => sleep(RESEND_PAUSE).await,
+                _ => sleep(RESEND_DELAY).await,
             }
         }
         Err(FleetError::Operator(format!(
@@ -87,12 +87,12 @@
 pub struct Acknowledgement {
     /// Its number.
     pub revision: u64,
-    /// When the answer was there, by the machine clock.
+    /// When the response was there, by the machine clock.
     pub at_micros: u64,
 }
 
-/// Sends an order and notes the answer.
-pub async fn send_and_note(
+/// Sends an order and records the response.
+pub async fn send_and_record(
     operator: &Operator,
     server: SocketAddr,
     order: &Order,
--- a/crates/lab/src/chaos/proxy_faults.rs
+++ b/crates/lab/src/chaos/proxy_faults.rs
@@ -1,43 +1,43 @@
 //! Faults of agents and proxies.
 
-use super::driver::{Driver, Healed};
+use super::driver::{Driver, Recovery};
 use super::fault_kind::FaultKind;
 use crate::fleet::FleetError;
 
 impl Driver {
-    /// Strikes one or more front machines.
-    pub async fn strike_front(&mut self, kind: FaultKind) -> Result<Healed, FleetError> {
-        let index = self.draw(self.fleet.fronts.len());
-        let name = self.fleet.fronts[index].place.name.clone();
+    /// Injects a fault into one or more proxy nodes.
+    pub async fn inject_proxy_fault(&mut self, kind: FaultKind) -> Result<Recovery, FleetError> {
+        let index = self.draw(self.fleet.proxy_nodes.len());
+        let name = self.fleet.proxy_nodes[index].spec.name.clone();
         match kind {
-            FaultKind::AgentKill => self.fleet.fronts[index].restart_agent().await?,
-            FaultKind::ProxyKill => self.fleet.fronts[index].restart_proxy().await?,
+            FaultKind::AgentKill => self.fleet.proxy_nodes[index].restart_agent().await?,
+            FaultKind::ProxyKill => self.fleet.proxy_nodes[index].restart_proxy().await?,
             FaultKind::FrontHerd => return self.kill_half().await,
-            _ => return self.roll_fronts().await,
+            _ => return self.restart_proxies_in_turn().await,
         }
-        Ok(Healed::now(&name))
+        Ok(Recovery::now(&name))
     }
 
-    async fn kill_half(&mut self) -> Result<Healed, FleetError> {
-        let half = self.fleet.fronts.len() / 2;
-        for front in &mut self.fleet.fronts[..half] {
-            front.proxy.kill().await;
-            front.agent.kill().await;
+    async fn kill_half(&mut self) -> Result<Recovery, FleetError> {
+        let half = self.fleet.proxy_nodes.len() / 2;
+        for proxy_node in &mut self.fleet.proxy_nodes[..half] {
+            proxy_node.proxy.kill().await;
+            proxy_node.agent.kill().await;
         }
-        for front in &mut self.fleet.fronts[..half] {
-            front.restart_agent().await?;
-            front.restart_proxy().await?;
+        for proxy_node in &mut self.fleet.proxy_nodes[..half] {
+            proxy_node.restart_agent().await?;
+            proxy_node.restart_proxy().await?;
         }
-        Ok(Healed::now("half of the front machines"))
+        Ok(Recovery::now("half of the front machines"))
     }
 
-    async fn roll_fronts(&mut self) -> Result<Healed, FleetError> {
-        for front in &mut self.fleet.fronts {
-            front.proxy.leave().await;
-            front.agent.leave().await;
-            front.restart_agent().await?;
-            front.restart_proxy().await?;
+    async fn restart_proxies_in_turn(&mut self) -> Result<Recovery, FleetError> {
+        for proxy_node in &mut self.fleet.proxy_nodes {
+            proxy_node.proxy.leave().await;
+            proxy_node.agent.leave().await;
+            proxy_node.restart_agent().await?;
+            proxy_node.restart_proxy().await?;
         }
-        Ok(Healed::now("every front machine"))
+        Ok(Recovery::now("every front machine"))
     }
 }
--- a/crates/lab/src/chaos/report.rs
+++ b/crates/lab/src/chaos/report.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use super::driver::FaultDone;
+use super::driver::InjectedFault;
 use crate::checks::{History, Report};
 use crate::fleet::FleetError;
 use crate::workload::Figures;
@@ -16,14 +16,15 @@
     pub site: &'static str,
     /// Seed of the choice of faults.
     pub seed: u64,
-    /// Length asked for.
+    /// Length requested.
     pub minutes: f64,
-    /// What was done.
-    pub faults: Vec<FaultDone>,
+    /// The injected faults.
+    pub faults: Vec<InjectedFault>,
     /// What callers saw.
     pub figures: Figures,
-    /// The promises.
-    pub promises: Report,
+    /// The guarantees.
+    #[serde(rename = "promises")]
+    pub guarantees: Report,
 }
 
 /// Writes everything that was seen to a file, for the search of a violation's cause.
@@ -33,7 +34,7 @@
 }
 
 impl ChaosReport {
-    /// Prints the report and writes the file, if one is asked for.
+    /// Prints the report and writes the file, if one is requested.
     pub fn publish(&self, json: Option<&Path>) -> Result<(), FleetError> {
         println!(
             "\n{} faults at {}, seed {}\n",
@@ -42,7 +43,7 @@
             self.seed
         );
         println!("{}", self.figures.text());
-        println!("{}", self.promises.table());
+        println!("{}", self.guarantees.table());
         let Some(path) = json else {
             return Ok(());
         };
--- a/crates/lab/src/chaos/status_view.rs
+++ b/crates/lab/src/chaos/status_view.rs
@@ -11,7 +11,7 @@
 /// Longest wait for the repair of every shard.
 const REPAIR_BOUND: Duration = Duration::from_secs(60);
 
-/// Waits until every shard has its full number of voters, all of them nodes that answer.
+/// Waits until every shard has its full number of voters, all of them nodes that respond.
 pub async fn wait_for_repair(fleet: &Fleet) -> Result<(), FleetError> {
     wait_for("the repair of every shard", REPAIR_BOUND, || {
         is_repaired(fleet)
@@ -23,7 +23,7 @@
     let mut nodes = BTreeSet::new();
     let mut statuses = Vec::new();
     for control in &fleet.controls {
-        let Some(status) = fleet.operator.status(control.place.operator).await else {
+        let Some(status) = fleet.operator.status(control.spec.operator).await else {
             return false;
         };
         nodes.extend(status["node"].as_str().map(str::to_owned));
--- a/crates/lab/src/chaos/tenant_faults.rs
+++ b/crates/lab/src/chaos/tenant_faults.rs
@@ -4,9 +4,9 @@
 
 use tokio::time::interval;
 
-use super::driver::{Driver, Healed};
+use super::driver::{Driver, Recovery};
 use crate::fleet::FleetError;
-use crate::workload::callers::CallingTenant;
+use crate::workload::callers::TenantCredentials;
 use crate::workload::{Callers, CallersOptions};
 
 /// How long a hot tenant presses.
@@ -19,27 +19,27 @@
 impl Driver {
     /// The tenant with the smallest quota sends a burst, then several times its rate, to every
     /// proxy.
-    pub async fn press_quota(&mut self) -> Result<Healed, FleetError> {
+    pub async fn exceed_quota(&mut self) -> Result<Recovery, FleetError> {
         let tenant = self.last_tenant();
         let mut callers = self.callers_of(&tenant);
         for _ in 0..HOT_BURST {
             callers.start_lookup();
         }
-        call_steadily(&mut callers, HOT_PERIOD, HOT_TIME).await;
+        send_steadily(&mut callers, HOT_PERIOD, HOT_TIME).await;
         let calls = callers.finish().await;
         self.log.add(|history| history.calls.extend(calls));
-        Ok(Healed::now(&tenant.name))
+        Ok(Recovery::now(&tenant.name))
     }
 
     /// The tenant whose quota is the smallest.
     #[must_use]
-    pub fn last_tenant(&self) -> CallingTenant {
+    pub fn last_tenant(&self) -> TenantCredentials {
         let last = self.callers.tenants.len() - 1;
         self.callers.tenants[last].clone()
     }
 
     /// Callers of one tenant, with markers that no other callers have.
-    pub fn callers_of(&mut self, tenant: &CallingTenant) -> Callers {
+    pub fn callers_of(&mut self, tenant: &TenantCredentials) -> Callers {
         self.marker_seeds += 1;
         Callers::new(CallersOptions {
             tenants: vec![tenant.clone()],
@@ -50,7 +50,7 @@
 }
 
 /// Starts lookups at a steady pace.
-pub async fn call_steadily(callers: &mut Callers, period: Duration, length: Duration) {
+pub async fn send_steadily(callers: &mut Callers, period: Duration, length: Duration) {
     let mut beats = interval(period);
     let count = length.as_micros() / period.as_micros().max(1);
     for _ in 0..count {
--- a/crates/lab/src/chaos/traffic_task.rs
+++ b/crates/lab/src/chaos/traffic_task.rs
@@ -4,7 +4,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{MissedTickBehavior, interval};
 
-use crate::caller::CallOutcome;
+use crate::caller::RequestOutcome;
 use crate::workload::mix::{LOOKUP_PERIOD, Mix};
 use crate::workload::{Callers, CallersOptions};
 
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub struct TrafficTask {
     stop: watch::Sender<bool>,
-    task: JoinHandle<Vec<CallOutcome>>,
+    task: JoinHandle<Vec<RequestOutcome>>,
 }
 
 impl TrafficTask {
@@ -26,21 +26,21 @@
         }
     }
 
-    /// Stops it, waits for the open calls and returns what all callers saw.
-    pub async fn stop(self) -> Vec<CallOutcome> {
+    /// Stops it, waits for the open requests and returns what all callers saw.
+    pub async fn stop(self) -> Vec<RequestOutcome> {
         self.stop.send_replace(true);
         self.task.await.unwrap_or_default()
     }
 }
 
-async fn call(options: CallersOptions, mut stopped: watch::Receiver<bool>) -> Vec<CallOutcome> {
+async fn call(options: CallersOptions, mut stopped: watch::Receiver<bool>) -> Vec<RequestOutcome> {
     let mut callers = Callers::new(options);
     let mut mix = Mix::default();
     let mut beats = interval(LOOKUP_PERIOD);
     beats.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            _ = beats.tick() => mix.beat(&mut callers),
+            _ = beats.tick() => mix.tick(&mut callers),
             _ = stopped.changed() => return callers.finish().await,
         }
     }
--- a/crates/lab/src/chaos/watcher.rs
+++ b/crates/lab/src/chaos/watcher.rs
@@ -52,10 +52,10 @@
             let addresses = addresses.lock().unwrap_or_else(PoisonError::into_inner);
             addresses[turn % addresses.len()]
         };
-        let asked_micros = machine_micros();
+        let requested_micros = machine_micros();
         if let Some((revision, _)) = operator.get_config(address).await {
             let read = ConfirmedReadSeen {
-                asked_micros,
+                requested_micros,
                 revision,
             };
             log.add(|history| history.reads.push(read));
--- a/crates/lab/src/checks/adoption.rs
+++ b/crates/lab/src/checks/adoption.rs
@@ -6,7 +6,7 @@
 /// Longest time to adopt a revision, in microseconds.
 const ADOPTION_BOUND_MICROS: u64 = 2_000_000;
 
-/// Judges every call that names a revision, outside of disturbances.
+/// Judges every request that names a revision, outside of disturbances.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
     let mut verdict = Verdict::new("an acknowledged configuration is adopted within 2 s");
@@ -17,17 +17,21 @@
             .iter()
             .filter(|call| call.started_micros > acknowledged);
         for call in calls.filter(|call| !history.is_disturbed(call.started_micros)) {
-            let Some(shown) = call.revision else {
+            let Some(applied_revisions) = call.revision else {
                 continue;
             };
             verdict.judged += 1;
-            if shown >= revision {
+            if applied_revisions >= revision {
                 continue;
             }
             let age = call.started_micros - acknowledged;
             keep_worst(&mut worst, age);
             if age > ADOPTION_BOUND_MICROS {
-                let text = format!("proxy {} showed {shown} {}", call.proxy, millis_text(age));
+                let text = format!(
+                    "proxy {} showed {applied_revisions} {}",
+                    call.proxy,
+                    millis_text(age)
+                );
                 verdict.violate(format!("{text} after {revision} was acknowledged"));
             }
         }
--- a/crates/lab/src/checks/answer_identity.rs
+++ b/crates/lab/src/checks/answer_identity.rs
@@ -1,16 +1,16 @@
-//! A caller never receives another request's answer.
+//! A caller never receives another request's response.
 
 use super::history::History;
 use super::verdict::Verdict;
 use crate::answer_text::AnswerText;
-use crate::caller::CallOutcome;
+use crate::caller::RequestOutcome;
 use crate::emulator::lookup::{LOOKUP_MODEL, LookupAnswer};
 
-/// Judges every piece that a caller got.
+/// Judges every chunk that a caller got.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
     let mut verdict = Verdict::new("no caller gets another request's answer");
-    for call in history.calls.iter().filter(|call| !call.pieces.is_empty()) {
+    for call in history.calls.iter().filter(|call| !call.chunks.is_empty()) {
         verdict.judged += 1;
         if let Some(fault) = fault(call) {
             verdict.violate(format!("request {}: {fault}", call.marker));
@@ -19,11 +19,11 @@
     verdict
 }
 
-fn fault(call: &CallOutcome) -> Option<String> {
+fn fault(call: &RequestOutcome) -> Option<String> {
     if call.model == LOOKUP_MODEL {
         return lookup_fault(call);
     }
-    let first = &call.pieces[0];
+    let first = &call.chunks[0];
     let Some(answer) = AnswerText::announced_by(&first.text) else {
         return Some(format!("the first piece names no request: {}", first.text));
     };
@@ -31,18 +31,19 @@
         return Some(format!("got the answer to request {}", answer.marker()));
     }
     if !call.streamed {
-        let whole = answer.whole(call.pieces_wanted);
-        return (first.text != whole).then(|| "the answer differs from its run's text".to_owned());
+        let full_text = answer.full_text(call.requested_chunks);
+        return (first.text != full_text)
+            .then(|| "the answer differs from its run's text".to_owned());
     }
-    let position = call.pieces.iter().zip(0_u64..);
-    let mut wrong = position.filter(|(piece, sequence)| piece.text != answer.piece(*sequence));
+    let position = call.chunks.iter().zip(0_u64..);
+    let mut wrong = position.filter(|(chunk, sequence)| chunk.text != answer.chunk(*sequence));
     wrong
         .next()
         .map(|(_, sequence)| format!("piece {sequence} differs from its run's text"))
 }
 
-fn lookup_fault(call: &CallOutcome) -> Option<String> {
-    let Ok(answer) = serde_json::from_str::<LookupAnswer>(&call.pieces[0].text) else {
+fn lookup_fault(call: &RequestOutcome) -> Option<String> {
+    let Ok(answer) = serde_json::from_str::<LookupAnswer>(&call.chunks[0].text) else {
         return Some("the lookup's answer is malformed".to_owned());
     };
     let expected = LookupAnswer::new(&answer.path, &call.marker);
--- a/crates/lab/src/checks/at_most_once.rs
+++ b/crates/lab/src/checks/at_most_once.rs
@@ -9,7 +9,7 @@
     let mut verdict = Verdict::new("at most one run of what may not be repeated");
     let executions = history.executions_by_marker();
     let mut most = 0;
-    for (marker, calls) in history.calls_by_marker() {
+    for (marker, calls) in history.requests_by_marker() {
         if calls.iter().any(|call| call.repeatable) {
             continue;
         }
--- a/crates/lab/src/checks/history.rs
+++ b/crates/lab/src/checks/history.rs
@@ -1,22 +1,24 @@
-//! Everything that a run left to be checked.
+//! Complete history of a run, the input of the checkers.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
-use crate::caller::CallOutcome;
+use crate::caller::RequestOutcome;
 use crate::emulator::execution::Execution;
 
-/// Everything that a run left to be checked. Times are of the machine clock, in microseconds.
+/// Complete history of a run, the input of the checkers. Times are of the machine clock, in microseconds.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct History {
     /// What each caller saw.
-    pub calls: Vec<CallOutcome>,
+    #[serde(rename = "calls")]
+    pub calls: Vec<RequestOutcome>,
     /// What each backend ran.
     pub executions: Vec<Execution>,
-    /// Revisions that nodes showed outside of calls.
-    pub shown: Vec<RevisionShown>,
-    /// Orders that were sent, with each answer.
+    /// Revisions that nodes showed outside of requests.
+    #[serde(rename = "shown")]
+    pub applied_revisions: Vec<AppliedRevision>,
+    /// Orders that were sent, with each response.
     pub orders: Vec<OrderSeen>,
     /// Revisions read back by confirmed reads.
     pub reads: Vec<ConfirmedReadSeen>,
@@ -26,7 +28,7 @@
     pub revocations: Vec<RevocationSeen>,
     /// Outages that were healed.
     pub recoveries: Vec<RecoverySeen>,
-    /// Times in which a node was cut off or stopped by a fault: adoption is not judged there.
+    /// Times in which a node was partitioned or stopped by a fault: adoption is not judged there.
     pub disturbances: Vec<Disturbance>,
     /// Quotas of the tenants.
     pub quotas: BTreeMap<String, TenantQuota>,
@@ -34,18 +36,19 @@
 
 /// A revision that a node showed.
 #[derive(Clone, Debug, Serialize)]
-pub struct RevisionShown {
+pub struct AppliedRevision {
     /// Name of the node.
     pub node: String,
-    /// When it was asked.
-    pub asked_micros: u64,
+    /// When it was requested.
+    #[serde(rename = "asked_micros")]
+    pub requested_micros: u64,
     /// When it had answered.
     pub answered_micros: u64,
     /// What it showed.
     pub revision: u64,
 }
 
-/// One answer to one sending of an order.
+/// Response to one send of an order.
 #[derive(Clone, Debug, Serialize)]
 pub struct OrderSeen {
     /// Id of the order.
@@ -54,11 +57,11 @@
     pub base_revision: u64,
     /// When it was answered.
     pub answered_micros: u64,
-    /// The answer.
+    /// The response.
     pub result: OrderResult,
 }
 
-/// Answer to an order.
+/// Response to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderResult {
@@ -66,16 +69,17 @@
     Accepted(u64),
     /// Refused with this code.
     Refused(u32),
-    /// No answer.
+    /// No response.
     Unknown,
 }
 
 /// A confirmed read of the configuration.
 #[derive(Clone, Debug, Serialize)]
 pub struct ConfirmedReadSeen {
-    /// When it was asked.
-    pub asked_micros: u64,
-    /// Its answer.
+    /// When it was requested.
+    #[serde(rename = "asked_micros")]
+    pub requested_micros: u64,
+    /// Its response.
     pub revision: u64,
 }
 
@@ -93,7 +97,7 @@
 /// A key that was revoked.
 #[derive(Clone, Debug, Serialize)]
 pub struct RevocationSeen {
-    /// Name of the tenant; its calls after the revocation all used the revoked key.
+    /// Name of the tenant; its requests after the revocation all used the revoked key.
     pub tenant: String,
     /// When the order was acknowledged.
     pub acknowledged_micros: u64,
@@ -108,11 +112,11 @@
     pub what: String,
     /// When every machine was back.
     pub healed_micros: u64,
-    /// When service was whole again; absent if it never was.
+    /// When service was fully available again; absent if it never was.
     pub served_micros: Option<u64>,
 }
 
-/// A time in which a node was cut off or stopped.
+/// A time in which a node was partitioned or stopped.
 #[derive(Clone, Debug, Serialize)]
 pub struct Disturbance {
     /// Start.
@@ -141,10 +145,10 @@
         groups
     }
 
-    /// Calls grouped by the marker of their request.
+    /// Requests grouped by the marker of their request.
     #[must_use]
-    pub fn calls_by_marker(&self) -> BTreeMap<&str, Vec<&CallOutcome>> {
-        let mut groups: BTreeMap<&str, Vec<&CallOutcome>> = BTreeMap::new();
+    pub fn requests_by_marker(&self) -> BTreeMap<&str, Vec<&RequestOutcome>> {
+        let mut groups: BTreeMap<&str, Vec<&RequestOutcome>> = BTreeMap::new();
         for call in &self.calls {
             groups.entry(&call.marker).or_default().push(call);
         }
--- a/crates/lab/src/checks/mod.rs
+++ b/crates/lab/src/checks/mod.rs
@@ -1,4 +1,4 @@
-//! Checks of the users' promises over the whole history of a run.
+//! Checks of the users' guarantees over the whole history of a run.
 
 pub mod adoption;
 pub mod answer_identity;
@@ -8,8 +8,8 @@
 pub mod history;
 pub mod not_run;
 pub mod one_winner;
-pub mod quota_held;
-pub mod quota_true;
+pub mod quota_limit;
+pub mod quota_refusals;
 pub mod recovery;
 pub mod report;
 pub mod revision_order;
--- a/crates/lab/src/checks/not_run.rs
+++ b/crates/lab/src/checks/not_run.rs
@@ -4,17 +4,17 @@
 
 use super::history::History;
 use super::verdict::Verdict;
-use crate::caller::{CallOutcome, Ending};
+use crate::caller::{Ending, RequestOutcome};
 
-/// Judges every refusal that says "not run", and every call that found no connection.
+/// Judges every rejection that says "not run", and every request that found no connection.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
     let mut verdict = Verdict::new("a refusal that says \"not run\" is true");
     let executions = history.executions_by_marker();
-    for (marker, calls) in history.calls_by_marker() {
+    for (marker, calls) in history.requests_by_marker() {
         let claims = calls.iter().filter(|call| says_not_run(call)).count();
         verdict.judged += claims;
-        // A call sent again after the refusal may run: only runs before it speak against the refusal.
+        // A request sent again after the refusal may run: only runs before it speak against the refusal.
         let first_other = calls.iter().filter(|call| !says_not_run(call));
         let may_run_from = first_other
             .map(|call| call.started_micros)
@@ -31,7 +31,7 @@
     verdict
 }
 
-fn says_not_run(call: &CallOutcome) -> bool {
+fn says_not_run(call: &RequestOutcome) -> bool {
     match &call.ending {
         Ending::NotConnected => true,
         Ending::Failure { run, .. } => *run == Some(RunState::NotRun),
--- a/crates/lab/src/checks/one_winner.rs
+++ b/crates/lab/src/checks/one_winner.rs
@@ -6,7 +6,7 @@
 use super::history::{History, OrderResult};
 use super::verdict::Verdict;
 
-/// Judges every answer to an order.
+/// Judges every response to an order.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
     let mut verdict = Verdict::new("one winner per base, resent orders acknowledged again");
--- a/crates/lab/src/checks/quota_limit.rs
+++ b/crates/lab/src/checks/quota_limit.rs
@@ -2,9 +2,9 @@
 
 use super::history::{History, TenantQuota};
 use super::verdict::Verdict;
-use crate::caller::{CallOutcome, Ending};
+use crate::caller::{Ending, RequestOutcome};
 
-/// Judges every window between two admitted calls of a tenant.
+/// Judges every window between two admitted requests of a tenant.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
     let mut verdict = Verdict::new("a tenant's quota holds over all nodes");
@@ -30,7 +30,7 @@
     verdict
 }
 
-/// Earliest and latest time at which the quota of an admitted call was taken.
+/// Earliest and latest time at which the quota of an admitted request was taken.
 #[derive(Clone, Copy, Debug)]
 struct Admitted {
     from_micros: u64,
@@ -38,11 +38,11 @@
 }
 
 impl Admitted {
-    /// `None` for a call that need not have taken quota.
-    fn of(call: &CallOutcome) -> Option<Self> {
+    /// `None` for a request that need not have taken quota.
+    fn of(call: &RequestOutcome) -> Option<Self> {
         let got_past =
-            call.succeeded() || matches!(call.ending, Ending::Broken if !call.pieces.is_empty());
-        let until_micros = call.pieces.first()?.at_micros;
+            call.succeeded() || matches!(call.ending, Ending::Broken if !call.chunks.is_empty());
+        let until_micros = call.chunks.first()?.at_micros;
         got_past.then_some(Self {
             from_micros: call.started_micros,
             until_micros,
--- a/crates/lab/src/checks/quota_refusals.rs
+++ b/crates/lab/src/checks/quota_refusals.rs
@@ -4,7 +4,7 @@
 
 use super::history::{History, TenantQuota};
 use super::verdict::Verdict;
-use crate::caller::{CallOutcome, Ending};
+use crate::caller::{Ending, RequestOutcome};
 
 /// Judges every refusal for the request rate, and every refusal for want of a quota decision
 /// outside of disturbances.
@@ -12,7 +12,7 @@
 pub fn check(history: &History) -> Verdict {
     let mut verdict = Verdict::new("no tenant under its quota is turned away");
     for (tenant, quota) in &history.quotas {
-        let calls: Vec<&CallOutcome> = history
+        let calls: Vec<&RequestOutcome> = history
             .calls
             .iter()
             .filter(|call| &call.tenant == tenant)
@@ -37,23 +37,23 @@
     verdict
 }
 
-fn is_quota_refusal(call: &CallOutcome) -> bool {
+fn is_quota_refusal(call: &RequestOutcome) -> bool {
     has_code(call, ResultCode::QuotaExceeded) || is_undecided(call)
 }
 
-fn is_undecided(call: &CallOutcome) -> bool {
+fn is_undecided(call: &RequestOutcome) -> bool {
     has_code(call, ResultCode::QuotaUnavailable)
 }
 
-fn has_code(call: &CallOutcome, wanted: ResultCode) -> bool {
+fn has_code(call: &RequestOutcome, wanted: ResultCode) -> bool {
     matches!(call.ending, Ending::Failure { code, .. } if code == wanted.number())
 }
 
-/// Fewest tokens that an exact bucket can hold at `at`: every call that began before and was not
+/// Fewest tokens that an exact bucket can hold at `at`: every request that began before and was not
 /// refused for the quota took one, as late as it can have.
 ///
 /// A late token leaves the least, since a full bucket earns nothing while it waits.
-fn level_at(calls: &[&CallOutcome], at: u64, quota: TenantQuota) -> f64 {
+fn level_at(calls: &[&RequestOutcome], at: u64, quota: TenantQuota) -> f64 {
     let before = calls
         .iter()
         .filter(|call| call.started_micros <= at && !is_quota_refusal(call));
@@ -68,10 +68,10 @@
     refill(level, last, at, quota)
 }
 
-fn latest_taken(call: &CallOutcome) -> u64 {
-    call.pieces
+fn latest_taken(call: &RequestOutcome) -> u64 {
+    call.chunks
         .first()
-        .map_or(call.ended_micros, |piece| piece.at_micros)
+        .map_or(call.ended_micros, |chunk| chunk.at_micros)
 }
 
 fn refill(level: f64, from: u64, until: u64, quota: TenantQuota) -> f64 {
--- a/crates/lab/src/checks/report.rs
+++ b/crates/lab/src/checks/report.rs
@@ -5,18 +5,18 @@
 use super::history::History;
 use super::verdict::Verdict;
 use super::{
-    adoption, answer_identity, at_most_once, credentials, drain, not_run, one_winner, quota_held,
-    quota_true, recovery, revision_order, revocation, second_sends, stream_continuity,
+    adoption, answer_identity, at_most_once, credentials, drain, not_run, one_winner, quota_limit,
+    quota_refusals, recovery, revision_order, revocation, second_sends, stream_continuity,
     success_backed, survival,
 };
 
-/// Violations of one promise that are printed.
+/// Violations of one guarantee that are printed.
 const PRINTED_VIOLATIONS: usize = 5;
 
 /// All verdicts of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// One verdict for each promise.
+    /// One verdict for each guarantee.
     pub verdicts: Vec<Verdict>,
 }
 
@@ -37,8 +37,8 @@
         revocation::check,
         adoption::check,
         drain::check,
-        quota_held::check,
-        quota_true::check,
+        quota_limit::check,
+        quota_refusals::check,
         recovery::check,
     ];
     Report {
@@ -47,10 +47,10 @@
 }
 
 impl Report {
-    /// Whether every promise held.
+    /// Whether every guarantee held.
     #[must_use]
-    pub fn held(&self) -> bool {
-        self.verdicts.iter().all(Verdict::held)
+    pub fn holds(&self) -> bool {
+        self.verdicts.iter().all(Verdict::holds)
     }
 
     /// The table for people.
@@ -70,7 +70,7 @@
             let violations = verdict.violations.len();
             text.push_str(&format!(
                 "{:<58} {judged:>9} {worst:>15} {violations:>10}\n",
-                verdict.promise
+                verdict.guarantee
             ));
             for violation in verdict.violations.iter().take(PRINTED_VIOLATIONS) {
                 text.push_str(&format!("    {violation}\n"));
--- a/crates/lab/src/checks/revision_order.rs
+++ b/crates/lab/src/checks/revision_order.rs
@@ -4,25 +4,25 @@
 
 use millford_core::ResultCode;
 
-use super::history::{History, RevisionShown};
+use super::history::{AppliedRevision, History};
 use super::verdict::Verdict;
-use crate::caller::{CallOutcome, Ending};
+use crate::caller::{Ending, RequestOutcome};
 
 /// Judges what every node showed, to callers and operators.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
     let mut verdict = Verdict::new("no node falls back to an older revision");
-    for (node, mut shown) in shown_by_node(history) {
-        verdict.judged += shown.len();
-        shown.sort_by_key(|shown| shown.asked_micros);
-        let mut answered = shown.clone();
-        answered.sort_by_key(|shown| shown.answered_micros);
+    for (node, mut applied_revisions) in applied_by_node(history) {
+        verdict.judged += applied_revisions.len();
+        applied_revisions.sort_by_key(|applied_revisions| applied_revisions.requested_micros);
+        let mut answered = applied_revisions.clone();
+        answered.sort_by_key(|applied_revisions| applied_revisions.answered_micros);
         let mut earlier = answered.into_iter().peekable();
         let mut newest = 0;
-        for later in shown {
-            // Only answers that were there before the question was put must not be newer.
+        for later in applied_revisions {
+            // Only responses that were there before the question was put must not be newer.
             while let Some(before) =
-                earlier.next_if(|before| before.answered_micros < later.asked_micros)
+                earlier.next_if(|before| before.answered_micros < later.requested_micros)
             {
                 newest = newest.max(before.revision);
             }
@@ -36,18 +36,18 @@
 }
 
 /// A node that refuses because it has no confirmed configuration yet shows none.
-fn says_not_ready(call: &CallOutcome) -> bool {
+fn says_not_ready(call: &RequestOutcome) -> bool {
     let not_ready = ResultCode::NotReady.number();
     matches!(call.ending, Ending::Failure { code, .. } if code == not_ready)
 }
 
-fn shown_by_node(history: &History) -> BTreeMap<String, Vec<RevisionShown>> {
-    let mut nodes: BTreeMap<String, Vec<RevisionShown>> = BTreeMap::new();
-    for shown in &history.shown {
+fn applied_by_node(history: &History) -> BTreeMap<String, Vec<AppliedRevision>> {
+    let mut nodes: BTreeMap<String, Vec<AppliedRevision>> = BTreeMap::new();
+    for applied_revisions in &history.applied_revisions {
         nodes
-            .entry(shown.node.clone())
+            .entry(applied_revisions.node.clone())
             .or_default()
-            .push(shown.clone());
+            .push(applied_revisions.clone());
     }
     for call in &history.calls {
         let Some(revision) = call.revision else {
@@ -57,17 +57,17 @@
             continue;
         }
         let node = format!("proxy {}", call.proxy);
-        let shown = RevisionShown {
+        let applied_revisions = AppliedRevision {
             node: node.clone(),
-            asked_micros: call.started_micros,
-            // The head of the answer came with the first piece at the latest.
+            requested_micros: call.started_micros,
+            // The head of the response came with the first chunk at the latest.
             answered_micros: call
-                .pieces
+                .chunks
                 .first()
-                .map_or(call.ended_micros, |piece| piece.at_micros),
+                .map_or(call.ended_micros, |chunk| chunk.at_micros),
             revision,
         };
-        nodes.entry(node).or_default().push(shown);
+        nodes.entry(node).or_default().push(applied_revisions);
     }
     nodes
 }
--- a/crates/lab/src/checks/revocation.rs
+++ b/crates/lab/src/checks/revocation.rs
@@ -6,7 +6,7 @@
 /// Longest time that a revoked key may work, in microseconds.
 const REVOCATION_BOUND_MICROS: u64 = 2_000_000;
 
-/// Judges every call with a revoked key.
+/// Judges every request with a revoked key.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
     let mut verdict = Verdict::new("a revoked key stops within 2 s");
--- a/crates/lab/src/checks/stream_continuity.rs
+++ b/crates/lab/src/checks/stream_continuity.rs
@@ -1,10 +1,10 @@
-//! A stream never skips or repeats a piece, and never ends cleanly before its end.
+//! A stream never skips or repeats a chunk, and never ends cleanly before its end.
 
 use super::history::History;
 use super::verdict::Verdict;
-use crate::caller::{CallOutcome, Ending};
+use crate::caller::{Ending, RequestOutcome};
 
-/// Judges every call that got pieces or an end.
+/// Judges every request that got chunks or an end.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
     let mut verdict = Verdict::new("no piece skipped, repeated or missing from a whole answer");
@@ -17,22 +17,27 @@
     verdict
 }
 
-fn fault(call: &CallOutcome) -> Option<String> {
+fn fault(call: &RequestOutcome) -> Option<String> {
     if call.ending == Ending::FalseEnd {
         return Some("a partial answer ended as if it were whole".to_owned());
     }
     if !call.streamed {
         return None;
     }
-    for (piece, expected) in call.pieces.iter().zip(0_u64..) {
-        if piece.sequence != Some(expected) {
+    for (chunk, expected) in call.chunks.iter().zip(0_u64..) {
+        if chunk.sequence != Some(expected) {
             return Some(format!(
                 "piece {:?} where {expected} was due",
-                piece.sequence
+                chunk.sequence
             ));
         }
     }
-    let got = call.pieces.len() as u64;
-    let short = call.succeeded() && got != call.pieces_wanted;
-    short.then(|| format!("{got} pieces of {} in a whole answer", call.pieces_wanted))
+    let got = call.chunks.len() as u64;
+    let short = call.succeeded() && got != call.requested_chunks;
+    short.then(|| {
+        format!(
+            "{got} pieces of {} in a whole answer",
+            call.requested_chunks
+        )
+    })
 }
--- a/crates/lab/src/checks/survival.rs
+++ b/crates/lab/src/checks/survival.rs
@@ -12,7 +12,7 @@
         let before = history
             .orders
             .iter()
-            .filter(|order| order.answered_micros < read.asked_micros);
+            .filter(|order| order.answered_micros < read.requested_micros);
         let accepted = before.filter_map(|order| match order.result {
             OrderResult::Accepted(revision) => Some(revision),
             _ => None,
--- a/crates/lab/src/checks/verdict.rs
+++ b/crates/lab/src/checks/verdict.rs
@@ -5,9 +5,10 @@
 /// What one check found.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
-    /// The promise, in short.
-    pub promise: &'static str,
-    /// How many events were judged; 0 means that the run did not try the promise.
+    /// The guarantee, in short.
+    #[serde(rename = "promise")]
+    pub guarantee: &'static str,
+    /// How many events were judged; 0 means that the run did not exercise the guarantee.
     pub judged: usize,
     /// Worst figure seen, for people.
     pub worst: Option<String>,
@@ -18,23 +19,23 @@
 impl Verdict {
     /// A verdict without events.
     #[must_use]
-    pub fn new(promise: &'static str) -> Self {
+    pub fn new(guarantee: &'static str) -> Self {
         Self {
-            promise,
+            guarantee,
             judged: 0,
             worst: None,
             violations: Vec::new(),
         }
     }
 
-    /// Notes a violation.
+    /// Records a violation.
     pub fn violate(&mut self, text: String) {
         self.violations.push(text);
     }
 
-    /// Whether nothing broke the promise.
+    /// Whether there is no violation.
     #[must_use]
-    pub fn held(&self) -> bool {
+    pub fn holds(&self) -> bool {
         self.violations.is_empty()
     }
 }
--- a/crates/lab/src/commands/backend.rs
+++ b/crates/lab/src/commands/backend.rs
@@ -7,15 +7,18 @@
 use getopts::{Matches, Options};
 use tokio::signal::unix::{SignalKind, signal};
 
-use crate::arguments::{argument, optional, parse, value};
+use crate::arguments::{ArgumentError, optional, parse, value};
 use crate::emulator::registration::{keep_registered, leave};
 use crate::emulator::{BackendKind, BackendOptions, BackendServer};
 use crate::fleet::{FleetError, SitePlan};
 
-/// Exit status of a command that a signal ended.
+/// Exit status of a command that was ended by a signal.
 pub const INTERRUPTED_STATUS: u8 = 130;
 
-/// Runs until SIGTERM or SIGINT, then leaves the registry.
+/// Runs until SIGTERM or SIGINT, then deregisters.
+///
+/// # Errors
+/// A bad command line, an address that cannot be bound, or a signal handler that cannot be installed.
 pub async fn run(arguments: &[String]) -> Result<(), FleetError> {
     let mut options = Options::new();
     options.optopt("", "id", "identity in the registry", "TEXT");
@@ -56,14 +59,19 @@
     Ok(())
 }
 
-fn backend_options(matches: &Matches) -> Result<BackendOptions, FleetError> {
+fn backend_options(matches: &Matches) -> Result<BackendOptions, ArgumentError> {
     let kind = match matches.opt_str("kind").as_deref() {
         None | Some("model") => BackendKind::Model,
         Some("lookup") => BackendKind::Lookup,
-        Some(other) => return Err(argument(&format!("--kind: unknown kind \"{other}\""))),
+        Some(other) => {
+            return Err(ArgumentError::UnknownChoice {
+                option: "kind",
+                value: other.to_owned(),
+            });
+        }
     };
     let id: String = value(matches, "id", "backend".to_owned())?;
-    let defaults = BackendOptions::standing_alone(&id, kind);
+    let defaults = BackendOptions::standalone(&id, kind);
     Ok(BackendOptions {
         address: value::<SocketAddr>(matches, "address", defaults.address)?,
         zone: value(matches, "zone", defaults.zone)?,
@@ -82,6 +90,9 @@
 }
 
 /// Waits for SIGTERM or SIGINT.
+///
+/// # Errors
+/// [`FleetError::Io`] when the signal handler cannot be installed.
 pub async fn wait_for_end() -> Result<(), FleetError> {
     let mut terminate =
         signal(SignalKind::terminate()).map_err(FleetError::io("listening for SIGTERM"))?;
--- a/crates/lab/src/commands/days.rs
+++ b/crates/lab/src/commands/days.rs
@@ -1,10 +1,10 @@
-//! `millford-lab days`: worth and ceiling of days that were played at the bench.
+//! `millford-lab days`: worth and maximum worth of days that were played at the bench.
 
 use std::path::PathBuf;
 
 use getopts::Options;
 
-use super::file_arguments;
+use crate::arguments::{ArgumentError, files, parse_files, required_form};
 use crate::days::{DayRow, DaysError, JournalEntry, day_row};
 
 const USAGE: &str = "Usage: millford-lab days [options] ENTRY...
@@ -12,7 +12,7 @@
 Prints a table of the days in the entries that bench runs wrote: score, worth, ceiling (1 less the price of the
 machines), the worst windows and kind of request, the largest other prices and broken rules.";
 
-/// What the command line asks for.
+/// Options of the command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DaysOptions {
     /// Entries.
@@ -21,11 +21,11 @@
     pub below: f64,
 }
 
-/// Reads the command line. `None`: help was asked for and printed.
+/// Parses the command line; `None` after the help was printed.
 ///
 /// # Errors
-/// What is wrong with the command line.
-pub fn parse(arguments: &[String]) -> Result<Option<DaysOptions>, String> {
+/// [`ArgumentError`] with the option or operand that is wrong.
+pub fn parse(arguments: &[String]) -> Result<Option<DaysOptions>, ArgumentError> {
     let mut options = Options::new();
     options.optopt(
         "",
@@ -33,14 +33,13 @@
         "only days this far below their ceiling, or with a broken rule (0)",
         "WORTH",
     );
-    let matches = file_arguments::parse(options, USAGE, "entry", arguments)?;
+    let matches = parse_files(options, USAGE, "entry", arguments)?;
     let Some(matches) = matches else {
         return Ok(None);
     };
-    let below = matches.opt_get_default("below", 0.0);
     Ok(Some(DaysOptions {
-        files: matches.free.iter().map(PathBuf::from).collect(),
-        below: below.map_err(|_| "--below is no number".to_owned())?,
+        files: files(&matches),
+        below: required_form(&matches, "below", 0.0, "is no number")?,
     }))
 }
 
@@ -56,7 +55,7 @@
             text += &format!("| {} | {}: {error} | | | | | | | |\n", entry.id, entry.cmd);
         }
         for row in DayRow::all_of(&entry) {
-            if row.is_shown(options.below) {
+            if row.is_selected(options.below) {
                 text += &format!("{row}\n");
             }
         }
--- a/crates/lab/src/commands/explain.rs
+++ b/crates/lab/src/commands/explain.rs
@@ -7,34 +7,35 @@
 use getopts::Options;
 use millford_decisions::{Account, DecisionRecord, DecisionsError, read_records};
 
-use super::{file_arguments, loss_chart};
+use super::loss_chart;
+use crate::arguments::{ArgumentError, files, parse_files, required_form};
 
-/// Share of its worth that a late answer earns, where the command line does not say.
-const USUAL_LATE_SHARE: f64 = 0.3;
+/// Share of its worth that a late response earns, unless the command line sets it.
+const DEFAULT_LATE_SHARE: f64 = 0.3;
 
 const USAGE: &str = "Usage: millford-lab explain [options] FILE...
 
 Joins the decision records in the logs of forwarding proxies (setting decision_log_per_mille) and says
 how much worth was lost, by route and reason, second, zone, tenant and backend. FILE - is standard input.";
 
-/// What the command line asks for.
+/// Options of the command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExplainOptions {
     /// Logs; `-` is standard input.
     pub files: Vec<PathBuf>,
-    /// Share of its worth that a late answer earns.
+    /// Share of its worth that a late response earns.
     pub late_share: f64,
-    /// Where the picture goes.
+    /// File of the chart.
     pub plot: Option<PathBuf>,
     /// Requests that arrived before this second of the node's clock are left out.
     pub from_second: u64,
 }
 
-/// Reads the command line. `None`: help was asked for and printed.
+/// Parses the command line; `None` after the help was printed.
 ///
 /// # Errors
-/// What is wrong with the command line.
-pub fn parse(arguments: &[String]) -> Result<Option<ExplainOptions>, String> {
+/// [`ArgumentError`] with the option or operand that is wrong.
+pub fn parse(arguments: &[String]) -> Result<Option<ExplainOptions>, ArgumentError> {
     let mut options = Options::new();
     options.optopt(
         "",
@@ -44,25 +45,26 @@
     );
     options.optopt("", "plot", "draw the losses over time as SVG", "FILE");
     options.optopt("", "from", "leave out what arrived earlier", "SECOND");
-    let matches = file_arguments::parse(options, USAGE, "log file", arguments)?;
+    let matches = parse_files(options, USAGE, "log file", arguments)?;
     let Some(matches) = matches else {
         return Ok(None);
     };
-    let late_share = matches.opt_get_default("late-share", USUAL_LATE_SHARE);
-    let late_share = late_share.map_err(|_| "--late-share is no number".to_owned())?;
+    let late_share = required_form(&matches, "late-share", DEFAULT_LATE_SHARE, "is no number")?;
     if !(0.0..=1.0).contains(&late_share) {
-        return Err("--late-share must be between 0 and 1".to_owned());
+        return Err(ArgumentError::Requirement {
+            option: "late-share",
+            requirement: "must be between 0 and 1",
+        });
     }
-    let from_second = matches.opt_get_default("from", 0);
     Ok(Some(ExplainOptions {
-        files: matches.free.iter().map(PathBuf::from).collect(),
+        files: files(&matches),
         late_share,
         plot: matches.opt_str("plot").map(PathBuf::from),
-        from_second: from_second.map_err(|_| "--from is no whole number".to_owned())?,
+        from_second: required_form(&matches, "from", 0, "is no whole number")?,
     }))
 }
 
-/// Reads the logs, prints the account and draws the picture.
+/// Reads the logs, prints the account and draws the chart.
 ///
 /// # Errors
 /// Fails when a file cannot be read or written, or holds a record that cannot be read.
--- a/crates/lab/src/commands/mod.rs
+++ b/crates/lab/src/commands/mod.rs
@@ -3,6 +3,5 @@
 pub mod backend;
 pub mod days;
 pub mod explain;
-pub mod file_arguments;
 pub mod loss_chart;
 pub mod registry;
--- a/crates/lab/src/commands/registry.rs
+++ b/crates/lab/src/commands/registry.rs
@@ -26,11 +26,11 @@
         return Ok(());
     };
     let defaults = RegistryDelays::default();
-    let show_after = value(&matches, "show-after-ms", millis(defaults.show_after))?;
-    let forget_after = value(&matches, "forget-after-ms", millis(defaults.forget_after))?;
+    let visible_after = value(&matches, "show-after-ms", millis(defaults.visible_after))?;
+    let expire_after = value(&matches, "forget-after-ms", millis(defaults.expire_after))?;
     let delays = RegistryDelays {
-        show_after: Duration::from_millis(show_after),
-        forget_after: Duration::from_millis(forget_after),
+        visible_after: Duration::from_millis(visible_after),
+        expire_after: Duration::from_millis(expire_after),
     };
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let address = value(&matches, "address", any)?;
--- a/crates/lab/src/days/day_row.rs
+++ b/crates/lab/src/days/day_row.rs
@@ -27,10 +27,10 @@
         entry.days.iter().map(move |day| DayRow { entry, day })
     }
 
-    /// Whether the day is this far below its ceiling, or broke a rule.
+    /// Whether the day is this far below its maximum, or broke a rule.
     #[must_use]
-    pub fn is_shown(&self, below: f64) -> bool {
-        let missing = self.day.ceiling() - self.day.worth;
+    pub fn is_selected(&self, below: f64) -> bool {
+        let missing = self.day.maximum_worth() - self.day.worth;
         missing >= below || !self.broken().is_empty()
     }
 
@@ -53,8 +53,8 @@
 impl fmt::Display for DayRow<'_> {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         let site = self.entry.site.as_deref().unwrap_or("?");
-        let part = |name| {
-            let share = self.day.part(name);
+        let component = |name| {
+            let share = self.day.component(name);
             share.map_or(String::new(), |share| format!("{share:.2}"))
         };
         write!(
@@ -64,9 +64,9 @@
             self.day.name,
             self.day.score,
             self.day.worth,
-            self.day.ceiling(),
-            part("worst windows"),
-            part("worst class"),
+            self.day.maximum_worth(),
+            component("worst windows"),
+            component("worst class"),
             self.prices(),
             self.broken(),
         )
--- a/crates/lab/src/days/journal_entry.rs
+++ b/crates/lab/src/days/journal_entry.rs
@@ -38,9 +38,9 @@
     pub worth: f64,
     /// Mark between 0 and 1.
     pub score: f64,
-    /// Parts of the worth: name, weight, share earned.
-    #[serde(default)]
-    pub parts: Vec<(String, f64, f64)>,
+    /// Components of the worth: name, weight, share earned.
+    #[serde(rename = "parts", default)]
+    pub components: Vec<(String, f64, f64)>,
     /// Prices taken off.
     #[serde(default)]
     pub prices: Vec<Price>,
@@ -76,16 +76,16 @@
 impl PlayedDay {
     /// What a perfect service on the same machines would be worth.
     #[must_use]
-    pub fn ceiling(&self) -> f64 {
+    pub fn maximum_worth(&self) -> f64 {
         1.0 - self.price_of(MACHINES)
     }
 
-    /// Share that a part earned; parts are named by their beginning.
+    /// Share that a component earned; a component is identified by a prefix of its name.
     #[must_use]
-    pub fn part(&self, name: &str) -> Option<f64> {
-        let mut parts = self.parts.iter();
-        let part = parts.find(|(part, _, _)| part.starts_with(name))?;
-        Some(part.2)
+    pub fn component(&self, name: &str) -> Option<f64> {
+        let mut components = self.components.iter();
+        let component = components.find(|(component, _, _)| component.starts_with(name))?;
+        Some(component.2)
     }
 
     /// The largest prices beside that of the machines.
--- a/crates/lab/src/days/mod.rs
+++ b/crates/lab/src/days/mod.rs
@@ -1,7 +1,7 @@
 //! Account of days that were played at the users' bench, from the entries that its runs write.
 //!
-//! A day's worth is what its parts earned less prices. Its ceiling is what a perfect service would be worth:
-//! one less the price of the machines that must run. The distance between the two, and the parts and prices
+//! A day's worth is what its components earned less prices. Its maximum is what a perfect service would be worth:
+//! one less the price of the machines that must run. The distance between the two, and the components and prices
 //! that make it up, say what to mend next.
 
 pub mod day_row;
--- a/crates/lab/src/demo/faults.rs
+++ b/crates/lab/src/demo/faults.rs
@@ -11,14 +11,14 @@
 /// Longest wait for streams to be under way.
 const STREAMS_BOUND: Duration = Duration::from_secs(10);
 /// Streams that a backend must hold to be worth killing.
-const WANTED_STREAMS: usize = 2;
+const REQUIRED_STREAMS: usize = 2;
 
 /// Waits until some model backend holds streams, kills it and returns its index.
 pub async fn kill_busy_backend(fleet: &mut Fleet) -> Result<usize, FleetError> {
     let models = fleet.plan.model_backends;
     let view = &*fleet;
     wait_for("streams under way", STREAMS_BOUND, || async move {
-        open_streams(view, busiest_backend(view, models).await).await >= WANTED_STREAMS
+        open_streams(view, busiest_backend(view, models).await).await >= REQUIRED_STREAMS
     })
     .await?;
     let busiest = busiest_backend(fleet, models).await;
@@ -38,7 +38,7 @@
 }
 
 async fn open_streams(fleet: &Fleet, index: usize) -> usize {
-    let address = fleet.backends[index].place.address;
+    let address = fleet.backends[index].spec.address;
     let Ok(answer) = get(address, "/v1/executions", None).await else {
         return 0;
     };
@@ -73,7 +73,7 @@
         .iter()
         .find(|member| member["node"].as_str() == Some(leader.as_str()))?;
     fleet.controls.iter().position(|control| {
-        let operator = control.place.operator.to_string();
+        let operator = control.spec.operator.to_string();
         member["operator_address"].as_str() == Some(operator.as_str())
     })
 }
--- a/crates/lab/src/demo/mod.rs
+++ b/crates/lab/src/demo/mod.rs
@@ -1,4 +1,4 @@
-//! `millford-lab demo`: the whole fleet on loopback, with faults while streams run.
+//! `millford-lab demo`: a complete fleet on loopback, with faults while streams run.
 
 pub mod faults;
 pub mod options;
@@ -46,9 +46,9 @@
     }
     let result = drive(&mut fleet, &options).await;
     let status = match result {
-        Ok(held) => {
+        Ok(holds) => {
             println!("took {:.1} s", started.elapsed().as_secs_f64());
-            Ok(if held {
+            Ok(if holds {
                 ExitCode::SUCCESS
             } else {
                 ExitCode::FAILURE
@@ -81,9 +81,9 @@
     let report = check_all(&history);
     println!("\n{}", Figures::of(&history).text());
     println!("{}", report.table());
-    let served = traffic::last_round_served(&history);
+    let served = traffic::final_requests_served(&history);
     if !served {
         println!("the calls after the faults were not all served");
     }
-    Ok(report.held() && served)
+    Ok(report.holds() && served)
 }
--- a/crates/lab/src/demo/options.rs
+++ b/crates/lab/src/demo/options.rs
@@ -2,8 +2,8 @@
 
 use getopts::{Matches, Options};
 
-use crate::arguments::argument;
-use crate::fleet::{FleetError, Site};
+use crate::arguments::{ArgumentError, add_keep_logs, add_site, site};
+use crate::fleet::Site;
 
 /// Options of the demonstration.
 #[derive(Clone, Copy, Debug)]
@@ -16,28 +16,24 @@
     pub keep_logs: bool,
 }
 
-/// The flags.
+/// The command's options.
 #[must_use]
 pub fn getopts() -> Options {
     let mut options = Options::new();
-    options.optopt("", "site", "topology", "demo|reykjavik|dakar");
+    add_site(&mut options);
     options.optflag("", "keep", "leave the fleet up and print its addresses");
-    options.optflag(
-        "",
-        "keep-logs",
-        "keep the folder of settings, logs and data",
-    );
+    add_keep_logs(&mut options);
     options
 }
 
 impl DemoOptions {
-    /// Reads the flags.
-    pub fn read(matches: &Matches) -> Result<Self, FleetError> {
-        let name = matches.opt_str("site").unwrap_or_else(|| "demo".to_owned());
-        let site = Site::from_name(&name)
-            .ok_or_else(|| argument(&format!("--site: unknown site \"{name}\"")))?;
+    /// Reads the options of the command line.
+    ///
+    /// # Errors
+    /// [`ArgumentError`] for a value that cannot be used.
+    pub fn read(matches: &Matches) -> Result<Self, ArgumentError> {
         Ok(Self {
-            site,
+            site: site(matches, Site::Demo)?,
             keep: matches.opt_present("keep"),
             keep_logs: matches.opt_present("keep-logs"),
         })
--- a/crates/lab/src/demo/show.rs
+++ b/crates/lab/src/demo/show.rs
@@ -1,19 +1,19 @@
 //! What the demonstration prints.
 
-use crate::caller::{CallOutcome, Ending};
+use crate::caller::{Ending, RequestOutcome};
 use crate::checks::History;
 use crate::fleet::site::LARGE_MODEL;
 use crate::fleet::{Fleet, SitePlan};
 
-/// Characters of an answer that are printed.
-const SHOWN_CHARACTERS: usize = 100;
+/// Characters of a response that are printed.
+const MAX_PRINTED_CHARACTERS: usize = 100;
 
 /// One line about a topology.
 #[must_use]
 pub fn plan_text(plan: &SitePlan) -> String {
     format!(
         "{} control nodes, {} agents with proxies in {} zones, {} model and {} lookup backends",
-        plan.controls, plan.fronts, plan.zones, plan.model_backends, plan.lookup_backends
+        plan.controls, plan.proxy_nodes, plan.zones, plan.model_backends, plan.lookup_backends
     )
 }
 
@@ -21,18 +21,18 @@
 pub fn addresses(fleet: &Fleet) {
     println!("registry         http://{}", fleet.registry_address);
     for control in &fleet.controls {
-        let place = &control.place;
-        println!("{:<16} http://{} (operators)", place.name, place.operator);
+        let spec = &control.spec;
+        println!("{:<16} http://{} (operators)", spec.name, spec.operator);
     }
     println!("operator key     {}", fleet.operator.key);
-    for front in &fleet.fronts {
+    for proxy_node in &fleet.proxy_nodes {
         println!(
             "{:<16} http://{} (callers)",
-            front.place.name, front.place.callers
+            proxy_node.spec.name, proxy_node.spec.callers
         );
     }
     for backend in &fleet.backends {
-        println!("{:<16} http://{}", backend.place.id, backend.place.address);
+        println!("{:<16} http://{}", backend.spec.id, backend.spec.address);
     }
     println!("tenant key       {}", fleet.plan.tenant_keys[0]);
     println!("\n{}\n", curl_line(fleet));
@@ -52,7 +52,7 @@
 
 /// What some callers saw: one whole stream, one that moved, and every failure's code once.
 pub fn sample(history: &History) {
-    let moved = |call: &&CallOutcome| {
+    let moved = |call: &&RequestOutcome| {
         let runs = history
             .executions
             .iter()
@@ -65,10 +65,10 @@
         .iter()
         .find(|call| call.succeeded() && call.streamed)
     {
-        print_call("a stream", call);
+        print_request("a stream", call);
     }
     for call in history.calls.iter().filter(moved) {
-        print_call("a stream that moved", call);
+        print_request("a stream that moved", call);
         print_runs(history, call);
     }
     let mut codes = std::collections::BTreeSet::new();
@@ -76,27 +76,27 @@
         if let Ending::Failure { code, run, .. } = &call.ending
             && codes.insert(*code)
         {
-            print_call(&format!("a failure, {code} {run:?}"), call);
+            print_request(&format!("a failure, {code} {run:?}"), call);
         }
     }
 }
 
-fn print_call(what: &str, call: &CallOutcome) {
+fn print_request(what: &str, call: &RequestOutcome) {
     let text: String = call
-        .pieces
+        .chunks
         .iter()
-        .map(|piece| piece.text.as_str())
+        .map(|chunk| chunk.text.as_str())
         .collect();
-    let start: String = text.chars().take(SHOWN_CHARACTERS).collect();
+    let start: String = text.chars().take(MAX_PRINTED_CHARACTERS).collect();
     println!(
         "  {what}: request {} at proxy {}, {} pieces: {start}",
         call.marker,
         call.proxy,
-        call.pieces.len()
+        call.chunks.len()
     );
 }
 
-fn print_runs(history: &History, call: &CallOutcome) {
+fn print_runs(history: &History, call: &RequestOutcome) {
     for run in history
         .executions
         .iter()
--- a/crates/lab/src/demo/traffic.rs
+++ b/crates/lab/src/demo/traffic.rs
@@ -5,13 +5,12 @@
 use tokio::time::interval;
 
 use super::faults::{kill_busy_backend, kill_configuration_leader};
-use crate::arguments::argument;
-use crate::caller::CallOutcome;
+use crate::caller::RequestOutcome;
 use crate::checks::History;
 use crate::checks::history::{Disturbance, RecoverySeen, TenantQuota};
 use crate::fleet::{Fleet, FleetError, SitePlan};
 use crate::protocol::machine_micros;
-use crate::workload::callers::{CallingTenant, RequestKind};
+use crate::workload::callers::{RequestKind, TenantCredentials};
 use crate::workload::mix::{LOOKUP_PERIOD, Mix};
 use crate::workload::service_probe::ServiceProbe;
 use crate::workload::{Callers, CallersOptions};
@@ -19,20 +18,20 @@
 /// Long streams that are started at once.
 const LONG_STREAMS: usize = 16;
 /// Beats of steady traffic after each fault: about four seconds.
-const BEATS_AFTER_FAULT: usize = 80;
-/// Calls of the last round, which must all be served.
-const LAST_ROUND: usize = 8;
+const TICKS_AFTER_FAULT: usize = 80;
+/// Requests of the last round, which must all be served.
+const FINAL_REQUESTS: usize = 8;
 /// Prefix that tells the tenants apart: the first part of a key names the site.
 const KEY_SUFFIX: &str = "-key";
 
-/// Who calls in the demonstration.
+/// Tenants that send requests in the demonstration.
 #[must_use]
 pub fn callers_options(fleet: &Fleet) -> CallersOptions {
     CallersOptions {
         proxies: fleet
-            .fronts
+            .proxy_nodes
             .iter()
-            .map(|front| front.place.callers)
+            .map(|proxy_node| proxy_node.spec.callers)
             .collect(),
         tenants: tenants(&fleet.plan),
         lookup_prefix: fleet.plan.lookup_prefix.to_owned(),
@@ -42,7 +41,7 @@
 
 /// The tenants of a site: a key is `SITE-TENANT-key`.
 #[must_use]
-pub fn tenants(plan: &SitePlan) -> Vec<CallingTenant> {
+pub fn tenants(plan: &SitePlan) -> Vec<TenantCredentials> {
     let prefix = format!("{}-", plan.name);
     let name_of = |key: &str| {
         key.trim_start_matches(&prefix)
@@ -50,7 +49,7 @@
             .to_owned()
     };
     let keys = plan.tenant_keys.iter();
-    keys.map(|key| CallingTenant {
+    keys.map(|key| TenantCredentials {
         name: name_of(key),
         key: (*key).to_owned(),
     })
@@ -61,7 +60,10 @@
 pub fn quotas(plan: &SitePlan) -> Result<BTreeMap<String, TenantQuota>, FleetError> {
     let document = plan
         .parsed_document()
-        .map_err(|error| argument(&format!("the document of {}: {error}", plan.name)))?;
+        .map_err(|source| FleetError::Document {
+            site: plan.name,
+            source,
+        })?;
     let tenants = document.tenants.into_iter();
     let quotas = tenants.filter_map(|tenant| {
         let quota = tenant.quota?;
@@ -88,18 +90,18 @@
     let backend = kill_busy_backend(fleet).await?;
     println!(
         "killed backend {} while streams ran",
-        fleet.backends[backend].place.id
+        fleet.backends[backend].spec.id
     );
     steady(&mut mix, callers).await;
     let leader_loss = lose_leader(fleet, &mut mix, callers).await?;
     steady(&mut mix, callers).await;
     callers.finish().await;
-    last_round(callers).await;
+    send_final_requests(callers).await;
     Ok(leader_loss)
 }
 
 /// Kills the configuration leader and restarts it after the steady traffic. Until every proxy
-/// serves without it, calls may find no quota decision within their deadline; how long that takes
+/// serves without it, requests may find no quota decision within their deadline; how long that takes
 /// is judged like the return of service after an outage.
 async fn lose_leader(
     fleet: &mut Fleet,
@@ -109,7 +111,7 @@
     let mut probe = ServiceProbe::new(tenants(&fleet.plan).remove(0), rand::random());
     let from_micros = machine_micros();
     let leader = kill_configuration_leader(fleet).await?;
-    let name = fleet.controls[leader].place.name.clone();
+    let name = fleet.controls[leader].spec.name.clone();
     println!("killed {name}, the leader of the configuration, while streams ran");
     let served = probe.wait_without(fleet, Some(leader));
     let ((), served_micros) = tokio::join!(steady(mix, callers), served);
@@ -134,28 +136,28 @@
 
 async fn steady(mix: &mut Mix, callers: &mut Callers) {
     let mut beats = interval(LOOKUP_PERIOD);
-    for _ in 0..BEATS_AFTER_FAULT {
+    for _ in 0..TICKS_AFTER_FAULT {
         beats.tick().await;
-        mix.beat(callers);
+        mix.tick(callers);
     }
 }
 
-async fn last_round(callers: &mut Callers) {
-    for _ in 0..LAST_ROUND / 2 {
+async fn send_final_requests(callers: &mut Callers) {
+    for _ in 0..FINAL_REQUESTS / 2 {
         callers.start(RequestKind::Question);
         callers.start_lookup();
     }
     callers.finish().await;
 }
 
-/// Whether every call of the last round got a whole answer.
+/// Whether every request of the last round got a complete response.
 #[must_use]
-pub fn last_round_served(history: &History) -> bool {
-    let mut calls: Vec<&CallOutcome> = history.calls.iter().collect();
+pub fn final_requests_served(history: &History) -> bool {
+    let mut calls: Vec<&RequestOutcome> = history.calls.iter().collect();
     calls.sort_by_key(|call| call.started_micros);
     calls
         .iter()
         .rev()
-        .take(LAST_ROUND)
+        .take(FINAL_REQUESTS)
         .all(|call| call.succeeded())
 }
--- a/crates/lab/src/emulator/completion.rs
+++ b/crates/lab/src/emulator/completion.rs
@@ -6,10 +6,10 @@
 use http::{HeaderMap, HeaderValue, Response, StatusCode, header};
 use tokio::time::sleep;
 
-use super::answer_writer::{AnswerWriter, Stage};
 use super::execution::Execution;
 use super::http::{EmulatorBody, header_text, refusal, set_attempt};
 use super::prompt::Prompt;
+use super::response_writer::{ResponseWriter, Stage};
 use super::shared_stream::StraySwitch;
 use super::state::BackendState;
 use crate::answer_text::AnswerText;
@@ -19,7 +19,7 @@
 
 /// Status of a withdrawn or repeated attempt.
 const ATTEMPT_CLOSED: StatusCode = StatusCode::SERVICE_UNAVAILABLE;
-/// Text of an answer that was crossed with another.
+/// Text of a response that was crossed with another.
 const CROSSED: &str = "crossed-with-another";
 
 /// Runs one completion.
@@ -56,7 +56,7 @@
     let execution = execution(&state, &headers, &prompt, resume_from.unwrap_or(0));
     let answer = AnswerText::new(&execution.marker, &execution.run);
     let left = prompt
-        .pieces()
+        .chunks()
         .saturating_sub(resume_from.unwrap_or(0))
         .max(1);
     let output_tokens = u32::try_from(left).unwrap_or(u32::MAX);
@@ -84,13 +84,13 @@
         answer
     };
     let echoed = if crossed { CROSSED } else { &attempt };
-    let writer = AnswerWriter {
+    let writer = ResponseWriter {
         sequence: resume_from.unwrap_or(0),
-        pieces: prompt.pieces(),
+        chunks: prompt.chunks(),
         model: prompt.model.clone(),
         state: Arc::clone(&state),
         sent: 0,
-        stage: Stage::Pieces,
+        stage: Stage::Chunks,
         answer,
         running,
         work,
--- a/crates/lab/src/emulator/execution.rs
+++ b/crates/lab/src/emulator/execution.rs
@@ -6,9 +6,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExecutionEnd {
-    /// Every piece was handed to the connection.
+    /// Every chunk was handed to the connection.
     Completed,
-    /// The connection went away first, or a fault cut the answer.
+    /// The connection was closed first, or a fault truncated the response.
     Cancelled,
 }
 
--- a/crates/lab/src/emulator/execution_log.rs
+++ b/crates/lab/src/emulator/execution_log.rs
@@ -61,7 +61,7 @@
             return;
         };
         line.push(b'\n');
-        // One write call per line: a kill leaves whole lines, or one torn line at the end.
+        // One write call per line: a kill leaves complete lines, or one torn line at the end.
         if let Err(error) = file.write_all(&line) {
             eprintln!("execution log: {error}");
         }
--- a/crates/lab/src/emulator/faults.rs
+++ b/crates/lab/src/emulator/faults.rs
@@ -6,20 +6,21 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FaultSwitches {
-    /// Connections are taken and nothing is answered; open streams fall silent.
+    /// Connections are accepted and nothing is sent; open streams send nothing more.
     pub dark: bool,
-    /// Every request is refused before work.
+    /// Every request is rejected before any work.
     pub refuse: bool,
     /// Every duration is multiplied by this.
     pub slow_factor: f64,
     /// Response headers are held back this long, in milliseconds.
     pub late_ms: u64,
-    /// Answers carry another attempt's id and text.
+    /// Responses carry another attempt's id and text.
     pub crossed: bool,
-    /// Bytes that belong to nothing follow each answer on the connection.
+    /// Bytes that belong to nothing follow each response on the connection.
     pub stray_bytes: bool,
-    /// Each answer is cut after this many pieces, without an end.
-    pub cut_after: Option<u64>,
+    /// Each response is truncated after this many chunks, without an end.
+    #[serde(rename = "cut_after")]
+    pub truncate_after: Option<u64>,
 }
 
 impl Default for FaultSwitches {
@@ -31,7 +32,7 @@
             late_ms: 0,
             crossed: false,
             stray_bytes: false,
-            cut_after: None,
+            truncate_after: None,
         }
     }
 }
--- a/crates/lab/src/emulator/http.rs
+++ b/crates/lab/src/emulator/http.rs
@@ -11,10 +11,10 @@
 
 use crate::protocol::{ATTEMPT_HEADER, NOT_RUN, RUN_STATE_HEADER};
 
-/// Body of every answer of the emulator.
+/// Body of every response of the emulator.
 pub type EmulatorBody = UnsyncBoxBody<Bytes, io::Error>;
 
-/// A whole body.
+/// A complete body.
 #[must_use]
 pub fn full(bytes: impl Into<Bytes>) -> EmulatorBody {
     Full::new(bytes.into())
@@ -22,7 +22,7 @@
         .boxed_unsync()
 }
 
-/// A JSON answer.
+/// A JSON response.
 #[must_use]
 pub fn json_answer(status: StatusCode, value: &impl Serialize) -> Response<EmulatorBody> {
     let bytes = serde_json::to_vec(value).unwrap_or_default();
--- a/crates/lab/src/emulator/lookup.rs
+++ b/crates/lab/src/emulator/lookup.rs
@@ -20,7 +20,7 @@
 /// Time of one lookup.
 const LOOKUP_TIME: Duration = Duration::from_millis(1);
 
-/// Body of a lookup's answer.
+/// Body of a lookup's response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LookupAnswer {
     /// Path that was looked up.
@@ -32,10 +32,10 @@
 }
 
 impl LookupAnswer {
-    /// The answer to `path` with `marker`.
+    /// The response to `path` with `marker`.
     #[must_use]
     pub fn new(path: &str, marker: &str) -> Self {
-        let entry = AnswerText::new(marker, path).whole(4);
+        let entry = AnswerText::new(marker, path).full_text(4);
         Self {
             path: path.to_owned(),
             marker: marker.to_owned(),
--- a/crates/lab/src/emulator/mod.rs
+++ b/crates/lab/src/emulator/mod.rs
@@ -1,7 +1,6 @@
 //! Emulated backends: an HTTP server that speaks the backend protocol and costs time as a model
 //! server does.
 
-mod answer_writer;
 pub mod attempts;
 pub mod completion;
 pub mod engine;
@@ -13,6 +12,7 @@
 pub mod options;
 pub mod prompt;
 pub mod registration;
+mod response_writer;
 pub mod server;
 pub mod shared_stream;
 pub mod state;
--- a/crates/lab/src/emulator/options.rs
+++ b/crates/lab/src/emulator/options.rs
@@ -42,7 +42,7 @@
 impl BackendOptions {
     /// A backend of `kind` on a free loopback port that stands alone.
     #[must_use]
-    pub fn standing_alone(id: &str, kind: BackendKind) -> Self {
+    pub fn standalone(id: &str, kind: BackendKind) -> Self {
         Self {
             id: id.to_owned(),
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
--- a/crates/lab/src/emulator/prompt.rs
+++ b/crates/lab/src/emulator/prompt.rs
@@ -5,20 +5,20 @@
 
 use crate::answer_text::find_marker;
 
-/// Pieces of an answer when the body names no limit.
-pub const DEFAULT_PIECES: u64 = 32;
+/// Chunks of a response when the body names no limit.
+pub const DEFAULT_CHUNKS: u64 = 32;
 
 /// The parts of a chat completion body that the emulator acts on.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Prompt {
-    /// Model asked for.
+    /// Model requested.
     pub model: String,
     /// Conversation so far.
     pub messages: Vec<Value>,
-    /// Whether pieces are streamed.
+    /// Whether chunks are streamed.
     #[serde(default)]
     pub stream: bool,
-    /// Longest answer, in tokens; one piece is one token here.
+    /// Longest response, in tokens; one chunk is one token here.
     #[serde(default)]
     pub max_tokens: Option<u64>,
 }
@@ -47,9 +47,9 @@
             .to_owned()
     }
 
-    /// Pieces that the answer will have.
+    /// Chunks that the response will have.
     #[must_use]
-    pub fn pieces(&self) -> u64 {
-        self.max_tokens.unwrap_or(DEFAULT_PIECES).max(1)
+    pub fn chunks(&self) -> u64 {
+        self.max_tokens.unwrap_or(DEFAULT_CHUNKS).max(1)
     }
 }
--- a/crates/lab/src/emulator/response_writer.rs
+++ b/crates/lab/src/emulator/response_writer.rs
@@ -1,4 +1,4 @@
-//! Writes one answer of the emulator at the pace of the cost model.
+//! Writes one response of the emulator at the pace of the cost model.
 
 use std::io;
 use std::sync::Arc;
@@ -19,27 +19,27 @@
 /// What the writer sends next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    Pieces,
+    Chunks,
     End,
     Over,
 }
 
-/// Writes one answer at the pace of the cost model.
-pub(super) struct AnswerWriter {
+/// Writes one response at the pace of the cost model.
+pub(super) struct ResponseWriter {
     pub(super) state: Arc<BackendState>,
     pub(super) running: RunningExecution,
     pub(super) answer: AnswerText,
     pub(super) model: String,
     pub(super) work: EngineRun,
     pub(super) sequence: u64,
-    pub(super) pieces: u64,
+    pub(super) chunks: u64,
     pub(super) sent: u64,
     pub(super) stage: Stage,
     pub(super) stray: StraySwitch,
 }
 
-impl AnswerWriter {
-    /// The answer as a stream of pieces.
+impl ResponseWriter {
+    /// The response as a stream of chunks.
     pub(super) fn stream(self) -> Response<EmulatorBody> {
         let frames = stream::unfold(self, |mut writer| async move {
             let frame = writer.next_frame().await?;
@@ -62,19 +62,19 @@
                 self.running.complete();
                 Some(Ok(Frame::data(Bytes::from_static(b"data: [DONE]\n\n"))))
             }
-            Stage::Pieces => Some(self.next_piece().await),
+            Stage::Chunks => Some(self.next_chunk().await),
         }
     }
 
-    async fn next_piece(&mut self) -> io::Result<Frame<Bytes>> {
+    async fn next_chunk(&mut self) -> io::Result<Frame<Bytes>> {
         self.pace().await;
-        if self.is_cut() {
-            // As for a plain answer: the head and the pieces so far leave first.
+        if self.is_truncated() {
+            // As for a plain response: the head and the chunks so far leave first.
             tokio::task::yield_now().await;
             return Err(io::Error::other("cut by a fault switch"));
         }
-        let last = self.sequence + 1 >= self.pieces;
-        let event = self.piece_event(last);
+        let last = self.sequence + 1 >= self.chunks;
+        let event = self.chunk_event(last);
         self.sequence += 1;
         self.sent += 1;
         if last {
@@ -83,7 +83,7 @@
         Ok(Frame::data(Bytes::from(format!("data: {event}\n\n"))))
     }
 
-    /// Waits for the next token; a dark backend waits until it is lit again.
+    /// Waits for the next token; an unresponsive backend waits until the switch is cleared.
     async fn pace(&mut self) {
         let tokens = u32::try_from(self.sent + 1).unwrap_or(u32::MAX);
         self.work.wait_for(tokens).await;
@@ -91,9 +91,9 @@
         let _ = faults.wait_for(|faults| !faults.dark).await;
     }
 
-    fn is_cut(&self) -> bool {
-        let cut_after = self.state.faults.borrow().cut_after;
-        cut_after.is_some_and(|pieces| self.sent >= pieces)
+    fn is_truncated(&self) -> bool {
+        let truncate_after = self.state.faults.borrow().truncate_after;
+        truncate_after.is_some_and(|chunks| self.sent >= chunks)
     }
 
     fn arm_stray(&self) {
@@ -102,7 +102,7 @@
         }
     }
 
-    fn piece_event(&self, last: bool) -> Value {
+    fn chunk_event(&self, last: bool) -> Value {
         let finish = if last { json!("stop") } else { Value::Null };
         let mut event = json!({
             "id": format!("chatcmpl-{}", self.answer.run()),
@@ -110,7 +110,7 @@
             "model": self.model,
             "choices": [{
                 "index": 0,
-                "delta": {"content": self.answer.piece(self.sequence)},
+                "delta": {"content": self.answer.chunk(self.sequence)},
                 "finish_reason": finish,
             }],
             "millford": {"run": self.answer.run(), "seq": self.sequence},
@@ -125,13 +125,13 @@
         json!({
             "prompt_tokens": self.work.prompt_tokens,
             "cached_tokens": self.work.started.cached_tokens,
-            "completion_tokens": self.pieces,
+            "completion_tokens": self.chunks,
         })
     }
 
-    /// The whole answer in one body.
+    /// The complete response in one body.
     pub(super) async fn plain(mut self) -> Response<EmulatorBody> {
-        for _ in self.sequence..self.pieces {
+        for _ in self.sequence..self.chunks {
             self.pace().await;
             self.sent += 1;
         }
@@ -141,15 +141,15 @@
             "model": self.model,
             "choices": [{
                 "index": 0,
-                "message": {"role": "assistant", "content": self.answer.whole(self.pieces)},
+                "message": {"role": "assistant", "content": self.answer.full_text(self.chunks)},
                 "finish_reason": "stop",
             }],
             "usage": self.usage(),
         });
-        let cut = self.state.faults.borrow().cut_after.is_some();
+        let cut = self.state.faults.borrow().truncate_after.is_some();
         let mut response = json_answer(StatusCode::OK, &body);
         if cut {
-            return cut_answer(&body);
+            return truncated_response(&body);
         }
         self.running.complete();
         if self.state.faults.borrow().stray_bytes {
@@ -176,8 +176,8 @@
     BodyExt::boxed_unsync(StreamBody::new(frames))
 }
 
-/// The first half of an answer under the length of the whole.
-fn cut_answer(body: &Value) -> Response<EmulatorBody> {
+/// The first half of a response under the length of the complete body.
+fn truncated_response(body: &Value) -> Response<EmulatorBody> {
     let text = body.to_string().into_bytes();
     let half = Bytes::copy_from_slice(&text[..text.len() / 2]);
     let cut = stream::once(async {
--- a/crates/lab/src/emulator/server.rs
+++ b/crates/lab/src/emulator/server.rs
@@ -92,7 +92,7 @@
     let stray = StraySwitch::default();
     let io = TokioIo::new(SharedStream::new(stream, stray.clone()));
     let service = service_fn(move |request| answer(request, Arc::clone(&state), stray.clone()));
-    // An error here is a caller that went away or a fault that was asked for.
+    // An error here is a caller that went away or a fault that was requested.
     let _ = hyper::server::conn::http1::Builder::new()
         .serve_connection(io, service)
         .await;
@@ -131,7 +131,7 @@
     })
 }
 
-/// A dark backend takes requests and never answers them.
+/// A dark backend takes requests and never responds to them.
 async fn wait_until_lit(state: &BackendState) {
     let mut faults = state.faults.subscribe();
     let _ = faults.wait_for(|faults| !faults.dark).await;
--- a/crates/lab/src/emulator/shared_stream.rs
+++ b/crates/lab/src/emulator/shared_stream.rs
@@ -1,4 +1,4 @@
-//! A connection that can be made to send bytes which belong to no answer.
+//! A connection that can be made to send bytes which belong to no response.
 
 use std::io;
 use std::pin::Pin;
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// What a faulty connection sends after an answer.
+/// What a faulty connection sends after a response.
 const STRAY_BYTES: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nstray";
 
 /// Asks a connection to send stray bytes after the bytes that are buffered now.
@@ -41,7 +41,7 @@
         Self { stream, stray }
     }
 
-    /// The server flushes only after it wrote its whole buffer, so these bytes follow the answer.
+    /// The server flushes only after it wrote its whole buffer, so these bytes follow the response.
     fn send_stray(&self) {
         if self.stray.take() {
             let _ = self.stream.try_write(STRAY_BYTES);
--- a/crates/lab/src/emulator/state.rs
+++ b/crates/lab/src/emulator/state.rs
@@ -107,7 +107,7 @@
 }
 
 impl RunningExecution {
-    /// Every piece was handed to the connection.
+    /// Every chunk was handed to the connection.
     pub fn complete(&mut self) {
         self.end = Some(ExecutionEnd::Completed);
     }
--- a/crates/lab/src/fleet/backend_process.rs
+++ b/crates/lab/src/fleet/backend_process.rs
@@ -17,16 +17,16 @@
 /// Program of the laboratory.
 pub const LAB_PROGRAM: &str = "millford-lab";
 
-/// Place of one backend.
+/// Identity, zone, kind and addresses of one backend.
 #[derive(Clone, Debug)]
-pub struct BackendPlace {
+pub struct BackendSpec {
     /// Identity in the registry.
     pub id: String,
     /// Zone.
     pub zone: String,
     /// Kind of work.
     pub kind: BackendKind,
-    /// Address it serves at.
+    /// Address that it listens on.
     pub address: SocketAddr,
     /// Where it registers.
     pub registry: SocketAddr,
@@ -34,78 +34,88 @@
 
 /// One emulated backend as a process.
 #[derive(Debug)]
-pub struct BackendMachine {
-    /// Its place.
-    pub place: BackendPlace,
+pub struct BackendProcess {
+    /// Its name and addresses.
+    pub spec: BackendSpec,
     /// Its process.
     pub process: FleetProcess,
     execution_log: PathBuf,
 }
 
-impl BackendMachine {
+impl BackendProcess {
     /// Starts the backend and waits until it is ready.
+    ///
+    /// # Errors
+    /// The program is missing, cannot be started or ends before it is ready.
     pub async fn start(
         binaries: &Binaries,
         folder: &Path,
-        place: BackendPlace,
+        spec: BackendSpec,
     ) -> Result<Self, FleetError> {
-        let execution_log = folder.join(format!("{}.executions", place.id));
-        let kind = match place.kind {
+        let execution_log = folder.join(format!("{}.executions", spec.id));
+        let kind = match spec.kind {
             BackendKind::Model => "model",
             BackendKind::Lookup => "lookup",
         };
         let arguments = [
             "backend",
             "--id",
-            &place.id,
+            &spec.id,
             "--zone",
-            &place.zone,
+            &spec.zone,
             "--kind",
             kind,
             "--address",
-            &place.address.to_string(),
+            &spec.address.to_string(),
             "--registry",
-            &place.registry.to_string(),
+            &spec.registry.to_string(),
             "--execution-log",
             &execution_log.display().to_string(),
         ]
         .map(str::to_owned);
-        let spec = ProcessSpec {
-            name: place.id.clone(),
+        let process_spec = ProcessSpec {
+            name: spec.id.clone(),
             program: binaries.path(LAB_PROGRAM)?,
             arguments: arguments.to_vec(),
-            log: folder.join(format!("{}.log", place.id)),
+            log: folder.join(format!("{}.log", spec.id)),
         };
-        let process = FleetProcess::start(spec).await?;
+        let process = FleetProcess::start(process_spec).await?;
         Ok(Self {
-            place,
+            spec,
             process,
             execution_log,
         })
     }
 
-    /// Starts the process again under the same identity.
+    /// Restarts the process under the same identity.
+    ///
+    /// # Errors
+    /// The process cannot be started or ends before it is ready.
     pub async fn restart(&mut self) -> Result<(), FleetError> {
-        self.process.kill().await;
-        self.process = FleetProcess::start(self.process.spec().clone()).await?;
-        Ok(())
+        self.process.restart().await
     }
 
     /// Sets the fault switches.
+    ///
+    /// # Errors
+    /// [`FleetError::Operator`] when the backend cannot be reached or rejects them.
     pub async fn set_faults(&self, faults: &FaultSwitches) -> Result<(), FleetError> {
         let path = "/admin/faults";
-        let answer = send_json(self.place.address, Method::PUT, path, faults).await;
-        match answer {
-            Ok(answer) if answer.status.is_success() => Ok(()),
-            Ok(answer) => Err(FleetError::Operator(format!(
+        let response = send_json(self.spec.address, Method::PUT, path, faults).await;
+        match response {
+            Ok(response) if response.status.is_success() => Ok(()),
+            Ok(response) => Err(FleetError::Operator(format!(
                 "fault switches: {}",
-                answer.status
+                response.status
             ))),
             Err(error) => Err(FleetError::Operator(format!("fault switches: {error}"))),
         }
     }
 
     /// Every execution so far, over all restarts.
+    ///
+    /// # Errors
+    /// [`FleetError::Io`] when the execution log cannot be read.
     pub fn executions(&self) -> Result<Vec<Execution>, FleetError> {
         read_execution_log(&self.execution_log).map_err(FleetError::io("reading an execution log"))
     }
--- a/crates/lab/src/fleet/control_node.rs
+++ b/crates/lab/src/fleet/control_node.rs
@@ -1,4 +1,4 @@
-//! One core machine: a control node with its data folder.
+//! One control node as a process, with its data folder.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -11,9 +11,9 @@
 /// Program of a control node.
 pub const CONTROL_PROGRAM: &str = "millford-control";
 
-/// What every control node of a fleet is told.
+/// Settings that all control nodes of a fleet share.
 #[derive(Clone, Debug)]
-pub struct ControlCommon {
+pub struct ControlClusterSettings {
     /// Seed addresses.
     pub seeds: Vec<SocketAddr>,
     /// Address of the service registry.
@@ -24,9 +24,9 @@
     pub cluster_size: u32,
 }
 
-/// Place of one control node.
+/// Name, zone and addresses of one control node.
 #[derive(Clone, Debug)]
-pub struct ControlPlace {
+pub struct ControlNodeSpec {
     /// Name, unique in the fleet.
     pub name: String,
     /// Zone.
@@ -37,43 +37,50 @@
     pub operator: SocketAddr,
 }
 
-/// One core machine.
+/// One control node.
 #[derive(Debug)]
-pub struct ControlMachine {
-    /// Its place.
-    pub place: ControlPlace,
+pub struct ControlNode {
+    /// Its name and addresses.
+    pub spec: ControlNodeSpec,
     /// Its data folder.
     pub data_folder: PathBuf,
     /// Its process.
     pub process: FleetProcess,
 }
 
-impl ControlMachine {
+impl ControlNode {
     /// Starts the node and waits until it is ready.
+    ///
+    /// # Errors
+    /// Its files cannot be written, or the process cannot be started or ends before it is ready.
     pub async fn start(
         binaries: &Binaries,
         folder: &Path,
-        common: &ControlCommon,
-        place: ControlPlace,
+        common: &ControlClusterSettings,
+        spec: ControlNodeSpec,
     ) -> Result<Self, FleetError> {
-        let data_folder = folder.join(format!("{}-data", place.name));
-        let spec = spec(binaries, folder, common, &place, &data_folder)?;
-        let process = FleetProcess::start(spec).await?;
+        let data_folder = folder.join(format!("{}-data", spec.name));
+        let process_spec = process_spec(binaries, folder, common, &spec, &data_folder)?;
+        let process = FleetProcess::start(process_spec).await?;
         Ok(Self {
-            place,
+            spec,
             data_folder,
             process,
         })
     }
 
-    /// Starts the process again, with what is left in its data folder.
+    /// Restarts the process on its present data folder.
+    ///
+    /// # Errors
+    /// The process cannot be started or ends before it is ready.
     pub async fn restart(&mut self) -> Result<(), FleetError> {
-        self.process.kill().await;
-        self.process = FleetProcess::start(self.process.spec().clone()).await?;
-        Ok(())
+        self.process.restart().await
     }
 
-    /// Kills the process and empties its data folder.
+    /// Kills the process and removes its data folder.
+    ///
+    /// # Errors
+    /// [`FleetError::Io`] when the folder cannot be removed.
     pub async fn kill_and_wipe(&mut self) -> Result<(), FleetError> {
         self.process.kill().await;
         match std::fs::remove_dir_all(&self.data_folder) {
@@ -86,28 +93,28 @@
     }
 }
 
-fn spec(
+fn process_spec(
     binaries: &Binaries,
     folder: &Path,
-    common: &ControlCommon,
-    place: &ControlPlace,
+    common: &ControlClusterSettings,
+    spec: &ControlNodeSpec,
     data_folder: &Path,
 ) -> Result<ProcessSpec, FleetError> {
     std::fs::create_dir_all(data_folder).map_err(FleetError::io("making a data folder"))?;
     let settings = SettingsFile::default()
-        .text("zone", &place.zone)
-        .text("internal_address", place.internal)
-        .text("operator_address", place.operator)
+        .text("zone", &spec.zone)
+        .text("internal_address", spec.internal)
+        .text("operator_address", spec.operator)
         .list("seeds", &common.seeds)
         .text("data_folder", data_folder.display())
         .text("operator_key_hash", &common.operator_key_hash)
         .text("registry_address", common.registry)
         .number("cluster_size", common.cluster_size);
-    let path = settings.write(folder, &place.name)?;
+    let path = settings.write(folder, &spec.name)?;
     Ok(ProcessSpec {
-        name: place.name.clone(),
+        name: spec.name.clone(),
         program: binaries.path(CONTROL_PROGRAM)?,
         arguments: vec!["--settings".to_owned(), path.display().to_string()],
-        log: folder.join(format!("{}.log", place.name)),
+        log: folder.join(format!("{}.log", spec.name)),
     })
 }
--- a/crates/lab/src/fleet/error.rs
+++ b/crates/lab/src/fleet/error.rs
@@ -1,4 +1,4 @@
-//! Why a fleet could not be brought up or driven.
+//! Errors of starting and driving a fleet.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -6,6 +6,8 @@
 use miette::Diagnostic;
 use thiserror::Error;
 
+use crate::arguments::ArgumentError;
+
 /// Why a fleet could not be brought up or driven.
 #[derive(Debug, Error, Diagnostic)]
 pub enum FleetError {
@@ -29,7 +31,7 @@
         /// Its log.
         log: PathBuf,
     },
-    /// No event came within its bound.
+    /// An awaited condition did not hold within its timeout.
     #[error("{what} did not happen within {bound:?}")]
     Timeout {
         /// Awaited event.
@@ -37,16 +39,24 @@
         /// Longest wait.
         bound: Duration,
     },
-    /// The operator's tool or interface refused.
+    /// The operator's tool or interface rejected a request.
     #[error("the operator interface refused: {0}")]
     Operator(String),
-    /// An argument of the command line is wrong.
-    #[error("{0}")]
-    Argument(String),
+    /// The site's document cannot be parsed.
+    #[error("the document of {site}: {source}")]
+    Document {
+        /// Name of the site.
+        site: &'static str,
+        /// Cause.
+        source: serde_json::Error,
+    },
+    /// The command line cannot be used.
+    #[error(transparent)]
+    Argument(#[from] ArgumentError),
 }
 
 impl FleetError {
-    /// Wraps an input or output error.
+    /// Wraps an input or output error with what was tried.
     pub fn io(what: &str) -> impl FnOnce(std::io::Error) -> FleetError {
         let what = what.to_owned();
         move |source| FleetError::Io { what, source }
--- a/crates/lab/src/fleet/fleet_process.rs
+++ b/crates/lab/src/fleet/fleet_process.rs
@@ -41,6 +41,9 @@
 
 impl FleetProcess {
     /// Starts the process and waits for its ready line.
+    ///
+    /// # Errors
+    /// [`FleetError::Io`] when it cannot be started, [`FleetError::EndedEarly`] when it ends before it is ready.
     pub async fn start(spec: ProcessSpec) -> Result<Self, FleetError> {
         let mut process = Self::spawn(spec)?;
         process.wait_ready().await?;
@@ -48,6 +51,9 @@
     }
 
     /// Starts the process without waiting.
+    ///
+    /// # Errors
+    /// [`FleetError::Io`] when its log cannot be opened or it cannot be started.
     pub fn spawn(spec: ProcessSpec) -> Result<StartingProcess, FleetError> {
         let log = std::fs::OpenOptions::new()
             .create(true)
@@ -75,6 +81,16 @@
         Ok(StartingProcess { process, ready })
     }
 
+    /// Kills the process, if it runs, and starts it again in the same way.
+    ///
+    /// # Errors
+    /// As [`FleetProcess::start`].
+    pub async fn restart(&mut self) -> Result<(), FleetError> {
+        self.kill().await;
+        *self = Self::start(self.spec.clone()).await?;
+        Ok(())
+    }
+
     /// How it was started.
     #[must_use]
     pub fn spec(&self) -> &ProcessSpec {
--- a/crates/lab/src/fleet/local_fleet.rs
+++ b/crates/lab/src/fleet/local_fleet.rs
@@ -1,4 +1,4 @@
-//! A whole fleet on loopback.
+//! A complete fleet on loopback.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -8,15 +8,15 @@
 use millford_core::hash_tenant_key;
 use tempfile::TempDir;
 
-use super::backend_machine::{BackendMachine, BackendPlace, LAB_PROGRAM};
+use super::backend_process::{BackendProcess, BackendSpec, LAB_PROGRAM};
 use super::binaries::Binaries;
-use super::control_machine::{ControlCommon, ControlMachine, ControlPlace};
+use super::control_node::{ControlClusterSettings, ControlNode, ControlNodeSpec};
 use super::error::FleetError;
 use super::fleet_process::{FleetProcess, ProcessSpec};
-use super::front_machine::FrontMachine;
+use super::node_specs::{control_node_specs, proxy_node_spec};
 use super::operator::{CTL_PROGRAM, Operator};
-use super::places::{control_places, front_place};
 use super::ports::free_addresses;
+use super::proxy_node::ProxyNode;
 use super::site::SitePlan;
 use super::waiting::{is_ready, wait_for};
 use crate::emulator::execution::Execution;
@@ -25,7 +25,7 @@
 /// Longest wait for the fleet to serve after the configuration was accepted.
 const SERVE_BOUND: Duration = Duration::from_secs(20);
 
-/// A whole fleet on loopback. Dropping it kills every process of it.
+/// A complete fleet on loopback. Dropping it kills every process of it.
 #[derive(Debug)]
 pub struct Fleet {
     /// What it consists of.
@@ -35,19 +35,19 @@
     /// Registry address.
     pub registry_address: SocketAddr,
     /// Control nodes.
-    pub controls: Vec<ControlMachine>,
+    pub controls: Vec<ControlNode>,
     /// Front machines.
-    pub fronts: Vec<FrontMachine>,
+    pub proxy_nodes: Vec<ProxyNode>,
     /// Backends, model backends first.
-    pub backends: Vec<BackendMachine>,
+    pub backends: Vec<BackendProcess>,
     /// Backends that were replaced; their execution logs still count.
-    pub retired_backends: Vec<BackendMachine>,
-    /// Operator addresses of the control nodes, for those who look from another task.
+    pub retired_backends: Vec<BackendProcess>,
+    /// Operator addresses of the control nodes, for tasks that run beside the fleet.
     pub operator_addresses: Arc<Mutex<Vec<SocketAddr>>>,
     /// Operator's side.
     pub operator: Operator,
-    /// What control nodes are told.
-    pub common: ControlCommon,
+    /// Settings that all control nodes share.
+    pub common: ControlClusterSettings,
     /// The programs.
     pub binaries: Binaries,
     folder: TempDir,
@@ -65,9 +65,9 @@
         let addresses = free_addresses(1 + plan.controls * 2)?;
         let registry_address = addresses[0];
         let operator_key = format!("operator-{:016x}", rand::random::<u64>());
-        let places = control_places(&plan, &addresses[1..]);
-        let common = ControlCommon {
-            seeds: places.iter().map(|place| place.internal).collect(),
+        let specs = control_node_specs(&plan, &addresses[1..]);
+        let common = ControlClusterSettings {
+            seeds: specs.iter().map(|spec| spec.internal).collect(),
             registry: registry_address,
             operator_key_hash: hash_tenant_key(&operator_key),
             cluster_size: u32::try_from(plan.controls).unwrap_or(3),
@@ -82,7 +82,7 @@
             registry,
             registry_address,
             controls: Vec::new(),
-            fronts: Vec::new(),
+            proxy_nodes: Vec::new(),
             backends: Vec::new(),
             retired_backends: Vec::new(),
             operator_addresses: Arc::default(),
@@ -93,7 +93,7 @@
             control_names: 0,
             backend_names: 0,
         };
-        match fleet.start_machines(places).await {
+        match fleet.start_machines(specs).await {
             Ok(()) => Ok(fleet),
             Err(error) => {
                 // The error names a log in it.
@@ -103,10 +103,10 @@
         }
     }
 
-    async fn start_machines(&mut self, places: Vec<ControlPlace>) -> Result<(), FleetError> {
+    async fn start_machines(&mut self, specs: Vec<ControlNodeSpec>) -> Result<(), FleetError> {
         self.start_backends().await?;
-        self.start_controls(places).await?;
-        self.start_fronts().await
+        self.start_controls(specs).await?;
+        self.start_proxy_nodes().await
     }
 
     /// Folder of settings, logs and data.
@@ -118,13 +118,15 @@
     /// Operator address of a control node that runs, the first one.
     #[must_use]
     pub fn operator_address(&self) -> SocketAddr {
-        self.controls[0].place.operator
+        self.controls[0].spec.operator
     }
 
     /// Address for callers of a proxy.
     #[must_use]
     pub fn proxy_address(&self, index: usize) -> SocketAddr {
-        self.fronts[index % self.fronts.len()].place.callers
+        self.proxy_nodes[index % self.proxy_nodes.len()]
+            .spec
+            .callers
     }
 
     /// Applies the site's document with the operator's tool and waits until every proxy serves.
@@ -134,7 +136,7 @@
             .map_err(FleetError::io("writing the document"))?;
         let mut servers = Vec::new();
         for control in &self.controls {
-            let address = control.place.operator;
+            let address = control.spec.operator;
             wait_for("a control node's readiness", SERVE_BOUND, || {
                 is_ready(address)
             })
@@ -146,10 +148,10 @@
         Ok(output)
     }
 
-    /// Waits until every proxy answers `/readyz` with success.
+    /// Waits until every proxy responds to `/readyz` with success.
     pub async fn wait_until_proxies_ready(&self) -> Result<(), FleetError> {
-        for front in &self.fronts {
-            let address = front.place.callers;
+        for proxy_node in &self.proxy_nodes {
+            let address = proxy_node.spec.callers;
             wait_for("a proxy's readiness", SERVE_BOUND, || is_ready(address)).await?;
         }
         Ok(())
@@ -158,8 +160,8 @@
     /// Starts one more backend under a new identity at a new address.
     pub async fn add_backend(&mut self, kind: BackendKind, zone: String) -> Result<(), FleetError> {
         self.backend_names += 1;
-        let place = self.backend_place(kind, zone, free_addresses(1)?[0]);
-        let backend = BackendMachine::start(&self.binaries, self.folder.path(), place).await?;
+        let spec = self.backend_spec(kind, zone, free_addresses(1)?[0]);
+        let backend = BackendProcess::start(&self.binaries, self.folder.path(), spec).await?;
         self.backends.push(backend);
         Ok(())
     }
@@ -183,15 +185,15 @@
         self.controls[index].process.kill().await;
         let addresses = free_addresses(2)?;
         self.control_names += 1;
-        let place = ControlPlace {
+        let spec = ControlNodeSpec {
             name: format!("control-{}", self.control_names),
-            zone: self.controls[index].place.zone.clone(),
+            zone: self.controls[index].spec.zone.clone(),
             internal: addresses[0],
             operator: addresses[1],
         };
         let folder = self.folder.path();
         self.controls[index] =
-            ControlMachine::start(&self.binaries, folder, &self.common, place).await?;
+            ControlNode::start(&self.binaries, folder, &self.common, spec).await?;
         self.publish_operator_addresses();
         Ok(())
     }
@@ -200,7 +202,7 @@
         let addresses = self
             .controls
             .iter()
-            .map(|control| control.place.operator)
+            .map(|control| control.spec.operator)
             .collect();
         *self
             .operator_addresses
@@ -210,9 +212,9 @@
 
     /// Kills every process. The folder goes with the value.
     pub async fn stop(&mut self) {
-        for front in &mut self.fronts {
-            front.proxy.kill().await;
-            front.agent.kill().await;
+        for proxy_node in &mut self.proxy_nodes {
+            proxy_node.proxy.kill().await;
+            proxy_node.agent.kill().await;
         }
         for control in &mut self.controls {
             control.process.kill().await;
@@ -229,13 +231,13 @@
         self.folder.path().to_owned()
     }
 
-    fn backend_place(&self, kind: BackendKind, zone: String, address: SocketAddr) -> BackendPlace {
+    fn backend_spec(&self, kind: BackendKind, zone: String, address: SocketAddr) -> BackendSpec {
         let name = match kind {
             BackendKind::Model => "model",
             BackendKind::Lookup => "lookup",
         };
         let id = format!("{name}-{}", self.backend_names);
-        BackendPlace {
+        BackendSpec {
             id,
             zone,
             kind,
@@ -256,29 +258,29 @@
         Ok(())
     }
 
-    async fn start_controls(&mut self, places: Vec<ControlPlace>) -> Result<(), FleetError> {
+    async fn start_controls(&mut self, specs: Vec<ControlNodeSpec>) -> Result<(), FleetError> {
         // Together: a node may become ready only after it has met the others.
         let folder = self.folder.path();
-        let starts = places
+        let starts = specs
             .into_iter()
-            .map(|place| ControlMachine::start(&self.binaries, folder, &self.common, place));
+            .map(|spec| ControlNode::start(&self.binaries, folder, &self.common, spec));
         self.controls = futures::future::try_join_all(starts).await?;
         self.control_names = self.controls.len();
         self.publish_operator_addresses();
         Ok(())
     }
 
-    async fn start_fronts(&mut self) -> Result<(), FleetError> {
+    async fn start_proxy_nodes(&mut self) -> Result<(), FleetError> {
         let folder = self.folder.path();
-        let addresses = free_addresses(self.plan.fronts * 3)?;
+        let addresses = free_addresses(self.plan.proxy_nodes * 3)?;
         let starts = addresses
             .chunks_exact(3)
             .enumerate()
             .map(|(index, addresses)| {
-                let place = front_place(&self.plan, index, addresses);
-                FrontMachine::start(&self.binaries, folder, &self.common, place)
+                let spec = proxy_node_spec(&self.plan, index, addresses);
+                ProxyNode::start(&self.binaries, folder, &self.common, spec)
             });
-        self.fronts = futures::future::try_join_all(starts).await?;
+        self.proxy_nodes = futures::future::try_join_all(starts).await?;
         Ok(())
     }
 }
--- a/crates/lab/src/fleet/node_specs.rs
+++ b/crates/lab/src/fleet/node_specs.rs
@@ -2,16 +2,16 @@
 
 use std::net::SocketAddr;
 
-use super::control_machine::ControlPlace;
-use super::front_machine::FrontPlace;
+use super::control_node::ControlNodeSpec;
+use super::proxy_node::ProxyNodeSpec;
 use super::site::SitePlan;
 
 /// Places of the control nodes, from two addresses each.
 #[must_use]
-pub fn control_places(plan: &SitePlan, addresses: &[SocketAddr]) -> Vec<ControlPlace> {
+pub fn control_node_specs(plan: &SitePlan, addresses: &[SocketAddr]) -> Vec<ControlNodeSpec> {
     let pairs = addresses.chunks_exact(2).enumerate();
     pairs
-        .map(|(index, pair)| ControlPlace {
+        .map(|(index, pair)| ControlNodeSpec {
             name: format!("control-{}", index + 1),
             zone: plan.zone(index),
             internal: pair[0],
@@ -20,10 +20,10 @@
         .collect()
 }
 
-/// Place of one front machine, from three addresses.
+/// Name, zone and addresses of one proxy node, from three addresses.
 #[must_use]
-pub fn front_place(plan: &SitePlan, index: usize, addresses: &[SocketAddr]) -> FrontPlace {
-    FrontPlace {
+pub fn proxy_node_spec(plan: &SitePlan, index: usize, addresses: &[SocketAddr]) -> ProxyNodeSpec {
+    ProxyNodeSpec {
         name: format!("front-{}", index + 1),
         zone: plan.zone(index),
         local: addresses[0],
--- a/crates/lab/src/fleet/operator.rs
+++ b/crates/lab/src/fleet/operator.rs
@@ -13,13 +13,13 @@
 use tokio::time::timeout;
 
 use super::error::FleetError;
-use crate::caller::http_client::{WholeAnswer, get, send};
+use crate::caller::http_client::{FullResponse, get, send};
 
 /// Program of the operator's tool.
 pub const CTL_PROGRAM: &str = "millfordctl";
 /// Longest wait for the tool, which itself goes on trying for thirty seconds.
 const TOOL_BOUND: Duration = Duration::from_secs(35);
-/// Longest wait for one answer.
+/// Longest wait for one response.
 const ANSWER_BOUND: Duration = Duration::from_secs(5);
 
 /// The operator's side of one fleet.
@@ -31,7 +31,7 @@
     pub ctl: PathBuf,
 }
 
-/// Answer to an order.
+/// Response to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
     /// Accepted under this number.
@@ -48,7 +48,7 @@
         /// Present revision, on a conflict.
         revision: Option<u64>,
     },
-    /// No answer: the order's fate is unknown.
+    /// No response: the order's fate is unknown.
     Unknown,
 }
 
@@ -145,7 +145,7 @@
         method: &str,
         path: &str,
         body: &Value,
-    ) -> Option<WholeAnswer> {
+    ) -> Option<FullResponse> {
         let request = Request::builder()
             .method(method)
             .uri(path)
@@ -157,11 +157,11 @@
         let response = send(server, request).await.ok()?;
         let status = response.status();
         let body = response.into_body().collect().await.ok()?.to_bytes();
-        Some(WholeAnswer { status, body })
+        Some(FullResponse { status, body })
     }
 }
 
-fn read_order_answer(answer: &WholeAnswer) -> OrderAnswer {
+fn read_order_answer(answer: &FullResponse) -> OrderAnswer {
     let value: Value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
     if answer.status.is_success()
         && let Some(revision) = value["revision"].as_u64()
--- a/crates/lab/src/fleet/ports.rs
+++ b/crates/lab/src/fleet/ports.rs
@@ -28,7 +28,7 @@
     /// Locked until the process ends.
     _lock: File,
     ports: Range<u16>,
-    /// The port to look at next. Freed ones come again as late as possible.
+    /// The port to try next. Released ports are reused as late as possible.
     next: u16,
 }
 
--- a/crates/lab/src/fleet/proxy_node.rs
+++ b/crates/lab/src/fleet/proxy_node.rs
@@ -1,10 +1,10 @@
-//! One front machine: an agent and its proxy.
+//! One proxy node: an agent and its proxy.
 
 use std::net::SocketAddr;
 use std::path::Path;
 
 use super::binaries::Binaries;
-use super::control_machine::ControlCommon;
+use super::control_node::ControlClusterSettings;
 use super::error::FleetError;
 use super::fleet_process::{FleetProcess, ProcessSpec};
 use super::settings_file::SettingsFile;
@@ -14,9 +14,9 @@
 /// Program of a proxy.
 pub const PROXY_PROGRAM: &str = "millford-proxy";
 
-/// Place of one front machine.
+/// Name, zone and addresses of one proxy node.
 #[derive(Clone, Debug)]
-pub struct FrontPlace {
+pub struct ProxyNodeSpec {
     /// Name, unique in the fleet.
     pub name: String,
     /// Zone.
@@ -29,61 +29,62 @@
     pub callers: SocketAddr,
 }
 
-/// One front machine.
+/// One proxy node.
 #[derive(Debug)]
-pub struct FrontMachine {
-    /// Its place.
-    pub place: FrontPlace,
+pub struct ProxyNode {
+    /// Its name and addresses.
+    pub spec: ProxyNodeSpec,
     /// Its agent.
     pub agent: FleetProcess,
     /// Its proxy.
     pub proxy: FleetProcess,
 }
 
-impl FrontMachine {
+impl ProxyNode {
     /// Starts both processes and waits until they are ready.
+    ///
+    /// # Errors
+    /// Their files cannot be written, or a process cannot be started or ends before it is ready.
     pub async fn start(
         binaries: &Binaries,
         folder: &Path,
-        common: &ControlCommon,
-        place: FrontPlace,
+        common: &ControlClusterSettings,
+        spec: ProxyNodeSpec,
     ) -> Result<Self, FleetError> {
-        let agent = FleetProcess::start(agent_spec(binaries, folder, common, &place)?).await?;
-        let proxy = FleetProcess::start(proxy_spec(binaries, folder, &place)?).await?;
-        Ok(Self {
-            place,
-            agent,
-            proxy,
-        })
+        let agent = FleetProcess::start(agent_spec(binaries, folder, common, &spec)?).await?;
+        let proxy = FleetProcess::start(proxy_spec(binaries, folder, &spec)?).await?;
+        Ok(Self { spec, agent, proxy })
     }
 
-    /// Starts the agent again.
+    /// Restarts the agent.
+    ///
+    /// # Errors
+    /// The process cannot be started or ends before it is ready.
     pub async fn restart_agent(&mut self) -> Result<(), FleetError> {
-        self.agent.kill().await;
-        self.agent = FleetProcess::start(self.agent.spec().clone()).await?;
-        Ok(())
+        self.agent.restart().await
     }
 
-    /// Starts the proxy again.
+    /// Restarts the proxy.
+    ///
+    /// # Errors
+    /// The process cannot be started or ends before it is ready.
     pub async fn restart_proxy(&mut self) -> Result<(), FleetError> {
-        self.proxy.kill().await;
-        self.proxy = FleetProcess::start(self.proxy.spec().clone()).await?;
-        Ok(())
+        self.proxy.restart().await
     }
 }
 
 fn agent_spec(
     binaries: &Binaries,
     folder: &Path,
-    common: &ControlCommon,
-    place: &FrontPlace,
+    common: &ControlClusterSettings,
+    spec: &ProxyNodeSpec,
 ) -> Result<ProcessSpec, FleetError> {
-    let name = format!("{}-agent", place.name);
+    let name = format!("{}-agent", spec.name);
     let settings = SettingsFile::default()
-        .text("name", &place.name)
-        .text("zone", &place.zone)
-        .text("local_address", place.local)
-        .text("http_address", place.agent_http)
+        .text("name", &spec.name)
+        .text("zone", &spec.zone)
+        .text("local_address", spec.local)
+        .text("http_address", spec.agent_http)
         .list("seeds", &common.seeds)
         .text("registry_address", common.registry);
     process_spec(binaries.path(AGENT_PROGRAM)?, folder, name, &settings)
@@ -92,14 +93,14 @@
 fn proxy_spec(
     binaries: &Binaries,
     folder: &Path,
-    place: &FrontPlace,
+    spec: &ProxyNodeSpec,
 ) -> Result<ProcessSpec, FleetError> {
-    let name = format!("{}-proxy", place.name);
+    let name = format!("{}-proxy", spec.name);
     let settings = SettingsFile::default()
-        .text("name", &place.name)
-        .text("zone", &place.zone)
-        .text("caller_address", place.callers)
-        .text("agent_address", place.local);
+        .text("name", &spec.name)
+        .text("zone", &spec.zone)
+        .text("caller_address", spec.callers)
+        .text("agent_address", spec.local);
     process_spec(binaries.path(PROXY_PROGRAM)?, folder, name, &settings)
 }
 
--- a/crates/lab/src/fleet/site.rs
+++ b/crates/lab/src/fleet/site.rs
@@ -23,11 +23,11 @@
 pub enum Site {
     /// Small fleet for a first look.
     Demo,
-    /// Eight front machines, three core machines.
+    /// Eight proxy nodes, three control nodes.
     Reykjavik,
-    /// Six front machines, three core machines.
+    /// Six proxy nodes, three control nodes.
     Dakar,
-    /// One front machine without limits, for measurements.
+    /// One proxy node without limits, for measurements.
     Bench,
 }
 
@@ -36,12 +36,12 @@
 pub struct SitePlan {
     /// Name for people.
     pub name: &'static str,
-    /// Zones of front machines and backends.
+    /// Zones of proxy nodes and backends.
     pub zones: usize,
     /// Control nodes.
     pub controls: usize,
     /// Pairs of agent and proxy.
-    pub fronts: usize,
+    pub proxy_nodes: usize,
     /// Model backends.
     pub model_backends: usize,
     /// Lookup backends.
@@ -90,7 +90,7 @@
             name: "demo",
             zones: 4,
             controls: 3,
-            fronts: 4,
+            proxy_nodes: 4,
             model_backends: 6,
             lookup_backends: 2,
             document: DEMO_DOCUMENT,
@@ -106,21 +106,21 @@
             Site::Demo => demo,
             Site::Bench => SitePlan {
                 name: "bench",
-                fronts: 1,
+                proxy_nodes: 1,
                 document: BENCH_DOCUMENT,
                 tenant_keys: BENCH_KEYS,
                 ..demo
             },
             Site::Reykjavik => SitePlan {
                 name: "reykjavik",
-                fronts: 8,
+                proxy_nodes: 8,
                 document: REYKJAVIK_DOCUMENT,
                 tenant_keys: REYKJAVIK_KEYS,
                 ..full
             },
             Site::Dakar => SitePlan {
                 name: "dakar",
-                fronts: 6,
+                proxy_nodes: 6,
                 document: DAKAR_DOCUMENT,
                 tenant_keys: DAKAR_KEYS,
                 lookup_prefix: "/stations/",
--- a/crates/lab/src/fleet/waiting.rs
+++ b/crates/lab/src/fleet/waiting.rs
@@ -8,8 +8,8 @@
 use super::error::FleetError;
 use crate::caller::http_client::get;
 
-/// Pause between two looks.
-const LOOK_PERIOD: Duration = Duration::from_millis(20);
+/// Poll interval.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Looks again and again until `condition` holds.
 pub async fn wait_for<F, C>(what: &str, bound: Duration, condition: C) -> Result<(), FleetError>
@@ -19,7 +19,7 @@
 {
     let look = async {
         while !condition().await {
-            sleep(LOOK_PERIOD).await;
+            sleep(POLL_INTERVAL).await;
         }
     };
     timeout(bound, look).await.map_err(|_| FleetError::Timeout {
@@ -28,7 +28,7 @@
     })
 }
 
-/// Whether `/readyz` answers with success.
+/// Whether `/readyz` responses with success.
 pub async fn is_ready(address: SocketAddr) -> bool {
     matches!(get(address, "/readyz", None).await, Ok(answer) if answer.status.is_success())
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -2,6 +2,7 @@
 
 use std::process::ExitCode;
 
+use millford_lab::arguments::ArgumentError;
 use millford_lab::commands;
 use millford_lab::commands::days::DaysOptions;
 use millford_lab::fleet::FleetError;
@@ -20,7 +21,7 @@
   scale        what a fleet of a given size costs, by hollow nodes
 
 Each command has --help.";
-/// Exit status of a wrong command line.
+/// Exit status of an invalid command line.
 const USAGE_STATUS: u8 = 2;
 
 fn main() -> ExitCode {
@@ -55,14 +56,14 @@
     }
 }
 
-/// Commands that need no runtime, or bring their own.
+/// Runs a command that needs no runtime or brings its own; `None` for the others.
 fn run_without_runtime(command: &str, rest: &[String]) -> Option<ExitCode> {
     match command {
         "scenarios" => Some(millford_simulation::run(rest)),
         "experiment" => Some(millford_experiments::run(rest)),
-        // The scale rig brings runtimes of its own, whose threads it tells apart.
         "days" => Some(days(rest)),
         "explain" => Some(explain(rest)),
+        // The scale rig creates runtimes of its own, whose threads it accounts for separately.
         "scale" => Some(millford_scale::run(rest)),
         _ => None,
     }
@@ -70,18 +71,18 @@
 
 fn days(rest: &[String]) -> ExitCode {
     let run = |options: &DaysOptions| commands::days::run(options).map(|table| print!("{table}"));
-    outcome("days", commands::days::parse(rest), run)
+    run_synchronously("days", commands::days::parse(rest), run)
 }
 
 fn explain(rest: &[String]) -> ExitCode {
     let options = commands::explain::parse(rest);
-    outcome("explain", options, commands::explain::run)
+    run_synchronously("explain", options, commands::explain::run)
 }
 
-/// Runs a command whose line was read, and says what went wrong.
-fn outcome<O, E: std::fmt::Display>(
+/// Runs a command with its parsed options and reports what went wrong.
+fn run_synchronously<O, E: std::fmt::Display>(
     command: &str,
-    options: Result<Option<O>, String>,
+    options: Result<Option<O>, ArgumentError>,
     run: impl Fn(&O) -> Result<(), E>,
 ) -> ExitCode {
     let options = match options {
--- a/crates/lab/src/protocol.rs
+++ b/crates/lab/src/protocol.rs
@@ -13,7 +13,7 @@
 pub const RESUME_AT_HEADER: &str = "x-millford-resume-at";
 /// On a refusal: `not_run` when the backend did no work.
 pub const RUN_STATE_HEADER: &str = "x-millford-run-state";
-/// Configuration revision that the answering proxy shows.
+/// Configuration revision that the responding proxy shows.
 pub const REVISION_HEADER: &str = "x-millford-revision";
 /// Conversation of a caller.
 pub const SESSION_HEADER: &str = "x-millford-session";
--- a/crates/lab/src/registry/record.rs
+++ b/crates/lab/src/registry/record.rs
@@ -53,9 +53,9 @@
     pub load_age_ms: u64,
 }
 
-/// Answer of `GET /v1/backends`.
+/// Response of `GET /v1/backends`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct BackendList {
+pub struct BackendListing {
     /// Every backend that the registry knows.
     pub backends: Vec<BackendRecord>,
 }
--- a/crates/lab/src/registry/store.rs
+++ b/crates/lab/src/registry/store.rs
@@ -1,27 +1,27 @@
-//! The registry's list, which trails reality: a change is shown only after a delay, and a backend
-//! that stopped reporting stays listed for a while.
+//! The registry's list, which lags behind reality: a change becomes visible only after a delay, and a backend
+//! that stopped reporting stays listed until it expires.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use millford_core::MonotonicTime;
 
-use super::record::{BackendList, BackendRecord, RegistryState};
+use super::record::{BackendListing, BackendRecord, RegistryState};
 
-/// How far the list trails reality.
+/// How far the list lags behind reality.
 #[derive(Clone, Copy, Debug)]
 pub struct RegistryDelays {
-    /// Time until a change is shown.
-    pub show_after: Duration,
-    /// Silence after which a backend is dropped.
-    pub forget_after: Duration,
+    /// Delay until a change is visible.
+    pub visible_after: Duration,
+    /// Inactivity after which a backend is removed.
+    pub expire_after: Duration,
 }
 
 impl Default for RegistryDelays {
     fn default() -> Self {
         Self {
-            show_after: Duration::from_millis(300),
-            forget_after: Duration::from_secs(10),
+            visible_after: Duration::from_millis(300),
+            expire_after: Duration::from_secs(10),
         }
     }
 }
@@ -30,7 +30,7 @@
 struct Entry {
     record: BackendRecord,
     registered_at: MonotonicTime,
-    heard_at: MonotonicTime,
+    last_report_at: MonotonicTime,
     load_at: MonotonicTime,
     draining_since: Option<MonotonicTime>,
     left_at: Option<MonotonicTime>,
@@ -61,18 +61,18 @@
             .or_insert_with(|| Entry {
                 record: record.clone(),
                 registered_at: now,
-                heard_at: now,
+                last_report_at: now,
                 load_at: now,
                 draining_since: None,
                 left_at: None,
             });
-        entry.heard_at = now;
+        entry.last_report_at = now;
         entry.left_at = None;
         entry.record = record;
         entry.load_at = now;
     }
 
-    /// A backend leaves.
+    /// A backend deregisters.
     pub fn leave(&mut self, now: MonotonicTime, id: &str) -> bool {
         self.entries
             .get_mut(id)
@@ -90,34 +90,34 @@
     }
 
     /// The list as readers see it now.
-    pub fn list(&mut self, now: MonotonicTime) -> BackendList {
+    pub fn list(&mut self, now: MonotonicTime) -> BackendListing {
         let delays = self.delays;
         self.entries
-            .retain(|_, entry| !is_forgotten(entry, delays, now));
+            .retain(|_, entry| !is_expired(entry, delays, now));
         let shown = self
             .entries
             .values()
             .filter(|entry| is_due(entry.registered_at, delays, now));
-        BackendList {
+        BackendListing {
             backends: shown
-                .map(|entry| shown_record(entry, delays, now))
+                .map(|entry| visible_record(entry, delays, now))
                 .collect(),
         }
     }
 }
 
 fn is_due(since: MonotonicTime, delays: RegistryDelays, now: MonotonicTime) -> bool {
-    now.since(since) >= delays.show_after
+    now.since(since) >= delays.visible_after
 }
 
-fn is_forgotten(entry: &Entry, delays: RegistryDelays, now: MonotonicTime) -> bool {
+fn is_expired(entry: &Entry, delays: RegistryDelays, now: MonotonicTime) -> bool {
     let left = entry
         .left_at
         .is_some_and(|left_at| is_due(left_at, delays, now));
-    left || now.since(entry.heard_at) >= delays.forget_after
+    left || now.since(entry.last_report_at) >= delays.expire_after
 }
 
-fn shown_record(entry: &Entry, delays: RegistryDelays, now: MonotonicTime) -> BackendRecord {
+fn visible_record(entry: &Entry, delays: RegistryDelays, now: MonotonicTime) -> BackendRecord {
     let mut record = entry.record.clone();
     record.load_age_ms = u64::try_from(now.since(entry.load_at).as_millis()).unwrap_or(u64::MAX);
     if entry
--- a/crates/lab/src/workload/callers.rs
+++ b/crates/lab/src/workload/callers.rs
@@ -7,12 +7,12 @@
 use tokio::task::JoinSet;
 
 use super::texts::{QUESTIONS, shared_prefix};
-use crate::caller::{CallOutcome, CompletionRequest, LookupRequest, complete, look_up};
+use crate::caller::{CompletionRequest, LookupRequest, RequestOutcome, complete, look_up};
 use crate::fleet::site::{LARGE_MODEL, ONCE_MODEL, SMALL_MODEL};
 
-/// A tenant that calls.
+/// A tenant that requests.
 #[derive(Clone, Debug)]
-pub struct CallingTenant {
+pub struct TenantCredentials {
     /// Name in the configuration.
     pub name: String,
     /// Key.
@@ -25,7 +25,7 @@
     /// Addresses of the proxies.
     pub proxies: Vec<SocketAddr>,
     /// Tenants; the first ones call more often.
-    pub tenants: Vec<CallingTenant>,
+    pub tenants: Vec<TenantCredentials>,
     /// Path prefix of lookups.
     pub lookup_prefix: String,
     /// Distinguishes the markers of several runs.
@@ -52,7 +52,7 @@
         }
     }
 
-    fn pieces(self, number: u64) -> u64 {
+    fn chunks(self, number: u64) -> u64 {
         match self {
             RequestKind::Long => 80 + number % 40,
             RequestKind::Question => 10 + number % 10,
@@ -67,7 +67,7 @@
     options: CallersOptions,
     numbers: AtomicU64,
     turns: AtomicUsize,
-    outcomes: Arc<Mutex<Vec<CallOutcome>>>,
+    outcomes: Arc<Mutex<Vec<RequestOutcome>>>,
     tasks: JoinSet<()>,
 }
 
@@ -93,13 +93,13 @@
         let outcomes = Arc::clone(&self.outcomes);
         self.tasks.spawn(async move {
             let outcome = complete(proxy, address, &request, repeatable).await;
-            note(&outcomes, outcome);
+            record(&outcomes, outcome);
         });
         marker
     }
 
     /// Starts one request that may not be repeated under an idempotency key, sent again to the
-    /// following proxies until one answer says what became of it or `sendings` are used up.
+    /// following proxies until one response says what became of it or `sendings` are used up.
     pub fn start_keyed(&mut self, sendings: usize) -> String {
         let mut request = self.completion(RequestKind::Once);
         request.stream = false;
@@ -111,7 +111,7 @@
             for (proxy, address) in targets {
                 let outcome = complete(proxy, address, &request, false).await;
                 let succeeded = outcome.succeeded();
-                note(&outcomes, outcome);
+                record(&outcomes, outcome);
                 if succeeded {
                     return;
                 }
@@ -134,12 +134,12 @@
         let outcomes = Arc::clone(&self.outcomes);
         self.tasks.spawn(async move {
             let outcome = look_up(proxy, address, &request).await;
-            note(&outcomes, outcome);
+            record(&outcomes, outcome);
         });
     }
 
-    /// Calls that have not ended.
-    pub fn open_calls(&mut self) -> usize {
+    /// Requests that have not ended.
+    pub fn open_requests(&mut self) -> usize {
         while self.tasks.try_join_next().is_some() {}
         self.tasks.len()
     }
@@ -151,15 +151,15 @@
 
     /// Copies of the outcomes so far.
     #[must_use]
-    pub fn outcomes(&self) -> Vec<CallOutcome> {
+    pub fn outcomes(&self) -> Vec<RequestOutcome> {
         self.outcomes
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone()
     }
 
-    /// Waits for every open call and returns what all saw.
-    pub async fn finish(&mut self) -> Vec<CallOutcome> {
+    /// Waits for every open request and returns what all saw.
+    pub async fn finish(&mut self) -> Vec<RequestOutcome> {
         while self.tasks.join_next().await.is_some() {}
         self.outcomes()
     }
@@ -182,7 +182,7 @@
             },
             question: QUESTIONS[index % QUESTIONS.len()].to_owned(),
             stream: true,
-            pieces: kind.pieces(number),
+            chunks: kind.chunks(number),
             idempotency_key: None,
             deadline_ms: None,
         }
@@ -192,8 +192,8 @@
         format!("{:x}-{number}", self.options.seed)
     }
 
-    /// Half of the calls come from the first tenant, half of the rest from the second, and so on.
-    fn tenant(&self, number: u64) -> CallingTenant {
+    /// Half of the requests come from the first tenant, half of the rest from the second, and so on.
+    fn tenant(&self, number: u64) -> TenantCredentials {
         let last = self.options.tenants.len() - 1;
         let index = usize::try_from((number + 1).trailing_zeros()).unwrap_or(0);
         self.options.tenants[index.min(last)].clone()
@@ -206,7 +206,7 @@
     }
 }
 
-fn note(outcomes: &Arc<Mutex<Vec<CallOutcome>>>, outcome: CallOutcome) {
+fn record(outcomes: &Arc<Mutex<Vec<RequestOutcome>>>, outcome: RequestOutcome) {
     outcomes
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
--- a/crates/lab/src/workload/figures.rs
+++ b/crates/lab/src/workload/figures.rs
@@ -6,16 +6,16 @@
 use millford_core::ResultCode;
 use serde::Serialize;
 
-use crate::caller::{CallOutcome, Ending};
+use crate::caller::{Ending, RequestOutcome};
 use crate::checks::History;
 use crate::emulator::lookup::LOOKUP_MODEL;
 
 /// Summary of what the callers saw. Times are in milliseconds.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
-    /// Calls made.
+    /// Requests made.
     pub requests: usize,
-    /// Calls that got a whole answer.
+    /// Requests that got a complete response.
     pub successes: usize,
     /// Time to the first token of streams, median.
     pub first_token_p50: f64,
@@ -29,15 +29,15 @@
     pub lookup_p50: f64,
     /// Lookup time, 95th percentile.
     pub lookup_p95: f64,
-    /// Streams that went on, whole, on a second backend.
+    /// Streams that a second backend resumed and completed.
     pub moved_streams: usize,
     /// Requests that a second backend got.
     pub second_sends: usize,
     /// Failures by numbered code.
     pub failures_by_code: BTreeMap<u32, usize>,
-    /// Calls that found no connection.
+    /// Requests that found no connection.
     pub not_connected: usize,
-    /// Calls whose connection broke visibly.
+    /// Requests whose connection broke visibly.
     pub broken: usize,
     /// Requests that may not be repeated and ran more than once.
     pub duplicates: usize,
@@ -75,7 +75,7 @@
         figures
     }
 
-    fn count(&mut self, call: &CallOutcome) {
+    fn count(&mut self, call: &RequestOutcome) {
         match &call.ending {
             Ending::Success => self.successes += 1,
             Ending::Failure { code, .. } => *self.failures_by_code.entry(*code).or_default() += 1,
--- a/crates/lab/tests/checkers/histories.rs
+++ b/crates/lab/tests/checkers/histories.rs
@@ -2,36 +2,37 @@
 
 use millford_core::{ResultCode, RunState};
 use millford_lab::answer_text::AnswerText;
-use millford_lab::caller::{CallOutcome, Ending, PieceSeen};
+use millford_lab::caller::{Ending, ReceivedChunk, RequestOutcome};
 use millford_lab::checks::history::{
-    ConfirmedReadSeen, DrainSeen, OrderResult, OrderSeen, RecoverySeen, RevisionShown, TenantQuota,
+    AppliedRevision, ConfirmedReadSeen, DrainSeen, OrderResult, OrderSeen, RecoverySeen,
+    TenantQuota,
 };
 use millford_lab::checks::{History, check_all};
 use millford_lab::emulator::execution::{Execution, ExecutionEnd};
 
 pub const SECOND: u64 = 1_000_000;
-pub const PIECES: u64 = 4;
+pub const CHUNKS: u64 = 4;
 
-pub fn call(marker: &str, started_micros: u64) -> CallOutcome {
+pub fn call(marker: &str, started_micros: u64) -> RequestOutcome {
     let answer = AnswerText::new(marker, "run");
-    let piece = |sequence| PieceSeen {
+    let chunk = |sequence| ReceivedChunk {
         sequence: Some(sequence),
-        text: answer.piece(sequence),
+        text: answer.chunk(sequence),
         at_micros: started_micros + 10 * (sequence + 1),
     };
-    CallOutcome {
+    RequestOutcome {
         marker: marker.to_owned(),
         model: "saga-large".to_owned(),
         tenant: "library".to_owned(),
         repeatable: true,
         proxy: 0,
-        pieces_wanted: PIECES,
+        requested_chunks: CHUNKS,
         streamed: true,
         started_micros,
         ended_micros: started_micros + 100,
         status: Some(200),
         revision: Some(2),
-        pieces: (0..PIECES).map(piece).collect(),
+        chunks: (0..CHUNKS).map(chunk).collect(),
         ending: Ending::Success,
     }
 }
@@ -60,8 +61,8 @@
     }
 }
 
-pub fn refuse(call: &mut CallOutcome, code: ResultCode, run: RunState) {
-    call.pieces.clear();
+pub fn refuse(call: &mut RequestOutcome, code: ResultCode, run: RunState) {
+    call.chunks.clear();
     let code = code.number();
     call.ending = Ending::Failure {
         code,
@@ -91,10 +92,10 @@
         ),
     ];
     history.reads.push(ConfirmedReadSeen {
-        asked_micros: 500,
+        requested_micros: 500,
         revision: 2,
     });
-    history.shown.push(shown(2, 600));
+    history.applied_revisions.push(applied_revisions(2, 600));
     history.drains.push(DrainSeen {
         backend: "model-2".to_owned(),
         ordered_micros: SECOND,
@@ -113,24 +114,28 @@
     history
 }
 
-pub fn shown(revision: u64, at: u64) -> RevisionShown {
+pub fn applied_revisions(revision: u64, at: u64) -> AppliedRevision {
     let node = "agent".to_owned();
-    RevisionShown {
+    AppliedRevision {
         node,
-        asked_micros: at,
+        requested_micros: at,
         answered_micros: at + 10,
         revision,
     }
 }
 
-/// Asserts that exactly the named promise is seen as broken.
-pub fn assert_caught(history: &History, promise: &str) {
+/// Asserts that exactly the named guarantee is seen as broken.
+pub fn assert_caught(history: &History, guarantee: &str) {
     let report = check_all(history);
     let broken: Vec<_> = report
         .verdicts
         .iter()
-        .filter(|verdict| !verdict.held())
+        .filter(|verdict| !verdict.holds())
         .collect();
     assert_eq!(broken.len(), 1, "{}", report.table());
-    assert!(broken[0].promise.contains(promise), "{}", report.table());
+    assert!(
+        broken[0].guarantee.contains(guarantee),
+        "{}",
+        report.table()
+    );
 }
--- a/crates/lab/tests/checkers/main.rs
+++ b/crates/lab/tests/checkers/main.rs
@@ -1,4 +1,4 @@
-//! Each check of the promises passes a clean history and catches a planted defect.
+//! Each check of the guarantees passes a clean history and catches a planted defect.
 
 mod histories;
 
@@ -11,30 +11,30 @@
 };
 use millford_lab::emulator::execution::ExecutionEnd;
 
-use histories::{SECOND, assert_caught, call, clean, execution, order, refuse, shown};
+use histories::{SECOND, applied_revisions, assert_caught, call, clean, execution, order, refuse};
 
 #[test]
-fn a_clean_history_holds_and_every_promise_but_three_is_tried() {
+fn a_valid_history_passes_and_all_guarantees_but_three_are_exercised() {
     let report = check_all(&clean());
-    assert!(report.held(), "{}", report.table());
+    assert!(report.holds(), "{}", report.table());
     let untried: Vec<_> = report
         .verdicts
         .iter()
         .filter(|verdict| verdict.judged == 0)
-        .map(|v| v.promise)
+        .map(|v| v.guarantee)
         .collect();
     assert_eq!(untried.len(), 3, "{untried:?}");
 }
 
 #[test]
-fn a_second_run_of_what_may_not_be_repeated_is_caught() {
+fn a_second_execution_of_a_non_idempotent_request_is_detected() {
     let mut history = clean();
     history.executions.push(execution("m3", 2 * SECOND));
     assert_caught(&history, "at most one run");
 }
 
 #[test]
-fn a_false_not_run_is_caught() {
+fn a_false_not_run_claim_is_detected() {
     let mut history = clean();
     refuse(
         &mut history.calls[5],
@@ -45,66 +45,66 @@
 }
 
 #[test]
-fn a_run_after_a_call_without_connection_is_caught() {
+fn an_execution_after_a_failed_connection_is_detected() {
     let mut history = clean();
-    history.calls[5].pieces.clear();
+    history.calls[5].chunks.clear();
     history.calls[5].ending = Ending::NotConnected;
     assert_caught(&history, "not run");
 }
 
 #[test]
-fn a_run_of_the_call_sent_again_does_not_speak_against_the_refusal() {
+fn an_execution_of_a_resent_request_does_not_contradict_the_earlier_rejection() {
     let mut history = clean();
     let mut refused = call("m9", SECOND);
     refuse(&mut refused, ResultCode::ClaimUnavailable, RunState::NotRun);
     history.calls.push(refused);
-    assert!(check_all(&history).held());
+    assert!(check_all(&history).holds());
 }
 
 #[test]
-fn another_requests_answer_is_caught() {
+fn a_response_to_another_request_is_detected() {
     let mut history = clean();
-    history.calls[5].pieces = call("m6", history.calls[5].started_micros).pieces;
+    history.calls[5].chunks = call("m6", history.calls[5].started_micros).chunks;
     assert_caught(&history, "another request's answer");
 }
 
 #[test]
-fn a_piece_of_another_run_is_caught() {
+fn a_chunk_of_another_run_is_detected() {
     let mut history = clean();
-    history.calls[5].pieces[2].text = AnswerText::new("m5", "other run").piece(2);
+    history.calls[5].chunks[2].text = AnswerText::new("m5", "other run").chunk(2);
     assert_caught(&history, "another request's answer");
 }
 
 #[test]
-fn a_crossed_lookup_is_caught() {
+fn a_crossed_lookup_response_is_detected() {
     let mut history = clean();
     let lookup = &mut history.calls[5];
     lookup.model = "lookup".to_owned();
     lookup.streamed = false;
-    lookup.pieces.truncate(1);
+    lookup.chunks.truncate(1);
     let answer = millford_lab::emulator::lookup::LookupAnswer::new("/catalogue/1", "m6");
-    lookup.pieces[0].text = serde_json::to_string(&answer).expect("JSON");
+    lookup.chunks[0].text = serde_json::to_string(&answer).expect("JSON");
     assert_caught(&history, "another request's answer");
 }
 
 #[test]
-fn a_skipped_piece_is_caught() {
+fn a_skipped_chunk_is_detected() {
     let mut history = clean();
-    history.calls[5].pieces[3].sequence = Some(4);
+    history.calls[5].chunks[3].sequence = Some(4);
     assert_caught(&history, "no piece skipped");
 }
 
 #[test]
-fn a_repeated_piece_is_caught() {
+fn a_repeated_chunk_is_detected() {
     let mut history = clean();
-    history.calls[5].pieces[3].sequence = Some(2);
+    history.calls[5].chunks[3].sequence = Some(2);
     assert_caught(&history, "no piece skipped");
 }
 
 #[test]
-fn a_partial_answer_dressed_as_whole_is_caught() {
+fn a_truncated_response_reported_as_complete_is_detected() {
     let mut history = clean();
-    history.calls[5].pieces.truncate(2);
+    history.calls[5].chunks.truncate(2);
     history.calls[5].ending = Ending::FalseEnd;
     assert_caught(&history, "no piece skipped");
     history.calls[5].ending = Ending::Success;
@@ -112,21 +112,21 @@
 }
 
 #[test]
-fn a_success_that_no_backend_gave_is_caught() {
+fn a_success_without_a_backend_execution_is_detected() {
     let mut history = clean();
     history.executions[5].end = Some(ExecutionEnd::Cancelled);
     assert_caught(&history, "every success");
 }
 
 #[test]
-fn a_forwarded_key_is_caught() {
+fn a_tenant_key_forwarded_to_a_backend_is_detected() {
     let mut history = clean();
     history.executions[5].saw_credential = true;
     assert_caught(&history, "tenant key");
 }
 
 #[test]
-fn too_many_second_sends_are_caught() {
+fn retries_beyond_the_budget_are_detected() {
     let mut history = clean();
     for number in 10..17 {
         history
@@ -137,14 +137,14 @@
 }
 
 #[test]
-fn a_step_back_of_a_revision_is_caught() {
+fn a_revision_regression_is_detected() {
     let mut history = clean();
-    history.shown.push(shown(1, 700));
+    history.applied_revisions.push(applied_revisions(1, 700));
     assert_caught(&history, "falls back");
 }
 
 #[test]
-fn a_step_back_shown_to_a_caller_is_caught_unless_the_node_was_not_ready() {
+fn a_revision_regression_seen_by_a_caller_is_detected_unless_the_node_was_not_ready() {
     let mut history = clean();
     history.calls[5].revision = Some(0);
     assert_caught(&history, "falls back");
@@ -154,18 +154,18 @@
         RunState::NotRun,
     );
     history.executions.retain(|run| run.marker != "m5");
-    assert!(check_all(&history).held());
+    assert!(check_all(&history).holds());
 }
 
 #[test]
-fn overlapping_answers_are_no_step_back() {
+fn overlapping_responses_are_no_revision_regression() {
     let mut history = clean();
-    history.shown.push(shown(1, 605));
-    assert!(check_all(&history).held());
+    history.applied_revisions.push(applied_revisions(1, 605));
+    assert!(check_all(&history).holds());
 }
 
 #[test]
-fn two_winners_on_one_base_are_caught() {
+fn two_accepted_orders_on_one_base_revision_are_detected() {
     let mut history = clean();
     history
         .orders
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_resent_order_refused_is_caught() {
+fn a_rejected_resend_of_an_accepted_order_is_detected() {
     let mut history = clean();
     let conflict = OrderResult::Refused(ResultCode::RevisionConflict.number());
     history.orders.push(order("second", 1, 500, conflict));
@@ -182,17 +182,17 @@
 }
 
 #[test]
-fn a_lost_acknowledged_configuration_is_caught() {
+fn a_lost_acknowledged_configuration_is_detected() {
     let mut history = clean();
     history.reads.push(ConfirmedReadSeen {
-        asked_micros: 900,
+        requested_micros: 900,
         revision: 1,
     });
     assert_caught(&history, "survive");
 }
 
 #[test]
-fn a_revoked_key_that_still_works_is_caught() {
+fn a_revoked_key_that_is_still_accepted_is_detected() {
     let mut history = clean();
     history.revocations.push(RevocationSeen {
         tenant: "library".to_owned(),
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn a_late_adoption_is_caught_unless_the_node_was_disturbed() {
+fn a_late_configuration_adoption_is_detected_unless_the_node_was_disturbed() {
     let mut history = clean();
     let last = history
         .calls
@@ -218,11 +218,11 @@
         until_micros: 5 * SECOND,
     };
     history.disturbances.push(disturbance);
-    assert!(check_all(&history).held());
+    assert!(check_all(&history).holds());
 }
 
 #[test]
-fn new_work_on_a_draining_backend_is_caught() {
+fn new_work_on_a_draining_backend_is_detected() {
     let mut history = clean();
     history.drains[0].backend = "model-1".to_owned();
     history.drains[0].ordered_micros = 0;
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn more_than_the_quota_is_caught() {
+fn admissions_over_the_quota_are_detected() {
     let mut history = clean();
     let quota = TenantQuota {
         requests_per_second: 1,
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn a_refusal_under_the_quota_is_caught() {
+fn a_rejection_under_the_quota_is_detected() {
     let mut history = clean();
     let mut refused = call("extra", 2 * SECOND);
     refuse(&mut refused, ResultCode::QuotaExceeded, RunState::NotRun);
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn a_refusal_for_want_of_a_decision_is_caught_unless_disturbed() {
+fn a_rejection_without_a_quota_decision_is_detected_unless_disturbed() {
     let mut history = clean();
     let mut refused = call("extra", 2 * SECOND);
     refuse(&mut refused, ResultCode::QuotaUnavailable, RunState::NotRun);
@@ -261,11 +261,11 @@
         until_micros: 3 * SECOND,
     };
     history.disturbances.push(disturbance);
-    assert!(check_all(&history).held());
+    assert!(check_all(&history).holds());
 }
 
 #[test]
-fn a_refusal_over_the_quota_is_true() {
+fn a_rejection_over_the_quota_is_justified() {
     let mut history = clean();
     for number in 0..40 {
         let marker = format!("burst{number}");
@@ -278,12 +278,12 @@
     let turned_away = report
         .verdicts
         .iter()
-        .find(|verdict| verdict.promise.contains("under its quota"));
-    assert!(turned_away.expect("a verdict").held());
+        .find(|verdict| verdict.guarantee.contains("under its quota"));
+    assert!(turned_away.expect("a verdict").holds());
 }
 
 #[test]
-fn a_slow_or_missing_recovery_is_caught() {
+fn a_slow_or_missing_recovery_is_detected() {
     let mut history = clean();
     history.recoveries[0].served_micros = Some(14 * SECOND);
     assert_caught(&history, "returns within");
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn each_day_has_its_ceiling_its_weakest_parts_and_its_largest_prices() {
+fn each_day_lists_its_maximum_its_weakest_components_and_its_largest_prices() {
     let folder = tempfile::tempdir().expect("folder");
     let table = table(vec![entry(&folder, "a.json", ENTRY)], 0.0);
     let lines: Vec<&str> = table.lines().collect();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn days_near_their_ceiling_can_be_left_out() {
+fn days_near_their_maximum_can_be_filtered_out() {
     let folder = tempfile::tempdir().expect("folder");
     let table = table(vec![entry(&folder, "a.json", ENTRY)], 0.1);
     assert!(
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_run_that_did_not_end_is_said_to_be_one() {
+fn an_incomplete_run_is_reported() {
     let folder = tempfile::tempdir().expect("folder");
     let text = r#"{"id": "cd34", "cmd": "score", "error": "the run did not finish"}"#;
     let table = table(vec![entry(&folder, "b.json", text)], 0.0);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_is_no_entry_is_named() {
+fn a_file_that_is_no_journal_entry_is_named() {
     let folder = tempfile::tempdir().expect("folder");
     let files = vec![entry(&folder, "c.json", "[]")];
     let error = run(&DaysOptions { files, below: 0.0 }).expect_err("no entry");
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn the_command_line_is_checked() {
+fn invalid_command_lines_are_rejected() {
     let words = |words: &[&str]| {
         words
             .iter()
