--- a/crates/lab/tests/emulator_protocol.rs
+++ b/crates/lab/tests/emulator_protocol.rs
@@ -25,17 +25,17 @@
 const HOUR_MILLIS: u64 = 3_600_000;
 
 async fn backend() -> BackendServer {
-    let mut options = BackendOptions::standing_alone("backend", BackendKind::Model);
+    let mut options = BackendOptions::standalone("backend", BackendKind::Model);
     options.declarations = SitePlan::model_declarations();
     options.speed = 20.0;
     BackendServer::start(options).await.expect("a free port")
 }
 
-fn body(marker: &str, pieces: u64, stream: bool) -> Value {
+fn body(marker: &str, chunks: u64, stream: bool) -> Value {
     json!({
         "model": LARGE_MODEL,
         "stream": stream,
-        "max_tokens": pieces,
+        "max_tokens": chunks,
         "messages": [{"role": "user", "content": format!("Hello {}", marker_text(marker))}],
     })
 }
@@ -100,7 +100,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_has_every_piece_in_order_and_its_end() {
+async fn a_stream_has_every_chunk_in_order_and_an_end_marker() {
     let server = backend().await;
     let response = post(server.address(), "a-1", &body("m1", 5, true)).await;
     assert_eq!(response.headers()["x-millford-attempt"], "a-1");
@@ -114,7 +114,7 @@
         assert_eq!(event["millford"], json!({"run": "run-1", "seq": sequence}));
         assert_eq!(
             event["choices"][0]["delta"]["content"],
-            answer.piece(sequence)
+            answer.chunk(sequence)
         );
         assert_eq!(event["usage"].is_object(), sequence == 4);
     }
@@ -127,7 +127,7 @@
 }
 
 #[tokio::test]
-async fn a_continued_run_starts_at_the_piece_asked_for() {
+async fn a_resumed_run_starts_at_the_requested_chunk() {
     let server = backend().await;
     let body = body("m1", 6, true);
     let request = request("a-2")
@@ -139,14 +139,14 @@
     let events = events(response).await;
     let first: Value = serde_json::from_str(&events[0]).expect("JSON");
     assert_eq!(first["millford"]["seq"], 4);
-    let expected = AnswerText::new("m1", "run-1").piece(4);
+    let expected = AnswerText::new("m1", "run-1").chunk(4);
     assert_eq!(first["choices"][0]["delta"]["content"], expected);
     assert_eq!(events.len(), 3);
     assert_eq!(executions(server.address()).await[0].resume_from, 4);
 }
 
 #[tokio::test]
-async fn a_withdrawn_attempt_never_runs_and_an_attempt_runs_once() {
+async fn a_withdrawn_attempt_never_runs_and_an_attempt_id_runs_once() {
     let server = backend().await;
     let address = server.address();
     let state = withdraw(address, "a-1", Some(0)).await;
@@ -166,7 +166,7 @@
 }
 
 #[tokio::test]
-async fn a_backend_younger_than_the_attempt_promises_nothing_about_the_past() {
+async fn a_backend_started_after_the_attempt_does_not_confirm_that_it_did_not_run() {
     let server = backend().await;
     let address = server.address();
     // Its former incarnation may have run these.
@@ -183,7 +183,7 @@
 }
 
 #[tokio::test]
-async fn a_refusing_backend_runs_nothing() {
+async fn a_rejecting_backend_executes_nothing() {
     let server = backend().await;
     let faults = FaultSwitches {
         refuse: true,
@@ -197,10 +197,10 @@
 }
 
 #[tokio::test]
-async fn a_cut_answer_has_no_end() {
+async fn a_truncated_response_has_no_end_marker() {
     let server = backend().await;
     let faults = FaultSwitches {
-        cut_after: Some(2),
+        truncate_after: Some(2),
         ..FaultSwitches::default()
     };
     set_faults(server.address(), &faults).await;
@@ -217,7 +217,7 @@
 }
 
 #[tokio::test]
-async fn a_crossed_answer_names_another_attempt() {
+async fn a_crossed_response_names_another_attempt() {
     let server = backend().await;
     let faults = FaultSwitches {
         crossed: true,
@@ -229,7 +229,7 @@
 }
 
 #[tokio::test]
-async fn stray_bytes_follow_the_whole_answer() {
+async fn stray_bytes_follow_the_complete_response() {
     for stream in [false, true] {
         let server = backend().await;
         let faults = FaultSwitches {
@@ -280,7 +280,7 @@
 }
 
 #[tokio::test]
-async fn a_dark_backend_answers_nothing_until_it_is_lit() {
+async fn an_unresponsive_backend_sends_nothing_until_it_recovers() {
     let server = backend().await;
     let address = server.address();
     let mut response = post(address, "a-1", &body("m1", 2000, true)).await;
@@ -299,7 +299,7 @@
     )
     .await;
     let health = tokio::spawn(async move { get(address, "/v1/health", None).await });
-    // The administration still answers, so the request above was met by a dark backend.
+    // The administration still responses, so the request above was met by an unresponsive backend.
     assert_eq!(executions(address).await.len(), 1);
     assert!(!health.is_finished());
     set_faults(address, &FaultSwitches::default()).await;
@@ -311,7 +311,7 @@
 }
 
 #[tokio::test]
-async fn a_shared_prefix_is_cached_and_a_lost_connection_frees_the_run() {
+async fn a_shared_prefix_is_cached_and_a_lost_connection_releases_the_run() {
     let server = backend().await;
     let long = "The rain of the season. ".repeat(400);
     let mut body = body("m1", 1, false);
@@ -353,7 +353,7 @@
 async fn the_execution_log_is_read_back_from_its_file() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("executions");
-    let mut options = BackendOptions::standing_alone("backend", BackendKind::Lookup);
+    let mut options = BackendOptions::standalone("backend", BackendKind::Lookup);
     options.execution_log = Some(path.clone());
     let server = BackendServer::start(options).await.expect("a free port");
     let answer = get(server.address(), "/catalogue/7?request=m9", None)
--- a/crates/lab/tests/loss_chart.rs
+++ b/crates/lab/tests/loss_chart.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_picture_shows_what_was_lost_and_an_empty_account_too() {
+fn the_chart_shows_the_losses_and_renders_an_empty_account() {
     let account = Account::of(&[late_at(3000), late_at(5000)], 0.25);
     assert!(draw_losses(&account).unwrap().contains("<svg"));
     let empty = Account::default();
--- a/crates/lab/tests/ports.rs
+++ b/crates/lab/tests/ports.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn taken_ports_are_passed_over_and_free_ones_come_again_late() {
+fn used_ports_are_skipped_and_released_ports_are_reused_last() {
     let taken = free_addresses(50).expect("free ports");
     let listeners: Vec<_> = taken
         .iter()
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_block_of_a_running_process_is_held() {
+fn the_port_block_of_a_running_process_is_reserved() {
     let own = free_addresses(1).expect("a free port")[0];
     let folder = std::env::temp_dir().join("millford-lab-ports");
     let block_start = own.port() - (own.port() - CHOSEN_PORTS.start) % BLOCK_PORTS;
--- a/crates/lab/tests/registry_store.rs
+++ b/crates/lab/tests/registry_store.rs
@@ -26,8 +26,8 @@
 
 fn store() -> RegistryStore {
     RegistryStore::new(RegistryDelays {
-        show_after: Duration::from_millis(300),
-        forget_after: Duration::from_secs(10),
+        visible_after: Duration::from_millis(300),
+        expire_after: Duration::from_secs(10),
     })
 }
 
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_new_backend_is_listed_late_and_a_silent_one_is_kept_for_a_while() {
+fn a_new_backend_is_listed_after_a_delay_and_an_unresponsive_one_stays_listed_for_a_while() {
     let mut store = store();
     store.register(at(0), record("a"));
     assert!(ids(&mut store, 299).is_empty());
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn leaving_and_draining_are_shown_late() {
+fn deregistration_and_draining_are_visible_after_a_delay() {
     let mut store = store();
     store.register(at(0), record("a"));
     store.register(at(0), record("b"));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_report_does_not_end_a_drain() {
+fn a_report_does_not_end_draining() {
     let mut store = store();
     store.register(at(0), record("a"));
     store.set_draining(at(0), "a", true);
--- a/crates/lab/tests/smoke.rs
+++ b/crates/lab/tests/smoke.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn the_demonstration_holds() {
+fn the_demonstration_passes_all_checks() {
     let laboratory = Path::new(env!("CARGO_BIN_EXE_millford-lab"));
     build_workspace(laboratory);
     let output = Command::new(laboratory)
