--- a/crates/control/src/daemon/gateway_thread.rs
+++ b/crates/control/src/daemon/gateway_thread.rs
@@ -7,25 +7,25 @@
 
 use millford_api::internal::Frame;
 use millford_core::time::monotonic_now;
-use millford_core::{ResultCode, ShardId, ShardLayout};
+use millford_core::{ResultCode, ShardId};
 use millford_storage::StorageError;
 use tokio::sync::{mpsc as async_mpsc, oneshot};
 
-use super::dialling::Connector;
+use super::connections::Connector;
 use super::event::{GatewayEvent, GatewayQueue, Generation};
-use super::notes::log_note;
+use super::event_log::log_event;
 use super::shard_thread::ShardThread;
 use super::shared::NodeShared;
 use crate::folders;
 use crate::gateway::{Gateway, GatewayInput, GatewayOutput};
 use crate::link::LinkId;
-use crate::node::{FolderOpener, shard_folder};
+use crate::node::{FolderOpener, core_options, shard_folder};
 use crate::node_input::NodeInput;
 use crate::node_output::NodeOutput;
 use crate::operator::OperatorReply;
 use crate::options::ControlOptions;
-use crate::shard::core::code_of;
-use crate::shard::{ShardCoreOptions, ShardInput};
+use crate::shard::{ShardCoreOptions, ShardInput, ShardOutput};
+use crate::storage_code::storage_code;
 use crate::timing::TICK;
 
 /// Most events between two looks at the clock.
@@ -49,6 +49,9 @@
 
 impl GatewayThread {
     /// Opens the node's folder and starts its shards.
+    ///
+    /// # Errors
+    /// The node's folder cannot be read or written.
     pub fn open(
         options: ControlOptions,
         folders: FolderOpener,
@@ -73,7 +76,7 @@
             last_request: 0,
             last_generation: 0,
         };
-        thread.carry_out(first);
+        thread.execute(first);
         Ok(thread)
     }
 
@@ -129,12 +132,7 @@
         self.input(GatewayInput::Node(input));
     }
 
-    fn take_shard(
-        &mut self,
-        shard: ShardId,
-        generation: Generation,
-        outputs: Vec<crate::shard::ShardOutput>,
-    ) {
+    fn take_shard(&mut self, shard: ShardId, generation: Generation, outputs: Vec<ShardOutput>) {
         let running = self.shards.get(&shard);
         if running.is_none_or(|thread| thread.generation != generation) {
             return;
@@ -155,26 +153,21 @@
             return;
         }
         super::STORE.error(format!("A shard cannot be opened: {error}."));
-        super::leave_with(code_of(error));
+        super::exit_with(storage_code(error));
     }
 
     fn input(&mut self, input: GatewayInput) {
         let outputs = self.gateway.handle(monotonic_now(), input);
-        self.carry_out(outputs);
+        self.execute(outputs);
     }
 
-    fn carry_out(&mut self, outputs: Vec<GatewayOutput>) {
+    fn execute(&mut self, outputs: Vec<GatewayOutput>) {
         for output in outputs {
             match output {
-                GatewayOutput::Node(output) => self.carry_out_node(output),
-                GatewayOutput::Shard { shard, input } => self.tell_shard(shard, input),
-                GatewayOutput::StartShard {
-                    shard,
-                    identity,
-                    voters,
-                    data_shards,
-                } => {
-                    let options = self.core_options(shard, identity, voters, data_shards);
+                GatewayOutput::Node(output) => self.execute_node_output(output),
+                GatewayOutput::Shard { shard, input } => self.send_to_shard(shard, input),
+                GatewayOutput::StartShard(start) => {
+                    let options = core_options(&self.options, &self.folders, start);
                     self.start_shard(options);
                 }
                 GatewayOutput::EraseShards => self.erase_shards(),
@@ -182,7 +175,7 @@
         }
     }
 
-    fn carry_out_node(&mut self, output: NodeOutput) {
+    fn execute_node_output(&mut self, output: NodeOutput) {
         match output {
             NodeOutput::Send { link, frame } => self.send(link, frame),
             NodeOutput::Connect { link, address } => self.connector.connect(link, address),
@@ -195,12 +188,12 @@
                     let _ = answer.send(reply);
                 }
             }
-            NodeOutput::Note(note) => log_note(&note),
-            NodeOutput::Fatal { code } => super::leave_with(code),
+            NodeOutput::Event(event) => log_event(&event),
+            NodeOutput::Fatal { code } => super::exit_with(code),
         }
     }
 
-    /// Queues a frame. A link whose queue is full is closed: its reader is too slow or gone, and
+    /// Queues a frame. A link whose queue is full is closed: its reader is too slow or disconnected, and
     /// starts over with a new link.
     fn send(&mut self, link: LinkId, frame: Frame) {
         let Some(writer) = self.writers.get(&link) else {
@@ -211,32 +204,12 @@
         }
     }
 
-    fn tell_shard(&mut self, shard: ShardId, input: ShardInput) {
+    fn send_to_shard(&mut self, shard: ShardId, input: ShardInput) {
         if let Some(thread) = self.shards.get(&shard) {
             thread.send(input);
         }
     }
 
-    fn core_options(
-        &self,
-        shard: ShardId,
-        identity: millford_core::NodeId,
-        voters: Vec<millford_core::NodeId>,
-        data_shards: u32,
-    ) -> ShardCoreOptions {
-        let folders = self.folders.clone();
-        ShardCoreOptions {
-            shard,
-            identity,
-            voters,
-            layout: ShardLayout::new(data_shards),
-            seed: self.options.seed,
-            voters_per_shard: self.options.voters_per_shard,
-            replace_after: self.options.replace_after,
-            disk: Arc::new(move || folders(&shard_folder(shard))),
-        }
-    }
-
     fn start_shard(&mut self, options: ShardCoreOptions) {
         self.last_generation += 1;
         let shard = options.shard;
@@ -247,19 +220,18 @@
             }
             Err(error) => {
                 super::CONTROL.error(format!("A thread cannot be started: {error}."));
-                super::leave_with(ResultCode::StartFailed);
+                super::exit_with(ResultCode::StartFailed);
             }
         }
     }
 
     fn erase_shards(&mut self) {
-        for (_, thread) in std::mem::take(&mut self.shards) {
-            thread.stop();
-        }
+        // Dropping the threads ends and joins them, so that nobody writes to the folders any more.
+        self.shards.clear();
         for shard in (0..=folders::HIGHEST_SHARD).map(ShardId) {
             let mut disk = (self.folders)(&shard_folder(shard));
             if let Err(error) = folders::clear(disk.as_mut()) {
-                super::leave_with(code_of(&error));
+                super::exit_with(storage_code(&error));
             }
         }
     }
--- a/crates/control/src/gateway/requests.rs
+++ b/crates/control/src/gateway/core/requests.rs
@@ -1,63 +1,24 @@
 //! Requests to the leaders of shards: taken, forwarded, answered.
 
-use std::collections::BTreeMap;
-
 use millford_api::internal::{
     QuotaReply, QuotaRequest, ReadIndex, RelayedQuotaReply, RelayedQuotaRequest, ShardReply,
     ShardRequest, frame, shard_reply, shard_request,
 };
-use millford_core::{Duration, MonotonicTime, NodeId, ResultCode, ShardId};
+use millford_core::{MonotonicTime, NodeId, ResultCode, ShardId};
 
-use super::pending::{Attempt, Origin, Settled, shard_of};
-use super::sessions::request_to;
-use super::{Gateway, is_ok};
+use super::Gateway;
+use crate::gateway::pending_requests::{
+    Attempt, CompletedRequest, Origin, is_ok, refusal, request_to, shard_of,
+};
 use crate::link::LinkId;
 use crate::shard::ShardInput;
-use crate::shard::input::Ticket;
-use crate::timing::{AGENT_PATIENCE, QUOTA_PATIENCE, READ_PATIENCE};
+use crate::shard::input::CorrelationId;
+use crate::timing::{AGENT_REQUEST_TIMEOUT, READ_CONFIRMATION_TIMEOUT};
 
 /// A forwarded request is not forwarded again.
 const MAX_HOPS: u32 = 1;
 
-#[derive(Debug)]
-struct QuotaWaiter {
-    link: LinkId,
-    /// Number of the control node that passed the request on; absent: an agent waits.
-    relay_id: Option<u64>,
-    deadline: MonotonicTime,
-}
-
-/// Quota requests under way. They are passed on once: the agent itself sends a lost one again,
-/// under the same number, which the leader answers with the same grant.
-#[derive(Debug, Default)]
-pub struct QuotaRelay {
-    waiters: BTreeMap<Ticket, QuotaWaiter>,
-}
-
-impl QuotaRelay {
-    /// Forgets requests that nobody will answer any more.
-    pub fn expire(&mut self, now: MonotonicTime) {
-        self.waiters.retain(|_, waiter| waiter.deadline > now);
-    }
-
-    /// A link ended.
-    pub fn forget_link(&mut self, link: LinkId) {
-        self.waiters.retain(|_, waiter| waiter.link != link);
-    }
-}
-
 impl Gateway {
-    /// Takes a request of this node itself.
-    pub(super) fn submit(
-        &mut self,
-        now: MonotonicTime,
-        origin: Origin,
-        request: ShardRequest,
-        patience: Duration,
-    ) {
-        self.pending.submit(now, origin, request, patience);
-    }
-
     /// Takes a request from a link.
     pub(super) fn take_request(&mut self, now: MonotonicTime, link: LinkId, request: ShardRequest) {
         let origin = Origin::Link {
@@ -66,9 +27,10 @@
         };
         if request.hops >= MAX_HOPS {
             self.pending
-                .submit_forwarded(now, origin, request, AGENT_PATIENCE);
+                .submit_forwarded(now, origin, request, AGENT_REQUEST_TIMEOUT);
         } else {
-            self.pending.submit(now, origin, request, AGENT_PATIENCE);
+            self.pending
+                .submit(now, origin, request, AGENT_REQUEST_TIMEOUT);
         }
     }
 
@@ -80,26 +42,36 @@
     }
 
     /// An answer from a shard of this node or from another node.
-    pub(super) fn handle_reply(&mut self, now: MonotonicTime, ticket: Ticket, reply: ShardReply) {
-        if let Some(settled) = self.pending.answer(now, ticket, reply) {
-            self.settle(now, settled);
+    pub(super) fn handle_reply(
+        &mut self,
+        now: MonotonicTime,
+        correlation_id: CorrelationId,
+        reply: ShardReply,
+    ) {
+        if let Some(completed) = self.pending.answer(now, correlation_id, reply) {
+            self.complete(now, completed);
         }
     }
 
     /// Answers what waited too long.
-    pub(super) fn settle_overdue(&mut self, now: MonotonicTime) {
-        for settled in self.pending.take_overdue(now) {
-            self.settle(now, settled);
+    pub(super) fn complete_overdue(&mut self, now: MonotonicTime) {
+        for completed in self.pending.take_overdue(now) {
+            self.complete(now, completed);
         }
     }
 
     /// A replica wants its leader to confirm a read.
-    pub(super) fn ask_leader(&mut self, now: MonotonicTime, shard: ShardId, read: u64) {
+    pub(super) fn confirm_read_at_leader(&mut self, now: MonotonicTime, shard: ShardId, read: u64) {
         let request = request_to(shard, shard_request::Kind::ReadIndex(ReadIndex {}));
-        self.submit(now, Origin::Read { read }, request, READ_PATIENCE);
+        self.pending.submit(
+            now,
+            Origin::Read { read },
+            request,
+            READ_CONFIRMATION_TIMEOUT,
+        );
     }
 
-    /// An agent asks for quota.
+    /// An agent requests quota.
     pub(super) fn handle_quota_request(
         &mut self,
         now: MonotonicTime,
@@ -107,23 +79,26 @@
         request: QuotaRequest,
     ) {
         self.links.set_agent(link);
-        let ticket = self.wait_for_quota(now, link, None);
+        let correlation_id = self.wait_for_quota(now, link, None);
         let shard = ShardId(request.shard);
-        let standing = self.standings.get(&shard);
-        if standing.is_some_and(|standing| standing.leads) {
-            self.tell_shard(shard, ShardInput::Quota { ticket, request });
+        if self.replicas.leads(shard) {
+            let input = ShardInput::Quota {
+                correlation_id,
+                request,
+            };
+            self.outbox.send_to_shard(shard, input);
             return;
         }
-        let leader = standing.map_or(NodeId::NONE, |standing| standing.leader);
+        let leader = self.replicas.leader_of(shard);
         let request_id = request.request_id;
         let relayed = RelayedQuotaRequest {
-            relay_id: ticket,
+            relay_id: correlation_id,
             request: Some(request),
         };
         let sent = self.send_to_node(leader, frame::Body::RelayedQuotaRequest(relayed));
         if !sent {
             let reply = quota_refusal(shard, request_id, ResultCode::NoLeader);
-            self.handle_quota_reply(ticket, reply);
+            self.handle_quota_reply(correlation_id, reply);
         }
     }
 
@@ -137,19 +112,25 @@
         let Some(request) = relayed.request else {
             return;
         };
-        let ticket = self.wait_for_quota(now, link, Some(relayed.relay_id));
+        let correlation_id = self.wait_for_quota(now, link, Some(relayed.relay_id));
         let shard = ShardId(request.shard);
-        if self.standings.contains_key(&shard) {
-            self.tell_shard(shard, ShardInput::Quota { ticket, request });
+        if self.replicas.holds(shard) {
+            self.outbox.send_to_shard(
+                shard,
+                ShardInput::Quota {
+                    correlation_id,
+                    request,
+                },
+            );
             return;
         }
         let reply = quota_refusal(shard, request.request_id, ResultCode::ShardUnknown);
-        self.handle_quota_reply(ticket, reply);
+        self.handle_quota_reply(correlation_id, reply);
     }
 
     /// An answer to a quota request that waits here.
-    pub(super) fn handle_quota_reply(&mut self, ticket: Ticket, reply: QuotaReply) {
-        let Some(waiter) = self.quota.waiters.remove(&ticket) else {
+    pub(super) fn handle_quota_reply(&mut self, correlation_id: CorrelationId, reply: QuotaReply) {
+        let Some(waiter) = self.quota.take(correlation_id) else {
             return;
         };
         let body = match waiter.relay_id {
@@ -159,7 +140,7 @@
                 reply: Some(reply),
             }),
         };
-        self.send(waiter.link, body);
+        self.outbox.send(waiter.link, body);
     }
 
     fn wait_for_quota(
@@ -167,32 +148,32 @@
         now: MonotonicTime,
         link: LinkId,
         relay_id: Option<u64>,
-    ) -> Ticket {
-        let ticket = self.pending.next_ticket();
-        let waiter = QuotaWaiter {
-            link,
-            relay_id,
-            deadline: now + QUOTA_PATIENCE,
-        };
-        self.quota.waiters.insert(ticket, waiter);
-        ticket
+    ) -> CorrelationId {
+        let correlation_id = self.pending.next_correlation_id();
+        self.quota.insert(now, correlation_id, link, relay_id);
+        correlation_id
     }
 
     fn send_attempt(&mut self, now: MonotonicTime, attempt: Attempt) {
         let shard = shard_of(&attempt.request);
-        let ticket = attempt.ticket;
+        let correlation_id = attempt.correlation_id;
         let forwarded = attempt.request.hops >= MAX_HOPS;
-        let standing = self.standings.get(&shard);
-        let leads = standing.is_some_and(|standing| standing.leads);
-        if leads || forwarded && standing.is_some() {
+        let leads = self.replicas.leads(shard);
+        if leads || forwarded && self.replicas.holds(shard) {
             let request = attempt.request;
-            self.tell_shard(shard, ShardInput::Request { ticket, request });
+            self.outbox.send_to_shard(
+                shard,
+                ShardInput::Request {
+                    correlation_id,
+                    request,
+                },
+            );
             return;
         }
         if forwarded {
             let code = ResultCode::ShardUnknown;
-            let reply = super::pending::refusal(&attempt.request, code, NodeId::NONE);
-            self.handle_reply(now, ticket, reply);
+            let reply = refusal(&attempt.request, code, NodeId::NONE);
+            self.handle_reply(now, correlation_id, reply);
             return;
         }
         let mut request = attempt.request.clone();
@@ -201,25 +182,23 @@
         let body = frame::Body::ShardRequest(request);
         let sent = target.is_some_and(|node| self.send_to_node(node, body));
         if !sent {
-            self.pending.postpone(now, ticket);
+            self.pending.postpone(now, correlation_id);
         }
     }
 
     /// Where an attempt goes: the leader that the last answer named, else the one that this
     /// node's replica knows, else the connected nodes in turn.
     fn target_of(&self, shard: ShardId, attempt: &Attempt) -> Option<NodeId> {
-        let own = self.file.identity();
-        let known = self.standings.get(&shard);
-        let known = known.map_or(NodeId::NONE, |standing| standing.leader);
-        let named = [attempt.hint, known];
+        let own = self.store.identity();
+        let named = [attempt.hint, self.replicas.leader_of(shard)];
         let named = named
             .into_iter()
             .find(|node| node.is_some() && *node != own && self.links.to_node(*node).is_some());
         if named.is_some() {
             return named;
         }
-        if self.standings.contains_key(&shard) {
-            // A replica here will learn the leader; asking around would only add load.
+        if self.replicas.holds(shard) {
+            // A replica here will learn the leader; trying every node would only add load.
             return None;
         }
         let nodes: Vec<NodeId> = self.links.nodes().collect();
@@ -228,17 +207,17 @@
         nodes.get(turn).copied()
     }
 
-    fn settle(&mut self, now: MonotonicTime, settled: Settled) {
-        let Settled { origin, mut reply } = settled;
+    fn complete(&mut self, now: MonotonicTime, completed: CompletedRequest) {
+        let CompletedRequest { origin, mut reply } = completed;
         match origin {
             Origin::Link { link, request_id } => {
                 reply.request_id = request_id;
-                self.send(link, frame::Body::ShardReply(reply));
+                self.outbox.send(link, frame::Body::ShardReply(reply));
             }
             Origin::Operator { request } => self.operator_answered(request, reply),
-            Origin::Touch(touched) => self.touch_answered(&touched, &reply),
-            Origin::OwnSession => self.own_session_answered(&reply),
-            Origin::Registration => self.registration_answered(now),
+            Origin::SessionRenewals(renewed) => self.renewals_answered(&renewed, &reply),
+            Origin::OwnSession => self.own_session.answered(&reply),
+            Origin::Registration => self.members.registration_answered(now),
             Origin::MemberList => {
                 if let Some(shard_reply::Kind::State(state)) = &reply.kind {
                     self.member_list_read(now, state);
@@ -254,8 +233,9 @@
             _ => None,
         };
         let shard = ShardId(reply.shard);
-        if self.standings.contains_key(&shard) {
-            self.tell_shard(shard, ShardInput::LeaderIndex { read, index });
+        if self.replicas.holds(shard) {
+            self.outbox
+                .send_to_shard(shard, ShardInput::LeaderIndex { read, index });
         }
     }
 }
--- a/crates/control/src/gateway/node_file.rs
+++ b/crates/control/src/gateway/node_file.rs
@@ -1,4 +1,4 @@
-//! What a control node keeps on its disk besides the shards.
+//! What a control node stores on its disk besides the shards.
 
 use millford_api::state::ControlMember;
 use millford_core::NodeId;
@@ -39,6 +39,10 @@
 
 impl NodeFile {
     /// Reads the file; absent on an empty disk.
+    ///
+    /// # Errors
+    ///
+    /// Where the disk cannot be read.
     pub fn load(disk: &dyn Disk) -> Result<Option<Self>, StorageError> {
         let Some(bytes) = disk.read(NODE_FILE)? else {
             return Ok(None);
@@ -49,6 +53,10 @@
     }
 
     /// Writes the file; durable on return.
+    ///
+    /// # Errors
+    ///
+    /// Where the disk refuses the write: the former file stays.
     pub fn store(&self, disk: &mut dyn Disk) -> Result<(), StorageError> {
         let message = self.encode_to_vec();
         let mut bytes = crc32c::crc32c(&message).to_be_bytes().to_vec();
@@ -57,13 +65,11 @@
     }
 
     /// Identity of this node.
-    #[must_use]
     pub fn identity(&self) -> NodeId {
         NodeId(self.node_id)
     }
 
     /// Whether the node belongs to a cluster.
-    #[must_use]
     pub fn is_formed(&self) -> bool {
         self.cluster_id != 0
     }
--- a/crates/control/src/gateway/operator_desk.rs
+++ b/crates/control/src/gateway/pending_operator_requests.rs
@@ -8,24 +8,24 @@
 
 /// One request and the answers that came in.
 #[derive(Debug)]
-pub struct DeskEntry {
-    /// What was asked.
-    pub body: OperatorRequest,
+pub(super) struct PendingOperatorRequest {
+    /// The request.
+    pub(super) body: OperatorRequest,
     /// The answers.
-    pub replies: Vec<ShardReply>,
+    pub(super) replies: Vec<ShardReply>,
     missing: usize,
 }
 
 /// Requests by number.
 #[derive(Debug, Default)]
-pub struct OperatorDesk {
-    entries: BTreeMap<u64, DeskEntry>,
+pub(super) struct PendingOperatorRequests {
+    entries: BTreeMap<u64, PendingOperatorRequest>,
 }
 
-impl OperatorDesk {
+impl PendingOperatorRequests {
     /// A request waits for this many answers.
-    pub fn open(&mut self, request: u64, body: OperatorRequest, answers: usize) {
-        let entry = DeskEntry {
+    pub(super) fn open(&mut self, request: u64, body: OperatorRequest, answers: usize) {
+        let entry = PendingOperatorRequest {
             body,
             replies: Vec::new(),
             missing: answers,
@@ -33,8 +33,12 @@
         self.entries.insert(request, entry);
     }
 
-    /// An answer came in. Gives the request once it was the last one.
-    pub fn answered(&mut self, request: u64, reply: ShardReply) -> Option<DeskEntry> {
+    /// An answer came in. Returns the request once it was the last one.
+    pub(super) fn answered(
+        &mut self,
+        request: u64,
+        reply: ShardReply,
+    ) -> Option<PendingOperatorRequest> {
         let entry = self.entries.get_mut(&request)?;
         entry.replies.push(reply);
         entry.missing = entry.missing.saturating_sub(1);
--- a/crates/control/tests/support/cluster.rs
+++ b/crates/control/tests/support/cluster.rs
@@ -5,7 +5,7 @@
 
 use millford_api::internal::Frame;
 use millford_control::{
-    ControlNode, ControlOptions, LinkId, NodeInput, NodeNote, NodeOutput, OperatorReply,
+    ControlNode, ControlOptions, LinkId, NodeEvent, NodeInput, NodeOutput, OperatorReply,
     OperatorRequest, PeerKind,
 };
 use millford_core::{MonotonicTime, NodeId, ShardId};
@@ -20,9 +20,11 @@
 
 /// One end of a link.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct End {
-    pub address: String,
-    pub link: LinkId,
+pub(crate) struct End {
+    /// Address of the machine.
+    pub(crate) address: String,
+    /// Number of the link at that machine.
+    pub(crate) link: LinkId,
 }
 
 enum Event {
@@ -31,29 +33,37 @@
     Closed(End),
 }
 
-pub struct Machine {
-    pub disk: MemoryMachine,
-    pub node: Option<ControlNode>,
+/// A machine with its disk, running or stopped.
+pub(crate) struct Machine {
+    /// Its folders; they survive a stop.
+    pub(crate) disk: MemoryMachine,
+    /// The process; absent while it is stopped.
+    pub(crate) node: Option<ControlNode>,
     seeds: Vec<String>,
 }
 
-pub struct Cluster {
-    pub now: MonotonicTime,
-    pub machines: BTreeMap<String, Machine>,
-    pub notes: Vec<(String, NodeNote)>,
-    pub replies: BTreeMap<u64, OperatorReply>,
+/// Control nodes, the network between them and the simulated time.
+pub(crate) struct Cluster {
+    /// The simulated time.
+    pub(crate) now: MonotonicTime,
+    /// Machines by address.
+    pub(crate) machines: BTreeMap<String, Machine>,
+    /// Events of the nodes, with the address, in order.
+    pub(crate) node_events: Vec<(String, NodeEvent)>,
+    /// Replies to operators by number of the request.
+    pub(crate) replies: BTreeMap<u64, OperatorReply>,
     /// Frames that arrived at ends that are no node: test agents read them.
-    pub inbox: BTreeMap<End, VecDeque<Frame>>,
+    pub(crate) inbox: BTreeMap<End, VecDeque<Frame>>,
     /// Addresses whose frames are lost, in both directions.
-    pub cut: BTreeSet<String>,
+    pub(crate) partitioned: BTreeSet<String>,
     /// Pairs of nodes: what the first sends to the second is lost.
-    pub cut_pairs: BTreeSet<(String, String)>,
+    pub(crate) partitioned_pairs: BTreeSet<(String, String)>,
     seeds: Vec<String>,
     seed: u64,
     boots: u64,
     events: BTreeMap<(MonotonicTime, u64), Event>,
     order: u64,
-    others: BTreeMap<End, End>,
+    peer_ends: BTreeMap<End, End>,
     last_link: u64,
     last_request: u64,
     replace_after: Duration,
@@ -62,7 +72,7 @@
 
 impl Cluster {
     /// `nodes` empty machines that are each other's seeds, started.
-    pub fn start(nodes: usize, seed: u64) -> Self {
+    pub(crate) fn start(nodes: usize, seed: u64) -> Self {
         let seeds: Vec<String> = (1..=nodes).map(|number| format!("node-{number}")).collect();
         let mut cluster = Self::empty(seeds.clone(), seed);
         for address in &seeds {
@@ -72,21 +82,21 @@
     }
 
     /// No machine yet.
-    pub fn empty(seeds: Vec<String>, seed: u64) -> Self {
+    pub(crate) fn empty(seeds: Vec<String>, seed: u64) -> Self {
         Self {
             now: MonotonicTime::from_millis(1000),
             machines: BTreeMap::new(),
-            notes: Vec::new(),
+            node_events: Vec::new(),
             replies: BTreeMap::new(),
             inbox: BTreeMap::new(),
-            cut: BTreeSet::new(),
-            cut_pairs: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
+            partitioned_pairs: BTreeSet::new(),
             seeds,
             seed,
             boots: 0,
             events: BTreeMap::new(),
             order: 0,
-            others: BTreeMap::new(),
+            peer_ends: BTreeMap::new(),
             last_link: 0,
             last_request: 0,
             replace_after: Duration::from_secs(5),
@@ -95,13 +105,13 @@
     }
 
     /// Groups of this many voters on machines that start from now on.
-    pub fn with_voters(mut self, voters: usize) -> Self {
+    pub(crate) fn with_voters(mut self, voters: usize) -> Self {
         self.voters_per_shard = voters;
         self
     }
 
     /// Starts the machine at this address, with the disk that it has.
-    pub fn boot(&mut self, address: &str) {
+    pub(crate) fn boot(&mut self, address: &str) {
         self.boots += 1;
         let boot = self.boots;
         let seeds = self.seeds_for_a_new_machine();
@@ -142,10 +152,10 @@
     }
 
     /// Ends the process; its links break.
-    pub fn kill(&mut self, address: &str) {
+    pub(crate) fn kill(&mut self, address: &str) {
         self.machines.get_mut(address).expect("a machine").node = None;
         let ends: Vec<End> = self
-            .others
+            .peer_ends
             .keys()
             .filter(|end| end.address == address)
             .cloned()
@@ -156,7 +166,7 @@
     }
 
     /// Lets time pass.
-    pub fn run(&mut self, time: Duration) {
+    pub(crate) fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.step();
@@ -164,36 +174,41 @@
     }
 
     /// Lets time pass until the condition holds.
-    pub fn run_until(&mut self, limit: Duration, what: &str, condition: impl Fn(&Self) -> bool) {
+    pub(crate) fn run_until(
+        &mut self,
+        limit: Duration,
+        what: &str,
+        condition: impl Fn(&Self) -> bool,
+    ) {
         let end = self.now + limit;
         while !condition(self) {
             assert!(
                 self.now < end,
-                "not within {limit:?}: {what}; last notes {:#?}",
-                self.notes.iter().rev().take(24).collect::<Vec<_>>()
+                "not within {limit:?}: {what}; last events {:#?}",
+                self.node_events.iter().rev().take(24).collect::<Vec<_>>()
             );
             self.step();
         }
     }
 
     /// Whether every shard has a leader on a running node that reaches a quorum.
-    pub fn is_led(&self) -> bool {
+    pub(crate) fn has_leaders(&self) -> bool {
         (0..=2).all(|shard| self.leader(ShardId(shard)).is_some())
     }
 
     /// Address of the shard's leader with the largest term.
-    pub fn leader(&self, shard: ShardId) -> Option<String> {
+    pub(crate) fn leader(&self, shard: ShardId) -> Option<String> {
         let nodes = self.machines.iter().filter_map(|(address, machine)| {
             let core = machine.node.as_ref()?.core(shard)?;
             let status = core.status();
-            let confirmed = status.leads_confirmed && core.standing().leads;
+            let confirmed = status.leads_confirmed && core.reported_status().leads;
             confirmed.then(|| (status.term, address.clone()))
         });
         nodes.max().map(|(_, address)| address)
     }
 
     /// Identities of the voters, as the shard's leader has them committed.
-    pub fn voters(&self, shard: ShardId) -> Vec<NodeId> {
+    pub(crate) fn voters(&self, shard: ShardId) -> Vec<NodeId> {
         let Some(leader) = self.leader(shard) else {
             return Vec::new();
         };
@@ -206,17 +221,19 @@
         }
     }
 
-    pub fn node(&self, address: &str) -> &ControlNode {
+    /// The running node at this address. Panics when it is stopped.
+    pub(crate) fn node(&self, address: &str) -> &ControlNode {
         let machine = self.machines.get(address).expect("a machine");
         machine.node.as_ref().expect("a running node")
     }
 
-    pub fn identity(&self, address: &str) -> NodeId {
+    /// Identity of the running node at this address.
+    pub(crate) fn identity(&self, address: &str) -> NodeId {
         self.node(address).identity()
     }
 
     /// Sends an operator's request; the answer is awaited with [`Cluster::answer`].
-    pub fn ask(&mut self, address: &str, body: OperatorRequest) -> u64 {
+    pub(crate) fn request(&mut self, address: &str, body: OperatorRequest) -> u64 {
         self.last_request += 1;
         let request = self.last_request;
         self.input(address, NodeInput::Operator { request, body });
@@ -224,7 +241,7 @@
     }
 
     /// Waits for the answer to an operator's request.
-    pub fn answer(&mut self, request: u64) -> OperatorReply {
+    pub(crate) fn answer(&mut self, request: u64) -> OperatorReply {
         self.run_until(Duration::from_secs(8), "an operator's answer", |cluster| {
             cluster.replies.contains_key(&request)
         });
@@ -232,7 +249,7 @@
     }
 
     /// Opens a link from a test's own end to a node.
-    pub fn open_link(&mut self, from: &str, to: &str) -> End {
+    pub(crate) fn open_link(&mut self, from: &str, to: &str) -> End {
         self.last_link += 1;
         let near = End {
             address: from.to_owned(),
@@ -244,27 +261,27 @@
     }
 
     /// Sends a frame from a test's own end.
-    pub fn send(&mut self, end: &End, frame: Frame) {
+    pub(crate) fn send(&mut self, end: &End, frame: Frame) {
         self.post(end, frame);
     }
 
     /// Closes a link at both ends.
-    pub fn close(&mut self, end: &End) {
-        let Some(other) = self.others.remove(end) else {
+    pub(crate) fn close(&mut self, end: &End) {
+        let Some(other) = self.peer_ends.remove(end) else {
             return;
         };
-        self.others.remove(&other);
+        self.peer_ends.remove(&other);
         self.schedule(Event::Closed(other));
     }
 
     /// Takes the frames that arrived at a test's own end.
-    pub fn take_frames(&mut self, end: &End) -> Vec<Frame> {
+    pub(crate) fn take_frames(&mut self, end: &End) -> Vec<Frame> {
         let frames = self.inbox.remove(end);
         frames.unwrap_or_default().into_iter().collect()
     }
 
-    /// Gives an input to a node at once.
-    pub fn input(&mut self, address: &str, input: NodeInput) {
+    /// Returns an input to a node at once.
+    pub(crate) fn input(&mut self, address: &str, input: NodeInput) {
         let now = self.now;
         let machine = self.machines.get_mut(address);
         let Some(node) = machine.and_then(|machine| machine.node.as_mut()) else {
@@ -272,7 +289,7 @@
         };
         let outputs = node.handle(now, input);
         for output in outputs {
-            self.carry_out(address, output);
+            self.execute(address, output);
         }
     }
 
@@ -284,7 +301,7 @@
             }
             let ((time, _), event) = entry.remove_entry();
             self.now = self.now.max(time);
-            self.happen(event);
+            self.deliver(event);
         }
         self.now = next_tick;
         let addresses: Vec<String> = self.machines.keys().cloned().collect();
@@ -293,10 +310,10 @@
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn deliver(&mut self, event: Event) {
         match event {
             Event::Frame(end, frame) => {
-                if !self.others.contains_key(&end) || self.cut.contains(&end.address) {
+                if !self.peer_ends.contains_key(&end) || self.partitioned.contains(&end.address) {
                     return;
                 }
                 let frame = *frame;
@@ -318,7 +335,7 @@
         }
     }
 
-    fn carry_out(&mut self, address: &str, output: NodeOutput) {
+    fn execute(&mut self, address: &str, output: NodeOutput) {
         let end = |link| End {
             address: address.to_owned(),
             link,
@@ -330,7 +347,7 @@
             NodeOutput::OperatorReply { request, reply } => {
                 self.replies.insert(request, reply);
             }
-            NodeOutput::Note(note) => self.notes.push((address.to_owned(), note)),
+            NodeOutput::Event(event) => self.node_events.push((address.to_owned(), event)),
             NodeOutput::Fatal { code } => panic!("{address} gave up: {code}"),
         }
     }
@@ -340,7 +357,7 @@
             .machines
             .get(to)
             .is_some_and(|machine| machine.node.is_some());
-        let reachable = !self.cut.contains(to) && !self.cut.contains(&near.address);
+        let reachable = !self.partitioned.contains(to) && !self.partitioned.contains(&near.address);
         if !running || !reachable {
             self.schedule(Event::Closed(near));
             return;
@@ -358,18 +375,18 @@
     }
 
     fn join(&mut self, near: End, far: End) {
-        self.others.insert(near.clone(), far.clone());
-        self.others.insert(far.clone(), near.clone());
+        self.peer_ends.insert(near.clone(), far.clone());
+        self.peer_ends.insert(far.clone(), near.clone());
         self.schedule(Event::Opened(far, PeerKind::Incoming));
         self.schedule(Event::Opened(near, PeerKind::Outgoing));
     }
 
     fn post(&mut self, from: &End, frame: Frame) {
-        let Some(to) = self.others.get(from).cloned() else {
+        let Some(to) = self.peer_ends.get(from).cloned() else {
             return;
         };
         let pair = (from.address.clone(), to.address.clone());
-        if !self.cut.contains(&from.address) && !self.cut_pairs.contains(&pair) {
+        if !self.partitioned.contains(&from.address) && !self.partitioned_pairs.contains(&pair) {
             self.schedule(Event::Frame(to, Box::new(frame)));
         }
     }
--- a/crates/experiments/src/fleet/control.rs
+++ b/crates/experiments/src/fleet/control.rs
@@ -36,7 +36,7 @@
         let picture = LoadSnapshot {
             service: self.options.pool.name.clone(),
             epoch: EPOCH,
-            loads: self.placer.picture(self.now),
+            loads: self.placer.load_snapshot(self.now),
         };
         let mut open = vec![0; self.hosts.len()];
         for proxy in &self.proxies {
@@ -120,7 +120,7 @@
                 && attempt.version == key.version
                 && attempt.first_token.is_some()
             {
-                attempt.ticket.held();
+                attempt.ticket.begin_draining();
             }
         }
     }
--- a/crates/experiments/src/suite/bandwidth.rs
+++ b/crates/experiments/src/suite/bandwidth.rs
@@ -90,7 +90,7 @@
             bandwidth_dimension,
             size_by_load,
             // An experiment is short: surplus replicas go sooner than by default.
-            scale_down_hold: Duration::from_secs(4),
+            scale_down_delay: Duration::from_secs(4),
             ..PlacerOptions::default()
         };
         if declared {
@@ -139,8 +139,8 @@
             placer,
             load_core_seconds: 0.0,
         }),
-        warm_up: Duration::from_secs(120),
-        length: Duration::from_secs(240),
+        warm_up: Duration::from_mins(2),
+        length: Duration::from_mins(4),
         ..plain_fleet(seed, Policy::Millford, hosts, workload.scaled(factor))
     }
 }
--- a/crates/forward/src/daemon/callers.rs
+++ b/crates/forward/src/daemon/callers.rs
@@ -19,15 +19,15 @@
 const LOG: PartLog = PartLog::new("CALLERS");
 
 /// Wait after a failure to accept, which mostly means that the process has no free descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Longest time for the headers of a request, and for a kept connection to be idle, where the
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Longest time for the headers of a request, and for a connection to be idle, where the
 /// configuration sets none.
-const USUAL_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Room for the head of a request, in bytes: the usual limit of headers and the request line. Every
-/// open connection may keep as much.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Buffer for the head of a request, in bytes: the usual limit of headers and the request line. Every
+/// open connection may allocate as much.
 const HEAD_BUFFER_BYTES: usize = 18 * 1024;
 
-/// Counts open connections, and tells them to close once their request is answered.
+/// Counts open connections, and closes them once their response is complete.
 #[derive(Clone, Debug)]
 pub struct CallerConnections {
     open: Arc<AtomicUsize>,
@@ -44,6 +44,16 @@
     }
 }
 
+/// Counts one connection as open until it is dropped.
+#[derive(Debug)]
+struct OpenConnection(Arc<AtomicUsize>);
+
+impl Drop for OpenConnection {
+    fn drop(&mut self) {
+        self.0.fetch_sub(1, Ordering::Relaxed);
+    }
+}
+
 impl CallerConnections {
     /// Number of open connections.
     #[must_use]
@@ -51,7 +61,12 @@
         self.open.load(Ordering::Relaxed)
     }
 
-    /// Idle connections close now, the others once their request is answered.
+    fn begin(&self) -> OpenConnection {
+        self.open.fetch_add(1, Ordering::Relaxed);
+        OpenConnection(Arc::clone(&self.open))
+    }
+
+    /// Idle connections close now, the others once their response is complete.
     pub fn close_when_idle(&self) {
         self.closing.send_replace(true);
     }
@@ -72,7 +87,7 @@
             }
             Err(error) => {
                 LOG.warn(format!("A connection could not be accepted: {error}"));
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -83,11 +98,11 @@
     node: Arc<ForwardNode<P>>,
     connections: CallerConnections,
 ) {
-    connections.open.fetch_add(1, Ordering::Relaxed);
+    let _open = connections.begin();
     let idle_timeout = idle_timeout(&node);
     let service = service_fn(move |request| {
         let node = Arc::clone(&node);
-        // In a box of its own: an idle connection need not keep the place of a request under way.
+        // In a box of its own: an idle connection need not hold the memory of a request in flight.
         Box::pin(async move { Ok::<_, Infallible>(serve(node, request).await) })
     });
     let connection = http1::Builder::new()
@@ -97,23 +112,22 @@
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let mut closing = connections.closing.subscribe();
-    // An error here is a caller that left, was too slow or spoke no HTTP.
-    let told_to_close = tokio::select! {
+    // An error here is a caller that disconnected, was too slow or spoke no HTTP.
+    let must_close = tokio::select! {
         _ = connection.as_mut() => false,
-        told = closing.wait_for(|closing| *closing) => told.is_ok(),
+        signalled = closing.wait_for(|closing| *closing) => signalled.is_ok(),
     };
-    if told_to_close {
+    if must_close {
         connection.as_mut().graceful_shutdown();
         let _ = connection.await;
     }
-    connections.open.fetch_sub(1, Ordering::Relaxed);
 }
 
 fn idle_timeout<P: ForwardProtocol>(node: &ForwardNode<P>) -> Duration {
     let table = node.state.table();
     let limits = table.forward().limits();
     match limits.map_or(0, |limits| limits.idle_timeout_ms) {
-        0 => USUAL_IDLE_TIMEOUT,
+        0 => DEFAULT_IDLE_TIMEOUT,
         millis => Duration::from_millis(u64::from(millis)),
     }
 }
--- a/crates/forward/src/owners/peer_link.rs
+++ b/crates/forward/src/owners/peer_link.rs
@@ -1,7 +1,7 @@
-//! How this node reaches the owners of a key, and waits for their answers.
+//! How this node reaches the owners of a key, and waits for their replies.
 
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
+use std::sync::{Arc, Mutex, OnceLock};
 
 use millford_api::exchange::PeerMessage;
 use millford_core::MonotonicTime;
@@ -11,29 +11,37 @@
 use tokio::net::UdpSocket;
 use tokio::sync::oneshot;
 
+use crate::lock::lock;
 use crate::owners::by_owner::ByOwner;
 use crate::owners::owner_ring::{Owner, OwnerRing};
-use crate::owners::questions::{Answer, Questions};
+use crate::owners::pending_requests::{OwnerReply, PendingRequests};
 
 /// The ring and the table that it was made from.
 #[derive(Debug, Default)]
-struct RingInForce {
+struct CachedRing {
     table: Option<Arc<RoutingTable>>,
     ring: Arc<OwnerRing>,
 }
 
-/// Questions that were sent and wait for their answers.
+/// One request that was sent and waits for its reply.
+#[derive(Debug)]
+struct InFlightRequest {
+    id: u64,
+    reply: oneshot::Receiver<OwnerReply>,
+}
+
+/// Requests that were sent and wait for their replies.
 #[derive(Debug, Default)]
-pub struct Pending(Vec<(u64, oneshot::Receiver<Answer>)>);
+pub struct InFlightRequests(Vec<InFlightRequest>);
 
-impl Pending {
-    /// Number of the first question, if there is one.
+impl InFlightRequests {
+    /// Id of the first request, if there is one.
     #[must_use]
     pub fn first_id(&self) -> Option<u64> {
-        self.0.first().map(|(id, _)| *id)
+        self.0.first().map(|request| request.id)
     }
 
-    /// Both together.
+    /// These requests and those of `other`.
     #[must_use]
     pub fn and(mut self, other: Self) -> Self {
         self.0.extend(other.0);
@@ -41,29 +49,29 @@
     }
 }
 
-/// Who is to be asked about a key.
+/// Where requests about a key go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked<'a> {
-    /// Nobody is known.
-    Nobody,
+pub enum OwnerRoute<'a> {
+    /// No owner is known.
+    Unknown,
     /// This node owns the key itself.
-    Itself,
-    /// Another node.
-    Peer(&'a Owner),
+    Local,
+    /// Another node owns it.
+    Remote(&'a Owner),
 }
 
-/// The node's socket to its peers, the ring of owners, and open questions.
+/// The node's socket to its peers, the ring of owners, and pending requests.
 #[derive(Debug)]
 pub struct PeerLink {
     member: String,
     boot_id: u64,
     socket: OnceLock<Arc<UdpSocket>>,
-    ring: Mutex<RingInForce>,
-    questions: Mutex<Questions>,
+    ring: Mutex<CachedRing>,
+    pending: Mutex<PendingRequests>,
 }
 
 impl PeerLink {
-    /// The link of the node with this name. Until it has a socket nothing leaves.
+    /// The link of the node with this name. Until it is connected it sends nothing.
     #[must_use]
     pub fn new(member: &str) -> Self {
         Self {
@@ -71,7 +79,7 @@
             boot_id: rand::random(),
             socket: OnceLock::new(),
             ring: Mutex::default(),
-            questions: Mutex::default(),
+            pending: Mutex::default(),
         }
     }
 
@@ -81,103 +89,114 @@
         &self.member
     }
 
-    /// Minted at the start of the process: counts begin again.
+    /// Minted at the start of the process: peers begin its counts again when it changes.
     #[must_use]
     pub fn boot_id(&self) -> u64 {
         self.boot_id
     }
 
-    /// Datagrams leave through this socket from now on.
+    /// Datagrams are sent through this socket from now on.
     pub fn connect(&self, socket: Arc<UdpSocket>) {
         let _ = self.socket.set(socket);
     }
 
-    /// Who owns what at present. Answers also whether that changed with this call.
-    pub fn ring(&self, table: &Arc<RoutingTable>) -> (Arc<OwnerRing>, bool) {
-        let mut in_force = lock(&self.ring);
-        let known = in_force.table.as_ref();
-        if known.is_some_and(|known| Arc::ptr_eq(known, table)) {
-            return (Arc::clone(&in_force.ring), false);
+    /// The ring of the table's proxies.
+    pub fn ring(&self, table: &Arc<RoutingTable>) -> Arc<OwnerRing> {
+        self.refresh_ring(table).ring
+    }
+
+    /// The ring of the table's proxies, and whether it changed with this call.
+    pub fn refresh_ring(&self, table: &Arc<RoutingTable>) -> RefreshedRing {
+        let mut cached = lock(&self.ring);
+        let known = cached.table.as_ref();
+        let mut has_changed = false;
+        if !known.is_some_and(|known| Arc::ptr_eq(known, table)) {
+            cached.table = Some(Arc::clone(table));
+            let ring = OwnerRing::of(table.forward().peers());
+            has_changed = ring != *cached.ring;
+            if has_changed {
+                cached.ring = Arc::new(ring);
+            }
         }
-        in_force.table = Some(Arc::clone(table));
-        let ring = OwnerRing::of(table.forward().peers());
-        let changed = ring != *in_force.ring;
-        if changed {
-            in_force.ring = Arc::new(ring);
+        RefreshedRing {
+            ring: Arc::clone(&cached.ring),
+            has_changed,
         }
-        (Arc::clone(&in_force.ring), changed)
     }
 
-    /// The owner to ask about a key: the first one that answers lately.
-    pub fn asked<'a>(&self, now: MonotonicTime, owners: &[&'a Owner]) -> Asked<'a> {
-        let sound = self.sound(now, owners);
-        match sound.or_else(|| owners.first().copied()) {
-            None => Asked::Nobody,
-            Some(owner) => self.way_to(owner),
+    /// Where to send requests about a key: to the first of its owners that is responsive, or else to the
+    /// first.
+    pub fn route_of<'a>(&self, now: MonotonicTime, owners: &[&'a Owner]) -> OwnerRoute<'a> {
+        let responsive = self.first_responsive(now, owners);
+        match responsive.or_else(|| owners.first().copied()) {
+            None => OwnerRoute::Unknown,
+            Some(owner) => self.route_to(owner),
         }
     }
 
-    /// The first of these owners that is believed to answer.
-    pub fn sound<'a>(&self, now: MonotonicTime, owners: &[&'a Owner]) -> Option<&'a Owner> {
-        let questions = lock(&self.questions);
+    /// The first of these owners that is believed to be responsive.
+    pub fn first_responsive<'a>(
+        &self,
+        now: MonotonicTime,
+        owners: &[&'a Owner],
+    ) -> Option<&'a Owner> {
+        let pending = lock(&self.pending);
         let mut owners = owners.iter().copied();
-        owners.find(|owner| !questions.is_suspect(now, &owner.name))
+        owners.find(|owner| !pending.is_suspect(now, &owner.name))
     }
 
-    /// How this owner is asked.
+    /// How requests reach this owner.
     #[must_use]
-    pub fn way_to<'a>(&self, owner: &'a Owner) -> Asked<'a> {
-        match owner.name == self.member {
-            true => Asked::Itself,
-            false => Asked::Peer(owner),
+    pub fn route_to<'a>(&self, owner: &'a Owner) -> OwnerRoute<'a> {
+        if owner.name == self.member {
+            OwnerRoute::Local
+        } else {
+            OwnerRoute::Remote(owner)
         }
     }
 
-    /// Sends one question to each owner. `write` puts the number and the items into a datagram.
-    pub fn send_questions<T>(
+    /// Sends one request to each owner. `encode` puts the request's id and the items into a datagram.
+    pub fn send_requests<T>(
         &self,
-        wanted: ByOwner<'_, T>,
-        write: impl Fn(u64, Vec<T>, &mut PeerMessage),
-    ) -> Pending {
+        by_owner: ByOwner<'_, T>,
+        encode: impl Fn(u64, Vec<T>, &mut PeerMessage),
+    ) -> InFlightRequests {
         let now = monotonic_now();
-        let mut pending = Vec::new();
-        for wanted in wanted {
-            let (id, answer) = lock(&self.questions).begin(now, wanted.owner);
+        let requests = by_owner.into_iter().map(|for_owner| {
+            let (id, reply) = lock(&self.pending).begin(now, for_owner.owner);
             let mut datagram = self.datagram();
-            write(id, wanted.items, &mut datagram);
-            self.send(wanted.address, &datagram);
-            pending.push((id, answer));
-        }
-        Pending(pending)
+            encode(id, for_owner.items, &mut datagram);
+            self.send(for_owner.address, &datagram);
+            InFlightRequest { id, reply }
+        });
+        InFlightRequests(requests.collect())
     }
 
-    /// Waits until the questions are answered or the usual time for an answer is over.
-    pub async fn wait(&self, pending: Pending) -> Vec<Answer> {
-        if pending.0.is_empty() {
+    /// Waits until all replies arrived or the request timeout is over.
+    pub async fn wait(&self, in_flight: InFlightRequests) -> Vec<OwnerReply> {
+        if in_flight.0.is_empty() {
             return Vec::new();
         }
-        let timeout = lock(&self.questions).timeout();
+        let timeout = lock(&self.pending).timeout();
         let deadline = tokio::time::Instant::now() + timeout;
-        let mut answers = Vec::new();
-        for (id, receiver) in pending.0 {
-            match tokio::time::timeout_at(deadline, receiver).await {
-                Ok(Ok(answer)) => answers.push(answer),
-                Ok(Err(_)) | Err(_) => lock(&self.questions).give_up(monotonic_now(), id),
+        let mut replies = Vec::new();
+        for InFlightRequest { id, reply } in in_flight.0 {
+            match tokio::time::timeout_at(deadline, reply).await {
+                Ok(Ok(reply)) => replies.push(reply),
+                Ok(Err(_)) | Err(_) => lock(&self.pending).time_out(monotonic_now(), id),
             }
         }
-        answers
+        replies
     }
 
-    /// The answer to a question arrived.
-    ///
-    /// False: nobody waits for it any longer.
-    pub fn answered(&self, now: MonotonicTime, id: u64, answer: Answer) -> bool {
-        lock(&self.questions).answered(now, id, answer)
+    /// The reply to a request arrived. `false`: nobody waits for it any longer.
+    pub fn complete(&self, now: MonotonicTime, id: u64, reply: OwnerReply) -> bool {
+        lock(&self.pending).complete(now, id, reply)
     }
 
-    /// Forgets what is old.
+    /// Forgets requests whose callers went away.
     pub fn expire(&self, now: MonotonicTime) {
-        lock(&self.questions).expire(now);
+        lock(&self.pending).expire(now);
     }
 
     /// An empty datagram of this node.
@@ -190,7 +209,8 @@
         }
     }
 
-    /// A datagram that cannot be sent is as good as lost: what is told is repeated, questions time out.
+    /// Sends a datagram. One that cannot be sent is as good as lost: updates are repeated, requests time
+    /// out.
     pub fn send(&self, address: SocketAddr, datagram: &PeerMessage) {
         if let Some(socket) = self.socket.get() {
             let _ = socket.try_send_to(&datagram.encode_to_vec(), address);
@@ -198,7 +218,11 @@
     }
 }
 
-/// The guarded value, also after a panic of another holder: what is guarded here is soft state.
-pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+/// The ring of owners at present.
+#[derive(Clone, Debug)]
+pub struct RefreshedRing {
+    /// Which proxy owns what.
+    pub ring: Arc<OwnerRing>,
+    /// Whether it differs from the ring before.
+    pub has_changed: bool,
 }
--- /dev/null
+++ b/crates/forward/src/prefix_index.rs
@@ -0,0 +1,149 @@
+//! Which backends have which prefix blocks cached, kept at each block's owners and queried before each choice.
+//!
+//! This node publishes what it sends, queries the owners, and replies as an owner.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use millford_api::exchange::{
+    BlockBackends, BlockLocation, BlockReply, BlockRequest, BlockUpdate, PeerMessage,
+};
+use millford_core::MonotonicTime;
+use millford_core::time::monotonic_now;
+use millford_routing::{CachedBlock, PrefixBlock, PrefixIndex};
+
+use crate::owners::{ByOwner, InFlightRequests, OwnerReply, OwnerRing, OwnerRoute, PeerLink};
+
+/// Most backends of a block that an owner names: those that used it last. More are of no use to one choice.
+pub const MAX_BACKENDS_PER_BLOCK: usize = 8;
+
+/// The ids of the backends that have each block cached, as far as this node knows.
+pub type BackendsByBlock = BTreeMap<u64, Vec<String>>;
+
+/// Publishes to the blocks' owners where this node sent them.
+pub fn publish(link: &PeerLink, ring: &OwnerRing, locations: Vec<CachedBlock>) {
+    let mut updates = ByOwner::default();
+    for location in locations {
+        for owner in ring.owners_of_block(location.block) {
+            if owner.name == link.member() {
+                continue;
+            }
+            let location = BlockLocation {
+                block: location.block,
+                backend_id: location.backend_id.clone(),
+                tokens: location.tokens,
+            };
+            updates.add(owner, location);
+        }
+    }
+    for update in updates {
+        let mut datagram = link.datagram();
+        datagram.block_update = Some(BlockUpdate {
+            locations: update.items,
+        });
+        link.send(update.address, &datagram);
+    }
+}
+
+/// Queries the owners which backends have these blocks cached, among some backends or all. What this node
+/// knows itself is added to `known` at once.
+pub fn query(
+    link: &PeerLink,
+    ring: &OwnerRing,
+    prefix_index: &PrefixIndex,
+    blocks: &[PrefixBlock],
+    among: &[&str],
+    known: &mut BackendsByBlock,
+) -> InFlightRequests {
+    let now = monotonic_now();
+    merge_local(prefix_index, blocks, among, known);
+    let mut by_owner = ByOwner::default();
+    for block in blocks {
+        if let OwnerRoute::Remote(owner) = link.route_of(now, &ring.owners_of_block(block.id)) {
+            by_owner.add(owner, block.id);
+        }
+    }
+    link.send_requests(by_owner, |id, blocks, datagram| {
+        let among = among.iter().map(|id| (*id).to_owned()).collect();
+        datagram.block_request = Some(BlockRequest { id, blocks, among });
+    })
+}
+
+/// Adds what this node knows itself to what is known.
+pub fn merge_local(
+    prefix_index: &PrefixIndex,
+    blocks: &[PrefixBlock],
+    among: &[&str],
+    known: &mut BackendsByBlock,
+) {
+    let now = monotonic_now();
+    for block in blocks {
+        let found = prefix_index.most_recent_backends(now, block.id, among, MAX_BACKENDS_PER_BLOCK);
+        merge(known, block.id, found);
+    }
+}
+
+/// Adds what owners replied to what is known.
+pub fn merge_replies(known: &mut BackendsByBlock, replies: Vec<OwnerReply>) {
+    for reply in replies {
+        let OwnerReply::Blocks(blocks) = reply else {
+            continue;
+        };
+        for found in blocks {
+            merge(known, found.block, found.backend_ids);
+        }
+    }
+}
+
+/// Takes a datagram about prefix blocks. `false`: it is about something else.
+pub fn receive(
+    link: &PeerLink,
+    prefix_index: &PrefixIndex,
+    from: SocketAddr,
+    datagram: &PeerMessage,
+) -> bool {
+    let now = monotonic_now();
+    if let Some(update) = &datagram.block_update {
+        for location in &update.locations {
+            let location = CachedBlock {
+                block: location.block,
+                backend_id: location.backend_id.clone(),
+                tokens: location.tokens,
+            };
+            prefix_index.record_remote_use(now, &location);
+        }
+        return true;
+    }
+    if let Some(request) = &datagram.block_request {
+        let mut reply = link.datagram();
+        reply.block_reply = Some(reply_to(now, prefix_index, request));
+        link.send(from, &reply);
+        return true;
+    }
+    let Some(reply) = &datagram.block_reply else {
+        return false;
+    };
+    link.complete(now, reply.id, OwnerReply::Blocks(reply.blocks.clone()));
+    true
+}
+
+fn reply_to(now: MonotonicTime, prefix_index: &PrefixIndex, request: &BlockRequest) -> BlockReply {
+    let among: Vec<&str> = request.among.iter().map(String::as_str).collect();
+    let blocks = request.blocks.iter().map(|block| BlockBackends {
+        block: *block,
+        backend_ids: prefix_index.most_recent_backends(now, *block, &among, MAX_BACKENDS_PER_BLOCK),
+    });
+    BlockReply {
+        id: request.id,
+        blocks: blocks.collect(),
+    }
+}
+
+fn merge(known: &mut BackendsByBlock, block: u64, backend_ids: Vec<String>) {
+    let found = known.entry(block).or_default();
+    for id in backend_ids {
+        if !found.contains(&id) {
+            found.push(id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/forward/tests/peer_sequences.rs
@@ -0,0 +1,23 @@
+//! Messages of peers: only newer ones count, and a restart begins anew.
+
+use millford_api::exchange::PeerMessage;
+use millford_forward::exchange::PeerSequences;
+
+fn message(boot_id: u64, sequence: u64) -> PeerMessage {
+    PeerMessage {
+        member: "node-2".to_owned(),
+        boot_id,
+        sequence,
+        ..PeerMessage::default()
+    }
+}
+
+#[test]
+fn only_newer_messages_are_accepted_until_a_restart() {
+    let mut sequences = PeerSequences::default();
+    assert!(sequences.accept(&message(1, 5)));
+    assert!(!sequences.accept(&message(1, 4)), "older");
+    assert!(!sequences.accept(&message(1, 5)), "the same again");
+    assert!(sequences.accept(&message(1, 6)));
+    assert!(sequences.accept(&message(2, 1)), "restarted");
+}
--- a/crates/proxy/src/daemon/models.rs
+++ b/crates/proxy/src/daemon/models.rs
@@ -7,9 +7,9 @@
 
 use crate::daemon::caller_headers::read_headers;
 use crate::daemon::responses::{HttpResponse, REQUEST_ID_HEADER, set, set_revision, text_response};
-use crate::request::authenticate::{authenticate, check_open};
+use crate::request::authenticate::authenticate;
 use crate::request::environment::RequestEnvironment;
-use crate::request::plan::fresh_id;
+use crate::request::plan::random_id;
 use crate::request::record::RequestRecord;
 use crate::request::refusal::Refusal;
 
@@ -39,10 +39,8 @@
 ) -> Result<HttpResponse, Refusal> {
     let headers = read_headers(headers, max_header_bytes)?;
     let state = environment.state();
-    check_open(state)?;
-    let table = state.table();
-    authenticate(&table, &headers)?;
-    let mut record = RequestRecord::new(fresh_id([environment.random(), environment.random()]));
+    let table = authenticate(state, &headers)?.table;
+    let mut record = RequestRecord::new(random_id([environment.random(), environment.random()]));
     record.code = ResultCode::Ok;
     record.count(state);
     let mut response = text_response(StatusCode::OK, body(&table));
--- a/crates/proxy/tests/outside_names.rs
+++ b/crates/proxy/tests/outside_names.rs
@@ -10,10 +10,10 @@
 use committed::assert_committed;
 use daemon_flags::DaemonUnderTest;
 use http::{HeaderMap, HeaderValue};
+use millford_data_plane::proxy_metrics::ProxyMetrics;
 use millford_proxy::backend_protocol;
 use millford_proxy::daemon::caller_headers::read_headers;
 use millford_proxy::daemon::responses;
-use millford_proxy::proxy_metrics::ProxyMetrics;
 use millford_settings::metrics::render;
 use prometheus::core::Collector;
 
@@ -64,7 +64,7 @@
         &metrics.open_streams,
         &metrics.open_requests,
         &metrics.applied_revision,
-        &metrics.agent_in_touch,
+        &metrics.agent_connected,
         &metrics.dropped_answers,
         &metrics.verdicts,
     ];
@@ -96,7 +96,7 @@
         ("health", backend_protocol::HEALTH_PATH),
         ("attempts", backend_protocol::ATTEMPTS_PATH),
         ("attempt age", backend_protocol::ATTEMPT_AGE_HEADER),
-        ("field of an event", backend_protocol::PIECE_FIELD),
+        ("field of an event", backend_protocol::CHUNK_FIELD),
         ("end of a stream", backend_protocol::DONE_MARKER),
         ("failure of a stream", backend_protocol::ERROR_EVENT),
         ("request id", responses::REQUEST_ID_HEADER),
--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -5,8 +5,8 @@
 use millford_api::state::state_value::Kind;
 use millford_api::state::{Backend, BackendState, ConfigHead, Declaration, StateItem, StateValue};
 use millford_core::{MonotonicTime, hash_tenant_key};
-use millford_proxy::limits::RequestLimits;
-use millford_proxy::proxy_state::ProxyState;
+use millford_data_plane::limits::RequestLimits;
+use millford_data_plane::proxy_state::ProxyState;
 use millford_proxy::request::caller::{CallerHeaders, CallerRequest};
 use millford_proxy::request::completion::serve_completion;
 use millford_proxy::request::environment::RequestEnvironment;
@@ -230,13 +230,13 @@
 }
 
 /// Serves one request to a caller that leaves after this many milliseconds.
-pub fn serve_leaving(
+pub fn serve_disconnecting(
     environment: &ScriptedEnvironment,
     request: CallerRequest,
-    leaves_after_ms: u64,
+    disconnects_after_ms: u64,
 ) -> Seen {
     let sink = RecordingSink::new(environment.clock.clone());
-    let mut sink = sink.leaving_at(MonotonicTime::from_millis(leaves_after_ms));
+    let mut sink = sink.disconnecting_at(MonotonicTime::from_millis(disconnects_after_ms));
     let served = serve_completion(environment, request, &mut sink);
     environment.clock.run(served);
     sink.seen()
--- a/crates/replication/src/role.rs
+++ b/crates/replication/src/role.rs
@@ -1,7 +1,7 @@
 //! Roles of a replica.
 
-use crate::ballot::Ballot;
 use crate::leader_state::LeaderState;
+use crate::vote_tally::VoteTally;
 
 /// Role of a replica, for its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -10,9 +10,9 @@
     Learner,
     /// Follows a leader, or waits for one.
     Follower,
-    /// Asks whether an election would succeed.
+    /// Requests pre-votes: finds out whether an election would succeed.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
     /// Leads the group.
     Leader,
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub(crate) enum RoleState {
     Follower,
-    PreCandidate(Ballot),
-    Candidate(Ballot),
+    PreCandidate(VoteTally),
+    Candidate(VoteTally),
     Leader(Box<LeaderState>),
 }
--- a/crates/replication/src/vote_receiving.rs
+++ b/crates/replication/src/vote_receiving.rs
@@ -1,9 +1,10 @@
-//! Votes of the voter's side.
+//! Votes on the voter's side (Raft thesis, sections 3.4, 4.2.3 and 9.6).
 
 use millford_api::replication::{VoteReply, VoteRequest, replication_message::Body};
 use millford_core::NodeId;
 
 use crate::Replica;
+use crate::log_position::LogPosition;
 
 impl Replica {
     /// Answers a request for a vote or pre-vote.
@@ -12,15 +13,16 @@
     /// and the candidate counts only the voters of its own configuration.
     pub(crate) fn on_vote_request(&mut self, from: NodeId, term: u64, request: VoteRequest) {
         if term < self.term {
-            self.refuse_vote(from, &request);
+            self.reject_vote(from, &request);
             return;
         }
-        if self.hears_leader(self.now) && !request.transfer {
-            // Neither the term nor the vote changes while a leader is heard.
-            self.tell_removed(from, &request);
+        if self.has_leader_contact(self.now) && !request.transfer {
+            // Neither the term nor the vote changes while there is contact with a leader: a candidate
+            // that the leader does not reach cannot depose it.
+            self.notify_if_removed(from, &request);
             return;
         }
-        self.patience.note_other();
+        self.election_timer.backoff.record_contested();
         if request.pre_vote {
             self.answer_pre_vote(from, term, &request);
         } else {
@@ -30,7 +32,7 @@
 
     fn answer_pre_vote(&mut self, from: NodeId, term: u64, request: &VoteRequest) {
         if term == self.term || !self.is_up_to_date(request) {
-            self.refuse_vote(from, request);
+            self.reject_vote(from, request);
             return;
         }
         let reply = VoteReply {
@@ -45,9 +47,10 @@
         if term > self.term {
             self.adopt_term(term);
         }
+        // One vote a term: election safety rests on it.
         let is_free = !self.voted_for.is_some() || self.voted_for == from;
         if !is_free || !self.is_up_to_date(request) {
-            self.refuse_vote(from, request);
+            self.reject_vote(from, request);
             return;
         }
         // Durable before the reply leaves: the flush stores term and vote first.
@@ -61,31 +64,31 @@
         self.send(from, Body::VoteReply(reply));
     }
 
-    /// Whether the candidate's log holds everything that the own log may have acknowledged.
+    /// Whether the candidate's log holds every entry that this replica may have acknowledged. A
+    /// candidate that a quorum finds up to date holds every committed entry (leader completeness).
     fn is_up_to_date(&self, request: &VoteRequest) -> bool {
-        let own = (self.last_term(), self.storage.last_index());
-        (request.last_term, request.last_index) >= own
+        last_position_of(request) >= self.last_position()
     }
 
-    fn refuse_vote(&mut self, from: NodeId, request: &VoteRequest) {
+    fn reject_vote(&mut self, from: NodeId, request: &VoteRequest) {
         let reply = VoteReply {
             granted: false,
             pre_vote: request.pre_vote,
-            removed: self.knows_removed(from, request),
+            removed: self.is_known_removed(from, request),
         };
         self.send(from, Body::VoteReply(reply));
     }
 
-    fn tell_removed(&mut self, from: NodeId, request: &VoteRequest) {
-        if self.knows_removed(from, request) {
-            self.refuse_vote(from, request);
+    fn notify_if_removed(&mut self, from: NodeId, request: &VoteRequest) {
+        if self.is_known_removed(from, request) {
+            self.reject_vote(from, request);
         }
     }
 
     /// Whether the sender is not in the committed configuration and cannot know it: the
     /// configuration's entry is newer than the sender's whole log. A replica that was added later
     /// has a newer log or will be contacted by the leader that added it.
-    fn knows_removed(&self, sender: NodeId, request: &VoteRequest) -> bool {
+    fn is_known_removed(&self, sender: NodeId, request: &VoteRequest) -> bool {
         let committed = self.configurations.as_of(self.commit_index);
         if committed.index == 0 || committed.configuration.contains(sender) {
             return false;
@@ -93,6 +96,17 @@
         let Some(term) = self.storage.term_at(committed.index) else {
             return false;
         };
-        (term, committed.index) > (request.last_term, request.last_index)
+        let configuration_position = LogPosition {
+            term,
+            index: committed.index,
+        };
+        configuration_position > last_position_of(request)
+    }
+}
+
+fn last_position_of(request: &VoteRequest) -> LogPosition {
+    LogPosition {
+        term: request.last_term,
+        index: request.last_index,
     }
 }
--- a/crates/replication/tests/group/mod.rs
+++ b/crates/replication/tests/group/mod.rs
@@ -1,13 +1,14 @@
-//! A group of replicas under simulated time, network and disks, with checks of its whole history.
+//! A group of replicas under simulated time, network and disks, with checks of its complete history.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 #[path = "../../../storage/tests/support/mod.rs"]
-pub mod support;
+pub(crate) mod support;
 
-pub mod chaos;
-pub mod history;
-pub mod machine;
-pub mod network;
-pub mod repair;
-pub mod simulation;
-pub mod world;
+pub(crate) mod chaos;
+pub(crate) mod fixture;
+pub(crate) mod history;
+pub(crate) mod machine;
+pub(crate) mod network;
+pub(crate) mod repair;
+pub(crate) mod simulation;
+pub(crate) mod world;
--- a/crates/routing/src/choice.rs
+++ b/crates/routing/src/choice.rs
@@ -4,9 +4,9 @@
 use crate::serving_pool::FULL_WEIGHT_MILLI;
 
 /// How far a home that saves all prefill may be behind the alternative, as a multiple of the mean load.
-pub const HOME_PATIENCE: f64 = 1.5;
+pub const HOME_LOAD_TOLERANCE: f64 = 1.5;
 
-/// How many backends of a key's rendezvous order are tried before the key's affinity is given up.
+/// How many backends of a key's rendezvous order are considered before the key's affinity is given up.
 pub const HOMES_TRIED: usize = 2;
 
 /// A backend that may take the request.
@@ -43,7 +43,7 @@
 /// Chooses a candidate; nothing only if there is none.
 ///
 /// The request goes to a home of its key unless the better of two drawn candidates is ahead of it by more
-/// than the warm cache at home saves, with some patience in proportion to the gain: a busy home keeps only what
+/// than the warm cache at home saves, with some tolerance in proportion to the gain: a busy home keeps only what
 /// still gains there. `random` are two fresh random numbers.
 #[must_use]
 pub fn choose(
@@ -72,8 +72,8 @@
     let mean = total / candidates.len().max(1) as f64;
     // A miss costs the request its saving, and the fleet as much work again that its cache was to spare:
     // the busier the fleet is, the more a home may be behind.
-    let patience = affinity.gain * HOME_PATIENCE * mean;
-    let bound = alternative + affinity.saving + patience;
+    let tolerance = affinity.gain * HOME_LOAD_TOLERANCE * mean;
+    let bound = alternative + affinity.saving + tolerance;
     let mut order: Vec<usize> = (0..candidates.len()).collect();
     order.sort_by(|left, right| {
         let left = home_score(affinity.key, &candidates[*left]);
@@ -99,8 +99,8 @@
     let Some(second) = draw_by_weight(candidates, Some(first), random[1]) else {
         return Some(first);
     };
-    let keep_first = weighed_load(&candidates[first]) <= weighed_load(&candidates[second]);
-    Some(if keep_first { first } else { second })
+    let prefer_first = weighed_load(&candidates[first]) <= weighed_load(&candidates[second]);
+    Some(if prefer_first { first } else { second })
 }
 
 fn draw_by_weight(candidates: &[Candidate], without: Option<usize>, random: u64) -> Option<usize> {
--- a/crates/routing/src/serving_pool.rs
+++ b/crates/routing/src/serving_pool.rs
@@ -1,4 +1,4 @@
-//! A pool's backends and replicas as the feed shows them.
+//! A pool's backends and replicas as the feed lists them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -41,7 +41,7 @@
 pub struct ServingPool {
     /// Name of the pool.
     pub name: String,
-    /// Time for a draining backend's streams to finish or move.
+    /// Time for a draining backend's streams to finish or be resumed elsewhere.
     pub drain: Duration,
     /// Version that should serve requests that name none. Empty: the highest one.
     pub target_version: String,
@@ -52,7 +52,7 @@
 }
 
 impl ServingPool {
-    /// Puts together what the feed says about one pool.
+    /// Combines what the feed says about one pool.
     #[must_use]
     pub fn build(
         pool: &Pool,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The backend with this id, if the feed still shows it.
+    /// The backend with this id, if the feed still lists it.
     #[must_use]
     pub fn backend(&self, id: &str) -> Option<&Arc<Backend>> {
         self.backends.get(id)
@@ -107,15 +107,16 @@
         self.replicas.iter().any(|replica| replica.model == model)
     }
 
-    /// Replicas that may take new work of this kind. Draining and gone backends are never listed.
+    /// Replicas that may take new work of this kind. Draining and removed backends are never listed.
     #[must_use]
-    pub fn candidates(&self, wanted: &ModelRequest) -> Vec<&ServingReplica> {
-        let serving = |replica: &&ServingReplica| replica.accepts_work && serves(replica, wanted);
+    pub fn candidates(&self, requested: &ModelRequest) -> Vec<&ServingReplica> {
+        let serving =
+            |replica: &&ServingReplica| replica.accepts_work && serves(replica, requested);
         let mut found: Vec<&ServingReplica> = self.replicas.iter().filter(serving).collect();
         if found.iter().any(|replica| replica.weight_milli > 0) {
             found.retain(|replica| replica.weight_milli > 0);
         }
-        if wanted.version.is_empty() {
+        if requested.version.is_empty() {
             self.keep_one_version(&mut found);
         }
         keep_one_per_backend(&mut found);
@@ -198,12 +199,12 @@
     placed.map(|placed| placed.weight_milli)
 }
 
-fn serves(replica: &ServingReplica, wanted: &ModelRequest) -> bool {
-    let same = |wanted: &str, declared: &str| wanted.is_empty() || wanted == declared;
-    let adapter = &wanted.adapter;
-    same(&wanted.model, &replica.model)
-        && same(&wanted.version, &replica.version)
-        && same(&wanted.stage, &replica.stage)
+fn serves(replica: &ServingReplica, requested: &ModelRequest) -> bool {
+    let same = |requested: &str, declared: &str| requested.is_empty() || requested == declared;
+    let adapter = &requested.adapter;
+    same(&requested.model, &replica.model)
+        && same(&requested.version, &replica.version)
+        && same(&requested.stage, &replica.stage)
         && (adapter.is_empty() || replica.adapters.contains(adapter))
 }
 
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -1,6 +1,6 @@
 //! Properties of the choice of a backend.
 
-use millford_routing::choice::{Affinity, Candidate, HOME_PATIENCE, choose};
+use millford_routing::choice::{Affinity, Candidate, HOME_LOAD_TOLERANCE, choose};
 use millford_routing::rendezvous;
 use quickcheck::quickcheck;
 
@@ -13,12 +13,12 @@
     loads.iter().enumerate().map(candidate).collect()
 }
 
-fn affinity(key: u64, saving: f64) -> Option<Affinity> {
-    Some(Affinity {
+fn affinity(key: u64, saving: f64) -> Affinity {
+    Affinity {
         key,
         saving,
         gain: 0.0,
-    })
+    }
 }
 
 fn home(candidates: &[Candidate], key: u64) -> usize {
@@ -35,15 +35,15 @@
     /// Something is chosen whenever there is something to choose.
     fn a_choice_exists(loads: Vec<u8>, key: Option<u64>, first: u64, second: u64) -> bool {
         let list = candidates(&loads);
-        let choice = choose(&list, key.and_then(|key| affinity(key, 1.0)), [first, second]);
+        let choice = choose(&list, key.map(|key| affinity(key, 1.0)), [first, second]);
         choice.is_some() != list.is_empty()
             && choice.is_none_or(|choice| choice.index < list.len())
     }
 
     /// An idle fleet sends a key always to its home, whatever the random numbers.
-    fn affinity_is_stable(count: u8, key: u64, first: u64, second: u64) -> bool {
+    fn an_idle_fleet_sends_a_key_to_its_home(count: u8, key: u64, first: u64, second: u64) -> bool {
         let list = candidates(&vec![0; usize::from(count % 20) + 1]);
-        let choice = choose(&list, affinity(key, 1.0), [first, second]).expect("a choice");
+        let choice = choose(&list, Some(affinity(key, 1.0)), [first, second]).expect("a choice");
         choice.by_affinity && choice.index == home(&list, key)
     }
 
@@ -58,12 +58,12 @@
         before == lost || after.backend_id == list[before].backend_id
     }
 
-    /// A home is kept only while it is not behind the drawn alternative by more than it saves.
+    /// A home is chosen only while it is not behind the drawn alternative by more than it saves.
     fn affinity_keeps_the_load_bound(loads: Vec<u8>, key: u64, saving: u8) -> bool {
         let list = candidates(&loads);
         let saving = f64::from(saving);
         let alternative = choose(&list, None, [3, 5]);
-        let chosen = choose(&list, affinity(key, saving), [3, 5]);
+        let chosen = choose(&list, Some(affinity(key, saving)), [3, 5]);
         match (chosen, alternative) {
             (Some(choice), Some(alternative)) if choice.by_affinity => {
                 list[choice.index].load <= list[alternative.index].load + saving
@@ -74,14 +74,14 @@
     }
 
     /// With a gain, a home may be behind by the saving and the patience, and no more.
-    fn patience_is_bounded(loads: Vec<u8>, key: u64, saving: u8, gain: u8) -> bool {
+    fn load_tolerance_is_bounded(loads: Vec<u8>, key: u64, saving: u8, gain: u8) -> bool {
         let list = candidates(&loads);
         let gain = f64::from(gain % 101) / 100.0;
         let affinity = Some(Affinity { key, saving: f64::from(saving), gain });
         let mean = list.iter().map(|candidate| candidate.load).sum::<f64>() / list.len().max(1) as f64;
         match (choose(&list, affinity, [3, 5]), choose(&list, None, [3, 5])) {
             (Some(choice), Some(alternative)) if choice.by_affinity => {
-                let slack = f64::from(saving) + gain * HOME_PATIENCE * mean;
+                let slack = f64::from(saving) + gain * HOME_LOAD_TOLERANCE * mean;
                 list[choice.index].load <= list[alternative.index].load + slack + 1e-9
             }
             _ => true,
@@ -89,10 +89,10 @@
     }
 
     /// A home that is worth its load is never passed over.
-    fn a_home_worth_its_load_is_kept(loads: Vec<u8>, key: u64) -> bool {
+    fn a_home_whose_saving_exceeds_its_load_is_chosen(loads: Vec<u8>, key: u64) -> bool {
         let list = candidates(&loads);
         let enough = f64::from(u8::MAX);
-        choose(&list, affinity(key, enough), [3, 5])
+        choose(&list, Some(affinity(key, enough)), [3, 5])
             .is_none_or(|choice| choice.by_affinity && choice.index == home(&list, key))
     }
 
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn weights_share_out_the_keys() {
+fn weights_divide_the_keys() {
     let mut list = candidates(&[0, 0]);
     list[0].weight_milli = 3000;
     let keys = 20_000u64;
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn weights_share_out_the_draws() {
+fn weights_divide_the_draws() {
     let mut list = candidates(&[0, 0, 0]);
     list[2].weight_milli = 0;
     let mut chosen = [0u32; 3];
--- a/crates/simulation/src/disk/file.rs
+++ b/crates/simulation/src/disk/file.rs
@@ -6,7 +6,7 @@
 /// Bytes that a disk writes as one.
 const SECTOR_BYTES: usize = 512;
 
-/// A file: what a kill would leave for certain, and what a reader sees now.
+/// A file: what certainly survives a kill, and what a reader sees now.
 #[derive(Clone, Debug, Default)]
 pub struct DiskFile {
     /// Bytes at the last sync; `None` if the file's name was never synced.
@@ -53,11 +53,11 @@
 
     /// Whether nothing of the file remains, durable or not.
     #[must_use]
-    pub fn is_gone(&self) -> bool {
+    pub fn is_removed(&self) -> bool {
         self.durable.is_none() && self.current.is_none()
     }
 
-    /// What a power loss leaves: the durable bytes, and perhaps some of what followed them.
+    /// What is left after a power loss: the durable bytes, and perhaps some of what followed them.
     pub fn lose_power(&mut self, random: &mut ChaCha8Rng) {
         let survivor = match (self.durable.take(), self.current.take()) {
             (None, None) => None,
@@ -75,7 +75,7 @@
     if current.len() >= durable.len() && current.starts_with(&durable) {
         return torn(&durable, current, random);
     }
-    // Rewritten or cut without a sync: either the old bytes or a torn form of the new.
+    // Rewritten or truncated without a sync: either the old bytes or a torn form of the new.
     if random.random_bool(0.5) {
         return durable;
     }
--- a/crates/simulation/src/kernel/event_queue.rs
+++ b/crates/simulation/src/kernel/event_queue.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Queue of future events; events of one instant leave in the order in which they came.
+/// Queue of future events; events of one instant are popped in the order in which they were pushed.
 pub struct EventQueue<E> {
     heap: BinaryHeap<Entry<E>>,
     next_sequence: u64,
@@ -73,16 +73,4 @@
         self.now = entry.at;
         Some((entry.at, entry.event))
     }
-
-    /// Number of waiting events.
-    #[must_use]
-    pub fn len(&self) -> usize {
-        self.heap.len()
-    }
-
-    /// Whether no event waits.
-    #[must_use]
-    pub fn is_empty(&self) -> bool {
-        self.heap.is_empty()
-    }
 }
--- a/crates/simulation/src/world/answer_driver.rs
+++ b/crates/simulation/src/world/answer_driver.rs
@@ -6,65 +6,70 @@
 
 use crate::network::{HttpPacket, LinkNumber, ProcessId};
 use crate::scenario::AnswerFault;
-use crate::world::backend::{Answering, mark_of};
+use crate::world::backend::{Answering, chunk_text};
 use crate::world::site::Site;
 
 const OK: u16 = 200;
 
+/// Whether a stream continues.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum StreamProgress {
+    /// More is to be sent.
+    Open,
+    /// Its connection is closed.
+    Ended,
+}
+
 impl Site {
-    pub(super) fn plain_answer(
-        &mut self,
-        number: u16,
-        link: LinkNumber,
-        work: &mut Answering,
-    ) -> bool {
+    /// Sends the complete answer of a request that is no stream, right or wrong.
+    pub(super) fn answer_at_once(&mut self, number: u16, link: LinkNumber, work: &Answering) {
         self.finish_work(number, work);
         let process = ProcessId::Backend(number);
         if work.fault == Some(AnswerFault::Lost) {
             self.close_link(process, link);
-            return false;
+            return;
         }
-        let mut shown = work.clone();
+        let mut answering = work.clone();
         if work.fault == Some(AnswerFault::Crossed)
             && let Some(other) = self.another_run(work.content)
         {
-            shown = other;
+            answering = other;
         }
-        let mark = mark_of(&shown.piece(0));
+        let text = chunk_text(&answering.chunk(0));
         let body = format!(
-            "{{\"choices\":[{{\"message\":{{\"role\":\"assistant\",\"content\":\"{mark}\"}}}}]}}"
+            "{{\"choices\":[{{\"message\":{{\"role\":\"assistant\",\"content\":\"{text}\"}}}}]}}"
         );
-        let cut = work.fault == Some(AnswerFault::Cut);
-        let unframed = cut && self.random.random_bool(0.5);
-        let framing = match unframed {
-            true => Framing::UntilClose,
-            false => Framing::Length(body.len() as u64),
+        let truncated = work.fault == Some(AnswerFault::Truncated);
+        let unframed = truncated && self.random.random_bool(0.5);
+        let framing = if unframed {
+            Framing::UntilClose
+        } else {
+            Framing::Length(body.len() as u64)
         };
-        let head = head_of(&shown, "application/json", framing);
+        let head = head_of(&answering, "application/json", framing);
         self.backend_sends(number, link, HttpPacket::Head(Box::new(head)));
         let mut bytes = Bytes::from(body);
-        if cut {
+        if truncated {
             bytes.truncate(bytes.len() / 2);
         }
-        self.backend_sends(number, link, HttpPacket::Chunk(bytes));
-        if !cut || unframed {
+        self.backend_sends(number, link, HttpPacket::Body(bytes));
+        if !truncated || unframed {
             self.backend_sends(number, link, HttpPacket::Finish);
         }
         self.close_link(process, link);
-        false
     }
 
-    // Sends one piece. Gives whether there is more to do.
+    /// Sends one chunk of a stream, and its end after the last.
     pub(super) fn stream_step(
         &mut self,
         number: u16,
         link: LinkNumber,
         work: &mut Answering,
-    ) -> bool {
+    ) -> StreamProgress {
         if work.fault == Some(AnswerFault::Lost) {
             self.finish_work(number, work);
             self.close_link(ProcessId::Backend(number), link);
-            return false;
+            return StreamProgress::Ended;
         }
         if !work.head_sent {
             work.head_sent = true;
@@ -75,18 +80,18 @@
             self.backend_sends(number, link, HttpPacket::Head(Box::new(head)));
         }
         if work.next < work.total {
-            self.send_piece(number, link, work, work.next);
+            self.send_chunk(number, link, work, work.next);
             work.next += 1;
         }
         if work.next < work.total {
             return self.disturb_stream(number, link, work);
         }
         self.end_stream(number, link, work);
-        false
+        StreamProgress::Ended
     }
 
-    // From here on the answer is another run's, with or without that run's attempt id.
-    pub(super) fn cross_streams(&mut self, work: &mut Answering) {
+    /// From here on the answer is another run's, with or without that run's attempt id.
+    fn cross_streams(&mut self, work: &mut Answering) {
         let Some(other) = self.another_run(work.content) else {
             return;
         };
@@ -98,68 +103,63 @@
         work.run_number = other.run_number;
     }
 
-    // Something that goes wrong after half of the stream. Gives whether the stream goes on.
-    pub(super) fn disturb_stream(
+    /// What goes wrong after half of the stream.
+    fn disturb_stream(
         &mut self,
         number: u16,
         link: LinkNumber,
         work: &mut Answering,
-    ) -> bool {
+    ) -> StreamProgress {
         if !work.is_half_done() {
-            return true;
+            return StreamProgress::Open;
         }
         match work.fault {
-            Some(AnswerFault::Cut) => {
+            Some(AnswerFault::Truncated) => {
                 if self.random.random_bool(0.5) {
                     self.backend_sends(number, link, HttpPacket::Finish);
                 }
                 self.close_link(ProcessId::Backend(number), link);
-                return false;
+                return StreamProgress::Ended;
             }
             Some(AnswerFault::Stray) => {
                 if let Some(other) = self.another_run(work.content) {
-                    self.send_piece(number, link, &other, work.next);
+                    self.send_chunk(number, link, &other, work.next);
                 }
                 work.fault = None;
             }
             Some(AnswerFault::Skipped) => {
-                // A last piece that is left out before the end marker cannot be told by anyone.
-                match self.random.random_bool(0.5) && work.next + 1 < work.total {
-                    true => work.next += 1,
-                    false => work.next = work.next.saturating_sub(1),
+                // Nobody can detect a last chunk that is left out before the end marker.
+                if self.random.random_bool(0.5) && work.next + 1 < work.total {
+                    work.next += 1;
+                } else {
+                    work.next = work.next.saturating_sub(1);
                 }
                 work.fault = None;
             }
             _ => {}
         }
-        true
+        StreamProgress::Open
     }
 
-    pub(super) fn end_stream(&mut self, number: u16, link: LinkNumber, work: &Answering) {
+    fn end_stream(&mut self, number: u16, link: LinkNumber, work: &Answering) {
         self.finish_work(number, work);
         let mut end = String::from("data: [DONE]\n\n");
         if work.fault == Some(AnswerFault::Stray) {
             end.push_str("data: {\"stray\":true}\n\n");
         }
-        self.backend_sends(number, link, HttpPacket::Chunk(Bytes::from(end)));
+        self.backend_sends(number, link, HttpPacket::Body(Bytes::from(end)));
         self.backend_sends(number, link, HttpPacket::Finish);
         self.close_link(ProcessId::Backend(number), link);
     }
 
-    pub(super) fn send_piece(
-        &mut self,
-        number: u16,
-        link: LinkNumber,
-        work: &Answering,
-        sequence: u64,
-    ) {
-        let mark = mark_of(&work.piece(sequence));
+    fn send_chunk(&mut self, number: u16, link: LinkNumber, work: &Answering, sequence: u64) {
+        let text = chunk_text(&work.chunk(sequence));
         let run = &work.run;
         let event = format!(
-            "data: {{\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"{mark}\"}}}}],\
+            "data: {{\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"{text}\"}}}}],\
              \"millford\":{{\"run\":\"{run}\",\"seq\":{sequence}}}}}\n\n"
         );
-        self.backend_sends(number, link, HttpPacket::Chunk(Bytes::from(event)));
+        self.backend_sends(number, link, HttpPacket::Body(Bytes::from(event)));
     }
 }
 
--- a/crates/simulation/src/world/proxy/sink.rs
+++ b/crates/simulation/src/world/proxy/sink.rs
@@ -6,18 +6,18 @@
 use futures::FutureExt;
 use futures::channel::oneshot;
 use futures::future::Shared;
-use millford_proxy::request::caller::{CallerGone, CallerHead, CallerPresence, CallerSink};
+use millford_proxy::request::caller::{CallerDisconnected, CallerHead, CallerPresence, CallerSink};
 
-use crate::history::CallNumber;
+use crate::history::RequestNumber;
 use crate::world::proxy::action::ProxyAction;
 use crate::world::proxy::port::{SharedPort, lock};
 
-/// Resolves when the caller leaves.
+/// Resolves when the caller disconnects.
 #[derive(Clone)]
 pub struct PipePresence(Shared<oneshot::Receiver<()>>);
 
 impl CallerPresence for PipePresence {
-    fn gone(&self) -> impl Future<Output = ()> + Send {
+    fn disconnected(&self) -> impl Future<Output = ()> + Send {
         let left = self.0.clone();
         async move {
             let _ = left.await;
@@ -25,34 +25,34 @@
     }
 }
 
-/// Connection of one call.
+/// Connection of one client request.
 pub struct CallerPipe {
     port: SharedPort,
-    call: CallNumber,
+    client_request: RequestNumber,
     presence: PipePresence,
-    begun: bool,
+    head_sent: bool,
     finished: bool,
 }
 
 impl CallerPipe {
-    /// The pipe of a call that arrived.
+    /// The pipe of a client request that arrived.
     #[must_use]
-    pub fn new(port: SharedPort, call: CallNumber) -> Self {
+    pub fn new(port: SharedPort, client_request: RequestNumber) -> Self {
         let (sender, receiver) = oneshot::channel();
-        lock(&port).presences.insert(call, sender);
+        lock(&port).presences.insert(client_request, sender);
         Self {
             port,
-            call,
+            client_request,
             presence: PipePresence(receiver.shared()),
-            begun: false,
+            head_sent: false,
             finished: false,
         }
     }
 
-    fn push(&self, action: ProxyAction) -> Result<(), CallerGone> {
+    fn push(&self, action: ProxyAction) -> Result<(), CallerDisconnected> {
         let mut port = lock(&self.port);
-        if !port.presences.contains_key(&self.call) {
-            return Err(CallerGone);
+        if !port.presences.contains_key(&self.client_request) {
+            return Err(CallerDisconnected);
         }
         port.actions.push(action);
         Ok(())
@@ -66,15 +66,21 @@
         self.presence.clone()
     }
 
-    async fn begin(&mut self, head: CallerHead) -> Result<(), CallerGone> {
-        self.begun = true;
-        let call = self.call;
-        self.push(ProxyAction::CallerHead { call, head })
+    async fn begin(&mut self, head: CallerHead) -> Result<(), CallerDisconnected> {
+        self.head_sent = true;
+        let client_request = self.client_request;
+        self.push(ProxyAction::CallerHead {
+            client_request,
+            head,
+        })
     }
 
-    async fn send(&mut self, bytes: Bytes) -> Result<(), CallerGone> {
-        let call = self.call;
-        self.push(ProxyAction::CallerBytes { call, bytes })
+    async fn send(&mut self, bytes: Bytes) -> Result<(), CallerDisconnected> {
+        let client_request = self.client_request;
+        self.push(ProxyAction::CallerBytes {
+            client_request,
+            bytes,
+        })
     }
 
     fn finish(&mut self) {
@@ -85,10 +91,10 @@
 impl Drop for CallerPipe {
     fn drop(&mut self) {
         let mut port = lock(&self.port);
-        port.presences.remove(&self.call);
+        port.presences.remove(&self.client_request);
         port.actions.push(ProxyAction::CallerEnd {
-            call: self.call,
-            whole: self.begun && self.finished,
+            client_request: self.client_request,
+            complete: self.head_sent && self.finished,
         });
     }
 }
