--- a/crates/ctl/tests/support/mod.rs
+++ b/crates/ctl/tests/support/mod.rs
@@ -7,49 +7,53 @@
 
 /// What the node does with one request.
 #[derive(Clone, Debug)]
-pub enum Step {
+pub(crate) enum ScriptedResponse {
     /// Answers with a status and a body.
-    Answer(u16, String),
+    Respond(u16, String),
     /// Reads the request and closes the connection.
-    Lose,
+    CloseWithoutResponse,
 }
 
 /// One request that the node got.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub(crate) struct ReceivedRequest {
     pub line: String,
     pub authorization: String,
     pub body: String,
 }
 
 /// A control node on loopback; the last step of the script is repeated.
-pub struct ScriptedNode {
+pub(crate) struct ScriptedNode {
     pub address: String,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
 }
 
 impl ScriptedNode {
-    pub fn start(script: Vec<Step>) -> Self {
+    pub(crate) fn start(script: Vec<ScriptedResponse>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address").to_string();
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let shared = Arc::clone(&seen);
+        let received = Arc::new(Mutex::new(Vec::new()));
+        let shared = Arc::clone(&received);
         std::thread::spawn(move || serve(&listener, &script, &shared));
-        Self { address, seen }
+        Self { address, received }
     }
 
-    pub fn seen(&self) -> Vec<Seen> {
-        self.seen.lock().expect("no panic").clone()
+    pub(crate) fn received(&self) -> Vec<ReceivedRequest> {
+        self.received.lock().expect("no panic").clone()
     }
 }
 
-fn serve(listener: &TcpListener, script: &[Step], seen: &Mutex<Vec<Seen>>) {
+fn serve(
+    listener: &TcpListener,
+    script: &[ScriptedResponse],
+    received: &Mutex<Vec<ReceivedRequest>>,
+) {
     for (number, stream) in listener.incoming().enumerate() {
         let Ok(mut stream) = stream else { return };
         let request = read(&stream);
-        seen.lock().expect("no panic").push(request);
+        received.lock().expect("no panic").push(request);
         let step = script.get(number).or(script.last()).expect("a step");
-        if let Step::Answer(status, body) = step {
+        if let ScriptedResponse::Respond(status, body) = step {
             let length = body.len();
             let head = format!(
                 "HTTP/1.1 {status} Scripted\r\ncontent-length: {length}\r\nconnection: close\r\n\r\n"
@@ -60,9 +64,9 @@
     }
 }
 
-fn read(stream: &TcpStream) -> Seen {
+fn read(stream: &TcpStream) -> ReceivedRequest {
     let mut reader = BufReader::new(stream);
-    let mut seen = Seen::default();
+    let mut received = ReceivedRequest::default();
     let mut length = 0;
     loop {
         let mut line = String::new();
@@ -73,19 +77,19 @@
         if let Some(value) = line.strip_prefix("content-length: ") {
             length = value.parse().expect("a length");
         } else if let Some(value) = line.strip_prefix("authorization: ") {
-            seen.authorization = value.to_owned();
-        } else if seen.line.is_empty() {
-            seen.line = line;
+            value.clone_into(&mut received.authorization);
+        } else if received.line.is_empty() {
+            received.line = line;
         }
     }
     let mut body = vec![0; length];
     let _ = reader.read_exact(&mut body);
-    seen.body = String::from_utf8_lossy(&body).into_owned();
-    seen
+    received.body = String::from_utf8_lossy(&body).into_owned();
+    received
 }
 
 /// Runs `millfordctl` with the key in the environment.
-pub fn ctl(arguments: &[&str]) -> Output {
+pub(crate) fn ctl(arguments: &[&str]) -> Output {
     program(arguments)
         .env("MILLFORD_OPERATOR_KEY", "the-operator-key")
         .output()
@@ -93,7 +97,7 @@
 }
 
 /// `millfordctl` without a key.
-pub fn program(arguments: &[&str]) -> Command {
+pub(crate) fn program(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_millfordctl"));
     command
         .args(arguments)
@@ -102,21 +106,21 @@
     command
 }
 
-pub fn stdout(output: &Output) -> String {
+pub(crate) fn stdout(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-pub fn stderr(output: &Output) -> String {
+pub(crate) fn stderr(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
 /// An address that nobody listens on.
-pub fn closed_address() -> String {
+pub(crate) fn closed_address() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     listener.local_addr().expect("an address").to_string()
 }
 
 /// A refusal's body.
-pub fn error(code: u32, name: &str, extra: &str) -> String {
+pub(crate) fn error(code: u32, name: &str, extra: &str) -> String {
     format!("{{\"error\":{{\"code\":{code},\"name\":\"{name}\",\"message\":\"scripted\"}}{extra}}}")
 }
--- a/crates/lab/src/commands/registry.rs
+++ b/crates/lab/src/commands/registry.rs
@@ -12,6 +12,9 @@
 use crate::registry::store::RegistryDelays;
 
 /// Runs until SIGTERM or SIGINT.
+///
+/// # Errors
+/// A bad command line, an address that cannot be bound, or a signal handler that cannot be installed.
 pub async fn run(arguments: &[String]) -> Result<(), FleetError> {
     let mut options = Options::new();
     options.optopt("", "address", "address to listen on", "IP:PORT");
@@ -26,11 +29,11 @@
         return Ok(());
     };
     let defaults = RegistryDelays::default();
-    let show_after = value(&matches, "show-after-ms", millis(defaults.show_after))?;
-    let forget_after = value(&matches, "forget-after-ms", millis(defaults.forget_after))?;
+    let visible_after = value(&matches, "show-after-ms", millis(defaults.visible_after))?;
+    let expire_after = value(&matches, "forget-after-ms", millis(defaults.expire_after))?;
     let delays = RegistryDelays {
-        show_after: Duration::from_millis(show_after),
-        forget_after: Duration::from_millis(forget_after),
+        visible_after: Duration::from_millis(visible_after),
+        expire_after: Duration::from_millis(expire_after),
     };
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let address = value(&matches, "address", any)?;
--- a/crates/lab/src/workload/figures.rs
+++ b/crates/lab/src/workload/figures.rs
@@ -1,21 +1,22 @@
 //! Summary of what the callers saw.
 
 use std::collections::BTreeMap;
+use std::fmt::Write;
 
 use hdrhistogram::Histogram;
 use millford_core::ResultCode;
 use serde::Serialize;
 
-use crate::caller::{CallOutcome, Ending};
+use crate::caller::{Ending, RequestOutcome};
 use crate::checks::History;
 use crate::emulator::lookup::LOOKUP_MODEL;
 
 /// Summary of what the callers saw. Times are in milliseconds.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
-    /// Calls made.
+    /// Requests made.
     pub requests: usize,
-    /// Calls that got a whole answer.
+    /// Requests that got a complete response.
     pub successes: usize,
     /// Time to the first token of streams, median.
     pub first_token_p50: f64,
@@ -29,15 +30,15 @@
     pub lookup_p50: f64,
     /// Lookup time, 95th percentile.
     pub lookup_p95: f64,
-    /// Streams that went on, whole, on a second backend.
+    /// Streams that a second backend resumed and completed.
     pub moved_streams: usize,
     /// Requests that a second backend got.
     pub second_sends: usize,
     /// Failures by numbered code.
     pub failures_by_code: BTreeMap<u32, usize>,
-    /// Calls that found no connection.
+    /// Requests that found no connection.
     pub not_connected: usize,
-    /// Calls whose connection broke visibly.
+    /// Requests whose connection broke visibly.
     pub broken: usize,
     /// Requests that may not be repeated and ran more than once.
     pub duplicates: usize,
@@ -75,7 +76,7 @@
         figures
     }
 
-    fn count(&mut self, call: &CallOutcome) {
+    fn count(&mut self, call: &RequestOutcome) {
         match &call.ending {
             Ending::Success => self.successes += 1,
             Ending::Failure { code, .. } => *self.failures_by_code.entry(*code).or_default() += 1,
@@ -101,31 +102,36 @@
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = String::new();
-        text.push_str(&format!(
-            "requests            {} ({} whole answers)\n",
+        // Writing to a string cannot fail.
+        let _ = writeln!(
+            text,
+            "requests            {} ({} whole answers)",
             self.requests, self.successes
-        ));
-        text.push_str(&format!(
-            "first token         p50 {:.1} ms   p95 {:.1} ms\n",
+        );
+        let _ = writeln!(
+            text,
+            "first token         p50 {:.1} ms   p95 {:.1} ms",
             self.first_token_p50, self.first_token_p95
-        ));
-        text.push_str(&format!(
-            "between tokens      p50 {:.1} ms   p95 {:.1} ms\n",
+        );
+        let _ = writeln!(
+            text,
+            "between tokens      p50 {:.1} ms   p95 {:.1} ms",
             self.between_tokens_p50, self.between_tokens_p95
-        ));
-        text.push_str(&format!(
-            "lookups             p50 {:.1} ms   p95 {:.1} ms\n",
+        );
+        let _ = writeln!(
+            text,
+            "lookups             p50 {:.1} ms   p95 {:.1} ms",
             self.lookup_p50, self.lookup_p95
-        ));
-        text.push_str(&format!("moved streams       {}\n", self.moved_streams));
-        text.push_str(&format!("second sends        {}\n", self.second_sends));
-        text.push_str(&format!("no connection       {}\n", self.not_connected));
-        text.push_str(&format!("broken visibly      {}\n", self.broken));
+        );
+        let _ = writeln!(text, "moved streams       {}", self.moved_streams);
+        let _ = writeln!(text, "second sends        {}", self.second_sends);
+        let _ = writeln!(text, "no connection       {}", self.not_connected);
+        let _ = writeln!(text, "broken visibly      {}", self.broken);
         for (code, count) in &self.failures_by_code {
             let name = ResultCode::from_number(*code).map_or("?", ResultCode::name);
-            text.push_str(&format!("refused {code} {name:<24} {count}\n"));
+            let _ = writeln!(text, "refused {code} {name:<24} {count}");
         }
-        text.push_str(&format!("duplicates          {}\n", self.duplicates));
+        let _ = writeln!(text, "duplicates          {}", self.duplicates);
         text
     }
 }
