--- a/crates/experiments/src/fleet/answers.rs
+++ b/crates/experiments/src/fleet/answers.rs
@@ -62,15 +62,15 @@
             return;
         };
         attempt.first_token = Some(at);
-        attempt.ticket.begin_decode();
+        attempt.in_flight.begin_decode();
         if !self.hosts[attempt.host].is_active() {
-            attempt.ticket.begin_draining();
+            attempt.in_flight.begin_draining();
         }
         let costs = &self.proxies[request.proxy].costs;
         let millis = at.since(attempt.sent).as_secs_f64() * 1000.0;
         costs.add_first_token(request.model, attempt.queued_tokens, millis);
         self.metrics
-            .note_first_token(request.arrived, at.since(request.arrived));
+            .record_first_token(request.arrived, at.since(request.arrived));
     }
 
     fn finished(&mut self, id: u64, at: MonotonicTime) {
@@ -105,7 +105,7 @@
             decode_ms: at.since(first).as_millis() as u32,
             streams_at_start: attempt.streams_at_start,
         };
-        proxy.board.add_sample(attempt.ticket.key(), sample);
-        self.metrics.note_finish(request.arrived, inter_token);
+        proxy.load_table.add_sample(attempt.in_flight.key(), sample);
+        self.metrics.record_finish(request.arrived, inter_token);
     }
 }
--- a/crates/experiments/src/fleet/control.rs
+++ b/crates/experiments/src/fleet/control.rs
@@ -17,7 +17,7 @@
 
 /// Epoch of the placement role: a simulated fleet has one placer from start to end.
 const EPOCH: u64 = 1;
-/// Quiet time after which a backend in use is probed.
+/// Inactivity after which a backend in use is probed.
 const PROBE_QUIET: Duration = Duration::from_secs(1);
 /// Speed under which a probe is not answered in time.
 const PROBE_SPEED: f64 = 0.02;
@@ -25,15 +25,15 @@
 const LOADER_CORE_MICROS: f64 = 1600.0;
 
 impl Simulation {
-    /// Proxies report their work; the picture of all goes back to each.
+    /// Proxies report their load; the load snapshot of all goes back to each.
     pub(crate) fn report(&mut self) {
         for (index, proxy) in self.proxies.iter().enumerate() {
             let member = format!("proxy-{index}");
-            for report in proxy.board.take_reports() {
+            for report in proxy.load_table.take_reports() {
                 self.placer.observe(self.now, &member, &report.loads);
             }
         }
-        let picture = LoadSnapshot {
+        let snapshot = LoadSnapshot {
             service: self.options.pool.name.clone(),
             epoch: EPOCH,
             loads: self.placer.load_snapshot(self.now),
@@ -45,7 +45,7 @@
             }
         }
         for proxy in &mut self.proxies {
-            proxy.board.merge_snapshot(&picture);
+            proxy.load_table.merge_snapshot(&snapshot);
             let others = open.iter().zip(&proxy.own_open);
             proxy.others_open = others.map(|(total, own)| total - own).collect();
         }
@@ -65,20 +65,20 @@
         );
         let counted = self.now <= MonotonicTime::ZERO + self.options.length;
         if counted && self.metrics.counts(self.now) {
-            self.metrics.note_estimate(self.placer.utilization());
+            self.metrics.record_estimate(self.placer.utilization());
         }
         for step in &outcome.reasons {
             if step.reason.is_change() {
                 self.metrics.moves += 1;
             }
-            self.note_transition(step.reason);
+            self.record_transition(step.reason);
         }
         if let Some(placement) = outcome.placement {
             self.apply(placement);
         }
     }
 
-    fn note_transition(&mut self, reason: MoveReason) {
+    fn record_transition(&mut self, reason: MoveReason) {
         let forced = reason == MoveReason::TransitionForced;
         self.metrics.forced_steps += u64::from(forced);
         if forced || reason == MoveReason::TransitionStep {
@@ -99,18 +99,18 @@
             }
             if *state == ReplicaState::ReplicaDraining {
                 self.draining_since.entry(key.clone()).or_insert(self.now);
-                self.hold(key);
+                self.begin_draining_requests(key);
             }
         }
-        let kept: BTreeSet<&ReplicaKey> = after.iter().map(|(key, _)| key).collect();
-        for (key, _) in before.iter().filter(|(key, _)| !kept.contains(key)) {
+        let remaining: BTreeSet<&ReplicaKey> = after.iter().map(|(key, _)| key).collect();
+        for (key, _) in before.iter().filter(|(key, _)| !remaining.contains(key)) {
             self.remove_replica(key);
         }
-        self.note_transition_end(&after);
+        self.record_transition_end(&after);
     }
 
-    /// Requests open on a draining replica are held from now on.
-    fn hold(&mut self, key: &ReplicaKey) {
+    /// Counts the requests that are open on a draining replica as draining.
+    fn begin_draining_requests(&mut self, key: &ReplicaKey) {
         let host = host_index(&key.backend);
         for request in self.requests.values_mut() {
             let model = request.model;
@@ -120,14 +120,14 @@
                 && attempt.version == key.version
                 && attempt.first_token.is_some()
             {
-                attempt.ticket.begin_draining();
+                attempt.in_flight.begin_draining();
             }
         }
     }
 
-    /// A replica is gone: what still runs on it is lost.
+    /// Removes a replica: what still runs on it is lost.
     fn remove_replica(&mut self, key: &ReplicaKey) {
-        self.note_drained(key);
+        self.record_drained(key);
         let host = host_index(&key.backend);
         let lost = self.requests_with(|request, attempt| {
             attempt.host == host && request.model == key.model && attempt.version == key.version
@@ -137,7 +137,7 @@
         }
     }
 
-    fn note_drained(&mut self, key: &ReplicaKey) {
+    fn record_drained(&mut self, key: &ReplicaKey) {
         if let Some(since) = self.draining_since.remove(key) {
             let took = self.now.since(since);
             self.metrics.longest_drain = self.metrics.longest_drain.max(took);
@@ -145,7 +145,7 @@
     }
 
     /// Drains that are still open at a sample.
-    pub(crate) fn note_open_drains(&mut self) {
+    pub(crate) fn record_open_drains(&mut self) {
         let longest = self
             .draining_since
             .values()
@@ -155,7 +155,7 @@
         self.metrics.longest_drain = self.metrics.longest_drain.max(longest);
     }
 
-    fn note_transition_end(&mut self, replicas: &[(ReplicaKey, ReplicaState)]) {
+    fn record_transition_end(&mut self, replicas: &[(ReplicaKey, ReplicaState)]) {
         let target = &self.options.pool.target_version;
         let all_new = replicas.iter().all(|(key, _)| &key.version == target);
         if all_new && self.ordered_at.is_some() && self.metrics.transition_end.is_none() {
@@ -183,13 +183,13 @@
             prompt_blocks: Vec::new(),
             output_tokens: 1,
         };
-        // A host with every place taken loads the replica without the pretended work.
+        // A host whose slots are all in use loads the replica without the pretended work.
         if self.hosts[host].backend.start(&request).is_ok() {
             self.reschedule_host(host);
         }
     }
 
-    /// Probes of ejected backends and of those in use that are quiet.
+    /// Probes ejected backends, and inactive ones in use.
     pub(crate) fn probe(&mut self) {
         if !self.options.retries.ejects {
             return;
@@ -208,7 +208,7 @@
         }
     }
 
-    /// A fault or an operator's act.
+    /// Injects a fault or an operator's action.
     pub(crate) fn fault(&mut self, kind: FaultKind) {
         match kind {
             FaultKind::Kill { host } => self.kill(host),
@@ -255,7 +255,7 @@
         self.schedule(drain, Event::Retired { host });
     }
 
-    /// The platform ends a retired backend: what it still holds is lost.
+    /// The platform ends a retired backend: what still runs on it is lost.
     pub(crate) fn end_retired(&mut self, host: usize) {
         self.hosts[host]
             .catalogue
--- a/crates/experiments/src/fleet/dispatch.rs
+++ b/crates/experiments/src/fleet/dispatch.rs
@@ -6,7 +6,7 @@
 
 use crate::fleet::event::Event;
 use crate::fleet::host::run_model;
-use crate::fleet::proxy_node::{Chosen, Wanted};
+use crate::fleet::proxy_node::{ChoiceInput, Chosen};
 use crate::fleet::request::{Attempt, Request};
 use crate::fleet::simulation::Simulation;
 use crate::fleet::workload::Prompt;
@@ -50,18 +50,18 @@
 
     fn choose(&mut self, id: u64) -> Option<Chosen> {
         let request = self.requests.get(&id)?;
-        let wanted = Wanted {
+        let input = ChoiceInput {
             model: request.model,
             prompt_tokens: u64::from(request.prompt.tokens),
             affinity: request.prompt.affinity,
-            without: &request.failed_hosts,
+            excluded: &request.failed_hosts,
         };
         let proxy = &mut self.proxies[request.proxy];
         proxy.choose(
             self.options.policy,
             &self.serving,
             &self.hosts,
-            wanted,
+            input,
             &mut self.choices,
         )
     }
@@ -108,9 +108,9 @@
             request.failed_hosts.push(chosen.host);
             return false;
         };
-        let before = proxy.board.counts(&chosen.key);
-        let ticket = proxy
-            .board
+        let before = proxy.load_table.counts(&chosen.key);
+        let in_flight = proxy
+            .load_table
             .start(chosen.key.clone(), chosen.uncached_tokens);
         if self.metrics.counts(request.arrived) {
             self.metrics.prompt_tokens += u64::from(request.prompt.tokens);
@@ -127,7 +127,7 @@
             queued_tokens: before.prefill_tokens + chosen.uncached_tokens,
             own_tokens: chosen.uncached_tokens,
             streams_at_start: before.decode_streams,
-            ticket,
+            in_flight,
         });
         let attempt = request.attempts;
         self.proxies[request.proxy].own_open[chosen.host] += 1;
@@ -141,12 +141,12 @@
                 },
             );
         }
-        self.note_late_send(chosen.host);
+        self.record_late_send(chosen.host);
         self.reschedule_host(chosen.host);
         true
     }
 
-    fn note_late_send(&mut self, host: usize) {
+    fn record_late_send(&mut self, host: usize) {
         if let Some(retired) = self.retired_at.get(&host) {
             let late = self.now.since(*retired);
             self.metrics.longest_late_send = self.metrics.longest_late_send.max(late);
@@ -176,16 +176,16 @@
         Some(attempt)
     }
 
-    /// An attempt has been silent for too long: another backend, if the rules allow.
+    /// An attempt has no first token in time: another backend, if the retry rules allow it.
     pub(crate) fn attempt_timed_out(&mut self, id: u64, attempt: u32) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let silent = request
+        let unanswered = request
             .attempt
             .as_ref()
             .is_some_and(|current| current.first_token.is_none());
-        if !silent || request.attempts != attempt || !self.may_send_again(id) {
+        if !unanswered || request.attempts != attempt || !self.may_send_again(id) {
             return;
         }
         let Some(dropped) = self.drop_attempt(id) else {
@@ -197,7 +197,7 @@
         self.send(id);
     }
 
-    /// The caller gives up unless the first token has come.
+    /// The caller gives up unless the first token has arrived.
     pub(crate) fn deadline(&mut self, id: u64) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -213,18 +213,18 @@
         self.drop_attempt(id);
         if self.requests.remove(&id).is_some() {
             self.metrics
-                .note_time_out(arrived, self.options.first_token_limit);
+                .record_timeout(arrived, self.options.first_token_limit);
         }
     }
 
     fn fail(&mut self, id: u64) {
         if let Some(request) = self.requests.remove(&id) {
             self.metrics
-                .note_failure(request.arrived, self.options.first_token_limit);
+                .record_failure(request.arrived, self.options.first_token_limit);
         }
     }
 
-    /// The attempt's backend or replica is lost: cut after the first token, sent again before it.
+    /// The attempt's backend or replica is lost: truncated after the first token, retried before it.
     pub(crate) fn lose_attempt(&mut self, id: u64) {
         let Some(attempt) = self.drop_attempt(id) else {
             return;
@@ -233,7 +233,7 @@
             if let Some(request) = self.requests.remove(&id)
                 && self.metrics.counts(request.arrived)
             {
-                self.metrics.cut += 1;
+                self.metrics.truncated += 1;
             }
             return;
         }
--- a/crates/experiments/src/fleet/fleet_options.rs
+++ b/crates/experiments/src/fleet/fleet_options.rs
@@ -1,4 +1,4 @@
-//! What a simulated fleet is made of and what befalls it.
+//! What a simulated fleet consists of and which faults happen to it.
 
 use millford_api::config::Pool;
 use millford_backend_model::{BackendOptions, ModelProfile};
@@ -40,13 +40,13 @@
 /// How attempts fail over.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryRules {
-    /// Silence after which an attempt is given up; none: only the deadline ends it.
+    /// Time without a first token after which an attempt is given up; none: only the deadline ends it.
     pub attempt_timeout: Option<Duration>,
     /// Attempts of one request at most.
     pub most_attempts: u32,
     /// Whether second sends are paid from the project's retry budget.
     pub budgeted: bool,
-    /// Whether backends are ejected by connect errors and silence.
+    /// Whether backends are ejected by connect errors and timeouts.
     pub ejects: bool,
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// Something that befalls the fleet.
+/// A fault of the fleet, or an operator's action.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
     /// When.
@@ -72,7 +72,7 @@
     pub kind: FaultKind,
 }
 
-/// Kinds of faults and operators' acts.
+/// Kinds of faults and operators' actions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
     /// The host refuses connections and loses its work.
@@ -101,7 +101,7 @@
     TargetVersion(&'static str),
 }
 
-/// A whole simulated run.
+/// A complete simulated run.
 #[derive(Clone, Debug)]
 pub struct FleetOptions {
     /// Seed of everything random.
@@ -122,7 +122,7 @@
     pub retries: RetryRules,
     /// Time from arrival to the first token after which the caller gives up.
     pub first_token_limit: Duration,
-    /// Whether a backend that retires is drained by its proxies.
+    /// Faults, in any order.
     pub faults: Vec<Fault>,
     /// Figures count from here.
     pub warm_up: Duration,
--- a/crates/experiments/src/fleet/metrics.rs
+++ b/crates/experiments/src/fleet/metrics.rs
@@ -19,8 +19,8 @@
     pub timed_out: u64,
     /// Requests that failed otherwise before the first token.
     pub failed: u64,
-    /// Streams cut after their first token.
-    pub cut: u64,
+    /// Streams truncated after their first token.
+    pub truncated: u64,
     /// First sends and sends to a further backend.
     pub first_sends: u64,
     /// Sends to a further backend.
@@ -38,7 +38,7 @@
     /// Mean utilization of the most used twentieth of the backends, over the samples.
     pub tail_utilization: f64,
     /// Share of samples of backends above 65% bandwidth demand.
-    pub over_ceiling: f64,
+    pub over_bandwidth_limit: f64,
     /// Largest bandwidth demand of a sample over the bandwidth.
     pub most_bandwidth: f64,
     /// Answered in time, by second of arrival.
@@ -53,9 +53,9 @@
     pub moves: u64,
     /// When the transition began, if one did: first step after the order.
     pub transition_first_step: Option<MonotonicTime>,
-    /// When the last old replica was gone.
+    /// When the last old replica was removed.
     pub transition_end: Option<MonotonicTime>,
-    /// Longest time that a draining replica or retired backend still held work.
+    /// Longest time that a draining replica or retired backend still had work.
     pub longest_drain: Duration,
     /// Longest time from a backend's retirement to the last request sent to it.
     pub longest_late_send: Duration,
@@ -74,7 +74,7 @@
             completed: 0,
             timed_out: 0,
             failed: 0,
-            cut: 0,
+            truncated: 0,
             first_sends: 0,
             second_sends: 0,
             prompt_tokens: 0,
@@ -83,7 +83,7 @@
             inter_token: histogram(),
             mean_utilization: 0.0,
             tail_utilization: 0.0,
-            over_ceiling: 0.0,
+            over_bandwidth_limit: 0.0,
             most_bandwidth: 0.0,
             good_by_second: Vec::new(),
             arrived_by_second: Vec::new(),
@@ -106,14 +106,14 @@
     }
 
     /// Takes in an estimate of the pool's utilization.
-    pub fn note_estimate(&mut self, utilization: f64) {
+    pub fn record_estimate(&mut self, utilization: f64) {
         self.estimates += 1;
         self.estimated_utilization +=
             (utilization - self.estimated_utilization) / self.estimates as f64;
     }
 
     /// Counts an arrival.
-    pub fn note_arrival(&mut self, arrived: MonotonicTime) {
+    pub fn record_arrival(&mut self, arrived: MonotonicTime) {
         count_second(&mut self.arrived_by_second, arrived);
         if self.counts(arrived) {
             self.arrived += 1;
@@ -121,7 +121,7 @@
     }
 
     /// Counts a first token.
-    pub fn note_first_token(&mut self, arrived: MonotonicTime, took: Duration) {
+    pub fn record_first_token(&mut self, arrived: MonotonicTime, took: Duration) {
         count_second(&mut self.good_by_second, arrived);
         if self.counts(arrived) {
             record(&mut self.first_token, took);
@@ -129,7 +129,7 @@
     }
 
     /// Counts a request that was given up before its first token.
-    pub fn note_time_out(&mut self, arrived: MonotonicTime, limit: Duration) {
+    pub fn record_timeout(&mut self, arrived: MonotonicTime, limit: Duration) {
         if self.counts(arrived) {
             self.timed_out += 1;
             record(&mut self.first_token, limit);
@@ -137,7 +137,7 @@
     }
 
     /// Counts a request that failed before its first token.
-    pub fn note_failure(&mut self, arrived: MonotonicTime, limit: Duration) {
+    pub fn record_failure(&mut self, arrived: MonotonicTime, limit: Duration) {
         if self.counts(arrived) {
             self.failed += 1;
             record(&mut self.first_token, limit);
@@ -145,7 +145,7 @@
     }
 
     /// Counts a finished stream.
-    pub fn note_finish(&mut self, arrived: MonotonicTime, inter_token: Duration) {
+    pub fn record_finish(&mut self, arrived: MonotonicTime, inter_token: Duration) {
         if self.counts(arrived) {
             self.completed += 1;
             record(&mut self.inter_token, inter_token);
@@ -206,7 +206,7 @@
             .flat_map(|list| list.iter().copied())
             .collect();
         let over = all.iter().filter(|demand| **demand > 0.65).count();
-        self.over_ceiling = over as f64 / all.len().max(1) as f64;
+        self.over_bandwidth_limit = over as f64 / all.len().max(1) as f64;
         self.most_bandwidth = all.iter().copied().fold(0.0, f64::max);
     }
 }
--- a/crates/experiments/src/fleet/proxy_node.rs
+++ b/crates/experiments/src/fleet/proxy_node.rs
@@ -18,9 +18,9 @@
 /// State of one proxy.
 #[derive(Debug)]
 pub struct ProxyNode {
-    /// Work in flight by replica: the real board of the routing crate.
-    pub board: Arc<LoadTable>,
-    /// Learned costs: the real book of the routing crate.
+    /// Work in flight by replica: the real load table of the routing crate.
+    pub load_table: Arc<LoadTable>,
+    /// Learned costs: the real estimates of the routing crate.
     pub costs: CostEstimates,
     /// Ejections: the real health of the routing crate.
     pub health: BackendHealth,
@@ -28,22 +28,22 @@
     pub budget: RetryBudget,
     /// Own open requests by host, all models alike.
     pub own_open: Vec<u32>,
-    /// Other proxies' open requests by host, as last told.
+    /// Other proxies' open requests by host, as last reported.
     pub others_open: Vec<u32>,
-    next_in_round: usize,
+    next_round_robin: usize,
 }
 
-/// What a choice is made for.
+/// The request that a backend is chosen for.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
+pub struct ChoiceInput<'a> {
     /// Name of the model.
     pub model: &'a str,
     /// Prompt length in tokens.
     pub prompt_tokens: u64,
     /// Affinity key.
     pub affinity: u64,
-    /// Hosts that failed the request.
-    pub without: &'a [usize],
+    /// Hosts that failed the request already.
+    pub excluded: &'a [usize],
 }
 
 /// A chosen replica.
@@ -64,13 +64,13 @@
     #[must_use]
     pub fn new(hosts: usize) -> Self {
         Self {
-            board: Arc::default(),
+            load_table: Arc::default(),
             costs: CostEstimates::default(),
             health: BackendHealth::default(),
             budget: RetryBudget::default(),
             own_open: vec![0; hosts],
             others_open: vec![0; hosts],
-            next_in_round: 0,
+            next_round_robin: 0,
         }
     }
 
@@ -80,16 +80,16 @@
         policy: Policy,
         pool: &ServingPool,
         hosts: &[Host],
-        wanted: Wanted<'_>,
+        input: ChoiceInput<'_>,
         random: &mut ChaCha8Rng,
     ) -> Option<Chosen> {
         let request = ModelRequest {
-            model: wanted.model.to_owned(),
+            model: input.model.to_owned(),
             ..ModelRequest::default()
         };
         let usable = |replica: &&ServingReplica| {
             let host = host_index(&replica.backend.id);
-            !wanted.without.contains(&host) && self.health.is_usable(&replica.backend.id)
+            !input.excluded.contains(&host) && self.health.is_usable(&replica.backend.id)
         };
         let replicas: Vec<&ServingReplica> = pool
             .candidates(&request)
@@ -99,14 +99,14 @@
         if replicas.is_empty() {
             return None;
         }
-        let (index, by_affinity) = self.pick(policy, &replicas, hosts, wanted, random)?;
+        let (index, by_affinity) = self.pick(policy, &replicas, hosts, input, random)?;
         let replica = replicas[index];
         let uncached_tokens = if by_affinity {
             self.costs
-                .uncached_tokens_at_home(wanted.model, wanted.prompt_tokens)
+                .uncached_tokens_at_home(input.model, input.prompt_tokens)
         } else {
             self.costs
-                .uncached_tokens_elsewhere(wanted.model, wanted.prompt_tokens)
+                .uncached_tokens_elsewhere(input.model, input.prompt_tokens)
         };
         Some(Chosen {
             host: host_index(&replica.backend.id),
@@ -126,15 +126,15 @@
         policy: Policy,
         replicas: &[&ServingReplica],
         hosts: &[Host],
-        wanted: Wanted<'_>,
+        input: ChoiceInput<'_>,
         random: &mut ChaCha8Rng,
     ) -> Option<(usize, bool)> {
         let count = replicas.len();
         let host_of = |index: usize| host_index(&replicas[index].backend.id);
         let unaided = match policy {
             Policy::RoundRobin => {
-                self.next_in_round += 1;
-                self.next_in_round % count
+                self.next_round_robin += 1;
+                self.next_round_robin % count
             }
             Policy::Random => random.random_range(0..count),
             Policy::HostTotal => best_of_two(count, random, |index| self.open(host_of(index))),
@@ -155,13 +155,13 @@
             }
             Policy::PureHash => {
                 let score = |index: &usize| {
-                    rendezvous::score(wanted.affinity, &replicas[*index].backend.id, 1000)
+                    rendezvous::score(input.affinity, &replicas[*index].backend.id, 1000)
                 };
                 (0..count).max_by(|left, right| score(left).total_cmp(&score(right)))?
             }
-            Policy::MillfordWithoutAffinity => return self.ours(replicas, wanted, None, random),
+            Policy::MillfordWithoutAffinity => return self.ours(replicas, input, None, random),
             Policy::Millford => {
-                return self.ours(replicas, wanted, Some(wanted.affinity), random);
+                return self.ours(replicas, input, Some(input.affinity), random);
             }
         };
         Some((unaided, policy == Policy::PureHash))
@@ -171,7 +171,7 @@
     fn ours(
         &self,
         replicas: &[&ServingReplica],
-        wanted: Wanted<'_>,
+        input: ChoiceInput<'_>,
         affinity: Option<u64>,
         random: &mut ChaCha8Rng,
     ) -> Option<(usize, bool)> {
@@ -183,22 +183,19 @@
                     backend_id: backend.id.clone(),
                     weight_milli: replica.weight_milli,
                     load: self
-                        .board
+                        .load_table
                         .backend_load(&backend.id, backend.cores, &self.costs),
                 }
             })
             .collect();
         let cores: u32 = replicas.iter().map(|replica| replica.backend.cores).sum();
         let mean_cores = f64::from(cores) / replicas.len() as f64;
-        let saving = self
-            .costs
-            .home_saving_ms(wanted.model, wanted.prompt_tokens)
-            / mean_cores;
+        let saving = self.costs.home_saving_ms(input.model, input.prompt_tokens) / mean_cores;
         let numbers = [random.random(), random.random()];
         let affinity = affinity.map(|key| Affinity {
             key,
             saving,
-            gain: self.costs.home_gain(wanted.model),
+            gain: self.costs.home_gain(input.model),
         });
         let choice = choose(&candidates, affinity, numbers)?;
         Some((choice.index, choice.by_affinity))
--- a/crates/experiments/src/fleet/request.rs
+++ b/crates/experiments/src/fleet/request.rs
@@ -10,7 +10,7 @@
 pub struct Request {
     /// Name of the model.
     pub model: &'static str,
-    /// What it asks for.
+    /// Its prompt.
     pub prompt: Prompt,
     /// When it arrived.
     pub arrived: MonotonicTime,
@@ -47,6 +47,6 @@
     pub own_tokens: u64,
     /// Streams on the replica before it, as the proxy knew.
     pub streams_at_start: u32,
-    /// Counts it on the proxy's load board.
-    pub ticket: InFlightGuard,
+    /// Counts it in the proxy's load table until it is dropped.
+    pub in_flight: InFlightGuard,
 }
--- a/crates/experiments/src/fleet/simulation.rs
+++ b/crates/experiments/src/fleet/simulation.rs
@@ -17,9 +17,9 @@
 use crate::fleet::metrics::FleetMetrics;
 use crate::fleet::proxy_node::ProxyNode;
 use crate::fleet::request::Request;
-use crate::fleet::workload::{SessionBook, draw_prompt, next_arrival};
+use crate::fleet::workload::{SessionTable, draw_prompt, next_arrival};
 
-/// Interval of load reports and of the picture that goes back.
+/// Interval of load reports and of the load snapshot that goes back.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval of planning.
 pub const PLAN_INTERVAL: Duration = Duration::from_millis(500);
@@ -59,7 +59,7 @@
 /// Random arrivals of one model load, the same whatever the policy.
 struct ArrivalSource {
     random: ChaCha8Rng,
-    sessions: SessionBook,
+    sessions: SessionTable,
 }
 
 /// Runs a fleet to its end.
@@ -84,7 +84,7 @@
         let arrivals = (0..options.workload.loads.len())
             .map(|load| ArrivalSource {
                 random: seeded(options.seed, 1 + load as u64),
-                sessions: SessionBook::default(),
+                sessions: SessionTable::default(),
             })
             .collect();
         let placer_options = match &options.placement {
@@ -184,7 +184,7 @@
         let prompt = draw_prompt(model, &mut source.sessions, &mut source.random);
         let name = model.model;
         self.schedule_arrival(load);
-        self.metrics.note_arrival(self.now);
+        self.metrics.record_arrival(self.now);
         self.accept(name, prompt);
     }
 
@@ -196,7 +196,7 @@
             .collect()
     }
 
-    /// Puts together what proxies route by: the catalogue and the last placement.
+    /// Rebuilds the pool that proxies route by: the catalogue and the last placement.
     pub(crate) fn rebuild_serving(&mut self) {
         let backends: Vec<Arc<Backend>> = self
             .hosts
@@ -214,7 +214,7 @@
             self.advance_host(host);
             self.hosts[host].sample(SAMPLE_INTERVAL.as_secs_f64());
         }
-        self.note_open_drains();
+        self.record_open_drains();
     }
 
     fn finish(mut self) -> FleetMetrics {
--- a/crates/experiments/src/fleet/workload.rs
+++ b/crates/experiments/src/fleet/workload.rs
@@ -1,4 +1,4 @@
-//! Callers: how often they ask, for what, and how alike their prompts are.
+//! Callers: their request rate, their models, and how much their prompts share.
 
 use millford_backend_model::chain_blocks;
 use millford_core::{Duration, MonotonicTime};
@@ -87,7 +87,7 @@
 
 /// Sessions of one model load and their prompts so far.
 #[derive(Clone, Debug, Default)]
-pub struct SessionBook {
+pub struct SessionTable {
     sessions: Vec<Session>,
 }
 
@@ -105,14 +105,14 @@
 }
 
 /// Draws the next prompt of a load.
-pub fn draw_prompt(load: &ModelLoad, book: &mut SessionBook, random: &mut ChaCha8Rng) -> Prompt {
+pub fn draw_prompt(load: &ModelLoad, table: &mut SessionTable, random: &mut ChaCha8Rng) -> Prompt {
     let fresh_tokens = log_normal(load.prompt_median, load.spread, random);
     let output = log_normal(load.output_median, load.spread, random);
     let fresh_blocks = (fresh_tokens / f64::from(BLOCK_TOKENS)).ceil() as u32;
-    let goes_on = !book.sessions.is_empty() && random.random_bool(load.session_share);
+    let goes_on = !table.sessions.is_empty() && random.random_bool(load.session_share);
     let mut session = if goes_on {
-        let index = random.random_range(0..book.sessions.len());
-        book.sessions.swap_remove(index)
+        let index = random.random_range(0..table.sessions.len());
+        table.sessions.swap_remove(index)
     } else {
         first_turn(load, random)
     };
@@ -137,8 +137,8 @@
         output_tokens: output.ceil().max(1.0) as u32,
         affinity,
     };
-    if has_sessions && session.turns < MOST_TURNS && book.sessions.len() < MOST_SESSIONS {
-        book.sessions.push(session);
+    if has_sessions && session.turns < MOST_TURNS && table.sessions.len() < MOST_SESSIONS {
+        table.sessions.push(session);
     }
     prompt
 }
--- a/crates/experiments/src/load_age/options.rs
+++ b/crates/experiments/src/load_age/options.rs
@@ -5,16 +5,16 @@
 /// How a node learns what others have in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sharing {
-    /// Each node tells everything to every other node, once in a period.
-    Everybody {
+    /// Each node reports all its counts to every other node, once in a period.
+    Broadcast {
         /// The period.
         period: Duration,
     },
-    /// A node asks for the counts of some backends drawn at random, kept up to date at their owners.
+    /// A node queries the owners of some backends, drawn at random, for their current counts.
     Owners {
-        /// Backends asked about.
+        /// Backends that are queried.
         drawn: usize,
-        /// From the question to the dispatch: choices made meanwhile do not see each other.
+        /// From the query to the dispatch: choices made meanwhile do not see each other.
         round_trip: Duration,
     },
     /// Every node sees the true counts of all backends at once.
--- a/crates/experiments/src/load_age/simulation.rs
+++ b/crates/experiments/src/load_age/simulation.rs
@@ -1,4 +1,4 @@
-//! Plays a fleet.
+//! The event loop of a simulated fleet.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -11,7 +11,7 @@
 use crate::load_age::options::{LoadAgeOptions, Sharing};
 use crate::load_age::outcome::LoadAgeOutcome;
 
-/// Time to read a long prompt of which nothing is kept, in milliseconds.
+/// Time to read a long prompt of which nothing is cached, in milliseconds.
 const LONG_PROMPT_MS: f64 = 150.0;
 /// Time to read a short one.
 const SHORT_PROMPT_MS: f64 = 20.0;
@@ -23,8 +23,8 @@
 /// What happens, in the order of equal times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A node tells what it has in flight.
-    Tell { node: usize },
+    /// A node reports what it has in flight.
+    Report { node: usize },
     /// A request arrives at a node.
     Arrive { node: usize, long: bool },
     /// A request leaves for the backend that was chosen.
@@ -41,13 +41,13 @@
     random: ChaCha8Rng,
     events: BinaryHeap<Reverse<(u64, Event)>>,
     backends: Backends,
-    /// What each node told last, and the sums over all nodes.
-    told: Vec<Vec<f64>>,
-    told_sum: Vec<f64>,
+    /// What each node reported last, and the sums over all nodes.
+    reported: Vec<Vec<f64>>,
+    reported_sum: Vec<f64>,
     outcome: LoadAgeOutcome,
 }
 
-/// Plays a fleet. The same options give the same outcome.
+/// Simulates a fleet. The same options give the same outcome.
 #[must_use]
 pub fn simulate(options: &LoadAgeOptions) -> LoadAgeOutcome {
     let mut simulation = Simulation {
@@ -55,12 +55,12 @@
         random: ChaCha8Rng::seed_from_u64(options.seed),
         events: BinaryHeap::new(),
         backends: Backends::new(options.nodes, options.backends),
-        told: vec![vec![0.0; options.backends]; options.nodes],
-        told_sum: vec![0.0; options.backends],
+        reported: vec![vec![0.0; options.backends]; options.nodes],
+        reported_sum: vec![0.0; options.backends],
         outcome: LoadAgeOutcome::default(),
     };
     simulation.plan_arrivals();
-    simulation.plan_first_tells();
+    simulation.plan_first_reports();
     while let Some(Reverse((at, event))) = simulation.events.pop() {
         simulation.take(at, event);
     }
@@ -93,13 +93,13 @@
         }
     }
 
-    fn plan_first_tells(&mut self) {
-        let Sharing::Everybody { period } = self.options.sharing else {
+    fn plan_first_reports(&mut self) {
+        let Sharing::Broadcast { period } = self.options.sharing else {
             return;
         };
         for node in 0..self.options.nodes {
             let phase = self.random.random::<f64>() * period.as_secs_f64() * 1000.0;
-            self.plan(phase, Event::Tell { node });
+            self.plan(phase, Event::Report { node });
         }
     }
 
@@ -112,7 +112,7 @@
         let now_ms = at as f64 / MICROS;
         self.backends.advance(now_ms);
         match event {
-            Event::Tell { node } => self.tell(now_ms, node),
+            Event::Report { node } => self.report(now_ms, node),
             Event::Arrive { node, long } => {
                 let backend = self.choose(node);
                 let delay_ms = match self.options.sharing {
@@ -136,18 +136,18 @@
         }
     }
 
-    fn tell(&mut self, now_ms: f64, node: usize) {
+    fn report(&mut self, now_ms: f64, node: usize) {
         let own = self.backends.of_node(node);
         for (backend, work) in own.iter().enumerate() {
-            self.told_sum[backend] += work - self.told[node][backend];
-            self.told[node][backend] = *work;
+            self.reported_sum[backend] += work - self.reported[node][backend];
+            self.reported[node][backend] = *work;
         }
-        let Sharing::Everybody { period } = self.options.sharing else {
+        let Sharing::Broadcast { period } = self.options.sharing else {
             return;
         };
         let next_ms = now_ms + period.as_secs_f64() * 1000.0;
         if next_ms < self.options.length.as_secs_f64() * 1000.0 {
-            self.plan(next_ms, Event::Tell { node });
+            self.plan(next_ms, Event::Report { node });
         }
     }
 
@@ -162,8 +162,8 @@
                     this.backends.in_flight()[one]
                 })
             }
-            Sharing::Everybody { .. } => self.least(0..count, |this, one| {
-                let others = this.told_sum[one] - this.told[node][one];
+            Sharing::Broadcast { .. } => self.least(0..count, |this, one| {
+                let others = this.reported_sum[one] - this.reported[node][one];
                 others + this.backends.of_node(node)[one]
             }),
         }
--- a/crates/experiments/src/quota_age/admissions.rs
+++ b/crates/experiments/src/quota_age/admissions.rs
@@ -15,8 +15,8 @@
 }
 
 impl Admissions {
-    /// Notes a decision.
-    pub fn note(&mut self, now: MonotonicTime, is_admitted: bool) {
+    /// Records a decision.
+    pub fn record(&mut self, now: MonotonicTime, is_admitted: bool) {
         if is_admitted {
             self.times.push(now);
         } else {
--- a/crates/experiments/src/quota_age/fleet_quota.rs
+++ b/crates/experiments/src/quota_age/fleet_quota.rs
@@ -1,17 +1,17 @@
-//! The tenant whose quota the fleets hold, and the traffic against it.
+//! The tenant whose quota the fleets enforce, and the traffic against it.
 
 use millford_api::config::{Tenant, TokenQuota};
 use millford_core::Duration;
 
-/// Tokens a second.
+/// The quota's rate, in tokens a second.
 pub const RATE: u64 = 10_000;
-/// Tokens at once.
+/// The quota's burst, in tokens.
 pub const BURST: u64 = 10_000;
-/// Tokens of a request.
+/// Cost of one request, in tokens.
 pub const REQUEST: u64 = 100;
-/// Window that a quota is judged over.
+/// Window over which the quota is checked.
 pub const WINDOW: Duration = Duration::from_secs(8);
-/// Between two steps of a simulation, in milliseconds.
+/// Length of a simulation step, in milliseconds.
 pub const STEP_MS: u64 = 5;
 
 /// The tenant's quota.
@@ -61,8 +61,8 @@
     /// Requests of the next step.
     pub fn due_now(&mut self) -> usize {
         self.due += self.per_step;
-        let whole = self.due.floor();
-        self.due -= whole;
-        whole as usize
+        let complete = self.due.floor();
+        self.due -= complete;
+        complete as usize
     }
 }
--- a/crates/experiments/src/quota_age/mod.rs
+++ b/crates/experiments/src/quota_age/mod.rs
@@ -1,6 +1,6 @@
-//! Fleets that hold one tenant's quota together, by counts of a certain age.
+//! Fleets that enforce one tenant's quota together, by usage counts of a certain age.
 //!
-//! The buckets, what peers assume of each other and what a node does without an answer are the forwarding
+//! The buckets, what peers assume of each other and degraded admission are the forwarding
 //! proxy's own; time, datagrams and their loss are simulated.
 
 pub mod admissions;
--- a/crates/experiments/src/quota_age/owner_fleet.rs
+++ b/crates/experiments/src/quota_age/owner_fleet.rs
@@ -1,4 +1,8 @@
-//! Nodes of some zones, in each of which the tenant has two owners.
+//! Proxy nodes in several zones; in each zone the tenant's quota has two owners that grant its tokens.
+//!
+//! [`OwnerFleet`] plays the requesting side of the forwarding proxy's `QuotaClient` a second time, step by step and
+//! without sockets; the owners' side is the real `TenantQuotas`. A change to the client's order of owners, limits or
+//! degraded admission has to be repeated here.
 
 use std::collections::BTreeMap;
 
@@ -10,23 +14,23 @@
 use super::admissions::Admissions;
 use super::fleet_quota::{Pressure, REQUEST, STEP_MS, quota, tenant};
 
-/// Usual shortest time between two tellings of an owner, in steps.
-pub const PAUSE_STEPS: usize = 4;
-/// As `QuotaClient`: owners that are asked about one request.
-const MOST_ASKED: usize = 3;
-/// As `Questions`: unanswered questions in a row after which an owner is passed over, and for how long.
+/// Default shortest time between two usage reports of an owner, in steps.
+pub const REPORT_INTERVAL_STEPS: usize = 4;
+/// As `QuotaClient`: owners that are tried for one request.
+const MAX_OWNERS_TRIED: usize = 3;
+/// As `PendingRequests`: unanswered requests in a row after which an owner is suspected.
 const UNANSWERED_TO_SUSPECT: u32 = 2;
-/// See [`UNANSWERED_TO_SUSPECT`].
+/// Time for which a suspected owner is skipped, in steps.
 const SUSPECT_STEPS: usize = 200;
-/// Owners tell each other everything, in steps.
-const WHOLE_STEPS: usize = 200;
+/// Interval of the owners' full usage reports, in steps.
+const FULL_REPORT_STEPS: usize = 200;
 
-/// An owner: its place in the fleet is its zone and whether it is the stand-in.
+/// One of the two owners in a zone.
 #[derive(Debug)]
 pub struct Owner {
     quotas: TenantQuotas,
     boot: u64,
-    told: u64,
+    reported_tokens: u64,
     /// Whether it answers.
     pub is_up: bool,
 }
@@ -36,32 +40,37 @@
         Self {
             quotas: TenantQuotas::default(),
             boot: 1,
-            told: 0,
+            reported_tokens: 0,
             is_up: true,
         }
     }
 }
 
-/// An owner: its zone, and 0 or 1 for the stand-in.
-type Place = (usize, usize);
+/// Identifies an owner.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct OwnerId {
+    zone: usize,
+    /// 0 for the zone's first owner, 1 for the second.
+    index: usize,
+}
 
-/// What a node knows.
+/// A node's estimate of the quota, and which owners did not answer it.
 #[derive(Clone, Debug)]
 struct Node {
     known: LevelEstimate,
     uncharged: i64,
-    /// Unanswered questions in a row, and until which step the owner is passed over.
-    silences: BTreeMap<Place, (u32, usize)>,
+    /// Unanswered requests in a row, and the step until which the owner is skipped.
+    unanswered_by_owner: BTreeMap<OwnerId, (u32, usize)>,
 }
 
 impl Node {
-    fn suspects(&self, step: usize, place: Place) -> bool {
-        let silence = self.silences.get(&place);
-        silence.is_some_and(|(_, until)| step < *until)
+    fn suspects(&self, step: usize, owner: OwnerId) -> bool {
+        let entry = self.unanswered_by_owner.get(&owner);
+        entry.is_some_and(|(_, until)| step < *until)
     }
 
-    fn unanswered(&mut self, step: usize, place: Place) {
-        let (unanswered, until) = self.silences.entry(place).or_default();
+    fn record_unanswered(&mut self, step: usize, owner: OwnerId) {
+        let (unanswered, until) = self.unanswered_by_owner.entry(owner).or_default();
         *unanswered += 1;
         if *unanswered >= UNANSWERED_TO_SUSPECT {
             *until = step + SUSPECT_STEPS;
@@ -69,7 +78,7 @@
     }
 }
 
-/// Nodes of some zones that ask the owners of their zone; owners that tell each other.
+/// Nodes that request tokens from the owners of their zone, and owners that report their usage to each other.
 #[derive(Debug)]
 pub struct OwnerFleet {
     /// Two in each zone.
@@ -80,12 +89,12 @@
     now: MonotonicTime,
     step: usize,
     random: ChaCha8Rng,
-    /// Shortest time between two tellings of an owner, in steps.
-    pub pause_steps: usize,
-    /// Datagrams that are lost.
+    /// Shortest time between two usage reports of an owner, in steps.
+    pub report_interval_steps: usize,
+    /// Share of the datagrams that are lost, in percent.
     pub loss_percent: u32,
-    /// A zone that no other one reaches.
-    pub cut_off: Option<usize>,
+    /// A zone that is partitioned from all others.
+    pub partitioned_zone: Option<usize>,
     /// What was admitted.
     pub admissions: Admissions,
     /// Tokens that were admitted in each zone.
@@ -104,7 +113,7 @@
         let node = Node {
             known: LevelEstimate::unknown(&quota(), fleet, now),
             uncharged: 0,
-            silences: BTreeMap::new(),
+            unanswered_by_owner: BTreeMap::new(),
         };
         Self {
             owners: (0..zones).map(|_| [Owner::new(), Owner::new()]).collect(),
@@ -113,9 +122,9 @@
             now,
             step: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
-            pause_steps: PAUSE_STEPS,
+            report_interval_steps: REPORT_INTERVAL_STEPS,
             loss_percent: 0,
-            cut_off: None,
+            partitioned_zone: None,
             admissions: Admissions::default(),
             by_zone: BTreeMap::new(),
         }
@@ -125,9 +134,9 @@
         self.random.random_range(0..100) < self.loss_percent
     }
 
-    fn ask(&mut self, zone: usize, node: usize) {
+    fn request(&mut self, zone: usize, node: usize) {
         let is_admitted = self.decide(zone, node).is_ok();
-        self.admissions.note(self.now, is_admitted);
+        self.admissions.record(self.now, is_admitted);
         if is_admitted {
             *self.by_zone.entry(zone).or_default() += REQUEST;
         }
@@ -135,74 +144,83 @@
 
     /// As `QuotaClient` decides on a request.
     fn decide(&mut self, zone: usize, node: usize) -> Result<(), Duration> {
-        let mut asked_before = Vec::with_capacity(MOST_ASKED);
-        for _ in 0..MOST_ASKED {
-            let Some(place) = self.owner_to_ask(zone, node, &asked_before) else {
+        let mut tried = Vec::with_capacity(MAX_OWNERS_TRIED);
+        for _ in 0..MAX_OWNERS_TRIED {
+            let Some(id) = self.next_owner(zone, node, &tried) else {
                 break;
             };
             if let Some(wait) = self.nodes[zone][node].known.certain_wait(self.now) {
                 return Err(wait);
             }
-            if let Some(decision) = self.question(zone, node, place) {
+            if let Some(decision) = self.query_owner(zone, node, id) {
                 return decision;
             }
-            asked_before.push(place);
+            tried.push(id);
         }
-        let why = match self.owner_to_ask(zone, node, &[]) {
+        let reason = match self.next_owner(zone, node, &[]) {
             Some(_) => DegradedReason::AnswerLost,
             None => DegradedReason::OwnersUnreachable,
         };
         let node = &mut self.nodes[zone][node];
-        node.known.admit_degraded(self.now, why, REQUEST)?;
+        node.known.admit_degraded(self.now, reason, REQUEST)?;
         node.uncharged += i64::try_from(REQUEST).expect("small");
         Ok(())
     }
 
-    /// The first owner that the node believes to answer, of its own zone before the others.
-    fn owner_to_ask(&self, zone: usize, node: usize, asked_before: &[Place]) -> Option<Place> {
-        let own = [(zone, 0), (zone, 1)];
+    /// The next owner to try: not tried, not suspected and reachable; those of the node's own zone first.
+    fn next_owner(&self, zone: usize, node: usize, tried: &[OwnerId]) -> Option<OwnerId> {
+        let own = [0, 1].map(|index| OwnerId { zone, index });
         let others = (0..self.owners.len()).filter(|other| *other != zone);
-        let mut places = own.into_iter().chain(others.map(|other| (other, 0)));
+        let first = |zone| OwnerId { zone, index: 0 };
+        let mut owners = own.into_iter().chain(others.map(first));
         let node = &self.nodes[zone][node];
-        places.find(|place| {
-            !asked_before.contains(place)
-                && !node.suspects(self.step, *place)
-                && (place.0 == zone || self.cut_off.is_none_or(|cut| cut != zone && cut != place.0))
+        owners.find(|owner| {
+            !tried.contains(owner)
+                && !node.suspects(self.step, *owner)
+                && (owner.zone == zone
+                    || self
+                        .partitioned_zone
+                        .is_none_or(|partitioned| partitioned != zone && partitioned != owner.zone))
         })
     }
 
-    /// Asks an owner. Nothing: no answer came in time.
-    fn question(&mut self, zone: usize, node: usize, place: Place) -> Option<Result<(), Duration>> {
-        let (question_lost, answer_lost) = (self.is_lost(), self.is_lost());
+    /// Requests tokens from an owner; `None` when no reply came in time.
+    fn query_owner(
+        &mut self,
+        zone: usize,
+        node: usize,
+        id: OwnerId,
+    ) -> Option<Result<(), Duration>> {
+        let (request_lost, reply_lost) = (self.is_lost(), self.is_lost());
         self.admissions.datagrams += 2;
-        let owner = &self.owners[place.0][place.1];
+        let owner = &self.owners[id.zone][id.index];
         let node = &mut self.nodes[zone][node];
-        let grant = (owner.is_up && !question_lost).then(|| {
+        let grant = (owner.is_up && !request_lost).then(|| {
             let grant = owner
                 .quotas
                 .grant(self.now, &tenant(), REQUEST, node.uncharged);
             grant.expect("the tenant has a quota")
         });
-        let Some(grant) = grant.filter(|_| !answer_lost) else {
-            node.unanswered(self.step, place);
+        let Some(grant) = grant.filter(|_| !reply_lost) else {
+            node.record_unanswered(self.step, id);
             return None;
         };
-        node.silences.remove(&place);
+        node.unanswered_by_owner.remove(&id);
         node.uncharged = 0;
         node.known.apply(self.now, &quota(), self.fleet, &grant);
         Some(grant.decision)
     }
 
-    /// Owners tell each other what they granted; then a step passes.
-    fn pass(&mut self) {
-        let whole = self.step.is_multiple_of(WHOLE_STEPS);
-        if whole || self.step.is_multiple_of(self.pause_steps) {
-            // Owners' rounds are not in step: who tells later knows more.
+    /// Owners report to each other what they granted; then a step passes.
+    fn advance_step(&mut self) {
+        let is_full_report = self.step.is_multiple_of(FULL_REPORT_STEPS);
+        if is_full_report || self.step.is_multiple_of(self.report_interval_steps) {
+            // Owners do not report at the same moment: one that reports later has received more.
             let first = self.random.random_range(0..self.owners.len());
             for turn in 0..self.owners.len() {
                 let zone = (first + turn) % self.owners.len();
-                for place in 0..2 {
-                    self.tell(zone, place, whole);
+                for index in 0..2 {
+                    self.report_usage(zone, index, is_full_report);
                 }
             }
         }
@@ -215,28 +233,34 @@
         self.now = self.now + Duration::from_millis(STEP_MS);
     }
 
-    fn tell(&mut self, zone: usize, place: usize, whole: bool) {
-        let owner = &mut self.owners[zone][place];
+    fn report_usage(&mut self, zone: usize, index: usize, is_full_report: bool) {
+        let owner = &mut self.owners[zone][index];
         let levels = owner.quotas.levels(self.now);
         let Some(level) = levels.first().filter(|_| owner.is_up) else {
             return;
         };
-        if !whole && level.used_tokens == owner.told {
+        if !is_full_report && level.used_tokens == owner.reported_tokens {
             return;
         }
-        owner.told = level.used_tokens;
+        owner.reported_tokens = level.used_tokens;
         let boot_id = owner.boot;
         for other in 0..self.owners.len() {
-            for other_place in 0..2 {
-                let is_itself = (other, other_place) == (zone, place);
-                let is_cut =
-                    other != zone && self.cut_off.is_some_and(|cut| cut == zone || cut == other);
+            for other_index in 0..2 {
+                let is_itself = (other, other_index) == (zone, index);
+                let is_partitioned = other != zone
+                    && self
+                        .partitioned_zone
+                        .is_some_and(|partitioned| partitioned == zone || partitioned == other);
                 self.admissions.datagrams += u64::from(!is_itself);
-                if is_itself || is_cut || self.is_lost() || !self.owners[other][other_place].is_up {
+                if is_itself
+                    || is_partitioned
+                    || self.is_lost()
+                    || !self.owners[other][other_index].is_up
+                {
                     continue;
                 }
                 let count = PeerCount {
-                    member: &format!("owner-{zone}-{place}"),
+                    member: &format!("owner-{zone}-{index}"),
                     boot_id,
                     tenant: &level.tenant,
                     used_tokens: level.used_tokens,
@@ -244,15 +268,15 @@
                     counted_for: Some(level.counted_for),
                     owner_zone: Some(&zone.to_string()),
                 };
-                let quotas = &self.owners[other][other_place].quotas;
+                let quotas = &self.owners[other][other_index].quotas;
                 quotas.apply_peer_count(self.now, &quota(), count);
             }
         }
     }
 
-    /// Another process, or another node, takes the owner's place.
-    pub fn replace(&mut self, zone: usize, place: usize) {
-        let owner = &mut self.owners[zone][place];
+    /// Replaces an owner by a new process without state, as after a restart or when another node becomes owner.
+    pub fn replace(&mut self, zone: usize, index: usize) {
+        let owner = &mut self.owners[zone][index];
         let boot = owner.boot + 1;
         *owner = Owner {
             boot,
@@ -260,16 +284,16 @@
         };
     }
 
-    /// Requests at random nodes of all zones, at so many times the quota's rate.
+    /// Sends requests to random nodes of all zones at `times` the quota's rate, for `seconds`.
     pub fn press(&mut self, seconds: u64, times: f64) {
         let mut pressure = Pressure::of(times);
         for _ in 0..seconds * 1000 / STEP_MS {
             for _ in 0..pressure.due_now() {
                 let zone = self.random.random_range(0..self.nodes.len());
                 let node = self.random.random_range(0..self.nodes[zone].len());
-                self.ask(zone, node);
+                self.request(zone, node);
             }
-            self.pass();
+            self.advance_step();
         }
     }
 }
--- a/crates/experiments/src/quota_age/peer_fleet.rs
+++ b/crates/experiments/src/quota_age/peer_fleet.rs
@@ -1,4 +1,4 @@
-//! Nodes that each keep the whole bucket and tell each other what they admitted.
+//! Nodes that each keep the complete token bucket and report to each other what they admitted.
 
 use millford_core::{Duration, MonotonicTime};
 use millford_forward::quota::{PeerCount, TenantQuotas};
@@ -8,17 +8,18 @@
 use super::admissions::Admissions;
 use super::fleet_quota::{Pressure, REQUEST, STEP_MS, quota, tenant};
 
-/// Between two rounds of a node, in steps.
-const ROUND_STEPS: usize = 20;
+/// Interval of a node's usage reports, in steps.
+const REPORT_INTERVAL_STEPS: usize = 20;
 
-/// Nodes, each of which tells some others in each round.
+/// Nodes, each of which reports to `fanout` peers in each interval.
 #[derive(Debug)]
 pub struct PeerFleet {
     nodes: Vec<TenantQuotas>,
     names: Vec<String>,
-    /// Peers that hear a round, and the first of each node's next ones.
-    told_in_round: usize,
-    next_told: Vec<usize>,
+    /// Peers that receive one report.
+    fanout: usize,
+    /// The peer that each node notified last: it goes on with the next one.
+    last_notified: Vec<usize>,
     now: MonotonicTime,
     step: usize,
     random: ChaCha8Rng,
@@ -27,14 +28,14 @@
 }
 
 impl PeerFleet {
-    /// A fleet whose bucket is full, in which each node tells `told_in_round` peers each 100 ms.
+    /// A fleet whose bucket is full, in which each node reports to `fanout` peers every 100 ms.
     #[must_use]
-    pub fn new(nodes: usize, told_in_round: usize, seed: u64) -> Self {
+    pub fn new(nodes: usize, fanout: usize, seed: u64) -> Self {
         Self {
             nodes: (0..nodes).map(|_| TenantQuotas::default()).collect(),
             names: (0..nodes).map(|node| format!("node-{node}")).collect(),
-            told_in_round: told_in_round.min(nodes - 1),
-            next_told: (0..nodes).collect(),
+            fanout: fanout.min(nodes - 1),
+            last_notified: (0..nodes).collect(),
             now: MonotonicTime::from_millis(1000),
             step: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -42,24 +43,24 @@
         }
     }
 
-    /// Requests at random nodes, at so many times the quota's rate.
+    /// Sends requests to random nodes at `times` the quota's rate, for `seconds`.
     pub fn press(&mut self, seconds: u64, times: f64) {
         let mut pressure = Pressure::of(times);
         for _ in 0..seconds * 1000 / STEP_MS {
             for _ in 0..pressure.due_now() {
                 let node = self.random.random_range(0..self.nodes.len());
                 let admitted = self.nodes[node].admit(self.now, &tenant(), REQUEST);
-                self.admissions.note(self.now, admitted.is_ok());
+                self.admissions.record(self.now, admitted.is_ok());
             }
-            self.pass();
+            self.advance_step();
         }
     }
 
-    /// The nodes whose round it is tell their peers; then a step passes.
-    fn pass(&mut self) {
+    /// The nodes whose interval is over report to their peers; then a step passes.
+    fn advance_step(&mut self) {
         for node in 0..self.nodes.len() {
-            if (self.step + node).is_multiple_of(ROUND_STEPS) {
-                self.tell(node);
+            if (self.step + node).is_multiple_of(REPORT_INTERVAL_STEPS) {
+                self.report_usage(node);
                 self.nodes[node].tick(self.now, "");
             }
         }
@@ -67,17 +68,17 @@
         self.now = self.now + Duration::from_millis(STEP_MS);
     }
 
-    fn tell(&mut self, node: usize) {
+    fn report_usage(&mut self, node: usize) {
         let levels = self.nodes[node].levels(self.now);
         let Some(level) = levels.first() else {
             return;
         };
-        for _ in 0..self.told_in_round {
-            let mut peer = (self.next_told[node] + 1) % self.nodes.len();
+        for _ in 0..self.fanout {
+            let mut peer = (self.last_notified[node] + 1) % self.nodes.len();
             if peer == node {
                 peer = (peer + 1) % self.nodes.len();
             }
-            self.next_told[node] = peer;
+            self.last_notified[node] = peer;
             let count = PeerCount {
                 member: &self.names[node],
                 boot_id: 1,
--- a/crates/experiments/src/suite/affinity.rs
+++ b/crates/experiments/src/suite/affinity.rs
@@ -150,7 +150,7 @@
             number(summary.pooled.first_token_ms(0.5), 0),
             number(summary.pooled.first_token_ms(0.99), 0),
             percent(summary.pooled.timeout_rate()),
-            summary.pooled.cut.to_string(),
+            summary.pooled.truncated.to_string(),
             percent(summary.tail_utilization),
             percent(summary.pooled.second_send_share()),
         ]);
--- a/crates/experiments/src/suite/bandwidth.rs
+++ b/crates/experiments/src/suite/bandwidth.rs
@@ -186,7 +186,7 @@
 fn row(name: &str, summary: &Summary) -> Vec<String> {
     vec![
         name.to_owned(),
-        percent(summary.over_ceiling),
+        percent(summary.over_bandwidth_limit),
         percent(summary.pooled.most_bandwidth),
         number(summary.pooled.inter_token_ms(0.5), 1),
         number(summary.pooled.inter_token_ms(0.99), 1),
--- a/crates/experiments/src/suite/load_age.rs
+++ b/crates/experiments/src/suite/load_age.rs
@@ -75,11 +75,11 @@
         ("none, drawn at random".to_owned(), Sharing::Nothing),
         (
             format!("told to everybody, each {} ms", period.as_millis()),
-            Sharing::Everybody { period },
+            Sharing::Broadcast { period },
         ),
         (
             "told to everybody, four times as often".to_owned(),
-            Sharing::Everybody { period: period / 4 },
+            Sharing::Broadcast { period: period / 4 },
         ),
     ];
     let asked = [2, 4, 8].map(|drawn| (format!("owners, {drawn} asked about"), owners(drawn)));
--- a/crates/experiments/src/suite/quota_age.rs
+++ b/crates/experiments/src/suite/quota_age.rs
@@ -1,7 +1,7 @@
-//! Experiment `quota-age`: how exactly a quota is held, and what that costs, at four sizes of fleet.
+//! Experiment `quota-age`: how exactly a quota is enforced, and what that costs, at four sizes of fleet.
 
 use crate::quota_age::fleet_quota::allowed;
-use crate::quota_age::owner_fleet::PAUSE_STEPS;
+use crate::quota_age::owner_fleet::REPORT_INTERVAL_STEPS;
 use crate::quota_age::{Admissions, OwnerFleet, PeerFleet};
 use crate::report::{Report, Table, number, percent};
 
@@ -10,32 +10,32 @@
 
 /// Simulated time of each part, in seconds.
 const SECONDS: u64 = 12;
-/// How much a hot tenant presses on.
+/// Request rate of a hot tenant, as a multiple of its quota.
 const HOT: f64 = 6.0;
-/// A tenant that is well under its quota.
+/// Request rate of a tenant under its quota, as a multiple of it.
 const UNDER: f64 = 0.9;
-/// Peers that heard a round while news went in turns.
-const TURN: usize = 24;
-/// Largest fleet in which everybody tells everybody is played: the datagrams grow with the square.
-const MOST_TOLD_TO_ALL: usize = 300;
+/// Peers that receive a report when reports rotate over the peers.
+const ROTATING_FANOUT: usize = 24;
+/// Largest fleet that is simulated with broadcast reports: their datagrams grow with the square of the nodes.
+const MAX_BROADCAST_NODES: usize = 300;
 
 /// How nodes learn what others admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// Every node tells all others each 100 ms.
-    Everybody,
-    /// Every node tells the next 24 peers each 100 ms.
-    Turns,
-    /// Nodes ask owners in their zone; owners tell each other.
+pub enum UsageSharing {
+    /// Every node reports to all others every 100 ms.
+    Broadcast,
+    /// Every node reports to the next 24 peers every 100 ms.
+    RotatingPeers,
+    /// Nodes request tokens from owners in their zone; owners report their usage to each other.
     Owners {
-        /// Shortest time between two tellings of an owner, in steps.
-        pause_steps: usize,
+        /// Shortest time between two usage reports of an owner, in steps.
+        report_interval_steps: usize,
     },
 }
 
-/// The owners' way as the product has it.
-pub const OWNERS: Way = Way::Owners {
-    pause_steps: PAUSE_STEPS,
+/// Sharing through owners, with the product's report interval.
+pub const OWNERS: UsageSharing = UsageSharing::Owners {
+    report_interval_steps: REPORT_INTERVAL_STEPS,
 };
 
 /// What came of a hot tenant, and of one under its quota.
@@ -47,27 +47,35 @@
     pub under: Admissions,
 }
 
-/// Plays one fleet.
+/// Simulates one fleet.
 #[must_use]
-pub fn play(seed: u64, (nodes, zones): (usize, usize), way: Way) -> QuotaAgeOutcome {
+pub fn play(seed: u64, (nodes, zones): (usize, usize), sharing: UsageSharing) -> QuotaAgeOutcome {
     QuotaAgeOutcome {
-        hot: admissions(seed, nodes, zones, way, HOT),
-        under: admissions(seed, nodes, zones, way, UNDER),
+        hot: admissions(seed, nodes, zones, sharing, HOT),
+        under: admissions(seed, nodes, zones, sharing, UNDER),
     }
 }
 
-fn admissions(seed: u64, nodes: usize, zones: usize, way: Way, times: f64) -> Admissions {
-    let told_in_round = match way {
-        Way::Owners { pause_steps } => {
+fn admissions(
+    seed: u64,
+    nodes: usize,
+    zones: usize,
+    sharing: UsageSharing,
+    times: f64,
+) -> Admissions {
+    let fanout = match sharing {
+        UsageSharing::Owners {
+            report_interval_steps,
+        } => {
             let mut fleet = OwnerFleet::new(zones, nodes / zones, seed);
-            fleet.pause_steps = pause_steps;
+            fleet.report_interval_steps = report_interval_steps;
             fleet.press(SECONDS, times);
             return fleet.admissions;
         }
-        Way::Everybody => nodes,
-        Way::Turns => TURN,
+        UsageSharing::Broadcast => nodes,
+        UsageSharing::RotatingPeers => ROTATING_FANOUT,
     };
-    let mut fleet = PeerFleet::new(nodes, told_in_round, seed);
+    let mut fleet = PeerFleet::new(nodes, fanout, seed);
     fleet.press(SECONDS, times);
     fleet.admissions
 }
@@ -84,9 +92,9 @@
         let title = format!("{} nodes, {} zones", size.0, size.1);
         let columns = ["counts", "hot: most in 8 s", "under: refused", "datagrams"];
         let mut table = Table::new(&title, &columns);
-        for (name, way) in ways(size.0) {
+        for (name, sharing) in sharings(size.0) {
             let outcomes: Vec<QuotaAgeOutcome> =
-                (1..=seeds).map(|seed| play(seed, size, way)).collect();
+                (1..=seeds).map(|seed| play(seed, size, sharing)).collect();
             table.add(row(name, size.0, &outcomes));
         }
         report.tables.push(table);
@@ -94,18 +102,23 @@
     report
 }
 
-fn ways(nodes: usize) -> Vec<(&'static str, Way)> {
-    let mut ways = Vec::new();
-    if nodes <= MOST_TOLD_TO_ALL {
-        ways.push(("told to everybody, each 100 ms", Way::Everybody));
+fn sharings(nodes: usize) -> Vec<(&'static str, UsageSharing)> {
+    let mut sharings = Vec::new();
+    if nodes <= MAX_BROADCAST_NODES {
+        sharings.push(("told to everybody, each 100 ms", UsageSharing::Broadcast));
     }
-    ways.push(("told in turns of 24, each 100 ms", Way::Turns));
-    let owners = |pause_steps| Way::Owners { pause_steps };
-    ways.push(("two owners in each zone, told each 20 ms", OWNERS));
-    ways.push(("the same, each 10 ms", owners(PAUSE_STEPS / 2)));
-    ways.push(("the same, each 40 ms", owners(PAUSE_STEPS * 2)));
-    ways.push(("the same, each 200 ms", owners(PAUSE_STEPS * 10)));
-    ways
+    sharings.push((
+        "told in turns of 24, each 100 ms",
+        UsageSharing::RotatingPeers,
+    ));
+    let owners = |report_interval_steps| UsageSharing::Owners {
+        report_interval_steps,
+    };
+    sharings.push(("two owners in each zone, told each 20 ms", OWNERS));
+    sharings.push(("the same, each 10 ms", owners(REPORT_INTERVAL_STEPS / 2)));
+    sharings.push(("the same, each 40 ms", owners(REPORT_INTERVAL_STEPS * 2)));
+    sharings.push(("the same, each 200 ms", owners(REPORT_INTERVAL_STEPS * 10)));
+    sharings
 }
 
 fn row(name: &str, nodes: usize, outcomes: &[QuotaAgeOutcome]) -> Vec<String> {
--- a/crates/experiments/src/suite/retry_storm.rs
+++ b/crates/experiments/src/suite/retry_storm.rs
@@ -173,7 +173,7 @@
         goodput(FAULT_TO_S, 100),
         percent(summary.pooled.second_send_share()),
         worst_recovery(runs),
-        summary.pooled.cut.to_string(),
+        summary.pooled.truncated.to_string(),
     ]
 }
 
--- a/crates/experiments/src/suite/summary.rs
+++ b/crates/experiments/src/suite/summary.rs
@@ -12,7 +12,7 @@
     /// Mean over the runs of the tail utilization.
     pub tail_utilization: f64,
     /// Mean over the runs of the share of samples above 65% bandwidth demand.
-    pub over_ceiling: f64,
+    pub over_bandwidth_limit: f64,
     /// Runs taken together.
     pub runs: usize,
 }
@@ -31,7 +31,7 @@
             pooled,
             mean_utilization: mean(|run| run.mean_utilization),
             tail_utilization: mean(|run| run.tail_utilization),
-            over_ceiling: mean(|run| run.over_ceiling),
+            over_bandwidth_limit: mean(|run| run.over_bandwidth_limit),
             runs: runs.len(),
         }
     }
@@ -42,7 +42,7 @@
     pooled.completed += run.completed;
     pooled.timed_out += run.timed_out;
     pooled.failed += run.failed;
-    pooled.cut += run.cut;
+    pooled.truncated += run.truncated;
     pooled.first_sends += run.first_sends;
     pooled.second_sends += run.second_sends;
     pooled.prompt_tokens += run.prompt_tokens;
--- a/crates/experiments/src/suite/transition.rs
+++ b/crates/experiments/src/suite/transition.rs
@@ -190,7 +190,7 @@
         percent(summary.pooled.timeout_rate()),
         percent(worst_window(&summary.pooled)),
         number(summary.pooled.first_token_ms(0.99), 0),
-        summary.pooled.cut.to_string(),
+        summary.pooled.truncated.to_string(),
         since_order(|run| run.transition_first_step),
         since_order(|run| run.transition_end),
         summary.pooled.forced_steps.to_string(),
--- a/crates/experiments/tests/fleet.rs
+++ b/crates/experiments/tests/fleet.rs
@@ -50,7 +50,7 @@
 ];
 
 #[test]
-fn the_same_seed_gives_the_same_figures_and_another_seed_others() {
+fn equal_seeds_reproduce_the_figures_and_other_seeds_change_them() {
     for policy in POLICIES {
         let first = figures(&simulate(fleet(5, policy, 20.0)));
         assert_eq!(first, figures(&simulate(fleet(5, policy, 20.0))));
@@ -69,7 +69,7 @@
 fn every_request_ends_in_exactly_one_way() {
     for rate in [10.0, 60.0] {
         let metrics = simulate(fleet(1, Policy::Millford, rate));
-        let ended = metrics.completed + metrics.timed_out + metrics.failed + metrics.cut;
+        let ended = metrics.completed + metrics.timed_out + metrics.failed + metrics.truncated;
         // A stream that is still open at the end of the run-out may be missing.
         assert!(ended <= metrics.arrived);
         assert!(metrics.arrived - ended <= metrics.arrived / 100);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_retired_backend_gets_nothing_after_three_seconds_and_drains_in_time() {
+fn a_retired_backend_receives_no_request_after_three_seconds_and_drains_in_time() {
     let mut options = fleet(4, Policy::Millford, 12.0);
     options.placement = Some(PlacementOptions {
         placer: PlacerOptions::default(),
--- a/crates/experiments/tests/load_age.rs
+++ b/crates/experiments/tests/load_age.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_figures() {
+fn equal_seeds_reproduce_the_figures() {
     let one = play(1, FLEETS[0], owners(4));
     assert_eq!(one, play(1, FLEETS[0], owners(4)));
     assert_ne!(one, play(2, FLEETS[0], owners(4)));
@@ -17,10 +17,10 @@
 }
 
 #[test]
-fn counts_told_to_everybody_get_worse_with_the_fleet() {
+fn broadcast_counts_get_worse_as_the_fleet_grows() {
     let [small, middle, large] = FLEETS.map(|size| {
         let period = period(size.0);
-        play(1, size, Sharing::Everybody { period }).late_share()
+        play(1, size, Sharing::Broadcast { period }).late_share()
     });
     assert!(small < 0.02, "{small}");
     assert!(middle > 0.1 && large > middle, "{middle} {large}");
@@ -37,9 +37,9 @@
 }
 
 #[test]
-fn everybody_at_once_is_as_good_as_seeing_everything() {
+fn immediate_broadcast_is_as_good_as_omniscience() {
     let period = Duration::from_micros(500);
-    let told = play(1, FLEETS[0], Sharing::Everybody { period });
+    let told = play(1, FLEETS[0], Sharing::Broadcast { period });
     let best = play(1, FLEETS[0], Sharing::Omniscient);
     assert!(told.mean_regret_ms() < best.mean_regret_ms() + 2.0);
 }
--- a/crates/experiments/tests/quota_age.rs
+++ b/crates/experiments/tests/quota_age.rs
@@ -5,8 +5,8 @@
 use millford_experiments::quota_age::fleet_quota::{
     BURST, RATE, REQUEST, STEP_MS, allowed, quota, tenant,
 };
-use millford_experiments::quota_age::owner_fleet::PAUSE_STEPS;
-use millford_experiments::suite::quota_age::{FLEETS, OWNERS, Way, play};
+use millford_experiments::quota_age::owner_fleet::REPORT_INTERVAL_STEPS;
+use millford_experiments::suite::quota_age::{FLEETS, OWNERS, UsageSharing, play};
 use millford_forward::quota::{PeerCount, TenantQuotas};
 use quickcheck::{QuickCheck, TestResult};
 
@@ -27,14 +27,14 @@
     assert!(most <= bound, "{most} of {bound}");
 }
 
-/// What owners of this many zones may grant before they hear of each other.
-fn untold(zones: u64) -> u64 {
-    let pause_ms = PAUSE_STEPS as u64 * STEP_MS;
-    zones * (BURST / 32 + REQUEST) + RATE * pause_ms / 1000
+/// What owners of this many zones may grant before they receive each other's reports.
+fn unreported(zones: u64) -> u64 {
+    let interval_ms = REPORT_INTERVAL_STEPS as u64 * STEP_MS;
+    zones * (BURST / 32 + REQUEST) + RATE * interval_ms / 1000
 }
 
 #[test]
-fn a_tenant_that_presses_on_gets_its_rate_over_all_zones() {
+fn a_tenant_over_its_quota_gets_its_rate_over_all_zones() {
     for zones in [1, 3, 7] {
         let mut fleet = fleet(zones);
         fleet.press(40, 6.0);
@@ -44,7 +44,7 @@
             total as f64 > expected as f64 * 0.95,
             "{total} of {expected}"
         );
-        assert_bounded(&fleet, untold(zones as u64));
+        assert_bounded(&fleet, unreported(zones as u64));
         fleet.by_zone.clear();
         fleet.press(30, 6.0);
         let shares: Vec<u64> = fleet.by_zone.values().copied().collect();
@@ -64,30 +64,30 @@
 }
 
 #[test]
-fn a_zone_that_is_cut_off_does_not_double_the_quota() {
+fn a_partitioned_zone_does_not_double_the_quota() {
     let mut fleet = fleet(3);
     fleet.press(10, 6.0);
-    fleet.cut_off = Some(1);
+    fleet.partitioned_zone = Some(1);
     fleet.press(4, 6.0);
-    fleet.cut_off = None;
+    fleet.partitioned_zone = None;
     fleet.press(10, 6.0);
     // Each side assumes that the other goes on as before; the assumption fades in seconds.
     assert_bounded(&fleet, RATE * 2);
 }
 
 #[test]
-fn a_tenant_is_served_again_at_once_after_a_long_cut() {
+fn a_tenant_is_served_immediately_after_a_long_partition() {
     let mut fleet = fleet(3);
     fleet.press(5, 0.8);
-    fleet.cut_off = Some(1);
+    fleet.partitioned_zone = Some(1);
     fleet.press(30, 0.8);
-    fleet.cut_off = None;
+    fleet.partitioned_zone = None;
     fleet.press(10, 0.8);
     assert_eq!(fleet.admissions.refused, 0);
 }
 
 #[test]
-fn the_stand_in_of_an_owner_that_is_gone_charges_nothing_twice() {
+fn replacing_a_lost_owner_charges_nothing_twice() {
     for times in [0.8, 6.0] {
         let mut fleet = fleet(3);
         fleet.press(10, times);
@@ -95,7 +95,7 @@
         fleet.press(10, times);
         fleet.replace(1, 0);
         fleet.press(10, times);
-        assert_bounded(&fleet, untold(3) + BURST / 2);
+        assert_bounded(&fleet, unreported(3) + BURST / 2);
         if times < 1.0 {
             assert_eq!(fleet.admissions.refused, 0);
         }
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn nodes_whose_owners_are_all_gone_go_by_what_they_were_told() {
+fn nodes_without_owners_admit_by_their_last_known_level() {
     let mut fleet = fleet(3);
     fleet.press(10, 6.0);
     fleet.owners[1]
@@ -118,18 +118,18 @@
 }
 
 #[test]
-fn new_owners_take_over_what_the_others_believe() {
+fn new_owners_recover_the_level_from_their_peers() {
     let mut fleet = fleet(3);
     for change in 0..8 {
         fleet.press(3, 6.0);
         fleet.replace(change % 3, change % 2);
     }
     fleet.press(3, 6.0);
-    assert_bounded(&fleet, BURST + untold(3));
+    assert_bounded(&fleet, BURST + unreported(3));
 }
 
 #[test]
-fn an_owner_that_hears_of_another_for_the_first_time_does_not_charge_what_is_past() {
+fn the_first_report_of_a_peer_charges_no_past_usage() {
     let quotas = TenantQuotas::default();
     let now = MonotonicTime::from_millis(100_000);
     let first = quotas.grant(now, &tenant(), REQUEST, 0).expect("a quota");
@@ -173,11 +173,11 @@
 }
 
 #[test]
-fn owners_hold_the_quota_alike_at_any_size_and_their_datagrams_do_not_grow() {
+fn owners_enforce_the_quota_at_any_size_and_their_datagrams_do_not_grow() {
     let outcomes = FLEETS.map(|size| play(1, size, OWNERS));
     for (outcome, (nodes, zones)) in outcomes.iter().zip(FLEETS) {
         let most = outcome.hot.most_in_window();
-        assert!(most <= bound(untold(zones as u64)), "{most} at {nodes}");
+        assert!(most <= bound(unreported(zones as u64)), "{most} at {nodes}");
         assert_eq!(outcome.under.refused, 0, "{nodes}");
     }
     let [_, _, large, largest] = outcomes.map(|outcome| outcome.hot.datagrams);
@@ -185,16 +185,21 @@
 }
 
 #[test]
-fn counts_told_in_turns_let_a_hot_tenant_exceed_its_quota_in_a_large_fleet() {
-    let most = play(1, FLEETS[2], Way::Turns).hot.most_in_window();
+fn rotating_reports_let_a_hot_tenant_exceed_its_quota_in_a_large_fleet() {
+    let most = play(1, FLEETS[2], UsageSharing::RotatingPeers)
+        .hot
+        .most_in_window();
     let owners = play(1, FLEETS[2], OWNERS).hot.most_in_window();
-    assert!(most > bound(untold(7)) && most > owners, "{most}, {owners}");
+    assert!(
+        most > bound(unreported(7)) && most > owners,
+        "{most}, {owners}"
+    );
 }
 
 /// As the users judge a quota: what one window may hold.
 const JUDGED: f64 = 1.1;
 
-/// A tenant that asks for `before` times its rate when half of a large fleet loses power, so that some zones
+/// A tenant that requests `before` times its rate when half of a large fleet loses power, so that some zones
 /// lose both of their owners until the feed names others, and for `after` times from then on.
 fn half_lost(seed: u64, before: f64, after: f64) -> OwnerFleet {
     let mut fleet = OwnerFleet::new(7, 42, seed);
@@ -226,7 +231,7 @@
 }
 
 #[test]
-fn a_tenant_under_its_quota_is_not_refused_while_half_of_the_owners_are_gone() {
+fn a_tenant_under_its_quota_is_not_refused_when_half_of_the_owners_are_lost() {
     for seed in 1..=10 {
         for times in [0.3, 0.6, 0.8] {
             let refused = half_lost(seed, times, times).admissions.refused;
