--- a/crates/decisions/src/verdict.rs
+++ b/crates/decisions/src/verdict.rs
@@ -17,8 +17,8 @@
     LateUnforeseen,
     /// The first event was late after an attempt that brought nothing.
     LateAfterRetry,
-    /// A pause between events was too long.
-    LatePause,
+    /// A gap between events was too long.
+    LateGap,
     /// Refused for the tenant's quota.
     OverQuota,
     /// Refused before a backend ran it.
@@ -62,7 +62,7 @@
             Verdict::LateBusy
             | Verdict::LateUnforeseen
             | Verdict::LateAfterRetry
-            | Verdict::LatePause => 1.0 - late_share,
+            | Verdict::LateGap => 1.0 - late_share,
             _ => 1.0,
         }
     }
@@ -73,7 +73,7 @@
             return Self::of_late(record);
         }
         if record.gap_target_ms > 0 && record.longest_gap_ms > record.gap_target_ms {
-            return Verdict::LatePause;
+            return Verdict::LateGap;
         }
         Verdict::InTime
     }
@@ -103,7 +103,7 @@
             Verdict::LateBusy => "late, believed busy",
             Verdict::LateUnforeseen => "late, unforeseen",
             Verdict::LateAfterRetry => "late after a retry",
-            Verdict::LatePause => "late by a pause",
+            Verdict::LateGap => "late by a pause",
             Verdict::OverQuota => "over quota",
             Verdict::Refused => "refused",
             Verdict::Failed => "failed",
--- a/crates/decisions/tests/account.rs
+++ b/crates/decisions/tests/account.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_first_reason_that_holds_is_the_verdict() {
+fn the_first_matching_reason_is_the_verdict() {
     assert_eq!(verdict(|_| {}), Verdict::InTime);
     let late = |record: &mut DecisionRecord| record.first_bytes_ms = Some(501);
     assert_eq!(verdict(late), Verdict::LateUnforeseen);
@@ -60,7 +60,7 @@
     };
     assert_eq!(verdict(retried), Verdict::LateAfterRetry);
     let paused = |record: &mut DecisionRecord| record.longest_gap_ms = 401;
-    assert_eq!(verdict(paused), Verdict::LatePause);
+    assert_eq!(verdict(paused), Verdict::LateGap);
     let left = |record: &mut DecisionRecord| {
         record.ending = Ending::CallerLeft;
         record.first_bytes_ms = None;
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn requests_without_a_target_are_in_time_when_they_are_whole() {
+fn complete_requests_without_a_target_are_in_time() {
     let untimed = |record: &mut DecisionRecord| {
         record.target_ms = 0;
         record.gap_target_ms = 0;
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn records_are_read_out_of_log_lines() {
+fn records_are_read_from_log_lines() {
     let text = serde_json::to_string(&record()).unwrap();
     let log = format!("12:00 info FORWARD: Serving.\n12:01 info FORWARD: DECISION {text}\n");
     assert_eq!(read_records(log.as_bytes()).unwrap(), [record()]);
