--- a/crates/experiments/src/command.rs
+++ b/crates/experiments/src/command.rs
@@ -5,6 +5,7 @@
 
 use getopts::Options;
 
+use crate::error::ExperimentError;
 use crate::report::Report;
 use crate::suite::{affinity, balance, bandwidth, load_age, quota_age, retry_storm, transition};
 
@@ -53,35 +54,33 @@
 pub fn run(arguments: &[String]) -> ExitCode {
     match try_run(arguments) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("{fault}");
+        Err(error) => {
+            eprintln!("{error}");
             eprintln!("{}", usage());
             ExitCode::FAILURE
         }
     }
 }
 
-fn try_run(arguments: &[String]) -> Result<(), String> {
-    let matches = options()
-        .parse(arguments)
-        .map_err(|fault| fault.to_string())?;
+fn try_run(arguments: &[String]) -> Result<(), ExperimentError> {
+    let matches = options().parse(arguments)?;
     if matches.opt_present("help") {
         println!("{}", usage());
         return Ok(());
     }
     let [name] = matches.free.as_slice() else {
-        return Err("Name one experiment.".to_owned());
+        return Err(ExperimentError::NotOneName);
     };
     let seeds = matches
         .opt_get_default("seeds", DEFAULT_SEEDS)
-        .map_err(|fault| format!("--seeds: {fault}"))?;
+        .map_err(|source| ExperimentError::SeedsNotANumber { source })?;
     if seeds == 0 {
-        return Err("--seeds must be at least 1.".to_owned());
+        return Err(ExperimentError::NoSeeds);
     }
     let experiment = EXPERIMENTS
         .iter()
         .find(|experiment| experiment.name == name)
-        .ok_or_else(|| format!("There is no experiment {name}."))?;
+        .ok_or_else(|| ExperimentError::UnknownExperiment { name: name.clone() })?;
     let report = (experiment.run)(seeds);
     print!("{}", report.to_text());
     match matches.opt_str("out") {
--- a/crates/experiments/src/lib.rs
+++ b/crates/experiments/src/lib.rs
@@ -1,6 +1,7 @@
 //! Experiments under simulated time: routing, placement, transitions, retries, with reports and plots.
 
 mod command;
+pub mod error;
 pub mod fleet;
 pub mod load_age;
 pub mod quota_age;
@@ -8,3 +9,4 @@
 pub mod suite;
 
 pub use command::run;
+pub use error::ExperimentError;
--- a/crates/experiments/src/report/chart.rs
+++ b/crates/experiments/src/report/chart.rs
@@ -5,7 +5,11 @@
 use plotters::prelude::*;
 use serde::Serialize;
 
+use crate::error::ExperimentError;
+
+/// Width and height of a chart, in pixels.
 const SIZE: (u32, u32) = (900, 520);
+/// Height of the vertical axis over the largest value.
 const HEADROOM: f64 = 1.05;
 
 /// A line chart.
@@ -57,11 +61,14 @@
     /// Writes the chart as an SVG file.
     ///
     /// # Errors
-    /// A text when the file cannot be written.
-    pub fn write_svg(&self, path: &Path) -> Result<(), String> {
+    /// Fails when the file cannot be written.
+    pub fn write_svg(&self, path: &Path) -> Result<(), ExperimentError> {
         let area = SVGBackend::new(path, SIZE).into_drawing_area();
-        self.draw(&area).map_err(|error| error.to_string())?;
-        area.present().map_err(|error| error.to_string())
+        let drawn = self.draw(&area).and_then(|()| area.present());
+        drawn.map_err(|error| ExperimentError::Draw {
+            path: path.to_path_buf(),
+            source: Box::new(error),
+        })
     }
 
     fn draw<B: DrawingBackend>(
--- a/crates/experiments/src/report/document.rs
+++ b/crates/experiments/src/report/document.rs
@@ -1,10 +1,11 @@
-//! A whole report.
+//! A complete report.
 
 use std::fs;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
 use serde::Serialize;
 
+use crate::error::ExperimentError;
 use crate::report::chart::Chart;
 use crate::report::table::Table;
 
@@ -59,17 +60,22 @@
     /// Writes text, JSON and plots into a folder, which is made when it is missing.
     ///
     /// # Errors
-    /// A text when something cannot be written.
-    pub fn write(&self, folder: &Path) -> Result<(), String> {
-        let failed = |error: std::io::Error| error.to_string();
-        fs::create_dir_all(folder).map_err(failed)?;
-        let file = |ending: &str| folder.join(format!("{}.{ending}", self.experiment));
-        fs::write(file("txt"), self.to_text()).map_err(failed)?;
-        let json = serde_json::to_string_pretty(self).map_err(|error| error.to_string())?;
-        fs::write(file("json"), json).map_err(failed)?;
+    /// Fails when the folder, a file or a chart cannot be written.
+    pub fn write(&self, folder: &Path) -> Result<(), ExperimentError> {
+        fs::create_dir_all(folder).map_err(|source| ExperimentError::Write {
+            path: folder.to_path_buf(),
+            source,
+        })?;
+        let file = |extension: &str| folder.join(format!("{}.{extension}", self.experiment));
+        write_file(file("txt"), &self.to_text())?;
+        write_file(file("json"), &serde_json::to_string_pretty(self)?)?;
         for chart in &self.charts {
             chart.write_svg(&folder.join(format!("{}.svg", chart.name)))?;
         }
         Ok(())
     }
 }
+
+fn write_file(path: PathBuf, content: &str) -> Result<(), ExperimentError> {
+    fs::write(&path, content).map_err(|source| ExperimentError::Write { path, source })
+}
