--- a/crates/scale/src/exchange/switchboard.rs
+++ b/crates/scale/src/exchange/datagram_relay.rs
@@ -1,7 +1,7 @@
-//! Stands between proxies and counts their datagrams.
+//! Relays the datagrams between proxies and counts them.
 //!
-//! Each proxy has a door: the address that the others know it by. The door of the receiver takes a
-//! datagram, and the door of the sender hands it on, so that the receiver's answer comes back the same way.
+//! Each proxy has a relay endpoint: the address that the others know it by. The receiver's endpoint receives a
+//! datagram and the sender's endpoint forwards it, so that the receiver's reply comes back the same way.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use tokio::task::JoinHandle;
 
 /// Largest datagram, in bytes.
-const MOST_BYTES: usize = 65_536;
+const MAX_DATAGRAM_BYTES: usize = 65_536;
 
 /// Bytes of the IP and UDP headers of a datagram.
 pub const HEADER_BYTES: u64 = 28;
@@ -41,30 +41,30 @@
 #[derive(Debug)]
 struct Member {
     zone: String,
-    /// Where the proxy itself takes datagrams.
+    /// Where the proxy itself receives datagrams.
     address: SocketAddr,
-    door: UdpSocket,
+    endpoint: UdpSocket,
     counter: Counter,
 }
 
-/// The doors of all proxies.
+/// The relay endpoints of all proxies. Dropping it ends their tasks.
 #[derive(Debug)]
-pub struct Switchboard {
+pub struct DatagramRelay {
     members: Arc<Vec<Member>>,
     tasks: Vec<JoinHandle<()>>,
 }
 
-impl Drop for Switchboard {
+impl Drop for DatagramRelay {
     fn drop(&mut self) {
         self.tasks.iter().for_each(JoinHandle::abort);
     }
 }
 
-impl Switchboard {
-    /// Opens a door for each proxy, given by its zone and address.
+impl DatagramRelay {
+    /// Opens an endpoint for each proxy, given by its zone and address.
     ///
     /// # Errors
-    /// A socket cannot be opened.
+    /// Fails when a socket cannot be opened.
     pub async fn open(proxies: Vec<(String, SocketAddr)>) -> std::io::Result<Self> {
         let mut members = Vec::new();
         let mut by_address = BTreeMap::new();
@@ -73,7 +73,7 @@
             members.push(Member {
                 zone,
                 address,
-                door: UdpSocket::bind("127.0.0.1:0").await?,
+                endpoint: UdpSocket::bind("127.0.0.1:0").await?,
                 counter: Counter::default(),
             });
         }
@@ -81,7 +81,7 @@
         let by_address = Arc::new(by_address);
         let tasks = (0..members.len()).map(|to| {
             let (members, by_address) = (Arc::clone(&members), Arc::clone(&by_address));
-            tokio::spawn(async move { hand_on(&members, &by_address, to).await })
+            tokio::spawn(async move { forward(&members, &by_address, to).await })
         });
         Ok(Self {
             tasks: tasks.collect(),
@@ -92,10 +92,13 @@
     /// The addresses that the proxies know each other by.
     ///
     /// # Errors
-    /// A door has no address.
-    pub fn doors(&self) -> std::io::Result<Vec<SocketAddr>> {
-        let doors = self.members.iter().map(|member| member.door.local_addr());
-        doors.collect()
+    /// Fails when the system does not tell an endpoint's address.
+    pub fn endpoint_addresses(&self) -> std::io::Result<Vec<SocketAddr>> {
+        let addresses = self
+            .members
+            .iter()
+            .map(|member| member.endpoint.local_addr());
+        addresses.collect()
     }
 
     /// What each proxy sent and received so far.
@@ -111,12 +114,12 @@
     }
 }
 
-/// Hands on what comes to one proxy's door.
-async fn hand_on(members: &[Member], by_address: &BTreeMap<SocketAddr, usize>, to: usize) {
+/// Forwards what arrives at one proxy's endpoint, until the task is aborted.
+async fn forward(members: &[Member], by_address: &BTreeMap<SocketAddr, usize>, to: usize) {
     let receiver = &members[to];
-    let mut buffer = vec![0; MOST_BYTES];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        let Ok((length, from)) = receiver.door.recv_from(&mut buffer).await else {
+        let Ok((length, from)) = receiver.endpoint.recv_from(&mut buffer).await else {
             continue;
         };
         let Some(from) = by_address.get(&from) else {
@@ -134,9 +137,9 @@
             elsewhere.fetch_add(bytes, Ordering::Relaxed);
         }
         receiver.counter.received.fetch_add(1, Ordering::Relaxed);
-        // A datagram that cannot be handed on is lost, as on a network.
+        // A datagram that cannot be forwarded is lost, as on a network.
         let _ = sender
-            .door
+            .endpoint
             .send_to(&buffer[..length], receiver.address)
             .await;
     }
--- a/crates/scale/src/exchange/exchange_figures.rs
+++ b/crates/scale/src/exchange/exchange_figures.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-use super::switchboard::NodeCounts;
+use super::datagram_relay::NodeCounts;
 
 /// Figures of one size, each a second unless it is a share.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
@@ -18,7 +18,8 @@
     /// Of these, bytes to other zones.
     pub bytes_elsewhere: f64,
     /// Share of the admissions that were decided on without an owner's answer.
-    pub alone_share: f64,
+    #[serde(rename = "alone_share")]
+    pub degraded_share: f64,
 }
 
 impl ExchangeFigures {
@@ -43,7 +44,7 @@
             busiest_datagrams: busiest.fold(0.0, f64::max),
             bytes: sum(|counts| counts.sent_bytes),
             bytes_elsewhere: sum(|counts| counts.sent_bytes_elsewhere),
-            alone_share: 0.0,
+            degraded_share: 0.0,
         }
     }
 }
--- a/crates/scale/src/exchange/proxy_fleet.rs
+++ b/crates/scale/src/exchange/proxy_fleet.rs
@@ -14,7 +14,7 @@
 use tokio::net::UdpSocket;
 use tokio::task::JoinHandle;
 
-use super::switchboard::{NodeCounts, Switchboard};
+use super::datagram_relay::{DatagramRelay, NodeCounts};
 use crate::error::ScaleError;
 
 /// Name of the one route and its pool.
@@ -37,11 +37,11 @@
 /// A hollow proxy.
 pub type HollowForward = Arc<ForwardNode<MillfordProtocol>>;
 
-/// Proxies that exchange news through a switchboard.
+/// Proxies that exchange messages through a relay that counts them.
 pub struct ProxyFleet {
     /// The proxies.
     pub nodes: Vec<HollowForward>,
-    switchboard: Switchboard,
+    relay: DatagramRelay,
     exchanges: Vec<JoinHandle<()>>,
 }
 
@@ -55,7 +55,7 @@
     /// Starts this many proxies.
     ///
     /// # Errors
-    /// A socket cannot be opened.
+    /// Fails when a socket cannot be opened.
     pub async fn start(count: usize) -> Result<Self, ScaleError> {
         let opened = ScaleError::system("open a socket of a hollow proxy");
         Self::open(count).await.map_err(opened)
@@ -69,8 +69,8 @@
             proxies.push((zone_of(number), socket.local_addr()?));
             sockets.push(socket);
         }
-        let switchboard = Switchboard::open(proxies).await?;
-        let table = Arc::new(table(&switchboard.doors()?));
+        let relay = DatagramRelay::open(proxies).await?;
+        let table = Arc::new(table(&relay.endpoint_addresses()?));
         let nodes: Vec<HollowForward> = (0..count).map(|number| node(number, &table)).collect();
         let exchanges = nodes.iter().zip(sockets).map(|(node, socket)| {
             let exchange = millford_forward::exchange::run(Arc::clone(node), socket);
@@ -79,14 +79,14 @@
         Ok(Self {
             exchanges: exchanges.collect(),
             nodes,
-            switchboard,
+            relay,
         })
     }
 
     /// What each proxy sent and received so far.
     #[must_use]
     pub fn counts(&self) -> Vec<NodeCounts> {
-        self.switchboard.counts()
+        self.relay.counts()
     }
 
     /// Admissions that proxies decided on without an owner's answer so far.
@@ -124,7 +124,7 @@
     format!("proxy-{number}")
 }
 
-fn table(doors: &[SocketAddr]) -> RoutingTable {
+fn table(endpoint_addresses: &[SocketAddr]) -> RoutingTable {
     let mut items = vec![
         item("config/head", Kind::ConfigHead(ConfigHead::default())),
         item("config/forward/route", Kind::ForwardRoute(route())),
@@ -140,7 +140,7 @@
         let key = format!("config/tenant/{}", tenant.name);
         items.push(item(&key, Kind::Tenant(tenant)));
     }
-    for number in 0..(doors.len() * BACKENDS_PER_HUNDRED).div_ceil(100) {
+    for number in 0..(endpoint_addresses.len() * BACKENDS_PER_HUNDRED).div_ceil(100) {
         let backend = Backend {
             id: format!("backend-{number}"),
             zone: zone_of(number),
@@ -149,11 +149,11 @@
         let key = format!("backend/{POOL}/{}", backend.id);
         items.push(item(&key, Kind::Backend(backend)));
     }
-    for (number, door) in doors.iter().enumerate() {
+    for (number, endpoint) in endpoint_addresses.iter().enumerate() {
         let member = ProxyMember {
             name: node_name(number),
             zone: zone_of(number),
-            exchange_address: door.to_string(),
+            exchange_address: endpoint.to_string(),
         };
         let key = format!("proxy/{}", member.name);
         items.push(item(&key, Kind::ProxyMember(member)));
@@ -165,7 +165,7 @@
     (key.to_owned(), StateValue { kind: Some(kind) })
 }
 
-/// The one route; its requests share parts of their prompts.
+/// The one route; its requests share prefix blocks of their prompts.
 #[must_use]
 pub fn route() -> ForwardRoute {
     ForwardRoute {
--- a/crates/scale/src/exchange/run.rs
+++ b/crates/scale/src/exchange/run.rs
@@ -1,4 +1,4 @@
-//! Plays the sizes one after the other.
+//! Runs the sizes one after the other.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -15,13 +15,13 @@
 use crate::error::ScaleError;
 use crate::report::write_files;
 
-/// Proxies of the sizes that are played.
+/// Proxies of the sizes that are measured.
 pub const SIZES: [usize; 4] = [10, 30, 100, 300];
 
 /// Threads of the rig.
 const THREADS: usize = 4;
 
-/// Time in which questions, parts and streams settle before the measurement.
+/// Time for traffic to stabilize before the measurement.
 const WARM_UP: Duration = Duration::from_secs(3);
 
 /// A figure that is fitted, with its name.
@@ -34,10 +34,10 @@
     ("bytes to other zones", |figures| figures.bytes_elsewhere),
 ];
 
-/// Plays all sizes, prints and writes the report into `output`.
+/// Runs all sizes, prints and writes the report into `output`.
 ///
 /// # Errors
-/// A socket cannot be opened, or the report not be written.
+/// Fails when a socket cannot be opened or the report cannot be written.
 pub fn run(requests_per_node: f64, steady: Duration, output: &Path) -> Result<(), ScaleError> {
     let runtime = Builder::new_multi_thread()
         .worker_threads(THREADS)
@@ -70,15 +70,15 @@
         traffic.spawn(send_requests(node.clone(), requests_per_node));
     }
     tokio::time::sleep(WARM_UP).await;
-    let (before, alone_before, began) =
+    let (before, degraded_before, began) =
         (fleet.counts(), fleet.degraded_decisions(), Instant::now());
     tokio::time::sleep(steady).await;
     let seconds = began.elapsed().as_secs_f64();
     let after = fleet.counts();
-    let alone = fleet.degraded_decisions() - alone_before;
+    let degraded = fleet.degraded_decisions() - degraded_before;
     let admissions = requests_per_node * seconds * nodes as f64;
     Ok(ExchangeFigures {
-        alone_share: alone as f64 / admissions,
+        degraded_share: degraded as f64 / admissions,
         ..ExchangeFigures::between(&before, &after, seconds)
     })
 }
@@ -94,7 +94,7 @@
         figures.bytes,
         figures.bytes_elsewhere,
         figures.busiest_datagrams,
-        figures.alone_share * 100.0,
+        figures.degraded_share * 100.0,
     )
 }
 
--- a/crates/scale/src/exchange/traffic.rs
+++ b/crates/scale/src/exchange/traffic.rs
@@ -15,12 +15,12 @@
 
 use super::proxy_fleet::{HollowForward, MODEL, POOL, TENANTS, route, tenant_name};
 
-/// Tokens of each part of a prompt.
-const PART_TOKENS: u32 = 500;
-/// Beginnings that many prompts share.
-const GENERAL_PARTS: u64 = 8;
-/// Parts that few prompts share.
-const SPECIAL_PARTS: u64 = 1000;
+/// Tokens of each prefix block.
+const BLOCK_TOKENS: u32 = 500;
+/// Number of first blocks, each shared by many prompts.
+const COMMON_BLOCKS: u64 = 8;
+/// Number of second blocks, each shared by few prompts.
+const RARE_BLOCKS: u64 = 1000;
 /// Time from the choice to the first event.
 const FIRST_EVENT_AFTER: Duration = Duration::from_millis(100);
 /// Time from the first event to the end.
@@ -55,7 +55,7 @@
         return;
     };
     let id = target.key.backend_id.clone();
-    let mut ticket = node
+    let mut in_flight = node
         .state
         .load_table
         .start(target.key, target.uncached_tokens);
@@ -63,7 +63,7 @@
     node.prefix_index
         .record_dispatch(monotonic_now(), &id, &plan.facts.prefix_blocks, shared);
     tokio::time::sleep(FIRST_EVENT_AFTER).await;
-    ticket.begin_decode();
+    in_flight.begin_decode();
     tokio::time::sleep(STREAM_LASTS).await;
 }
 
@@ -89,18 +89,14 @@
     })
 }
 
-/// A beginning that many prompts share, a part that few share, and the request's own.
+/// A block that many prompts share, one that few share, and the request's own.
 fn prefix_blocks() -> Vec<PrefixBlock> {
     let mut random = rand::rng();
-    let special = random.random_range(0..SPECIAL_PARTS);
-    let ids = [
-        special % GENERAL_PARTS,
-        GENERAL_PARTS + special,
-        random.random(),
-    ];
-    let part = |id| PrefixBlock {
+    let rare = random.random_range(0..RARE_BLOCKS);
+    let ids = [rare % COMMON_BLOCKS, COMMON_BLOCKS + rare, random.random()];
+    let block = |id| PrefixBlock {
         id,
-        tokens: PART_TOKENS,
+        tokens: BLOCK_TOKENS,
     };
-    ids.map(part).to_vec()
+    ids.map(block).to_vec()
 }
--- a/crates/scale/src/hollow/hollow_node.rs
+++ b/crates/scale/src/hollow/hollow_node.rs
@@ -12,7 +12,7 @@
 use tokio::task::JoinHandle;
 
 use crate::hollow::hollow_proxy::HollowProxy;
-use crate::hollow::shown_board::ShownBoard;
+use crate::hollow::revision_arrivals::RevisionArrivals;
 use crate::hollow::traffic::{TrafficCounts, TrafficShape};
 
 /// The two runtimes of the rig: their threads' names tell the agents' processor time from the rest.
@@ -40,7 +40,7 @@
         seeds: &[String],
         shape: TrafficShape,
         runtimes: &RigRuntimes,
-        board: Arc<ShownBoard>,
+        revision_arrivals: Arc<RevisionArrivals>,
         counts: Arc<TrafficCounts>,
     ) -> Self {
         let (queues, events) = EventQueues::new();
@@ -48,7 +48,7 @@
         let (sender_updates, proxy_senders) = mpsc::channel(1);
         let meter = Arc::new(TrafficMeter::default());
         let report = SharedReport::default();
-        let parts = DriverComponents {
+        let components = DriverComponents {
             options: options(number, seeds, shape.seed),
             queues: queues.clone(),
             events,
@@ -61,10 +61,10 @@
         let agent = runtimes.agents.spawn(async move {
             // The update channel stays with the task, so that the driver keeps its sender.
             let _ = sender_updates.send(Some(sender)).await;
-            Driver::new(parts).run().await;
+            Driver::new(components).run().await;
             drop(sender_updates);
         });
-        let proxy = HollowProxy::new(shape, queues, board, counts);
+        let proxy = HollowProxy::new(shape, queues, revision_arrivals, counts);
         let proxy = runtimes.load.spawn(proxy.run(frames));
         Self {
             meter,
--- a/crates/scale/src/hollow/hollow_proxy.rs
+++ b/crates/scale/src/hollow/hollow_proxy.rs
@@ -1,4 +1,4 @@
-//! A generator of traffic in a proxy's place.
+//! A traffic generator in place of a proxy.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,37 +19,37 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::hollow::shown_board::ShownBoard;
+use crate::hollow::revision_arrivals::RevisionArrivals;
 use crate::hollow::traffic::{
-    ASK_TIMEOUT, CLAIMED_SHARE, MEAN_STREAM_SECONDS, TrafficCounts, TrafficShape,
+    CLAIMED_SHARE, MEAN_STREAM_SECONDS, REQUEST_TIMEOUT, TrafficCounts, TrafficShape,
 };
 use crate::rig::document::{MODELS, backend_name, model_name, tenant_name};
 
 /// Time between two load reports, as the proxy has it.
 const REPORT_PERIOD: Duration = Duration::from_secs(1);
 
-/// Time from dispatch to the first piece.
-const FIRST_PIECE: Duration = Duration::from_millis(600);
+/// Time from dispatch to the first token.
+const FIRST_TOKEN_DELAY: Duration = Duration::from_millis(600);
 
 struct OpenStream {
     tenant: String,
-    ticket: InFlightGuard,
-    first_piece_at: Instant,
+    in_flight: InFlightGuard,
+    first_token_at: Instant,
     ends_at: Instant,
 }
 
-/// Makes requests, holds streams, reports load; keeps nothing of the state it is sent.
+/// Sends requests, keeps streams open and reports load; stores nothing of the state that it receives.
 pub struct HollowProxy {
     shape: TrafficShape,
     queues: EventQueues,
-    board: Arc<ShownBoard>,
+    revision_arrivals: Arc<RevisionArrivals>,
     counts: Arc<TrafficCounts>,
     load: Arc<LoadTable>,
     random: SmallRng,
-    asked: BTreeMap<u64, (Instant, String)>,
+    pending_requests: BTreeMap<u64, (Instant, String)>,
     streams: Vec<OpenStream>,
     next_id: u64,
-    shown: u64,
+    applied_revision: u64,
 }
 
 impl HollowProxy {
@@ -58,20 +58,20 @@
     pub fn new(
         shape: TrafficShape,
         queues: EventQueues,
-        board: Arc<ShownBoard>,
+        revision_arrivals: Arc<RevisionArrivals>,
         counts: Arc<TrafficCounts>,
     ) -> Self {
         Self {
             random: SmallRng::seed_from_u64(shape.seed),
             shape,
             queues,
-            board,
+            revision_arrivals,
             counts,
             load: Arc::new(LoadTable::default()),
-            asked: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
             streams: Vec::new(),
             next_id: 0,
-            shown: 0,
+            applied_revision: 0,
         }
     }
 
@@ -90,16 +90,16 @@
             let wake = next_request.min(next_report).min(self.next_stream_event());
             tokio::select! {
                 frame = frames.next() => match frame {
-                    Some(frame) => self.take(frame).await,
+                    Some(frame) => self.receive(frame).await,
                     None => return,
                 },
                 () = tokio::time::sleep_until(wake.into()) => {}
             }
             let now = Instant::now();
-            if now >= next_request && self.shown > 0 {
+            if now >= next_request && self.applied_revision > 0 {
                 self.request(now).await;
-                next_request = now + self.pause();
-            } else if self.shown == 0 {
+                next_request = now + self.request_gap();
+            } else if self.applied_revision == 0 {
                 next_request = now + Duration::from_millis(100);
             }
             if now >= next_report {
@@ -110,30 +110,31 @@
         }
     }
 
-    async fn take(&mut self, frame: LocalFrame) {
+    async fn receive(&mut self, frame: LocalFrame) {
         match frame.body {
-            Some(local_frame::Body::Snapshot(snapshot)) => self.show(&snapshot.items).await,
-            Some(local_frame::Body::Change(change)) => self.show(&change.items).await,
+            Some(local_frame::Body::Snapshot(snapshot)) => self.apply(&snapshot.items).await,
+            Some(local_frame::Body::Change(change)) => self.apply(&change.items).await,
             Some(local_frame::Body::QuotaReply(reply)) => {
-                let Some((asked_at, tenant)) = self.asked.remove(&reply.request_id) else {
+                let Some((requested_at, tenant)) = self.pending_requests.remove(&reply.request_id)
+                else {
                     return;
                 };
-                let millis = asked_at.elapsed().as_secs_f64() * 1e3;
-                self.counts.quota_answered(reply.granted, millis);
+                let millis = requested_at.elapsed().as_secs_f64() * 1e3;
+                self.counts.record_quota_reply(reply.granted, millis);
                 if reply.granted {
                     self.admitted(tenant).await;
                 }
             }
             Some(local_frame::Body::ClaimReply(reply)) => {
                 let granted = reply.result.is_some_and(|result| result.granted);
-                self.counts.claim_answered(granted);
+                self.counts.record_claim_reply(granted);
             }
-            Some(local_frame::Body::LoadSnapshot(picture)) => self.load.merge_snapshot(&picture),
+            Some(local_frame::Body::LoadSnapshot(snapshot)) => self.load.merge_snapshot(&snapshot),
             _ => {}
         }
     }
 
-    async fn show(&mut self, items: &[StateItem]) {
+    async fn apply(&mut self, items: &[StateItem]) {
         let heads = items
             .iter()
             .filter_map(|item| match &item.value.as_ref()?.kind {
@@ -141,9 +142,9 @@
                 _ => None,
             });
         let Some(revision) = heads.max() else { return };
-        self.board.arrived(revision);
-        let first = self.shown == 0;
-        self.shown = revision;
+        self.revision_arrivals.record_arrival(revision);
+        let first = self.applied_revision == 0;
+        self.applied_revision = revision;
         self.send(local_frame::Body::Applied(ProxyApplied { revision }))
             .await;
         if first {
@@ -157,15 +158,16 @@
     async fn request(&mut self, now: Instant) {
         let tenant = self.draw_tenant();
         self.next_id += 1;
-        self.asked.insert(self.next_id, (now, tenant.clone()));
-        let ask = LocalQuotaRequest {
+        self.pending_requests
+            .insert(self.next_id, (now, tenant.clone()));
+        let request = LocalQuotaRequest {
             request_id: self.next_id,
             tenant,
             stream: true,
-            timeout_ms: millis(ASK_TIMEOUT),
+            timeout_ms: millis(REQUEST_TIMEOUT),
             waited_ms: 0,
         };
-        self.send(local_frame::Body::QuotaRequest(ask)).await;
+        self.send(local_frame::Body::QuotaRequest(request)).await;
     }
 
     /// A few large tenants dominate: the square of an even number falls low most often.
@@ -190,9 +192,9 @@
         let length = MEAN_STREAM_SECONDS * exponential(&mut self.random);
         self.streams.push(OpenStream {
             tenant,
-            ticket: self.load.start(key, 2_000),
-            first_piece_at: now + FIRST_PIECE,
-            ends_at: now + FIRST_PIECE + Duration::from_secs_f64(length),
+            in_flight: self.load.start(key, 2_000),
+            first_token_at: now + FIRST_TOKEN_DELAY,
+            ends_at: now + FIRST_TOKEN_DELAY + Duration::from_secs_f64(length),
         });
     }
 
@@ -208,11 +210,11 @@
         self.send(local_frame::Body::Claim(LocalClaim {
             request_id: self.next_id,
             claim: Some(claim),
-            timeout_ms: millis(ASK_TIMEOUT),
+            timeout_ms: millis(REQUEST_TIMEOUT),
         }))
         .await;
         self.next_id += 1;
-        let settle = ResolveClaim {
+        let resolution = ResolveClaim {
             tenant: tenant.to_owned(),
             request_id: request_id.clone(),
             attempt_id: request_id,
@@ -220,15 +222,15 @@
         };
         self.send(local_frame::Body::ResolveClaim(LocalResolveClaim {
             request_id: self.next_id,
-            resolution: Some(settle),
+            resolution: Some(resolution),
         }))
         .await;
     }
 
     async fn advance_streams(&mut self, now: Instant) {
         for stream in &mut self.streams {
-            if stream.first_piece_at <= now {
-                stream.ticket.begin_decode();
+            if stream.first_token_at <= now {
+                stream.in_flight.begin_decode();
             }
         }
         let (ended, open): (Vec<OpenStream>, Vec<OpenStream>) = std::mem::take(&mut self.streams)
@@ -261,13 +263,13 @@
         self.queues.send_proxy_frame(frame).await;
     }
 
-    fn pause(&mut self) -> Duration {
+    fn request_gap(&mut self) -> Duration {
         let mean = 1.0 / self.shape.requests_per_second;
         Duration::from_secs_f64(mean * exponential(&mut self.random))
     }
 }
 
-/// An exponentially distributed number of mean 1, cut at 5 so that no run waits for its tail.
+/// An exponentially distributed number of mean 1, truncated at 5 so that no run waits for its tail.
 fn exponential(random: &mut SmallRng) -> f64 {
     let even: f64 = random.random_range(f64::EPSILON..1.0);
     (-even.ln()).min(5.0)
--- a/crates/scale/src/hollow/mod.rs
+++ b/crates/scale/src/hollow/mod.rs
@@ -2,9 +2,9 @@
 
 pub mod hollow_node;
 pub mod hollow_proxy;
-pub mod shown_board;
+pub mod revision_arrivals;
 pub mod traffic;
 
 pub use hollow_node::HollowNode;
-pub use shown_board::ShownBoard;
+pub use revision_arrivals::RevisionArrivals;
 pub use traffic::{TrafficCounts, TrafficShape};
--- a/crates/scale/src/hollow/shown_board.rs
+++ b/crates/scale/src/hollow/revision_arrivals.rs
@@ -1,24 +1,24 @@
-//! When each configuration revision reached each hollow proxy.
+//! When each configuration revision was applied by each hollow proxy.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, PoisonError};
 use std::time::Instant;
 
-/// Arrivals by revision.
+/// Times of arrival by revision.
 #[derive(Debug, Default)]
-pub struct ShownBoard {
+pub struct RevisionArrivals {
     arrivals: Mutex<BTreeMap<u64, Vec<Instant>>>,
 }
 
-impl ShownBoard {
-    /// A proxy shows this revision from now on.
-    pub fn arrived(&self, revision: u64) {
+impl RevisionArrivals {
+    /// Records that a proxy applied this revision now.
+    pub fn record_arrival(&self, revision: u64) {
         let now = Instant::now();
         let mut arrivals = self.arrivals.lock().unwrap_or_else(PoisonError::into_inner);
         arrivals.entry(revision).or_default().push(now);
     }
 
-    /// Number of proxies that got this revision.
+    /// Number of proxies that applied this revision.
     #[must_use]
     pub fn count(&self, revision: u64) -> usize {
         let arrivals = self.arrivals.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/scale/src/hollow/traffic.rs
+++ b/crates/scale/src/hollow/traffic.rs
@@ -13,12 +13,12 @@
 /// Mean length of a stream at the planned load: 14.3 seconds.
 pub const MEAN_STREAM_SECONDS: f64 = TOKENS_PER_REQUEST * SECONDS_PER_TOKEN;
 
-/// Part of the requests that carry an idempotency key on a route that may not be repeated.
+/// Share of the requests that carry an idempotency key on a route that may not be repeated.
 /// Assumed: the plan does not say.
 pub const CLAIMED_SHARE: f64 = 0.1;
 
-/// Time that the hollow proxy gives an ask or a claim.
-pub const ASK_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of a hollow proxy's quota requests and claims.
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What a hollow proxy sends.
 #[derive(Clone, Copy, Debug)]
@@ -52,8 +52,8 @@
 }
 
 impl TrafficCounts {
-    /// An ask was answered after some milliseconds.
-    pub fn quota_answered(&self, granted: bool, millis: f64) {
+    /// Counts a reply to a quota request that took `millis` milliseconds.
+    pub fn record_quota_reply(&self, granted: bool, millis: f64) {
         let counter = if granted {
             &self.granted
         } else {
@@ -64,21 +64,21 @@
         times.push(millis);
     }
 
-    /// A claim was answered.
-    pub fn claim_answered(&self, granted: bool) {
+    /// Counts a reply to a claim.
+    pub fn record_claim_reply(&self, granted: bool) {
         self.claims.fetch_add(1, Ordering::Relaxed);
         if !granted {
             self.claims_failed.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Asks granted so far.
+    /// Quota requests granted so far.
     #[must_use]
     pub fn granted(&self) -> u64 {
         self.granted.load(Ordering::Relaxed)
     }
 
-    /// Asks refused so far.
+    /// Quota requests refused so far.
     #[must_use]
     pub fn refused(&self) -> u64 {
         self.refused.load(Ordering::Relaxed)
@@ -96,7 +96,7 @@
         self.claims_failed.load(Ordering::Relaxed)
     }
 
-    /// Times to an answer since the last call, in milliseconds.
+    /// Times to a reply since the last call of this method, in milliseconds.
     #[must_use]
     pub fn take_grant_ms(&self) -> Vec<f64> {
         let mut times = self.grant_ms.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -4,7 +4,6 @@
 pub mod exchange;
 pub mod fit;
 pub mod hollow;
-mod mark;
 pub mod measure;
 pub mod options;
 pub mod report;
@@ -13,6 +12,7 @@
 pub mod size;
 pub mod size_result;
 pub mod sweep;
+mod totals;
 
 pub use error::ScaleError;
 pub use options::ScaleOptions;
--- a/crates/scale/src/rig/mod.rs
+++ b/crates/scale/src/rig/mod.rs
@@ -6,7 +6,7 @@
 pub mod document;
 pub mod operator_client;
 pub mod ports;
-pub mod registry_stand_in;
+pub mod registry_stub;
 
 pub use child::Child;
 pub use control_cluster::ControlCluster;
--- a/crates/scale/src/rig/operator_client.rs
+++ b/crates/scale/src/rig/operator_client.rs
@@ -16,8 +16,8 @@
 /// Longest time for one exchange.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Pause before an order is sent again.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before an order is sent again.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Serialize)]
 #[expect(
@@ -77,7 +77,7 @@
                     Err(error) => last = error,
                 }
             }
-            tokio::time::sleep(RETRY_PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
         Err(ScaleError::Operator(last))
     }
--- a/crates/scale/src/rig/registry_stand_in.rs
+++ b/crates/scale/src/rig/registry_stub.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the service registry, inside the rig's process.
+//! A stub of the service registry, inside the rig's process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,12 +13,12 @@
 use crate::rig::document::{MODELS, backend_name, model_name};
 
 #[derive(Serialize)]
-struct List {
-    backends: Vec<Entry>,
+struct BackendList {
+    backends: Vec<BackendEntry>,
 }
 
 #[derive(Serialize)]
-struct Entry {
+struct BackendEntry {
     id: String,
     address: String,
     zone: String,
@@ -40,12 +40,12 @@
 
 /// Serves a fixed list and counts how often it is read.
 #[derive(Debug)]
-pub struct RegistryStandIn {
+pub struct RegistryStub {
     address: SocketAddr,
     reads: Arc<AtomicU64>,
 }
 
-impl RegistryStandIn {
+impl RegistryStub {
     /// Starts to serve `backends` backends on a free port.
     ///
     /// # Errors
@@ -57,7 +57,7 @@
             .local_addr()
             .map_err(ScaleError::system("bind the registry"))?;
         let entries = (0..backends).map(entry).collect();
-        let text = serde_json::to_vec(&List { backends: entries })
+        let text = serde_json::to_vec(&BackendList { backends: entries })
             .map_err(|error| ScaleError::Report(error.to_string()))?;
         let body = Bytes::from(text);
         let reads = Arc::new(AtomicU64::new(0));
@@ -85,8 +85,8 @@
     }
 }
 
-fn entry(number: u32) -> Entry {
-    Entry {
+fn entry(number: u32) -> BackendEntry {
+    BackendEntry {
         id: backend_name(number),
         address: format!("10.{}.{}.1:9000", number / 250, number % 250),
         zone: format!("zone-{}", number % 9),
--- a/crates/scale/src/run_size.rs
+++ b/crates/scale/src/run_size.rs
@@ -7,16 +7,16 @@
 
 use crate::error::ScaleError;
 use crate::hollow::hollow_node::RigRuntimes;
-use crate::hollow::{HollowNode, ShownBoard, TrafficCounts, TrafficShape};
-use crate::mark::Mark;
+use crate::hollow::{HollowNode, RevisionArrivals, TrafficCounts, TrafficShape};
 use crate::measure::{ProcessSample, Quantiles, ThreadTime};
 use crate::options::ScaleOptions;
 use crate::rig::agent_process::AgentProcess;
 use crate::rig::document::document;
-use crate::rig::registry_stand_in::RegistryStandIn;
+use crate::rig::registry_stub::RegistryStub;
 use crate::rig::{ControlCluster, OperatorClient};
 use crate::size::FleetSize;
 use crate::size_result::SizeResult;
+use crate::totals::Totals;
 
 /// Names of the threads that run agents begin so.
 pub const AGENT_THREADS: &str = "hollow-agent";
@@ -27,17 +27,17 @@
 /// Longest time for all nodes to start, or to return.
 const NODES_WITHIN: Duration = Duration::from_secs(30);
 
-/// Longest time for a change to be everywhere.
+/// Longest time for a change to be applied on all nodes.
 const CHANGE_WITHIN: Duration = Duration::from_secs(10);
 
-/// Time for traffic to settle before the steady measurement.
-const SETTLE: Duration = Duration::from_secs(3);
+/// Time for traffic to stabilize before the steady measurement.
+const WARM_UP: Duration = Duration::from_secs(3);
 
 /// Time between the starts of two nodes, so that a start is no storm; the restart is one.
 const START_SPACING: Duration = Duration::from_millis(20);
 
-/// Period at which the rig looks whether something was reached.
-const LOOK_PERIOD: Duration = Duration::from_millis(5);
+/// Interval at which the rig polls whether a state was reached.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 struct Fleet {
     size: FleetSize,
@@ -45,7 +45,7 @@
     operator: OperatorClient,
     nodes: Vec<HollowNode>,
     agent: AgentProcess,
-    board: Arc<ShownBoard>,
+    revision_arrivals: Arc<RevisionArrivals>,
     counts: Arc<TrafficCounts>,
     revision: u64,
 }
@@ -64,7 +64,7 @@
         size: Some(size),
         ..SizeResult::default()
     };
-    let registry = RegistryStandIn::start(size.backends).await?;
+    let registry = RegistryStub::start(size.backends).await?;
     let cluster = ControlCluster::start(
         &options.programs,
         folder,
@@ -83,12 +83,12 @@
         operator,
         nodes: Vec::new(),
         agent,
-        board: Arc::default(),
+        revision_arrivals: Arc::default(),
         counts: Arc::default(),
         revision,
     };
     fleet.boot(options, runtimes, &seeds, &mut result).await?;
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(WARM_UP).await;
     fleet.steady(options, &mut result).await;
     let grown = (resident_bytes() - memory_before).max(0.0);
     result.node_memory_bytes = grown / f64::from(size.nodes);
@@ -119,9 +119,9 @@
                 backends: self.size.backends,
                 seed: options.seed + u64::from(number) * 7919,
             };
-            let board = Arc::clone(&self.board);
+            let revision_arrivals = Arc::clone(&self.revision_arrivals);
             let counts = Arc::clone(&self.counts);
-            let node = HollowNode::start(number, seeds, shape, runtimes, board, counts);
+            let node = HollowNode::start(number, seeds, shape, runtimes, revision_arrivals, counts);
             self.nodes.push(node);
             tokio::time::sleep(START_SPACING).await;
         }
@@ -134,9 +134,9 @@
 
     async fn steady(&mut self, options: &ScaleOptions, result: &mut SizeResult) {
         let _ = self.counts.take_grant_ms();
-        let before = self.mark();
+        let before = self.totals();
         tokio::time::sleep(Duration::from_secs(options.steady_seconds)).await;
-        let after = self.mark();
+        let after = self.totals();
         let seconds = (after.at - before.at).as_secs_f64();
         let nodes = f64::from(self.size.nodes);
         result.steady_seconds = seconds;
@@ -189,13 +189,13 @@
             let revision = self.revision;
             let nodes = self.nodes.len();
             wait("a change everywhere", CHANGE_WITHIN, || {
-                let shown = self.board.count(revision);
-                (shown >= nodes)
+                let applied = self.revision_arrivals.count(revision);
+                (applied >= nodes)
                     .then_some(())
-                    .ok_or_else(|| format!("{shown} of {nodes}"))
+                    .ok_or_else(|| format!("{applied} of {nodes}"))
             })
             .await?;
-            let delays = self.board.delays_ms(revision, sent);
+            let delays = self.revision_arrivals.delays_ms(revision, sent);
             everywhere.push(delays.iter().copied().fold(0.0, f64::max));
             each.extend(delays);
         }
@@ -208,8 +208,9 @@
         let start = Instant::now();
         self.cluster.restart()?;
         // Agents notice the loss of their connection within a tick; none may count as up before.
-        tokio::time::sleep(LOOK_PERIOD * 4).await;
-        self.wait_for_all("every node back in touch", is_up).await?;
+        tokio::time::sleep(POLL_INTERVAL * 4).await;
+        self.wait_for_all("every node connected again", is_up)
+            .await?;
         Ok(start.elapsed().as_secs_f64())
     }
 
@@ -219,11 +220,11 @@
         reached: fn(&HollowNode) -> bool,
     ) -> Result<(), ScaleError> {
         wait(what, NODES_WITHIN, || {
-            let there = self.nodes.iter().filter(|node| reached(node)).count();
+            let ready = self.nodes.iter().filter(|node| reached(node)).count();
             let all = self.nodes.len();
-            (there == all)
+            (ready == all)
                 .then_some(())
-                .ok_or_else(|| format!("{there} of {all}"))
+                .ok_or_else(|| format!("{ready} of {all}"))
         })
         .await
     }
@@ -243,12 +244,12 @@
         total
     }
 
-    fn mark(&self) -> Mark {
+    fn totals(&self) -> Totals {
         let meters = || self.nodes.iter().map(HollowNode::meter);
         let agent = self.agent.sample();
         let samples = self.cluster.samples();
         let reports = self.nodes.iter().map(HollowNode::report);
-        Mark {
+        Totals {
             at: Instant::now(),
             bytes_in: self.bytes_in(),
             bytes_by_kind: self.bytes_by_kind(),
@@ -293,7 +294,7 @@
                 detail,
             });
         }
-        tokio::time::sleep(LOOK_PERIOD).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
--- a/crates/scale/src/mark.rs
+++ b/crates/scale/src/totals.rs
@@ -1,10 +1,10 @@
-//! Running totals at one moment; a rate is the difference of two.
+//! Running totals at one moment; a rate is the difference between two of them.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
 
 /// Totals over all nodes and processes.
-pub(crate) struct Mark {
+pub(crate) struct Totals {
     pub(crate) at: Instant,
     pub(crate) bytes_in: f64,
     pub(crate) bytes_by_kind: BTreeMap<&'static str, u64>,
--- a/crates/scale/tests/exchange.rs
+++ b/crates/scale/tests/exchange.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddr;
 
+use millford_scale::exchange::datagram_relay::HEADER_BYTES;
 use millford_scale::exchange::run::{line, summary};
-use millford_scale::exchange::switchboard::HEADER_BYTES;
-use millford_scale::exchange::{ExchangeFigures, Growth, NodeCounts, ProxyFleet, Switchboard};
+use millford_scale::exchange::{DatagramRelay, ExchangeFigures, Growth, NodeCounts, ProxyFleet};
 use quickcheck::quickcheck;
 use tokio::net::UdpSocket;
 
@@ -15,31 +15,37 @@
 }
 
 #[tokio::test]
-async fn an_answer_comes_back_through_the_doors_and_both_ways_are_counted() {
+async fn replies_return_through_the_relay_and_both_directions_are_counted() {
     let (asking, asking_address) = socket().await;
     let (owner, owner_address) = socket().await;
     let proxies = vec![
         ("a".to_owned(), asking_address),
         ("b".to_owned(), owner_address),
     ];
-    let switchboard = Switchboard::open(proxies).await.expect("doors");
-    let doors = switchboard.doors().expect("addresses");
+    let relay = DatagramRelay::open(proxies).await.expect("endpoints");
+    let addresses = relay.endpoint_addresses().expect("addresses");
     let mut buffer = [0; 64];
-    asking.send_to(b"question", doors[1]).await.expect("sent");
+    asking
+        .send_to(b"question", addresses[1])
+        .await
+        .expect("sent");
     let (length, from) = owner.recv_from(&mut buffer).await.expect("received");
     assert_eq!(&buffer[..length], b"question");
-    assert_eq!(from, doors[0], "the asking proxy as the others know it");
+    assert_eq!(from, addresses[0], "the asking proxy as the others know it");
     owner.send_to(b"answer", from).await.expect("sent");
     let (length, from) = asking.recv_from(&mut buffer).await.expect("received");
-    assert_eq!((&buffer[..length], from), (b"answer".as_slice(), doors[1]));
-    let counts = switchboard.counts();
+    assert_eq!(
+        (&buffer[..length], from),
+        (b"answer".as_slice(), addresses[1])
+    );
+    let counts = relay.counts();
     assert_eq!(counts[0].sent_bytes, 8 + HEADER_BYTES);
     assert_eq!(counts[1].sent_bytes_elsewhere, 6 + HEADER_BYTES);
     assert_eq!((counts[0].sent, counts[0].received), (1, 1));
 }
 
 #[tokio::test]
-async fn datagrams_of_strangers_are_not_handed_on() {
+async fn datagrams_of_unknown_senders_are_not_forwarded() {
     let (stranger, _) = socket().await;
     let (one, one_address) = socket().await;
     let (other, other_address) = socket().await;
@@ -47,19 +53,22 @@
         ("a".to_owned(), one_address),
         ("a".to_owned(), other_address),
     ];
-    let switchboard = Switchboard::open(proxies).await.expect("doors");
-    let doors = switchboard.doors().expect("addresses");
-    stranger.send_to(b"stray", doors[0]).await.expect("sent");
-    other.send_to(b"known", doors[0]).await.expect("sent");
+    let relay = DatagramRelay::open(proxies).await.expect("endpoints");
+    let addresses = relay.endpoint_addresses().expect("addresses");
+    stranger
+        .send_to(b"stray", addresses[0])
+        .await
+        .expect("sent");
+    other.send_to(b"known", addresses[0]).await.expect("sent");
     let mut buffer = [0; 64];
     let (length, _) = one.recv_from(&mut buffer).await.expect("received");
     assert_eq!(&buffer[..length], b"known");
-    let counts = switchboard.counts();
+    let counts = relay.counts();
     assert_eq!((counts[0].received, counts[1].sent_bytes_elsewhere), (1, 0));
 }
 
 #[tokio::test]
-async fn proxies_of_a_fleet_know_each_other_and_have_tenants_owners_where_they_are_many() {
+async fn proxies_of_a_fleet_know_each_other_and_large_fleets_have_tenant_owners() {
     for (count, has_owners) in [(6, false), (24, true)] {
         let fleet = ProxyFleet::start(count).await.expect("sockets");
         let node = &fleet.nodes[0];
@@ -71,7 +80,7 @@
 }
 
 #[test]
-fn figures_are_those_of_the_time_between_two_counts() {
+fn figures_cover_the_time_between_two_counts() {
     let count = |sent, received| NodeCounts {
         sent,
         received,
--- a/crates/scale/tests/fit.rs
+++ b/crates/scale/tests/fit.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn noise_shows_as_spread() {
+fn noise_increases_the_standard_error() {
     let noisy = |amplitude: f64| {
         let points: Vec<(FleetSize, f64)> = SWEEP
             .iter()
