--- a/crates/scale/src/error.rs
+++ b/crates/scale/src/error.rs
@@ -1,11 +1,25 @@
-//! Why a scale run could not be finished.
+//! Errors of a scale run.
 
-/// A fault of the rig or of the fleet under it.
+/// Why a scale run could not be finished: a failure of the rig or of the fleet under it.
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleError {
-    /// A command-line argument is wrong.
-    #[error("{0}")]
-    BadArgument(String),
+    /// The flags cannot be parsed.
+    #[error(transparent)]
+    Flags(#[from] getopts::Fail),
+    /// An argument that belongs to no flag.
+    #[error("unexpected argument \"{argument}\"")]
+    UnexpectedArgument {
+        /// The argument.
+        argument: String,
+    },
+    /// The value of a flag is not a number.
+    #[error("--{flag} takes a number, not \"{value}\"")]
+    NotANumber {
+        /// Name of the flag, without dashes.
+        flag: &'static str,
+        /// The value that was given.
+        value: String,
+    },
     /// Files, sockets or processes failed.
     #[error("{what}: {source}")]
     System {
@@ -22,9 +36,12 @@
         /// What it said.
         reason: String,
     },
-    /// The operator interface refused or did not answer.
-    #[error("the operator interface: {0}")]
-    Operator(String),
+    /// No control node accepted an order in time.
+    #[error("the operator interface: {source}")]
+    Operator {
+        /// Why the last attempt failed; none when there was no time for one.
+        source: OrderError,
+    },
     /// The fleet did not reach a state in time.
     #[error("not reached within {seconds} s: {what} ({detail})")]
     NotReached {
@@ -35,9 +52,20 @@
         /// How far it came.
         detail: String,
     },
-    /// A report could not be written.
+    /// Something cannot be encoded as JSON.
     #[error("the report cannot be written: {0}")]
-    Report(String),
+    Encode(#[from] serde_json::Error),
+    /// The plot cannot be drawn or written.
+    #[error("the report cannot be written: {0}")]
+    Plot(#[source] Box<dyn std::error::Error + Send + Sync>),
+    /// Sizes of a sweep could not be measured; the report has their errors.
+    #[error("the report cannot be written: {failed} of {all} sizes failed")]
+    SizesFailed {
+        /// Sizes that failed.
+        failed: usize,
+        /// Sizes of the sweep.
+        all: usize,
+    },
 }
 
 impl ScaleError {
@@ -47,3 +75,34 @@
         move |source| Self::System { what, source }
     }
 }
+
+/// Why a control node did not accept an operator's order.
+#[derive(Debug, thiserror::Error)]
+pub enum OrderError {
+    /// No attempt was made before the time was over.
+    #[error("")]
+    NotTried,
+    /// The order cannot be encoded, or the reply not be decoded.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// No reply came in time.
+    #[error("no answer in time")]
+    TimedOut,
+    /// The connection failed.
+    #[error(transparent)]
+    Connect(#[from] std::io::Error),
+    /// The request cannot be built.
+    #[error(transparent)]
+    Request(#[from] hyper::http::Error),
+    /// The exchange over the connection failed.
+    #[error(transparent)]
+    Exchange(#[from] hyper::Error),
+    /// The node refused the order.
+    #[error("{status}: {body}")]
+    Refused {
+        /// HTTP status.
+        status: hyper::StatusCode,
+        /// Body of the reply.
+        body: String,
+    },
+}
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod sweep;
 mod totals;
 
-pub use error::ScaleError;
+pub use error::{OrderError, ScaleError};
 pub use options::ScaleOptions;
 pub use size::FleetSize;
 pub use size_result::SizeResult;
--- a/crates/scale/src/options.rs
+++ b/crates/scale/src/options.rs
@@ -51,12 +51,11 @@
     /// Fails on an unknown flag or a value that is no number.
     pub fn parse(arguments: &[String]) -> Result<Parsed, ScaleError> {
         let options = flags();
-        let matches = options
-            .parse(arguments)
-            .map_err(|error| ScaleError::BadArgument(error.to_string()))?;
+        let matches = options.parse(arguments)?;
         if let Some(free) = matches.free.first() {
-            let text = format!("unexpected argument \"{free}\"");
-            return Err(ScaleError::BadArgument(text));
+            return Err(ScaleError::UnexpectedArgument {
+                argument: free.clone(),
+            });
         }
         if matches.opt_present("help") {
             let brief = "Measures what a fleet costs.\n\nUsage: millford-lab scale [options]";
@@ -130,14 +129,14 @@
 
 fn number<T: std::str::FromStr>(
     matches: &Matches,
-    name: &str,
+    flag: &'static str,
     default: T,
 ) -> Result<T, ScaleError> {
-    let Some(text) = matches.opt_str(name) else {
+    let Some(text) = matches.opt_str(flag) else {
         return Ok(default);
     };
     text.parse()
-        .map_err(|_| ScaleError::BadArgument(format!("--{name} takes a number, not \"{text}\"")))
+        .map_err(|_| ScaleError::NotANumber { flag, value: text })
 }
 
 /// The programs lie beside this one unless told otherwise.
--- a/crates/scale/src/report/mod.rs
+++ b/crates/scale/src/report/mod.rs
@@ -67,8 +67,7 @@
     text: &str,
     results: &impl Serialize,
 ) -> Result<(), ScaleError> {
-    let json = serde_json::to_vec_pretty(results);
-    let json = json.map_err(|error| ScaleError::Report(error.to_string()))?;
+    let json = serde_json::to_vec_pretty(results)?;
     for (ending, content) in [("txt", text.as_bytes()), ("json", &json)] {
         let file = format!("{name}.{ending}");
         let failed = ScaleError::system(format!("write {file}"));
--- a/crates/scale/src/report/plot.rs
+++ b/crates/scale/src/report/plot.rs
@@ -18,10 +18,10 @@
 /// # Errors
 /// Fails when the file cannot be written.
 pub fn write(path: &Path, report: &Report) -> Result<(), ScaleError> {
-    draw(path, report).map_err(|error| ScaleError::Report(error.to_string()))
+    draw(path, report).map_err(ScaleError::Plot)
 }
 
-fn draw(path: &Path, report: &Report) -> Result<(), Box<dyn std::error::Error>> {
+fn draw(path: &Path, report: &Report) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
     let root = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let rows = Figure::ALL.len().div_ceil(COLUMNS);
--- a/crates/scale/src/rig/operator_client.rs
+++ b/crates/scale/src/rig/operator_client.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpStream;
 
-use crate::error::ScaleError;
+use crate::error::{OrderError, ScaleError};
 use crate::rig::control_cluster::OPERATOR_KEY;
 
 /// Longest time for one exchange.
@@ -66,10 +66,12 @@
             order_id,
             document,
         };
-        let body = serde_json::to_vec(&order);
-        let body = Bytes::from(body.map_err(|error| ScaleError::Operator(error.to_string()))?);
+        let body = serde_json::to_vec(&order).map_err(|error| ScaleError::Operator {
+            source: error.into(),
+        })?;
+        let body = Bytes::from(body);
         let end = Instant::now() + within;
-        let mut last = String::new();
+        let mut last = OrderError::NotTried;
         while Instant::now() < end {
             for address in &self.addresses {
                 match put_once(*address, body.clone()).await {
@@ -79,40 +81,39 @@
             }
             tokio::time::sleep(RETRY_INTERVAL).await;
         }
-        Err(ScaleError::Operator(last))
+        Err(ScaleError::Operator { source: last })
     }
 }
 
-async fn put_once(address: SocketAddr, body: Bytes) -> Result<u64, String> {
+async fn put_once(address: SocketAddr, body: Bytes) -> Result<u64, OrderError> {
     let exchange = tokio::time::timeout(EXCHANGE_TIMEOUT, exchange(address, body));
-    let (status, text) = exchange
-        .await
-        .map_err(|_| "no answer in time".to_owned())??;
+    let (status, text) = exchange.await.map_err(|_| OrderError::TimedOut)??;
     if !status.is_success() {
-        return Err(format!("{status}: {}", String::from_utf8_lossy(&text)));
+        return Err(OrderError::Refused {
+            status,
+            body: String::from_utf8_lossy(&text).into_owned(),
+        });
     }
-    let accepted: Accepted = serde_json::from_slice(&text).map_err(|error| error.to_string())?;
+    let accepted: Accepted = serde_json::from_slice(&text)?;
     Ok(accepted.revision)
 }
 
-async fn exchange(address: SocketAddr, body: Bytes) -> Result<(hyper::StatusCode, Bytes), String> {
-    let stream = TcpStream::connect(address).await.map_err(text_of)?;
+async fn exchange(
+    address: SocketAddr,
+    body: Bytes,
+) -> Result<(hyper::StatusCode, Bytes), OrderError> {
+    let stream = TcpStream::connect(address).await?;
     let handshake = hyper::client::conn::http1::handshake(TokioIo::new(stream));
-    let (mut sender, connection) = handshake.await.map_err(text_of)?;
+    let (mut sender, connection) = handshake.await?;
     let connection = tokio::spawn(connection);
     let request = hyper::Request::put("/v1/config")
         .header("host", address.to_string())
         .header("authorization", format!("Bearer {OPERATOR_KEY}"))
         .header("content-type", "application/json")
-        .body(Full::new(body))
-        .map_err(text_of)?;
-    let response = sender.send_request(request).await.map_err(text_of)?;
+        .body(Full::new(body))?;
+    let response = sender.send_request(request).await?;
     let status = response.status();
-    let body = response.into_body().collect().await.map_err(text_of)?;
+    let body = response.into_body().collect().await?;
     connection.abort();
     Ok((status, body.to_bytes()))
 }
-
-fn text_of(error: impl std::fmt::Display) -> String {
-    error.to_string()
-}
--- a/crates/scale/src/rig/registry_stub.rs
+++ b/crates/scale/src/rig/registry_stub.rs
@@ -57,8 +57,7 @@
             .local_addr()
             .map_err(ScaleError::system("bind the registry"))?;
         let entries = (0..backends).map(entry).collect();
-        let text = serde_json::to_vec(&BackendList { backends: entries })
-            .map_err(|error| ScaleError::Report(error.to_string()))?;
+        let text = serde_json::to_vec(&BackendList { backends: entries })?;
         let body = Bytes::from(text);
         let reads = Arc::new(AtomicU64::new(0));
         let counted = Arc::clone(&reads);
--- a/crates/scale/src/sweep.rs
+++ b/crates/scale/src/sweep.rs
@@ -49,11 +49,10 @@
     if report.failures.is_empty() {
         return Ok(());
     }
-    Err(ScaleError::Report(format!(
-        "{} of {} sizes failed",
-        report.failures.len(),
-        options.sizes.len()
-    )))
+    Err(ScaleError::SizesFailed {
+        failed: report.failures.len(),
+        all: options.sizes.len(),
+    })
 }
 
 /// Hundreds of agents would log each change of their links.
