--- a/crates/control-state/tests/control_state/forward_documents.rs
+++ b/crates/control-state/tests/control_state/forward_documents.rs
@@ -50,27 +50,29 @@
     assert_eq!(document::parse(&json).expect("its own form"), back);
 }
 
-#[test]
-fn each_violation_is_reported_with_its_path() {
-    type Change = fn(&mut Document);
-    let violations: [(&str, Change); 12] = [
+/// A change that makes a document invalid.
+type Change = fn(&mut Document);
+
+/// The path of each violation and the change that causes it.
+fn violations() -> [(&'static str, Change); 12] {
+    [
         ("forward_routes[0].name", |document| {
             document.forward_routes[0].name.clear();
         }),
         ("forward_routes[1].name", |document| {
-            document.forward_routes[1].name = "a".to_owned();
+            "a".clone_into(&mut document.forward_routes[1].name);
         }),
         ("forward_routes[0].host", |document| {
             document.forward_routes[0].host.clear();
         }),
         ("forward_routes[0].path_prefix", |document| {
-            document.forward_routes[0].path_prefix = "a/".to_owned();
+            "a/".clone_into(&mut document.forward_routes[0].path_prefix);
         }),
         ("forward_routes[1].path_prefix", |document| {
-            document.forward_routes[1].path_prefix = "/a/".to_owned();
+            "/a/".clone_into(&mut document.forward_routes[1].path_prefix);
         }),
         ("forward_routes[0].pools[0].pool", |document| {
-            document.forward_routes[0].pools[0].pool = "none".to_owned();
+            "none".clone_into(&mut document.forward_routes[0].pools[0].pool);
         }),
         ("forward_routes[0].pools", |document| {
             document.forward_routes[0].pools[0].weight = 0;
@@ -95,8 +97,12 @@
         ("tenants[0].quota", |document| {
             document.tenants[0].quota = None;
         }),
-    ];
-    for (path, violate) in violations {
+    ]
+}
+
+#[test]
+fn each_violation_is_reported_with_its_path() {
+    for (path, violate) in violations() {
         let mut document = with_routes(vec![route("a", "/a/"), route("b", "/b/")]);
         assert_eq!(check(&document), []);
         violate(&mut document);
--- a/crates/lab/src/emulator/state.rs
+++ b/crates/lab/src/emulator/state.rs
@@ -32,6 +32,9 @@
 
 impl BackendState {
     /// The state of a fresh backend.
+    ///
+    /// # Errors
+    /// The execution log cannot be opened.
     pub fn new(options: BackendOptions) -> std::io::Result<Arc<Self>> {
         let executions = match &options.execution_log {
             Some(path) => ExecutionLog::with_file(path)?,
@@ -107,7 +110,7 @@
 }
 
 impl RunningExecution {
-    /// Every piece was handed to the connection.
+    /// Every chunk was handed to the connection.
     pub fn complete(&mut self) {
         self.end = Some(ExecutionEnd::Completed);
     }
--- a/crates/lab/tests/checkers/histories.rs
+++ b/crates/lab/tests/checkers/histories.rs
@@ -2,41 +2,42 @@
 
 use millford_core::{ResultCode, RunState};
 use millford_lab::answer_text::AnswerText;
-use millford_lab::caller::{CallOutcome, Ending, PieceSeen};
+use millford_lab::caller::{Ending, ReceivedChunk, RequestOutcome};
 use millford_lab::checks::history::{
-    ConfirmedReadSeen, DrainSeen, OrderResult, OrderSeen, RecoverySeen, RevisionShown, TenantQuota,
+    AppliedRevision, ConfirmedReadSeen, DrainSeen, OrderResult, OrderSeen, RecoverySeen,
+    TenantQuota,
 };
 use millford_lab::checks::{History, check_all};
 use millford_lab::emulator::execution::{Execution, ExecutionEnd};
 
-pub const SECOND: u64 = 1_000_000;
-pub const PIECES: u64 = 4;
+pub(crate) const SECOND: u64 = 1_000_000;
+pub(crate) const CHUNKS: u64 = 4;
 
-pub fn call(marker: &str, started_micros: u64) -> CallOutcome {
+pub(crate) fn call(marker: &str, started_micros: u64) -> RequestOutcome {
     let answer = AnswerText::new(marker, "run");
-    let piece = |sequence| PieceSeen {
+    let chunk = |sequence| ReceivedChunk {
         sequence: Some(sequence),
-        text: answer.piece(sequence),
+        text: answer.chunk(sequence),
         at_micros: started_micros + 10 * (sequence + 1),
     };
-    CallOutcome {
+    RequestOutcome {
         marker: marker.to_owned(),
         model: "saga-large".to_owned(),
         tenant: "library".to_owned(),
         repeatable: true,
         proxy: 0,
-        pieces_wanted: PIECES,
+        requested_chunks: CHUNKS,
         streamed: true,
         started_micros,
         ended_micros: started_micros + 100,
         status: Some(200),
         revision: Some(2),
-        pieces: (0..PIECES).map(piece).collect(),
+        chunks: (0..CHUNKS).map(chunk).collect(),
         ending: Ending::Success,
     }
 }
 
-pub fn execution(marker: &str, started_micros: u64) -> Execution {
+pub(crate) fn execution(marker: &str, started_micros: u64) -> Execution {
     Execution {
         backend: "model-1".to_owned(),
         attempt: format!("{marker}/{started_micros}"),
@@ -51,7 +52,12 @@
     }
 }
 
-pub fn order(id: &str, base_revision: u64, answered_micros: u64, result: OrderResult) -> OrderSeen {
+pub(crate) fn order(
+    id: &str,
+    base_revision: u64,
+    answered_micros: u64,
+    result: OrderResult,
+) -> OrderSeen {
     OrderSeen {
         order_id: id.to_owned(),
         base_revision,
@@ -60,8 +66,8 @@
     }
 }
 
-pub fn refuse(call: &mut CallOutcome, code: ResultCode, run: RunState) {
-    call.pieces.clear();
+pub(crate) fn refuse(call: &mut RequestOutcome, code: ResultCode, run: RunState) {
+    call.chunks.clear();
     let code = code.number();
     call.ending = Ending::Failure {
         code,
@@ -71,7 +77,7 @@
 }
 
 /// Thirty served requests over three seconds, a configuration, a drain, an outage.
-pub fn clean() -> History {
+pub(crate) fn clean() -> History {
     let mut history = History::default();
     for number in 0..30 {
         let (marker, at) = (format!("m{number}"), SECOND + number * SECOND / 10);
@@ -91,10 +97,10 @@
         ),
     ];
     history.reads.push(ConfirmedReadSeen {
-        asked_micros: 500,
+        requested_micros: 500,
         revision: 2,
     });
-    history.shown.push(shown(2, 600));
+    history.applied_revisions.push(applied_revisions(2, 600));
     history.drains.push(DrainSeen {
         backend: "model-2".to_owned(),
         ordered_micros: SECOND,
@@ -113,24 +119,28 @@
     history
 }
 
-pub fn shown(revision: u64, at: u64) -> RevisionShown {
+pub(crate) fn applied_revisions(revision: u64, at: u64) -> AppliedRevision {
     let node = "agent".to_owned();
-    RevisionShown {
+    AppliedRevision {
         node,
-        asked_micros: at,
+        requested_micros: at,
         answered_micros: at + 10,
         revision,
     }
 }
 
-/// Asserts that exactly the named promise is seen as broken.
-pub fn assert_caught(history: &History, promise: &str) {
+/// Asserts that exactly the named guarantee is seen as broken.
+pub(crate) fn assert_caught(history: &History, guarantee: &str) {
     let report = check_all(history);
     let broken: Vec<_> = report
         .verdicts
         .iter()
-        .filter(|verdict| !verdict.held())
+        .filter(|verdict| !verdict.holds())
         .collect();
     assert_eq!(broken.len(), 1, "{}", report.table());
-    assert!(broken[0].promise.contains(promise), "{}", report.table());
+    assert!(
+        broken[0].guarantee.contains(guarantee),
+        "{}",
+        report.table()
+    );
 }
