--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -4,7 +4,6 @@
 pub mod exchange;
 pub mod fit;
 pub mod hollow;
-mod mark;
 pub mod measure;
 pub mod options;
 pub mod report;
@@ -13,8 +12,9 @@
 pub mod size;
 pub mod size_result;
 pub mod sweep;
+mod totals;
 
-pub use error::ScaleError;
+pub use error::{OrderError, ScaleError};
 pub use options::ScaleOptions;
 pub use size::FleetSize;
 pub use size_result::SizeResult;
