--- a/crates/control/src/commands.rs
+++ b/crates/control/src/commands.rs
@@ -1,8 +1,8 @@
-//! Commands of the replicated state machines.
+//! Construction of commands for the replicated state machines.
 
 use millford_api::command::{Command, command};
 
-/// A command of this kind.
+/// Wraps a kind of command in a [`Command`].
 #[must_use]
 pub fn command_of(kind: command::Kind) -> Command {
     Command { kind: Some(kind) }
--- a/crates/control/src/daemon/connections.rs
+++ b/crates/control/src/daemon/connections.rs
@@ -1,4 +1,4 @@
-//! Links as TCP connections.
+//! TCP connections that carry the links of the gateway.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,16 +16,16 @@
 use crate::link::{LinkId, PeerKind};
 use crate::node_input::NodeInput;
 
-/// Frames that may wait for a link.
-const LINK_QUEUE: usize = 8192;
+/// Capacity of a link's send queue, in frames.
+const LINK_QUEUE_FRAMES: usize = 8192;
 
-/// Frames that are written with one system call at most.
+/// Most frames that are written before a flush.
 const WRITE_BATCH: usize = 64;
 
-/// Longest time to open a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A write that the other side does not take for this long ends the link.
+/// A link is closed when a write does not finish within this time.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Opens links on behalf of the gateway.
@@ -36,13 +36,13 @@
 }
 
 impl Connector {
-    /// A connector on this runtime.
+    /// Creates a connector that runs its connections on this runtime.
     #[must_use]
     pub fn new(runtime: Handle, queue: GatewayQueue) -> Self {
         Self { runtime, queue }
     }
 
-    /// Opens a link; the gateway is notified of the success or the failure.
+    /// Opens a link. The gateway receives `LinkOpened`, or `LinkClosed` after a failure.
     pub fn connect(&self, link: LinkId, address: String) {
         let queue = self.queue.clone();
         self.runtime.spawn(async move {
@@ -51,7 +51,7 @@
                 Some((reader, writer)) => {
                     serve(link, PeerKind::Outgoing, reader, writer, queue).await;
                 }
-                None => closed(link, &queue),
+                None => notify_closed(link, &queue),
             }
         });
     }
@@ -62,7 +62,7 @@
     let numbers = Arc::new(AtomicU64::new(1));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Too many open files, most likely: give the others time to end.
+            // Most likely too many files are open: wait for other connections to close.
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
@@ -85,7 +85,7 @@
     connect(address, CONNECT_TIMEOUT).await.ok()
 }
 
-/// Runs one link until either side ends it.
+/// Runs one link until either side closes it.
 async fn serve(
     link: LinkId,
     peer: PeerKind,
@@ -93,7 +93,7 @@
     writer: FramedWriter<Frame>,
     queue: GatewayQueue,
 ) {
-    let (sender, frames) = mpsc::channel(LINK_QUEUE);
+    let (sender, frames) = mpsc::channel(LINK_QUEUE_FRAMES);
     let opened = queue.send(GatewayEvent::Link {
         link,
         writer: sender,
@@ -106,7 +106,7 @@
         () = read_all(link, reader, &queue) => {}
         () = write_all(writer, frames) => {}
     }
-    closed(link, &queue);
+    notify_closed(link, &queue);
 }
 
 async fn read_all(link: LinkId, mut reader: FramedReader<Frame>, queue: &GatewayQueue) {
@@ -138,7 +138,7 @@
     writer.flush().await
 }
 
-fn closed(link: LinkId, queue: &GatewayQueue) {
-    // The gateway's queue ends only with the process.
+fn notify_closed(link: LinkId, queue: &GatewayQueue) {
+    // The gateway's queue is closed only when the process exits.
     let _ = queue.send(GatewayEvent::Input(NodeInput::LinkClosed { link }));
 }
--- a/crates/control/src/daemon/event.rs
+++ b/crates/control/src/daemon/event.rs
@@ -1,4 +1,4 @@
-//! What reaches the gateway's thread.
+//! Events for the gateway's thread.
 
 use std::sync::mpsc;
 
@@ -12,44 +12,45 @@
 use crate::operator::{OperatorReply, OperatorRequest};
 use crate::shard::ShardOutput;
 
-/// Number of a shard's thread. Outputs of one that was stopped are dropped.
+/// Number of a shard's thread, by which the outputs of a stopped thread are recognized and
+/// dropped.
 pub type Generation = u64;
 
-/// One event of the gateway's thread.
+/// One event for the gateway's thread.
 pub enum GatewayEvent {
     /// An input of the node's logic.
     Input(NodeInput),
-    /// A link is open; frames to it go to this queue.
+    /// The send queue of an open link.
     Link {
-        /// The link.
+        /// Number of the link.
         link: LinkId,
-        /// Its queue.
+        /// Queue for the frames to be sent. The link is closed when it is dropped.
         writer: async_mpsc::Sender<Frame>,
     },
-    /// A shard's core wants this done.
+    /// Outputs of a shard's core.
     Shard {
-        /// The shard.
+        /// The shard that the core runs.
         shard: ShardId,
-        /// Its thread.
+        /// Number of the core's thread.
         generation: Generation,
         /// The outputs of one flush.
         outputs: Vec<ShardOutput>,
     },
     /// A shard's storage could not be opened.
     OpenFailed {
-        /// Its thread.
+        /// Number of the shard's thread.
         generation: Generation,
-        /// Why.
+        /// The error of the storage.
         error: StorageError,
     },
     /// A request of an operator.
     Operator {
-        /// What.
+        /// The request, already parsed and validated.
         body: OperatorRequest,
-        /// For the answer.
+        /// Receives the reply.
         answer: oneshot::Sender<OperatorReply>,
     },
 }
 
-/// Queue to the gateway's thread.
+/// Sending half of the queue of the gateway's thread.
 pub type GatewayQueue = mpsc::Sender<GatewayEvent>;
--- a/crates/control/src/daemon/event_log.rs
+++ b/crates/control/src/daemon/event_log.rs
@@ -1,4 +1,4 @@
-//! Severity and part of the log for each event of the node.
+//! Maps the node's events to log targets and levels.
 
 use super::{CONTROL, MEMBERS, PLACEMENT, SHARD};
 use crate::node_event::NodeEvent;
@@ -7,7 +7,7 @@
 pub fn log_event(event: &NodeEvent) {
     let line = event.to_string();
     match event {
-        NodeEvent::IdentityMinted(_)
+        NodeEvent::IdentityCreated(_)
         | NodeEvent::ClusterFormed(_)
         | NodeEvent::JoinedAsStandby(_) => MEMBERS.info(line),
         NodeEvent::StartedOver(_) | NodeEvent::MemberRemoved(_) => MEMBERS.warn(line),
--- a/crates/control/src/daemon/gateway_thread.rs
+++ b/crates/control/src/daemon/gateway_thread.rs
@@ -1,4 +1,4 @@
-//! The gateway's thread: runs the gateway and carries out what it wants.
+//! The gateway's thread: runs the gateway and carries out its outputs.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -28,10 +28,10 @@
 use crate::storage_code::storage_code;
 use crate::timing::TICK;
 
-/// Most events between two looks at the clock.
+/// Most events that are handled before the tick is checked.
 const BATCH: usize = 1024;
 
-/// Everything that the thread owns.
+/// The gateway with the links, shard threads and pending answers that its thread owns.
 pub struct GatewayThread {
     options: ControlOptions,
     folders: FolderOpener,
@@ -86,7 +86,7 @@
         loop {
             let wait = next_tick.saturating_duration_since(Instant::now());
             match self.events.recv_timeout(wait) {
-                Ok(event) => self.take(event),
+                Ok(event) => self.handle_event(event),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
@@ -94,19 +94,19 @@
                 let Ok(event) = self.events.try_recv() else {
                     break;
                 };
-                self.take(event);
+                self.handle_event(event);
             }
             if Instant::now() >= next_tick {
                 next_tick = Instant::now() + TICK;
-                self.input(GatewayInput::Node(NodeInput::Tick));
+                self.send_to_gateway(GatewayInput::Node(NodeInput::Tick));
                 self.shared.publish(&self.gateway, self.writers.len());
             }
         }
     }
 
-    fn take(&mut self, event: GatewayEvent) {
+    fn handle_event(&mut self, event: GatewayEvent) {
         match event {
-            GatewayEvent::Input(input) => self.take_input(input),
+            GatewayEvent::Input(input) => self.handle_input(input),
             GatewayEvent::Link { link, writer } => {
                 self.writers.insert(link, writer);
             }
@@ -114,31 +114,36 @@
                 shard,
                 generation,
                 outputs,
-            } => self.take_shard(shard, generation, outputs),
+            } => self.handle_shard_outputs(shard, generation, outputs),
             GatewayEvent::OpenFailed { generation, error } => self.open_failed(generation, &error),
             GatewayEvent::Operator { body, answer } => {
                 self.last_request += 1;
                 let request = self.last_request;
                 self.answers.insert(request, answer);
-                self.input(GatewayInput::Node(NodeInput::Operator { request, body }));
+                self.send_to_gateway(GatewayInput::Node(NodeInput::Operator { request, body }));
             }
         }
     }
 
-    fn take_input(&mut self, input: NodeInput) {
+    fn handle_input(&mut self, input: NodeInput) {
         if let NodeInput::LinkClosed { link } = &input {
             self.writers.remove(link);
         }
-        self.input(GatewayInput::Node(input));
+        self.send_to_gateway(GatewayInput::Node(input));
     }
 
-    fn take_shard(&mut self, shard: ShardId, generation: Generation, outputs: Vec<ShardOutput>) {
+    fn handle_shard_outputs(
+        &mut self,
+        shard: ShardId,
+        generation: Generation,
+        outputs: Vec<ShardOutput>,
+    ) {
         let running = self.shards.get(&shard);
         if running.is_none_or(|thread| thread.generation != generation) {
             return;
         }
         for output in outputs {
-            self.input(GatewayInput::Shard { shard, output });
+            self.send_to_gateway(GatewayInput::Shard { shard, output });
         }
     }
 
@@ -148,15 +153,17 @@
             return;
         }
         if matches!(error, StorageError::Corrupt { .. }) {
-            super::STORE.error(format!("A log is corrupt: {error}."));
-            self.input(GatewayInput::StorageCorrupt);
+            super::STORE.error(format!(
+                "The storage of a shard is corrupt; starting over under a new identity: {error}."
+            ));
+            self.send_to_gateway(GatewayInput::StorageCorrupt);
             return;
         }
-        super::STORE.error(format!("A shard cannot be opened: {error}."));
+        super::STORE.error(format!("Failed to open the storage of a shard: {error}."));
         super::exit_with(storage_code(error));
     }
 
-    fn input(&mut self, input: GatewayInput) {
+    fn send_to_gateway(&mut self, input: GatewayInput) {
         let outputs = self.gateway.handle(monotonic_now(), input);
         self.execute(outputs);
     }
@@ -184,7 +191,7 @@
             }
             NodeOutput::OperatorReply { request, reply } => {
                 if let Some(answer) = self.answers.remove(&request) {
-                    // An operator who left gets no answer.
+                    // Sending fails if the operator has closed the connection.
                     let _ = answer.send(reply);
                 }
             }
@@ -193,8 +200,8 @@
         }
     }
 
-    /// Queues a frame. A link whose queue is full is closed: its reader is too slow or disconnected, and
-    /// starts over with a new link.
+    /// Queues a frame. A link whose queue is full is closed, because its peer is too slow or
+    /// disconnected; the peer continues with a new link.
     fn send(&mut self, link: LinkId, frame: Frame) {
         let Some(writer) = self.writers.get(&link) else {
             return;
@@ -219,14 +226,14 @@
                 self.shards.insert(shard, thread);
             }
             Err(error) => {
-                super::CONTROL.error(format!("A thread cannot be started: {error}."));
+                super::CONTROL.error(format!("Failed to start the thread of a shard: {error}."));
                 super::exit_with(ResultCode::StartFailed);
             }
         }
     }
 
     fn erase_shards(&mut self) {
-        // Dropping the threads ends and joins them, so that nobody writes to the folders any more.
+        // Dropping the threads stops and joins them, so that none still writes to the folders.
         self.shards.clear();
         for shard in (0..=folders::HIGHEST_SHARD).map(ShardId) {
             let mut disk = (self.folders)(&shard_folder(shard));
--- a/crates/control/src/daemon/mod.rs
+++ b/crates/control/src/daemon/mod.rs
@@ -1,7 +1,7 @@
-//! The daemon: threads, sockets, files and HTTP around the node's logic.
+//! The daemon: runs the node's logic with threads, sockets, files and HTTP.
 //!
-//! Threads: one for the gateway, one for each shard (it blocks in fsync), and tokio's for sockets
-//! and HTTP. They talk through queues only.
+//! There is one thread for the gateway, one for each shard (it blocks in fsync), and tokio's
+//! threads for sockets and HTTP. They communicate only through queues.
 
 pub mod connections;
 pub mod event;
@@ -21,23 +21,23 @@
 pub use run::{ControlAdapters, OperatorServer, run, run_with};
 pub use settings::ControlSettings;
 
-/// Log of the process itself.
+/// Log target of the process itself.
 pub const CONTROL: PartLog = PartLog::new("CONTROL");
-/// Log of the shards.
+/// Log target of the shards.
 pub const SHARD: PartLog = PartLog::new("SHARD");
-/// Log of membership.
+/// Log target of cluster membership.
 pub const MEMBERS: PartLog = PartLog::new("MEMBERS");
-/// Log of the placement role.
+/// Log target of placement.
 pub const PLACEMENT: PartLog = PartLog::new("PLACEMENT");
-/// Log of the registry watch.
+/// Log target of the registry watch.
 pub const REGISTRY: PartLog = PartLog::new("REGISTRY");
-/// Log of the storage.
+/// Log target of the storage.
 pub const STORE: PartLog = PartLog::new("STORE");
 
-/// Exit status of a process that cannot go on.
+/// Exit status after a fatal error.
 const FATAL_EXIT_STATUS: i32 = 3;
 
-/// Ends the process: it cannot keep what it would guarantee.
+/// Exits the process, which could not keep its guarantees after this error.
 fn exit_with(code: ResultCode) -> ! {
     CONTROL.error(format!("Exiting: {code}"));
     std::process::exit(FATAL_EXIT_STATUS);
--- a/crates/control/src/daemon/operator_http/answer.rs
+++ b/crates/control/src/daemon/operator_http/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to operators as HTTP.
+//! HTTP responses to operators.
 
 use millford_api::http_status::http_status;
 use millford_api::operator::{ErrorBody, FaultBody};
@@ -9,10 +9,10 @@
 
 use crate::operator::{OperatorFailure, OperatorReply};
 
-/// An answer as warp sends it.
+/// An HTTP response with a text body.
 pub(super) type Answer = Response<String>;
 
-/// The answer to a request that the gateway took.
+/// The response to a request that the gateway answered.
 pub(super) fn of_reply(reply: &OperatorReply) -> Answer {
     match reply {
         OperatorReply::Order(body) => json(body),
@@ -25,7 +25,7 @@
     }
 }
 
-/// The answer to a request that was refused or failed.
+/// The response to a request that was refused or failed.
 pub(super) fn of_failure(failure: &OperatorFailure) -> Answer {
     let mut body = ErrorBody::with_message(failure.code, failure.text());
     body.revision = failure.revision;
@@ -44,7 +44,7 @@
     answer
 }
 
-/// A short text.
+/// A response with this content type and body.
 pub(super) fn text(content_type: &'static str, body: String) -> Answer {
     let mut answer = Response::new(body);
     let value = warp::http::HeaderValue::from_static(content_type);
@@ -52,14 +52,14 @@
     answer
 }
 
-/// There is nothing at the path.
+/// The response for an unknown path.
 pub(super) fn path_unknown() -> Answer {
     of_failure(&OperatorFailure::new(ResultCode::PathUnknown))
 }
 
 fn json(body: &impl Serialize) -> Answer {
     let Ok(body) = serde_json::to_string(body) else {
-        // Only an enumeration number outside its range, written by a newer release.
+        // Serialization fails only for an enum number that a newer release has written.
         let mut answer = text("text/plain", String::new());
         *answer.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
         return answer;
@@ -68,7 +68,7 @@
 }
 
 fn status_of(code: ResultCode) -> StatusCode {
-    // Every status of the table is a valid one; the fallback is for the type only.
+    // `http_status` returns only valid statuses, so the fallback is never used.
     StatusCode::from_u16(http_status(code)).unwrap_or(StatusCode::SERVICE_UNAVAILABLE)
 }
 
--- a/crates/control/src/daemon/operator_http/body.rs
+++ b/crates/control/src/daemon/operator_http/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of operators' requests.
+//! Reading and parsing of the bodies of operators' requests.
 
 use bytes::Buf;
 use futures::{Stream, StreamExt};
@@ -10,10 +10,10 @@
 
 use crate::operator::OperatorFailure;
 
-/// Largest body, in bytes. A document at the limits of its lists fits.
+/// Largest body, in bytes. A configuration document with all lists at their limits fits.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// Reads a complete JSON body.
+/// Reads the complete body of a JSON request.
 pub(super) async fn read<B: Buf>(
     headers: &HeaderMap,
     body: impl Stream<Item = Result<B, warp::Error>>,
@@ -36,7 +36,7 @@
     Ok(bytes)
 }
 
-/// Reads a small body; a fault is named with its path.
+/// Parses a JSON body. A fault names the path of the field.
 pub(super) fn parse<T: DeserializeOwned>(json: &[u8]) -> Result<T, OperatorFailure> {
     let reader = &mut serde_json::Deserializer::from_slice(json);
     let value = serde_path_to_error::deserialize(&mut *reader).map_err(|error| {
--- a/crates/control/src/daemon/operator_http/credential.rs
+++ b/crates/control/src/daemon/operator_http/credential.rs
@@ -11,7 +11,8 @@
 }
 
 impl OperatorCredential {
-    /// From the hash in hexadecimal, as the settings have it.
+    /// Creates the credential from the hexadecimal hash in the settings. An invalid hash admits no
+    /// request.
     #[must_use]
     pub fn new(hash: &str) -> Self {
         Self {
@@ -27,12 +28,12 @@
         let Some(key) = text.and_then(|text| text.strip_prefix("Bearer ")) else {
             return false;
         };
-        same(&Sha256::digest(key.as_bytes()), &self.hash)
+        constant_time_eq(&Sha256::digest(key.as_bytes()), &self.hash)
     }
 }
 
-/// Compares without ending at the first difference, so that the time taken reveals nothing.
-fn same(left: &[u8], right: &[u8]) -> bool {
+/// Compares in constant time, so that the duration does not reveal where the first difference is.
+fn constant_time_eq(left: &[u8], right: &[u8]) -> bool {
     if left.len() != right.len() {
         return false;
     }
--- a/crates/control/src/daemon/operator_http/mod.rs
+++ b/crates/control/src/daemon/operator_http/mod.rs
@@ -1,4 +1,4 @@
-//! The operator interface over HTTP, as `openapi/operator.json` describes it.
+//! The operator interface over HTTP, as described by `openapi/operator.json`.
 
 mod answer;
 mod body;
@@ -16,7 +16,7 @@
 pub use credential::OperatorCredential;
 pub use port::OperatorPort;
 
-/// Serves operators until the process ends.
+/// Serves operators on this listener until the process exits.
 pub async fn serve(listener: TcpListener, port: OperatorPort) {
     let routes = warp::any()
         .map(move || port.clone())
--- a/crates/control/src/daemon/operator_http/port.rs
+++ b/crates/control/src/daemon/operator_http/port.rs
@@ -1,4 +1,4 @@
-//! The way from HTTP to the gateway's thread.
+//! Connects the HTTP server to the gateway's thread.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 use crate::operator::{OperatorFailure, OperatorReply, OperatorRequest};
 use crate::timing::OPERATOR_REQUEST_TIMEOUT;
 
-/// Added to the gateway's own timeout before HTTP answers without it.
+/// Time after the gateway's own timeout before the HTTP server answers without a reply.
 const GATEWAY_REPLY_MARGIN: Duration = Duration::from_secs(2);
 
-/// Passes operators' requests to the gateway.
+/// Passes operators' requests to the gateway's thread.
 #[derive(Clone)]
 pub struct OperatorPort {
     queue: GatewayQueue,
@@ -24,7 +24,7 @@
 }
 
 impl OperatorPort {
-    /// A port to this gateway.
+    /// Creates a port to the gateway behind this queue.
     #[must_use]
     pub fn new(queue: GatewayQueue, shared: Arc<NodeShared>, key_hash: &str) -> Self {
         Self {
@@ -34,13 +34,13 @@
         }
     }
 
-    /// The credential of this node's operators.
+    /// The credential that requests to this node must carry.
     #[must_use]
     pub fn credential(&self) -> &OperatorCredential {
         &self.credential
     }
 
-    /// The node's published state.
+    /// The node's state as last published by the gateway's thread.
     #[must_use]
     pub fn shared(&self) -> &NodeShared {
         &self.shared
--- a/crates/control/src/daemon/operator_http/requests.rs
+++ b/crates/control/src/daemon/operator_http/requests.rs
@@ -1,4 +1,4 @@
-//! One request of an operator, from path to answer.
+//! Routes an operator's HTTP request and answers it.
 
 use bytes::Buf;
 use futures::Stream;
@@ -14,7 +14,8 @@
 use super::port::OperatorPort;
 use crate::operator::{OperatorFailure, OperatorRequest};
 
-/// Reads a request, passes it to the gateway and answers.
+/// Handles a request: checks the credential, parses the request, passes it to the gateway and
+/// returns the response.
 pub(super) async fn handle<B: Buf>(
     port: &OperatorPort,
     method: &Method,
@@ -23,23 +24,23 @@
     body: impl Stream<Item = Result<B, warp::Error>>,
 ) -> Answer {
     let segments: Vec<&str> = path.split('/').skip(1).collect();
-    if let Some(open) = open_page(port, method, &segments) {
-        return open;
+    if let Some(page) = public_page(port, method, &segments) {
+        return page;
     }
     if !port.credential().admits(headers) {
         return answer::of_failure(&OperatorFailure::new(ResultCode::OperatorKeyWrong));
     }
-    match read(method, &segments, headers, body).await {
+    match read_request(method, &segments, headers, body).await {
         Ok(request) => answer::of_reply(&port.request(request).await),
         Err(failure) => answer::of_failure(&failure),
     }
 }
 
-/// Pages that need no credential.
-fn open_page(port: &OperatorPort, method: &Method, segments: &[&str]) -> Option<Answer> {
+/// Answers the paths that need no credential: health, readiness and metrics.
+fn public_page(port: &OperatorPort, method: &Method, segments: &[&str]) -> Option<Answer> {
     let page = match segments {
         ["healthz"] => answer::text("text/plain", "healthy\n".to_owned()),
-        ["readyz"] => ready(port),
+        ["readyz"] => readiness(port),
         ["metrics"] => {
             let text = metrics::render(port.shared().registry());
             answer::text(metrics::CONTENT_TYPE, text)
@@ -53,7 +54,7 @@
     Some(page)
 }
 
-fn ready(port: &OperatorPort) -> Answer {
+fn readiness(port: &OperatorPort) -> Answer {
     let shared = port.shared();
     if !shared.is_formed() {
         return answer::of_failure(&OperatorFailure::new(ResultCode::NotFormed));
@@ -64,7 +65,7 @@
     answer::text("text/plain", "ready\n".to_owned())
 }
 
-async fn read<B: Buf>(
+async fn read_request<B: Buf>(
     method: &Method,
     segments: &[&str],
     headers: &HeaderMap,
@@ -82,8 +83,8 @@
         (&Method::POST, ["v1", "services", pool, "backends", backend, "drain"]) => {
             let order: DrainBody = body::parse(&body::read(headers, body).await?)?;
             Ok(OperatorRequest::Drain {
-                pool: decoded(pool)?,
-                backend_id: decoded(backend)?,
+                pool: decode_segment(pool)?,
+                backend_id: decode_segment(backend)?,
                 drain: order.drain,
             })
         }
@@ -108,15 +109,15 @@
         return Err(body::one_fault(ResultCode::BadField, unknown, text));
     }
     let json = desired.to_string();
-    let desired = document::parse(json.as_bytes()).map_err(under_document)?;
+    let desired = document::parse(json.as_bytes()).map_err(prefix_fault_paths)?;
     let faults = document::check(&desired);
     if !faults.is_empty() {
-        return Err(under_document(faults));
+        return Err(prefix_fault_paths(faults));
     }
     Ok(OperatorRequest::Plan(desired))
 }
 
-fn under_document(mut faults: Vec<document::Fault>) -> OperatorFailure {
+fn prefix_fault_paths(mut faults: Vec<document::Fault>) -> OperatorFailure {
     for fault in &mut faults {
         fault.path = format!("document.{}", fault.path);
     }
@@ -130,10 +131,10 @@
         return Err(body::one_fault(ResultCode::BadField, "confirm", &text));
     }
     let mut survivors = Vec::new();
-    for (place, name) in order.survivors.iter().enumerate() {
+    for (index, name) in order.survivors.iter().enumerate() {
         let Ok(number) = u64::from_str_radix(name, 16) else {
-            let path = format!("survivors[{place}]");
-            let text = "is no identity in hexadecimal";
+            let path = format!("survivors[{index}]");
+            let text = "must be a node identity in hexadecimal";
             return Err(body::one_fault(ResultCode::BadField, &path, text));
         };
         survivors.push(NodeId(number));
@@ -141,8 +142,8 @@
     Ok(OperatorRequest::Recover { survivors })
 }
 
-/// A path segment with its percent escapes resolved.
-fn decoded(segment: &str) -> Result<String, OperatorFailure> {
+/// Decodes the percent escapes of a path segment.
+fn decode_segment(segment: &str) -> Result<String, OperatorFailure> {
     let decoded = percent_encoding::percent_decode_str(segment).decode_utf8();
     let text = decoded.map_err(|_| OperatorFailure::new(ResultCode::PathUnknown))?;
     Ok(text.into_owned())
--- a/crates/control/src/daemon/registry_watch.rs
+++ b/crates/control/src/daemon/registry_watch.rs
@@ -11,19 +11,20 @@
 use super::shared::NodeShared;
 use crate::node_input::NodeInput;
 
-/// Shortest period of the polls.
+/// Shortest poll period.
 const MIN_POLL_PERIOD: Duration = Duration::from_millis(500);
 
-/// Longest period of the polls: with what the registry itself trails, the removal of a backend is known in time.
+/// Longest poll period. Even with the lag of the registry itself, the removal of a backend is still
+/// noticed in time.
 const MAX_POLL_PERIOD: Duration = Duration::from_secs(1);
 
-/// Time for each call that a reading takes: a registry bounds the calls of all readers together, and the
-/// pages of its list grow with the fleet.
+/// Poll period for each request that a read takes. A registry may limit the requests of all its
+/// readers together, and the number of pages of its list grows with the fleet.
 const PERIOD_PER_REQUEST: Duration = Duration::from_millis(150);
 
-/// Reads the registry until the process ends, while this node leads a shard: only leaders compare
-/// the catalogue with it, and a registry may bound or price its readings. Failures are logged once
-/// each time they begin.
+/// Polls the registry until the process exits, but only while this node leads a data shard: only
+/// leaders compare the catalogue with the registry, and a registry may limit or charge for reads.
+/// A series of failures is logged once.
 pub async fn watch(registry: SharedRegistry, queue: GatewayQueue, shared: Arc<NodeShared>) {
     let mut period = MIN_POLL_PERIOD;
     let mut next_poll = Instant::now();
@@ -31,14 +32,14 @@
     loop {
         tokio::time::sleep_until(next_poll).await;
         next_poll = Instant::now() + period;
-        if shared.leads_services() == 0 {
+        if shared.led_data_shards() == 0 {
             continue;
         }
         match registry.read().await {
             Ok(view) => {
                 period = poll_period(view.requests);
                 if std::mem::take(&mut failing) {
-                    REGISTRY.info("Registry reads succeed again.");
+                    REGISTRY.info("Registry read succeeded after earlier failures.");
                 }
                 let input = NodeInput::Registry(Arc::new(view));
                 if queue.send(GatewayEvent::Input(input)).is_err() {
@@ -48,7 +49,7 @@
             Err(error) if !failing => {
                 failing = true;
                 REGISTRY.warn(format!(
-                    "Registry read failed, continuing with the last view: {error}."
+                    "Registry read failed; continuing with the last successful read: {error}."
                 ));
             }
             Err(_) => {}
@@ -56,8 +57,8 @@
     }
 }
 
-/// Time between two polls when a reading takes so many calls.
+/// Time between two polls if a read takes this many requests.
 #[must_use]
-pub fn poll_period(calls: u32) -> Duration {
-    (PERIOD_PER_REQUEST * calls).clamp(MIN_POLL_PERIOD, MAX_POLL_PERIOD)
+pub fn poll_period(requests: u32) -> Duration {
+    (PERIOD_PER_REQUEST * requests).clamp(MIN_POLL_PERIOD, MAX_POLL_PERIOD)
 }
--- a/crates/control/src/daemon/run.rs
+++ b/crates/control/src/daemon/run.rs
@@ -1,4 +1,4 @@
-//! Starts the daemon and ends it cleanly.
+//! Starts the daemon and shuts it down.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -28,56 +28,57 @@
 use crate::node_input::NodeInput;
 use crate::options::ControlOptions;
 
-/// Longest time for leaderships to be handed over at the end.
+/// Longest time that a shutdown waits for leaderships to be transferred.
 const LEADERSHIP_TRANSFER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Why the daemon could not start.
+/// Errors that keep the daemon from starting.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum StartError {
-    /// An address is taken or not ours.
+    /// An address is in use, or does not belong to this machine.
     #[error("{code}: {address}: {source}", code = ResultCode::AddressInUse)]
     Bind {
-        /// The address.
+        /// The address from the settings.
         address: String,
-        /// The system's error.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The data folder cannot be used.
     #[error("{code}: data folder: {source}", code = ResultCode::StartFailed)]
     Folder {
-        /// The storage's error.
+        /// The error of the storage.
         source: StorageError,
     },
-    /// The system gives no thread, signal handler or address.
+    /// A thread, a signal handler or the address of a socket is not available.
     #[error("{code}: {source}", code = ResultCode::StartFailed)]
     System {
-        /// The system's error.
+        /// The error of the operating system.
         #[from]
         source: std::io::Error,
     },
     /// The metrics cannot be registered.
     #[error("{code}: {source}", code = ResultCode::StartFailed)]
     Metrics {
-        /// The registry's error.
+        /// The error of the metrics registry.
         #[from]
         source: prometheus::Error,
     },
 }
 
-/// Serves operators on a bound address until the process ends.
+/// A server of the operator interface that runs on a bound listener until the process exits.
 pub type OperatorServer =
     Box<dyn FnOnce(TcpListener, OperatorPort) -> BoxFuture<'static, ()> + Send>;
 
-/// The sides of a control node that a deployment may speak in its own way.
+/// The interfaces of a control node that a deployment may replace by its own.
 pub struct ControlAdapters {
-    /// The service registry, if one is watched.
+    /// The service registry; absent if none is watched.
     pub registry: Option<SharedRegistry>,
-    /// The operators' interface.
+    /// The server of the operator interface.
     pub operators: OperatorServer,
 }
 
 impl ControlAdapters {
-    /// The product's own interfaces, as the settings name them.
+    /// The default interfaces: a registry over HTTP, if the settings have its address, and the
+    /// operator interface over HTTP.
     #[must_use]
     pub fn of_settings(settings: &ControlSettings) -> Self {
         let address = settings.registry_address.as_str();
@@ -105,7 +106,7 @@
     let level = parse_level(&settings.log_level).unwrap_or(spdlog::Level::Info);
     let format = settings.log_format;
     if let Err(error) = logging::init(LogOptions { level, format }) {
-        eprintln!("millford-control: the log cannot be opened: {error}");
+        eprintln!("millford-control: failed to initialize logging: {error}");
     }
     let runtime = match tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
@@ -148,7 +149,7 @@
     std::thread::Builder::new()
         .name("gateway".to_owned())
         .spawn(move || thread.run())?;
-    // Aborted when this function returns: nobody is served by a node that has shut down.
+    // Aborted when this function returns, so that a node that has shut down serves no requests.
     let mut tasks = JoinSet::new();
     tasks.spawn(listen(internal, queue.clone()));
     if let Some(registry) = adapters.registry {
@@ -158,7 +159,7 @@
     let port = OperatorPort::new(queue.clone(), shared.clone(), &settings.operator_key_hash);
     tasks.spawn((adapters.operators)(operator, port));
     println!("millford-control ready internal={internal_address} operator={operator_address}");
-    wait_for_end().await?;
+    wait_for_termination().await?;
     shut_down(&queue, &shared).await;
     Ok(())
 }
@@ -189,7 +190,8 @@
     }
 }
 
-/// Opens every folder once, so that a folder that cannot be used is found at the start.
+/// Returns the opener of the node's folders. Opens the node's own folder once, so that an unusable
+/// data folder is detected at the start.
 fn open_folders(data_folder: &str) -> Result<FolderOpener, StartError> {
     let root = PathBuf::from(data_folder);
     FileDisk::open(root.join(crate::node::NODE_FOLDER))
@@ -198,33 +200,35 @@
         match FileDisk::open(root.join(name)) {
             Ok(disk) => Box::new(disk),
             Err(error) => {
-                CONTROL.error(format!("Folder {name} cannot be opened: {error}."));
+                CONTROL.error(format!("Failed to open folder {name}: {error}."));
                 super::exit_with(ResultCode::DiskFailed)
             }
         }
     }))
 }
 
-async fn wait_for_end() -> Result<(), StartError> {
+async fn wait_for_termination() -> Result<(), StartError> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    // A changed settings file takes effect at the next start: members are known from the cluster.
+    // A changed settings file takes effect at the next start. There is no need to read it before:
+    // the members of the cluster are known from the cluster itself.
     let mut hang_up = signal(SignalKind::hangup())?;
     loop {
         tokio::select! {
             _ = terminate.recv() => return Ok(()),
             _ = interrupt.recv() => return Ok(()),
-            _ = hang_up.recv() => CONTROL.info("The settings file is read at the next start."),
+            _ = hang_up.recv() => CONTROL.info("Ignoring SIGHUP: settings are read at the next start."),
         }
     }
 }
 
-/// Hands leaderships over, so that the others need no election time-out.
+/// Transfers leaderships before the exit, so that the other nodes don't have to wait for an
+/// election timeout.
 async fn shut_down(queue: &GatewayQueue, shared: &NodeShared) {
     CONTROL.info("Shutting down: transferring leaderships.");
     let _ = queue.send(GatewayEvent::Input(NodeInput::Shutdown));
-    let limit = Instant::now() + LEADERSHIP_TRANSFER_TIMEOUT;
-    while shared.leads() > 0 && Instant::now() < limit {
+    let deadline = Instant::now() + LEADERSHIP_TRANSFER_TIMEOUT;
+    while shared.led_shards() > 0 && Instant::now() < deadline {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     CONTROL.info("Shut down.");
--- a/crates/control/src/daemon/settings.rs
+++ b/crates/control/src/daemon/settings.rs
@@ -7,10 +7,11 @@
 
 use crate::options::VOTERS_PER_SHARD;
 
-/// Length of a SHA-256 in hexadecimal.
+/// Number of hexadecimal digits of a SHA-256 hash.
 const HASH_DIGITS: usize = 64;
 
-/// Most voters of a shard: more make every commit slower and bear no disk more that is likely to go.
+/// Most voters of a shard. More voters would make every commit slower, to tolerate more lost disks
+/// than are likely.
 const MAX_VOTERS: u32 = 9;
 
 /// Settings of `millford-control`.
@@ -19,29 +20,30 @@
 pub struct ControlSettings {
     /// Zone of the machine.
     pub zone: String,
-    /// Address for control nodes and agents.
+    /// IP address and port for control nodes and agents.
     pub internal_address: String,
-    /// Address of the operator interface.
+    /// IP address and port of the operator interface.
     pub operator_address: String,
-    /// Internal addresses to begin with.
+    /// Internal addresses of the control nodes to contact first.
     pub seeds: Vec<String>,
     /// Folder of the node's data.
     pub data_folder: String,
-    /// SHA-256 of the operator key, in lower-case hexadecimal.
+    /// SHA-256 hash of the operator key, in lower-case hexadecimal.
     pub operator_key_hash: String,
-    /// Address of the service registry; empty: none is watched.
+    /// IP address and port of the service registry; empty if none is watched.
     pub registry_address: String,
-    /// Control nodes that form the cluster; as many as there are seeds.
+    /// Number of control nodes that form the cluster; must be the number of seeds.
     pub cluster_size: u32,
-    /// Data shards of a cluster that this node forms.
+    /// Number of data shards, 1 to 64, of a cluster that this node forms.
     pub data_shards: u32,
-    /// Voters of a shard when there are enough nodes; an odd number, 2n + 1 to bear n lost disks.
+    /// Number of voters of a shard if there are enough nodes; odd, 2n + 1 to tolerate the loss of n
+    /// disks.
     pub voters_per_shard: u32,
-    /// Inactivity after which a lost voter is replaced, in milliseconds.
+    /// Time without contact after which a voter is replaced, in milliseconds; at least 1000.
     pub replace_after_ms: u64,
-    /// Least severe level that is logged.
+    /// Least severe level that is logged: `error`, `warn`, `info`, `debug` or `trace`.
     pub log_level: String,
-    /// Form of a log line.
+    /// Format of a log line.
     pub log_format: LogFormat,
 }
 
@@ -109,7 +111,7 @@
 impl ControlSettings {
     fn check_numbers(&self, faults: &mut Vec<SettingsFault>) {
         if self.seeds.is_empty() {
-            faults.push(SettingsFault::new("seeds", "at least one is needed"));
+            faults.push(SettingsFault::new("seeds", "must not be empty"));
         }
         if !(1..=64).contains(&self.data_shards) {
             faults.push(SettingsFault::new("data_shards", "must be from 1 to 64"));
@@ -128,7 +130,8 @@
             faults.push(SettingsFault::new("replace_after_ms", text));
         }
         if parse_level(&self.log_level).is_none() {
-            faults.push(SettingsFault::new("log_level", "is no level"));
+            let text = "must be error, warn, info, debug or trace";
+            faults.push(SettingsFault::new("log_level", text));
         }
     }
 
--- a/crates/control/src/daemon/shard_thread.rs
+++ b/crates/control/src/daemon/shard_thread.rs
@@ -1,4 +1,4 @@
-//! The thread of one shard: its queue, its core, its blocking fsync.
+//! The thread of one shard, which runs its core and blocks in fsync.
 
 use std::sync::mpsc::{self, Receiver, RecvTimeoutError, Sender};
 use std::thread::JoinHandle;
@@ -10,7 +10,7 @@
 use crate::shard::{ShardCore, ShardCoreOptions, ShardInput};
 use crate::timing::TICK;
 
-/// Most inputs that one flush covers.
+/// Most inputs that are handled before a flush.
 const BATCH: usize = 1024;
 
 enum ThreadMessage {
@@ -18,19 +18,20 @@
     Stop,
 }
 
-/// A running shard. Dropping it ends the thread; its folder is closed afterwards.
+/// Handle of a shard's thread. Dropping it stops and joins the thread, which closes the shard's
+/// folder.
 pub struct ShardThread {
-    /// Number of the thread.
+    /// Number of the thread, unique while the process runs.
     pub generation: Generation,
     queue: Sender<ThreadMessage>,
     handle: Option<JoinHandle<()>>,
 }
 
 impl ShardThread {
-    /// Starts the thread; it opens the storage first.
+    /// Starts the thread, which opens the shard's storage first.
     ///
     /// # Errors
-    /// The system starts no thread.
+    /// The operating system cannot start a thread.
     pub fn start(
         options: ShardCoreOptions,
         generation: Generation,
@@ -48,7 +49,7 @@
         })
     }
 
-    /// Queues an input. A thread that ended has reported why already.
+    /// Queues an input. It is dropped if the thread has ended, which it has reported to the gateway.
     pub fn send(&self, input: ShardInput) {
         let _ = self.queue.send(ThreadMessage::Input(Box::new(input)));
     }
@@ -56,7 +57,7 @@
 
 impl Drop for ShardThread {
     fn drop(&mut self) {
-        // A thread that ended already takes no message, and is joined at once.
+        // A thread that has already ended receives no message and is joined at once.
         let _ = self.queue.send(ThreadMessage::Stop);
         if let Some(handle) = self.handle.take() {
             let _ = handle.join();
@@ -80,7 +81,7 @@
     };
     let mut next_tick = Instant::now() + TICK;
     loop {
-        if !take_batch(&mut core, messages, &mut next_tick) {
+        if !handle_batch(&mut core, messages, &mut next_tick) {
             return;
         }
         let outputs = core.flush(monotonic_now());
@@ -98,8 +99,9 @@
     }
 }
 
-/// Takes what is queued, or waits for it until the next tick. False: the thread ends.
-fn take_batch(
+/// Handles the queued inputs, or waits for one until the next tick. Returns false if the thread is
+/// to end.
+fn handle_batch(
     core: &mut ShardCore,
     messages: &Receiver<ThreadMessage>,
     next_tick: &mut Instant,
--- a/crates/control/src/daemon/shared.rs
+++ b/crates/control/src/daemon/shared.rs
@@ -1,4 +1,4 @@
-//! State of the node that the HTTP side reads without a request to the gateway.
+//! State of the node that other threads read without a request to the gateway.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
@@ -7,12 +7,12 @@
 
 use crate::gateway::Gateway;
 
-/// State of the node for readiness, metrics and a clean end.
+/// State of the node for readiness, metrics and shutdown, published by the gateway's thread.
 pub struct NodeShared {
     formed: AtomicBool,
     has_quorum: AtomicBool,
-    leads: AtomicUsize,
-    leads_services: AtomicUsize,
+    led_shards: AtomicUsize,
+    led_data_shards: AtomicUsize,
     registry: Registry,
     gauges: Gauges,
 }
@@ -30,7 +30,7 @@
 }
 
 impl NodeShared {
-    /// Nothing known yet.
+    /// Creates the state of a node that has published nothing yet.
     ///
     /// # Errors
     /// Fails only when two metrics have the same name.
@@ -40,14 +40,14 @@
         Ok(Self {
             formed: AtomicBool::new(false),
             has_quorum: AtomicBool::new(false),
-            leads: AtomicUsize::new(0),
-            leads_services: AtomicUsize::new(0),
+            led_shards: AtomicUsize::new(0),
+            led_data_shards: AtomicUsize::new(0),
             registry,
             gauges,
         })
     }
 
-    /// Takes over the gateway's present state.
+    /// Publishes the gateway's current state.
     pub fn publish(&self, gateway: &Gateway, links: usize) {
         let formed = gateway.cluster_id() != 0;
         let has_quorum = gateway.has_quorum();
@@ -58,11 +58,11 @@
             .count();
         self.formed.store(formed, Ordering::Relaxed);
         self.has_quorum.store(has_quorum, Ordering::Relaxed);
-        self.leads.store(leads, Ordering::Relaxed);
+        self.led_shards.store(leads, Ordering::Relaxed);
         let data = replica_statuses
             .values()
             .filter(|replica| replica.leads && replica.shard != ShardId::CONFIGURATION);
-        self.leads_services.store(data.count(), Ordering::Relaxed);
+        self.led_data_shards.store(data.count(), Ordering::Relaxed);
         self.gauges.formed.set(formed.into());
         self.gauges.has_quorum.set(has_quorum.into());
         self.gauges.leaderships.set(to_gauge(leads));
@@ -88,7 +88,7 @@
         self.formed.load(Ordering::Relaxed)
     }
 
-    /// Whether the node has the configuration shard's quorum and can serve agents.
+    /// Whether agents can be served; see [`Gateway::has_quorum`].
     #[must_use]
     pub fn has_quorum(&self) -> bool {
         self.has_quorum.load(Ordering::Relaxed)
@@ -96,17 +96,17 @@
 
     /// Number of shards that this node leads.
     #[must_use]
-    pub fn leads(&self) -> usize {
-        self.leads.load(Ordering::Relaxed)
+    pub fn led_shards(&self) -> usize {
+        self.led_shards.load(Ordering::Relaxed)
     }
 
-    /// Number of shards that this node leads and that own services.
+    /// Number of data shards that this node leads. Only these own services.
     #[must_use]
-    pub fn leads_services(&self) -> usize {
-        self.leads_services.load(Ordering::Relaxed)
+    pub fn led_data_shards(&self) -> usize {
+        self.led_data_shards.load(Ordering::Relaxed)
     }
 
-    /// The metrics.
+    /// The registry of the node's metrics.
     #[must_use]
     pub fn registry(&self) -> &Registry {
         &self.registry
@@ -125,10 +125,14 @@
                 "requests_waiting",
                 "Requests that wait for a leader.",
             )?,
-            term: gauges(registry, "shard_term", "Term of the replica.")?,
-            commit_index: gauges(registry, "shard_commit_index", "Last committed index.")?,
-            shard_has_quorum: gauges(registry, "shard_in_touch", "Whether a quorum is reached.")?,
-            leads: gauges(registry, "shard_leads", "Whether the replica leads.")?,
+            term: gauge_vec(registry, "shard_term", "Term of the replica.")?,
+            commit_index: gauge_vec(registry, "shard_commit_index", "Last committed index.")?,
+            shard_has_quorum: gauge_vec(
+                registry,
+                "shard_in_touch",
+                "Whether a quorum is reached.",
+            )?,
+            leads: gauge_vec(registry, "shard_leads", "Whether the replica leads.")?,
         })
     }
 }
@@ -143,7 +147,11 @@
     Ok(gauge)
 }
 
-fn gauges(registry: &Registry, name: &str, help: &str) -> Result<IntGaugeVec, prometheus::Error> {
+fn gauge_vec(
+    registry: &Registry,
+    name: &str,
+    help: &str,
+) -> Result<IntGaugeVec, prometheus::Error> {
     let gauges = IntGaugeVec::new(Opts::new(name_of(name), help), &["shard"])?;
     registry.register(Box::new(gauges.clone()))?;
     Ok(gauges)
--- a/crates/control/src/folders.rs
+++ b/crates/control/src/folders.rs
@@ -1,11 +1,11 @@
-//! Folders of the node's data.
+//! Erasure of the node's data folders.
 
 use millford_storage::{Disk, StorageError};
 
-/// Highest number of a shard that a node may find on its disk.
+/// Highest shard number that may exist on a node's disk.
 pub const HIGHEST_SHARD: u32 = 64;
 
-/// Removes every file of a folder.
+/// Removes every file in a folder.
 ///
 /// # Errors
 /// The folder cannot be listed, or a file cannot be removed.
--- a/crates/control/src/gateway/agents.rs
+++ b/crates/control/src/gateway/agents.rs
@@ -1,4 +1,4 @@
-//! Agents and control nodes whose heartbeats this node receives.
+//! Sessions of agents and control nodes whose heartbeats this node receives.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 
 use crate::link::LinkId;
 
-/// The list of control nodes is sent again after this long, though unchanged.
+/// Period after which the list of control nodes is sent again on a link although it is unchanged.
 const MEMBER_LIST_REPEAT_PERIOD: Duration = Duration::from_secs(10);
 
 #[derive(Debug)]
@@ -19,14 +19,14 @@
     closed: bool,
 }
 
-/// Which list of control nodes was last sent on a link.
+/// The list of control nodes last sent on a link, by its digest, and when it was sent.
 #[derive(Debug, Default)]
 pub(super) struct SentMemberList {
     digest: u64,
-    at: MonotonicTime,
+    sent_at: MonotonicTime,
 }
 
-/// Sessions whose heartbeats arrive here, to be renewed at the leaders of their shards.
+/// Sessions whose heartbeats arrive at this node, which renews them at the leaders of their shards.
 #[derive(Debug, Default)]
 pub(super) struct AgentTable {
     members: BTreeMap<String, MemberSession>,
@@ -34,7 +34,7 @@
 }
 
 impl AgentTable {
-    /// A heartbeat arrived. Returns whether the session lives as far as this node knows.
+    /// Records a heartbeat. Returns whether the session is open, as far as this node has learned.
     pub(super) fn heartbeat(&mut self, link: Option<LinkId>, heartbeat: &Heartbeat) -> bool {
         if heartbeat.epoch == 0 {
             return false;
@@ -60,7 +60,7 @@
         self.members.get(member)?.link
     }
 
-    /// The leader says that these sessions do not exist any more.
+    /// Marks the sessions that the leader reported as closed in its reply to these renewals.
     pub(super) fn closed(&mut self, renewed: &[SessionRenewal], closed_members: &[String]) {
         for renewal in renewed {
             let Some(entry) = self.members.get_mut(&renewal.member) else {
@@ -73,13 +73,13 @@
         }
     }
 
-    /// Whether the leader closed this session.
+    /// Whether the session with this epoch was closed by the leader or replaced by a newer one.
     pub(super) fn is_closed(&self, member: &str, epoch: u64) -> bool {
         let entry = self.members.get(member);
         entry.is_some_and(|entry| entry.epoch > epoch || entry.epoch == epoch && entry.closed)
     }
 
-    /// Renewals of the sessions with a heartbeat since the last call, by shard.
+    /// Takes the renewals of the sessions with a heartbeat since the last call, by shard.
     pub(super) fn take_renewals(
         &mut self,
         layout: ShardLayout,
@@ -99,8 +99,8 @@
         renewals
     }
 
-    /// Whether a list of control nodes is due on a link: when it changed, and now and then, so
-    /// that heartbeats stay small.
+    /// Whether the list of control nodes is to be sent on a link: only after a change and once per
+    /// period, so that heartbeat replies stay small.
     pub(super) fn member_list_due(
         &mut self,
         now: MonotonicTime,
@@ -109,15 +109,21 @@
     ) -> bool {
         let sent = self.lists.get(&link);
         let known = sent.is_some_and(|sent| {
-            sent.digest == digest && now.since(sent.at) < MEMBER_LIST_REPEAT_PERIOD
+            sent.digest == digest && now.since(sent.sent_at) < MEMBER_LIST_REPEAT_PERIOD
         });
         if !known {
-            self.lists.insert(link, SentMemberList { digest, at: now });
+            self.lists.insert(
+                link,
+                SentMemberList {
+                    digest,
+                    sent_at: now,
+                },
+            );
         }
         !known
     }
 
-    /// A link closed: its members' heartbeats arrive elsewhere from now on.
+    /// Drops the sessions of a closed link; their heartbeats continue through another node or link.
     pub(super) fn forget_link(&mut self, ended: LinkId) {
         self.lists.remove(&ended);
         self.members.retain(|_, entry| entry.link != Some(ended));
--- a/crates/control/src/gateway/core/formation.rs
+++ b/crates/control/src/gateway/core/formation.rs
@@ -1,4 +1,4 @@
-//! Forming and joining the cluster, and the end of a removed identity.
+//! Forming and joining a cluster, and the decommissioning of a removed identity.
 
 use std::collections::BTreeMap;
 
@@ -19,18 +19,19 @@
 use crate::shard::ShardInput;
 
 impl Gateway {
-    /// Starts from the node's file.
+    /// Restores the node from its file, and starts the shards that the file lists.
     ///
     /// # Errors
     /// A new identity cannot be written.
     pub(super) fn start(&mut self, origin: IdentityOrigin) -> Result<(), StorageError> {
-        if origin == IdentityOrigin::Minted {
-            // Replicas without their identity must not run: whose votes they hold is unknown.
+        if origin == IdentityOrigin::Created {
+            // Replicas whose node identity was lost must not run: their stored votes cannot be
+            // attributed to an identity.
             self.outbox.push(GatewayOutput::EraseShards);
             self.store.save()?;
             let identity = self.store.identity();
             self.outbox
-                .record_event(NodeEvent::IdentityMinted(identity));
+                .record_event(NodeEvent::IdentityCreated(identity));
         }
         let file = self.store.file().clone();
         for removed in &file.removed {
@@ -51,7 +52,7 @@
         Ok(())
     }
 
-    /// Forms or joins a cluster once the seeds' answers allow it.
+    /// Forms a cluster once the seeds' answers allow it.
     pub(super) fn tick_formation(&mut self, now: MonotonicTime) {
         let Some(formation) = &self.formation else {
             return;
@@ -64,7 +65,7 @@
 
     fn form(&mut self, members: Vec<ControlMember>) {
         let form = FormCluster {
-            cluster_id: self.store.mint(),
+            cluster_id: self.store.random_id(),
             members,
             data_shards: self.options.data_shards.max(1),
         };
@@ -76,7 +77,7 @@
         self.send_to_every_node(&frame::Body::FormCluster(form));
     }
 
-    /// The forming node announces the cluster.
+    /// Adopts the cluster that another founder has formed, if it names this node as a founder.
     pub(super) fn handle_form_cluster(&mut self, form: &FormCluster) {
         let own = self.store.identity();
         let mut members = form.members.iter();
@@ -87,7 +88,7 @@
         self.adopt_cluster(form);
     }
 
-    /// The announcement for a founder that missed it.
+    /// The announcement of the cluster, for a founder that missed it.
     pub(super) fn form_cluster_frame(&self) -> frame::Body {
         let file = self.store.file();
         frame::Body::FormCluster(FormCluster {
@@ -97,7 +98,7 @@
         })
     }
 
-    /// Writes the cluster down before anything is done in its name, then starts the shards.
+    /// Stores the cluster in the node's file first, then starts the shards.
     fn adopt_cluster(&mut self, form: &FormCluster) -> bool {
         for member in &form.members {
             if self.is_other(member) {
@@ -125,7 +126,7 @@
         true
     }
 
-    /// The shards that this node holds from the start, each with its first voters.
+    /// The shards of which this founder holds a replica, each with its initial voters.
     fn founding_groups(&self, form: &FormCluster) -> BTreeMap<ShardId, Vec<NodeId>> {
         let members = form.members.iter();
         let nodes: Vec<NodeId> = members.map(|member| NodeId(member.node_id)).collect();
@@ -138,7 +139,7 @@
         groups.filter(|(_, group)| group.contains(&own)).collect()
     }
 
-    /// Joins a formed cluster without replicas.
+    /// Joins a formed cluster as a standby, without replicas.
     pub(super) fn join(&mut self, now: MonotonicTime, reply: &HelloReply) {
         let members = self.directory.to_vec();
         let saved = self
@@ -153,7 +154,7 @@
             .record_event(NodeEvent::JoinedAsStandby(reply.cluster_id));
     }
 
-    /// The shard's leader wants a replica on this node. Returns whether one was started.
+    /// Starts a replica that the shard's leader places on this node. Returns whether it was started.
     pub(super) fn adopt_shard(&mut self, shard: ShardId) -> bool {
         if !self.store.is_formed() || self.decommission.is_some() {
             return false;
@@ -166,12 +167,12 @@
         true
     }
 
-    /// Starts a shard that the node's file names.
+    /// Starts a shard that the node's file lists.
     fn restart_shard(&mut self, shard: ShardId) {
         let founders = self.store.file().founders.iter();
         let founders: Vec<NodeId> = founders.map(|founder| NodeId(founder.node_id)).collect();
-        // A founder that stopped between writing the file and opening the shard begins with the
-        // same first voters; a replica that holds anything takes its voters from its storage.
+        // A founder that stopped between writing the file and opening the shard starts with the
+        // same initial voters. A replica with a non-empty log takes its voters from its storage.
         let voters = replica_group(&founders, shard, self.options.voters_per_shard);
         self.start_shard(shard, voters);
     }
@@ -191,8 +192,9 @@
         self.outbox.send_to_shard(shard, ShardInput::Members(view));
     }
 
-    /// The cluster removed this identity. Its replicas stay until nobody counts on them: ending
-    /// earlier could take the quorum of a shard whose repair is not finished.
+    /// Starts decommissioning this identity after the cluster removed it. Its replicas keep running
+    /// until no group needs them: stopping earlier could cost a shard whose repair is not finished
+    /// its quorum.
     pub(super) fn begin_decommission(&mut self, now: MonotonicTime) {
         if self.decommission.is_some() {
             return;
@@ -201,7 +203,7 @@
         self.send_to_every_shard(&ShardInput::Shutdown);
     }
 
-    /// Starts over once no group counts on a replica of this node any more.
+    /// Starts over once no group needs a replica of this node any more.
     pub(super) fn tick_decommission(&mut self, now: MonotonicTime) {
         let Some(decommission) = &self.decommission else {
             return;
@@ -212,7 +214,7 @@
         }
     }
 
-    /// Starts again as an empty node under a new identity, in the same cluster.
+    /// Erases the shards and continues as a standby under a new identity, in the same cluster.
     pub(super) fn start_over(&mut self, now: MonotonicTime) {
         self.decommission = None;
         self.outbox.push(GatewayOutput::EraseShards);
@@ -222,9 +224,9 @@
         if !self.require_saved(&saved) {
             return;
         }
-        self.own_session = OwnSession::new(self.store.mint());
+        self.own_session = OwnSession::new(self.store.random_id());
         self.agents.clear();
-        // What the former replica of the list knew is not the present list.
+        // The list from the erased replica may be outdated.
         self.members = MemberList::default();
         self.members.check_soon(now);
         let identity = self.store.identity();
--- a/crates/control/src/gateway/core/frames.rs
+++ b/crates/control/src/gateway/core/frames.rs
@@ -1,4 +1,4 @@
-//! Frames from links, each to the part that handles it.
+//! Dispatch of received frames to the parts that handle them.
 
 use millford_api::internal::{Frame, LoadReport, ShardRequest, Subscribe, frame};
 use millford_api::replication::{ReplicationMessage, replication_message};
@@ -10,7 +10,7 @@
 use crate::shard::ShardInput;
 
 impl Gateway {
-    /// A frame arrived on a link. The kind of the frame shows who is at the other end.
+    /// Handles a frame. Its kind shows whether a control node or an agent is the peer of the link.
     pub(super) fn handle_frame(&mut self, now: MonotonicTime, link: LinkId, frame: Frame) {
         use frame::Body;
         let Some(body) = frame.body else {
@@ -39,20 +39,21 @@
                 self.recall_own_agent(&recall);
             }
             Body::LoadSnapshot(_) => self.send_to_own_agents(&body),
-            // These only ever go from control nodes to agents.
+            // These are only sent from control nodes to agents.
             Body::Feed(_) | Body::HeartbeatReply(_) | Body::QuotaReply(_) => {}
         }
     }
 
     fn handle_replication(&mut self, message: ReplicationMessage) {
-        // A message to an identity that this machine had before it was wiped is not for us.
+        // Ignore messages to another identity, such as the one that this machine had before its
+        // disk was wiped.
         if message.to != self.store.file().node_id {
             return;
         }
         let shard = ShardId(message.shard);
         if !self.replicas.holds(shard) {
-            let fills = fills_a_replica(&message);
-            if !fills || !self.adopt_shard(shard) {
+            let creates = creates_replica(&message);
+            if !creates || !self.adopt_shard(shard) {
                 return;
             }
         }
@@ -62,7 +63,7 @@
 
     fn handle_shard_request(&mut self, now: MonotonicTime, link: LinkId, request: ShardRequest) {
         self.links.set_agent(link);
-        self.take_request(now, link, request);
+        self.accept_request(now, link, request);
     }
 
     fn handle_subscribe(&mut self, link: LinkId, subscribe: Subscribe) {
@@ -80,7 +81,7 @@
             self.outbox.send_to_shard(shard, ShardInput::Load(report));
             return;
         }
-        // Passed on once only, so that no report travels in circles.
+        // Forwarded at most once, so that no report is forwarded in a loop.
         let from_agent = self.links.peer(link) == LinkPeer::Agent;
         if from_agent && replica.leader.is_some() {
             let leader = replica.leader;
@@ -88,7 +89,7 @@
         }
     }
 
-    /// To every agent with a link to this node.
+    /// Sends a frame to every agent with a link to this node.
     pub(super) fn send_to_own_agents(&mut self, body: &frame::Body) {
         let links: Vec<LinkId> = self.links.agents().collect();
         for link in links {
@@ -97,8 +98,9 @@
     }
 }
 
-/// Whether a leader sends the message to fill a replica. Votes never create one.
-fn fills_a_replica(message: &ReplicationMessage) -> bool {
+/// Whether the message may create a replica. A leader's entries and snapshots do; vote requests
+/// never do.
+fn creates_replica(message: &ReplicationMessage) -> bool {
     use replication_message::Body;
     matches!(
         message.body,
--- a/crates/control/src/gateway/core/handshakes.rs
+++ b/crates/control/src/gateway/core/handshakes.rs
@@ -1,4 +1,4 @@
-//! Connections between control nodes, and the hellos that they exchange.
+//! Connections between control nodes, and the hello exchange on them.
 
 use std::collections::BTreeSet;
 
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Sends the hello of this node.
+    /// Sends a hello with this node's identity and the control nodes that it knows.
     pub(super) fn send_hello(&mut self, link: LinkId) {
         let hello = Hello {
             sender: Some(self.own_member()),
@@ -37,7 +37,7 @@
         self.outbox.send(link, frame::Body::Hello(hello));
     }
 
-    /// A hello of a control node.
+    /// Handles the hello of another control node.
     pub(super) fn handle_hello(&mut self, link: LinkId, hello: &Hello) {
         let Some(sender) = &hello.sender else {
             return;
@@ -47,7 +47,8 @@
         self.learn_from(sender, hello.cluster_id, &hello.known);
         let unformed_founder = hello.cluster_id == 0 && self.store.is_founder(identity);
         if self.store.is_formed() && unformed_founder {
-            // It missed the formation: its disk never held a vote, so it may still join as a founder.
+            // The node missed the formation. Its disk never held a vote, so it may still join as a
+            // founder.
             let form = self.form_cluster_frame();
             self.outbox.send(link, form);
             return;
@@ -56,7 +57,7 @@
         self.outbox.send(link, reply);
     }
 
-    /// The reply to a hello.
+    /// Handles the reply to this node's hello.
     pub(super) fn handle_hello_reply(
         &mut self,
         now: MonotonicTime,
@@ -77,8 +78,8 @@
             };
             formation.record_response(now, &address, answer);
         }
-        // A node without replicas may itself have joined a moment ago; only one that holds state
-        // speaks for the cluster.
+        // A node without replicas may itself have only just joined; only the reply of a node that
+        // holds replicas is proof of the cluster. Such a reply has a non-zero `data_shards`.
         if !self.store.is_formed() && reply.cluster_id != 0 && reply.data_shards != 0 {
             self.join(now, reply);
         }
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Writes the known nodes to the disk when they changed.
+    /// Stores the known control nodes if they changed.
     pub(super) fn persist_directory(&mut self) {
         let members = self.directory.to_vec();
         if !self.store.is_formed() || members == self.store.file().members {
@@ -115,7 +116,7 @@
         self.require_saved(&saved);
     }
 
-    /// Whether the member is another machine: neither this identity nor this address.
+    /// Whether the member is another machine, with neither this node's identity nor its address.
     pub(super) fn is_other(&self, member: &ControlMember) -> bool {
         let own_address = member.internal_address == self.options.internal_address;
         member.node_id != self.store.file().node_id && !own_address
--- a/crates/control/src/gateway/core/membership.rs
+++ b/crates/control/src/gateway/core/membership.rs
@@ -1,4 +1,4 @@
-//! The list of control nodes: this node's registration, and what follows from changes of the list.
+//! The replicated list of control nodes: this node's registration in it, and its changes.
 
 use millford_api::command::{RegisterControlMember, command};
 use millford_api::internal::{ReadState, StateSnapshot, shard_request};
@@ -14,7 +14,7 @@
 use crate::timing::{OPERATOR_REQUEST_TIMEOUT, REGISTRATION_PERIOD};
 
 impl Gateway {
-    /// Makes sure that the cluster lists this node under its present addresses.
+    /// Registers this node if the list lacks it or has other addresses for it.
     pub(super) fn tick_member_list(&mut self, now: MonotonicTime) {
         let is_member = self.store.is_formed() && self.decommission.is_none();
         if !is_member || !self.members.take_check_due(now) {
@@ -25,12 +25,13 @@
         if !self.replicas.holds(ShardId::CONFIGURATION) {
             self.read_member_list(now);
         }
-        if !listed && self.knows_member_list() {
+        if !listed && self.has_current_member_list() {
             self.register(now, own);
         }
     }
 
-    /// Without a replica of the list, its leader is requested to send it.
+    /// Requests the list from the leader of the configuration shard, for a node without a replica
+    /// of it.
     fn read_member_list(&mut self, now: MonotonicTime) {
         let read = shard_request::Kind::ReadState(ReadState {
             key_prefix: keys::CONTROL_PREFIX.to_owned(),
@@ -41,9 +42,9 @@
             .submit(now, Origin::MemberList, request, REGISTRATION_PERIOD);
     }
 
-    /// Whether the list that this node has is the present one. Until then it may have been removed
-    /// from it without knowing, and must not put itself back.
-    fn knows_member_list(&self) -> bool {
+    /// Whether this node's copy of the list is current. With an outdated copy, the node may have been
+    /// removed from the list without having learned of it, and must not register again.
+    fn has_current_member_list(&self) -> bool {
         match self.replicas.get(ShardId::CONFIGURATION) {
             Some(replica) => replica.has_quorum,
             None => self.members.was_read_from_leader(),
@@ -60,7 +61,7 @@
         self.members.registration_requested(now);
     }
 
-    /// Items of a shard changed in this node's replica.
+    /// Handles changed public items in this node's replica of a shard.
     pub(super) fn public_change(
         &mut self,
         now: MonotonicTime,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// The leader's list, on a node without a replica of it.
+    /// Applies the list read from the leader, on a node without a replica of it.
     pub(super) fn member_list_read(&mut self, now: MonotonicTime, state: &StateSnapshot) {
         self.members.set_read_from_leader();
         self.apply_member_changes(now, &state.items);
@@ -115,7 +116,7 @@
         self.require_saved(&saved);
     }
 
-    /// Sends every shard's leader the control nodes when they changed.
+    /// Sends the view of the control nodes to every shard on this node if it changed.
     pub(super) fn push_member_view(&mut self, now: MonotonicTime) {
         if !self.store.is_formed() {
             return;
--- a/crates/control/src/gateway/core/mod.rs
+++ b/crates/control/src/gateway/core/mod.rs
@@ -1,7 +1,7 @@
-//! The gateway itself: routes inputs to the parts, and what they lead to out of the node.
+//! The gateway itself: routes inputs to its parts, and their outputs out of the node.
 //!
-//! The order of calls and outputs is part of the node's behaviour. The submodules hold the routes
-//! by subject; none of them owns state.
+//! The order of calls and outputs is part of the node's behaviour. The submodules group the
+//! handlers by subject; none of them owns state.
 
 mod formation;
 mod frames;
@@ -44,13 +44,13 @@
 use crate::shard::{MemberView, ShardInput, ShardReplicaStatus};
 use crate::storage_code::storage_code;
 
-/// The node-level half of a control node.
+/// The node-level half of a control node; the shards' cores are the other half.
 pub struct Gateway {
     options: ControlOptions,
     store: NodeStore,
-    /// Until the node belongs to a cluster.
+    /// Present until the node belongs to a cluster.
     formation: Option<Formation>,
-    /// After the cluster removed this node.
+    /// Present after the cluster removed this node's identity.
     decommission: Option<Decommission>,
     directory: MemberDirectory,
     members: MemberList,
@@ -73,8 +73,8 @@
 }
 
 impl Gateway {
-    /// Reads the node's file, or mints an identity on an empty disk. The outputs start the shards
-    /// that the node holds.
+    /// Reads the node's file, or creates an identity if the disk has no valid one. The returned
+    /// outputs start the shards that the node holds.
     ///
     /// # Errors
     /// The disk cannot be read, or a new identity cannot be written.
@@ -84,7 +84,7 @@
         now: MonotonicTime,
     ) -> Result<(Self, Vec<GatewayOutput>), StorageError> {
         let (mut store, origin) = NodeStore::open(disk, options.seed)?;
-        let own_session = OwnSession::new(store.mint());
+        let own_session = OwnSession::new(store.random_id());
         let mut gateway = Self {
             options,
             store,
@@ -112,7 +112,7 @@
         Ok((gateway, outputs))
     }
 
-    /// Takes one input and returns what is to be done.
+    /// Handles one input and returns the outputs, in order.
     pub fn handle(&mut self, now: MonotonicTime, input: GatewayInput) -> Vec<GatewayOutput> {
         match input {
             GatewayInput::Node(input) => self.handle_node(now, input),
@@ -129,7 +129,7 @@
         self.store.identity()
     }
 
-    /// The cluster that the node belongs to; 0 before it formed or joined one.
+    /// Identity of the node's cluster; 0 before the node formed or joined one.
     #[must_use]
     pub fn cluster_id(&self) -> u64 {
         self.store.file().cluster_id
@@ -141,14 +141,14 @@
         self.replicas.statuses()
     }
 
-    /// Whether agents can be served: every shard is held here, the configuration shard has its
-    /// quorum, and no core is stalled.
+    /// Whether agents can be served: this node holds a replica of every shard, the configuration
+    /// shard has its quorum, and no core is stalled.
     #[must_use]
     pub fn has_quorum(&self) -> bool {
         self.store.is_formed() && self.replicas.serves_all(self.shard_count())
     }
 
-    /// Number of requests that wait for a leader.
+    /// Number of requests in flight to the leaders of shards.
     #[must_use]
     pub fn pending_requests(&self) -> usize {
         self.pending.len()
@@ -183,7 +183,7 @@
         self.quota.expire(now);
     }
 
-    /// Transfers one leadership if this node has clearly more than another.
+    /// Transfers one leadership if this node leads clearly more shards than another.
     fn balance_leaderships(&mut self, now: MonotonicTime) {
         let own = self.store.identity();
         let view = &self.view;
@@ -191,7 +191,7 @@
         let transfer = self
             .balancer
             .next_transfer(now, own, &self.replicas, is_connected);
-        // A removed node hands over all of its leaderships, which it does elsewhere.
+        // A removed node transfers all of its leaderships, which `begin_decommission` starts.
         let transfer = transfer.filter(|_| self.decommission.is_none());
         if let Some(transfer) = transfer {
             let input = ShardInput::TransferLeadership { to: transfer.to };
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Sends to a control node if a link to it is open. Returns whether it was sent.
+    /// Sends a frame to a control node if a link to it is open. Returns whether it was sent.
     fn send_to_node(&mut self, node: NodeId, body: frame::Body) -> bool {
         let Some(link) = self.links.to_node(node) else {
             return false;
@@ -259,8 +259,8 @@
         }
     }
 
-    /// Whether the node's file was stored. A node that cannot store it is of no use: what it would
-    /// guarantee is lost, so the process ends.
+    /// Returns whether the node's file was stored. If not, the process exits, because the node could
+    /// not keep the guarantees that depend on the file.
     fn require_saved(&mut self, saved: &Result<(), StorageError>) -> bool {
         if let Err(error) = saved {
             let code = storage_code(error);
--- a/crates/control/src/gateway/core/operators.rs
+++ b/crates/control/src/gateway/core/operators.rs
@@ -1,4 +1,4 @@
-//! Requests of operators: sent to the shards' leaders, answered once all answers are there.
+//! Requests of operators: sent to the shards' leaders, and answered after the last reply.
 
 use millford_api::command::{DrainBackend, PutConfig, command};
 use millford_api::internal::{
@@ -20,7 +20,7 @@
 use crate::timing::{OPERATOR_REQUEST_TIMEOUT, STATUS_REQUEST_TIMEOUT};
 
 impl Gateway {
-    /// A request of an operator.
+    /// Handles a request of an operator.
     pub(super) fn handle_operator(
         &mut self,
         now: MonotonicTime,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// A shard answered.
+    /// Records a shard's reply, and answers the operator after the last one.
     pub(super) fn operator_answered(&mut self, request: u64, reply: ShardReply) {
         if let Some(entry) = self.operator_requests.answered(request, reply) {
             let reply = self.conclude(&entry);
@@ -52,7 +52,7 @@
 
     fn put_config(&mut self, now: MonotonicTime, request: u64, order: PutConfig) {
         let body = OperatorRequest::PutConfig(PutConfig {
-            // The document travels in the command only.
+            // Only the command carries the document; the pending request doesn't need a copy.
             document: None,
             source: Vec::new(),
             ..order.clone()
@@ -81,7 +81,8 @@
         }
     }
 
-    /// Sends every shard two requests: for its status and for its public state.
+    /// Sends two requests to every shard: for its status, and for its configuration head or its
+    /// placements.
     fn fetch_status(&mut self, now: MonotonicTime, request: u64) {
         if !self.store.is_formed() {
             let status = self.status_head();
@@ -133,7 +134,7 @@
         self.submit_operator_request(now, request, shard, shard_request::Kind::Propose(command));
     }
 
-    /// Makes this node's replicas the only voters of the shards that have lost their quorum.
+    /// Makes this node's replica the only voter of each shard that has lost its quorum.
     fn recover(&mut self, request: u64, survivors: &[NodeId]) {
         let reply = match self.recoverable(survivors) {
             Ok(shards) => {
@@ -155,13 +156,15 @@
 
     fn recoverable(&self, survivors: &[NodeId]) -> Result<Vec<ShardId>, String> {
         if !survivors.contains(&self.store.identity()) {
-            return Err("this node is not among the survivors; ask one that is".to_owned());
+            return Err(
+                "this node is not among the survivors; send the request to one of them".to_owned(),
+            );
         }
         let unknown = survivors
             .iter()
             .find(|node| **node != self.store.identity() && self.directory.get(**node).is_none());
         if let Some(unknown) = unknown {
-            return Err(format!("survivor {unknown} is not known"));
+            return Err(format!("survivor {unknown} is not a known control node"));
         }
         let lost = self.replicas.iter().filter(|replica| {
             let voters = replica.voters.iter();
@@ -170,7 +173,7 @@
         });
         let lost: Vec<ShardId> = lost.map(|replica| replica.shard).collect();
         if lost.is_empty() {
-            return Err("a quorum of every shard held here is reachable".to_owned());
+            return Err("every shard of this node still has a reachable quorum".to_owned());
         }
         Ok(lost)
     }
@@ -224,7 +227,7 @@
                 _ => {}
             }
         }
-        // What this node's own replicas know of the shards whose leader did not answer.
+        // Shards whose leader did not answer are described from this node's own replicas.
         let unanswered = self
             .replicas
             .iter()
--- a/crates/control/src/gateway/core/requests.rs
+++ b/crates/control/src/gateway/core/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to the leaders of shards: taken, forwarded, answered.
+//! Requests to the leaders of shards: accepted, forwarded and answered.
 
 use millford_api::internal::{
     QuotaReply, QuotaRequest, ReadIndex, RelayedQuotaReply, RelayedQuotaRequest, ShardReply,
@@ -15,12 +15,17 @@
 use crate::shard::input::CorrelationId;
 use crate::timing::{AGENT_REQUEST_TIMEOUT, READ_CONFIRMATION_TIMEOUT};
 
-/// A forwarded request is not forwarded again.
+/// Longest chain of nodes that forward a request: one that was forwarded is not forwarded again.
 const MAX_HOPS: u32 = 1;
 
 impl Gateway {
-    /// Takes a request from a link.
-    pub(super) fn take_request(&mut self, now: MonotonicTime, link: LinkId, request: ShardRequest) {
+    /// Accepts a request from a link.
+    pub(super) fn accept_request(
+        &mut self,
+        now: MonotonicTime,
+        link: LinkId,
+        request: ShardRequest,
+    ) {
         let origin = Origin::Link {
             link,
             request_id: request.request_id,
@@ -34,14 +39,14 @@
         }
     }
 
-    /// Sends what is due.
+    /// Sends the requests whose next attempt is due.
     pub(super) fn send_due(&mut self, now: MonotonicTime) {
         for attempt in self.pending.take_due(now) {
             self.send_attempt(now, attempt);
         }
     }
 
-    /// An answer from a shard of this node or from another node.
+    /// Handles a reply from a shard of this node or from another node.
     pub(super) fn handle_reply(
         &mut self,
         now: MonotonicTime,
@@ -53,14 +58,14 @@
         }
     }
 
-    /// Answers what waited too long.
+    /// Answers the requests whose deadline has passed.
     pub(super) fn complete_overdue(&mut self, now: MonotonicTime) {
         for completed in self.pending.take_overdue(now) {
             self.complete(now, completed);
         }
     }
 
-    /// A replica wants its leader to confirm a read.
+    /// Requests a read index from the shard's leader on behalf of a replica of this node.
     pub(super) fn confirm_read_at_leader(&mut self, now: MonotonicTime, shard: ShardId, read: u64) {
         let request = request_to(shard, shard_request::Kind::ReadIndex(ReadIndex {}));
         self.pending.submit(
@@ -71,7 +76,7 @@
         );
     }
 
-    /// An agent requests quota.
+    /// Passes an agent's quota request to the tenant's leader, on this node or another one.
     pub(super) fn handle_quota_request(
         &mut self,
         now: MonotonicTime,
@@ -102,7 +107,7 @@
         }
     }
 
-    /// Another control node passes an agent's request on.
+    /// Handles an agent's quota request that another control node forwarded.
     pub(super) fn handle_relayed_quota_request(
         &mut self,
         now: MonotonicTime,
@@ -128,7 +133,7 @@
         self.handle_quota_reply(correlation_id, reply);
     }
 
-    /// An answer to a quota request that waits here.
+    /// Returns the reply to a quota request to the link that it came from.
     pub(super) fn handle_quota_reply(&mut self, correlation_id: CorrelationId, reply: QuotaReply) {
         let Some(waiter) = self.quota.take(correlation_id) else {
             return;
@@ -186,7 +191,7 @@
         }
     }
 
-    /// Where an attempt goes: the leader that the last answer named, else the one that this
+    /// Chooses the node for an attempt: the leader that the last reply named, else the one that this
     /// node's replica knows, else the connected nodes in turn.
     fn target_of(&self, shard: ShardId, attempt: &Attempt) -> Option<NodeId> {
         let own = self.store.identity();
@@ -198,7 +203,7 @@
             return named;
         }
         if self.replicas.holds(shard) {
-            // A replica here will learn the leader; trying every node would only add load.
+            // This node's replica will learn of the new leader; trying every node would only add load.
             return None;
         }
         let nodes: Vec<NodeId> = self.links.nodes().collect();
--- a/crates/control/src/gateway/core/sessions.rs
+++ b/crates/control/src/gateway/core/sessions.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of agents, and this node's own session.
+//! Heartbeats of agents, renewal of their sessions, and this node's own session.
 
 use millford_api::command::{OpenSession, command};
 use millford_api::internal::{
@@ -17,8 +17,8 @@
 use crate::timing::{AGENT_REQUEST_TIMEOUT, RENEWAL_PERIOD};
 
 impl Gateway {
-    /// A heartbeat of an agent. A node that just started defers the answer until it has a quorum, or
-    /// the time for that is over.
+    /// Handles an agent's heartbeat. A node that has just started defers the reply until it has a
+    /// quorum or [`crate::timing::EARLY_HEARTBEAT_TIMEOUT`] has passed.
     pub(super) fn handle_heartbeat(
         &mut self,
         now: MonotonicTime,
@@ -26,16 +26,16 @@
         heartbeat: &Heartbeat,
     ) {
         self.links.set_agent(link);
-        if self.early_heartbeats.is_open() && !self.has_quorum() {
+        if self.early_heartbeats.is_deferring() && !self.has_quorum() {
             self.early_heartbeats.defer(link, heartbeat);
             return;
         }
         self.answer_heartbeat(now, link, heartbeat);
     }
 
-    /// Answers heartbeats that waited for this node's first quorum.
+    /// Answers the heartbeats that were deferred until this node's first quorum.
     pub(super) fn answer_early_heartbeats(&mut self, now: MonotonicTime) {
-        if !self.early_heartbeats.is_open() {
+        if !self.early_heartbeats.is_deferring() {
             return;
         }
         let has_quorum = self.has_quorum();
@@ -56,7 +56,7 @@
         self.outbox.send(link, frame::Body::HeartbeatReply(reply));
     }
 
-    /// Passes heartbeats on to the leaders of the sessions' shards.
+    /// Renews the sessions with new heartbeats at the leaders of their shards.
     pub(super) fn tick_sessions(&mut self, now: MonotonicTime) {
         if !self.store.is_formed() || now < self.next_renewal {
             return;
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The leader answered which sessions do not exist any more.
+    /// Records the sessions that the leader reported as closed.
     pub(super) fn renewals_answered(&mut self, renewed: &[SessionRenewal], reply: &ShardReply) {
         if let Some(shard_reply::Kind::RenewedSessions(reply)) = &reply.kind {
             self.agents.closed(renewed, &reply.closed_members);
@@ -125,7 +125,7 @@
         format!("control-{}", self.store.identity())
     }
 
-    /// The control nodes, or nothing when the agent has the list already.
+    /// The list of control nodes, or an empty one if the agent already has it.
     fn members_for_agent(&mut self, now: MonotonicTime, link: LinkId) -> Vec<ControlMember> {
         let mut members = self.directory.to_vec();
         members.push(self.own_member());
--- a/crates/control/src/gateway/core/shard_outputs.rs
+++ b/crates/control/src/gateway/core/shard_outputs.rs
@@ -1,4 +1,4 @@
-//! Outputs of the shards' cores, on their way to agents and other nodes.
+//! Handling of the outputs of the shards' cores, most of which go to agents and other nodes.
 
 use millford_api::internal::{FeedMessage, FeedStale, QuotaRecall, Subscribe, feed_message, frame};
 use millford_core::{MonotonicTime, NodeId, ShardId};
@@ -10,7 +10,7 @@
 use crate::shard::{ShardInput, ShardOutput, ShardReplicaStatus};
 
 impl Gateway {
-    /// An output of a shard's core.
+    /// Handles an output of a shard's core.
     pub(super) fn handle_shard(&mut self, now: MonotonicTime, shard: ShardId, output: ShardOutput) {
         match output {
             ShardOutput::Replication(message) => {
@@ -38,8 +38,8 @@
             }
             ShardOutput::Event(event) => self.outbox.record_event(event),
             ShardOutput::Failed(code) => {
-                // What the disk holds is unknown. A new process reads it again; if none comes, a
-                // standby takes this node's place.
+                // The content of the disk is unknown after a failed write. A restarted process reads
+                // it again; without a restart, a standby replaces this node.
                 self.outbox
                     .record_event(NodeEvent::ReplicaFailed { shard, code });
                 self.outbox.emit(NodeOutput::Fatal { code });
@@ -47,7 +47,8 @@
         }
     }
 
-    /// An agent subscribes to a shard. Without a replica here, it goes to another node.
+    /// Passes an agent's subscription to the shard. Without a replica of the shard the feed is
+    /// answered as stale, so that the agent connects to another node.
     pub(super) fn subscribe(&mut self, link: LinkId, subscribe: Subscribe) {
         let shard = ShardId(subscribe.shard);
         if self.replicas.holds(shard) {
@@ -74,16 +75,17 @@
         }
     }
 
-    /// To the one agent that may hold something: here, or through the other control nodes. To send
-    /// it to all would cost holders times nodes messages for each refusal.
+    /// Sends a recall to the one agent that may hold quota: directly if it is linked here, else
+    /// through the other control nodes. Sending every recall to all nodes would cost holders times
+    /// nodes messages for each refusal.
     fn recall(&mut self, recall: QuotaRecall) {
         if !self.recall_own_agent(&recall) {
             self.send_to_every_node(&frame::Body::QuotaRecall(recall));
         }
     }
 
-    /// Sends the recall to the agent if it is linked here; an empty name means every agent. Returns
-    /// whether the one agent was found.
+    /// Sends the recall to the named agent if it is linked here. A recall without a name goes to every
+    /// agent of this node. Returns whether a named agent was found.
     pub(super) fn recall_own_agent(&mut self, recall: &QuotaRecall) -> bool {
         if recall.member.is_empty() {
             self.send_to_own_agents(&frame::Body::QuotaRecall(recall.clone()));
@@ -97,7 +99,7 @@
         true
     }
 
-    /// To the agents of this node and, through the other control nodes, to all others.
+    /// Sends a frame to the agents of this node and, through the other control nodes, to all others.
     fn send_to_all_agents(&mut self, body: &frame::Body) {
         self.send_to_own_agents(body);
         self.send_to_every_node(body);
@@ -106,7 +108,7 @@
     fn replica_status_changed(&mut self, now: MonotonicTime, replica: &ShardReplicaStatus) {
         let shard = replica.shard;
         let Some(former) = self.replicas.update(now, replica) else {
-            // A core that was stopped in the meantime.
+            // The core was stopped in the meantime.
             return;
         };
         if replica.leads && !former.leads {
--- a/crates/control/src/gateway/decommission.rs
+++ b/crates/control/src/gateway/decommission.rs
@@ -1,24 +1,25 @@
-//! The end of an identity that the cluster removed.
+//! Decommissioning of an identity that the cluster removed.
 
 use millford_core::{Duration, MonotonicTime, NodeId};
 
 use super::links::LinkTable;
 use super::replica_table::ReplicaTable;
 
-/// Longest time that a removed node retains replicas that may still be counted on.
+/// Longest time that a removed node keeps replicas that a group may still need.
 const DECOMMISSION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A removed node first lets its links and replica statuses come up to date.
+/// Shortest time that a removed node keeps replicas that are still voters, so that its links and
+/// replica statuses are current when it decides.
 const DECOMMISSION_MIN_DELAY: Duration = Duration::from_secs(2);
 
-/// A removed identity, until none of its replicas is counted on any more.
+/// A removed identity whose replicas a group may still need.
 #[derive(Debug)]
 pub(super) struct Decommission {
     started_at: MonotonicTime,
 }
 
 impl Decommission {
-    /// The cluster removed this node's identity.
+    /// Starts decommissioning after the cluster removed this node's identity.
     pub(super) fn start(now: MonotonicTime) -> Self {
         Self { started_at: now }
     }
@@ -38,11 +39,11 @@
     }
 }
 
-/// Whether every group holds its quorum without this node.
+/// Whether every group has its quorum without this node.
 ///
-/// A replica that was partitioned while its group removed it never learns of that. One that votes
-/// still may be given up while all other voters are connected: its group takes this node's next
-/// identity in its place, which it could not do for as long as this one stays.
+/// A replica that was partitioned while its group removed it never learns of its removal. A
+/// replica that still votes may be dropped while all other voters are connected: its group then
+/// adds this node's next identity instead, which it cannot do while this identity remains.
 fn is_dispensable(own: NodeId, replicas: &ReplicaTable, links: &LinkTable) -> bool {
     let mut statuses = replicas.iter();
     statuses.all(|replica| {
--- a/crates/control/src/gateway/dialer.rs
+++ b/crates/control/src/gateway/dialer.rs
@@ -1,4 +1,4 @@
-//! Connections to every known control address, opened again when they end.
+//! Keeps a connection to every known control address, and reconnects with backoff.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,14 +10,14 @@
     DIAL_BACKOFF_INITIAL, DIAL_BACKOFF_MAX, HELLO_PERIOD, PEER_INACTIVITY_TIMEOUT,
 };
 
-/// What the dialer wants done.
+/// An action that the gateway carries out for the dialer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum DialAction {
-    /// Open a connection.
+    /// Open a connection to this address, as the link with this number.
     Connect(LinkId, String),
     /// Send a hello to the control node on an open link.
     SendHello(LinkId),
-    /// The node behind the link is unresponsive: close it.
+    /// Close the link, whose peer is unresponsive.
     Close(LinkId),
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// One connection for each address.
+/// The connections by address, at most one for each.
 #[derive(Debug, Default)]
 pub(super) struct Dialer {
     dials: BTreeMap<String, Dial>,
@@ -60,25 +60,25 @@
 }
 
 impl Dialer {
-    /// Brings the connections in line with the desired addresses and keeps them alive.
+    /// Returns the actions that are due: connections to open and close, and hellos to send.
     pub(super) fn tick(
         &mut self,
         now: MonotonicTime,
         desired: &BTreeSet<String>,
     ) -> Vec<DialAction> {
-        let mut actions = self.drop_undesired(desired);
+        let mut actions = self.close_undesired(desired);
         for address in desired {
             let dials = &mut self.dials;
             let dial = dials
                 .entry(address.clone())
                 .or_insert_with(|| Dial::new(now));
-            let action = step(now, address, dial, &mut self.links_opened);
+            let action = next_action(now, address, dial, &mut self.links_opened);
             actions.extend(action);
         }
         actions
     }
 
-    /// A link that the dialer requested is open.
+    /// Records that a requested link is open.
     pub(super) fn opened(&mut self, now: MonotonicTime, link: LinkId) {
         if let Some(dial) = self.find(link) {
             dial.open = true;
@@ -87,7 +87,7 @@
         }
     }
 
-    /// A link closed. Returns its address.
+    /// Records that a link closed, and schedules the next attempt. Returns the link's address.
     pub(super) fn closed(&mut self, now: MonotonicTime, link: LinkId) -> Option<String> {
         let entry = self
             .dials
@@ -98,7 +98,7 @@
         Some(address.clone())
     }
 
-    /// The node behind the link answered a hello. Returns its address.
+    /// Records that the peer of a link replied to a hello. Returns the link's address.
     pub(super) fn answered(
         &mut self,
         now: MonotonicTime,
@@ -125,7 +125,7 @@
         })
     }
 
-    /// Sends a hello to every control node at the next tick, for changes that should not wait.
+    /// Schedules a hello to every control node for the next tick, to announce a change early.
     pub(super) fn schedule_hellos(&mut self, now: MonotonicTime) {
         for dial in self.dials.values_mut() {
             dial.next_hello = now;
@@ -137,7 +137,7 @@
         dials.find(|dial| dial.link == Some(link))
     }
 
-    fn drop_undesired(&mut self, desired: &BTreeSet<String>) -> Vec<DialAction> {
+    fn close_undesired(&mut self, desired: &BTreeSet<String>) -> Vec<DialAction> {
         let mut closed = Vec::new();
         self.dials.retain(|address, dial| {
             let keep = desired.contains(address);
@@ -150,7 +150,7 @@
     }
 }
 
-fn step(
+fn next_action(
     now: MonotonicTime,
     address: &str,
     dial: &mut Dial,
--- a/crates/control/src/gateway/early_heartbeats.rs
+++ b/crates/control/src/gateway/early_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats that came before a starting node knew whether it has a quorum.
+//! Heartbeats received by a starting node before its first quorum.
 
 use std::collections::BTreeMap;
 
@@ -8,52 +8,55 @@
 use crate::link::LinkId;
 use crate::timing::EARLY_HEARTBEAT_TIMEOUT;
 
-/// Heartbeats of agents that wait for this node's first quorum.
+/// Heartbeats whose replies wait for this node's first quorum.
 ///
 /// When all nodes start at once, each is without a quorum for the length of an election. An agent
-/// that is answered so tries the others in vain and then backs off, often for longer than the election.
-/// A node therefore defers the first heartbeats for a moment; once it has had a quorum, or the
-/// moment is over, it answers at once for as long as it runs.
+/// that receives such a reply tries the other nodes, which have no quorum either, and then backs
+/// off, often for longer than the election takes. A starting node therefore defers its replies for
+/// up to [`EARLY_HEARTBEAT_TIMEOUT`]. After that, or after its first quorum, it replies at once
+/// until it stops.
 #[derive(Debug)]
 pub(super) struct EarlyHeartbeats {
-    until: MonotonicTime,
-    closed: bool,
+    deadline: MonotonicTime,
+    /// Set for good at the first quorum or at the deadline.
+    finished: bool,
     waiting: BTreeMap<LinkId, Heartbeat>,
 }
 
 impl EarlyHeartbeats {
-    /// For a process that starts now.
+    /// Starts deferring, for a process that starts now.
     pub(super) fn new(now: MonotonicTime) -> Self {
         Self {
-            until: now + EARLY_HEARTBEAT_TIMEOUT,
-            closed: false,
+            deadline: now + EARLY_HEARTBEAT_TIMEOUT,
+            finished: false,
             waiting: BTreeMap::new(),
         }
     }
 
-    /// Whether answers still wait for the first quorum.
-    pub(super) fn is_open(&self) -> bool {
-        !self.closed
+    /// Whether replies are still deferred.
+    pub(super) fn is_deferring(&self) -> bool {
+        !self.finished
     }
 
-    /// Defers the newest heartbeat of a link.
+    /// Defers a heartbeat. It replaces an earlier one of the same link.
     pub(super) fn defer(&mut self, link: LinkId, heartbeat: &Heartbeat) {
         self.waiting.insert(link, heartbeat.clone());
     }
 
-    /// A link was closed.
+    /// Drops the heartbeat of a closed link.
     pub(super) fn forget_link(&mut self, link: LinkId) {
         self.waiting.remove(&link);
     }
 
-    /// The heartbeats to answer now, once the node has a quorum or the time is over.
+    /// Takes the deferred heartbeats once the node has a quorum or the timeout has passed; returns
+    /// none before.
     pub(super) fn release(
         &mut self,
         now: MonotonicTime,
         has_quorum: bool,
     ) -> BTreeMap<LinkId, Heartbeat> {
-        self.closed |= has_quorum || now >= self.until;
-        if self.closed {
+        self.finished |= has_quorum || now >= self.deadline;
+        if self.finished {
             return std::mem::take(&mut self.waiting);
         }
         BTreeMap::new()
--- a/crates/control/src/gateway/input.rs
+++ b/crates/control/src/gateway/input.rs
@@ -1,4 +1,4 @@
-//! What happens to the gateway and what it wants done.
+//! Inputs and outputs of the gateway.
 
 use millford_core::{NodeId, ShardId};
 
@@ -9,46 +9,46 @@
 /// One input of the gateway.
 #[derive(Clone, Debug)]
 pub enum GatewayInput {
-    /// From outside the node.
+    /// An input from outside the node.
     Node(NodeInput),
-    /// From the core of a shard.
+    /// An output of a shard's core.
     Shard {
-        /// Which shard.
+        /// The shard that the core runs.
         shard: ShardId,
-        /// What the core wants done.
+        /// The core's output.
         output: ShardOutput,
     },
-    /// The storage of a shard is corrupt: this identity cannot go on.
+    /// The storage of a shard is corrupt, so that the node must start over under a new identity.
     StorageCorrupt,
 }
 
 /// One output of the gateway.
 #[derive(Clone, Debug)]
 pub enum GatewayOutput {
-    /// To the outside of the node.
+    /// An output to the outside of the node.
     Node(NodeOutput),
-    /// To the core of a shard.
+    /// An input for a shard's core.
     Shard {
-        /// Which shard.
+        /// The shard that the core runs.
         shard: ShardId,
-        /// The input.
+        /// The core's input.
         input: ShardInput,
     },
     /// Open the shard's storage and start its core.
     StartShard(ShardStart),
-    /// Stop every core and remove everything stored by them, before the next `StartShard`.
+    /// Stop every core and erase its storage, before the next `StartShard`.
     EraseShards,
 }
 
 /// A shard whose core is to be started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShardStart {
-    /// Which shard.
+    /// The shard to start.
     pub shard: ShardId,
     /// Identity of this node.
     pub identity: NodeId,
-    /// The first voters; empty for a replica that is filled by its leader.
+    /// The initial voters; empty for a replica that receives its state from the leader.
     pub voters: Vec<NodeId>,
-    /// Data shards of the cluster.
+    /// Number of data shards of the cluster.
     pub data_shards: u32,
 }
--- a/crates/control/src/gateway/leadership_balancer.rs
+++ b/crates/control/src/gateway/leadership_balancer.rs
@@ -6,26 +6,27 @@
 
 use super::replica_table::ReplicaTable;
 
-/// Period of the check. Longer than an election, so that one transfer is seen before the next.
+/// Period of the check. Longer than an election, so that the effect of one transfer is visible
+/// before the next.
 const BALANCE_PERIOD: Duration = Duration::from_secs(5);
 
-/// How long leaderships must have stayed as they are. A transfer costs the shard's quotas a short
-/// wait, so none follows a disturbance at once.
+/// Time without a change of leaders before a transfer. A transfer delays the shard's quota grants
+/// for a short time, so none is made right after a disturbance.
 const STABLE_BEFORE_BALANCE: Duration = Duration::from_secs(15);
 
-/// A node transfers when it leads at least this many shards more than another.
-const SURPLUS: usize = 2;
+/// A node transfers a leadership when it leads at least this many shards more than another.
+const MIN_SURPLUS: usize = 2;
 
-/// A leadership to be handed to another node.
+/// A leadership to be transferred to another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LeadershipTransfer {
-    /// The shard.
+    /// The shard that this node leads.
     pub(super) shard: ShardId,
-    /// The voter that shall lead it.
+    /// The voter to become its leader.
     pub(super) to: NodeId,
 }
 
-/// When leaderships changed last, and when they are looked at next.
+/// The leaders as last checked, the time of their last change, and the time of the next check.
 #[derive(Debug)]
 pub(super) struct LeadershipBalancer {
     leaders: BTreeMap<ShardId, NodeId>,
@@ -34,7 +35,7 @@
 }
 
 impl LeadershipBalancer {
-    /// Nothing seen yet.
+    /// Creates a balancer that has not seen any leader.
     pub(super) fn new(now: MonotonicTime) -> Self {
         Self {
             leaders: BTreeMap::new(),
@@ -43,7 +44,8 @@
         }
     }
 
-    /// The leadership to transfer now, if this node has clearly more than another.
+    /// The leadership to transfer now, if this node leads at least [`MIN_SURPLUS`] shards more than
+    /// another.
     pub(super) fn next_transfer(
         &mut self,
         now: MonotonicTime,
@@ -70,7 +72,7 @@
         self.choose(own, replicas, is_connected)
     }
 
-    /// A shard that this node leads, and the connected voter that leads the fewest.
+    /// Chooses a shard that this node leads and the connected voter that leads the fewest shards.
     fn choose(
         &self,
         own: NodeId,
@@ -91,7 +93,7 @@
         });
         let transfers = transfers.filter(|transfer| is_connected(transfer.to));
         let transfer = transfers.min_by_key(|transfer| (led_by(transfer.to), transfer.shard))?;
-        let surplus = led_by(own) >= led_by(transfer.to) + SURPLUS;
+        let surplus = led_by(own) >= led_by(transfer.to) + MIN_SURPLUS;
         (transfer.to != own && surplus).then_some(transfer)
     }
 }
--- a/crates/control/src/gateway/links.rs
+++ b/crates/control/src/gateway/links.rs
@@ -1,4 +1,4 @@
-//! The open links and who is at their other end.
+//! The open links and their peers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,18 +6,18 @@
 
 use crate::link::LinkId;
 
-/// Who is at the other end of a link.
+/// The peer at the other end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LinkPeer {
-    /// No frame has shown it yet.
+    /// No frame has identified the peer yet.
     Unknown,
-    /// A control node.
+    /// A control node, with its identity.
     Control(NodeId),
-    /// An agent.
+    /// An agent, which names itself only in its heartbeats.
     Agent,
 }
 
-/// Links by number and by control node.
+/// Open links, by number and by control node.
 #[derive(Debug, Default)]
 pub(super) struct LinkTable {
     links: BTreeMap<LinkId, LinkPeer>,
@@ -25,16 +25,16 @@
 }
 
 impl LinkTable {
-    /// A link opened.
+    /// Adds a link whose peer is unknown.
     pub(super) fn open(&mut self, link: LinkId) {
         self.links.entry(link).or_insert(LinkPeer::Unknown);
     }
 
-    /// A link closed. Returns who was there.
+    /// Removes a link. Returns its peer.
     pub(super) fn close(&mut self, link: LinkId) -> Option<LinkPeer> {
         let peer = self.links.remove(&link)?;
         if let LinkPeer::Control(node) = peer {
-            self.drop_from_node(node, link);
+            self.remove_from_node(node, link);
         }
         Some(peer)
     }
@@ -44,25 +44,25 @@
         self.links.contains_key(&link)
     }
 
-    /// Who is at the other end.
+    /// The peer of a link; unknown for a link that is not open.
     pub(super) fn peer(&self, link: LinkId) -> LinkPeer {
         let peer = self.links.get(&link);
         peer.copied().unwrap_or(LinkPeer::Unknown)
     }
 
-    /// A control node introduced itself on the link.
+    /// Sets the control node that introduced itself on the link.
     pub(super) fn set_control(&mut self, link: LinkId, node: NodeId) {
         let Some(peer) = self.links.get_mut(&link) else {
             return;
         };
         let former = std::mem::replace(peer, LinkPeer::Control(node));
         if let LinkPeer::Control(former) = former {
-            self.drop_from_node(former, link);
+            self.remove_from_node(former, link);
         }
         self.by_node.entry(node).or_default().insert(link);
     }
 
-    /// An agent spoke on the link.
+    /// Marks a link on which an agent's frame arrived, unless its peer is known already.
     pub(super) fn set_agent(&mut self, link: LinkId) {
         if let Some(peer) = self.links.get_mut(&link)
             && *peer == LinkPeer::Unknown
@@ -71,13 +71,13 @@
         }
     }
 
-    /// Link on which frames to a control node go: the newest one that this node opened, else one
+    /// Link for frames to a control node: the newest one that this node opened, else the newest one
     /// that the other node opened.
     pub(super) fn to_node(&self, node: NodeId) -> Option<LinkId> {
         self.by_node.get(&node)?.last().copied()
     }
 
-    /// Every link to an agent.
+    /// The links to agents.
     pub(super) fn agents(&self) -> impl Iterator<Item = LinkId> {
         let links = self.links.iter();
         links
@@ -85,12 +85,12 @@
             .map(|(link, _)| *link)
     }
 
-    /// Every control node with an open link.
+    /// The control nodes with an open link.
     pub(super) fn nodes(&self) -> impl Iterator<Item = NodeId> {
         self.by_node.keys().copied()
     }
 
-    fn drop_from_node(&mut self, node: NodeId, link: LinkId) {
+    fn remove_from_node(&mut self, node: NodeId, link: LinkId) {
         if let Some(links) = self.by_node.get_mut(&node) {
             links.remove(&link);
             if links.is_empty() {
--- a/crates/control/src/gateway/member_list.rs
+++ b/crates/control/src/gateway/member_list.rs
@@ -1,4 +1,4 @@
-//! The replicated list of control nodes, as far as this node knows it.
+//! This node's copy of the replicated list of control nodes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,17 +8,18 @@
 
 use crate::timing::{OPERATOR_REQUEST_TIMEOUT, REGISTRATION_PERIOD};
 
-/// A change of the list of control nodes.
+/// One change of the list of control nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum MemberChange {
-    /// The node is listed under these addresses.
+    /// The node was added, or its entry changed to this one.
     Listed(NodeId, ControlMember),
-    /// The node is not listed any more.
+    /// The node was removed from the list.
     Unlisted(NodeId),
 }
 
 impl MemberChange {
-    /// The change that a public item of the configuration shard stands for, if any.
+    /// Reads the change from a changed item of the configuration shard; none if the item is not an
+    /// entry of the list.
     pub(super) fn of_item(item: &StateItem) -> Option<Self> {
         let number = item.key.strip_prefix(keys::CONTROL_PREFIX)?;
         let node = NodeId(u64::from_str_radix(number, 16).ok()?);
@@ -30,7 +31,7 @@
     }
 }
 
-/// Owner of what the configuration shard lists, and of the configuration for the other shards.
+/// Owns the copy of the list, and the cached configuration for the data shards.
 #[derive(Debug, Default)]
 pub(super) struct MemberList {
     registered: BTreeMap<NodeId, ControlMember>,
@@ -40,12 +41,12 @@
 }
 
 impl MemberList {
-    /// The configuration's items as last seen, for shards that start now.
+    /// The cached items of the configuration, for shards that are started.
     pub(super) fn configuration(&self) -> &[StateItem] {
         &self.configuration
     }
 
-    /// Revision of the configuration that this node's replica has applied; 0 when unknown.
+    /// Revision of the configuration that this node's replica has applied; 0 if unknown.
     pub(super) fn applied_revision(&self) -> u64 {
         let mut items = self.configuration.iter();
         let head = items.find(|item| item.key == keys::CONFIG_HEAD);
@@ -56,7 +57,7 @@
         }
     }
 
-    /// The nodes listed, in order of identity.
+    /// The listed nodes, in order of identity.
     pub(super) fn nodes(&self) -> impl Iterator<Item = NodeId> {
         self.registered.keys().copied()
     }
@@ -66,37 +67,37 @@
         self.registered.contains_key(&node)
     }
 
-    /// Whether the node is listed under exactly these addresses.
+    /// Whether the node is listed with exactly this entry.
     pub(super) fn lists_as(&self, node: NodeId, member: &ControlMember) -> bool {
         self.registered.get(&node) == Some(member)
     }
 
-    /// Whether the list was ever read from the leader.
+    /// Whether the list has been read from the leader at least once.
     pub(super) fn was_read_from_leader(&self) -> bool {
         self.read_from_leader
     }
 
-    /// The list was read from the leader.
+    /// Records that the list was read from the leader.
     pub(super) fn set_read_from_leader(&mut self) {
         self.read_from_leader = true;
     }
 
-    /// A node is listed.
+    /// Adds a node or replaces its entry.
     pub(super) fn insert(&mut self, node: NodeId, member: ControlMember) {
         self.registered.insert(node, member);
     }
 
-    /// A node is not listed any more.
+    /// Removes a node.
     pub(super) fn remove(&mut self, node: NodeId) {
         self.registered.remove(&node);
     }
 
-    /// Checks at the next tick.
+    /// Makes the check of this node's registration due at the next tick.
     pub(super) fn check_soon(&mut self, now: MonotonicTime) {
         self.next_check = now;
     }
 
-    /// Whether to check that the cluster lists this node; if so, the next check is a period away.
+    /// Whether the check of this node's registration is due; if so, schedules the next one.
     pub(super) fn take_check_due(&mut self, now: MonotonicTime) -> bool {
         if now < self.next_check {
             return false;
@@ -105,17 +106,17 @@
         true
     }
 
-    /// The registration of this node was requested: the next check gives the reply time to arrive.
+    /// Delays the next check until the reply to a registration must have arrived.
     pub(super) fn registration_requested(&mut self, now: MonotonicTime) {
         self.next_check = now + OPERATOR_REQUEST_TIMEOUT;
     }
 
-    /// The registration of this node was answered.
+    /// Schedules the next check after the reply to a registration.
     pub(super) fn registration_answered(&mut self, now: MonotonicTime) {
         self.next_check = now + REGISTRATION_PERIOD;
     }
 
-    /// Items of the configuration shard changed: those of the configuration are cached.
+    /// Updates the cached configuration with changed items of the configuration shard.
     pub(super) fn cache_configuration(&mut self, items: &[StateItem]) {
         let changed: BTreeSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
         self.configuration
--- a/crates/control/src/gateway/mod.rs
+++ b/crates/control/src/gateway/mod.rs
@@ -1,7 +1,7 @@
-//! The node-level half of a control node: links, handshakes, formation, forwarding, operators.
+//! The node-level half of a control node: links, handshakes, formation, forwarding and operators.
 //!
-//! It holds no replicated state of its own. It talks with the shards' cores in messages only, so
-//! that each can run on a thread of its own.
+//! It holds no replicated state of its own. It exchanges only messages with the shards' cores, so
+//! that each core can run on a thread of its own.
 //!
 //! [`Gateway`] (in `core`) routes inputs to the parts that own the state:
 //!
@@ -9,13 +9,13 @@
 //! |---|---|
 //! | `node_store` | the node's file on its disk, identities |
 //! | `replica_table` | status of each replica held here, detection of stalled cores |
-//! | `member_list` | the replicated list of control nodes, the cached configuration |
+//! | `member_list` | this node's copy of the list of control nodes, the cached configuration |
 //! | `links`, `dialer` | open links, connections to control nodes |
-//! | `pending_requests`, `quota_relay` | requests under way to shards' leaders |
+//! | `pending_requests`, `quota_relay` | requests in flight to the leaders of shards |
 //! | `agents`, `early_heartbeats`, `own_session` | sessions whose heartbeats arrive here, and this node's own |
-//! | `pending_operator_requests` | operators' requests that wait for shards |
-//! | `leadership_balancer`, `decommission` | transfers of leaderships, the end of an identity |
-//! | `outbox` | what is to be done, in order |
+//! | `pending_operator_requests` | operators' requests that wait for replies of shards |
+//! | `leadership_balancer`, `decommission` | transfers of leaderships, removal of this node's identity |
+//! | `outbox` | the outputs, in order |
 
 mod agents;
 pub mod core;
--- a/crates/control/src/gateway/node_file.rs
+++ b/crates/control/src/gateway/node_file.rs
@@ -1,4 +1,4 @@
-//! What a control node stores on its disk besides the shards.
+//! The file in which a control node stores its identity and its view of the cluster.
 
 use millford_api::state::ControlMember;
 use millford_core::NodeId;
@@ -11,25 +11,26 @@
 /// Length of the checksum before the message, in bytes.
 const CHECKSUM_BYTES: usize = 4;
 
-/// Identity, cluster and known control nodes.
+/// Content of the node's file: identity, cluster and known control nodes.
 #[derive(Clone, PartialEq, Message)]
 pub struct NodeFile {
-    /// Identity of this node, minted on the empty disk.
+    /// Identity of this node, created on the empty disk.
     #[prost(uint64, tag = "1")]
     pub node_id: u64,
     /// The cluster that the node belongs to; 0 before it formed or joined one.
     #[prost(uint64, tag = "2")]
     pub cluster_id: u64,
-    /// Data shards of the cluster.
+    /// Number of data shards of the cluster.
     #[prost(uint32, tag = "3")]
     pub data_shards: u32,
-    /// Control nodes known, with their addresses. Seeds are only where to begin.
+    /// Known control nodes with their addresses. They take the place of the seeds, which are only
+    /// the first addresses to contact.
     #[prost(message, repeated, tag = "4")]
     pub members: Vec<ControlMember>,
-    /// The nodes that the cluster was formed of, on a node that was one of them.
+    /// The nodes that formed the cluster, if this node is one of them.
     #[prost(message, repeated, tag = "5")]
     pub founders: Vec<ControlMember>,
-    /// Identities that the cluster removed.
+    /// Identities that the cluster has permanently removed.
     #[prost(uint64, repeated, tag = "6")]
     pub removed: Vec<u64>,
     /// Shards whose replica this node holds.
@@ -38,7 +39,7 @@
 }
 
 impl NodeFile {
-    /// Reads the file; absent on an empty disk, or when its checksum is wrong.
+    /// Reads the file; none if it is missing or its checksum is wrong.
     ///
     /// # Errors
     /// The disk cannot be read.
@@ -46,8 +47,8 @@
         let Some(bytes) = disk.read(NODE_FILE)? else {
             return Ok(None);
         };
-        // The file is replaced in one step, so a wrong checksum is damage, not a torn write. The
-        // identity is lost with it: the node starts over as if the disk were empty.
+        // The file is replaced atomically, so a wrong checksum means corruption, not a torn write.
+        // The identity is lost with it: the node starts over as if the disk were empty.
         Ok(decode(&bytes))
     }
 
--- a/crates/control/src/gateway/node_store.rs
+++ b/crates/control/src/gateway/node_store.rs
@@ -1,4 +1,4 @@
-//! The node's file on its disk, and the random numbers that identities are made of.
+//! Owner of the node's file, and of the random numbers for identities.
 
 use millford_api::state::ControlMember;
 use millford_core::{NodeId, ShardId, ShardLayout};
@@ -8,16 +8,16 @@
 
 use super::node_file::NodeFile;
 
-/// Where the node's identity comes from.
+/// Origin of the node's identity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum IdentityOrigin {
     /// Read from the disk.
     Stored,
-    /// Minted, because the disk held none.
-    Minted,
+    /// Newly created, because the disk held no valid one.
+    Created,
 }
 
-/// Owner of the node's file. Every change is durable when the method returns without an error.
+/// Owns the node's file. Every change is durable when the method returns without an error.
 pub(super) struct NodeStore {
     random: StdRng,
     disk: Box<dyn Disk>,
@@ -25,7 +25,7 @@
 }
 
 impl NodeStore {
-    /// Reads the file, or mints an identity, which is not stored yet.
+    /// Reads the file. Without a valid one, creates an identity, which is not stored yet.
     ///
     /// # Errors
     /// The disk cannot be read.
@@ -37,16 +37,17 @@
         let loaded = NodeFile::load(disk.as_ref())?;
         let origin = match loaded {
             Some(_) => IdentityOrigin::Stored,
-            None => IdentityOrigin::Minted,
+            None => IdentityOrigin::Created,
         };
         let file = loaded.unwrap_or_else(|| NodeFile {
-            node_id: mint(&mut random),
+            node_id: random_id(&mut random),
             ..NodeFile::default()
         });
         Ok((Self { random, disk, file }, origin))
     }
 
-    /// The file as last stored, or as to be stored next.
+    /// Content of the file. After [`Self::open`] created an identity, it is not stored before the
+    /// first [`Self::save`].
     pub(super) fn file(&self) -> &NodeFile {
         &self.file
     }
@@ -66,12 +67,12 @@
         ShardLayout::new(self.file.data_shards)
     }
 
-    /// A random number that is not zero.
-    pub(super) fn mint(&mut self) -> u64 {
-        mint(&mut self.random)
+    /// A random non-zero number for a new identity.
+    pub(super) fn random_id(&mut self) -> u64 {
+        random_id(&mut self.random)
     }
 
-    /// Stores the file as it is.
+    /// Stores the current content.
     ///
     /// # Errors
     /// The disk cannot be written.
@@ -79,7 +80,7 @@
         self.file.store(self.disk.as_mut())
     }
 
-    /// The known control nodes changed.
+    /// Replaces the known control nodes.
     ///
     /// # Errors
     /// The disk cannot be written.
@@ -88,7 +89,7 @@
         self.save()
     }
 
-    /// This node holds a replica of the shard from now on.
+    /// Adds a shard whose replica this node holds.
     ///
     /// # Errors
     /// The disk cannot be written.
@@ -97,7 +98,7 @@
         self.save()
     }
 
-    /// The cluster removed this identity of another node.
+    /// Adds an identity that the cluster removed.
     ///
     /// # Errors
     /// The disk cannot be written.
@@ -109,7 +110,7 @@
         self.save()
     }
 
-    /// The node joins a formed cluster without replicas.
+    /// Records that this node joined a formed cluster as a standby, without replicas.
     ///
     /// # Errors
     /// The disk cannot be written.
@@ -125,7 +126,7 @@
         self.save()
     }
 
-    /// The node is one of those that form the cluster.
+    /// Records the cluster that this node has formed together with others.
     ///
     /// # Errors
     /// The disk cannot be written.
@@ -134,27 +135,27 @@
         self.save()
     }
 
-    /// The node goes on without replicas under a new identity, in the same cluster.
+    /// Gives the node a new identity without replicas, in the same cluster.
     ///
     /// # Errors
     /// The disk cannot be written.
     pub(super) fn start_over(&mut self, members: Vec<ControlMember>) -> Result<(), StorageError> {
         let former = self.file.node_id;
         self.file.removed.push(former);
-        self.file.node_id = self.mint();
+        self.file.node_id = self.random_id();
         self.file.shards.clear();
         self.file.founders.clear();
         self.file.members = members;
         self.save()
     }
 
-    /// Whether the cluster was formed of this node, among others.
+    /// Whether the node is one of those that formed the cluster.
     pub(super) fn is_founder(&self, node: NodeId) -> bool {
         let mut founders = self.file.founders.iter();
         founders.any(|founder| founder.node_id == node.0)
     }
 }
 
-fn mint(random: &mut StdRng) -> u64 {
+fn random_id(random: &mut StdRng) -> u64 {
     random.next_u64().max(1)
 }
--- a/crates/control/src/gateway/operator_answers.rs
+++ b/crates/control/src/gateway/operator_answers.rs
@@ -1,4 +1,4 @@
-//! Answers to operators, made of the answers of shards.
+//! Builds the answers to operators from the replies of shards.
 
 use millford_api::command::command_result;
 use millford_api::config::Document;
@@ -28,7 +28,7 @@
     }
 }
 
-/// A failure with the code's own sentence.
+/// A failure with the standard message of its code.
 pub(super) fn failed(code: ResultCode) -> OperatorReply {
     OperatorReply::Failed(OperatorFailure::new(code))
 }
@@ -37,7 +37,8 @@
     ResultCode::from_number(reply.code).unwrap_or(ResultCode::ProtocolViolation)
 }
 
-/// The code of an order whose outcome is unknown: it may have been accepted.
+/// Maps the code of a failed order: one that may have been accepted all the same is reported as
+/// uncertain.
 fn uncertain(code: ResultCode) -> ResultCode {
     match code {
         ResultCode::ControlTimeout | ResultCode::NotLeader => ResultCode::OrderUncertain,
@@ -45,7 +46,7 @@
     }
 }
 
-/// Answer to an order.
+/// Answer to a configuration order.
 pub(super) fn order(replies: &[ShardReply]) -> OperatorReply {
     let Some(reply) = replies.first() else {
         return failed(ResultCode::OrderUncertain);
@@ -71,7 +72,7 @@
     }
 }
 
-/// The configuration in force.
+/// Answer with the configuration in force.
 pub(super) fn configuration(replies: &[ShardReply]) -> OperatorReply {
     let (Some(state), _) = states(replies) else {
         return failed(first_failure(replies));
@@ -79,7 +80,7 @@
     OperatorReply::Config(Box::new(config_of(state)))
 }
 
-/// The configuration's state if it was read, and every state that was read.
+/// The state of the configuration shard, if it was read, and all states that were read.
 fn states(replies: &[ShardReply]) -> (Option<&StateSnapshot>, Vec<&StateSnapshot>) {
     let states = replies.iter().filter_map(|reply| match &reply.kind {
         Some(shard_reply::Kind::State(state)) => Some(state),
@@ -113,8 +114,9 @@
     }
 }
 
-/// What a change would move, computed against the state of every shard and, for pools that are
-/// new, against what the service registry lists.
+/// Answer to a plan request: the effects of a change, computed against the state of every shard.
+/// Backends that are not in any catalogue yet, such as those of new pools, are taken from the
+/// service registry.
 pub(super) fn plan(
     desired: &Document,
     replies: &[ShardReply],
--- a/crates/control/src/gateway/own_session.rs
+++ b/crates/control/src/gateway/own_session.rs
@@ -3,21 +3,21 @@
 use millford_api::command::command_result;
 use millford_api::internal::{ShardReply, shard_reply};
 
-/// What is to be done for the session.
+/// The next step for the session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OwnSessionStep {
-    /// Its opening is under way.
+    /// Wait for the reply to the request that opens the session.
     Wait,
-    /// Open it.
+    /// Open the session.
     Open,
-    /// Renew it under this epoch.
+    /// Renew the session.
     Renew {
-        /// The session's epoch.
+        /// Epoch of the open session.
         epoch: u64,
     },
 }
 
-/// Owner of the session's epoch.
+/// Owns the epoch of the session; 0 before it was first opened.
 #[derive(Debug)]
 pub(super) struct OwnSession {
     boot_id: u64,
@@ -26,7 +26,7 @@
 }
 
 impl OwnSession {
-    /// A session not yet opened, of the process with this number.
+    /// Creates a session that is not opened yet, for the process with this number.
     pub(super) fn new(boot_id: u64) -> Self {
         Self {
             boot_id,
@@ -35,12 +35,13 @@
         }
     }
 
-    /// Number of the process: a repeated opening by it gives the same epoch.
+    /// Random number of the process, which makes opening the session idempotent: when the same
+    /// process opens it again, it gets the same epoch.
     pub(super) fn boot_id(&self) -> u64 {
         self.boot_id
     }
 
-    /// What is to be done. `is_closed` tells whether the leader closed an epoch.
+    /// Decides the next step. `is_closed` returns whether the session with an epoch was closed.
     pub(super) fn next_step(&self, is_closed: impl Fn(u64) -> bool) -> OwnSessionStep {
         if self.opening {
             return OwnSessionStep::Wait;
@@ -51,12 +52,12 @@
         OwnSessionStep::Renew { epoch: self.epoch }
     }
 
-    /// The opening was requested.
+    /// Records that opening the session was requested.
     pub(super) fn opening(&mut self) {
         self.opening = true;
     }
 
-    /// The opening was answered, or timed out.
+    /// Records the reply to the request that opens the session, which may be a timeout.
     pub(super) fn answered(&mut self, reply: &ShardReply) {
         self.opening = false;
         let Some(shard_reply::Kind::Result(result)) = &reply.kind else {
--- a/crates/control/src/gateway/pending_operator_requests.rs
+++ b/crates/control/src/gateway/pending_operator_requests.rs
@@ -1,4 +1,4 @@
-//! Operators' requests that wait for answers of shards.
+//! Operators' requests that wait for replies of shards.
 
 use std::collections::BTreeMap;
 
@@ -6,24 +6,24 @@
 
 use crate::operator::OperatorRequest;
 
-/// One request and the answers that came in.
+/// One request and the replies received so far.
 #[derive(Debug)]
 pub(super) struct PendingOperatorRequest {
-    /// The request.
+    /// The operator's request.
     pub(super) body: OperatorRequest,
-    /// The answers.
+    /// The replies, in order of arrival.
     pub(super) replies: Vec<ShardReply>,
     missing: usize,
 }
 
-/// Requests by number.
+/// Waiting requests by number.
 #[derive(Debug, Default)]
 pub(super) struct PendingOperatorRequests {
     entries: BTreeMap<u64, PendingOperatorRequest>,
 }
 
 impl PendingOperatorRequests {
-    /// A request waits for this many answers.
+    /// Adds a request that needs this many replies.
     pub(super) fn open(&mut self, request: u64, body: OperatorRequest, answers: usize) {
         let entry = PendingOperatorRequest {
             body,
@@ -33,7 +33,7 @@
         self.entries.insert(request, entry);
     }
 
-    /// An answer came in. Returns the request once it was the last one.
+    /// Adds a reply. Returns the request if it was the last missing one.
     pub(super) fn answered(
         &mut self,
         request: u64,
--- a/crates/control/src/gateway/pending_requests.rs
+++ b/crates/control/src/gateway/pending_requests.rs
@@ -1,4 +1,4 @@
-//! Requests under way to the leaders of shards.
+//! Requests in flight to the leaders of shards, with their retries.
 
 use std::collections::BTreeMap;
 
@@ -7,16 +7,16 @@
 
 use crate::link::LinkId;
 use crate::shard::input::CorrelationId;
-use crate::timing::{RESEND, RETRY_HINTED, RETRY_NO_LEADER};
+use crate::timing::{RESEND_TIMEOUT, RETRY_DELAY_HINTED, RETRY_DELAY_NO_LEADER};
 
-/// Who waits for the answer.
+/// The requester, which determines where the reply goes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Origin {
-    /// An agent, or another control node that forwarded it.
+    /// An agent, or another control node that forwarded the request.
     Link {
-        /// Its link.
+        /// Link on which the request arrived.
         link: LinkId,
-        /// Its number of the request.
+        /// The requester's own number of the request.
         request_id: u64,
     },
     /// An operator's request.
@@ -24,27 +24,28 @@
         /// Number of the operator's request.
         request: u64,
     },
-    /// This node's own report of heartbeats.
+    /// This node renews the sessions whose heartbeats it received.
     SessionRenewals(Vec<SessionRenewal>),
-    /// This node's own session.
+    /// This node opens its own session.
     OwnSession,
-    /// This node checks the list of control nodes.
+    /// This node reads the list of control nodes.
     MemberList,
-    /// This node registers itself; nobody looks at the answer.
+    /// This node registers itself. The content of the reply is ignored: the node's copy of the list
+    /// shows whether it succeeded.
     Registration,
-    /// A replica of this node wants its leader to confirm a read.
+    /// A replica of this node needs its leader to confirm a read.
     Read {
         /// Number of the read in its shard.
         read: u64,
     },
 }
 
-/// How often a request is sent.
+/// Whether a request is retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RetryPolicy {
-    /// Again and again, until it is answered or its deadline passes.
+    /// Retry until the request is answered or its deadline passes.
     UntilDeadline,
-    /// Once: another node forwarded it and retries it itself.
+    /// Send once: the node that forwarded the request does the retries.
     Once,
 }
 
@@ -59,42 +60,42 @@
     retry: RetryPolicy,
 }
 
-/// A request to be sent now.
+/// One attempt to send a request.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Number for the answer.
+    /// Number that the reply carries.
     pub correlation_id: CorrelationId,
-    /// The request; its number is the correlation id.
+    /// The request to send; its `request_id` is the correlation id.
     pub request: ShardRequest,
-    /// The leader that the last answer named.
+    /// The leader named by the last reply; [`NodeId::NONE`] if none was.
     pub hint: NodeId,
-    /// How many attempts were made before.
+    /// Number of earlier attempts.
     pub attempts: u32,
 }
 
-/// A request that is answered.
+/// A request with its final reply.
 #[derive(Clone, Debug)]
 pub struct CompletedRequest {
-    /// Who waits.
+    /// The requester that waits for the reply.
     pub origin: Origin,
-    /// The answer.
+    /// The reply, or a refusal with `ControlTimeout` if the deadline passed.
     pub reply: ShardReply,
 }
 
-/// Requests by correlation id, tried until answered or overdue.
+/// Requests by correlation id, retried until they are answered or their deadline passes.
 ///
-/// Trying again is safe: every request either reads or carries what makes a repeated command
-/// harmless (order id, attempt id, boot id, epoch).
+/// Retries are safe: every request either only reads or carries an id that makes the command
+/// idempotent (order id, attempt id, boot id, epoch).
 #[derive(Debug, Default)]
 pub struct PendingRequests {
-    next: CorrelationId,
+    last_correlation_id: CorrelationId,
     pending: BTreeMap<CorrelationId, Pending>,
     /// No request is due before this time.
     next_due: MonotonicTime,
 }
 
 impl PendingRequests {
-    /// Takes a request; it is due at once.
+    /// Adds a request, which is due at once.
     pub fn submit(
         &mut self,
         now: MonotonicTime,
@@ -105,8 +106,8 @@
         self.insert(now, origin, request, timeout, RetryPolicy::UntilDeadline)
     }
 
-    /// Takes a request that another node forwarded: it is tried on this node only, once, so that
-    /// no request travels in circles.
+    /// Adds a request that another node forwarded. It is tried once and only on this node, so that
+    /// no request is forwarded in a loop.
     pub fn submit_forwarded(
         &mut self,
         now: MonotonicTime,
@@ -117,25 +118,25 @@
         self.insert(now, origin, request, timeout, RetryPolicy::Once)
     }
 
-    /// Number of requests under way.
+    /// Number of requests in flight.
     #[must_use]
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether no request is under way.
+    /// Whether no request is in flight.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// A number for an answer that another part waits for.
+    /// A new correlation id, also for the replies that other parts wait for.
     pub fn next_correlation_id(&mut self) -> CorrelationId {
-        self.next += 1;
-        self.next
+        self.last_correlation_id += 1;
+        self.last_correlation_id
     }
 
-    /// Takes an answer. Returns the completed request, or nothing when it will be tried again.
+    /// Handles a reply. Returns the completed request, or none if the request will be retried.
     pub fn answer(
         &mut self,
         now: MonotonicTime,
@@ -149,7 +150,11 @@
         if retried {
             pending.hint = NodeId(reply.leader_hint);
             let named = pending.hint.is_some();
-            let delay = if named { RETRY_HINTED } else { RETRY_NO_LEADER };
+            let delay = if named {
+                RETRY_DELAY_HINTED
+            } else {
+                RETRY_DELAY_NO_LEADER
+            };
             pending.next_attempt = now + delay;
             self.next_due = self.next_due.min(now + delay);
             return None;
@@ -161,7 +166,8 @@
         })
     }
 
-    /// Requests that are due now; each is due again later unless answered.
+    /// Takes the attempts that are due now. Each request is due again after [`RESEND_TIMEOUT`] unless it
+    /// is answered before.
     pub fn take_due(&mut self, now: MonotonicTime) -> Vec<Attempt> {
         if now < self.next_due {
             return Vec::new();
@@ -169,9 +175,9 @@
         let due = self
             .pending
             .iter_mut()
-            .filter(|(_, pending)| pending.next_attempt <= now && !pending.is_spent());
+            .filter(|(_, pending)| pending.next_attempt <= now && !pending.is_exhausted());
         let attempts = due.map(|(correlation_id, pending)| {
-            pending.next_attempt = now + RESEND;
+            pending.next_attempt = now + RESEND_TIMEOUT;
             pending.attempts += 1;
             Attempt {
                 correlation_id: *correlation_id,
@@ -181,22 +187,25 @@
             }
         });
         let attempts = attempts.collect();
-        let open = self.pending.values().filter(|pending| !pending.is_spent());
+        let open = self
+            .pending
+            .values()
+            .filter(|pending| !pending.is_exhausted());
         let next = open.map(|pending| pending.next_attempt).min();
-        self.next_due = next.unwrap_or(now + RESEND);
+        self.next_due = next.unwrap_or(now + RESEND_TIMEOUT);
         attempts
     }
 
-    /// No node could be found for the attempt: it is due again soon.
+    /// Schedules a retry for an attempt that could not be sent to any node.
     pub fn postpone(&mut self, now: MonotonicTime, correlation_id: CorrelationId) {
         if let Some(pending) = self.pending.get_mut(&correlation_id) {
-            pending.next_attempt = now + RETRY_NO_LEADER;
+            pending.next_attempt = now + RETRY_DELAY_NO_LEADER;
             pending.hint = NodeId::NONE;
             self.next_due = self.next_due.min(pending.next_attempt);
         }
     }
 
-    /// Removes the requests whose time is over, with the answer that says so.
+    /// Removes the requests whose deadline has passed, each with a `ControlTimeout` refusal.
     pub fn take_overdue(&mut self, now: MonotonicTime) -> Vec<CompletedRequest> {
         let overdue: Vec<CorrelationId> = self
             .pending
@@ -215,7 +224,7 @@
             .collect()
     }
 
-    /// A link closed: nobody waits there any more.
+    /// Drops the requests of a closed link, which nobody waits for any more.
     pub fn forget_link(&mut self, ended: LinkId) {
         self.pending.retain(
             |_, pending| !matches!(pending.origin, Origin::Link { link, .. } if link == ended),
@@ -248,12 +257,12 @@
 }
 
 impl Pending {
-    fn is_spent(&self) -> bool {
+    fn is_exhausted(&self) -> bool {
         self.retry == RetryPolicy::Once && self.attempts > 0
     }
 }
 
-/// An answer that carries a code only.
+/// A reply with a result code only.
 #[must_use]
 pub fn refusal(request: &ShardRequest, code: ResultCode, leader: NodeId) -> ShardReply {
     ShardReply {
@@ -265,7 +274,7 @@
     }
 }
 
-/// Shard that a request is for.
+/// The shard that a request is addressed to.
 #[must_use]
 pub fn shard_of(request: &ShardRequest) -> ShardId {
     ShardId(request.shard)
@@ -281,7 +290,7 @@
     misdirected.iter().any(|known| known.number() == code)
 }
 
-/// A request to a shard's leader.
+/// Builds a request to a shard's leader.
 #[must_use]
 pub fn request_to(shard: ShardId, kind: shard_request::Kind) -> ShardRequest {
     ShardRequest {
@@ -291,7 +300,7 @@
     }
 }
 
-/// Whether a code says that everything went well.
+/// Whether a result code means success.
 #[must_use]
 pub fn is_ok(code: u32) -> bool {
     code == ResultCode::Ok.number()
--- a/crates/control/src/gateway/quota_relay.rs
+++ b/crates/control/src/gateway/quota_relay.rs
@@ -1,4 +1,4 @@
-//! Quota requests under way through this node.
+//! Quota requests in flight through this node.
 
 use std::collections::BTreeMap;
 
@@ -8,17 +8,17 @@
 use crate::shard::input::CorrelationId;
 use crate::timing::QUOTA_REQUEST_TIMEOUT;
 
-/// Who waits for the reply to a quota request.
+/// The requester that waits for the reply to a quota request.
 #[derive(Debug)]
 pub(super) struct QuotaWaiter {
-    /// The link to the waiting side.
+    /// Link of the agent or of the control node that forwarded the request.
     pub(super) link: LinkId,
-    /// Number of the control node that passed the request on; absent: an agent waits.
+    /// The forwarding control node's number of the request; absent if an agent sent it.
     pub(super) relay_id: Option<u64>,
     deadline: MonotonicTime,
 }
 
-/// Quota requests under way. They are passed on once: the agent itself sends a lost one again,
+/// Quota requests in flight. They are forwarded once: the agent itself resends a lost request
 /// under the same number, which the leader answers with the same grant.
 #[derive(Debug, Default)]
 pub(super) struct QuotaRelay {
@@ -26,7 +26,7 @@
 }
 
 impl QuotaRelay {
-    /// A request was taken under this number.
+    /// Adds a request under this correlation id.
     pub(super) fn insert(
         &mut self,
         now: MonotonicTime,
@@ -42,17 +42,17 @@
         self.waiters.insert(correlation_id, waiter);
     }
 
-    /// The request was answered. Returns who waits, unless nobody does any more.
+    /// Removes an answered request. Returns its requester, unless it timed out or its link closed.
     pub(super) fn take(&mut self, correlation_id: CorrelationId) -> Option<QuotaWaiter> {
         self.waiters.remove(&correlation_id)
     }
 
-    /// Drops the requests that timed out.
+    /// Drops the requests whose deadline has passed.
     pub(super) fn expire(&mut self, now: MonotonicTime) {
         self.waiters.retain(|_, waiter| waiter.deadline > now);
     }
 
-    /// A link closed.
+    /// Drops the requests of a closed link.
     pub(super) fn forget_link(&mut self, link: LinkId) {
         self.waiters.retain(|_, waiter| waiter.link != link);
     }
--- a/crates/control/src/gateway/replica_table.rs
+++ b/crates/control/src/gateway/replica_table.rs
@@ -1,4 +1,4 @@
-//! The replicas that this node holds, as their cores report them.
+//! The replicas that this node holds, as reported by their cores.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use super::stall_detector::StallDetector;
 use crate::shard::ShardReplicaStatus;
 
-/// Owner of the status of each replica, and of the detection of cores that do not report.
+/// Owns the status of each replica, and the detection of cores that stop reporting.
 #[derive(Debug, Default)]
 pub(super) struct ReplicaTable {
     statuses: BTreeMap<ShardId, ShardReplicaStatus>,
@@ -50,14 +50,15 @@
         self.get(shard).is_some_and(|replica| replica.leads)
     }
 
-    /// The shard's leader as this node's replica knows it; none without a replica.
+    /// The shard's leader as far as this node's replica knows; [`NodeId::NONE`] if it is unknown or
+    /// this node holds no replica.
     pub(super) fn leader_of(&self, shard: ShardId) -> NodeId {
         self.get(shard)
             .map_or(NodeId::NONE, |replica| replica.leader)
     }
 
-    /// Whether every one of the `shard_count` shards is held here and not removed, the
-    /// configuration shard has its quorum, and no core is stalled.
+    /// Whether this node holds a replica, not removed from its group, of each of the `shard_count`
+    /// shards, the configuration shard has its quorum, and no core is stalled.
     pub(super) fn serves_all(&self, shard_count: usize) -> bool {
         let held = self.iter().filter(|replica| !replica.removed);
         let configuration = self.get(ShardId::CONFIGURATION);
@@ -66,14 +67,14 @@
             && !self.stalls.any_stalled()
     }
 
-    /// A replica of the shard is started.
+    /// Adds a replica that is started, with an unknown status.
     pub(super) fn start(&mut self, shard: ShardId) {
         let unknown = ShardReplicaStatus::unknown(shard);
         self.statuses.insert(shard, unknown);
     }
 
-    /// A core reported its status. Returns the former one, or nothing if the core was stopped in the
-    /// meantime.
+    /// Records a status reported by a core. Returns the previous one, or none if the core was stopped
+    /// in the meantime.
     pub(super) fn update(
         &mut self,
         now: MonotonicTime,
@@ -84,12 +85,12 @@
         Some(std::mem::replace(current, status.clone()))
     }
 
-    /// Looks for cores that do not report any more.
+    /// Checks for cores that have stopped reporting.
     pub(super) fn tick(&mut self, now: MonotonicTime) {
         self.stalls.tick(now);
     }
 
-    /// Every core was stopped.
+    /// Removes all replicas, whose cores were stopped.
     pub(super) fn clear(&mut self) {
         self.statuses.clear();
         self.stalls.clear();
--- a/crates/control/src/gateway/stall_detector.rs
+++ b/crates/control/src/gateway/stall_detector.rs
@@ -1,4 +1,4 @@
-//! Detects shards whose core does not report: its thread waits for a stalled disk.
+//! Detects shards whose core does not report, because its thread waits for a stalled disk.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::timing::QUORUM_CONTACT_TIMEOUT;
 
-/// When each core last reported its status, which a running one does several times a second.
+/// Time of each core's last status report. A running core reports several times a second.
 #[derive(Debug, Default)]
 pub struct StallDetector {
     last_reports: BTreeMap<ShardId, MonotonicTime>,
@@ -14,13 +14,13 @@
 }
 
 impl StallDetector {
-    /// A core reported its status.
+    /// Records a status report of a core.
     pub fn record_report(&mut self, now: MonotonicTime, shard: ShardId) {
         self.last_reports.insert(shard, now);
     }
 
-    /// Looks at the clock: a core whose last report is older than the quorum-contact timeout is
-    /// stalled.
+    /// Checks the age of each core's last report. A core counts as stalled when it is at least
+    /// [`QUORUM_CONTACT_TIMEOUT`].
     pub fn tick(&mut self, now: MonotonicTime) {
         let mut last_reports = self.last_reports.values();
         self.stalled = last_reports.any(|last| now.since(*last) >= QUORUM_CONTACT_TIMEOUT);
@@ -32,7 +32,7 @@
         self.stalled
     }
 
-    /// Every core was stopped.
+    /// Forgets all cores, which were stopped.
     pub fn clear(&mut self) {
         self.last_reports.clear();
         self.stalled = false;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,7 +1,7 @@
-//! Control node: replicated shards, sessions, feed, operator interface.
+//! Control node: replicated shards, sessions, feeds and the operator interface.
 //!
-//! [`ControlNode`] is the node's logic without input and output. The [`daemon`] runs the same
-//! parts on threads: one for the gateway, one for each shard.
+//! [`ControlNode`] is the node's logic as a synchronous state machine without I/O. The [`daemon`]
+//! runs the same parts on threads: one for the gateway, one for each shard.
 
 pub mod commands;
 pub mod daemon;
--- a/crates/control/src/link.rs
+++ b/crates/control/src/link.rs
@@ -1,25 +1,25 @@
-//! Connections as the node's logic names them.
+//! Links: the connections of a node, by number.
 
 use std::fmt;
 
-/// Set in the numbers of links that this node opens itself.
+/// Bit that is set in the numbers of links that this node opens itself.
 const OUTGOING_BIT: u64 = 1 << 63;
 
-/// Number of a connection, never used twice while a node runs.
+/// Number of a connection, unique while the node runs.
 ///
-/// The node numbers the links that it opens; whoever runs the node numbers the accepted ones,
-/// from 1 upwards. The two ranges do not meet.
+/// The node numbers the links that it opens; its host (daemon or simulator) numbers the accepted
+/// ones, from 1 upwards. The two ranges do not overlap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
 impl LinkId {
-    /// The `number`-th link that the node opens.
+    /// Number of the `number`-th link that the node opens.
     #[must_use]
     pub fn outgoing(number: u64) -> Self {
         Self(number | OUTGOING_BIT)
     }
 
-    /// Whether the node itself opened the link.
+    /// Whether this node opened the link.
     #[must_use]
     pub fn is_outgoing(self) -> bool {
         self.0 & OUTGOING_BIT != 0
@@ -33,11 +33,11 @@
     }
 }
 
-/// How a link came about.
+/// The side that opened a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerKind {
-    /// Accepted by the listener: a control node or an agent, told apart by its frames.
+    /// Accepted by the listener. The peer is a control node or an agent; its frames show which.
     Incoming,
-    /// Opened by this node, to a control node.
+    /// Opened by this node to a control node.
     Outgoing,
 }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -1,4 +1,4 @@
-//! A complete control node as one synchronous machine.
+//! A complete control node as one synchronous state machine.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -13,19 +13,19 @@
 use crate::shard::{ShardCore, ShardCoreOptions, ShardInput, ShardOutput};
 use crate::storage_code::storage_code;
 
-/// Opens the folder with this name.
+/// Opens the data folder with the given name.
 pub type FolderOpener = Arc<dyn Fn(&str) -> Box<dyn Disk> + Send + Sync>;
 
-/// Name of the node's own folder.
+/// Name of the folder for the node's own file.
 pub const NODE_FOLDER: &str = "node";
 
-/// Name of a shard's folder.
+/// Name of the folder for a shard's log and snapshots.
 #[must_use]
 pub fn shard_folder(shard: ShardId) -> String {
     format!("shard-{shard}")
 }
 
-/// What a shard's core is opened with on this node.
+/// Options of a shard's core on this node.
 pub(crate) fn core_options(
     node: &ControlOptions,
     folders: &FolderOpener,
@@ -45,22 +45,22 @@
     }
 }
 
-/// Gateway and shard cores, composed synchronously.
+/// The gateway and the shards' cores, run synchronously.
 ///
-/// The daemon runs the same parts on threads of their own; the simulator and the tests use this.
+/// The simulator and the tests use this; the daemon runs the same parts on threads.
 pub struct ControlNode {
     options: ControlOptions,
     folders: FolderOpener,
     gateway: Gateway,
     cores: BTreeMap<ShardId, ShardCore>,
-    /// Shards with inputs that are not flushed yet, while a batch is taken.
+    /// Shards with inputs that are not flushed yet; present only while a batch is handled.
     batch: Option<BTreeSet<ShardId>>,
     queue: VecDeque<GatewayOutput>,
     outputs: Vec<NodeOutput>,
 }
 
 impl ControlNode {
-    /// Opens a node on its folders. Its first outputs come with the first input.
+    /// Opens a node on its folders. Its first outputs are returned with those of the first input.
     ///
     /// # Errors
     /// The node's folder cannot be read or written.
@@ -84,18 +84,18 @@
         Ok(node)
     }
 
-    /// Takes one input and returns what is to be done.
+    /// Handles one input and returns the outputs, in order.
     pub fn handle(&mut self, now: MonotonicTime, input: NodeInput) -> Vec<NodeOutput> {
-        self.take_input(now, input);
+        self.handle_input(now, input);
         std::mem::take(&mut self.outputs)
     }
 
-    /// Takes inputs that waited while the disk was busy, all with one flush of each shard, as the
-    /// shards' threads of the daemon do.
+    /// Handles several inputs with a single flush of each shard, as the shards' threads of the daemon
+    /// do with inputs that waited while the disk was busy.
     pub fn handle_batch(&mut self, now: MonotonicTime, inputs: Vec<NodeInput>) -> Vec<NodeOutput> {
         self.batch = Some(BTreeSet::new());
         for input in inputs {
-            self.take_input(now, input);
+            self.handle_input(now, input);
         }
         for shard in self.batch.take().unwrap_or_default() {
             self.flush_core(now, shard);
@@ -110,19 +110,19 @@
         self.gateway.identity()
     }
 
-    /// The node-level half.
+    /// The gateway, for inspection.
     #[must_use]
     pub fn gateway(&self) -> &Gateway {
         &self.gateway
     }
 
-    /// The core of a shard, if this node holds a replica.
+    /// The core of a shard, for inspection; none if this node holds no replica of it.
     #[must_use]
     pub fn core(&self, shard: ShardId) -> Option<&ShardCore> {
         self.cores.get(&shard)
     }
 
-    fn take_input(&mut self, now: MonotonicTime, input: NodeInput) {
+    fn handle_input(&mut self, now: MonotonicTime, input: NodeInput) {
         if matches!(input, NodeInput::Tick) {
             self.tick_cores(now);
         }
@@ -142,8 +142,8 @@
             match output {
                 GatewayOutput::Node(output) => self.outputs.push(output),
                 GatewayOutput::Shard { shard, input } => self.send_to_core(now, shard, input),
-                GatewayOutput::StartShard(start) => self.start(now, start),
-                GatewayOutput::EraseShards => self.erase(),
+                GatewayOutput::StartShard(start) => self.start_shard(now, start),
+                GatewayOutput::EraseShards => self.erase_shards(),
             }
         }
     }
@@ -169,15 +169,15 @@
     fn flush_core(&mut self, now: MonotonicTime, shard: ShardId) {
         let outputs = self.cores.get_mut(&shard).map(|core| core.flush(now));
         for output in outputs.into_iter().flatten() {
-            self.take_from_core(now, shard, output);
+            self.handle_core_output(now, shard, output);
         }
     }
 
-    fn take_from_core(&mut self, now: MonotonicTime, shard: ShardId, output: ShardOutput) {
+    fn handle_core_output(&mut self, now: MonotonicTime, shard: ShardId, output: ShardOutput) {
         self.send_to_gateway(now, GatewayInput::Shard { shard, output });
     }
 
-    fn start(&mut self, now: MonotonicTime, start: ShardStart) {
+    fn start_shard(&mut self, now: MonotonicTime, start: ShardStart) {
         let shard = start.shard;
         let options = core_options(&self.options, &self.folders, start);
         match ShardCore::open(options, now) {
@@ -194,9 +194,9 @@
         }
     }
 
-    fn erase(&mut self) {
+    fn erase_shards(&mut self) {
         self.cores.clear();
-        // A node whose file is lost does not know the number of its shards any more.
+        // The number of shards is unknown if the node's file was lost.
         let highest = crate::folders::HIGHEST_SHARD;
         for shard in (0..=highest).map(ShardId) {
             let mut disk = (self.folders)(&shard_folder(shard));
--- a/crates/control/src/node_event.rs
+++ b/crates/control/src/node_event.rs
@@ -1,85 +1,93 @@
-//! Events of a control node, for the log and the simulator's trace.
+//! Events of a control node, for the log.
 
 use std::fmt;
 
 use millford_core::{NodeId, ResultCode, ShardId};
 use millford_placement::MoveReason;
 
-/// An event for the log and the simulator's trace.
+/// An event for the daemon's log and for verbose runs of the simulator. Its `Display` form is the
+/// log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeEvent {
-    /// An identity was minted on an empty disk.
-    IdentityMinted(NodeId),
-    /// The cluster was formed.
+    /// A new identity was created because the disk held no valid one.
+    IdentityCreated(NodeId),
+    /// This node formed the cluster with this identity.
     ClusterFormed(u64),
-    /// This node joined a formed cluster without replicas.
+    /// This node joined the formed cluster with this identity, without replicas.
     JoinedAsStandby(u64),
-    /// The cluster removed this node; it starts over under a new identity.
+    /// This node erased its shards and continues under this new identity, because the cluster removed
+    /// the old one or a shard's storage is corrupt.
     StartedOver(NodeId),
-    /// A shard has this leader now.
+    /// This node's replica became the leader of a shard.
     Leader {
-        /// The shard.
+        /// The shard that it leads.
         shard: ShardId,
-        /// Its leader.
+        /// Identity of this node.
         leader: NodeId,
-        /// Its term.
+        /// The leader's term.
         term: u64,
     },
-    /// This replica lost contact with the shard's quorum.
+    /// This node's replica of the shard lost contact with the quorum.
     LostQuorum(ShardId),
-    /// A leader changes the voters of its shard.
+    /// This node, as the leader of a shard, starts a membership change of its group.
     VotersChange {
-        /// The shard.
+        /// The shard whose group changes.
         shard: ShardId,
-        /// What is changed.
+        /// The change: `add learner`, `remove` or `promote`.
         change: &'static str,
-        /// Which node.
+        /// The node to be added, removed or promoted.
         node: NodeId,
     },
-    /// A node that timed out was removed from the membership.
+    /// This node, as the leader, removes an unresponsive control node from the membership.
     MemberRemoved(NodeId),
-    /// A configuration was accepted.
+    /// The configuration with this revision was accepted.
     ConfigurationAccepted(u64),
     /// A replica stopped on a storage error.
     ReplicaFailed {
-        /// The shard.
+        /// The shard of the replica.
         shard: ShardId,
-        /// Why.
+        /// Result code of the storage error.
         code: ResultCode,
     },
-    /// The placer moves a replica, or puts a move off.
+    /// The placer changes a replica, or defers a change.
     Placement {
-        /// The pool.
+        /// Name of the pool.
         pool: String,
-        /// The replica.
+        /// Backend, model and version of the replica.
         replica: String,
-        /// Why.
+        /// The change with its reason.
         reason: MoveReason,
     },
-    /// As [`Self::Placement`], for moves of one plan that are not named.
+    /// The number of moves of one plan that got no [`Self::Placement`] event of their own.
     MorePlacements {
-        /// The pool.
+        /// Name of the pool.
         pool: String,
-        /// How many.
+        /// Number of the remaining moves.
         more: usize,
     },
-    /// An operator forced recovery: the only voter of the shard is now this node.
+    /// An operator forced recovery: this node is now the only voter of the shard.
     RecoveryForced(ShardId),
 }
 
 impl fmt::Display for NodeEvent {
-    /// The event as a log line.
+    /// Formats the event as a log line.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::IdentityMinted(node) => {
-                write!(formatter, "The disk is empty; this node is {node} now.")
+            Self::IdentityCreated(node) => {
+                write!(
+                    formatter,
+                    "Created node identity {node}: the disk holds no valid one."
+                )
             }
             Self::ClusterFormed(cluster) => write!(formatter, "Formed cluster {cluster:016x}."),
             Self::JoinedAsStandby(cluster) => {
                 write!(formatter, "Joined cluster {cluster:016x} as a standby.")
             }
             Self::StartedOver(node) => {
-                write!(formatter, "This node starts over empty, as {node}.")
+                write!(
+                    formatter,
+                    "Erased all shards; this node continues as {node}."
+                )
             }
             Self::Leader {
                 shard,
@@ -89,7 +97,9 @@
                 formatter,
                 "Node {leader} leads shard {shard} in term {term}."
             ),
-            Self::LostQuorum(shard) => write!(formatter, "Shard {shard} lost its quorum."),
+            Self::LostQuorum(shard) => {
+                write!(formatter, "Lost contact with the quorum of shard {shard}.")
+            }
             Self::VotersChange {
                 shard,
                 change,
@@ -97,10 +107,10 @@
             } => write!(formatter, "Shard {shard}: {change} {node}."),
             Self::MemberRemoved(node) => write!(
                 formatter,
-                "Control node {node} timed out and was removed from the membership."
+                "Removing unresponsive control node {node} from the membership."
             ),
             Self::ConfigurationAccepted(revision) => {
-                write!(formatter, "Revision {revision} applied.")
+                write!(formatter, "Accepted configuration revision {revision}.")
             }
             Self::ReplicaFailed { shard, code } => {
                 write!(formatter, "The replica of shard {shard} stopped: {code}")
@@ -111,37 +121,45 @@
                 reason,
             } => write!(
                 formatter,
-                "Pool {pool}: {replica} {}.",
+                "Pool {pool}: replica {replica} {}.",
                 reason_text(*reason)
             ),
             Self::MorePlacements { pool, more } => {
-                write!(formatter, "Pool {pool}: {more} more moves.")
+                write!(formatter, "Pool {pool}: {more} more replica changes.")
             }
             Self::RecoveryForced(shard) => write!(
                 formatter,
-                "FORCED RECOVERY: this node is the only voter of shard {shard}; orders may be lost."
+                "FORCED RECOVERY: this node is the only voter of shard {shard}; accepted orders may be lost."
             ),
         }
     }
 }
 
-/// The reason as the end of a sentence.
+/// Describes the change and its reason, as the end of a log line about a replica.
 fn reason_text(reason: MoveReason) -> &'static str {
     match reason {
-        MoveReason::Fenced => "is left alone, as a later leader places it",
-        MoveReason::Placed => "takes new work",
-        MoveReason::Retired => "is retired by the platform",
-        MoveReason::Drained => "is empty and removed",
-        MoveReason::DrainTimedOut => "is removed with work still open",
-        MoveReason::BandwidthRelief => "gets less work, for its memory bandwidth",
-        MoveReason::BandwidthExceeded => "is over its memory bandwidth, with no capacity elsewhere",
+        MoveReason::Fenced => "is unchanged, because a later leader has placed it",
+        MoveReason::Placed => "accepts new work",
+        MoveReason::Retired => {
+            "accepts no new work, because its backend is retired or withdrew the declaration"
+        }
+        MoveReason::Drained => "is drained and removed",
+        MoveReason::DrainTimedOut => "is removed with work in flight, because its drain timed out",
+        MoveReason::BandwidthRelief => {
+            "gets less new work, because its backend exceeds the memory bandwidth limit"
+        }
+        MoveReason::BandwidthExceeded => {
+            "is on a backend that exceeds the memory bandwidth limit, and no other has headroom"
+        }
         MoveReason::TransitionStep => "starts with the new version",
-        MoveReason::TransitionForced => "starts with the new version, deferred for too long",
-        MoveReason::TransitionDeferred => "waits with the new version for lower load",
-        MoveReason::TransitionBehindRetirements => "waits with the new version for retirements",
-        MoveReason::OldVersionWithdrawn => "takes no new work, as its version is old",
-        MoveReason::ScaledUp => "is added for more load",
-        MoveReason::ScaledDown => "is taken away for less load",
-        MoveReason::Reweighted => "gets another share of new work",
+        MoveReason::TransitionForced => "starts with the new version after the longest deferral",
+        MoveReason::TransitionDeferred => "defers the new version until the load is lower",
+        MoveReason::TransitionBehindRetirements => {
+            "defers the new version until retirements by the platform are done"
+        }
+        MoveReason::OldVersionWithdrawn => "accepts no new work, because its version is replaced",
+        MoveReason::ScaledUp => "is added to scale up",
+        MoveReason::ScaledDown => "is drained to scale down",
+        MoveReason::Reweighted => "gets a different share of new work",
     }
 }
--- a/crates/control/src/node_input.rs
+++ b/crates/control/src/node_input.rs
@@ -1,4 +1,4 @@
-//! What happens to a control node.
+//! Inputs of a control node.
 
 use std::sync::Arc;
 
@@ -11,36 +11,36 @@
 /// One input of the node's logic.
 #[derive(Clone, Debug)]
 pub enum NodeInput {
-    /// A frame arrived.
+    /// A received frame.
     Frame {
-        /// On this link.
+        /// Link on which the frame arrived.
         link: LinkId,
-        /// The frame.
+        /// The frame as decoded.
         frame: Frame,
     },
     /// A link is open: accepted, or requested by [`crate::NodeOutput::Connect`].
     LinkOpened {
-        /// The link.
+        /// Number of the link.
         link: LinkId,
-        /// Which side opened it.
+        /// The side that opened it.
         peer: PeerKind,
     },
     /// A link closed or could not be opened.
     LinkClosed {
-        /// The link.
+        /// Number of the link.
         link: LinkId,
     },
     /// A request through the operator interface.
     Operator {
-        /// Number for the answer.
+        /// Number that the reply carries.
         request: u64,
-        /// The request.
+        /// The request, already parsed and validated.
         body: OperatorRequest,
     },
-    /// The service registry was read.
+    /// A new view of the service registry.
     Registry(Arc<RegistryView>),
-    /// [`crate::timing::TICK`] passed.
+    /// The periodic tick, every [`crate::timing::TICK`].
     Tick,
-    /// The process shuts down: transfer the leaderships that can be transferred.
+    /// The process shuts down, so that leaderships are to be transferred where possible.
     Shutdown,
 }
--- a/crates/control/src/node_output.rs
+++ b/crates/control/src/node_output.rs
@@ -1,4 +1,4 @@
-//! What a control node wants done.
+//! Outputs of a control node.
 
 use millford_api::internal::Frame;
 use millford_core::ResultCode;
@@ -12,35 +12,36 @@
 pub enum NodeOutput {
     /// Send a frame.
     Send {
-        /// On this link.
+        /// Link to send it on.
         link: LinkId,
-        /// The frame.
+        /// The frame to send.
         frame: Frame,
     },
-    /// Open a connection; answered by `LinkOpened` or `LinkClosed`.
+    /// Open a connection; answered by [`crate::NodeInput::LinkOpened`] or
+    /// [`crate::NodeInput::LinkClosed`].
     Connect {
         /// Number of the new link.
         link: LinkId,
-        /// IP address and port.
+        /// IP address and port of the other control node.
         address: String,
     },
-    /// Close a link. No `LinkClosed` need follow.
+    /// Close a link. [`crate::NodeInput::LinkClosed`] may follow but does not have to.
     Close {
-        /// The link.
+        /// Number of the link.
         link: LinkId,
     },
     /// Answer an operator.
     OperatorReply {
         /// Number of the request.
         request: u64,
-        /// The answer.
+        /// The reply to be sent.
         reply: OperatorReply,
     },
-    /// Something worth a line in the log.
+    /// An event for the log.
     Event(NodeEvent),
-    /// The node cannot go on; the process ends.
+    /// A fatal error, after which the process must exit.
     Fatal {
-        /// Why.
+        /// Result code of the error.
         code: ResultCode,
     },
 }
--- a/crates/control/src/operator/failure.rs
+++ b/crates/control/src/operator/failure.rs
@@ -1,28 +1,28 @@
-//! Refusals and failures of operators' requests.
+//! Errors of operators' requests.
 
 use millford_control_state::document::Fault;
 use millford_core::{Duration, ResultCode};
 
-/// Why a request was refused or failed.
+/// The reason for which a request was refused or failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorFailure {
-    /// The numbered code.
+    /// The result code.
     pub code: ResultCode,
-    /// One sentence; the code's own when empty.
+    /// A message for people; empty to use the standard message of the code.
     pub message: String,
-    /// The present revision, beside a conflict.
+    /// The current configuration revision, if the order conflicts with it.
     pub revision: Option<u64>,
-    /// Faults of the body.
+    /// Faults found in the request's body.
     pub faults: Vec<Fault>,
-    /// Delay after which a retry may succeed.
+    /// Delay after which a retry may succeed; absent if a retry cannot help.
     pub retry_after: Option<Duration>,
 }
 
-/// Delay before a retry while a shard has no leader.
+/// Retry delay for failures that pass, such as a shard without a leader.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl OperatorFailure {
-    /// A failure with the code's own sentence.
+    /// A failure with the standard message of its code.
     #[must_use]
     pub fn new(code: ResultCode) -> Self {
         Self {
@@ -34,21 +34,21 @@
         }
     }
 
-    /// With a sentence of its own.
+    /// Sets a message of its own.
     #[must_use]
     pub fn with_message(mut self, message: impl Into<String>) -> Self {
         self.message = message.into();
         self
     }
 
-    /// With the present revision.
+    /// Sets the current configuration revision.
     #[must_use]
     pub fn with_revision(mut self, revision: u64) -> Self {
         self.revision = Some(revision);
         self
     }
 
-    /// A body with faults.
+    /// A failure for a body with these faults.
     #[must_use]
     pub fn of_faults(faults: Vec<Fault>) -> Self {
         let code = Fault::overall(&faults);
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The sentence for people.
+    /// The message for people.
     #[must_use]
     pub fn text(&self) -> &str {
         if self.message.is_empty() {
@@ -69,12 +69,12 @@
 }
 
 fn retry_after(code: ResultCode) -> Option<Duration> {
-    let passing = matches!(
+    let temporary = matches!(
         code,
         ResultCode::NoLeader
             | ResultCode::ControlTimeout
             | ResultCode::NotFormed
             | ResultCode::OrderUncertain
     );
-    passing.then_some(RETRY_AFTER)
+    temporary.then_some(RETRY_AFTER)
 }
--- a/crates/control/src/operator/mod.rs
+++ b/crates/control/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! Requests of operators and their replies, as `openapi/operator.json` describes it.
+//! Requests of operators and their replies, as described by `openapi/operator.json`.
 
 pub mod failure;
 pub mod reply;
--- a/crates/control/src/operator/reply.rs
+++ b/crates/control/src/operator/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to operators.
+//! Replies to operators.
 
 use millford_api::operator::{
     ConfigReply, DrainReply, PlanReply, PutConfigReply, RecoveryReply, StatusReply,
@@ -6,21 +6,21 @@
 
 use super::failure::OperatorFailure;
 
-/// Answer to one request.
+/// Reply to an [`super::OperatorRequest`].
 #[derive(Clone, Debug)]
 pub enum OperatorReply {
-    /// The order was accepted.
+    /// The configuration order was accepted.
     Order(PutConfigReply),
     /// The configuration in force.
     Config(Box<ConfigReply>),
-    /// What a change would move.
+    /// The effects that a changed configuration would have.
     Plan(Box<PlanReply>),
-    /// The control plane as this node sees it.
+    /// The status of the control plane, as seen by this node.
     Status(Box<StatusReply>),
-    /// The drain order stands, or is lifted.
+    /// The drain order was recorded or withdrawn.
     Drain(DrainReply),
-    /// This node is the only voter of these shards now.
+    /// The shards whose only voter this node becomes.
     Recovery(RecoveryReply),
-    /// Refused or failed.
+    /// The request was refused or failed.
     Failed(OperatorFailure),
 }
--- a/crates/control/src/operator/request.rs
+++ b/crates/control/src/operator/request.rs
@@ -4,29 +4,29 @@
 use millford_api::config::Document;
 use millford_core::NodeId;
 
-/// A request of an operator. Bodies are read and checked before they come here.
+/// A request of an operator, with a body that is already parsed and validated.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorRequest {
     /// Replace the configuration.
     PutConfig(PutConfig),
-    /// The configuration in force, by a confirmed read.
+    /// Return the configuration in force, by a confirmed read.
     GetConfig,
-    /// What a change would move.
+    /// Return the effects that this configuration would have.
     Plan(Document),
-    /// Members, shards, sessions, placements.
+    /// Return the members, shards, sessions and placements.
     Status,
-    /// Drain a backend, or end its draining.
+    /// Drain a backend, or withdraw the drain order.
     Drain {
         /// Name of the pool.
         pool: String,
         /// Identity of the backend.
         backend_id: String,
-        /// Whether to drain.
+        /// Whether to drain the backend; false withdraws the order.
         drain: bool,
     },
-    /// Make this node the only voter after a quorum was lost for good.
+    /// Make this node the only voter of the shards that have permanently lost their quorum.
     Recover {
-        /// The nodes that remain.
+        /// The control nodes that are left, this node among them.
         survivors: Vec<NodeId>,
     },
 }
--- a/crates/control/src/operator/status.rs
+++ b/crates/control/src/operator/status.rs
@@ -1,4 +1,4 @@
-//! Parts of the answer to `GET /v1/status`.
+//! Parts of the response to `GET /v1/status`.
 
 use millford_api::internal::{SessionStatus, ShardStatus};
 use millford_api::operator::{MemberBody, PlacementBody, ReplicaBody, SessionBody, ShardBody};
@@ -19,7 +19,7 @@
     }
 }
 
-/// A shard, as its leader reports it.
+/// A shard, as reported by its leader.
 #[must_use]
 pub fn shard_body(status: &ShardStatus) -> ShardBody {
     let leader = NodeId(status.leader);
@@ -38,7 +38,7 @@
     }
 }
 
-/// A shard whose leader did not answer, as this node's own replica knows it.
+/// A shard whose leader did not answer, as known by this node's own replica.
 #[must_use]
 pub fn leaderless_body(replica: &ShardReplicaStatus) -> ShardBody {
     ShardBody {
@@ -51,7 +51,7 @@
     }
 }
 
-/// An open session.
+/// An open session, as reported by the leader of its shard.
 #[must_use]
 pub fn session_body(status: &SessionStatus) -> SessionBody {
     SessionBody {
@@ -63,7 +63,7 @@
     }
 }
 
-/// The replicas of a pool.
+/// The placement of a pool's replicas.
 #[must_use]
 pub fn placement_body(placement: &PoolPlacement) -> PlacementBody {
     PlacementBody {
--- a/crates/control/src/options.rs
+++ b/crates/control/src/options.rs
@@ -1,8 +1,8 @@
-//! What a control node is started with.
+//! Options of a control node.
 
 use millford_core::Duration;
 
-/// Voters of a shard when the settings name no other number: one may be lost.
+/// Default number of voters of a shard, which tolerates the loss of one.
 pub const VOTERS_PER_SHARD: usize = 3;
 
 /// Options of one control node.
@@ -10,18 +10,19 @@
 pub struct ControlOptions {
     /// Zone of the machine.
     pub zone: String,
-    /// Address, IP and port, where control nodes and agents reach this node.
+    /// IP address and port at which control nodes and agents reach this node.
     pub internal_address: String,
-    /// Address, IP and port, of the operator interface.
+    /// IP address and port of the operator interface.
     pub operator_address: String,
-    /// Internal addresses to begin with.
+    /// Internal addresses of the control nodes to contact first.
     pub seeds: Vec<String>,
-    /// Data shards of a cluster that this node forms.
+    /// Number of data shards of a cluster that this node forms.
     pub data_shards: u32,
-    /// Voters that a shard has when there are enough nodes: 2n + 1 of them bear the loss of n disks.
+    /// Number of voters of a shard if there are enough nodes; 2n + 1 voters tolerate the loss of n
+    /// disks.
     pub voters_per_shard: usize,
-    /// Inactivity after which a voter is replaced by a standby.
+    /// Time without contact after which a voter is replaced by a standby.
     pub replace_after: Duration,
-    /// Seed of the node's random numbers; from the operating system in the daemon.
+    /// Seed of the node's random numbers. The daemon takes it from the operating system.
     pub seed: u64,
 }
--- a/crates/control/src/shard/applied_state.rs
+++ b/crates/control/src/shard/applied_state.rs
@@ -1,4 +1,4 @@
-//! The replicated state as far as this replica has applied it, and when it is to be compacted.
+//! The replicated state as far as this replica has applied it, and the schedule of its snapshots.
 
 use millford_api::command::Command;
 use millford_api::replication::{LogEntry, log_entry::Payload};
@@ -10,35 +10,35 @@
 
 use crate::timing::{SNAPSHOT_BYTES, SNAPSHOT_ENTRIES};
 
-/// An applied command and what came of it.
+/// A command and the outcome of applying it.
 #[derive(Debug)]
 pub(super) struct AppliedCommand {
-    /// The command.
+    /// The command as decoded from the log entry.
     pub(super) command: Command,
-    /// Its result and the public items that it changed.
+    /// Its result, and the public items that it changed.
     pub(super) applied: Applied,
 }
 
-/// A snapshot that is to be stored.
+/// A snapshot that is ready to be stored.
 #[derive(Debug)]
 pub(super) struct DueSnapshot {
-    /// Last index that it covers.
+    /// Last log index that the snapshot covers.
     pub(super) index: u64,
-    /// The encoded state.
+    /// The encoded state of the state machine.
     pub(super) data: Vec<u8>,
 }
 
-/// Owner of the state machine.
+/// Owns the state machine and decides when to take a snapshot of it.
 pub(super) struct AppliedState {
     machine: ShardMachine,
-    /// Last index of the newest snapshot.
+    /// Last log index that the newest snapshot covers.
     snapshot_index: u64,
-    /// Bytes of the entries that were applied since the last snapshot.
+    /// Bytes of the commands applied since the last snapshot.
     bytes_since_snapshot: usize,
 }
 
 impl AppliedState {
-    /// The empty state of a shard.
+    /// Creates the empty state of a shard.
     pub(super) fn new(shard: ShardId) -> Self {
         Self {
             machine: ShardMachine::new(shard),
@@ -47,12 +47,12 @@
         }
     }
 
-    /// The state machine.
+    /// The state machine, for reads.
     pub(super) fn machine(&self) -> &ShardMachine {
         &self.machine
     }
 
-    /// The public items.
+    /// All public items of the state.
     pub(super) fn public_items(&self) -> Vec<StateItem> {
         let items = self.machine.public_state().iter();
         items
@@ -63,12 +63,12 @@
             .collect()
     }
 
-    /// Replaces the state by a snapshot. Returns the deletions of the public items that the snapshot
-    /// does not hold.
+    /// Replaces the state by a snapshot. Returns a deletion for each public item that the snapshot
+    /// does not contain.
     ///
     /// # Errors
-    /// The snapshot cannot be read. Its bytes passed their checksum, so it is one of a newer
-    /// release. The state stays as it was.
+    /// The snapshot cannot be decoded. Its bytes passed their checksum, so a newer release wrote it.
+    /// The state stays as it was.
     pub(super) fn restore(
         &mut self,
         snapshot: &RestoredSnapshot,
@@ -85,27 +85,28 @@
         Ok(deleted.collect())
     }
 
-    /// Starts again from nothing: the state is built from the snapshot and the log.
+    /// Resets to the empty state, to be rebuilt from the snapshot and the log.
     pub(super) fn reset(&mut self) {
         self.machine = ShardMachine::new(self.machine.shard());
         self.snapshot_index = 0;
     }
 
-    /// Applies a committed entry. Returns the command, if the entry holds one.
+    /// Applies a committed entry. Returns the command and its outcome, if the entry holds a command.
     pub(super) fn apply(&mut self, entry: &LogEntry) -> Option<AppliedCommand> {
         let Some(Payload::Command(bytes)) = &entry.payload else {
             self.machine.skip(entry.index, entry.term);
             return None;
         };
         self.bytes_since_snapshot += bytes.len();
-        // Only commands that this code encoded get into the log; one of a newer release that
-        // cannot be read changes nothing here and is refused in the same way on every replica.
+        // Only commands that this code encoded get into the log. A command of a newer release that
+        // cannot be decoded changes nothing and is refused in the same way on every replica.
         let command = Command::decode(bytes.as_slice()).unwrap_or_default();
         let applied = self.machine.apply(entry.index, entry.term, &command);
         Some(AppliedCommand { command, applied })
     }
 
-    /// The snapshot to be stored now, once enough was applied since the last one.
+    /// Takes a snapshot if [`SNAPSHOT_ENTRIES`] entries or [`SNAPSHOT_BYTES`] of commands have been
+    /// applied since the last one.
     pub(super) fn take_due_snapshot(&mut self) -> Option<DueSnapshot> {
         let applied = self.machine.applied_index();
         let many = applied >= self.snapshot_index + SNAPSHOT_ENTRIES;
--- a/crates/control/src/shard/catalogue_reconciler.rs
+++ b/crates/control/src/shard/catalogue_reconciler.rs
@@ -1,5 +1,5 @@
-//! Reconciles the catalogue of this shard's services with the service registry: a singleton role
-//! of the shard's leader.
+//! Reconciles the catalogue of this shard's services with the service registry. Only the shard's
+//! leader does so.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,20 +12,20 @@
 use millford_core::{ShardId, ShardLayout, service_key};
 use millford_registry::{RegistryEntry, RegistryView};
 
-/// Prefix of the pools' keys in the configuration.
+/// Prefix of the keys of pools in the configuration.
 const POOL_PREFIX: &str = "config/pool/";
 
-/// What the catalogue of a service lacks or has too much.
+/// The changes that bring the catalogue of one service in line with the registry.
 #[derive(Debug)]
 pub(super) struct CatalogueUpdate {
     /// Name of the service.
     pub(super) service: String,
-    /// The difference.
+    /// The backends to add, change and remove.
     pub(super) update: UpdateBackends,
 }
 
-/// Owner of what the leader compares the catalogue with: the configuration's pools and the
-/// registry as last read.
+/// Holds what the catalogue is compared with: the configuration's pools and the registry as last
+/// read.
 pub(super) struct CatalogueReconciler {
     shard: ShardId,
     layout: ShardLayout,
@@ -36,7 +36,7 @@
 }
 
 impl CatalogueReconciler {
-    /// A reconciler that knows neither pools nor registry.
+    /// Creates a reconciler without pools and without a view of the registry.
     pub(super) fn new(shard: ShardId, layout: ShardLayout) -> Self {
         Self {
             shard,
@@ -47,18 +47,18 @@
         }
     }
 
-    /// The registry was read.
+    /// Stores a new view of the registry and schedules a comparison.
     pub(super) fn set_registry(&mut self, view: Arc<RegistryView>) {
         self.registry = Some(view);
         self.due = true;
     }
 
-    /// The state changed: compare at the next tick.
+    /// Schedules a comparison for the next tick.
     pub(super) fn check_soon(&mut self) {
         self.due = true;
     }
 
-    /// Items of the configuration changed.
+    /// Follows changes of the configuration's pools.
     pub(super) fn apply_configuration(&mut self, items: &[StateItem]) {
         for item in items {
             let Some(name) = item.key.strip_prefix(POOL_PREFIX) else {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Pools of the configuration that this shard owns.
+    /// The configuration's pools whose service belongs to this shard.
     pub(super) fn own_pools(&self) -> Vec<Pool> {
         let pools = self.pools.values();
         pools
@@ -86,8 +86,8 @@
             .collect()
     }
 
-    /// What is to be proposed, if a comparison is due. A service with an update under way is
-    /// compared again at the next tick.
+    /// Compares if a comparison is due, and returns the updates to propose. A service with an update
+    /// still in flight is compared again at the next tick.
     pub(super) fn take_updates(
         &mut self,
         machine: &ShardMachine,
@@ -119,8 +119,8 @@
         self.registry.clone().filter(|_| due)
     }
 
-    /// The services to compare: pools of the configuration, and those of which only backends are
-    /// left.
+    /// The services to compare: those of the configuration's pools, and those that still have
+    /// backends in the catalogue although their pool was removed.
     fn own_services(&self, machine: &ShardMachine) -> BTreeSet<String> {
         let pools = self.own_pools().into_iter().map(|pool| pool.name);
         let keys = machine.public_state().keys();
--- a/crates/control/src/shard/core.rs
+++ b/crates/control/src/shard/core.rs
@@ -1,8 +1,8 @@
-//! The core of one shard: routes inputs to the parts that own the state, and what the parts want
-//! done to the node.
+//! The core of one shard: routes inputs to the parts that own the state, and the outputs of the
+//! parts to the node.
 //!
-//! No part knows another one or the core. The order in which the core calls them is part of the
-//! shard's behaviour: outputs leave in that order.
+//! No part depends on another part or on the core. The order in which the core calls them is part
+//! of the shard's behaviour: outputs leave in that order.
 
 use millford_api::command::{
     AdvanceClock, CommandResult, RemoveControlMember, command, command_result,
@@ -41,8 +41,8 @@
 
 /// The core of one shard on this node.
 ///
-/// Inputs go to [`ShardCore::handle`]; what they lead to is returned by the next
-/// [`ShardCore::flush`], after one fsync for all of them.
+/// Inputs go to [`ShardCore::handle`]. The next [`ShardCore::flush`] returns their outputs, after
+/// one fsync for all of them.
 pub struct ShardCore {
     shard: ShardId,
     replica: ShardReplica,
@@ -64,8 +64,8 @@
     /// Opens the shard's storage and its replica.
     ///
     /// # Errors
-    /// The storage cannot be opened. [`StorageError::Corrupt`] means that this node must start over
-    /// under a new identity.
+    /// The storage cannot be opened. After [`StorageError::Corrupt`] the node must start over under a
+    /// new identity.
     pub fn open(options: ShardCoreOptions, now: MonotonicTime) -> Result<Self, StorageError> {
         let shard = options.shard;
         let layout = options.layout;
@@ -91,7 +91,7 @@
         })
     }
 
-    /// Takes one input. A core that failed takes none.
+    /// Handles one input. A core that failed ignores its inputs.
     pub fn handle(&mut self, now: MonotonicTime, input: ShardInput) {
         if self.failed {
             return;
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Makes durable what came in and returns what may leave.
+    /// Makes the handled inputs durable and returns the outputs since the last flush.
     pub fn flush(&mut self, now: MonotonicTime) -> Vec<ShardOutput> {
         if !self.failed {
             match self.replica.flush(now) {
@@ -144,7 +144,7 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// The shard.
+    /// The shard whose replica this core runs.
     #[must_use]
     pub fn shard(&self) -> ShardId {
         self.shard
@@ -156,19 +156,19 @@
         self.state.machine()
     }
 
-    /// Status of the replica.
+    /// Current status of the consensus replica.
     #[must_use]
     pub fn status(&self) -> ReplicaStatus {
         self.replica.status()
     }
 
-    /// Role and quorum contact as of the last flush.
+    /// The status as of the last flush, as the gateway sees it.
     #[must_use]
     pub fn reported_status(&self) -> &ShardReplicaStatus {
         self.status.last()
     }
 
-    // What a flush of the replica leads to.
+    // Results of a flush.
 
     fn handle_ready(&mut self, now: MonotonicTime, ready: Ready) {
         let messages = ready.messages.into_iter();
@@ -214,7 +214,7 @@
     fn apply(&mut self, now: MonotonicTime, entry: &LogEntry) {
         let applied = self.state.apply(entry);
         let applied = applied.map(|AppliedCommand { command, applied }| {
-            if let Some(closed) = self.sessions.follow(now, &command, &applied) {
+            if let Some(closed) = self.sessions.apply_command(now, &command, &applied) {
                 self.placement.forget_member(closed);
             }
             applied
@@ -242,13 +242,13 @@
         self.outputs.push(ShardOutput::PublicChange(changes));
     }
 
-    /// The configuration changed: pools and quotas follow.
+    /// Passes changes of the configuration on to the catalogue and the quotas.
     fn apply_configuration(&mut self, now: MonotonicTime, items: &[StateItem]) {
         self.catalogue.apply_configuration(items);
         self.quota.apply_configuration(now, items);
     }
 
-    /// A command that this replica proposed was applied.
+    /// Answers the requester of a command that this replica proposed, now that it is applied.
     fn conclude_proposal(&mut self, purpose: &Purpose, result: CommandResult) {
         if let Some(event) = acceptance_event(&result) {
             self.outputs.push(ShardOutput::Event(event));
@@ -270,7 +270,8 @@
         self.catalogue.check_soon();
     }
 
-    /// Leadership was lost: reads of others go back to them, feeds are requested again.
+    /// Ends the leader's duties. Requesters of proposals and unconfirmed reads are refused with
+    /// `NotLeader`; unconfirmed subscriptions are read again through the new leader.
     fn resign(&mut self, now: MonotonicTime) {
         self.sessions.resign();
         self.quota.resign();
@@ -304,7 +305,7 @@
         self.outputs.push(ShardOutput::Failed(storage_code(error)));
     }
 
-    /// Makes this replica the only voter of its group, on an operator's order.
+    /// Makes this replica the only voter of its group, as ordered by an operator.
     fn force_recovery(&mut self, now: MonotonicTime) {
         let replica = match self.replica.recover(now) {
             Ok(replica) => replica,
@@ -315,7 +316,7 @@
         };
         self.resign(now);
         self.replica.replace(replica);
-        // The state is built again from the snapshot and the log.
+        // The state is rebuilt from the snapshot and the log.
         self.state.reset();
         self.feeds.reset();
         let event = NodeEvent::RecoveryForced(self.shard);
@@ -337,7 +338,7 @@
         self.close_expired_sessions(now);
         self.update_catalogue();
         self.repair_group(now);
-        self.remove_dead_members(now);
+        self.remove_unresponsive_members(now);
         self.advance_clock(now);
         self.outputs.extend(self.quota.tick(now));
         self.publish_load_snapshots(now);
@@ -353,7 +354,7 @@
         }
     }
 
-    /// Proposes what the catalogue of this shard's services lacks or has too much.
+    /// Proposes the differences between the catalogue of this shard's services and the registry.
     fn update_catalogue(&mut self) {
         let replica = &self.replica;
         let is_updating = |service: &str| {
@@ -367,7 +368,7 @@
         }
     }
 
-    /// Replaces voters that are lost, one change at a time.
+    /// Replaces lost voters, one membership change at a time.
     fn repair_group(&mut self, now: MonotonicTime) {
         let status = self.replica.status();
         let own = self.replica.identity();
@@ -389,13 +390,14 @@
         self.outputs.push(ShardOutput::Event(event));
     }
 
-    /// The configuration shard's leader removes unresponsive control nodes from the membership.
-    fn remove_dead_members(&mut self, now: MonotonicTime) {
+    /// Removes unresponsive control nodes from the membership; done by the leader of the
+    /// configuration shard only.
+    fn remove_unresponsive_members(&mut self, now: MonotonicTime) {
         if self.shard != ShardId::CONFIGURATION {
             return;
         }
         let status = self.replica.status();
-        for node in self.repair.take_dead_members(now, &status) {
+        for node in self.repair.take_removable_members(now, &status) {
             let remove = RemoveControlMember { node_id: node.0 };
             let command = command_of(command::Kind::RemoveControlMember(remove));
             let proposed = self.replica.propose(&command, Purpose::Maintenance);
@@ -406,7 +408,7 @@
         }
     }
 
-    /// Lets the shard's own time advance, by which old claims are dropped.
+    /// Advances the shard's replicated clock, by which old claims expire.
     fn advance_clock(&mut self, now: MonotonicTime) {
         if !self.maintenance.clock_due(now) {
             return;
@@ -445,15 +447,16 @@
         }
     }
 
-    /// Proposes a command of the core itself.
+    /// Proposes a command that no request asked for.
     fn propose_own(&mut self, kind: command::Kind, purpose: Purpose) {
-        // A replica that does not lead any more has nothing to propose; its successor decides.
+        // The proposal fails only if this replica no longer leads; the new leader then decides anew.
         let _ = self.replica.propose(&command_of(kind), purpose);
     }
 
     // Requests and reads.
 
-    /// An agent requests quota. Only a leader that certainly has no successor may grant any.
+    /// Handles an agent's quota request. Only a leader that cannot have a successor yet may grant
+    /// quota.
     fn handle_quota_request(
         &mut self,
         now: MonotonicTime,
@@ -468,7 +471,7 @@
         self.outputs.extend(outputs);
     }
 
-    /// A request to the shard's leader.
+    /// Handles a request that only the shard's leader may answer.
     fn handle_request(
         &mut self,
         now: MonotonicTime,
@@ -510,7 +513,7 @@
         }
     }
 
-    /// Starts a confirmed read on the leader.
+    /// Starts a read whose index this leader has its quorum confirm.
     fn start_read(&mut self, now: MonotonicTime, purpose: ReadPurpose) {
         let number = self.reads.start(purpose);
         if self.replica.confirm_read(number).is_err() {
@@ -518,7 +521,7 @@
         }
     }
 
-    /// This replica cannot confirm the read.
+    /// Ends or retries a read that could not be confirmed.
     fn fail_read(&mut self, now: MonotonicTime, number: u64) {
         if let Some(read) = self.reads.take(number) {
             self.retry_read(now, &read.purpose);
@@ -536,7 +539,7 @@
         }
     }
 
-    /// Serves the reads that are confirmed and applied.
+    /// Serves the reads whose confirmed index is applied.
     fn serve_ready_reads(&mut self) {
         let applied = self.state.machine().applied_index();
         for read in self.reads.take_ready(applied) {
@@ -582,18 +585,18 @@
         self.outputs.push(reply);
     }
 
-    /// Answers with a code only. A wrong leader is named if the right one is known.
+    /// Answers with a result code only, and with the leader's identity as a hint if it is known.
     fn refuse(&mut self, correlation_id: CorrelationId, code: ResultCode) {
         let hint: NodeId = self.replica.leader_hint();
         let reply = self.replies().refusal(correlation_id, code, hint);
         self.outputs.push(reply);
     }
 
-    // Feeds of agents.
+    // Feed subscriptions of agents.
 
-    /// An agent subscribes. It is answered only after the leader confirmed how far the shard is
-    /// committed and this replica has applied as much, so that nobody is shown an older state than
-    /// was acknowledged when the agent subscribed.
+    /// Starts an agent's subscription. The feed opens only after the leader has confirmed the
+    /// shard's commit index and this replica has applied up to it, so that the agent never sees a
+    /// state older than what was acknowledged when it subscribed.
     fn subscribe(&mut self, now: MonotonicTime, subscriber: LinkId, subscribe: Subscribe) {
         self.close_feed(subscriber);
         self.feeds.request(now, subscriber, subscribe);
@@ -615,7 +618,8 @@
         self.outputs.push(ShardOutput::ConfirmRead { read });
     }
 
-    /// Starts reads again that failed, and sends agents elsewhere that waited too long.
+    /// Restarts failed reads of subscriptions, and refuses subscriptions that waited too long, so
+    /// that their agents connect to another node.
     fn retry_subscriptions(&mut self, now: MonotonicTime) {
         for due in self.feeds.take_due(now) {
             let subscriber = due.subscriber;
@@ -634,7 +638,7 @@
     }
 }
 
-/// The event of a configuration that was accepted for the first time.
+/// The event for an accepted configuration; none for a repeated order, which changes nothing.
 fn acceptance_event(result: &CommandResult) -> Option<NodeEvent> {
     let Some(command_result::Kind::PutConfig(accepted)) = &result.kind else {
         return None;
