--- a/crates/control/src/shard/feed_service.rs
+++ b/crates/control/src/shard/feed_service.rs
@@ -1,4 +1,4 @@
-//! Feeds of the agents that this node serves.
+//! Feed subscriptions of the agents that are connected to this node.
 
 use millford_api::internal::{FeedMessage, FeedStale, Subscribe, feed_message};
 use millford_api::state::StateItem;
@@ -10,21 +10,21 @@
 use crate::link::LinkId;
 use crate::timing::QUORUM_CONTACT_TIMEOUT;
 
-/// Longest time for a replica to apply what the leader confirmed before agents go elsewhere.
+/// Longest time that a subscription waits for this replica to apply the confirmed index.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What is to be done for a subscription that still waits for its read.
+/// The next step for a subscription that still waits for its read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SubscriptionStep {
-    /// Its read is confirmed, and this replica is about to catch up.
+    /// Keep waiting: the read is confirmed, and this replica is catching up.
     Wait,
-    /// Start its read again.
+    /// Restart the read.
     ConfirmAgain,
-    /// It waited too long: the agent goes to another node.
+    /// End the subscription, which waited too long, so that the agent connects to another node.
     Refuse,
 }
 
-/// Owner of the feed's history, its subscribers and the subscriptions that are not served yet.
+/// Owns the feed's history, its subscribers and the subscriptions that are not served yet.
 pub(super) struct FeedService {
     shard: ShardId,
     publisher: FeedPublisher,
@@ -32,7 +32,7 @@
 }
 
 impl FeedService {
-    /// A feed without history or subscribers.
+    /// Creates a feed without history or subscribers.
     pub(super) fn new(shard: ShardId) -> Self {
         Self {
             shard,
@@ -41,12 +41,12 @@
         }
     }
 
-    /// The state is built again from nothing: subscribers and history are dropped.
+    /// Drops history and subscribers, because the state is rebuilt from the beginning.
     pub(super) fn reset(&mut self) {
         self.publisher = FeedPublisher::new(self.shard);
     }
 
-    /// The state was replaced by a snapshot.
+    /// Sends the items of a restored snapshot to the subscribers.
     pub(super) fn restore(
         &mut self,
         position: FeedPosition,
@@ -55,7 +55,7 @@
         to_outputs(self.publisher.restore(position, items))
     }
 
-    /// An entry was applied that changed these items.
+    /// Sends the changes of an applied entry to the subscribers.
     pub(super) fn apply(
         &mut self,
         position: FeedPosition,
@@ -64,37 +64,39 @@
         to_outputs(self.publisher.apply(position, changes))
     }
 
-    /// Confirms the present position to every subscriber.
+    /// Sends the current feed position to every subscriber.
     pub(super) fn progress(&self) -> Vec<ShardOutput> {
         to_outputs(self.publisher.progress())
     }
 
-    /// The state may be old from now on: every subscriber goes elsewhere.
+    /// Ends every feed as stale, because this replica may fall behind; the agents connect to another
+    /// node.
     pub(super) fn end_as_stale(&mut self) -> Vec<ShardOutput> {
         to_outputs(self.publisher.stale())
     }
 
-    /// An agent subscribes; its feed opens once its read is confirmed and applied.
+    /// Records an agent's subscription; its feed opens once its read is confirmed and applied.
     pub(super) fn request(&mut self, now: MonotonicTime, subscriber: LinkId, subscribe: Subscribe) {
         self.subscriptions.insert(now, subscriber, subscribe);
     }
 
-    /// The open feed of an agent ends, because it subscribes again or is disconnected.
+    /// Closes the open feed of an agent that subscribes again or has disconnected.
     pub(super) fn close(&mut self, subscriber: LinkId) {
         self.publisher.unsubscribe(subscriber.0);
     }
 
-    /// An agent is disconnected: its subscription is not served any more.
+    /// Drops the waiting subscription of an agent that has disconnected.
     pub(super) fn withdraw(&mut self, subscriber: LinkId) {
         self.subscriptions.remove(subscriber);
     }
 
-    /// The read of a subscription failed; it is due again soon.
+    /// Schedules a retry for a subscription whose read failed.
     pub(super) fn read_failed(&mut self, now: MonotonicTime, subscriber: LinkId) {
         self.subscriptions.failed(now, subscriber);
     }
 
-    /// The confirmed read is applied: the agent gets what it lacks, then every change.
+    /// Opens the feed of an agent whose confirmed read is applied: the agent first receives the
+    /// changes that it lacks, then every later one.
     pub(super) fn open(&mut self, subscriber: LinkId) -> Vec<ShardOutput> {
         let Some(subscribe) = self.subscriptions.remove(subscriber) else {
             return Vec::new();
@@ -107,12 +109,12 @@
         feeds.collect()
     }
 
-    /// The subscriptions that are to be looked at again.
+    /// Takes the waiting subscriptions whose retry time has come.
     pub(super) fn take_due(&mut self, now: MonotonicTime) -> Vec<DueSubscription> {
         self.subscriptions.take_due(now)
     }
 
-    /// Ends a subscription that waited too long.
+    /// Refuses a subscription that waited too long.
     pub(super) fn refuse(&mut self, subscriber: LinkId) -> ShardOutput {
         self.subscriptions.remove(subscriber);
         ShardOutput::Feed {
@@ -126,7 +128,7 @@
 }
 
 impl DueSubscription {
-    /// What is to be done for the subscription, whose read may be confirmed already.
+    /// Decides the next step; `read_confirmed` says whether the leader has confirmed the read.
     pub(super) fn step(&self, read_confirmed: bool) -> SubscriptionStep {
         if read_confirmed && self.waited < CATCH_UP_TIMEOUT {
             return SubscriptionStep::Wait;
--- a/crates/control/src/shard/group_repair.rs
+++ b/crates/control/src/shard/group_repair.rs
@@ -1,4 +1,4 @@
-//! The voters of a shard's group and the list of control nodes, as the shard's leader maintains them.
+//! Repair of a shard's replica group and of the list of control nodes, by the shard's leader.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 use super::members::MemberView;
 use super::repair::{GroupView, RepairPolicy, RepairStep, ReplicaView};
 
-/// Shortest time between a change that was refused and the next try.
+/// Delay before the next attempt after a refused membership change.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Owner of what repair is decided on: the control nodes and since when each is unresponsive.
+/// Holds the control nodes and the time since which each is unresponsive.
 pub(super) struct GroupRepair {
     policy: RepairPolicy,
     members: MemberView,
@@ -20,7 +20,7 @@
 }
 
 impl GroupRepair {
-    /// Repair of a core that starts now.
+    /// Creates the repair state of a core that starts now.
     pub(super) fn new(policy: RepairPolicy, now: MonotonicTime) -> Self {
         Self {
             policy,
@@ -30,18 +30,19 @@
         }
     }
 
-    /// The control nodes, as this node sees them.
+    /// Replaces the view of the control nodes.
     pub(super) fn set_members(&mut self, members: MemberView) {
         self.members = members;
     }
 
-    /// The replica leads from now on.
+    /// Resets the timers when this replica becomes the leader.
     pub(super) fn lead(&mut self, now: MonotonicTime) {
         self.next_step = now;
         self.unresponsive_since.clear();
     }
 
-    /// The next change of the group, one at a time: none before the last one is committed.
+    /// Decides the next membership change of the group. There is none until the previous change is
+    /// committed.
     pub(super) fn next_step(
         &self,
         now: MonotonicTime,
@@ -55,19 +56,19 @@
         self.policy.decide(now, own, &group, &self.members)
     }
 
-    /// The group refused the change: it is decided again a little later, on what then is.
+    /// Delays the next decision after a refused membership change.
     pub(super) fn refused(&mut self, now: MonotonicTime) {
         self.next_step = now + RETRY_DELAY;
     }
 
-    /// The control nodes to remove from the membership: unresponsive for long, and their replica
-    /// of this shard replaced already.
-    pub(super) fn take_dead_members(
+    /// Takes the control nodes to remove from the membership: those that have been unresponsive for
+    /// `replace_after` and whose replica of this shard has already been replaced.
+    pub(super) fn take_removable_members(
         &mut self,
         now: MonotonicTime,
         replica: &ReplicaStatus,
     ) -> Vec<NodeId> {
-        let mut dead = Vec::new();
+        let mut removable = Vec::new();
         for (node, member) in &self.members.members {
             let unresponsive = member.registered && !member.connected;
             if !unresponsive {
@@ -79,10 +80,10 @@
             let overdue = now.since(since) >= self.policy.replace_after;
             if replaced && overdue {
                 self.unresponsive_since.remove(node);
-                dead.push(*node);
+                removable.push(*node);
             }
         }
-        dead
+        removable
     }
 }
 
--- a/crates/control/src/shard/input.rs
+++ b/crates/control/src/shard/input.rs
@@ -1,4 +1,4 @@
-//! What happens to a shard's core.
+//! Inputs of a shard's core.
 
 use std::sync::Arc;
 
@@ -11,62 +11,62 @@
 use super::members::MemberView;
 use crate::link::LinkId;
 
-/// Number under which the gateway remembers who is to be answered.
+/// Number by which the gateway matches a reply with the request that it answers.
 pub type CorrelationId = u64;
 
 /// One input of a shard's core.
 #[derive(Clone, Debug)]
 pub enum ShardInput {
-    /// Time passed.
+    /// The periodic tick, every [`crate::timing::TICK`].
     Tick,
-    /// A message of another replica.
+    /// A message from another replica of the shard.
     Replication(ReplicationMessage),
     /// A request to the shard's leader.
     Request {
-        /// For the answer.
+        /// Returned with the reply.
         correlation_id: CorrelationId,
-        /// The request.
+        /// The request as received.
         request: ShardRequest,
     },
-    /// An agent requests quota.
+    /// An agent's quota request.
     Quota {
-        /// For the answer.
+        /// Returned with the reply.
         correlation_id: CorrelationId,
-        /// The request.
+        /// The request as received.
         request: QuotaRequest,
     },
-    /// A node's load report on a service of this shard.
+    /// A member's load report for a service of this shard.
     Load(LoadReport),
-    /// An agent wants the feed.
+    /// An agent's subscription to the shard's feed.
     Subscribe {
-        /// Its link.
+        /// The agent's link.
         subscriber: LinkId,
-        /// From where.
+        /// The subscription, with the position up to which the agent has applied the state.
         subscribe: Subscribe,
     },
-    /// An agent is disconnected.
+    /// A link closed; if an agent subscribed on it, its feed ends.
     Unsubscribe {
-        /// Its link.
+        /// The closed link.
         subscriber: LinkId,
     },
-    /// The leader's answer to a read that this replica wanted confirmed.
+    /// The leader's reply to [`super::ShardOutput::ConfirmRead`].
     LeaderIndex {
-        /// Number of the read.
+        /// Number of the read in this shard.
         read: u64,
-        /// Index to wait for; absent: no leader confirmed it.
+        /// Log index to apply before the read is served; absent if no leader confirmed it.
         index: Option<u64>,
     },
-    /// The service registry was read.
+    /// A new view of the service registry.
     Registry(Arc<RegistryView>),
-    /// Items of the configuration shard changed.
+    /// Changed items of the configuration.
     Configuration(Vec<StateItem>),
-    /// The control nodes, as this node sees them.
+    /// The control nodes, as seen by this node.
     Members(MemberView),
-    /// An operator forces recovery: this replica becomes the only voter.
+    /// An operator's order to make this replica the only voter.
     ForceRecovery,
-    /// Hand leadership to this voter.
+    /// Transfer leadership to a voter.
     TransferLeadership {
-        /// The voter.
+        /// The voter to become leader.
         to: NodeId,
     },
     /// The process shuts down: transfer leadership if possible.
--- a/crates/control/src/shard/load_snapshot_publisher.rs
+++ b/crates/control/src/shard/load_snapshot_publisher.rs
@@ -1,4 +1,4 @@
-//! Load snapshots on their way to the nodes: differences only, and at a bounded rate.
+//! Publishes load snapshots to the agents: only differences, and at a bounded rate.
 
 use std::collections::BTreeMap;
 
@@ -7,17 +7,18 @@
 
 use crate::timing::{LOAD_SNAPSHOT_PERIOD, LOAD_SNAPSHOT_PERIOD_SMALL};
 
-/// Bytes a second that a shard's pictures may cost each node. With six data shards, pictures take
-/// 3 of the 8 KB a second that a node has for control.
+/// Bytes per second of load snapshots that a shard may send to each node. With six data shards,
+/// load snapshots take 3 of the 8 KB/s that a node has for control traffic.
 const BYTES_PER_SECOND: u64 = 512;
 
-/// As [`BYTES_PER_SECOND`], at a small site: 4.5 of the 8 KB a second with six data shards.
+/// As [`BYTES_PER_SECOND`], for a small site: with six data shards, 4.5 of the 8 KB/s.
 const BYTES_PER_SECOND_SMALL: u64 = 768;
 
-/// Most backends, and most nodes that report, of a small site.
-const SMALL_SITE: usize = 16;
+/// A site counts as small if it has at most this many backends and at most this many nodes that
+/// report load.
+const SMALL_SITE_MAX: usize = 16;
 
-/// The full snapshot is sent again after this long, for nodes that joined since.
+/// Period of full snapshots, for nodes that joined since the last one.
 const FULL_SNAPSHOT_PERIOD: Duration = Duration::from_secs(10);
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -28,47 +29,48 @@
 }
 
 #[derive(Debug, Default)]
-struct Sent {
+struct SentLoads {
     loads: BTreeMap<ReplicaLoadKey, ReplicaLoad>,
-    full_at: MonotonicTime,
+    full_sent_at: MonotonicTime,
 }
 
-/// What was sent last for each service.
+/// The loads last sent for each service, and the time of the next snapshots.
 #[derive(Debug, Default)]
 pub struct LoadSnapshotPublisher {
-    services: BTreeMap<String, Sent>,
-    next: MonotonicTime,
-    small: bool,
+    services: BTreeMap<String, SentLoads>,
+    next_at: MonotonicTime,
+    is_small_site: bool,
 }
 
 impl LoadSnapshotPublisher {
-    /// Whether pictures are to be sent now.
+    /// Whether the next load snapshots are due.
     #[must_use]
     pub fn is_due(&self, now: MonotonicTime) -> bool {
-        now >= self.next
+        now >= self.next_at
     }
 
-    /// The size of what the shard's pictures are about. The gain of fresh pictures is lost within
-    /// half a second, and where there is little to say they may come sooner.
-    pub fn set_site(&mut self, backends: usize, nodes: usize) {
-        self.small = backends <= SMALL_SITE && nodes <= SMALL_SITE;
+    /// Sets the number of backends and of reporting nodes. A small site gets snapshots more often:
+    /// they are small there, and the benefit of a fresh snapshot is gone within half a second.
+    pub fn set_site_size(&mut self, backends: usize, nodes: usize) {
+        self.is_small_site = backends <= SMALL_SITE_MAX && nodes <= SMALL_SITE_MAX;
     }
 
-    /// Pictures of this size were sent. Large ones are sent more rarely, so that a node's share of
-    /// control traffic stays bounded; between them nodes go by their own counts.
-    pub fn sent(&mut self, now: MonotonicTime, bytes: usize) {
+    /// Records that snapshots of this size were sent and schedules the next ones. Large snapshots are
+    /// sent less often, so that their share of a node's control traffic stays bounded; between
+    /// snapshots the nodes rely on their own in-flight counts.
+    pub fn record_sent(&mut self, now: MonotonicTime, bytes: usize) {
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
-        let (rate, period) = if self.small {
+        let (rate, period) = if self.is_small_site {
             (BYTES_PER_SECOND_SMALL, LOAD_SNAPSHOT_PERIOD_SMALL)
         } else {
             (BYTES_PER_SECOND, LOAD_SNAPSHOT_PERIOD)
         };
         let paced = Duration::from_millis(bytes.saturating_mul(1000) / rate);
-        self.next = now + paced.max(period);
+        self.next_at = now + paced.max(period);
     }
 
-    /// The loads that changed since the last snapshot. A replica that is removed from it is
-    /// listed once more, as idle.
+    /// The loads that changed since the last snapshot, or all of them when a full snapshot is due. A
+    /// replica that is no longer reported is listed once more, as idle.
     pub fn difference(
         &mut self,
         now: MonotonicTime,
@@ -82,9 +84,9 @@
             .collect();
         let removed = sent.loads.keys().filter(|key| !present.contains_key(*key));
         let mut difference: Vec<ReplicaLoad> = removed.map(idle).collect();
-        let full = now.since(sent.full_at) >= FULL_SNAPSHOT_PERIOD;
+        let full = now.since(sent.full_sent_at) >= FULL_SNAPSHOT_PERIOD;
         if full {
-            sent.full_at = now;
+            sent.full_sent_at = now;
         }
         let changed = present
             .iter()
--- a/crates/control/src/shard/maintenance.rs
+++ b/crates/control/src/shard/maintenance.rs
@@ -1,14 +1,15 @@
-//! When the periodic maintenance of a shard is due.
+//! Schedule of a shard's periodic maintenance.
 
 use millford_core::{Duration, MonotonicTime};
 
 use super::periodic_timer::PeriodicTimer;
 use crate::timing::{CLOCK_PERIOD, PROGRESS_PERIOD};
 
-/// A longer time between two ticks counts as this long for elections.
+/// Longest time between two ticks that counts towards election timeouts; the rest of a longer gap
+/// is stalled time.
 const MAX_TICK_GAP: Duration = Duration::from_millis(100);
 
-/// When the periodic maintenance is due.
+/// Timers of the periodic maintenance.
 #[derive(Debug)]
 pub struct MaintenanceSchedule {
     last_tick: MonotonicTime,
@@ -17,7 +18,7 @@
 }
 
 impl MaintenanceSchedule {
-    /// The schedule of a core that starts now.
+    /// Creates the schedule of a core that starts now.
     #[must_use]
     pub fn new(now: MonotonicTime) -> Self {
         Self {
@@ -27,13 +28,14 @@
         }
     }
 
-    /// The replica leads from now on: the shard's clock counts from here.
+    /// Restarts the clock's period when this replica becomes the leader.
     pub fn lead(&mut self, now: MonotonicTime) {
         self.clock.restart(now);
     }
 
-    /// The time since the last tick in which the core did not run: its thread waited for a processor
-    /// or the disk. Short gaps are none, so that a core that is always late still campaigns.
+    /// The time since the last tick during which the core did not run because its thread waited for
+    /// a processor or the disk. Gaps up to `MAX_TICK_GAP` (100 ms) don't count, so that a core whose
+    /// ticks are always a little late still campaigns.
     pub fn stalled_time(&mut self, now: MonotonicTime) -> Option<Duration> {
         let previous = std::mem::replace(&mut self.last_tick, now);
         let gap = now.since(previous);
@@ -41,12 +43,12 @@
         (!stalled.is_zero()).then_some(stalled)
     }
 
-    /// Whether the agents are to get a confirmation of the feed's position.
+    /// Whether the feed's position is to be sent to the agents now.
     pub fn progress_due(&mut self, now: MonotonicTime) -> bool {
         self.progress.take_due(now)
     }
 
-    /// Whether the shard's clock is to advance by [`CLOCK_PERIOD`].
+    /// Whether the shard's clock is to advance by [`CLOCK_PERIOD`] now.
     pub fn clock_due(&mut self, now: MonotonicTime) -> bool {
         self.clock.take_due(now)
     }
--- a/crates/control/src/shard/members.rs
+++ b/crates/control/src/shard/members.rs
@@ -1,35 +1,35 @@
-//! The control nodes as a shard's leader needs to know them for repair.
+//! The view of the control nodes on which a shard's leader bases repair.
 
 use std::collections::BTreeMap;
 
 use millford_core::NodeId;
 
-/// One control node.
+/// Status of one control node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberStatus {
-    /// The configuration shard lists it.
+    /// Whether the configuration shard lists the node.
     pub registered: bool,
-    /// This node is connected to it.
+    /// Whether this node is connected to it.
     pub connected: bool,
-    /// The cluster removed this identity for good.
+    /// Whether the cluster has permanently removed the node's identity.
     pub removed: bool,
 }
 
-/// Every control node by identity, this node included.
+/// The status of every control node, this node included.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MemberView {
-    /// The nodes.
+    /// Status by identity.
     pub members: BTreeMap<NodeId, MemberStatus>,
 }
 
 impl MemberView {
-    /// Status of a node; unknown nodes are neither registered nor connected.
+    /// Status of a node. An unknown node is neither registered nor connected.
     #[must_use]
     pub fn get(&self, node: NodeId) -> MemberStatus {
         self.members.get(&node).copied().unwrap_or_default()
     }
 
-    /// Nodes that could take a lost replica's place, in order of identity.
+    /// Nodes that can hold a new replica, in order of identity.
     pub fn candidates(&self) -> impl Iterator<Item = NodeId> {
         self.members
             .iter()
--- a/crates/control/src/shard/mod.rs
+++ b/crates/control/src/shard/mod.rs
@@ -1,19 +1,20 @@
-//! One shard of the control state on this node: the replica and everything that hangs on it.
+//! One shard of the control state on this node: the replica, and the services that run on it.
 //!
-//! [`ShardCore`] routes inputs to its parts. Each part owns its state, takes what it needs as
-//! arguments and returns what is to be done:
+//! [`ShardCore`] routes inputs to its parts. Each part owns its state, takes everything else as
+//! arguments and returns its outputs:
 //!
 //! | part | owns |
 //! |---|---|
-//! | `shard_replica` | the consensus replica, its storage, the proposals under way |
+//! | `shard_replica` | the consensus replica, its storage, the proposals in flight |
 //! | `applied_state` | the replicated state machine |
 //! | `feed_service` | the feed's history and subscribers, waiting subscriptions |
 //! | `reads` | reads that wait for confirmation |
-//! | `session_service` | the leader's deadlines of sessions |
+//! | `session_service` | the lease deadlines of sessions, on the leader |
 //! | `group_repair` | the control nodes, and which of them are unresponsive |
 //! | `catalogue_reconciler` | the configuration's pools and the registry as last read |
 //! | `quota_service` | the quota leases of the shard's tenants |
-//! | `placement_controller` | the placers of the shard's pools |
+//! | `placement_controller` | the placers of the shard's pools, the load snapshots |
+//! | `maintenance` | the timers of periodic maintenance |
 //! | `replica_status` | the status as last reported to the gateway |
 
 mod applied_state;
--- a/crates/control/src/shard/move_events.rs
+++ b/crates/control/src/shard/move_events.rs
@@ -1,4 +1,4 @@
-//! The placer's moves as events for the log, bounded.
+//! Log events for the moves of a placement plan, limited in number.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,17 +6,17 @@
 
 use crate::node_event::NodeEvent;
 
-/// Most moves of one plan that are named one by one; the rest are counted.
+/// Most moves of one plan that get an event of their own; the rest are counted in one event.
 const MAX_NAMED_MOVES: usize = 8;
 
-/// What each pool's last plan said, so that a move that is deferred for long is reported once.
+/// The moves of each pool's last plan, so that a move that stays deferred is reported only once.
 #[derive(Debug, Default)]
 pub struct MoveEvents {
     reported: BTreeMap<String, BTreeSet<(ReplicaKey, MoveReason)>>,
 }
 
 impl MoveEvents {
-    /// Events for what a plan says and the pool's plan before it did not say.
+    /// Returns events for the moves that the pool's previous plan did not contain.
     pub fn of_plan(&mut self, pool: &str, moves: &[Move]) -> Vec<NodeEvent> {
         let present: BTreeSet<(ReplicaKey, MoveReason)> = moves
             .iter()
@@ -43,7 +43,7 @@
         events
     }
 
-    /// Drops the pools that are not this shard's any more.
+    /// Forgets the pools that this shard no longer owns.
     pub fn retain(&mut self, is_owned: impl Fn(&String) -> bool) {
         self.reported.retain(|pool, _| is_owned(pool));
     }
--- a/crates/control/src/shard/options.rs
+++ b/crates/control/src/shard/options.rs
@@ -1,30 +1,30 @@
-//! What the core of a shard is opened with.
+//! Options of a shard's core.
 
 use std::sync::Arc;
 
 use millford_core::{Duration, NodeId, ShardId, ShardLayout};
 use millford_storage::Disk;
 
-/// Opens the disk of a shard, again after a forced recovery.
+/// Opens the disk of a shard. Called again after a forced recovery.
 pub type DiskOpener = Arc<dyn Fn() -> Box<dyn Disk> + Send + Sync>;
 
-/// Everything a core is opened with.
+/// Options of a shard's core.
 #[derive(Clone)]
 pub struct ShardCoreOptions {
-    /// The shard.
+    /// The shard whose replica the core runs.
     pub shard: ShardId,
     /// Identity of this node.
     pub identity: NodeId,
-    /// First voters; empty for a replica that its leader fills.
+    /// Initial voters; empty for a replica that receives its state from the leader.
     pub voters: Vec<NodeId>,
-    /// Layout of the cluster.
+    /// Assignment of keys to the cluster's shards.
     pub layout: ShardLayout,
-    /// Seed of the replica's random numbers.
+    /// Seed of the replica's random numbers, mixed with the node's identity and the shard.
     pub seed: u64,
-    /// Voters of a complete group.
+    /// Number of voters of a complete group.
     pub voters_per_shard: usize,
-    /// Inactivity after which a voter is replaced.
+    /// Time without contact after which a voter is replaced.
     pub replace_after: Duration,
-    /// Opens the shard's disk.
+    /// Opens the shard's folder.
     pub disk: DiskOpener,
 }
--- a/crates/control/src/shard/output.rs
+++ b/crates/control/src/shard/output.rs
@@ -1,4 +1,4 @@
-//! What a shard's core wants done.
+//! Outputs of a shard's core.
 
 use millford_api::internal::{FeedMessage, LoadSnapshot, QuotaRecall, QuotaReply, ShardReply};
 use millford_api::replication::ReplicationMessage;
@@ -13,44 +13,45 @@
 /// One output of a shard's core.
 #[derive(Clone, Debug)]
 pub enum ShardOutput {
-    /// A message to another replica, named in it.
+    /// A message to another replica; its `to` field names the node.
     Replication(ReplicationMessage),
-    /// Answer to a request.
+    /// The reply to [`super::ShardInput::Request`].
     Reply {
-        /// Of the request.
+        /// Correlation id of the request.
         correlation_id: CorrelationId,
-        /// The answer.
+        /// The reply to be sent.
         reply: ShardReply,
     },
-    /// Answer to a quota request.
+    /// The reply to [`super::ShardInput::Quota`].
     Quota {
-        /// Of the request.
+        /// Correlation id of the request.
         correlation_id: CorrelationId,
-        /// The answer.
+        /// The reply to be sent.
         reply: QuotaReply,
     },
-    /// Recall idle quota from nodes.
+    /// A recall of idle quota from the agents.
     Recall(QuotaRecall),
-    /// Let the leader confirm a read of this replica.
+    /// A read of this replica that its leader is to confirm; answered by
+    /// [`super::ShardInput::LeaderIndex`].
     ConfirmRead {
-        /// Number of the read.
+        /// Number of the read in this shard.
         read: u64,
     },
     /// A feed message for an agent.
     Feed {
         /// The agent's link.
         subscriber: LinkId,
-        /// The message.
+        /// The message to be sent.
         message: FeedMessage,
     },
-    /// Public items changed in this replica.
+    /// The public items that changed in this replica.
     PublicChange(Vec<StateItem>),
-    /// The replica's status: it changed, or a report is due.
+    /// The replica's status, after a change and periodically.
     ReplicaStatus(ShardReplicaStatus),
-    /// Load of all nodes together, for the agents.
+    /// The load of a service as reported by all nodes, for the agents.
     LoadSnapshot(LoadSnapshot),
-    /// Something worth a line in the log.
+    /// An event for the log.
     Event(NodeEvent),
-    /// The replica cannot go on.
+    /// The replica stopped on a storage error.
     Failed(ResultCode),
 }
--- a/crates/control/src/shard/periodic_timer.rs
+++ b/crates/control/src/shard/periodic_timer.rs
@@ -1,8 +1,8 @@
-//! A timer that is due once each period.
+//! A timer that is due once per period.
 
 use millford_core::{Duration, MonotonicTime};
 
-/// When something that is done regularly is due next.
+/// The next due time of a periodic task, and its period.
 #[derive(Debug)]
 pub(super) struct PeriodicTimer {
     next: MonotonicTime,
@@ -10,7 +10,7 @@
 }
 
 impl PeriodicTimer {
-    /// A timer that is due at `first`, and then once each `period`.
+    /// Creates a timer that is due at `first`, and then once per `period`.
     pub(super) fn starting_at(first: MonotonicTime, period: Duration) -> Self {
         Self {
             next: first,
@@ -18,12 +18,12 @@
         }
     }
 
-    /// The next time is a full period from now.
+    /// Sets the next due time to one period from now.
     pub(super) fn restart(&mut self, now: MonotonicTime) {
         self.next = now + self.period;
     }
 
-    /// Whether the time has come; if so, the next one is a period from now.
+    /// Whether the timer is due; if so, restarts it.
     pub(super) fn take_due(&mut self, now: MonotonicTime) -> bool {
         if now < self.next {
             return false;
--- a/crates/control/src/shard/placement_controller.rs
+++ b/crates/control/src/shard/placement_controller.rs
@@ -1,5 +1,5 @@
-//! Places the replicas of this shard's pools on backends: a singleton role of the leader of the
-//! shard that owns the service.
+//! Places the replicas of this shard's pools on backends. Only the leader of the shard that owns
+//! the service does so.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,18 +17,18 @@
 use crate::node_event::NodeEvent;
 use crate::timing::PLACEMENT_PERIOD;
 
-/// The plan of one pool.
+/// The placement plan of one pool.
 #[derive(Debug)]
 pub(super) struct PoolPlan {
     /// Name of the pool.
     pub(super) pool: String,
-    /// What the plan moves, for the log.
+    /// Log events for the plan's moves.
     pub(super) events: Vec<NodeEvent>,
-    /// The placement to propose, if it changes.
+    /// The placement to propose; absent if the current one stays.
     pub(super) placement: Option<SetPlacement>,
 }
 
-/// Owner of the placers of the pools that this shard owns. Only a leader has any.
+/// Owns the placers of this shard's pools, which exist only on the leader.
 pub(super) struct PlacementController {
     shard: ShardId,
     placers: BTreeMap<String, Placer>,
@@ -38,7 +38,7 @@
 }
 
 impl PlacementController {
-    /// A controller that does not lead yet.
+    /// Creates a controller for a replica that does not lead.
     pub(super) fn new(shard: ShardId) -> Self {
         Self {
             shard,
@@ -49,7 +49,8 @@
         }
     }
 
-    /// The replica leads from now on. What the predecessor learned is learned again from reports.
+    /// Starts without placers when this replica becomes the leader; they gather their load data
+    /// again from the members' reports.
     pub(super) fn lead(&mut self, now: MonotonicTime) {
         self.placers.clear();
         self.move_events = MoveEvents::default();
@@ -57,31 +58,31 @@
         self.next_plan = now + PLACEMENT_PERIOD;
     }
 
-    /// The replica does not lead any more.
+    /// Drops the placers when this replica stops leading.
     pub(super) fn resign(&mut self) {
         self.placers.clear();
     }
 
-    /// A node's session ended: its load does not count any more.
+    /// Drops the load reported by a member whose session was closed.
     pub(super) fn forget_member(&mut self, member: &str) {
         for placer in self.placers.values_mut() {
             placer.forget(member);
         }
     }
 
-    /// A node's load on a service of this shard.
+    /// Records a member's load report for a service of this shard.
     pub(super) fn observe(&mut self, now: MonotonicTime, report: &LoadReport) {
         let placer = placer_of(&mut self.placers, &report.service);
         placer.observe(now, &report.member, &report.loads);
     }
 
-    /// The load snapshots that are due for the nodes, under the leader's term.
+    /// Takes the load snapshots that are due; their epoch is the leader's term.
     pub(super) fn take_load_snapshots(
         &mut self,
         now: MonotonicTime,
         term: u64,
     ) -> Vec<LoadSnapshot> {
-        if !self.places() || !self.load_snapshots.is_due(now) {
+        if !self.owns_pools() || !self.load_snapshots.is_due(now) {
             return Vec::new();
         }
         let mut snapshots = Vec::new();
@@ -104,14 +105,14 @@
             bytes += snapshot.encoded_len();
             snapshots.push(snapshot);
         }
-        self.load_snapshots.set_site(backends.len(), nodes);
-        self.load_snapshots.sent(now, bytes);
+        self.load_snapshots.set_site_size(backends.len(), nodes);
+        self.load_snapshots.record_sent(now, bytes);
         snapshots
     }
 
-    /// The plans of the pools, when they are due. A pool with a placement under way is left out.
+    /// Plans the pools when planning is due. Pools with a placement still in flight are left out.
     ///
-    /// The epoch of a placement is the leader's term: a former leader's is smaller, and its
+    /// The epoch of a placement is the leader's term. The term of a former leader is smaller, so its
     /// placement is refused by every replica and ignored by every node.
     pub(super) fn take_plans(
         &mut self,
@@ -121,7 +122,7 @@
         machine: &ShardMachine,
         is_placing: impl Fn(&str) -> bool,
     ) -> Vec<PoolPlan> {
-        if !self.places() || now < self.next_plan {
+        if !self.owns_pools() || now < self.next_plan {
             return Vec::new();
         }
         self.next_plan = now + PLACEMENT_PERIOD;
@@ -155,8 +156,8 @@
         }
     }
 
-    /// The configuration shard owns no pools.
-    fn places(&self) -> bool {
+    /// Whether this shard owns pools. The configuration shard owns none.
+    fn owns_pools(&self) -> bool {
         self.shard != ShardId::CONFIGURATION
     }
 }
--- a/crates/control/src/shard/proposals.rs
+++ b/crates/control/src/shard/proposals.rs
@@ -1,21 +1,22 @@
-//! Proposals of this leader that are not yet applied.
+//! Proposals of this leader that are not applied yet.
 
 use std::collections::BTreeMap;
 
 use super::input::CorrelationId;
 
-/// Why a command was proposed.
+/// The purpose of a proposed command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Purpose {
-    /// Somebody waits for the result.
+    /// A request whose requester waits for the result.
     Request(CorrelationId),
-    /// The leader's own: difference of the catalogue of a service.
+    /// Update of the catalogue of the named service, proposed by the leader.
     Catalogue(String),
-    /// The leader's own: placement of a pool.
+    /// Placement of the named pool, proposed by the leader.
     Placement(String),
-    /// The leader's own: removal of a dead control node, or an advance of the shard's clock.
+    /// Removal of an unresponsive control node, or an advance of the shard's clock, proposed by the
+    /// leader.
     Maintenance,
-    /// The leader's own: closing of an expired session.
+    /// Closing of an expired session, proposed by the leader.
     Expiry,
 }
 
@@ -25,33 +26,35 @@
     purpose: Purpose,
 }
 
-/// Proposals by log index.
+/// Pending proposals by log index.
 #[derive(Debug, Default)]
 pub(super) struct Proposals {
     pending: BTreeMap<u64, PendingProposal>,
 }
 
 impl Proposals {
-    /// A command was appended at `index` under `term`.
+    /// Records a command appended at `index` in `term`.
     pub(super) fn insert(&mut self, index: u64, term: u64, purpose: Purpose) {
         self.pending
             .insert(index, PendingProposal { term, purpose });
     }
 
-    /// The entry at `index` was applied. Names the purpose only if the entry is the one proposed:
-    /// another term means that another leader's entry took its place.
+    /// Removes the proposal at `index` when the entry there is applied. Returns its purpose only if
+    /// the entry is the one proposed: a different term means that the entry of another leader
+    /// replaced it.
     pub(super) fn take(&mut self, index: u64, term: u64) -> Option<Purpose> {
         let pending = self.pending.remove(&index)?;
         (pending.term == term).then_some(pending.purpose)
     }
 
-    /// Leadership was lost: the fate of everything that waits is unknown here.
+    /// Removes all proposals after leadership was lost. Whether they will be committed is unknown to
+    /// this replica.
     pub(super) fn take_all(&mut self) -> Vec<Purpose> {
         let pending = std::mem::take(&mut self.pending);
         pending.into_values().map(|entry| entry.purpose).collect()
     }
 
-    /// Whether a proposal with this purpose waits.
+    /// Whether a proposal with this purpose is pending.
     pub(super) fn contains(&self, purpose: &Purpose) -> bool {
         self.pending.values().any(|entry| entry.purpose == *purpose)
     }
--- a/crates/control/src/shard/quota_service.rs
+++ b/crates/control/src/shard/quota_service.rs
@@ -1,4 +1,4 @@
-//! Grants quota to nodes: a singleton role of the leader of the tenant's shard.
+//! Grants quota leases to nodes. Only the leader of the tenant's shard does so.
 
 use millford_api::internal::{QuotaReply, QuotaRequest};
 use millford_api::state::{StateItem, state_value};
@@ -8,17 +8,17 @@
 use super::input::CorrelationId;
 use super::output::ShardOutput;
 
-/// Prefix of the tenants' keys in the configuration.
+/// Prefix of the keys of tenants in the configuration.
 const TENANT_PREFIX: &str = "config/tenant/";
 
-/// Owner of the leases of this shard's tenants, and of recalls that were not sent yet.
+/// Owns the quota leases of this shard's tenants, and the recalls that are not sent yet.
 pub(super) struct QuotaService {
     leases: QuotaLeases,
     recalls: Vec<QuotaOutput>,
 }
 
 impl QuotaService {
-    /// A service that does not lead yet.
+    /// Creates the service for a replica that does not lead.
     pub(super) fn new(shard: ShardId) -> Self {
         Self {
             leases: QuotaLeases::new(shard, QuotaOptions::default()),
@@ -26,17 +26,18 @@
         }
     }
 
-    /// The replica leads from now on, in this term.
+    /// Starts granting in this term, when this replica becomes the leader.
     pub(super) fn lead(&mut self, now: MonotonicTime, term: u64) {
         self.leases.lead(now, term);
     }
 
-    /// The replica does not lead any more.
+    /// Stops granting when this replica stops leading.
     pub(super) fn resign(&mut self) {
         self.leases.resign();
     }
 
-    /// Quotas of tenants changed. Recalls that follow leave with the next request or tick.
+    /// Follows changes of the tenants' quotas. The resulting recalls are sent with the next request
+    /// or tick.
     pub(super) fn apply_configuration(&mut self, now: MonotonicTime, items: &[StateItem]) {
         for item in items {
             let Some(tenant) = item.key.strip_prefix(TENANT_PREFIX) else {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// An agent requests quota of this leader.
+    /// Answers an agent's quota request on the leader.
     pub(super) fn grant(
         &mut self,
         now: MonotonicTime,
@@ -73,7 +74,7 @@
         outputs
     }
 
-    /// Lets leases run out. Returns the recalls to be sent.
+    /// Expires leases. Returns the recalls to send.
     pub(super) fn tick(&mut self, now: MonotonicTime) -> Vec<ShardOutput> {
         self.leases.tick(now);
         self.take_recalls()
@@ -90,7 +91,7 @@
     }
 }
 
-/// The answer of a replica that must not grant quota.
+/// The reply of a replica that must not grant quota.
 pub(super) fn refusal(correlation_id: CorrelationId, request: &QuotaRequest) -> ShardOutput {
     ShardOutput::Quota {
         correlation_id,
--- a/crates/control/src/shard/reads.rs
+++ b/crates/control/src/shard/reads.rs
@@ -1,30 +1,30 @@
-//! Reads that wait for a quorum's confirmation and for the replica to catch up.
+//! Reads that wait for confirmation by a quorum and for the replica to apply the confirmed index.
 
 use std::collections::BTreeMap;
 
 use super::input::CorrelationId;
 use crate::link::LinkId;
 
-/// What is done once a read is confirmed.
+/// What a read is for, once it is confirmed and applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum ReadPurpose {
-    /// Answer with public items.
+    /// Reply with public items.
     State {
-        /// For the answer.
+        /// Correlation id of the request.
         correlation_id: CorrelationId,
-        /// Keys that start with this.
+        /// Prefix of the keys to return.
         prefix: String,
-        /// With the configuration's document as the operator sent it.
+        /// Whether to add the source of the configuration document, as the operator sent it.
         with_source: bool,
     },
-    /// Answer with the index itself.
+    /// Reply with the confirmed index itself.
     Index {
-        /// For the answer.
+        /// Correlation id of the request.
         correlation_id: CorrelationId,
     },
-    /// Answer with the shard's status.
+    /// Reply with the shard's status.
     Status {
-        /// For the answer.
+        /// Correlation id of the request.
         correlation_id: CorrelationId,
     },
     /// Open an agent's feed.
@@ -34,35 +34,35 @@
     },
 }
 
-/// One read under way.
+/// A read that is not served yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct PendingRead {
-    /// What it is for.
+    /// What the read is for.
     pub(super) purpose: ReadPurpose,
-    /// The confirmed index to wait for.
+    /// The confirmed index to be applied first; absent until the read is confirmed.
     pub(super) index: Option<u64>,
 }
 
-/// Reads by number.
+/// Pending reads by number.
 #[derive(Debug, Default)]
 pub(super) struct Reads {
-    next: u64,
+    last_number: u64,
     pending: BTreeMap<u64, PendingRead>,
 }
 
 impl Reads {
     /// Adds a read and returns its number.
     pub(super) fn start(&mut self, purpose: ReadPurpose) -> u64 {
-        self.next += 1;
+        self.last_number += 1;
         let read = PendingRead {
             purpose,
             index: None,
         };
-        self.pending.insert(self.next, read);
-        self.next
+        self.pending.insert(self.last_number, read);
+        self.last_number
     }
 
-    /// The read may be served once `index` is applied.
+    /// Records that a read is confirmed: it may be served once `index` is applied.
     pub(super) fn confirmed(&mut self, number: u64, index: u64) {
         if let Some(read) = self.pending.get_mut(&number) {
             read.index = Some(index);
@@ -74,7 +74,7 @@
         self.pending.remove(&number)
     }
 
-    /// Removes the confirmed reads whose index is applied, in order.
+    /// Removes the confirmed reads whose index is applied, in order of their numbers.
     pub(super) fn take_ready(&mut self, applied: u64) -> Vec<PendingRead> {
         let is_ready = |read: &PendingRead| read.index.is_some_and(|index| index <= applied);
         self.take_where(is_ready)
@@ -91,7 +91,7 @@
         self.pending.retain(|_, read| read.purpose != purpose);
     }
 
-    /// Whether a subscriber's read is confirmed and waits for this replica only.
+    /// Whether a subscriber's read is confirmed and only waits for this replica to catch up.
     pub(super) fn is_confirmed_for(&self, subscriber: LinkId) -> bool {
         let purpose = ReadPurpose::Subscribe { subscriber };
         let mut reads = self.pending.values();
--- a/crates/control/src/shard/recovery.rs
+++ b/crates/control/src/shard/recovery.rs
@@ -1,15 +1,15 @@
-//! Forced recovery: one replica goes on as the only voter, on an operator's order.
+//! Forced recovery: one replica becomes the only voter of its group, as ordered by an operator.
 
 use millford_api::replication::{HardState, LogEntry, VoterSet, log_entry::Payload};
 use millford_storage::{ReplicaStorage, StorageError, StorageOptions};
 
 use super::options::ShardCoreOptions;
 
-/// Writes a configuration with this node as the only voter under a new term.
+/// Appends a voter set with this node as the only voter, in a new term.
 ///
-/// This breaks the guarantee of the quorum: what only the lost replicas held is lost, and were one
-/// of them to come back, it would hold a different history. Its term is smaller, so it would never
-/// be followed; it is not in the group any more and has to start over.
+/// This gives up the quorum's guarantee: entries that only the lost replicas held are lost, and a
+/// lost replica that returns holds a different history. Its term is smaller, so no replica follows
+/// it; it is no longer in the group and has to start over.
 ///
 /// # Errors
 /// The storage cannot be opened or written.
--- a/crates/control/src/shard/repair.rs
+++ b/crates/control/src/shard/repair.rs
@@ -1,43 +1,43 @@
-//! Replacement of lost voters, decided by the shard's leader.
+//! Policy for the replacement of lost voters, applied by the shard's leader.
 
 use millford_core::{Duration, MonotonicTime, NodeId};
 use millford_replication::VoterChange;
 
 use super::members::MemberView;
 
-/// One replica as its leader sees it.
+/// One replica, as seen by the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaView {
-    /// Which node.
+    /// The node that holds the replica.
     pub node: NodeId,
-    /// When the leader heard from it last; its own election if it never did.
+    /// Time of its last message to the leader; the leader's election if there was none since.
     pub last_contact: MonotonicTime,
-    /// It holds everything that is committed.
+    /// Whether it holds every committed entry.
     pub caught_up: bool,
 }
 
 /// The replicas of a shard, the leader itself among the voters.
 #[derive(Clone, Debug, Default)]
 pub struct GroupView {
-    /// Replicas that vote.
+    /// Replicas with a vote.
     pub voters: Vec<ReplicaView>,
-    /// Replicas that only receive.
+    /// Replicas that receive entries but have no vote.
     pub learners: Vec<ReplicaView>,
 }
 
-/// The next change of the group.
+/// One membership change of the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepairStep {
-    /// Let this node catch up without a vote.
+    /// Add this node without a vote, so that it catches up.
     AddLearner(NodeId),
-    /// Take this replica out.
+    /// Remove this replica from the group.
     Remove(NodeId),
-    /// Let this learner vote.
+    /// Give this learner a vote.
     Promote(NodeId),
 }
 
 impl RepairStep {
-    /// The change of the group's voters.
+    /// The step as a change for the consensus replica.
     #[must_use]
     pub fn voter_change(self) -> VoterChange {
         match self {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The step in words, for the log.
+    /// Name of the step, for the log.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The node that it is about.
+    /// The node to be added, removed or promoted.
     #[must_use]
     pub fn node(self) -> NodeId {
         match self {
@@ -66,21 +66,21 @@
     }
 }
 
-/// Decides one change at a time.
+/// Decides membership changes, one at a time.
 ///
-/// Order: the standby first catches up as a learner, then the lost voter is removed, then the learner
-/// votes. So a voter counts only once it holds everything committed, and a quorum is at every
-/// moment made of replicas that do.
+/// The standby first catches up as a learner, then the lost voter is removed, then the learner is
+/// promoted. So a replica votes only once it holds every committed entry, and a quorum never
+/// includes one that does not.
 #[derive(Clone, Copy, Debug)]
 pub struct RepairPolicy {
-    /// Inactivity after which a voter counts as lost.
+    /// Time without contact after which a replica counts as lost.
     pub replace_after: Duration,
-    /// Voters of a complete group.
+    /// Number of voters of a complete group.
     pub voters: usize,
 }
 
 impl RepairPolicy {
-    /// The next step, or none when the group is complete or cannot be repaired now.
+    /// Decides the next step; none if the group is complete or cannot be repaired now.
     #[must_use]
     pub fn decide(
         &self,
@@ -117,7 +117,8 @@
         if group.voters.len() < self.voters {
             return Some(RepairStep::Promote(learner.node));
         }
-        // A learner that is no longer needed goes: the voter it was to replace came back.
+        // Without a lost voter, the voter that the learner was to replace has returned, and the
+        // learner itself is removed.
         Some(RepairStep::Remove(lost.unwrap_or(learner.node)))
     }
 
--- a/crates/control/src/shard/replica_status.rs
+++ b/crates/control/src/shard/replica_status.rs
@@ -1,4 +1,4 @@
-//! What the gateway needs to know about a shard's replica, and when it is reported.
+//! Status of a shard's replica, and its reports to the gateway.
 
 use millford_core::{Duration, MonotonicTime, NodeId, ShardId};
 use millford_replication::{ReplicaStatus, Role};
@@ -6,34 +6,34 @@
 use super::periodic_timer::PeriodicTimer;
 use crate::timing::QUORUM_CONTACT_TIMEOUT;
 
-/// Period of the report to the gateway although nothing changed.
+/// Period of the reports to the gateway while the status does not change.
 const STATUS_PERIOD: Duration = Duration::from_millis(250);
 
 /// Role and quorum contact of one replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShardReplicaStatus {
-    /// The shard.
+    /// The shard that the replica belongs to.
     pub shard: ShardId,
-    /// This replica leads.
+    /// Whether this replica is the leader.
     pub leads: bool,
-    /// The leader as this replica knows it.
+    /// The leader, as far as this replica knows; [`NodeId::NONE`] if unknown.
     pub leader: NodeId,
-    /// The replica's term.
+    /// The replica's current term.
     pub term: u64,
-    /// In contact with the shard's quorum, directly or through its leader.
+    /// Whether the replica is in contact with the shard's quorum, directly or through its leader.
     pub has_quorum: bool,
-    /// The group does not hold this replica any more.
+    /// Whether the replica was removed from the group.
     pub removed: bool,
-    /// The replicas that vote, in this replica's log.
+    /// The voters, as of this replica's log.
     pub voters: Vec<NodeId>,
-    /// The replicas that only receive.
+    /// The learners, as of this replica's log.
     pub learners: Vec<NodeId>,
-    /// Committed index.
+    /// Index of the last committed log entry.
     pub commit_index: u64,
 }
 
 impl ShardReplicaStatus {
-    /// Status of a replica that knows nothing yet.
+    /// Status of a replica that has not reported yet.
     #[must_use]
     pub fn unknown(shard: ShardId) -> Self {
         Self {
@@ -49,22 +49,22 @@
         }
     }
 
-    /// The status at this time of a replica with this state.
+    /// Derives the status at `now` from the state of the consensus replica.
     #[must_use]
     pub fn of_replica(shard: ShardId, replica: &ReplicaStatus, now: MonotonicTime) -> Self {
         let contact = replica.leader_contact;
         let in_contact = contact.is_some_and(|contact| now.since(contact) < QUORUM_CONTACT_TIMEOUT);
         let is_voter = replica.role != Role::Learner;
-        // A replica that has contact to its leader and cannot store what it sends would feed an old
-        // state.
-        let stores = !replica.storage_full;
+        // A replica in contact with its leader that cannot store the leader's entries would feed
+        // a stale state.
+        let can_store = !replica.storage_full;
         Self {
             shard,
             leads: replica.role == Role::Leader,
             leader: replica.leader,
             term: replica.term,
-            // A leader without contact to a quorum for this long may have a successor already.
-            has_quorum: in_contact && is_voter && stores && !replica.removed,
+            // A leader without contact with a quorum for this long may already have a successor.
+            has_quorum: in_contact && is_voter && can_store && !replica.removed,
             removed: replica.removed,
             voters: replica.voters.clone(),
             learners: replica.learners.clone(),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Whether the two differ in more than the committed index.
+    /// Whether the two differ in more than the commit index.
     #[must_use]
     pub fn differs(&self, other: &ShardReplicaStatus) -> bool {
         let same_index = ShardReplicaStatus {
@@ -83,16 +83,17 @@
     }
 }
 
-/// What follows from a new status.
+/// Outcome of a status update.
 #[derive(Debug)]
 pub(super) struct StatusUpdate {
-    /// To be reported to the gateway.
+    /// The status to report to the gateway, if a report is due.
     pub(super) report: Option<ShardReplicaStatus>,
-    /// The replica lost contact with its quorum since the last update.
+    /// Whether the replica lost contact with its quorum since the last update.
     pub(super) lost_quorum: bool,
 }
 
-/// The status as last seen, reported when it changes and regularly, so that a stalled disk shows.
+/// Keeps the last status and decides when to report it: after each change, and periodically, so
+/// that the gateway detects a core that waits for a stalled disk.
 #[derive(Debug)]
 pub(super) struct StatusReporter {
     last: ShardReplicaStatus,
@@ -100,7 +101,7 @@
 }
 
 impl StatusReporter {
-    /// A reporter of a replica that is opened now.
+    /// Creates the reporter of a replica that is opened now.
     pub(super) fn new(shard: ShardId, now: MonotonicTime) -> Self {
         Self {
             last: ShardReplicaStatus::unknown(shard),
@@ -113,7 +114,7 @@
         &self.last
     }
 
-    /// The status is this now.
+    /// Sets the current status.
     pub(super) fn update(
         &mut self,
         now: MonotonicTime,
@@ -129,7 +130,7 @@
         }
     }
 
-    /// The replica stopped for good: it neither leads nor has a quorum.
+    /// Marks the replica as permanently stopped: it neither leads nor has a quorum.
     pub(super) fn stopped(&mut self) -> ShardReplicaStatus {
         self.last.leads = false;
         self.last.has_quorum = false;
--- a/crates/control/src/shard/replies.rs
+++ b/crates/control/src/shard/replies.rs
@@ -10,19 +10,19 @@
 use super::output::ShardOutput;
 use super::session_service::SessionService;
 
-/// Makes the replies of one shard.
+/// Builds the replies of one shard.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Replies {
     shard: ShardId,
 }
 
 impl Replies {
-    /// Replies of this shard.
+    /// Creates a builder for replies of this shard.
     pub(super) fn of(shard: ShardId) -> Self {
         Self { shard }
     }
 
-    /// What was requested.
+    /// A successful reply with the requested data.
     pub(super) fn success(
         self,
         correlation_id: CorrelationId,
@@ -32,7 +32,7 @@
         self.reply(correlation_id, code, NodeId::NONE, Some(kind))
     }
 
-    /// The result of an applied command, under the result's code.
+    /// The result of an applied command, with the result's code.
     pub(super) fn result(
         self,
         correlation_id: CorrelationId,
@@ -42,7 +42,7 @@
         self.reply(correlation_id, code, NodeId::NONE, Some(kind))
     }
 
-    /// A code only, with the leader to go to if it is known.
+    /// A reply with a result code only, and the leader to retry at if it is known.
     pub(super) fn refusal(
         self,
         correlation_id: CorrelationId,
@@ -93,7 +93,7 @@
     }
 }
 
-/// The shard as its leader sees it.
+/// The shard's status for operators, as seen by its leader.
 pub(super) fn shard_status(
     machine: &ShardMachine,
     replica: &ReplicaStatus,
--- a/crates/control/src/shard/session_service.rs
+++ b/crates/control/src/shard/session_service.rs
@@ -1,4 +1,4 @@
-//! Sessions of a shard's members, as the leader judges them.
+//! Sessions of a shard's members, whose leases the leader tracks.
 
 use millford_api::command::{CloseSession, Command, command, command_result};
 use millford_api::internal::{RenewSessions, RenewSessionsReply, SessionStatus};
@@ -6,24 +6,24 @@
 use millford_core::{MonotonicTime, ResultCode};
 use millford_membership::SessionTable;
 
-/// Owner of the table of sessions with their deadlines. Only a leader fills it.
+/// Owns the table of sessions and their lease deadlines, which is filled only on the leader.
 #[derive(Default)]
 pub(super) struct SessionService {
     table: SessionTable,
 }
 
 impl SessionService {
-    /// The replica leads from now on: every replicated session gets a full lease.
+    /// Gives every replicated session a full lease when this replica becomes the leader.
     pub(super) fn lead(&mut self, now: MonotonicTime, machine: &ShardMachine) {
         self.table.lead(now, machine.sessions().values());
     }
 
-    /// The replica does not lead any more.
+    /// Clears the table when this replica stops leading.
     pub(super) fn resign(&mut self) {
         self.table.clear();
     }
 
-    /// Renews sessions. The reply names those that do not exist any more.
+    /// Renews sessions. The reply names the members whose session no longer exists.
     pub(super) fn renew(
         &mut self,
         now: MonotonicTime,
@@ -31,22 +31,22 @@
     ) -> RenewSessionsReply {
         let mut closed_members = Vec::new();
         for renewal in &request.renewals {
-            let alive = self.table.renew(
+            let renewed = self.table.renew(
                 now,
                 &renewal.member,
                 renewal.epoch,
                 renewal.applied_revision,
             );
-            if !alive {
+            if !renewed {
                 closed_members.push(renewal.member.clone());
             }
         }
         RenewSessionsReply { closed_members }
     }
 
-    /// Keeps the table in line with the replicated sessions. Returns the member whose session the
-    /// command closed.
-    pub(super) fn follow<'a>(
+    /// Updates the table after an applied command opened or closed a session. Returns the member
+    /// whose session the command closed.
+    pub(super) fn apply_command<'a>(
         &mut self,
         now: MonotonicTime,
         command: &'a Command,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The sessions whose lease ended, each to be closed by a command.
+    /// Takes the sessions whose lease expired, as commands that close them.
     pub(super) fn take_expired(&mut self, now: MonotonicTime) -> Vec<CloseSession> {
         let expired = self.table.take_expired(now).into_iter();
         expired
@@ -81,12 +81,12 @@
             .collect()
     }
 
-    /// The closing of an expired session could not be proposed: it is due again.
+    /// Makes an expired session due again after the command that closes it could not be proposed.
     pub(super) fn reopen_expired(&mut self, close: &CloseSession) {
         self.table.reopen_expired(&close.member, close.epoch);
     }
 
-    /// The replicated sessions, for operators.
+    /// Status of each replicated session, for operators.
     pub(super) fn statuses(&self, machine: &ShardMachine) -> Vec<SessionStatus> {
         let records = machine.sessions().values();
         records
--- a/crates/control/src/shard/shard_replica.rs
+++ b/crates/control/src/shard/shard_replica.rs
@@ -1,4 +1,4 @@
-//! The consensus replica of a shard, with the proposals that it has not applied yet.
+//! The consensus replica of a shard, with its proposals that are not applied yet.
 
 use millford_api::command::Command;
 use millford_api::replication::{ReplicationMessage, VoterSet};
@@ -14,7 +14,7 @@
 use super::proposals::{Proposals, Purpose};
 use super::recovery::force_single_voter;
 
-/// Owner of the replica, its storage and the proposals under way.
+/// Owns the replica, its storage and the proposals in flight.
 pub(super) struct ShardReplica {
     options: ShardCoreOptions,
     replica: Replica,
@@ -22,7 +22,7 @@
 }
 
 impl ShardReplica {
-    /// Opens the shard's storage and the replica on it.
+    /// Opens the shard's storage and creates the replica on it.
     ///
     /// # Errors
     /// The storage cannot be opened, or belongs to another identity.
@@ -43,30 +43,31 @@
         self.options.identity
     }
 
-    /// Status of the replica.
+    /// Current status of the consensus replica.
     pub(super) fn status(&self) -> ReplicaStatus {
         self.replica.status()
     }
 
-    /// Whether this replica leads and may act on its state.
+    /// Whether this replica leads and its state includes everything committed in earlier terms.
     ///
-    /// Before the first entry of its own term is committed, a leader may not have applied all that
-    /// is committed, and would judge sessions on an old table.
+    /// Before the first entry of its own term is committed, a leader may not have applied every
+    /// committed entry, and would expire sessions by an outdated table.
     pub(super) fn is_confirmed_leader(&self) -> bool {
         let status = self.replica.status();
         status.role == Role::Leader && status.leads_confirmed
     }
 
-    /// Whether a successor cannot have been elected yet.
+    /// Whether no other replica can have been elected leader yet.
     ///
-    /// A successor may grant a full quota lease after its election. This leader must have stopped
-    /// by then, also when its thread was late, or when it still waits for its first replies.
+    /// A successor may grant full quota leases as soon as it is elected. This leader must have
+    /// stopped granting by then, even if its thread ran late or it still waits for its first replies.
     pub(super) fn excludes_successor(&self, now: MonotonicTime) -> bool {
         let contact = self.replica.status().leader_contact;
         contact.is_some_and(|contact| now.since(contact) < QUORUM_TIMEOUT)
     }
 
-    /// The leader to name to a requester; none if unknown or this node, which just refused.
+    /// The leader to name in a refusal; [`NodeId::NONE`] if it is unknown, or if it is this node
+    /// itself, which is refusing the request.
     pub(super) fn leader_hint(&self) -> NodeId {
         let leader = self.replica.status().leader;
         if leader == self.options.identity {
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Proposes a command of the core or of a request.
+    /// Proposes a command and records its purpose until it is applied.
     ///
     /// # Errors
     /// This replica does not lead.
@@ -87,27 +88,30 @@
         Ok(())
     }
 
-    /// Whether a proposal with this purpose is under way.
+    /// Whether a proposal with this purpose is in flight.
     pub(super) fn is_proposed(&self, purpose: &Purpose) -> bool {
         self.proposals.contains(purpose)
     }
 
-    /// The entry at `index` was applied. Returns the purpose if this replica proposed it.
+    /// Removes the proposal of the entry applied at `index`. Returns its purpose if this replica
+    /// proposed the entry in `term`.
     pub(super) fn take_proposal(&mut self, index: u64, term: u64) -> Option<Purpose> {
         self.proposals.take(index, term)
     }
 
-    /// Leadership was lost: the outcome of every proposal is unknown here.
+    /// Drops all proposals after leadership was lost, and returns their purposes. Whether they will
+    /// be committed is unknown to this replica.
     pub(super) fn abandon_proposals(&mut self) -> Vec<Purpose> {
         self.proposals.take_all()
     }
 
-    /// A message of another replica.
+    /// Passes a message from another replica to the consensus replica.
     pub(super) fn step(&mut self, now: MonotonicTime, message: ReplicationMessage) {
         self.replica.step(now, message);
     }
 
-    /// Time passed; for `stalled` of it this process did not run, which is not the leader's fault.
+    /// Advances time. A stall, during which this process did not run, extends the election deadline,
+    /// because the leader may have sent messages meanwhile.
     pub(super) fn tick(&mut self, now: MonotonicTime, stalled: Option<Duration>) {
         if let Some(stalled) = stalled {
             self.replica.defer_election_deadline(now, stalled);
@@ -115,15 +119,15 @@
         self.replica.tick(now);
     }
 
-    /// Makes durable what came in and returns what follows from it.
+    /// Makes the replica's changes durable and returns what they lead to.
     ///
     /// # Errors
-    /// The storage failed; the replica cannot go on.
+    /// The storage failed; the replica must be stopped.
     pub(super) fn flush(&mut self, now: MonotonicTime) -> Result<Ready, StorageError> {
         self.replica.flush(now)
     }
 
-    /// Starts the confirmation of a read with this number.
+    /// Starts the confirmation of the read with this number by a quorum.
     ///
     /// # Errors
     /// This replica does not lead.
@@ -139,13 +143,13 @@
         self.replica.change_voters(change).map(drop)
     }
 
-    /// Stores a snapshot of the state as of `applied`.
+    /// Stores a snapshot of the state as of log index `applied`.
     pub(super) fn save_snapshot(&mut self, applied: u64, data: Vec<u8>) {
-        // A refusal leaves the log longer; the next entries try again.
+        // After a refusal the log stays longer, until a later entry makes another snapshot due.
         let _ = self.replica.save_snapshot(applied, data);
     }
 
-    /// Hands leadership to a caught-up voter, if there is one.
+    /// Transfers leadership to a caught-up voter, if there is one.
     pub(super) fn transfer_leadership(&mut self) {
         let status = self.replica.status();
         let mut peers = status.peers.iter();
@@ -155,14 +159,14 @@
         }
     }
 
-    /// Hands leadership to this voter.
+    /// Transfers leadership to this voter.
     pub(super) fn transfer_leadership_to(&mut self, node: NodeId) {
-        // A refusal leaves things as they are; a leader that shuts down all the same is missed and
-        // replaced by an election, as after a crash.
+        // After a refusal this replica stays the leader. If it then shuts down, an election replaces
+        // it, as after a crash.
         let _ = self.replica.transfer_leadership(node);
     }
 
-    /// Makes this node the only voter in the storage, and returns a replica opened on it.
+    /// Makes this node the only voter in the storage, and opens a replica on it.
     ///
     /// # Errors
     /// The storage cannot be written or opened again.
@@ -171,7 +175,7 @@
         open_replica(&self.options, now)
     }
 
-    /// Goes on with a recovered replica.
+    /// Replaces the replica by a recovered one.
     pub(super) fn replace(&mut self, replica: Replica) {
         self.replica = replica;
     }
@@ -189,7 +193,7 @@
     }
     Replica::open(replica, storage, now).map_err(|error| match error {
         OpenError::Storage(error) => error,
-        // Votes of another identity: the same as damage, the node starts over.
+        // Votes of another identity are handled like corruption: the node starts over.
         OpenError::ForeignStorage { .. } | OpenError::NodeIdMissing => {
             StorageError::corrupt("hard-state", 0, "the storage belongs to another identity")
         }
--- a/crates/control/src/shard/subscriptions.rs
+++ b/crates/control/src/shard/subscriptions.rs
@@ -8,8 +8,8 @@
 use crate::link::LinkId;
 use crate::timing::READ_CONFIRMATION_TIMEOUT;
 
-/// Delay before a failed read of a subscription is tried again.
-const RETRY: Duration = Duration::from_millis(60);
+/// Delay before a failed read of a subscription is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 
 #[derive(Clone, Debug)]
 struct PendingSubscription {
@@ -18,12 +18,12 @@
     retry_at: MonotonicTime,
 }
 
-/// What is due for a waiting subscription.
+/// A waiting subscription whose retry time has come.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct DueSubscription {
     /// The agent's link.
     pub(super) subscriber: LinkId,
-    /// How long it has been waiting.
+    /// Time since the agent first subscribed on this link.
     pub(super) waited: Duration,
 }
 
@@ -34,8 +34,9 @@
 }
 
 impl Subscriptions {
-    /// An agent subscribes, and its read is started now. One that subscribes again has been waiting since it
-    /// subscribed first: else one that subscribes every second would never be sent elsewhere.
+    /// Adds a subscription whose read is started now. The waiting time of an agent that subscribes
+    /// again counts from its first subscription; otherwise an agent that subscribes every second
+    /// would never be refused.
     pub(super) fn insert(&mut self, now: MonotonicTime, subscriber: LinkId, subscribe: Subscribe) {
         let since = self
             .pending
@@ -49,20 +50,20 @@
         self.pending.insert(subscriber, pending);
     }
 
-    /// The read failed: it is due again soon.
+    /// Schedules a retry after the subscription's read failed.
     pub(super) fn failed(&mut self, now: MonotonicTime, subscriber: LinkId) {
         if let Some(pending) = self.pending.get_mut(&subscriber) {
-            pending.retry_at = now + RETRY;
+            pending.retry_at = now + RETRY_DELAY;
         }
     }
 
-    /// The subscription is served, refused or given up.
+    /// Removes a subscription that is served, refused or abandoned.
     pub(super) fn remove(&mut self, subscriber: LinkId) -> Option<Subscribe> {
         let pending = self.pending.remove(&subscriber)?;
         Some(pending.subscribe)
     }
 
-    /// Subscriptions whose read is to be started again; each is due again later.
+    /// Takes the subscriptions whose read is to be restarted, and schedules the next retry of each.
     pub(super) fn take_due(&mut self, now: MonotonicTime) -> Vec<DueSubscription> {
         let pending = self.pending.iter_mut();
         let due = pending.filter(|(_, pending)| pending.retry_at <= now);
--- a/crates/control/src/storage_code.rs
+++ b/crates/control/src/storage_code.rs
@@ -3,7 +3,7 @@
 use millford_core::ResultCode;
 use millford_storage::StorageError;
 
-/// The result code that a storage error is reported under.
+/// The result code with which a storage error is reported.
 #[must_use]
 pub fn storage_code(error: &StorageError) -> ResultCode {
     match error {
--- a/crates/control/tests/chosen_documents.rs
+++ b/crates/control/tests/chosen_documents.rs
@@ -1,4 +1,4 @@
-//! Documents that came in another form are read back as they were sent, under the number that was chosen.
+//! Configuration documents with their own source and chosen revision are read back as they were sent.
 
 mod support;
 
@@ -10,10 +10,10 @@
 use support::Cluster;
 use support::orders::{cluster_with_leaders, document, order};
 
-/// An order for a document of about this many bytes, in a form of its own.
-fn sourced(base: u64, revision: u64, bytes: usize) -> OperatorRequest {
+/// An order with a chosen revision and a source of about this many bytes.
+fn order_with_source(base: u64, revision: u64, bytes: usize) -> OperatorRequest {
     let OperatorRequest::PutConfig(order) = order(base, "", document(&["library"])) else {
-        unreachable!("an order");
+        unreachable!("order() returns a PutConfig");
     };
     let source = format!("{revision}:").into_bytes().into_iter();
     let source: Vec<u8> = source.chain(std::iter::repeat_n(b'.', bytes)).collect();
@@ -30,7 +30,7 @@
     match cluster.answer(request) {
         OperatorReply::Order(reply) => Ok(reply.revision),
         OperatorReply::Failed(failure) => Err(failure.code),
-        other => panic!("no answer to an order: {other:?}"),
+        other => panic!("unexpected reply to an order: {other:?}"),
     }
 }
 
@@ -38,23 +38,29 @@
     let request = cluster.request(address, OperatorRequest::GetConfig);
     match cluster.answer(request) {
         OperatorReply::Config(reply) => (reply.revision, reply.source),
-        other => panic!("no configuration: {other:?}"),
+        other => panic!("unexpected reply to a configuration read: {other:?}"),
     }
 }
 
 #[test]
-fn what_was_sent_is_read_back_at_any_node() {
+fn the_source_and_the_chosen_revision_are_read_back_at_any_node() {
     let mut cluster = cluster_with_leaders(3, 5);
-    assert_eq!(put(&mut cluster, "node-1", sourced(0, 7, 10)), Ok(7));
     assert_eq!(
-        put(&mut cluster, "node-2", sourced(7, 7, 11)),
+        put(&mut cluster, "node-1", order_with_source(0, 7, 10)),
+        Ok(7)
+    );
+    assert_eq!(
+        put(&mut cluster, "node-2", order_with_source(7, 7, 11)),
         Err(ResultCode::RevisionNotAbove)
     );
-    assert_eq!(put(&mut cluster, "node-3", sourced(7, 31, 12)), Ok(31));
     assert_eq!(
-        put(&mut cluster, "node-1", sourced(0, 7, 10)),
+        put(&mut cluster, "node-3", order_with_source(7, 31, 12)),
+        Ok(31)
+    );
+    assert_eq!(
+        put(&mut cluster, "node-1", order_with_source(0, 7, 10)),
         Ok(7),
-        "acknowledged again"
+        "a repeated order is acknowledged again"
     );
     for address in ["node-1", "node-2", "node-3"] {
         let (revision, source) = read(&mut cluster, address);
@@ -64,13 +70,17 @@
 }
 
 #[test]
-fn hundreds_of_large_changes_survive_a_restart_of_everything() {
+fn hundreds_of_large_orders_survive_a_full_restart() {
     let mut cluster = cluster_with_leaders(3, 6);
     let mut base = 0;
     for step in 1..=300 {
         let revision = base + 1 + step % 5;
         assert_eq!(
-            put(&mut cluster, "node-1", sourced(base, revision, 100_000)),
+            put(
+                &mut cluster,
+                "node-1",
+                order_with_source(base, revision, 100_000)
+            ),
             Ok(revision)
         );
         base = revision;
@@ -88,8 +98,8 @@
         (base, 100_000 + format!("{base}:").len())
     );
     assert_eq!(
-        put(&mut cluster, "node-3", sourced(0, 2, 100_000)),
+        put(&mut cluster, "node-3", order_with_source(0, 2, 100_000)),
         Ok(2),
-        "the first is still known"
+        "the first order is still acknowledged with its revision"
     );
 }
--- a/crates/control/tests/committed_folders.rs
+++ b/crates/control/tests/committed_folders.rs
@@ -1,9 +1,10 @@
-//! Data folders that control nodes of b3d3e00 wrote are read and written by the present code.
+//! Compatibility of the storage format: data folders written by the code of commit b3d3e00 are read
+//! and reproduced by the current code.
 //!
 //! `data/folders` holds the folders of the three nodes of [`write_folders`], as the code of b3d3e00
-//! wrote them: the node's own file, and for each shard the hard state, the log's segments and on
-//! `node-1` a snapshot. `data/folders.txt` says what that code read from them. Neither is written
-//! again: an installed node must be able to start on what an earlier release left on its disk.
+//! wrote them: the node's own file, and for each shard the hard state, the log's segments and, on
+//! `node-1`, a snapshot. `data/folders.txt` lists what that code read from them. Neither may be
+//! regenerated, because an installed node must be able to start from the data of an earlier release.
 
 #[path = "../../api/tests/support/committed.rs"]
 mod committed;
@@ -40,17 +41,17 @@
 const NODES: [&str; 3] = ["node-1", "node-2", "node-3"];
 const SHARDS: [ShardId; 3] = [ShardId(0), ShardId(1), ShardId(2)];
 
-/// The shard whose log `node-1` has compacted behind a snapshot.
+/// The shard whose log is compacted into a snapshot on `node-1`.
 const COMPACTED: ShardId = ShardId::CONFIGURATION;
 
-/// Entries that stay behind that snapshot.
-const ENTRIES_BEHIND: u64 = 2;
+/// Entries covered by that snapshot that the log retains.
+const RETAINED_ENTRIES: u64 = 2;
 
-/// The run of a tenant's request that the folders remember.
+/// Tenant, request id and attempt id of the run whose claim the folders contain.
 const RUN: (&str, &str, &str) = ("a", "request-1", "attempt-1");
 
-/// Three nodes that form a cluster, accept two configurations, read a registry, drain a backend,
-/// open a session and settle a claim, and are stopped.
+/// Writes the folders: three nodes form a cluster, accept two configurations, read a registry, drain
+/// a backend, open a session, settle a claim, and are stopped.
 fn write_folders() -> Cluster {
     let mut cluster = cluster_with_leaders(3, 24);
     accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
@@ -115,7 +116,8 @@
     ShardLayout::new(2).shard_of(&tenant_key(RUN.0))
 }
 
-/// Claims the run for this attempt: whether it is granted, and the earlier run's outcome.
+/// Claims the run for an attempt. Returns whether the claim is granted, and the outcome of the
+/// earlier attempt.
 fn claim(cluster: &mut Cluster, agent: &mut TestAgent, attempt: &str) -> (bool, i32) {
     let claim = Claim {
         tenant: RUN.0.to_owned(),
@@ -130,15 +132,15 @@
             kind: Some(command_result::Kind::Claim(result)),
             ..
         })) => (result.granted, result.outcome),
-        other => panic!("no result of a claim: {other:?}"),
+        other => panic!("unexpected reply to a claim: {other:?}"),
     }
 }
 
-/// Saves a snapshot of all that the shard has applied and compacts its log, as a replica does after
-/// some thousand entries.
+/// Saves a snapshot of the shard's whole log and compacts the log, as a replica does after
+/// `SNAPSHOT_ENTRIES` (512) entries.
 fn compact(machine: &MemoryMachine) {
     let options = StorageOptions {
-        retained_entries: ENTRIES_BEHIND,
+        retained_entries: RETAINED_ENTRIES,
         ..StorageOptions::default()
     };
     let disk = machine.folder(&shard_folder(COMPACTED));
@@ -165,7 +167,7 @@
         .expect("the snapshot is saved");
 }
 
-/// Names of a node's folders.
+/// Names of the data folders of a node.
 fn folder_names() -> Vec<String> {
     let shards = SHARDS.into_iter().map(shard_folder);
     std::iter::once(NODE_FOLDER.to_owned())
@@ -173,10 +175,14 @@
         .collect()
 }
 
-/// Files of a disk by name.
+/// Contents of the files on a disk, by name.
 fn files(disk: &dyn Disk) -> BTreeMap<String, Vec<u8>> {
     let names = disk.list().expect("the folder is listed");
-    let read = |name: &String| disk.read(name).expect("it is read").expect("it is there");
+    let read = |name: &String| {
+        disk.read(name)
+            .expect("the file is read")
+            .expect("the file exists")
+    };
     names
         .iter()
         .map(|name| (name.clone(), read(name)))
@@ -194,12 +200,12 @@
         .map(|file| {
             let file = file.expect("a file");
             let name = file.file_name().into_string().expect("a plain name");
-            (name, std::fs::read(file.path()).expect("it is read"))
+            (name, std::fs::read(file.path()).expect("the file is read"))
         })
         .collect()
 }
 
-/// Copies the committed folders of a node, since opening a disk may write to it.
+/// Copies the committed folders of a node, because opening a disk may write to it.
 fn copy(address: &str) -> tempfile::TempDir {
     let copied = tempfile::tempdir().expect("a folder");
     for folder in folder_names() {
@@ -217,7 +223,7 @@
 }
 
 #[test]
-fn the_same_history_writes_the_committed_files() {
+fn the_same_inputs_write_files_equal_to_the_committed_ones() {
     let cluster = write_folders();
     for address in NODES {
         for folder in folder_names() {
@@ -241,16 +247,17 @@
 }
 
 #[test]
-fn the_committed_files_hold_what_was_read_from_them() {
+fn the_committed_files_are_read_as_by_the_earlier_release() {
     let mut lines = String::new();
     for address in NODES {
         let copied = copy(address);
         let node = open_disk(copied.path(), NODE_FOLDER);
-        let file = NodeFile::load(node.as_ref()).expect("it is read");
+        let file = NodeFile::load(node.as_ref()).expect("the node's file is read");
         describe_node(&mut lines, address, &file.expect("the node's file"));
         for shard in SHARDS {
             let disk = open_disk(copied.path(), &shard_folder(shard));
-            let storage = ReplicaStorage::open(disk, StorageOptions::default()).expect("it opens");
+            let opened = ReplicaStorage::open(disk, StorageOptions::default());
+            let storage = opened.expect("the storage opens");
             describe_shard(&mut lines, address, shard, &storage);
         }
     }
@@ -267,7 +274,7 @@
         });
         texts.collect::<Vec<String>>().join(" ")
     };
-    let told = [
+    let fields = [
         format!("node_id {}", file.node_id),
         format!("cluster_id {}", file.cluster_id),
         format!("data_shards {}", file.data_shards),
@@ -276,14 +283,14 @@
         format!("removed {:?}", file.removed),
         format!("shards {:?}", file.shards),
     ];
-    for line in told {
-        writeln!(lines, "{address} {line}").expect("a string grows");
+    for field in fields {
+        writeln!(lines, "{address} {field}").expect("writing to a string");
     }
 }
 
 fn describe_shard(lines: &mut String, address: &str, shard: ShardId, storage: &ReplicaStorage) {
     let hard_state = storage.hard_state().expect("a hard state");
-    let mut told = vec![
+    let mut fields = vec![
         format!("term {}", hard_state.term),
         format!("voted_for {}", hard_state.voted_for),
         format!("node {}", hard_state.node),
@@ -296,11 +303,11 @@
             Payload::Command(bytes) => format!("command {}", hex::encode(bytes)),
             Payload::Voters(voters) => format!("voters {:?} {:?}", voters.voters, voters.learners),
         };
-        told.push(format!("entry {} {} {payload}", entry.index, entry.term));
+        fields.push(format!("entry {} {} {payload}", entry.index, entry.term));
     }
     if let Some(snapshot) = storage.snapshot() {
         let meta = &snapshot.meta;
-        told.push(format!(
+        fields.push(format!(
             "snapshot {} {} voters {:?} {:?} {}",
             meta.index,
             meta.term,
@@ -309,8 +316,8 @@
             hex::encode(&snapshot.data)
         ));
     }
-    for line in told {
-        writeln!(lines, "{address} shard-{} {line}", shard.0).expect("a string grows");
+    for field in fields {
+        writeln!(lines, "{address} shard-{} {field}", shard.0).expect("writing to a string");
     }
 }
 
@@ -333,14 +340,15 @@
         let opened = ControlNode::open(options, move |name| open_disk(&root, name), now);
         let node = opened.expect("the node opens");
         let disk = open_disk(copied.path(), NODE_FOLDER);
-        let file = NodeFile::load(disk.as_ref()).expect("it is read");
+        let file = NodeFile::load(disk.as_ref()).expect("the node's file is read");
         let file = file.expect("the node's file");
         assert_eq!(node.identity().0, file.node_id);
         assert_eq!(node.gateway().cluster_id(), file.cluster_id);
         for shard in SHARDS {
             let core = node.core(shard).expect("the shard's replica");
             let disk = open_disk(copied.path(), &shard_folder(shard));
-            let storage = ReplicaStorage::open(disk, StorageOptions::default()).expect("it opens");
+            let opened = ReplicaStorage::open(disk, StorageOptions::default());
+            let storage = opened.expect("the storage opens");
             let hard_state = storage.hard_state().expect("a hard state");
             assert_eq!(core.status().term, hard_state.term, "{address} {shard}");
             assert_eq!(core.status().voters.len(), 3, "{address} {shard}");
@@ -349,7 +357,7 @@
 }
 
 #[test]
-fn a_cluster_on_the_committed_folders_has_its_state_again() {
+fn a_cluster_started_on_the_committed_folders_serves_their_state() {
     let mut cluster = Cluster::empty(NODES.map(str::to_owned).to_vec(), 25);
     for address in NODES {
         cluster.boot(address);
@@ -359,7 +367,7 @@
         for folder in folder_names() {
             let mut disk = machine.folder(&folder);
             for (name, bytes) in committed_files(address, &folder) {
-                disk.replace(&name, &bytes).expect("a file is laid down");
+                disk.replace(&name, &bytes).expect("a file is written");
             }
         }
     }
@@ -374,7 +382,10 @@
     }
     let session = ShardLayout::new(2).shard_of(&session_key("agent-1"));
     let leader = cluster.leader(session).expect("a leader");
-    let core = cluster.node(&leader).core(session).expect("its core");
+    let core = cluster
+        .node(&leader)
+        .core(session)
+        .expect("the leader's core");
     let opened = core.machine().session("agent-1").expect("the session");
     assert_eq!((opened.boot_id, opened.zone.as_str()), (7, "zone"));
     let mut agent = TestAgent::connect(&mut cluster, "agent-2", "node-1", ShardId::CONFIGURATION);
--- a/crates/control/tests/components.rs
+++ b/crates/control/tests/components.rs
@@ -1,4 +1,5 @@
-//! Components of the control node in isolation: repair, stall detection, load snapshots, pending requests.
+//! Components of the control node in isolation: repair, stall detection, load snapshots, pending
+//! requests, events of moves, and the maintenance schedule.
 
 use std::time::Duration;
 
@@ -24,10 +25,10 @@
     MonotonicTime::from_millis(millis)
 }
 
-fn replica(node: u64, record_report: u64, caught_up: bool) -> ReplicaView {
+fn replica(node: u64, last_contact: u64, caught_up: bool) -> ReplicaView {
     ReplicaView {
         node: NodeId(node),
-        last_contact: at(record_report),
+        last_contact: at(last_contact),
         caught_up,
     }
 }
@@ -65,7 +66,7 @@
         Some(RepairStep::AddLearner(NodeId(4)))
     );
     group.learners = vec![replica(4, 9_900, false)];
-    assert_eq!(decide(&group, &view), None, "it is behind");
+    assert_eq!(decide(&group, &view), None, "the learner has not caught up");
     group.learners = vec![replica(4, 9_900, true)];
     assert_eq!(decide(&group, &view), Some(RepairStep::Remove(NodeId(3))));
     group.voters.pop();
@@ -95,26 +96,26 @@
 }
 
 #[test]
-fn a_learner_is_removed_when_the_voter_returned_or_the_learner_is_lost() {
+fn a_learner_is_removed_when_the_lost_voter_returned_or_the_learner_is_lost() {
     let voters = vec![
         replica(1, 10_000, true),
         replica(2, 9_900, true),
         replica(3, 9_900, true),
     ];
-    let idle = GroupView {
+    let voter_returned = GroupView {
         voters: voters.clone(),
         learners: vec![replica(4, 9_900, true)],
     };
     assert_eq!(
-        decide(&idle, &members(&[4])),
+        decide(&voter_returned, &members(&[4])),
         Some(RepairStep::Remove(NodeId(4)))
     );
-    let unresponsive = GroupView {
+    let learner_lost = GroupView {
         voters,
         learners: vec![replica(4, 4_000, false)],
     };
     assert_eq!(
-        decide(&unresponsive, &members(&[4])),
+        decide(&learner_lost, &members(&[4])),
         Some(RepairStep::Remove(NodeId(4)))
     );
 }
@@ -155,41 +156,41 @@
     let third = publisher.difference(at(21_000), "pool", vec![load("a", 1)]);
     assert_eq!(third, [load("b", 0)]);
     let full = publisher.difference(at(31_000), "pool", vec![load("a", 1)]);
-    assert_eq!(full, [load("a", 1)], "for nodes that joined since");
+    assert_eq!(full, [load("a", 1)], "a full snapshot after 10 s");
 }
 
 #[test]
 fn large_load_snapshots_are_published_less_often() {
     let mut publisher = LoadSnapshotPublisher::default();
-    publisher.sent(at(0), 100);
+    publisher.record_sent(at(0), 100);
     assert!(publisher.is_due(at(500)), "{publisher:?}");
-    publisher.sent(at(1000), 100_000);
+    publisher.record_sent(at(1000), 100_000);
     assert!(!publisher.is_due(at(30_000)), "{publisher:?}");
 }
 
 #[test]
 fn load_snapshots_of_a_small_site_are_published_more_often_within_budget() {
     let mut publisher = LoadSnapshotPublisher::default();
-    publisher.set_site(16, 16);
-    publisher.sent(at(0), 100);
+    publisher.set_site_size(16, 16);
+    publisher.record_sent(at(0), 100);
     assert!(!publisher.is_due(at(249)), "{publisher:?}");
     assert!(publisher.is_due(at(250)), "{publisher:?}");
-    publisher.sent(at(1000), 768);
-    assert!(!publisher.is_due(at(1999)), "768 bytes a second");
+    publisher.record_sent(at(1000), 768);
+    assert!(!publisher.is_due(at(1999)), "768 bytes per second");
     assert!(publisher.is_due(at(2000)), "{publisher:?}");
     for (backends, nodes) in [(17, 16), (16, 17)] {
-        publisher.set_site(backends, nodes);
-        publisher.sent(at(3000), 100);
+        publisher.set_site_size(backends, nodes);
+        publisher.record_sent(at(3000), 100);
         assert!(
             !publisher.is_due(at(3499)),
             "{backends} backends, {nodes} nodes"
         );
-        publisher.sent(at(4000), 512);
+        publisher.record_sent(at(4000), 512);
         assert!(!publisher.is_due(at(4999)), "{publisher:?}");
     }
 }
 
-fn submitted(requests: &mut PendingRequests, forwarded: bool) -> u64 {
+fn submit(requests: &mut PendingRequests, forwarded: bool) -> u64 {
     let origin = Origin::Link {
         link: LinkId(1),
         request_id: 77,
@@ -206,7 +207,7 @@
 #[test]
 fn a_misdirected_request_is_retried_at_the_hinted_leader_and_a_forwarded_one_is_returned() {
     let mut requests = PendingRequests::default();
-    let correlation_id = submitted(&mut requests, false);
+    let correlation_id = submit(&mut requests, false);
     assert_eq!(requests.take_due(at(0)).len(), 1);
     let wrong = refusal(&ShardRequest::default(), ResultCode::NotLeader, NodeId(5));
     assert!(
@@ -218,19 +219,19 @@
     assert_eq!((again.len(), again[0].hint), (1, NodeId(5)));
 
     let mut requests = PendingRequests::default();
-    let correlation_id = submitted(&mut requests, true);
+    let correlation_id = submit(&mut requests, true);
     assert_eq!(requests.take_due(at(0)).len(), 1);
-    assert!(requests.take_due(at(1500)).is_empty(), "tried once only");
+    assert!(requests.take_due(at(1500)).is_empty(), "not retried");
     let completed = requests
         .answer(at(1510), correlation_id, wrong)
-        .expect("it goes back");
+        .expect("the refusal is returned to the forwarding node");
     assert_eq!(completed.reply.leader_hint, 5);
 }
 
 #[test]
 fn a_request_without_a_reply_is_resent_and_times_out_at_its_deadline() {
     let mut requests = PendingRequests::default();
-    submitted(&mut requests, false);
+    submit(&mut requests, false);
     assert_eq!(requests.take_due(at(0)).len(), 1);
     let due = requests.take_due(at(600));
     assert!(due.is_empty(), "{due:?}");
@@ -256,7 +257,7 @@
     assert_eq!(move_events.of_plan("pool", &moves_of(2)).len(), 2);
     assert!(
         move_events.of_plan("pool", &moves_of(2)).is_empty(),
-        "reported already"
+        "moves of the previous plan are not reported again"
     );
     assert!(move_events.of_plan("pool", &[]).is_empty());
     let many = move_events.of_plan("pool", &moves_of(50));
@@ -272,7 +273,11 @@
 fn stalled_time_is_the_tick_gap_beyond_its_maximum() {
     let mut maintenance = MaintenanceSchedule::new(at(0));
     assert_eq!(maintenance.stalled_time(at(20)), None);
-    assert_eq!(maintenance.stalled_time(at(120)), None, "late, but it runs");
+    assert_eq!(
+        maintenance.stalled_time(at(120)),
+        None,
+        "a gap of 100 ms is no stall"
+    );
     let lost = maintenance.stalled_time(at(1120));
     assert_eq!(lost, Some(Duration::from_millis(900)));
     assert_eq!(maintenance.stalled_time(at(1140)), None, "reported once");
--- a/crates/control/tests/daemon.rs
+++ b/crates/control/tests/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon as processes: first start, orders, bad inputs, a replaced machine, a clean end.
+//! Control nodes as processes: first start, orders, invalid requests, a replaced machine, shutdown.
 
 mod support;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_cluster_accepts_orders_over_the_loss_and_replacement_of_a_machine() {
+fn a_cluster_accepts_orders_across_the_loss_and_replacement_of_a_machine() {
     let mut nodes = start_three();
     wait_until_ready(&nodes);
     let accepted = nodes[2].request("PUT", "/v1/config", &order(0, "one"));
@@ -38,20 +38,21 @@
     nodes[0].kill();
     let addresses = free_addresses(2);
     let seeds: Vec<String> = nodes.iter().map(|node| node.internal.clone()).collect();
-    let mut new = Daemon::new(&addresses[0], &addresses[1], &seeds);
-    new.start();
-    wait_for("the new machine's readiness", || new.is_ready());
+    let mut replacement = Daemon::new(&addresses[0], &addresses[1], &seeds);
+    replacement.start();
+    wait_for("the replacement's readiness", || replacement.is_ready());
     nodes[1].kill();
-    wait_for("service on the two that are left", || {
-        new.request("GET", "/v1/config", "").status == 200
+    wait_for("service by the two remaining nodes", || {
+        replacement.request("GET", "/v1/config", "").status == 200
     });
-    assert_eq!(new.request("GET", "/v1/config", "").json()["revision"], 1);
+    let read = replacement.request("GET", "/v1/config", "");
+    assert_eq!(read.json()["revision"], 1);
     let accepted = nodes[2].request("PUT", "/v1/config", &order(1, "three"));
     assert_eq!(accepted.json()["revision"], 2);
 }
 
 #[test]
-fn a_rolling_and_a_full_restart_keep_the_configuration_and_end_cleanly() {
+fn a_rolling_and_a_full_restart_keep_the_configuration_and_sigterm_exits_with_status_0() {
     let mut nodes = start_three();
     wait_until_ready(&nodes);
     assert_eq!(
@@ -61,7 +62,7 @@
         200
     );
     for node in &mut nodes {
-        assert!(node.terminate().success(), "SIGTERM ends with status 0");
+        assert!(node.terminate().success(), "SIGTERM exits with status 0");
         node.start();
         wait_for("readiness after a restart", || node.is_ready());
     }
@@ -72,13 +73,13 @@
         node.start();
     }
     wait_until_ready(&nodes);
-    let shown = nodes[1].request("GET", "/v1/config", "").json();
-    assert_eq!(shown["revision"], 1);
-    assert_eq!(shown["document"]["routes"][0]["name"], "r");
+    let config = nodes[1].request("GET", "/v1/config", "").json();
+    assert_eq!(config["revision"], 1);
+    assert_eq!(config["document"]["routes"][0]["name"], "r");
 }
 
 #[test]
-fn every_path_of_the_interface_is_served_and_bad_inputs_get_their_codes() {
+fn every_path_is_served_and_invalid_requests_get_their_result_codes() {
     let nodes = start_three();
     wait_until_ready(&nodes);
     let node = &nodes[0];
@@ -103,13 +104,14 @@
         metrics.body
     );
 
-    check_bad_requests(node, &status.node);
+    check_invalid_requests(node, &status.node);
     check_credentials_and_headers(&node.operator);
-    assert!(node.is_ready(), "it still serves");
+    assert!(node.is_ready(), "the node still serves");
 }
 
-/// Requests that are refused, each with its status and code; `own` is the identity of the node.
-fn check_bad_requests(node: &Daemon, own: &str) {
+/// Checks the HTTP status and the result code of requests that are refused; `own` is the identity of
+/// the node.
+fn check_invalid_requests(node: &Daemon, own: &str) {
     let survivors =
         format!(r#"{{"survivors":["{own}"],"confirm":"I accept that orders may be lost"}}"#);
     let drain = "/v1/services/p/backends/b/drain";
@@ -240,7 +242,7 @@
     let large = "x".repeat(17 * 1024 * 1024);
     let answer = http::request(address, "PUT", "/v1/config", &[&key, json], &large);
     assert_eq!((answer.status, answer.code()), (413, 1007));
-    // Neither of these is HTTP; the connection ends and the process stays.
+    // Neither of these is valid HTTP: the connection is closed and the process keeps running.
     let _ = http::raw(address, b"\x00\x01\x02 nonsense\r\n\r\n");
     let _ = http::raw(address, b"GET /v1/config HTTP/9.9\r\n\r\n");
     let healthy = http::request(address, "GET", "/healthz", &[], "");
--- a/crates/control/tests/faults.rs
+++ b/crates/control/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Random faults on the control nodes, with orders and agents going on meanwhile.
+//! Random faults of control nodes while orders are sent and an agent follows the feed.
 
 mod support;
 
@@ -11,13 +11,13 @@
 use support::orders::{cluster_with_leaders, document, order};
 use support::{Cluster, TestAgent};
 
-/// Seeds that every run covers.
+/// Number of seeds; each gives one run.
 const SEEDS: u64 = 100;
 
-/// Faults of one run, one every half second or so.
+/// Faults of one run, one every 100 to 500 ms.
 const FAULTS: usize = 60;
 
-/// What operators know, and what must therefore hold.
+/// The operators' orders, with the revisions that were acknowledged to them.
 #[derive(Default)]
 struct Operators {
     revision: u64,
@@ -27,12 +27,12 @@
 }
 
 impl Operators {
-    /// Sends an order on the last known revision, or takes the answer to the last one.
+    /// Sends an order based on the last known revision, or receives the reply to the last order.
     fn act(&mut self, cluster: &mut Cluster, random: &mut StdRng) {
         if let Some(request) = self.waiting {
             if let Some(reply) = cluster.replies.remove(&request) {
                 self.waiting = None;
-                self.take(reply);
+                self.record_reply(reply);
             } else if random.random_bool(0.1) {
                 self.waiting = None;
             }
@@ -49,7 +49,7 @@
         self.waiting = Some(cluster.request(address, order(self.revision, &id, desired)));
     }
 
-    fn take(&mut self, reply: OperatorReply) {
+    fn record_reply(&mut self, reply: OperatorReply) {
         match reply {
             OperatorReply::Order(reply) => {
                 assert!(
@@ -66,7 +66,7 @@
             OperatorReply::Failed(failure) => {
                 self.revision = failure.revision.unwrap_or(self.revision);
             }
-            other => panic!("an order's answer: {other:?}"),
+            other => panic!("unexpected reply to an order: {other:?}"),
         }
     }
 }
@@ -87,7 +87,7 @@
         .collect()
 }
 
-/// Every shard has three voters, all of them running and reachable.
+/// Whether every shard has three voters, all of them running and reachable.
 fn is_fully_replicated(cluster: &Cluster) -> bool {
     let up: Vec<_> = running(cluster)
         .iter()
@@ -100,7 +100,7 @@
     })
 }
 
-/// One fault or one recovery. A disk is lost only while everything else is fully replicated.
+/// Injects one fault or one recovery. A disk is lost only while every shard is fully replicated.
 fn inject_fault(cluster: &mut Cluster, random: &mut StdRng) {
     let up = running(cluster);
     let down = stopped(cluster);
@@ -118,21 +118,21 @@
             cluster.kill(&victim);
             cluster.machines[&victim].disk.wipe();
             cluster.boot(&victim);
-            finish_operator_requests(cluster);
+            wait_until_fully_replicated(cluster);
         }
         9 if is_fully_replicated(cluster) && up.len() == 3 && cluster.machines.len() < 6 => {
             let victim = up[random.random_range(0..up.len())].clone();
             cluster.kill(&victim);
             let address = format!("node-{}", cluster.machines.len() + 1);
             cluster.boot(&address);
-            finish_operator_requests(cluster);
+            wait_until_fully_replicated(cluster);
         }
         _ => {}
     }
 }
 
-/// Lets the repair of a lost disk finish.
-fn finish_operator_requests(cluster: &mut Cluster) {
+/// Waits until the repair after a lost disk is finished.
+fn wait_until_fully_replicated(cluster: &mut Cluster) {
     cluster.run_until(
         Duration::from_secs(20),
         "full replication",
@@ -150,7 +150,7 @@
         for _ in 0..random.random_range(1..6) {
             operators.act(&mut cluster, &mut random);
             cluster.run(Duration::from_millis(100));
-            // The support panics when the agent is fed an older state than it has shown.
+            // `TestAgent::receive` panics if the feed sends a state older than the agent's.
             agent.receive(&mut cluster);
             if agent.stale || random.random_bool(0.05) {
                 let up = running(&cluster);
@@ -160,11 +160,11 @@
         }
     }
     heal(&mut cluster);
-    // A standby that has not joined yet rightly answers that it is in no cluster.
+    // A standby that has not joined yet would answer `NotFormed`, so the leader is asked.
     let voter = cluster.leader(ShardId(0)).expect("a leader");
     let request = cluster.request(&voter, OperatorRequest::GetConfig);
     let OperatorReply::Config(reply) = cluster.answer(request) else {
-        panic!("seed {seed}: no configuration after all is well");
+        panic!("seed {seed}: no configuration after all faults were healed");
     };
     let last = operators
         .accepted
@@ -193,7 +193,7 @@
     }
     cluster.run_until(
         Duration::from_secs(12),
-        "service after all is well",
+        "leaders after all faults were healed",
         Cluster::has_leaders,
     );
     cluster.run_until(
--- a/crates/control/tests/feed.rs
+++ b/crates/control/tests/feed.rs
@@ -1,4 +1,4 @@
-//! Feeds and sessions of agents.
+//! Feeds, heartbeats and sessions of agents.
 
 mod support;
 
@@ -25,7 +25,8 @@
     }
 }
 
-fn follow(cluster: &mut Cluster, agents: &mut [TestAgent], time: Duration) {
+/// Runs the cluster for a time while the agents receive their frames.
+fn run_with_agents(cluster: &mut Cluster, agents: &mut [TestAgent], time: Duration) {
     let end = cluster.now + time;
     while cluster.now < end {
         cluster.run(Duration::from_millis(20));
@@ -35,7 +36,8 @@
     }
 }
 
-fn agents_everywhere(cluster: &mut Cluster) -> Vec<TestAgent> {
+/// Connects one agent to each node.
+fn connect_agents(cluster: &mut Cluster) -> Vec<TestAgent> {
     let nodes = NODES.into_iter();
     nodes
         .map(|node| TestAgent::connect(cluster, &format!("agent-{node}"), node, ShardId(0)))
@@ -45,17 +47,17 @@
 #[test]
 fn an_accepted_order_reaches_every_agent_and_a_revoked_key_is_removed_everywhere() {
     let mut cluster = cluster_with_leaders(3, 1);
-    let mut agents = agents_everywhere(&mut cluster);
+    let mut agents = connect_agents(&mut cluster);
     accept(&mut cluster, "node-2", 0, "one", document(&["a", "b"]));
     let accepted = cluster.now;
-    follow(&mut cluster, &mut agents, Duration::from_millis(500));
+    run_with_agents(&mut cluster, &mut agents, Duration::from_millis(500));
     for agent in &agents {
         assert_eq!(tenants(agent), ["a", "b"], "{}", agent.name);
     }
     accept(&mut cluster, "node-3", 1, "two", document(&["a"]));
     let revoked = cluster.now;
     assert!(revoked > accepted, "{revoked:?} after {accepted:?}");
-    follow(&mut cluster, &mut agents, Duration::from_millis(500));
+    run_with_agents(&mut cluster, &mut agents, Duration::from_millis(500));
     for agent in &agents {
         assert_eq!(tenants(agent), ["a"], "{}", agent.name);
     }
@@ -64,39 +66,39 @@
 #[test]
 fn a_node_that_lost_its_quorum_reports_it_within_1500_ms() {
     let mut cluster = cluster_with_leaders(3, 2);
-    let mut agents = agents_everywhere(&mut cluster);
+    let mut agents = connect_agents(&mut cluster);
     accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
-    follow(&mut cluster, &mut agents, Duration::from_millis(300));
-    // Two nodes die: the third keeps its links to agents and has no quorum.
+    run_with_agents(&mut cluster, &mut agents, Duration::from_millis(300));
+    // Without the other two nodes, the third keeps its links to agents but has no quorum.
     cluster.kill("node-2");
     cluster.kill("node-3");
-    follow(&mut cluster, &mut agents, Duration::from_millis(1500));
-    assert!(agents[0].stale, "the agent was sent elsewhere");
+    run_with_agents(&mut cluster, &mut agents, Duration::from_millis(1500));
+    assert!(agents[0].stale, "the agent's feed did not end as stale");
     agents[0].heartbeat(&mut cluster);
-    follow(&mut cluster, &mut agents, Duration::from_millis(60));
-    let reply = agents[0]
-        .last_heartbeat
-        .clone()
-        .expect("a heartbeat's answer");
+    run_with_agents(&mut cluster, &mut agents, Duration::from_millis(60));
+    let reply = agents[0].last_heartbeat.clone().expect("a heartbeat reply");
     assert!(!reply.has_quorum, "{reply:?}");
-    // A newcomer gets no state, however old.
-    let mut newcomer = TestAgent::connect(&mut cluster, "newcomer", "node-1", ShardId(0));
+    // An agent that connects now gets no state at all, since it may be outdated.
+    let mut late_agent = TestAgent::connect(&mut cluster, "late-agent", "node-1", ShardId(0));
     cluster.run(Duration::from_secs(3));
-    newcomer.receive(&mut cluster);
-    assert!(newcomer.stale, "the newcomer was not sent elsewhere");
-    let items = newcomer.view.items();
+    late_agent.receive(&mut cluster);
+    assert!(
+        late_agent.stale,
+        "the late agent's feed did not end as stale"
+    );
+    let items = late_agent.view.items();
     assert!(items.is_empty(), "{items:?}");
 }
 
 #[test]
-fn a_node_serves_nothing_stale_after_a_long_partition() {
+fn a_node_serves_no_stale_state_after_a_long_partition() {
     for seed in 1..=10 {
         let mut cluster = cluster_with_leaders(3, seed);
         accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
         cluster.run(Duration::from_millis(200));
         let partitioned = cluster.leader(ShardId(0)).expect("a leader");
         cluster.partitioned.insert(partitioned.clone());
-        // Shorter than the time after which it is replaced, so that it comes back as a voter.
+        // Shorter than `replace_after` (5 s), so that the node returns as a voter.
         cluster.run(Duration::from_secs(3));
         let other = cluster.leader(ShardId(0)).expect("another leader");
         accept(&mut cluster, &other, 1, "two", document(&["a", "b"]));
@@ -108,7 +110,7 @@
             let shown = applied_revision(&agent);
             assert!(
                 shown == 0 || shown == 2,
-                "seed {seed}: revision {shown} is old"
+                "seed {seed}: revision {shown} is outdated"
             );
             if agent.stale {
                 agent.move_to(&mut cluster, &partitioned);
@@ -135,7 +137,7 @@
         let to = ["node-1", "node-2", "node-3"][base as usize % 3];
         agent.move_to(&mut cluster, to);
         cluster.run(Duration::from_millis(60));
-        // The support panics when a message is older than what is shown.
+        // `TestAgent::receive` panics if a message is older than the agent's state.
         agent.receive(&mut cluster);
         let now_shown = applied_revision(&agent);
         assert!(now_shown >= shown, "{now_shown} after {shown}");
@@ -145,7 +147,7 @@
 }
 
 #[test]
-fn heartbeats_keep_a_session_over_a_leader_change_and_it_expires_without() {
+fn heartbeats_keep_a_session_open_across_a_leader_change_and_it_expires_without_them() {
     let mut cluster = cluster_with_leaders(3, 4);
     let mut agent = TestAgent::connect(&mut cluster, "agent", "node-1", ShardId(0));
     agent.open_session(&mut cluster, 1);
@@ -171,7 +173,8 @@
             .expect("an answer")
             .session_alive
     );
-    // Inactivity longer than the lease: the session is closed, and the next heartbeat says so.
+    // After a pause longer than the lease the session is closed, which the next heartbeat
+    // reply reports.
     cluster.run(Duration::from_secs(5));
     agent.heartbeat_for(&mut cluster, Duration::from_secs(1));
     assert!(
@@ -182,14 +185,11 @@
             .session_alive
     );
     agent.open_session(&mut cluster, 1);
-    assert!(
-        agent.epoch > first,
-        "a new session is fenced from the old one"
-    );
+    assert!(agent.epoch > first, "the new session has a larger epoch");
 }
 
 #[test]
-fn a_resent_open_gives_the_same_epoch_and_a_restart_a_new_one() {
+fn opening_a_session_again_gives_the_same_epoch_and_a_restart_a_new_one() {
     let mut cluster = cluster_with_leaders(3, 5);
     let mut agent = TestAgent::connect(&mut cluster, "agent", "node-1", ShardId(0));
     agent.open_session(&mut cluster, 1);
@@ -201,12 +201,12 @@
     assert!(agent.epoch > first, "{} after {first}", agent.epoch);
 }
 
-/// Answers to heartbeats are never waited for longer than this after a start: an agent leaves a
-/// node that is unresponsive for 750 ms.
+/// Longest time until a starting node replies to a heartbeat: an agent leaves a node that is
+/// unresponsive for 750 ms.
 const MAX_HEARTBEAT_DELAY: Duration = Duration::from_millis(640);
 
 #[test]
-fn early_heartbeats_of_a_restarting_fleet_are_answered_with_quorum() {
+fn early_heartbeats_after_a_full_restart_are_answered_with_quorum() {
     for seed in 0..20 {
         let mut cluster = cluster_with_leaders(3, seed);
         cluster.run(Duration::from_secs(1));
@@ -217,11 +217,11 @@
         for node in NODES {
             cluster.boot(node);
         }
-        let mut agents = agents_everywhere(&mut cluster);
+        let mut agents = connect_agents(&mut cluster);
         for agent in &mut agents {
             agent.heartbeat(&mut cluster);
         }
-        follow(&mut cluster, &mut agents, MAX_HEARTBEAT_DELAY);
+        run_with_agents(&mut cluster, &mut agents, MAX_HEARTBEAT_DELAY);
         for agent in &agents {
             let reply = agent.last_heartbeat.as_ref();
             let has_quorum = reply.map(|reply| reply.has_quorum);
@@ -240,7 +240,7 @@
     cluster.boot("node-2");
     let mut agent = TestAgent::connect(&mut cluster, "agent", "node-2", ShardId(0));
     agent.heartbeat(&mut cluster);
-    follow(
+    run_with_agents(
         &mut cluster,
         std::slice::from_mut(&mut agent),
         MAX_HEARTBEAT_DELAY,
@@ -250,7 +250,7 @@
     // Later heartbeats are answered at once.
     agent.last_heartbeat = None;
     agent.heartbeat(&mut cluster);
-    follow(
+    run_with_agents(
         &mut cluster,
         std::slice::from_mut(&mut agent),
         Duration::from_millis(40),
@@ -262,29 +262,31 @@
     );
 }
 
-/// The partition lies between two nodes: both are connected to the third.
+/// The partition is between the leader and one follower; both stay connected to the third node.
 #[test]
 fn a_replica_without_leader_contact_opens_no_feed() {
     let mut cluster = cluster_with_leaders(3, 3);
     cluster.run(Duration::from_secs(1));
     let leader = cluster.leader(ShardId(0)).expect("a leader");
-    let deaf = NODES
+    let cut_off = NODES
         .into_iter()
         .find(|node| *node != leader)
         .expect("a follower");
     cluster
         .partitioned_pairs
-        .insert((leader.clone(), deaf.to_owned()));
-    cluster.partitioned_pairs.insert((deaf.to_owned(), leader));
+        .insert((leader.clone(), cut_off.to_owned()));
+    cluster
+        .partitioned_pairs
+        .insert((cut_off.to_owned(), leader));
     cluster.run(Duration::from_secs(5));
-    let mut agent = TestAgent::connect(&mut cluster, "agent", deaf, ShardId(0));
+    let mut agent = TestAgent::connect(&mut cluster, "agent", cut_off, ShardId(0));
     let limit = Duration::from_millis(1500);
-    follow(&mut cluster, std::slice::from_mut(&mut agent), limit);
-    assert!(agent.stale, "it is sent elsewhere");
+    run_with_agents(&mut cluster, std::slice::from_mut(&mut agent), limit);
+    assert!(agent.stale, "the agent's feed did not end as stale");
 }
 
-/// Agents subscribe again every second while a shard is not confirmed. That must not begin the wait
-/// anew: the node is as deaf as before, and the agent would stay with it.
+/// Agents subscribe again every second while the feed does not open. That must not restart the
+/// waiting time: the node still has no quorum, and the agent would stay with it forever.
 #[test]
 fn repeated_subscriptions_without_confirmation_are_answered_as_stale() {
     let mut cluster = cluster_with_leaders(3, 3);
@@ -294,12 +296,12 @@
     cluster.run(Duration::from_secs(2));
     let mut agent = TestAgent::connect(&mut cluster, "agent", "node-1", ShardId(0));
     for _ in 0..4 {
-        follow(
+        run_with_agents(
             &mut cluster,
             std::slice::from_mut(&mut agent),
             Duration::from_millis(900),
         );
         agent.subscribe(&mut cluster);
     }
-    assert!(agent.stale, "it is sent elsewhere");
+    assert!(agent.stale, "the agent's feed did not end as stale");
 }
--- a/crates/control/tests/formation.rs
+++ b/crates/control/tests/formation.rs
@@ -1,4 +1,4 @@
-//! First start: who forms, who joins, who waits.
+//! First start of nodes: forming a cluster, joining one, and waiting for the other seeds.
 
 mod support;
 
@@ -8,6 +8,7 @@
 use millford_core::ShardId;
 use support::Cluster;
 
+/// Number of times that a node has formed a cluster.
 fn formed(cluster: &Cluster) -> usize {
     let node_events = cluster.node_events.iter();
     node_events
@@ -16,7 +17,7 @@
 }
 
 #[test]
-fn three_empty_nodes_form_one_cluster_under_many_seeds() {
+fn three_empty_nodes_form_exactly_one_cluster() {
     for seed in 1..=30 {
         let mut cluster = Cluster::start(3, seed);
         cluster.run_until(Duration::from_secs(4), "leaders", Cluster::has_leaders);
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn two_of_three_empty_seeds_never_form() {
+fn two_of_three_empty_seed_nodes_never_form_a_cluster() {
     let seeds = ["node-1", "node-2", "node-3"].map(str::to_owned).to_vec();
     let mut cluster = Cluster::empty(seeds, 7);
     cluster.boot("node-1");
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn a_wiped_node_beside_formed_ones_joins_and_never_forms() {
+fn a_wiped_node_joins_the_formed_cluster_and_never_forms_another() {
     let mut cluster = Cluster::start(3, 3);
     cluster.run_until(Duration::from_secs(4), "leaders", Cluster::has_leaders);
     let former = cluster.identity("node-2");
@@ -51,7 +52,7 @@
     assert_ne!(
         cluster.identity("node-2"),
         former,
-        "a wiped disk is a new identity"
+        "a node with a wiped disk gets a new identity"
     );
     let joined = cluster.node_events.iter().any(|(address, event)| {
         address == "node-2" && matches!(event, NodeEvent::JoinedAsStandby(_))
@@ -60,9 +61,9 @@
 }
 
 #[test]
-fn a_founder_that_missed_the_formation_still_joins_as_founder() {
+fn a_founder_that_missed_the_formation_still_joins_as_a_founder() {
     let mut cluster = Cluster::start(3, 5);
-    cluster.run_until(Duration::from_secs(4), "the forming", |cluster| {
+    cluster.run_until(Duration::from_secs(4), "the formation", |cluster| {
         formed(cluster) == 1
     });
     let (former, _) = cluster
@@ -71,7 +72,8 @@
         .find(|(_, event)| matches!(event, NodeEvent::ClusterFormed(_)))
         .unwrap()
         .clone();
-    // The frames of the forming are still under way: one founder dies before it gets its own.
+    // The announcements of the formation are still in flight: one founder stops before it
+    // receives its own.
     let missed = cluster
         .machines
         .keys()
@@ -95,7 +97,7 @@
     let request = cluster.request("node-1", OperatorRequest::GetConfig);
     let reply = cluster.answer(request);
     let OperatorReply::Failed(failure) = reply else {
-        panic!("an answer: {reply:?}");
+        panic!("unexpected reply: {reply:?}");
     };
     assert_eq!(failure.code, millford_core::ResultCode::NotFormed);
 }
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of operators: forwarded, raced, resent, persisted.
+//! Configuration orders of operators: forwarding, conflicts, repetition, persistence.
 
 mod support;
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn an_order_at_any_node_is_accepted_and_read_at_any_node() {
+fn an_order_sent_to_any_node_is_accepted_and_read_at_every_node() {
     let mut cluster = cluster_with_leaders(3, 1);
     for (base, address) in ["node-1", "node-2", "node-3"].into_iter().enumerate() {
         let desired = document(&[&format!("tenant-{base}")]);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn of_two_racing_operators_exactly_one_wins() {
+fn of_two_concurrent_orders_exactly_one_is_accepted() {
     for seed in 1..=20 {
         let mut cluster = cluster_with_leaders(3, seed);
         let first = cluster.request("node-1", order(0, "one", document(&["a"])));
@@ -53,7 +53,7 @@
                 assert_eq!(
                     failure.revision,
                     Some(1),
-                    "the conflict names the present number"
+                    "the conflict names the current revision"
                 );
             }
         }
@@ -61,12 +61,12 @@
 }
 
 #[test]
-fn an_order_whose_answer_is_lost_is_acknowledged_again_elsewhere() {
+fn an_order_whose_reply_was_lost_is_acknowledged_again_by_another_node() {
     for seed in 1..=20 {
         let mut cluster = cluster_with_leaders(3, seed);
         let leader = cluster.leader(ShardId(0)).expect("a leader");
         let lost = cluster.request(&leader, order(0, "one", document(&["a"])));
-        // The leader dies a moment after it took the order: accepted or not, nobody knows.
+        // The leader stops shortly after it received the order, before or after accepting it.
         cluster.run(Duration::from_millis(20 * (seed % 3)));
         cluster.kill(&leader);
         cluster.replies.remove(&lost);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn three_hundred_orders_survive_snapshots_and_a_full_restart() {
+fn seven_hundred_orders_survive_snapshots_and_a_full_restart() {
     let mut cluster = cluster_with_leaders(3, 4);
     for base in 0..700 {
         let address = ["node-1", "node-2", "node-3"][base as usize % 3];
@@ -114,7 +114,7 @@
     assert_eq!(revision(&mut cluster, "node-2"), 700);
     let time = cluster.now.since(restarted);
     assert!(time < Duration::from_secs(12), "{time:?}");
-    // The first order is still known.
+    // The first order is still acknowledged with its revision.
     accept(
         &mut cluster,
         "node-3",
@@ -138,7 +138,7 @@
     let request = cluster.request(&leader, order(1, "two", document(&["b"])));
     let reply = cluster.answer(request);
     assert_eq!(code_of(&reply), ResultCode::OrderUncertain);
-    // The others went on meanwhile.
+    // The other nodes have elected a leader meanwhile.
     let other = cluster.leader(ShardId(0)).expect("another leader");
     assert_ne!(other, leader);
     assert_eq!(revision(&mut cluster, &other), 1);
--- a/crates/control/tests/outside_names.rs
+++ b/crates/control/tests/outside_names.rs
@@ -1,4 +1,5 @@
-//! Names of the control node that others rely on are those of b3d3e00: flags, settings keys, metrics.
+//! Compatibility of the control node's outer names with those of commit b3d3e00: flags, settings
+//! keys, exit statuses and metrics.
 
 #[path = "../../api/tests/support/committed.rs"]
 mod committed;
@@ -24,22 +25,22 @@
 };
 
 #[test]
-fn flags_are_the_committed_ones() {
+fn flags_equal_the_committed_ones() {
     DAEMON.assert_flags();
 }
 
 #[test]
-fn settings_keys_are_the_committed_ones() {
+fn settings_keys_equal_the_committed_ones() {
     DAEMON.assert_keys();
 }
 
 #[test]
-fn exit_statuses_are_the_committed_ones() {
+fn exit_statuses_equal_the_committed_ones() {
     DAEMON.assert_exit_statuses();
 }
 
 #[test]
-fn metrics_are_the_committed_ones() {
+fn metrics_equal_the_committed_ones() {
     let mut cluster = cluster_with_leaders(3, 1);
     cluster.run(Duration::from_millis(20));
     let shared = NodeShared::new().expect("the metrics");
--- a/crates/control/tests/repair.rs
+++ b/crates/control/tests/repair.rs
@@ -1,4 +1,4 @@
-//! Replacement of lost control nodes.
+//! Replacement of lost control nodes, and forced recovery.
 
 mod support;
 
@@ -19,7 +19,7 @@
 }
 
 fn wait_until_fully_replicated(cluster: &mut Cluster, addresses: &[&str]) {
-    cluster.run_until(Duration::from_secs(12), "the repair", |cluster| {
+    cluster.run_until(Duration::from_secs(12), "full replication", |cluster| {
         is_fully_replicated(cluster, addresses)
     });
 }
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_second_loss_right_after_the_repair_is_survived() {
+fn a_second_loss_right_after_a_repair_is_tolerated() {
     for seed in 1..=10 {
         let mut cluster = cluster_with_leaders(3, seed);
         accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_wiped_node_is_replaced_by_itself_under_a_new_identity() {
+fn a_wiped_node_replaces_its_former_identity() {
     let mut cluster = cluster_with_leaders(3, 2);
     accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
     let former = cluster.identity("node-3");
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_corrupt_log_leads_to_a_new_identity_filled_by_its_peers() {
+fn a_node_with_a_corrupt_log_gets_a_new_identity_and_its_state_from_its_peers() {
     let mut cluster = cluster_with_leaders(3, 3);
     for base in 0..20 {
         accept(
@@ -105,7 +105,7 @@
         &cluster,
         &["node-2", "node-3", "node-4"]
     ));
-    // It is of use again.
+    // It can replace a lost node again.
     cluster.kill("node-3");
     wait_until_fully_replicated(&mut cluster, &["node-1", "node-2", "node-4"]);
 }
@@ -135,7 +135,7 @@
     wait_until_fully_replicated(&mut cluster, &["node-3", "node-4", "node-5"]);
     cluster.kill("node-3");
     cluster.run(Duration::from_secs(3));
-    // No seed is left. The others know each other from their disks.
+    // No seed is running. The other nodes have stored each other's addresses.
     for address in ["node-4", "node-5"] {
         cluster.kill(address);
     }
@@ -155,7 +155,7 @@
     };
     let request = cluster.request("node-1", recover.clone());
     let OperatorReply::Failed(failure) = cluster.answer(request) else {
-        panic!("a recovery beside a quorum");
+        panic!("recovery was not refused although a quorum is reachable");
     };
     assert_eq!(failure.code, ResultCode::RecoveryRefused);
     cluster.kill("node-2");
@@ -163,7 +163,7 @@
     cluster.run(Duration::from_secs(3));
     let request = cluster.request("node-1", recover);
     let OperatorReply::Recovery(reply) = cluster.answer(request) else {
-        panic!("no recovery");
+        panic!("recovery was refused");
     };
     assert_eq!(reply.shards, [0, 1, 2]);
     cluster.run_until(Duration::from_secs(4), "leaders", Cluster::has_leaders);
@@ -180,7 +180,7 @@
     wait_until_fully_replicated(&mut cluster, &["node-1", "node-4", "node-5"]);
 }
 
-/// A cluster of five machines, formed by three of them, with groups of five.
+/// Starts five machines, three of which form the cluster, with five voters for each shard.
 fn five_voters(seed: u64) -> Cluster {
     let seeds = ["node-1", "node-2", "node-3"].map(str::to_owned);
     let mut cluster = Cluster::empty(seeds.to_vec(), seed).with_voters(5);
@@ -194,7 +194,7 @@
 const FIVE: [&str; 5] = ["node-1", "node-2", "node-3", "node-4", "node-5"];
 
 #[test]
-fn groups_grow_to_five_voters_and_tolerate_the_loss_of_any_two_disks() {
+fn groups_grow_to_five_voters_and_tolerate_the_loss_of_two_nodes() {
     for (first, second) in [(0, 1), (1, 2), (0, 2), (3, 4), (2, 3)] {
         let mut cluster = five_voters(first as u64 + 10);
         wait_until_fully_replicated(&mut cluster, &FIVE);
@@ -203,7 +203,7 @@
         cluster.kill(FIVE[second]);
         let mut left = FIVE.iter().enumerate();
         let left = left.find(|(index, _)| *index != first && *index != second);
-        let (_, survivor) = left.expect("three are left");
+        let (_, survivor) = left.expect("three nodes are left");
         cluster.run_until(Duration::from_secs(12), "leaders", Cluster::has_leaders);
         assert_eq!(revision(&mut cluster, survivor), 1, "{first} and {second}");
     }
--- a/crates/control/tests/services.rs
+++ b/crates/control/tests/services.rs
@@ -1,4 +1,5 @@
-//! What agents send for the request path: claims, quota, load; and the registry.
+//! Claims, quota requests and load reports of agents, changes of the registry, and balancing of
+//! leaderships.
 
 mod support;
 
@@ -37,7 +38,7 @@
     }
 }
 
-/// Lets every node read the registry and gives the change time to be committed.
+/// Passes a view of the registry to every node and waits until the changes are committed.
 fn read_registry(cluster: &mut Cluster, backends: Vec<RegistryEntry>) {
     let view = Arc::new(RegistryView {
         backends,
@@ -49,7 +50,7 @@
     cluster.run(Duration::from_millis(200));
 }
 
-/// States of the pool's backends as the agent sees them.
+/// States of the pool's backends in the agent's view of the feed.
 fn states(agent: &TestAgent) -> Vec<(String, BackendState)> {
     let items = agent.view.items().values();
     items
@@ -60,6 +61,7 @@
         .collect()
 }
 
+/// Connects an agent that follows the shard of the pool's service.
 fn follow_service(cluster: &mut Cluster, node: &str) -> TestAgent {
     let shard = layout().shard_of(&service_key("pool"));
     TestAgent::connect(cluster, &format!("follower-{node}"), node, shard)
@@ -110,7 +112,7 @@
     let request = cluster.request("node-3", drain);
     let reply = cluster.answer(request);
     assert!(matches!(reply, OperatorReply::Drain(_)), "{reply:?}");
-    // The registry knows nothing of the order and does not undo it.
+    // The registry still lists the backend as active; that does not undo the order.
     read_registry(&mut cluster, vec![entry("m2", "active")]);
     expect(&mut cluster, &mut agents, &[("m2", BackendDraining)]);
     let unknown = OperatorRequest::Drain {
@@ -126,7 +128,7 @@
 }
 
 #[test]
-fn registry_changes_are_applied_after_the_leader_of_the_service_failed() {
+fn registry_changes_are_applied_after_the_leader_of_the_service_stopped() {
     let mut cluster = cluster_with_leaders(3, 2);
     accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
     read_registry(&mut cluster, vec![entry("m1", "active")]);
@@ -157,41 +159,47 @@
     })
 }
 
-fn granted(agent: &mut TestAgent, cluster: &mut Cluster, attempt: &str) -> (bool, RunOutcome) {
+/// Claims the request for an attempt. Returns whether the claim is granted, and the outcome of the
+/// earlier attempt.
+fn request_claim(
+    agent: &mut TestAgent,
+    cluster: &mut Cluster,
+    attempt: &str,
+) -> (bool, RunOutcome) {
     let shard = layout().shard_of(&tenant_key("a"));
     agent.propose(cluster, shard, claim(attempt));
     let reply = agent.reply(cluster);
     let Some(shard_reply::Kind::Result(result)) = reply.kind else {
-        panic!("no result: {reply:?}");
+        panic!("unexpected reply to a claim: {reply:?}");
     };
     let Some(command_result::Kind::Claim(claim)) = result.kind else {
-        panic!("no claim: {result:?}");
+        panic!("unexpected result of a claim: {result:?}");
     };
     (claim.granted, claim.outcome())
 }
 
 #[test]
-fn a_claim_is_granted_to_one_attempt_whichever_node_and_leader_takes_it() {
+fn a_claim_is_granted_to_only_one_attempt_across_nodes_and_leader_changes() {
     for seed in 1..=10 {
         let mut cluster = cluster_with_leaders(3, seed);
         let mut agents = ["node-1", "node-2", "node-3"].map(|node| {
             TestAgent::connect(&mut cluster, &format!("agent-{node}"), node, ShardId(0))
         });
-        assert!(granted(&mut agents[0], &mut cluster, "first").0);
+        assert!(request_claim(&mut agents[0], &mut cluster, "first").0);
         assert!(
-            granted(&mut agents[1], &mut cluster, "first").0,
-            "the same attempt, resent"
+            request_claim(&mut agents[1], &mut cluster, "first").0,
+            "the same attempt may claim again"
         );
-        assert!(!granted(&mut agents[2], &mut cluster, "second").0);
+        assert!(!request_claim(&mut agents[2], &mut cluster, "second").0);
         let shard = layout().shard_of(&tenant_key("a"));
         let leader = cluster.leader(shard).expect("a leader");
         cluster.kill(&leader);
         let other = agents
             .iter()
             .position(|agent| !agent.name.ends_with(&leader))
-            .expect("one");
-        // Requested at once, while the shard has no leader: the answer waits for the election.
-        let refused = granted(&mut agents[other], &mut cluster, "third");
+            .expect("an agent at another node");
+        // Requested while the shard has no leader: the reply comes after the election.
+        let refused = request_claim(&mut agents[other], &mut cluster, "third");
         assert_eq!(refused, (false, RunOutcome::RunUnknown), "seed {seed}");
         let settle = command::Kind::ResolveClaim(ResolveClaim {
             tenant: "a".to_owned(),
@@ -201,7 +209,7 @@
         });
         agents[other].propose(&mut cluster, shard, settle);
         assert_eq!(agents[other].reply(&mut cluster).code, 0);
-        let known = granted(&mut agents[other], &mut cluster, "fourth");
+        let known = request_claim(&mut agents[other], &mut cluster, "fourth");
         assert_eq!(known, (false, RunOutcome::RunCompleted), "seed {seed}");
     }
 }
@@ -227,11 +235,11 @@
         Some(frame::Body::QuotaReply(reply)) => Some(reply),
         _ => None,
     });
-    replies.next_back().expect("a quota answer")
+    replies.next_back().expect("a quota reply")
 }
 
 #[test]
-fn a_quota_limits_the_agents_at_all_nodes_together() {
+fn a_quota_limits_the_agents_of_all_nodes_together() {
     let mut cluster = cluster_with_leaders(3, 3);
     accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
     cluster.run(Duration::from_secs(6));
@@ -246,7 +254,7 @@
         assert_eq!(reply.request_id, round + 1);
         tokens += reply.grants[0].tokens;
     }
-    // Burst 20 and 10 a second.
+    // The tenant's quota: a burst of 20, and 10 per second.
     let seconds = cluster.now.since(began).as_secs_f64();
     let most = 20.0 + 10.0 * seconds;
     assert!(f64::from(tokens) <= most, "{tokens} tokens in {seconds} s");
@@ -262,7 +270,7 @@
 }
 
 #[test]
-fn a_leader_that_does_not_know_the_tenant_yet_does_not_refuse_it() {
+fn a_leader_without_the_tenants_quota_yet_does_not_refuse_its_requests() {
     for seed in 1..=40 {
         let mut cluster = cluster_with_leaders(3, seed);
         accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
@@ -292,7 +300,7 @@
 }
 
 #[test]
-fn load_reports_return_as_one_load_snapshot_at_every_node_and_a_placement_is_set() {
+fn load_reports_are_merged_into_a_load_snapshot_for_every_node_and_a_placement_is_set() {
     let mut cluster = cluster_with_leaders(3, 4);
     accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
     read_registry(
@@ -350,11 +358,11 @@
         .expect("a core")
         .status()
         .term;
-    assert_eq!(placement.epoch, term, "fenced by the leader's term");
+    assert_eq!(placement.epoch, term, "the epoch is the leader's term");
 }
 
 #[test]
-fn leaderships_are_rebalanced_after_a_node_returned() {
+fn leaderships_are_rebalanced_after_a_node_restarted() {
     let mut cluster = cluster_with_leaders(3, 8);
     cluster.kill("node-1");
     cluster.kill("node-2");
--- a/crates/control/tests/support/agent.rs
+++ b/crates/control/tests/support/agent.rs
@@ -1,4 +1,4 @@
-//! The control side of an agent, as far as a control node sees it.
+//! A test double of an agent, as far as it communicates with control nodes.
 
 use std::time::Duration;
 
@@ -12,21 +12,21 @@
 
 use super::cluster::{Cluster, End};
 
-/// Follows one shard and holds a session.
+/// An agent that follows the feed of one shard and may open a session.
 pub(crate) struct TestAgent {
-    /// Name of its session's member.
+    /// The agent's name, which is the member name of its session.
     pub(crate) name: String,
-    /// Its end of the link to a control node.
+    /// The agent's end of the link to a control node.
     pub(crate) end: End,
-    /// What the feed showed so far.
+    /// The state received through the feed.
     pub(crate) view: FeedView,
-    /// Epoch of its session; 0 before it is open.
+    /// Epoch of the agent's session; 0 before the session is open.
     pub(crate) epoch: u64,
-    /// The node sent it elsewhere.
+    /// Whether the node ended the feed as stale.
     pub(crate) stale: bool,
-    /// The last answer to a heartbeat.
+    /// The last heartbeat reply.
     pub(crate) last_heartbeat: Option<HeartbeatReply>,
-    /// Replies that nobody has taken yet.
+    /// Received replies that [`TestAgent::reply`] has not returned yet.
     pub(crate) replies: Vec<ShardReply>,
     next_request: u64,
 }
@@ -50,13 +50,13 @@
         agent
     }
 
-    /// Subscribes from where its view is.
+    /// Subscribes from the position of the agent's view.
     pub(crate) fn subscribe(&mut self, cluster: &mut Cluster) {
         let subscribe: Subscribe = self.view.subscribe();
         self.send(cluster, frame::Body::Subscribe(subscribe));
     }
 
-    /// Connects to another control node and retains its view.
+    /// Connects to another control node and keeps the view.
     pub(crate) fn move_to(&mut self, cluster: &mut Cluster, to: &str) {
         cluster.close(&self.end);
         self.end = cluster.open_link(&self.name, to);
@@ -65,7 +65,7 @@
         self.subscribe(cluster);
     }
 
-    /// Sends a request to a shard's leader; the answer is awaited with [`TestAgent::reply`].
+    /// Sends a request to a shard's leader. [`TestAgent::reply`] waits for the reply.
     pub(crate) fn request(
         &mut self,
         cluster: &mut Cluster,
@@ -88,7 +88,7 @@
         self.request(cluster, shard, shard_request::Kind::Propose(command));
     }
 
-    /// Waits for the answer to the last request.
+    /// Waits for the reply to the last request, for at most 4 s of simulated time.
     pub(crate) fn reply(&mut self, cluster: &mut Cluster) -> ShardReply {
         for _ in 0..200 {
             self.receive(cluster);
@@ -102,10 +102,10 @@
             }
             cluster.run(Duration::from_millis(20));
         }
-        panic!("no answer for {}", self.name);
+        panic!("no reply to the last request of {}", self.name);
     }
 
-    /// Opens its session and takes its epoch. Panics when it is refused.
+    /// Opens the agent's session and stores its epoch. Panics if it is refused.
     pub(crate) fn open_session(&mut self, cluster: &mut Cluster, boot_id: u64) {
         let shard = ShardLayout::new(2).shard_of(&session_key(&self.name));
         let open = OpenSession {
@@ -118,10 +118,10 @@
         self.propose(cluster, shard, command::Kind::OpenSession(open));
         let reply = self.reply(cluster);
         let Some(shard_reply::Kind::Result(result)) = reply.kind else {
-            panic!("no result: {reply:?}");
+            panic!("unexpected reply to an opened session: {reply:?}");
         };
         let Some(command_result::Kind::OpenSession(opened)) = result.kind else {
-            panic!("no session: {result:?}");
+            panic!("unexpected result of an opened session: {result:?}");
         };
         self.epoch = opened.epoch;
     }
@@ -137,7 +137,7 @@
         self.send(cluster, frame::Body::Heartbeat(heartbeat));
     }
 
-    /// Heartbeats for a time, as an agent does.
+    /// Sends a heartbeat every 250 ms for a time, as an agent does.
     pub(crate) fn heartbeat_for(&mut self, cluster: &mut Cluster, time: Duration) {
         let beats = time.as_millis() / 250;
         for _ in 0..beats {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Takes what arrived. Panics when the feed goes backwards.
+    /// Handles the received frames. Panics if the feed sends an older state.
     pub(crate) fn receive(&mut self, cluster: &mut Cluster) {
         for frame in cluster.take_frames(&self.end) {
             match frame.body {
@@ -160,13 +160,13 @@
     }
 
     fn feed(&mut self, cluster: &mut Cluster, message: FeedMessage) {
-        let says_stale = matches!(
+        let is_stale_message = matches!(
             message.kind,
             Some(millford_api::internal::feed_message::Kind::Stale(_))
         );
         match self.view.apply(message) {
-            FeedOutcome::Stale if says_stale => self.stale = true,
-            FeedOutcome::Stale => panic!("{} was fed an older state", self.name),
+            FeedOutcome::Stale if is_stale_message => self.stale = true,
+            FeedOutcome::Stale => panic!("the feed sent {} an older state", self.name),
             FeedOutcome::Resubscribe => self.subscribe(cluster),
             FeedOutcome::Changed(_) | FeedOutcome::Unchanged => {}
         }
--- a/crates/control/tests/support/cluster.rs
+++ b/crates/control/tests/support/cluster.rs
@@ -12,7 +12,7 @@
 
 use super::memory_disk::MemoryMachine;
 
-/// Time that a frame is under way.
+/// Network latency of a frame.
 const LATENCY: Duration = Duration::from_millis(1);
 
 /// Step of the simulated time.
@@ -23,7 +23,7 @@
 pub(crate) struct End {
     /// Address of the machine.
     pub(crate) address: String,
-    /// Number of the link at that machine.
+    /// Number of the link on that machine.
     pub(crate) link: LinkId,
 }
 
@@ -35,28 +35,28 @@
 
 /// A machine with its disk, running or stopped.
 pub(crate) struct Machine {
-    /// Its folders; they survive a stop.
+    /// The machine's folders, which are kept while it is stopped.
     pub(crate) disk: MemoryMachine,
-    /// The process; absent while it is stopped.
+    /// The running node; absent while the machine is stopped.
     pub(crate) node: Option<ControlNode>,
     seeds: Vec<String>,
 }
 
 /// Control nodes, the network between them and the simulated time.
 pub(crate) struct Cluster {
-    /// The simulated time.
+    /// The current simulated time.
     pub(crate) now: MonotonicTime,
     /// Machines by address.
     pub(crate) machines: BTreeMap<String, Machine>,
-    /// Events of the nodes, with the address, in order.
+    /// Events of the nodes in order, each with the node's address.
     pub(crate) node_events: Vec<(String, NodeEvent)>,
-    /// Replies to operators by number of the request.
+    /// Replies to operators, by request number.
     pub(crate) replies: BTreeMap<u64, OperatorReply>,
-    /// Frames that arrived at ends that are no node: test agents read them.
+    /// Frames received at ends that belong to test agents instead of nodes.
     pub(crate) inbox: BTreeMap<End, VecDeque<Frame>>,
     /// Addresses whose frames are lost, in both directions.
     pub(crate) partitioned: BTreeSet<String>,
-    /// Pairs of nodes: what the first sends to the second is lost.
+    /// Pairs of addresses; frames from the first to the second are lost.
     pub(crate) partitioned_pairs: BTreeSet<(String, String)>,
     seeds: Vec<String>,
     seed: u64,
@@ -71,7 +71,7 @@
 }
 
 impl Cluster {
-    /// `nodes` empty machines that are each other's seeds, started.
+    /// Starts `nodes` empty machines that are each other's seeds.
     pub(crate) fn start(nodes: usize, seed: u64) -> Self {
         let seeds: Vec<String> = (1..=nodes).map(|number| format!("node-{number}")).collect();
         let mut cluster = Self::empty(seeds.clone(), seed);
@@ -81,7 +81,7 @@
         cluster
     }
 
-    /// No machine yet.
+    /// A cluster without machines; `seeds` are the seeds of the first ones.
     pub(crate) fn empty(seeds: Vec<String>, seed: u64) -> Self {
         Self {
             now: MonotonicTime::from_millis(1000),
@@ -104,13 +104,13 @@
         }
     }
 
-    /// Groups of this many voters on machines that start from now on.
+    /// Sets the number of voters per shard for machines that are started afterwards.
     pub(crate) fn with_voters(mut self, voters: usize) -> Self {
         self.voters_per_shard = voters;
         self
     }
 
-    /// Starts the machine at this address, with the disk that it has.
+    /// Starts the machine at this address with its disk, which is empty at the first start.
     pub(crate) fn boot(&mut self, address: &str) {
         self.boots += 1;
         let boot = self.boots;
@@ -138,8 +138,8 @@
         machine.node = Some(node.expect("the node opens"));
     }
 
-    /// The first machines are each other's seeds. A later one is set up by an operator who names
-    /// machines that run.
+    /// The first machines are each other's seeds. The seeds of a later one are the machines that run
+    /// when it is set up.
     fn seeds_for_a_new_machine(&self) -> Vec<String> {
         if self.machines.len() < self.seeds.len() {
             return self.seeds.clone();
@@ -151,7 +151,7 @@
             .collect()
     }
 
-    /// Ends the process; its links break.
+    /// Stops the node without a shutdown and closes its links.
     pub(crate) fn kill(&mut self, address: &str) {
         self.machines.get_mut(address).expect("a machine").node = None;
         let ends: Vec<End> = self
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Runs the cluster for this much simulated time.
     pub(crate) fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Lets time pass until the condition holds.
+    /// Runs the cluster until the condition holds. Panics after `limit`.
     pub(crate) fn run_until(
         &mut self,
         limit: Duration,
@@ -191,12 +191,12 @@
         }
     }
 
-    /// Whether every shard has a leader on a running node that reaches a quorum.
+    /// Whether every shard has a confirmed leader on a running node.
     pub(crate) fn has_leaders(&self) -> bool {
         (0..=2).all(|shard| self.leader(ShardId(shard)).is_some())
     }
 
-    /// Address of the shard's leader with the largest term.
+    /// Address of the shard's confirmed leader; the one with the largest term if there are several.
     pub(crate) fn leader(&self, shard: ShardId) -> Option<String> {
         let nodes = self.machines.iter().filter_map(|(address, machine)| {
             let core = machine.node.as_ref()?.core(shard)?;
@@ -207,7 +207,8 @@
         nodes.max().map(|(_, address)| address)
     }
 
-    /// Identities of the voters, as the shard's leader has them committed.
+    /// Identities of the shard's voters, from its leader; empty without a leader or while a change is
+    /// not committed.
     pub(crate) fn voters(&self, shard: ShardId) -> Vec<NodeId> {
         let Some(leader) = self.leader(shard) else {
             return Vec::new();
@@ -232,7 +233,7 @@
         self.node(address).identity()
     }
 
-    /// Sends an operator's request; the answer is awaited with [`Cluster::answer`].
+    /// Sends an operator's request. [`Cluster::answer`] waits for the reply.
     pub(crate) fn request(&mut self, address: &str, body: OperatorRequest) -> u64 {
         self.last_request += 1;
         let request = self.last_request;
@@ -240,15 +241,19 @@
         request
     }
 
-    /// Waits for the answer to an operator's request.
+    /// Waits for the reply to an operator's request.
     pub(crate) fn answer(&mut self, request: u64) -> OperatorReply {
-        self.run_until(Duration::from_secs(8), "an operator's answer", |cluster| {
-            cluster.replies.contains_key(&request)
-        });
-        self.replies.remove(&request).expect("the answer is there")
+        self.run_until(
+            Duration::from_secs(8),
+            "a reply to an operator",
+            |cluster| cluster.replies.contains_key(&request),
+        );
+        self.replies
+            .remove(&request)
+            .expect("the reply was received")
     }
 
-    /// Opens a link from a test's own end to a node.
+    /// Opens a link from a test agent to a node. Returns the agent's end.
     pub(crate) fn open_link(&mut self, from: &str, to: &str) -> End {
         self.last_link += 1;
         let near = End {
@@ -260,12 +265,12 @@
         near
     }
 
-    /// Sends a frame from a test's own end.
+    /// Sends a frame from a test agent's end.
     pub(crate) fn send(&mut self, end: &End, frame: Frame) {
         self.post(end, frame);
     }
 
-    /// Closes a link at both ends.
+    /// Closes a link; the other end is notified.
     pub(crate) fn close(&mut self, end: &End) {
         let Some(other) = self.peer_ends.remove(end) else {
             return;
@@ -274,13 +279,13 @@
         self.schedule(Event::Closed(other));
     }
 
-    /// Takes the frames that arrived at a test's own end.
+    /// Takes the frames received at a test agent's end.
     pub(crate) fn take_frames(&mut self, end: &End) -> Vec<Frame> {
         let frames = self.inbox.remove(end);
         frames.unwrap_or_default().into_iter().collect()
     }
 
-    /// Returns an input to a node at once.
+    /// Passes an input to a running node at once and executes its outputs.
     pub(crate) fn input(&mut self, address: &str, input: NodeInput) {
         let now = self.now;
         let machine = self.machines.get_mut(address);
@@ -348,7 +353,7 @@
                 self.replies.insert(request, reply);
             }
             NodeOutput::Event(event) => self.node_events.push((address.to_owned(), event)),
-            NodeOutput::Fatal { code } => panic!("{address} gave up: {code}"),
+            NodeOutput::Fatal { code } => panic!("fatal error of {address}: {code}"),
         }
     }
 
--- a/crates/control/tests/support/daemons.rs
+++ b/crates/control/tests/support/daemons.rs
@@ -10,10 +10,10 @@
 /// Key of the operators.
 pub(crate) const KEY: &str = "the operator's key";
 
-/// Longest wait for anything; only reached on failure.
+/// Timeout of every wait; only reached when a test fails.
 const LIMIT: Duration = Duration::from_secs(30);
 
-/// Pause between two looks at a condition.
+/// Pause between two checks of a condition.
 const POLL: Duration = Duration::from_millis(20);
 
 /// One control node as a process; killed when dropped.
@@ -33,7 +33,7 @@
     }
 }
 
-/// Three control nodes that are each other's seeds, started.
+/// Starts three control nodes that are each other's seeds.
 pub(crate) fn start_three() -> Vec<Daemon> {
     let addresses = free_addresses(6);
     let seeds = addresses[..3].to_vec();
@@ -46,24 +46,26 @@
     nodes
 }
 
-/// Ports of one test process: below the range that the system takes for outgoing connections, which could take
-/// a port between its choice here and the daemon's start.
+/// First port for test processes. The ports are below the range from which the system assigns ports
+/// to outgoing connections, which could otherwise take a port between its choice here and the start
+/// of the daemon.
 const FIRST_PORT: u32 = 12_000;
-/// See [`FIRST_PORT`].
-const PORTS_OF_PROCESS: u32 = 32;
-/// Processes after which ports are used again. The laboratory takes its blocks above them.
+/// Number of ports for one test process.
+const PORTS_PER_PROCESS: u32 = 32;
+/// Number of process ids after which the same ports are used again. The lab's tests use the ports
+/// above.
 const PROCESSES: u32 = 90;
 
-/// Ports that this process has chosen so far.
-static CHOSEN: AtomicU32 = AtomicU32::new(0);
+/// Number of ports that this process has tried so far.
+static PORTS_TRIED: AtomicU32 = AtomicU32::new(0);
 
-/// Addresses on loopback that nobody listens on; none is given twice.
+/// Returns loopback addresses without a listener. No address is returned twice.
 pub(crate) fn free_addresses(count: usize) -> Vec<String> {
-    let first = FIRST_PORT + std::process::id() % PROCESSES * PORTS_OF_PROCESS;
+    let first = FIRST_PORT + std::process::id() % PROCESSES * PORTS_PER_PROCESS;
     let mut addresses = Vec::new();
     while addresses.len() < count {
-        let number = CHOSEN.fetch_add(1, Ordering::Relaxed);
-        assert!(number < PORTS_OF_PROCESS, "this process needs more ports");
+        let number = PORTS_TRIED.fetch_add(1, Ordering::Relaxed);
+        assert!(number < PORTS_PER_PROCESS, "this process needs more ports");
         let address = format!("127.0.0.1:{}", first + number);
         if TcpListener::bind(&address).is_ok() {
             addresses.push(address);
@@ -72,7 +74,7 @@
     addresses
 }
 
-/// Waits for a condition, bounded.
+/// Waits until a condition holds. Panics after [`LIMIT`].
 pub(crate) fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let end = Instant::now() + LIMIT;
     while !condition() {
@@ -82,7 +84,7 @@
 }
 
 impl Daemon {
-    /// A daemon on an empty folder, not started yet.
+    /// Creates a daemon with an empty data folder, without starting it.
     pub(crate) fn new(internal: &str, operator: &str, seeds: &[String]) -> Self {
         Self {
             internal: internal.to_owned(),
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Starts the process on its folder.
+    /// Starts the process on its data folder.
     pub(crate) fn start(&mut self) {
         let folder = self.folder.path().to_string_lossy().into_owned();
         let process = Command::new(env!("CARGO_BIN_EXE_millford-control"))
@@ -116,17 +118,17 @@
         }
     }
 
-    /// Ends the daemon as an operator does.
+    /// Stops the daemon with SIGTERM and returns its exit status.
     pub(crate) fn terminate(&mut self) -> ExitStatus {
         let mut process = self.process.take().expect("a running daemon");
         let signal = Command::new("kill")
             .args(["-TERM", &process.id().to_string()])
             .status();
         assert!(signal.expect("kill runs").success());
-        process.wait().expect("the daemon ends")
+        process.wait().expect("the daemon exits")
     }
 
-    /// Whether the daemon answers that it is ready.
+    /// Whether the daemon reports that it is ready.
     pub(crate) fn is_ready(&self) -> bool {
         let request = format!(
             "GET /readyz HTTP/1.1\r\nHost: {}\r\nConnection: close\r\n\r\n",
@@ -135,7 +137,7 @@
         http::raw(&self.operator, request.as_bytes()).is_ok_and(|answer| answer.status == 200)
     }
 
-    /// A request with the operator's key and a JSON body.
+    /// Sends a request with the operator's key and a JSON body.
     pub(crate) fn request(&self, method: &str, path: &str, body: &str) -> Answer {
         let key = format!("Authorization: Bearer {KEY}");
         let headers = [key.as_str(), "Content-Type: application/json"];
--- a/crates/control/tests/support/http.rs
+++ b/crates/control/tests/support/http.rs
@@ -1,15 +1,15 @@
-//! A client of the operator interface: one connection a request.
+//! A client of the operator interface that uses one connection per request.
 
 use std::fmt::Write as _;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// An answer as it came.
+/// A response as received.
 pub(crate) struct Answer {
-    /// Status; 0 if the answer is not HTTP.
+    /// HTTP status; 0 if the response is not HTTP.
     pub(crate) status: u16,
-    /// Head, in lower case.
+    /// Status line and headers, in lower case.
     pub(crate) head: String,
     /// Body as text.
     pub(crate) body: String,
@@ -18,22 +18,22 @@
 impl Answer {
     /// The body as JSON.
     pub(crate) fn json(&self) -> serde_json::Value {
-        serde_json::from_str(&self.body).unwrap_or_else(|_| panic!("no JSON: {}", self.body))
+        serde_json::from_str(&self.body).unwrap_or_else(|_| panic!("not JSON: {}", self.body))
     }
 
-    /// Number of the result; 0 for success.
+    /// Number of the result code; 0 for success.
     pub(crate) fn code(&self) -> u64 {
         self.json()["error"]["code"].as_u64().unwrap_or(0)
     }
 }
 
-/// Sends a request as it stands and reads the answer to its end.
+/// Sends these bytes as a request and reads the response to its end.
 pub(crate) fn raw(address: &str, request: &[u8]) -> std::io::Result<Answer> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_read_timeout(Some(Duration::from_secs(10)))?;
     stream.write_all(request)?;
     let mut bytes = Vec::new();
-    // A server that answers before it has read everything may reset afterwards.
+    // A server that answers before it has read the whole request may reset the connection.
     let _ = stream.read_to_end(&mut bytes);
     let text = String::from_utf8_lossy(&bytes).into_owned();
     let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
@@ -48,7 +48,7 @@
     })
 }
 
-/// Sends a request with these header lines.
+/// Sends a request with these header lines and this body.
 pub(crate) fn request(
     address: &str,
     method: &str,
--- a/crates/control/tests/support/memory_disk.rs
+++ b/crates/control/tests/support/memory_disk.rs
@@ -1,4 +1,4 @@
-//! Files in memory, shared by everyone who opens the same folder.
+//! A disk in memory, whose files are kept when a folder is opened again.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -7,7 +7,7 @@
 
 type Files = BTreeMap<String, Vec<u8>>;
 
-/// The disk of one machine: folders with files.
+/// The disk of one machine: folders with files. Clones share the files.
 #[derive(Clone, Default)]
 pub(crate) struct MemoryMachine {
     folders: Arc<Mutex<BTreeMap<String, Files>>>,
@@ -22,19 +22,19 @@
         })
     }
 
-    /// Removes everything, as a lost disk.
+    /// Removes everything, like the loss of a disk.
     pub(crate) fn wipe(&self) {
         self.folders.lock().unwrap().clear();
     }
 
-    /// Flips a bit in the middle of the largest file of a folder.
+    /// Flips a bit at one third of the largest file in a folder.
     pub(crate) fn damage(&self, folder: &str) {
         let mut folders = self.folders.lock().unwrap();
         let files = folders.get_mut(folder).expect("the folder exists");
         let largest = files.values_mut().max_by_key(|bytes| bytes.len());
         let bytes = largest.expect("the folder has a file");
-        let middle = bytes.len() / 3;
-        bytes[middle] ^= 0x10;
+        let position = bytes.len() / 3;
+        bytes[position] ^= 0x10;
     }
 }
 
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small cluster of control nodes under simulated time.
+//! Fixtures: control nodes under simulated time or as processes, and test agents.
 
 #![allow(
     dead_code,
--- a/crates/control/tests/support/orders.rs
+++ b/crates/control/tests/support/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of operators in tests.
+//! Configuration orders for tests.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 use super::cluster::Cluster;
 
-/// A document with one pool and these tenants, each with one key.
+/// A document with one pool and these tenants, each with its name as its only key.
 pub(crate) fn document(tenants: &[&str]) -> Document {
     let tenants = tenants.iter().map(|name| Tenant {
         name: (*name).to_owned(),
@@ -37,7 +37,7 @@
     }
 }
 
-/// An order for this document on a base revision.
+/// An order for this document, based on a revision.
 pub(crate) fn order(base: u64, id: &str, desired: Document) -> OperatorRequest {
     OperatorRequest::PutConfig(PutConfig {
         base_revision: base,
@@ -48,7 +48,7 @@
     })
 }
 
-/// Sends an order and expects it to be accepted under this number.
+/// Sends an order and checks that it is accepted as the next revision.
 pub(crate) fn accept(cluster: &mut Cluster, address: &str, base: u64, id: &str, desired: Document) {
     let request = cluster.request(address, order(base, id, desired));
     match cluster.answer(request) {
@@ -57,16 +57,16 @@
     }
 }
 
-/// Revision that a confirmed read at this node gives.
+/// Reads the configuration's revision at a node, by a confirmed read.
 pub(crate) fn revision(cluster: &mut Cluster, address: &str) -> u64 {
     let request = cluster.request(address, OperatorRequest::GetConfig);
     match cluster.answer(request) {
         OperatorReply::Config(reply) => reply.revision,
-        other => panic!("no configuration: {other:?}"),
+        other => panic!("unexpected reply to a configuration read: {other:?}"),
     }
 }
 
-/// A formed cluster with leaders everywhere.
+/// Starts a cluster and runs it until every shard has a leader, and one second longer.
 pub(crate) fn cluster_with_leaders(nodes: usize, seed: u64) -> Cluster {
     let mut cluster = Cluster::start(nodes, seed);
     cluster.run_until(Duration::from_secs(4), "leaders", Cluster::has_leaders);
