--- a/crates/registry/src/error.rs
+++ b/crates/registry/src/error.rs
@@ -1,35 +1,36 @@
-//! Why a read of the registry gave no list.
+//! Errors of registry reads.
 
 use hyper::StatusCode;
 
-/// Cause of an error, whatever library it comes from.
+/// Cause of an error, of any type.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Why a read gave no list. None of this is a reason to stop using backends.
+/// Error of a registry read. It never means that the backends are gone: the reader continues with
+/// the last view.
 #[derive(Debug, thiserror::Error)]
 pub enum RegistryError {
-    /// No response, or a broken one.
-    #[error("the registry does not answer: {0}")]
+    /// The connection failed, or the response was incomplete or too large.
+    #[error("request to the registry failed: {0}")]
     Unreachable(#[source] BoxError),
-    /// A response that is no list.
-    #[error("the registry answered with status {0}")]
+    /// The status of the response is not 200.
+    #[error("the registry responded with status {0}")]
     Status(StatusCode),
-    /// A list that cannot be parsed.
-    #[error("the registry's list cannot be read: {0}")]
+    /// The body of the response cannot be parsed.
+    #[error("the registry's list is malformed: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The list names no backend.
-    #[error("the registry lists nothing")]
+    /// The list contains no backend.
+    #[error("the registry's list contains no backend")]
     Empty,
-    /// The list has more pages than any list should.
-    #[error("the registry's list does not end")]
+    /// The list has more pages than the client accepts.
+    #[error("the registry's list has too many pages")]
     TooManyPages,
-    /// No complete response in time.
-    #[error("the registry did not answer in time")]
+    /// The read did not finish within its timeout.
+    #[error("the registry read timed out")]
     Timeout,
 }
 
 impl RegistryError {
-    /// A [`RegistryError::Unreachable`] with its cause.
+    /// Creates a [`RegistryError::Unreachable`] with its cause.
     pub fn unreachable(cause: impl Into<BoxError>) -> Self {
         Self::Unreachable(cause.into())
     }
--- a/crates/registry/src/http_registry.rs
+++ b/crates/registry/src/http_registry.rs
@@ -1,4 +1,4 @@
-//! Client of a service registry that implements `docs/REGISTRY-PROTOCOL.md`.
+//! HTTP client for service registries that implement `docs/REGISTRY-PROTOCOL.md`.
 
 use std::time::Duration;
 
@@ -16,17 +16,17 @@
 /// Largest list that is accepted, in bytes.
 const MAX_LIST_BYTES: usize = 16 * 1024 * 1024;
 
-/// Longest time for one read.
+/// Timeout of one read.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Client of one registry.
+/// HTTP client of one registry.
 pub struct HttpRegistry {
     address: String,
     client: Client<HttpConnector, Empty<Bytes>>,
 }
 
 impl HttpRegistry {
-    /// A client of the registry at this address: IP and port.
+    /// Creates a client of the registry at this IP address and port.
     #[must_use]
     pub fn new(address: &str) -> Self {
         Self {
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,5 +1,4 @@
-//! The service registry as millford reads it: a trait, the view that a read returns, and a client over
-//! HTTP.
+//! Access to the service registry: a trait, the view that a read returns, and an HTTP client.
 
 mod error;
 mod http_registry;
--- a/crates/registry/src/view.rs
+++ b/crates/registry/src/view.rs
@@ -1,16 +1,16 @@
-//! What one read of the service registry returns.
+//! Data returned by a read of the service registry.
 
 use std::collections::BTreeMap;
 
 use millford_api::state::{Backend, BackendState, Declaration};
 use serde::Deserialize;
 
-/// One backend as the registry lists it.
+/// One backend in the registry's list.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct RegistryEntry {
-    /// Identity; a replaced backend gets a new one.
+    /// Identity of the backend. A replaced backend gets a new one.
     pub id: String,
-    /// IP address and port.
+    /// IP address and port of the backend.
     pub address: String,
     /// Zone of the backend.
     #[serde(default)]
@@ -21,16 +21,16 @@
     /// Memory bandwidth, in GB/s.
     #[serde(default)]
     pub bandwidth_gbps: f64,
-    /// `active`, `draining` or `gone`.
+    /// `active`, `draining` or `gone`; see [`RegistryEntry::backend_state`] for other values.
     #[serde(default)]
     pub state: String,
-    /// Name of the service that the backend belongs to; empty where the registry knows none.
+    /// Name of the service that the backend belongs to; empty if the registry has none for it.
     #[serde(default)]
     pub service: String,
-    /// What the backend can serve.
+    /// The model replicas that the backend can serve.
     #[serde(default)]
     pub declarations: Vec<RegistryDeclaration>,
-    /// Load that the backend reported, by model; [`RegistryEntry::load_age_ms`] old.
+    /// Load that the backend reported, by model; its age is [`RegistryEntry::load_age_ms`].
     #[serde(default)]
     pub load: BTreeMap<String, f64>,
     /// Age of the reported load, in milliseconds.
@@ -41,13 +41,13 @@
 /// One model replica that a backend declares.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct RegistryDeclaration {
-    /// Model name.
+    /// Name of the model.
     #[serde(default)]
     pub model: String,
-    /// Model version.
+    /// Version of the model.
     #[serde(default)]
     pub version: String,
-    /// Pipeline stage, as the platform names it.
+    /// Pipeline stage, by the platform's name for it.
     #[serde(default)]
     pub stage: String,
     /// Names of the loaded adapters.
@@ -55,18 +55,19 @@
     pub adapters: Vec<String>,
 }
 
-/// Everything that the registry listed at one poll.
+/// The complete list of the registry, as of one read.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct RegistryView {
-    /// The backends.
+    /// The backends in the registry's order.
     pub backends: Vec<RegistryEntry>,
-    /// Requests that the read took: a registry may return its list in pages.
+    /// Number of requests that the read took; more than one if the registry returns its list in pages.
     #[serde(skip)]
     pub requests: u32,
 }
 
 impl RegistryEntry {
-    /// The state that the registry reports. An unknown one is no reason to stop using the backend.
+    /// The reported state. An unknown state counts as active, so that it does not stop the use of the
+    /// backend.
     #[must_use]
     pub fn backend_state(&self) -> BackendState {
         match self.state.as_str() {
@@ -76,7 +77,7 @@
         }
     }
 
-    /// The backend as the catalogue holds it.
+    /// Converts the entry to the form that the catalogue stores.
     #[must_use]
     pub fn to_backend(&self) -> Backend {
         Backend {
