--- a/crates/transport/src/codec.rs
+++ b/crates/transport/src/codec.rs
@@ -6,10 +6,10 @@
 use prost::Message;
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// Largest frame that is accepted, in bytes; well above the largest planned snapshot.
+/// Largest accepted frame, in bytes; well above the largest expected snapshot.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
-/// Why a connection ended.
+/// Error that ends a connection.
 #[derive(Debug, thiserror::Error)]
 pub enum TransportError {
     /// The socket failed.
@@ -20,7 +20,7 @@
     Decode(#[from] prost::DecodeError),
 }
 
-/// Codec for one message type: a four-byte big-endian length, then the message.
+/// Codec for one message type. A frame is a four-byte big-endian length, followed by the message.
 pub struct MessageCodec<M> {
     frames: LengthDelimitedCodec,
     message: PhantomData<fn() -> M>,
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -30,11 +30,11 @@
     accept(stream)
 }
 
-/// Frames the messages of a socket that a listener accepted. Disables Nagle's algorithm: messages are
-/// small and latency matters.
+/// Wraps an accepted socket in framed halves. Disables Nagle's algorithm, because messages are small
+/// and latency matters.
 ///
 /// # Errors
-/// [`TransportError::Io`] when the socket is closed already.
+/// [`TransportError::Io`] when the socket is already closed.
 pub fn accept<M: prost::Message + Default>(
     stream: TcpStream,
 ) -> Result<(FramedReader<M>, FramedWriter<M>), TransportError> {
