--- a/crates/control/src/daemon/connections.rs
+++ b/crates/control/src/daemon/connections.rs
@@ -20,7 +20,7 @@
 const LINK_QUEUE_FRAMES: usize = 8192;
 
 /// Most frames that are written before a flush.
-const WRITE_BATCH: usize = 64;
+const MAX_WRITE_BATCH: usize = 64;
 
 /// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -119,8 +119,8 @@
 }
 
 async fn write_all(mut writer: FramedWriter<Frame>, mut frames: mpsc::Receiver<Frame>) {
-    let mut batch = Vec::with_capacity(WRITE_BATCH);
-    while frames.recv_many(&mut batch, WRITE_BATCH).await > 0 {
+    let mut batch = Vec::with_capacity(MAX_WRITE_BATCH);
+    while frames.recv_many(&mut batch, MAX_WRITE_BATCH).await > 0 {
         let written = tokio::time::timeout(WRITE_TIMEOUT, write(&mut writer, &mut batch)).await;
         if !matches!(written, Ok(Ok(()))) {
             return;
--- a/crates/control/src/daemon/gateway_thread.rs
+++ b/crates/control/src/daemon/gateway_thread.rs
@@ -29,7 +29,7 @@
 use crate::timing::TICK;
 
 /// Most events that are handled before the tick is checked.
-const BATCH: usize = 1024;
+const MAX_BATCH_EVENTS: usize = 1024;
 
 /// The gateway with the links, shard threads and pending answers that its thread owns.
 pub struct GatewayThread {
@@ -90,7 +90,7 @@
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            for _ in 0..BATCH {
+            for _ in 0..MAX_BATCH_EVENTS {
                 let Ok(event) = self.events.try_recv() else {
                     break;
                 };
@@ -154,7 +154,7 @@
         }
         if matches!(error, StorageError::Corrupt { .. }) {
             super::STORE.error(format!(
-                "The storage of a shard is corrupt; starting over under a new identity: {error}."
+                "The storage of a shard is corrupt ({error}); starting over under a new identity."
             ));
             self.send_to_gateway(GatewayInput::StorageCorrupt);
             return;
--- a/crates/control/src/daemon/run.rs
+++ b/crates/control/src/daemon/run.rs
@@ -114,15 +114,15 @@
         .build()
     {
         Ok(runtime) => runtime,
-        Err(error) => return failed(&StartError::from(error)),
+        Err(error) => return exit_with_error(&StartError::from(error)),
     };
     match runtime.block_on(serve(settings, adapters)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => failed(&error),
+        Err(error) => exit_with_error(&error),
     }
 }
 
-fn failed(error: &StartError) -> ExitCode {
+fn exit_with_error(error: &StartError) -> ExitCode {
     eprintln!("millford-control: {error}");
     ExitCode::FAILURE
 }
--- a/crates/control/src/daemon/settings.rs
+++ b/crates/control/src/daemon/settings.rs
@@ -130,8 +130,10 @@
             faults.push(SettingsFault::new("replace_after_ms", text));
         }
         if parse_level(&self.log_level).is_none() {
-            let text = "must be error, warn, info, debug or trace";
-            faults.push(SettingsFault::new("log_level", text));
+            faults.push(SettingsFault::new(
+                "log_level",
+                "must be error, warn, info, debug or trace",
+            ));
         }
     }
 
--- a/crates/control/src/daemon/shard_thread.rs
+++ b/crates/control/src/daemon/shard_thread.rs
@@ -11,7 +11,7 @@
 use crate::timing::TICK;
 
 /// Most inputs that are handled before a flush.
-const BATCH: usize = 1024;
+const MAX_BATCH_INPUTS: usize = 1024;
 
 enum ThreadMessage {
     Input(Box<ShardInput>),
@@ -112,7 +112,7 @@
         Ok(ThreadMessage::Stop) | Err(RecvTimeoutError::Disconnected) => return false,
         Err(RecvTimeoutError::Timeout) => {}
     }
-    for _ in 0..BATCH {
+    for _ in 0..MAX_BATCH_INPUTS {
         match messages.try_recv() {
             Ok(ThreadMessage::Input(input)) => core.handle(monotonic_now(), *input),
             Ok(ThreadMessage::Stop) => return false,
--- a/crates/control/src/gateway/links.rs
+++ b/crates/control/src/gateway/links.rs
@@ -13,7 +13,7 @@
     Unknown,
     /// A control node, with its identity.
     Control(NodeId),
-    /// An agent, which names itself only in its heartbeats.
+    /// An agent. `AgentTable` maps its name to the link.
     Agent,
 }
 
--- a/crates/control/src/operator/failure.rs
+++ b/crates/control/src/operator/failure.rs
@@ -3,7 +3,7 @@
 use millford_control_state::document::Fault;
 use millford_core::{Duration, ResultCode};
 
-/// The reason for which a request was refused or failed.
+/// Error of an operator's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorFailure {
     /// The result code.
--- a/crates/control/tests/committed_folders.rs
+++ b/crates/control/tests/committed_folders.rs
@@ -210,7 +210,7 @@
     let copied = tempfile::tempdir().expect("a folder");
     for folder in folder_names() {
         let to = copied.path().join(&folder);
-        std::fs::create_dir(&to).expect("a folder is made");
+        std::fs::create_dir(&to).expect("the folder is created");
         for (name, bytes) in committed_files(address, &folder) {
             std::fs::write(to.join(name), bytes).expect("a file is copied");
         }
@@ -230,7 +230,7 @@
             let written = files(cluster.machines[address].disk.folder(&folder).as_ref());
             if std::env::var_os("MILLFORD_WRITE_COMMITTED").is_some_and(|value| value == "1") {
                 let path = committed_folder(address, &folder);
-                std::fs::create_dir_all(&path).expect("a folder is made");
+                std::fs::create_dir_all(&path).expect("the folder is created");
                 for (name, bytes) in &written {
                     std::fs::write(path.join(name), bytes).expect("a file is written");
                 }
@@ -256,8 +256,8 @@
         describe_node(&mut lines, address, &file.expect("the node's file"));
         for shard in SHARDS {
             let disk = open_disk(copied.path(), &shard_folder(shard));
-            let opened = ReplicaStorage::open(disk, StorageOptions::default());
-            let storage = opened.expect("the storage opens");
+            let storage =
+                ReplicaStorage::open(disk, StorageOptions::default()).expect("the storage opens");
             describe_shard(&mut lines, address, shard, &storage);
         }
     }
@@ -347,8 +347,8 @@
         for shard in SHARDS {
             let core = node.core(shard).expect("the shard's replica");
             let disk = open_disk(copied.path(), &shard_folder(shard));
-            let opened = ReplicaStorage::open(disk, StorageOptions::default());
-            let storage = opened.expect("the storage opens");
+            let storage =
+                ReplicaStorage::open(disk, StorageOptions::default()).expect("the storage opens");
             let hard_state = storage.hard_state().expect("a hard state");
             assert_eq!(core.status().term, hard_state.term, "{address} {shard}");
             assert_eq!(core.status().voters.len(), 3, "{address} {shard}");
--- a/crates/control/tests/daemon.rs
+++ b/crates/control/tests/daemon.rs
@@ -45,8 +45,10 @@
     wait_for("service by the two remaining nodes", || {
         replacement.request("GET", "/v1/config", "").status == 200
     });
-    let read = replacement.request("GET", "/v1/config", "");
-    assert_eq!(read.json()["revision"], 1);
+    assert_eq!(
+        replacement.request("GET", "/v1/config", "").json()["revision"],
+        1
+    );
     let accepted = nodes[2].request("PUT", "/v1/config", &order(1, "three"));
     assert_eq!(accepted.json()["revision"], 2);
 }
--- a/crates/control/tests/feed.rs
+++ b/crates/control/tests/feed.rs
@@ -157,7 +157,7 @@
         agent
             .last_heartbeat
             .as_ref()
-            .expect("an answer")
+            .expect("a heartbeat reply")
             .session_alive
     );
     let shard = ShardLayout::new(2).shard_of(&session_key("agent"));
@@ -170,7 +170,7 @@
         agent
             .last_heartbeat
             .as_ref()
-            .expect("an answer")
+            .expect("a heartbeat reply")
             .session_alive
     );
     // After a pause longer than the lease the session is closed, which the next heartbeat
@@ -181,7 +181,7 @@
         !agent
             .last_heartbeat
             .as_ref()
-            .expect("an answer")
+            .expect("a heartbeat reply")
             .session_alive
     );
     agent.open_session(&mut cluster, 1);
@@ -245,7 +245,7 @@
         std::slice::from_mut(&mut agent),
         MAX_HEARTBEAT_DELAY,
     );
-    let reply = agent.last_heartbeat.clone().expect("an answer");
+    let reply = agent.last_heartbeat.clone().expect("a heartbeat reply");
     assert!(!reply.has_quorum, "{reply:?}");
     // Later heartbeats are answered at once.
     agent.last_heartbeat = None;
--- a/crates/control/tests/repair.rs
+++ b/crates/control/tests/repair.rs
@@ -181,27 +181,27 @@
 }
 
 /// Starts five machines, three of which form the cluster, with five voters for each shard.
-fn five_voters(seed: u64) -> Cluster {
+fn cluster_with_five_voters(seed: u64) -> Cluster {
     let seeds = ["node-1", "node-2", "node-3"].map(str::to_owned);
     let mut cluster = Cluster::empty(seeds.to_vec(), seed).with_voters(5);
-    for address in FIVE {
+    for address in FIVE_NODES {
         cluster.boot(address);
     }
     cluster.run_until(Duration::from_secs(12), "leaders", Cluster::has_leaders);
     cluster
 }
 
-const FIVE: [&str; 5] = ["node-1", "node-2", "node-3", "node-4", "node-5"];
+const FIVE_NODES: [&str; 5] = ["node-1", "node-2", "node-3", "node-4", "node-5"];
 
 #[test]
 fn groups_grow_to_five_voters_and_tolerate_the_loss_of_two_nodes() {
     for (first, second) in [(0, 1), (1, 2), (0, 2), (3, 4), (2, 3)] {
-        let mut cluster = five_voters(first as u64 + 10);
-        wait_until_fully_replicated(&mut cluster, &FIVE);
+        let mut cluster = cluster_with_five_voters(first as u64 + 10);
+        wait_until_fully_replicated(&mut cluster, &FIVE_NODES);
         accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
-        cluster.kill(FIVE[first]);
-        cluster.kill(FIVE[second]);
-        let mut left = FIVE.iter().enumerate();
+        cluster.kill(FIVE_NODES[first]);
+        cluster.kill(FIVE_NODES[second]);
+        let mut left = FIVE_NODES.iter().enumerate();
         let left = left.find(|(index, _)| *index != first && *index != second);
         let (_, survivor) = left.expect("three nodes are left");
         cluster.run_until(Duration::from_secs(12), "leaders", Cluster::has_leaders);
--- a/crates/control/tests/support/daemons.rs
+++ b/crates/control/tests/support/daemons.rs
@@ -52,8 +52,8 @@
 const FIRST_PORT: u32 = 12_000;
 /// Number of ports for one test process.
 const PORTS_PER_PROCESS: u32 = 32;
-/// Number of process ids after which the same ports are used again. The lab's tests use the ports
-/// above.
+/// Number of process ids after which the same ports are used again. The lab uses the ports above
+/// this range.
 const PROCESSES: u32 = 90;
 
 /// Number of ports that this process has tried so far.
--- a/crates/control/tests/support/orders.rs
+++ b/crates/control/tests/support/orders.rs
@@ -53,7 +53,7 @@
     let request = cluster.request(address, order(base, id, desired));
     match cluster.answer(request) {
         OperatorReply::Order(reply) => assert_eq!(reply.revision, base + 1),
-        other => panic!("order {id}: {other:?}"),
+        other => panic!("unexpected reply to order {id}: {other:?}"),
     }
 }
 
