--- a/crates/control/src/gateway/core/handshakes.rs
+++ b/crates/control/src/gateway/core/handshakes.rs
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Sends a hello with this node's identity and the control nodes that it knows.
+    /// Sends a hello with this node's entry and the list of known control nodes.
     pub(super) fn send_hello(&mut self, link: LinkId) {
         let hello = Hello {
             sender: Some(self.own_member()),
--- a/crates/control/src/gateway/core/shard_outputs.rs
+++ b/crates/control/src/gateway/core/shard_outputs.rs
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Sends the recall to the named agent if it is linked here. A recall without a name goes to every
-    /// agent of this node. Returns whether a named agent was found.
+    /// Sends the recall to the named agent if it is linked here. A recall without a name is sent to
+    /// every agent of this node. Returns whether a named agent was found.
     pub(super) fn recall_own_agent(&mut self, recall: &QuotaRecall) -> bool {
         if recall.member.is_empty() {
             self.send_to_own_agents(&frame::Body::QuotaRecall(recall.clone()));
--- a/crates/control/src/gateway/early_heartbeats.rs
+++ b/crates/control/src/gateway/early_heartbeats.rs
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub(super) struct EarlyHeartbeats {
     deadline: MonotonicTime,
-    /// Set for good at the first quorum or at the deadline.
+    /// Set permanently at the first quorum or at the deadline.
     finished: bool,
     waiting: BTreeMap<LinkId, Heartbeat>,
 }
--- a/crates/control/src/gateway/pending_requests.rs
+++ b/crates/control/src/gateway/pending_requests.rs
@@ -9,7 +9,7 @@
 use crate::shard::input::CorrelationId;
 use crate::timing::{RESEND_TIMEOUT, RETRY_DELAY_HINTED, RETRY_DELAY_NO_LEADER};
 
-/// The requester, which determines where the reply goes.
+/// The requester of a request, to which the reply is returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Origin {
     /// An agent, or another control node that forwarded the request.
@@ -224,7 +224,7 @@
             .collect()
     }
 
-    /// Drops the requests of a closed link, which nobody waits for any more.
+    /// Drops the requests of a closed link, whose replies could not be delivered.
     pub fn forget_link(&mut self, ended: LinkId) {
         self.pending.retain(
             |_, pending| !matches!(pending.origin, Origin::Link { link, .. } if link == ended),
--- a/crates/control/src/gateway/replica_table.rs
+++ b/crates/control/src/gateway/replica_table.rs
@@ -50,8 +50,8 @@
         self.get(shard).is_some_and(|replica| replica.leads)
     }
 
-    /// The shard's leader as far as this node's replica knows; [`NodeId::NONE`] if it is unknown or
-    /// this node holds no replica.
+    /// The shard's leader known to this node's replica; [`NodeId::NONE`] if it is unknown or this
+    /// node holds no replica.
     pub(super) fn leader_of(&self, shard: ShardId) -> NodeId {
         self.get(shard)
             .map_or(NodeId::NONE, |replica| replica.leader)
--- a/crates/control/src/shard/core.rs
+++ b/crates/control/src/shard/core.rs
@@ -162,7 +162,7 @@
         self.replica.status()
     }
 
-    /// The status as of the last flush, as the gateway sees it.
+    /// The status as of the last flush, from which the reports to the gateway are made.
     #[must_use]
     pub fn reported_status(&self) -> &ShardReplicaStatus {
         self.status.last()
@@ -449,7 +449,8 @@
 
     /// Proposes a command that no request asked for.
     fn propose_own(&mut self, kind: command::Kind, purpose: Purpose) {
-        // The proposal fails only if this replica no longer leads; the new leader then decides anew.
+        // The proposal fails only if this replica no longer leads. The new leader then makes its
+        // own proposals.
         let _ = self.replica.propose(&command_of(kind), purpose);
     }
 
--- a/crates/control/src/shard/feed_service.rs
+++ b/crates/control/src/shard/feed_service.rs
@@ -128,7 +128,7 @@
 }
 
 impl DueSubscription {
-    /// Decides the next step; `read_confirmed` says whether the leader has confirmed the read.
+    /// Decides the next step. `read_confirmed` is whether the leader has confirmed the read.
     pub(super) fn step(&self, read_confirmed: bool) -> SubscriptionStep {
         if read_confirmed && self.waited < CATCH_UP_TIMEOUT {
             return SubscriptionStep::Wait;
--- a/crates/control/src/shard/replica_status.rs
+++ b/crates/control/src/shard/replica_status.rs
@@ -16,7 +16,7 @@
     pub shard: ShardId,
     /// Whether this replica is the leader.
     pub leads: bool,
-    /// The leader, as far as this replica knows; [`NodeId::NONE`] if unknown.
+    /// The leader known to this replica; [`NodeId::NONE`] if unknown.
     pub leader: NodeId,
     /// The replica's current term.
     pub term: u64,
--- a/crates/control/tests/feed.rs
+++ b/crates/control/tests/feed.rs
@@ -79,7 +79,7 @@
     let reply = agents[0].last_heartbeat.clone().expect("a heartbeat reply");
     assert!(!reply.has_quorum, "{reply:?}");
     // An agent that connects now gets no state at all, since it may be outdated.
-    let mut late_agent = TestAgent::connect(&mut cluster, "late-agent", "node-1", ShardId(0));
+    let mut late_agent = TestAgent::connect(&mut cluster, "newcomer", "node-1", ShardId(0));
     cluster.run(Duration::from_secs(3));
     late_agent.receive(&mut cluster);
     assert!(
