--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -1,10 +1,10 @@
-//! Admission by the estimated time to the first token.
+//! Admission control based on the estimated time to the first token.
 
 use millford_core::Duration;
 
 use crate::cost_estimates::CostEstimates;
 
-/// What admission knows about the backend that a request would go to, in tokens.
+/// Prefill work that determines when a request's first token comes from the chosen backend.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionEstimate {
     /// Uncached prompt tokens in flight on the backend for the model.
@@ -14,7 +14,7 @@
 }
 
 impl AdmissionEstimate {
-    /// Estimated time to the first token of `model`.
+    /// Estimates the time to the first token of `model`.
     #[must_use]
     pub fn first_token(&self, model: &str, costs: &CostEstimates) -> Duration {
         let tokens = self.queued_tokens.saturating_add(self.own_tokens);
@@ -22,8 +22,8 @@
         Duration::from_secs_f64(millis.max(0.0) / 1000.0)
     }
 
-    /// Whether the first token would come within `limit`. An idle backend always admits:
-    /// refusing there would not make the next attempt any faster.
+    /// Returns whether the first token is expected within `limit`. An idle backend always admits:
+    /// a later attempt there would not be any faster.
     #[must_use]
     pub fn admits(&self, model: &str, costs: &CostEstimates, limit: Duration) -> bool {
         self.queued_tokens == 0 || self.first_token(model, costs) <= limit
--- a/crates/routing/src/backend_health.rs
+++ b/crates/routing/src/backend_health.rs
@@ -1,4 +1,4 @@
-//! Which backends are ejected, from what this node itself observes of them.
+//! Ejection and readmission of backends, based on this node's own traffic and probes.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard};
@@ -7,16 +7,16 @@
 
 use crate::lock::lock;
 
-/// Probes in a row that must succeed before an ejected backend is readmitted.
+/// Consecutive successful probes after which an ejected backend is readmitted.
 pub const PROBES_TO_READMIT: u32 = 2;
 
-/// Failed probes in a row that eject a backend.
+/// Consecutive failed probes after which a backend is ejected.
 pub const PROBES_TO_EJECT: u32 = 2;
 
-/// Backends used within this time are watched.
+/// How long after its last use a backend is still probed.
 pub const WATCH_AFTER_USE: Duration = Duration::from_mins(1);
 
-/// Most backends that a node probes without using them.
+/// Largest number of backends that a node probes without using them.
 pub const MAX_WATCHED: usize = 64;
 
 /// Why a backend was ejected.
@@ -24,14 +24,15 @@
 pub enum EjectionReason {
     /// No connection could be opened.
     ConnectFailed,
-    /// A connection broke with a request on it.
+    /// A connection failed with a request in flight on it.
     ConnectionLost,
-    /// Nothing was received on a stream or a probe for too long.
+    /// Nothing was received on a stream, or for a probe, within the timeout.
     Unresponsive,
 }
 
 impl EjectionReason {
-    /// Name for metrics and logs. `silent` dates from before the present terms and stays.
+    /// Returns the name used in metrics and logs. `silent` predates the term "unresponsive" and is
+    /// kept for compatibility.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -45,27 +46,29 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Health {
     ejected: Option<EjectionReason>,
-    good_probes: u32,
-    bad_probes: u32,
+    /// Consecutive successful probes.
+    consecutive_successes: u32,
+    /// Consecutive failed probes since the last activity.
+    consecutive_failures: u32,
     last_used: Option<MonotonicTime>,
     last_active: Option<MonotonicTime>,
-    /// The first use since its last activity.
+    /// Time of the first use since the last activity; `None` if there was no use since then.
     unanswered_since: Option<MonotonicTime>,
-    /// Probed whether or not it is in use.
+    /// Whether the backend is probed even when it is not in use.
     watched: bool,
 }
 
-/// Health of the backends by id.
+/// Health of the backends, by backend id.
 ///
-/// The registry trails reality, so a vanished backend is ejected by connect errors, by inactivity
-/// and by failed probes. Only successful probes readmit it.
+/// The registry lists a lost backend for some time after the loss, so a node ejects a backend itself
+/// on connect errors, inactivity and failed probes. Only successful probes readmit it.
 #[derive(Debug, Default)]
 pub struct BackendHealth {
     backends: Mutex<BTreeMap<String, Health>>,
 }
 
 impl BackendHealth {
-    /// Work was sent to the backend.
+    /// Records that work was sent to the backend.
     pub fn record_dispatch(&self, id: &str, now: MonotonicTime) {
         self.entry(id, |health| {
             health.last_used = Some(now);
@@ -73,26 +76,27 @@
         });
     }
 
-    /// Bytes came from the backend.
+    /// Records that bytes were received from the backend. This does not readmit an ejected backend.
     pub fn record_activity(&self, id: &str, now: MonotonicTime) {
         self.entry(id, |health| {
             health.last_active = Some(now);
             health.unanswered_since = None;
-            health.bad_probes = 0;
+            health.consecutive_failures = 0;
         });
     }
 
-    /// Takes the backend out of use. Returns whether it was in use before.
+    /// Ejects the backend, or updates the reason if it is already ejected. Returns whether it is newly
+    /// ejected.
     pub fn eject(&self, id: &str, reason: EjectionReason) -> bool {
         self.entry(id, |health| {
             let newly = health.ejected.is_none();
             health.ejected = Some(reason);
-            health.good_probes = 0;
+            health.consecutive_successes = 0;
             newly
         })
     }
 
-    /// Whether new work may go to the backend.
+    /// Returns whether new work may be sent to the backend, which is so for one without any record.
     #[must_use]
     pub fn is_usable(&self, id: &str) -> bool {
         let backends = self.lock();
@@ -101,19 +105,20 @@
             .is_none_or(|health| health.ejected.is_none())
     }
 
-    /// Why the backend is ejected, if it is.
+    /// Returns the reason of the ejection, or `None` if the backend is not ejected.
     #[must_use]
     pub fn ejection(&self, id: &str) -> Option<EjectionReason> {
         self.lock().get(id).and_then(|health| health.ejected)
     }
 
-    /// A probe succeeded. Returns whether it readmitted the backend.
+    /// Records a successful probe. Returns whether it readmitted the backend.
     pub fn probe_succeeded(&self, id: &str, now: MonotonicTime) -> bool {
         self.entry(id, |health| {
             health.last_active = Some(now);
-            health.bad_probes = 0;
-            health.good_probes += 1;
-            let readmitted = health.ejected.is_some() && health.good_probes >= PROBES_TO_READMIT;
+            health.consecutive_failures = 0;
+            health.consecutive_successes += 1;
+            let readmitted =
+                health.ejected.is_some() && health.consecutive_successes >= PROBES_TO_READMIT;
             if readmitted {
                 health.ejected = None;
             }
@@ -121,12 +126,12 @@
         })
     }
 
-    /// A probe failed. Returns whether it ejected the backend.
+    /// Records a failed probe. Returns whether it ejected the backend.
     pub fn probe_failed(&self, id: &str) -> bool {
         self.entry(id, |health| {
-            health.good_probes = 0;
-            health.bad_probes += 1;
-            let ejects = health.ejected.is_none() && health.bad_probes >= PROBES_TO_EJECT;
+            health.consecutive_successes = 0;
+            health.consecutive_failures += 1;
+            let ejects = health.ejected.is_none() && health.consecutive_failures >= PROBES_TO_EJECT;
             if ejects {
                 health.ejected = Some(EjectionReason::Unresponsive);
             }
@@ -134,7 +139,8 @@
         })
     }
 
-    /// Backends to probe now: the ejected ones, and those in recent use that were inactive for `quiet`.
+    /// Returns the backends to probe now: every ejected backend, and every watched or recently used one
+    /// that has been inactive for `quiet`.
     #[must_use]
     pub fn to_probe(&self, now: MonotonicTime, quiet: Duration) -> Vec<String> {
         let backends = self.lock();
@@ -147,8 +153,8 @@
         due.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Whether nothing was received for `span`, neither since the last activity nor since the first
-    /// use after it. Only of interest while requests are in flight.
+    /// Returns whether nothing was received for `span`, counted from the later of the last activity and
+    /// the first use after it. Meaningful only while requests are in flight.
     #[must_use]
     pub fn is_unresponsive(&self, id: &str, now: MonotonicTime, span: Duration) -> bool {
         let backends = self.lock();
@@ -159,7 +165,7 @@
         newest.is_some_and(|at| now.since(at) >= span)
     }
 
-    /// Whether any other backend was active within `span`.
+    /// Returns whether any other backend was active within `span`.
     #[must_use]
     pub fn others_responsive(&self, id: &str, now: MonotonicTime, span: Duration) -> bool {
         let backends = self.lock();
@@ -167,8 +173,8 @@
         others.any(|(_, health)| health.last_active.is_some_and(|at| now.since(at) < span))
     }
 
-    /// Watches backends before they are used, if they are at most [`MAX_WATCHED`]: the first
-    /// work for a backend that vanished would find it out too late.
+    /// Starts probing these backends before they are used, so that a lost backend is found before the
+    /// first request is sent to it. Does nothing for more than [`MAX_WATCHED`] backends.
     pub fn watch<'a>(&self, ids: impl Iterator<Item = &'a str>) {
         let ids: Vec<&str> = ids.take(MAX_WATCHED + 1).collect();
         if ids.len() > MAX_WATCHED {
@@ -179,12 +185,12 @@
         }
     }
 
-    /// Forgets backends that the feed no longer lists.
+    /// Removes the records of backends for which `known` is false: those that the feed no longer lists.
     pub fn keep_only(&self, known: impl Fn(&str) -> bool) {
         self.lock().retain(|id, _| known(id));
     }
 
-    /// The ejected backends and why.
+    /// Returns the ejected backends with the reasons.
     #[must_use]
     pub fn ejections(&self) -> BTreeMap<String, EjectionReason> {
         let backends = self.lock();
@@ -194,7 +200,7 @@
         ejected.collect()
     }
 
-    /// Number of ejected backends.
+    /// Counts the ejected backends.
     #[must_use]
     pub fn ejected(&self) -> usize {
         let backends = self.lock();
--- a/crates/routing/src/choice.rs
+++ b/crates/routing/src/choice.rs
@@ -1,50 +1,55 @@
-//! Choice of a backend: a home of the request's key while it pays, else the better of two.
+//! Choice of a backend: a home of the request's affinity key unless its load outweighs what its warm
+//! cache saves, otherwise the less loaded of two random candidates.
+//!
+//! The homes of a key are the first backends in its rendezvous order.
 
 use crate::rendezvous;
 use crate::serving_pool::FULL_WEIGHT_MILLI;
 
-/// How far a home that saves all prefill may be behind the alternative, as a multiple of the mean load.
+/// Extra load, beyond the alternative's load and the saving, that a home may have if its warm cache
+/// saves all prefill; as a multiple of the candidates' mean load.
 pub const HOME_LOAD_TOLERANCE: f64 = 1.5;
 
-/// How many backends of a key's rendezvous order are considered before the key's affinity is given up.
+/// Number of homes that are tried, in rendezvous order, before the key's affinity is ignored.
 pub const HOMES_TRIED: usize = 2;
 
-/// A backend that may take the request.
+/// A backend that may serve the request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
     /// Id of the backend.
     pub backend_id: String,
     /// Relative share of new work, in thousandths.
     pub weight_milli: u32,
-    /// Estimated processor time of the work in flight over the cores, in milliseconds.
+    /// Estimated processor time of the work in flight divided by the number of cores, in milliseconds.
     pub load: f64,
 }
 
-/// Which candidate was chosen and why.
+/// The chosen candidate, and whether affinity decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Choice {
     /// Position in the list of candidates.
     pub index: usize,
-    /// Whether it is a home of the request's affinity key.
+    /// Whether the candidate was chosen as a home of the request's affinity key.
     pub by_affinity: bool,
 }
 
-/// What keeps related requests on one backend, and what that is worth.
+/// Key that routes related requests to the same backend, with the expected benefit of doing so.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Affinity {
     /// Hash of the session or the shared prefix.
     pub key: u64,
-    /// What the warm cache at home saves, in the unit of [`Candidate::load`].
+    /// Processor time that the warm cache at home saves, in the unit of [`Candidate::load`].
     pub saving: f64,
-    /// Share of the request's prefill that the warm cache at home saves.
+    /// Share of the request's prefill that the warm cache at home saves, from 0 to 1.
     pub gain: f64,
 }
 
-/// Chooses a candidate; nothing only if there is none.
+/// Chooses a candidate. Returns `None` only if `candidates` is empty.
 ///
-/// The request goes to a home of its key unless the better of two drawn candidates is ahead of it by more
-/// than the warm cache at home saves, with some tolerance in proportion to the gain: a busy home keeps only what
-/// still gains there. `random` are two fresh random numbers.
+/// The alternative to a home is the less loaded of two candidates drawn at random by weight. A home is
+/// chosen unless its load exceeds the alternative's by more than the saving plus a tolerance that is
+/// proportional to the gain, so a busy home keeps only the requests that still benefit from it.
+/// `random` holds two independent random numbers.
 #[must_use]
 pub fn choose(
     candidates: &[Candidate],
@@ -52,8 +57,9 @@
     random: [u64; 2],
 ) -> Option<Choice> {
     let index = better_of_two(candidates, random)?;
-    let alternative = weighed_load(&candidates[index]);
-    let home = affinity.and_then(|affinity| home_worth_it(candidates, affinity, alternative));
+    let alternative = weighted_load(&candidates[index]);
+    let home =
+        affinity.and_then(|affinity| home_within_load_bound(candidates, affinity, alternative));
     Some(match home {
         Some(home) => Choice {
             index: home,
@@ -66,12 +72,17 @@
     })
 }
 
-/// The first home in rendezvous order that is worth its load.
-fn home_worth_it(candidates: &[Candidate], affinity: Affinity, alternative: f64) -> Option<usize> {
-    let total: f64 = candidates.iter().map(weighed_load).sum();
+/// Returns the first home in rendezvous order whose load is at most the alternative's load plus the
+/// saving and the tolerance.
+fn home_within_load_bound(
+    candidates: &[Candidate],
+    affinity: Affinity,
+    alternative: f64,
+) -> Option<usize> {
+    let total: f64 = candidates.iter().map(weighted_load).sum();
     let mean = total / candidates.len().max(1) as f64;
-    // A miss costs the request its saving, and the fleet as much work again that its cache was to spare:
-    // the busier the fleet is, the more a home may be behind.
+    // A cache miss costs the request its saving and puts the same amount of extra work on the fleet.
+    // The tolerance therefore grows with the mean load.
     let tolerance = affinity.gain * HOME_LOAD_TOLERANCE * mean;
     let bound = alternative + affinity.saving + tolerance;
     let mut order: Vec<usize> = (0..candidates.len()).collect();
@@ -81,11 +92,11 @@
         right.total_cmp(&left)
     });
     let mut homes = order.into_iter().take(HOMES_TRIED);
-    homes.find(|index| weighed_load(&candidates[*index]) <= bound)
+    homes.find(|index| weighted_load(&candidates[*index]) <= bound)
 }
 
-/// Load of a candidate for its share of new work.
-fn weighed_load(candidate: &Candidate) -> f64 {
+/// Returns the candidate's load scaled to full weight.
+fn weighted_load(candidate: &Candidate) -> f64 {
     candidate.load * f64::from(FULL_WEIGHT_MILLI) / f64::from(candidate.weight_milli.max(1))
 }
 
@@ -93,31 +104,31 @@
     rendezvous::score(key, &candidate.backend_id, candidate.weight_milli.max(1))
 }
 
-/// Draws two different candidates by weight and takes the one with less load for its weight.
+/// Draws two different candidates by weight and returns the one with the lower weighted load.
 fn better_of_two(candidates: &[Candidate], random: [u64; 2]) -> Option<usize> {
     let first = draw_by_weight(candidates, None, random[0])?;
     let Some(second) = draw_by_weight(candidates, Some(first), random[1]) else {
         return Some(first);
     };
-    let prefer_first = weighed_load(&candidates[first]) <= weighed_load(&candidates[second]);
+    let prefer_first = weighted_load(&candidates[first]) <= weighted_load(&candidates[second]);
     Some(if prefer_first { first } else { second })
 }
 
-fn draw_by_weight(candidates: &[Candidate], without: Option<usize>, random: u64) -> Option<usize> {
+fn draw_by_weight(candidates: &[Candidate], excluded: Option<usize>, random: u64) -> Option<usize> {
     let weight = |index: usize| u64::from(candidates[index].weight_milli.max(1));
     let eligible: Vec<usize> = (0..candidates.len())
-        .filter(|index| Some(*index) != without)
+        .filter(|index| Some(*index) != excluded)
         .collect();
     let total: u64 = eligible.iter().map(|index| weight(*index)).sum();
     if total == 0 {
         return None;
     }
-    let mut left = random % total;
+    let mut remaining = random % total;
     for index in eligible {
-        if left < weight(index) {
+        if remaining < weight(index) {
             return Some(index);
         }
-        left -= weight(index);
+        remaining -= weight(index);
     }
     None
 }
--- a/crates/routing/src/fair_queue.rs
+++ b/crates/routing/src/fair_queue.rs
@@ -1,20 +1,20 @@
-//! Fair turns among tenants while the backends are too busy.
+//! Fair queueing of requests among tenants while the backends are overloaded.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard};
 
 use crate::lock::lock;
 
-/// Id of a waiting request.
+/// Id of a waiting request, unique within its queue.
 pub type WaiterId = u64;
 
-/// Queues by what their requests compete for: a pool and a model.
+/// The queues of all pools and models.
 #[derive(Debug, Default)]
 pub struct FairQueues {
     queues: Mutex<BTreeMap<QueueKey, Arc<FairQueue>>>,
 }
 
-/// What the requests of one queue compete for.
+/// Pool and model whose capacity the requests of one queue compete for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueKey {
     /// Name of the pool.
@@ -24,14 +24,14 @@
 }
 
 impl FairQueues {
-    /// The queue of this pool and model.
+    /// Returns the queue of this pool and model, and creates it on first use.
     #[must_use]
     pub fn queue(&self, key: &QueueKey) -> Arc<FairQueue> {
         let mut queues = lock(&self.queues);
         if let Some(queue) = queues.get(key) {
             return Arc::clone(queue);
         }
-        // Only matched requests come here, so routes bound the number of queues.
+        // Only requests that matched a route are queued, so the routes bound the number of queues.
         Arc::clone(queues.entry(key.clone()).or_default())
     }
 }
@@ -49,17 +49,17 @@
     next_id: WaiterId,
 }
 
-/// Work in flight per tenant and the requests that wait for their turn.
+/// Work in flight per tenant, and the requests that wait for capacity.
 ///
-/// While there is no capacity, tenants over their share are refused at once and the others wait;
-/// the tenant with the least work in flight goes first.
+/// While there is no capacity, requests of tenants over their share are refused at once and the others
+/// wait; the tenant with the least work in flight is served first.
 #[derive(Debug, Default)]
 pub struct FairQueue {
     state: Mutex<QueueState>,
 }
 
 impl FairQueue {
-    /// Counts an admitted request of this many tokens, until [`FairQueue::finish`].
+    /// Counts an admitted request with this many uncached prompt tokens until [`FairQueue::finish`].
     pub fn begin(&self, tenant: &str, tokens: u64) {
         let mut state = self.lock();
         state
@@ -69,16 +69,17 @@
             .in_flight += tokens;
     }
 
-    /// The admitted request is past its prefill or has ended.
+    /// Stops counting an admitted request: its prefill is complete, or it has ended.
     pub fn finish(&self, tenant: &str, tokens: u64) {
         let mut state = self.lock();
         if let Some(queue) = state.tenants.get_mut(tenant) {
             queue.in_flight = queue.in_flight.saturating_sub(tokens);
         }
-        state.forget_if_idle(tenant);
+        state.remove_if_idle(tenant);
     }
 
-    /// Whether the tenant has more than an equal share of the work in flight.
+    /// Returns whether the tenant has more than an equal share of the work in flight. This is never so
+    /// while no other tenant has work or waits.
     #[must_use]
     pub fn is_over_share(&self, tenant: &str) -> bool {
         let state = self.lock();
@@ -92,7 +93,7 @@
         competing > 0 && own > total / (competing + 1)
     }
 
-    /// Queues a request behind those of its tenant.
+    /// Queues a request behind the waiting requests of its tenant.
     #[must_use]
     pub fn join(&self, tenant: &str) -> WaiterId {
         let mut state = self.lock();
@@ -103,7 +104,7 @@
         id
     }
 
-    /// Whether it is this request's turn.
+    /// Returns whether this request is the next to be admitted.
     #[must_use]
     pub fn is_next(&self, tenant: &str, id: WaiterId) -> bool {
         let state = self.lock();
@@ -115,16 +116,16 @@
         next.is_some_and(|(name, queue)| name == tenant && queue.waiting.front() == Some(&id))
     }
 
-    /// The request stops waiting, admitted or not.
+    /// Removes a request from the queue, whether it was admitted or not.
     pub fn leave(&self, tenant: &str, id: WaiterId) {
         let mut state = self.lock();
         if let Some(queue) = state.tenants.get_mut(tenant) {
             queue.waiting.retain(|waiting| *waiting != id);
         }
-        state.forget_if_idle(tenant);
+        state.remove_if_idle(tenant);
     }
 
-    /// Whether anyone waits: then newcomers queue up too.
+    /// Returns whether any request waits. New requests must then be queued too.
     #[must_use]
     pub fn has_waiters(&self) -> bool {
         let state = self.lock();
@@ -146,7 +147,7 @@
 }
 
 impl QueueState {
-    fn forget_if_idle(&mut self, tenant: &str) {
+    fn remove_if_idle(&mut self, tenant: &str) {
         let idle = self
             .tenants
             .get(tenant)
--- a/crates/routing/src/forward_table.rs
+++ b/crates/routing/src/forward_table.rs
@@ -1,4 +1,4 @@
-//! Routes of opaque HTTP requests, by host and path prefix.
+//! Routes of HTTP requests that are forwarded without interpretation, by host and path prefix.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,17 +6,17 @@
 use millford_api::config::{ForwardRoute, HttpLimits};
 use millford_api::state::ProxyMember;
 
-/// Forwarding routes, HTTP limits and the proxies, as the feed lists them.
+/// Forwarding routes, HTTP limits and proxies that the feed lists.
 #[derive(Clone, Debug, Default)]
 pub struct ForwardTable {
-    /// Routes of each host in lower case, the longest prefix first.
+    /// Routes by host in lower case, those with the longest path prefix first.
     hosts: BTreeMap<String, Vec<Arc<ForwardRoute>>>,
     limits: Option<HttpLimits>,
     peers: Vec<ProxyMember>,
 }
 
 impl ForwardTable {
-    /// The route with the longest prefix of the path among those of the host.
+    /// Returns the host's route with the longest path prefix that matches, if any.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<ForwardRoute>> {
         let routes = self.hosts.get(&host_name(host))?;
@@ -25,13 +25,13 @@
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// What callers may send and how long they may take, if the configuration says.
+    /// Returns the size and time limits for callers' requests, or `None` if the configuration sets none.
     #[must_use]
     pub fn limits(&self) -> Option<&HttpLimits> {
         self.limits.as_ref()
     }
 
-    /// Every proxy with an open session, this one included.
+    /// Returns every proxy with an open session, including this one.
     #[must_use]
     pub fn peers(&self) -> &[ProxyMember] {
         &self.peers
@@ -53,7 +53,7 @@
     }
 }
 
-/// The host without a port, in lower case. An IPv6 address keeps its brackets.
+/// Returns the host without a port, in lower case. An IPv6 address keeps its brackets.
 fn host_name(host: &str) -> String {
     let name = match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
--- a/crates/routing/src/in_flight_guard.rs
+++ b/crates/routing/src/in_flight_guard.rs
@@ -1,4 +1,4 @@
-//! One request's share in the counts of a replica.
+//! Guard that counts one request as in flight on a replica.
 
 use std::sync::Arc;
 
@@ -6,14 +6,14 @@
 use crate::replica_key::ReplicaKey;
 use crate::replica_load::ReplicaCounts;
 
-/// What a request is counted as.
+/// Counter of [`ReplicaCounts`] that includes the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// The backend reads its prompt.
+    /// The backend processes the prompt and has sent no chunk yet.
     Prefill,
-    /// The backend streams its response.
+    /// The backend streams the response.
     Decode,
-    /// It is still open while the backend drains.
+    /// The request is still open while the backend drains.
     Draining,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// Counts one request as in flight until it is dropped, on whatever path the request ends.
+/// Counts one request as in flight until the guard is dropped, however the request ends.
 #[derive(Debug)]
 pub struct InFlightGuard {
     table: Arc<LoadTable>,
@@ -44,7 +44,7 @@
     phase: Phase,
 }
 
-// Here and not beside the rest of the table, so that the table need not know its guards.
+// This method is here rather than in `load_table` so that the table does not depend on its guards.
 impl LoadTable {
     /// Counts a request with this many uncached prompt tokens until the guard is dropped.
     #[must_use]
@@ -61,18 +61,18 @@
 }
 
 impl InFlightGuard {
-    /// The replica that the request is counted on.
+    /// Returns the replica on which the request is counted.
     #[must_use]
     pub fn key(&self) -> &ReplicaKey {
         &self.key
     }
 
-    /// The first chunk came: from prefill to decode.
+    /// Counts the request as decoding. Called at the first chunk.
     pub fn begin_decode(&mut self) {
         self.move_to(Phase::Decode);
     }
 
-    /// The backend drains while the request is still open.
+    /// Counts the request as held by a draining backend. Called when the backend starts to drain.
     pub fn begin_draining(&mut self) {
         self.move_to(Phase::Draining);
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,7 +1,7 @@
 //! Pure routing decisions: matching, affinity, choice of a backend, admission, retry budget.
 //!
-//! Nothing here reads a clock or a socket: time comes in as
-//! [`millford_core::MonotonicTime`], random numbers as arguments.
+//! This crate reads no clock and no socket: callers pass the time as
+//! [`millford_core::MonotonicTime`], and random numbers as arguments.
 
 pub mod admission;
 pub mod backend_health;
--- a/crates/routing/src/load_table.rs
+++ b/crates/routing/src/load_table.rs
@@ -1,4 +1,4 @@
-//! Work in flight per replica, in shards that each have their own lock.
+//! Work in flight per replica, in shards with one lock each.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,20 +13,20 @@
 use crate::replica_key::ReplicaKey;
 use crate::replica_load::{ReplicaCounts, ReplicaEntry};
 
-/// Number of shards; a power of two.
+/// Number of shards of the table; a power of two.
 const TABLE_SHARDS: usize = 16;
 
 type TableShard = BTreeMap<ReplicaKey, ReplicaEntry>;
 
-/// Counts of this node's work in flight, with what the other nodes reported.
+/// Counts of the work in flight of this node, and of the other nodes as they reported it.
 ///
 /// [`LoadTable::start`] (in [`crate::in_flight_guard`]) counts a request.
 #[derive(Debug)]
 pub struct LoadTable {
     shards: Vec<Mutex<TableShard>>,
-    /// Whether the other nodes themselves publish what they have in flight.
+    /// Whether the other nodes' counts come from the nodes themselves instead of load snapshots.
     follows_peers: AtomicBool,
-    /// Backends on which this node's own work changed since peers were notified.
+    /// Backends on which this node's own work changed since the last [`Self::take_changed`].
     changed: Mutex<BTreeSet<String>>,
     change: Notify,
 }
@@ -44,7 +44,7 @@
 }
 
 impl LoadTable {
-    /// Counts of one replica, all nodes together.
+    /// Returns the counts of one replica, summed over all nodes.
     #[must_use]
     pub fn counts(&self, key: &ReplicaKey) -> ReplicaCounts {
         let shard = self.shard_of(&key.backend_id);
@@ -54,9 +54,10 @@
             .unwrap_or_default()
     }
 
-    /// Estimated processor time in flight on a backend over its cores, in milliseconds.
+    /// Estimates the processor time in flight on a backend divided by its number of cores, in
+    /// milliseconds.
     ///
-    /// Each model's work counts at that model's own cost.
+    /// The work of each model is weighted by the cost estimates of that model.
     #[must_use]
     pub fn backend_load(&self, backend_id: &str, cores: u32, costs: &CostEstimates) -> f64 {
         let shard = self.shard_of(backend_id);
@@ -70,18 +71,18 @@
         work / f64::from(cores.max(1))
     }
 
-    /// Adds a sample for the cost fit of the placement role.
+    /// Adds a cost sample to the next report to the placement role.
     pub fn add_sample(&self, key: &ReplicaKey, sample: CostSample) {
         self.change(key, |entry| entry.add_sample(sample));
     }
 
-    /// Counts a failed request.
+    /// Counts a failed request for the next report.
     pub fn add_failure(&self, key: &ReplicaKey) {
         self.change(key, ReplicaEntry::add_failure);
     }
 
-    /// Reports of the replicas that changed since the last call, one report a pool; unchanged work in flight
-    /// is repeated at longer intervals.
+    /// Returns one report per pool with the replicas that changed since the last call. Unchanged work in
+    /// flight is repeated at longer intervals.
     #[must_use]
     pub fn take_reports(&self) -> Vec<LoadReport> {
         let mut reports: BTreeMap<String, LoadReport> = BTreeMap::new();
@@ -100,13 +101,13 @@
         reports.into_values().collect()
     }
 
-    /// From now on the other nodes' counts come from [`Self::set_others`] only: they are fresher
-    /// there than in the load snapshots of the control plane.
+    /// Takes the other nodes' counts only from [`Self::set_others`] from now on, because they are more
+    /// recent than those in the control plane's load snapshots.
     pub fn follow_peers(&self) {
         self.follows_peers.store(true, Ordering::Relaxed);
     }
 
-    /// Sets what the other nodes have in flight on a backend; a replica that is not listed is idle there.
+    /// Sets the other nodes' work in flight on a backend. A replica that is not listed has none.
     pub fn set_others(&self, backend_id: &str, others: &BTreeMap<ReplicaKey, ReplicaCounts>) {
         let mut shard = self.shard_of(backend_id);
         let known = shard
@@ -120,7 +121,7 @@
         }
     }
 
-    /// This node's own work in flight on a backend, idle replicas left out.
+    /// Returns this node's own work in flight on a backend, without idle replicas.
     #[must_use]
     pub fn own_work_on(&self, backend_id: &str) -> Vec<(ReplicaKey, ReplicaCounts)> {
         let shard = self.shard_of(backend_id);
@@ -128,7 +129,7 @@
         busy.map(|(key, entry)| (key.clone(), entry.own)).collect()
     }
 
-    /// Backends on which this node has work in flight.
+    /// Returns the backends on which this node has work in flight.
     #[must_use]
     pub fn busy_backends(&self) -> BTreeSet<String> {
         let mut ids = BTreeSet::new();
@@ -140,18 +141,20 @@
         ids
     }
 
-    /// Backends on which this node's own work changed since the last call.
+    /// Returns the backends on which this node's own work changed since the last call. Changes are
+    /// recorded only after [`Self::follow_peers`].
     #[must_use]
     pub fn take_changed(&self) -> BTreeSet<String> {
         std::mem::take(&mut *lock(&self.changed))
     }
 
-    /// Resolves once this node's own work changed.
+    /// Waits until this node's own work changes.
     pub async fn until_changed(&self) {
         self.change.notified().await;
     }
 
-    /// Applies what all nodes together have in flight; this node's last report is part of it.
+    /// Applies a snapshot of the work in flight of all nodes. This node's last report is included in it
+    /// and is subtracted. Ignored after [`Self::follow_peers`].
     pub fn merge_snapshot(&self, snapshot: &LoadSnapshot) {
         if self.follows_peers.load(Ordering::Relaxed) {
             return;
@@ -190,7 +193,7 @@
     }
 }
 
-/// The entries of one backend, in the order of their keys.
+/// Returns the entries of one backend, in the order of their keys.
 fn entries_of<'a>(
     shard: &'a TableShard,
     backend_id: &'a str,
@@ -200,7 +203,7 @@
         .take_while(move |(key, _)| key.backend_id == backend_id)
 }
 
-/// Sorts before every replica of the backend.
+/// Returns the key that sorts before those of all replicas of the backend.
 fn first_key(backend_id: &str) -> ReplicaKey {
     ReplicaKey {
         backend_id: backend_id.to_owned(),
--- a/crates/routing/src/prefix.rs
+++ b/crates/routing/src/prefix.rs
@@ -1,27 +1,28 @@
-//! Hashes by which related requests get the same home.
+//! Affinity keys: hashes that give related requests the same home.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How much of a prompt decides its home, in bytes.
+/// Length of the beginning of a prompt that is hashed, in bytes.
 pub const PREFIX_BYTES: usize = 4096;
 
-/// Prompts shorter than this share too little to be worth a home, in bytes.
-pub const SHORTEST_SHARED_PREFIX: usize = 512;
+/// Shortest prompt that gets an affinity key, in bytes: shorter ones share too little prefill.
+pub const MIN_SHARED_PREFIX_BYTES: usize = 512;
 
 const SESSION_SEED: u64 = 0x7365_7373_696f_6e00;
 const PREFIX_SEED: u64 = 0x7072_6566_6978_0000;
 
-/// Hash of a session's name within a tenant: two tenants may use the same name.
+/// Hashes the name of a session together with its tenant, since two tenants may use the same name.
 #[must_use]
 pub fn session_hash(tenant: &str, session: &str) -> u64 {
     let text = format!("{tenant}\u{0}{session}");
     xxh3_64_with_seed(text.as_bytes(), SESSION_SEED)
 }
 
-/// Hash of the beginning of a prompt; `None` for a short prompt.
+/// Hashes the beginning of a prompt. Returns `None` for a prompt shorter than
+/// [`MIN_SHARED_PREFIX_BYTES`].
 #[must_use]
 pub fn prefix_hash(model: &str, prompt: &[u8]) -> Option<u64> {
-    if prompt.len() < SHORTEST_SHARED_PREFIX {
+    if prompt.len() < MIN_SHARED_PREFIX_BYTES {
         return None;
     }
     let end = prompt.len().min(PREFIX_BYTES);
--- a/crates/routing/src/prefix_index.rs
+++ b/crates/routing/src/prefix_index.rs
@@ -1,4 +1,4 @@
-//! Which backends have lately read which prefix blocks of prompts.
+//! Index of the backends that recently processed each prefix block.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Mutex, MutexGuard};
@@ -8,30 +8,30 @@
 
 use crate::lock::lock;
 
-/// Number of shards; a power of two.
+/// Number of shards of the index; a power of two.
 const INDEX_SHARDS: usize = 16;
 
-/// A block that was not used for this long is believed to have been evicted from the backend's cache.
+/// Time since its last use after which a block is assumed to be evicted from the backend's cache.
 pub const RETENTION: Duration = Duration::from_secs(25);
 
-/// A block that is used again is announced to the other nodes at most this often.
+/// Shortest time between two announcements of the same block on the same backend to the other nodes.
 const MIN_ANNOUNCE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// One block of a prompt: its identity includes its position, so that equal ids are equal prefixes.
+/// One block of a prompt. Its id depends on its position, so equal ids mean equal prefixes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixBlock {
-    /// Identity of the block.
+    /// Id of the block.
     pub id: u64,
-    /// Its length, in tokens.
+    /// Length of the block, in tokens.
     pub tokens: u32,
 }
 
-/// A block that a backend has read.
+/// A block that is assumed to be in a backend's cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CachedBlock {
-    /// Identity of the block.
+    /// Id of the block.
     pub block: u64,
-    /// The backend.
+    /// Id of the backend.
     pub backend_id: String,
     /// Length of the block, in tokens.
     pub tokens: u32,
@@ -46,19 +46,19 @@
 
 type UsesByBackend = BTreeMap<String, BlockUse>;
 
-/// Whether other nodes are to be notified of a use.
+/// Whether a use is announced to the other nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Announcement {
-    /// The block is the request's own; no other prompt has it.
+    /// Not announced: no other prompt contains the block.
     Never,
-    /// At most once in [`MIN_ANNOUNCE_INTERVAL`].
+    /// Announced unless the last announcement is more recent than [`MIN_ANNOUNCE_INTERVAL`].
     WhenDue,
 }
 
-/// Blocks by id with the backends that read them, in shards that each have their own lock.
+/// Backends that recently processed each block, by block id, in shards with one lock each.
 ///
-/// Backends do not report what they have cached. What was sent to them decides it, and they evict the least
-/// recently used blocks; so a block counts as cached for a while after its last use.
+/// Backends do not report what they have cached. They cache the prompts sent to them and evict the least
+/// recently used blocks, so a block counts as cached for [`RETENTION`] after its last use.
 #[derive(Debug)]
 pub struct PrefixIndex {
     shards: Vec<Mutex<HashMap<u64, UsesByBackend>>>,
@@ -78,8 +78,8 @@
 }
 
 impl PrefixIndex {
-    /// This node sends a prompt with these blocks to a backend. The first `shareable` of them may come
-    /// again in other prompts.
+    /// Records that this node sends a prompt with these blocks to a backend. Only the first `shareable`
+    /// blocks can occur in other prompts; the rest are not announced.
     pub fn record_dispatch(
         &self,
         now: MonotonicTime,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Another node announced where a block was read.
+    /// Records a block location that another node announced.
     pub fn record_remote_use(&self, now: MonotonicTime, location: &CachedBlock) {
         let mut shard = self.shard_of(location.block);
         let uses = shard.entry(location.block).or_default();
@@ -109,8 +109,8 @@
         block_use.last_used = now;
     }
 
-    /// The backends that used a block last, the newest first: at most `limit`, and only of those in
-    /// `among` unless that is empty.
+    /// Returns the backends that used a block within [`RETENTION`], the most recent first: at most
+    /// `limit`, and only those in `among` unless it is empty.
     #[must_use]
     pub fn most_recent_backends(
         &self,
@@ -131,18 +131,18 @@
         recent.into_iter().map(|(_, id)| id.clone()).collect()
     }
 
-    /// Locations to announce to the other nodes, once each.
+    /// Takes the locations to announce to the other nodes.
     #[must_use]
     pub fn take_announcements(&self) -> Vec<CachedBlock> {
         std::mem::take(&mut *lock(&self.announcements))
     }
 
-    /// Resolves once there are locations to announce.
+    /// Waits until there are locations to announce.
     pub async fn until_announcements(&self) {
         self.announcements_pending.notified().await;
     }
 
-    /// Forgets what was not used for longer than [`RETENTION`].
+    /// Removes blocks that were not used within [`RETENTION`].
     pub fn expire(&self, now: MonotonicTime) {
         for shard in &self.shards {
             lock(shard).retain(|_, uses| {
--- a/crates/routing/src/rendezvous.rs
+++ b/crates/routing/src/rendezvous.rs
@@ -1,10 +1,10 @@
-//! Weighted rendezvous hashing: a lost backend moves only its own keys.
+//! Weighted rendezvous hashing: the loss of a backend moves only the keys whose home it was.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Score of a backend for a key; the highest score is the key's home.
+/// Returns the score of a backend for a key. The backend with the highest score is the key's home.
 ///
-/// A backend of twice the weight is the home of twice the keys.
+/// The number of keys whose home a backend is grows in proportion to its weight.
 #[must_use]
 pub fn score(key: u64, backend_id: &str, weight_milli: u32) -> f64 {
     let hash = xxh3_64_with_seed(backend_id.as_bytes(), key);
@@ -12,7 +12,7 @@
     -f64::from(weight_milli) / uniform.ln()
 }
 
-/// A number strictly between 0 and 1.
+/// Maps a hash to a number strictly between 0 and 1.
 fn uniform_open(hash: u64) -> f64 {
     const MANTISSA_BITS: u32 = 53;
     let mantissa = hash >> (u64::BITS - MANTISSA_BITS);
--- a/crates/routing/src/replica_key.rs
+++ b/crates/routing/src/replica_key.rs
@@ -1,13 +1,14 @@
-//! Which replica a count belongs to.
+//! Key of a replica.
 
-/// One version of one model on one backend of one pool.
+/// Identifies a replica: one version of one model on one backend of one pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaKey {
-    /// Backend that holds it. First, so that a backend's replicas are neighbours in an ordered map.
+    /// Id of the backend. It is the first field so that a backend's replicas are adjacent in an ordered
+    /// map.
     pub backend_id: String,
-    /// Pool of the replica.
+    /// Name of the pool.
     pub pool: String,
-    /// Model.
+    /// Name of the model; empty for a backend that declares none.
     pub model: String,
     /// Version of the model.
     pub version: String,
--- a/crates/routing/src/replica_load.rs
+++ b/crates/routing/src/replica_load.rs
@@ -1,20 +1,21 @@
-//! Counts of one replica's work in flight, and when they are reported.
+//! Work in flight on one replica, and the reports of it.
 
 use millford_api::internal::{CostSample, ReplicaLoad};
 
 use crate::replica_key::ReplicaKey;
 
-/// Most cost samples kept per replica between two reports.
+/// Largest number of cost samples kept per replica between two reports; further ones are dropped.
 const MAX_SAMPLES_PER_REPORT: usize = 64;
 
-/// Unchanged work in flight is reported again after this many reports without it: the placement role
-/// forgets counts that are not refreshed for five seconds. Four reports a second make this three.
+/// Number of reports after which unchanged work in flight is repeated. The placement role discards
+/// counts that are not refreshed for five seconds; at four reports a second this value repeats them
+/// every three seconds.
 const REFRESH_AFTER_REPORTS: u32 = 12;
 
-/// Counts of one replica.
+/// Work in flight on one replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaCounts {
-    /// Prompt tokens sent and not yet answered by a first chunk.
+    /// Uncached prompt tokens of requests that have not received a first chunk.
     pub prefill_tokens: u64,
     /// Streams past their first chunk.
     pub decode_streams: u32,
@@ -23,13 +24,14 @@
 }
 
 impl ReplicaCounts {
-    /// Whether nothing is in flight.
+    /// Returns whether nothing is in flight.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         *self == Self::default()
     }
 
-    /// Sums, bounded: the other nodes' counts come from the network and may be anything.
+    /// Adds the counts without overflow: the other nodes' counts come from the network and can have any
+    /// value.
     #[must_use]
     pub fn saturating_add(self, other: Self) -> Self {
         Self {
@@ -39,7 +41,7 @@
         }
     }
 
-    /// Differences, at least 0.
+    /// Subtracts the counts, each down to 0 at most.
     #[must_use]
     pub fn saturating_sub(self, other: Self) -> Self {
         Self {
@@ -60,33 +62,33 @@
     }
 }
 
-/// What the load table knows of one replica.
+/// Entry of one replica in the load table.
 #[derive(Debug, Default)]
 pub(crate) struct ReplicaEntry {
     /// This node's work in flight.
     pub(crate) own: ReplicaCounts,
-    /// This node's work in flight as it was reported last.
+    /// This node's work in flight at its last report.
     pub(crate) reported: ReplicaCounts,
     /// Work in flight of all other nodes.
     pub(crate) others: ReplicaCounts,
     samples: Vec<CostSample>,
     failures: u32,
-    /// Reports since the last one that held this replica.
+    /// Number of reports since the last one that included this replica.
     reports_skipped: u32,
 }
 
 impl ReplicaEntry {
-    /// Work in flight of all nodes together.
+    /// Returns the work in flight of all nodes.
     pub(crate) fn all_nodes(&self) -> ReplicaCounts {
         self.own.saturating_add(self.others)
     }
 
-    /// Whether the entry holds anything that must be remembered.
+    /// Returns whether the entry must be kept: it has counts, or its last report did.
     pub(crate) fn is_in_use(&self) -> bool {
         !(self.own.is_idle() && self.reported.is_idle() && self.others.is_idle())
     }
 
-    /// Adds a cost sample to the next report, unless that holds enough.
+    /// Adds a cost sample to the next report unless that already has [`MAX_SAMPLES_PER_REPORT`].
     pub(crate) fn add_sample(&mut self, sample: CostSample) {
         if self.samples.len() < MAX_SAMPLES_PER_REPORT {
             self.samples.push(sample);
@@ -98,7 +100,8 @@
         self.failures += 1;
     }
 
-    /// The replica's part of the next report, if anything changed since its last one or it is due again.
+    /// Takes the replica's part of the next report. Returns `None` if nothing changed since the last one
+    /// and no repetition is due.
     pub(crate) fn take_report(&mut self, key: &ReplicaKey) -> Option<ReplicaLoad> {
         let unchanged = self.own == self.reported;
         if unchanged && self.samples.is_empty() && self.failures == 0 {
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -1,48 +1,48 @@
-//! Budget for retries and hedges.
+//! Budget for retries, hedges and resumed streams.
 
 use std::sync::{Mutex, MutexGuard};
 
 use crate::lock::lock;
 
-/// What each first attempt earns, in thousandths of a retry.
+/// Budget earned by each first attempt, in thousandths of a retry.
 pub const EARNED_PER_FIRST_ATTEMPT_MILLI: u64 = 150;
 
-/// Largest balance, in thousandths of a retry: it bounds a burst of retries.
+/// Largest balance, in thousandths of a retry. It limits the size of a burst of retries.
 pub const MAX_BALANCE_MILLI: u64 = 10_000;
 
-/// Cost of one retry, in thousandths.
+/// Cost of one retry, in thousandths of a retry.
 const RETRY_COST_MILLI: u64 = 1000;
 
-/// Retries, hedges and resumed streams all spend from it; only first attempts earn.
+/// Budget that first attempts earn and that retries, hedges and resumed streams spend.
 ///
-/// It starts empty and has no floor, so over any history of any number of nodes, restarts
-/// included, retries are at most 15% of the first attempts.
+/// It starts empty and grants no minimum, so retries are at most 15% of the first attempts at any time,
+/// over any number of nodes and restarts.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
     balance_milli: Mutex<u64>,
 }
 
 impl RetryBudget {
-    /// Counts a first attempt.
+    /// Adds what a first attempt earns, up to [`MAX_BALANCE_MILLI`].
     pub fn earn(&self) {
         let mut balance = self.lock();
         *balance = (*balance + EARNED_PER_FIRST_ATTEMPT_MILLI).min(MAX_BALANCE_MILLI);
     }
 
-    /// Puts back a retry of which no byte was sent.
+    /// Returns the cost of a retry of which no byte was sent.
     pub fn refund(&self) {
         let mut balance = self.lock();
         *balance = (*balance + RETRY_COST_MILLI).min(MAX_BALANCE_MILLI);
     }
 
-    /// Takes one retry out of the budget, if it holds one.
+    /// Spends the cost of one retry. Returns false if the balance is too low.
     #[must_use]
     pub fn try_spend(&self) -> bool {
         let mut balance = self.lock();
-        let Some(left) = balance.checked_sub(RETRY_COST_MILLI) else {
+        let Some(remaining) = balance.checked_sub(RETRY_COST_MILLI) else {
             return false;
         };
-        *balance = left;
+        *balance = remaining;
         true
     }
 
--- a/crates/routing/src/route_entry.rs
+++ b/crates/routing/src/route_entry.rs
@@ -1,34 +1,34 @@
-//! One route of the configuration, ready for matching.
+//! A configured route, prepared for matching requests.
 
 use millford_api::config::{Resume, Route, RouteMatch};
 use millford_core::Duration;
 
 use crate::model_request::ModelRequest;
 
-/// Deadline of a route that names none, in milliseconds.
+/// Deadline of a route that sets none, in milliseconds.
 pub const DEFAULT_DEADLINE_MS: u32 = 60_000;
 
-/// A route with its fields in the types that the request path uses.
+/// A configured route, converted to the types of the request path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteEntry {
     /// Unique name of the route.
     pub name: String,
-    /// What the route matches.
+    /// Conditions that a request must meet; an empty field matches any value.
     pub matches: RouteMatch,
-    /// Name of the pool that serves it.
+    /// Name of the pool that serves the route.
     pub pool: String,
     /// Whether a request may be sent to a second backend.
     pub repeatable: bool,
-    /// What may happen to a stream after its first chunk.
+    /// Whether and how a stream that breaks after its first chunk is resumed on another backend.
     pub resume: Resume,
-    /// Longest time from arrival to the last byte.
+    /// Longest time from the arrival of a request to the last byte of its response.
     pub deadline: Duration,
-    /// Time without a response before a hedged request, if the route hedges.
+    /// Time without a response after which a hedge is sent; `None` if the route does not hedge.
     pub hedge_delay: Option<Duration>,
 }
 
 impl RouteEntry {
-    /// Converts a configured route.
+    /// Converts a configured route and fills in the defaults.
     #[must_use]
     pub fn from_config(route: &Route) -> Self {
         let deadline_ms = match route.deadline_ms {
@@ -47,13 +47,13 @@
         }
     }
 
-    /// Whether the route serves GET lookups.
+    /// Returns whether the route serves GET lookups by path instead of model requests.
     #[must_use]
     pub fn is_lookup(&self) -> bool {
         !self.matches.path_prefix.is_empty()
     }
 
-    /// Whether the route matches a request for this model.
+    /// Returns whether the route matches a request for this model.
     #[must_use]
     pub fn matches_model(&self, requested: &ModelRequest) -> bool {
         let matches = &self.matches;
@@ -64,7 +64,7 @@
             && field_matches(&matches.adapter, &requested.adapter)
     }
 
-    /// Whether the route matches a lookup of this path. A prefix ends at a path segment.
+    /// Returns whether the route matches a lookup of this path. A prefix matches only whole path segments.
     #[must_use]
     pub fn matches_path(&self, path: &str) -> bool {
         let prefix = self.matches.path_prefix.as_str();
@@ -74,7 +74,8 @@
         prefix.ends_with('/') || path.len() == prefix.len() || path[prefix.len()..].starts_with('/')
     }
 
-    /// How many fields the route fixes: among several that match, the most specific wins.
+    /// Returns the rank of the route among several that match; the highest wins. It is the number of
+    /// model fields that the route sets plus the length of its path prefix.
     #[must_use]
     pub fn specificity(&self) -> usize {
         let matches = &self.matches;
@@ -87,17 +88,17 @@
         fields.iter().filter(|field| !field.is_empty()).count() + matches.path_prefix.len()
     }
 
-    /// What a backend must declare to serve `requested` through this route.
+    /// Returns what a backend must declare to serve `requested` through this route.
     ///
-    /// The route's own fields fill in what the request left open.
+    /// The fields of the route fill in those that the request leaves empty.
     #[must_use]
     pub fn requirement(&self, requested: &ModelRequest) -> ModelRequest {
         let matches = &self.matches;
         ModelRequest {
-            model: first_named(&requested.model, &matches.model),
-            version: first_named(&requested.version, &matches.version),
-            stage: first_named(&requested.stage, &matches.stage),
-            adapter: first_named(&requested.adapter, &matches.adapter),
+            model: first_non_empty(&requested.model, &matches.model),
+            version: first_non_empty(&requested.version, &matches.version),
+            stage: first_non_empty(&requested.stage, &matches.stage),
+            adapter: first_non_empty(&requested.adapter, &matches.adapter),
         }
     }
 }
@@ -106,7 +107,7 @@
     configured.is_empty() || configured == requested
 }
 
-fn first_named(requested: &str, configured: &str) -> String {
+fn first_non_empty(requested: &str, configured: &str) -> String {
     let named = if requested.is_empty() {
         configured
     } else {
--- a/crates/routing/src/routing_table.rs
+++ b/crates/routing/src/routing_table.rs
@@ -1,4 +1,4 @@
-//! Everything that the feed carries, indexed for the request path.
+//! Configuration, backends and placements from the feed, indexed for the request path.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,10 +13,10 @@
 use crate::route_entry::RouteEntry;
 use crate::serving_pool::ServingPool;
 
-/// Prefix of the keys of backends.
+/// Prefix of the keys of backends in the feed.
 const BACKEND_KEY_PREFIX: &str = "backend/";
 
-/// One revision of the configuration with the backends and placements known beside it.
+/// One configuration revision, with the backends and placements that the feed lists.
 #[derive(Clone, Debug, Default)]
 pub struct RoutingTable {
     revision: u64,
@@ -44,8 +44,8 @@
                 Some(Kind::Pool(pool)) => pools.push(pool),
                 Some(Kind::Tenant(tenant)) => table.add_tenant(tenant),
                 Some(Kind::Backend(backend)) => {
-                    let service = service_of_backend_key(key);
-                    let list = backends.entry(service.to_owned()).or_default();
+                    let pool = pool_of_backend_key(key);
+                    let list = backends.entry(pool.to_owned()).or_default();
                     list.push(Arc::new(backend.clone()));
                 }
                 Some(Kind::Placement(placement)) => {
@@ -70,46 +70,47 @@
         table
     }
 
-    /// Number of the configuration revision; 0 before any.
+    /// Returns the number of the configuration revision, or 0 before the first one.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Forwarding routes, HTTP limits and the other proxies.
+    /// Returns the forwarding routes, HTTP limits and proxies.
     #[must_use]
     pub fn forward(&self) -> &ForwardTable {
         &self.forward
     }
 
-    /// Whether the configuration lists tenants, so that requests need a key.
+    /// Returns whether the configuration lists any tenant with a key. Requests must then present one.
     #[must_use]
     pub fn has_tenants(&self) -> bool {
         !self.tenants_by_key_hash.is_empty()
     }
 
-    /// The tenants that hold a valid key, in the order of their keys' hashes; one may be listed twice.
+    /// Returns the tenant of every valid key, in the order of the key hashes. A tenant with several keys
+    /// is listed once for each.
     pub fn tenants(&self) -> impl Iterator<Item = &Arc<Tenant>> {
         self.tenants_by_key_hash.values()
     }
 
-    /// The tenant that owns a key with this hash.
+    /// Returns the tenant that owns the key with this hash, given in lower case.
     #[must_use]
     pub fn tenant_of_key_hash(&self, key_hash: &str) -> Option<&Arc<Tenant>> {
         self.tenants_by_key_hash.get(key_hash)
     }
 
-    /// The tenant with this name.
+    /// Returns the tenant with this name.
     #[must_use]
     pub fn tenant_named(&self, name: &str) -> Option<&Arc<Tenant>> {
         self.tenants_by_name.get(name)
     }
 
-    /// The most specific route for a model request.
+    /// Returns the most specific route for a model request.
     ///
     /// # Errors
-    /// [`ResultCode::ModelUnknown`], or [`ResultCode::NoRoute`] for a known model in a combination without
-    /// a route.
+    /// [`ResultCode::ModelUnknown`] if no route names the model; [`ResultCode::NoRoute`] if one does, but
+    /// not with this version, stage and adapter.
     pub fn match_model(&self, requested: &ModelRequest) -> Result<&Arc<RouteEntry>, ResultCode> {
         let found = self
             .routes
@@ -118,34 +119,34 @@
         found.ok_or_else(|| self.no_route_reason(requested))
     }
 
-    /// The route with the longest prefix of a lookup path.
+    /// Returns the route with the longest path prefix that matches a lookup.
     ///
     /// # Errors
-    /// [`ResultCode::PathUnknown`].
+    /// [`ResultCode::PathUnknown`] if no route matches the path.
     pub fn match_path(&self, path: &str) -> Result<&Arc<RouteEntry>, ResultCode> {
         let found = self.routes.iter().find(|route| route.matches_path(path));
         found.ok_or(ResultCode::PathUnknown)
     }
 
-    /// The pool with this name.
+    /// Returns the pool with this name.
     #[must_use]
     pub fn pool(&self, name: &str) -> Option<&Arc<ServingPool>> {
         self.pools.get(name)
     }
 
-    /// All pools, in the order of their names.
+    /// Returns all pools, in the order of their names.
     pub fn pools(&self) -> impl Iterator<Item = &Arc<ServingPool>> {
         self.pools.values()
     }
 
-    /// All routes, the most specific first.
+    /// Returns all routes, the most specific first.
     #[must_use]
     pub fn routes(&self) -> &[Arc<RouteEntry>] {
         &self.routes
     }
 
-    /// Names by which callers can request models: the model, and the model with its version where
-    /// a route names one. Lookup routes and routes for any model name none.
+    /// Returns the names by which callers can request models: `model` or, for a route that sets a
+    /// version, `model@version`. Lookup routes and routes for any model add none.
     #[must_use]
     pub fn models(&self) -> BTreeSet<String> {
         let mut names = BTreeSet::new();
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Distinguishes an unknown model from a known model in a combination without a route.
+    /// Returns the code for a request without a route, which depends on whether any route names the model.
     fn no_route_reason(&self, requested: &ModelRequest) -> ResultCode {
         let mut routes = self.routes.iter().filter(|route| !route.is_lookup());
         if routes.any(|route| route.matches.model == requested.model) {
@@ -181,8 +182,8 @@
     }
 }
 
-/// The pool in a key `backend/<pool>/<backend id>`.
-fn service_of_backend_key(key: &str) -> &str {
+/// Returns the pool in a key `backend/<pool>/<backend id>`.
+fn pool_of_backend_key(key: &str) -> &str {
     let rest = key.strip_prefix(BACKEND_KEY_PREFIX).unwrap_or(key);
     rest.split('/').next().unwrap_or(rest)
 }
--- a/crates/routing/src/running_mean.rs
+++ b/crates/routing/src/running_mean.rs
@@ -1,12 +1,13 @@
-//! Mean that follows slow changes.
+//! Running mean that follows slow changes.
 
-/// Smallest weight of a new sample.
+/// Smallest weight of a new sample, from 0 to 1.
 const MIN_SAMPLE_WEIGHT: f64 = 0.02;
 
-/// Samples that the prior counts as.
+/// Number of samples that the prior counts as.
 const PRIOR_SAMPLES: u32 = 2;
 
-/// A mean that starts at a prior, learns fast at first and then forgets slowly.
+/// A running mean that starts at a prior. It averages the first samples equally, then discounts old
+/// samples exponentially.
 #[derive(Clone, Copy, Debug)]
 pub struct RunningMean {
     value: f64,
@@ -14,7 +15,7 @@
 }
 
 impl RunningMean {
-    /// A mean before any sample.
+    /// Creates a mean with the value `prior`.
     #[must_use]
     pub fn with_prior(prior: f64) -> Self {
         Self {
@@ -30,7 +31,7 @@
         self.value += (sample - self.value) * weight;
     }
 
-    /// The mean.
+    /// Returns the mean, or the prior before the first sample.
     #[must_use]
     pub fn value(&self) -> f64 {
         self.value
--- a/crates/routing/src/serving_pool.rs
+++ b/crates/routing/src/serving_pool.rs
@@ -1,4 +1,4 @@
-//! A pool's backends and replicas as the feed lists them.
+//! A pool with its backends and replicas, from the feed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,30 +9,30 @@
 
 use crate::model_request::ModelRequest;
 
-/// Time for a draining backend's streams when the pool names none.
+/// Drain time of a pool that sets none.
 pub const DEFAULT_DRAIN: Duration = Duration::from_secs(30);
 
-/// Weight of a replica that placement says nothing about, in thousandths.
+/// Weight of a replica that no placement lists, in thousandths.
 pub const FULL_WEIGHT_MILLI: u32 = 1000;
 
 /// One backend that can serve one version of one model.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServingReplica {
-    /// The backend.
+    /// Backend that holds the replica.
     pub backend: Arc<Backend>,
-    /// Model, or empty for a backend that declared nothing.
+    /// Name of the model; empty for a backend that declares none.
     pub model: String,
-    /// Version of the model.
+    /// Version of the model; empty for a backend that declares none.
     pub version: String,
-    /// Stage that the backend declared.
+    /// Stage that the backend declares, for instance `production` or `canary`.
     pub stage: String,
-    /// Adapters that the backend declared.
+    /// Adapters that the backend declares.
     pub adapters: Vec<String>,
     /// Relative share of new work, in thousandths.
     pub weight_milli: u32,
-    /// Whether new work may go to it.
+    /// Whether new work may be sent to the replica.
     pub accepts_work: bool,
-    /// Whether the placement in force lists it.
+    /// Whether the current placement lists the replica.
     pub placed: bool,
 }
 
@@ -41,18 +41,19 @@
 pub struct ServingPool {
     /// Name of the pool.
     pub name: String,
-    /// Time for a draining backend's streams to finish or be resumed elsewhere.
+    /// Time for the streams of a draining backend to finish or to be resumed on another one.
     pub drain: Duration,
-    /// Version that should serve requests that name none. Empty: the highest one.
+    /// Version that serves requests without a version; if empty, the highest version does.
     pub target_version: String,
-    /// Connections that one backend takes from all nodes together; 0 when no limit is known.
+    /// Largest number of connections that one backend accepts from all nodes together; 0 if no limit is
+    /// set.
     pub max_connections: u32,
     replicas: Vec<ServingReplica>,
     backends: BTreeMap<String, Arc<Backend>>,
 }
 
 impl ServingPool {
-    /// Combines what the feed says about one pool.
+    /// Builds a pool from its configuration, its backends and its placement, if there is one.
     #[must_use]
     pub fn build(
         pool: &Pool,
@@ -83,31 +84,31 @@
         }
     }
 
-    /// The backend with this id, if the feed still lists it.
+    /// Returns the backend with this id, if the feed still lists it.
     #[must_use]
     pub fn backend(&self, id: &str) -> Option<&Arc<Backend>> {
         self.backends.get(id)
     }
 
-    /// All backends of the pool, in the order of their ids.
+    /// Returns all backends of the pool, in the order of their ids.
     pub fn backends(&self) -> impl Iterator<Item = &Arc<Backend>> {
         self.backends.values()
     }
 
-    /// Whether the backend may get new work as far as the feed knows.
+    /// Returns whether the feed lists the backend as active, so that it may get new work.
     #[must_use]
     pub fn backend_is_active(&self, id: &str) -> bool {
         let backend = self.backends.get(id);
         backend.is_some_and(|backend| backend.state() == BackendState::BackendActive)
     }
 
-    /// Whether any backend, active or not, declares the model.
+    /// Returns whether any backend, active or not, declares the model.
     #[must_use]
     pub fn knows_model(&self, model: &str) -> bool {
         self.replicas.iter().any(|replica| replica.model == model)
     }
 
-    /// Replicas that may take new work of this kind. Draining and removed backends are never listed.
+    /// Returns the replicas that may serve the request. Draining and removed backends are never included.
     #[must_use]
     pub fn candidates(&self, requested: &ModelRequest) -> Vec<&ServingReplica> {
         let serving =
@@ -123,7 +124,8 @@
         found
     }
 
-    /// Without a requested version and without a placement, the target version serves once any backend has it.
+    /// Reduces the replicas to one version if none is requested and none of them is placed: the target
+    /// version if any backend has it, otherwise the highest.
     fn keep_one_version(&self, found: &mut Vec<&ServingReplica>) {
         let has_target = found
             .iter()
@@ -133,8 +135,8 @@
         } else {
             found.iter().map(|replica| replica.version.clone()).max()
         };
-        // A transition goes in small steps: with a placement every placed version serves, or the first
-        // replica of the target version would get the whole pool's work.
+        // A version transition proceeds in small steps. With a placement every placed version serves;
+        // otherwise the first replica of the target version would get all the work of the pool.
         let placed = found.iter().any(|replica| replica.placed);
         if let (Some(version), false) = (version, placed) {
             found.retain(|replica| replica.version == version);
@@ -168,12 +170,13 @@
     replica.collect()
 }
 
-/// Weights of the placement; a model whose placed replicas are all lost is served by declaration.
+/// Applies the placement's weights and excludes replicas that it does not list. A model whose placed
+/// replicas are all lost is served by every backend that declares it.
 fn apply_placement(replicas: &mut [ServingReplica], placement: &PoolPlacement) {
     let mut placed_models: BTreeMap<String, bool> = BTreeMap::new();
     for replica in replicas.iter() {
-        let live = replica.accepts_work && placed_weight(replica, placement).is_some();
-        *placed_models.entry(replica.model.clone()).or_default() |= live;
+        let accepting = replica.accepts_work && placed_weight(replica, placement).is_some();
+        *placed_models.entry(replica.model.clone()).or_default() |= accepting;
     }
     for replica in replicas.iter_mut() {
         if !placed_models.get(&replica.model).copied().unwrap_or(false) {
--- a/crates/routing/tests/budget.rs
+++ b/crates/routing/tests/budget.rs
@@ -1,10 +1,10 @@
-//! The retry budget bounds second sends by construction.
+//! The retry budget limits retries to 15% of the first attempts.
 
 use millford_routing::RetryBudget;
 use quickcheck::quickcheck;
 
 quickcheck! {
-    /// Over any history, second sends stay within 15% of the first ones.
+    /// Retries never exceed 15% of the first attempts, in any order of events.
     fn retries_stay_within_the_ratio(history: Vec<bool>) -> bool {
         let budget = RetryBudget::default();
         let (mut first_attempts, mut retries) = (0u64, 0u64);
@@ -22,12 +22,12 @@
         true
     }
 
-    /// Restarts of many nodes at any time do not add to the sum.
-    fn restarts_do_not_add_retries(incarnations: Vec<Vec<bool>>) -> bool {
+    /// The limit also holds for the sum over many nodes and restarts.
+    fn the_ratio_holds_across_restarts(process_histories: Vec<Vec<bool>>) -> bool {
         let (mut first_attempts, mut retries) = (0u64, 0u64);
-        for incarnation in incarnations {
+        for process_history in process_histories {
             let budget = RetryBudget::default();
-            for is_first in incarnation {
+            for is_first in process_history {
                 if is_first {
                     budget.earn();
                     first_attempts += 1;
@@ -41,13 +41,13 @@
 }
 
 #[test]
-fn a_new_node_may_not_retry() {
+fn a_new_node_cannot_retry() {
     let budget = RetryBudget::default();
     assert!(!budget.try_spend());
 }
 
 #[test]
-fn an_idle_period_does_not_accumulate_a_retry_storm() {
+fn the_balance_limits_a_burst_of_retries() {
     let budget = RetryBudget::default();
     (0..100_000).for_each(|_| budget.earn());
     let burst = (0..1_000).filter(|_| budget.try_spend()).count();
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -32,22 +32,22 @@
 }
 
 quickcheck! {
-    /// Something is chosen whenever there is something to choose.
-    fn a_choice_exists(loads: Vec<u8>, key: Option<u64>, first: u64, second: u64) -> bool {
+    /// A candidate is chosen unless the list is empty.
+    fn a_candidate_is_chosen_unless_there_is_none(loads: Vec<u8>, key: Option<u64>, first: u64, second: u64) -> bool {
         let list = candidates(&loads);
         let choice = choose(&list, key.map(|key| affinity(key, 1.0)), [first, second]);
         choice.is_some() != list.is_empty()
             && choice.is_none_or(|choice| choice.index < list.len())
     }
 
-    /// An idle fleet sends a key always to its home, whatever the random numbers.
+    /// In an idle fleet a key always goes to its home, whatever the random numbers are.
     fn an_idle_fleet_sends_a_key_to_its_home(count: u8, key: u64, first: u64, second: u64) -> bool {
         let list = candidates(&vec![0; usize::from(count % 20) + 1]);
         let choice = choose(&list, Some(affinity(key, 1.0)), [first, second]).expect("a choice");
         choice.by_affinity && choice.index == home(&list, key)
     }
 
-    /// Losing a backend moves only the keys that had their home there.
+    /// The loss of a backend moves only the keys whose home it was.
     fn a_lost_backend_moves_only_its_own_keys(count: u8, lost: u8, key: u64) -> bool {
         let list = candidates(&vec![0; usize::from(count % 20) + 2]);
         let lost = usize::from(lost) % list.len();
@@ -58,8 +58,8 @@
         before == lost || after.backend_id == list[before].backend_id
     }
 
-    /// A home is chosen only while it is not behind the drawn alternative by more than it saves.
-    fn affinity_keeps_the_load_bound(loads: Vec<u8>, key: u64, saving: u8) -> bool {
+    /// Without a gain, a home is chosen only if its load exceeds the alternative's by at most the saving.
+    fn load_of_a_home_is_bounded_by_the_saving(loads: Vec<u8>, key: u64, saving: u8) -> bool {
         let list = candidates(&loads);
         let saving = f64::from(saving);
         let alternative = choose(&list, None, [3, 5]);
@@ -73,8 +73,9 @@
         }
     }
 
-    /// With a gain, a home may be behind by the saving and the patience, and no more.
-    fn load_tolerance_is_bounded(loads: Vec<u8>, key: u64, saving: u8, gain: u8) -> bool {
+    /// With a gain, the load of a chosen home exceeds the alternative's by at most the saving and the
+    /// tolerance.
+    fn load_of_a_home_is_bounded_by_saving_and_tolerance(loads: Vec<u8>, key: u64, saving: u8, gain: u8) -> bool {
         let list = candidates(&loads);
         let gain = f64::from(gain % 101) / 100.0;
         let affinity = Some(Affinity { key, saving: f64::from(saving), gain });
@@ -88,7 +89,7 @@
         }
     }
 
-    /// A home that is worth its load is never passed over.
+    /// A home is always chosen if its saving is at least the largest possible load.
     fn a_home_whose_saving_exceeds_its_load_is_chosen(loads: Vec<u8>, key: u64) -> bool {
         let list = candidates(&loads);
         let enough = f64::from(u8::MAX);
@@ -96,8 +97,8 @@
             .is_none_or(|choice| choice.by_affinity && choice.index == home(&list, key))
     }
 
-    /// The better of two is never the worst of three or more different loads.
-    fn the_worst_of_many_is_not_chosen(count: u8, first: u64, second: u64) -> bool {
+    /// The less loaded of two candidates is never the most loaded of three or more different ones.
+    fn the_most_loaded_of_many_is_not_chosen(count: u8, first: u64, second: u64) -> bool {
         let loads: Vec<u8> = (0..=(count % 30) + 2).collect();
         let list = candidates(&loads);
         let choice = choose(&list, None, [first, second]).expect("a choice");
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn weights_divide_the_keys() {
+fn keys_are_divided_by_weight() {
     let mut list = candidates(&[0, 0]);
     list[0].weight_milli = 3000;
     let keys = 20_000u64;
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn weights_divide_the_draws() {
+fn draws_are_divided_by_weight() {
     let mut list = candidates(&[0, 0, 0]);
     list[2].weight_milli = 0;
     let mut chosen = [0u32; 3];
@@ -126,6 +127,6 @@
         let choice = choose(&list, None, random).expect("a choice");
         chosen[choice.index] += 1;
     }
-    // A weight of nothing is drawn as one thousandth at most.
+    // A weight of 0 is treated as one thousandth.
     assert!(chosen[2] < 30, "{chosen:?}");
 }
--- a/crates/routing/tests/forward_table.rs
+++ b/crates/routing/tests/forward_table.rs
@@ -1,4 +1,4 @@
-//! Forwarding routes, locations of prefix blocks, and counts published by peers.
+//! Tests of forwarding routes, the prefix index, counts published by peers, and inactivity of backends.
 
 mod support;
 
@@ -99,7 +99,7 @@
     prefix_index.record_remote_use(at(1000), &remote);
     let backends = |now: u64, block: u64| prefix_index.most_recent_backends(at(now), block, &[], 8);
     assert_eq!(backends(2000, 1), ["b-1"]);
-    assert_eq!(backends(2000, 2), ["b-2", "b-1"], "the newest first");
+    assert_eq!(backends(2000, 2), ["b-2", "b-1"], "the most recent first");
     assert_eq!(backends(2000, 3), ["b-1"]);
     assert_eq!(
         prefix_index.most_recent_backends(at(2000), 2, &["b-1", "b-3"], 8),
@@ -114,7 +114,7 @@
         .iter()
         .map(|location| location.block)
         .collect();
-    assert_eq!(announced, [1, 2], "what nobody shares is not announced");
+    assert_eq!(announced, [1, 2], "only shareable blocks are announced");
     assert_eq!(prefix_index.take_announcements(), []);
     assert_eq!(backends(25_500, 1), Vec::<String>::new());
     assert_eq!(backends(25_500, 2), ["b-2"]);
@@ -130,13 +130,13 @@
     table.follow_peers();
     let key = replica_key("b-1", "m");
     let guard = table.start(key.clone(), 100);
-    let theirs = ReplicaCounts {
+    let peer_counts = ReplicaCounts {
         prefill_tokens: 50,
         decode_streams: 2,
         held_requests: 0,
     };
     assert_eq!(table.take_changed(), BTreeSet::from(["b-1".to_owned()]));
-    table.set_others("b-1", &BTreeMap::from([(key.clone(), theirs)]));
+    table.set_others("b-1", &BTreeMap::from([(key.clone(), peer_counts)]));
     table.merge_snapshot(&millford_api::internal::LoadSnapshot::default());
     assert_eq!(table.counts(&key).prefill_tokens, 150);
     let own = table.own_work_on("b-1");
@@ -144,13 +144,17 @@
     assert_eq!((&own[0].0, own[0].1.prefill_tokens), (&key, 100));
     assert_eq!(table.busy_backends().len(), 1);
     table.set_others("b-2", &BTreeMap::new());
-    assert_eq!(table.counts(&key).decode_streams, 2, "of another backend");
+    assert_eq!(
+        table.counts(&key).decode_streams,
+        2,
+        "counts of another backend must not change"
+    );
     table.set_others("b-1", &BTreeMap::new());
     assert_eq!(table.counts(&key).decode_streams, 0);
     assert_eq!(
         table.take_changed(),
         BTreeSet::new(),
-        "others are no own change"
+        "peers' counts are not changes of this node's own work"
     );
     drop(guard);
     assert_eq!(table.take_changed(), BTreeSet::from(["b-1".to_owned()]));
@@ -172,13 +176,13 @@
     assert!(!health.is_unresponsive("b", at(10_550), span));
     assert!(
         health.is_unresponsive("b", at(10_600), span),
-        "later uses do not hide it"
+        "later uses must not restart the timeout"
     );
     health.record_activity("b", at(10_700));
     assert!(!health.is_unresponsive("b", at(11_200), span));
     health.record_dispatch("b", at(20_000));
     assert!(
         !health.is_unresponsive("b", at(20_100), span),
-        "it was idle, not unresponsive"
+        "the idle time before the use must not count"
     );
 }
--- a/crates/routing/tests/load.rs
+++ b/crates/routing/tests/load.rs
@@ -1,4 +1,4 @@
-//! Counts in flight, cost fit, fair turns, health.
+//! Tests of the load table, cost estimates, admission, fair queueing and backend health.
 
 mod support;
 
@@ -14,7 +14,7 @@
 use support::replica_key as key;
 
 quickcheck! {
-    /// Whatever a request went through, its end leaves nothing behind.
+    /// No count remains after a guard is dropped, in any phase of the request.
     fn dropped_guards_leave_no_count(phases: Vec<(u8, u16)>) -> bool {
         let table: Arc<LoadTable> = Arc::default();
         let mut guards = Vec::new();
@@ -32,8 +32,8 @@
         table.counts(&key("b", "saga")) == ReplicaCounts::default()
     }
 
-    /// The fit of a straight line finds the line.
-    fn a_line_is_found(base: u8, slope: u8) -> bool {
+    /// Samples on a straight line give the parameters of that line.
+    fn a_line_is_fitted(base: u8, slope: u8) -> bool {
         let costs = CostEstimates::default();
         let (base, slope) = (f64::from(base), f64::from(slope) / 100.0);
         for tokens in (0..4000u64).step_by(100) {
@@ -61,7 +61,7 @@
 #[test]
 fn a_load_snapshot_adds_other_nodes_without_counting_this_one_twice() {
     let table: Arc<LoadTable> = Arc::default();
-    let _ticket = table.start(key("b1", "saga"), 100);
+    let _guard = table.start(key("b1", "saga"), 100);
     let _ = table.take_reports();
     table.merge_snapshot(&LoadSnapshot {
         service: "models".to_owned(),
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_heavy_model_weighs_more_than_a_light_one() {
+fn work_is_weighted_by_the_cost_of_the_model() {
     let costs = CostEstimates::default();
     for tokens in (0..4000u64).step_by(100) {
         costs.add_first_token("heavy", tokens, 2.0 * tokens as f64);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn an_only_tenant_is_never_over_its_share() {
+fn a_single_tenant_is_never_over_its_share() {
     let queue = FairQueue::default();
     queue.begin("only", 1_000_000);
     assert!(!queue.is_over_share("only"));
@@ -165,12 +165,13 @@
     assert!(!health.probe_failed("b1"));
     assert!(health.probe_failed("b1"));
     assert!(!health.is_usable("b1"));
-    // Long after its last use only an ejected backend is still probed.
+    // An ejected backend is still probed long after its last use.
     let much_later = later + Duration::from_mins(2);
     assert_eq!(health.to_probe(much_later, quiet), ["b1"]);
 }
 
-/// The placement role forgets counts that are not refreshed: a long stream must show again and again.
+/// The placement role discards counts that are not refreshed, so the work of a long stream must be
+/// reported repeatedly.
 #[test]
 fn unchanged_work_is_reported_again_and_idle_replicas_are_not() {
     let table: Arc<LoadTable> = Arc::default();
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -1,15 +1,12 @@
-//! Fixtures of the routing tests.
+//! Fixtures for the routing tests.
 
-#![allow(
-    dead_code,
-    reason = "each test binary uses another selection of the fixtures"
-)]
+#![allow(dead_code, reason = "each test binary uses only some of the fixtures")]
 
 use millford_api::state::StateValue;
 use millford_api::state::state_value::Kind;
 use millford_routing::{ReplicaKey, RoutingTable};
 
-/// Version 1 of a model on a backend of the pool `models`.
+/// Returns the key of version 1 of a model on a backend of the pool `models`.
 pub(crate) fn replica_key(backend: &str, model: &str) -> ReplicaKey {
     ReplicaKey {
         pool: "models".to_owned(),
@@ -19,7 +16,7 @@
     }
 }
 
-/// The table of these items of the feed.
+/// Builds the routing table of these feed items.
 pub(crate) fn routing_table(items: Vec<(String, Kind)>) -> RoutingTable {
     let items: Vec<(String, StateValue)> = items
         .into_iter()
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -1,4 +1,4 @@
-//! Matching and the candidates of a pool.
+//! Tests of route matching and of the candidates of a pool.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use millford_routing::{ModelRequest, RoutingTable};
 use quickcheck::quickcheck;
 
-/// The items of a feed.
+/// Feed items for a routing table.
 struct Items(Vec<(String, Kind)>);
 
 impl Items {
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn every_key_of_a_tenant_is_known() {
+fn every_key_of_a_tenant_identifies_it() {
     let mut items = Items::new();
     items.add(
         "config/tenant/library",
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn placement_decides_while_one_of_its_replicas_lives() {
+fn only_placed_replicas_serve_while_one_is_active() {
     let mut items = Items::new();
     items.backend("one", "1", BackendState::BackendActive);
     items.backend("two", "1", BackendState::BackendActive);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn two_weighted_versions_share_a_transition() {
+fn two_weighted_versions_serve_during_a_transition() {
     let mut items = Items::new();
     items.backend("old", "1", BackendState::BackendActive);
     items.backend("new", "2", BackendState::BackendActive);
@@ -227,9 +227,9 @@
     assert_eq!(items.candidates(&requested("saga")), ["old", "new"]);
 }
 
-/// The first replica of a new version must not get the whole pool's work.
+/// Guards against the first replica of a new version getting all the work of the pool.
 #[test]
-fn two_placed_versions_of_full_weight_share_a_transition() {
+fn two_versions_of_full_weight_serve_during_a_transition() {
     let mut items = Items::new();
     items.backend("old", "1", BackendState::BackendActive);
     items.backend("new", "2", BackendState::BackendActive);
@@ -260,7 +260,7 @@
 }
 
 quickcheck! {
-    /// Whatever the placement says, a draining or gone backend is never a candidate.
+    /// A draining or gone backend is never a candidate, with any placement.
     fn no_draining_or_gone_backend_is_a_candidate(states: Vec<u8>, placements: Vec<u8>) -> bool {
         let mut items = Items::new();
         for (index, state) in states.iter().enumerate() {
@@ -283,8 +283,8 @@
         found.iter().all(active)
     }
 
-    /// While any backend is active, there is a candidate.
-    fn an_active_backend_is_never_ignored(states: Vec<u8>, placements: Vec<u8>) -> bool {
+    /// There is a candidate if and only if any backend is active.
+    fn there_is_a_candidate_if_any_backend_is_active(states: Vec<u8>, placements: Vec<u8>) -> bool {
         let mut items = Items::new();
         for (index, state) in states.iter().enumerate() {
             items.backend(&index.to_string(), "1", state_of(*state));
--- a/crates/routing/tests/watched_backends.rs
+++ b/crates/routing/tests/watched_backends.rs
@@ -1,4 +1,4 @@
-//! Backends are watched before they are used.
+//! Tests of probing backends before they are used.
 
 use millford_core::{Duration, MonotonicTime};
 use millford_routing::BackendHealth;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_large_fleet_is_not_probed_by_every_node() {
+fn unused_backends_of_a_large_fleet_are_not_probed() {
     let health = BackendHealth::default();
     let ids: Vec<String> = (0..=MAX_WATCHED).map(|number| number.to_string()).collect();
     health.watch(ids.iter().map(String::as_str));
