--- a/crates/data-plane/src/agent_link/granted_streams.rs
+++ b/crates/data-plane/src/agent_link/granted_streams.rs
@@ -1,22 +1,22 @@
-//! Stream slots that the agent granted and that are not released yet.
+//! Stream slots that the agent granted and that are not yet released.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use millford_api::local::{ProxyStreams, TenantStreams};
 
-/// Granted and not yet released stream slots by tenant.
+/// Number of granted and not yet released stream slots by tenant.
 ///
-/// The lock is kept while a grant or release is passed on, so that the counts sent on a new
-/// connection and the frames that follow them agree.
+/// The lock is held while a grant is passed to its requester and while a release is queued, so that the
+/// counts sent on a new connection agree with the frames that follow them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct GrantedStreams(Arc<Mutex<BTreeMap<String, u32>>>);
 
-/// The counts while nobody else changes them.
+/// Exclusive access to the counts.
 pub(super) struct GrantedStreamsGuard<'a>(MutexGuard<'a, BTreeMap<String, u32>>);
 
 impl GrantedStreams {
-    /// Keeps others from changing the counts.
+    /// Locks the counts.
     pub(super) fn lock(&self) -> GrantedStreamsGuard<'_> {
         GrantedStreamsGuard(self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
@@ -36,7 +36,7 @@
         self.0.retain(|_, streams| *streams > 0);
     }
 
-    /// The counts as the agent receives them.
+    /// Converts the counts to the message that the agent receives on a new connection.
     pub(super) fn to_message(&self) -> ProxyStreams {
         let tenants = self.0.iter().map(|(tenant, streams)| TenantStreams {
             tenant: tenant.clone(),
--- a/crates/data-plane/src/agent_link/in_flight.rs
+++ b/crates/data-plane/src/agent_link/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests to the agent that have no answer yet; a new connection sends them again.
+//! Requests to the agent that are not answered yet. They are sent again on a new connection.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,14 +10,14 @@
 
 use crate::agent_link::send_times::SendTimes;
 
-/// A request and who waits for its answer.
+/// A request and the channel of its requester.
 #[derive(Debug)]
 struct InFlightRequest<T> {
     frame: LocalFrame,
     times: SendTimes,
-    /// Nobody waits for the answers of some kinds.
+    /// Channel to the requester; `None` if the answer is not awaited.
     answer: Option<oneshot::Sender<T>>,
-    /// The requester stopped waiting; the answer may still come.
+    /// Whether the requester stopped waiting. The answer may still arrive.
     abandoned: bool,
 }
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The frame as it is to be sent again now.
+    /// Records that the request is sent again now and returns the frame to send.
     fn resend(&mut self, now: MonotonicTime) -> LocalFrame {
         let mut frame = self.frame.clone();
         self.times.renew(now, &mut frame);
@@ -39,13 +39,13 @@
     }
 }
 
-/// Requests of one kind by the number that their answers carry.
+/// Requests of one kind by request id, which the answers repeat.
 #[derive(Debug)]
 pub(super) struct InFlightRequests<T> {
     requests: Arc<Mutex<BTreeMap<u64, InFlightRequest<T>>>>,
 }
 
-// Derived implementations would ask for `T: Clone` and `T: Default`.
+// Derived implementations would require `T: Clone` and `T: Default`.
 impl<T> Clone for InFlightRequests<T> {
     fn clone(&self) -> Self {
         Self {
@@ -62,16 +62,16 @@
     }
 }
 
-/// Where an answer went.
+/// Result of passing an answer to its requester.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Delivery {
-    /// To the requester, or nowhere because none ever waited.
+    /// The answer was passed on, or it is not awaited.
     Done,
-    /// The requester has stopped waiting: the answer is dropped.
-    Unclaimed,
+    /// The requester has stopped waiting, so the answer was dropped.
+    Abandoned,
 }
 
-/// The requester's end: marks its request as abandoned when it stops waiting.
+/// The requester's side of a request. Dropping it marks the request as abandoned.
 pub(super) struct AnswerWaiter<T> {
     in_flight: InFlightRequests<T>,
     id: u64,
@@ -79,9 +79,9 @@
 }
 
 impl<T> AnswerWaiter<T> {
-    /// The answer; nothing if none came within the timeout.
+    /// Waits for the answer. Returns `None` if there is none within the timeout.
     ///
-    /// An answer that comes at the very moment of the timeout is taken.
+    /// An answer that arrives while the timeout expires is still returned.
     pub(super) async fn answer(mut self, timeout: Duration) -> Option<T> {
         let answer = tokio::time::timeout(timeout, &mut self.answer).await;
         answer.map_or_else(|_| self.stop(), Result::ok)
@@ -102,7 +102,8 @@
 }
 
 impl<T> InFlightRequests<T> {
-    /// Keeps a request until it is answered, or forgotten after its requester stopped waiting.
+    /// Keeps a request until it is answered, or until the next new connection after its requester
+    /// stopped waiting.
     pub(super) fn register(&self, id: u64, frame: LocalFrame) -> AnswerWaiter<T> {
         let (sender, receiver) = oneshot::channel();
         let request = InFlightRequest::new(frame, Some(sender));
@@ -114,13 +115,13 @@
         }
     }
 
-    /// Keeps a request until it is answered; nobody waits for the answer.
+    /// Keeps a request until it is answered. The answer is not awaited.
     pub(super) fn register_unawaited(&self, id: u64, frame: LocalFrame) {
         let request = InFlightRequest::new(frame, None);
         self.lock().insert(id, request);
     }
 
-    /// Gives the answer to whoever waits. The request is no longer in flight.
+    /// Removes the request and passes the answer to its requester.
     pub(super) fn complete(&self, id: u64, answer: T) -> Delivery {
         let request = self.lock().remove(&id);
         let Some(requester) = request.and_then(|request| request.answer) else {
@@ -128,17 +129,17 @@
         };
         match requester.send(answer) {
             Ok(()) => Delivery::Done,
-            Err(_) => Delivery::Unclaimed,
+            Err(_) => Delivery::Abandoned,
         }
     }
 
-    /// The request with this number, if it has no answer yet.
+    /// Returns the frame of the request with this id, if it is still in flight.
     pub(super) fn frame(&self, id: u64) -> Option<LocalFrame> {
         self.lock().get(&id).map(|request| request.frame.clone())
     }
 
-    /// Every request that is still waited for, in the order of their numbers, as it is to be sent
-    /// again now. The others are forgotten: on a new connection their answers cannot come any more.
+    /// Returns the frames to send again on a new connection, in the order of request ids. Abandoned
+    /// requests are removed, since their answers cannot arrive on a new connection.
     pub(super) fn resend_all(&self, now: MonotonicTime) -> Vec<LocalFrame> {
         let mut requests = self.lock();
         requests.retain(|_, request| !request.abandoned);
@@ -146,8 +147,8 @@
         frames.collect()
     }
 
-    /// The request as it is to be sent again now, if its grant can no longer be used; nothing while
-    /// it can, or when nobody waits any more.
+    /// Returns the frame to send again if the grant was received too late to be used. Returns `None` if
+    /// the grant is valid or the request is abandoned.
     pub(super) fn resend_if_late(
         &self,
         id: u64,
@@ -162,7 +163,7 @@
         Some(request.resend(now))
     }
 
-    /// Whether every request is answered.
+    /// Returns whether no request is in flight.
     pub(super) fn is_empty(&self) -> bool {
         self.lock().is_empty()
     }
--- a/crates/data-plane/src/agent_link/link.rs
+++ b/crates/data-plane/src/agent_link/link.rs
@@ -1,4 +1,4 @@
-//! The requests' side of the link to the agent.
+//! The request path's side of the link to the agent.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,7 +15,7 @@
 use crate::agent_link::in_flight::{Delivery, InFlightRequests};
 use crate::agent_message::{AdmissionReply, AdmissionRequest, ClaimAnswer, QuotaRelease};
 
-/// The requests' side of the link: sends to the agent and waits for its answers.
+/// Handle of the request path: sends frames to the agent and waits for its answers.
 #[derive(Clone, Debug)]
 pub struct AgentLink {
     frames: mpsc::UnboundedSender<LocalFrame>,
@@ -27,7 +27,7 @@
 }
 
 impl AgentLink {
-    /// A link whose frames go into `frames`.
+    /// Creates a link that queues its frames in `frames`.
     pub(super) fn new(frames: mpsc::UnboundedSender<LocalFrame>) -> Self {
         Self {
             frames,
@@ -39,8 +39,9 @@
         }
     }
 
-    /// Requests the admission of one request. A restart of the agent within the timeout only
-    /// delays it.
+    /// Requests the admission of one request and waits for the reply. Without a reply within the timeout
+    /// it is refused with [`ResultCode::QuotaUnavailable`]. A restart of the agent within the timeout
+    /// only delays the reply.
     pub async fn request_quota(&self, request: AdmissionRequest) -> AdmissionReply {
         let request_id = self.next_request_id();
         let body = local_frame::Body::QuotaRequest(LocalQuotaRequest {
@@ -59,7 +60,7 @@
         })
     }
 
-    /// Gives a slot or a token back.
+    /// Returns the stream slot of a request that ended, or the token of one that was never sent.
     pub fn release_quota(&self, release: QuotaRelease) {
         let mut granted_streams = self.granted_streams.lock();
         if release.stream {
@@ -68,7 +69,8 @@
         self.send(release_body(release));
     }
 
-    /// Reserves a run. Sent again on a new connection under the same attempt id.
+    /// Claims a run and waits for the reply. The claim is sent again on a new connection, with the same
+    /// attempt id.
     pub async fn claim(&self, claim: Claim, timeout: Duration) -> ClaimAnswer {
         let request_id = self.next_request_id();
         let body = local_frame::Body::Claim(LocalClaim {
@@ -82,7 +84,7 @@
         answer.unwrap_or(ClaimAnswer::Unavailable)
     }
 
-    /// Records a claim's outcome. Sent again on a new connection until it is acknowledged.
+    /// Reports the outcome of a claim. It is sent again on every new connection until it is acknowledged.
     pub fn resolve_claim(&self, resolution: ResolveClaim) {
         let request_id = self.next_request_id();
         let body = local_frame::Body::ResolveClaim(LocalResolveClaim {
@@ -94,29 +96,30 @@
         self.send(body);
     }
 
-    /// Whether every resolution of a claim was acknowledged.
+    /// Returns whether every resolution of a claim is acknowledged.
     #[must_use]
     pub fn claims_are_resolved(&self) -> bool {
         self.claim_resolutions.is_empty()
     }
 
-    /// Sends a frame that needs no answer; lost while there is no connection.
+    /// Queues a frame that needs no answer. It is dropped if it is not sent before the connection to the
+    /// agent fails.
     pub fn send(&self, body: local_frame::Body) {
-        // The receiver lives as long as the process.
+        // The receiver is not dropped before the process exits.
         let _ = self.frames.send(frame(body));
     }
 
-    /// Passes a quota decision on. A grant that came too late is given back.
+    /// Passes a quota reply to its requester. A grant whose requester stopped waiting is returned.
     ///
-    /// A process that stood still finds grants whose lease has ended meanwhile: the leader has
-    /// granted those tokens again. They are not used, and the request is sent again.
+    /// After a pause of the process a grant may have outlived its lease, and the leader may have granted
+    /// its tokens again. Such a grant is not used, and the request is sent again.
     pub(super) fn complete_quota(
         &self,
         request_id: u64,
         answer: AdmissionReply,
         use_within: Option<Duration>,
     ) {
-        // Locked to the end: the counts change together with what the requester is told.
+        // The lock is held to the end, so that the counts change together with the requester's reply.
         let mut granted_streams = self.granted_streams.lock();
         let Some(request) = self.quota_in_flight(request_id) else {
             return;
@@ -131,7 +134,7 @@
             return;
         }
         match delivery {
-            Delivery::Unclaimed => self.send(release_body(QuotaRelease {
+            Delivery::Abandoned => self.send(release_body(QuotaRelease {
                 tenant: request.tenant,
                 stream: request.stream,
                 unused: true,
@@ -153,7 +156,7 @@
             return false;
         };
         if request.stream {
-            // The agent counts the slot as taken; its token is gone.
+            // The agent counts the slot as taken, so it is released; the token is not returned.
             self.send(release_body(QuotaRelease {
                 tenant: request.tenant.clone(),
                 stream: true,
@@ -171,28 +174,29 @@
         }
     }
 
-    /// Passes a claim's answer on. A claim granted too late was resolved as not run by its
-    /// requester.
+    /// Passes the reply to a claim to its requester. If the requester stopped waiting, it has already
+    /// resolved the claim as not run.
     pub(super) fn complete_claim(&self, request_id: u64, answer: ClaimAnswer) {
         self.claims.complete(request_id, answer);
     }
 
-    /// The resolution of a claim is acknowledged.
+    /// Records that the resolution of a claim is acknowledged.
     pub(super) fn complete_claim_resolution(&self, request_id: u64) {
         self.claim_resolutions.complete(request_id, ());
     }
 
-    /// What goes before all other frames on a new connection: the stream slots that are granted.
+    /// Returns the frame with the granted stream slots, which a new connection sends before any quota
+    /// request or release.
     ///
-    /// `drop_queued` drops the frames that were queued for the old connection, while the counts
-    /// cannot change.
+    /// `drop_queued` drops the frames that were queued for the old connection. It runs under the lock, so
+    /// the counts do not change in between.
     pub(super) fn open_streams(&self, drop_queued: impl FnOnce()) -> LocalFrame {
         let granted_streams = self.granted_streams.lock();
         drop_queued();
         frame(local_frame::Body::OpenStreams(granted_streams.to_message()))
     }
 
-    /// The requests in flight, to be sent again on a new connection.
+    /// Returns the frames of the requests in flight, to be sent again on a new connection.
     pub(super) fn resend_all(&self) -> Vec<LocalFrame> {
         let now = monotonic_now();
         let mut frames = self.claim_resolutions.resend_all(now);
--- a/crates/data-plane/src/agent_link/mod.rs
+++ b/crates/data-plane/src/agent_link/mod.rs
@@ -1,5 +1,5 @@
-//! The link to the agent beside the proxy: the requests sent to it, and the connection that
-//! carries them.
+//! Link to the agent on the proxy's node: the requests to the agent, and the connection that transports
+//! them.
 
 mod granted_streams;
 mod in_flight;
@@ -18,7 +18,8 @@
 use crate::frame_handler::FrameHandler;
 use crate::proxy_state::ProxyState;
 
-/// Makes both sides of the link: the requests' and the control thread's.
+/// Creates both sides of the link: a handle for the request path, and the task that the control thread
+/// runs.
 #[must_use]
 pub fn agent_link(
     state: Arc<ProxyState>,
--- a/crates/data-plane/src/agent_link/send_times.rs
+++ b/crates/data-plane/src/agent_link/send_times.rs
@@ -1,9 +1,9 @@
-//! When a request to the agent was sent.
+//! Send times of a request to the agent.
 
 use millford_api::local::{LocalFrame, local_frame};
 use millford_core::{Duration, MonotonicTime};
 
-/// When a request that may be sent again was first sent, and when last.
+/// Times at which a request was first and last sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SendTimes {
     first: MonotonicTime,
@@ -11,7 +11,7 @@
 }
 
 impl SendTimes {
-    /// A request that is sent for the first time.
+    /// Creates the times of a request that is first sent at `now`.
     #[must_use]
     pub fn at(now: MonotonicTime) -> Self {
         Self {
@@ -20,14 +20,15 @@
         }
     }
 
-    /// Whether a grant that may be used for `use_within` since the last sending is void.
+    /// Returns whether a grant that is valid for `use_within` after the last send has expired. Without a
+    /// limit it never does.
     #[must_use]
     pub fn is_late(&self, now: MonotonicTime, use_within: Option<Duration>) -> bool {
         use_within.is_some_and(|limit| now.since(self.last) >= limit)
     }
 
-    /// The request is sent again. A quota request then states how long it has waited, and what is
-    /// left of its time; other frames stay as they are.
+    /// Records that the request is sent again at `now`. In the frame of a quota request it updates the
+    /// time waited and reduces the timeout by it; other frames are not changed.
     pub fn renew(&mut self, now: MonotonicTime, frame: &mut LocalFrame) {
         self.last = now;
         let Some(local_frame::Body::QuotaRequest(request)) = &mut frame.body else {
--- a/crates/data-plane/src/agent_link/task.rs
+++ b/crates/data-plane/src/agent_link/task.rs
@@ -1,4 +1,4 @@
-//! Keeps the connection to the agent, on the control thread.
+//! Connection to the agent, maintained on the control thread.
 
 use std::net::SocketAddr;
 
@@ -17,9 +17,10 @@
 
 /// Longest time to open a connection to the agent.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bounds of the backoff between two attempts to connect.
-const FIRST_BACKOFF: Duration = Duration::from_millis(20);
-const LONGEST_BACKOFF: Duration = Duration::from_millis(500);
+/// Shortest delay between two connection attempts.
+const MIN_BACKOFF: Duration = Duration::from_millis(20);
+/// Longest delay between two connection attempts.
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
 /// The control thread's side of the link.
 pub struct AgentLinkTask {
@@ -47,9 +48,9 @@
         }
     }
 
-    /// Keeps a connection to the agent for as long as the process lives; never returns.
+    /// Keeps a connection to the agent until the process exits; never returns.
     pub async fn run(mut self) {
-        let mut backoff = Backoff::new(FIRST_BACKOFF, LONGEST_BACKOFF);
+        let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         let mut failure_logged = false;
         loop {
             match connect::<LocalFrame>(self.address, CONNECT_TIMEOUT).await {
@@ -61,7 +62,7 @@
                     LOG.warn(format!("Lost the connection to the agent: {error}."));
                 }
                 Err(error) if !failure_logged => {
-                    LOG.warn(format!("No connection to the agent: {error}."));
+                    LOG.warn(format!("Cannot connect to the agent, retrying: {error}."));
                     failure_logged = true;
                 }
                 Err(_) => {}
@@ -82,7 +83,7 @@
         loop {
             let served = tokio::select! {
                 biased;
-                // The agent's frames go before the requests' own: a drain is applied in time.
+                // Received frames take precedence over outgoing ones, so that a drain is applied in time.
                 received = reader.next() => match received {
                     Some(Ok(first)) => self.receive(first, &mut reader, &mut writer).await,
                     Some(Err(error)) => Err(error),
@@ -99,7 +100,8 @@
         }
     }
 
-    /// Sends what the agent must know before anything else, and again what it has not answered.
+    /// Sends the hello, the applied revision and the granted stream slots, and then again the requests
+    /// that are not answered.
     async fn handshake(
         &mut self,
         writer: &mut FramedWriter<LocalFrame>,
@@ -114,16 +116,16 @@
         writer.flush().await
     }
 
-    /// The stream slots that are granted now. Frames queued for the old connection are dropped:
-    /// requests in flight are sent again, releases are part of the counts, and load is reported
-    /// again anyway.
+    /// Returns the frame with the granted stream slots, and drops the frames queued for the old
+    /// connection. None of them is needed: requests in flight are sent again, releases are included in
+    /// the counts, and load is reported again periodically.
     fn open_streams(&mut self) -> LocalFrame {
         let frames = &mut self.frames;
         self.link
             .open_streams(|| while frames.try_recv().is_ok() {})
     }
 
-    /// Handles every frame that has arrived, then applies the result once.
+    /// Handles every frame that has been received, then applies the changes once.
     async fn receive(
         &mut self,
         first: LocalFrame,
@@ -141,7 +143,7 @@
         Ok(())
     }
 
-    /// Handles one frame; whether the view of the control state changed.
+    /// Handles one frame. Returns whether the view of the control state changed.
     fn handle(&mut self, received: LocalFrame) -> Result<bool, TransportError> {
         match self.handler.handle(received) {
             FrameOutcome::Nothing => {}
@@ -162,7 +164,7 @@
         Ok(false)
     }
 
-    /// Sends every frame that is queued.
+    /// Sends `first` and every frame that is queued behind it.
     async fn forward(
         &mut self,
         first: LocalFrame,
--- a/crates/data-plane/src/agent_message.rs
+++ b/crates/data-plane/src/agent_message.rs
@@ -1,53 +1,53 @@
-//! Messages between the request path and the agent.
+//! Messages that the request path exchanges with the local agent.
 
 use millford_api::command::RunOutcome;
 use millford_core::{Duration, ResultCode};
 
-/// Requests the admission of one request of a tenant.
+/// Asks for the admission of one request under the tenant's quota.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdmissionRequest {
-    /// Tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Whether a stream slot is needed too.
+    /// Whether the request needs a stream slot in addition to a token.
     pub stream: bool,
-    /// Longest time to wait for the decision; the agent waits that long for the tenant's shard.
+    /// Longest time to wait for the reply. The agent waits as long for the tenant's shard.
     pub timeout: Duration,
 }
 
-/// The agent's decision about an admission.
+/// The agent's reply to an [`AdmissionRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionReply {
     /// The request is admitted.
     Granted,
     /// The request is not admitted.
     Refused {
-        /// The reason, as a numbered code.
+        /// Reason for the refusal.
         code: ResultCode,
-        /// When to come back, in milliseconds; 0 if unknown.
+        /// Time after which the caller may retry, in milliseconds; 0 if unknown.
         retry_after_ms: u32,
     },
 }
 
-/// An admitted request ended.
+/// Reports the end of an admitted request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuotaRelease {
-    /// Tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Whether a stream slot is free again.
+    /// Whether the request held a stream slot, which is released.
     pub stream: bool,
-    /// Whether the request was never sent, so that its token is given back.
+    /// Whether the request was never sent to a backend, so that its token is returned.
     pub unused: bool,
 }
 
-/// The control plane's decision about a claim of a single run.
+/// The control plane's reply to the claim of a request that must run at most once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimAnswer {
-    /// The single run is this request's.
+    /// This request may run.
     Granted,
-    /// Another request with the same key had it.
+    /// Another request with the same idempotency key already has the claim, with this outcome.
     Taken(RunOutcome),
-    /// The key belongs to a request with another body.
+    /// The idempotency key was used by a request with a different body.
     KeyReused,
-    /// Not confirmed in time.
+    /// The claim was not confirmed in time.
     Unavailable,
 }
--- a/crates/data-plane/src/control_thread.rs
+++ b/crates/data-plane/src/control_thread.rs
@@ -1,11 +1,11 @@
-//! The thread that keeps a proxy connected to the control plane.
+//! Thread for a proxy's connection to the control plane.
 
 use std::future::Future;
 
 use miette::IntoDiagnostic;
 
-/// Runs `work` on a thread and a runtime of its own, for as long as the process lives. What keeps a proxy up
-/// to date shares no queue and no thread with the traffic: a drain is seen in time at any load.
+/// Runs `work` until the process exits, on a dedicated thread with its own runtime. Because control
+/// messages share no queue and no thread with the traffic, a drain takes effect in time at any load.
 ///
 /// # Errors
 /// Fails when the runtime cannot be built or the thread cannot be started.
--- a/crates/data-plane/src/control_view.rs
+++ b/crates/data-plane/src/control_view.rs
@@ -1,4 +1,4 @@
-//! The control plane's public state of all shards, as the agent passes it on.
+//! The proxy's copy of the public state of all shards, as received from the agent.
 
 use std::collections::BTreeMap;
 
@@ -7,25 +7,26 @@
 use millford_api::state::{StateItem, StateValue};
 use millford_routing::RoutingTable;
 
-/// What a feed message did to the view.
+/// Result of applying a feed message to the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ViewOutcome {
-    /// Items changed.
+    /// The message was applied.
     Changed,
-    /// Older than what the view has: ignored.
+    /// The message is older than the view's position and was ignored.
     Stale,
-    /// A change does not follow on the view's position: a snapshot is needed.
+    /// Changes between the view's position and this one are missing, so a snapshot is needed.
     Gap,
 }
 
-/// Position in a shard's history. It never goes back.
+/// Position in a shard's log, ordered by term and then by offset. The position of a view never
+/// decreases.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct FeedPosition {
     term: u64,
     offset: u64,
 }
 
-/// Items of one shard at one position of its history.
+/// Items of one shard at one position of its log.
 #[derive(Debug, Default)]
 struct ShardItems {
     position: FeedPosition,
@@ -39,14 +40,14 @@
 }
 
 impl ControlView {
-    /// Replaces a shard's items, unless the snapshot is older than they are.
+    /// Replaces a shard's items unless the snapshot is older than the view's position.
     pub fn apply_snapshot(&mut self, snapshot: StateSnapshot) -> ViewOutcome {
         let position = FeedPosition {
             term: snapshot.term,
             offset: snapshot.offset,
         };
         let current = self.shards.get(&snapshot.shard);
-        // A node that has applied a revision never goes back to an older one.
+        // A node that has applied a revision must never apply an older one.
         if current.is_some_and(|current| position < current.position) {
             return ViewOutcome::Stale;
         }
@@ -59,7 +60,8 @@
         ViewOutcome::Changed
     }
 
-    /// Applies a change that follows on the view's position, or that amends it at that position.
+    /// Applies a change that directly follows the view's position, or an amendment at that position: a
+    /// change whose offset equals its previous offset.
     pub fn apply_change(&mut self, change: StateChange) -> ViewOutcome {
         let Some(current) = self.shards.get_mut(&change.shard) else {
             return ViewOutcome::Gap;
@@ -80,7 +82,7 @@
         ViewOutcome::Changed
     }
 
-    /// Builds the routing table of the items.
+    /// Builds the routing table from the items of all shards.
     #[must_use]
     pub fn table(&self) -> RoutingTable {
         let shards = self.shards.values();
@@ -103,7 +105,7 @@
     }
 }
 
-/// Whether a placement comes from an older epoch of the placement role than the current one.
+/// Returns whether `value` is a placement from an older epoch of the placement role than `current`.
 fn is_fenced(current: Option<&StateValue>, value: &StateValue) -> bool {
     let epoch = |value: &StateValue| match &value.kind {
         Some(Kind::Placement(placement)) => Some(placement.epoch),
--- a/crates/data-plane/src/frame_handler.rs
+++ b/crates/data-plane/src/frame_handler.rs
@@ -1,5 +1,5 @@
-//! Applies the agent's frames to the state of the proxy. Pure: the daemon and the simulator
-//! carry the frames.
+//! Applies the agent's frames to the state of the proxy. It does no I/O: the daemon and the simulator
+//! transport the frames.
 
 use std::sync::Arc;
 
@@ -13,50 +13,51 @@
 use crate::control_view::{ControlView, ViewOutcome};
 use crate::proxy_state::ProxyState;
 
-/// What the carrier of a frame has to do.
+/// What the caller has to do after a frame was handled.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FrameOutcome {
     /// Nothing.
     Nothing,
-    /// The view changed: call [`FrameHandler::apply_changes`] when no more frames wait.
+    /// The view changed: call [`FrameHandler::apply_changes`] once no more frames are pending.
     Changed,
-    /// A change was missed: connect to the agent again for complete snapshots.
+    /// A change is missing: reconnect to the agent, which then sends complete snapshots.
     Reconnect,
-    /// A quota request is answered.
+    /// Pass the reply to a quota request to its requester.
     Quota {
-        /// Number of the request.
+        /// Id of the quota request.
         request_id: u64,
-        /// The decision.
+        /// The reply.
         answer: AdmissionReply,
-        /// How long a grant may be used, counted from when the request was last sent.
+        /// How long a grant is valid after the request was last sent; `None` if there is no limit.
         use_within: Option<Duration>,
     },
-    /// A claim is answered.
+    /// Pass the reply to a claim to its requester.
     Claim {
-        /// Number of the request.
+        /// Id of the claim request.
         request_id: u64,
-        /// The decision.
+        /// The reply.
         answer: ClaimAnswer,
     },
-    /// The resolution of a claim is acknowledged.
+    /// The agent acknowledged the resolution of a claim.
     ClaimResolved {
-        /// Number of the request.
+        /// Id of the resolution request.
         request_id: u64,
     },
 }
 
-/// Control state of one proxy, as received from its agent and applied to its [`ProxyState`].
+/// Receives the control state of one proxy from its agent and applies it to the [`ProxyState`].
 #[derive(Debug)]
 pub struct FrameHandler {
     state: Arc<ProxyState>,
     view: ControlView,
-    /// Whether the agent has had a confirmed snapshot of every shard.
+    /// Whether the agent has ever reported a confirmed snapshot of every shard.
     is_complete: bool,
+    /// Configuration revision of the routing table; 0 before the first one.
     applied_revision: u64,
 }
 
 impl FrameHandler {
-    /// A handler that has received nothing.
+    /// Creates a handler for this state, without any control state received.
     #[must_use]
     pub fn new(state: Arc<ProxyState>) -> Self {
         Self {
@@ -91,13 +92,13 @@
         }
     }
 
-    /// Applies what was received to the routing table. Returns the frame that tells the agent of a
-    /// newer revision, if it is one.
+    /// Rebuilds the routing table from the view. Returns the frame that reports the revision to the
+    /// agent if it is newer than the last one.
     pub fn apply_changes(&mut self) -> Option<LocalFrame> {
         let table = self.view.table();
         let revision = table.revision();
-        // The view of each shard never goes back, so the revision cannot either; this holds even
-        // if an agent were wrong.
+        // The position of each shard never decreases, so neither should the revision. This check also
+        // covers an agent that sends wrong data.
         if revision < self.applied_revision {
             return None;
         }
@@ -113,7 +114,7 @@
         is_newer.then(|| self.applied_revision_frame())
     }
 
-    /// The frame that tells the agent which revision is applied.
+    /// Returns the frame that reports the applied revision to the agent.
     #[must_use]
     pub fn applied_revision_frame(&self) -> LocalFrame {
         LocalFrame {
@@ -132,7 +133,8 @@
         self.update_readiness();
     }
 
-    /// Ready once every shard was confirmed and a configuration is applied; it stays so.
+    /// Sets the proxy ready once every shard was confirmed and a configuration is applied. It then stays
+    /// ready.
     fn update_readiness(&mut self) {
         if self.is_complete && self.applied_revision > 0 {
             self.state.set_ready();
@@ -172,7 +174,7 @@
     let answer = match (code, reply.result.as_ref()) {
         (Some(ResultCode::IdempotencyKeyReused), _) => ClaimAnswer::KeyReused,
         (Some(ResultCode::Ok), Some(result)) if result.granted => ClaimAnswer::Granted,
-        // An outcome that this version does not know is treated as "may have run".
+        // An outcome that this version does not define is treated as "may have run".
         (Some(ResultCode::Ok), Some(result)) => {
             ClaimAnswer::Taken(RunOutcome::try_from(result.outcome).unwrap_or_default())
         }
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,5 +1,5 @@
-//! What both data planes share: the state of a proxy, its metrics, and the link to the agent that
-//! keeps that state up to date.
+//! Code shared by both data planes, the chat proxy and the forwarding proxy: the state of a proxy, its
+//! metrics, and the connection to the local agent that keeps the state up to date.
 
 pub mod agent_link;
 pub mod agent_message;
--- a/crates/data-plane/src/limits.rs
+++ b/crates/data-plane/src/limits.rs
@@ -1,25 +1,26 @@
-//! Limits and times of the request path.
+//! Limits and timeouts of the request path.
 
 use millford_core::Duration;
 
-/// Limits and times of the request path; the defaults are the documented ones.
+/// Limits and timeouts of the request path. The defaults are the documented ones.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestLimits {
-    /// Estimated time to the first token above which requests wait or are shed.
+    /// Estimated time to the first token above which a request is queued or refused.
     pub first_token_limit: Duration,
-    /// Longest wait for a tenant's turn while the backends are too busy.
+    /// Longest time that a request is queued while the backends are overloaded.
     pub admission_wait: Duration,
-    /// Time between two checks of the admission queue.
+    /// Interval at which a queued request checks whether it is admitted.
     pub admission_check_interval: Duration,
-    /// Inactivity of a stream after which its backend is ejected, while others respond.
+    /// Inactivity of a stream after which its backend is ejected, provided that other backends respond.
     pub stream_inactivity_timeout: Duration,
-    /// Time between two checks of the state of a waiting request's backend.
+    /// Interval at which a waiting request checks the state of its backend.
     pub backend_check_interval: Duration,
-    /// Longest wait for the confirmation of a withdrawal.
+    /// Longest wait for a backend to confirm the withdrawal of an attempt.
     pub withdraw_timeout: Duration,
-    /// Largest plain answer, in bytes.
+    /// Largest response that is not streamed, in bytes.
     pub max_answer_bytes: usize,
-    /// Connections tried for one request before it is given up; no byte leaves on a failed one.
+    /// Largest number of connection attempts for one request. A failed connection attempt sends no byte
+    /// of the request.
     pub max_connects: u32,
 }
 
--- a/crates/data-plane/src/load_reporter.rs
+++ b/crates/data-plane/src/load_reporter.rs
@@ -1,4 +1,4 @@
-//! Reports the work in flight to the agent several times a second.
+//! Periodic reports of the work in flight to the agent.
 
 use std::sync::Arc;
 
@@ -8,11 +8,11 @@
 use crate::agent_link::AgentLink;
 use crate::proxy_state::ProxyState;
 
-/// Time between two reports. They carry only what changed; the choice among backends lives on
-/// recent counts.
+/// Interval between reports. It is short because the choice of a backend depends on recent counts;
+/// reports contain only what changed.
 pub const REPORT_PERIOD: Duration = Duration::from_millis(250);
 
-/// Reports for as long as the process lives; never returns.
+/// Sends reports until the process exits; never returns.
 pub async fn run(state: Arc<ProxyState>, agent: AgentLink) {
     loop {
         tokio::time::sleep(REPORT_PERIOD).await;
--- a/crates/data-plane/src/proxy_metrics.rs
+++ b/crates/data-plane/src/proxy_metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a proxy.
+//! Prometheus metrics of a proxy.
 
 use millford_core::Duration;
 use prometheus::{
@@ -15,26 +15,26 @@
     0.001, 0.0025, 0.005, 0.01, 0.02, 0.033, 0.05, 0.066, 0.1, 0.25, 1.0, 2.0,
 ];
 
-/// Counters and histograms of one proxy, with their own registry.
+/// Metrics of one proxy, with their own registry.
 #[derive(Debug)]
 pub struct ProxyMetrics {
-    /// The registry that a scrape reads.
+    /// Registry of all metrics below, read by a scrape.
     pub registry: Registry,
-    /// Ended requests by route and result code.
+    /// Completed and failed requests by route and result code.
     pub requests: IntCounterVec,
-    /// Time to the first token, in seconds.
+    /// Time from the arrival of a request to the first chunk of its stream, in seconds.
     pub first_token_seconds: Histogram,
     /// Time between two chunks of a stream, in seconds.
     pub inter_token_seconds: Histogram,
-    /// First sends to a backend.
+    /// First attempts sent to a backend.
     pub first_sends: IntCounter,
-    /// Second sends by kind: retry, hedge, resume.
+    /// Further attempts by kind: retry, hedge, resume.
     pub second_sends: IntCounterVec,
-    /// Streams that another backend continued.
+    /// Streams that were resumed on another backend.
     pub moved_streams: IntCounter,
-    /// Ejections by reason.
+    /// Ejections of backends by reason.
     pub ejections: IntCounterVec,
-    /// Open streams.
+    /// Streams that are open to callers.
     pub open_streams: IntGauge,
     /// Requests in progress.
     pub open_requests: IntGauge,
@@ -42,9 +42,9 @@
     pub applied_revision: IntGauge,
     /// Whether the agent is connected to the control plane: 1 or 0.
     pub agent_connected: IntGauge,
-    /// Dropped answers by cause.
+    /// Responses, or bytes of them, that were dropped, by cause.
     pub dropped_answers: IntCounterVec,
-    /// Requests whose decisions are logged, by route and verdict.
+    /// Requests sampled for the decision log, by route and verdict.
     pub verdicts: IntCounterVec,
 }
 
@@ -70,22 +70,26 @@
                 "Time between two chunks of a stream.",
                 INTER_TOKEN_BUCKETS,
             ),
-            first_sends: counter(&registry, "first_sends_total", "First sends to a backend."),
+            first_sends: counter(
+                &registry,
+                "first_sends_total",
+                "First attempts sent to a backend.",
+            ),
             second_sends: counters(
                 &registry,
                 "second_sends_total",
-                "Sends to a second backend.",
+                "Retries, hedges and resumed streams sent to a backend.",
                 &["kind"],
             ),
             moved_streams: counter(
                 &registry,
                 "moved_streams_total",
-                "Streams that another backend continued.",
+                "Streams resumed on another backend.",
             ),
             ejections: counters(
                 &registry,
                 "ejections_total",
-                "Ejected backends.",
+                "Ejections of backends.",
                 &["reason"],
             ),
             open_streams: gauge(&registry, "open_streams", "Streams open to callers."),
@@ -103,13 +107,13 @@
             dropped_answers: counters(
                 &registry,
                 "dropped_answers_total",
-                "Answers or bytes that were dropped.",
+                "Responses, or bytes of them, that were dropped.",
                 &["cause"],
             ),
             verdicts: counters(
                 &registry,
                 "sampled_verdicts_total",
-                "Requests whose decisions are logged, by verdict.",
+                "Requests sampled for the decision log, by verdict.",
                 &["route", "verdict"],
             ),
             registry,
@@ -118,7 +122,7 @@
 }
 
 impl ProxyMetrics {
-    /// Observes a duration in seconds.
+    /// Records a duration in a histogram of seconds.
     pub fn observe(histogram: &Histogram, duration: Duration) {
         histogram.observe(duration.as_secs_f64());
     }
@@ -129,7 +133,7 @@
 }
 
 fn register<C: Collector + Clone + 'static>(registry: &Registry, metric: C) -> C {
-    // Registration fails only for a name used twice, which the metrics test would show.
+    // Registration fails only for a duplicate name, which the metrics test would detect.
     let _ = registry.register(Box::new(metric.clone()));
     metric
 }
--- a/crates/data-plane/src/proxy_state.rs
+++ b/crates/data-plane/src/proxy_state.rs
@@ -11,31 +11,32 @@
 use crate::limits::RequestLimits;
 use crate::proxy_metrics::ProxyMetrics;
 
-/// Routing table, load, costs and budgets of one proxy. Each part has its own locks.
+/// Routing table, load, cost estimates, retry budget and lifecycle state of one proxy. Each part has its
+/// own synchronization.
 #[derive(Debug)]
 pub struct ProxyState {
     table: ArcSwap<RoutingTable>,
     ready: AtomicBool,
     draining: AtomicBool,
     stopping: AtomicBool,
-    /// Work in flight.
+    /// Work in flight on the backends.
     pub load_table: Arc<LoadTable>,
-    /// Learned costs of requests.
+    /// Cost estimates per model.
     pub costs: CostEstimates,
-    /// Budget of retries, hedges and resumed streams.
+    /// Budget for retries, hedges and resumed streams.
     pub budget: RetryBudget,
-    /// Ejected backends.
+    /// Ejections and probes of the backends.
     pub health: BackendHealth,
-    /// Turns among tenants while the backends are too busy.
+    /// Queues of requests while the backends are overloaded.
     pub queues: FairQueues,
-    /// Limits and times.
+    /// Limits and timeouts of the request path.
     pub limits: RequestLimits,
-    /// Metrics.
+    /// Metrics of the proxy.
     pub metrics: ProxyMetrics,
 }
 
 impl ProxyState {
-    /// An empty state: not ready until a confirmed configuration is applied.
+    /// Creates an empty state, which is not ready until a confirmed configuration is applied.
     #[must_use]
     pub fn new(limits: RequestLimits) -> Self {
         Self {
@@ -53,13 +54,13 @@
         }
     }
 
-    /// The current routing table.
+    /// Returns the current routing table.
     #[must_use]
     pub fn table(&self) -> Arc<RoutingTable> {
         self.table.load_full()
     }
 
-    /// Replaces the routing table by a newer one.
+    /// Replaces the routing table with a newer one.
     pub fn set_table(&self, table: RoutingTable) {
         self.metrics
             .applied_revision
@@ -67,7 +68,7 @@
         self.table.store(Arc::new(table));
     }
 
-    /// Takes a backend out of use until probes succeed.
+    /// Ejects a backend until probes succeed, and counts the ejection if it is new.
     pub fn eject(&self, backend_id: &str, reason: EjectionReason) {
         if self.health.eject(backend_id, reason) {
             let ejections = &self.metrics.ejections;
@@ -75,35 +76,35 @@
         }
     }
 
-    /// Whether a confirmed configuration is applied.
+    /// Returns whether a confirmed configuration is applied.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::SeqCst)
     }
 
-    /// A confirmed configuration is applied from now on.
+    /// Marks the proxy as ready: a confirmed configuration is applied. This cannot be undone.
     pub fn set_ready(&self) {
         self.ready.store(true, Ordering::SeqCst);
     }
 
-    /// Whether the proxy drains.
+    /// Returns whether the proxy is draining and refuses new requests.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::SeqCst)
     }
 
-    /// The proxy drains: new requests are refused from now on.
+    /// Starts draining: new requests are refused from now on.
     pub fn set_draining(&self) {
         self.draining.store(true, Ordering::SeqCst);
     }
 
-    /// Whether open streams must end now.
+    /// Returns whether the drain time is over, so that open streams must end.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// The drain time is over: open streams end with an explicit error from now on.
+    /// Ends the drain time: open streams end with an explicit error from now on.
     pub fn set_stopping(&self) {
         self.stopping.store(true, Ordering::SeqCst);
     }
--- a/crates/data-plane/tests/send_times.rs
+++ b/crates/data-plane/tests/send_times.rs
@@ -1,4 +1,5 @@
-//! Quota requests that are sent again state how long they have waited, and late grants are not used.
+//! Tests of the send times: quota requests that are sent again contain the time waited, and late grants
+//! are detected.
 
 use millford_api::local::{LocalFrame, LocalQuotaRequest, local_frame};
 use millford_core::{Duration, MonotonicTime};
@@ -21,7 +22,7 @@
 }
 
 #[test]
-fn a_quota_request_sent_again_states_its_age_and_the_time_left() {
+fn a_resent_quota_request_contains_the_time_waited_and_the_time_left() {
     let mut times = SendTimes::at(START);
     let mut frame = LocalFrame {
         body: Some(local_frame::Body::QuotaRequest(quota_request())),
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn a_grant_is_late_once_its_time_since_the_last_sending_is_over() {
+fn a_grant_is_late_once_its_validity_after_the_last_send_is_over() {
     let limit = Some(Duration::from_secs(1));
     let mut times = SendTimes::at(START);
     assert!(!times.is_late(after(999), limit));
