--- a/crates/decisions/src/account.rs
+++ b/crates/decisions/src/account.rs
@@ -1,4 +1,4 @@
-//! Where worth was lost.
+//! Report of the lost request value by reason, time, zone, tenant and backend.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,12 +6,12 @@
 use crate::decision_record::DecisionRecord;
 use crate::verdict::Verdict;
 
-/// Requests of one group, and what they lost.
+/// Number of requests in a group and the value that they lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Loss {
-    /// Requests.
+    /// Number of requests, including those that lost nothing.
     pub requests: u64,
-    /// Worth that they lost, a whole request being 1.
+    /// Sum of the lost value, where the value of one request is 1.
     pub lost: f64,
 }
 
@@ -22,25 +22,25 @@
     }
 }
 
-/// The same losses, grouped in several ways. Each grouping adds up to the total.
+/// Losses of a set of requests, grouped in several ways. Each grouping adds up to the total.
 #[derive(Clone, Debug, Default)]
 pub struct Account {
-    /// Everything.
+    /// All requests.
     pub total: Loss,
-    /// By route and reason.
+    /// By route and reason of the loss.
     pub by_reason: BTreeMap<(String, Verdict), Loss>,
-    /// By second of the node's steady clock.
+    /// By second of arrival on the node's monotonic clock.
     pub by_second: BTreeMap<u64, Loss>,
-    /// By the node's zone.
+    /// By zone of the node.
     pub by_zone: BTreeMap<String, Loss>,
-    /// By tenant.
+    /// By tenant; empty for requests without one.
     pub by_tenant: BTreeMap<String, Loss>,
-    /// By the backend of the last attempt; empty where there was none.
+    /// By backend of the last attempt; empty for requests without an attempt.
     pub by_backend: BTreeMap<String, Loss>,
 }
 
 impl Account {
-    /// The account of these records, when a late answer earns `late_share` of its worth.
+    /// Builds the report of these records. A late response keeps `late_share` of its value, from 0 to 1.
     #[must_use]
     pub fn of(records: &[DecisionRecord], late_share: f64) -> Self {
         let mut account = Self::default();
@@ -51,7 +51,7 @@
         account
     }
 
-    /// A group's share of all that was lost.
+    /// Returns a group's share of the total loss, or 0 if nothing was lost.
     #[must_use]
     pub fn share(&self, loss: &Loss) -> f64 {
         if self.total.lost > 0.0 {
@@ -78,8 +78,8 @@
     }
 }
 
-/// Most rows of a grouping that are printed.
-const MOST_ROWS: usize = 16;
+/// Largest number of rows that are printed per grouping; one more row sums up the rest.
+const MAX_ROWS: usize = 16;
 
 impl fmt::Display for Account {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -87,7 +87,7 @@
         let share = lost / (requests.max(1) as f64);
         writeln!(
             formatter,
-            "{requests} requests, {share:.3} of their worth lost"
+            "{requests} requests, {share:.3} of their value lost"
         )?;
         let reasons = self.by_reason.iter();
         let reasons =
@@ -116,7 +116,7 @@
         let mut rows: Vec<(String, Loss)> = rows.collect();
         rows.sort_by(|(_, left), (_, right)| right.lost.total_cmp(&left.lost));
         writeln!(formatter, "\n{title:<44} requests     lost  share")?;
-        let rest = rows.split_off(rows.len().min(MOST_ROWS));
+        let rest = rows.split_off(rows.len().min(MAX_ROWS));
         for (name, loss) in &rows {
             self.row(formatter, name, loss)?;
         }
--- a/crates/decisions/src/attempt_record.rs
+++ b/crates/decisions/src/attempt_record.rs
@@ -1,47 +1,48 @@
-//! One attempt at a request.
+//! Record of one attempt of a request.
 
 use serde::{Deserialize, Serialize};
 
-/// What came of an attempt.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptOutcome {
-    /// Still under way when the record was written.
+    /// Still in progress when the record was written.
     #[default]
     Open,
-    /// An answer that may go to the caller began.
+    /// The backend began a response that may be forwarded to the caller.
     Answered,
-    /// Nothing left for the backend.
+    /// No byte was sent to the backend.
     NotSent,
-    /// The backend refused the request before work.
+    /// The backend refused the request before it started to process it.
     Refused,
-    /// The connection or the answer was lost.
+    /// The connection failed, or the response was lost.
     Lost,
-    /// The request's time was over.
+    /// The deadline of the request passed.
     TimedOut,
 }
 
-/// Why a backend was chosen and what was believed of it.
+/// An attempt: the chosen backend, the estimates for it at that time, and the outcome.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AttemptRecord {
-    /// The backend.
+    /// Id of the backend.
     pub backend: String,
-    /// Whether it is in the node's own zone.
+    /// Whether the backend is in the node's own zone.
     pub same_zone: bool,
-    /// When it was chosen, in milliseconds after the request arrived.
+    /// Time of the choice, in milliseconds after the arrival of the request.
     pub chosen_ms: u32,
-    /// Candidates that were looked at.
+    /// Number of backends that were compared.
     pub candidates: u32,
-    /// Estimated processor time of the work in flight there, in milliseconds.
+    /// Estimated processor time of the work in flight on the backend, in milliseconds.
     pub believed_work_ms: f64,
-    /// Estimated cost of the request there, in milliseconds, with all that the choice adds.
+    /// Estimated cost of the request on the backend, in milliseconds, including all penalties that the
+    /// choice adds.
     pub believed_cost_ms: f64,
-    /// Prompt tokens that the backend was expected to read for this request.
+    /// Estimated prompt tokens of this request that the backend has not cached.
     pub uncached_tokens: u64,
-    /// Prompt tokens of other requests that it still had to read.
+    /// Estimated uncached prompt tokens of other requests in flight on the backend.
     pub queued_tokens: u64,
-    /// Streams that it was believed to serve.
+    /// Estimated number of streams that the backend serves.
     pub streams: u32,
-    /// What came.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
 }
--- a/crates/decisions/src/decision_record.rs
+++ b/crates/decisions/src/decision_record.rs
@@ -1,62 +1,63 @@
-//! The record of one request.
+//! Decision record of one request.
 
 use serde::{Deserialize, Serialize};
 
 use crate::attempt_record::AttemptRecord;
 
-/// How a request ended at the proxy.
+/// How the proxy ended a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ending {
-    /// The whole answer went to the caller.
+    /// The complete response was forwarded to the caller.
     Complete,
-    /// The backend answered with a failure of its own.
+    /// The backend's own response had an error status.
     BackendFailure,
-    /// Refused for the tenant's quota.
+    /// Refused because of the tenant's quota.
     OverQuota,
-    /// Refused before a backend ran it.
+    /// Refused before any backend ran it.
     Refused,
-    /// Given up after a backend may have run it.
+    /// Failed after a backend may have run it.
     Failed,
-    /// The time of the request was over.
+    /// The deadline passed.
     TimedOut,
-    /// The answer was broken off.
+    /// The response was aborted after it had begun.
     BrokenOff,
-    /// The caller left.
+    /// The caller disconnected.
     CallerLeft,
 }
 
-/// One request: what it asked for, every attempt, what came.
+/// A request with its targets, its attempts and its end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DecisionRecord {
-    /// When it arrived, in milliseconds of the node's steady clock.
+    /// Time of arrival, in milliseconds of the node's monotonic clock.
     pub at_ms: u64,
-    /// The node.
+    /// Name of the node.
     pub node: String,
-    /// The node's zone.
+    /// Zone of the node.
     pub zone: String,
-    /// The route.
+    /// Name of the route.
     pub route: String,
-    /// The tenant; empty without one.
+    /// Name of the tenant; empty if there is none.
     pub tenant: String,
-    /// Tokens of the prompt.
+    /// Length of the prompt, in tokens.
     pub prompt_tokens: u64,
-    /// Most tokens of the answer.
+    /// Largest length of the response, in tokens; 0 if the request sets none.
     pub output_tokens: u64,
-    /// Time within which the first event is in time, in milliseconds; 0 without one.
+    /// Target for the time to the first bytes of the body, in milliseconds; 0 if the route sets none.
     pub target_ms: u32,
-    /// Longest pause between events that is in time, in milliseconds; 0 without one.
+    /// Target for the longest gap between parts of the body, in milliseconds; 0 if the route sets none.
     pub gap_target_ms: u32,
-    /// Attempts in order.
+    /// Attempts in the order in which they were started.
     pub attempts: Vec<AttemptRecord>,
-    /// When the first bytes of the body went on, in milliseconds after the arrival.
+    /// Time at which the first bytes of the body were forwarded, in milliseconds after the arrival; `None`
+    /// if there were none.
     pub first_bytes_ms: Option<u32>,
-    /// Longest pause after that, in milliseconds.
+    /// Longest gap between forwarded parts of the body, in milliseconds.
     pub longest_gap_ms: u32,
-    /// Whether another backend went on with the stream.
+    /// Whether the stream was resumed on another backend.
     pub resumed: bool,
-    /// When it ended, in milliseconds after the arrival.
+    /// Time of the end, in milliseconds after the arrival.
     pub ended_ms: u32,
-    /// How it ended.
+    /// How the request ended.
     pub ending: Ending,
 }
--- a/crates/decisions/src/error.rs
+++ b/crates/decisions/src/error.rs
@@ -1,22 +1,22 @@
-//! Errors of the account.
+//! Errors of reading and reporting decision records.
 
 use thiserror::Error;
 
-/// Why there is no account.
+/// Error of reading decision records or drawing their chart.
 #[derive(Debug, Error)]
 pub enum DecisionsError {
-    /// A line carries the mark of a record and cannot be read as one.
-    #[error("line {line} is no decision record: {source}")]
+    /// A line contains [`LOG_MARK`](crate::LOG_MARK), but no valid record after it.
+    #[error("line {line} has no valid decision record: {source}")]
     UnreadableRecord {
         /// Number of the line, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
     /// The input could not be read.
-    #[error("the input cannot be read: {0}")]
+    #[error("cannot read the input: {0}")]
     Input(#[from] std::io::Error),
-    /// The plot could not be drawn.
-    #[error("the plot cannot be drawn: {0}")]
+    /// The chart could not be drawn.
+    #[error("cannot draw the chart: {0}")]
     Plot(String),
 }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,7 +1,8 @@
-//! Records of routing decisions and the account of the worth that was lost by them.
+//! Records of routing decisions, and a report of the request value that was lost by reason.
 //!
-//! A record says why a backend was chosen, what was believed of it and what came. The account joins
-//! the records of all nodes; its shares of the lost worth add up to one.
+//! A record contains the estimates by which each backend was chosen, and the outcome. Every request has
+//! a value of 1, of which a late or failed one loses a share. The report combines the records of all
+//! nodes; the shares of the lost value in each grouping add up to one.
 
 pub mod account;
 pub mod attempt_record;
--- a/crates/decisions/src/reader.rs
+++ b/crates/decisions/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads records out of log lines.
+//! Reads decision records from logs.
 
 use std::io::BufRead;
 
@@ -7,21 +7,22 @@
 use crate::decision_record::DecisionRecord;
 use crate::error::DecisionsError;
 
-/// Stands before a record in a log line.
+/// Marker that precedes a record in a log line.
 pub const LOG_MARK: &str = "DECISION ";
 
-/// A structured log line, as far as it matters here.
+/// The field of a JSON log line that contains the message.
 #[derive(Deserialize)]
 struct LogLine {
     payload: String,
 }
 
-/// All records in a log, in its order. Lines without the mark are passed over.
+/// Reads all records of a log in order. Lines without [`LOG_MARK`] are skipped.
 ///
-/// Lines of text and of JSON are read alike.
+/// The log may contain text lines and JSON lines.
 ///
 /// # Errors
-/// Fails at a line that has the mark and is no record, so that nothing is left out unseen.
+/// Fails if the input cannot be read, or at a line with [`LOG_MARK`] but without a valid record, so that
+/// no record is omitted unnoticed.
 pub fn read_records(input: impl BufRead) -> Result<Vec<DecisionRecord>, DecisionsError> {
     let mut records = Vec::new();
     for (index, line) in input.lines().enumerate() {
@@ -44,7 +45,7 @@
     Ok(records)
 }
 
-/// The value at the start of a text; a log may add fields of its own behind it.
+/// Parses the record at the start of a text and ignores what follows: a log may append its own fields.
 fn first_value(text: &str) -> Result<DecisionRecord, serde_json::Error> {
     let mut deserializer = serde_json::Deserializer::from_str(text);
     DecisionRecord::deserialize(&mut deserializer)
--- a/crates/decisions/src/verdict.rs
+++ b/crates/decisions/src/verdict.rs
@@ -1,44 +1,44 @@
-//! Why a request earned less than its full worth.
+//! Verdict on a request: why it lost all or part of its value.
 
 use std::fmt;
 
 use crate::attempt_record::AttemptOutcome;
 use crate::decision_record::{DecisionRecord, Ending};
 
-/// The reason, the first that holds.
+/// Reason for the loss of value of a request: the first one that applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Verdict {
-    /// All of it in time.
+    /// No loss: the response was complete and met its targets.
     InTime,
-    /// The first event was late and the backend was believed to be busy: more work was in flight there
-    /// than the target allows.
+    /// The first bytes were late and the backend was expected to be busy: its estimated work in flight
+    /// was at least half of the target.
     LateBusy,
-    /// The first event was late although little was believed to be in flight.
+    /// The first bytes were late although the estimated work in flight was small.
     LateUnforeseen,
-    /// The first event was late after an attempt that brought nothing.
+    /// The first bytes were late after an earlier attempt without a response.
     LateAfterRetry,
-    /// A gap between events was too long.
+    /// A gap within the response was longer than its target.
     LateGap,
-    /// Refused for the tenant's quota.
+    /// Refused because of the tenant's quota.
     OverQuota,
-    /// Refused before a backend ran it.
+    /// Refused before any backend ran it.
     Refused,
-    /// Given up after a backend may have run it.
+    /// Failed after a backend may have run it.
     Failed,
-    /// The backend answered with a failure of its own.
+    /// The backend's own response had an error status.
     BackendFailure,
-    /// The time was over before the first event.
+    /// The deadline passed before the response began.
     TimedOut,
-    /// The answer was broken off, its time being over or its backend lost.
+    /// The response was aborted, because the deadline passed or the backend was lost.
     BrokenOff,
-    /// The caller left before the first event.
+    /// The caller disconnected before the first bytes.
     CallerLeftWaiting,
-    /// The caller left in the middle of the answer.
+    /// The caller disconnected during the response.
     CallerLeftMidway,
 }
 
 impl Verdict {
-    /// The verdict on a request.
+    /// Determines the verdict on a request.
     #[must_use]
     pub fn of(record: &DecisionRecord) -> Self {
         match record.ending {
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Share of the request's worth that is lost, when a late answer earns `late_share` of it.
+    /// Returns the share of a request's value that is lost, from 0 to 1. A late response keeps
+    /// `late_share` of its value.
     #[must_use]
     pub fn lost_share(self, late_share: f64) -> f64 {
         match self {
@@ -82,10 +83,10 @@
         let Some((last, before)) = record.attempts.split_last() else {
             return Verdict::LateUnforeseen;
         };
-        let brought_nothing = |outcome| outcome != AttemptOutcome::Answered;
+        let has_no_response = |outcome| outcome != AttemptOutcome::Answered;
         if before
             .iter()
-            .any(|attempt| brought_nothing(attempt.outcome))
+            .any(|attempt| has_no_response(attempt.outcome))
         {
             return Verdict::LateAfterRetry;
         }
--- a/crates/decisions/tests/account.rs
+++ b/crates/decisions/tests/account.rs
@@ -1,4 +1,4 @@
-//! Verdicts on records, and accounts that add up.
+//! Tests of verdicts, of reading records and of the loss report.
 
 use millford_decisions::{
     Account, AttemptOutcome, AttemptRecord, DecisionRecord, DecisionsError, Ending, Verdict,
@@ -15,7 +15,7 @@
     }
 }
 
-/// A stream that was answered in time.
+/// Returns the record of a stream that met its targets.
 fn record() -> DecisionRecord {
     DecisionRecord {
         at_ms: 1500,
@@ -110,7 +110,7 @@
 }
 
 quickcheck! {
-    /// Whatever the records say, each grouping holds every request, and its shares add up to one.
+    /// Each grouping includes every request, and its shares add up to one, with any records.
     fn every_grouping_adds_up(endings: Vec<(u8, u16, u8)>) -> bool {
         let records: Vec<DecisionRecord> = endings
             .iter()
--- a/crates/decisions/tests/outside_names.rs
+++ b/crates/decisions/tests/outside_names.rs
@@ -1,10 +1,11 @@
-//! Decision records are written and read with the fields of b3d3e00: logs outlive a release.
+//! Decision records keep the field names of commit b3d3e00, because later releases must read the logs of
+//! earlier ones.
 
 use std::io::Cursor;
 
 use millford_decisions::{AttemptOutcome, AttemptRecord, DecisionRecord, Ending, read_records};
 
-/// A record as the code of b3d3e00 wrote it.
+/// Record written by the code of commit b3d3e00.
 const COMMITTED: &str = include_str!("data/record.json");
 
 fn record() -> DecisionRecord {
