--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -4,16 +4,16 @@
 //! a value of 1, of which a late or failed one loses a share. The report combines the records of all
 //! nodes; the shares of the lost value in each grouping add up to one.
 
-pub mod account;
 pub mod attempt_record;
 pub mod decision_record;
 pub mod error;
+pub mod loss_report;
 pub mod reader;
 pub mod verdict;
 
-pub use account::{Account, Loss};
 pub use attempt_record::{AttemptOutcome, AttemptRecord};
 pub use decision_record::{DecisionRecord, Ending};
 pub use error::DecisionsError;
+pub use loss_report::{Loss, LossReport};
 pub use reader::{LOG_MARK, read_records};
 pub use verdict::Verdict;
--- a/crates/decisions/src/account.rs
+++ b/crates/decisions/src/loss_report.rs
@@ -24,7 +24,7 @@
 
 /// Losses of a set of requests, grouped in several ways. Each grouping adds up to the total.
 #[derive(Clone, Debug, Default)]
-pub struct Account {
+pub struct LossReport {
     /// All requests.
     pub total: Loss,
     /// By route and reason of the loss.
@@ -39,16 +39,16 @@
     pub by_backend: BTreeMap<String, Loss>,
 }
 
-impl Account {
+impl LossReport {
     /// Builds the report of these records. A late response keeps `late_share` of its value, from 0 to 1.
     #[must_use]
     pub fn of(records: &[DecisionRecord], late_share: f64) -> Self {
-        let mut account = Self::default();
+        let mut report = Self::default();
         for record in records {
             let verdict = Verdict::of(record);
-            account.add(record, verdict, verdict.lost_share(late_share));
+            report.add(record, verdict, verdict.lost_share(late_share));
         }
-        account
+        report
     }
 
     /// Returns a group's share of the total loss, or 0 if nothing was lost.
@@ -81,7 +81,7 @@
 /// Largest number of rows that are printed per grouping; one more row sums up the rest.
 const MAX_ROWS: usize = 16;
 
-impl fmt::Display for Account {
+impl fmt::Display for LossReport {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Loss { requests, lost } = self.total;
         let share = lost / (requests.max(1) as f64);
@@ -106,7 +106,7 @@
     }
 }
 
-impl Account {
+impl LossReport {
     fn table(
         &self,
         formatter: &mut fmt::Formatter<'_>,
--- a/crates/decisions/tests/account.rs
+++ b/crates/decisions/tests/loss_report.rs
@@ -1,7 +1,7 @@
 //! Tests of verdicts, of reading records and of the loss report.
 
 use millford_decisions::{
-    Account, AttemptOutcome, AttemptRecord, DecisionRecord, DecisionsError, Ending, Verdict,
+    AttemptOutcome, AttemptRecord, DecisionRecord, DecisionsError, Ending, LossReport, Verdict,
     read_records,
 };
 use quickcheck::quickcheck;
@@ -102,10 +102,10 @@
     let mut late = record();
     late.first_bytes_ms = Some(700);
     late.at_ms = 3000;
-    let account = Account::of(&[record(), late], 0.25);
-    assert_eq!(account.total.requests, 2);
-    assert!((account.total.lost - 0.75).abs() < 1e-9);
-    let text = account.to_string();
+    let report = LossReport::of(&[record(), late], 0.25);
+    assert_eq!(report.total.requests, 2);
+    assert!((report.total.lost - 0.75).abs() < 1e-9);
+    let text = report.to_string();
     assert!(text.contains("ask: late, unforeseen"), "{text}");
 }
 
@@ -128,17 +128,17 @@
                 record
             })
             .collect();
-        let account = Account::of(&records, 0.3);
-        let whole = if account.total.lost > 0.0 { 1.0 } else { 0.0 };
+        let report = LossReport::of(&records, 0.3);
+        let whole = if report.total.lost > 0.0 { 1.0 } else { 0.0 };
         let adds_up = |groups: Vec<&millford_decisions::Loss>| {
             let requests: u64 = groups.iter().map(|loss| loss.requests).sum();
-            let shares: f64 = groups.iter().map(|loss| account.share(loss)).sum();
+            let shares: f64 = groups.iter().map(|loss| report.share(loss)).sum();
             requests == records.len() as u64 && (shares - whole).abs() < 1e-9
         };
-        adds_up(account.by_reason.values().collect())
-            && adds_up(account.by_second.values().collect())
-            && adds_up(account.by_zone.values().collect())
-            && adds_up(account.by_tenant.values().collect())
-            && adds_up(account.by_backend.values().collect())
+        adds_up(report.by_reason.values().collect())
+            && adds_up(report.by_second.values().collect())
+            && adds_up(report.by_zone.values().collect())
+            && adds_up(report.by_tenant.values().collect())
+            && adds_up(report.by_backend.values().collect())
     }
 }
--- a/crates/lab/src/commands/explain.rs
+++ b/crates/lab/src/commands/explain.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 
 use getopts::Options;
-use millford_decisions::{Account, DecisionRecord, DecisionsError, read_records};
+use millford_decisions::{DecisionRecord, DecisionsError, LossReport, read_records};
 
 use super::loss_chart;
 use crate::arguments::{ArgumentError, files, parse_files, required_form};
@@ -64,7 +64,7 @@
     }))
 }
 
-/// Reads the logs, prints the account and draws the chart.
+/// Reads the logs, prints the loss report and draws the chart.
 ///
 /// # Errors
 /// Fails when a file cannot be read or written, or holds a record that cannot be read.
@@ -74,10 +74,10 @@
         records.extend(read_file(file)?);
     }
     records.retain(|record| record.at_ms / 1000 >= options.from_second);
-    let account = Account::of(&records, options.late_share);
-    print!("{account}");
+    let report = LossReport::of(&records, options.late_share);
+    print!("{report}");
     if let Some(path) = &options.plot {
-        std::fs::write(path, loss_chart::draw_losses(&account)?)?;
+        std::fs::write(path, loss_chart::draw_losses(&report)?)?;
     }
     Ok(())
 }
--- a/crates/lab/src/commands/loss_chart.rs
+++ b/crates/lab/src/commands/loss_chart.rs
@@ -1,6 +1,6 @@
 //! A picture of the lost worth over time.
 
-use millford_decisions::{Account, DecisionsError};
+use millford_decisions::{DecisionsError, LossReport};
 use plotters::prelude::*;
 
 /// Size of the picture, in pixels.
@@ -10,14 +10,14 @@
 ///
 /// # Errors
 /// Fails when the picture cannot be drawn.
-pub fn draw_losses(account: &Account) -> Result<String, DecisionsError> {
+pub fn draw_losses(report: &LossReport) -> Result<String, DecisionsError> {
     let mut text = String::new();
-    draw(account, &mut text).map_err(|error| DecisionsError::Plot(error.to_string()))?;
+    draw(report, &mut text).map_err(|error| DecisionsError::Plot(error.to_string()))?;
     Ok(text)
 }
 
-fn draw(account: &Account, text: &mut String) -> Result<(), Box<dyn std::error::Error>> {
-    let points: Vec<(u64, f64)> = account
+fn draw(report: &LossReport, text: &mut String) -> Result<(), Box<dyn std::error::Error>> {
+    let points: Vec<(u64, f64)> = report
         .by_second
         .iter()
         .map(|(second, loss)| (*second, loss.lost / (loss.requests.max(1) as f64)))
--- a/crates/lab/tests/loss_chart.rs
+++ b/crates/lab/tests/loss_chart.rs
@@ -1,6 +1,6 @@
 //! The picture of the lost worth over time.
 
-use millford_decisions::{Account, DecisionRecord, Ending};
+use millford_decisions::{DecisionRecord, Ending, LossReport};
 use millford_lab::commands::loss_chart::draw_losses;
 
 fn late_at(at_ms: u64) -> DecisionRecord {
@@ -24,9 +24,9 @@
 }
 
 #[test]
-fn the_chart_shows_the_losses_and_renders_an_empty_account() {
-    let account = Account::of(&[late_at(3000), late_at(5000)], 0.25);
-    assert!(draw_losses(&account).unwrap().contains("<svg"));
-    let empty = Account::default();
+fn the_chart_shows_the_losses_and_renders_an_empty_report() {
+    let report = LossReport::of(&[late_at(3000), late_at(5000)], 0.25);
+    assert!(draw_losses(&report).unwrap().contains("<svg"));
+    let empty = LossReport::default();
     assert!(draw_losses(&empty).is_ok());
 }
