--- a/crates/membership/src/formation.rs
+++ b/crates/membership/src/formation.rs
@@ -1,32 +1,33 @@
-//! First start: whether this empty node forms the cluster, joins one, or waits.
+//! First start of a node without cluster state: it forms a cluster, joins one, or waits.
 
 use std::collections::BTreeMap;
 
 use millford_api::state::ControlMember;
 use millford_core::{Duration, MonotonicTime, NodeId};
 
-/// Age after which a seed's response no longer counts.
+/// Age after which a seed's response is ignored.
 pub const RESPONSE_VALIDITY: Duration = Duration::from_millis(1500);
 
-/// What a seed reported about itself.
+/// A seed's report about itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SeedResponse {
-    /// The node that responded.
+    /// Identity and addresses of the seed.
     pub member: ControlMember,
-    /// Identity of the cluster that the seed belongs to; 0: the seed has no cluster state.
+    /// Id of the cluster that the seed belongs to; 0 if the seed has no cluster state.
     pub cluster_id: u64,
 }
 
-/// What an empty node should do now.
+/// Next step of a node without cluster state.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FormationDecision {
-    /// Keep sending requests: a seed has not responded, or a smaller identity forms.
+    /// Wait and keep querying the seeds: one has not responded, their identities are not distinct or do
+    /// not include this node, or another node has the smallest identity and forms the cluster.
     Wait,
-    /// This node forms the cluster of these members.
+    /// Form the cluster with these members, which include this node.
     Form(Vec<ControlMember>),
-    /// A seed has cluster state: join that cluster.
+    /// Join the cluster of a seed that has cluster state.
     Join {
-        /// The cluster's identity.
+        /// Id of the cluster.
         cluster_id: u64,
     },
 }
@@ -43,11 +44,11 @@
     }
 }
 
-/// Collects the seeds' responses while this node is empty.
+/// Collects the seeds' responses while this node has no cluster state.
 ///
-/// Safety: a cluster forms only when every seed responds and all are empty. A node whose disk was
-/// wiped, beside seeds that have state, therefore never forms a second cluster; and since all
-/// see the same identities, only the smallest one forms.
+/// Safety: a cluster is formed only if every seed responds and none has cluster state. A node whose disk
+/// was wiped therefore never forms a second cluster while other seeds have state. Since all seeds see the
+/// same identities, only the node with the smallest one forms the cluster.
 #[derive(Debug)]
 pub struct Formation {
     own: ControlMember,
@@ -56,7 +57,8 @@
 }
 
 impl Formation {
-    /// For the empty node `own`, which is configured with the addresses `seeds`.
+    /// Creates the state of the node `own`, which has no cluster state and is configured with the internal
+    /// addresses `seeds`.
     #[must_use]
     pub fn new(own: ControlMember, seeds: Vec<String>) -> Self {
         Self {
@@ -66,7 +68,7 @@
         }
     }
 
-    /// The node at `address` responded.
+    /// Records the response of the seed at `address`.
     pub fn record_response(&mut self, now: MonotonicTime, address: &str, response: SeedResponse) {
         let received = ReceivedResponse {
             received_at: now,
@@ -75,12 +77,13 @@
         self.responses.insert(address.to_owned(), received);
     }
 
-    /// The connection to `address` was lost: its response may be out of date.
+    /// Discards the response of the seed at `address`, which may be outdated because the connection was
+    /// lost.
     pub fn record_disconnect(&mut self, address: &str) {
         self.responses.remove(address);
     }
 
-    /// What to do now.
+    /// Decides the next step from the responses that are valid at `now`.
     #[must_use]
     pub fn decide(&self, now: MonotonicTime) -> FormationDecision {
         if let Some(cluster_id) = self.formed_cluster(now) {
@@ -96,7 +99,7 @@
         FormationDecision::Form(members.into_values().collect())
     }
 
-    /// The cluster of the first seed, by address, that belongs to one.
+    /// Returns the cluster id of the first seed, in the order of addresses, that belongs to a cluster.
     fn formed_cluster(&self, now: MonotonicTime) -> Option<u64> {
         let valid = self.responses.values().filter(|known| known.is_valid(now));
         valid
@@ -104,14 +107,15 @@
             .find(|cluster_id| *cluster_id != 0)
     }
 
-    /// Every seed's member by identity, once all responded and all are empty.
+    /// Returns the seeds by identity. Returns `None` unless every seed has a valid response, their
+    /// identities differ and this node is one of them.
     fn empty_members(&self, now: MonotonicTime) -> Option<BTreeMap<NodeId, ControlMember>> {
         let mut members = BTreeMap::new();
         for seed in &self.seeds {
             let member = self.member_at(now, seed)?;
             members.insert(NodeId(member.node_id), member);
         }
-        // Two seeds with one identity would be one machine counted twice, or a copied disk.
+        // Two seeds with the same identity are one node counted twice, or a copied disk.
         let distinct = members.len() == self.seeds.len();
         let own_included = members.contains_key(&NodeId(self.own.node_id));
         (distinct && own_included).then_some(members)
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,6 +1,8 @@
-//! Membership: sessions of agents and control nodes, and the members of the control cluster.
+//! Cluster membership: sessions of agents and control nodes, formation of the control cluster and its
+//! members.
 //!
-//! Everything here is pure: time and messages come in, decisions go out.
+//! This crate does no I/O and reads no clock: callers pass the time and received messages, and carry out
+//! the returned decisions.
 
 pub mod formation;
 pub mod member_directory;
--- a/crates/membership/src/member_directory.rs
+++ b/crates/membership/src/member_directory.rs
@@ -1,22 +1,24 @@
-//! Control nodes that this process knows, with their addresses.
+//! Directory of the control nodes and their addresses.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use millford_api::state::ControlMember;
 use millford_core::NodeId;
 
-/// Known control nodes by identity, learned from seeds, handshakes and the replicated membership.
+/// Control nodes by identity, from seeds, handshakes and the replicated membership.
 ///
-/// One address belongs to one identity: a machine whose disk was wiped comes back under a new
-/// identity, and the old one must not be dialled there any more.
+/// An address belongs to one identity only: a node whose disk was wiped returns with a new identity, and
+/// connections to the old identity must no longer go to that address.
 #[derive(Clone, Debug, Default)]
 pub struct MemberDirectory {
     members: BTreeMap<NodeId, ControlMember>,
+    /// Identities that the cluster removed; they are never added again.
     removed: BTreeSet<NodeId>,
 }
 
 impl MemberDirectory {
-    /// Records a node that introduced itself. Returns whether anything changed.
+    /// Adds or updates a node from its own report and removes any other identity at its address. An unset
+    /// or removed identity is ignored. Returns whether the directory changed.
     pub fn introduce(&mut self, member: &ControlMember) -> bool {
         let identity = NodeId(member.node_id);
         if !identity.is_some() || self.removed.contains(&identity) {
@@ -25,13 +27,13 @@
         if self.members.get(&identity) == Some(member) {
             return false;
         }
-        self.forget_address(&member.internal_address, identity);
+        self.remove_others_at_address(&member.internal_address, identity);
         self.members.insert(identity, member.clone());
         true
     }
 
-    /// Records a node that another one reported. What a node reported about itself takes precedence.
-    /// Returns whether anything changed.
+    /// Adds a node that another node reported, unless its identity or its address is already listed: a
+    /// node's own report takes precedence. Returns whether the directory changed.
     pub fn learn_of(&mut self, member: &ControlMember) -> bool {
         let identity = NodeId(member.node_id);
         let known = self.members.contains_key(&identity);
@@ -42,25 +44,25 @@
         self.introduce(member)
     }
 
-    /// The cluster removed this identity for good. Returns whether it was known.
+    /// Removes an identity permanently. Returns whether it was listed.
     pub fn remove(&mut self, identity: NodeId) -> bool {
         self.removed.insert(identity);
         self.members.remove(&identity).is_some()
     }
 
-    /// Whether the cluster removed this identity.
+    /// Returns whether the cluster removed this identity.
     #[must_use]
     pub fn is_removed(&self, identity: NodeId) -> bool {
         self.removed.contains(&identity)
     }
 
-    /// The node with this identity.
+    /// Returns the node with this identity, if it is listed.
     #[must_use]
     pub fn get(&self, identity: NodeId) -> Option<&ControlMember> {
         self.members.get(&identity)
     }
 
-    /// Identity that was last known at this internal address.
+    /// Returns the identity that is listed with this internal address.
     #[must_use]
     pub fn at_address(&self, address: &str) -> Option<NodeId> {
         let mut entries = self.members.iter();
@@ -69,30 +71,30 @@
             .map(|(identity, _)| *identity)
     }
 
-    /// Every known node, in order of identity.
+    /// Iterates over all nodes, in the order of their identities.
     pub fn iter(&self) -> impl Iterator<Item = &ControlMember> {
         self.members.values()
     }
 
-    /// Every known node, for a message or a file.
+    /// Copies all nodes, in the order of their identities, for a message or a file.
     #[must_use]
     pub fn to_vec(&self) -> Vec<ControlMember> {
         self.members.values().cloned().collect()
     }
 
-    /// Number of known nodes.
+    /// Returns the number of listed nodes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether no node is known.
+    /// Returns whether no node is listed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    fn forget_address(&mut self, address: &str, keep: NodeId) {
+    fn remove_others_at_address(&mut self, address: &str, keep: NodeId) {
         self.members
             .retain(|identity, member| *identity == keep || member.internal_address != address);
     }
--- a/crates/membership/src/replica_group.rs
+++ b/crates/membership/src/replica_group.rs
@@ -1,14 +1,14 @@
-//! Which nodes get the first replicas of a shard.
+//! Assignment of the first replicas of a shard to nodes.
 
 use millford_core::{NodeId, ShardId};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The `size` nodes of `nodes` that get a replica of a shard, in order of identity; all of them when
-/// there are no more.
+/// Returns the `size` nodes that get a replica of a shard, in the order of their identities. If there are
+/// fewer nodes than `size`, all of them do.
 ///
-/// By rendezvous hashing (Thaler and Ravishankar, "A name-based mapping scheme for rendezvous", 1996):
-/// every node computes the same group, and each pair of node and shard has its own rank, so that
-/// shards spread out.
+/// Uses rendezvous hashing (Thaler and Ravishankar, "A name-based mapping scheme for rendezvous", 1996):
+/// every node computes the same group, and each pair of node and shard has its own rank, so the shards
+/// are distributed over the nodes.
 #[must_use]
 pub fn replica_group(nodes: &[NodeId], shard: ShardId, size: usize) -> Vec<NodeId> {
     let mut ranked: Vec<NodeId> = nodes.to_vec();
--- a/crates/membership/src/session_table.rs
+++ b/crates/membership/src/session_table.rs
@@ -1,40 +1,41 @@
-//! Liveness of a shard's sessions, as its leader sees it.
+//! Leases of a shard's sessions, tracked by the shard's leader.
 //!
-//! Heartbeats renew a session's lease; a session without one for a whole lease expires.
+//! A heartbeat renews the lease of a session. A session without a heartbeat for a whole lease expires.
 
 use std::collections::BTreeMap;
 
 use millford_api::command::SessionRecord;
 use millford_core::{Duration, MonotonicTime};
 
-/// Time without a heartbeat after which a session expires.
+/// Default time without a heartbeat after which a session expires.
 pub const SESSION_LEASE: Duration = Duration::from_secs(3);
 
-/// A session from which the leader has received no heartbeat for a whole lease.
+/// A session whose lease expired without a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExpiredSession {
     /// Name of the agent or control node.
     pub member: String,
-    /// Epoch of the session to close; a newer one stays.
+    /// Epoch of the session to close. A session with a newer epoch must stay open.
     pub epoch: u64,
 }
 
 #[derive(Clone, Debug)]
-struct LiveSession {
+struct SessionLease {
     epoch: u64,
     last_contact: MonotonicTime,
     applied_revision: u64,
+    /// Whether the session expired and its closing is in progress.
     closing: bool,
 }
 
-/// Leader-local table of when each replicated session was renewed last.
+/// Table of the last renewal of each replicated session, kept by the leader only.
 ///
-/// Heartbeats are not replicated, so a new leader knows nothing of them: it gives every session
-/// a full lease from its election. Only the leader's monotonic clock is used.
+/// Heartbeats are not replicated, so a new leader has no record of them and grants every session a full
+/// lease from its election on. Only the leader's monotonic clock is used.
 #[derive(Debug)]
 pub struct SessionTable {
     lease: Duration,
-    sessions: BTreeMap<String, LiveSession>,
+    sessions: BTreeMap<String, SessionLease>,
 }
 
 impl Default for SessionTable {
@@ -44,7 +45,7 @@
 }
 
 impl SessionTable {
-    /// An empty table whose sessions expire after `lease`.
+    /// Creates an empty table with sessions that expire after `lease`.
     #[must_use]
     pub fn new(lease: Duration) -> Self {
         Self {
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Starts over after an election: every replicated session gets a full lease.
+    /// Rebuilds the table after an election and grants every replicated session a full lease.
     pub fn lead<'records>(
         &mut self,
         now: MonotonicTime,
@@ -65,14 +66,14 @@
         }
     }
 
-    /// Drops everything when leadership is lost.
+    /// Removes all sessions. Called when leadership is lost.
     pub fn clear(&mut self) {
         self.sessions.clear();
     }
 
-    /// A session was opened; it replaces an older one of the same member.
+    /// Adds a session that was opened. It replaces an earlier session of the same member.
     pub fn opened(&mut self, now: MonotonicTime, member: &str, epoch: u64) {
-        let session = LiveSession {
+        let session = SessionLease {
             epoch,
             last_contact: now,
             applied_revision: 0,
@@ -81,14 +82,15 @@
         self.sessions.insert(member.to_owned(), session);
     }
 
-    /// A session was closed. A newer session of the same member stays.
+    /// Removes a session that was closed. A session of the same member with another epoch stays.
     pub fn closed(&mut self, member: &str, epoch: u64) {
         if self.epoch(member) == Some(epoch) {
             self.sessions.remove(member);
         }
     }
 
-    /// A heartbeat arrived. Returns false when there is no such session.
+    /// Renews the lease of a session after a heartbeat. Returns false if there is no session of this
+    /// member and epoch, or if [`Self::take_expired`] has returned it.
     pub fn renew(
         &mut self,
         now: MonotonicTime,
@@ -107,10 +109,10 @@
         true
     }
 
-    /// Sessions whose lease expired, each returned once.
+    /// Returns the sessions whose lease expired, each of them once.
     ///
-    /// From here on the session refuses heartbeats: its closing is on the way to the log, and
-    /// what was granted to it may be given to others once that is committed.
+    /// A returned session can no longer be renewed, because the caller proposes its closing. Once that is
+    /// committed, everything granted to the session may be granted to others.
     pub fn take_expired(&mut self, now: MonotonicTime) -> Vec<ExpiredSession> {
         let lease = self.lease;
         let expired = self
@@ -128,7 +130,8 @@
             .collect()
     }
 
-    /// The closing of an expired session could not be proposed; it is returned again later.
+    /// Reverts the expiry of a session whose closing could not be proposed.
+    /// [`Self::take_expired`] returns it again unless it is renewed first.
     pub fn reopen_expired(&mut self, member: &str, epoch: u64) {
         if let Some(session) = self.sessions.get_mut(member)
             && session.epoch == epoch
@@ -137,26 +140,27 @@
         }
     }
 
-    /// Epoch of the member's present session.
+    /// Returns the epoch of the member's current session.
     #[must_use]
     pub fn epoch(&self, member: &str) -> Option<u64> {
         self.sessions.get(member).map(|session| session.epoch)
     }
 
-    /// Configuration revision that the member last reported as applied; 0 when unknown.
+    /// Returns the latest configuration revision that the member reported as applied, or 0 if it has
+    /// reported none.
     #[must_use]
     pub fn applied_revision(&self, member: &str) -> u64 {
         let session = self.sessions.get(member);
         session.map_or(0, |session| session.applied_revision)
     }
 
-    /// Number of sessions.
+    /// Returns the number of sessions, including those that are being closed.
     #[must_use]
     pub fn len(&self) -> usize {
         self.sessions.len()
     }
 
-    /// Whether there are no sessions.
+    /// Returns whether there are no sessions.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.sessions.is_empty()
--- a/crates/membership/tests/members.rs
+++ b/crates/membership/tests/members.rs
@@ -1,4 +1,4 @@
-//! The directory of control nodes, formation and replica groups.
+//! Tests of cluster formation, the member directory and replica groups.
 
 use millford_api::state::ControlMember;
 use millford_core::{MonotonicTime, NodeId, ShardId};
@@ -29,13 +29,13 @@
 const NOW: MonotonicTime = MonotonicTime::from_millis(10_000);
 
 #[test]
-fn only_the_smallest_identity_forms_and_only_with_every_seed() {
+fn only_the_smallest_identity_forms_a_cluster_once_every_seed_responded() {
     let mut smallest = Formation::new(member(1, "a:1"), seeds());
     smallest.record_response(NOW, "b:1", empty(2, "b:1"));
     assert_eq!(smallest.decide(NOW), FormationDecision::Wait);
     smallest.record_response(NOW, "c:1", empty(3, "c:1"));
     let FormationDecision::Form(members) = smallest.decide(NOW) else {
-        panic!("it forms");
+        panic!("the smallest identity must form the cluster");
     };
     let identities: Vec<u64> = members.iter().map(|member| member.node_id).collect();
     assert_eq!(identities, [1, 2, 3]);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn an_expired_or_disconnected_response_does_not_count() {
+fn responses_that_expired_or_whose_connection_was_lost_are_ignored() {
     let mut formation = Formation::new(member(1, "a:1"), seeds());
     formation.record_response(NOW, "b:1", empty(2, "b:1"));
     let later = NOW + RESPONSE_VALIDITY + RESPONSE_VALIDITY;
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn one_seed_with_state_makes_the_node_join() {
+fn a_node_joins_if_one_seed_has_cluster_state() {
     let mut formation = Formation::new(member(1, "a:1"), seeds());
     formation.record_response(NOW, "b:1", empty(2, "b:1"));
     let formed = SeedResponse {
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn two_seeds_with_one_identity_never_form() {
+fn a_duplicate_identity_prevents_formation() {
     let mut formation = Formation::new(member(1, "a:1"), seeds());
     formation.record_response(NOW, "b:1", empty(2, "b:1"));
     formation.record_response(NOW, "c:1", empty(2, "c:1"));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_node_that_is_no_seed_never_forms() {
+fn a_node_that_is_not_a_seed_never_forms_a_cluster() {
     let mut formation = Formation::new(member(1, "d:1"), seeds());
     for (address, identity) in [("a:1", 2), ("b:1", 3), ("c:1", 4)] {
         formation.record_response(NOW, address, empty(identity, address));
@@ -91,23 +91,29 @@
 }
 
 #[test]
-fn a_new_identity_takes_the_address_of_the_old_one() {
+fn a_new_identity_replaces_the_old_one_at_its_address() {
     let mut directory = MemberDirectory::default();
     assert!(directory.introduce(&member(1, "a:1")));
-    assert!(!directory.introduce(&member(1, "a:1")), "nothing new");
+    assert!(
+        !directory.introduce(&member(1, "a:1")),
+        "the same report again changes nothing"
+    );
     assert!(directory.introduce(&member(9, "a:1")));
     assert_eq!(directory.at_address("a:1"), Some(NodeId(9)));
     assert_eq!(directory.get(NodeId(1)), None);
 }
 
 #[test]
-fn reports_of_others_override_nothing_known_and_a_removed_node_stays_out() {
+fn reports_by_others_replace_nothing_and_a_removed_node_is_not_added_again() {
     let mut directory = MemberDirectory::default();
     directory.introduce(&member(1, "a:1"));
-    assert!(!directory.learn_of(&member(1, "b:1")), "it said so itself");
+    assert!(
+        !directory.learn_of(&member(1, "b:1")),
+        "the node's own report takes precedence"
+    );
     assert!(
         !directory.learn_of(&member(2, "a:1")),
-        "the address is taken"
+        "the address belongs to another identity"
     );
     assert!(directory.learn_of(&member(2, "b:1")));
     directory.remove(NodeId(2));
@@ -116,13 +122,13 @@
 }
 
 #[test]
-fn replica_groups_agree_whatever_the_order_and_spread_over_the_nodes() {
+fn replica_groups_do_not_depend_on_the_order_and_use_all_nodes() {
     let nodes: Vec<NodeId> = (1..=6).map(NodeId).collect();
-    let backwards: Vec<NodeId> = nodes.iter().rev().copied().collect();
+    let reversed: Vec<NodeId> = nodes.iter().rev().copied().collect();
     let mut used = std::collections::BTreeSet::new();
     for shard in 0..12 {
         let group = replica_group(&nodes, ShardId(shard), 3);
-        assert_eq!(group, replica_group(&backwards, ShardId(shard), 3));
+        assert_eq!(group, replica_group(&reversed, ShardId(shard), 3));
         assert_eq!(group.len(), 3);
         used.extend(group);
     }
--- a/crates/membership/tests/session_table.rs
+++ b/crates/membership/tests/session_table.rs
@@ -1,4 +1,4 @@
-//! Liveness of sessions.
+//! Tests of the leases of sessions.
 
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
     assert!(table.take_expired(at(9000)).is_empty());
     assert!(
         !table.renew(at(4001), "agent", 1, 5),
-        "its closing is on the way"
+        "an expired session must not be renewed"
     );
 }
 
@@ -50,10 +50,13 @@
 }
 
 #[test]
-fn another_epoch_neither_renews_nor_closes() {
+fn an_older_epoch_neither_renews_nor_closes_a_session() {
     let mut table = SessionTable::default();
     table.opened(at(0), "agent", 2);
-    assert!(!table.renew(at(1), "agent", 1, 0), "fenced");
+    assert!(
+        !table.renew(at(1), "agent", 1, 0),
+        "an older epoch is fenced"
+    );
     table.closed("agent", 1);
     assert_eq!(table.epoch("agent"), Some(2));
     table.closed("agent", 2);
@@ -61,7 +64,7 @@
 }
 
 #[test]
-fn a_closing_that_could_not_be_proposed_is_returned_again() {
+fn an_expired_session_whose_closing_was_not_proposed_is_returned_again() {
     let mut table = SessionTable::new(Duration::from_secs(3));
     table.opened(at(0), "agent", 1);
     assert_eq!(table.take_expired(at(3000)).len(), 1);
