--- a/crates/feed/src/change_ring.rs
+++ b/crates/feed/src/change_ring.rs
@@ -1,25 +1,27 @@
-//! The most recent changes of a shard.
+//! Buffer of the most recent changes of a shard.
 
 use std::collections::VecDeque;
 
 use millford_api::internal::StateChange;
 
-/// Most changes retained.
+/// Largest number of retained changes.
 const MAX_CHANGES: usize = 4096;
 
-/// Most items retained over all changes, so that large changes do not fill the memory.
+/// Largest number of items in all retained changes. It bounds the memory that large changes use.
 const MAX_ITEMS: usize = 65_536;
 
-/// Recent changes in order, complete from a floor on.
+/// The most recent changes, in order. No change after the floor is missing.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ChangeRing {
+    /// Offset after which all changes are retained.
     floor: u64,
     changes: VecDeque<StateChange>,
+    /// Number of items in all retained changes.
     items: usize,
 }
 
 impl ChangeRing {
-    /// An empty ring that is complete for the changes after `floor`.
+    /// Creates an empty ring for the changes after `floor`.
     pub(crate) fn starting_at(floor: u64) -> Self {
         Self {
             floor,
@@ -27,17 +29,17 @@
         }
     }
 
-    /// A state at this offset or later can be brought up to date from the ring.
+    /// Returns the floor: a state at this offset or a later one can be brought up to date from the ring.
     pub(crate) fn floor(&self) -> u64 {
         self.floor
     }
 
-    /// Offset of the newest change, or the floor.
+    /// Returns the offset of the newest change, or the floor if there is none.
     pub(crate) fn last_offset(&self) -> u64 {
         self.changes.back().map_or(self.floor, |last| last.offset)
     }
 
-    /// Adds the newest change and drops the oldest ones above the limits.
+    /// Adds a change and drops the oldest ones that exceed the limits.
     pub(crate) fn push(&mut self, change: StateChange) {
         self.items += change.items.len();
         self.changes.push_back(change);
@@ -50,7 +52,7 @@
         }
     }
 
-    /// The changes after `offset`, or none if some of them were dropped.
+    /// Returns the changes after `offset`, or `None` if some of them were dropped.
     pub(crate) fn after(&self, offset: u64) -> Option<impl Iterator<Item = &StateChange>> {
         if offset < self.floor {
             return None;
--- a/crates/feed/src/delivery.rs
+++ b/crates/feed/src/delivery.rs
@@ -1,14 +1,14 @@
-//! A feed message for one subscriber.
+//! Feed messages addressed to subscribers.
 
 use millford_api::internal::FeedMessage;
 
-/// Number that the owner of a publisher assigns to each subscriber, for instance its link.
+/// Id that the owner of a publisher assigns to each subscriber, for instance the id of its link.
 pub type SubscriberId = u64;
 
-/// A message and the subscriber that it is for.
+/// A message addressed to a subscriber.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FeedDelivery {
-    /// The receiver.
+    /// Id of the receiving subscriber.
     pub subscriber: SubscriberId,
     /// The message to send.
     pub message: FeedMessage,
--- a/crates/feed/src/lib.rs
+++ b/crates/feed/src/lib.rs
@@ -1,7 +1,7 @@
-//! Public state of the shards as a snapshot and a stream of changes from an offset.
+//! Feed of a shard's public state: a snapshot, or the changes after an offset.
 //!
-//! A [`FeedPublisher`] runs beside a replica and turns applied log entries into messages for its
-//! subscribers. A [`FeedView`] applies these messages and never steps back.
+//! A [`FeedPublisher`] belongs to a replica and turns applied log entries into messages for its
+//! subscribers. A [`FeedView`] applies these messages and never reverts to an older state.
 
 mod change_ring;
 mod delivery;
--- a/crates/feed/src/position.rs
+++ b/crates/feed/src/position.rs
@@ -4,20 +4,20 @@
 
 /// Term and index of the last log entry that a state includes, ordered by term first.
 ///
-/// Terms and offsets of committed entries only grow, so a smaller position is an older state.
+/// Terms and offsets of committed entries only increase, so a smaller position is an older state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FeedPosition {
-    /// Term of the entry.
+    /// Term of the last included entry.
     pub term: u64,
-    /// Index of the entry.
+    /// Log index of the last included entry.
     pub offset: u64,
 }
 
 impl FeedPosition {
-    /// Before the first entry: the state is empty.
+    /// Position before the first entry, where the state is empty.
     pub const START: FeedPosition = FeedPosition { term: 0, offset: 0 };
 
-    /// The position of the entry with this term and index.
+    /// Creates the position of the entry with this term and log index.
     #[must_use]
     pub fn new(term: u64, offset: u64) -> Self {
         Self { term, offset }
--- a/crates/feed/src/publisher.rs
+++ b/crates/feed/src/publisher.rs
@@ -19,20 +19,20 @@
 
 /// Turns the applied entries of one shard's replica into messages for its subscribers.
 ///
-/// The owner calls it for committed entries only and serves a [`Subscribe`] only while the replica
-/// has a quorum and has applied everything that was committed when the subscription arrived (a
-/// confirmed read). The publisher itself decides neither.
+/// The owner must pass committed entries only. It must serve a [`Subscribe`] only while the replica has a
+/// quorum and has applied everything that was committed when the subscription arrived (a confirmed
+/// read). The publisher checks neither.
 #[derive(Clone, Debug)]
 pub struct FeedPublisher {
     state: ShardState,
     recent: ChangeRing,
     terms: TermHistory,
     subscribers: BTreeMap<SubscriberId, SubscriberState>,
-    /// The snapshot as last encoded.
+    /// The last encoded snapshot. `None` if the items have changed since.
     encoded: Option<EncodedSnapshot>,
 }
 
-/// A snapshot as bytes, and the position that it was taken at.
+/// An encoded snapshot and its position.
 #[derive(Clone, Debug)]
 struct EncodedSnapshot {
     position: FeedPosition,
@@ -40,7 +40,7 @@
 }
 
 impl FeedPublisher {
-    /// A publisher of an empty shard.
+    /// Creates a publisher of an empty shard.
     #[must_use]
     pub fn new(shard: ShardId) -> Self {
         Self {
@@ -52,13 +52,13 @@
         }
     }
 
-    /// Position of the last applied entry.
+    /// Returns the position of the last applied entry.
     #[must_use]
     pub fn position(&self) -> FeedPosition {
         self.state.position()
     }
 
-    /// The public state at [`Self::position`].
+    /// Returns the items of the public state at [`Self::position`].
     #[must_use]
     pub fn items(&self) -> &BTreeMap<String, StateValue> {
         self.state.items()
@@ -66,7 +66,7 @@
 
     /// Replaces the public state after the replica restored a snapshot at `position`.
     ///
-    /// Every subscriber gets the complete new state.
+    /// Every subscriber that is not ahead of `position` gets the complete new state.
     pub fn restore(
         &mut self,
         position: FeedPosition,
@@ -79,14 +79,14 @@
         self.encoded = None;
         let snapshot = self.snapshot_message(position);
         let mut deliveries = self.deliver(&snapshot);
-        deliveries.append(&mut self.release_reached());
+        deliveries.append(&mut self.catch_up_reached());
         deliveries
     }
 
-    /// Publishes the entry applied at `position` and the items that it changed, often none.
+    /// Publishes the entry applied at `position` with the items that it changed, which may be none.
     ///
-    /// To be called for every applied entry, in order. An entry at or before the present position
-    /// (delivered again after a restart) is ignored.
+    /// Must be called for every applied entry, in order. An entry at or before the current position, as
+    /// delivered again after a restart, is ignored.
     pub fn apply(&mut self, position: FeedPosition, changed: Vec<StateItem>) -> Vec<FeedDelivery> {
         if position.offset <= self.position().offset {
             return Vec::new();
@@ -94,7 +94,7 @@
         self.state.set_position(position);
         self.terms.record(position);
         if changed.is_empty() {
-            return self.release_reached();
+            return self.catch_up_reached();
         }
         for item in &changed {
             self.state.set(item);
@@ -111,14 +111,14 @@
         self.terms.trim(self.recent.floor());
         let message = self.message(feed_message::Kind::Change(change));
         let mut deliveries = self.deliver(&message);
-        deliveries.append(&mut self.release_reached());
+        deliveries.append(&mut self.catch_up_reached());
         deliveries
     }
 
-    /// Adds a subscriber, or moves it, and returns what brings it up to date.
+    /// Adds a subscriber, or updates its position, and returns the messages that bring it up to date.
     ///
-    /// A subscriber that has applied more than this replica gets nothing until the replica has
-    /// caught up: an older state is never sent.
+    /// A subscriber that is ahead of this replica gets nothing until the replica has caught up, because an
+    /// older state must never be sent.
     pub fn subscribe(
         &mut self,
         subscriber: SubscriberId,
@@ -140,15 +140,15 @@
         self.subscribers.remove(&subscriber);
     }
 
-    /// Confirms the present position to every subscriber that is not ahead of it.
+    /// Returns messages that confirm the current position to every subscriber that is not ahead of it.
     ///
-    /// To be called only while the replica has a quorum.
+    /// Must be called only while the replica has a quorum.
     #[must_use]
     pub fn progress(&self) -> Vec<FeedDelivery> {
         self.deliver(&self.progress_message())
     }
 
-    /// Notifies every subscriber that the quorum is lost, and removes them all.
+    /// Removes all subscribers and returns messages that notify them that the quorum is lost.
     pub fn stale(&mut self) -> Vec<FeedDelivery> {
         let message = self.message(feed_message::Kind::Stale(FeedStale {}));
         let subscribers = std::mem::take(&mut self.subscribers);
@@ -161,15 +161,15 @@
             .collect()
     }
 
-    /// The complete public state.
+    /// Returns the complete public state.
     #[must_use]
     pub fn state(&self) -> StateSnapshot {
         self.state.snapshot()
     }
 
     fn catch_up(&mut self, from: FeedPosition) -> Vec<FeedMessage> {
-        // A subscriber without any state gets a snapshot: brought up change by change it would pass
-        // through older revisions, which a restarted node must never apply.
+        // A subscriber without any state gets a snapshot. With single changes it would apply older
+        // revisions first, which a restarted node must never do.
         let has_state = from != FeedPosition::START || self.position() == FeedPosition::START;
         let known = has_state && self.terms.contains(from);
         let changes = self.changes_after(from.offset).filter(|_| known);
@@ -180,7 +180,8 @@
         messages
     }
 
-    /// A snapshot, and a progress message when it was encoded some entries ago.
+    /// Returns a snapshot, followed by a progress message if the snapshot was encoded at an earlier
+    /// position.
     fn snapshot_messages(&mut self, from: FeedPosition) -> Vec<FeedMessage> {
         let mut messages = vec![self.snapshot_message(from)];
         let encoded_at = self.encoded.as_ref().map(|encoded| encoded.position);
@@ -190,7 +191,8 @@
         messages
     }
 
-    /// The changes after `offset`, if they are known and smaller than a snapshot.
+    /// Returns the changes after `offset`, if they are all retained and have no more items than a
+    /// snapshot.
     fn changes_after(&self, offset: u64) -> Option<Vec<FeedMessage>> {
         let changes: Vec<&StateChange> = self.recent.after(offset)?.collect();
         let items: usize = changes.iter().map(|change| change.items.len()).sum();
@@ -203,8 +205,9 @@
         Some(kinds.map(|kind| self.message(kind)).collect())
     }
 
-    /// Brings up to date the subscribers that were ahead of this replica until now.
-    fn release_reached(&mut self) -> Vec<FeedDelivery> {
+    /// Returns messages for the subscribers that were ahead of this replica and whose position it has now
+    /// reached.
+    fn catch_up_reached(&mut self) -> Vec<FeedDelivery> {
         let position = self.position();
         let subscribers = self.subscribers.iter();
         let reached: Vec<(SubscriberId, FeedPosition)> = subscribers
@@ -234,11 +237,11 @@
             .collect()
     }
 
-    /// The complete state, encoded once for however many subscribers: encoding it for each would
-    /// delay the heartbeats of the replica's thread when many nodes start at once.
+    /// Returns the complete state, which is encoded once for all subscribers. Encoding it for each of them
+    /// would delay the heartbeats of the replica's thread when many nodes start at once.
     ///
-    /// Entries that change nothing public leave the encoded state as it is; the progress message
-    /// that follows brings a view on from its position. It must not be older than `from`.
+    /// An encoded snapshot is reused after entries without public changes, unless it is older than
+    /// `from`; the progress message that follows it advances the view to the current position.
     fn snapshot_message(&mut self, from: FeedPosition) -> FeedMessage {
         let reusable = self.encoded.take();
         let encoded = reusable
--- a/crates/feed/src/shard_state.rs
+++ b/crates/feed/src/shard_state.rs
@@ -1,4 +1,4 @@
-//! One shard's public state: what both sides of the feed keep.
+//! Public state of one shard, kept by both sides of the feed.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 
 use crate::position::FeedPosition;
 
-/// The items of a shard at a position of its log.
+/// Items of a shard at a position of its log.
 #[derive(Clone, Debug)]
 pub(crate) struct ShardState {
     shard: ShardId,
@@ -17,7 +17,7 @@
 }
 
 impl ShardState {
-    /// The empty state of a shard, before its first log entry.
+    /// Creates the empty state of a shard, before its first log entry.
     pub(crate) fn new(shard: ShardId) -> Self {
         Self {
             shard,
@@ -38,12 +38,12 @@
         &self.items
     }
 
-    /// Moves the state to a position; the caller brings the items there too.
+    /// Sets the position. The caller must update the items to match.
     pub(crate) fn set_position(&mut self, position: FeedPosition) {
         self.position = position;
     }
 
-    /// Sets an item, or deletes it when its value is absent. Returns whether it differs from before.
+    /// Sets an item, or deletes it if it has no value. Returns whether the state changed.
     pub(crate) fn set(&mut self, item: &StateItem) -> bool {
         if self.items.get(&item.key) == item.value.as_ref() {
             return false;
@@ -55,8 +55,8 @@
         true
     }
 
-    /// Replaces all items; those without a value are ignored. Returns the items that differ from
-    /// before: the given ones in their order, then the deleted ones by key.
+    /// Replaces all items; those without a value are ignored. Returns the items that changed: first the
+    /// new or changed ones in the given order, then the deleted ones in the order of their keys.
     pub(crate) fn replace(&mut self, items: impl IntoIterator<Item = StateItem>) -> Vec<StateItem> {
         let mut former = std::mem::take(&mut self.items);
         let mut changed = Vec::new();
@@ -75,7 +75,7 @@
         changed
     }
 
-    /// The complete state as one message.
+    /// Returns the complete state as one message.
     pub(crate) fn snapshot(&self) -> StateSnapshot {
         let items = self.items.iter().map(|(key, value)| StateItem {
             key: key.clone(),
--- a/crates/feed/src/subscriber_state.rs
+++ b/crates/feed/src/subscriber_state.rs
@@ -1,18 +1,19 @@
-//! What a publisher knows about one subscriber.
+//! State of one subscriber of a publisher.
 
 use crate::position::FeedPosition;
 
-/// Whether a subscriber gets the changes as they are applied.
+/// Whether a subscriber currently receives changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SubscriberState {
-    /// It has applied a newer state than this replica: nothing may be sent yet.
+    /// The subscriber has applied a newer state, at this position, than this replica. Nothing may be sent
+    /// yet.
     Ahead(FeedPosition),
-    /// It has been sent everything up to the publisher's position.
+    /// The subscriber was sent everything up to the publisher's position and receives further changes.
     Following,
 }
 
 impl SubscriberState {
-    /// The position it is at, if the publisher at `position` has now reached it.
+    /// Returns the position of a subscriber that was ahead, if the publisher has reached it at `position`.
     pub(crate) fn reached(self, position: FeedPosition) -> Option<FeedPosition> {
         match self {
             SubscriberState::Ahead(from) if from <= position => Some(from),
--- a/crates/feed/src/term_history.rs
+++ b/crates/feed/src/term_history.rs
@@ -1,20 +1,21 @@
-//! Terms of the log entries that a publisher has passed.
+//! Terms of the log entries that a publisher has applied.
 
 use std::collections::BTreeMap;
 
 use crate::position::FeedPosition;
 
-/// Term by the first offset of each run of entries of one term, from a floor on.
+/// Terms of the applied entries: for each run of entries with the same term, the first offset and the
+/// term. Runs before a floor are dropped.
 ///
-/// Decides whether a subscriber's position lies in this replica's history. It lies outside only after
-/// a forced recovery, which may have dropped entries that the subscriber has applied.
+/// It shows whether a subscriber's position is part of this replica's history. It is not only after a
+/// forced recovery, which may have dropped entries that the subscriber has applied.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TermHistory {
     terms_by_first_offset: BTreeMap<u64, u64>,
 }
 
 impl TermHistory {
-    /// A history that starts at `position`.
+    /// Creates a history that starts at `position`.
     pub(crate) fn starting_at(position: FeedPosition) -> Self {
         let terms_by_first_offset = BTreeMap::from([(position.offset, position.term)]);
         Self {
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Whether the entry at `position` belongs to this history.
+    /// Returns whether the entry at `position` is part of this history.
     pub(crate) fn contains(&self, position: FeedPosition) -> bool {
         let run = self
             .terms_by_first_offset
--- a/crates/feed/src/view.rs
+++ b/crates/feed/src/view.rs
@@ -13,14 +13,14 @@
 use crate::position::FeedPosition;
 use crate::shard_state::ShardState;
 
-/// A copy of one shard's public state that never steps back.
+/// A copy of one shard's public state that never reverts to an older state.
 #[derive(Clone, Debug)]
 pub struct FeedView {
     state: ShardState,
 }
 
 impl FeedView {
-    /// An empty view of a shard.
+    /// Creates an empty view of a shard.
     #[must_use]
     pub fn new(shard: ShardId) -> Self {
         Self {
@@ -28,25 +28,25 @@
         }
     }
 
-    /// The shard that the view follows.
+    /// Returns the shard of the view.
     #[must_use]
     pub fn shard(&self) -> ShardId {
         self.state.shard()
     }
 
-    /// Position of the applied state.
+    /// Returns the position of the applied state.
     #[must_use]
     pub fn position(&self) -> FeedPosition {
         self.state.position()
     }
 
-    /// The applied state.
+    /// Returns the items of the applied state.
     #[must_use]
     pub fn items(&self) -> &BTreeMap<String, StateValue> {
         self.state.items()
     }
 
-    /// The request for the feed from the present position.
+    /// Returns the request to subscribe to the feed from the current position.
     #[must_use]
     pub fn subscribe(&self) -> Subscribe {
         let position = self.position();
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The complete applied state, for a consumer that starts anew.
+    /// Returns the complete applied state, for a consumer without any state.
     #[must_use]
     pub fn snapshot(&self) -> StateSnapshot {
         self.state.snapshot()
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Applies a snapshot. An older one is refused; one at the same position is applied, as it can
-    /// only differ by amendments of the agent.
+    /// Applies a snapshot unless it is older than the view. A snapshot at the same position is applied,
+    /// since it can differ only by amendments of the agent.
     pub fn apply_snapshot(&mut self, snapshot: StateSnapshot) -> FeedOutcome {
         let position = FeedPosition::from(&snapshot);
         if position < self.position() {
@@ -96,8 +96,8 @@
         FeedOutcome::from_changed(self.state.replace(snapshot.items))
     }
 
-    /// Applies the next change. A change at the present offset with itself as the previous one is
-    /// an amendment of the agent and is applied as well.
+    /// Applies the next change, or an amendment of the agent: a change at the current position whose
+    /// previous offset equals its own.
     pub fn apply_change(&mut self, change: StateChange) -> FeedOutcome {
         let position = FeedPosition::from(&change);
         if position < self.position() {
@@ -106,10 +106,10 @@
         if position == self.position() {
             return self.apply_amendment(change);
         }
-        // Safety: every change at or before the view's offset is in the view, and the change is the
-        // only one after `previous_offset` up to its own offset. So nothing is left out exactly if
-        // the view has reached `previous_offset`. An offset that does not grow under a larger term
-        // comes from a forced recovery: only a snapshot can follow it.
+        // Safety: the view includes every change at or before its offset, and this change is the only one
+        // after `previous_offset` up to its own offset. So no change is skipped if and only if the view
+        // has reached `previous_offset`. An offset that does not increase with a larger term comes from a
+        // forced recovery, after which only a snapshot can be applied.
         let contiguous = change.previous_offset <= self.position().offset;
         let forward = change.offset > self.position().offset;
         if !contiguous || !forward {
--- a/crates/feed/tests/first_subscription.rs
+++ b/crates/feed/tests/first_subscription.rs
@@ -1,4 +1,4 @@
-//! What a subscriber without any state is sent first.
+//! Tests of the first messages to a subscriber without any state.
 
 use millford_api::internal::{StateSnapshot, Subscribe, feed_message};
 use millford_api::state::{ConfigHead, StateItem, StateValue, state_value};
@@ -20,22 +20,22 @@
 }
 
 #[test]
-fn a_restarted_node_never_passes_through_older_revisions() {
+fn a_restarted_node_never_receives_older_revisions() {
     let mut publisher = FeedPublisher::new(ShardId::CONFIGURATION);
     for revision in 1..=3 {
         let position = FeedPosition::new(1, revision);
         publisher.apply(position, vec![head(revision)]);
     }
-    let nothing_applied = Subscribe {
+    let from_start = Subscribe {
         shard: 0,
         term: 0,
         offset: 0,
     };
-    let messages = publisher.subscribe(1, &nothing_applied);
+    let messages = publisher.subscribe(1, &from_start);
     assert_eq!(
         messages.len(),
         1,
-        "one message brings it to the newest state"
+        "one message must contain the newest state"
     );
     let Some(feed_message::Kind::PackedSnapshot(packed)) = &messages[0].kind else {
         panic!("expected a snapshot, got {:?}", messages[0]);
@@ -49,12 +49,12 @@
 fn entries_without_public_changes_reuse_the_encoded_snapshot_and_advance_a_view() {
     let mut publisher = FeedPublisher::new(ShardId::CONFIGURATION);
     publisher.apply(FeedPosition::new(1, 1), vec![head(1)]);
-    let nothing_applied = Subscribe::default();
-    publisher.subscribe(1, &nothing_applied);
+    let from_start = Subscribe::default();
+    publisher.subscribe(1, &from_start);
     publisher.apply(FeedPosition::new(1, 2), Vec::new());
     publisher.apply(FeedPosition::new(2, 3), Vec::new());
     let mut view = FeedView::new(ShardId::CONFIGURATION);
-    for message in publisher.subscribe(2, &nothing_applied) {
+    for message in publisher.subscribe(2, &from_start) {
         assert_ne!(view.apply(message), FeedOutcome::Stale);
     }
     assert_eq!(view.position(), publisher.position());
--- a/crates/feed/tests/view_properties.rs
+++ b/crates/feed/tests/view_properties.rs
@@ -1,5 +1,5 @@
-//! Whatever order, loss or repetition of messages: a view never steps back and ends where the
-//! publisher is.
+//! With any reordering, loss or duplication of messages, a view never reverts to an older state and
+//! finally reaches the publisher's state.
 
 use std::collections::BTreeMap;
 
@@ -11,15 +11,15 @@
 
 const SUBSCRIBER: u64 = 7;
 
-/// One step of a run, made from random numbers.
+/// One random step of a run.
 #[derive(Clone, Debug)]
 enum Step {
     Apply { key: u8, value: u8, new_term: bool },
     Restore,
     Progress,
     Deliver { pick: u8 },
-    Lose { pick: u8 },
-    Repeat { pick: u8 },
+    Drop { pick: u8 },
+    Duplicate { pick: u8 },
 }
 
 impl quickcheck::Arbitrary for Step {
@@ -35,8 +35,8 @@
             5 => Step::Restore,
             6 => Step::Progress,
             7..=11 => Step::Deliver { pick },
-            12..=13 => Step::Lose { pick },
-            _ => Step::Repeat { pick },
+            12..=13 => Step::Drop { pick },
+            _ => Step::Duplicate { pick },
         }
     }
 }
@@ -49,7 +49,7 @@
     let kind = Some(state_value::Kind::ConfigHead(head));
     StateItem {
         key: format!("key/{key}"),
-        // Value 0 stands for a deletion, and key 7 for an entry that changes nothing public.
+        // Value 0 means a deletion. Key 7 means an entry without public changes.
         value: (value != 0).then_some(StateValue { kind }),
     }
 }
@@ -99,14 +99,14 @@
                 self.in_flight
                     .extend(deliveries.into_iter().map(|delivery| delivery.message));
             }
-            Step::Lose { pick } => {
+            Step::Drop { pick } => {
                 self.take(*pick);
             }
             Step::Deliver { pick } => {
                 let message = self.take(*pick);
                 return message.map_or(Ok(()), |message| self.receive(message));
             }
-            Step::Repeat { pick } => {
+            Step::Duplicate { pick } => {
                 if let Some(message) = self.take(*pick) {
                     self.in_flight.push(message.clone());
                     return self.receive(message);
@@ -129,7 +129,7 @@
         self.record();
     }
 
-    /// The replica skips ahead by a snapshot with a change that no message carried.
+    /// Advances the replica by a snapshot with a change that no message contained.
     fn restore(&mut self) {
         let mut items = self.publisher.state().items;
         items.retain(|present| present.key != "key/0");
@@ -157,7 +157,7 @@
         let outcome = self.view.apply(message);
         let after = self.view.position();
         if after < before {
-            return Err(format!("stepped back from {before:?} to {after:?}"));
+            return Err(format!("the view reverted from {before:?} to {after:?}"));
         }
         if self.history.get(&after) != Some(self.view.items()) {
             return Err(format!("the state at {after:?} is not the publisher's"));
@@ -168,7 +168,7 @@
         Ok(())
     }
 
-    /// An end without faults: messages in flight arrive in order, then one more subscription.
+    /// Ends the run without faults: twice subscribes again and delivers all messages in order.
     fn drain(&mut self) -> Result<(), String> {
         for _ in 0..2 {
             self.resubscribe();
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn any_order_loss_or_repetition_ends_at_the_publishers_state() {
+fn a_view_reaches_the_publishers_state_after_reordering_loss_and_duplication() {
     fn property(steps: Vec<Step>) -> TestResult {
         let mut run = Run::new();
         for step in steps {
@@ -204,14 +204,15 @@
 }
 
 #[test]
-fn a_view_may_move_between_replicas_that_applied_differently() {
-    // One replica applied every entry; the other restored a snapshot: their rings differ.
-    fn property(values: Vec<u8>, restore_at: u8, moves: Vec<bool>) -> bool {
+fn a_view_can_switch_between_replicas_with_different_retained_changes() {
+    // One replica applies every entry and the other one restores a snapshot, so their retained changes
+    // differ.
+    fn property(values: Vec<u8>, restore_at: u8, switches: Vec<bool>) -> bool {
         let mut first = FeedPublisher::new(ShardId(1));
         let mut second = FeedPublisher::new(ShardId(1));
         let mut view = FeedView::new(ShardId(1));
         let mut reached = view.position();
-        let mut moves = moves.into_iter();
+        let mut switches = switches.into_iter();
         for (index, value) in values.into_iter().enumerate() {
             let position = FeedPosition::new(1, index as u64 + 1);
             let changed = vec![item(value % 5, value % 3)];
@@ -221,7 +222,7 @@
             } else if index > usize::from(restore_at) {
                 second.apply(position, changed);
             }
-            let use_second = moves.next().unwrap_or(false);
+            let use_second = switches.next().unwrap_or(false);
             let publisher = if use_second { &mut second } else { &mut first };
             for message in publisher.subscribe(SUBSCRIBER, &view.subscribe()) {
                 if view.apply(message) == FeedOutcome::Stale {
@@ -247,7 +248,7 @@
 }
 
 #[test]
-fn a_replica_behind_its_subscriber_sends_nothing_until_it_caught_up() {
+fn a_replica_behind_its_subscriber_sends_nothing_until_it_has_caught_up() {
     let mut ahead = FeedPublisher::new(ShardId(1));
     let mut behind = FeedPublisher::new(ShardId(1));
     let mut view = FeedView::new(ShardId(1));
@@ -299,7 +300,7 @@
 }
 
 #[test]
-fn an_amendment_at_the_same_position_is_applied_and_undone_by_the_snapshot() {
+fn an_amendment_at_the_same_position_is_applied_and_reverted_by_the_snapshot() {
     let mut publisher = FeedPublisher::new(ShardId(1));
     publisher.apply(FeedPosition::new(1, 1), vec![item(1, 1)]);
     let mut view = FeedView::new(ShardId(1));
