--- a/crates/data-plane/src/agent_link/link.rs
+++ b/crates/data-plane/src/agent_link/link.rs
@@ -60,7 +60,8 @@
         })
     }
 
-    /// Returns the stream slot of a request that ended, or the token of one that was never sent.
+    /// Reports the end of an admitted request: releases its stream slot, and its token if the request was
+    /// never sent.
     pub fn release_quota(&self, release: QuotaRelease) {
         let mut granted_streams = self.granted_streams.lock();
         if release.stream {
@@ -109,7 +110,7 @@
         let _ = self.frames.send(frame(body));
     }
 
-    /// Passes a quota reply to its requester. A grant whose requester stopped waiting is returned.
+    /// Passes a quota reply to its requester. A grant whose requester stopped waiting is released.
     ///
     /// After a pause of the process a grant may have outlived its lease, and the leader may have granted
     /// its tokens again. Such a grant is not used, and the request is sent again.
--- a/crates/data-plane/src/frame_handler.rs
+++ b/crates/data-plane/src/frame_handler.rs
@@ -13,10 +13,10 @@
 use crate::control_view::{ControlView, ViewOutcome};
 use crate::proxy_state::ProxyState;
 
-/// What the caller has to do after a frame was handled.
+/// Action that the caller must take after a frame was handled.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FrameOutcome {
-    /// Nothing.
+    /// No action is needed.
     Nothing,
     /// The view changed: call [`FrameHandler::apply_changes`] once no more frames are pending.
     Changed,
@@ -26,7 +26,7 @@
     Quota {
         /// Id of the quota request.
         request_id: u64,
-        /// The reply.
+        /// Grant, or refusal with its reason.
         answer: AdmissionReply,
         /// How long a grant is valid after the request was last sent; `None` if there is no limit.
         use_within: Option<Duration>,
@@ -35,7 +35,7 @@
     Claim {
         /// Id of the claim request.
         request_id: u64,
-        /// The reply.
+        /// Grant, or the reason why the request must not run.
         answer: ClaimAnswer,
     },
     /// The agent acknowledged the resolution of a claim.
@@ -57,7 +57,7 @@
 }
 
 impl FrameHandler {
-    /// Creates a handler for this state, without any control state received.
+    /// Creates a handler that applies control state to `state` and has received none yet.
     #[must_use]
     pub fn new(state: Arc<ProxyState>) -> Self {
         Self {
@@ -97,8 +97,8 @@
     pub fn apply_changes(&mut self) -> Option<LocalFrame> {
         let table = self.view.table();
         let revision = table.revision();
-        // The position of each shard never decreases, so neither should the revision. This check also
-        // covers an agent that sends wrong data.
+        // The position of each shard never decreases, so the revision does not either. This check guards
+        // against an agent that sends invalid data.
         if revision < self.applied_revision {
             return None;
         }
--- a/crates/data-plane/src/proxy_state.rs
+++ b/crates/data-plane/src/proxy_state.rs
@@ -31,7 +31,7 @@
     pub queues: FairQueues,
     /// Limits and timeouts of the request path.
     pub limits: RequestLimits,
-    /// Metrics of the proxy.
+    /// Counters, gauges and histograms for a scrape.
     pub metrics: ProxyMetrics,
 }
 
--- a/crates/decisions/src/attempt_record.rs
+++ b/crates/decisions/src/attempt_record.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Outcome of an attempt.
+/// Result of an attempt, as seen by the proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptOutcome {
@@ -43,6 +43,6 @@
     pub queued_tokens: u64,
     /// Estimated number of streams that the backend serves.
     pub streams: u32,
-    /// Outcome of the attempt.
+    /// Result of the attempt; [`AttemptOutcome::Open`] while it is in progress.
     pub outcome: AttemptOutcome,
 }
--- a/crates/decisions/src/decision_record.rs
+++ b/crates/decisions/src/decision_record.rs
@@ -4,7 +4,7 @@
 
 use crate::attempt_record::AttemptRecord;
 
-/// How the proxy ended a request.
+/// Result of a request, as seen by the proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ending {
@@ -58,6 +58,6 @@
     pub resumed: bool,
     /// Time of the end, in milliseconds after the arrival.
     pub ended_ms: u32,
-    /// How the request ended.
+    /// Result of the request.
     pub ending: Ending,
 }
--- a/crates/feed/src/term_history.rs
+++ b/crates/feed/src/term_history.rs
@@ -7,8 +7,8 @@
 /// Terms of the applied entries: for each run of entries with the same term, the first offset and the
 /// term. Runs before a floor are dropped.
 ///
-/// It shows whether a subscriber's position is part of this replica's history. It is not only after a
-/// forced recovery, which may have dropped entries that the subscriber has applied.
+/// It shows whether a subscriber's position is part of this replica's history. This is always the case
+/// unless a forced recovery dropped entries that the subscriber has applied.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TermHistory {
     terms_by_first_offset: BTreeMap<u64, u64>,
--- a/crates/membership/src/formation.rs
+++ b/crates/membership/src/formation.rs
@@ -27,7 +27,7 @@
     Form(Vec<ControlMember>),
     /// Join the cluster of a seed that has cluster state.
     Join {
-        /// Id of the cluster.
+        /// Id of the seed's cluster, never 0.
         cluster_id: u64,
     },
 }
--- a/crates/routing/src/backend_health.rs
+++ b/crates/routing/src/backend_health.rs
@@ -16,10 +16,11 @@
 /// How long after its last use a backend is still probed.
 pub const WATCH_AFTER_USE: Duration = Duration::from_mins(1);
 
-/// Largest number of backends that a node probes without using them.
+/// Largest number of backends that a node probes without using them. If there are more, a backend is
+/// probed only once it is used.
 pub const MAX_WATCHED: usize = 64;
 
-/// Why a backend was ejected.
+/// Reason for the ejection of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EjectionReason {
     /// No connection could be opened.
@@ -96,7 +97,7 @@
         })
     }
 
-    /// Returns whether new work may be sent to the backend, which is so for one without any record.
+    /// Returns whether new work may be sent to the backend. A backend without a record is usable.
     #[must_use]
     pub fn is_usable(&self, id: &str) -> bool {
         let backends = self.lock();
@@ -140,15 +141,17 @@
     }
 
     /// Returns the backends to probe now: every ejected backend, and every watched or recently used one
-    /// that has been inactive for `quiet`.
+    /// that has been inactive for at least `inactivity`.
     #[must_use]
-    pub fn to_probe(&self, now: MonotonicTime, quiet: Duration) -> Vec<String> {
+    pub fn to_probe(&self, now: MonotonicTime, inactivity: Duration) -> Vec<String> {
         let backends = self.lock();
         let due = backends.iter().filter(|(_, health)| {
             let recently = |at: MonotonicTime| now.since(at) < WATCH_AFTER_USE;
             let in_use = health.last_used.is_some_and(recently);
-            let is_quiet = health.last_active.is_none_or(|at| now.since(at) >= quiet);
-            health.ejected.is_some() || ((in_use || health.watched) && is_quiet)
+            let is_inactive = health
+                .last_active
+                .is_none_or(|at| now.since(at) >= inactivity);
+            health.ejected.is_some() || ((in_use || health.watched) && is_inactive)
         });
         due.map(|(id, _)| id.clone()).collect()
     }
--- a/crates/routing/src/choice.rs
+++ b/crates/routing/src/choice.rs
@@ -16,7 +16,7 @@
 /// A backend that may serve the request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// Id of the backend.
+    /// Id of the backend in the feed, which also determines its rendezvous score.
     pub backend_id: String,
     /// Relative share of new work, in thousandths.
     pub weight_milli: u32,
@@ -38,9 +38,9 @@
 pub struct Affinity {
     /// Hash of the session or the shared prefix.
     pub key: u64,
-    /// Processor time that the warm cache at home saves, in the unit of [`Candidate::load`].
+    /// Processor time that the warm cache of a home saves, in the unit of [`Candidate::load`].
     pub saving: f64,
-    /// Share of the request's prefill that the warm cache at home saves, from 0 to 1.
+    /// Share of the request's prefill that the warm cache of a home saves, from 0 to 1.
     pub gain: f64,
 }
 
--- a/crates/routing/src/cost_estimates.rs
+++ b/crates/routing/src/cost_estimates.rs
@@ -1,4 +1,7 @@
 //! Cost estimates per model, learned from this node's own traffic.
+//!
+//! The home of a request is a backend that rendezvous hashing assigns to its affinity key; see
+//! [`crate::choice`].
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -120,7 +123,7 @@
         (cost.cached_share_at_home.value() - cost.cached_share_elsewhere.value()).max(0.0)
     }
 
-    /// Estimates the processor time that the warm cache at home saves on a prompt, in milliseconds.
+    /// Estimates the processor time that the warm cache of a prompt's home saves, in milliseconds.
     #[must_use]
     pub fn home_saving_ms(&self, model: &str, prompt_tokens: u64) -> f64 {
         let slope = self.read(model).first_token.slope();
--- a/crates/routing/src/prefix_index.rs
+++ b/crates/routing/src/prefix_index.rs
@@ -31,7 +31,7 @@
 pub struct CachedBlock {
     /// Id of the block.
     pub block: u64,
-    /// Id of the backend.
+    /// Id of the backend whose cache is assumed to contain the block.
     pub backend_id: String,
     /// Length of the block, in tokens.
     pub tokens: u32,
--- a/crates/routing/src/rendezvous.rs
+++ b/crates/routing/src/rendezvous.rs
@@ -4,7 +4,7 @@
 
 /// Returns the score of a backend for a key. The backend with the highest score is the key's home.
 ///
-/// The number of keys whose home a backend is grows in proportion to its weight.
+/// A backend's share of the keys is proportional to its weight.
 #[must_use]
 pub fn score(key: u64, backend_id: &str, weight_milli: u32) -> f64 {
     let hash = xxh3_64_with_seed(backend_id.as_bytes(), key);
--- a/crates/routing/src/replica_load.rs
+++ b/crates/routing/src/replica_load.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Subtracts the counts, each down to 0 at most.
+    /// Subtracts each count, with 0 as the lower bound.
     #[must_use]
     pub fn saturating_sub(self, other: Self) -> Self {
         Self {
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -29,7 +29,7 @@
         *balance = (*balance + EARNED_PER_FIRST_ATTEMPT_MILLI).min(MAX_BALANCE_MILLI);
     }
 
-    /// Returns the cost of a retry of which no byte was sent.
+    /// Puts the cost of a retry back into the budget. Called if no byte of the retry was sent.
     pub fn refund(&self) {
         let mut balance = self.lock();
         *balance = (*balance + RETRY_COST_MILLI).min(MAX_BALANCE_MILLI);
--- a/crates/routing/src/running_mean.rs
+++ b/crates/routing/src/running_mean.rs
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Adds one sample.
+    /// Adds a sample. Its weight decreases with the number of samples down to `MIN_SAMPLE_WEIGHT`.
     pub fn add(&mut self, sample: f64) {
         self.samples = self.samples.saturating_add(1);
         let weight = (1.0 / f64::from(self.samples)).max(MIN_SAMPLE_WEIGHT);
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -40,7 +40,7 @@
             && choice.is_none_or(|choice| choice.index < list.len())
     }
 
-    /// In an idle fleet a key always goes to its home, whatever the random numbers are.
+    /// In an idle fleet a key always goes to its home, independent of the random numbers.
     fn an_idle_fleet_sends_a_key_to_its_home(count: u8, key: u64, first: u64, second: u64) -> bool {
         let list = candidates(&vec![0; usize::from(count % 20) + 1]);
         let choice = choose(&list, Some(affinity(key, 1.0)), [first, second]).expect("a choice");
--- a/crates/routing/tests/load.rs
+++ b/crates/routing/tests/load.rs
@@ -154,20 +154,20 @@
 #[test]
 fn an_inactive_backend_in_use_is_probed_and_ejected() {
     let health = BackendHealth::default();
-    let quiet = Duration::from_secs(1);
+    let inactivity = Duration::from_secs(1);
     let used_at = MonotonicTime::from_millis(1_000);
     health.record_dispatch("b1", used_at);
     health.record_activity("b1", used_at);
     let soon = used_at + Duration::from_millis(500);
-    assert_eq!(health.to_probe(soon, quiet), Vec::<String>::new());
+    assert_eq!(health.to_probe(soon, inactivity), Vec::<String>::new());
     let later = used_at + Duration::from_millis(1_100);
-    assert_eq!(health.to_probe(later, quiet), ["b1"]);
+    assert_eq!(health.to_probe(later, inactivity), ["b1"]);
     assert!(!health.probe_failed("b1"));
     assert!(health.probe_failed("b1"));
     assert!(!health.is_usable("b1"));
     // An ejected backend is still probed long after its last use.
     let much_later = later + Duration::from_mins(2);
-    assert_eq!(health.to_probe(much_later, quiet), ["b1"]);
+    assert_eq!(health.to_probe(much_later, inactivity), ["b1"]);
 }
 
 /// The placement role discards counts that are not refreshed, so the work of a long stream must be
