--- a/crates/routing/src/serving_pool.rs
+++ b/crates/routing/src/serving_pool.rs
@@ -104,7 +104,7 @@
 
     /// Returns whether any backend, active or not, declares the model.
     #[must_use]
-    pub fn knows_model(&self, model: &str) -> bool {
+    pub fn declares_model(&self, model: &str) -> bool {
         self.replicas.iter().any(|replica| replica.model == model)
     }
 
