--- a/crates/control/src/gateway/core/handshakes.rs
+++ b/crates/control/src/gateway/core/handshakes.rs
@@ -97,7 +97,7 @@
         let mut changed = self.directory.introduce(sender);
         for member in known {
             if self.is_other(member) {
-                changed |= self.directory.learn_of(member);
+                changed |= self.directory.add_reported(member);
             }
         }
         if changed {
--- a/crates/membership/src/member_directory.rs
+++ b/crates/membership/src/member_directory.rs
@@ -34,7 +34,7 @@
 
     /// Adds a node that another node reported, unless its identity or its address is already listed: a
     /// node's own report takes precedence. Returns whether the directory changed.
-    pub fn learn_of(&mut self, member: &ControlMember) -> bool {
+    pub fn add_reported(&mut self, member: &ControlMember) -> bool {
         let identity = NodeId(member.node_id);
         let known = self.members.contains_key(&identity);
         let address_taken = self.at_address(&member.internal_address).is_some();
--- a/crates/membership/tests/members.rs
+++ b/crates/membership/tests/members.rs
@@ -108,14 +108,14 @@
     let mut directory = MemberDirectory::default();
     directory.introduce(&member(1, "a:1"));
     assert!(
-        !directory.learn_of(&member(1, "b:1")),
+        !directory.add_reported(&member(1, "b:1")),
         "the node's own report takes precedence"
     );
     assert!(
-        !directory.learn_of(&member(2, "a:1")),
+        !directory.add_reported(&member(2, "a:1")),
         "the address belongs to another identity"
     );
-    assert!(directory.learn_of(&member(2, "b:1")));
+    assert!(directory.add_reported(&member(2, "b:1")));
     directory.remove(NodeId(2));
     assert!(!directory.introduce(&member(2, "b:1")));
     assert!(directory.is_removed(NodeId(2)));
