--- a/crates/control/src/shard/feed_service.rs
+++ b/crates/control/src/shard/feed_service.rs
@@ -71,7 +71,7 @@
 
     /// The state may be old from now on: every subscriber goes elsewhere.
     pub(super) fn end_as_stale(&mut self) -> Vec<ShardOutput> {
-        to_outputs(self.publisher.stale())
+        to_outputs(self.publisher.notify_stale())
     }
 
     /// An agent subscribes; its feed opens once its read is confirmed and applied.
--- a/crates/feed/src/publisher.rs
+++ b/crates/feed/src/publisher.rs
@@ -149,7 +149,7 @@
     }
 
     /// Removes all subscribers and returns messages that notify them that the quorum is lost.
-    pub fn stale(&mut self) -> Vec<FeedDelivery> {
+    pub fn notify_stale(&mut self) -> Vec<FeedDelivery> {
         let message = self.message(feed_message::Kind::Stale(FeedStale {}));
         let subscribers = std::mem::take(&mut self.subscribers);
         subscribers
