--- a/crates/data-plane/src/control_view.rs
+++ b/crates/data-plane/src/control_view.rs
@@ -60,7 +60,7 @@
         ViewOutcome::Changed
     }
 
-    /// Applies a change that directly follows the view's position, or an amendment at that position: a
+    /// Applies a change that follows the view's position without a gap, or an amendment at that position: a
     /// change whose offset equals its previous offset.
     pub fn apply_change(&mut self, change: StateChange) -> ViewOutcome {
         let Some(current) = self.shards.get_mut(&change.shard) else {
