--- a/crates/control/src/shard/feed_service.rs
+++ b/crates/control/src/shard/feed_service.rs
@@ -72,7 +72,7 @@
     /// Ends every feed as stale, because this replica may fall behind; the agents connect to another
     /// node.
     pub(super) fn end_as_stale(&mut self) -> Vec<ShardOutput> {
-        to_outputs(self.publisher.stale())
+        to_outputs(self.publisher.notify_stale())
     }
 
     /// Records an agent's subscription; its feed opens once its read is confirmed and applied.
