--- a/crates/forward/src/backend/connection.rs
+++ b/crates/forward/src/backend/connection.rs
@@ -13,17 +13,17 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// Idle time of the connection after which the system sends keepalive probes.
+/// Idle time of a connection after which the operating system sends TCP keepalive probes.
 const KEEPALIVE_IDLE_TIME: Duration = Duration::from_secs(1);
-/// Time between two such probes.
+/// Time between two keepalive probes.
 const KEEPALIVE_PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Unanswered probes that end the connection.
+/// Number of unacknowledged keepalive probes after which the connection is closed.
 const KEEPALIVE_PROBES: u32 = 2;
-/// Bytes that are not acknowledged for this long end the connection. A backend that is only slow
-/// acknowledges them: this notices one that is gone without a word, not one that is busy.
+/// Time after which a connection with unacknowledged bytes is closed (`TCP_USER_TIMEOUT`). The operating system of
+/// a busy backend still acknowledges them, so that this detects only an unreachable backend.
 const USER_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Ends the connection's task, and with it the connection, when dropped.
+/// Aborts the connection's task when dropped, which closes the connection.
 #[derive(Debug)]
 struct ConnectionTask(JoinHandle<()>);
 
@@ -40,31 +40,32 @@
     _task: ConnectionTask,
 }
 
-/// How a request failed.
+/// Why a request on a connection failed.
 #[derive(Debug)]
 pub enum SendError {
-    /// Not a byte of it was sent: the connection had ended before.
+    /// No byte of the request was sent, because the connection was closed already. Returns the request.
     Unsent(Box<Request<Full<Bytes>>>),
-    /// The connection ended after part of it may have been sent.
+    /// The connection was lost after part of the request may have been sent.
     Lost,
 }
 
 impl Connection {
-    /// Opens a connection within `timeout`.
+    /// Opens a connection to `address` (IP address and port) within `timeout`.
     ///
     /// # Errors
-    /// The system's error, or a time-out.
+    /// Fails if the address cannot be parsed, with the operating system's error, or with
+    /// [`std::io::ErrorKind::TimedOut`].
     pub async fn open(address: &str, timeout: Duration) -> std::io::Result<Self> {
         let address: SocketAddr = address
             .parse()
             .map_err(|_| std::io::Error::from(std::io::ErrorKind::InvalidInput))?;
         let connecting = tokio::time::timeout(timeout, TcpStream::connect(address));
         let stream = connecting.await??;
-        prepare(&stream)?;
+        configure_socket(&stream)?;
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(std::io::Error::other)?;
         let task = tokio::spawn(async move {
-            // What went wrong shows in the requests.
+            // An error is also returned by the request that it affects.
             let _ = connection.await;
         });
         Ok(Self {
@@ -73,16 +74,16 @@
         })
     }
 
-    /// Whether the connection can take a request now.
+    /// Whether the connection can send a request now.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Sends a request and reads the head of the response.
+    /// Sends a request and reads the response headers.
     ///
     /// # Errors
-    /// [`SendError::Unsent`] is proof that the backend got nothing.
+    /// [`SendError::Unsent`] guarantees that the backend received nothing.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -95,7 +96,7 @@
     }
 }
 
-fn prepare(stream: &TcpStream) -> std::io::Result<()> {
+fn configure_socket(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
--- a/crates/forward/src/backend/connection_pools.rs
+++ b/crates/forward/src/backend/connection_pools.rs
@@ -1,4 +1,4 @@
-//! Connections of this node to each backend: pooled while idle, bounded in number.
+//! This node's connections to each backend: idle ones are pooled, and their number is limited.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -9,21 +9,21 @@
 use crate::backend::connection::Connection;
 use crate::lock::lock;
 
-/// How long an idle connection stays usable when the backend does not declare it.
+/// How long an idle connection stays usable if the backend declares no keep-alive timeout.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
 
-/// An idle connection is given up this long before the backend would close it: a request that meets
-/// the closing has an unknown outcome.
+/// How long before the backend would close an idle connection it is no longer used: a request that is sent while
+/// the backend closes the connection has an unknown outcome.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
-/// Why no connection could be had.
+/// Why no connection could be acquired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcquireError {
-    /// This node has as many connections to the backend as it may have.
+    /// This node has reached its limit of connections to the backend.
     AtLimit,
-    /// The backend refused the connection.
+    /// The backend refused the connection, or it failed with another error.
     Refused,
-    /// The backend did not respond in time.
+    /// The connection was not established in time.
     TimedOut,
 }
 
@@ -36,17 +36,18 @@
 #[derive(Debug, Default)]
 struct BackendPool {
     idle: Vec<IdleConnection>,
+    /// Number of connections that carry a request or are being opened.
     in_use: u32,
 }
 
-/// Connections by backend.
+/// The connections of this node, by backend id.
 #[derive(Debug)]
 pub struct ConnectionPools {
     pools: Mutex<BTreeMap<String, BackendPool>>,
     connect_timeout: Duration,
 }
 
-/// A connection in use. Dropped, it is closed; released, it returns to its pool.
+/// A connection in use. Dropping it closes it; [`Self::release`] returns it to its pool.
 #[derive(Debug)]
 pub struct PooledConnection {
     pools: Arc<ConnectionPools>,
@@ -56,7 +57,7 @@
 }
 
 impl ConnectionPools {
-    /// No connections yet; opening one takes at most `connect_timeout`.
+    /// Creates empty pools. Opening a connection takes at most `connect_timeout`.
     #[must_use]
     pub fn new(connect_timeout: Duration) -> Self {
         Self {
@@ -65,7 +66,7 @@
         }
     }
 
-    /// An idle connection to the backend, or a new one while this node has fewer than `max_connections`.
+    /// Returns an idle connection to the backend, or opens one if fewer than `max_connections` are in use.
     ///
     /// # Errors
     /// See [`AcquireError`].
@@ -81,7 +82,7 @@
         }
     }
 
-    /// A new connection, whatever is idle: to see whether the backend is there.
+    /// Opens a new connection even if there are idle ones, to probe whether the backend accepts connections.
     ///
     /// # Errors
     /// See [`AcquireError`].
@@ -94,20 +95,20 @@
         self.open(backend_id, address).await
     }
 
-    /// Connections to a backend that are in use or being opened.
+    /// Returns the number of connections to a backend that are in use or being opened.
     #[must_use]
     pub fn in_use(&self, backend_id: &str) -> u32 {
         self.lock().get(backend_id).map_or(0, |pool| pool.in_use)
     }
 
-    /// Closes the idle connections to a backend that is out of use.
+    /// Closes all idle connections to a backend.
     pub fn close_idle(&self, backend_id: &str) {
         if let Some(pool) = self.lock().get_mut(backend_id) {
             pool.idle.clear();
         }
     }
 
-    /// Closes connections that are idle for too long, and those to backends that are not `known`.
+    /// Closes connections that have been idle for too long, and idle connections to backends that are not `known`.
     pub fn close_expired(&self, now: MonotonicTime, known: impl Fn(&str) -> bool) {
         self.lock().retain(|backend_id, pool| {
             pool.idle.retain(|idle| idle.usable_until > now);
@@ -118,7 +119,8 @@
         });
     }
 
-    /// Takes the newest idle connection that still works. `None`: a new one may be opened, and is counted.
+    /// Takes the most recently used idle connection that is still usable. Returns `None` if there is none; a
+    /// connection that the caller is to open is then already counted as in use.
     fn take_idle(
         self: &Arc<Self>,
         backend_id: &str,
@@ -141,7 +143,7 @@
         Ok(None)
     }
 
-    /// Opens a connection that is counted already.
+    /// Opens a connection that is already counted as in use.
     async fn open(
         self: &Arc<Self>,
         backend_id: &str,
@@ -177,18 +179,19 @@
 }
 
 impl PooledConnection {
-    /// The connection; none only while it is being opened.
+    /// Returns the connection; `None` only while it is being opened.
     pub fn connection(&mut self) -> Option<&mut Connection> {
         self.connection.as_mut()
     }
 
-    /// Whether the connection had carried a request before.
+    /// Whether the connection was taken from the pool rather than newly opened.
     #[must_use]
     pub fn is_reused(&self) -> bool {
         self.reused
     }
 
-    /// Returns the connection to its pool: its response was read completely.
+    /// Returns the connection to its pool, after its response was read completely. `keep_alive` is the keep-alive
+    /// timeout that the backend declared, if any.
     pub fn release(mut self, keep_alive: Option<Duration>) {
         let Some(connection) = self.connection.take() else {
             return;
--- a/crates/forward/src/backend/health_watch.rs
+++ b/crates/forward/src/backend/health_watch.rs
@@ -14,22 +14,22 @@
 
 const LOG: PartLog = PartLog::new("HEALTH");
 
-/// Time between two checks.
+/// Interval at which it is checked which backends are due for a probe.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// A backend with requests in flight that sends nothing for this long is probed.
+/// Time without data after which a backend with requests in flight is probed.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(600);
-/// Shortest time between two such probes.
+/// Shortest time between two probes of an unresponsive backend.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between two probes of an ejected backend.
 const READMIT_PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two sweeps of idle connections.
+/// Interval at which expired idle connections are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Watches for as long as the process lives.
+/// Probes backends until the task is aborted.
 ///
-/// A probe is a bare connection: the backend's system accepts it at once whatever the backend is
-/// busy with, so a timeout there means that the machine or the way to it is lost. It needs no slot
-/// and is no request.
+/// A probe only opens a connection. The operating system of a busy backend accepts it at once, so that a timeout
+/// means that the machine or the network path to it has failed. A probe is not a request and occupies no slot of
+/// the backend.
 pub async fn run<P: ForwardProtocol>(node: Arc<ForwardNode<P>>) {
     let mut last_probes: LastProbes = BTreeMap::new();
     let mut next_sweep = monotonic_now();
@@ -54,18 +54,19 @@
     }
 }
 
-/// When each backend was probed last.
+/// Time of the last probe of each backend, by backend id.
 type LastProbes = BTreeMap<String, MonotonicTime>;
 
-/// What a probe is to find out.
+/// The decision that a probe is made for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProbePurpose {
-    /// Whether an ejected backend may be readmitted.
+    /// Whether to readmit an ejected backend.
     Readmission,
-    /// Whether an unresponsive backend has to be ejected.
+    /// Whether to eject an unresponsive backend.
     Ejection,
 }
 
+/// Returns the purpose of the probe that a backend is due for, if it is due for one.
 fn due_probe<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     backend_id: &str,
@@ -112,7 +113,7 @@
     }
 }
 
-/// What a failed connection says about the backend.
+/// Returns the reason to eject a backend after a connection to it could not be opened.
 #[must_use]
 pub fn ejection_reason(error: AcquireError) -> EjectionReason {
     match error {
--- a/crates/forward/src/backend/mod.rs
+++ b/crates/forward/src/backend/mod.rs
@@ -1,4 +1,4 @@
-//! Pooled connections to backends, and their health.
+//! Pooled connections to backends, and health checks of backends.
 
 pub mod connection;
 pub mod connection_pools;
--- a/crates/forward/src/daemon/callers.rs
+++ b/crates/forward/src/daemon/callers.rs
@@ -1,4 +1,4 @@
-//! Connections of callers.
+//! Accepts and serves the connections of callers.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -18,16 +18,16 @@
 
 const LOG: PartLog = PartLog::new("CALLERS");
 
-/// Wait after a failure to accept, which mostly means that the process has no free descriptors.
+/// Delay after a failure to accept a connection. The usual cause is that the process has no free file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Longest time for the headers of a request, and for a connection to be idle, where the
-/// configuration sets none.
+/// Longest time that a connection may be idle or take to send the headers of a request, if the configuration sets
+/// no limit.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Buffer for the head of a request, in bytes: the usual limit of headers and the request line. Every
-/// open connection may allocate as much.
+/// Size of the buffer for the request line and headers, in bytes: the default limit of headers plus room for the
+/// request line. Each open connection may allocate as much.
 const HEAD_BUFFER_BYTES: usize = 18 * 1024;
 
-/// Counts open connections, and closes them once their response is complete.
+/// Counts the open connections of callers, and closes them during shutdown.
 #[derive(Clone, Debug)]
 pub struct CallerConnections {
     open: Arc<AtomicUsize>,
@@ -55,7 +55,7 @@
 }
 
 impl CallerConnections {
-    /// Number of open connections.
+    /// Returns the number of open connections.
     #[must_use]
     pub fn open(&self) -> usize {
         self.open.load(Ordering::Relaxed)
@@ -66,13 +66,13 @@
         OpenConnection(Arc::clone(&self.open))
     }
 
-    /// Idle connections close now, the others once their response is complete.
+    /// Closes idle connections now, and the others once their responses are complete.
     pub fn close_when_idle(&self) {
         self.closing.send_replace(true);
     }
 }
 
-/// Accepts connections without end.
+/// Accepts connections until the task is aborted.
 pub async fn serve_callers<P: ForwardProtocol>(
     listener: TcpListener,
     node: Arc<ForwardNode<P>>,
@@ -102,7 +102,7 @@
     let idle_timeout = idle_timeout(&node);
     let service = service_fn(move |request| {
         let node = Arc::clone(&node);
-        // In a box of its own: an idle connection need not hold the memory of a request in flight.
+        // Boxed, so that an idle connection does not occupy the memory of a request in flight.
         Box::pin(async move { Ok::<_, Infallible>(serve(node, request).await) })
     });
     let connection = http1::Builder::new()
@@ -112,7 +112,7 @@
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let mut closing = connections.closing.subscribe();
-    // An error here is a caller that disconnected, was too slow or spoke no HTTP.
+    // An error means that the caller disconnected, was too slow or did not send valid HTTP.
     let must_close = tokio::select! {
         _ = connection.as_mut() => false,
         signalled = closing.wait_for(|closing| *closing) => signalled.is_ok(),
--- a/crates/forward/src/daemon/mod.rs
+++ b/crates/forward/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The process: sockets, threads and signals around the request path.
+//! The daemon process: listeners, threads and signal handling.
 
 pub mod callers;
 pub mod readiness;
--- a/crates/forward/src/daemon/readiness.rs
+++ b/crates/forward/src/daemon/readiness.rs
@@ -1,4 +1,4 @@
-//! Serves readiness and metrics.
+//! Serves the readiness check and the metrics over HTTP.
 
 use std::sync::Arc;
 
@@ -13,13 +13,13 @@
 
 const METRICS_PATH: &str = "/metrics";
 
-/// Serves until the process ends.
+/// Serves requests until the task is aborted.
 pub async fn serve_readiness<P: ForwardProtocol>(listener: TcpListener, node: Arc<ForwardNode<P>>) {
-    let pages = warp::path::full().map(move |path: FullPath| page(&node, path.as_str()));
+    let pages = warp::path::full().map(move |path: FullPath| respond(&node, path.as_str()));
     warp::serve(pages).incoming(listener).run().await;
 }
 
-fn page<P: ForwardProtocol>(node: &ForwardNode<P>, path: &str) -> Response<String> {
+fn respond<P: ForwardProtocol>(node: &ForwardNode<P>, path: &str) -> Response<String> {
     let mut response = Response::new(String::new());
     if path == METRICS_PATH {
         *response.body_mut() = metrics::render(&node.state.metrics.registry);
--- a/crates/forward/src/daemon/run.rs
+++ b/crates/forward/src/daemon/run.rs
@@ -1,4 +1,4 @@
-//! Starts the process and ends it cleanly.
+//! Starts the daemon and shuts it down gracefully.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,18 +27,18 @@
 
 const LOG: PartLog = PartLog::new("FORWARD");
 
-/// Time from the termination signal until idle connections are closed: by then no new caller is sent
-/// here, and those with a connection received `Connection: close`.
+/// Time from the termination signal until idle connections are closed. By then new callers are no longer routed to
+/// this node, and callers with an open connection have received `Connection: close`.
 const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(2200);
-/// Shortest time from the termination signal to the end.
+/// Shortest time from the termination signal to the end of the process.
 const MIN_DRAIN_TIME: Duration = Duration::from_millis(3200);
-/// Time between two checks of the open connections while draining.
+/// Interval at which the open connections are checked while draining.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs until a signal ends the process.
+/// Runs the daemon until SIGTERM or SIGINT, then drains.
 ///
 /// # Errors
-/// Fails when the process cannot start.
+/// Fails if the daemon cannot start, for example because an address is in use.
 pub fn run<P: ForwardProtocol>(settings: &ForwardSettings, protocol: P) -> miette::Result<()> {
     let agent_address: SocketAddr = settings.agent_address.parse().into_diagnostic()?;
     let state = Arc::new(ProxyState::new(RequestLimits::default()));
@@ -73,7 +73,7 @@
     let mut interrupt = signal(SignalKind::interrupt()).into_diagnostic()?;
     let mut hang_up = signal(SignalKind::hangup()).into_diagnostic()?;
     let connections = CallerConnections::default();
-    // Dropped at the end of the process, it aborts its tasks.
+    // The set aborts its tasks when it is dropped at the end of this function.
     let mut tasks = JoinSet::new();
     tasks.spawn(serve_callers(
         callers,
@@ -107,14 +107,14 @@
     miette!(code = "address_in_use_7002", "{code} {address}: {error}")
 }
 
-/// Shuts down gracefully: the node is no longer ready, requests are still served until callers have moved
-/// elsewhere, and open ones end by themselves within a bound.
+/// Drains the node: it reports that it is not ready, still serves requests while callers move to other nodes, and
+/// waits until all connections are closed or `longest` has passed since the signal.
 async fn drain<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     connections: &CallerConnections,
     longest: Duration,
 ) {
-    LOG.info("Draining: no longer ready.");
+    LOG.info("Draining: the node is no longer ready.");
     let begun = monotonic_now();
     node.drain(begun, longest);
     tokio::time::sleep(IDLE_CLOSE_DELAY.min(longest)).await;
@@ -128,7 +128,7 @@
         tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
     LOG.info(format!(
-        "Drained with {} open connections.",
+        "Draining has ended with {} open connections.",
         connections.open()
     ));
 }
--- a/crates/forward/src/exchange/exchange_task.rs
+++ b/crates/forward/src/exchange/exchange_task.rs
@@ -23,30 +23,29 @@
 
 const LOG: PartLog = PartLog::new("PEERS");
 
-/// Time between two usage updates to all peers.
+/// Interval of usage updates to all peers, in a fleet in which tenants have no owners.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two usage updates between owners of a tenant. What they grant in between is bounded by their
-/// urgent updates.
+/// Interval of usage updates between the owners of a tenant. Urgent updates bound what the owners grant in between.
 const OWNER_UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Shortest time between two urgent updates between owners of a tenant: while a tenant sends more than its
-/// quota, each of its requests would cost a datagram to every one of them.
+/// Shortest time between two urgent updates between the owners of a tenant. Without it, each request of a tenant
+/// that sends more than its quota would cause a datagram to every other owner.
 const MIN_URGENT_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time between two updates that cover all tenants, for peers that missed some.
+/// Interval of updates that cover all tenants, for peers that missed earlier updates.
 const FULL_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Datagrams received in one go before other tasks get their turn.
+/// Most datagrams that are received without yielding to other tasks, in addition to the one that woke the task.
 const MAX_DATAGRAMS_PER_WAKE_UP: usize = 64;
 
 /// Largest datagram that is read, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-/// Exchanges messages with the peers for as long as the process lives.
+/// Exchanges messages with the peers until the task is aborted.
 pub async fn run<P: ForwardProtocol>(node: Arc<ForwardNode<P>>, socket: UdpSocket) {
     let socket = Arc::new(socket);
-    // Before the first event of the socket nothing would be sent.
+    // `try_send_to` fails until the runtime has received the first readiness event of the socket.
     let _ = socket.writable().await;
     node.peers.connect(Arc::clone(&socket));
     let mut exchange = Exchange::new();
@@ -64,21 +63,26 @@
                     exchange.receive(&node, from, &buffer[..length]);
                     exchange.receive_waiting(&node, &socket, &mut buffer);
                 }
-                Err(error) => LOG.debug(format_args!("A datagram could not be read: {error}.")),
+                Err(error) => LOG.debug(format_args!("A peer datagram could not be received: {error}.")),
             },
         }
     }
 }
 
+/// State of the exchange task.
 struct Exchange {
     encoder: UsageMessageEncoder,
+    /// Sequence numbers of the usage messages received from peers.
     peers: PeerSequences,
+    /// When the next update that covers all tenants is due.
     next_full: MonotonicTime,
+    /// When the next periodic update between owners is due.
     next_owner_update: MonotonicTime,
     /// When the next urgent update between owners may be sent.
     urgent_after: MonotonicTime,
+    /// When unchanged load is published again.
     next_republish: MonotonicTime,
-    /// Backends whose load was published since the last repetition.
+    /// Backends whose load was published since the last republication.
     recently_published: BTreeSet<String>,
 }
 
@@ -95,6 +99,7 @@
         }
     }
 
+    /// Runs the periodic work: charges assumed usage, republishes load and sends the usage updates that are due.
     async fn tick<P: ForwardProtocol>(&mut self, node: &ForwardNode<P>, socket: &UdpSocket) {
         let now = monotonic_now();
         node.quotas.tick(now, &node.zone);
@@ -119,7 +124,7 @@
         self.send_to_all(node, &ring, socket, now, scope).await;
     }
 
-    /// Reports what was admitted, between two periodic updates.
+    /// Sends a usage update between two periodic ones.
     async fn send_urgent_usage<P: ForwardProtocol>(
         &mut self,
         node: &ForwardNode<P>,
@@ -136,7 +141,7 @@
         self.send_to_all(node, &ring, socket, now, scope).await;
     }
 
-    /// Reports to all peers what this node admitted.
+    /// Reports to all peers the tokens that this node admitted.
     async fn send_to_all<P: ForwardProtocol>(
         &mut self,
         node: &ForwardNode<P>,
@@ -150,12 +155,12 @@
         };
         let bytes = message.encode_to_vec();
         for address in ring.addresses_of_others(&node.name) {
-            // A datagram that cannot be sent is as good as lost: the next one makes up for it.
+            // A failure is handled like a lost datagram: the next update makes up for it.
             let _ = socket.send_to(&bytes, address).await;
         }
     }
 
-    /// Reports to the other owners of tenants what this node granted as one.
+    /// Reports to the other owners of each tenant the tokens that this node granted as an owner.
     fn send_to_owners<P: ForwardProtocol>(
         &mut self,
         node: &ForwardNode<P>,
@@ -168,7 +173,7 @@
         }
     }
 
-    /// Publishes to the owners of backends' counts what changed there.
+    /// Publishes this node's load on the backends on which it changed, to the owners of their counts.
     fn publish_load<P: ForwardProtocol>(&mut self, node: &ForwardNode<P>) {
         let changed = node.state.load_table.take_changed();
         let ring = node.peers.ring(&node.state.table());
@@ -177,7 +182,8 @@
         self.recently_published.extend(changed);
     }
 
-    /// Publishes unchanged load again, which makes up for lost updates and brings new owners up to date.
+    /// Publishes unchanged load again, at an interval and whenever the ring has changed: this makes up for lost
+    /// updates and informs new owners. Also removes expired state.
     fn republish_load<P: ForwardProtocol>(&mut self, node: &ForwardNode<P>, now: MonotonicTime) {
         let refreshed = node.peers.refresh_ring(&node.state.table());
         if now < self.next_republish && !refreshed.has_changed {
@@ -194,7 +200,7 @@
             .publish(&node.peers, &refreshed.ring, load_table, &backends);
     }
 
-    /// Receives what else has arrived: one wake-up serves all of it.
+    /// Receives the datagrams that are already waiting, up to a limit, without another wake-up of the task.
     fn receive_waiting<P: ForwardProtocol>(
         &mut self,
         node: &ForwardNode<P>,
@@ -216,7 +222,7 @@
         bytes: &[u8],
     ) {
         let Ok(message) = PeerMessage::decode(bytes) else {
-            LOG.debug("A datagram is not a peer message.");
+            LOG.debug("A received datagram is not a valid peer message.");
             return;
         };
         let now = monotonic_now();
@@ -234,7 +240,7 @@
     }
 }
 
-/// Takes a datagram about quotas with owners. `false`: it is about something else.
+/// Handles a datagram that contains an admission request or reply. Returns `false` if it contains none.
 fn receive_quota<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     from: SocketAddr,
@@ -245,13 +251,13 @@
         || node.quota_client.receive(&node.peers, message)
 }
 
-/// Resolves once peers are to be notified of an admission at once, not before `earliest`.
+/// Waits until peers are to be notified of an admission at once, and at least until `earliest`.
 async fn until_urgent<P: ForwardProtocol>(node: &ForwardNode<P>, earliest: MonotonicTime) {
     tokio::time::sleep(earliest.since(monotonic_now())).await;
     node.quotas.until_urgent().await;
 }
 
-/// Publishes to the owners of prefix blocks which backends have them cached.
+/// Publishes to the owners of prefix blocks the backends that this node sent the blocks to.
 fn publish_locations<P: ForwardProtocol>(node: &ForwardNode<P>) {
     let ring = node.peers.ring(&node.state.table());
     prefix_index::publish(&node.peers, &ring, node.prefix_index.take_announcements());
--- a/crates/forward/src/exchange/mod.rs
+++ b/crates/forward/src/exchange/mod.rs
@@ -1,9 +1,8 @@
-//! Datagrams between proxies: tokens admitted, and what [`crate::load`], [`crate::prefix_index`] and
-//! [`crate::quota`] publish and request. In a small fleet tokens admitted go to every peer; all else goes to
-//! owners.
+//! Datagrams between proxies: token usage, and the messages of [`crate::load`], [`crate::prefix_index`] and
+//! [`crate::quota`]. In a small fleet token usage is sent to every peer; everything else is sent to owners.
 //!
-//! Counts are absolute, so that the next datagram makes up for a lost one. Who the peers are comes with the
-//! feed.
+//! Counts are absolute, so that the next datagram makes up for a lost one. The list of peers is part of the
+//! routing table, which the node receives through its feed.
 
 pub mod exchange_task;
 pub mod peer_sequences;
--- a/crates/forward/src/exchange/peer_sequences.rs
+++ b/crates/forward/src/exchange/peer_sequences.rs
@@ -1,25 +1,25 @@
-//! Which message of each peer is the newest.
+//! Tracks the newest usage message of each peer.
 
 use std::collections::BTreeMap;
 
 use millford_api::exchange::PeerMessage;
 
-/// The newest message of one peer.
+/// Identifies the newest message of one peer.
 #[derive(Debug, Default)]
 struct Newest {
     boot_id: u64,
     sequence: u64,
 }
 
-/// The newest messages by the name of their sender.
+/// The newest messages, by the sender's name.
 #[derive(Debug, Default)]
 pub struct PeerSequences {
     peers: BTreeMap<String, Newest>,
 }
 
 impl PeerSequences {
-    /// Whether a message is newer than all before it of the same incarnation of the peer. One that is not
-    /// must be ignored.
+    /// Records a message. Returns `false` if it is not newer than all earlier ones of the same incarnation of the
+    /// peer, so that it must be ignored.
     pub fn accept(&mut self, message: &PeerMessage) -> bool {
         let newest = self.peers.entry(message.member.clone()).or_default();
         let same_incarnation = newest.boot_id == message.boot_id;
--- a/crates/forward/src/exchange/usage_messages.rs
+++ b/crates/forward/src/exchange/usage_messages.rs
@@ -1,4 +1,4 @@
-//! Encodes this node's token usage for its peers, and applies that of its peers.
+//! Encodes this node's token usage into messages to its peers, and applies the messages of its peers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,41 +11,43 @@
 use crate::node::ForwardNode;
 use crate::owners::{ByOwner, OwnerRing};
 use crate::protocol::ForwardProtocol;
-use crate::quota::tenant_quotas::limiting;
+use crate::quota::tenant_quotas::limiting_quota;
 use crate::quota::{PeerCount, TenantLevel};
 
 /// Most tenants in one datagram.
 const MAX_TENANTS_PER_DATAGRAM: usize = 256;
 
-/// Which tenants an update covers.
+/// The tenants that an update covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateScope {
-    /// Those whose usage changed since it was reported last.
+    /// Tenants whose usage has changed since it was last reported.
     Changes,
-    /// All.
+    /// All tenants.
     Full,
 }
 
-/// A datagram and where it goes.
+/// A message and its destination.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AddressedMessage {
-    /// Where the receiver takes datagrams.
+    /// Address at which the receiver takes datagrams.
     pub address: SocketAddr,
-    /// The datagram.
+    /// The message that the datagram contains.
     pub message: PeerMessage,
 }
 
-/// Encodes usage messages and remembers what was reported last, so that an idle node sends nothing.
+/// Encodes usage messages. Tracks the usage that was last reported, so that updates of scope
+/// [`UpdateScope::Changes`] omit unchanged tenants.
 #[derive(Debug)]
 pub struct UsageMessageEncoder {
     boot_id: u64,
+    /// Sequence number of the last message.
     sequence: u64,
-    /// Tokens by tenant as they were reported last.
+    /// Last reported tokens, by tenant.
     reported: BTreeMap<String, u64>,
 }
 
 impl UsageMessageEncoder {
-    /// An encoder that has reported nothing.
+    /// Creates an encoder that has reported nothing. `boot_id` identifies this incarnation of the process.
     #[must_use]
     pub fn new(boot_id: u64) -> Self {
         Self {
@@ -55,7 +57,8 @@
         }
     }
 
-    /// The message to all peers about what this node admitted; `None` when there is nothing to report.
+    /// Encodes the message to all peers with the tokens that this node admitted; `None` if there is nothing to
+    /// report.
     pub fn encode_for_all<P: ForwardProtocol>(
         &mut self,
         node: &ForwardNode<P>,
@@ -71,8 +74,8 @@
         self.encode(node, levels)
     }
 
-    /// The messages to the other owners of each tenant that this node owns, about what it granted as an
-    /// owner.
+    /// Encodes the messages to the other owners of each tenant that this node owns, with the tokens that it granted
+    /// as an owner.
     pub fn encode_for_owners<P: ForwardProtocol>(
         &mut self,
         node: &ForwardNode<P>,
@@ -189,10 +192,10 @@
 }
 
 fn quota_of(table: &RoutingTable, name: &str) -> Option<TokenQuota> {
-    limiting(table.tenant_named(name)?).copied()
+    limiting_quota(table.tenant_named(name)?).copied()
 }
 
-/// A sender of an earlier version leaves it out.
+/// Returns the time for which the sender has counted; `None` from a sender of an earlier version, which omits it.
 fn counted_for(usage: &TenantUsage) -> Option<Duration> {
     (usage.counted_for_ms > 0).then(|| Duration::from_millis(usage.counted_for_ms))
 }
--- a/crates/forward/src/graceful_shutdown.rs
+++ b/crates/forward/src/graceful_shutdown.rs
@@ -1,20 +1,21 @@
-//! Which requests a draining node still accepts.
+//! Decides which requests a draining node still accepts.
 
 use millford_core::{Duration, MonotonicTime};
 
-/// For this long after the signal requests are accepted whatever deadline they have: callers may not have
-/// noticed yet that the node drains.
+/// Time after the termination signal during which requests are accepted whatever their deadlines are, since callers
+/// may not have noticed yet that the node is draining.
 const ACCEPT_ALL_FOR: Duration = Duration::from_millis(2800);
 
-/// When a node began to drain, and when its process ends at the latest.
+/// The time limits of a node that is draining.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GracefulShutdown {
     accepts_all_until: MonotonicTime,
+    /// Latest end of the process.
     end: MonotonicTime,
 }
 
 impl GracefulShutdown {
-    /// A shutdown that begins now and takes at most `longest`.
+    /// Begins a shutdown at `now` that takes at most `longest`.
     #[must_use]
     pub fn begin(now: MonotonicTime, longest: Duration) -> Self {
         Self {
@@ -23,8 +24,8 @@
         }
     }
 
-    /// Whether a request with this `deadline` is still accepted: later ones only if the process cannot end
-    /// before them, since its end would truncate their responses.
+    /// Whether a request with this `deadline` is still accepted. After the initial period, a request is accepted
+    /// only if its deadline is not later than the latest end of the process, which could truncate its response.
     #[must_use]
     pub fn accepts(&self, now: MonotonicTime, deadline: MonotonicTime) -> bool {
         now < self.accepts_all_until || deadline <= self.end
--- a/crates/forward/src/header_values.rs
+++ b/crates/forward/src/header_values.rs
@@ -1,24 +1,24 @@
-//! Values of headers as protocols read and write them.
+//! Functions with which protocols parse and write header values.
 
 use http::header::HeaderName;
 use http::{HeaderMap, HeaderValue};
 use millford_core::Duration;
 use millford_routing::PrefixBlock;
 
-/// A header's value as text, without surrounding blanks.
+/// Returns a header's value as trimmed text; `None` if it is absent or not visible ASCII.
 #[must_use]
 pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let value = headers.get(name)?;
     value.to_str().ok().map(str::trim)
 }
 
-/// A header's value as an unsigned integer.
+/// Parses a header's value as an unsigned integer; `None` if it is absent or invalid.
 #[must_use]
 pub fn number(headers: &HeaderMap, name: &str) -> Option<u64> {
     text(headers, name)?.parse().ok()
 }
 
-/// Sets a header; a value that no header can carry is left out.
+/// Sets a header. Has no effect if the name or the value is invalid.
 pub fn set(headers: &mut HeaderMap, name: &str, value: &str) {
     let name = HeaderName::try_from(name);
     if let (Ok(name), Ok(value)) = (name, HeaderValue::from_str(value)) {
@@ -26,7 +26,7 @@
     }
 }
 
-/// Two numbers separated by a comma.
+/// Parses the token counts `PROMPT,OUTPUT`. A number that is invalid is `None`; without a comma both are.
 #[must_use]
 pub fn token_pair(value: Option<&str>) -> (Option<u64>, Option<u64>) {
     let Some((prompt, output)) = value.and_then(|value| value.split_once(',')) else {
@@ -35,7 +35,8 @@
     (prompt.trim().parse().ok(), output.trim().parse().ok())
 }
 
-/// Prefix blocks as `ID:TOKENS` separated by commas, the id in hexadecimal. A malformed list counts as absent.
+/// Parses prefix blocks, comma-separated `ID:TOKENS` with the id in hexadecimal. Returns an empty list if any of
+/// them is malformed.
 #[must_use]
 pub fn parse_prefix_blocks(value: Option<&str>) -> Vec<PrefixBlock> {
     let Some(value) = value else {
@@ -53,7 +54,7 @@
     })
 }
 
-/// The time in a `Keep-Alive` header, in whole seconds.
+/// Returns the `timeout` parameter of a `Keep-Alive` header, which is in whole seconds.
 #[must_use]
 pub fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let value = text(headers, "keep-alive")?;
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -1,4 +1,4 @@
-//! Forwarding of opaque HTTP requests and event streams by host and path prefix.
+//! Forwards opaque HTTP requests and event streams to backends, routed by host and path prefix.
 
 pub mod backend;
 pub mod daemon;
--- a/crates/forward/src/load/mod.rs
+++ b/crates/forward/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! The load of each backend, summed at its owners and queried before each choice.
+//! The load of each backend over all nodes. A backend's owners sum it, and nodes query them before each choice.
 
 pub mod owned_loads;
 pub mod shared_load;
--- a/crates/forward/src/load/owned_loads.rs
+++ b/crates/forward/src/load/owned_loads.rs
@@ -1,17 +1,17 @@
-//! What every node has in flight on the backends whose counts this node owns.
+//! The load that every node has in flight on the backends whose counts this node owns.
 
 use std::collections::BTreeMap;
 
 use millford_api::exchange::{BackendInFlight, InFlightUpdate, ReplicaInFlight};
 use millford_core::{Duration, MonotonicTime};
 
-/// Nodes publish unchanged work again at this interval, which makes up for lost updates.
+/// Interval at which nodes publish unchanged load again, so that lost updates are repaired.
 pub const REPUBLISH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Work of a node that was not published for this long no longer counts: three repetitions were missed.
+/// Age at which a node's published load expires: three repetitions were missed.
 pub const WORK_EXPIRY: Duration = Duration::from_secs(3);
 
-/// What one node published last of its work on one backend.
+/// The load on one backend that one node last published.
 #[derive(Clone, Debug)]
 struct MemberWork {
     boot_id: u64,
@@ -20,7 +20,7 @@
     replicas: Vec<ReplicaInFlight>,
 }
 
-/// Identity of a replica on one backend, in the order of summing.
+/// Identity of a replica on one backend; its load is summed over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ReplicaName<'a> {
     pool: &'a str,
@@ -38,15 +38,16 @@
     }
 }
 
-/// Work by backend and node. Every entry is absolute, so that updates may be lost, repeated and
-/// reordered: the newest of each node wins.
+/// Load by backend and node. Updates contain absolute counts, and the newest of each node applies, so that updates
+/// may be lost, repeated and reordered.
 #[derive(Debug, Default)]
 pub struct OwnedLoads {
+    /// The load that each node published, by backend id and node name.
     backends: BTreeMap<String, BTreeMap<String, MemberWork>>,
 }
 
 impl OwnedLoads {
-    /// Applies a node's update. What is older than what is known is ignored.
+    /// Applies a node's update. An outdated one is ignored.
     pub fn apply(
         &mut self,
         now: MonotonicTime,
@@ -72,15 +73,15 @@
         }
     }
 
-    /// What all nodes but `except` have in flight on a backend, summed by replica.
+    /// Returns the load that all nodes except `except` have in flight on a backend, summed by replica.
     #[must_use]
     pub fn others(&self, now: MonotonicTime, backend_id: &str, except: &str) -> BackendInFlight {
         let mut sums: BTreeMap<ReplicaName<'_>, ReplicaInFlight> = BTreeMap::new();
         let members = self.backends.get(backend_id).into_iter().flatten();
-        let live = members.filter(|(member, work)| {
+        let unexpired = members.filter(|(member, work)| {
             *member != except && now.since(work.received_at) < WORK_EXPIRY
         });
-        for replica in live.flat_map(|(_, work)| &work.replicas) {
+        for replica in unexpired.flat_map(|(_, work)| &work.replicas) {
             let name = ReplicaName::from(replica);
             sums.entry(name)
                 .and_modify(|sum| add(sum, replica))
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Forgets nodes whose updates expired.
+    /// Removes expired load.
     pub fn expire(&mut self, now: MonotonicTime) {
         self.backends.retain(|_, members| {
             members.retain(|_, work| now.since(work.received_at) < WORK_EXPIRY);
@@ -101,7 +102,7 @@
     }
 }
 
-/// The counts come from the network and may be anything.
+/// Adds counts with saturation, since peers may send arbitrary numbers.
 fn add(sum: &mut ReplicaInFlight, replica: &ReplicaInFlight) {
     sum.prefill_tokens = sum.prefill_tokens.saturating_add(replica.prefill_tokens);
     sum.decode_streams = sum.decode_streams.saturating_add(replica.decode_streams);
--- a/crates/forward/src/load/shared_load.rs
+++ b/crates/forward/src/load/shared_load.rs
@@ -1,4 +1,4 @@
-//! This node's part in counting the load of backends: publishes, queries and replies.
+//! Publishes this node's load on backends to its owners, queries the load of other nodes, and replies as an owner.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,20 +16,22 @@
 use crate::lock::lock;
 use crate::owners::{ByOwner, InFlightRequests, OwnerReply, OwnerRing, OwnerRoute, PeerLink};
 
-/// Counts this old may stand in for a reply that did not come. Older ones are worse than none:
-/// a complete prompt is read in less time.
+/// Age up to which counts may be used if a query gets no reply. Older ones are worse than none: a backend
+/// completes the prefill of a whole prompt in less time.
 const FRESH_FOR: Duration = Duration::from_millis(500);
 
-/// Counts that this node owns, and how old those are that it queried.
+/// The counts that this node owns, and the age of those that it queried.
 #[derive(Debug, Default)]
 pub struct SharedLoad {
+    /// Sequence number of the last update that was published.
     sequence: AtomicU64,
     owned: Mutex<OwnedLoads>,
+    /// When the load table received the counts of each backend, by backend id.
     refreshed: Mutex<BTreeMap<String, MonotonicTime>>,
 }
 
 impl SharedLoad {
-    /// Publishes to the owners what this node has in flight on these backends.
+    /// Publishes this node's load on these backends to the backends' owners.
     pub fn publish(
         &self,
         link: &PeerLink,
@@ -63,13 +65,14 @@
         }
     }
 
-    /// Goes by this node's own work on these backends, as if no other node had any.
+    /// Marks the counts of these backends as fresh without a query, so that choices use only the counts that the
+    /// load table holds. Used while shared load is disabled.
     pub fn assume_idle(&self, now: MonotonicTime, backend_ids: &[&str]) {
         let mut refreshed = lock(&self.refreshed);
         refreshed.extend(backend_ids.iter().map(|id| ((*id).to_owned(), now)));
     }
 
-    /// Queries the owners for the counts of these backends. They are in the load table once the replies
+    /// Queries the owners for the counts of these backends. The load table holds them once the replies have
     /// arrived.
     pub fn query(
         &self,
@@ -82,7 +85,7 @@
         let mut by_owner = ByOwner::default();
         for id in backend_ids {
             match link.route_of(now, &ring.owners_of_backend(id)) {
-                // Without anybody else this node's own counts are all there is.
+                // Without any known proxy, this node's own counts are the only ones.
                 OwnerRoute::Unknown => {
                     lock(&self.refreshed).insert((*id).to_owned(), now);
                 }
@@ -98,7 +101,7 @@
         })
     }
 
-    /// Which of these backends' counts are fresh enough to choose by.
+    /// Returns, for each of these backends, whether its counts are recent enough for a choice.
     #[must_use]
     pub fn fresh(&self, now: MonotonicTime, backend_ids: &[&str]) -> Vec<bool> {
         let refreshed = lock(&self.refreshed);
@@ -109,7 +112,7 @@
         backend_ids.iter().map(is_fresh).collect()
     }
 
-    /// Takes a datagram about counts. `false`: it is about something else.
+    /// Handles a datagram that contains a load update, request or reply. Returns `false` if it contains none.
     pub fn receive(
         &self,
         link: &PeerLink,
@@ -136,7 +139,7 @@
         true
     }
 
-    /// Forgets counts that are too old to be used.
+    /// Removes counts that are too old to be used.
     pub fn expire(&self, now: MonotonicTime) {
         lock(&self.owned).expire(now);
         lock(&self.refreshed).retain(|_, at| now.since(*at) < FRESH_FOR);
--- a/crates/forward/src/mechanism.rs
+++ b/crates/forward/src/mechanism.rs
@@ -1,36 +1,36 @@
-//! Parts of a decision that can be disabled, to measure what each is worth.
+//! Mechanisms that can be disabled to measure the effect of each.
 
 use std::collections::BTreeSet;
 
-/// A mechanism that makes responses better or cheaper, and that no guarantee depends on.
+/// A mechanism that reduces latency, failures or cost. No guarantee depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
-    /// The load of all nodes on a backend is queried before a choice.
+    /// Queries the load of all nodes on the candidate backends before a choice.
     SharedLoad,
-    /// The backends that have prefix blocks cached are queried before a choice.
+    /// Queries which backends have the prompt's prefix blocks cached before a choice.
     SharedPrefixIndex,
-    /// Prompts go where their prefix blocks are cached.
+    /// Prefers backends that have the prompt's prefix blocks cached.
     Affinity,
-    /// Models' costs are learned from the traffic.
+    /// Estimates the cost of each model from its traffic.
     LearnedCost,
-    /// Placement's weights bound the use of memory bandwidth.
+    /// Divides costs by the placement weights, which bound the use of the backends' memory bandwidth.
     BandwidthWeight,
-    /// Unresponsive backends are taken out of use.
+    /// Stops sending requests to unresponsive backends.
     Ejection,
-    /// A request that did not run, or may run again, goes to another backend.
+    /// Retries a request that did not run, or that may run again, on another backend.
     Retries,
-    /// Another backend resumes a stream.
+    /// Resumes a broken stream on another backend.
     Resumption,
-    /// Backends receive the urgency of requests.
+    /// Sends each request's urgency to the backend.
     Urgency,
-    /// A backend of the own zone goes before an equal one elsewhere.
+    /// Prefers backends in the node's own zone to equal ones in other zones.
     ZonePreference,
-    /// Connections to backends carry more than one request.
+    /// Reuses connections to backends for several requests.
     ConnectionReuse,
 }
 
 impl Mechanism {
-    /// Every mechanism.
+    /// All mechanisms.
     pub const ALL: [Mechanism; 11] = [
         Mechanism::SharedLoad,
         Mechanism::SharedPrefixIndex,
@@ -45,7 +45,7 @@
         Mechanism::ConnectionReuse,
     ];
 
-    /// Its name in settings.
+    /// Returns the mechanism's name in the settings.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The mechanism with this name in settings.
+    /// Returns the mechanism with this name in the settings, if there is one.
     #[must_use]
     pub fn from_name(name: &str) -> Option<Self> {
         let mut all = Self::ALL.into_iter();
@@ -71,25 +71,26 @@
     }
 }
 
-/// A name that no mechanism has.
+/// The settings name a mechanism that does not exist.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("There is no mechanism \"{name}\".")]
 pub struct UnknownMechanism {
-    /// The name.
+    /// The name as it is written in the settings.
     pub name: String,
 }
 
-/// The mechanisms in use: all but those that the settings disable.
+/// The enabled mechanisms: all except those that the settings disable.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Mechanisms {
     disabled: BTreeSet<Mechanism>,
 }
 
 impl Mechanisms {
-    /// All but these, by their names in settings, with commas between them.
+    /// Enables all mechanisms except `names`, a comma-separated list of their names in the settings. Empty names are
+    /// ignored.
     ///
     /// # Errors
-    /// The first name that no mechanism has.
+    /// Fails with the first unknown name.
     pub fn all_but(names: &str) -> Result<Self, UnknownMechanism> {
         let names = names.split(',').map(str::trim);
         let disabled = names.filter(|name| !name.is_empty()).map(|name| {
@@ -102,7 +103,7 @@
         })
     }
 
-    /// Whether a mechanism is in use.
+    /// Whether a mechanism is enabled.
     #[must_use]
     pub fn has(&self, mechanism: Mechanism) -> bool {
         !self.disabled.contains(&mechanism)
--- a/crates/forward/src/millford_protocol.rs
+++ b/crates/forward/src/millford_protocol.rs
@@ -1,4 +1,4 @@
-//! The product's own headers.
+//! [`ForwardProtocol`] with the product's own headers.
 
 use http::header::AUTHORIZATION;
 use http::{HeaderMap, HeaderValue};
@@ -7,34 +7,34 @@
 use crate::header_values::{keep_alive, number, parse_prefix_blocks, set, text, token_pair};
 use crate::protocol::{Dispatch, ForwardProtocol, RequestFacts, ResponseFacts};
 
-/// Identity of a request, on requests and responses.
+/// Id of a request, in requests and responses.
 pub const REQUEST_ID: &str = "x-millford-request-id";
-/// Time that the sender waits, in milliseconds.
+/// Time that the sender waits for the complete response, in milliseconds.
 pub const DEADLINE: &str = "x-millford-deadline-ms";
 /// Requested model.
 pub const MODEL: &str = "x-millford-model";
-/// Tokens of the prompt and most tokens of the response, as `PROMPT,OUTPUT`.
+/// Tokens of the prompt and largest number of tokens of the response, as `PROMPT,OUTPUT`.
 pub const TOKENS: &str = "x-millford-tokens";
-/// Prefix blocks of the prompt in order, as `ID:TOKENS` separated by commas with the id in hexadecimal.
+/// Prefix blocks of the prompt, in order, as comma-separated `ID:TOKENS` with the id in hexadecimal.
 pub const PREFIX_BLOCKS: &str = "x-millford-prompt-parts";
-/// The backend that is meant.
+/// Id of the intended backend, in requests to backends.
 pub const BACKEND: &str = "x-millford-backend";
-/// Name of the caller's tenant, towards backends.
+/// Name of the caller's tenant, in requests to backends.
 pub const TENANT: &str = "x-millford-tenant";
-/// Urgency of the request, towards backends.
+/// Urgency of the request from 0 (highest) to 9, in requests to backends.
 pub const URGENCY: &str = "x-millford-urgency";
-/// On a response: `not_run` when the backend did not run the request and never will.
+/// In responses of backends: `not_run` if the backend did not run the request and never will.
 pub const RUN_STATE: &str = "x-millford-run-state";
-/// Signature of a backend's response.
+/// Signature of the backend, in its responses.
 pub const SIGNATURE: &str = "x-millford-signature";
-/// The event after which a stream is resumed.
+/// Id of the event after which a stream is resumed, in requests.
 pub const LAST_EVENT: &str = "last-event-id";
 
 const NOT_RUN: &str = "not_run";
 const BEARER: &str = "Bearer ";
 const READINESS_PATH: &str = "/readyz";
 
-/// The headers named in this module.
+/// Reads and writes the headers whose names this module defines.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MillfordProtocol;
 
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -1,4 +1,4 @@
-//! State that all requests of one forwarding proxy share.
+//! State of one forwarding proxy that all its requests share.
 
 use std::sync::{Arc, OnceLock};
 
@@ -16,44 +16,46 @@
 use crate::quota::{QuotaClient, TenantQuotas};
 use crate::settings::ForwardSettings;
 
-/// Everything that a request needs. Each field has its own locks.
+/// The state that requests and background tasks share. Each field that changes has its own locks.
 pub struct ForwardNode<P> {
-    /// What the deployment's headers mean.
+    /// Reads and writes the deployment's headers.
     pub protocol: P,
     /// Name of the node.
     pub name: String,
     /// Zone of the node.
     pub zone: String,
-    /// Routing table, work in flight, costs, health and budgets.
+    /// Routing table, load in flight, cost estimates, backends' health, retry budget and metrics.
     pub state: Arc<ProxyState>,
     /// Which backends have which prefix blocks cached.
     pub prefix_index: PrefixIndex,
-    /// The way to the nodes that own keys.
+    /// Sends requests to the nodes that own keys.
     pub peers: PeerLink,
-    /// Counts of all nodes' work on each backend.
+    /// Publishes and queries the load of all nodes on each backend.
     pub load: SharedLoad,
-    /// Token quotas, as this node counts them itself or as an owner.
+    /// Buckets of the tenants that this node admits itself or owns.
     pub quotas: TenantQuotas,
-    /// Token quotas that other nodes own.
+    /// Requests admissions from the owners of tenants' buckets.
     pub quota_client: QuotaClient,
     /// Connections to backends.
     pub connections: Arc<ConnectionPools>,
-    /// Mechanisms that take part in decisions.
+    /// The enabled mechanisms.
     pub mechanisms: Mechanisms,
-    /// Requests whose decisions are logged, in thousandths.
+    /// Sampling rate of decision records, in requests per thousand.
     pub decision_log_per_mille: u32,
+    /// Set once the node is draining.
     graceful_shutdown: OnceLock<GracefulShutdown>,
+    /// Number of ejections so far; wakes requests that wait for a backend.
     ejections: watch::Sender<u64>,
 }
 
 impl<P: ForwardProtocol> ForwardNode<P> {
-    /// A node that has received nothing.
+    /// Creates a node that has received neither a configuration nor peer messages.
     #[must_use]
     pub fn new(settings: &ForwardSettings, state: Arc<ProxyState>, protocol: P) -> Self {
         state.load_table.follow_peers();
         let (ejections, _) = watch::channel(0);
         let quota_client = QuotaClient::default();
-        // Only a second node of the same process could have registered it already.
+        // This fails only if the same state was registered before by another node in the process.
         let _ = state
             .metrics
             .registry
@@ -69,7 +71,7 @@
             quotas: TenantQuotas::default(),
             quota_client,
             connections: Arc::new(ConnectionPools::new(settings.connect_timeout())),
-            // Settings with an unknown name are refused before a node is built from them.
+            // Settings with an unknown name were rejected when they were checked.
             mechanisms: Mechanisms::all_but(&settings.disabled_mechanisms).unwrap_or_default(),
             decision_log_per_mille: settings.decision_log_per_mille,
             graceful_shutdown: OnceLock::new(),
@@ -77,7 +79,7 @@
         }
     }
 
-    /// The node drains, and its process ends within `longest`.
+    /// Starts draining. The process ends within `longest`.
     pub fn drain(&self, now: MonotonicTime, longest: Duration) {
         self.state.set_draining();
         let _ = self
@@ -92,7 +94,8 @@
         shutdown.is_none_or(|shutdown| shutdown.accepts(now, deadline))
     }
 
-    /// Takes a backend out of use; requests that wait for it and may be retried elsewhere are woken.
+    /// Ejects a backend, closes the idle connections to it, and wakes the requests that wait for it and may be
+    /// retried elsewhere. Has no effect if the backend is already ejected or [`Mechanism::Ejection`] is disabled.
     pub fn eject(&self, backend_id: &str, reason: EjectionReason) {
         let ejected = self.state.health.ejection(backend_id).is_some();
         if ejected || !self.mechanisms.has(Mechanism::Ejection) {
@@ -103,12 +106,12 @@
         self.ejections.send_modify(|count| *count += 1);
     }
 
-    /// Bytes came from a backend.
+    /// Records that bytes were received from a backend.
     pub fn record_activity(&self, backend_id: &str, now: MonotonicTime) {
         self.state.health.record_activity(backend_id, now);
     }
 
-    /// Resolves once the backend is ejected or no longer listed.
+    /// Waits until the backend is ejected.
     pub async fn until_ejected(&self, backend_id: &str) {
         let mut ejections = self.ejections.subscribe();
         while self.state.health.is_usable(backend_id) {
@@ -118,8 +121,8 @@
         }
     }
 
-    /// Connections that this node may have to one backend, when all nodes together may have
-    /// `all_nodes`.
+    /// Returns the most connections that this node may have to a backend if all nodes together may have
+    /// `all_nodes`; 0 means that no limit is known.
     #[must_use]
     pub fn connection_share(&self, all_nodes: u32) -> u32 {
         if all_nodes == 0 {
@@ -127,7 +130,7 @@
         }
         let peers = self.state.table().forward().peers().len().max(1);
         let peers = u32::try_from(peers).unwrap_or(u32::MAX);
-        // A tenth stays free for nodes that come and go, and for probes.
+        // A tenth is reserved for nodes that join or leave, and for probes.
         let usable = all_nodes - all_nodes.div_ceil(10);
         (usable / peers).clamp(1, MAX_CONNECTIONS_PER_BACKEND)
     }
@@ -136,5 +139,5 @@
 /// Most connections of one node to one backend.
 const MAX_CONNECTIONS_PER_BACKEND: u32 = 128;
 
-/// Time that a refused caller should wait when nothing better is known.
+/// `Retry-After` of refusals for which no better delay is known.
 pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
--- a/crates/forward/src/owners/by_owner.rs
+++ b/crates/forward/src/owners/by_owner.rs
@@ -1,22 +1,22 @@
-//! Items grouped by the owners that they are for.
+//! Groups items by the owners that they are sent to.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use crate::owners::owner_ring::Owner;
 
-/// One owner's items.
+/// The items for one owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnerItems<'a, T> {
     /// Name of the owner.
     pub owner: &'a str,
-    /// Where it takes datagrams.
+    /// Address at which the owner receives datagrams.
     pub address: SocketAddr,
-    /// What is for it, in the order of insertion.
+    /// Items, in the order of insertion.
     pub items: Vec<T>,
 }
 
-/// Items for each of some owners, so that each gets one datagram. Iterates in the order of the owners' names.
+/// Groups items by owner, so that each owner is sent one datagram. Iterates in the order of the owners' names.
 #[derive(Clone, Debug)]
 pub struct ByOwner<'a, T>(BTreeMap<&'a str, OwnerItems<'a, T>>);
 
--- a/crates/forward/src/owners/mod.rs
+++ b/crates/forward/src/owners/mod.rs
@@ -1,11 +1,12 @@
-//! State that the proxies divide among themselves: each key has two owners, by rendezvous hashing.
+//! State that is partitioned among the proxies: each key has two owners, selected by rendezvous hashing.
 //!
-//! What every node sends to every other node is stale where there are many nodes, and its cost grows with
-//! their square. Here a node publishes what it knows of a key to the key's owners only, and requests the sum
-//! from one of them when it needs it: one round trip old, at a cost that grows with the node's own requests.
+//! State that every node sends to every other node becomes stale in a large fleet, and its cost grows with the
+//! square of the number of nodes. Instead, a node publishes its state of a key to the key's owners only, and
+//! requests the sum from one of them when it needs it. The sum is then one round trip old, and the cost grows with
+//! the node's own requests.
 //!
-//! Everything is soft state. Owners rebuild it from what nodes republish, and a choice that gets no reply in
-//! time goes by what the node knows itself.
+//! All of this is soft state. Owners rebuild it from what nodes republish, and a choice without a reply in time
+//! uses the node's local state.
 
 pub mod by_owner;
 pub mod owner_ring;
--- a/crates/forward/src/owners/owner_ring.rs
+++ b/crates/forward/src/owners/owner_ring.rs
@@ -1,4 +1,4 @@
-//! Which proxies own a key.
+//! Determines which proxies own a key.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,11 +8,11 @@
 
 use crate::quota::FleetSize;
 
-/// In a fleet of up to this many proxies tenants have no owners: each node counts for itself and notifies all
-/// others, which costs fewer datagrams than a request before each admission, and no wait.
+/// Largest fleet, in proxies, in which tenants have no owners: each node admits requests itself and notifies all
+/// others. There this takes fewer datagrams than a request to an owner before each admission, and no waiting.
 const MAX_NODES_WITHOUT_TENANT_OWNERS: usize = 17;
 
-/// Owners of one key in one group of proxies.
+/// Number of owners that are selected for a key from one group of proxies.
 const OWNERS_PER_KEY: usize = 2;
 
 /// A proxy that may own keys.
@@ -22,29 +22,30 @@
     pub name: String,
     /// Zone of the node.
     pub zone: String,
-    /// Where it takes datagrams.
+    /// Address at which the proxy receives datagrams.
     pub address: SocketAddr,
+    /// Hash of the name.
     hash: u64,
 }
 
 impl Owner {
-    /// Rank for a key: the highest owns it.
+    /// Returns the proxy's rank for a key. The proxies with the highest ranks own the key.
     fn rank(&self, key: u64) -> u64 {
         xxh3_64_with_seed(&self.hash.to_le_bytes(), key)
     }
 }
 
-/// The proxies among which keys are divided, this node included, by rendezvous hashing.
+/// The proxies, including this node, among which keys are distributed by rendezvous hashing.
 ///
-/// A proxy that joins or leaves moves only the keys that it owns. While nodes disagree on who the
-/// proxies are, they may request from another owner than others publish to; the repeated updates heal this.
+/// When a proxy joins or leaves, only the keys that it owns move. While nodes have different lists of proxies, one
+/// may request a key from another owner than others publish it to; the repeated updates repair this.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OwnerRing {
     members: Vec<Owner>,
 }
 
 impl OwnerRing {
-    /// The ring of these proxies; one whose address cannot be parsed owns nothing.
+    /// Creates the ring of these proxies. A proxy whose address cannot be parsed is left out.
     #[must_use]
     pub fn of(peers: &[ProxyMember]) -> Self {
         let members = peers.iter().filter_map(|peer| {
@@ -60,20 +61,21 @@
         }
     }
 
-    /// The owners of a backend's counts.
+    /// Returns the owners of a backend's load counts.
     #[must_use]
     pub fn owners_of_backend(&self, backend_id: &str) -> Vec<&Owner> {
         self.owners(xxh3_64(backend_id.as_bytes()))
     }
 
-    /// The owners of a prefix block's locations.
+    /// Returns the owners of the locations of a prefix block.
     #[must_use]
     pub fn owners_of_block(&self, block: u64) -> Vec<&Owner> {
         self.owners(xxh3_64(&block.to_le_bytes()))
     }
 
-    /// The owners of a tenant's bucket that nodes of a zone use: two of that zone, so that a request never
-    /// leaves it and a partitioned zone has owners of its own.
+    /// Returns the owners of a tenant's bucket that nodes of a zone use: two in that zone, so that requests stay
+    /// within the zone and a partitioned zone has its own owners. If the zone has no proxies, returns two of the
+    /// whole fleet.
     #[must_use]
     pub fn owners_of_tenant_in(&self, zone: &str, tenant: &str) -> Vec<&Owner> {
         let key = xxh3_64(tenant.as_bytes());
@@ -86,8 +88,9 @@
         }
     }
 
-    /// The owners of a tenant's bucket that nodes of a zone use while none of their own zone replies, the
-    /// same order for all: one of each other zone, which knows what all zones granted.
+    /// Returns the owners of a tenant's bucket that nodes of a zone use while no owner in their own zone replies:
+    /// the first owner of each other zone, which has received what all zones granted. The order is the same for
+    /// all nodes.
     #[must_use]
     pub fn owners_of_tenant_outside(&self, zone: &str, tenant: &str) -> Vec<&Owner> {
         let key = xxh3_64(tenant.as_bytes());
@@ -100,7 +103,7 @@
         best
     }
 
-    /// All owners of a tenant's bucket, two in each zone.
+    /// Returns all owners of a tenant's bucket, two in each zone.
     #[must_use]
     pub fn owners_of_tenant(&self, tenant: &str) -> Vec<&Owner> {
         let key = xxh3_64(tenant.as_bytes());
@@ -110,14 +113,14 @@
             .collect()
     }
 
-    /// Number of proxies.
+    /// Returns the number of proxies.
     #[must_use]
     pub fn member_count(&self) -> usize {
         self.members.len()
     }
 
-    /// Proxies of the fleet and of a zone, for a node of that zone: the node counts also where the ring does
-    /// not contain it yet.
+    /// Returns the number of proxies in the fleet and in a zone, from the view of a node in that zone: the node is
+    /// counted even if the ring does not contain it yet.
     #[must_use]
     pub fn size_for(&self, zone: &str) -> FleetSize {
         let in_zone = self.members.iter().filter(|member| member.zone == zone);
@@ -128,20 +131,20 @@
         }
     }
 
-    /// Whether owners grant admissions, and not each node for itself.
+    /// Whether admissions are granted by owners, rather than by each node itself.
     #[must_use]
     pub fn has_tenant_owners(&self) -> bool {
         self.members.len() > MAX_NODES_WITHOUT_TENANT_OWNERS
     }
 
-    /// Where all proxies but this one take datagrams.
+    /// Returns the datagram addresses of all proxies except the one called `name`.
     #[must_use]
     pub fn addresses_of_others(&self, name: &str) -> Vec<SocketAddr> {
         let others = self.members.iter().filter(|member| member.name != name);
         others.map(|member| member.address).collect()
     }
 
-    /// Zone of a proxy.
+    /// Returns the zone of the proxy called `name`, or `None` if the ring does not contain it.
     #[must_use]
     pub fn zone_of(&self, name: &str) -> Option<&str> {
         let mut members = self.members.iter();
@@ -149,8 +152,8 @@
         Some(&member.zone)
     }
 
-    /// The first and the second owner of a key. The second one is of another zone where there is one, so
-    /// that both are not lost together.
+    /// Returns the first and the second owner of a key. The second is in another zone if there is one, so that a
+    /// failing zone does not take both down.
     fn owners(&self, key: u64) -> Vec<&Owner> {
         let highest = |excluded_zone: Option<&str>, excluded_name: Option<&str>| {
             self.members
@@ -176,7 +179,7 @@
     zones
 }
 
-/// The [`OWNERS_PER_KEY`] highest-ranked of `owners` for `key`, the highest first.
+/// Returns the [`OWNERS_PER_KEY`] highest-ranked of `owners` for `key`, the highest first.
 fn highest_ranked<'a>(owners: impl IntoIterator<Item = &'a Owner>, key: u64) -> Vec<&'a Owner> {
     let mut best: Vec<(u64, &Owner)> = Vec::with_capacity(OWNERS_PER_KEY + 1);
     for owner in owners {
--- a/crates/forward/src/owners/peer_link.rs
+++ b/crates/forward/src/owners/peer_link.rs
@@ -1,4 +1,4 @@
-//! How this node reaches the owners of a key, and waits for their replies.
+//! Sends requests to the owners of a key and waits for their replies.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, OnceLock};
@@ -16,32 +16,32 @@
 use crate::owners::owner_ring::{Owner, OwnerRing};
 use crate::owners::pending_requests::{OwnerReply, PendingRequests};
 
-/// The ring and the table that it was made from.
+/// The ring and the routing table that it was built from.
 #[derive(Debug, Default)]
 struct CachedRing {
     table: Option<Arc<RoutingTable>>,
     ring: Arc<OwnerRing>,
 }
 
-/// One request that was sent and waits for its reply.
+/// One request that awaits its reply.
 #[derive(Debug)]
 struct InFlightRequest {
     id: u64,
     reply: oneshot::Receiver<OwnerReply>,
 }
 
-/// Requests that were sent and wait for their replies.
+/// Requests that await their replies.
 #[derive(Debug, Default)]
 pub struct InFlightRequests(Vec<InFlightRequest>);
 
 impl InFlightRequests {
-    /// Id of the first request, if there is one.
+    /// Returns the id of the first request, if there is one.
     #[must_use]
     pub fn first_id(&self) -> Option<u64> {
         self.0.first().map(|request| request.id)
     }
 
-    /// These requests and those of `other`.
+    /// Combines these requests with those of `other`.
     #[must_use]
     pub fn and(mut self, other: Self) -> Self {
         self.0.extend(other.0);
@@ -49,7 +49,7 @@
     }
 }
 
-/// Where requests about a key go.
+/// Destination of requests for a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnerRoute<'a> {
     /// No owner is known.
@@ -60,7 +60,7 @@
     Remote(&'a Owner),
 }
 
-/// The node's socket to its peers, the ring of owners, and pending requests.
+/// The node's socket for peer messages, the ring of owners, and the pending requests.
 #[derive(Debug)]
 pub struct PeerLink {
     member: String,
@@ -71,7 +71,7 @@
 }
 
 impl PeerLink {
-    /// The link of the node with this name. Until it is connected it sends nothing.
+    /// Creates the link of the node called `member`. It sends nothing until [`Self::connect`] is called.
     #[must_use]
     pub fn new(member: &str) -> Self {
         Self {
@@ -83,29 +83,30 @@
         }
     }
 
-    /// Name of this node.
+    /// Returns the name of this node.
     #[must_use]
     pub fn member(&self) -> &str {
         &self.member
     }
 
-    /// Minted at the start of the process: peers begin its counts again when it changes.
+    /// Returns a random number that identifies this incarnation of the process. When it changes, peers start
+    /// counting this node's usage from 0.
     #[must_use]
     pub fn boot_id(&self) -> u64 {
         self.boot_id
     }
 
-    /// Datagrams are sent through this socket from now on.
+    /// Sets the socket that datagrams are sent through. Only the first call has an effect.
     pub fn connect(&self, socket: Arc<UdpSocket>) {
         let _ = self.socket.set(socket);
     }
 
-    /// The ring of the table's proxies.
+    /// Returns the ring of the proxies in the routing table.
     pub fn ring(&self, table: &Arc<RoutingTable>) -> Arc<OwnerRing> {
         self.refresh_ring(table).ring
     }
 
-    /// The ring of the table's proxies, and whether it changed with this call.
+    /// Returns the ring of the proxies in the routing table, and whether this call changed it.
     pub fn refresh_ring(&self, table: &Arc<RoutingTable>) -> RefreshedRing {
         let mut cached = lock(&self.ring);
         let known = cached.table.as_ref();
@@ -124,8 +125,8 @@
         }
     }
 
-    /// Where to send requests about a key: to the first of its owners that is responsive, or else to the
-    /// first.
+    /// Returns where to send requests for a key with these owners: to the first one that is not suspected of being
+    /// unresponsive, or to the first one if all are.
     pub fn route_of<'a>(&self, now: MonotonicTime, owners: &[&'a Owner]) -> OwnerRoute<'a> {
         let responsive = self.first_responsive(now, owners);
         match responsive.or_else(|| owners.first().copied()) {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// The first of these owners that is believed to be responsive.
+    /// Returns the first of these owners that is not suspected of being unresponsive.
     pub fn first_responsive<'a>(
         &self,
         now: MonotonicTime,
@@ -145,7 +146,7 @@
         owners.find(|owner| !pending.is_suspect(now, &owner.name))
     }
 
-    /// How requests reach this owner.
+    /// Returns how requests reach this owner.
     #[must_use]
     pub fn route_to<'a>(&self, owner: &'a Owner) -> OwnerRoute<'a> {
         if owner.name == self.member {
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Sends one request to each owner. `encode` puts the request's id and the items into a datagram.
+    /// Sends one request to each owner. `encode` writes the request's id and the owner's items into the datagram.
     pub fn send_requests<T>(
         &self,
         by_owner: ByOwner<'_, T>,
@@ -172,7 +173,8 @@
         InFlightRequests(requests.collect())
     }
 
-    /// Waits until all replies arrived or the request timeout is over.
+    /// Waits until all replies have arrived or the request timeout has passed, and returns the replies that
+    /// arrived.
     pub async fn wait(&self, in_flight: InFlightRequests) -> Vec<OwnerReply> {
         if in_flight.0.is_empty() {
             return Vec::new();
@@ -189,17 +191,17 @@
         replies
     }
 
-    /// The reply to a request arrived. `false`: nobody waits for it any longer.
+    /// Delivers the reply to a request. Returns `false` if nothing waits for it any longer.
     pub fn complete(&self, now: MonotonicTime, id: u64, reply: OwnerReply) -> bool {
         lock(&self.pending).complete(now, id, reply)
     }
 
-    /// Forgets requests whose callers went away.
+    /// Removes requests that were abandoned without waiting for their replies.
     pub fn expire(&self, now: MonotonicTime) {
         lock(&self.pending).expire(now);
     }
 
-    /// An empty datagram of this node.
+    /// Creates a datagram that contains only this node's name and boot id.
     #[must_use]
     pub fn datagram(&self) -> PeerMessage {
         PeerMessage {
@@ -209,8 +211,7 @@
         }
     }
 
-    /// Sends a datagram. One that cannot be sent is as good as lost: updates are repeated, requests time
-    /// out.
+    /// Sends a datagram. A failure is handled like a lost datagram: updates are repeated, requests time out.
     pub fn send(&self, address: SocketAddr, datagram: &PeerMessage) {
         if let Some(socket) = self.socket.get() {
             let _ = socket.try_send_to(&datagram.encode_to_vec(), address);
@@ -218,11 +219,11 @@
     }
 }
 
-/// The ring of owners at present.
+/// The current ring of owners.
 #[derive(Clone, Debug)]
 pub struct RefreshedRing {
-    /// Which proxy owns what.
+    /// Determines the owners of a key.
     pub ring: Arc<OwnerRing>,
-    /// Whether it differs from the ring before.
+    /// Whether the ring differs from the one that the previous call returned.
     pub has_changed: bool,
 }
--- a/crates/forward/src/owners/pending_requests.rs
+++ b/crates/forward/src/owners/pending_requests.rs
@@ -1,4 +1,4 @@
-//! Requests to owners that wait for their replies.
+//! Requests to owners that await their replies.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,22 +9,22 @@
 use crate::owners::round_trip::RoundTrip;
 use crate::quota::Grant;
 
-/// Timeouts in a row after which the second owner of a key is preferred. A single one may be a lost
-/// datagram.
+/// Consecutive timeouts after which an owner is suspected of being unresponsive, so that the next owner of the key
+/// is preferred. A single timeout may be due to a lost datagram.
 const TIMEOUTS_TO_SUSPECT: u32 = 2;
 
-/// How long an unresponsive owner is passed over: a restarted process is back within this time, and every
-/// attempt costs one choice its fresh counts.
+/// How long requests avoid a suspected owner. A restarted process responds again within this time, and each
+/// request that times out leaves one choice without fresh counts.
 const SUSPECT_FOR: Duration = Duration::from_secs(1);
 
-/// What an owner replied.
+/// An owner's reply.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OwnerReply {
-    /// Counts of backends, which are in the load table already.
+    /// Load counts of backends; they were written to the load table already.
     Counts,
     /// The backends that have some prefix blocks cached.
     Blocks(Vec<BlockBackends>),
-    /// The decision on a tenant's request; `None` where the owner has no quota of the tenant.
+    /// The decision on a tenant's request; `None` if the owner has no quota for the tenant.
     Admission(Option<Grant>),
 }
 
@@ -41,7 +41,7 @@
     suspect_until: Option<MonotonicTime>,
 }
 
-/// Requests by id, and which owners let them time out.
+/// Pending requests by id, the round trip of replies, and the owners whose requests timed out.
 #[derive(Debug, Default)]
 pub struct PendingRequests {
     last_id: u64,
@@ -51,7 +51,7 @@
 }
 
 impl PendingRequests {
-    /// Begins a request to `owner`: its id, and the receiver of its reply.
+    /// Registers a request to `owner`. Returns its id and the receiver of its reply.
     pub fn begin(
         &mut self,
         now: MonotonicTime,
@@ -68,17 +68,17 @@
         (self.last_id, reply)
     }
 
-    /// A reply arrived. `false`: no such request is pending, or nobody waits for it any longer.
+    /// Delivers a reply. Returns `false` if no such request is pending, or if nothing waits for it any longer.
     pub fn complete(&mut self, now: MonotonicTime, id: u64, reply: OwnerReply) -> bool {
         let Some(request) = self.requests.remove(&id) else {
             return false;
         };
-        self.round_trip.add(now.since(request.sent_at));
+        self.round_trip.add_sample(now.since(request.sent_at));
         self.timeouts.remove(&request.owner);
         request.reply_sender.send(reply).is_ok()
     }
 
-    /// The wait for a reply is over.
+    /// Removes a request whose reply did not arrive in time, and counts a timeout for its owner.
     pub fn time_out(&mut self, now: MonotonicTime, id: u64) {
         let Some(request) = self.requests.remove(&id) else {
             return;
@@ -90,13 +90,13 @@
         }
     }
 
-    /// Forgets requests whose caller went away while they were in flight.
+    /// Removes requests that were abandoned while they were in flight.
     pub fn expire(&mut self, now: MonotonicTime) {
         self.requests
             .retain(|_, request| now.since(request.sent_at) < SUSPECT_FOR);
     }
 
-    /// Whether requests to an owner timed out lately.
+    /// Whether an owner is suspected of being unresponsive because of recent timeouts.
     #[must_use]
     pub fn is_suspect(&self, now: MonotonicTime, owner: &str) -> bool {
         let timeouts = self.timeouts.get(owner);
@@ -104,7 +104,7 @@
         until.is_some_and(|until| now < until)
     }
 
-    /// How long to wait for a reply.
+    /// Returns how long to wait for a reply.
     #[must_use]
     pub fn timeout(&self) -> Duration {
         self.round_trip.timeout()
--- a/crates/forward/src/prefix_index.rs
+++ b/crates/forward/src/prefix_index.rs
@@ -1,6 +1,7 @@
-//! Which backends have which prefix blocks cached, kept at each block's owners and queried before each choice.
+//! The locations of prefix blocks: the backends that have each block cached. A block's owners collect them, and
+//! nodes query the owners before each choice.
 //!
-//! This node publishes what it sends, queries the owners, and replies as an owner.
+//! This node publishes which blocks it sent to which backends, queries the owners, and replies as an owner.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,13 +15,14 @@
 
 use crate::owners::{ByOwner, InFlightRequests, OwnerReply, OwnerRing, OwnerRoute, PeerLink};
 
-/// Most backends of a block that an owner names: those that used it last. More are of no use to one choice.
+/// Most backends that an owner returns for a block: those that used it most recently. A choice has no use for
+/// more.
 pub const MAX_BACKENDS_PER_BLOCK: usize = 8;
 
-/// The ids of the backends that have each block cached, as far as this node knows.
+/// Ids of the backends that are known to have a block cached, by block id.
 pub type BackendsByBlock = BTreeMap<u64, Vec<String>>;
 
-/// Publishes to the blocks' owners where this node sent them.
+/// Publishes to the blocks' owners the backends that this node sent the blocks to.
 pub fn publish(link: &PeerLink, ring: &OwnerRing, locations: Vec<CachedBlock>) {
     let mut updates = ByOwner::default();
     for location in locations {
@@ -45,8 +47,8 @@
     }
 }
 
-/// Queries the owners which backends have these blocks cached, among some backends or all. What this node
-/// knows itself is added to `known` at once.
+/// Queries the owners which backends have these blocks cached: among the backend ids in `among`, or all if it is
+/// empty. The locations that this node holds itself are added to `known` at once.
 pub fn query(
     link: &PeerLink,
     ring: &OwnerRing,
@@ -69,7 +71,7 @@
     })
 }
 
-/// Adds what this node knows itself to what is known.
+/// Adds the locations that this node holds itself to `known`.
 pub fn merge_local(
     prefix_index: &PrefixIndex,
     blocks: &[PrefixBlock],
@@ -83,7 +85,7 @@
     }
 }
 
-/// Adds what owners replied to what is known.
+/// Adds the locations that owners replied to `known`.
 pub fn merge_replies(known: &mut BackendsByBlock, replies: Vec<OwnerReply>) {
     for reply in replies {
         let OwnerReply::Blocks(blocks) = reply else {
@@ -95,7 +97,7 @@
     }
 }
 
-/// Takes a datagram about prefix blocks. `false`: it is about something else.
+/// Handles a datagram that contains a block update, request or reply. Returns `false` if it contains none.
 pub fn receive(
     link: &PeerLink,
     prefix_index: &PrefixIndex,
--- a/crates/forward/src/quota/cluster_bucket.rs
+++ b/crates/forward/src/quota/cluster_bucket.rs
@@ -1,47 +1,49 @@
-//! One tenant's token bucket over the whole fleet, as one node estimates it.
+//! One node's estimate of a tenant's token bucket, which the whole fleet shares.
 
 use millford_api::config::TokenQuota;
 use millford_core::{Duration, MonotonicTime};
 
-/// Debt never exceeds this many bursts: whatever a peer reports must not shut a tenant out for long.
-/// What nodes admit at the same time stays far below it, and must not be forgiven: a tenant that keeps
-/// sending more than its quota would exceed it by that again and again.
+/// Largest debt that reports from peers can cause, in bursts, so that no report can block a tenant for long.
+/// The limit is far above what the nodes admit at the same time. That must be charged completely: otherwise a
+/// tenant that keeps sending more than its quota would exceed the quota by the excess again and again.
 const MAX_DEBT_BURSTS: f64 = 4.0;
 
-/// Debt from a request itself never exceeds what the rate gives in this time: its size is what the caller
-/// says, and an absurd one must not shut a tenant out for good.
+/// Largest debt that requests of the tenant itself can cause, as seconds of the rate. The caller declares the
+/// size of a request, and an absurd one must not block the tenant indefinitely.
 const MAX_OWN_DEBT_S: f64 = 60.0;
 
-/// What a node counts is a little more than what runs: requests that end before they run, and counts
-/// that cross on their way. A tenant under its quota must not be refused for it.
+/// Factor on the quota's rate. A node counts slightly more tokens than run, because of requests that end before
+/// they run and of reports that cross in transit; a tenant under its quota must not be refused because of that.
 const RATE_HEADROOM: f64 = 1.01;
-/// As [`RATE_HEADROOM`], for the burst.
+/// Factor on the quota's burst, for the reason given at [`RATE_HEADROOM`].
 const BURST_HEADROOM: f64 = 1.1;
 
-/// What the bucket holds beyond the burst, as seconds of the rate. A quota is meant over several
-/// seconds; a bucket of the bare burst refuses a tenant that is well under it whenever its requests
-/// come a little closer together.
+/// Capacity of the bucket beyond the burst, as seconds of the rate. A quota is meant to hold over several
+/// seconds; a bucket of only the burst would refuse a tenant well under its quota whenever its requests arrive a
+/// little closer together.
 const PEAK_S: f64 = 0.25;
 
-/// Share of the difference to a peer's estimate by which this node's moves with each of its messages.
-const AGREEMENT_SHARE: f64 = 1.0 / 64.0;
+/// Share of the difference from a peer's estimate by which this node's estimate moves with each message of that
+/// peer.
+const CONVERGENCE_SHARE: f64 = 1.0 / 64.0;
 
-/// A peer whose estimate differs by more than this share of a burst has not received from the others, or
-/// this node has not: there is nothing to agree on.
-const AGREEMENT_RANGE: f64 = 0.5;
+/// Largest difference, as a share of the burst, at which this node's estimate moves towards a peer's. A larger
+/// one means that the peer or this node did not receive the others' reports, so that one estimate is unusable.
+const CONVERGENCE_RANGE: f64 = 0.5;
 
-/// A bucket that may be in debt: a request is admitted while anything is left, whatever its size, so
-/// that large requests are not refused more often than small ones. Over any span the admitted
-/// tokens exceed rate and burst by at most one request and what peers had not reported yet.
+/// A token bucket whose level may become negative. A request of any size is admitted while the level is above 0,
+/// so that large requests are not refused more often than small ones. Over any time span the admitted tokens
+/// exceed rate and burst by at most one request and what the peers had not reported yet.
 #[derive(Clone, Debug)]
 pub struct ClusterBucket {
     figures: BucketFigures,
+    /// Tokens left at `updated`.
     level: f64,
     updated: MonotonicTime,
 }
 
 impl ClusterBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     #[must_use]
     pub fn new(quota: &TokenQuota, now: MonotonicTime) -> Self {
         let figures = BucketFigures::of(quota);
@@ -52,17 +54,17 @@
         }
     }
 
-    /// Applies a changed quota. What is left stays, up to the new burst.
+    /// Applies a changed quota. The level is kept, up to the new capacity.
     pub fn set_quota(&mut self, quota: &TokenQuota, now: MonotonicTime) {
         self.refill(now);
         self.figures = BucketFigures::of(quota);
         self.level = self.level.min(self.figures.burst);
     }
 
-    /// Admits a request of this many tokens, or says when to come back.
+    /// Admits and charges a request of this many tokens.
     ///
     /// # Errors
-    /// The time until something is left.
+    /// Returns the time until the bucket admits requests again.
     pub fn admit(&mut self, now: MonotonicTime, tokens: u64) -> Result<(), Duration> {
         self.refill(now);
         if self.level > 0.0 {
@@ -73,51 +75,51 @@
         Err(self.figures.wait(self.level))
     }
 
-    /// Puts back what a request took that was never sent to a backend.
+    /// Returns the tokens of a request that was never sent to a backend.
     pub fn refund(&mut self, now: MonotonicTime, tokens: u64) {
         self.refill(now);
         self.level = (self.level + tokens as f64).min(self.figures.burst);
     }
 
-    /// Takes out what peers admitted, or puts back what was wrongly assumed of them.
+    /// Charges tokens that peers admitted. A negative number returns tokens that were wrongly assumed for them.
     pub fn charge(&mut self, now: MonotonicTime, tokens: f64) {
         self.refill(now);
         let floor = self.level.min(-self.max_reported_debt());
         self.level = (self.level - tokens).clamp(floor, self.figures.burst);
     }
 
-    /// Adopts a peer's level if it is lower: for a node that has just started.
+    /// Adopts a peer's level if it is lower than this node's.
     pub fn lower_to(&mut self, now: MonotonicTime, level: f64) {
         self.refill(now);
         self.level = self.level.min(level.max(-self.max_reported_debt()));
     }
 
-    /// Moves a little towards what a peer estimates to be left.
+    /// Moves the level by a small step towards a peer's estimate.
     ///
-    /// Counts that cross on their way, or are refunded, leave nodes with estimates that differ for
-    /// as long as the bucket does not fill up. While a tenant sends more than its quota, the node with the
-    /// highest estimate would admit nearly all of its requests, and the others nearly none.
-    pub fn agree(&mut self, now: MonotonicTime, peer_level: f64) {
+    /// Reports that cross in transit, and refunds, make the nodes' estimates differ until the bucket is full
+    /// again. While a tenant sends more than its quota, the node with the highest estimate would admit nearly all
+    /// of its requests, and the other nodes nearly none.
+    pub fn converge_towards(&mut self, now: MonotonicTime, peer_level: f64) {
         self.refill(now);
         let difference = peer_level - self.level;
-        if difference.abs() <= self.figures.burst * AGREEMENT_RANGE {
-            self.level += difference * AGREEMENT_SHARE;
+        if difference.abs() <= self.figures.burst * CONVERGENCE_RANGE {
+            self.level += difference * CONVERGENCE_SHARE;
         }
     }
 
-    /// Most tokens that a peer can be assumed to admit in a second.
+    /// Returns the highest admission rate that is assumed for a peer, in tokens per second.
     #[must_use]
     pub fn max_rate(&self) -> f64 {
         self.figures.rate
     }
 
-    /// What is left now.
+    /// Returns the tokens left now; less than 0 if the bucket is in debt.
     pub fn level(&mut self, now: MonotonicTime) -> f64 {
         self.refill(now);
         self.level
     }
 
-    /// Whether less than this share of a burst is left.
+    /// Whether the level is below this share of the capacity.
     pub fn is_below(&mut self, now: MonotonicTime, share: f64) -> bool {
         self.level(now) < self.figures.burst * share
     }
@@ -133,17 +135,17 @@
     }
 }
 
-/// Rate and size of a bucket, with what a node keeps beyond the tenant's quota.
+/// Refill rate and capacity of a bucket: those of the tenant's quota plus a headroom.
 #[derive(Clone, Copy, Debug)]
 pub struct BucketFigures {
-    /// Tokens a second; not 0, so that every wait has an end.
+    /// Refill rate, in tokens per second; above 0, so that every wait is finite.
     pub rate: f64,
-    /// Most that is left, in tokens; not 0.
+    /// Capacity, in tokens; above 0.
     pub burst: f64,
 }
 
 impl BucketFigures {
-    /// The figures for a tenant's quota.
+    /// Computes the figures for a tenant's quota.
     #[must_use]
     pub fn of(quota: &TokenQuota) -> Self {
         let rate = quota.tokens_per_second.max(1) as f64;
@@ -158,7 +160,7 @@
         }
     }
 
-    /// How long a bucket with `level` left, 0 or less, takes to hold anything.
+    /// Returns the time until a bucket at `level`, which is 0 or less, holds one token.
     #[must_use]
     pub fn wait(&self, level: f64) -> Duration {
         Duration::from_secs_f64((1.0 - level) / self.rate)
--- a/crates/forward/src/quota/grant.rs
+++ b/crates/forward/src/quota/grant.rs
@@ -1,14 +1,14 @@
-//! An owner's decision on one request.
+//! An owner's decision on one admission request.
 
 use millford_core::Duration;
 
-/// What the owner decided, and what it estimates of the tenant's bucket then.
+/// An owner's decision, with its estimate of the tenant's bucket after the decision.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Grant {
-    /// The request was admitted and charged; otherwise the time until something is left.
+    /// `Ok` if the request was admitted and charged, or else the time until the bucket admits requests again.
     pub decision: Result<(), Duration>,
-    /// What is left in the whole fleet, in tokens.
+    /// Tokens left for the whole fleet; less than 0 if the bucket is in debt.
     pub level_tokens: i64,
-    /// What the whole fleet admitted lately, in tokens a second.
+    /// Recent admission rate of the whole fleet, in tokens per second.
     pub admitted_per_second: u64,
 }
--- a/crates/forward/src/quota/level_estimate.rs
+++ b/crates/forward/src/quota/level_estimate.rs
@@ -1,4 +1,4 @@
-//! What a node that does not own a tenant's bucket knows of its level.
+//! Estimates the level of a tenant's bucket on a node that does not own it.
 
 use millford_api::config::TokenQuota;
 use millford_core::{Duration, MonotonicTime};
@@ -6,32 +6,34 @@
 use super::cluster_bucket::BucketFigures;
 use super::grant::Grant;
 
-/// Nodes that share a quota.
+/// Number of nodes that share a quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSize {
-    /// All of them, at least 1.
+    /// Nodes of the whole fleet, at least 1.
     pub nodes: usize,
-    /// Those of this node's zone, at least 1: they lose the same owners together.
+    /// Nodes in this node's zone, at least 1. They use the same owners and so lose contact with them together.
     pub in_zone: usize,
 }
 
-/// Why a node decides on a request without an owner.
+/// Why a node decides on a request without an owner's reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DegradedReason {
-    /// A reply did not come in time. The other nodes of the zone get theirs.
+    /// An owner's reply did not arrive in time, or the owner has not received the quota yet. The zone's other
+    /// nodes are assumed to receive their replies.
     AnswerLost,
-    /// No owner that this zone uses has replied lately: none of its nodes has an owner.
+    /// No owner that this zone uses has replied lately. None of the zone's nodes is assumed to reach an owner.
     OwnersUnreachable,
 }
 
 impl DegradedReason {
-    /// Every reason.
+    /// All reasons.
     pub const ALL: [DegradedReason; 2] = [
         DegradedReason::AnswerLost,
         DegradedReason::OwnersUnreachable,
     ];
 
-    /// The value of the metric's label, which dates from before the present terms.
+    /// Returns the value of the metric's label `reason`. The values are kept for compatibility, although some
+    /// differ from the variants' names.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -42,33 +44,33 @@
 }
 
 impl FleetSize {
-    /// The zone's part of the fleet.
+    /// Returns the share of the fleet's nodes that are in this node's zone, between 0 and 1.
     fn zone_share(self) -> f64 {
         self.in_zone as f64 / self.nodes.max(self.in_zone) as f64
     }
 }
 
-/// The owner's last reply, and what this node admitted since without one.
+/// The level that an owner last reported, and what this node has admitted since then without a reply.
 ///
-/// # Why a refusal without a request is right
-/// Only time adds to the owner's bucket, at the quota's rate. What the owner last reported, and all that
-/// the rate added since, is therefore at least what is left.
+/// # Why a refusal without a request to the owner is correct
+/// The owner's bucket is only refilled over time, at the quota's rate. The level that the owner last reported
+/// plus the refill since then is therefore an upper bound of the present level.
 #[derive(Clone, Copy, Debug)]
 pub struct LevelEstimate {
     figures: BucketFigures,
-    /// Tokens left, as the owner reported it.
+    /// Tokens left, as reported by the owner.
     level: f64,
     reported_at: MonotonicTime,
-    /// What the whole fleet admits, in tokens a second.
+    /// Admission rate of the whole fleet, in tokens per second.
     admitted_per_second: f64,
-    /// Tokens that this node admitted since without a reply.
+    /// Tokens that this node admitted without a reply since `reported_at`.
     admitted_degraded: f64,
     fleet: FleetSize,
 }
 
 impl LevelEstimate {
-    /// Nothing was reported yet: the node goes by its equal share of the fleet. A full bucket at each node
-    /// that has just started would be many times the quota.
+    /// Creates the estimate for a node that has received no report yet: its equal share of the fleet's quota. If
+    /// each node that has just started assumed a full bucket, together they would admit many times the quota.
     #[must_use]
     pub fn unknown(quota: &TokenQuota, fleet: FleetSize, now: MonotonicTime) -> Self {
         let figures = BucketFigures::of(quota);
@@ -83,7 +85,7 @@
         }
     }
 
-    /// An owner replied.
+    /// Replaces the estimate with the one that an owner replied.
     pub fn apply(
         &mut self,
         now: MonotonicTime,
@@ -101,7 +103,8 @@
         };
     }
 
-    /// The time until anything can be left, when certainly nothing is left now.
+    /// Returns the shortest time until the bucket can admit requests again, or `None` unless it is certainly
+    /// empty now.
     #[must_use]
     pub fn certain_wait(&self, now: MonotonicTime) -> Option<Duration> {
         let passed = now.since(self.reported_at).as_secs_f64();
@@ -109,15 +112,15 @@
         (upper_bound <= 0.0).then(|| self.figures.wait(upper_bound))
     }
 
-    /// Admits a request while no owner replies. The fleet is assumed to go on as before, with this zone's
-    /// share of what it admitted left to this zone.
+    /// Admits a request without an owner's reply. The fleet is assumed to keep its admission rate, of which this
+    /// zone may use its share.
     ///
     /// # Why this node's admissions count for the whole zone once its owners are unreachable
-    /// They are lost for all its nodes together, and each of them has the same report. If each took what is
-    /// left for itself, the zone would admit all that a tenant sends.
+    /// All nodes of the zone lose contact with the owners together, and each has about the same last report. If
+    /// each of them admitted all the tokens that were left, the zone would admit all that a tenant sends.
     ///
     /// # Errors
-    /// The time until something is left.
+    /// Returns the time until the estimated level is above 0 again.
     pub fn admit_degraded(
         &mut self,
         now: MonotonicTime,
--- a/crates/forward/src/quota/mod.rs
+++ b/crates/forward/src/quota/mod.rs
@@ -1,9 +1,9 @@
-//! Token quotas of tenants, over all nodes together.
+//! Token quotas of tenants, enforced over all nodes together.
 //!
-//! In a small fleet every node keeps each tenant's complete bucket: it takes its own admissions out at
-//! once and those of its peers when they report them. In a larger one two nodes of each zone own a
-//! tenant's bucket: nodes request each admission from an owner of their zone, and owners report to each other
-//! what they granted. `docs/design/forwarding.md` weighs this against the leases of `docs/QUOTA.md`.
+//! In a small fleet every node keeps a complete bucket for each tenant. It charges its own admissions at once and
+//! those of its peers when they report them. In a larger fleet two nodes of each zone own a tenant's bucket. The
+//! other nodes request each admission from an owner in their zone, and the owners report to each other what they
+//! granted. `docs/design/forwarding.md` compares this with the leases of `docs/QUOTA.md`.
 
 pub mod cluster_bucket;
 pub mod grant;
--- a/crates/forward/src/quota/peer_usage.rs
+++ b/crates/forward/src/quota/peer_usage.rs
@@ -1,45 +1,49 @@
-//! What one peer admits of one tenant, also while nothing is received from it.
+//! Tracks what one peer admits of one tenant, and extrapolates it while nothing is received from the peer.
 
 use millford_core::{Duration, MonotonicTime};
 
-/// A peer that sends nothing for this long is assumed to go on as before.
+/// Time without a message after which a peer counts as unresponsive, and is assumed to admit at its last rate.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(400);
 
-/// Time constant with which the assumption fades: a peer that died admits nothing.
-pub const FADE_S: f64 = 4.0;
+/// Time constant with which the assumed rate of an unresponsive peer decays, in seconds: the longer the peer is
+/// silent, the likelier it has stopped and admits nothing.
+pub const ASSUMED_RATE_DECAY_S: f64 = 4.0;
 
 /// Weight of the newest rate in the smoothed one.
 const NEWEST_WEIGHT: f64 = 0.3;
 
-/// Shortest time between two counts that a rate is taken from, in seconds.
+/// Shortest time between two counts from which a rate is computed, in seconds.
 const MIN_RATE_SPAN_S: f64 = 0.05;
 
-/// A gap between messages longer than this means that the peer was partitioned: a peer with nothing to report
-/// still sends once a second.
+/// Longest gap between two messages of a peer that is not partitioned. A peer with nothing to report still sends
+/// once a second.
 pub const PARTITION_GAP: Duration = Duration::from_millis(1500);
 
-/// A peer that is received again has itself received from everybody else after this long.
+/// Time after the end of a partition or a start until a peer has received the reports of all other peers.
 const STABLE_AFTER: Duration = Duration::from_millis(1500);
 
-/// Cumulative count of one peer, and what was assumed of it since its last message.
+/// The cumulative count of one peer, and the usage that was assumed for it since its last message.
 #[derive(Clone, Debug)]
 pub struct PeerUsage {
     boot_id: u64,
+    /// Tokens that the peer admitted since its start.
     total: u64,
     received_at: MonotonicTime,
-    /// Since when its messages came without a gap.
+    /// Start of the period in which messages were received without a gap.
     continuous_since: MonotonicTime,
-    /// Smoothed, in tokens a second.
+    /// Smoothed admission rate, in tokens per second.
     rate: f64,
-    /// Tokens charged for it since its last message.
+    /// Tokens charged for the peer since its last message.
     assumed: f64,
+    /// Time up to which assumed tokens were charged.
     assumed_until: MonotonicTime,
 }
 
 impl PeerUsage {
-    /// The first count that is received of a peer. What it admitted before is past.
+    /// Creates the usage from the first count that is received from a peer. The rate starts at 0: what the peer
+    /// admitted before is not attributed to a time span.
     #[must_use]
-    pub fn first(boot_id: u64, total: u64, now: MonotonicTime) -> Self {
+    pub fn new(boot_id: u64, total: u64, now: MonotonicTime) -> Self {
         Self {
             boot_id,
             total,
@@ -51,7 +55,8 @@
         }
     }
 
-    /// Records a newer count. Returns the tokens to charge; less than 0 when more had been assumed.
+    /// Records a newer count. Returns the tokens to charge in addition to the assumed ones; less than 0 if too
+    /// many were assumed.
     pub fn record_count(&mut self, boot_id: u64, total: u64, now: MonotonicTime) -> f64 {
         // A restarted peer counts from 0 again.
         let former = if boot_id == self.boot_id {
@@ -77,42 +82,44 @@
         admitted - assumed
     }
 
-    /// Whether the same incarnation was received from lately, so that all that it admitted since is known.
+    /// Whether a message of the same incarnation of the peer was received lately, so that the next count covers
+    /// all that it has admitted in between.
     #[must_use]
     pub fn is_continuous(&self, boot_id: u64, now: MonotonicTime) -> bool {
         self.boot_id == boot_id && now.since(self.received_at) <= PARTITION_GAP
     }
 
-    /// Whether nothing was received for so long that something should have been.
+    /// Whether nothing was received from the peer for longer than its update interval allows.
     #[must_use]
     pub fn is_unresponsive(&self, now: MonotonicTime) -> bool {
         now.since(self.received_at) >= UNRESPONSIVE_AFTER
     }
 
-    /// The peer admits nothing any more: others do in its place. Returns the tokens that were wrongly
-    /// assumed.
+    /// Stops assuming usage for a peer whose requests other peers have taken over. Returns the tokens that were
+    /// wrongly assumed.
     pub fn withdraw_assumed(&mut self, now: MonotonicTime) -> f64 {
         self.assumed_until = now;
         self.rate = 0.0;
         std::mem::take(&mut self.assumed)
     }
 
-    /// Whether the peer's estimate can be trusted: it was neither partitioned nor started lately.
+    /// Whether the peer's estimate is reliable: the peer was neither partitioned nor started lately.
     #[must_use]
     pub fn is_stable(&self) -> bool {
         self.received_at.since(self.continuous_since) >= STABLE_AFTER
     }
 
-    /// The tokens to charge for an unresponsive peer: it may be partitioned and admit as before, but not more
-    /// than `max_rate` tokens a second.
-    pub fn assume(&mut self, now: MonotonicTime, max_rate: f64) -> f64 {
+    /// Returns the tokens to charge for an unresponsive peer since the last call. The peer may be partitioned and
+    /// still admit requests; it is assumed to do so at its last rate, which decays, and at most at `max_rate`
+    /// tokens per second.
+    pub fn accrue_assumed(&mut self, now: MonotonicTime, max_rate: f64) -> f64 {
         if !self.is_unresponsive(now) {
             return 0.0;
         }
         let inactivity = now.since(self.received_at);
         let span = now.since(self.assumed_until).as_secs_f64();
-        let fading = (-inactivity.as_secs_f64() / FADE_S).exp();
-        let tokens = self.rate.min(max_rate) * fading * span;
+        let decay = (-inactivity.as_secs_f64() / ASSUMED_RATE_DECAY_S).exp();
+        let tokens = self.rate.min(max_rate) * decay * span;
         self.assumed_until = now;
         self.assumed += tokens;
         tokens
--- a/crates/forward/src/quota/quota_client.rs
+++ b/crates/forward/src/quota/quota_client.rs
@@ -1,5 +1,5 @@
-//! The requesting side of token quotas with owners: before each admission a node requests it from an owner
-//! of the tenant's bucket, and decides by its own estimate while no owner replies.
+//! The client side of token quotas with owners: a node requests each admission from an owner of the tenant's
+//! bucket, and decides by its own estimate while no owner replies.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -13,75 +13,76 @@
 use super::grant::Grant;
 use super::level_estimate::{DegradedReason, FleetSize, LevelEstimate};
 use super::quota_service::grant_of;
-use super::tenant_quotas::{TenantQuotas, limiting};
+use super::tenant_quotas::{TenantQuotas, limiting_quota};
 use crate::lock::lock;
 use crate::owners::{
     ByOwner, InFlightRequests, Owner, OwnerReply, OwnerRing, OwnerRoute, PeerLink,
 };
 
-/// How long after its timeout a reply is still accounted for; later the owner counts as lost.
+/// How long after a request's timeout its reply is still applied to the uncharged tokens. Without a reply by then
+/// the request counts as lost, and its tokens as not charged by the owner.
 const LATE_REPLY_WINDOW: Duration = Duration::from_secs(2);
 
-/// Owners that are tried for one request, one after the other: each costs a request timeout.
+/// Most owners that are tried for one request, one after the other. Each failed one takes a request timeout.
 const MAX_OWNERS_TRIED: usize = 3;
 
-/// Name of the metric. Its label `reason` has the values of [`DegradedReason::name`].
+/// Counter of degraded decisions. Its label `reason` has the values of [`DegradedReason::name`].
 const DEGRADED_DECISIONS_METRIC: &str = "millford_proxy_quota_decided_alone";
 
-/// What this node knows of the bucket of one tenant that it does not own.
+/// This node's estimate of the bucket of one tenant that it does not own.
 #[derive(Clone, Copy, Debug)]
 struct TenantEstimate {
     level: LevelEstimate,
-    /// Tokens admitted here without a reply and charged by nobody, as far as is known; carried by the next
-    /// request. Less than 0 where an owner charged what was not admitted.
+    /// Tokens that this node admitted without a reply and that, as far as it can tell, no owner has charged. The
+    /// next request reports them. Less than 0 if owners charged more than was admitted.
     uncharged: i64,
 }
 
-/// A request whose reply did not come in time. If it still comes, the owner has charged the tokens.
+/// A request whose reply did not arrive in time. If the reply arrives late, the owner has charged the tokens.
 #[derive(Clone, Debug)]
 struct TimedOutRequest {
     tenant: String,
     timed_out_at: MonotonicTime,
     tokens: u64,
-    /// Uncharged tokens that the request carried.
+    /// Uncharged tokens that the request reported.
     carried: i64,
 }
 
-/// A caller's request that is to be admitted.
+/// A caller's request for which an admission is needed.
 #[derive(Clone, Copy, Debug)]
 struct Admission<'a> {
     tenant: &'a str,
     quota: &'a TokenQuota,
     tokens: u64,
-    /// Proxies that share the quota.
+    /// Number of proxies that share the quota.
     fleet: FleetSize,
 }
 
-/// What came of a request to an owner.
+/// The outcome of a request to an owner.
 #[derive(Clone, Copy, Debug)]
 enum RequestOutcome {
     /// The owner decided.
     Granted(Grant),
     /// The owner has not received the tenant's quota yet.
     QuotaUnknown,
-    /// No reply came in time.
+    /// No reply arrived in time.
     TimedOut,
 }
 
-/// The owners of tenants' buckets, as a node of `zone` reaches them.
+/// Selects the owners of tenants' buckets for a node in `zone`.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaOwners<'a> {
-    /// The way to other nodes.
+    /// Sends requests to other nodes.
     pub link: &'a PeerLink,
-    /// Which node owns what.
+    /// Determines the owners of a tenant.
     pub ring: &'a OwnerRing,
     /// Zone of the requesting node.
     pub zone: &'a str,
 }
 
 impl<'a> QuotaOwners<'a> {
-    /// The first owner that is believed to be responsive, of this zone before the others, without those
-    /// that were `tried` for this very request.
+    /// Returns the first owner that is not suspected of being unresponsive and was not `tried` for this request.
+    /// Owners of the node's own zone come before those of other zones.
     fn next(&self, now: MonotonicTime, tenant: &str, tried: &[&str]) -> Option<&'a Owner> {
         let first_responsive = |mut owners: Vec<&'a Owner>| {
             owners.retain(|owner| !tried.contains(&owner.name.as_str()));
@@ -114,17 +115,17 @@
 }
 
 impl QuotaClient {
-    /// The metric of degraded decisions, to be registered.
+    /// Returns the counter of degraded decisions, to be registered.
     #[must_use]
     pub fn metric(&self) -> IntCounterVec {
         self.degraded_decisions.clone()
     }
 
-    /// Admits a request of a tenant by an owner of its bucket, or says when to come back. Without any reply
-    /// the node decides by its estimate.
+    /// Requests the admission of a tenant's request from an owner of its bucket. If no owner replies, the node
+    /// decides by its own estimate.
     ///
     /// # Errors
-    /// The time until the tenant's bucket holds anything.
+    /// Returns the time until the tenant's bucket admits requests again.
     pub async fn admit(
         &self,
         owners: QuotaOwners<'_>,
@@ -132,7 +133,7 @@
         tenant: &Tenant,
         tokens: u64,
     ) -> Result<(), Duration> {
-        let Some(quota) = limiting(tenant) else {
+        let Some(quota) = limiting_quota(tenant) else {
             return Ok(());
         };
         let admission = Admission {
@@ -172,7 +173,7 @@
         self.admit_degraded(now, admission, reason)
     }
 
-    /// Number of requests that this node decided on without a reply so far.
+    /// Returns the number of requests that this node has decided on without a reply, for all reasons.
     #[must_use]
     pub fn degraded_decisions(&self) -> u64 {
         let counts = DegradedReason::ALL.map(|reason| {
@@ -182,7 +183,7 @@
         counts.iter().sum()
     }
 
-    /// Takes an owner's reply. `false`: the datagram holds none.
+    /// Applies an owner's reply. Returns `false` if the datagram contains none.
     pub fn receive(&self, link: &PeerLink, datagram: &PeerMessage) -> bool {
         let Some(reply) = &datagram.admission_reply else {
             return false;
@@ -194,7 +195,7 @@
         true
     }
 
-    /// Forgets requests that timed out long ago.
+    /// Removes requests that timed out too long ago for a late reply to be applied.
     pub fn expire(&self, now: MonotonicTime) {
         let is_recent = |at: MonotonicTime| now.since(at) < LATE_REPLY_WINDOW;
         lock(&self.timed_out).retain(|_, request| is_recent(request.timed_out_at));
@@ -228,7 +229,7 @@
         RequestOutcome::TimedOut
     }
 
-    /// The owner charged what this node counted as uncharged.
+    /// Applies a late reply: subtracts what the owner charged from the uncharged tokens.
     fn complete_late(&self, id: u64, grant: Option<Grant>) {
         let Some(request) = lock(&self.timed_out).remove(&id) else {
             return;
@@ -246,10 +247,10 @@
         }
     }
 
-    /// The uncharged tokens that the next request carries.
+    /// Removes and returns the uncharged tokens, which the next request reports.
     ///
     /// # Errors
-    /// The time until anything can be left, where a refusal is certain without a request.
+    /// Returns the time until the bucket can admit requests again, if a refusal is certain without a request.
     fn take_uncharged(
         &self,
         now: MonotonicTime,
@@ -322,7 +323,7 @@
     })
 }
 
-/// Tokens as a number that may be subtracted from.
+/// Converts a number of tokens to a signed one, saturating at the maximum.
 fn signed(tokens: u64) -> i64 {
     i64::try_from(tokens).unwrap_or(i64::MAX)
 }
--- a/crates/forward/src/quota/quota_service.rs
+++ b/crates/forward/src/quota/quota_service.rs
@@ -1,4 +1,4 @@
-//! An owner's side of token quotas: decides on the requests of the nodes of its zone.
+//! The owner's side of token quotas: decides on the admission requests of other nodes.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 use super::tenant_quotas::TenantQuotas;
 use crate::owners::PeerLink;
 
-/// Replies to a peer's admission request. `false`: the datagram holds none.
+/// Replies to a peer's admission request. Returns `false` if the datagram contains none.
 pub fn receive(
     link: &PeerLink,
     table: &RoutingTable,
@@ -55,7 +55,7 @@
     }
 }
 
-/// The grant that an owner's reply carries; `None` where the owner has no quota of the tenant.
+/// Converts an owner's reply to a grant; `None` if the owner has no quota for the tenant.
 pub(super) fn grant_of(reply: &AdmissionReply) -> Option<Grant> {
     let wait = Duration::from_micros(reply.retry_after_us);
     (!reply.unlimited).then_some(Grant {
--- a/crates/forward/src/quota/tenant_quotas.rs
+++ b/crates/forward/src/quota/tenant_quotas.rs
@@ -1,4 +1,4 @@
-//! The buckets of all tenants, in shards that each have their own lock.
+//! The buckets of all tenants, in shards with a lock each.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard};
@@ -15,13 +15,16 @@
 /// Number of shards; a power of two.
 const QUOTA_SHARDS: usize = 16;
 
+/// Tenants' states by the tenants' names.
 type QuotaShard = BTreeMap<String, TenantState>;
 
-/// Buckets by tenant. A tenant without a token quota has none and is never refused.
+/// Buckets by tenant. A tenant without a token quota has no bucket and is never refused.
 #[derive(Debug)]
 pub struct TenantQuotas {
     shards: Vec<Mutex<QuotaShard>>,
+    /// Time of the first report from a peer.
     started: Mutex<Option<MonotonicTime>>,
+    /// Signals that peers should be notified of an admission at once.
     urgent: Notify,
 }
 
@@ -37,15 +40,15 @@
 }
 
 impl TenantQuotas {
-    /// Admits a request of a tenant, or says when to come back.
+    /// Admits a request of a tenant and charges its tokens.
     ///
-    /// Near the end of the bucket the peers are notified of each admission at once: what all nodes
-    /// admit between two updates would add up to far more than is left.
+    /// While the bucket is nearly empty, peers are notified of each admission at once: what all nodes together
+    /// admit between two updates could far exceed what is left.
     ///
     /// # Errors
-    /// The time until the tenant's bucket holds anything.
+    /// Returns the time until the tenant's bucket admits requests again.
     pub fn admit(&self, now: MonotonicTime, tenant: &Tenant, tokens: u64) -> Result<(), Duration> {
-        let Some(quota) = limiting(tenant) else {
+        let Some(quota) = limiting_quota(tenant) else {
             return Ok(());
         };
         let mut shard = self.shard_of(&tenant.name);
@@ -57,9 +60,9 @@
         Ok(())
     }
 
-    /// Decides on a request as an owner of the tenant. `uncharged` tokens were admitted by the requesting
-    /// node without a reply, or were charged to it in vain where it is less than 0. `None`: the tenant has
-    /// no quota.
+    /// Decides on a request as an owner of the tenant. `uncharged` is the number of tokens that the requesting
+    /// node admitted without a reply; less than 0 if more tokens were charged than it admitted. Returns `None` if
+    /// the tenant has no quota.
     pub fn grant(
         &self,
         now: MonotonicTime,
@@ -67,7 +70,7 @@
         tokens: u64,
         uncharged: i64,
     ) -> Option<Grant> {
-        let quota = limiting(tenant)?;
+        let quota = limiting_quota(tenant)?;
         let mut shard = self.shard_of(&tenant.name);
         let state = state_of(&mut shard, &tenant.name, quota, now);
         let grant = state.grant(now, tokens, uncharged);
@@ -77,20 +80,20 @@
         Some(grant)
     }
 
-    /// The other owners of a tenant were notified of what this node granted.
+    /// Records that the other owners of a tenant were notified of all that this node granted.
     pub fn mark_reported(&self, tenant: &str) {
         if let Some(state) = self.shard_of(tenant).get_mut(tenant) {
             state.mark_reported();
         }
     }
 
-    /// Resolves once peers should be notified of an admission at once.
+    /// Waits until peers should be notified of an admission at once.
     pub async fn until_urgent(&self) {
         self.urgent.notified().await;
     }
 
-    /// Puts back what a request took that was never sent to a backend. The peers, who go by the
-    /// cumulative count, keep it charged.
+    /// Returns the tokens of a request that was never sent to a backend to this node's bucket. Peers apply the
+    /// cumulative count, which is not reduced, and keep the tokens charged.
     pub fn refund(&self, now: MonotonicTime, tenant: &Tenant, tokens: u64) {
         let mut shard = self.shard_of(&tenant.name);
         if let Some(state) = shard.get_mut(&tenant.name) {
@@ -109,7 +112,7 @@
         }
     }
 
-    /// Charges what unresponsive peers are assumed to admit.
+    /// Charges the tokens that unresponsive peers are assumed to admit. Called at each update interval.
     pub fn tick(&self, now: MonotonicTime, own_zone: &str) {
         for shard in &self.shards {
             for state in lock(shard).values_mut() {
@@ -118,7 +121,7 @@
         }
     }
 
-    /// Counts of this node for its peers.
+    /// Returns this node's count of each tenant, to be reported to peers.
     #[must_use]
     pub fn levels(&self, now: MonotonicTime) -> Vec<TenantLevel> {
         let mut levels = Vec::new();
@@ -130,7 +133,8 @@
         levels
     }
 
-    /// Counted from the first call, not from the start of the process.
+    /// Returns whether the node is warming up. The time is measured from the first call, not from the start of
+    /// the process.
     fn age(&self, now: MonotonicTime) -> NodeAge {
         let started = *lock(&self.started).get_or_insert(now);
         if now.since(started) < WARM_UP_TIME {
@@ -147,9 +151,9 @@
     }
 }
 
-/// The tenant's token quota if it limits anything.
+/// Returns the tenant's token quota, or `None` if the tenant has none or its rate is 0, which means unlimited.
 #[must_use]
-pub fn limiting(tenant: &Tenant) -> Option<&TokenQuota> {
+pub fn limiting_quota(tenant: &Tenant) -> Option<&TokenQuota> {
     let quota = tenant.token_quota.as_ref()?;
     (quota.tokens_per_second > 0).then_some(quota)
 }
--- a/crates/forward/src/quota/tenant_state.rs
+++ b/crates/forward/src/quota/tenant_state.rs
@@ -1,4 +1,4 @@
-//! One tenant's bucket at one node, with the counts of the peers that admit its requests too.
+//! One tenant's bucket on one node, with the counts of the peers that admit the tenant's requests too.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,85 +10,87 @@
 use super::peer_usage::{PARTITION_GAP, PeerUsage};
 use super::usage_meter::UsageMeter;
 
-/// Share of the burst below which few peers are notified of each admission at once.
+/// Level, as a share of the bucket's capacity, below which peers are notified of each admission at once. Applies
+/// to small fleets, in which tenants have no owners.
 const URGENT_LEVEL_SHARE: f64 = 0.95;
 
-/// Share of the burst that an owner may have granted before the other owners are notified at once.
+/// Share of the burst that an owner may grant before the other owners are notified at once.
 const MAX_UNREPORTED_SHARE: f64 = 1.0 / 32.0;
 
-/// A node that has run for less adopts what its peers estimate to be left.
+/// Time after its start during which a node adopts lower levels that its peers report.
 pub(super) const WARM_UP_TIME: Duration = Duration::from_secs(2);
 
-/// One tenant's count as a peer reports it.
+/// The count of one tenant that a peer reported.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerCount<'a> {
     /// Name of the peer.
     pub member: &'a str,
-    /// Incarnation of the peer's process.
+    /// Identifies the incarnation of the peer's process.
     pub boot_id: u64,
     /// Name of the tenant.
     pub tenant: &'a str,
-    /// Tokens that it admitted since its start.
+    /// Tokens that the peer admitted or granted since its start.
     pub used_tokens: u64,
-    /// What it estimates to be left, in tokens.
+    /// The peer's estimate of the tokens left; less than 0 if the bucket is in debt.
     pub level_tokens: i64,
-    /// For how long it has counted the tenant's tokens. Unknown with peers of an earlier version.
+    /// Time for which the peer has counted the tenant's tokens; `None` from a peer of an earlier version.
     pub counted_for: Option<Duration>,
-    /// Zone of the peer if it reports what it granted as an owner of the tenant.
+    /// Zone of the peer, if it reports what it granted as an owner of the tenant; empty if the zone is unknown.
     pub owner_zone: Option<&'a str>,
 }
 
 impl PeerCount<'_> {
-    /// Whether the peer began to count so lately that all of its count is new to this node.
+    /// Whether the peer started counting so recently that this node has charged none of the count yet.
     fn is_recent(&self) -> bool {
         self.counted_for.is_none_or(|span| span < WARM_UP_TIME)
     }
 }
 
-/// One tenant's count of this node, for its peers.
+/// This node's count of one tenant, to be reported to peers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TenantLevel {
     /// Name of the tenant.
     pub tenant: String,
-    /// Tokens admitted here since the start.
+    /// Tokens that this node admitted or granted since its start.
     pub used_tokens: u64,
-    /// What this node estimates to be left, in tokens.
+    /// This node's estimate of the tokens left; less than 0 if the bucket is in debt.
     pub level_tokens: i64,
-    /// For how long this node has counted.
+    /// Time for which this node has counted the tenant's tokens.
     pub counted_for: Duration,
 }
 
-/// Whether this node itself has only just begun to count.
+/// Whether this node itself has just started counting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NodeAge {
-    /// It has run for less than [`WARM_UP_TIME`].
+    /// The node has counted for less than [`WARM_UP_TIME`].
     WarmingUp,
-    /// It has received what its peers counted before.
+    /// The node has counted for longer and has received its peers' earlier counts.
     Established,
 }
 
 #[derive(Debug)]
 struct Peer {
     usage: PeerUsage,
-    /// Zone of an owner.
+    /// Zone of the peer if it is an owner of the tenant.
     owner_zone: Option<String>,
 }
 
-/// The bucket of one tenant and what it was charged for.
+/// The bucket of one tenant, and the usage that was charged to it.
 #[derive(Debug)]
 pub(super) struct TenantState {
     quota: TokenQuota,
     bucket: ClusterBucket,
     meter: UsageMeter,
     counted_since: MonotonicTime,
-    /// Tokens admitted or granted here since the start.
+    /// Tokens that this node admitted or granted since its start.
     used: u64,
-    /// Tokens granted since the other owners were notified.
+    /// Tokens granted since the other owners were last notified.
     unreported: u64,
-    /// Last message of another owner.
+    /// Time of the last message from another owner.
     owner_received_at: MonotonicTime,
-    /// Until then another owner's estimate goes before this node's, which may have missed grants.
+    /// Until this time lower levels of other owners are adopted, since this node may have missed grants.
     defers_until: MonotonicTime,
+    /// Peers by name.
     peers: BTreeMap<String, Peer>,
 }
 
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Goes by `quota` from now on.
+    /// Applies `quota` if it has changed.
     pub(super) fn set_quota(&mut self, quota: &TokenQuota, now: MonotonicTime) {
         if self.quota != *quota {
             self.quota = *quota;
@@ -115,26 +117,26 @@
         }
     }
 
-    /// Admits a request of this many tokens.
+    /// Admits and charges a request of this many tokens.
     ///
     /// # Errors
-    /// The time until the bucket holds anything.
+    /// Returns the time until the bucket admits requests again.
     pub(super) fn admit(&mut self, now: MonotonicTime, tokens: u64) -> Result<(), Duration> {
         self.bucket.admit(now, tokens)?;
         self.record_own(now, tokens);
         Ok(())
     }
 
-    /// Whether so little is left that peers are to be notified of each admission at once.
+    /// Whether the level is so low that peers are to be notified of each admission at once.
     pub(super) fn is_nearly_empty(&mut self, now: MonotonicTime) -> bool {
         self.bucket.is_below(now, URGENT_LEVEL_SHARE)
     }
 
-    /// Decides on a request as an owner of the tenant. `uncharged` tokens were admitted by the requesting
-    /// node without a reply, or were charged to it in vain where it is less than 0.
+    /// Decides on a request as an owner of the tenant. `uncharged` is the number of tokens that the requesting
+    /// node admitted without a reply; less than 0 if more tokens were charged than it admitted.
     pub(super) fn grant(&mut self, now: MonotonicTime, tokens: u64, uncharged: i64) -> Grant {
         self.bucket.charge(now, uncharged as f64);
-        // What was charged in vain stays charged at the other owners, who go by the cumulative count.
+        // A negative number does not reduce the cumulative count, so that the other owners keep the excess charged.
         self.record_own(now, u64::try_from(uncharged).unwrap_or(0));
         let decision = self.bucket.admit(now, tokens);
         if decision.is_ok() {
@@ -147,24 +149,24 @@
         }
     }
 
-    /// Whether this owner granted so much that the other owners are to be notified at once.
+    /// Whether this owner has granted so many unreported tokens that the other owners are to be notified at once.
     pub(super) fn is_report_due(&self) -> bool {
         let burst = self.quota.burst.max(self.quota.tokens_per_second);
         self.unreported as f64 > burst as f64 * MAX_UNREPORTED_SHARE
     }
 
-    /// The other owners were notified of all that this node granted.
+    /// Records that the other owners were notified of all that this node granted.
     pub(super) fn mark_reported(&mut self) {
         self.unreported = 0;
     }
 
-    /// Puts back what a request took that was never sent to a backend.
+    /// Returns the tokens of a request that was never sent to a backend.
     pub(super) fn refund(&mut self, now: MonotonicTime, tokens: u64) {
         let tokens = tokens.min(self.used);
         self.bucket.refund(now, tokens);
     }
 
-    /// This node's count for its peers.
+    /// Returns this node's count, to be reported to peers.
     pub(super) fn level(&mut self, now: MonotonicTime, tenant: &str) -> TenantLevel {
         TenantLevel {
             tenant: tenant.to_owned(),
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Applies the count of a peer that admits for itself.
+    /// Applies the count of a peer in a fleet without owners, in which each node admits requests itself.
     pub(super) fn apply_peer_count(
         &mut self,
         now: MonotonicTime,
@@ -182,7 +184,7 @@
         age: NodeAge,
     ) {
         if self.peers.contains_key(count.member) {
-            self.apply_known(now, count);
+            self.apply_known_peer(now, count);
             return;
         }
         self.insert_peer(now, count);
@@ -193,10 +195,10 @@
         }
     }
 
-    /// Applies an owner's count. Owners receive each other's counts at least once a second.
+    /// Applies the count of another owner. Owners receive each other's counts at least once a second.
     ///
-    /// Where messages were missed, what was admitted meanwhile is past, and was partly refilled since:
-    /// the lower estimate counts, and not the sum.
+    /// After missed messages the other owner's level is adopted if it is lower, and its count is not charged: part
+    /// of what was admitted in the meantime has been refilled since.
     pub(super) fn apply_owner_count(&mut self, now: MonotonicTime, count: &PeerCount<'_>) {
         if now.since(self.owner_received_at) > PARTITION_GAP {
             self.defers_until = now + WARM_UP_TIME;
@@ -205,7 +207,7 @@
         let level = count.level_tokens as f64;
         let known = self.peers.get(count.member);
         if known.is_some_and(|peer| peer.usage.is_continuous(count.boot_id, now)) {
-            self.apply_known(now, count);
+            self.apply_known_peer(now, count);
         } else {
             self.insert_peer(now, count);
             if count.is_recent() {
@@ -219,9 +221,9 @@
         }
     }
 
-    /// Charges what unresponsive peers are assumed to admit. An owner whose zone has another responsive
-    /// owner, or is this node's own, is replaced: the nodes that requested admission from it now use that
-    /// other one.
+    /// Charges the tokens that unresponsive peers are assumed to admit. None are assumed for an unresponsive
+    /// owner if its zone has another responsive owner or is this node's own zone: the nodes that requested
+    /// admissions from it now use that other owner.
     pub(super) fn charge_assumed(&mut self, now: MonotonicTime, own_zone: &str) {
         let responsive = self
             .peers
@@ -239,7 +241,7 @@
             if replaced && peer.usage.is_unresponsive(now) {
                 assumed -= peer.usage.withdraw_assumed(now);
             } else {
-                assumed += peer.usage.assume(now, max_rate);
+                assumed += peer.usage.accrue_assumed(now, max_rate);
             }
         }
         if assumed != 0.0 {
@@ -247,8 +249,8 @@
         }
     }
 
-    /// Applies a newer count of a peer that is known.
-    fn apply_known(&mut self, now: MonotonicTime, count: &PeerCount<'_>) {
+    /// Applies a newer count of a peer that has reported before.
+    fn apply_known_peer(&mut self, now: MonotonicTime, count: &PeerCount<'_>) {
         let Some(peer) = self.peers.get_mut(count.member) else {
             return;
         };
@@ -259,13 +261,13 @@
         let is_stable = peer.usage.is_stable();
         self.charge(now, charge);
         if is_stable {
-            self.bucket.agree(now, count.level_tokens as f64);
+            self.bucket.converge_towards(now, count.level_tokens as f64);
         }
     }
 
     fn insert_peer(&mut self, now: MonotonicTime, count: &PeerCount<'_>) {
         let peer = Peer {
-            usage: PeerUsage::first(count.boot_id, count.used_tokens, now),
+            usage: PeerUsage::new(count.boot_id, count.used_tokens, now),
             owner_zone: count.owner_zone.map(str::to_owned),
         };
         self.peers.insert(count.member.to_owned(), peer);
--- a/crates/forward/src/quota/usage_meter.rs
+++ b/crates/forward/src/quota/usage_meter.rs
@@ -1,20 +1,20 @@
-//! How many tokens of one tenant the whole fleet admits in a second.
+//! Measures the rate at which the whole fleet admits tokens of one tenant.
 
 use millford_core::MonotonicTime;
 
-/// Time constant of the mean, in seconds. Shorter than the windows that quotas are meant over.
+/// Time constant of the mean, in seconds. It is shorter than the windows over which quotas are enforced.
 const MEAN_TIME_CONSTANT_S: f64 = 2.0;
 
-/// Exponentially weighted mean rate.
+/// Exponentially weighted mean of the admission rate.
 #[derive(Clone, Copy, Debug)]
 pub struct UsageMeter {
-    /// Tokens, each weighted by its age.
+    /// Sum of the admitted tokens, each weighted down by its age.
     weighted: f64,
     updated: MonotonicTime,
 }
 
 impl UsageMeter {
-    /// A meter of no admissions.
+    /// Creates a meter with rate 0.
     #[must_use]
     pub fn new(now: MonotonicTime) -> Self {
         Self {
@@ -23,13 +23,13 @@
         }
     }
 
-    /// These tokens were admitted.
+    /// Adds tokens that were admitted; a negative number is ignored.
     pub fn add(&mut self, now: MonotonicTime, tokens: f64) {
         self.decay(now);
         self.weighted += tokens.max(0.0);
     }
 
-    /// Tokens a second.
+    /// Returns the rate, in tokens per second.
     pub fn rate(&mut self, now: MonotonicTime) -> f64 {
         self.decay(now);
         self.weighted / MEAN_TIME_CONSTANT_S
--- a/crates/forward/src/request/attempt.rs
+++ b/crates/forward/src/request/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a request: from the connection to the head of the response.
+//! One attempt at a request: acquires a connection, sends the request and reads the response headers.
 
 use bytes::Bytes;
 use http::header::{CONTENT_ENCODING, HOST};
@@ -21,58 +21,60 @@
 use crate::request::headers::{remove_hop_by_hop, remove_length};
 use crate::request::plan::Plan;
 
-/// Urgency of all requests where none is more urgent than another.
+/// Urgency sent with every request while [`Mechanism::Urgency`] is disabled.
 const EQUAL_URGENCY: u32 = 5;
 
-/// Connections that the backend had closed before anything was sent that one attempt may meet.
+/// Most connections that one attempt tries in a row when the backend had already closed them before anything
+/// was sent.
 const MAX_STALE_CONNECTIONS: u32 = 3;
 
-/// Statuses that guarantee to the caller that the request did not run. Without the backend's declaration nobody
-/// knows that.
+/// Statuses that guarantee to the caller that the request did not run. A backend's response with one of them is
+/// replaced by [`ResultCode::BackendError`] unless the backend also declares that the request did not run.
 const NOT_RUN_STATUSES: [StatusCode; 3] = [
     StatusCode::REQUEST_TIMEOUT,
     StatusCode::TOO_MANY_REQUESTS,
     StatusCode::SERVICE_UNAVAILABLE,
 ];
 
-/// A response whose head has arrived, with all that it holds.
+/// A response whose headers were received and whose body was not read yet, with the resources that it occupies.
 #[derive(Debug)]
 pub struct OpenResponse {
-    /// Where it comes from.
+    /// The backend that sent the response.
     pub target: Target,
-    /// Counts the request as in flight.
+    /// Counts the request as in flight on the backend until it is dropped.
     pub in_flight: InFlightGuard,
-    /// The connection.
+    /// The connection that the body is read from.
     pub pooled: PooledConnection,
-    /// What the headers say.
+    /// Facts parsed from the response headers.
     pub facts: ResponseFacts,
-    /// Head and body.
+    /// Headers and unread body.
     pub response: Response<Incoming>,
     /// When the request was sent.
     pub sent_at: MonotonicTime,
-    /// Prompt tokens in flight on the backend at that time, its own included.
+    /// Prompt tokens in flight on the backend when it was chosen, including this request's own.
     pub queued_tokens: u64,
-    /// Streams on the backend at that time.
+    /// Streams in progress on the backend when it was chosen, without this one.
     pub streams: u32,
 }
 
-/// Why an attempt brought no response that may go to the caller.
+/// Why an attempt produced no response that may be forwarded to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
     /// Nothing was sent to the backend.
     NotSent,
     /// The backend declared that it did not run the request and never will.
     NotRun {
-        /// When it wants to be tried again.
+        /// The backend's `Retry-After`; `None` without one.
         retry_after: Option<Duration>,
     },
-    /// The request may have run.
+    /// The request may have run. The code says how the response was lost.
     Lost(ResultCode),
     /// The deadline passed; the request may have run.
     TimedOut,
 }
 
-/// Sends the request to the target and reads the head of the response.
+/// Sends the request to `target` and reads the response headers. `resume_after` is the id of the last event that
+/// was forwarded, if the backend is to resume a stream.
 ///
 /// # Errors
 /// See [`AttemptFailure`].
@@ -84,8 +86,8 @@
 ) -> Result<OpenResponse, AttemptFailure> {
     let id = target.key.backend_id.clone();
     let tokens = target.uncached_tokens;
-    let queued_tokens = target.belief.queued_tokens.saturating_add(tokens);
-    let streams = target.belief.streams;
+    let queued_tokens = target.estimates.queued_tokens.saturating_add(tokens);
+    let streams = target.estimates.streams;
     let in_flight = node.state.load_table.start(target.key.clone(), tokens);
     let shareable = shareable_blocks(plan).len();
     let blocks = &plan.facts.prefix_blocks;
@@ -112,13 +114,13 @@
             queued_tokens,
             streams,
         };
-        return check(node, plan, opened);
+        return validate_response(node, plan, opened);
     }
     Err(AttemptFailure::NotSent)
 }
 
-/// Sends the request on one connection and reads the head of the response. `None`: the backend had closed the
-/// reused connection, nothing was sent, and another connection may do.
+/// Sends the request on one connection and reads the response headers. Returns `None` if the connection was
+/// closed before anything was sent; the attempt may then use another connection.
 async fn send<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     plan: &Plan,
@@ -148,7 +150,8 @@
         Ok(response) => Ok(Some(response)),
         Err(SendError::Unsent(_)) => Ok(None),
         Err(SendError::Lost) => {
-            // A reused connection may have met its ordinary end, which says nothing about the backend.
+            // A reused connection may simply have reached the backend's keep-alive timeout, which does not
+            // indicate a failure of the backend.
             if !is_reused {
                 node.connections.close_idle(backend_id);
             }
@@ -188,8 +191,8 @@
     Ok(request)
 }
 
-/// Lets a response pass that may go to the caller.
-fn check<P: ForwardProtocol>(
+/// Returns the response if it may be forwarded to the caller, without its hop-by-hop headers.
+fn validate_response<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     plan: &Plan,
     mut opened: OpenResponse,
@@ -199,7 +202,7 @@
     let facts = &opened.facts;
     let is_misdirected = status == StatusCode::MISDIRECTED_REQUEST;
     if is_misdirected {
-        // Another backend has the address: the one that was meant is gone.
+        // The address now belongs to another backend: the intended one no longer exists.
         let id = &opened.target.key.backend_id;
         node.eject(id, EjectionReason::ConnectFailed);
     }
@@ -211,7 +214,8 @@
         };
         return Err(AttemptFailure::NotRun { retry_after });
     }
-    // A surplus response may arrive in the place where the next one is due.
+    // A backend that sends a surplus response on a connection causes it to be read as the response to the next
+    // request.
     let is_foreign = facts.request_id.is_some() && facts.request_id != plan.facts.request_id;
     let is_altered = !facts.signed || headers.contains_key(CONTENT_ENCODING);
     if is_foreign || (status.is_success() && is_altered) {
--- a/crates/forward/src/request/authorize.rs
+++ b/crates/forward/src/request/authorize.rs
@@ -1,4 +1,4 @@
-//! Who the caller is.
+//! Authenticates the caller by its tenant key.
 
 use std::sync::Arc;
 
@@ -9,12 +9,13 @@
 use crate::protocol::RequestFacts;
 use crate::request::refusal::Refusal;
 
-/// The tenant that holds the request's key; none where no key is needed.
+/// Returns the tenant that the request's key belongs to. Returns `None` if the configuration has no tenants, or
+/// if the route is public and the request has no known key.
 ///
-/// The key itself goes no further than this function.
+/// The key itself is not used after this function.
 ///
 /// # Errors
-/// A missing, unknown or revoked key.
+/// Refuses a missing, unknown or revoked key.
 pub fn authorize(
     table: &RoutingTable,
     route: &ForwardRoute,
--- a/crates/forward/src/request/backend_stream.rs
+++ b/crates/forward/src/request/backend_stream.rs
@@ -1,4 +1,4 @@
-//! One backend's part of a response: its body, what is held while it is read, and what it teaches about costs.
+//! Reads the response body of one backend, holds its resources meanwhile, and records what it cost.
 
 use std::pin::Pin;
 
@@ -18,38 +18,41 @@
 use crate::protocol::ForwardProtocol;
 use crate::request::attempt::OpenResponse;
 
-/// What came from the backend.
+/// The result of reading from the backend's body.
 #[derive(Debug)]
-pub(super) enum Arrival {
+pub(super) enum BodyRead {
     /// Bytes of the body.
     Chunk(Bytes),
-    /// The body ended, complete by its framing.
+    /// The body ended and is complete by its framing.
     End,
-    /// The connection broke, or the backend was ejected.
+    /// The connection was lost, or the backend was ejected.
     Lost,
-    /// The deadline passed.
+    /// The deadline of the request passed.
     TimedOut,
 }
 
-/// One backend's part of a response.
+/// The response body of one backend. A resumed response consists of several.
 #[derive(Debug)]
 pub(super) struct BackendStream {
     backend_id: String,
     body: Incoming,
-    /// Taken once the connection is released.
+    /// `None` once the connection is released.
     pooled: Option<PooledConnection>,
+    /// How long the backend keeps the connection open while it is idle; `None` if it did not declare it.
     keep_alive: Option<Duration>,
     in_flight: InFlightGuard,
     sent_at: MonotonicTime,
+    /// As [`OpenResponse::queued_tokens`].
     queued_tokens: u64,
+    /// As [`OpenResponse::streams`].
     streams: u32,
     first_chunk_at: Option<MonotonicTime>,
     chunks: u32,
 }
 
 impl BackendStream {
-    /// Takes a response apart: its head, and what is read from now on.
-    pub(super) fn of(opened: OpenResponse) -> (Parts, Self) {
+    /// Splits a response into its headers and the stream of its body.
+    pub(super) fn split(opened: OpenResponse) -> (Parts, Self) {
         let (head, body) = opened.response.into_parts();
         let stream = Self {
             backend_id: opened.target.key.backend_id,
@@ -66,38 +69,39 @@
         (head, stream)
     }
 
-    /// Whether nothing more comes. A body with a length knows it as soon as its last byte came.
+    /// Whether the body is complete. If its length is known, this holds as soon as the last byte was read.
     pub(super) fn is_at_end(&self) -> bool {
         self.body.is_end_stream()
     }
 
-    /// What comes next, until `deadline`. Trailers are skipped. A resumable stream is lost with the ejection
-    /// of its backend; any other one may still come to its end.
+    /// Reads the next bytes of the body until `deadline`. Trailers are skipped. The ejection of the backend ends
+    /// a resumable stream; any other response is still read, since the backend may yet complete it.
     pub(super) async fn next<P: ForwardProtocol>(
         &mut self,
         node: &ForwardNode<P>,
         mut deadline: Pin<&mut Sleep>,
         is_resumable: bool,
-    ) -> Arrival {
+    ) -> BodyRead {
         loop {
             let frame = tokio::select! {
                 frame = self.body.frame() => frame,
-                () = &mut deadline => return Arrival::TimedOut,
-                () = node.until_ejected(&self.backend_id), if is_resumable => return Arrival::Lost,
+                () = &mut deadline => return BodyRead::TimedOut,
+                () = node.until_ejected(&self.backend_id), if is_resumable => return BodyRead::Lost,
             };
             match frame {
-                None => return Arrival::End,
-                Some(Err(_)) => return Arrival::Lost,
+                None => return BodyRead::End,
+                Some(Err(_)) => return BodyRead::Lost,
                 Some(Ok(frame)) => {
                     if let Ok(bytes) = frame.into_data() {
-                        return Arrival::Chunk(bytes);
+                        return BodyRead::Chunk(bytes);
                     }
                 }
             }
         }
     }
 
-    /// A chunk arrived. The first one ends the prefill, whose cost is learned.
+    /// Records that a chunk was received. The first one ends the prefill, whose duration is added to the cost
+    /// estimates.
     pub(super) fn record_chunk<P: ForwardProtocol>(&mut self, node: &ForwardNode<P>, model: &str) {
         let now = monotonic_now();
         node.record_activity(&self.backend_id, now);
@@ -114,7 +118,7 @@
         }
     }
 
-    /// Adds what the complete response cost to what placement and routing learn from.
+    /// Records the cost of the complete response for placement and routing.
     pub(super) fn record_cost<P: ForwardProtocol>(&self, node: &ForwardNode<P>, model: &str) {
         let (Some(first_chunk_at), false) = (self.first_chunk_at, model.is_empty()) else {
             return;
@@ -139,7 +143,7 @@
             .add_sample(self.in_flight.key(), sample);
     }
 
-    /// The response was read completely: its connection can carry another request.
+    /// Returns the connection to its pool after the response was read completely.
     pub(super) fn release<P: ForwardProtocol>(&mut self, node: &ForwardNode<P>) {
         let reuses = node.mechanisms.has(Mechanism::ConnectionReuse);
         if let Some(pooled) = self.pooled.take()
--- a/crates/forward/src/request/candidates.rs
+++ b/crates/forward/src/request/candidates.rs
@@ -1,4 +1,4 @@
-//! Which backends are considered for a request, and what of its prompt each of them has cached.
+//! Selects the candidate backends for a request and determines how much of its prompt each has cached.
 
 use millford_routing::{ModelRequest, PrefixBlock, ServingPool, ServingReplica, rendezvous};
 use rand::Rng;
@@ -10,25 +10,27 @@
 use crate::protocol::ForwardProtocol;
 use crate::request::plan::Plan;
 
-/// Share of a block that no backend has cached that counts as saved at its home, so that nodes which receive
-/// the block at the same time send it to the same backend.
+/// Share of a block that counts as cached on the block's home backend while no backend has it cached, so that
+/// nodes that receive the block at the same time send it to the same backend.
 const HOME_SAVING: f64 = 0.3;
 
-/// Weight of each backend in the choice of a block's home, in thousandths.
+/// Weight of each backend in the choice of a block's home backend, in thousandths; the same for all.
 const HOME_WEIGHT_MILLI: u32 = 1000;
 
-/// Of a pool of at most this many backends all are considered.
+/// Number of candidates up to which all are shortlisted.
 const MAX_FULL_SCAN: usize = 8;
 
-/// Most backends considered because they save reading.
+/// Most backends that are shortlisted because they have the most specific block cached.
 const MAX_CACHED_CANDIDATES: usize = 4;
 
-/// Backends considered beside these. With current counts the longest queue shrinks steeply with the
-/// second draw and slowly after; more draws find idle backends for prompts whose home is busy.
+/// Other backends that are shortlisted, drawn at random. With fresh load counts, the second random choice
+/// shortens the longest queue considerably and each further one only slightly; the additional ones find idle
+/// backends for prompts whose home backend is busy.
 const RANDOM_CANDIDATES: usize = 4;
 
-/// Backends that take new work and were not tried; ejected ones only when there are no others.
-pub fn usable<'a, P: ForwardProtocol>(
+/// Returns the backends that accept new work for the request's model and were not `tried`. Ejected backends are
+/// included only if all of them are ejected.
+pub fn usable_candidates<'a, P: ForwardProtocol>(
     node: &ForwardNode<P>,
     pool: &'a ServingPool,
     plan: &Plan,
@@ -40,7 +42,7 @@
     };
     let mut candidates = pool.candidates(&requested);
     if candidates.is_empty() {
-        // Backends that declare no model take whatever their pool's routes send.
+        // Backends that declare no model accept every request that the routes send to their pool.
         candidates = pool.candidates(&ModelRequest::default());
     }
     candidates.retain(|replica| !tried.contains(&replica.backend.id));
@@ -51,8 +53,8 @@
     candidates
 }
 
-/// Indices of the candidates to consider: those where least is read again, then others at random. `reread`
-/// are the tokens that each candidate would read again.
+/// Returns the indices of the candidates whose costs are compared: those with the fewest reread tokens, then
+/// others drawn at random. `reread` holds the result of [`reread_tokens`] for each candidate.
 pub fn shortlist(
     candidates: &[&ServingReplica],
     reread: &[u64],
@@ -72,12 +74,12 @@
     cached
 }
 
-/// For each candidate, the tokens of the most specific shareable block that it would read although another
-/// one has them cached. Where none has the block cached, some of it counts as saved at its home, so that
-/// nodes which receive the block at the same time send it to the same backend.
+/// Returns, for each candidate, the tokens of the most specific shareable block that it would prefill although
+/// another backend has them cached. If no backend has the block cached, the share [`HOME_SAVING`] of it counts
+/// as cached on its home backend.
 ///
-/// The beginnings that many prompts have in common are soon cached everywhere; what is to stay in one
-/// place is the block that few prompts share.
+/// Prefixes that many prompts share are soon cached on every backend; it is the block that few prompts share
+/// that should stay on one backend.
 pub fn reread_tokens(
     specific: Option<&PrefixBlock>,
     locations: &BackendsByBlock,
@@ -110,7 +112,7 @@
     reread.collect()
 }
 
-/// Tokens of the blocks that a backend has cached, each with all blocks before it.
+/// Returns the tokens of the longest prefix of `blocks` that a backend has cached.
 pub fn cached_tokens(blocks: &[PrefixBlock], locations: &BackendsByBlock, backend_id: &str) -> u64 {
     let cached = blocks
         .iter()
@@ -123,7 +125,7 @@
     backends.is_some_and(|backends| backends.iter().any(|backend| backend == backend_id))
 }
 
-/// Index of the backend that is the block's home.
+/// Returns the index of the block's home backend: the one that rendezvous hashing of the block's id selects.
 fn home_of(block: &PrefixBlock, ids: &[&str]) -> Option<usize> {
     let key = xxh3_64(&block.id.to_be_bytes());
     let scores = ids
--- a/crates/forward/src/request/choose.rs
+++ b/crates/forward/src/request/choose.rs
@@ -1,4 +1,4 @@
-//! Which backend gets a request.
+//! Chooses the backend for a request.
 
 use millford_core::time::monotonic_now;
 use millford_routing::{PrefixBlock, ReplicaKey, ServingPool, ServingReplica};
@@ -9,62 +9,64 @@
 use crate::owners::{InFlightRequests, OwnerRing};
 use crate::prefix_index::{self, BackendsByBlock};
 use crate::protocol::ForwardProtocol;
-use crate::request::candidates::{cached_tokens, reread_tokens, shortlist, usable};
+use crate::request::candidates::{cached_tokens, reread_tokens, shortlist, usable_candidates};
 use crate::request::plan::Plan;
 
-/// A request to no model counts as this many prompt tokens, so that backends with fewer of them
-/// in flight are preferred.
+/// Prompt tokens that a request without a model counts as, so that backends with fewer such requests in flight
+/// are preferred.
 const PLAIN_REQUEST_TOKENS: u64 = 100;
 
-/// What reading a block again costs the fleet beside the time that it takes, as a multiple of that time:
-/// it evicts other blocks, and delays the streams beside it.
+/// Weight of the time that a backend needs to prefill a block that another backend has cached. The cost to the
+/// fleet exceeds that time: the prefill evicts other blocks from the cache and delays the backend's streams.
 const REREAD_PENALTY: f64 = 12.0;
 
-/// What a backend in another zone has to be ahead by, in milliseconds of work.
+/// Cost added to a backend in another zone, in milliseconds of work.
 const OTHER_ZONE_MS: f64 = 2.0;
 
-/// Candidates whose costs differ by less than this share are equal.
+/// Largest random increase of a candidate's cost, as a share of it, so that nodes do not all choose the same one
+/// of nearly equal candidates.
 const JITTER: f64 = 0.04;
 
 /// The backend that a request goes to.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// What its counts belong to.
+    /// Identity of the replica whose load the request is counted in.
     pub key: ReplicaKey,
     /// IP address and port.
     pub address: String,
-    /// Prompt tokens that it is expected to read.
+    /// Prompt tokens that the backend is expected to prefill because it does not have them cached.
     pub uncached_tokens: u64,
-    /// Connections that the backend takes from all nodes together; 0 when no limit is known.
+    /// Most connections that the backend accepts from all nodes together; 0 if no limit is known.
     pub max_connections: u32,
-    /// What was known when it was chosen.
-    pub belief: Belief,
+    /// The estimates that the choice was based on.
+    pub estimates: ChoiceEstimates,
 }
 
-/// Why a backend was chosen.
+/// The estimates that the choice of a backend was based on. The decision record contains them.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Belief {
-    /// Candidates that were considered.
+pub struct ChoiceEstimates {
+    /// Number of candidates whose costs were compared.
     pub candidates: u32,
     /// Whether the backend is in this node's zone.
     pub same_zone: bool,
-    /// Estimated processor time of the work in flight there, in milliseconds.
+    /// Estimated processor time of the work in flight on the backend, in milliseconds.
     pub work_ms: f64,
-    /// Cost by which the backend was chosen, in milliseconds.
+    /// Cost of the request on this backend, in milliseconds; the lowest of all candidates.
     pub cost_ms: f64,
-    /// Prompt tokens of other requests in flight there.
+    /// Prompt tokens of other requests in flight on the replica.
     pub queued_tokens: u64,
-    /// Streams there.
+    /// Streams in progress on the replica.
     pub streams: u32,
 }
 
-/// The cheapest of a few backends that were not tried yet; `None` when there is none.
+/// Returns the backend with the lowest cost among a few candidates, or `None` if there is none that may be tried.
+/// `tried` holds the ids of backends that earlier attempts of the request were sent to.
 ///
-/// Considered are the backends that have the prompt's most specific shareable block cached, or its home while
-/// none has, and some others drawn at random; their counts are queried first. The cost
-/// is the estimated work in flight on the backend, of every model at that model's own cost, plus the
-/// request's own: what of its prompt the backend has not read lately. Placement's weights bound the
-/// use of the backends' memory bandwidth.
+/// The candidates are the backends that have the prompt's most specific shareable block cached (or, if none has
+/// it, the block's home backend) and some others drawn at random. Their load is queried from its owners first.
+/// The cost is the estimated time of the work in flight on the backend, each model's at that model's own cost,
+/// plus that of the request itself, which counts the part of its prompt that the backend has not cached. It is
+/// divided by the replica's placement weight, which bounds the use of the backends' memory bandwidth.
 pub async fn choose<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     plan: &Plan,
@@ -73,7 +75,7 @@
     let table = node.state.table();
     let ring = node.peers.ring(&table);
     let pool = table.pool(&plan.pool)?;
-    let candidates = usable(node, pool, plan, tried);
+    let candidates = usable_candidates(node, pool, plan, tried);
     let prefix = Prefix::of(node, plan);
     let mut locations = BackendsByBlock::new();
     if let Some(specific) = prefix.specific {
@@ -100,7 +102,8 @@
     Some(target(node, plan, pool, &best, shortlist.len()))
 }
 
-/// The blocks that other requests may share: all but the last, which is the request's own.
+/// Returns the prefix blocks that other requests may share: all but the last, which is specific to the request or
+/// its session.
 #[must_use]
 pub fn shareable_blocks(plan: &Plan) -> &[PrefixBlock] {
     match plan.facts.prefix_blocks.split_last() {
@@ -109,13 +112,13 @@
     }
 }
 
-/// The shareable blocks of a prompt that a choice goes by; none where the route or a disabled mechanism rules
-/// it out.
+/// The shareable prefix blocks that affect the choice; empty if the route is not sticky or
+/// [`Mechanism::Affinity`] is disabled.
 #[derive(Clone, Copy, Debug)]
 struct Prefix<'a> {
-    /// The last shareable block, which the fewest prompts have in common.
+    /// The last shareable block, which is shared by the fewest prompts.
     specific: Option<&'a PrefixBlock>,
-    /// Those before it.
+    /// The shareable blocks before it.
     general: &'a [PrefixBlock],
 }
 
@@ -135,7 +138,8 @@
     }
 }
 
-/// Queries which backends have these blocks cached, among some backends or all.
+/// Queries which backends have these blocks cached: among the backend ids in `among`, or all if it is empty.
+/// Adds the locations that are known locally to `locations` at once.
 fn query_locations<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     ring: &OwnerRing,
@@ -151,7 +155,7 @@
     prefix_index::query(&node.peers, ring, index, blocks, among, locations)
 }
 
-/// Queries what all other nodes have in flight on these backends.
+/// Queries the load that all other nodes have in flight on these backends.
 fn query_counts<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     ring: &OwnerRing,
@@ -165,7 +169,7 @@
         .query(&node.peers, ring, &node.state.load_table, ids)
 }
 
-/// The candidates whose counts are fresh, or all of them where none is.
+/// Returns the shortlisted candidates whose load counts are fresh, or all of them if none are.
 fn with_fresh_counts<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     ids: &[&str],
@@ -181,20 +185,21 @@
         .collect()
 }
 
-/// What a request would cost at one candidate.
+/// The estimated cost of a request on one candidate.
 struct Estimate<'a> {
     replica: &'a ServingReplica,
-    /// What candidates are compared by.
+    /// Cost that the candidates are compared by.
     cost_ms: f64,
-    /// Processor time of the work in flight there.
+    /// Processor time of the work in flight on the backend.
     work_ms: f64,
-    /// Prompt tokens of the request that the candidate would have to read.
+    /// Prompt tokens of the request that the candidate would have to prefill.
     own_tokens: u64,
     same_zone: bool,
 }
 
 impl<'a> Estimate<'a> {
-    /// `reread_tokens` of the prompt would be read there although another backend has them cached.
+    /// Estimates the cost on `replica`. `reread_tokens` are the prompt tokens that it would prefill although
+    /// another backend has them cached.
     fn of<P: ForwardProtocol>(
         node: &ForwardNode<P>,
         plan: &Plan,
@@ -262,7 +267,7 @@
         address: replica.backend.address.clone(),
         uncached_tokens: best.own_tokens,
         max_connections: pool.max_connections,
-        belief: Belief {
+        estimates: ChoiceEstimates {
             candidates: u32::try_from(considered).unwrap_or(u32::MAX),
             same_zone: best.same_zone,
             work_ms: best.work_ms,
--- a/crates/forward/src/request/event_splitter.rs
+++ b/crates/forward/src/request/event_splitter.rs
@@ -1,34 +1,34 @@
-//! Splits an event stream into complete events.
+//! Splits a stream of server-sent events into complete events.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// One event, its closing blank line included.
+/// One event, including the blank line that ends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
     /// The bytes as the backend sent them.
     pub bytes: Bytes,
-    /// The event's id, if it is an unsigned integer.
+    /// The event's id; `None` without one, or if it is not an unsigned integer.
     pub id: Option<u64>,
 }
 
-/// Takes bytes as they arrive and returns the events that are complete.
+/// Buffers received bytes and returns complete events.
 ///
-/// A backend may be lost in the middle of an event; an incomplete event must not reach
-/// the caller of a stream that another backend resumes.
+/// The connection to a backend may be lost in the middle of an event. If another backend resumes the stream, the
+/// incomplete event must not have been forwarded to the caller.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// The buffer holds no end of an event before this offset.
+    /// Offset before which the buffer contains no end of an event.
     searched: usize,
 }
 
 impl EventSplitter {
-    /// Takes bytes in.
+    /// Appends received bytes to the buffer.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next complete event.
+    /// Removes and returns the next complete event, if there is one.
     pub fn next_event(&mut self) -> Option<Event> {
         let end = self.event_end()?;
         let bytes = self.buffer.split_to(end).freeze();
@@ -37,20 +37,20 @@
         Some(Event { bytes, id })
     }
 
-    /// What is left at the end of a stream: nothing, unless it ended within an event.
-    pub fn take_rest(&mut self) -> Bytes {
+    /// Removes and returns the remaining bytes at the end of a stream: empty unless it ended within an event.
+    pub fn take_remainder(&mut self) -> Bytes {
         self.searched = 0;
         let length = self.buffer.remaining();
         self.buffer.split_to(length).freeze()
     }
 
-    /// Drops what is left of a stream whose backend was lost.
+    /// Discards the incomplete event of a stream whose backend was lost.
     pub fn reset(&mut self) {
         self.buffer.clear();
         self.searched = 0;
     }
 
-    /// End of the first event: behind the first empty line.
+    /// Returns the offset after the first event, which ends with a blank line.
     fn event_end(&mut self) -> Option<usize> {
         let from = self.searched.saturating_sub(LONGEST_BLANK_LINE);
         let buffer = &self.buffer;
@@ -62,9 +62,11 @@
     }
 }
 
-/// Bytes of the longest blank line with the line end before it.
+/// Most bytes before the end of the searched part that may belong to a blank line which is not complete yet.
 const LONGEST_BLANK_LINE: usize = 4;
 
+/// Returns the offset after the blank line if `rest`, which begins at offset `at`, begins with a line end and a
+/// blank line.
 fn blank_line_at(rest: &[u8], at: usize) -> Option<usize> {
     if rest.starts_with(b"\n\n") {
         return Some(at + 2);
--- a/crates/forward/src/request/first_response.rs
+++ b/crates/forward/src/request/first_response.rs
@@ -1,4 +1,4 @@
-//! Attempts at a request until one brings a response that may go to the caller.
+//! Attempts a request until a backend returns a response that may be forwarded to the caller.
 
 use std::ops::ControlFlow;
 
@@ -15,32 +15,33 @@
 use crate::request::refusal::Refusal;
 use crate::request::trace::Trace;
 
-/// Backends that may be tried for one request, those that it was never sent to included.
+/// Most backends that are tried for one request, including those that it could not be sent to.
 const MAX_BACKENDS_TRIED: usize = 6;
 
-/// Backends that may refuse one request before it is given up.
+/// Refusals by backends after which a request is not retried any more.
 const MAX_REFUSALS: u32 = 3;
 
-/// What the attempts at one request have used up.
+/// The attempts made so far at one request.
 #[derive(Debug, Default)]
 pub struct AttemptHistory {
-    /// Backends that were tried.
+    /// Ids of the backends that were tried.
     pub tried: Vec<String>,
-    /// Dispatches that arrived or may have.
+    /// Attempts whose request reached a backend or may have reached it.
     pub sends: u32,
-    /// Dispatches that the backend may have run.
+    /// Attempts that ran on a backend or may have run.
     pub runs: u32,
-    /// Dispatches that the backend refused.
+    /// Attempts that a backend declared not to have run.
     pub refusals: u32,
-    /// What the decision record will say.
+    /// Collects the data of the decision record.
     pub trace: Trace,
 }
 
-/// The first response that may go to the caller.
+/// Returns the first response that may be forwarded to the caller.
 ///
 /// # Errors
-/// Why there is none. A refusal that says "not run" is true: nothing was sent, or each backend that got
-/// the request declared it.
+/// Returns the refusal to send to the caller if no attempt succeeded. A refusal whose code guarantees that the
+/// request did not run is returned only if nothing was sent, or if every backend that received the request
+/// declared that it did not run it.
 pub async fn first_response<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     plan: &Plan,
@@ -73,7 +74,7 @@
     Err(refusal)
 }
 
-/// Sends the request to a backend and records what came of it.
+/// Attempts the request on `target` and records the outcome in `history`.
 ///
 /// # Errors
 /// See [`AttemptFailure`].
@@ -85,20 +86,22 @@
     resume_after: Option<u64>,
 ) -> Result<OpenResponse, AttemptFailure> {
     history.tried.push(target.key.backend_id.clone());
-    history.trace.chosen(&target);
+    history.trace.record_choice(&target);
     let result = attempt(node, plan, target, resume_after).await;
-    history.trace.outcome(outcome_of(&result));
+    history.trace.record_outcome(outcome_of(&result));
     result
 }
 
-/// Every dispatch after the first comes out of the fleet's retry budget, wherever it goes.
+/// Whether another attempt may be sent. Each attempt after the first is taken out of the node's retry budget,
+/// whichever backend it goes to.
 fn may_send<P: ForwardProtocol>(node: &ForwardNode<P>, history: &AttemptHistory) -> bool {
     let may_retry = node.mechanisms.has(Mechanism::Retries);
     history.sends == 0 || (may_retry && node.state.budget.try_spend())
 }
 
-/// Accounts for a failed attempt. `refusal` is what the caller would get so far; it goes on to the next
-/// attempt, or back to the caller.
+/// Updates `history` after a failed attempt. `refusal` is what the caller would receive if there were no more
+/// attempts. Returns the refusal that applies now: `Continue` if the request may be retried, `Break` if the
+/// caller is to receive it.
 fn after_failure<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     plan: &Plan,
@@ -116,7 +119,7 @@
         AttemptFailure::NotRun { retry_after } => {
             history.sends += 1;
             history.refusals += 1;
-            // Once the request may have run, no later refusal may say that it did not.
+            // Once an attempt may have run, the caller must not be told that the request did not run.
             let refusal = match history.runs {
                 0 => backend_refused(retry_after),
                 _ => refusal,
@@ -141,7 +144,7 @@
     }
 }
 
-/// What the decision record says of an attempt.
+/// Returns the outcome of an attempt as the decision record has it.
 fn outcome_of(result: &Result<OpenResponse, AttemptFailure>) -> AttemptOutcome {
     match result {
         Ok(_) => AttemptOutcome::Answered,
--- a/crates/forward/src/request/headers.rs
+++ b/crates/forward/src/request/headers.rs
@@ -1,4 +1,4 @@
-//! Headers that concern one connection only.
+//! Hop-by-hop headers, and the size of headers.
 
 use http::HeaderMap;
 use http::header::{
@@ -6,7 +6,7 @@
     TRANSFER_ENCODING, UPGRADE,
 };
 
-/// Removes the headers that concern one connection only, those that `Connection` names included.
+/// Removes the hop-by-hop headers, including those that `Connection` lists.
 pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -34,12 +34,12 @@
     }
 }
 
-/// Removes the length of a body that is forwarded in another framing.
+/// Removes `Content-Length` from the headers of a body that is forwarded with another framing.
 pub fn remove_length(headers: &mut HeaderMap) {
     headers.remove(CONTENT_LENGTH);
 }
 
-/// Size of the headers as HTTP/1.1 sends them, in bytes.
+/// Returns the size of the headers in their HTTP/1.1 encoding, in bytes.
 #[must_use]
 pub fn size_of(headers: &HeaderMap) -> usize {
     let sizes = headers
@@ -48,5 +48,5 @@
     sizes.sum()
 }
 
-/// Colon, blank and line end of a header line.
+/// Bytes of the colon, the space and the CRLF of a header line.
 const LINE_OVERHEAD: usize = 4;
--- a/crates/forward/src/request/mod.rs
+++ b/crates/forward/src/request/mod.rs
@@ -1,6 +1,7 @@
-//! The request path: one function a request, read from top to bottom.
+//! The request path.
 //!
-//! [`serve()`] holds the order of the steps; the other modules are the steps.
+//! [`serve()`] handles a request from start to end and calls the steps in order; the other modules implement
+//! the steps.
 
 pub mod attempt;
 pub mod authorize;
--- a/crates/forward/src/request/plan.rs
+++ b/crates/forward/src/request/plan.rs
@@ -1,4 +1,4 @@
-//! What is known of a request before it goes to a backend.
+//! The parameters of a request that are determined before it is sent to a backend.
 
 use std::sync::Arc;
 
@@ -9,42 +9,43 @@
 
 use crate::protocol::RequestFacts;
 
-/// Time that a request without any limit may take.
+/// Timeout of a request if neither the route nor the caller limits it.
 const DEFAULT_TIMEOUT: Duration = Duration::from_hours(1);
 
-/// Priorities of routes within one priority of tenants.
+/// Number of route priorities within each tenant priority.
 const ROUTE_PRIORITIES: u32 = 3;
 
-/// The least urgent of the urgencies that backends know.
+/// The lowest urgency that backends support; 0 is the highest.
 const LEAST_URGENT: u32 = 9;
 
-/// Everything that the attempts at a request have in common.
+/// The parameters that all attempts at a request share.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The route that the request matches.
     pub route: Arc<ForwardRoute>,
-    /// Pool of the route that serves this request.
+    /// Name of the pool that was drawn among the route's pools for this request.
     pub pool: String,
-    /// The caller's tenant.
+    /// The caller's tenant; `None` if the request needs no key.
     pub tenant: Option<Arc<Tenant>>,
-    /// What the caller's headers say.
+    /// Facts parsed from the caller's headers.
     pub facts: RequestFacts,
-    /// Method; with path and body it goes to the backend as it came.
+    /// The caller's method, forwarded unchanged.
     pub method: Method,
-    /// Path and query.
+    /// Path and query, forwarded unchanged.
     pub uri: Uri,
-    /// The caller's headers without those of the connection.
+    /// The caller's headers without the hop-by-hop headers.
     pub headers: HeaderMap,
-    /// The complete body.
+    /// The complete body, forwarded unchanged.
     pub body: Bytes,
-    /// When the request's head was read.
+    /// When the request's headers were read.
     pub arrived: MonotonicTime,
     /// When the response has to be complete.
     pub deadline: MonotonicTime,
 }
 
 impl Plan {
-    /// Deadline of a request with these facts on the route.
+    /// Returns the deadline of a request: the route's timeout or the caller's time budget after its arrival,
+    /// whichever is earlier.
     #[must_use]
     pub fn deadline_of(
         arrived: MonotonicTime,
@@ -59,19 +60,19 @@
         arrived + route_timeout.min(budget)
     }
 
-    /// Whether the request may run more than once.
+    /// Whether the request may run more than once, so that it may be retried after an attempt that may have run.
     #[must_use]
     pub fn is_repeatable(&self) -> bool {
         self.route.repeatable || self.is_resumable()
     }
 
-    /// Whether another backend may continue the response.
+    /// Whether another backend may resume the response stream.
     #[must_use]
     pub fn is_resumable(&self) -> bool {
         self.route.stream && self.route.resumable
     }
 
-    /// Most backends that the request may run on.
+    /// Returns the most attempts that may run.
     #[must_use]
     pub fn max_runs(&self) -> u32 {
         if self.is_repeatable() {
@@ -81,7 +82,8 @@
         }
     }
 
-    /// Urgency at a backend, 0 first: the tenant's priority goes before the route's.
+    /// Returns the urgency for the backend, from 0 (highest) to 9: ordered by the tenant's priority, then by the
+    /// route's.
     #[must_use]
     pub fn urgency(&self) -> u32 {
         let tenant = self.tenant.as_ref().map_or(0, |tenant| tenant.priority);
@@ -89,7 +91,7 @@
         (tenant.saturating_mul(ROUTE_PRIORITIES) + route).min(LEAST_URGENT)
     }
 
-    /// Tokens of the prompt.
+    /// Returns the number of prompt tokens: as declared by the caller, or else the sum of its prefix blocks.
     #[must_use]
     pub fn prompt_tokens(&self) -> u64 {
         let blocks = self.facts.prefix_blocks.iter();
@@ -97,7 +99,8 @@
         self.facts.prompt_tokens.unwrap_or_else(|| tokens.sum())
     }
 
-    /// Tokens that the request counts for its tenant's quota.
+    /// Returns the tokens that the request is charged to its tenant's quota: prompt and output tokens if the
+    /// caller declared both, or else the quota's default.
     #[must_use]
     pub fn quota_tokens(&self) -> u64 {
         let default = self
--- a/crates/forward/src/request/read_body.rs
+++ b/crates/forward/src/request/read_body.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's complete body, so that it can be sent more than once.
+//! Buffers a caller's complete request body, so that retries can send it again.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -7,10 +7,10 @@
 
 use crate::request::refusal::Refusal;
 
-/// Reads the body.
+/// Reads the complete body into memory.
 ///
 /// # Errors
-/// A body that is larger than `max_bytes`, or that is truncated.
+/// Refuses a body that is larger than `max_bytes`, or that is truncated.
 pub async fn read_body(mut body: Incoming, max_bytes: u64) -> Result<Bytes, Refusal> {
     let too_large = Refusal::new(ResultCode::BodyTooLarge).closing();
     let broken = Refusal::new(ResultCode::BodyIncomplete).closing();
--- a/crates/forward/src/request/refusal.rs
+++ b/crates/forward/src/request/refusal.rs
@@ -1,4 +1,4 @@
-//! The proxy's own responses to requests that were not served.
+//! Responses that the proxy itself generates for requests that were not served.
 
 use http::header::{CONNECTION, CONTENT_TYPE, RETRY_AFTER};
 use http::{HeaderValue, Response, StatusCode};
@@ -11,20 +11,21 @@
 
 /// Why a request was not served.
 ///
-/// A code whose status is 429 or 503 guarantees that the request did not run and never will; the
-/// codes for an unknown outcome have 502 and 504.
+/// A code whose HTTP status is 429 or 503 guarantees that the request did not run and never will. Codes for
+/// requests that may have run have status 502 or 504.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// The numbered code.
+    /// Determines the HTTP status and is written into the body.
     pub code: ResultCode,
-    /// When the caller should come back.
+    /// Delay for the `Retry-After` header; `None` omits the header.
     pub retry_after: Option<Duration>,
-    /// The request was not read completely: its connection cannot be used again.
+    /// Whether to close the caller's connection after the response, for example because the request was not
+    /// read completely.
     pub close: bool,
 }
 
 impl Refusal {
-    /// A refusal with nothing but its code.
+    /// Creates a refusal without `Retry-After` that keeps the connection open.
     #[must_use]
     pub fn new(code: ResultCode) -> Self {
         Self {
@@ -34,27 +35,27 @@
         }
     }
 
-    /// With the time to come back.
+    /// Sets the delay after which the caller should retry.
     #[must_use]
     pub fn with_retry_after(mut self, delay: Duration) -> Self {
         self.retry_after = Some(delay);
         self
     }
 
-    /// With the end of the connection.
+    /// Closes the caller's connection after the response.
     #[must_use]
     pub fn closing(mut self) -> Self {
         self.close = true;
         self
     }
 
-    /// The refusal as HTTP.
+    /// Builds the HTTP response.
     #[must_use]
     pub fn response<P: ForwardProtocol>(&self, protocol: &P) -> Response<ResponseBody> {
         let text = format!("{}\n", self.code);
         let body = Full::from(text).map_err(|never| match never {});
         let mut response = Response::new(body.boxed_unsync());
-        // Every status of the table is a valid one; the fallback is for the type only.
+        // `http_status` returns only valid statuses; the fallback is never used.
         *response.status_mut() =
             StatusCode::from_u16(http_status(self.code)).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
         let headers = response.headers_mut();
--- a/crates/forward/src/request/relay.rs
+++ b/crates/forward/src/request/relay.rs
@@ -1,4 +1,4 @@
-//! Forwards a response's body to the caller, and lets another backend resume a stream.
+//! Forwards a response body to the caller, and resumes a broken stream on another backend.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use crate::node::ForwardNode;
 use crate::protocol::ForwardProtocol;
 use crate::request::attempt::{AttemptFailure, OpenResponse};
-use crate::request::backend_stream::{Arrival, BackendStream};
+use crate::request::backend_stream::{BackendStream, BodyRead};
 use crate::request::choose::choose;
 use crate::request::event_splitter::{Event, EventSplitter};
 use crate::request::first_response::{AttemptHistory, try_backend};
@@ -24,26 +24,26 @@
 use crate::request::plan::Plan;
 use crate::request::response_body::{ResponseBody, TruncatedResponse};
 
-/// Backends that may be tried to resume a stream.
+/// Most attempts to resume a stream each time that its backend is lost.
 const MAX_RESUME_ATTEMPTS: u32 = 4;
 
-/// The response for the caller: the backend's head, and its body as it comes.
+/// Builds the response to the caller: the backend's headers, and the body as it arrives from the backend.
 ///
-/// The body is pulled by the caller's connection. When the caller disconnects, the body is dropped, and
-/// with it the connection to the backend: its work ends there too.
+/// The caller's connection polls the body. When the caller disconnects, the body is dropped, which closes the
+/// connection to the backend and so cancels the request there.
 pub fn relay<P: ForwardProtocol>(
     node: Arc<ForwardNode<P>>,
     mut plan: Plan,
     history: AttemptHistory,
     opened: OpenResponse,
 ) -> Response<ResponseBody> {
-    let (mut head, backend) = BackendStream::of(opened);
+    let (mut head, backend) = BackendStream::split(opened);
     let is_resumable = plan.is_resumable() && head.status.is_success();
     if is_resumable {
-        // The rest of the stream from another backend may have another length.
+        // If another backend resumes the stream, the total length may differ.
         remove_length(&mut head.headers);
     } else {
-        // It is not sent again; a long stream need not hold a long prompt.
+        // The request is not sent again: a long stream does not need to keep a long prompt in memory.
         plan.body = Bytes::new();
     }
     let ending = if head.status.is_success() {
@@ -62,20 +62,22 @@
     history: AttemptHistory,
     backend: BackendStream,
     deadline: Pin<Box<Sleep>>,
-    /// Set for streams that another backend may resume.
+    /// Present for streams that another backend may resume.
     splitter: Option<EventSplitter>,
-    /// Id of the last event that was forwarded.
+    /// Id of the last event that was forwarded, initially of the one that the caller resumes after.
     last_event: Option<u64>,
+    /// Whether another backend has resumed the stream.
     resumed: bool,
+    /// Whether the response was received completely.
     ended: bool,
-    /// What the decision record says once the response is complete.
+    /// Ending for the decision record if the response is forwarded completely.
     ending: Ending,
 }
 
 impl<P> Drop for Relay<P> {
     fn drop(&mut self) {
         if self.ended {
-            self.history.trace.end(self.ending);
+            self.history.trace.finish(self.ending);
         }
     }
 }
@@ -109,28 +111,28 @@
         relay
     }
 
-    /// The frames of the caller's body; an error where it is truncated.
+    /// Returns the frames of the caller's body; an error ends a truncated body.
     fn into_frames(self) -> impl stream::Stream<Item = Result<Frame<Bytes>, TruncatedResponse>> {
         stream::unfold(Some(self), |relay| async move {
             let mut relay = relay?;
             match relay.next().await {
                 Ok(Some(bytes)) => {
-                    relay.history.trace.bytes();
+                    relay.history.trace.record_bytes();
                     Some((Ok(Frame::data(bytes)), Some(relay)))
                 }
                 Ok(None) => None,
                 Err(truncated) => {
-                    relay.history.trace.end(Ending::BrokenOff);
+                    relay.history.trace.finish(Ending::BrokenOff);
                     Some((Err(truncated), None))
                 }
             }
         })
     }
 
-    /// The next bytes for the caller; `None` at the end of a complete response.
+    /// Returns the next bytes for the caller, or `None` at the end of a complete response.
     async fn next(&mut self) -> Result<Option<Bytes>, TruncatedResponse> {
         loop {
-            if let Some(events) = self.complete_events()? {
+            if let Some(events) = self.take_complete_events()? {
                 return Ok(Some(events));
             }
             if self.ended {
@@ -139,11 +141,11 @@
             let is_resumable = self.splitter.is_some();
             let deadline = self.deadline.as_mut();
             match self.backend.next(&self.node, deadline, is_resumable).await {
-                Arrival::Chunk(bytes) => {
+                BodyRead::Chunk(bytes) => {
                     self.backend
                         .record_chunk(&self.node, &self.plan.facts.model);
                     let Some(splitter) = &mut self.splitter else {
-                        // Once a body with a length was sent completely, nobody polls for its end.
+                        // A body with a known length is not polled again after its last byte.
                         if self.backend.is_at_end() {
                             self.finish();
                         }
@@ -151,22 +153,22 @@
                     };
                     splitter.push(&bytes);
                 }
-                Arrival::End => self.end_of_backend().await?,
-                Arrival::Lost => self.resume().await?,
-                Arrival::TimedOut => return Err(TruncatedResponse::TimedOut),
+                BodyRead::End => self.handle_end_of_body().await?,
+                BodyRead::Lost => self.resume().await?,
+                BodyRead::TimedOut => return Err(TruncatedResponse::TimedOut),
             }
         }
     }
 
-    /// The complete events, joined; none of them was forwarded before.
-    fn complete_events(&mut self) -> Result<Option<Bytes>, TruncatedResponse> {
+    /// Removes and joins the complete events, without those that were forwarded before a resumption.
+    fn take_complete_events(&mut self) -> Result<Option<Bytes>, TruncatedResponse> {
         let Some(splitter) = &mut self.splitter else {
             return Ok(None);
         };
         let mut joined: Vec<u8> = Vec::new();
         while let Some(event) = splitter.next_event() {
             if self.resumed {
-                match position(&event, self.last_event) {
+                match event_position(&event, self.last_event) {
                     EventPosition::Next => {}
                     EventPosition::Repeated => continue,
                     EventPosition::AfterGap => return Err(TruncatedResponse::OutOfOrder),
@@ -178,9 +180,10 @@
         Ok((!joined.is_empty()).then(|| Bytes::from(joined)))
     }
 
-    /// The backend's part ended, complete by its framing. A stream that ends within an event is not.
-    async fn end_of_backend(&mut self) -> Result<(), TruncatedResponse> {
-        let rest = self.splitter.as_mut().map(EventSplitter::take_rest);
+    /// Handles the end of the backend's body, which is complete by its framing. A resumable stream that ends
+    /// within an event is incomplete nevertheless and is resumed.
+    async fn handle_end_of_body(&mut self) -> Result<(), TruncatedResponse> {
+        let rest = self.splitter.as_mut().map(EventSplitter::take_remainder);
         if rest.is_some_and(|rest| !rest.is_empty()) {
             return self.resume().await;
         }
@@ -188,14 +191,14 @@
         Ok(())
     }
 
-    /// The response is complete.
+    /// Marks the response as complete, records its cost and returns the connection to its pool.
     fn finish(&mut self) {
         self.ended = true;
         self.backend.record_cost(&self.node, &self.plan.facts.model);
         self.backend.release(&self.node);
     }
 
-    /// Another backend continues after the last complete event, inside the same response.
+    /// Resumes the stream on another backend after the last complete event, within the same response.
     async fn resume(&mut self) -> Result<(), TruncatedResponse> {
         let Some(splitter) = &mut self.splitter else {
             return Err(TruncatedResponse::BackendLost);
@@ -216,7 +219,7 @@
                 Ok(opened) if opened.response.status().is_success() => {
                     history.runs += 1;
                     self.resumed = true;
-                    (_, self.backend) = BackendStream::of(opened);
+                    (_, self.backend) = BackendStream::split(opened);
                     return Ok(());
                 }
                 Ok(_) | Err(AttemptFailure::Lost(_)) => history.runs += 1,
@@ -229,18 +232,18 @@
     }
 }
 
-/// Where an event stands after the last one that was forwarded.
+/// Position of an event relative to the last one that was forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EventPosition {
-    /// It is the next one, or ids do not tell.
+    /// The event follows directly, or one of the two has no id.
     Next,
-    /// It was forwarded before.
+    /// The event was forwarded before.
     Repeated,
-    /// Events before it are missing.
+    /// One or more events before it are missing.
     AfterGap,
 }
 
-fn position(event: &Event, last: Option<u64>) -> EventPosition {
+fn event_position(event: &Event, last: Option<u64>) -> EventPosition {
     match (event.id, last) {
         (Some(id), Some(last)) if id <= last => EventPosition::Repeated,
         (Some(id), Some(last)) if id > last + 1 => EventPosition::AfterGap,
--- a/crates/forward/src/request/response_body.rs
+++ b/crates/forward/src/request/response_body.rs
@@ -1,21 +1,22 @@
-//! Bodies of responses to callers.
+//! The type of response bodies sent to callers.
 
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
 
-/// Body of any response. An error ends the connection, so that a truncated body never looks complete.
+/// Body of any response. An error closes the caller's connection before the body is complete by its framing, so
+/// that the caller does not mistake a truncated body for a complete one.
 pub type ResponseBody = UnsyncBoxBody<Bytes, TruncatedResponse>;
 
 /// Why a response ends before it is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TruncatedResponse {
-    /// The backend was lost and no other may resume its stream.
+    /// The backend was lost, and no other backend could or may continue its response.
     #[error("the backend was lost in the middle of its response")]
     BackendLost,
     /// The deadline of the request passed.
     #[error("the deadline of the request passed")]
     TimedOut,
-    /// The events of the stream do not follow each other.
-    #[error("the stream skipped or repeated an event")]
+    /// The event ids of a resumed stream are not consecutive.
+    #[error("the resumed stream skipped an event")]
     OutOfOrder,
 }
--- a/crates/forward/src/request/serve.rs
+++ b/crates/forward/src/request/serve.rs
@@ -1,4 +1,4 @@
-//! A forwarded request, from the caller's head to the response.
+//! Serves one forwarded request, from the caller's headers to the response.
 
 use std::sync::Arc;
 
@@ -24,17 +24,18 @@
 use crate::request::response_body::ResponseBody;
 use crate::request::trace::Trace;
 
-/// Largest body where the configuration sets no limit, in bytes.
+/// Largest request body if the configuration sets no limit, in bytes.
 const DEFAULT_MAX_BODY_BYTES: u64 = 4 * 1024 * 1024;
 
-/// `Retry-After` of a node that has no confirmed configuration yet: after a loss of power the control plane
-/// has a leader again, and nodes have its state, about this long after their start.
+/// `Retry-After` of a node that has no confirmed configuration yet. After a power loss of the whole cluster it
+/// takes about this long from the start until the control plane has a leader and the nodes have received its
+/// state.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(450);
 
-/// Largest headers where the configuration sets no limit, in bytes.
+/// Largest request headers if the configuration sets no limit, in bytes.
 const DEFAULT_MAX_HEADER_BYTES: u32 = 16 * 1024;
 
-/// Serves one request. Whatever happens, the caller gets its final response at once.
+/// Serves one request. A failure is returned to the caller as a response as soon as it is final.
 pub async fn serve<P: ForwardProtocol>(
     node: Arc<ForwardNode<P>>,
     request: Request<Incoming>,
@@ -50,12 +51,12 @@
     response
 }
 
-/// The steps of a request: plan it, charge its quota, get a response, relay it.
+/// Runs the steps of a request: plan it, charge its quota, get the first response, and relay that.
 async fn forward<P: ForwardProtocol>(
     node: &Arc<ForwardNode<P>>,
     request: Request<Incoming>,
 ) -> Result<Response<ResponseBody>, Refusal> {
-    let plan = plan(node, request).await?;
+    let plan = plan_request(node, request).await?;
     let tokens = plan.quota_tokens();
     let mut history = AttemptHistory {
         trace: Trace::begin(node, &plan),
@@ -64,7 +65,7 @@
     if let Some(tenant) = &plan.tenant
         && let Err(delay) = admit(node, tenant, tokens).await
     {
-        history.trace.end(Ending::OverQuota);
+        history.trace.finish(Ending::OverQuota);
         return Err(over_quota(delay));
     }
     match first_response(node, &plan, &mut history).await {
@@ -73,17 +74,18 @@
             if let (Some(tenant), 0) = (&plan.tenant, history.runs) {
                 node.quotas.refund(monotonic_now(), tenant, tokens);
             }
-            history.trace.end(ending_of(&refusal, &history));
+            history.trace.finish(ending_of(&refusal, &history));
             Err(refusal)
         }
     }
 }
 
-/// Reads a request and finds its route and tenant.
+/// Reads a request and determines its route, pool, tenant and deadline.
 ///
 /// # Errors
-/// The node is not ready or about to end, or the request breaks a limit, has no route or no valid key.
-async fn plan<P: ForwardProtocol>(
+/// Refuses the request if the node is not ready, if it is draining and would end before the deadline, or if the
+/// request exceeds a limit, matches no route or has no valid key.
+async fn plan_request<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     request: Request<Incoming>,
 ) -> Result<Plan, Refusal> {
@@ -122,10 +124,10 @@
     Ok(plan)
 }
 
-/// Charges the tenant's quota, or says when to come back.
+/// Charges `tokens` to the tenant's quota.
 ///
 /// # Errors
-/// The time until the tenant's bucket holds anything.
+/// Returns the time until the tenant's bucket admits requests again.
 pub async fn admit<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     tenant: &Tenant,
@@ -145,7 +147,7 @@
         .await
 }
 
-/// What the decision record says of a request that brought no response.
+/// Returns the ending that the decision record contains for a request that no backend responded to.
 fn ending_of(refusal: &Refusal, history: &AttemptHistory) -> Ending {
     match refusal.code {
         ResultCode::DeadlineAfterSend => Ending::TimedOut,
@@ -154,8 +156,8 @@
     }
 }
 
-/// The caller comes back on a new connection, if at all: the present one would stay open for nothing,
-/// and a tenant far over its quota leaves hundreds of them.
+/// Builds the refusal of a request over its tenant's quota. It closes the connection: otherwise a tenant far over
+/// its quota leaves hundreds of unused connections open.
 fn over_quota(delay: Duration) -> Refusal {
     let refusal = Refusal::new(ResultCode::QuotaExceeded);
     refusal.with_retry_after(delay).closing()
@@ -184,7 +186,7 @@
     host.unwrap_or_default()
 }
 
-/// One of the route's pools, by weight.
+/// Draws one of the route's pools at random, by weight. Empty if the route has none.
 fn draw_pool(route: &ForwardRoute) -> String {
     let total: u32 = route.pools.iter().map(|share| share.weight).sum();
     let mut left = rand::rng().random_range(0..total.max(1));
