--- a/crates/forward/src/request/trace.rs
+++ b/crates/forward/src/request/trace.rs
@@ -1,4 +1,4 @@
-//! Follows a sampled request and writes its decision record when it ends.
+//! Traces a sampled request and logs its decision record when the request ends.
 
 use millford_core::MonotonicTime;
 use millford_core::time::monotonic_now;
@@ -15,7 +15,7 @@
 
 const LOG: PartLog = PartLog::new("FORWARD");
 
-/// A rate in thousandths that means every request.
+/// The sampling rate, in requests per thousand, at which every request is sampled.
 const EVERY_REQUEST: u32 = 1000;
 
 #[derive(Debug)]
@@ -26,13 +26,13 @@
     record: DecisionRecord,
 }
 
-/// The trace of one request; empty for one that is not sampled. A trace that is dropped before its end is
-/// that of a caller who disconnected.
+/// The trace of one request; empty if the request is not sampled. Dropping an unfinished trace records that the
+/// caller disconnected.
 #[derive(Debug, Default)]
 pub struct Trace(Option<Box<SampledRequest>>);
 
 impl Trace {
-    /// Begins the trace of a request, if it is sampled.
+    /// Begins the trace of a request, or returns an empty one if the request is not sampled.
     #[must_use]
     pub fn begin<P>(node: &ForwardNode<P>, plan: &Plan) -> Self {
         let per_mille = node.decision_log_per_mille;
@@ -65,37 +65,37 @@
         })))
     }
 
-    /// A backend was chosen.
-    pub fn chosen(&mut self, target: &Target) {
+    /// Records that `target` was chosen for the next attempt.
+    pub fn record_choice(&mut self, target: &Target) {
         let Some(sampled) = &mut self.0 else {
             return;
         };
         let chosen_ms = millis_since(sampled.arrived);
-        let belief = &target.belief;
+        let estimates = &target.estimates;
         sampled.record.resumed |= sampled.record.first_bytes_ms.is_some();
         sampled.record.attempts.push(AttemptRecord {
             backend: target.key.backend_id.clone(),
-            same_zone: belief.same_zone,
+            same_zone: estimates.same_zone,
             chosen_ms,
-            candidates: belief.candidates,
-            believed_work_ms: belief.work_ms,
-            believed_cost_ms: belief.cost_ms,
+            candidates: estimates.candidates,
+            believed_work_ms: estimates.work_ms,
+            believed_cost_ms: estimates.cost_ms,
             uncached_tokens: target.uncached_tokens,
-            queued_tokens: belief.queued_tokens,
-            streams: belief.streams,
+            queued_tokens: estimates.queued_tokens,
+            streams: estimates.streams,
             outcome: AttemptOutcome::Open,
         });
     }
 
-    /// What came of the last attempt.
-    pub fn outcome(&mut self, outcome: AttemptOutcome) {
+    /// Records the outcome of the last attempt.
+    pub fn record_outcome(&mut self, outcome: AttemptOutcome) {
         let attempts = self.0.iter_mut();
         let last = attempts.filter_map(|sampled| sampled.record.attempts.last_mut());
         last.for_each(|attempt| attempt.outcome = outcome);
     }
 
-    /// Bytes of the body are forwarded to the caller.
-    pub fn bytes(&mut self) {
+    /// Records that body bytes are forwarded to the caller now.
+    pub fn record_bytes(&mut self) {
         let Some(sampled) = &mut self.0 else {
             return;
         };
@@ -108,8 +108,9 @@
         }
     }
 
-    /// The request ended like this; the record is written.
-    pub fn end(&mut self, ending: Ending) {
+    /// Completes the decision record with `ending`, counts its verdict and logs it. Only the first call has an
+    /// effect.
+    pub fn finish(&mut self, ending: Ending) {
         let Some(sampled) = self.0.take() else {
             return;
         };
@@ -127,7 +128,7 @@
 
 impl Drop for Trace {
     fn drop(&mut self) {
-        self.end(Ending::CallerLeft);
+        self.finish(Ending::CallerLeft);
     }
 }
 
--- a/crates/forward/src/settings.rs
+++ b/crates/forward/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a forwarding proxy.
+//! The settings of the forwarding proxy.
 
 use millford_core::Duration;
 use millford_settings::fault::{require_addresses, require_texts};
@@ -8,34 +8,34 @@
 
 use crate::mechanism::Mechanisms;
 
-/// Settings file of `millford-forward`.
+/// The settings file of `millford-forward`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ForwardSettings {
-    /// Name of the node; the agent's session has the same.
+    /// Name of the node; must be the same as in the agent's session.
     pub name: String,
     /// Zone of the node.
     pub zone: String,
-    /// IP address and port for callers.
+    /// IP address and port that callers connect to.
     pub caller_address: String,
-    /// IP address and port of readiness and metrics.
+    /// IP address and port of the readiness check and the metrics.
     pub readiness_address: String,
-    /// IP address and port for datagrams of other proxies.
+    /// IP address and UDP port for datagrams from other proxies.
     pub exchange_address: String,
-    /// IP address and port of the agent beside the proxy.
+    /// IP address and port of the agent on the same node.
     pub agent_address: String,
     /// Least severe level that is logged.
     pub log_level: String,
-    /// Form of a log line.
+    /// Format of log lines.
     pub log_format: LogFormat,
     /// Longest time from the termination signal to the end of the process, in milliseconds.
     #[serde(rename = "leave_timeout_ms")]
     pub drain_timeout_ms: u64,
     /// Longest time to open a connection to a backend, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// Requests whose decisions are logged, in thousandths.
+    /// Sampling rate of decision records, in requests per thousand: 0 logs none, 1000 logs all.
     pub decision_log_per_mille: u32,
-    /// Names of disabled mechanisms, with commas between them, to measure what they are worth.
+    /// Comma-separated names of the mechanisms to disable, for measurements of their effect.
     #[serde(rename = "leave_out")]
     pub disabled_mechanisms: String,
 }
@@ -60,7 +60,7 @@
 }
 
 impl ForwardSettings {
-    /// How to log.
+    /// Returns the level and the format of the log. An invalid level counts as `info`.
     #[must_use]
     pub fn log_options(&self) -> LogOptions {
         LogOptions {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Longest time to open a connection to a backend.
+    /// Returns the longest time to open a connection to a backend.
     #[must_use]
     pub fn connect_timeout(&self) -> Duration {
         Duration::from_millis(self.connect_timeout_ms)
@@ -86,13 +86,19 @@
         SettingsKey::text("agent_address", "IP address and port of the agent"),
         SettingsKey::text("log_level", "error, warn, info, debug or trace"),
         SettingsKey::text("log_format", "text or json"),
-        SettingsKey::number("leave_timeout_ms", "longest time to leave"),
-        SettingsKey::number("connect_timeout_ms", "longest time to reach a backend"),
+        SettingsKey::number("leave_timeout_ms", "longest time to drain, in milliseconds"),
+        SettingsKey::number(
+            "connect_timeout_ms",
+            "longest time to connect to a backend, in milliseconds",
+        ),
         SettingsKey::number(
             "decision_log_per_mille",
-            "requests in thousand whose decisions are logged",
+            "requests per thousand whose decisions are logged",
+        ),
+        SettingsKey::text(
+            "leave_out",
+            "names of mechanisms to disable, for measurements",
         ),
-        SettingsKey::text("leave_out", "mechanisms to leave out, for measurements"),
     ];
 
     fn faults(&self) -> Vec<SettingsFault> {
--- a/crates/forward/tests/absurd_counts.rs
+++ b/crates/forward/tests/absurd_counts.rs
@@ -1,4 +1,4 @@
-//! Absurd counts, of peers and of callers: nothing overflows, and no tenant is shut out for long.
+//! Extreme token counts from peers and callers neither overflow nor block a tenant for long.
 
 mod support;
 
@@ -8,19 +8,19 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
 
 const RATE: u64 = 1000;
-/// Whatever was reported or requested before, a tenant is served again within this time.
+/// Longest time until a tenant is served again, whatever was reported or requested before.
 const SERVED_AGAIN_WITHIN: Duration = Duration::from_secs(61);
 
-/// A number that is small, huge or on a border.
+/// Either an arbitrary number or a boundary value.
 #[derive(Clone, Copy, Debug)]
 struct Absurd(u64);
 
 impl Arbitrary for Absurd {
     fn arbitrary(generator: &mut Gen) -> Self {
-        let borders = [0, 1, RATE, u64::from(u32::MAX), i64::MAX as u64, u64::MAX];
-        let border = *generator.choose(&borders).expect("not empty");
+        let boundaries = [0, 1, RATE, u64::from(u32::MAX), i64::MAX as u64, u64::MAX];
+        let boundary = *generator.choose(&boundaries).expect("not empty");
         if bool::arbitrary(generator) {
-            Self(border)
+            Self(boundary)
         } else {
             Self(u64::arbitrary(generator))
         }
@@ -33,12 +33,16 @@
     }
 }
 
-/// One count of a peer or request of a caller.
+/// One report of a peer, or one request, grant or refund.
 #[derive(Clone, Debug)]
 struct Input {
+    /// Selects the operation; see [`apply`].
     kind: u8,
+    /// Tokens of the operation.
     number: Absurd,
+    /// Second number of the operation, such as the reported level.
     other: Absurd,
+    /// Time until the next input, in milliseconds.
     after_ms: u16,
 }
 
@@ -65,7 +69,7 @@
     support::tenant::tenant(quota())
 }
 
-fn take(quotas: &TenantQuotas, now: MonotonicTime, input: &Input) {
+fn apply(quotas: &TenantQuotas, now: MonotonicTime, input: &Input) {
     let count = |owner_zone, boot_id| PeerCount {
         member: "peer",
         boot_id,
@@ -87,11 +91,11 @@
 quickcheck! {
     fn a_tenant_is_served_again_whatever_counts_were_received(inputs: Vec<Input>) -> bool {
         let quotas = TenantQuotas::default();
-        // At least a minute of debt, at most a burst with its headroom.
+        // From a debt of slightly over a minute of the rate to a burst with its headroom.
         let possible = -61 * RATE.cast_signed()..=2 * RATE.cast_signed();
         let mut now = MonotonicTime::from_millis(1000);
         for input in &inputs {
-            take(&quotas, now, input);
+            apply(&quotas, now, input);
             quotas.tick(now, "here");
             let levels = quotas.levels(now);
             if levels.iter().any(|level| !possible.contains(&level.level_tokens)) {
--- a/crates/forward/tests/decisions.rs
+++ b/crates/forward/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! What the decision records say of requests, by the counters that go with them.
+//! Verdicts of decision records, checked by means of their counters.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use support::caller::{call, request};
 use support::node::{Setup, TestNode};
 
-/// Sampled requests of the route with this verdict.
+/// Returns the number of sampled requests of the route with this verdict.
 fn count(node: &TestNode, verdict: &str) -> u64 {
     let verdicts = &node.node.state.metrics.verdicts;
     verdicts.with_label_values(&["jobs", verdict]).get()
@@ -40,8 +40,8 @@
     );
     node.until(|| count(&node, "failed") == 1).await;
 
-    let breaks = StubBackend::start(vec![Step::AnswerThenReset(stream_start(1..3))]).await;
-    let node = TestNode::start(&Setup::with(|route| route.stream = true), &[&breaks]).await;
+    let broken = StubBackend::start(vec![Step::AnswerThenReset(stream_start(1..3))]).await;
+    let node = TestNode::start(&Setup::with(|route| route.stream = true), &[&broken]).await;
     assert!(
         !call(node.callers, &request("/jobs/", "", ""))
             .await
@@ -88,6 +88,6 @@
     });
     let node = TestNode::start(&setup, &[&backend, &other]).await;
     call(node.callers, &request("/jobs/", "", "")).await;
-    let messages = || count(&node, "in time") + count(&node, "broken off");
-    node.until(|| messages() == 1).await;
+    let recorded = || count(&node, "in time") + count(&node, "broken off");
+    node.until(|| recorded() == 1).await;
 }
--- a/crates/forward/tests/event_splitter.rs
+++ b/crates/forward/tests/event_splitter.rs
@@ -1,4 +1,4 @@
-//! Streams are split into complete events wherever the chunks end.
+//! Splitting of event streams into complete events, for any chunk boundaries.
 
 use millford_forward::request::event_splitter::EventSplitter;
 use quickcheck::QuickCheck;
@@ -13,18 +13,18 @@
             events.push((text, event.id));
         }
     }
-    let rest = String::from_utf8(splitter.take_rest().to_vec()).unwrap();
-    (events, rest)
+    let remainder = String::from_utf8(splitter.take_remainder().to_vec()).unwrap();
+    (events, remainder)
 }
 
 #[test]
 fn event_ids_are_parsed_after_any_other_field() {
     let text =
         b"version: 3\nid: 7\ndata: a\n\nid:8\r\ndata: b\r\n\r\ndata: no id\n\nid: x\n\nid: 9";
-    let (events, rest) = events_of(&[text]);
+    let (events, remainder) = events_of(&[text]);
     let ids: Vec<Option<u64>> = events.iter().map(|(_, id)| *id).collect();
     assert_eq!(ids, [Some(7), Some(8), None, None]);
-    assert_eq!(rest, "id: 9");
+    assert_eq!(remainder, "id: 9");
 }
 
 #[test]
@@ -47,11 +47,11 @@
             .windows(2)
             .map(|pair| &bytes[pair[0]..pair[1]])
             .collect();
-        let (events, rest) = events_of(&chunks);
+        let (events, remainder) = events_of(&chunks);
         let found: Vec<Option<u64>> = events.iter().map(|(_, id)| *id).collect();
         let expected: Vec<Option<u64>> = ids.iter().map(|id| Some(u64::from(*id))).collect();
         let joined: String = events.iter().map(|(text, _)| text.as_str()).collect();
-        found == expected && rest.is_empty() && joined == text
+        found == expected && remainder.is_empty() && joined == text
     }
     QuickCheck::new().quickcheck(same as fn(Vec<u16>, Vec<usize>) -> bool);
 }
--- a/crates/forward/tests/forwarding.rs
+++ b/crates/forward/tests/forwarding.rs
@@ -1,4 +1,5 @@
-//! Requests through a real node to scripted backends: what arrives, what comes back, what never runs twice.
+//! Requests through a real node to stub backends: what is forwarded, what the caller receives, and which requests
+//! are retried.
 
 mod support;
 
@@ -105,13 +106,13 @@
         Step::AnswerThenReset("HTTP/1.1 200 OK\r\n".to_owned()),
         Step::Answer("HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n".to_owned()),
         Step::Answer("HTTP/1.1 429 Busy\r\ncontent-length: 0\r\n\r\n".to_owned()),
-        // Another request's response, and one without a signature.
+        // The response to another request, and responses that are unsigned or encoded.
         Step::Answer(signed("other").replace("REQUEST-ID", "id-of-another")),
         Step::Answer(signed("bare").replace("x-millford-signature: s\r\n", "")),
         Step::Answer(
             signed("packed").replace("content-length", "content-encoding: gzip\r\ncontent-length"),
         ),
-        Step::Answer("these are no answers\r\n\r\n".to_owned()),
+        Step::Answer("this is not an HTTP response\r\n\r\n".to_owned()),
     ] {
         let first = StubBackend::start(vec![step.clone()]).await;
         let second = StubBackend::start(vec![step.clone()]).await;
@@ -141,9 +142,9 @@
         assert_eq!(reply.status, 200);
     }
     let setup = Setup::with(|route| route.repeatable = true);
-    let degraded = TestNode::start(&setup, &[&lost]).await;
+    let single_attempt = TestNode::start(&setup, &[&lost]).await;
     let before = lost.received().len();
-    let reply = call(degraded.callers, &request("/jobs/", "", "")).await;
+    let reply = call(single_attempt.callers, &request("/jobs/", "", "")).await;
     assert_eq!(reply.status, 502);
     assert_eq!(lost.received().len(), before + 1);
 }
@@ -159,16 +160,16 @@
 }
 
 #[tokio::test]
-async fn a_truncated_response_never_looks_complete() {
-    let cut = signed("0123456789").replace("content-length: 10", "content-length: 20");
-    let backend = StubBackend::start(vec![Step::AnswerThenReset(cut)]).await;
+async fn a_truncated_response_is_incomplete_by_its_framing() {
+    let truncated = signed("0123456789").replace("content-length: 10", "content-length: 20");
+    let backend = StubBackend::start(vec![Step::AnswerThenReset(truncated)]).await;
     let node = TestNode::start(&Setup::with(|_| {}), &[&backend]).await;
     let reply = call(node.callers, &request("/jobs/", "", "")).await;
     assert!(!reply.complete, "{reply:?}");
 }
 
 #[tokio::test]
-async fn the_final_response_comes_at_the_deadline() {
+async fn a_request_without_a_response_fails_at_its_deadline() {
     let backend = StubBackend::start(vec![Step::Hang]).await;
     let setup = Setup::with(|route| route.timeout_ms = 300);
     let node = TestNode::start(&setup, &[&backend]).await;
@@ -217,7 +218,7 @@
     assert_eq!(
         call(node.callers, &good).await.status,
         200,
-        "nothing is lost by it"
+        "malformed requests do not affect later ones"
     );
 }
 
@@ -251,13 +252,13 @@
     assert_eq!(
         call(node.callers, &large).await.status,
         200,
-        "whatever its size"
+        "a request of any size is admitted while tokens are left"
     );
     let refused = call(node.callers, &request("/jobs/", "", "")).await;
     assert_eq!(refused.status, 429);
     let seconds: f64 = refused.header("retry-after").unwrap().parse().unwrap();
     assert!((15.0..=30.0).contains(&seconds), "{seconds}");
-    // It comes back on a new connection: this one need not stay open meanwhile.
+    // The connection is closed, so that it is not kept open unused until the caller retries.
     assert_eq!(refused.header("connection").as_deref(), Some("close"));
     assert_eq!(backend.received().len(), 1);
 }
--- a/crates/forward/tests/graceful_shutdown.rs
+++ b/crates/forward/tests/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! Requests that reach a node while it drains.
+//! Requests that arrive at a node while it is draining.
 
 mod support;
 
@@ -16,16 +16,16 @@
     assert!(graceful_shutdown.accepts(at(1000), at(13_000)));
     assert!(
         graceful_shutdown.accepts(at(3700), at(15_700)),
-        "callers may not know yet"
+        "callers may not have noticed yet that the node is draining"
     );
     assert!(
         !graceful_shutdown.accepts(at(5500), at(17_500)),
-        "its end would break it off"
+        "the end of the process could truncate the response"
     );
     assert!(!graceful_shutdown.accepts(at(5500), at(8501)));
     assert!(
         graceful_shutdown.accepts(at(5500), at(8500)),
-        "complete or timed out before the end"
+        "the request completes or times out before the process ends"
     );
 }
 
--- a/crates/forward/tests/mechanisms.rs
+++ b/crates/forward/tests/mechanisms.rs
@@ -1,4 +1,4 @@
-//! Disabled mechanisms: checked names, and that each takes no part in what it is about.
+//! Disabling of mechanisms: their names are checked, and a disabled mechanism has no effect.
 
 mod support;
 
@@ -16,13 +16,13 @@
     assert_eq!(names.len(), Mechanism::ALL.len());
     for mechanism in Mechanism::ALL {
         assert_eq!(Mechanism::from_name(mechanism.name()), Some(mechanism));
-        let others = Mechanisms::all_but(mechanism.name()).unwrap();
-        let in_use = Mechanism::ALL.into_iter().filter(|one| others.has(*one));
+        let enabled = Mechanisms::all_but(mechanism.name()).unwrap();
+        let in_use = Mechanism::ALL.into_iter().filter(|one| enabled.has(*one));
         assert_eq!(in_use.count(), Mechanism::ALL.len() - 1);
-        assert!(!others.has(mechanism));
+        assert!(!enabled.has(mechanism));
     }
-    let two = Mechanisms::all_but("affinity, retries,").unwrap();
-    assert!(!two.has(Mechanism::Affinity) && !two.has(Mechanism::Retries));
+    let enabled = Mechanisms::all_but("affinity, retries,").unwrap();
+    assert!(!enabled.has(Mechanism::Affinity) && !enabled.has(Mechanism::Retries));
 }
 
 #[test]
--- a/crates/forward/tests/outside_names.rs
+++ b/crates/forward/tests/outside_names.rs
@@ -1,4 +1,5 @@
-//! Names of the forwarding proxy that others rely on are those of b3d3e00: flags, settings keys, metrics, headers.
+//! Guards the external names of the forwarding proxy (flags, settings keys, metrics, headers) against changes. The
+//! expected names are those of commit b3d3e00.
 
 #[path = "../../api/tests/support/committed.rs"]
 mod committed;
@@ -40,11 +41,11 @@
 }
 
 #[test]
-fn the_metric_beside_the_proxies_common_ones_is_the_committed_one() {
+fn the_metric_of_degraded_quota_decisions_is_the_committed_one() {
     let metric = QuotaClient::default().metric();
     let descriptions = metric.desc();
     let [description] = descriptions[..] else {
-        panic!("one metric, not {descriptions:?}");
+        panic!("expected one metric, found {descriptions:?}");
     };
     assert_eq!(description.fq_name, "millford_proxy_quota_decided_alone");
     assert_eq!(description.variable_labels, ["reason"]);
@@ -75,17 +76,17 @@
     assert_eq!(facts.model, "saga");
     assert_eq!(facts.prompt_tokens, Some(12));
     assert_eq!(facts.output_tokens, Some(34));
-    let parts: Vec<(u64, u32)> = facts
+    let blocks: Vec<(u64, u32)> = facts
         .prefix_blocks
         .iter()
-        .map(|p| (p.id, p.tokens))
+        .map(|block| (block.id, block.tokens))
         .collect();
-    assert_eq!(parts, [(0xff, 5), (1, 6)]);
+    assert_eq!(blocks, [(0xff, 5), (1, 6)]);
     assert_eq!(facts.resume_after, Some(7));
 }
 
 #[test]
-fn backends_get_and_send_the_committed_headers() {
+fn headers_to_and_from_backends_have_the_committed_names() {
     let mut sent = headers(&[
         ("authorization", "Bearer key"),
         ("x-millford-tenant", "forged"),
@@ -102,7 +103,7 @@
     for (name, value) in &sent {
         let mut line = String::new();
         let value = value.to_str().expect("text");
-        writeln!(line, "{name}: {value}").expect("a string grows");
+        writeln!(line, "{name}: {value}").expect("writing to a string succeeds");
         lines.push(line);
     }
     lines.sort();
--- a/crates/forward/tests/owned_loads.rs
+++ b/crates/forward/tests/owned_loads.rs
@@ -1,4 +1,5 @@
-//! Counts of backends at their owners: newest first, restarts, expiry, owners that join and leave.
+//! Load counts at their owners (order of updates, restarts, expiry), the selection of owners, and timeouts of
+//! requests to them.
 
 use std::collections::BTreeMap;
 
@@ -42,25 +43,33 @@
     owned.apply(now, "node-2", 7, &update(1, &[("a", 3)]));
     owned.apply(now, "node-1", 1, &update(4, &[("a", 99)]));
     owned.apply(now, "node-1", 1, &update(5, &[("a", 99)]));
-    assert_eq!(tokens(&owned, now, "a", ""), 13, "older and repeated ones");
+    assert_eq!(
+        tokens(&owned, now, "a", ""),
+        13,
+        "older and repeated updates are ignored"
+    );
     assert_eq!(
         tokens(&owned, now, "a", "node-1"),
         3,
-        "all but the requesting"
+        "the requesting node is left out"
     );
     owned.apply(now, "node-1", 1, &update(6, &[("b", 5)]));
     assert_eq!(
         tokens(&owned, now, "a", ""),
         13,
-        "a backend that it names not"
+        "an update does not affect backends that it does not list"
     );
     assert_eq!(tokens(&owned, now, "b", ""), 5);
     owned.apply(now, "node-1", 1, &update(7, &[("a", 0)]));
-    assert_eq!(tokens(&owned, now, "a", ""), 3, "idle now");
+    assert_eq!(tokens(&owned, now, "a", ""), 3, "node-1 is idle");
     owned.apply(now, "node-1", 1, &update(6, &[("a", 50)]));
-    assert_eq!(tokens(&owned, now, "a", ""), 3, "overtaken by its own end");
+    assert_eq!(
+        tokens(&owned, now, "a", ""),
+        3,
+        "an update that arrives after a newer one is ignored"
+    );
     owned.apply(now, "node-1", 2, &update(1, &[("a", 1)]));
-    assert_eq!(tokens(&owned, now, "a", ""), 4, "restarted");
+    assert_eq!(tokens(&owned, now, "a", ""), 4, "node-1 was restarted");
 }
 
 #[test]
@@ -122,7 +131,7 @@
 }
 
 quickcheck! {
-    /// Updates that are lost, repeated and overtaken leave what was said last, once that arrives.
+    /// Outdated and repeated updates in any order do not replace the newest one.
     fn any_order_of_updates_converges_to_the_newest(order: Vec<u8>) -> bool {
         let mut owned = OwnedLoads::default();
         let now = MonotonicTime::from_millis(1);
@@ -163,7 +172,7 @@
             *owned.entry(owner.name.clone()).or_default() += 1;
         }
     }
-    assert_eq!(owned.len(), 30, "each owns some");
+    assert_eq!(owned.len(), 30, "each node owns some keys");
     let (least, most) = (owned.values().min(), owned.values().max());
     assert!(least >= Some(&140) && most <= Some(&260), "{owned:?}");
 }
@@ -191,37 +200,46 @@
     let ring = OwnerRing::of(&[member(1)]);
     assert_eq!(owners(&ring, "a"), ["node-1"]);
     let ring = OwnerRing::of(&[member(1), member(4)]);
-    assert_eq!(owners(&ring, "a").len(), 2, "of one zone: the other node");
+    assert_eq!(owners(&ring, "a").len(), 2, "both nodes are in one zone");
 }
 
 #[test]
 fn an_owner_that_times_out_twice_is_suspected_for_a_while() {
     let mut queries = PendingRequests::default();
     let at = MonotonicTime::from_millis;
-    let (first, _answer) = queries.begin(at(0), "node-1");
+    let (first, _reply) = queries.begin(at(0), "node-1");
     queries.time_out(at(20), first);
-    assert!(!queries.is_suspect(at(20), "node-1"), "one may be lost");
-    let (second, _answer) = queries.begin(at(30), "node-1");
+    assert!(
+        !queries.is_suspect(at(20), "node-1"),
+        "a single timeout may be due to a lost datagram"
+    );
+    let (second, _reply) = queries.begin(at(30), "node-1");
     queries.time_out(at(50), second);
     assert!(queries.is_suspect(at(50), "node-1"));
     assert!(!queries.is_suspect(at(50), "node-2"));
-    assert!(!queries.is_suspect(at(1100), "node-1"), "tried again");
-    let (third, answer) = queries.begin(at(1100), "node-1");
+    assert!(
+        !queries.is_suspect(at(1100), "node-1"),
+        "the suspicion has expired"
+    );
+    let (third, reply) = queries.begin(at(1100), "node-1");
     assert!(queries.complete(at(1102), third, OwnerReply::Counts));
-    assert_eq!(answer.blocking_recv(), Ok(OwnerReply::Counts));
-    let (fourth, _answer) = queries.begin(at(1200), "node-1");
+    assert_eq!(reply.blocking_recv(), Ok(OwnerReply::Counts));
+    let (fourth, _reply) = queries.begin(at(1200), "node-1");
     queries.time_out(at(1220), fourth);
-    assert!(!queries.is_suspect(at(1220), "node-1"), "it replied");
+    assert!(
+        !queries.is_suspect(at(1220), "node-1"),
+        "the reply reset the count of timeouts"
+    );
     assert!(
         !queries.complete(at(1300), fourth, OwnerReply::Counts),
-        "too late"
+        "the reply is too late"
     );
 }
 
 #[test]
 fn abandoned_requests_expire() {
     let mut queries = PendingRequests::default();
-    let (id, _answer) = queries.begin(MonotonicTime::from_millis(0), "node-1");
+    let (id, _reply) = queries.begin(MonotonicTime::from_millis(0), "node-1");
     queries.expire(MonotonicTime::from_millis(5000));
     assert!(!queries.complete(MonotonicTime::from_millis(5001), id, OwnerReply::Counts));
 }
@@ -229,21 +247,28 @@
 #[test]
 fn the_request_timeout_follows_the_round_trips() {
     let mut round_trip = RoundTrip::default();
-    let before = round_trip.timeout();
+    let initial = round_trip.timeout();
     for _ in 0..50 {
-        round_trip.add(Duration::from_millis(16));
+        round_trip.add_sample(Duration::from_millis(16));
     }
     let steady = round_trip.timeout();
     assert!(
-        steady < before && steady >= Duration::from_millis(16),
+        steady < initial && steady >= Duration::from_millis(16),
         "{steady:?}"
     );
     for millis in [8, 24].into_iter().cycle().take(50) {
-        round_trip.add(Duration::from_millis(millis));
+        round_trip.add_sample(Duration::from_millis(millis));
     }
-    assert!(round_trip.timeout() > steady, "uneven round trips");
+    assert!(
+        round_trip.timeout() > steady,
+        "the round trips vary more than before"
+    );
     for _ in 0..50 {
-        round_trip.add(Duration::from_secs(3));
+        round_trip.add_sample(Duration::from_secs(3));
     }
-    assert_eq!(round_trip.timeout(), Duration::from_millis(40), "bounded");
+    assert_eq!(
+        round_trip.timeout(),
+        Duration::from_millis(40),
+        "the timeout is limited"
+    );
 }
--- a/crates/forward/tests/owners.rs
+++ b/crates/forward/tests/owners.rs
@@ -1,4 +1,4 @@
-//! Nodes that share what they know through owners, over real datagrams.
+//! Nodes that share load, prefix blocks and quotas through owners, over real UDP sockets.
 
 mod support;
 
@@ -14,11 +14,11 @@
 use support::caller::{call, request};
 use support::node::{Setup, TestNode};
 
-/// Backends without a server: nothing is sent to them here.
+/// Ids of backends whose load is counted. Tests that use them send no requests.
 const BACKENDS: [&str; 3] = ["backend-0", "backend-1", "backend-2"];
 
-/// Queries until a reply must have come: a datagram may be lost on a busy machine, and a query to an
-/// unresponsive owner takes its timeout.
+/// Queries after which a test fails. Many may be necessary: a busy machine may lose datagrams, and each query to an
+/// unresponsive owner only ends with its timeout.
 const MAX_QUERIES: u32 = 2000;
 
 fn start_work(node: &TestNode, backend: &str, tokens: u64) -> InFlightGuard {
@@ -34,31 +34,32 @@
     }
 }
 
-/// Prompt tokens in flight on a backend as a node learns them by a query now.
+/// Queries the owners of a backend and returns the prompt tokens in flight on it.
 async fn queried_tokens(node: &ForwardNode<MillfordProtocol>, backend: &str) -> u64 {
     let ring = node.peers.ring(&node.state.table());
-    let board = &node.state.load_table;
-    let pending = node.load.query(&node.peers, &ring, board, &[backend]);
-    node.peers.wait(pending).await;
-    board.counts(&key(backend)).prefill_tokens
+    let load_table = &node.state.load_table;
+    let in_flight = node.load.query(&node.peers, &ring, load_table, &[backend]);
+    node.peers.wait(in_flight).await;
+    load_table.counts(&key(backend)).prefill_tokens
 }
 
-/// Lets the exchange of every node run, as often as it can have something to do.
-async fn let_replies_arrive() {
+/// Yields to the exchange tasks of the nodes, often enough for a request and its reply.
+async fn yield_to_exchange() {
     for _ in 0..20 {
         tokio::task::yield_now().await;
     }
 }
 
+/// Queries a backend's load until it is `tokens`.
 async fn until_queried(node: &TestNode, backend: &str, tokens: u64) {
     for _ in 0..MAX_QUERIES {
         if queried_tokens(&node.node, backend).await == tokens {
             return;
         }
-        // A node that owns the counts itself sends no query: the others get their turn here.
-        let_replies_arrive().await;
+        // A node that owns the counts itself sends no query and so would not yield to the other nodes.
+        yield_to_exchange().await;
     }
-    panic!("{backend} never had {tokens} tokens");
+    panic!("the load of {backend} did not become {tokens} tokens");
 }
 
 #[tokio::test]
@@ -92,13 +93,13 @@
             .filter(|node| node.node.name != owner)
             .collect();
         let worker = others.first().expect("another node");
-        let asker = others.last().expect("another node");
+        let requester = others.last().expect("another node");
         let _guard = start_work(worker, backend_id, 70);
-        until_queried(asker, backend_id, 70).await;
+        until_queried(requester, backend_id, 70).await;
         let unresponsive = nodes.iter().find(|node| node.node.name == owner);
         unresponsive.expect("the owner").stop_exchange();
         let _more = start_work(worker, backend_id, 30);
-        until_queried(asker, backend_id, 100).await;
+        until_queried(requester, backend_id, 100).await;
     }
 }
 
@@ -119,23 +120,23 @@
         .collect();
     let mut left = nodes[0].members();
     left.retain(|member| !owners.contains(&member.name));
-    assert_eq!(left.len(), 4, "both owners go at once");
+    assert_eq!(left.len(), 4, "both owners leave at once");
     for node in &nodes {
         if owners.contains(&node.node.name) {
             node.stop_exchange();
         }
-        node.know_members(&setup, &[&backend], &left);
+        node.set_members(&setup, &[&backend], &left);
     }
     for node in &nodes {
         if !owners.contains(&node.node.name) {
-            // What the owners themselves had in flight is lost with them.
+            // The load of the two owners themselves is no longer counted.
             until_queried(node, BACKENDS[0], 40).await;
         }
     }
 }
 
 #[tokio::test]
-async fn a_prefix_block_sent_by_one_node_is_known_to_all() {
+async fn all_nodes_find_prefix_blocks_that_one_node_sent() {
     let backend = StubBackend::start(vec![Step::Hang]).await;
     let nodes = TestNode::start_fleet(6, &Setup::with(|_| {}), &[&backend]).await;
     let blocks: Vec<PrefixBlock> = (1..20).map(|id| PrefixBlock { id, tokens: 100 }).collect();
@@ -149,12 +150,13 @@
         let mut known = BTreeMap::new();
         for _ in 0..MAX_QUERIES {
             let prefix_index = &node.prefix_index;
-            let pending = index::query(&node.peers, &ring, prefix_index, &blocks, &[], &mut known);
-            index::merge_replies(&mut known, node.peers.wait(pending).await);
+            let in_flight =
+                index::query(&node.peers, &ring, prefix_index, &blocks, &[], &mut known);
+            index::merge_replies(&mut known, node.peers.wait(in_flight).await);
             if known.values().all(|backends| backends == &["backend-1"]) {
                 break;
             }
-            let_replies_arrive().await;
+            yield_to_exchange().await;
         }
         assert!(
             known.values().all(|backends| backends == &["backend-1"]),
@@ -196,7 +198,7 @@
     }
 }
 
-/// A tenant whose bucket hardly fills while a test runs.
+/// Returns a quota whose bucket is hardly refilled during a test.
 fn slow_quota() -> TokenQuota {
     TokenQuota {
         tokens_per_second: 1,
@@ -205,7 +207,7 @@
     }
 }
 
-/// A fleet in which tenants have owners.
+/// Starts a fleet that is large enough for tenants to have owners.
 async fn large_fleet(setup: &Setup) -> Vec<TestNode> {
     let backend = StubBackend::start(vec![Step::Hang]).await;
     let nodes = TestNode::start_fleet(18, setup, &[&backend]).await;
@@ -214,6 +216,7 @@
     nodes
 }
 
+/// Requests an admission for the tenant from its owners, as a request to the node does.
 async fn admit(node: &TestNode, tokens: u64) -> bool {
     let node = &node.node;
     let table = node.state.table();
@@ -230,28 +233,29 @@
     admission.await.is_ok()
 }
 
-/// Tokens admitted when the nodes request in turn, far more often than the bucket lasts for.
+/// Requests admissions from the nodes in turn until the bucket is used up, then ten more from each. Returns the
+/// admitted tokens.
 async fn admitted_in_turn(nodes: &[&TestNode]) -> u64 {
     let mut admitted = 0;
     let mut left = 10 * nodes.len();
-    let mut queries = 0;
+    let mut requests = 0;
     while left > 0 {
-        let node = nodes[queries % nodes.len()];
-        queries += 1;
+        let node = nodes[requests % nodes.len()];
+        requests += 1;
         if admit(node, 50).await {
             admitted += 50;
         }
-        // A busy machine delays replies: the bucket has to be used up all the same.
-        if admitted >= slow_quota().burst || queries > MAX_QUERIES as usize {
+        // On a busy machine replies are delayed, and it takes more requests until the bucket is used up.
+        if admitted >= slow_quota().burst || requests > MAX_QUERIES as usize {
             left -= 1;
         }
-        let_replies_arrive().await;
+        yield_to_exchange().await;
     }
     admitted
 }
 
-/// Whatever a busy machine delays: the owners of a zone grant no more than one bucket, and beyond it nodes
-/// admit only by degraded decisions.
+/// Asserts that the owners of each zone granted no more than one bucket, and that nodes admitted more only by
+/// degraded decisions. This holds also if a busy machine delays replies.
 fn assert_one_bucket_a_zone(admitted: u64, nodes: &[&TestNode]) {
     let degraded = nodes
         .iter()
@@ -298,7 +302,7 @@
 }
 
 #[tokio::test]
-async fn a_zone_without_owners_queries_those_of_other_zones() {
+async fn a_zone_without_owners_requests_admissions_from_other_zones() {
     let mut setup = Setup::with(|_| {});
     setup.quota = Some(slow_quota());
     let nodes = large_fleet(&setup).await;
@@ -313,12 +317,13 @@
         assert_eq!(owners[0].name, owner.name, "the first of its zone");
     }
     let unresponsive = ring.owners_of_tenant_in(&zone, "tenant");
-    let is_gone = |node: &&TestNode| {
+    let is_unresponsive = |node: &&TestNode| {
         unresponsive
             .iter()
             .any(|owner| owner.name == node.node.name)
     };
-    let (unresponsive, left): (Vec<&TestNode>, Vec<&TestNode>) = nodes.iter().partition(is_gone);
+    let (unresponsive, left): (Vec<&TestNode>, Vec<&TestNode>) =
+        nodes.iter().partition(is_unresponsive);
     assert_eq!(unresponsive.len(), 2, "both owners of one zone");
     for node in &unresponsive {
         node.stop_exchange();
--- a/crates/forward/tests/peer_sequences.rs
+++ b/crates/forward/tests/peer_sequences.rs
@@ -1,4 +1,4 @@
-//! Messages of peers: only newer ones count, and a restart begins anew.
+//! Sequence numbers of peer messages: outdated messages are rejected, and a restarted peer starts again.
 
 use millford_api::exchange::PeerMessage;
 use millford_forward::exchange::PeerSequences;
--- a/crates/forward/tests/quota.rs
+++ b/crates/forward/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Token quotas over several nodes, in simulated time.
+//! Token quotas over several nodes without owners, in simulated time.
 
 mod support;
 
@@ -11,7 +11,7 @@
 
 const RATE: u64 = 1000;
 const BURST: u64 = 1000;
-/// Rate and burst that a node keeps beyond the tenant's, and what one window may exceed them by.
+/// Factor by which the tokens of one window may exceed rate and burst: the buckets' headroom and a tolerance.
 const HEADROOM: f64 = 1.15;
 
 fn tenant() -> Tenant {
@@ -22,11 +22,12 @@
     })
 }
 
-/// Nodes that report their counts to each other, some of which are lost.
+/// Nodes that report their counts to each other. Tests decide which reports are lost.
 struct Fleet {
     nodes: Vec<TenantQuotas>,
-    boots: Vec<u64>,
+    boot_ids: Vec<u64>,
     now: MonotonicTime,
+    /// Time and tokens of each admission, over all nodes.
     admitted: Vec<(MonotonicTime, u64)>,
 }
 
@@ -34,7 +35,7 @@
     fn new(count: usize) -> Self {
         Self {
             nodes: (0..count).map(|_| TenantQuotas::default()).collect(),
-            boots: vec![1; count],
+            boot_ids: vec![1; count],
             now: MonotonicTime::from_millis(1000),
             admitted: Vec::new(),
         }
@@ -48,7 +49,7 @@
         admitted
     }
 
-    /// Every node reports to every other one, but for those that `lost` names.
+    /// Sends the report of each node to each other one, except where `lost(from, to)` holds.
     fn exchange(&mut self, lost: impl Fn(usize, usize) -> bool) {
         let quota = tenant().token_quota.unwrap();
         for from in 0..self.nodes.len() {
@@ -57,7 +58,7 @@
                 for level in &levels {
                     let count = PeerCount {
                         member: &format!("node-{from}"),
-                        boot_id: self.boots[from],
+                        boot_id: self.boot_ids[from],
                         tenant: &level.tenant,
                         used_tokens: level.used_tokens,
                         level_tokens: level.level_tokens,
@@ -73,16 +74,17 @@
         }
     }
 
-    fn pass(&mut self, millis: u64) {
+    /// Advances the simulated time.
+    fn advance(&mut self, millis: u64) {
         self.now = self.now + Duration::from_millis(millis);
     }
 
     fn restart(&mut self, node: usize) {
         self.nodes[node] = TenantQuotas::default();
-        self.boots[node] += 1;
+        self.boot_ids[node] += 1;
     }
 
-    /// The most that was admitted within any eight seconds.
+    /// Returns the most tokens that were admitted within any eight seconds.
     fn most_in_window(&self) -> u64 {
         let window = Duration::from_secs(8);
         let starts = self.admitted.iter().map(|(at, _)| *at);
@@ -95,7 +97,8 @@
     }
 }
 
-/// What may run within eight seconds, with `late` tokens admitted before peers receive each other's reports.
+/// Returns the most tokens that may be admitted within eight seconds. `late` tokens are admitted before the peers
+/// receive each other's reports.
 fn bound(late: u64) -> u64 {
     ((RATE * 8 + BURST) as f64 * HEADROOM) as u64 + late
 }
@@ -105,13 +108,13 @@
     let mut fleet = Fleet::new(8);
     for step in 0..4000_usize {
         for node in 0..8 {
-            // Six times the rate; each admission is reported within ten milliseconds.
+            // Six times the quota's rate. Each admission is reported within ten milliseconds.
             if step % 2 == 0 {
                 fleet.admit(node, 15);
             }
         }
         fleet.exchange(|_, _| false);
-        fleet.pass(10);
+        fleet.advance(10);
     }
     let total: u64 = fleet.admitted.iter().map(|(_, tokens)| tokens).sum();
     let expected = RATE * 40 + BURST;
@@ -130,10 +133,10 @@
 fn a_tenant_under_its_quota_is_never_refused() {
     let mut fleet = Fleet::new(8);
     for step in 0..2000_usize {
-        // Nine tenths of the rate, all of it at one node.
+        // Nine tenths of the quota's rate, sent to three nodes in turn.
         assert!(fleet.admit(step % 3, 9), "refused at {:?}", fleet.now);
         fleet.exchange(|from, to| (from + to + step) % 3 == 0);
-        fleet.pass(10);
+        fleet.advance(10);
     }
 }
 
@@ -141,11 +144,11 @@
 fn bursts_are_admitted_while_the_tenant_is_under_its_rate() {
     let mut fleet = Fleet::new(1);
     for peak in 0..20 {
-        // Seven eighths of the rate, in peaks of 1.4 bursts.
+        // Seven eighths of the quota's rate, sent in peaks of 1.4 bursts.
         for _ in 0..7 {
             assert!(fleet.admit(0, 200), "peak {peak}");
         }
-        fleet.pass(1600);
+        fleet.advance(1600);
     }
 }
 
@@ -155,16 +158,16 @@
     let (mut small, mut large) = (0, 0);
     for step in 0..8000_usize {
         small += u64::from(fleet.admit(step % 2, 10));
-        fleet.pass(1);
+        fleet.advance(1);
         large += u64::from(fleet.admit((step + 1) % 2, 500));
         fleet.exchange(|_, _| false);
-        fleet.pass(4);
+        fleet.advance(4);
     }
     assert!(large * 3 > small, "{large} large, {small} small");
 }
 
-/// Admissions of each node while the tenant sends six times its rate to all of them, at
-/// random.
+/// Returns the number of admissions of each node while the tenant sends six times its quota's rate, each request to
+/// a random node.
 fn admissions_under_pressure(fleet: &mut Fleet, steps: usize) -> Vec<usize> {
     let mut random = StdRng::seed_from_u64(7);
     let count = fleet.nodes.len();
@@ -175,7 +178,7 @@
             admissions[node] += usize::from(fleet.admit(node, 15));
         }
         fleet.exchange(|_, _| false);
-        fleet.pass(5);
+        fleet.advance(5);
     }
     admissions
 }
@@ -183,7 +186,7 @@
 #[test]
 fn a_node_with_a_higher_level_estimate_does_not_take_the_others_share() {
     let mut fleet = Fleet::new(8);
-    // The peers received these admissions; that they were refunded only the node itself knows.
+    // The peers receive the report of these admissions, but not of their refund.
     for _ in 0..10 {
         assert!(fleet.admit(2, 40));
     }
@@ -199,15 +202,15 @@
 #[test]
 fn a_node_that_receives_nothing_does_not_raise_the_others_estimates() {
     let mut fleet = Fleet::new(8);
-    // All receive from node 5, which receives nothing and estimates the bucket to be full.
+    // All nodes receive the reports of node 5. It receives none itself and so estimates the bucket to be full.
     for step in 0..1000_usize {
         for request in 0..8 {
             fleet.admit((step * 3 + request) % 8, 15);
         }
         fleet.exchange(|_, to| to == 5);
-        fleet.pass(20);
+        fleet.advance(20);
     }
-    // Its own share comes on top: it cannot know that it takes more.
+    // What node 5 admits is added to the bound, since it cannot detect that the bucket is used up.
     let own = RATE * 8 / 2;
     let most = fleet.most_in_window();
     assert!(most <= bound(own + RATE), "{most}");
@@ -222,13 +225,13 @@
                 fleet.admit(node, 15);
             }
             fleet.exchange(|from, to| partitioned && (from == 3 || to == 3));
-            fleet.pass(10);
+            fleet.advance(10);
         }
     };
     run(&mut fleet, 1000, false);
     run(&mut fleet, 400, true);
     run(&mut fleet, 1000, false);
-    // Each side assumes that the other goes on as before; the assumption fades in seconds.
+    // Each side assumes that the other keeps its rate; the assumed rate decays within seconds.
     assert!(
         fleet.most_in_window() <= bound(RATE * 2),
         "{}",
@@ -248,7 +251,7 @@
             fleet.restart(step / 250 % 4);
             fleet.exchange(|_, _| false);
         }
-        fleet.pass(10);
+        fleet.advance(10);
     }
     assert!(
         fleet.most_in_window() <= bound(BURST),
@@ -259,12 +262,13 @@
 
 #[test]
 fn any_message_losses_leave_the_quota_bounded() {
-    /// `loss_percent`: of the datagrams, by step; at most half.
+    /// `loss_percent` is the share of lost reports in each step, limited to 50. `offered` are the tokens that each
+    /// node is sent in each step.
     #[expect(
         clippy::needless_pass_by_value,
         reason = "quickcheck passes owned values"
     )]
-    fn holds(seed: u64, loss_percent: Vec<u8>, offered: Vec<u8>) -> TestResult {
+    fn stays_bounded(seed: u64, loss_percent: Vec<u8>, offered: Vec<u8>) -> TestResult {
         if loss_percent.is_empty() || offered.is_empty() {
             return TestResult::discard();
         }
@@ -282,11 +286,11 @@
                 .map(|_| random.random_range(0..100) < loss)
                 .collect();
             fleet.exchange(|from, to| lost[from * 4 + to]);
-            fleet.pass(20);
+            fleet.advance(20);
         }
         TestResult::from_bool(fleet.most_in_window() <= bound(RATE / 2))
     }
     QuickCheck::new()
         .tests(40)
-        .quickcheck(holds as fn(u64, Vec<u8>, Vec<u8>) -> TestResult);
+        .quickcheck(stays_bounded as fn(u64, Vec<u8>, Vec<u8>) -> TestResult);
 }
--- a/crates/forward/tests/streams.rs
+++ b/crates/forward/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Event streams: passed on as they come, continued elsewhere at exactly the next event.
+//! Forwarding of event streams, and resumption on another backend at exactly the next event.
 
 mod support;
 
@@ -32,7 +32,7 @@
 
 #[tokio::test]
 async fn another_backend_resumes_after_the_last_complete_event() {
-    // The first breaks off in the middle of event 4.
+    // Each backend's first response is truncated in the middle of event 4.
     let half = chunk(&event(4)[..7]);
     let broken = format!("{}{half}", stream_start(1..4));
     let rest = format!("{}{LAST_CHUNK}", stream_start(4..8));
@@ -42,7 +42,8 @@
     ])
     .await;
     let second = StubBackend::start(vec![Step::AnswerThenReset(broken), Step::Answer(rest)]).await;
-    // Whichever comes first is lost; the other resumes.
+    // The first response of each backend is truncated, and the stream is then resumed on the other one. Later
+    // requests receive the rest of the stream at once.
     let node = TestNode::start(&resumable(), &[&first, &second]).await;
     let mut complete = 0;
     for _ in 0..4 {
@@ -79,7 +80,7 @@
             .await,
             StubBackend::start(vec![Step::Answer(rest)]).await,
         ];
-        // Only the first gets the request; the second resumes.
+        // Repeats the request until the first backend, whose first response is truncated, is chosen before the other.
         let node = TestNode::start(&resumable(), &[&backends[0], &backends[1]]).await;
         let reply = loop {
             let reply = call(node.callers, &request("/jobs/", "", "")).await;
@@ -118,7 +119,7 @@
 
 #[tokio::test]
 async fn a_stream_ends_at_the_deadline_of_its_route() {
-    // Three events, and then nothing more.
+    // The backend sends three events and never ends the stream.
     let text = stream_start(1..4);
     let backend = StubBackend::start(vec![Step::Answer(text), Step::Hang]).await;
     let setup = Setup::with(|route| {
--- a/crates/forward/tests/support/backend.rs
+++ b/crates/forward/tests/support/backend.rs
@@ -1,4 +1,4 @@
-//! A stub of a backend: responds with scripted bytes and records what it received.
+//! A stub backend that responds with scripted bytes and records the requests that it receives.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -8,26 +8,27 @@
 
 use super::head::header_of;
 
-/// One request as it arrived.
+/// One received request.
 #[derive(Clone, Debug)]
 pub(crate) struct Received {
+    /// Request line and headers.
     pub(crate) head: String,
     pub(crate) body: Vec<u8>,
 }
 
 impl Received {
-    /// Value of a header.
+    /// Returns the value of a header.
     pub(crate) fn header(&self, name: &str) -> Option<String> {
         header_of(&self.head, name)
     }
 }
 
-/// What the backend does with its next request.
+/// The backend's reaction to one request.
 #[derive(Clone, Debug)]
 pub(crate) enum Step {
-    /// Sends these bytes and takes the next request.
+    /// Sends these bytes, with `REQUEST-ID` replaced by the request's id, and keeps the connection open.
     Answer(String),
-    /// Sends these bytes and resets the connection.
+    /// Sends these bytes as [`Step::Answer`] does, and resets the connection.
     AnswerThenReset(String),
     /// Closes the connection without a response.
     Close,
@@ -45,7 +46,7 @@
 }
 
 impl StubBackend {
-    /// Starts a backend that takes these steps, one a request; the last one is repeated.
+    /// Starts a backend that performs one of these steps for each request, in order, and repeats the last one.
     pub(crate) async fn start(steps: Vec<Step>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let backend = Self {
@@ -67,12 +68,12 @@
         backend
     }
 
-    /// Everything that arrived.
+    /// Returns all requests received so far.
     pub(crate) fn received(&self) -> Vec<Received> {
         self.received.lock().unwrap().clone()
     }
 
-    /// Connections that were opened.
+    /// Returns the number of connections accepted so far.
     pub(crate) fn connections(&self) -> u32 {
         *self.connections.lock().unwrap()
     }
@@ -151,7 +152,7 @@
         .position(|window| window == pattern)
 }
 
-/// A complete signed response.
+/// Builds a complete signed response.
 pub(crate) fn signed(body: &str) -> String {
     let length = body.len();
     format!(
@@ -160,14 +161,14 @@
     )
 }
 
-/// A refusal that says that the request did not run.
+/// Builds a refusal which declares that the request did not run.
 pub(crate) fn not_run(status: u16) -> String {
     format!(
         "HTTP/1.1 {status} Refused\r\nx-millford-run-state: not_run\r\ncontent-length: 0\r\n\r\n"
     )
 }
 
-/// The head of a signed event stream, and events with these ids.
+/// Builds the head of a signed event stream, followed by the events with these ids.
 pub(crate) fn stream_start(ids: std::ops::Range<u64>) -> String {
     let head = "HTTP/1.1 200 OK\r\nx-millford-request-id: REQUEST-ID\r\nx-millford-signature: s\r\n\
                 content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
@@ -175,15 +176,15 @@
     format!("{head}{events}")
 }
 
-/// One event.
+/// Builds one event.
 pub(crate) fn event(id: u64) -> String {
     format!("id: {id}\ndata: piece {id}\n\n")
 }
 
-/// Bytes as one chunk.
+/// Encodes a text as one chunk of a chunked body.
 pub(crate) fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// The last chunk.
+/// The chunk that ends a chunked body.
 pub(crate) const LAST_CHUNK: &str = "0\r\n\r\n";
--- a/crates/forward/tests/support/caller.rs
+++ b/crates/forward/tests/support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that speaks HTTP/1.1 over a socket and sees every byte.
+//! A caller that sends HTTP/1.1 over a plain socket, so that tests can check the exact bytes.
 
 use std::net::SocketAddr;
 
@@ -8,23 +8,26 @@
 use super::head::header_of;
 use super::node::{HOST, KEY};
 
-/// A response as it came, and whether it was complete by its framing.
+/// A received response.
 #[derive(Clone, Debug)]
 pub(crate) struct Reply {
     pub(crate) status: u16,
+    /// Status line and headers.
     pub(crate) head: String,
+    /// The body without its framing.
     pub(crate) body: String,
+    /// Whether the body is complete by its framing.
     pub(crate) complete: bool,
 }
 
 impl Reply {
-    /// Value of a header.
+    /// Returns the value of a header.
     pub(crate) fn header(&self, name: &str) -> Option<String> {
         header_of(&self.head, name)
     }
 }
 
-/// A request below `/jobs/` with the tenant's key.
+/// Builds a POST request with the tenant's key. `headers` are additional header lines, each with its CRLF.
 pub(crate) fn request(path: &str, headers: &str, body: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nHost: {HOST}\r\nAuthorization: Bearer {KEY}\r\n\
@@ -40,7 +43,7 @@
     read_reply(&mut stream).await.expect("a response")
 }
 
-/// Reads one response; `None` when the connection ends before its head.
+/// Reads one response; `None` if the connection is closed before the end of the response's head.
 pub(crate) async fn read_reply(stream: &mut TcpStream) -> Option<Reply> {
     let mut bytes = Vec::new();
     let mut buffer = [0; 4096];
--- a/crates/forward/tests/support/head.rs
+++ b/crates/forward/tests/support/head.rs
@@ -1,6 +1,6 @@
-//! The head of an HTTP/1.1 message as text.
+//! Parses the head of an HTTP/1.1 message.
 
-/// Value of the first header with this name.
+/// Returns the value of the first header with this name.
 pub(crate) fn header_of(head: &str, name: &str) -> Option<String> {
     let mut lines = head.lines().skip(1);
     lines.find_map(|line| {
--- a/crates/forward/tests/support/mod.rs
+++ b/crates/forward/tests/support/mod.rs
@@ -1,9 +1,6 @@
-//! A forwarding node in this process, in front of stub backends that tests script.
+//! Fixtures: forwarding nodes that run in the test process, stub backends with scripted responses, and a caller.
 
-#![allow(
-    dead_code,
-    reason = "each test binary uses another selection of the fixtures"
-)]
+#![allow(dead_code, reason = "each test binary uses only some of the fixtures")]
 
 pub(crate) mod backend;
 pub(crate) mod caller;
--- a/crates/forward/tests/support/node.rs
+++ b/crates/forward/tests/support/node.rs
@@ -1,4 +1,4 @@
-//! A forwarding node over real sockets, with a table that tests write.
+//! A forwarding node over real sockets, with a routing table that the test defines.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,12 +19,12 @@
 
 use super::backend::StubBackend;
 
-/// Key of the tenant that tests call with.
+/// Key of the tenant in whose name tests send requests.
 pub(crate) const KEY: &str = "key-of-the-tenant";
-/// Host of every route.
+/// Host of all routes.
 pub(crate) const HOST: &str = "api.example";
 
-/// What a test's table says.
+/// The configuration in a test's routing table.
 pub(crate) struct Setup {
     pub(crate) routes: Vec<ForwardRoute>,
     pub(crate) quota: Option<TokenQuota>,
@@ -32,7 +32,7 @@
 }
 
 impl Setup {
-    /// One route below `/jobs/`, and no quota.
+    /// Creates a setup with one route for `/jobs/`, which `change` may modify, and no quota.
     pub(crate) fn with(change: impl FnOnce(&mut ForwardRoute)) -> Self {
         let mut route = ForwardRoute {
             name: "jobs".to_owned(),
@@ -55,11 +55,13 @@
     }
 }
 
-/// A node with its callers' address.
+/// A running node.
 pub(crate) struct TestNode {
     pub(crate) node: Arc<ForwardNode<MillfordProtocol>>,
+    /// Address that callers connect to.
     pub(crate) callers: SocketAddr,
     pub(crate) connections: CallerConnections,
+    /// The task that exchanges messages with peers; `None` for a node outside a fleet.
     exchange: Option<JoinHandle<()>>,
 }
 
@@ -69,7 +71,7 @@
         Self::start_named("node-1", setup, backends).await
     }
 
-    /// Starts a node without some mechanisms.
+    /// Starts a node with some mechanisms disabled, given as in the settings.
     pub(crate) async fn start_without(
         disabled_mechanisms: &str,
         setup: &Setup,
@@ -82,7 +84,7 @@
         Self::start_with(&settings, setup, backends).await
     }
 
-    /// Starts nodes that know each other and talk over UDP.
+    /// Starts nodes that list each other as peers and exchange messages over UDP. They alternate between two zones.
     pub(crate) async fn start_fleet(
         count: usize,
         setup: &Setup,
@@ -107,9 +109,9 @@
             nodes.push(Self::start_with(&settings, setup, backends).await);
         }
         for (node, socket) in nodes.iter_mut().zip(sockets) {
-            node.know_members(setup, backends, &members);
-            let exchanging = millford_forward::exchange::run(Arc::clone(&node.node), socket);
-            node.exchange = Some(tokio::spawn(exchanging));
+            node.set_members(setup, backends, &members);
+            let exchange = millford_forward::exchange::run(Arc::clone(&node.node), socket);
+            node.exchange = Some(tokio::spawn(exchange));
         }
         nodes
     }
@@ -126,7 +128,7 @@
         let state = Arc::new(ProxyState::new(RequestLimits::default()));
         state.set_table(table(setup, backends, &[]));
         state.set_ready();
-        // Enough for the second sends of one test.
+        // Fills the retry budget for all retries of one test.
         for _ in 0..100 {
             state.budget.earn();
         }
@@ -147,8 +149,8 @@
         }
     }
 
-    /// The feed lists these proxies from now on.
-    pub(crate) fn know_members(
+    /// Replaces the routing table by one that lists these proxies.
+    pub(crate) fn set_members(
         &self,
         setup: &Setup,
         backends: &[&StubBackend],
@@ -158,18 +160,18 @@
         self.node.state.set_table(table);
     }
 
-    /// The proxies that the feed lists.
+    /// Returns the proxies that the routing table lists.
     pub(crate) fn members(&self) -> Vec<ProxyMember> {
         self.node.state.table().forward().peers().to_vec()
     }
 
-    /// The node neither receives nor sends peer messages from now on.
+    /// Stops the node's exchange task, so that it neither receives messages nor sends updates or replies.
     pub(crate) fn stop_exchange(&self) {
         self.exchange.iter().for_each(JoinHandle::abort);
     }
 }
 
-/// Zone of a fleet's node: they take turns.
+/// Returns the zone of a node in a fleet: the nodes alternate between two zones.
 fn zone_of(number: usize) -> String {
     format!("zone-{}", number % 2)
 }
@@ -183,23 +185,23 @@
     }
 }
 
-/// Polls of a condition before a test gives up.
+/// Polls of a condition after which a test fails.
 const MAX_POLLS: u32 = 100_000;
 
 impl TestNode {
-    /// Lets the node's tasks run until the condition holds.
-    pub(crate) async fn until(&self, holds: impl Fn() -> bool) {
+    /// Yields to the node's tasks until the condition holds.
+    pub(crate) async fn until(&self, condition: impl Fn() -> bool) {
         for _ in 0..MAX_POLLS {
-            if holds() {
+            if condition() {
                 return;
             }
             tokio::task::yield_now().await;
         }
-        panic!("the condition never held");
+        panic!("the condition did not become true");
     }
 }
 
-/// The table of a setup.
+/// Builds the routing table of a setup.
 pub(crate) fn table(
     setup: &Setup,
     backends: &[&StubBackend],
--- a/crates/forward/tests/support/tenant.rs
+++ b/crates/forward/tests/support/tenant.rs
@@ -2,7 +2,7 @@
 
 use millford_api::config::{Tenant, TokenQuota};
 
-/// The tenant `tenant`.
+/// Returns a tenant called `tenant` with this quota.
 pub(crate) fn tenant(quota: TokenQuota) -> Tenant {
     Tenant {
         name: "tenant".to_owned(),
--- a/crates/forward/tests/usage_messages.rs
+++ b/crates/forward/tests/usage_messages.rs
@@ -1,4 +1,4 @@
-//! What usage messages contain: to whom a count was reported decides whether it is reported again.
+//! Contents and receivers of usage messages: which counts are reported, and which are not reported again.
 
 mod support;
 
@@ -40,7 +40,7 @@
     assert_eq!(
         encoder.encode_for_all(&node, now, UpdateScope::Changes),
         None,
-        "all were reported"
+        "all usage was reported"
     );
     let again = encoder
         .encode_for_all(&node, now, UpdateScope::Full)
