--- a/crates/forward/src/backend/connection.rs
+++ b/crates/forward/src/backend/connection.rs
@@ -43,7 +43,7 @@
 /// Why a request on a connection failed.
 #[derive(Debug)]
 pub enum SendError {
-    /// No byte of the request was sent, because the connection was closed already. Returns the request.
+    /// No byte of the request was sent, because the connection was closed already. Contains the request.
     Unsent(Box<Request<Full<Bytes>>>),
     /// The connection was lost after part of the request may have been sent.
     Lost,
--- a/crates/forward/src/backend/health_watch.rs
+++ b/crates/forward/src/backend/health_watch.rs
@@ -14,7 +14,7 @@
 
 const LOG: PartLog = PartLog::new("HEALTH");
 
-/// Interval at which it is checked which backends are due for a probe.
+/// Interval between checks for backends that are due for a probe.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time without data after which a backend with requests in flight is probed.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(600);
--- a/crates/forward/src/exchange/exchange_task.rs
+++ b/crates/forward/src/exchange/exchange_task.rs
@@ -36,7 +36,7 @@
 /// Interval of updates that cover all tenants, for peers that missed earlier updates.
 const FULL_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Most datagrams that are received without yielding to other tasks, in addition to the one that woke the task.
+/// Most datagrams that are received in one wake-up of the task, in addition to the first one.
 const MAX_DATAGRAMS_PER_WAKE_UP: usize = 64;
 
 /// Largest datagram that is read, in bytes.
@@ -182,8 +182,8 @@
         self.recently_published.extend(changed);
     }
 
-    /// Publishes unchanged load again, at an interval and whenever the ring has changed: this makes up for lost
-    /// updates and informs new owners. Also removes expired state.
+    /// Publishes unchanged load again, at an interval and when this call is the first to use a changed ring: this
+    /// makes up for lost updates and informs new owners. Also removes expired state.
     fn republish_load<P: ForwardProtocol>(&mut self, node: &ForwardNode<P>, now: MonotonicTime) {
         let refreshed = node.peers.refresh_ring(&node.state.table());
         if now < self.next_republish && !refreshed.has_changed {
@@ -200,7 +200,7 @@
             .publish(&node.peers, &refreshed.ring, load_table, &backends);
     }
 
-    /// Receives the datagrams that are already waiting, up to a limit, without another wake-up of the task.
+    /// Receives the datagrams that have already arrived, up to [`MAX_DATAGRAMS_PER_WAKE_UP`], without waiting.
     fn receive_waiting<P: ForwardProtocol>(
         &mut self,
         node: &ForwardNode<P>,
--- a/crates/forward/src/graceful_shutdown.rs
+++ b/crates/forward/src/graceful_shutdown.rs
@@ -2,9 +2,9 @@
 
 use millford_core::{Duration, MonotonicTime};
 
-/// Time after the termination signal during which requests are accepted whatever their deadlines are, since callers
+/// Time after the termination signal during which requests are accepted regardless of their deadlines, since callers
 /// may not have noticed yet that the node is draining.
-const ACCEPT_ALL_FOR: Duration = Duration::from_millis(2800);
+const ACCEPT_ALL_DURATION: Duration = Duration::from_millis(2800);
 
 /// The time limits of a node that is draining.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,7 +19,7 @@
     #[must_use]
     pub fn begin(now: MonotonicTime, longest: Duration) -> Self {
         Self {
-            accepts_all_until: now + ACCEPT_ALL_FOR.min(longest),
+            accepts_all_until: now + ACCEPT_ALL_DURATION.min(longest),
             end: now + longest,
         }
     }
--- a/crates/forward/src/load/shared_load.rs
+++ b/crates/forward/src/load/shared_load.rs
@@ -18,7 +18,7 @@
 
 /// Age up to which counts may be used if a query gets no reply. Older ones are worse than none: a backend
 /// completes the prefill of a whole prompt in less time.
-const FRESH_FOR: Duration = Duration::from_millis(500);
+const MAX_COUNT_AGE: Duration = Duration::from_millis(500);
 
 /// The counts that this node owns, and the age of those that it queried.
 #[derive(Debug, Default)]
@@ -107,7 +107,7 @@
         let refreshed = lock(&self.refreshed);
         let is_fresh = |id: &&str| {
             let at = refreshed.get(*id);
-            at.is_some_and(|at| now.since(*at) < FRESH_FOR)
+            at.is_some_and(|at| now.since(*at) < MAX_COUNT_AGE)
         };
         backend_ids.iter().map(is_fresh).collect()
     }
@@ -142,7 +142,7 @@
     /// Removes counts that are too old to be used.
     pub fn expire(&self, now: MonotonicTime) {
         lock(&self.owned).expire(now);
-        lock(&self.refreshed).retain(|_, at| now.since(*at) < FRESH_FOR);
+        lock(&self.refreshed).retain(|_, at| now.since(*at) < MAX_COUNT_AGE);
     }
 
     fn reply(
--- a/crates/forward/src/main.rs
+++ b/crates/forward/src/main.rs
@@ -1,4 +1,4 @@
-//! The `millford-forward` daemon: the forwarding proxy with the product's own headers.
+//! The `millford-forward` daemon: the forwarding proxy with Millford's own headers.
 
 use millford_forward::{ForwardSettings, MillfordProtocol, run};
 use millford_settings::{DaemonCommand, logging};
--- a/crates/forward/src/millford_protocol.rs
+++ b/crates/forward/src/millford_protocol.rs
@@ -1,4 +1,4 @@
-//! [`ForwardProtocol`] with the product's own headers.
+//! [`ForwardProtocol`] with Millford's own headers.
 
 use http::header::AUTHORIZATION;
 use http::{HeaderMap, HeaderValue};
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -26,7 +26,7 @@
     pub zone: String,
     /// Routing table, load in flight, cost estimates, backends' health, retry budget and metrics.
     pub state: Arc<ProxyState>,
-    /// Which backends have which prefix blocks cached.
+    /// Locations of prefix blocks: the backends that have each block cached.
     pub prefix_index: PrefixIndex,
     /// Sends requests to the nodes that own keys.
     pub peers: PeerLink,
--- a/crates/forward/src/owners/pending_requests.rs
+++ b/crates/forward/src/owners/pending_requests.rs
@@ -15,7 +15,7 @@
 
 /// How long requests avoid a suspected owner. A restarted process responds again within this time, and each
 /// request that times out leaves one choice without fresh counts.
-const SUSPECT_FOR: Duration = Duration::from_secs(1);
+const SUSPECT_DURATION: Duration = Duration::from_secs(1);
 
 /// An owner's reply.
 #[derive(Clone, Debug, PartialEq)]
@@ -86,14 +86,14 @@
         let timeouts = self.timeouts.entry(request.owner).or_default();
         timeouts.consecutive += 1;
         if timeouts.consecutive >= TIMEOUTS_TO_SUSPECT {
-            timeouts.suspect_until = Some(now + SUSPECT_FOR);
+            timeouts.suspect_until = Some(now + SUSPECT_DURATION);
         }
     }
 
     /// Removes requests that were abandoned while they were in flight.
     pub fn expire(&mut self, now: MonotonicTime) {
         self.requests
-            .retain(|_, request| now.since(request.sent_at) < SUSPECT_FOR);
+            .retain(|_, request| now.since(request.sent_at) < SUSPECT_DURATION);
     }
 
     /// Whether an owner is suspected of being unresponsive because of recent timeouts.
--- a/crates/forward/src/owners/round_trip.rs
+++ b/crates/forward/src/owners/round_trip.rs
@@ -8,7 +8,7 @@
 /// choice without these replies costs far more than the wait: it may prefill a prompt of several thousand tokens
 /// again.
 const MIN_TIMEOUT: Duration = Duration::from_millis(15);
-/// Longest timeout, whatever the measured round trips are.
+/// Longest timeout, regardless of the measured round trips.
 const MAX_TIMEOUT: Duration = Duration::from_millis(40);
 /// Weight of the newest sample in the mean, alpha of RFC 6298.
 const MEAN_WEIGHT: f64 = 1.0 / 8.0;
--- a/crates/forward/src/quota/level_estimate.rs
+++ b/crates/forward/src/quota/level_estimate.rs
@@ -3,7 +3,7 @@
 use millford_api::config::TokenQuota;
 use millford_core::{Duration, MonotonicTime};
 
-use super::cluster_bucket::BucketFigures;
+use super::cluster_bucket::BucketParameters;
 use super::grant::Grant;
 
 /// Number of nodes that share a quota.
@@ -21,7 +21,7 @@
     /// An owner's reply did not arrive in time, or the owner has not received the quota yet. The zone's other
     /// nodes are assumed to receive their replies.
     AnswerLost,
-    /// No owner that this zone uses has replied lately. None of the zone's nodes is assumed to reach an owner.
+    /// All owners that this zone uses are unresponsive. None of the zone's nodes is assumed to reach an owner.
     OwnersUnreachable,
 }
 
@@ -57,7 +57,7 @@
 /// plus the refill since then is therefore an upper bound of the present level.
 #[derive(Clone, Copy, Debug)]
 pub struct LevelEstimate {
-    figures: BucketFigures,
+    parameters: BucketParameters,
     /// Tokens left, as reported by the owner.
     level: f64,
     reported_at: MonotonicTime,
@@ -73,13 +73,13 @@
     /// each node that has just started assumed a full bucket, together they would admit many times the quota.
     #[must_use]
     pub fn unknown(quota: &TokenQuota, fleet: FleetSize, now: MonotonicTime) -> Self {
-        let figures = BucketFigures::of(quota);
+        let parameters = BucketParameters::of(quota);
         let share = 1.0 / fleet.nodes.max(1) as f64;
         Self {
-            figures,
-            level: figures.burst * share,
+            parameters,
+            level: parameters.burst * share,
             reported_at: now,
-            admitted_per_second: figures.rate * (1.0 - share),
+            admitted_per_second: parameters.rate * (1.0 - share),
             admitted_degraded: 0.0,
             fleet,
         }
@@ -94,7 +94,7 @@
         grant: &Grant,
     ) {
         *self = Self {
-            figures: BucketFigures::of(quota),
+            parameters: BucketParameters::of(quota),
             level: grant.level_tokens as f64,
             reported_at: now,
             admitted_per_second: grant.admitted_per_second as f64,
@@ -108,8 +108,8 @@
     #[must_use]
     pub fn certain_wait(&self, now: MonotonicTime) -> Option<Duration> {
         let passed = now.since(self.reported_at).as_secs_f64();
-        let upper_bound = self.level + passed * self.figures.rate;
-        (upper_bound <= 0.0).then(|| self.figures.wait(upper_bound))
+        let upper_bound = self.level + passed * self.parameters.rate;
+        (upper_bound <= 0.0).then(|| self.parameters.wait(upper_bound))
     }
 
     /// Admits a request without an owner's reply. The fleet is assumed to keep its admission rate, of which this
@@ -129,16 +129,16 @@
     ) -> Result<(), Duration> {
         let passed = now.since(self.reported_at).as_secs_f64();
         let expected_rate = self.admitted_per_second;
-        let unspent = self.level + passed * (self.figures.rate - expected_rate);
+        let unspent = self.level + passed * (self.parameters.rate - expected_rate);
         let zone_expected = passed * expected_rate * self.fleet.zone_share();
         let degraded_nodes = match reason {
             DegradedReason::AnswerLost => 1,
             DegradedReason::OwnersUnreachable => self.fleet.in_zone.max(1),
         };
         let zone_admitted = self.admitted_degraded * degraded_nodes as f64;
-        let left = unspent.min(self.figures.burst) + zone_expected - zone_admitted;
+        let left = unspent.min(self.parameters.burst) + zone_expected - zone_admitted;
         if left <= 0.0 {
-            return Err(self.figures.wait(left));
+            return Err(self.parameters.wait(left));
         }
         self.admitted_degraded += tokens as f64;
         Ok(())
--- a/crates/forward/src/quota/mod.rs
+++ b/crates/forward/src/quota/mod.rs
@@ -15,7 +15,7 @@
 pub mod tenant_state;
 pub mod usage_meter;
 
-pub use cluster_bucket::{BucketFigures, ClusterBucket};
+pub use cluster_bucket::{BucketParameters, ClusterBucket};
 pub use grant::Grant;
 pub use level_estimate::{DegradedReason, FleetSize, LevelEstimate};
 pub use peer_usage::PeerUsage;
--- a/crates/forward/src/quota/peer_usage.rs
+++ b/crates/forward/src/quota/peer_usage.rs
@@ -5,8 +5,8 @@
 /// Time without a message after which a peer counts as unresponsive, and is assumed to admit at its last rate.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(400);
 
-/// Time constant with which the assumed rate of an unresponsive peer decays, in seconds: the longer the peer is
-/// silent, the likelier it has stopped and admits nothing.
+/// Time constant with which the assumed rate of an unresponsive peer decays, in seconds: a peer that has stopped
+/// admits nothing.
 pub const ASSUMED_RATE_DECAY_S: f64 = 4.0;
 
 /// Weight of the newest rate in the smoothed one.
@@ -82,14 +82,14 @@
         admitted - assumed
     }
 
-    /// Whether a message of the same incarnation of the peer was received lately, so that the next count covers
-    /// all that it has admitted in between.
+    /// Whether the last message was received within [`PARTITION_GAP`] and from the same incarnation of the peer, so
+    /// that the difference to the next count is what the peer has admitted recently.
     #[must_use]
     pub fn is_continuous(&self, boot_id: u64, now: MonotonicTime) -> bool {
         self.boot_id == boot_id && now.since(self.received_at) <= PARTITION_GAP
     }
 
-    /// Whether nothing was received from the peer for longer than its update interval allows.
+    /// Whether nothing was received from the peer for [`UNRESPONSIVE_AFTER`] or longer.
     #[must_use]
     pub fn is_unresponsive(&self, now: MonotonicTime) -> bool {
         now.since(self.received_at) >= UNRESPONSIVE_AFTER
@@ -103,7 +103,7 @@
         std::mem::take(&mut self.assumed)
     }
 
-    /// Whether the peer's estimate is reliable: the peer was neither partitioned nor started lately.
+    /// Whether the peer's estimate is reliable: the peer was neither partitioned nor started recently.
     #[must_use]
     pub fn is_stable(&self) -> bool {
         self.received_at.since(self.continuous_since) >= STABLE_AFTER
--- a/crates/forward/src/quota/quota_client.rs
+++ b/crates/forward/src/quota/quota_client.rs
@@ -33,8 +33,9 @@
 #[derive(Clone, Copy, Debug)]
 struct TenantEstimate {
     level: LevelEstimate,
-    /// Tokens that this node admitted without a reply and that, as far as it can tell, no owner has charged. The
-    /// next request reports them. Less than 0 if owners charged more than was admitted.
+    /// Tokens that this node admitted without a reply and for which it has received no late reply, so that no owner
+    /// is assumed to have charged them. The next request reports them. Less than 0 if owners charged more than was
+    /// admitted.
     uncharged: i64,
 }
 
@@ -61,8 +62,8 @@
 /// The outcome of a request to an owner.
 #[derive(Clone, Copy, Debug)]
 enum RequestOutcome {
-    /// The owner decided.
-    Granted(Grant),
+    /// The owner admitted or refused the request.
+    Decided(Grant),
     /// The owner has not received the tenant's quota yet.
     QuotaUnknown,
     /// No reply arrived in time.
@@ -154,7 +155,7 @@
             }
             let carried = self.take_uncharged(now, admission)?;
             match self.request(owners.link, owner, admission, carried).await {
-                RequestOutcome::Granted(grant) => {
+                RequestOutcome::Decided(grant) => {
                     self.apply_grant(monotonic_now(), admission, &grant);
                     return grant.decision;
                 }
@@ -213,7 +214,7 @@
         let id = in_flight.first_id().unwrap_or_default();
         let reply = link.wait(in_flight).await.pop();
         if let Some(OwnerReply::Admission(grant)) = reply {
-            return grant.map_or(RequestOutcome::QuotaUnknown, RequestOutcome::Granted);
+            return grant.map_or(RequestOutcome::QuotaUnknown, RequestOutcome::Decided);
         }
         let now = monotonic_now();
         let timed_out = TimedOutRequest {
--- a/crates/forward/src/quota/tenant_quotas.rs
+++ b/crates/forward/src/quota/tenant_quotas.rs
@@ -42,8 +42,8 @@
 impl TenantQuotas {
     /// Admits a request of a tenant and charges its tokens.
     ///
-    /// While the bucket is nearly empty, peers are notified of each admission at once: what all nodes together
-    /// admit between two updates could far exceed what is left.
+    /// Unless the bucket is nearly full, peers are notified of each admission at once: what all nodes together admit
+    /// between two updates could far exceed what is left.
     ///
     /// # Errors
     /// Returns the time until the tenant's bucket admits requests again.
@@ -54,7 +54,7 @@
         let mut shard = self.shard_of(&tenant.name);
         let state = state_of(&mut shard, &tenant.name, quota, now);
         state.admit(now, tokens)?;
-        if state.is_nearly_empty(now) {
+        if state.is_below_urgent_level(now) {
             self.urgent.notify_one();
         }
         Ok(())
@@ -92,7 +92,7 @@
         self.urgent.notified().await;
     }
 
-    /// Returns the tokens of a request that was never sent to a backend to this node's bucket. Peers apply the
+    /// Credits the tokens of a request that was never sent to a backend back to this node's bucket. Peers apply the
     /// cumulative count, which is not reduced, and keep the tokens charged.
     pub fn refund(&self, now: MonotonicTime, tenant: &Tenant, tokens: u64) {
         let mut shard = self.shard_of(&tenant.name);
--- a/crates/forward/src/quota/tenant_state.rs
+++ b/crates/forward/src/quota/tenant_state.rs
@@ -128,7 +128,7 @@
     }
 
     /// Whether the level is so low that peers are to be notified of each admission at once.
-    pub(super) fn is_nearly_empty(&mut self, now: MonotonicTime) -> bool {
+    pub(super) fn is_below_urgent_level(&mut self, now: MonotonicTime) -> bool {
         self.bucket.is_below(now, URGENT_LEVEL_SHARE)
     }
 
@@ -160,7 +160,7 @@
         self.unreported = 0;
     }
 
-    /// Returns the tokens of a request that was never sent to a backend.
+    /// Credits the tokens of a request that was never sent to a backend back to the bucket.
     pub(super) fn refund(&mut self, now: MonotonicTime, tokens: u64) {
         let tokens = tokens.min(self.used);
         self.bucket.refund(now, tokens);
@@ -197,8 +197,9 @@
 
     /// Applies the count of another owner. Owners receive each other's counts at least once a second.
     ///
-    /// After missed messages the other owner's level is adopted if it is lower, and its count is not charged: part
-    /// of what was admitted in the meantime has been refilled since.
+    /// The first count of an owner that has just started is charged. After missed messages of any other owner, its
+    /// level is adopted if it is lower, and its count is not charged: part of what it granted in the meantime has
+    /// been refilled since.
     pub(super) fn apply_owner_count(&mut self, now: MonotonicTime, count: &PeerCount<'_>) {
         if now.since(self.owner_received_at) > PARTITION_GAP {
             self.defers_until = now + WARM_UP_TIME;
--- a/crates/forward/src/request/attempt.rs
+++ b/crates/forward/src/request/attempt.rs
@@ -22,14 +22,15 @@
 use crate::request::plan::Plan;
 
 /// Urgency sent with every request while [`Mechanism::Urgency`] is disabled.
-const EQUAL_URGENCY: u32 = 5;
+const DEFAULT_URGENCY: u32 = 5;
 
 /// Most connections that one attempt tries in a row when the backend had already closed them before anything
 /// was sent.
 const MAX_STALE_CONNECTIONS: u32 = 3;
 
-/// Statuses that guarantee to the caller that the request did not run. A backend's response with one of them is
-/// replaced by [`ResultCode::BackendError`] unless the backend also declares that the request did not run.
+/// Statuses that guarantee to the caller that the request did not run. A backend's response with one of them counts
+/// as [`ResultCode::BackendError`], which guarantees nothing, unless the backend declares that the request did not
+/// run.
 const NOT_RUN_STATUSES: [StatusCode; 3] = [
     StatusCode::REQUEST_TIMEOUT,
     StatusCode::TOO_MANY_REQUESTS,
@@ -67,7 +68,7 @@
         /// The backend's `Retry-After`; `None` without one.
         retry_after: Option<Duration>,
     },
-    /// The request may have run. The code says how the response was lost.
+    /// The request may have run. The code gives the reason for which there is no valid response.
     Lost(ResultCode),
     /// The deadline passed; the request may have run.
     TimedOut,
@@ -176,7 +177,7 @@
         urgency: if node.mechanisms.has(Mechanism::Urgency) {
             plan.urgency()
         } else {
-            EQUAL_URGENCY
+            DEFAULT_URGENCY
         },
         resume_after: resume_after.or(plan.facts.resume_after),
     };
--- a/crates/forward/src/request/authorize.rs
+++ b/crates/forward/src/request/authorize.rs
@@ -12,7 +12,7 @@
 /// Returns the tenant that the request's key belongs to. Returns `None` if the configuration has no tenants, or
 /// if the route is public and the request has no known key.
 ///
-/// The key itself is not used after this function.
+/// The key is compared by its hash only, and is not used after this function.
 ///
 /// # Errors
 /// Refuses a missing, unknown or revoked key.
--- a/crates/forward/src/request/backend_stream.rs
+++ b/crates/forward/src/request/backend_stream.rs
@@ -124,7 +124,7 @@
             return;
         };
         let sample = CostSample {
-            prompt_tokens: clamp(self.queued_tokens),
+            prompt_tokens: saturating_u32(self.queued_tokens),
             first_token_ms: millis(first_chunk_at.since(self.sent_at)),
             output_tokens: self.chunks,
             decode_ms: millis(monotonic_now().since(first_chunk_at)),
@@ -158,6 +158,6 @@
     u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
 
-fn clamp(number: u64) -> u32 {
+fn saturating_u32(number: u64) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
--- a/crates/forward/src/request/candidates.rs
+++ b/crates/forward/src/request/candidates.rs
@@ -12,7 +12,7 @@
 
 /// Share of a block that counts as cached on the block's home backend while no backend has it cached, so that
 /// nodes that receive the block at the same time send it to the same backend.
-const HOME_SAVING: f64 = 0.3;
+const HOME_CACHED_SHARE: f64 = 0.3;
 
 /// Weight of each backend in the choice of a block's home backend, in thousandths; the same for all.
 const HOME_WEIGHT_MILLI: u32 = 1000;
@@ -75,7 +75,7 @@
 }
 
 /// Returns, for each candidate, the tokens of the most specific shareable block that it would prefill although
-/// another backend has them cached. If no backend has the block cached, the share [`HOME_SAVING`] of it counts
+/// another backend has them cached. If no backend has the block cached, the share [`HOME_CACHED_SHARE`] of it counts
 /// as cached on its home backend.
 ///
 /// Prefixes that many prompts share are soon cached on every backend; it is the block that few prompts share
@@ -99,12 +99,12 @@
         home_of(specific, &ids)
     };
     let tokens = u64::from(specific.tokens);
-    let saved_at_home = (tokens as f64 * HOME_SAVING) as u64;
+    let cached_at_home = (tokens as f64 * HOME_CACHED_SHARE) as u64;
     let reread = ids.iter().enumerate().map(|(index, id)| {
         if is_cached_on(id) {
             0
         } else if home == Some(index) {
-            tokens - saved_at_home
+            tokens - cached_at_home
         } else {
             tokens
         }
--- a/crates/forward/src/request/choose.rs
+++ b/crates/forward/src/request/choose.rs
@@ -14,18 +14,18 @@
 
 /// Prompt tokens that a request without a model counts as, so that backends with fewer such requests in flight
 /// are preferred.
-const PLAIN_REQUEST_TOKENS: u64 = 100;
+const NO_MODEL_REQUEST_TOKENS: u64 = 100;
 
 /// Weight of the time that a backend needs to prefill a block that another backend has cached. The cost to the
 /// fleet exceeds that time: the prefill evicts other blocks from the cache and delays the backend's streams.
 const REREAD_PENALTY: f64 = 12.0;
 
 /// Cost added to a backend in another zone, in milliseconds of work.
-const OTHER_ZONE_MS: f64 = 2.0;
+const OTHER_ZONE_PENALTY_MS: f64 = 2.0;
 
 /// Largest random increase of a candidate's cost, as a share of it, so that nodes do not all choose the same one
 /// of nearly equal candidates.
-const JITTER: f64 = 0.04;
+const MAX_JITTER_SHARE: f64 = 0.04;
 
 /// The backend that a request goes to.
 #[derive(Clone, Debug)]
@@ -59,7 +59,7 @@
     pub streams: u32,
 }
 
-/// Returns the backend with the lowest cost among a few candidates, or `None` if there is none that may be tried.
+/// Returns the candidate backend with the lowest cost, or `None` if there is no backend that may be tried.
 /// `tried` holds the ids of backends that earlier attempts of the request were sent to.
 ///
 /// The candidates are the backends that have the prompt's most specific shareable block cached (or, if none has
@@ -93,13 +93,13 @@
     let blocks = query_locations(node, &ring, prefix.general, &ids, &mut locations);
     let replies = node.peers.wait(counts.and(blocks)).await;
     prefix_index::merge_replies(&mut locations, replies);
-    let shortlist = with_fresh_counts(node, &ids, shortlist);
+    let shortlist = retain_fresh(node, &ids, shortlist);
     let estimates = shortlist.iter().map(|index| {
         let replica = candidates[*index];
         Estimate::of(node, plan, replica, &locations, reread[*index])
     });
     let best = estimates.min_by(|left, right| left.cost_ms.total_cmp(&right.cost_ms))?;
-    Some(target(node, plan, pool, &best, shortlist.len()))
+    Some(target_of(node, plan, pool, &best, shortlist.len()))
 }
 
 /// Returns the prefix blocks that other requests may share: all but the last, which is specific to the request or
@@ -170,7 +170,7 @@
 }
 
 /// Returns the shortlisted candidates whose load counts are fresh, or all of them if none are.
-fn with_fresh_counts<P: ForwardProtocol>(
+fn retain_fresh<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     ids: &[&str],
     shortlist: Vec<usize>,
@@ -223,11 +223,11 @@
         let same_zone = replica.backend.zone == node.zone;
         let prefers_zone = node.mechanisms.has(Mechanism::ZonePreference);
         let zone_ms = if prefers_zone && !same_zone {
-            OTHER_ZONE_MS
+            OTHER_ZONE_PENALTY_MS
         } else {
             0.0
         };
-        let jitter = 1.0 + JITTER * rand::rng().random::<f64>();
+        let jitter = 1.0 + MAX_JITTER_SHARE * rand::rng().random::<f64>();
         let load_ms = (work_ms + own_ms + REREAD_PENALTY * reread_ms) / weight;
         Self {
             replica,
@@ -242,12 +242,12 @@
 fn own_tokens(plan: &Plan, cached: u64) -> u64 {
     let prompt = plan.prompt_tokens();
     if plan.facts.model.is_empty() && prompt == 0 {
-        return PLAIN_REQUEST_TOKENS;
+        return NO_MODEL_REQUEST_TOKENS;
     }
     prompt.saturating_sub(cached).max(1)
 }
 
-fn target<P: ForwardProtocol>(
+fn target_of<P: ForwardProtocol>(
     node: &ForwardNode<P>,
     plan: &Plan,
     pool: &ServingPool,
--- a/crates/forward/src/request/first_response.rs
+++ b/crates/forward/src/request/first_response.rs
@@ -74,7 +74,8 @@
     Err(refusal)
 }
 
-/// Attempts the request on `target` and records the outcome in `history`.
+/// Attempts the request on `target`. Records the backend and the outcome in `history`, but not the counts of sends,
+/// runs and refusals, which the caller of this function updates.
 ///
 /// # Errors
 /// See [`AttemptFailure`].
@@ -119,7 +120,7 @@
         AttemptFailure::NotRun { retry_after } => {
             history.sends += 1;
             history.refusals += 1;
-            // Once an attempt may have run, the caller must not be told that the request did not run.
+            // Once an attempt may have run, the caller must not receive a refusal that guarantees it did not.
             let refusal = match history.runs {
                 0 => backend_refused(retry_after),
                 _ => refusal,
--- a/crates/forward/src/request/plan.rs
+++ b/crates/forward/src/request/plan.rs
@@ -16,7 +16,7 @@
 const ROUTE_PRIORITIES: u32 = 3;
 
 /// The lowest urgency that backends support; 0 is the highest.
-const LEAST_URGENT: u32 = 9;
+const LOWEST_URGENCY: u32 = 9;
 
 /// The parameters that all attempts at a request share.
 #[derive(Clone, Debug)]
@@ -72,7 +72,8 @@
         self.route.stream && self.route.resumable
     }
 
-    /// Returns the most attempts that may run.
+    /// Returns the largest number of attempts that may run: the route's limit if the request is repeatable, or
+    /// else 1.
     #[must_use]
     pub fn max_runs(&self) -> u32 {
         if self.is_repeatable() {
@@ -88,7 +89,7 @@
     pub fn urgency(&self) -> u32 {
         let tenant = self.tenant.as_ref().map_or(0, |tenant| tenant.priority);
         let route = self.route.priority.min(ROUTE_PRIORITIES - 1);
-        (tenant.saturating_mul(ROUTE_PRIORITIES) + route).min(LEAST_URGENT)
+        (tenant.saturating_mul(ROUTE_PRIORITIES) + route).min(LOWEST_URGENCY)
     }
 
     /// Returns the number of prompt tokens: as declared by the caller, or else the sum of its prefix blocks.
--- a/crates/forward/src/request/refusal.rs
+++ b/crates/forward/src/request/refusal.rs
@@ -9,7 +9,7 @@
 use crate::protocol::ForwardProtocol;
 use crate::request::response_body::ResponseBody;
 
-/// Why a request was not served.
+/// A refusal to serve a request, which the caller receives as a response.
 ///
 /// A code whose HTTP status is 429 or 503 guarantees that the request did not run and never will. Codes for
 /// requests that may have run have status 502 or 504.
--- a/crates/forward/src/request/relay.rs
+++ b/crates/forward/src/request/relay.rs
@@ -69,14 +69,14 @@
     /// Whether another backend has resumed the stream.
     resumed: bool,
     /// Whether the response was received completely.
-    ended: bool,
+    complete: bool,
     /// Ending for the decision record if the response is forwarded completely.
     ending: Ending,
 }
 
 impl<P> Drop for Relay<P> {
     fn drop(&mut self) {
-        if self.ended {
+        if self.complete {
             self.history.trace.finish(self.ending);
         }
     }
@@ -99,7 +99,7 @@
             splitter: is_resumable.then(EventSplitter::default),
             last_event: plan.facts.resume_after,
             resumed: false,
-            ended: false,
+            complete: false,
             node,
             plan,
             history,
@@ -135,7 +135,7 @@
             if let Some(events) = self.take_complete_events()? {
                 return Ok(Some(events));
             }
-            if self.ended {
+            if self.complete {
                 return Ok(None);
             }
             let is_resumable = self.splitter.is_some();
@@ -193,7 +193,7 @@
 
     /// Marks the response as complete, records its cost and returns the connection to its pool.
     fn finish(&mut self) {
-        self.ended = true;
+        self.complete = true;
         self.backend.record_cost(&self.node, &self.plan.facts.model);
         self.backend.release(&self.node);
     }
--- a/crates/forward/src/request/trace.rs
+++ b/crates/forward/src/request/trace.rs
@@ -20,8 +20,10 @@
 
 #[derive(Debug)]
 struct SampledRequest {
+    /// Counter of requests by route and verdict.
     verdicts: IntCounterVec,
     arrived: MonotonicTime,
+    /// When body bytes were last forwarded to the caller.
     last_bytes: Option<MonotonicTime>,
     record: DecisionRecord,
 }
--- a/crates/forward/tests/absurd_counts.rs
+++ b/crates/forward/tests/absurd_counts.rs
@@ -8,17 +8,19 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
 
 const RATE: u64 = 1000;
-/// Longest time until a tenant is served again, whatever was reported or requested before.
+/// Longest time until a tenant is served again after any sequence of reports and requests.
 const SERVED_AGAIN_WITHIN: Duration = Duration::from_secs(61);
 
 /// Either an arbitrary number or a boundary value.
 #[derive(Clone, Copy, Debug)]
-struct Absurd(u64);
+struct ExtremeNumber(u64);
 
-impl Arbitrary for Absurd {
+impl Arbitrary for ExtremeNumber {
     fn arbitrary(generator: &mut Gen) -> Self {
         let boundaries = [0, 1, RATE, u64::from(u32::MAX), i64::MAX as u64, u64::MAX];
-        let boundary = *generator.choose(&boundaries).expect("not empty");
+        let boundary = *generator
+            .choose(&boundaries)
+            .expect("the list is not empty");
         if bool::arbitrary(generator) {
             Self(boundary)
         } else {
@@ -27,7 +29,7 @@
     }
 }
 
-impl Absurd {
+impl ExtremeNumber {
     fn signed(self) -> i64 {
         self.0.cast_signed()
     }
@@ -39,9 +41,9 @@
     /// Selects the operation; see [`apply`].
     kind: u8,
     /// Tokens of the operation.
-    number: Absurd,
+    number: ExtremeNumber,
     /// Second number of the operation, such as the reported level.
-    other: Absurd,
+    other: ExtremeNumber,
     /// Time until the next input, in milliseconds.
     after_ms: u16,
 }
@@ -50,8 +52,8 @@
     fn arbitrary(generator: &mut Gen) -> Self {
         Self {
             kind: u8::arbitrary(generator) % 5,
-            number: Absurd::arbitrary(generator),
-            other: Absurd::arbitrary(generator),
+            number: ExtremeNumber::arbitrary(generator),
+            other: ExtremeNumber::arbitrary(generator),
             after_ms: u16::arbitrary(generator) % 3000,
         }
     }
@@ -112,7 +114,7 @@
 }
 
 #[test]
-fn an_absurd_token_count_blocks_its_tenant_for_at_most_a_minute() {
+fn an_extreme_token_count_blocks_its_tenant_for_at_most_a_minute() {
     let quotas = TenantQuotas::default();
     let now = MonotonicTime::from_millis(1000);
     assert!(quotas.admit(now, &tenant(), u64::MAX).is_ok());
--- a/crates/forward/tests/event_splitter.rs
+++ b/crates/forward/tests/event_splitter.rs
@@ -33,7 +33,7 @@
         clippy::needless_pass_by_value,
         reason = "quickcheck passes owned values"
     )]
-    fn same(ids: Vec<u16>, cuts: Vec<usize>) -> bool {
+    fn events_match(ids: Vec<u16>, cuts: Vec<usize>) -> bool {
         let events: Vec<String> = ids
             .iter()
             .map(|id| format!("id: {id}\ndata: piece\n\n"))
@@ -53,5 +53,5 @@
         let joined: String = events.iter().map(|(text, _)| text.as_str()).collect();
         found == expected && remainder.is_empty() && joined == text
     }
-    QuickCheck::new().quickcheck(same as fn(Vec<u16>, Vec<usize>) -> bool);
+    QuickCheck::new().quickcheck(events_match as fn(Vec<u16>, Vec<usize>) -> bool);
 }
--- a/crates/forward/tests/forwarding.rs
+++ b/crates/forward/tests/forwarding.rs
@@ -1,5 +1,5 @@
-//! Requests through a real node to stub backends: what is forwarded, what the caller receives, and which requests
-//! are retried.
+//! Requests through a real node to stub backends: what is forwarded, what the caller receives, which requests are
+//! retried, and which never run twice.
 
 mod support;
 
--- a/crates/forward/tests/outside_names.rs
+++ b/crates/forward/tests/outside_names.rs
@@ -102,7 +102,7 @@
     let mut lines: Vec<String> = Vec::new();
     for (name, value) in &sent {
         let mut line = String::new();
-        let value = value.to_str().expect("text");
+        let value = value.to_str().expect("the value is text");
         writeln!(line, "{name}: {value}").expect("writing to a string succeeds");
         lines.push(line);
     }
--- a/crates/forward/tests/owned_loads.rs
+++ b/crates/forward/tests/owned_loads.rs
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn absurd_counts_saturate() {
+fn extreme_counts_saturate() {
     let mut owned = OwnedLoads::default();
     let now = MonotonicTime::from_millis(1000);
     owned.apply(now, "node-1", 1, &update(1, &[("a", u64::MAX)]));
--- a/crates/forward/tests/owners.rs
+++ b/crates/forward/tests/owners.rs
@@ -92,19 +92,19 @@
             .iter()
             .filter(|node| node.node.name != owner)
             .collect();
-        let worker = others.first().expect("another node");
-        let requester = others.last().expect("another node");
+        let worker = others.first().expect("there is another node");
+        let requester = others.last().expect("there is another node");
         let _guard = start_work(worker, backend_id, 70);
         until_queried(requester, backend_id, 70).await;
         let unresponsive = nodes.iter().find(|node| node.node.name == owner);
-        unresponsive.expect("the owner").stop_exchange();
+        unresponsive.expect("the owner is a node").stop_exchange();
         let _more = start_work(worker, backend_id, 30);
         until_queried(requester, backend_id, 100).await;
     }
 }
 
 #[tokio::test]
-async fn new_owners_receive_the_load_in_flight() {
+async fn new_owners_receive_the_load_after_both_owners_left() {
     let backend = StubBackend::start(vec![Step::Hang]).await;
     let setup = Setup::with(|_| {});
     let nodes = TestNode::start_fleet(6, &setup, &[&backend]).await;
@@ -221,7 +221,9 @@
     let node = &node.node;
     let table = node.state.table();
     let ring = node.peers.ring(&table);
-    let tenant = table.tenant_named("tenant").expect("a tenant");
+    let tenant = table
+        .tenant_named("tenant")
+        .expect("the tenant is configured");
     let owners = QuotaOwners {
         link: &node.peers,
         ring: &ring,
@@ -293,7 +295,7 @@
     let (unresponsive, left): (Vec<&TestNode>, Vec<&TestNode>) = nodes
         .iter()
         .partition(|node| unresponsive.contains(&node.node.name.as_str()));
-    assert_eq!(unresponsive.len(), 2, "one of each zone");
+    assert_eq!(unresponsive.len(), 2, "one owner of each zone");
     for node in &unresponsive {
         node.stop_exchange();
     }
@@ -310,11 +312,11 @@
     let zone = nodes[0].node.zone.clone();
     let outside = ring.owners_of_tenant_outside(&zone, "tenant");
     let zones: BTreeSet<&str> = outside.iter().map(|owner| owner.zone.as_str()).collect();
-    assert_eq!(outside.len(), zones.len(), "one of each other zone");
+    assert_eq!(outside.len(), zones.len(), "one owner of each other zone");
     assert!(!zones.is_empty() && !zones.contains(zone.as_str()));
     for owner in &outside {
         let owners = ring.owners_of_tenant_in(&owner.zone, "tenant");
-        assert_eq!(owners[0].name, owner.name, "the first of its zone");
+        assert_eq!(owners[0].name, owner.name, "the first owner of its zone");
     }
     let unresponsive = ring.owners_of_tenant_in(&zone, "tenant");
     let is_unresponsive = |node: &&TestNode| {
--- a/crates/forward/tests/peer_sequences.rs
+++ b/crates/forward/tests/peer_sequences.rs
@@ -16,8 +16,8 @@
 fn only_newer_messages_are_accepted_until_a_restart() {
     let mut sequences = PeerSequences::default();
     assert!(sequences.accept(&message(1, 5)));
-    assert!(!sequences.accept(&message(1, 4)), "older");
-    assert!(!sequences.accept(&message(1, 5)), "the same again");
+    assert!(!sequences.accept(&message(1, 4)), "an older message");
+    assert!(!sequences.accept(&message(1, 5)), "a repeated message");
     assert!(sequences.accept(&message(1, 6)));
-    assert!(sequences.accept(&message(2, 1)), "restarted");
+    assert!(sequences.accept(&message(2, 1)), "the peer was restarted");
 }
--- a/crates/forward/tests/streams.rs
+++ b/crates/forward/tests/streams.rs
@@ -32,7 +32,8 @@
 
 #[tokio::test]
 async fn another_backend_resumes_after_the_last_complete_event() {
-    // Each backend's first response is truncated in the middle of event 4.
+    // The first response of each backend is truncated in the middle of event 4. The request that receives it is
+    // resumed on the other backend. Later requests receive the rest of the stream at once.
     let half = chunk(&event(4)[..7]);
     let broken = format!("{}{half}", stream_start(1..4));
     let rest = format!("{}{LAST_CHUNK}", stream_start(4..8));
@@ -42,8 +43,6 @@
     ])
     .await;
     let second = StubBackend::start(vec![Step::AnswerThenReset(broken), Step::Answer(rest)]).await;
-    // The first response of each backend is truncated, and the stream is then resumed on the other one. Later
-    // requests receive the rest of the stream at once.
     let node = TestNode::start(&resumable(), &[&first, &second]).await;
     let mut complete = 0;
     for _ in 0..4 {
--- a/crates/forward/tests/support/backend.rs
+++ b/crates/forward/tests/support/backend.rs
@@ -48,9 +48,11 @@
 impl StubBackend {
     /// Starts a backend that performs one of these steps for each request, in order, and repeats the last one.
     pub(crate) async fn start(steps: Vec<Step>) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port is free");
         let backend = Self {
-            address: listener.local_addr().expect("an address"),
+            address: listener.local_addr().expect("the socket has an address"),
             received: Arc::default(),
             steps: Arc::new(Mutex::new(steps)),
             connections: Arc::default(),
--- a/crates/forward/tests/support/caller.rs
+++ b/crates/forward/tests/support/caller.rs
@@ -38,9 +38,14 @@
 
 /// Sends raw bytes on a new connection and reads one response.
 pub(crate) async fn call(address: SocketAddr, text: &str) -> Reply {
-    let mut stream = TcpStream::connect(address).await.expect("a connection");
-    stream.write_all(text.as_bytes()).await.expect("sent");
-    read_reply(&mut stream).await.expect("a response")
+    let mut stream = TcpStream::connect(address)
+        .await
+        .expect("the node accepts the connection");
+    stream
+        .write_all(text.as_bytes())
+        .await
+        .expect("the request is sent");
+    read_reply(&mut stream).await.expect("the node responds")
 }
 
 /// Reads one response; `None` if the connection is closed before the end of the response's head.
--- a/crates/forward/tests/support/node.rs
+++ b/crates/forward/tests/support/node.rs
@@ -27,6 +27,7 @@
 /// The configuration in a test's routing table.
 pub(crate) struct Setup {
     pub(crate) routes: Vec<ForwardRoute>,
+    /// Token quota of the tenant.
     pub(crate) quota: Option<TokenQuota>,
     pub(crate) limits: Option<HttpLimits>,
 }
@@ -95,9 +96,14 @@
         let mut members = Vec::new();
         for number in 0..count {
             let name = format!("node-{number}");
-            let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
+            let socket = UdpSocket::bind("127.0.0.1:0")
+                .await
+                .expect("a port is free");
             members.push(ProxyMember {
-                exchange_address: socket.local_addr().expect("an address").to_string(),
+                exchange_address: socket
+                    .local_addr()
+                    .expect("the socket has an address")
+                    .to_string(),
                 zone: zone_of(number),
                 name: name.clone(),
             });
@@ -133,8 +139,10 @@
             state.budget.earn();
         }
         let node = Arc::new(ForwardNode::new(settings, state, MillfordProtocol));
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let callers = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port is free");
+        let callers = listener.local_addr().expect("the socket has an address");
         let connections = CallerConnections::default();
         tokio::spawn(serve_callers(
             listener,
--- a/crates/forward/tests/usage_messages.rs
+++ b/crates/forward/tests/usage_messages.rs
@@ -31,10 +31,10 @@
     );
     node.quotas
         .admit(now, &tenant(), 70)
-        .expect("under its quota");
+        .expect("the tenant is under its quota");
     let message = encoder
         .encode_for_all(&node, now, UpdateScope::Changes)
-        .expect("an admission");
+        .expect("an admission to report");
     assert_eq!(message.usage[0].used_tokens, 70);
     assert!(!message.is_owner, "{message:?}");
     assert_eq!(
@@ -44,7 +44,7 @@
     );
     let again = encoder
         .encode_for_all(&node, now, UpdateScope::Full)
-        .expect("a full update");
+        .expect("a full update reports all usage");
     assert!(again.sequence > message.sequence);
 }
 
@@ -77,7 +77,7 @@
             let to = owners
                 .iter()
                 .find(|owner| owner.address == addressed.address);
-            assert_ne!(to.expect("an owner").name, node.name);
+            assert_ne!(to.expect("the receiver is an owner").name, node.name);
         }
         assert!(
             encoder
@@ -102,7 +102,9 @@
             name: format!("tenant-{number}"),
             ..tenant()
         };
-        node.quotas.grant(now, &tenant, 1, 0).expect("a quota");
+        node.quotas
+            .grant(now, &tenant, 1, 0)
+            .expect("the tenant has a quota");
     }
     let messages =
         UsageMessageEncoder::new(1).encode_for_owners(node, &ring, now, UpdateScope::Changes);
