--- a/crates/forward/tests/forwarding.rs
+++ b/crates/forward/tests/forwarding.rs
@@ -112,7 +112,7 @@
         Step::Answer(
             signed("packed").replace("content-length", "content-encoding: gzip\r\ncontent-length"),
         ),
-        Step::Answer("this is not an HTTP response\r\n\r\n".to_owned()),
+        Step::Answer("these are no answers\r\n\r\n".to_owned()),
     ] {
         let first = StubBackend::start(vec![step.clone()]).await;
         let second = StubBackend::start(vec![step.clone()]).await;
--- a/crates/forward/tests/owned_loads.rs
+++ b/crates/forward/tests/owned_loads.rs
@@ -205,43 +205,43 @@
 
 #[test]
 fn an_owner_that_times_out_twice_is_suspected_for_a_while() {
-    let mut queries = PendingRequests::default();
+    let mut pending = PendingRequests::default();
     let at = MonotonicTime::from_millis;
-    let (first, _reply) = queries.begin(at(0), "node-1");
-    queries.time_out(at(20), first);
+    let (first, _reply) = pending.begin(at(0), "node-1");
+    pending.time_out(at(20), first);
     assert!(
-        !queries.is_suspect(at(20), "node-1"),
+        !pending.is_suspect(at(20), "node-1"),
         "a single timeout may be due to a lost datagram"
     );
-    let (second, _reply) = queries.begin(at(30), "node-1");
-    queries.time_out(at(50), second);
-    assert!(queries.is_suspect(at(50), "node-1"));
-    assert!(!queries.is_suspect(at(50), "node-2"));
+    let (second, _reply) = pending.begin(at(30), "node-1");
+    pending.time_out(at(50), second);
+    assert!(pending.is_suspect(at(50), "node-1"));
+    assert!(!pending.is_suspect(at(50), "node-2"));
     assert!(
-        !queries.is_suspect(at(1100), "node-1"),
+        !pending.is_suspect(at(1100), "node-1"),
         "the suspicion has expired"
     );
-    let (third, reply) = queries.begin(at(1100), "node-1");
-    assert!(queries.complete(at(1102), third, OwnerReply::Counts));
+    let (third, reply) = pending.begin(at(1100), "node-1");
+    assert!(pending.complete(at(1102), third, OwnerReply::Counts));
     assert_eq!(reply.blocking_recv(), Ok(OwnerReply::Counts));
-    let (fourth, _reply) = queries.begin(at(1200), "node-1");
-    queries.time_out(at(1220), fourth);
+    let (fourth, _reply) = pending.begin(at(1200), "node-1");
+    pending.time_out(at(1220), fourth);
     assert!(
-        !queries.is_suspect(at(1220), "node-1"),
+        !pending.is_suspect(at(1220), "node-1"),
         "the reply reset the count of timeouts"
     );
     assert!(
-        !queries.complete(at(1300), fourth, OwnerReply::Counts),
+        !pending.complete(at(1300), fourth, OwnerReply::Counts),
         "the reply is too late"
     );
 }
 
 #[test]
 fn abandoned_requests_expire() {
-    let mut queries = PendingRequests::default();
-    let (id, _reply) = queries.begin(MonotonicTime::from_millis(0), "node-1");
-    queries.expire(MonotonicTime::from_millis(5000));
-    assert!(!queries.complete(MonotonicTime::from_millis(5001), id, OwnerReply::Counts));
+    let mut pending = PendingRequests::default();
+    let (id, _reply) = pending.begin(MonotonicTime::from_millis(0), "node-1");
+    pending.expire(MonotonicTime::from_millis(5000));
+    assert!(!pending.complete(MonotonicTime::from_millis(5001), id, OwnerReply::Counts));
 }
 
 #[test]
