--- a/crates/forward/tests/absurd_counts.rs
+++ b/crates/forward/tests/absurd_counts.rs
@@ -1,4 +1,4 @@
-//! Absurd counts, of peers and of callers: nothing overflows, and no tenant is shut out for long.
+//! Extreme token counts from peers and callers neither overflow nor block a tenant for long.
 
 mod support;
 
@@ -8,37 +8,43 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
 
 const RATE: u64 = 1000;
-/// Whatever was reported or requested before, a tenant is served again within this time.
+/// Longest time until a tenant is served again after any sequence of reports and requests.
 const SERVED_AGAIN_WITHIN: Duration = Duration::from_secs(61);
 
-/// A number that is small, huge or on a border.
+/// Either an arbitrary number or a boundary value.
 #[derive(Clone, Copy, Debug)]
-struct Absurd(u64);
+struct ExtremeNumber(u64);
 
-impl Arbitrary for Absurd {
+impl Arbitrary for ExtremeNumber {
     fn arbitrary(generator: &mut Gen) -> Self {
-        let borders = [0, 1, RATE, u64::from(u32::MAX), i64::MAX as u64, u64::MAX];
-        let border = *generator.choose(&borders).expect("not empty");
+        let boundaries = [0, 1, RATE, u64::from(u32::MAX), i64::MAX as u64, u64::MAX];
+        let boundary = *generator
+            .choose(&boundaries)
+            .expect("the list is not empty");
         if bool::arbitrary(generator) {
-            Self(border)
+            Self(boundary)
         } else {
             Self(u64::arbitrary(generator))
         }
     }
 }
 
-impl Absurd {
+impl ExtremeNumber {
     fn signed(self) -> i64 {
         self.0.cast_signed()
     }
 }
 
-/// One count of a peer or request of a caller.
+/// One report of a peer, or one request, grant or refund.
 #[derive(Clone, Debug)]
 struct Input {
+    /// Selects the operation; see [`apply`].
     kind: u8,
-    number: Absurd,
-    other: Absurd,
+    /// Tokens of the operation.
+    number: ExtremeNumber,
+    /// Second number of the operation, such as the reported level.
+    other: ExtremeNumber,
+    /// Time until the next input, in milliseconds.
     after_ms: u16,
 }
 
@@ -46,8 +52,8 @@
     fn arbitrary(generator: &mut Gen) -> Self {
         Self {
             kind: u8::arbitrary(generator) % 5,
-            number: Absurd::arbitrary(generator),
-            other: Absurd::arbitrary(generator),
+            number: ExtremeNumber::arbitrary(generator),
+            other: ExtremeNumber::arbitrary(generator),
             after_ms: u16::arbitrary(generator) % 3000,
         }
     }
@@ -65,7 +71,7 @@
     support::tenant::tenant(quota())
 }
 
-fn take(quotas: &TenantQuotas, now: MonotonicTime, input: &Input) {
+fn apply(quotas: &TenantQuotas, now: MonotonicTime, input: &Input) {
     let count = |owner_zone, boot_id| PeerCount {
         member: "peer",
         boot_id,
@@ -87,11 +93,11 @@
 quickcheck! {
     fn a_tenant_is_served_again_whatever_counts_were_received(inputs: Vec<Input>) -> bool {
         let quotas = TenantQuotas::default();
-        // At least a minute of debt, at most a burst with its headroom.
+        // From a debt of slightly over a minute of the rate to a burst with its headroom.
         let possible = -61 * RATE.cast_signed()..=2 * RATE.cast_signed();
         let mut now = MonotonicTime::from_millis(1000);
         for input in &inputs {
-            take(&quotas, now, input);
+            apply(&quotas, now, input);
             quotas.tick(now, "here");
             let levels = quotas.levels(now);
             if levels.iter().any(|level| !possible.contains(&level.level_tokens)) {
@@ -108,7 +114,7 @@
 }
 
 #[test]
-fn an_absurd_token_count_blocks_its_tenant_for_at_most_a_minute() {
+fn an_extreme_token_count_blocks_its_tenant_for_at_most_a_minute() {
     let quotas = TenantQuotas::default();
     let now = MonotonicTime::from_millis(1000);
     assert!(quotas.admit(now, &tenant(), u64::MAX).is_ok());
