--- a/crates/control-state/examples/large_document.rs
+++ b/crates/control-state/examples/large_document.rs
@@ -1,4 +1,4 @@
-//! Measures reading, checking, applying and planning a document with many tenants.
+//! Measures the time to read, check, apply and plan a document with many tenants.
 //!
 //! `cargo run --release -p millford-control-state --example large_document -- [tenants]`
 
@@ -12,9 +12,9 @@
 use millford_core::{ShardId, hash_tenant_key};
 use prost::Message;
 
-/// Tenants of the planned size.
+/// Planned number of tenants.
 const DEFAULT_TENANTS: usize = 16_000;
-/// Each step is repeated and the median printed.
+/// Repetitions of each step, of which the median is printed.
 const REPEATS: usize = 7;
 
 fn main() {
@@ -100,7 +100,7 @@
     }
 }
 
-/// One key revoked.
+/// Returns the document with the first tenant's keys revoked.
 fn changed(before: &Document) -> Document {
     let mut after = before.clone();
     if let Some(tenant) = after.tenants.first_mut() {
--- a/crates/control-state/examples/state_cost.rs
+++ b/crates/control-state/examples/state_cost.rs
@@ -1,4 +1,4 @@
-//! Measures what claims and active quotas cost a shard's leader, in memory and time.
+//! Measures the memory and time that claims and active quotas cost a shard's leader.
 //!
 //! `cargo run --release -p millford-control-state --example state_cost -- claims|quotas`
 
@@ -11,17 +11,17 @@
 use millford_control_state::quota::{QuotaLeases, QuotaOptions};
 use millford_core::{MonotonicTime, ShardId};
 
-/// Claims at each step of the measurement.
+/// Numbers of claims that are measured.
 const CLAIM_STEPS: [u64; 4] = [50_000, 100_000, 200_000, 400_000];
-/// Active tenants at each step of the measurement.
+/// Numbers of active tenants that are measured.
 const TENANT_STEPS: [u64; 4] = [1_000, 2_000, 4_000, 16_000];
-/// Nodes that send requests for each tenant.
+/// Number of nodes that send requests for each tenant.
 const NODES: u64 = 4;
-/// Bytes of a page of memory.
+/// Assumed size of a memory page, in bytes.
 const PAGE: u64 = 4096;
 
 fn main() {
-    // One kind in a process, so that none measures memory that the other freed.
+    // One kind per process: the second would otherwise reuse memory that the first freed.
     match std::env::args().nth(1).as_deref() {
         Some("claims") => measure_claims(),
         Some("quotas") => measure_quotas(),
@@ -33,7 +33,7 @@
     println!(
         "claims, resident bytes each, apply in microseconds, snapshot bytes each, snapshot in ms"
     );
-    // Retained, so that no step measures memory that an earlier one freed.
+    // Retained, so that no step reuses memory that an earlier one freed.
     let mut retained = Vec::new();
     for count in CLAIM_STEPS {
         let before = resident_bytes();
@@ -126,7 +126,7 @@
     }
 }
 
-/// Memory of this process that is resident, in bytes; 0 where the system does not report it.
+/// Returns the resident memory of this process in bytes; 0 where the system does not report it.
 fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1);
--- a/crates/control-state/src/document/canonical.rs
+++ b/crates/control-state/src/document/canonical.rs
@@ -1,11 +1,12 @@
-//! Canonical form and digest: documents that mean the same have the same bytes.
+//! Canonical form and digest of documents: equivalent documents have the same bytes and digest.
 
 use millford_api::config::{Document, Pool, RouteMatch, Selector};
 use sha2::{Digest, Sha256};
 
-/// The document with its lists sorted by name and absent matches and selectors written out.
+/// Returns the document with sorted lists, and with empty values for absent matches and selectors.
 ///
-/// The order of routes, pools, tenants and keys has no meaning: the most specific route wins.
+/// The order of routes, pools, tenants and keys has no meaning, because the most specific route
+/// takes a request.
 #[must_use]
 pub fn normalized(document: &Document) -> Document {
     let mut document = document.clone();
@@ -23,16 +24,16 @@
     document
 }
 
-/// The normalized document as JSON without white space, fields in the order of the protocol file
-/// and every field written out.
+/// Returns the normalized document as JSON without white space. The fields are in the order of the
+/// protocol file, and none is left out.
 #[must_use]
 pub fn canonical_json(document: &Document) -> Vec<u8> {
-    // Writing to memory fails only for an enumeration number outside its range, which neither
-    // `parse` nor `check` lets through; such a document has the digest of an empty text.
+    // Serializing to memory fails only for an enum number outside its range, which neither `parse`
+    // nor `check` accepts. Such a document gets the digest of an empty text.
     serde_json::to_vec(&normalized(document)).unwrap_or_default()
 }
 
-/// SHA-256 of the canonical JSON, 32 bytes.
+/// Returns the SHA-256 digest of the canonical JSON, 32 bytes.
 #[must_use]
 pub fn digest(document: &Document) -> Vec<u8> {
     Sha256::digest(canonical_json(document)).to_vec()
--- a/crates/control-state/src/document/check/fault_list.rs
+++ b/crates/control-state/src/document/check/fault_list.rs
@@ -1,4 +1,4 @@
-//! Collects the faults of a check.
+//! List in which the checks collect faults.
 
 use std::ops::RangeInclusive;
 
@@ -12,10 +12,10 @@
     faults: Vec<Fault>,
 }
 
-/// Unit of a number in a fault's text.
+/// Unit of the numbers in a fault's text.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Unit {
-    /// A plain number.
+    /// A number without a unit.
     None,
     Milliseconds,
     Percent,
@@ -54,7 +54,7 @@
         }
         let (low, high) = (range.start(), range.end());
         let suffix = unit.suffix();
-        let text = format!("{value} is out of range; allowed are {low} to {high}{suffix}");
+        let text = format!("{value} is out of range; the allowed range is {low} to {high}{suffix}");
         self.add(path, text);
     }
 
@@ -66,7 +66,7 @@
         }
     }
 
-    /// What was found.
+    /// Returns the faults in the order in which they were added.
     pub(super) fn into_faults(self) -> Vec<Fault> {
         self.faults
     }
--- a/crates/control-state/src/document/check/forward_route.rs
+++ b/crates/control-state/src/document/check/forward_route.rs
@@ -1,4 +1,4 @@
-//! Rules of forwarding routes and of the HTTP limits.
+//! Checks of forwarding routes and of the HTTP limits.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +8,14 @@
 use super::fault_list::FaultList;
 use super::names::UniqueNames;
 
-/// What a forwarding route matches requests by; the host in lower case.
+/// Host, in lower case, and path prefix by which a forwarding route matches requests.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RouteLocation<'document> {
     host: String,
     path_prefix: &'document str,
 }
 
-/// Checks every forwarding route, alone and against the others and the pools.
+/// Checks each forwarding route, its uniqueness among the others, and its references to pools.
 pub(super) fn check_forward_routes(
     routes: &[ForwardRoute],
     pools: &BTreeMap<&str, &Pool>,
@@ -39,7 +39,7 @@
             index_by_location.insert(location, index);
         }
         check_weighted_pools(&path, route, pools, faults);
-        check_behaviour(&path, route, faults);
+        check_timeout_and_resume(&path, route, faults);
     }
 }
 
@@ -67,7 +67,7 @@
     }
     let prefix = &route.path_prefix;
     if !prefix.starts_with('/') || !prefix.ends_with('/') {
-        let text = "a path prefix begins and ends with '/'";
+        let text = "the path prefix must begin and end with '/'";
         faults.add(format!("{path}.path_prefix"), text);
     }
 }
@@ -100,7 +100,7 @@
     }
 }
 
-fn check_behaviour(path: &str, route: &ForwardRoute, faults: &mut FaultList) {
+fn check_timeout_and_resume(path: &str, route: &ForwardRoute, faults: &mut FaultList) {
     if route.timeout_ms == 0 {
         faults.add(format!("{path}.timeout_ms"), "must be above 0");
     }
--- a/crates/control-state/src/document/check/mod.rs
+++ b/crates/control-state/src/document/check/mod.rs
@@ -1,4 +1,5 @@
-//! Rules that a document must keep before it is adopted. All violations are found at once.
+//! Checks of the rules that a document must satisfy to be accepted. All violations are reported at
+//! once.
 
 mod fault_list;
 mod forward_route;
@@ -14,8 +15,8 @@
 use self::fault_list::FaultList;
 use super::fault::Fault;
 
-/// Every fault of the document, in the order of routes, forwarding routes, HTTP limits, pools and
-/// tenants; empty when the document is valid.
+/// Returns all faults of the document, in the order of routes, forwarding routes, HTTP limits,
+/// pools and tenants; empty when the document is valid.
 #[must_use]
 pub fn check(document: &Document) -> Vec<Fault> {
     let mut faults = FaultList::default();
--- a/crates/control-state/src/document/check/pool.rs
+++ b/crates/control-state/src/document/check/pool.rs
@@ -1,4 +1,4 @@
-//! Rules of pools.
+//! Checks of pools.
 
 use millford_api::config::{Pool, Selector};
 
@@ -6,7 +6,7 @@
 use super::fault_list::{FaultList, Unit};
 use super::names::{UniqueNames, check_label};
 
-/// Checks every pool.
+/// Checks each pool and the uniqueness of the names.
 pub(super) fn check_pools(pools: &[Pool], faults: &mut FaultList) {
     faults.check_count("pools", pools.len(), limits::MAX_POOLS);
     let mut names = UniqueNames::default();
@@ -69,7 +69,8 @@
     );
 }
 
-/// A pool that selects one version cannot be moved to another.
+/// Checks that the target version is the selected one, if the selector names a version: the pool
+/// has no backends of another version to move to.
 fn check_target(path: &str, pool: &Pool, faults: &mut FaultList) {
     let selected = pool
         .selector
@@ -77,7 +78,7 @@
         .map_or("", |selector| &selector.version);
     let target = &pool.target_version;
     if !selected.is_empty() && !target.is_empty() && selected != target {
-        let text = format!("the selector takes version \"{selected}\" only");
+        let text = format!("the selector selects only version \"{selected}\"");
         faults.add(format!("{path}.target_version"), text);
     }
 }
--- a/crates/control-state/src/document/check/route.rs
+++ b/crates/control-state/src/document/check/route.rs
@@ -1,4 +1,4 @@
-//! Rules of routes.
+//! Checks of routes.
 
 use std::collections::BTreeMap;
 
@@ -8,8 +8,7 @@
 use super::fault_list::{FaultList, Unit};
 use super::names::{UniqueNames, check_label};
 
-/// What a route matches requests by. A route without a match takes the same as one with an empty
-/// match.
+/// Properties by which a route matches requests. An absent match is the same as an empty one.
 #[derive(Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct MatchKey<'document> {
     model: &'document str,
@@ -31,7 +30,7 @@
     }
 }
 
-/// Checks every route, alone and against the others and the pools.
+/// Checks each route, its uniqueness among the others, and its reference to a pool.
 pub(super) fn check_routes(
     routes: &[Route],
     pools: &BTreeMap<&str, &Pool>,
@@ -65,7 +64,10 @@
     for (field, label) in labels {
         let field_path = format!("{path}.match.{field}");
         if is_lookup && !label.is_empty() {
-            faults.add(field_path, format!("a lookup route has no {field}"));
+            faults.add(
+                field_path,
+                format!("a route with a path prefix must not match by {field}"),
+            );
         } else {
             check_label(field_path, label, faults);
         }
@@ -78,21 +80,24 @@
 fn check_path_prefix(path: &str, prefix: &str, faults: &mut FaultList) {
     let field_path = format!("{path}.match.path_prefix");
     if !prefix.starts_with('/') {
-        faults.add(field_path, "a path prefix begins with '/'");
+        faults.add(field_path, "the path prefix must begin with '/'");
     } else if prefix.len() > limits::MAX_PATH_LENGTH {
-        let text = format!("longer than {} bytes", limits::MAX_PATH_LENGTH);
+        let text = format!(
+            "the path prefix is longer than {} bytes",
+            limits::MAX_PATH_LENGTH
+        );
         faults.add(field_path, text);
     } else if !prefix.bytes().all(is_path_byte) {
         faults.add(
             field_path,
-            "a path prefix has no spaces, control characters, '?' or '#'",
+            "a path prefix may contain only visible ASCII characters, and neither '?' nor '#'",
         );
     } else if limits::RESERVED_PATHS.contains(&prefix) {
         faults.add(field_path, "the proxy serves this path itself");
     }
 }
 
-/// Of two routes with the same match the second would never be reached.
+/// Checks that no earlier route has the same match: the later one would never be reached.
 fn check_reachable<'document>(
     path: &str,
     index: usize,
@@ -108,7 +113,7 @@
     match index_by_match.get(&key) {
         Some(first) => faults.add(
             format!("{path}.match"),
-            format!("never reached: routes[{first}] has the same match"),
+            format!("the route is never reached: routes[{first}] has the same match"),
         ),
         None => {
             index_by_match.insert(key, index);
@@ -124,7 +129,7 @@
 ) {
     let field_path = format!("{path}.pool");
     if route.pool.is_empty() {
-        faults.add(field_path, "a route names its pool");
+        faults.add(field_path, "a route must name a pool");
         return;
     }
     let Some(pool) = pools.get(route.pool.as_str()) else {
@@ -135,11 +140,17 @@
     else {
         return;
     };
-    check_served(&field_path, route_match, selector, faults);
+    check_selector_match(&field_path, route_match, selector, faults);
 }
 
-/// A route whose pool selects another model, version or stage could never be served.
-fn check_served(path: &str, route_match: &RouteMatch, selector: &Selector, faults: &mut FaultList) {
+/// Checks that the pool does not select a different model, version or stage than the route matches:
+/// such a route could never be served.
+fn check_selector_match(
+    path: &str,
+    route_match: &RouteMatch,
+    selector: &Selector,
+    faults: &mut FaultList,
+) {
     let pairs = [
         ("model", &route_match.model, &selector.model),
         ("version", &route_match.version, &selector.version),
@@ -147,8 +158,9 @@
     ];
     for (field, matched, selected) in pairs {
         if !matched.is_empty() && !selected.is_empty() && matched != selected {
-            let text =
-                format!("the pool selects {field} \"{selected}\", the route takes \"{matched}\"");
+            let text = format!(
+                "the pool selects {field} \"{selected}\", but the route matches \"{matched}\""
+            );
             faults.add(path, text);
         }
     }
@@ -167,7 +179,10 @@
     };
     let delay_path = format!("{path}.hedge.delay_ms");
     if limits::HEDGE_DELAY_MS.contains(&hedge.delay_ms) && hedge.delay_ms >= route.deadline_ms {
-        faults.add(delay_path, "the hedge comes after the deadline");
+        faults.add(
+            delay_path,
+            "the hedge delay must be shorter than the deadline",
+        );
     } else {
         faults.check_range(
             delay_path,
@@ -178,7 +193,8 @@
     }
 }
 
-/// A request that is not repeatable is dispatched at most once: neither hedged nor resumed elsewhere.
+/// Checks that a route that is not repeatable is neither hedged nor resumed on another backend,
+/// because its requests are dispatched at most once.
 fn check_redispatch(path: &str, route: &Route, faults: &mut FaultList) {
     if route.hedge.is_some() && !route.repeatable {
         let text = "a route that is not repeatable cannot be hedged";
@@ -188,10 +204,10 @@
         return;
     }
     if is_lookup(route) {
-        let text = "a lookup is no stream and cannot be resumed";
+        let text = "a lookup route has no streams and cannot be resumed";
         faults.add(format!("{path}.resume"), text);
     } else if !route.repeatable {
-        let text = "a route that is not repeatable cannot be resumed elsewhere";
+        let text = "a route that is not repeatable cannot be resumed on another backend";
         faults.add(format!("{path}.resume"), text);
     }
 }
--- a/crates/control-state/src/document/check/tenant.rs
+++ b/crates/control-state/src/document/check/tenant.rs
@@ -1,4 +1,4 @@
-//! Rules of tenants.
+//! Checks of tenants.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 use super::fault_list::{FaultList, Unit};
 use super::names::UniqueNames;
 
-/// Length of a SHA-256 digest in hexadecimal digits.
+/// Hexadecimal digits of a SHA-256 digest.
 const HASH_LENGTH: usize = 64;
 
-/// Checks every tenant.
+/// Checks each tenant, and the uniqueness of names and keys.
 pub(super) fn check_tenants(tenants: &[Tenant], faults: &mut FaultList) {
     faults.check_count("tenants", tenants.len(), limits::MAX_TENANTS);
     let mut names = UniqueNames::default();
@@ -20,14 +20,15 @@
         let path = format!("tenants[{index}]");
         names.check(format!("{path}.name"), &tenant.name, faults);
         check_keys(&path, tenant, &mut path_by_hash, faults);
-        // A tenant whose tokens are limited needs no limit on its requests.
+        // A tenant with a token quota needs no request quota.
         if tenant.quota.is_some() || tenant.token_quota.is_none() {
             check_quota(&path, tenant.quota.as_ref(), faults);
         }
     }
 }
 
-/// A key belongs to one tenant; a tenant without keys is one whose keys are all revoked.
+/// Checks the form of key hashes, and that each key belongs to only one tenant. A tenant without
+/// keys is valid: all its keys are revoked.
 fn check_keys<'document>(
     path: &str,
     tenant: &'document Tenant,
@@ -40,10 +41,13 @@
     for (index, hash) in hashes.iter().enumerate() {
         let hash_path = format!("{keys_path}[{index}]");
         if !is_hash(hash) {
-            let text = "not a SHA-256 in lower-case hexadecimal (64 digits)";
+            let text = "expected a SHA-256 digest of 64 lower-case hexadecimal digits";
             faults.add(hash_path, text);
         } else if let Some(first) = path_by_hash.get(hash.as_str()) {
-            faults.add(hash_path, format!("the same key is already at {first}"));
+            faults.add(
+                hash_path,
+                format!("the same key is already used at {first}"),
+            );
         } else {
             path_by_hash.insert(hash, hash_path);
         }
@@ -52,7 +56,10 @@
 
 fn check_quota(path: &str, quota: Option<&Quota>, faults: &mut FaultList) {
     let Some(quota) = quota else {
-        faults.add(format!("{path}.quota"), "a tenant has a quota");
+        faults.add(
+            format!("{path}.quota"),
+            "a tenant must have a quota or a token quota",
+        );
         return;
     };
     let fields = [
--- a/crates/control-state/src/document/fault.rs
+++ b/crates/control-state/src/document/fault.rs
@@ -1,24 +1,24 @@
-//! One fault of a document or order.
+//! Faults of a document or order.
 
 use std::fmt;
 
 use millford_core::ResultCode;
 
-/// Where a document is invalid, and why.
+/// One fault of a document or order: the position, a code and an explanation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// Path of the field, such as `routes[0].pool`; empty for the document as a whole.
     pub path: String,
-    /// [`ResultCode::BadJson`], [`ResultCode::BadField`] (missing, unknown or of a wrong type) or
-    /// [`ResultCode::DocumentInvalid`] (well formed, but against a rule).
+    /// [`ResultCode::BadJson`], [`ResultCode::BadField`] (a field is missing, unknown or of a wrong
+    /// type) or [`ResultCode::DocumentInvalid`] (the document can be read, but violates a rule).
     pub code: ResultCode,
-    /// One sentence for operators.
+    /// Explanation for operators, one sentence.
     pub text: String,
 }
 
 impl Fault {
-    /// The code of a response with these faults: that of the first kind of fault that keeps the
-    /// document from being read at all, else [`ResultCode::DocumentInvalid`].
+    /// Returns the code of a response with these faults: [`ResultCode::BadJson`] if any fault has
+    /// it, else [`ResultCode::BadField`] if any has it, else [`ResultCode::DocumentInvalid`].
     #[must_use]
     pub fn overall(faults: &[Fault]) -> ResultCode {
         let any = |code| faults.iter().any(|fault| fault.code == code);
--- a/crates/control-state/src/document/items.rs
+++ b/crates/control-state/src/document/items.rs
@@ -1,4 +1,4 @@
-//! The document as items of the public state, and back.
+//! Conversion between a document and items of the public state.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,8 @@
 use super::canonical::normalized;
 use crate::keys;
 
-/// One item for each route, pool and tenant, and one for the HTTP limits, by key.
+/// Returns the items of a document by key: one for each route, pool and tenant, and one for the
+/// HTTP limits if they are set.
 #[must_use]
 pub fn items(document: &Document) -> BTreeMap<String, Kind> {
     let document = normalized(document);
@@ -32,7 +33,8 @@
     items
 }
 
-/// The document that these items of the public state make up; other items are ignored.
+/// Rebuilds the normalized document from items of the public state. Items that do not belong to a
+/// document are ignored.
 #[must_use]
 pub fn document_of<'items>(values: impl IntoIterator<Item = &'items StateValue>) -> Document {
     let mut document = Document::default();
--- a/crates/control-state/src/document/mod.rs
+++ b/crates/control-state/src/document/mod.rs
@@ -1,4 +1,5 @@
-//! The operators' document: reading, checking, canonical form and the items it is stored as.
+//! The operators' configuration document: reading, checking, canonical form, and conversion to the
+//! items in which it is stored.
 
 mod canonical;
 mod check;
--- a/crates/control-state/src/document/order.rs
+++ b/crates/control-state/src/document/order.rs
@@ -1,4 +1,4 @@
-//! Reads the body of an order: base revision, order id and document.
+//! Reading and checking of configuration orders: base revision, order id and document.
 
 use millford_api::command::PutConfig;
 use millford_api::config::Document;
@@ -16,24 +16,25 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Order {
-    /// Revision that the document was built on.
+    /// Configuration revision on which the document is based; the order is refused when it is not
+    /// the current one.
     pub base_revision: u64,
-    /// Chosen by the operator, so that a resent order is recognized; may be left out.
+    /// Id that the operator chooses, so that a resent order is recognized; empty when absent.
     #[serde(default)]
     pub order_id: String,
     /// The complete configuration.
     pub document: Document,
 }
 
-/// Reads and checks an order and returns the command to propose, its digest included.
+/// Reads and checks an order. Returns the command to propose, which includes the document's digest.
 ///
 /// # Errors
-/// Every fault of the order and its document; paths of the document begin with `document`.
+/// Returns all faults of the order and its document; paths in the document begin with `document`.
 pub fn parse_order(json: &[u8]) -> Result<PutConfig, Vec<Fault>> {
-    let order: Order = read(json, "").map_err(|first| unreadable(json, first))?;
+    let order: Order = read(json, "").map_err(|first| read_faults(json, first))?;
     let mut faults = misplaced_lists_in(json);
     faults.extend(check_order_id(&order.order_id));
-    faults.extend(check(&order.document).into_iter().map(under_document));
+    faults.extend(check(&order.document).into_iter().map(with_document_prefix));
     if !faults.is_empty() {
         return Err(faults);
     }
@@ -47,7 +48,7 @@
     })
 }
 
-fn unreadable(json: &[u8], first: Fault) -> Vec<Fault> {
+fn read_faults(json: &[u8], first: Fault) -> Vec<Fault> {
     let value: Value = serde_json::from_slice(json).unwrap_or(Value::Null);
     let mut faults = match value.get("document") {
         Some(document) => document_faults(document, "document"),
@@ -71,7 +72,7 @@
     }]
 }
 
-fn under_document(mut fault: Fault) -> Fault {
+fn with_document_prefix(mut fault: Fault) -> Fault {
     fault.path = format!("document.{}", fault.path);
     fault
 }
--- a/crates/control-state/src/document/parse.rs
+++ b/crates/control-state/src/document/parse.rs
@@ -1,4 +1,4 @@
-//! Reads a document from JSON. Unknown fields are refused with their path.
+//! Reading of a document from JSON. Unknown fields are reported with their path.
 
 use millford_api::config::{Document, ForwardRoute, HttpLimits, Pool, Route, Tenant};
 use millford_core::ResultCode;
@@ -7,7 +7,7 @@
 
 use super::fault::Fault;
 
-/// Fields that hold lists; every other field of a document holds a single value.
+/// Fields whose value is a list; every other field of a document has a single value.
 const LIST_FIELDS: [&str; 6] = [
     "routes",
     "forward_routes",
@@ -17,7 +17,7 @@
     "adapters",
 ];
 
-/// What a position in a document may hold besides a plain value.
+/// Type of JSON value, other than a scalar, that is allowed at a position in a document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Expected {
     List,
@@ -34,18 +34,18 @@
     }
 }
 
-/// Reads a document. It is not checked yet: see [`super::check`].
+/// Reads a document without checking its rules; see [`super::check`].
 ///
 /// # Errors
-/// Every route, pool and tenant that cannot be read is reported, each with its first fault.
+/// Returns the first fault of each route, pool and tenant that cannot be read.
 pub fn parse(json: &[u8]) -> Result<Document, Vec<Fault>> {
     let document = read(json, "").map_err(|first| {
         let all = match serde_json::from_slice::<Value>(json) {
             Ok(value) => document_faults(&value, ""),
             Err(_) => Vec::new(),
         };
-        // A fault that reading entry by entry does not find, such as a duplicate field, is reported
-        // alone.
+        // Reading entry by entry does not find every fault, for instance not a duplicate field.
+        // Such a fault is reported alone.
         if all.is_empty() { vec![first] } else { all }
     })?;
     let misplaced = misplaced_lists_in(json);
@@ -56,8 +56,8 @@
     }
 }
 
-/// Lists where an object is expected. serde would read them as the object's fields by their
-/// position, which no operator means.
+/// Finds lists where an object is expected. serde would read such a list as the object's fields by
+/// position, which no operator intends.
 pub(super) fn misplaced_lists_in(json: &[u8]) -> Vec<Fault> {
     let mut faults = Vec::new();
     if let Ok(value) = serde_json::from_slice::<Value>(json) {
@@ -87,7 +87,7 @@
     }
 }
 
-/// Reads any type from JSON text; `prefix` is put before the path of a fault.
+/// Reads a value of any type from JSON text; `prefix` is prepended to the path of a fault.
 pub(super) fn read<T: DeserializeOwned>(json: &[u8], prefix: &str) -> Result<T, Fault> {
     let mut reader = serde_json::Deserializer::from_slice(json);
     let value =
@@ -100,7 +100,8 @@
     Ok(value)
 }
 
-/// Every entry of a document that cannot be read; `prefix` is put before the paths.
+/// Returns a fault for each entry of a document that cannot be read; `prefix` is prepended to the
+/// paths.
 pub(super) fn document_faults(document: &Value, prefix: &str) -> Vec<Fault> {
     let Value::Object(fields) = document else {
         return vec![bad_field(prefix, "expected an object")];
@@ -149,7 +150,8 @@
     };
     let relative = error.path().to_string();
     let path = match relative.as_str() {
-        // "?" stands for a position that the broken text does not reveal; the text has the line.
+        // "?" means that the position is unknown because the JSON is malformed; the error text
+        // contains the line.
         "." | "?" => prefix.to_owned(),
         _ => join(prefix, &relative),
     };
--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -1,7 +1,7 @@
-//! State machines of the shards: configuration orders, claims, sessions, catalogue, quota.
+//! State machines of the shards: configuration orders, claims, sessions, backend catalogue, quotas.
 //!
-//! Everything here is pure: no input or output, no clock, no randomness. The same commands in the
-//! same order give the same state on every replica.
+//! The crate does no input or output and reads neither clocks nor random numbers. The same commands
+//! in the same order result in the same state on every replica.
 
 pub mod document;
 pub mod keys;
--- a/crates/control-state/src/machine/applied.rs
+++ b/crates/control-state/src/machine/applied.rs
@@ -1,4 +1,4 @@
-//! The outcome of one committed command.
+//! Result of applying one committed command.
 
 use millford_api::command::{
     ClaimResult, CommandResult, OpenSessionResult, PutConfigResult, command_result,
@@ -6,47 +6,48 @@
 use millford_api::state::StateItem;
 use millford_core::ResultCode;
 
-/// Result for the proposer and the items of the public state that changed.
+/// Reply to a command's proposer and the items of the public state that the command changed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Applied {
-    /// Reply to the proposer.
+    /// Reply to the node that proposed the command.
     pub result: CommandResult,
-    /// Changed items only; an absent value is a deletion. An order's are in the order of their keys,
-    /// a catalogue update's in that of the update, removals last.
+    /// Changed items only; an absent value means that the item was deleted. The items of a
+    /// configuration order are sorted by key, those of a catalogue update are in the order of the
+    /// update, removals last.
     pub changes: Vec<StateItem>,
 }
 
 impl Applied {
-    /// A result that carries a code only.
+    /// Creates a result with a code only.
     pub(crate) fn code(code: ResultCode) -> Self {
         Self::with_kind(code, None)
     }
 
-    /// Success with these changes.
+    /// Creates a successful result with these changes.
     pub(crate) fn changed(changes: Vec<StateItem>) -> Self {
         let mut applied = Self::code(ResultCode::Ok);
         applied.changes = changes;
         applied
     }
 
-    /// Reply to an order that is accepted now, with these changes.
+    /// Creates the reply to an order that is accepted as `revision`, with these changes.
     pub(crate) fn accepted_order(revision: u64, changes: Vec<StateItem>) -> Self {
         let mut applied = Self::order(ResultCode::Ok, revision, false);
         applied.changes = changes;
         applied
     }
 
-    /// Reply to an order that was accepted earlier as `revision`.
+    /// Creates the reply to a resent order that was accepted earlier as `revision`.
     pub(crate) fn repeated_order(revision: u64) -> Self {
         Self::order(ResultCode::Ok, revision, true)
     }
 
-    /// Reply to a refused order; `revision` is the current one.
+    /// Creates the reply to a refused order; `revision` is the current revision.
     pub(crate) fn refused_order(code: ResultCode, revision: u64) -> Self {
         Self::order(code, revision, false)
     }
 
-    /// Whether this is the reply to an order that was accepted now, not earlier.
+    /// Whether this is the reply to an order that was newly accepted, not to a resent one.
     pub(crate) fn is_accepted_order(&self) -> bool {
         let accepted = self.result.code == ResultCode::Ok.number();
         match &self.result.kind {
@@ -55,12 +56,12 @@
         }
     }
 
-    /// Reply to a claim.
+    /// Creates the reply to a claim.
     pub(crate) fn claim(result: ClaimResult) -> Self {
         Self::with_kind(ResultCode::Ok, Some(command_result::Kind::Claim(result)))
     }
 
-    /// Reply to an opened session.
+    /// Creates the reply to an opened session with this epoch.
     pub(crate) fn session(epoch: u64) -> Self {
         let result = OpenSessionResult { epoch };
         Self::with_kind(
--- a/crates/control-state/src/machine/catalogue.rs
+++ b/crates/control-state/src/machine/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue: backends of the shard's services, with the operators' drain orders.
+//! Catalogue of the backends of the shard's services, with the operators' drain orders.
 
 use std::collections::BTreeMap;
 
@@ -10,14 +10,15 @@
 use super::public_state::PublicState;
 use crate::keys;
 
-/// Drain orders that are in effect, by the backend's key; the backends themselves are public items.
+/// Drain orders in effect, by the backend's key. The backends themselves are items of the public
+/// state.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Catalogue {
     drain_orders: BTreeMap<String, DrainOrder>,
 }
 
 impl Catalogue {
-    /// Adopts what the service registry reports.
+    /// Applies an update from the service registry.
     pub(crate) fn update(&mut self, state: &mut PublicState, update: &UpdateBackends) -> Applied {
         let mut changes = Vec::new();
         for backend in &update.upserts {
@@ -25,14 +26,16 @@
         }
         for backend_id in &update.removals {
             let key = keys::backend(&update.service, backend_id);
-            // A replacement has a new id, so a drain order ends with its backend.
+            // A replacement backend has a new id, so a drain order ends when its backend is
+            // removed.
             self.drain_orders.remove(&key);
             changes.extend(state.delete(&key));
         }
         Applied::changed(changes)
     }
 
-    /// Sets or lifts a backend's drain order.
+    /// Sets or lifts a backend's drain order. Lifting restores the state that the registry
+    /// declares.
     pub(crate) fn drain(&mut self, state: &mut PublicState, order: &DrainBackend) -> Applied {
         let key = keys::backend(&order.service, &order.backend_id);
         let Some(Kind::Backend(current)) = state.get(&key) else {
@@ -56,7 +59,7 @@
         Applied::changed(change.into_iter().collect())
     }
 
-    /// The backends of a service as the registry last declared them, drain orders left out.
+    /// Returns the backends of a service as the registry last declared them, without drain orders.
     pub(crate) fn declared(&self, state: &PublicState, service: &str) -> BTreeMap<String, Backend> {
         let mut backends = BTreeMap::new();
         for key in state.keys_under(&keys::service_backends(service)) {
@@ -72,12 +75,12 @@
         backends
     }
 
-    /// The drain orders in the order of their keys.
+    /// Returns the drain orders, sorted by the backends' keys.
     pub(crate) fn drain_orders(&self) -> impl Iterator<Item = &DrainOrder> {
         self.drain_orders.values()
     }
 
-    /// Replaces the drain orders, for a restore.
+    /// Replaces the drain orders by those of a snapshot.
     pub(crate) fn replace(&mut self, drain_orders: Vec<DrainOrder>) {
         self.drain_orders = drain_orders
             .into_iter()
@@ -101,7 +104,8 @@
     }
 }
 
-/// State of a backend under a drain order: never more available than the registry reports.
+/// Returns the state of a backend under a drain order. A backend that the registry reports as gone
+/// stays gone.
 fn drained_state(declared: i32) -> i32 {
     if declared == i32::from(BackendState::BackendGone) {
         return declared;
--- a/crates/control-state/src/machine/claim_table.rs
+++ b/crates/control-state/src/machine/claim_table.rs
@@ -1,4 +1,4 @@
-//! Claims: the single run of a request that may not be repeated.
+//! Claims, which ensure that a request that may not be repeated runs at most once.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,26 +12,27 @@
 
 /// How long a claim is retained, in milliseconds of shard time: one day.
 ///
-/// A request id that is used again after that is a new request.
+/// A request id that is used again later is treated as a new request.
 pub const CLAIM_RETENTION_MS: u64 = 24 * 60 * 60 * 1000;
 
-/// When a key was claimed. Stale once the key was claimed again.
+/// Time at which a key was claimed. Outdated once the key has been claimed again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ClaimAge {
     claimed_at_ms: u64,
     key: ShortHash,
 }
 
-/// Every retained claim, by the hash of tenant and request id.
+/// All retained claims, by the hash of tenant and request id.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClaimTable {
     claims: BTreeMap<ShortHash, StoredClaim>,
-    /// Oldest first: shard time never goes back.
+    /// Oldest first, because shard time never decreases.
     ages: VecDeque<ClaimAge>,
 }
 
 impl ClaimTable {
-    /// Grants the run to the first claim, and again to the same attempt while it is unresolved.
+    /// Grants the run to the first attempt that claims it, and again to the same attempt while the
+    /// claim is unresolved.
     ///
     /// Safety: at most one attempt id is ever granted while an earlier one may have run. A second
     /// attempt is granted only after the first was resolved as not run.
@@ -52,10 +53,11 @@
         reply(granted, outcome)
     }
 
-    /// Records the outcome of a granted attempt. The first resolution stands.
+    /// Records the outcome of a granted attempt. Later resolutions change nothing.
     ///
-    /// An attempt that gives up before its claim was answered resolves it as not run; the tombstone
-    /// keeps the claim, should it still arrive, from being granted to an attempt that has ended.
+    /// An attempt that gives up before its claim was answered resolves it as not run. If the claim
+    /// has not arrived yet, a tombstone is stored, so that the claim is not granted to an attempt
+    /// that has ended.
     pub(crate) fn resolve(&mut self, resolve: &ResolveClaim, now_ms: u64) -> Applied {
         let key = key_hash(&resolve.tenant, &resolve.request_id);
         match self.claims.get_mut(&key) {
@@ -83,18 +85,18 @@
         }
     }
 
-    /// Number of claims.
+    /// Returns the number of retained claims, including tombstones.
     pub(crate) fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// The claims in the order of their keys, for a snapshot.
+    /// Returns the claims sorted by key, for a snapshot.
     pub(crate) fn records(&self) -> Vec<ClaimRecord> {
         let claims = self.claims.iter();
         claims.map(|(key, stored)| stored.to_record(*key)).collect()
     }
 
-    /// The table of a snapshot.
+    /// Builds the table from a snapshot's records.
     ///
     /// # Errors
     /// [`RestoreError::MalformedClaim`] when a hash of a record has the wrong length.
--- a/crates/control-state/src/machine/configuration.rs
+++ b/crates/control-state/src/machine/configuration.rs
@@ -1,7 +1,7 @@
-//! Orders of operators: one winner for each base revision.
+//! Configuration orders of operators: at most one is accepted on each base revision.
 //!
-//! The machine does not check the document again: replicas of two releases might decide differently
-//! and so diverge. The node that receives the order checks it before it proposes it.
+//! The machine does not check the document again, because replicas of two releases might decide
+//! differently and so diverge. The node that receives the order checks it before proposing it.
 
 use std::collections::BTreeSet;
 
@@ -16,7 +16,7 @@
 use crate::document;
 use crate::keys;
 
-/// The current revision; 0 before the first order.
+/// Returns the current configuration revision; 0 before the first order.
 pub(crate) fn current_revision(state: &PublicState) -> u64 {
     match state.get(keys::CONFIG_HEAD) {
         Some(Kind::ConfigHead(head)) => head.revision,
@@ -24,7 +24,7 @@
     }
 }
 
-/// Accepts, acknowledges again or refuses an order.
+/// Accepts a new order, acknowledges a resent one again, or refuses the order.
 pub(crate) fn put(
     state: &mut PublicState,
     history: &mut OrderHistory,
@@ -34,12 +34,12 @@
     match history.status(order) {
         OrderStatus::Repeated { revision } => Applied::repeated_order(revision),
         OrderStatus::IdReused => Applied::refused_order(ResultCode::OrderIdReused, current),
-        // Safety: replicas apply orders one after the other, so of two on one base the second finds
-        // the base used: exactly one wins.
+        // Safety: replicas apply orders one after the other. Of two orders on the same base, the
+        // second one finds a newer revision and is refused.
         OrderStatus::New if order.base_revision != current => {
             Applied::refused_order(ResultCode::RevisionConflict, current)
         }
-        // Safety: revisions only grow, so that no node ever takes an older configuration for a newer
+        // Safety: revisions only grow, so that no node mistakes an older configuration for a newer
         // one.
         OrderStatus::New if order.revision != 0 && order.revision <= current => {
             Applied::refused_order(ResultCode::RevisionNotAbove, current)
@@ -67,7 +67,8 @@
     Applied::accepted_order(revision, changes)
 }
 
-/// Brings the items to the desired document; returns only what differs.
+/// Replaces the configuration items by those of the desired document. Returns only the items that
+/// changed.
 fn replace(
     state: &mut PublicState,
     desired: &Document,
--- a/crates/control-state/src/machine/control_members.rs
+++ b/crates/control-state/src/machine/control_members.rs
@@ -1,4 +1,4 @@
-//! The control nodes and their addresses, part of the configuration shard.
+//! Control nodes and their addresses, which are part of the configuration shard.
 
 use millford_api::state::{ControlMember, state_value::Kind};
 use millford_core::ResultCode;
@@ -17,7 +17,7 @@
     Applied::changed(change.into_iter().collect())
 }
 
-/// Removes a control member; an unknown one is no error, as the command may be resent.
+/// Removes a control member. An unknown one is not an error, because the command may be resent.
 pub(crate) fn remove(state: &mut PublicState, node_id: u64) -> Applied {
     let change = state.delete(&keys::control_member(node_id));
     Applied::changed(change.into_iter().collect())
--- a/crates/control-state/src/machine/mod.rs
+++ b/crates/control-state/src/machine/mod.rs
@@ -1,4 +1,4 @@
-//! The replicated state machine of one shard.
+//! Replicated state machine of one shard.
 
 mod applied;
 mod catalogue;
--- a/crates/control-state/src/machine/order_history.rs
+++ b/crates/control-state/src/machine/order_history.rs
@@ -1,28 +1,28 @@
-//! Accepted orders, so that a resent one is acknowledged again.
+//! History of accepted orders, so that a resent one is acknowledged again.
 
 use std::collections::BTreeMap;
 
 use millford_api::command::{AcceptedOrder, PutConfig};
 
-/// Number of accepted orders that are retained. At the planned 710 changes a day that is more than
-/// five days.
+/// Number of accepted orders that are retained. At the planned 710 changes a day they cover more
+/// than five days.
 ///
-/// An order that is resent after as many later ones is no longer recognized. It is refused then as a
-/// conflict, because its base is used; it is never accepted a second time.
+/// An order that is resent after that many later ones is no longer recognized. It is refused as a
+/// conflict, because its base is no longer current; it is never accepted a second time.
 pub const ORDER_HISTORY_LIMIT: usize = 4096;
 
-/// Whether the history contains an order.
+/// Result of looking up an order in the history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OrderStatus {
-    /// Not seen before.
+    /// The history does not contain the order.
     New,
-    /// Accepted before as this revision.
+    /// The order was accepted before as this revision.
     Repeated { revision: u64 },
-    /// Its id was used for another order.
+    /// The order's id belongs to a different accepted order.
     IdReused,
 }
 
-/// Bounded history, by the revision that each order got.
+/// Bounded history of accepted orders, by the revision that each order was assigned.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OrderHistory {
     by_revision: BTreeMap<u64, AcceptedOrder>,
@@ -31,8 +31,8 @@
 }
 
 impl OrderHistory {
-    /// Looks the order up. One without an id is the same as the accepted order on its base when
-    /// their digests agree; a base has at most one accepted order.
+    /// Looks an order up. An order without an id is the same as the accepted order on its base when
+    /// their digests are equal; each base has at most one accepted order.
     pub(crate) fn status(&self, order: &PutConfig) -> OrderStatus {
         if order.order_id.is_empty() {
             return self.status_by_base(order);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Adds an accepted order and drops the oldest beyond the limit.
+    /// Adds an accepted order and drops the oldest ones above [`ORDER_HISTORY_LIMIT`].
     pub(crate) fn add(&mut self, order: AcceptedOrder) {
         if !order.order_id.is_empty() {
             self.revision_by_id
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The retained orders, oldest first.
+    /// Returns the retained orders, oldest first.
     pub(crate) fn orders(&self) -> impl Iterator<Item = &AcceptedOrder> {
         self.by_revision.values()
     }
@@ -96,7 +96,7 @@
     }
 }
 
-/// The history of a snapshot, oldest first.
+/// Rebuilds the history from a snapshot's orders, oldest first.
 impl FromIterator<AcceptedOrder> for OrderHistory {
     fn from_iter<I: IntoIterator<Item = AcceptedOrder>>(orders: I) -> Self {
         let mut history = Self::default();
--- a/crates/control-state/src/machine/placements.rs
+++ b/crates/control-state/src/machine/placements.rs
@@ -1,4 +1,4 @@
-//! Placements of pools, fenced by the epoch of the placement role.
+//! Placements of pools, fenced by the epoch of the node that holds the placement role.
 
 use millford_api::state::{PoolPlacement, state_value::Kind};
 use millford_core::ResultCode;
@@ -7,10 +7,11 @@
 use super::public_state::PublicState;
 use crate::keys;
 
-/// Sets a placement unless its epoch is older than the current one.
+/// Sets a pool's placement unless its epoch is lower than that of the current placement.
 ///
-/// Safety: two nodes may believe that they have the role; only the one elected last gets through,
-/// because its epoch is the larger one in every replica's order of commands.
+/// Safety: two nodes may act in the placement role at once. Once the one elected last has published
+/// a placement, those of the other are refused: its epoch is the lower one, and every replica
+/// applies the commands in the same order.
 pub(crate) fn set(state: &mut PublicState, placement: Option<&PoolPlacement>) -> Applied {
     let Some(placement) = placement else {
         return Applied::code(ResultCode::ProtocolViolation);
--- a/crates/control-state/src/machine/public_state.rs
+++ b/crates/control-state/src/machine/public_state.rs
@@ -1,27 +1,27 @@
-//! Items that the feed carries, with the changes of the command being applied.
+//! Public state of a shard: the items that the feed sends to every node.
 
 use std::collections::BTreeMap;
 
 use millford_api::state::{StateItem, StateValue, state_value};
 
-/// Ordered items of the public state.
+/// Items of the public state, sorted by key.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PublicState {
     items: BTreeMap<String, StateValue>,
 }
 
 impl PublicState {
-    /// Every item.
+    /// Returns all items by key.
     pub(crate) fn items(&self) -> &BTreeMap<String, StateValue> {
         &self.items
     }
 
-    /// The value of a key.
+    /// Returns the value of a key; `None` when there is no such item.
     pub(crate) fn get(&self, key: &str) -> Option<&state_value::Kind> {
         self.items.get(key)?.kind.as_ref()
     }
 
-    /// Keys that begin with `prefix`, in order.
+    /// Returns the keys that begin with `prefix`, sorted.
     pub(crate) fn keys_under(&self, prefix: &str) -> Vec<String> {
         self.items
             .range(prefix.to_owned()..)
@@ -31,7 +31,7 @@
             .collect()
     }
 
-    /// Sets a key; returns the change, or nothing when the value is the same already.
+    /// Sets a key. Returns the change, or `None` when the key already has this value.
     pub(crate) fn set(&mut self, key: String, kind: state_value::Kind) -> Option<StateItem> {
         let value = StateValue { kind: Some(kind) };
         if self.items.get(&key) == Some(&value) {
@@ -44,7 +44,7 @@
         })
     }
 
-    /// Deletes a key; returns the change, or nothing when it was absent.
+    /// Deletes a key. Returns the change, or `None` when there is no such item.
     pub(crate) fn delete(&mut self, key: &str) -> Option<StateItem> {
         self.items.remove(key)?;
         Some(StateItem {
@@ -53,7 +53,7 @@
         })
     }
 
-    /// Replaces everything, for a restore.
+    /// Replaces all items by those of a snapshot.
     pub(crate) fn replace(&mut self, items: BTreeMap<String, StateValue>) {
         self.items = items;
     }
--- a/crates/control-state/src/machine/session_registry.rs
+++ b/crates/control-state/src/machine/session_registry.rs
@@ -1,4 +1,4 @@
-//! Sessions of agents and control nodes, with epochs that only grow.
+//! Sessions of agents and control nodes. Each new session gets a higher epoch than all before it.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use super::public_state::PublicState;
 use crate::keys;
 
-/// Open sessions by member.
+/// Open sessions by member, and the last assigned epoch.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SessionRegistry {
     sessions: BTreeMap<String, SessionRecord>,
@@ -18,11 +18,12 @@
 }
 
 impl SessionRegistry {
-    /// Opens a session. Resent by the same process, it returns the same epoch again; another process
-    /// of that member gets a new epoch, which fences whatever the old one was granted.
+    /// Opens a session. A process that resends the command gets the same epoch again. Another
+    /// process of the same member gets a new epoch, which fences everything granted under the old
+    /// one.
     ///
-    /// A member whose proxy exchanges messages with its peers is published to them while the session
-    /// is open.
+    /// While the session is open, the address of the member's proxy is published to its peers, if
+    /// the proxy exchanges messages with them.
     pub(crate) fn open(&mut self, state: &mut PublicState, open: &OpenSession) -> Applied {
         let epoch = match self.sessions.get(&open.member) {
             Some(known) if known.boot_id == open.boot_id => known.epoch,
@@ -41,7 +42,7 @@
         applied
     }
 
-    /// Closes exactly the named epoch; a newer session of the member stays.
+    /// Closes the member's session if it has the given epoch; a newer session stays open.
     pub(crate) fn close(&mut self, state: &mut PublicState, close: &CloseSession) -> Applied {
         let Some(known) = self.sessions.get(&close.member) else {
             return Applied::code(ResultCode::SessionClosed);
@@ -54,17 +55,17 @@
         Applied::changed(unpublished.into_iter().collect())
     }
 
-    /// Every open session by member.
+    /// Returns all open sessions by member.
     pub(crate) fn sessions(&self) -> &BTreeMap<String, SessionRecord> {
         &self.sessions
     }
 
-    /// The last epoch assigned; 0 before the first.
+    /// Returns the last assigned epoch; 0 before the first session.
     pub(crate) fn last_epoch(&self) -> u64 {
         self.last_epoch
     }
 
-    /// Replaces everything, for a restore.
+    /// Replaces all sessions and the last assigned epoch by those of a snapshot.
     pub(crate) fn replace(&mut self, records: Vec<SessionRecord>, last_epoch: u64) {
         self.last_epoch = last_epoch;
         self.sessions = records
--- a/crates/control-state/src/machine/shard_machine.rs
+++ b/crates/control-state/src/machine/shard_machine.rs
@@ -1,4 +1,4 @@
-//! The state machine that every replica of a shard runs over the committed commands.
+//! State machine to which every replica of a shard applies the committed commands.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,8 @@
 use super::public_state::PublicState;
 use super::session_registry::SessionRegistry;
 
-/// State of one shard: what the feed carries, and what only the shard itself needs.
+/// State of one shard: the public state, which the feed sends to every node, and the state that
+/// only the shard itself needs.
 #[derive(Clone, Debug)]
 pub struct ShardMachine {
     pub(super) shard: ShardId,
@@ -32,7 +33,7 @@
 }
 
 impl ShardMachine {
-    /// An empty machine.
+    /// Creates a machine to which no command has been applied.
     #[must_use]
     pub fn new(shard: ShardId) -> Self {
         Self {
@@ -49,8 +50,8 @@
         }
     }
 
-    /// Applies the committed command at `index`. An index that was applied already is a mistake of
-    /// the caller: it changes nothing and results in [`ResultCode::ProtocolViolation`].
+    /// Applies the committed command at `index` of the log. An index that was already applied is a
+    /// caller error: it changes nothing and results in [`ResultCode::ProtocolViolation`].
     pub fn apply(&mut self, index: u64, term: u64, command: &Command) -> Applied {
         if index <= self.applied_index {
             return Applied::code(ResultCode::ProtocolViolation);
@@ -62,75 +63,76 @@
         }
     }
 
-    /// Records an entry without a command, such as the first one of a leader.
+    /// Records a log entry without a command, such as the first entry of a leader's term.
     pub fn skip(&mut self, index: u64, term: u64) {
         self.applied_index = self.applied_index.max(index);
         self.applied_term = self.applied_term.max(term);
     }
 
-    /// The shard that this machine belongs to.
+    /// Returns the shard that this machine belongs to.
     #[must_use]
     pub fn shard(&self) -> ShardId {
         self.shard
     }
 
-    /// Index of the last applied entry.
+    /// Returns the log index of the last applied entry; 0 before the first.
     #[must_use]
     pub fn applied_index(&self) -> u64 {
         self.applied_index
     }
 
-    /// Term of the last applied entry.
+    /// Returns the term of the last applied entry; 0 before the first.
     #[must_use]
     pub fn applied_term(&self) -> u64 {
         self.applied_term
     }
 
-    /// What the feed carries, by key.
+    /// Returns the items that the feed sends to every node, by key.
     #[must_use]
     pub fn public_state(&self) -> &BTreeMap<String, StateValue> {
         self.public.items()
     }
 
-    /// Revision of the current configuration; 0 before the first order.
+    /// Returns the revision of the current configuration; 0 before the first order.
     #[must_use]
     pub fn revision(&self) -> u64 {
         configuration::current_revision(&self.public)
     }
 
-    /// The configuration's document as the operator sent it; empty if it was sent in the product's
-    /// own form.
+    /// Returns the source text of the configuration, as the operator sent it; empty if the operator
+    /// sent the document in millford's own format.
     #[must_use]
     pub fn config_source(&self) -> &[u8] {
         &self.config_source
     }
 
-    /// The open sessions by member.
+    /// Returns the open sessions by member.
     #[must_use]
     pub fn sessions(&self) -> &BTreeMap<String, SessionRecord> {
         self.sessions.sessions()
     }
 
-    /// The open session of a member.
+    /// Returns the open session of a member, if it has one.
     #[must_use]
     pub fn session(&self, member: &str) -> Option<&SessionRecord> {
         self.sessions.sessions().get(member)
     }
 
-    /// How long the shard's leaders have been leading, in milliseconds.
+    /// Returns the total time for which the shard has had a leader, in milliseconds.
     #[must_use]
     pub fn shard_time_ms(&self) -> u64 {
         self.shard_time_ms
     }
 
-    /// Number of retained claims.
+    /// Returns the number of retained claims.
     #[must_use]
     pub fn claim_count(&self) -> usize {
         self.claims.len()
     }
 
-    /// The command that brings a service's catalogue to what the registry reports, or nothing when
-    /// they agree. Drain orders are no difference: the registry does not know of them.
+    /// Returns the command that updates a service's catalogue to the registry's list of backends,
+    /// or `None` when they are equal. Drain orders are ignored, because the registry does not
+    /// contain them.
     #[must_use]
     pub fn catalogue_difference(
         &self,
@@ -176,7 +178,8 @@
         }
     }
 
-    /// The source is stored beside the items: nodes need it for nothing but reading it back.
+    /// Applies a configuration order. The document's source text is stored outside the public
+    /// state, because it is needed only to return it to operators.
     fn put_config(&mut self, order: &PutConfig) -> Applied {
         let applied = configuration::put(&mut self.public, &mut self.orders, order);
         if applied.is_accepted_order() {
--- a/crates/control-state/src/machine/short_hash.rs
+++ b/crates/control-state/src/machine/short_hash.rs
@@ -1,4 +1,4 @@
-//! Short hash in place of a value that is only compared for equality.
+//! Short hash that replaces a value that is only compared for equality.
 
 use std::array::TryFromSliceError;
 
@@ -7,16 +7,16 @@
 /// Length of the hash in bytes.
 const LENGTH: usize = 16;
 
-/// First half of a SHA-256.
+/// First half of a SHA-256 digest.
 ///
-/// Tenants choose request ids, so the hash must not let one of them hit another's claim on purpose;
-/// 128 bits of SHA-256 do not.
+/// Tenants choose request ids, so a tenant must not be able to construct an id whose hash equals
+/// that of another tenant's claim. 128 bits of SHA-256 prevent that.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ShortHash([u8; LENGTH]);
 
 impl ShortHash {
-    /// Hash of several fields; the length of each is hashed too, so that no two lists collide by
-    /// their concatenation.
+    /// Hashes several fields. The length of each field is hashed too, so that two lists with the
+    /// same concatenation have different hashes.
     pub(super) fn of(fields: &[&[u8]]) -> Self {
         let mut hasher = Sha256::new();
         for field in fields {
@@ -29,13 +29,13 @@
         Self(short)
     }
 
-    /// The bytes, for a snapshot.
+    /// Returns the bytes of the hash, for a snapshot.
     pub(super) fn to_bytes(self) -> Vec<u8> {
         self.0.to_vec()
     }
 }
 
-/// The hash with these bytes, as a snapshot stores it; an error when their number is wrong.
+/// Reads a hash from the bytes in a snapshot; fails when there are not exactly [`LENGTH`] bytes.
 impl TryFrom<&[u8]> for ShortHash {
     type Error = TryFromSliceError;
 
--- a/crates/control-state/src/machine/snapshot.rs
+++ b/crates/control-state/src/machine/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the machine: the same state always gives the same bytes.
+//! Snapshots of the machine. Equal states have identical snapshots.
 
 use std::collections::BTreeMap;
 
@@ -12,8 +12,8 @@
 use super::shard_machine::ShardMachine;
 
 impl ShardMachine {
-    /// The complete state as bytes. All collections are ordered, so replicas with the same state
-    /// encode the same bytes.
+    /// Encodes the complete state. All collections are ordered, so replicas with the same state
+    /// produce the same bytes.
     #[must_use]
     pub fn snapshot(&self) -> Vec<u8> {
         let snapshot = MachineSnapshot {
@@ -31,7 +31,7 @@
         snapshot.encode_to_vec()
     }
 
-    /// Replaces the complete state by that of a snapshot; on an error nothing changes.
+    /// Replaces the complete state by that of a snapshot. On an error the state is unchanged.
     ///
     /// # Errors
     /// [`RestoreError`] when the bytes are not a snapshot.
--- a/crates/control-state/src/machine/stored_claim.rs
+++ b/crates/control-state/src/machine/stored_claim.rs
@@ -1,4 +1,4 @@
-//! One claim as the shard stores it.
+//! Stored form of one claim.
 
 use std::array::TryFromSliceError;
 
@@ -6,7 +6,7 @@
 
 use super::short_hash::ShortHash;
 
-/// Outcome of a claimed run, and what it takes to recognize the claim.
+/// Outcome of a claimed run, with the hashes by which a repeated claim is recognized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct StoredClaim {
     pub(super) attempt: ShortHash,
@@ -16,7 +16,7 @@
 }
 
 impl StoredClaim {
-    /// A claim that is granted now.
+    /// Creates a claim that is granted at `now_ms` of shard time.
     pub(super) fn granted(claim: &Claim, now_ms: u64) -> Self {
         Self {
             attempt: attempt_hash(&claim.attempt_id),
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The tombstone of an attempt that gave up before its claim arrived.
+    /// Creates the tombstone of an attempt that gave up before its claim arrived.
     pub(super) fn abandoned(resolve: &ResolveClaim, now_ms: u64) -> Self {
         Self {
             attempt: attempt_hash(&resolve.attempt_id),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The record of a snapshot.
+    /// Converts the claim to a snapshot's record.
     pub(super) fn to_record(self, key: ShortHash) -> ClaimRecord {
         ClaimRecord {
             key: key.to_bytes(),
@@ -48,7 +48,7 @@
     }
 }
 
-/// The claim of a snapshot's record; an error when a hash has the wrong length.
+/// Reads a claim from a snapshot's record; fails when a hash has the wrong length.
 impl TryFrom<&ClaimRecord> for StoredClaim {
     type Error = TryFromSliceError;
 
@@ -62,17 +62,17 @@
     }
 }
 
-/// Hash of tenant and request id.
+/// Hashes tenant and request id, the key of a claim.
 pub(super) fn key_hash(tenant: &str, request_id: &str) -> ShortHash {
     ShortHash::of(&[tenant.as_bytes(), request_id.as_bytes()])
 }
 
-/// Hash of an attempt's id.
+/// Hashes an attempt id.
 pub(super) fn attempt_hash(attempt_id: &str) -> ShortHash {
     ShortHash::of(&[attempt_id.as_bytes()])
 }
 
-/// Hash of a body's digest.
+/// Hashes the digest of a request body.
 pub(super) fn digest_hash(digest: &[u8]) -> ShortHash {
     ShortHash::of(&[digest])
 }
--- a/crates/control-state/src/planner/catalogue.rs
+++ b/crates/control-state/src/planner/catalogue.rs
@@ -1,4 +1,4 @@
-//! Backends and placements that a plan is computed against.
+//! Backends and placements from which a plan is computed.
 
 use std::collections::BTreeMap;
 
@@ -9,17 +9,18 @@
 use crate::keys;
 use crate::selection::selects;
 
-/// Every known backend, whichever pool it is in, and the current placements.
+/// All known backends, of any pool or none, and the current placements.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlanCatalogue {
-    /// Backends by identity.
+    /// Backends by id.
     pub backends: BTreeMap<String, Backend>,
-    /// Placements by pool.
+    /// Placements by the pool's name.
     pub placements: BTreeMap<String, PoolPlacement>,
 }
 
 impl PlanCatalogue {
-    /// The backends and placements in the public state of the data shards; other items are ignored.
+    /// Collects the backends and placements from the public state of the data shards. Other items
+    /// are ignored.
     #[must_use]
     pub fn from_values<'values>(values: impl IntoIterator<Item = &'values StateValue>) -> Self {
         let mut catalogue = Self::default();
@@ -36,19 +37,19 @@
         catalogue
     }
 
-    /// Adds a backend, for instance one of the registry that no pool selects now.
+    /// Adds a backend, for instance one from the registry that no pool currently selects.
     pub fn add_backend(&mut self, backend: Backend) {
         self.backends.insert(backend.id.clone(), backend);
     }
 
-    /// The backends that a pool selects.
+    /// Returns the backends that a pool selects.
     pub(super) fn members(&self, pool: &Pool) -> impl Iterator<Item = &Backend> {
         let selector = pool.selector.as_ref();
         let backends = self.backends.values();
         backends.filter(move |backend| selects(selector, backend))
     }
 
-    /// The items that all shards together would contain under this document.
+    /// Returns the items that all shards together would contain under this document.
     pub(super) fn items(&self, document: &Document) -> BTreeMap<String, StateValue> {
         let mut kinds = document::items(document);
         for pool in &document.pools {
--- a/crates/control-state/src/planner/document_changes.rs
+++ b/crates/control-state/src/planner/document_changes.rs
@@ -1,4 +1,4 @@
-//! Differences between two documents, item by item.
+//! Differences between two documents, compared item by item.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,17 +11,18 @@
 
 use crate::document;
 
-/// Digits of a key's hash that a plan displays: enough to tell keys apart, too few to search by.
+/// Digits of a key's hash that a plan displays: enough to tell keys apart, too few to search for
+/// the key.
 const DISPLAYED_HASH_DIGITS: usize = 8;
 
-/// One item before and after.
+/// One item before and after the change; an absent value means that there is no such item.
 struct ItemChange {
     key: String,
     before: Option<Kind>,
     after: Option<Kind>,
 }
 
-/// A tenant before and after; at least one of them is present.
+/// A tenant before and after the change; at least one of them is present.
 struct TenantChange<'changes> {
     before: Option<&'changes Tenant>,
     after: Option<&'changes Tenant>,
@@ -34,7 +35,7 @@
     }
 }
 
-/// Everything that differs between two documents.
+/// All differences between two documents.
 pub(super) struct DocumentChanges {
     pub(super) routes: Vec<NamedChange>,
     pub(super) pools: Vec<NamedChange>,
@@ -43,7 +44,7 @@
 }
 
 impl DocumentChanges {
-    /// Compares the items that the documents are stored as.
+    /// Compares the items in which the documents are stored.
     pub(super) fn between(before: &Document, after: &Document) -> Self {
         let mut changes = Self {
             routes: Vec::new(),
@@ -65,7 +66,7 @@
         changes
     }
 
-    /// Keys that become valid or are revoked.
+    /// Returns the tenants' keys that become valid or are revoked.
     pub(super) fn keys(&self) -> Vec<KeyMove> {
         let mut moves = Vec::new();
         for tenant in self.tenants() {
@@ -84,7 +85,7 @@
         moves
     }
 
-    /// Quotas that change, new and removed tenants included.
+    /// Returns the quotas that change, including those of new and removed tenants.
     pub(super) fn quotas(&self) -> Vec<QuotaMove> {
         self.tenants()
             .map(|tenant| QuotaMove {
@@ -96,17 +97,17 @@
             .collect()
     }
 
-    /// Number of items that the change sends to every node.
+    /// Returns the number of items that the change sends to every node.
     pub(super) fn item_count(&self) -> u64 {
         self.items.len() as u64
     }
 
-    /// Encoded size of these items in bytes.
+    /// Returns the encoded size of these items, in bytes.
     pub(super) fn item_bytes(&self) -> u64 {
         self.items.iter().map(item_bytes).sum()
     }
 
-    /// Adds an item and, for one that operators know by name, its named change.
+    /// Adds a changed item and, for a route, pool or tenant, an entry with its name.
     fn record(&mut self, key: String, before: Option<Kind>, after: Option<Kind>) {
         let list = match after.as_ref().or(before.as_ref()) {
             Some(Kind::Route(_) | Kind::ForwardRoute(_)) => Some(&mut self.routes),
--- a/crates/control-state/src/planner/mod.rs
+++ b/crates/control-state/src/planner/mod.rs
@@ -1,7 +1,7 @@
-//! What a change of configuration moves, computed without applying it.
+//! Plans: the effects of a configuration change, computed without applying it.
 //!
-//! The same functions decide here and in the fleet: the items of a document, the selection of a
-//! pool's backends, and the routing table with its rendezvous homes.
+//! A plan uses the same code as the fleet: the conversion of a document to items, the selection of
+//! a pool's backends, and the routing table with its rendezvous hashing of sessions.
 
 mod catalogue;
 mod document_changes;
--- a/crates/control-state/src/planner/plan.rs
+++ b/crates/control-state/src/planner/plan.rs
@@ -1,4 +1,4 @@
-//! The complete plan.
+//! Computation of a complete plan.
 
 use millford_api::config::Document;
 use millford_api::operator::Plan;
@@ -9,8 +9,8 @@
 use super::session_moves::session_moves;
 use super::warnings::warnings;
 
-/// What replacing `before` by `after` moves. `sessions` are the hashes of sessions whose homes are
-/// compared, real ones or those of [`super::sample_sessions`].
+/// Computes the effects of replacing `before` by `after`. `sessions` are the hashes of the sessions
+/// whose homes are compared: those of real sessions, or those from [`super::sample_sessions`].
 #[must_use]
 pub fn plan(
     before: &Document,
--- a/crates/control-state/src/planner/replica_moves.rs
+++ b/crates/control-state/src/planner/replica_moves.rs
@@ -1,4 +1,4 @@
-//! Backends that join or leave pools.
+//! Backends that join or leave pools because of a change.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,7 +7,7 @@
 
 use super::catalogue::PlanCatalogue;
 
-/// Backends that a pool takes after the change and not before, or the other way.
+/// Returns the backends that a pool selects either only before or only after the change.
 pub(super) fn replica_moves(
     before: &Document,
     after: &Document,
--- a/crates/control-state/src/planner/sample.rs
+++ b/crates/control-state/src/planner/sample.rs
@@ -1,11 +1,13 @@
-//! Sessions to compare homes by when the real ones are not available.
+//! Synthetic sessions for the comparison of homes when the real sessions are not available.
 
 use millford_routing::prefix::session_hash;
 
-/// Sessions of a sample: a share of one in a hundred is estimated within a few tenths of a percent.
+/// Number of sessions in a sample. A share of one percent is estimated to within a few tenths of a
+/// percent.
 pub const SAMPLED_SESSIONS: usize = 1000;
 
-/// Hashes of made-up sessions. Homes depend on the hash only, so any sample yields the same shares.
+/// Returns the hashes of `count` synthetic sessions. A home depends only on the hash, so synthetic
+/// sessions yield the same shares as real ones.
 #[must_use]
 pub fn sample_sessions(count: usize) -> Vec<u64> {
     (0..count)
--- a/crates/control-state/src/planner/session_moves.rs
+++ b/crates/control-state/src/planner/session_moves.rs
@@ -1,4 +1,4 @@
-//! Session homes that a change moves, by the routing table that the proxies use.
+//! Sessions whose home backend changes, according to the routing table that the proxies use.
 
 use std::collections::BTreeMap;
 
@@ -9,21 +9,21 @@
 
 use super::catalogue::PlanCatalogue;
 
-/// A backend that may be the home of a route's sessions, by rendezvous hashing.
+/// Backend that may be the home of a route's sessions, with its weight in rendezvous hashing.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SessionHome {
     backend_id: String,
     weight_milli: u32,
 }
 
-/// From one backend to another; an empty id stands for no backend.
+/// Move of a home from one backend to another; an empty id means no backend.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct HomeChange {
     from: String,
     to: String,
 }
 
-/// Sessions whose home changes, for each route that exists before and after.
+/// Counts the sessions whose home changes, for each route that exists before and after the change.
 pub(super) fn session_moves(
     before: &Document,
     after: &Document,
@@ -97,7 +97,8 @@
         .collect()
 }
 
-/// The first home in rendezvous order; empty when no backend serves the route.
+/// Returns the id of the backend with the highest rendezvous score; empty when no backend serves
+/// the route.
 fn best_home(session: u64, homes: &[SessionHome]) -> String {
     let score =
         |home: &SessionHome| rendezvous::score(session, &home.backend_id, home.weight_milli.max(1));
--- a/crates/control-state/src/planner/warnings.rs
+++ b/crates/control-state/src/planner/warnings.rs
@@ -1,4 +1,4 @@
-//! Changes that are allowed and yet likely unintended.
+//! Warnings about changes that are valid but probably unintended.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 
 use super::catalogue::PlanCatalogue;
 
-/// Warnings about a change, in the order of routes, pools and tenants.
+/// Returns the warnings about a change, in the order of routes, pools and tenants.
 pub(super) fn warnings(
     before: &Document,
     after: &Document,
@@ -23,30 +23,32 @@
 }
 
 fn removed_routes(before: &[Route], after: &[Route]) -> Vec<PlanWarning> {
-    let stays = |route: &Route| after.iter().any(|other| other.name == route.name);
+    let is_retained = |route: &Route| after.iter().any(|other| other.name == route.name);
     before
         .iter()
-        .filter(|route| !stays(route))
+        .filter(|route| !is_retained(route))
         .map(|route| PlanWarning {
             path: format!("routes/{}", route.name),
-            message: "the route goes away; requests that no other route takes are refused".into(),
+            message: "the route is removed; requests that match no other route are refused".into(),
         })
         .collect()
 }
 
 fn pools_without_backend(after: &Document, catalogue: &PlanCatalogue) -> Vec<PlanWarning> {
     let routed = |pool: &Pool| after.routes.iter().any(|route| route.pool == pool.name);
-    let served = |pool: &Pool| {
+    let has_active_backend = |pool: &Pool| {
         let mut members = catalogue.members(pool);
         members.any(|backend| backend.state() == BackendState::BackendActive)
     };
     after
         .pools
         .iter()
-        .filter(|pool| routed(pool) && !served(pool))
+        .filter(|pool| routed(pool) && !has_active_backend(pool))
         .map(|pool| PlanWarning {
             path: format!("pools/{}", pool.name),
-            message: "no active backend fits the selector; its routes cannot be served now".into(),
+            message:
+                "no active backend matches the selector; the pool's routes cannot be served now"
+                    .into(),
         })
         .collect()
 }
@@ -59,7 +61,7 @@
         .filter(|pool| !routed(pool))
         .map(|pool| PlanWarning {
             path: format!("pools/{}", pool.name),
-            message: "no route names the pool".into(),
+            message: "no route refers to the pool".into(),
         })
         .collect()
 }
--- a/crates/control-state/src/quota/bucket.rs
+++ b/crates/control-state/src/quota/bucket.rs
@@ -1,25 +1,30 @@
-//! Token bucket of one tenant, counted twice: what may be granted, and what may be unspent at most.
+//! Token bucket of one tenant, with two counts: the tokens that may be granted, and an upper bound
+//! of the unspent tokens that decides whether requests are refused.
 
 use millford_api::config::Quota;
 use millford_core::{Duration, MonotonicTime};
 
 use super::takeover::Takeover;
 
-/// Microtokens in one token. With times in microseconds, rates stay whole numbers.
+/// Microtokens in one token. A rate in tokens a second is the same number of microtokens a
+/// microsecond, so that no fractions are needed.
 pub(super) const MICROTOKENS_PER_TOKEN: u64 = 1_000_000;
 
-/// Longest time without a leader for which the requests that arrived meanwhile are not refused.
-const MAX_VACANCY: Duration = Duration::from_secs(5);
+/// Longest time without a leader that a new leader allows for: requests that arrived during that
+/// time and stayed within the rate are not refused.
+const MAX_LEADERLESS_TIME: Duration = Duration::from_secs(5);
 
-/// When to retry under a quota whose rate is 0.
-const RETRY_WITHOUT_RATE: Duration = Duration::from_mins(1);
+/// Retry delay that a node is told under a quota whose rate is 0, which never yields a token.
+const ZERO_RATE_RETRY_DELAY: Duration = Duration::from_mins(1);
 
-/// Largest part of a burst that may be granted as surplus tokens at any time, in whole tokens.
+/// Most surplus tokens that may be outstanding at the nodes at any time under a quota with this
+/// `burst`: half of it, in whole tokens.
 pub(super) fn surplus_limit(burst: u32) -> u64 {
     u64::from(burst) / 2
 }
 
-/// Bucket in microtokens; the rate is in tokens a second, which is microtokens a microsecond.
+/// Bucket of one tenant. Amounts are in microtokens; the rate is in tokens a second, which is the
+/// same number of microtokens a microsecond.
 #[derive(Clone, Debug)]
 pub(super) struct Bucket {
     rate: u64,
@@ -27,19 +32,22 @@
     surplus_limit: u64,
     takeover: Takeover,
     updated_at: MonotonicTime,
-    /// May be granted. Invariant: `available` and the surplus tokens at the nodes together are
-    /// never more than `burst`.
+    /// Microtokens that may be granted. Invariant: `available` and the surplus tokens at the nodes
+    /// together are never more than `burst`.
     available: u64,
-    /// At least as much as would be there if every token whose fate is unknown had not been spent,
-    /// and nothing had been taken out yet for the requests that wait.
+    /// Upper bound of what a single exact bucket for the whole fleet would contain before it serves
+    /// the waiting requests. Tokens that may or may not have been spent count as unspent here.
+    /// Requests are refused only when this bound does not cover them.
     optimistic: u64,
-    /// Requests that wait. A bucket that had served them when they arrived would have refilled
-    /// since, so the optimistic count may exceed the burst by their number.
+    /// Requests that wait at the nodes, in microtokens. A bucket that had served them when they
+    /// arrived would have refilled since, so the optimistic count may exceed the burst by their
+    /// number.
     waiting: u64,
 }
 
 impl Bucket {
-    /// The bucket of a tenant that has not been seen since the leader's takeover, at `now`.
+    /// Creates the bucket of a tenant that made no request since the leader's takeover, refilled up
+    /// to `now`.
     pub(super) fn new(quota: &Quota, takeover: Takeover, now: MonotonicTime) -> Self {
         let burst = u64::from(quota.burst) * MICROTOKENS_PER_TOKEN;
         let mut bucket = Self {
@@ -53,14 +61,15 @@
             waiting: 0,
         };
         if now < takeover.predecessor_leases_end {
-            // Requests that arrived while there was no leader wait in the nodes.
-            bucket.optimistic += bucket.accrued(MAX_VACANCY);
+            // Requests that arrived while there was no leader still wait at the nodes.
+            bucket.optimistic += bucket.accrued(MAX_LEADERLESS_TIME);
         }
         bucket.refill(now, 0);
         bucket
     }
 
-    /// Brings the bucket to `now`; `surplus` is the upper bound of surplus microtokens at the nodes.
+    /// Refills the bucket up to `now`; `surplus` is the upper bound of the surplus microtokens at
+    /// the nodes.
     pub(super) fn refill(&mut self, now: MonotonicTime, surplus: u64) {
         if now <= self.updated_at {
             return;
@@ -83,40 +92,41 @@
         }
     }
 
-    /// Whole tokens that may be granted.
+    /// Returns how many whole tokens may be granted.
     pub(super) fn available_tokens(&self) -> u64 {
         self.available / MICROTOKENS_PER_TOKEN
     }
 
-    /// Whole tokens by the optimistic count.
+    /// Returns the optimistic count in whole tokens.
     pub(super) fn optimistic_tokens(&self) -> u64 {
         self.optimistic / MICROTOKENS_PER_TOKEN
     }
 
-    /// Whole tokens that the rate yields in a time.
+    /// Returns how many whole tokens the rate yields in `time`.
     pub(super) fn tokens_accrued(&self, time: Duration) -> u64 {
         self.accrued(time) / MICROTOKENS_PER_TOKEN
     }
 
-    /// Whether nothing is missing.
+    /// Whether the whole burst may be granted.
     pub(super) fn is_full(&self) -> bool {
         self.available == self.burst
     }
 
-    /// Takes tokens out for a node; at most [`Bucket::available_tokens`].
+    /// Deducts tokens that are granted to a node; at most [`Bucket::available_tokens`].
     pub(super) fn grant(&mut self, tokens: u64) {
         let microtokens = tokens * MICROTOKENS_PER_TOKEN;
         self.available = self.available.saturating_sub(microtokens);
         self.optimistic = self.optimistic.saturating_sub(microtokens);
     }
 
-    /// Takes requests out of the optimistic count that are refused although it covers them.
+    /// Deducts requests from the optimistic count that are refused although it covers them.
     pub(super) fn deduct_refused(&mut self, requests: u64) {
         let microtokens = requests * MICROTOKENS_PER_TOKEN;
         self.optimistic = self.optimistic.saturating_sub(microtokens);
     }
 
-    /// Puts surplus tokens back. They counted against the burst all the time, so all come back.
+    /// Returns unspent surplus tokens to the bucket. They counted against the burst while they were
+    /// at the node, so all of them become available again.
     pub(super) fn return_surplus(&mut self, tokens: u64, remaining_surplus: u64) {
         let microtokens = tokens * MICROTOKENS_PER_TOKEN;
         let capacity = self.burst.saturating_sub(remaining_surplus);
@@ -124,11 +134,11 @@
         self.add_optimistic(microtokens);
     }
 
-    /// Puts tokens back that were granted for a waiting request `age` ago and not spent.
+    /// Returns unspent tokens to the bucket that were granted for waiting requests `age` ago.
     ///
     /// They did not count against the burst meanwhile. A bucket that had never granted them would
-    /// be fuller by at least their number less what was refilled since, so that much may come back
-    /// without its ever containing more than such a bucket would.
+    /// contain more by at least their number less what was refilled since. That much becomes
+    /// available again, so the bucket never contains more than such a bucket would.
     pub(super) fn return_requested(&mut self, tokens: u64, age: Duration, surplus: u64) {
         let microtokens = tokens * MICROTOKENS_PER_TOKEN;
         let returned = microtokens.saturating_sub(self.accrued(age));
@@ -137,7 +147,7 @@
         self.add_optimistic(microtokens);
     }
 
-    /// Counts tokens of unknown fate as unspent where it is decided whether to refuse.
+    /// Adds tokens that may or may not have been spent to the optimistic count only.
     pub(super) fn add_uncertain(&mut self, tokens: u64) {
         self.add_optimistic(tokens * MICROTOKENS_PER_TOKEN);
     }
@@ -147,17 +157,17 @@
         self.waiting = requests * MICROTOKENS_PER_TOKEN;
     }
 
-    /// Time until the next whole token may be granted.
+    /// Returns the time until the next whole token may be granted.
     pub(super) fn until_next_token(&self, now: MonotonicTime) -> Duration {
         let until_grants = self.takeover.grants_from.since(now);
         let missing = MICROTOKENS_PER_TOKEN.saturating_sub(self.available % MICROTOKENS_PER_TOKEN);
         match missing.checked_div(self.rate) {
             Some(micros) => until_grants + Duration::from_micros(micros + 1),
-            None => RETRY_WITHOUT_RATE,
+            None => ZERO_RATE_RETRY_DELAY,
         }
     }
 
-    /// Switches to another quota. Tokens of a larger burst are there at once.
+    /// Switches to another quota. The tokens that a larger burst adds are available at once.
     pub(super) fn set_quota(&mut self, quota: &Quota, surplus: u64) {
         let burst = u64::from(quota.burst) * MICROTOKENS_PER_TOKEN;
         let added = burst.saturating_sub(self.burst);
@@ -184,8 +194,9 @@
         self.rate.saturating_mul(micros)
     }
 
-    /// An exact bucket never contains more than a burst beside the requests not yet taken out.
-    /// Requests that were given up stop counting, or their number would stay in the count.
+    /// Limits the optimistic count to the burst and the waiting requests: an exact bucket never
+    /// contains more than a burst on top of what the waiting requests will take. Without the limit,
+    /// requests that the nodes gave up would stay in the count.
     fn limit_optimistic(&mut self) {
         self.optimistic = self.optimistic.min(self.burst + self.waiting);
     }
--- a/crates/control-state/src/quota/demand_window.rs
+++ b/crates/control-state/src/quota/demand_window.rs
@@ -1,8 +1,8 @@
-//! A node's demand for one tenant's tokens, by lease time.
+//! A node's demand for one tenant's tokens, counted per lease time.
 
 use millford_core::{Duration, MonotonicTime};
 
-/// Tokens that a node requested in the present and the previous lease time.
+/// Tokens that a node requested in the current and the previous lease time.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DemandWindow {
     started_at: MonotonicTime,
@@ -10,26 +10,26 @@
     previous: u64,
 }
 
-/// What the passing of time did to a window.
+/// Result of advancing a window to the current time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WindowAdvance {
-    /// The present lease time goes on.
+    /// The current lease time has not ended.
     Unchanged,
-    /// The present lease time became the previous one.
+    /// The current lease time ended and became the previous one.
     Rotated,
-    /// Two lease times passed: there is no previous demand.
+    /// At least two lease times have passed; the demand of the previous one is 0.
     Idle,
 }
 
 impl WindowAdvance {
-    /// Whether two lease times passed.
+    /// Whether at least two lease times have passed.
     pub(super) fn is_idle(self) -> bool {
         self == Self::Idle
     }
 }
 
 impl DemandWindow {
-    /// A window without demand.
+    /// Creates a window without demand whose current lease time begins at `now`.
     pub(super) fn starting_at(now: MonotonicTime) -> Self {
         Self {
             started_at: now,
@@ -38,22 +38,22 @@
         }
     }
 
-    /// Adds requested tokens.
+    /// Adds requested tokens to the current lease time.
     pub(super) fn record(&mut self, tokens: u64) {
         self.current += tokens;
     }
 
-    /// Tokens requested in the previous lease time.
+    /// Returns the tokens requested in the previous lease time.
     pub(super) fn previous(&self) -> u64 {
         self.previous
     }
 
-    /// Whether nothing was requested in the present and the previous lease time.
+    /// Whether no tokens were requested in the current and the previous lease time.
     pub(super) fn is_empty(&self) -> bool {
         self.current == 0 && self.previous == 0
     }
 
-    /// Brings the window to `now`.
+    /// Starts a new lease time at `now` if the current one has ended.
     pub(super) fn advance(&mut self, now: MonotonicTime, lease: Duration) -> WindowAdvance {
         let age = now.since(self.started_at);
         if age < lease {
--- a/crates/control-state/src/quota/leases.rs
+++ b/crates/control-state/src/quota/leases.rs
@@ -1,11 +1,12 @@
-//! The quota leases of all tenants of one shard, granted by the shard's leader only.
+//! Quota leases of all tenants of one shard. Only the shard's leader grants them.
 //!
 //! # Why the quota holds across a change of leader
-//! Let F be [`Takeover::grants_from`]: the time of the election and the bound after which the former
-//! leader has certainly stepped down. Let E be [`Takeover::predecessor_leases_end`]: F and one lease
-//! (with its margin). The former leader grants nothing after F. What it granted before F for
-//! waiting requests counts before F. Its surplus tokens, at most half a burst, may be spent until E.
-//! The new leader's buckets are empty at F and contain at most the other half of the burst until E.
+//! Let F be [`Takeover::grants_from`]: the time of the election plus the bound within which the
+//! former leader has certainly stepped down. Let E be [`Takeover::predecessor_leases_end`]: F plus
+//! one lease (with its margin). The former leader grants nothing after F. What it granted before F
+//! for waiting requests counts before F. Its surplus tokens, at most half a burst, may be spent
+//! until E. The new leader's buckets are empty at F and contain at most the other half of the burst
+//! until E.
 //!
 //! For a window that begins before F, the former leader's tokens and what the rate yielded until F
 //! are within the bound of [`super::token_account`], and the new leader adds only what the rate
@@ -24,10 +25,10 @@
 use super::reply_cache::{EpochStatus, ReplyCache};
 use super::takeover::Takeover;
 use super::tenant_account::{
-    RequestContext, TenantAccount, TenantPresence, TenantReply, unknown_tenant,
+    RequestContext, TenantAccount, TenantPresence, TenantReply, unknown_tenant_reply,
 };
 
-/// What the leader knows while it leads.
+/// State that a replica keeps only while it leads the shard.
 #[derive(Clone, Debug)]
 struct Leadership {
     term: u64,
@@ -37,7 +38,8 @@
     swept_at: MonotonicTime,
 }
 
-/// Quotas of a shard's tenants. A tenant costs memory beyond its limits only while it is in use.
+/// Quota leases of a shard's tenants. Beyond its configured limits, a tenant uses memory only while
+/// it has outstanding grants, recent demand or a bucket that is not full.
 #[derive(Clone, Debug)]
 pub struct QuotaLeases {
     shard: ShardId,
@@ -47,7 +49,7 @@
 }
 
 impl QuotaLeases {
-    /// The leases of a replica that does not lead yet.
+    /// Creates the leases of a replica that does not lead.
     #[must_use]
     pub fn new(shard: ShardId, options: QuotaOptions) -> Self {
         Self {
@@ -58,7 +60,8 @@
         }
     }
 
-    /// The replica became the leader of `term`.
+    /// Starts granting as the leader of `term`, elected at `now`, with no knowledge of earlier
+    /// grants.
     pub fn lead(&mut self, now: MonotonicTime, term: u64) {
         self.leadership = Some(Leadership {
             term,
@@ -69,12 +72,12 @@
         });
     }
 
-    /// The replica does not lead any more; it forgets what it granted.
+    /// Stops granting, because the replica no longer leads, and drops the record of its grants.
     pub fn resign(&mut self) {
         self.leadership = None;
     }
 
-    /// Number of tenants that cost memory beyond their limits now.
+    /// Returns the number of tenants with an account; 0 while the replica does not lead.
     #[must_use]
     pub fn active_tenants(&self) -> usize {
         self.leadership
@@ -82,7 +85,8 @@
             .map_or(0, |leadership| leadership.accounts.len())
     }
 
-    /// Sets or removes a tenant's quota, and recalls what lies idle at the nodes.
+    /// Sets a tenant's quota, or removes it when `quota` is absent, and recalls the tenant's idle
+    /// tokens and slots from the nodes.
     pub fn set_quota(
         &mut self,
         now: MonotonicTime,
@@ -102,14 +106,15 @@
         let Some(account) = leadership.accounts.get_mut(tenant) else {
             return Vec::new();
         };
-        // A removed tenant's tokens are worth nothing, and come back as a new tenant's would.
+        // A removed tenant's account goes on under a quota of 0. If the tenant is added again, its
+        // tokens are available at once, as those of a new tenant are.
         let effective = quota.unwrap_or_default();
         account.set_quota(now, &effective, &self.options);
         account.start_recalls(self.shard, now, tenant, &self.options)
     }
 
-    /// Replies to a node. Recalls of other nodes' idle tokens and slots may go out beside the reply,
-    /// which comes first.
+    /// Handles a node's request. The first output is the reply; recalls of idle tokens and slots at
+    /// other nodes may follow it.
     pub fn handle(&mut self, now: MonotonicTime, request: &QuotaRequest) -> Vec<QuotaOutput> {
         let Some(leadership) = &mut self.leadership else {
             let reply = empty_reply(request, ResultCode::NotLeader, 0);
@@ -141,7 +146,8 @@
         outputs
     }
 
-    /// Drops accounts that nobody uses; to be called regularly while leading.
+    /// Drops idle accounts and old cached replies, once per [`QuotaOptions::sweep_interval`]. The
+    /// leader calls it regularly.
     pub fn tick(&mut self, now: MonotonicTime) {
         let Some(leadership) = &mut self.leadership else {
             return;
@@ -155,7 +161,8 @@
 }
 
 impl Leadership {
-    /// The reply to a request that is fenced, was answered before or was given up by its node.
+    /// Returns the reply to a request that is fenced, was answered before or was given up by its
+    /// node. Returns `None` for a request that has to be processed.
     fn reply_without_grants(
         &mut self,
         now: MonotonicTime,
@@ -183,7 +190,7 @@
         quota: Option<&Quota>,
     ) -> TenantReply {
         let Some(quota) = quota else {
-            return unknown_tenant(request, context.options);
+            return unknown_tenant_reply(request, context.options);
         };
         self.accounts
             .entry(request.tenant.clone())
--- a/crates/control-state/src/quota/member_lease.rs
+++ b/crates/control-state/src/quota/member_lease.rs
@@ -1,4 +1,4 @@
-//! What one node may hold of one tenant's tokens, as far as the leader knows.
+//! Tokens of one tenant that one node may hold, as recorded by the shard's leader.
 
 use std::collections::VecDeque;
 
@@ -8,19 +8,21 @@
 use super::options::OUTAGE_RETURN_WINDOW;
 use super::recall::is_recall_due;
 
-/// Inactivity that is assumed before the first request of a process.
+/// Inactivity that is assumed before the first request of an agent process: the leader cannot tell
+/// how long requests waited at the node before that.
 const ASSUMED_FIRST_INACTIVITY: Duration = Duration::from_hours(1);
 
-/// Requests after a recall, the last of which the node certainly sent after it received the recall.
+/// Number of requests after a recall of which the last was certainly sent after the node had
+/// received the recall.
 const REQUESTS_THAT_CONFIRM_RECALL: u32 = 2;
 
 /// Tokens granted by one reply.
 #[derive(Clone, Copy, Debug)]
 struct GrantedTokens {
     granted_at: MonotonicTime,
-    /// For requests that wait: taken as spent when granted.
+    /// Tokens for waiting requests; they count as spent when granted.
     requested: u64,
-    /// Beyond what was requested: may be spent at any time within the lease.
+    /// Tokens beyond what was requested; they may be spent at any time within the lease.
     surplus: u64,
 }
 
@@ -34,7 +36,7 @@
     }
 }
 
-/// Tokens of one grant that came back.
+/// Tokens of one grant that the node returned unspent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReturnedTokens {
     pub(super) requested: u64,
@@ -42,31 +44,32 @@
     pub(super) age: Duration,
 }
 
-/// A time in which nothing was received from a node.
+/// A period in which no request arrived from a node.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Inactivity {
     pub(super) length: Duration,
     pub(super) ended_at: MonotonicTime,
 }
 
-/// Whether the node has responded to a recall.
+/// Progress of the recall of a node's surplus tokens.
 #[derive(Clone, Copy, Debug)]
 struct RecallStatus {
     sent_at: Option<MonotonicTime>,
     requests_since: u32,
-    /// Whether the node has responded since the last surplus tokens were granted.
+    /// Whether the node has responded to a recall since surplus tokens were last granted. Also set
+    /// while none have been granted yet.
     confirmed: bool,
 }
 
-/// Tokens that a node may hold, the oldest first, and what is known of its requests.
+/// Tokens that a node may hold, the oldest grant first, and the state of its requests.
 #[derive(Clone, Debug)]
 pub(super) struct MemberLease {
     epoch: u64,
     grants: VecDeque<GrantedTokens>,
     recall: RecallStatus,
-    /// Requests that the node's last message left waiting.
+    /// Requests of the node's last message that were neither granted nor refused.
     waiting: u64,
-    /// Every request that waits at the node, under whichever message.
+    /// All requests that wait at the node, including those of earlier messages.
     queued: u64,
     last_request_at: MonotonicTime,
     /// The longest inactivity that ended recently.
@@ -75,7 +78,7 @@
 }
 
 impl MemberLease {
-    /// A lease without tokens.
+    /// Creates a lease without tokens.
     pub(super) fn new(epoch: u64, now: MonotonicTime) -> Self {
         Self {
             epoch,
@@ -96,54 +99,56 @@
         }
     }
 
-    /// Epoch of the session that requested last.
+    /// Returns the epoch of the session that sent the last request.
     pub(super) fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Upper bound of the surplus tokens that the node may still spend.
+    /// Returns an upper bound of the surplus tokens that the node may still spend.
     pub(super) fn surplus(&self) -> u64 {
         self.grants.iter().map(|grant| grant.surplus).sum()
     }
 
-    /// Whether the node may have surplus tokens that it could return.
+    /// Whether a recall may still make the node return surplus tokens.
     pub(super) fn may_return_surplus(&self) -> bool {
         !self.recall.confirmed && self.surplus() > 0
     }
 
-    /// Whether nothing is granted and nothing was requested in the last two lease times.
+    /// Whether no grant is outstanding and no tokens were requested in the last two lease times.
     pub(super) fn is_empty(&self) -> bool {
         self.grants.is_empty() && self.demand.is_empty()
     }
 
-    /// Records requested tokens; the sum of the previous lease time determines surplus tokens.
+    /// Records requested tokens. The sum over the previous lease time determines how many surplus
+    /// tokens the node is granted.
     pub(super) fn record_demand(&mut self, requested: u64) {
         self.demand.record(requested);
     }
 
-    /// Tokens requested in the previous lease time.
+    /// Returns the tokens requested in the previous lease time.
     pub(super) fn previous_demand(&self) -> u64 {
         self.demand.previous()
     }
 
-    /// Requests that wait at the node and were not refused.
+    /// Returns the requests of the node's last message that still wait.
     pub(super) fn waiting(&self) -> u64 {
         self.waiting
     }
 
-    /// Every request that waits at the node, under whichever message.
+    /// Returns all requests that wait at the node, including those of earlier messages.
     pub(super) fn queued(&self) -> u64 {
         self.queued
     }
 
-    /// Sets how many requests the node's message left waiting, and how many wait there in all.
+    /// Sets how many requests of the node's last message still wait, and how many wait at the node
+    /// in total.
     pub(super) fn set_waiting(&mut self, waiting: u64, queued: u64) {
         self.waiting = waiting;
         self.queued = queued.max(waiting);
     }
 
-    /// The node sent a message under a session's epoch. Returns the longest inactivity that ended
-    /// recently: what waited through it may still be on its way.
+    /// Records a message that the node sent in the session with this epoch. Returns the longest
+    /// inactivity that ended recently: requests that waited through it may still arrive.
     pub(super) fn record_contact(&mut self, now: MonotonicTime, epoch: u64) -> Inactivity {
         let length = if epoch == self.epoch {
             now.since(self.last_request_at)
@@ -162,7 +167,7 @@
         self.longest_inactivity
     }
 
-    /// Records what was granted.
+    /// Records tokens granted by one reply.
     pub(super) fn grant(&mut self, now: MonotonicTime, requested: u64, surplus: u64) {
         if requested + surplus == 0 {
             return;
@@ -181,7 +186,8 @@
         });
     }
 
-    /// Takes back up to `tokens`, surplus ones first; more than was granted is not believed.
+    /// Deducts up to `tokens` from the grants, surplus ones first. A returned number above what was
+    /// granted is cut to that.
     pub(super) fn take_returned(&mut self, now: MonotonicTime, tokens: u64) -> Vec<ReturnedTokens> {
         let mut remaining = tokens;
         let mut returned = Vec::new();
@@ -206,7 +212,7 @@
         returned
     }
 
-    /// Records a message that may be the response to a recall.
+    /// Counts a message towards the confirmation of a recall.
     ///
     /// One message may have been in flight before the recall reached the node, for instance the
     /// renewal of its stream slots; the second one was certainly sent after it.
@@ -229,7 +235,8 @@
         due
     }
 
-    /// Drops what can no longer be spent; returns the surplus tokens whose fate is unknown.
+    /// Drops grants whose lease has ended. Returns how many surplus tokens among them may or may
+    /// not have been spent, because no recall was confirmed.
     pub(super) fn expire(&mut self, now: MonotonicTime, lease: Duration) -> u64 {
         if self.demand.advance(now, lease).is_idle() {
             self.waiting = 0;
--- a/crates/control-state/src/quota/mod.rs
+++ b/crates/control-state/src/quota/mod.rs
@@ -1,12 +1,13 @@
-//! Quotas of tenants, kept by the leader of the tenant's shard and leased to the nodes.
+//! Tenants' quotas: the leader of a tenant's shard accounts for them and leases tokens and stream
+//! slots to the nodes.
 //!
 //! # Guarantee
-//! Counted from the moment of granting for tokens that a waiting request requested, and from the
-//! moment of spending for surplus ones, a tenant's requests in any window are at most its burst and
-//! what its rate yields in that window, over all nodes, lost nodes, lost replies and changes of
-//! leader included. A tenant under that is never refused; at worst its requests wait while idle
-//! tokens are recalled. The argument stands at the code: `token_account` for one leader,
-//! `leases` for the change of leaders, `slot_leases` for stream slots.
+//! In any window, a tenant's requests over all nodes are at most its burst plus what its rate
+//! yields in that window, also when nodes fail, replies are lost or the leader changes. A token
+//! granted for a waiting request counts when it is granted, a surplus token when it is spent. A
+//! tenant within that bound is never refused; at worst its requests wait while idle tokens are
+//! recalled. The modules contain the arguments: `token_account` for one leader, `leases` for
+//! changes of leader, `slot_leases` for stream slots.
 
 mod bucket;
 mod demand_window;
--- a/crates/control-state/src/quota/options.rs
+++ b/crates/control-state/src/quota/options.rs
@@ -1,30 +1,33 @@
-//! Times of quota leases.
+//! Durations that control the quota leases.
 
 use millford_core::Duration;
 
-/// How long granted tokens may be spent, counted by the node from when it sent the request.
+/// How long granted tokens may be spent. The node counts from when it sent the request.
 pub const QUOTA_LEASE: Duration = Duration::from_secs(1);
-/// How long after an election the former leader may still have granted: it steps down when it has
-/// had no contact to a quorum for this long.
+/// How long after an election the former leader may still grant: a leader steps down when it has
+/// had no contact with a quorum for this long.
 pub const STEP_DOWN_BOUND: Duration = Duration::from_millis(500);
-/// How long the streams of an unresponsive node still count. Longer than the longest disconnection
-/// that a node's streams are expected to outlive; a node that returns or restarts reports what is
-/// really open.
+/// How long the streams of an unresponsive node still count against the limit. It exceeds the
+/// longest disconnection during which a node's streams are expected to continue. A node that
+/// reconnects or restarts reports the streams that are really open.
 pub const INACTIVE_SLOT_TIMEOUT: Duration = Duration::from_secs(30);
-/// When to retry a request, or to repeat a recall, while idle tokens or slots are being recalled.
+/// Delay before a node retries a request, or the leader repeats a recall, while idle tokens or
+/// slots are being recalled.
 pub const RECALL_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// How long after a change of leader the spending of the former one's grants counts as unknown.
+/// How long after a change of leader the new leader assumes, when it decides about refusals, that
+/// tokens granted by its predecessor may not have been spent.
 pub const TAKEOVER_UNCERTAINTY: Duration = Duration::from_mins(1);
-/// How often the leader looks for accounts that nobody uses.
+/// How often the leader drops idle accounts.
 pub const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Added to a lease by the leader, for clocks that do not run equally fast.
+/// Margin that the leader adds to a lease, because the node's clock may run slower than its own.
 const CLOCK_MARGIN: Duration = Duration::from_millis(50);
 
-/// How long after one node's return from an outage others of the same outage may still return.
+/// Time after a node's reconnection within which other nodes may still reconnect after the same
+/// outage.
 pub(super) const OUTAGE_RETURN_WINDOW: Duration = Duration::from_secs(10);
 
-/// Times of quota leases; only tests deviate from the defaults.
+/// Durations that control the quota leases. Only tests deviate from the defaults.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaOptions {
     /// See [`QUOTA_LEASE`].
@@ -42,10 +45,10 @@
 }
 
 impl QuotaOptions {
-    /// Time after a grant from which the leader takes its lease to have ended.
+    /// Returns the time after a grant at which the leader regards the lease as ended.
     ///
-    /// Safety: a node's lease ends before that. The node counts from when it sent the request, the
-    /// leader from when it replied, and the margin covers unequal clocks.
+    /// Safety: the lease ends earlier at the node. The node counts from when it sent the request,
+    /// the leader from when it replied, and the margin covers clocks that run at different speeds.
     pub(super) fn leader_lease(&self) -> Duration {
         self.lease + CLOCK_MARGIN
     }
--- a/crates/control-state/src/quota/outage_credit.rs
+++ b/crates/control-state/src/quota/outage_credit.rs
@@ -1,10 +1,11 @@
-//! Credit for requests that waited where the leader could not know of them.
+//! Credit for requests that waited at nodes without contact to the leader.
 
 use millford_core::MonotonicTime;
 
 use super::options::OUTAGE_RETURN_WINDOW;
 
-/// What the rate accrued in an outage, in whole tokens. Nodes that return from one outage share it.
+/// Tokens that the rate yielded during an outage, in whole tokens. All nodes that reconnect after
+/// the same outage share them.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct OutageCredit {
     active: Option<ActiveCredit>,
@@ -17,17 +18,18 @@
 }
 
 impl OutageCredit {
-    /// Whole tokens of the credit; 0 without one.
+    /// Returns the credit in whole tokens; 0 when there is none.
     pub(super) fn tokens(&self) -> u64 {
         self.active.map_or(0, |credit| credit.tokens)
     }
 
-    /// Whether a credit has not expired yet.
+    /// Whether there is a credit that has not expired.
     pub(super) fn is_active(&self) -> bool {
         self.active.is_some()
     }
 
-    /// A node returned for whose requests the rate accrued `tokens` meanwhile. The largest counts.
+    /// Records that a node reconnected after an outage in which the rate yielded `tokens`. The
+    /// largest recorded value is the credit.
     pub(super) fn record(&mut self, now: MonotonicTime, tokens: u64) {
         if tokens > self.tokens() {
             let expires_at = now + OUTAGE_RETURN_WINDOW;
@@ -35,7 +37,7 @@
         }
     }
 
-    /// Ends a credit whose time is over and returns its tokens.
+    /// Removes an expired credit and returns its tokens; `None` when no credit has expired.
     pub(super) fn expire(&mut self, now: MonotonicTime) -> Option<u64> {
         let expired = self.active.take_if(|credit| credit.expires_at <= now)?;
         Some(expired.tokens)
--- a/crates/control-state/src/quota/output.rs
+++ b/crates/control-state/src/quota/output.rs
@@ -1,4 +1,4 @@
-//! Messages that the quota leases send.
+//! Messages that the leader's quota leases send to nodes.
 
 use millford_api::internal::{QuotaRecall, QuotaReply};
 
@@ -7,24 +7,24 @@
 pub enum QuotaOutput {
     /// Reply to a request of the member.
     Reply {
-        /// Name of the agent.
+        /// Name of the agent that sent the request.
         member: String,
-        /// The reply.
+        /// Message to send, with one grant for each tenant of the request unless it was rejected.
         reply: QuotaReply,
     },
-    /// Idle tokens and slots are recalled; the node responds with a request that returns them.
+    /// Recall of idle tokens and slots; the node responds with a request that returns them.
     Recall {
-        /// Name of the agent.
+        /// Name of the agent that holds the idle tokens or slots.
         member: String,
         /// Epoch of the session that the lease was granted to.
         epoch: u64,
-        /// The recall.
+        /// Message to send; it covers one tenant.
         recall: QuotaRecall,
     },
 }
 
 impl QuotaOutput {
-    /// Name of the agent that the message is for.
+    /// Returns the name of the agent that the message is addressed to.
     pub(super) fn member(&self) -> &str {
         match self {
             QuotaOutput::Reply { member, .. } | QuotaOutput::Recall { member, .. } => member,
--- a/crates/control-state/src/quota/recall.rs
+++ b/crates/control-state/src/quota/recall.rs
@@ -1,15 +1,15 @@
-//! Recalls of what lies idle at the nodes.
+//! Recalls of idle tokens and slots from the nodes.
 
 use millford_core::{Duration, MonotonicTime};
 
-/// A node that is to return what it does not use.
+/// Session of a node that a recall is sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct RecallTarget {
     pub(super) member: String,
     pub(super) epoch: u64,
 }
 
-/// Whether a recall is due that was last sent at `sent_at`, if ever.
+/// Whether a recall is due that was last sent at `sent_at`; `None` when it was never sent.
 pub(super) fn is_recall_due(
     sent_at: Option<MonotonicTime>,
     now: MonotonicTime,
--- a/crates/control-state/src/quota/reply_cache.rs
+++ b/crates/control-state/src/quota/reply_cache.rs
@@ -1,21 +1,21 @@
-//! The last replies to each node, so that a resent request gets the same one.
+//! Cache of the last replies to each node, so that a resent request gets the same reply.
 //!
-//! Without that, a lost reply would lose its tokens, and tokens returned by a resent request would
-//! be counted twice.
+//! Without it, the tokens of a lost reply would be lost, and tokens returned by a resent request
+//! would be counted twice.
 //!
-//! # Why an outdated request changes nothing
+//! # Why an outdated request is not processed
 //! Request ids rise with each request of a session, and a node gives a request up after one lease.
-//! A request whose id is not above one that was answered longer ago than that was therefore given
-//! up by its node: a relay delayed it. Its node has sent another one since, so processing it would
-//! count the same waiting requests twice; and if it was answered before, what it returns would come
-//! back twice.
+//! If a request's id is not above one that was answered longer ago than a lease, a relay delayed
+//! the request and its node has given it up. The node has sent another one since, so processing it
+//! would count the same waiting requests twice. If it was answered before, the tokens that it
+//! returns would also be counted twice.
 
 use std::collections::BTreeMap;
 
 use millford_api::internal::QuotaReply;
 use millford_core::{Duration, MonotonicTime};
 
-/// Most replies cached for one node.
+/// Most cached replies per node; the one with the lowest request id is dropped first.
 const MAX_REPLIES_PER_MEMBER: usize = 256;
 
 #[derive(Clone, Debug)]
@@ -30,7 +30,8 @@
     epoch: u64,
     last_contact: MonotonicTime,
     replies: BTreeMap<u64, CachedReply>,
-    /// Newest request whose reply is cached no longer: requests up to it were given up.
+    /// Highest request id whose reply was dropped for its age: the node gave up all requests up to
+    /// it.
     outdated_up_to: u64,
 }
 
@@ -56,25 +57,26 @@
     }
 }
 
-/// How a request's epoch compares to the newest one of its member.
+/// Comparison of a request's epoch with the newest known epoch of its member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EpochStatus {
-    /// The newest known.
+    /// The request belongs to the newest known session.
     Current,
-    /// A newer process of the member than the one known.
+    /// The request belongs to a newer session than the newest known one.
     Newer,
-    /// Fenced: a newer process has appeared before.
+    /// The request is fenced, because a newer session has already sent one.
     Older,
 }
 
-/// Replies to all nodes.
+/// Cached replies and last contacts of all nodes.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReplyCache {
     members: BTreeMap<String, MemberReplies>,
 }
 
 impl ReplyCache {
-    /// Records a request of a node under this epoch.
+    /// Records a request that the member sent in the session with this epoch. A newer epoch drops
+    /// the replies of the older session.
     pub(super) fn record_contact(
         &mut self,
         now: MonotonicTime,
@@ -96,7 +98,7 @@
         EpochStatus::Current
     }
 
-    /// The reply that this request got before.
+    /// Returns the cached reply to this request, if there is one.
     pub(super) fn get(&self, member: &str, request_id: u64) -> Option<&QuotaReply> {
         let cached = self.members.get(member)?.replies.get(&request_id)?;
         Some(&cached.reply)
@@ -108,7 +110,7 @@
         known.is_some_and(|known| request_id <= known.outdated_up_to)
     }
 
-    /// Caches a reply to a node of which a request was recorded.
+    /// Caches a reply. It is ignored for a member without a recorded request.
     pub(super) fn insert(&mut self, now: MonotonicTime, member: &str, reply: QuotaReply) {
         let Some(known) = self.members.get_mut(member) else {
             return;
@@ -123,8 +125,9 @@
         }
     }
 
-    /// Drops replies older than `retention`, and nodes that were inactive for `inactivity_timeout`.
-    /// `retention` is no shorter than the time after which a node gives a request up.
+    /// Drops replies older than `retention`, and members that sent nothing for
+    /// `inactivity_timeout`. `retention` must not be shorter than the time after which a node gives
+    /// a request up.
     pub(super) fn sweep(
         &mut self,
         now: MonotonicTime,
--- a/crates/control-state/src/quota/slot_leases.rs
+++ b/crates/control-state/src/quota/slot_leases.rs
@@ -1,12 +1,12 @@
-//! Stream slots of one tenant: which node may use how many.
+//! Stream slots of one tenant, leased to the nodes.
 //!
 //! # Why the limit holds
-//! A node is charged with the larger of what it may hold and what it uses, until its next request,
-//! or until it has been unresponsive for so long that its streams are taken to have ended. A node's
-//! request states how many slots it keeps; it gives the others up when it sends the request, before
-//! the leader can grant them again. A new leader grants nothing beyond what is in use until every
-//! lease of its predecessor has ended; each connected node renews within that time and so reports
-//! what it uses.
+//! Each node is charged with the larger of the slots that it may hold and the slots that it uses.
+//! The charge lasts until the node's next request, or until the node has been unresponsive for
+//! [`QuotaOptions::inactive_slot_timeout`]. A node's request states how many slots it keeps; it
+//! gives the others up when it sends the request, before the leader can grant them again. A new
+//! leader grants nothing beyond what is in use until every lease of its predecessor has ended. Each
+//! connected node renews its lease within that time and so reports what it uses.
 
 use std::collections::BTreeMap;
 
@@ -15,37 +15,37 @@
 use super::options::QuotaOptions;
 use super::recall::{RecallTarget, is_recall_due};
 
-/// Lease times after which a restarted node has claimed again what it still uses, and after which
-/// no older request of a node arrives any more.
+/// Number of lease times after which a restarted node has requested the slots that it still uses,
+/// and after which delayed requests of a node no longer arrive.
 const GRACE_LEASES: u32 = 2;
 
-/// The slot part of a node's request.
+/// The part of a node's request that concerns stream slots.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SlotRequest<'request> {
     pub(super) member: &'request str,
     pub(super) epoch: u64,
-    /// Grows with each request of the session; an older one than the last changes nothing.
+    /// Grows with each request of the session; a request with a lower id than the last is ignored.
     pub(super) request_id: u64,
     pub(super) requested: u64,
     pub(super) in_use: u64,
 }
 
-/// What the slots of a tenant are limited by.
+/// Limit of a tenant's slots.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SlotLimit {
-    /// Streams of the tenant over all nodes; unlimited when absent.
+    /// Most concurrent streams of the tenant over all nodes; `None` means unlimited.
     pub(super) slots: Option<u64>,
-    /// When the leases of a former leader have certainly ended.
+    /// Time at which every lease granted by the former leader has ended.
     pub(super) predecessor_leases_end: MonotonicTime,
 }
 
-/// What the node may hold.
+/// Reply to the slot part of a node's request.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SlotGrant {
     pub(super) slots: u64,
     pub(super) refused: bool,
     pub(super) retry_after: Duration,
-    /// Idle slots of other nodes are to be recalled.
+    /// Whether idle slots of other nodes have to be recalled.
     pub(super) recall: bool,
 }
 
@@ -54,12 +54,13 @@
     epoch: u64,
     request_id: u64,
     granted: u64,
-    /// What the node may believe to hold: a smaller grant may never reach it.
+    /// Most slots that the node may use. It exceeds `granted` after a smaller grant, because the
+    /// reply with that grant may not have reached the node.
     may_hold: u64,
     in_use: u64,
     renewed_at: MonotonicTime,
-    /// Set when a newer process of the member has appeared: what that one does not claim soon is
-    /// given up.
+    /// When a newer session of the member first appeared. The lease ends [`GRACE_LEASES`] lease
+    /// times later unless the newer session has replaced it by then.
     superseded_at: Option<MonotonicTime>,
     recall_sent_at: Option<MonotonicTime>,
 }
@@ -70,8 +71,8 @@
     }
 
     fn has_ended(&self, now: MonotonicTime, options: &QuotaOptions) -> bool {
-        // A lease of nothing stays for as long as older requests of the node may still arrive: one
-        // that was resent would otherwise be taken for a new one.
+        // A lease without slots is kept while older requests of the node may still arrive. Without
+        // it, a delayed request would be handled as a new one.
         let timeout = match self.charge() {
             0 => options.lease * GRACE_LEASES,
             _ => options.inactive_slot_timeout,
@@ -89,14 +90,14 @@
     }
 }
 
-/// Leases of one tenant's slots by member.
+/// Slot leases of one tenant, by member.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SlotLeases {
     leases: BTreeMap<String, SlotLease>,
 }
 
 impl SlotLeases {
-    /// Renews, raises or lowers what a node holds.
+    /// Grants the requested slots as far as the limit allows, and never fewer than are in use.
     pub(super) fn handle(
         &mut self,
         now: MonotonicTime,
@@ -113,7 +114,7 @@
             Some(_) if now < limit.predecessor_leases_end => 0,
             Some(slots) => slots.saturating_sub(self.charged_to_others(request.member)),
         };
-        // Streams in use are never cut off, also when the limit was lowered.
+        // Streams in use are never cut off, even when the limit was lowered.
         let in_use = request.in_use.min(request.requested);
         let slots = request.requested.min(capacity).max(in_use);
         self.record_grant(now, request, slots);
@@ -122,12 +123,13 @@
             ..SlotGrant::default()
         };
         if slots < request.requested {
-            self.decide_missing(now, request.member, limit, options, &mut grant);
+            self.handle_shortfall(now, request.member, limit, options, &mut grant);
         }
         grant
     }
 
-    /// Members whose idle slots are to be recalled now.
+    /// Returns the members whose idle slots have to be recalled now, and records the recalls as
+    /// sent.
     pub(super) fn start_recalls(
         &mut self,
         now: MonotonicTime,
@@ -147,7 +149,7 @@
         targets
     }
 
-    /// A newer process of the member has appeared.
+    /// Marks the lease of an older session of the member as superseded by the session with `epoch`.
     pub(super) fn supersede(&mut self, now: MonotonicTime, member: &str, epoch: u64) {
         if let Some(lease) = self.leases.get_mut(member)
             && lease.epoch < epoch
@@ -157,18 +159,19 @@
         }
     }
 
-    /// Drops the leases that ended.
+    /// Drops the leases that have ended.
     pub(super) fn expire(&mut self, now: MonotonicTime, options: &QuotaOptions) {
         self.leases
             .retain(|_, lease| !lease.has_ended(now, options));
     }
 
-    /// Whether there is no lease.
+    /// Whether no member has a lease.
     pub(super) fn is_empty(&self) -> bool {
         self.leases.is_empty()
     }
 
-    /// What a request older than the last one is answered with: it changes nothing.
+    /// Returns the current grant for a request older than the last one of its session, which must
+    /// not change the lease. Returns `None` for any other request.
     fn grant_for_outdated(&self, request: SlotRequest<'_>) -> Option<SlotGrant> {
         let lease = self.leases.get(request.member)?;
         let outdated = lease.epoch == request.epoch && lease.request_id > request.request_id;
@@ -186,8 +189,8 @@
     fn record_grant(&mut self, now: MonotonicTime, request: SlotRequest<'_>, granted: u64) {
         let former = self.leases.get(request.member);
         let renewed = former.filter(|lease| lease.epoch == request.epoch);
-        // Safety: the node gave up what it does not request when it sent the request, and no more
-        // than that; that it is granted less it learns only if the reply arrives.
+        // Safety: when the node sent the request, it gave up only the slots that it did not
+        // request. It stops using the others only if the reply with a smaller grant arrives.
         let kept = renewed.map_or(0, |lease| lease.may_hold.min(request.requested));
         let lease = SlotLease {
             epoch: request.epoch,
@@ -202,7 +205,7 @@
         self.leases.insert(request.member.to_owned(), lease);
     }
 
-    fn decide_missing(
+    fn handle_shortfall(
         &self,
         now: MonotonicTime,
         member: &str,
--- a/crates/control-state/src/quota/takeover.rs
+++ b/crates/control-state/src/quota/takeover.rs
@@ -1,26 +1,27 @@
-//! What a new leader has to assume about the grants of its predecessor.
+//! Times after which a new leader no longer has to allow for its predecessor's grants.
 
 use millford_core::MonotonicTime;
 
 use super::options::QuotaOptions;
 
-/// When a new leader may grant, and when its buckets may be full.
+/// Times at which a new leader may begin to grant and to fill its buckets completely.
 ///
-/// A new leader does not know what its predecessor granted. From `grants_from` on the predecessor
-/// grants nothing more, so buckets refill from empty from there on. Until `predecessor_leases_end`
-/// the predecessor's surplus tokens, at most half of a burst, may still be spent; until then a
-/// bucket contains at most the other half.
+/// A new leader has no record of its predecessor's grants. The predecessor grants nothing after
+/// `grants_from`, so buckets start empty at that time and refill from then on. Until
+/// `predecessor_leases_end` the predecessor's surplus tokens, at most half of a burst, may still be
+/// spent; until then a bucket contains at most the other half.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Takeover {
     pub(super) grants_from: MonotonicTime,
     pub(super) predecessor_leases_end: MonotonicTime,
-    /// From then on the predecessor's unknown grants no longer keep the leader from refusing. A
-    /// tenant is wronged by that only if it used its whole rate from `grants_from` until then.
+    /// Time until which the leader assumes, when it decides about refusals, that tokens granted by
+    /// its predecessor may not have been spent. Later it can refuse a tenant wrongly, but only one
+    /// that used its whole rate from `grants_from` until this time.
     pub(super) uncertainty_ends: MonotonicTime,
 }
 
 impl Takeover {
-    /// The takeover of a leader that was elected at `elected_at`.
+    /// Computes the times for a leader that was elected at `elected_at`.
     pub(super) fn new(elected_at: MonotonicTime, options: &QuotaOptions) -> Self {
         let grants_from = elected_at + options.step_down_bound;
         Self {
--- a/crates/control-state/src/quota/tenant_account.rs
+++ b/crates/control-state/src/quota/tenant_account.rs
@@ -1,4 +1,4 @@
-//! Tokens and stream slots of one tenant in use.
+//! Account of the tokens and stream slots of one active tenant.
 
 use std::collections::BTreeSet;
 
@@ -13,28 +13,28 @@
 use super::takeover::Takeover;
 use super::token_account::{TokenAccount, TokenGrant, TokenRequest};
 
-/// When to retry for a tenant that this leader does not know: its configuration is on its way.
+/// Retry delay for a tenant whose configuration has not reached this leader yet.
 const UNKNOWN_TENANT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What a request is handled with, besides the tenant's own account.
+/// Parameters for the handling of a request that are the same for all its tenants.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RequestContext<'request> {
     pub(super) shard: ShardId,
     pub(super) now: MonotonicTime,
     pub(super) takeover: Takeover,
     pub(super) options: &'request QuotaOptions,
-    /// The whole request, of which each tenant's part is handled on its own.
+    /// The whole request; each tenant's part is handled separately.
     pub(super) request: &'request QuotaRequest,
 }
 
-/// One tenant's part of a reply, with the recalls that go out beside it.
+/// One tenant's part of a reply, and the recalls to send with it.
 #[derive(Debug)]
 pub(super) struct TenantReply {
     pub(super) grant: QuotaGrant,
     pub(super) recalls: Vec<QuotaOutput>,
 }
 
-/// Account of a tenant that is or was in use.
+/// Account of a tenant that has made requests under this leader.
 #[derive(Clone, Debug)]
 pub(super) struct TenantAccount {
     tokens: TokenAccount,
@@ -42,7 +42,7 @@
 }
 
 impl TenantAccount {
-    /// The account of a tenant without grants.
+    /// Creates the account of a tenant without grants.
     pub(super) fn new(quota: &Quota, takeover: Takeover, now: MonotonicTime) -> Self {
         Self {
             tokens: TokenAccount::new(quota, takeover, now),
@@ -68,23 +68,24 @@
         }
         let grant = QuotaGrant {
             tenant: request.tenant.clone(),
-            tokens: saturate(tokens.tokens),
-            slots: saturate(slots.slots),
-            lease_ms: millis(context.options.lease),
-            retry_after_ms: millis(tokens.retry_after.max(slots.retry_after)),
+            tokens: saturate_to_u32(tokens.tokens),
+            slots: saturate_to_u32(slots.slots),
+            lease_ms: millis_rounded_up(context.options.lease),
+            retry_after_ms: millis_rounded_up(tokens.retry_after.max(slots.retry_after)),
             refused: tokens.refused > 0,
             slots_refused: slots.refused,
-            refused_tokens: saturate(tokens.refused),
+            refused_tokens: saturate_to_u32(tokens.refused),
         };
         TenantReply { grant, recalls }
     }
 
-    /// Switches to another quota.
+    /// Switches the token bucket to another quota.
     pub(super) fn set_quota(&mut self, now: MonotonicTime, quota: &Quota, options: &QuotaOptions) {
         self.tokens.set_quota(now, quota, options);
     }
 
-    /// Recalls to every node with idle tokens or slots, one for each.
+    /// Returns one recall to each node that has idle tokens or slots of the tenant and is due for
+    /// one.
     pub(super) fn start_recalls(
         &mut self,
         shard: ShardId,
@@ -108,18 +109,19 @@
         targets.into_iter().map(to_output).collect()
     }
 
-    /// A newer process of the member has appeared.
+    /// Marks slots that were leased to an older session of the member as superseded.
     pub(super) fn supersede(&mut self, now: MonotonicTime, member: &str, epoch: u64) {
         self.slots.supersede(now, member, epoch);
     }
 
-    /// Brings the account to `now`.
+    /// Refills the bucket and expires leases up to `now`.
     pub(super) fn advance(&mut self, now: MonotonicTime, options: &QuotaOptions) {
         self.tokens.advance(now, options);
         self.slots.expire(now, options);
     }
 
-    /// Whether a new account would be the same. The tokens of a removed tenant do not matter.
+    /// Whether the account can be dropped, because a new one would be in the same state. The tokens
+    /// of a removed tenant are not considered.
     pub(super) fn is_idle(&self, tenant: TenantPresence) -> bool {
         let tokens_idle = tenant == TenantPresence::Removed || self.tokens.is_idle();
         tokens_idle && self.slots.is_empty()
@@ -164,20 +166,24 @@
     }
 }
 
-/// Whether the configuration still names a tenant.
+/// Whether the current configuration contains a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TenantPresence {
     Configured,
     Removed,
 }
 
-/// The reply for a tenant whose configuration has not reached this leader: nothing is refused.
-pub(super) fn unknown_tenant(request: &TenantQuotaRequest, options: &QuotaOptions) -> TenantReply {
+/// Returns the reply for a tenant whose configuration has not reached this leader. Nothing is
+/// refused, and slots in use are kept.
+pub(super) fn unknown_tenant_reply(
+    request: &TenantQuotaRequest,
+    options: &QuotaOptions,
+) -> TenantReply {
     let grant = QuotaGrant {
         tenant: request.tenant.clone(),
-        lease_ms: millis(options.lease),
+        lease_ms: millis_rounded_up(options.lease),
         slots: request.slots_in_use.min(request.slots_requested),
-        retry_after_ms: millis(UNKNOWN_TENANT_RETRY_DELAY),
+        retry_after_ms: millis_rounded_up(UNKNOWN_TENANT_RETRY_DELAY),
         ..QuotaGrant::default()
     };
     TenantReply {
@@ -186,12 +192,13 @@
     }
 }
 
-fn saturate(number: u64) -> u32 {
+fn saturate_to_u32(number: u64) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
 
-/// Whole milliseconds, rounded up: retrying earlier would be in vain.
-fn millis(duration: Duration) -> u32 {
+/// Converts to whole milliseconds, rounded up, because a retry before the token is available would
+/// fail.
+fn millis_rounded_up(duration: Duration) -> u32 {
     let rounded = duration.as_micros().div_ceil(1000);
     u32::try_from(rounded).unwrap_or(u32::MAX)
 }
--- a/crates/control-state/src/quota/token_account.rs
+++ b/crates/control-state/src/quota/token_account.rs
@@ -1,13 +1,13 @@
-//! Tokens of one tenant at the shard's leader.
+//! Account of one tenant's tokens at the shard's leader.
 //!
 //! # Why the quota holds under one leader
-//! Let A be the available tokens and the surplus tokens at the nodes (an upper bound: a surplus
-//! token counts until it is returned or its lease has certainly ended, see
-//! [`QuotaOptions::leader_lease`]). A never exceeds the burst, because refilling stops there.
-//! Granting for a waiting request lowers A at that moment; spending a surplus token lowers the true
-//! value of A at that moment; a lease that ends lowers A without any spending. Only time raises A,
-//! by the rate. So what is spent in a window is at most A at its start and what the rate yielded:
-//! burst + rate * window.
+//! Let A be the sum of the available tokens and the surplus tokens at the nodes. A is an upper
+//! bound: a surplus token counts until it is returned or its lease has certainly ended, see
+//! [`QuotaOptions::leader_lease`]. A never exceeds the burst, because refilling stops there.
+//! Granting for a waiting request lowers A at that moment. Spending a surplus token lowers the true
+//! value of A at that moment. A lease that ends lowers A without any spending. A rises only over
+//! time, by the rate. So the tokens spent in a window are at most A at its start plus what the rate
+//! yields in it: burst + rate * window.
 
 use std::collections::BTreeMap;
 
@@ -21,46 +21,47 @@
 use super::recall::RecallTarget;
 use super::takeover::Takeover;
 
-/// Part of a node's demand in the previous lease time that it is granted beyond what it requests.
+/// A node is granted at most its demand in the previous lease time divided by this as surplus.
 const SURPLUS_DEMAND_DIVISOR: u64 = 4;
-/// Part of the available tokens that one reply may grant as surplus ones.
+/// One reply grants at most the available tokens divided by this as surplus.
 const SURPLUS_AVAILABLE_DIVISOR: u64 = 8;
 
-/// A node that was inactive for longer than this may have kept requests waiting meanwhile.
+/// Longest time between two messages of a node that counts as normal operation. After a longer one,
+/// requests may have waited at the node that were not reported to the leader.
 const MAX_ORDINARY_INACTIVITY: Duration = Duration::from_millis(100);
 
-/// Part of the queue that is given up with each refusal, so that no queue persists while the tenant
-/// goes on to be over its quota.
+/// With each refusal, the allowed queue divided by this is refused as well, so that no queue
+/// persists while the tenant stays over its quota.
 const QUEUE_DRAIN_DIVISOR: u64 = 8;
 
-/// A wait in which the rate yields more than this many bursts comes from an outage.
+/// A wait during which the rate yields more than this many bursts is attributed to an outage.
 const LONG_WAIT_BURSTS: u64 = 2;
 
-/// The token part of a node's request.
+/// The part of a node's request that concerns tokens.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TokenRequest<'request> {
     pub(super) member: &'request str,
     pub(super) epoch: u64,
     pub(super) requested: u64,
-    /// Every request that waits at the node, those of its messages in flight included.
+    /// All requests that wait at the node, including those of its other messages in flight.
     pub(super) waiting: u64,
     pub(super) returned: u64,
     /// How long the oldest waiting request has waited.
     pub(super) oldest_wait: Duration,
 }
 
-/// What the node gets.
+/// Reply to the token part of a node's request.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct TokenGrant {
     pub(super) tokens: u64,
-    /// Requests that are refused; the other missing ones wait on.
+    /// Number of refused requests; the others without a token continue to wait.
     pub(super) refused: u64,
     pub(super) retry_after: Duration,
-    /// Idle tokens of other nodes are to be recalled.
+    /// Whether idle tokens of other nodes have to be recalled.
     pub(super) recall: bool,
 }
 
-/// Bucket and leases of one tenant.
+/// Token bucket and token leases of one tenant.
 #[derive(Clone, Debug)]
 pub(super) struct TokenAccount {
     /// Burst of the quota, in whole tokens.
@@ -71,7 +72,7 @@
 }
 
 impl TokenAccount {
-    /// The account of a tenant without grants.
+    /// Creates the account of a tenant without grants.
     pub(super) fn new(quota: &Quota, takeover: Takeover, now: MonotonicTime) -> Self {
         Self {
             burst: quota.burst,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Takes back what is returned and grants what is requested, as far as it is available.
+    /// Takes back returned tokens and grants the requested ones as far as they are available.
     pub(super) fn handle(
         &mut self,
         now: MonotonicTime,
@@ -104,13 +105,14 @@
             ..TokenGrant::default()
         };
         if missing > 0 {
-            self.decide_missing(now, request, missing, options, &mut grant);
+            self.handle_shortfall(now, request, missing, options, &mut grant);
         }
         self.record_waiting(now, request, granted, grant.refused);
         grant
     }
 
-    /// Members whose idle surplus tokens are to be recalled now.
+    /// Returns the members whose surplus tokens have to be recalled now, and records the recalls as
+    /// sent.
     pub(super) fn start_recalls(
         &mut self,
         now: MonotonicTime,
@@ -129,10 +131,9 @@
             .collect()
     }
 
-    /// Brings the account to `now`: the bucket, then leases that ended.
+    /// Refills the bucket up to `now`, then drops leases that have ended.
     ///
-    /// The bucket is refilled before leases are dropped, with the surplus tokens that were granted
-    /// during that time.
+    /// The order matters: the surplus tokens of those leases limit the refill up to `now`.
     pub(super) fn advance(&mut self, now: MonotonicTime, options: &QuotaOptions) {
         let surplus = self.surplus();
         self.bucket.refill(now, surplus);
@@ -157,7 +158,7 @@
         self.bucket.set_quota(quota, surplus);
     }
 
-    /// Whether a new account would be the same.
+    /// Whether a new account would be in the same state.
     pub(super) fn is_idle(&self) -> bool {
         self.leases.is_empty() && self.bucket.is_full()
     }
@@ -167,7 +168,7 @@
             return;
         };
         if lease.epoch() != request.epoch {
-            // Another process of the member: it does not return what the former one was granted.
+            // A new session of the member does not hold tokens granted to the former session.
             return;
         }
         let returned = lease.take_returned(now, request.returned);
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Takes out of the bucket what is requested, as far as it is available.
+    /// Grants the requested tokens as far as they are available.
     fn grant_available(&mut self, request: TokenRequest<'_>, unobserved: Duration) -> u64 {
         let granted = request.requested.min(self.bucket.available_tokens());
         self.bucket.grant(granted);
@@ -189,7 +190,7 @@
         granted
     }
 
-    /// Takes surplus tokens out of the bucket for a node that got all that it requested.
+    /// Grants surplus tokens to a node that got all the tokens it requested.
     fn grant_surplus(&mut self, request: TokenRequest<'_>, granted: u64) -> u64 {
         if granted < request.requested || request.requested == 0 {
             return 0;
@@ -199,16 +200,18 @@
         surplus
     }
 
-    /// Decides about missing tokens. Nothing is refused while idle tokens may come back, nor while
-    /// tokens of unknown fate would suffice for it and for all that waits already.
+    /// Decides whether requests without a token wait or are refused. None is refused while idle
+    /// tokens may still be returned, nor while the optimistic count and the outage credit cover it
+    /// and all other waiting requests.
     ///
-    /// The optimistic count is never below what a single exact bucket would have, the waiting
-    /// requests not yet taken out. For requests that waited where this leader could not know of
-    /// them that bucket would have gone on to accrue, full or not, so that counts as well. A tenant
-    /// under its quota therefore never has more waiting than both together, and is not refused.
-    /// A tenant that has more is certainly over its quota: part of its queue goes too, because a
-    /// queue that persists makes every later request wait until it times out.
-    fn decide_missing(
+    /// The optimistic count is never below what a single exact bucket would contain before serving
+    /// the waiting requests. For requests that waited at a node without contact to this leader, the
+    /// exact bucket would have served them and gone on refilling; the outage credit covers that. A
+    /// tenant within its quota therefore never has more requests waiting than both together, and
+    /// none of them is refused. A tenant with more is certainly over its quota. Part of its queue
+    /// is then refused too, because a queue that persists makes every later request wait until it
+    /// times out.
+    fn handle_shortfall(
         &mut self,
         now: MonotonicTime,
         request: TokenRequest<'_>,
@@ -237,7 +240,7 @@
         grant.refused = excess + drained;
     }
 
-    /// Records what still waits after a request was handled.
+    /// Records how many requests still wait at the node after a message was handled.
     fn record_waiting(
         &mut self,
         now: MonotonicTime,
@@ -246,9 +249,9 @@
         refused: u64,
     ) {
         let waiting = request.requested - granted - refused;
-        // A message names only what no message before it named. What the others named still waits:
-        // were it left out, the optimistic count would be lowered to what remains, and the next
-        // message for all of them would be refused.
+        // A message requests tokens only for requests that no earlier message covers. The requests
+        // of earlier messages still wait and must be counted: otherwise the optimistic count would
+        // be limited to the others, and the next message that covers all of them would be refused.
         let queued = request.waiting.max(request.requested) - granted - refused;
         self.lease(now, request).set_waiting(waiting, queued);
         self.update_waiting();
@@ -259,10 +262,11 @@
         self.bucket.set_waiting(queued);
     }
 
-    /// How long requests of the node may have waited without this leader's knowing of them.
+    /// Returns how long requests of the node may have waited without contact to this leader.
     ///
-    /// A returning node's messages may arrive in a row, the oldest first, so the inactivity before
-    /// the first of them counts for a while.
+    /// When a node reconnects, several messages may arrive in a row, the oldest first. The
+    /// inactivity before the first of them therefore counts for all messages within
+    /// [`super::options::OUTAGE_RETURN_WINDOW`].
     fn unobserved_wait(&mut self, now: MonotonicTime, request: TokenRequest<'_>) -> Duration {
         let inactivity = self.lease(now, request).record_contact(now, request.epoch);
         if inactivity.length <= MAX_ORDINARY_INACTIVITY {
@@ -275,10 +279,11 @@
             .min(inactivity.length)
     }
 
-    /// Of tokens granted after a long wait, how many an exact bucket would have granted at once, and
-    /// accrued again since. They count only where it is decided whether to refuse others.
+    /// Returns how many of the tokens granted after a long wait an exact bucket would have granted
+    /// at once and refilled since. They raise the optimistic count only.
     ///
-    /// Shorter waits come from the queue at this leader itself and must not make it persist.
+    /// Shorter waits come from the queue at this leader itself and must not make that queue
+    /// persist.
     fn accrued_in_outage(&self, granted: u64, waited: Duration) -> u64 {
         let accrued = self.bucket.tokens_accrued(waited);
         if accrued > u64::from(self.burst) * LONG_WAIT_BURSTS {
@@ -293,8 +298,9 @@
         others.map(|(_, lease)| lease.waiting()).sum()
     }
 
-    /// Surplus tokens follow the node's own demand, and only while the bucket is at least half full,
-    /// so that near the limit nothing lies idle at the nodes.
+    /// Returns how many surplus tokens to grant to a member. The number follows the member's own
+    /// demand. It is 0 while the bucket is less than half full, so that no tokens lie idle at the
+    /// nodes when the tenant is close to its quota.
     fn surplus_for(&self, member: &str) -> u64 {
         let available = self.bucket.available_tokens();
         if available * 2 < u64::from(self.burst) {
@@ -311,7 +317,7 @@
             .min(remaining)
     }
 
-    /// Upper bound of surplus tokens at the nodes, in microtokens.
+    /// Returns an upper bound of the surplus tokens at the nodes, in microtokens.
     fn surplus(&self) -> u64 {
         let tokens: u64 = self.leases.values().map(MemberLease::surplus).sum();
         tokens * MICROTOKENS_PER_TOKEN
--- a/crates/control-state/src/selection.rs
+++ b/crates/control-state/src/selection.rs
@@ -1,10 +1,10 @@
-//! Which backends a pool selects.
+//! Selection of a pool's backends.
 
 use millford_api::config::Selector;
 use millford_api::state::{Backend, Declaration};
 
-/// Whether a pool's selector selects a backend: one of its declarations must match. An absent
-/// selector selects every backend.
+/// Whether a pool's selector selects a backend. One of the backend's declarations must match all
+/// labels of the selector. An absent selector selects every backend.
 #[must_use]
 pub fn selects(selector: Option<&Selector>, backend: &Backend) -> bool {
     let Some(selector) = selector else {
@@ -17,7 +17,7 @@
         || !selector.version.is_empty()
         || !selector.stage.is_empty()
         || !selector.adapters.is_empty();
-    // A backend that declares nothing, such as a plain lookup server, is selected only by a selector
+    // A backend without declarations, such as a lookup server, is selected only by a selector
     // without labels.
     if !has_labels {
         return true;
--- a/crates/control-state/tests/control_state/chosen_revisions.rs
+++ b/crates/control-state/tests/control_state/chosen_revisions.rs
@@ -1,4 +1,4 @@
-//! Revisions that operators choose, and documents that are read back as they were sent.
+//! Revisions chosen by operators, and the source text of documents, which is returned unchanged.
 
 use crate::fixtures::{Machine, tenant, valid_document};
 use millford_api::command::{PutConfig, PutConfigResult, command::Kind, command_result};
@@ -27,13 +27,13 @@
         let code = ResultCode::from_number(applied.result.code).expect("a known code");
         match applied.result.kind {
             Some(command_result::Kind::PutConfig(result)) => (code, result),
-            _ => panic!("no answer to an order"),
+            _ => panic!("the result is not a reply to an order"),
         }
     }
 }
 
 #[test]
-fn chosen_revisions_may_grow_in_uneven_steps() {
+fn chosen_revisions_may_skip_numbers() {
     let mut machine = Machine::new(ShardId::CONFIGURATION);
     assert_eq!(machine.put_revision(0, 7, "a").1.revision, 7);
     assert_eq!(machine.put_revision(7, 8, "b").1.revision, 8);
@@ -41,7 +41,7 @@
     assert_eq!(
         machine.put_revision(1000, 0, "d").1.revision,
         1001,
-        "the next one"
+        "without a chosen revision, the next one is assigned"
     );
     assert_eq!(machine.machine.config_source(), b"d");
 }
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn of_two_orders_with_one_revision_one_wins_and_resent_ones_are_acknowledged() {
+fn of_two_orders_with_the_same_revision_one_is_accepted_and_resent_ones_are_acknowledged() {
     let mut machine = Machine::new(ShardId::CONFIGURATION);
     assert_eq!(machine.put_revision(0, 5, "a").0, ResultCode::Ok);
     assert_eq!(
@@ -72,7 +72,7 @@
         (ResultCode::Ok, 5, true)
     );
     machine.put_revision(5, 6, "c");
-    // Also after later changes, and after a restart from a snapshot.
+    // The same holds after a later change and after a restore from a snapshot.
     let snapshot = machine.machine.snapshot();
     let mut restored = Machine::new(ShardId::CONFIGURATION);
     restored.machine.restore(&snapshot).expect("a snapshot");
@@ -81,7 +81,7 @@
     assert_eq!(
         restored.machine.config_source(),
         b"c",
-        "what is in force is read back"
+        "a resent order does not replace the current source"
     );
     assert_eq!(
         restored.put_revision(0, 5, "b").0,
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn revisions_never_decrease_whatever_is_ordered() {
+fn only_accepted_orders_change_the_revision_and_they_raise_it() {
     fn property(orders: Vec<(u8, u8, u8)>) -> bool {
         let mut machine = Machine::new(ShardId::CONFIGURATION);
         let mut last = 0;
--- a/crates/control-state/tests/control_state/claims.rs
+++ b/crates/control-state/tests/control_state/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: at most one run of a request that may not be repeated.
+//! Claims: a request that may not be repeated runs at most once.
 
 use crate::fixtures::Machine;
 use millford_api::command::{
@@ -14,7 +14,7 @@
         let applied = self.apply_kind(Kind::Claim(claim(attempt, 1)));
         match applied.result.kind {
             Some(command_result::Kind::Claim(result)) => result,
-            _ => panic!("no answer to a claim: {applied:?}"),
+            _ => panic!("the result is not a reply to a claim: {applied:?}"),
         }
     }
 
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_resolved_claim_returns_its_outcome_and_is_granted_to_nobody() {
+fn a_resolved_claim_returns_its_outcome_and_is_not_granted_again() {
     for outcome in [RunOutcome::RunCompleted, RunOutcome::RunFailed] {
         let mut machine = Machine::new(ShardId(1));
         machine.claim("a");
@@ -71,11 +71,14 @@
 }
 
 #[test]
-fn the_first_resolution_by_the_granted_attempt_stands() {
+fn only_the_first_resolution_by_the_granted_attempt_counts() {
     let mut machine = Machine::new(ShardId(1));
     machine.claim("a");
     machine.resolve("b", RunOutcome::RunNotRun);
-    assert!(!machine.claim("c").granted, "b was never granted");
+    assert!(
+        !machine.claim("c").granted,
+        "b was never granted, so it cannot resolve the claim"
+    );
     machine.resolve("a", RunOutcome::RunCompleted);
     machine.resolve("a", RunOutcome::RunNotRun);
     assert_eq!(machine.claim("d").outcome(), RunOutcome::RunCompleted);
@@ -86,7 +89,10 @@
     let mut machine = Machine::new(ShardId(1));
     machine.claim("a");
     machine.resolve("a", RunOutcome::RunNotRun);
-    assert!(!machine.claim("a").granted, "a late copy of a's claim");
+    assert!(
+        !machine.claim("a").granted,
+        "a delayed copy of the claim of attempt a"
+    );
     assert!(machine.claim("b").granted);
 }
 
@@ -140,7 +146,8 @@
 }
 
 quickcheck! {
-    /// While one attempt may have run, no other is granted, whatever is resent or comes late.
+    /// While one attempt may have run, no other is granted, also when messages are resent or
+    /// delayed.
     fn at_most_one_attempt_may_run(steps: Vec<Step>) -> bool {
         let mut machine = Machine::new(ShardId(1));
         let mut running: Option<u8> = None;
--- a/crates/control-state/tests/control_state/document_check.rs
+++ b/crates/control-state/tests/control_state/document_check.rs
@@ -1,16 +1,16 @@
-//! The check of documents: every fault with its path, all at once.
+//! Checks of documents: all faults are reported at once, each with its path.
 
 use crate::fixtures::{pool, quota, route, tenant, valid_document};
 use millford_api::config::{Document, Hedge, Resume, RouteMatch};
 use millford_control_state::document::{self, Fault, limits};
 use millford_core::ResultCode::DocumentInvalid;
 
-/// The faults' paths.
+/// Returns the paths of the faults.
 fn paths(faults: &[Fault]) -> Vec<&str> {
     faults.iter().map(|fault| fault.path.as_str()).collect()
 }
 
-/// Checks that this change of the valid document causes exactly one fault, at this path.
+/// Asserts that a change of the valid document causes exactly one fault, at `path`.
 fn assert_invalid(path: &str, change: impl FnOnce(&mut Document)) {
     let mut changed = valid_document();
     change(&mut changed);
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn a_route_that_is_never_reached_is_a_fault() {
+fn a_route_that_is_never_reached_is_reported() {
     assert_invalid("routes[2].match", |document| {
         document.routes.push(route("again", "saga"));
     });
--- a/crates/control-state/tests/control_state/document_form.rs
+++ b/crates/control-state/tests/control_state/document_form.rs
@@ -1,4 +1,4 @@
-//! The canonical form of documents, and round trips through JSON.
+//! Canonical form of documents, and round trips through JSON.
 
 use crate::fixtures::{pool, route, tenant, valid_document};
 use millford_api::config::{Document, Hedge, Quota, Selector};
@@ -6,7 +6,7 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
 
 #[test]
-fn the_digest_does_not_depend_on_order_or_on_written_out_defaults() {
+fn the_digest_does_not_depend_on_order_or_on_explicit_defaults() {
     let mut other = valid_document();
     other.routes.reverse();
     other.tenants.reverse();
@@ -69,7 +69,7 @@
 }
 
 quickcheck! {
-    fn a_document_survives_json(any: AnyDocument) -> bool {
+    fn a_document_round_trips_through_json(any: AnyDocument) -> bool {
         let text = serde_json::to_vec(&any.0).expect("JSON");
         document::parse(&text).as_ref() == Ok(&any.0)
     }
@@ -79,8 +79,8 @@
         document::parse(&text).as_ref() == Ok(&document::normalized(&any.0))
     }
 
-    /// Nothing that an operator sends makes the reader or the check panic.
-    fn a_truncated_or_changed_text_never_panics(any: AnyDocument, at: usize, byte: u8) -> bool {
+    /// Reading and checking do not panic on malformed input.
+    fn truncated_or_corrupted_text_never_panics(any: AnyDocument, at: usize, byte: u8) -> bool {
         let mut text = serde_json::to_vec(&any.0).expect("JSON");
         let at = at % text.len();
         text[at] = byte;
--- a/crates/control-state/tests/control_state/document_json.rs
+++ b/crates/control-state/tests/control_state/document_json.rs
@@ -1,11 +1,11 @@
-//! Documents and orders that cannot be read: every fault with its code and path.
+//! Documents and orders that cannot be read: each fault is reported with its code and path.
 
 use crate::fixtures::valid_document;
 use millford_control_state::document::{self, Fault};
 use millford_core::ResultCode::{self, BadField, BadJson, DocumentInvalid};
 use serde_json::{Value, json};
 
-/// Checks that the JSON cannot be read, with exactly these codes and paths.
+/// Asserts that the JSON cannot be read and that the faults have exactly these codes and paths.
 fn assert_unreadable(text: &str, expected: &[(ResultCode, &str)]) {
     let faults = document::parse(text.as_bytes()).expect_err("must not be read");
     let found: Vec<_> = faults
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn text_that_is_no_json_is_refused() {
+fn text_that_is_not_json_is_refused() {
     for text in ["", "{", "nonsense", "{} {}", "{\"routes\":[]} x"] {
         assert_unreadable(text, &[(BadJson, "")]);
     }
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn fields_that_cannot_be_read_are_named() {
+fn fields_that_cannot_be_read_are_reported_with_their_path() {
     assert_unreadable("[]", &[(BadField, "")]);
     assert_unreadable("{\"routes\": [[\"a\"]]}", &[(BadField, "routes[0]")]);
     assert_unreadable(
@@ -49,7 +49,8 @@
         "{\"tenants\": [{\"quota\": {\"burst\": 4294967296}}]}",
         &[(BadField, "tenants[0].quota.burst")],
     );
-    // A field given twice: the sentence names it, the path is that of its object.
+    // A duplicate field: the fault's text names the field, the path is that of the enclosing
+    // object.
     assert_unreadable("{\"routes\": [], \"routes\": []}", &[(BadField, "")]);
     assert_unreadable(
         "{\"pools\": [{\"name\": \"a\", \"name\": \"b\"}]}",
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn faults_of_orders_are_named() {
+fn faults_of_orders_are_reported_with_code_and_path() {
     for (order, code, path) in invalid_orders() {
         let text = order.to_string();
         let faults = document::parse_order(text.as_bytes()).expect_err("must be refused");
@@ -129,7 +130,7 @@
 }
 
 #[test]
-fn a_valid_order_carries_the_digest_of_its_document() {
+fn the_command_of_a_valid_order_contains_the_digest_of_its_document() {
     let order = json!({
         "base_revision": 7,
         "order_id": "order-1",
--- a/crates/control-state/tests/control_state/forward_documents.rs
+++ b/crates/control-state/tests/control_state/forward_documents.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn valid_routes_survive_the_conversion_to_items() {
+fn valid_routes_round_trip_through_items_and_json() {
     let mut document = with_routes(vec![route("b", "/b/"), route("a", "/")]);
     document.http_limits = Some(HttpLimits {
         max_header_bytes: 1,
@@ -47,13 +47,13 @@
     let back = document::document_of(&values);
     assert_eq!(back, document::normalized(&document));
     let json = document::canonical_json(&document);
-    assert_eq!(document::parse(&json).expect("its own form"), back);
+    assert_eq!(document::parse(&json).expect("canonical JSON"), back);
 }
 
 /// A change that makes a document invalid.
 type Change = fn(&mut Document);
 
-/// The path of each violation and the change that causes it.
+/// Returns the path of each violation with the change that causes it.
 fn violations() -> [(&'static str, Change); 12] {
     [
         ("forward_routes[0].name", |document| {
--- a/crates/control-state/tests/control_state/main.rs
+++ b/crates/control-state/tests/control_state/main.rs
@@ -1,4 +1,5 @@
-//! Tests of the shards' state machines, the operators' document, the planner and the quota leases.
+//! Tests of the shards' state machines, the configuration document, the planner and the quota
+//! leases.
 
 mod chosen_revisions;
 mod claims;
--- a/crates/control-state/tests/control_state/openapi_limits.rs
+++ b/crates/control-state/tests/control_state/openapi_limits.rs
@@ -1,4 +1,4 @@
-//! The limits of the document check are those that the `OpenAPI` file documents for operators.
+//! The limits of the document checks equal those that the `OpenAPI` file documents for operators.
 
 use std::ops::RangeInclusive;
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn ranges_are_the_same() {
+fn ranges_equal_those_of_the_openapi_file() {
     let schemas = schemas();
     let expected: [(&str, &str, RangeInclusive<u32>); 9] = [
         ("Route", "deadline_ms", limits::DEADLINE_MS),
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn counts_and_lengths_are_the_same() {
+fn counts_and_lengths_equal_those_of_the_openapi_file() {
     let schemas = schemas();
     let property = |schema: &str, field: &str| schemas[schema]["properties"][field].clone();
     let counts = [
--- a/crates/control-state/tests/control_state/orders.rs
+++ b/crates/control-state/tests/control_state/orders.rs
@@ -1,4 +1,4 @@
-//! Orders: one winner for each base, resent ones acknowledged again.
+//! Orders: one is accepted on each base revision, and resent ones are acknowledged again.
 
 use crate::fixtures::{Machine, order, tenant, valid_document};
 use millford_api::command::{PutConfigResult, command_result::Kind};
@@ -16,7 +16,7 @@
 fn result(applied: &Applied) -> PutConfigResult {
     match applied.result.kind {
         Some(Kind::PutConfig(result)) => result,
-        _ => panic!("no answer to an order: {applied:?}"),
+        _ => panic!("the result is not a reply to an order: {applied:?}"),
     }
 }
 
@@ -31,19 +31,23 @@
 }
 
 #[test]
-fn of_two_orders_on_one_base_exactly_one_wins() {
+fn of_two_orders_on_one_base_exactly_one_is_accepted() {
     let mut machine = Machine::new(ShardId::CONFIGURATION);
     let first = machine.put(0, "a", &with_tenant("one"));
     let second = machine.put(0, "b", &with_tenant("two"));
     assert_eq!(code(&first), ResultCode::Ok);
     assert_eq!(result(&first).revision, 1);
     assert_eq!(code(&second), ResultCode::RevisionConflict);
-    assert_eq!(result(&second).revision, 1, "the present number is named");
+    assert_eq!(
+        result(&second).revision,
+        1,
+        "the reply contains the current revision"
+    );
     assert!(second.changes.is_empty());
 }
 
 #[test]
-fn an_order_ahead_of_the_present_revision_conflicts() {
+fn an_order_based_on_a_future_revision_conflicts() {
     let mut machine = Machine::new(ShardId::CONFIGURATION);
     let ahead = machine.put(5, "a", &valid_document());
     assert_eq!(code(&ahead), ResultCode::RevisionConflict);
@@ -110,11 +114,11 @@
     for base in 0..=limit {
         machine.put(base, &format!("order-{base}"), &empty);
     }
-    let oldest_known = machine.put(1, "order-1", &empty);
-    assert!(result(&oldest_known).repeated_order);
-    let forgotten = machine.put(0, "order-0", &empty);
-    assert_eq!(code(&forgotten), ResultCode::RevisionConflict);
-    assert_eq!(result(&forgotten).revision, limit + 1);
+    let oldest_retained = machine.put(1, "order-1", &empty);
+    assert!(result(&oldest_retained).repeated_order);
+    let dropped = machine.put(0, "order-0", &empty);
+    assert_eq!(code(&dropped), ResultCode::RevisionConflict);
+    assert_eq!(result(&dropped).revision, limit + 1);
 }
 
 #[test]
@@ -138,11 +142,14 @@
         "config/tenant/shop",
     ];
     assert_eq!(keys, expected);
-    assert!(applied.changes[2].value.is_none(), "the school is deleted");
+    assert!(
+        applied.changes[2].value.is_none(),
+        "the tenant school is deleted"
+    );
 }
 
 #[test]
-fn the_public_state_yields_the_document() {
+fn the_document_can_be_rebuilt_from_the_public_state() {
     let mut machine = Machine::new(ShardId::CONFIGURATION);
     let mut desired = valid_document();
     desired.routes.reverse();
--- a/crates/control-state/tests/control_state/planner.rs
+++ b/crates/control-state/tests/control_state/planner.rs
@@ -1,4 +1,4 @@
-//! Plans: what a change moves, and nothing else.
+//! Plans contain all effects of a configuration change and no others.
 
 use crate::fixtures::{backend, order, pool, quota, route, tenant, valid_document};
 use millford_api::config::Document;
@@ -28,12 +28,12 @@
 }
 
 #[test]
-fn an_unchanged_document_moves_nothing() {
+fn the_plan_of_an_unchanged_document_is_empty() {
     assert_eq!(plan_to(&valid_document()), Plan::default());
 }
 
 #[test]
-fn a_changed_route_is_named_with_its_fields() {
+fn a_changed_route_is_listed_with_its_changed_fields() {
     let mut after = valid_document();
     after.routes[0].deadline_ms = 9_000;
     let moved = plan_to(&after);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_narrower_selector_moves_replicas_and_only_their_sessions() {
+fn a_narrower_selector_removes_replicas_and_moves_only_sessions_of_its_route() {
     let mut catalogue = catalogue(4);
     if let Some(changed) = catalogue.backends.get_mut("s3") {
         changed.declarations[0].version = "2".to_owned();
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_lost_backend_moves_its_own_sessions_only() {
+fn a_backend_that_leaves_a_pool_moves_only_its_own_sessions() {
     let sessions = sample_sessions(1000);
     let mut split = valid_document();
     split.pools[0].name = "other".to_owned();
@@ -115,7 +115,7 @@
     let count: u64 = moved.sessions.iter().map(|session| session.moved).sum();
     assert!(
         (180..=320).contains(&count),
-        "about a quarter moves: {count}"
+        "about a quarter of the sessions should move: {count}"
     );
 }
 
@@ -157,8 +157,8 @@
 }
 
 quickcheck! {
-    /// The items of a plan are those that an accepted order sends, besides the head.
-    fn the_plan_counts_what_the_order_sends(removed: u8, deadline: u32, added: u8) -> bool {
+    /// A plan counts the items that the accepted order changes, except the configuration head.
+    fn the_plan_counts_the_items_of_the_order(removed: u8, deadline: u32, added: u8) -> bool {
         let mut after = valid_document();
         after.tenants.remove(usize::from(removed) % 2);
         after.routes[0].deadline_ms = deadline;
--- a/crates/control-state/tests/control_state/proxy_members.rs
+++ b/crates/control-state/tests/control_state/proxy_members.rs
@@ -1,4 +1,4 @@
-//! Proxies are listed for each other while their sessions are open.
+//! The address of a member's proxy is published to the other proxies while its session is open.
 
 use crate::fixtures::command;
 use millford_api::command::{CloseSession, OpenSession, command::Kind};
@@ -50,7 +50,7 @@
     machine.apply(4, 1, &close(1));
     assert!(
         published_address(&machine).is_some(),
-        "an older epoch closes nothing"
+        "closing an older epoch does not end the newer session"
     );
     let mut restored = ShardMachine::new(ShardId(1));
     restored.restore(&machine.snapshot()).expect("a snapshot");
--- a/crates/control-state/tests/control_state/quota.rs
+++ b/crates/control-state/tests/control_state/quota.rs
@@ -1,4 +1,5 @@
-//! The quota holds over every window, and nobody under it is refused, in simulated time.
+//! Simulation of the quota leases: no window exceeds the quota, and no request within it is
+//! refused.
 
 use crate::fixtures::exact_bucket::{fits_bucket, served_by_exact_bucket};
 use crate::fixtures::quota_world::QuotaWorld;
@@ -6,12 +7,12 @@
 use quickcheck::{Arbitrary, Gen, TestResult, quickcheck};
 
 const SECOND: u64 = 1_000_000;
-/// Time in which arrivals come.
+/// Time during which requests arrive, in microseconds.
 const RUN: u64 = 8 * SECOND;
 
-/// A random quota, fleet and seed.
+/// A random quota, fleet and set of faults, with the seed of the simulation.
 #[derive(Clone, Debug)]
-struct Setting {
+struct TestCase {
     seed: u64,
     rate: u32,
     burst: u32,
@@ -21,10 +22,10 @@
     loss_percent: u64,
 }
 
-impl Arbitrary for Setting {
+impl Arbitrary for TestCase {
     fn arbitrary(generator: &mut Gen) -> Self {
         let mut below = |limit: u64| u64::arbitrary(generator) % limit;
-        Setting {
+        TestCase {
             seed: below(u64::MAX),
             rate: u32::try_from(below(60) + 1).expect("small"),
             burst: u32::try_from(below(40) + 1).expect("small"),
@@ -36,7 +37,7 @@
     }
 }
 
-impl Setting {
+impl TestCase {
     fn quota(&self) -> Quota {
         Quota {
             requests_per_second: self.rate,
@@ -49,11 +50,12 @@
         QuotaWorld::new(self.seed, self.quota(), self.nodes)
     }
 
-    /// Elections and crashes at random times.
+    /// Schedules elections and crashes at random times, and sets the loss of messages.
     fn add_faults(&self, world: &mut QuotaWorld) {
         let start = world.start();
         world.loss_percent = self.loss_percent;
-        // One election in each period, so that a leader stops before the next is elected.
+        // Elections are at least a second apart, so that a leader steps down before the next
+        // election.
         for election in 0..self.elections {
             let at = start + (election * 2 + 1) * SECOND + world.random(SECOND);
             world.elect(at);
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Arrivals at three times the rate, in bursts, at random nodes.
+    /// Schedules arrivals at three times the rate, at random times and nodes.
     fn add_heavy_demand(&self, world: &mut QuotaWorld) {
         let start = world.start();
         let arrivals = u64::from(self.rate) * 3 * RUN / SECOND + u64::from(self.burst);
@@ -76,7 +78,8 @@
         }
     }
 
-    /// Arrivals that an exact bucket allows, with the slack that the network's delays need.
+    /// Schedules arrivals that an exact bucket allows, with a slack for the network's delays.
+    /// Returns their number; 0 when the burst is too small for the slack.
     fn add_demand_under_quota(&self, world: &mut QuotaWorld, slack_micros: u64) -> u64 {
         let slack = 1 + u64::from(self.rate) * slack_micros / SECOND;
         let Some(burst) = u64::from(self.burst).checked_sub(slack) else {
@@ -108,14 +111,14 @@
     }
 }
 
-/// The result with what it takes to investigate a failure.
-fn test_result(passed: bool, setting: &Setting, world: &QuotaWorld) -> TestResult {
+/// Returns the result of a test. A failure contains the case and the counts of the run.
+fn test_result(passed: bool, case: &TestCase, world: &QuotaWorld) -> TestResult {
     if passed {
         return TestResult::passed();
     }
     let tally = &world.tally;
     TestResult::error(format!(
-        "{setting:?}: arrived {}, spent {}, refused {}, waiting {}, lost in crashes {}",
+        "{case:?}: arrived {}, spent {}, refused {}, waiting {}, lost in crashes {}",
         tally.arrivals.len(),
         tally.spent.len(),
         tally.refused,
@@ -124,24 +127,24 @@
     ))
 }
 
-/// A quota and a pace at which surplus tokens are granted to the busy node.
+/// A random case whose rate is high enough that surplus tokens are granted to a busy node.
 #[derive(Clone, Debug)]
-struct Busy {
-    setting: Setting,
-    /// Pause between the busy time of one node and the burst at another, in microseconds.
+struct SurplusCase {
+    case: TestCase,
+    /// Time between the end of the demand at node 0 and the burst at node 1, in microseconds.
     delay: u64,
     elect_in_delay: bool,
     crash_in_delay: bool,
 }
 
-impl Arbitrary for Busy {
+impl Arbitrary for SurplusCase {
     fn arbitrary(generator: &mut Gen) -> Self {
-        let mut setting = Setting::arbitrary(generator);
-        setting.rate = 20 + setting.rate * 4;
-        setting.burst = 10 + setting.burst * 2;
-        setting.nodes = 2;
-        Busy {
-            setting,
+        let mut case = TestCase::arbitrary(generator);
+        case.rate = 20 + case.rate * 4;
+        case.burst = 10 + case.burst * 2;
+        case.nodes = 2;
+        SurplusCase {
+            case,
             delay: if bool::arbitrary(generator) {
                 2_000 + u64::arbitrary(generator) % 50_000
             } else {
@@ -153,10 +156,11 @@
     }
 }
 
-impl Busy {
-    /// Node 0 is busy at half the rate for three seconds; returns the end of that time.
-    fn add_busy_time(&self, world: &mut QuotaWorld) -> u64 {
-        let between = 2 * SECOND / u64::from(self.setting.rate);
+impl SurplusCase {
+    /// Schedules arrivals at node 0 at half the rate for three seconds; returns the end of that
+    /// time.
+    fn add_busy_period(&self, world: &mut QuotaWorld) -> u64 {
+        let between = 2 * SECOND / u64::from(self.case.rate);
         let mut at = world.start();
         let end = at + 3 * SECOND;
         while at < end {
@@ -167,9 +171,10 @@
     }
 }
 
-/// A slow bucket: what a crashed node took with it is missing for several seconds.
+/// The bucket refills slowly, so the surplus tokens lost with a crashed node are missing for
+/// several seconds.
 #[test]
-fn tokens_lost_with_a_crashed_node_delay_others_and_refuse_nobody() {
+fn tokens_lost_with_a_crashed_node_delay_other_requests_but_cause_no_refusal() {
     let quota = Quota {
         requests_per_second: 1,
         burst: 100,
@@ -196,84 +201,87 @@
 }
 
 quickcheck! {
-    /// Surplus tokens that lie at a node are recalled before another node's burst, which is under
-    /// the quota, would be refused; those of a crashed node only make it wait.
-    fn surplus_tokens_are_recalled_before_a_refusal(busy: Busy) -> TestResult {
-        let setting = &busy.setting;
-        let mut world = setting.world();
-        let end = busy.add_busy_time(&mut world);
-        let slack = 2 + setting.rate / 50;
-        if busy.crash_in_delay {
-            world.crash(end + busy.delay / 2, 0);
+    /// Surplus tokens that are idle at a node are recalled before a burst at another node, which is
+    /// within the quota, would be refused. Surplus tokens of a crashed node only delay the burst.
+    fn surplus_tokens_are_recalled_before_a_refusal(surplus_case: SurplusCase) -> TestResult {
+        let case = &surplus_case.case;
+        let mut world = case.world();
+        let end = surplus_case.add_busy_period(&mut world);
+        let slack = 2 + case.rate / 50;
+        if surplus_case.crash_in_delay {
+            world.crash(end + surplus_case.delay / 2, 0);
         }
-        for _ in slack..setting.burst {
-            world.arrival(end + busy.delay, 1);
+        for _ in slack..case.burst {
+            world.arrival(end + surplus_case.delay, 1);
         }
-        // Node 0 renews its slots, before the burst and while the recall is on its way.
-        for after in [0, 4_000 + setting.seed % 4_000] {
-            world.renew(end + busy.delay - 2_000 + after, 0);
+        // Node 0 renews its slots before the burst, and again while the recall is in flight.
+        for after in [0, 4_000 + case.seed % 4_000] {
+            world.renew(end + surplus_case.delay - 2_000 + after, 0);
         }
         world.run_until(end + 30 * SECOND);
         let tally = &world.tally;
         let served = tally.spent.len() as u64 + tally.lost_in_crashes;
         let passed = tally.refused == 0 && served == tally.arrivals.len() as u64;
-        test_result(passed, setting, &world)
+        test_result(passed, case, &world)
     }
 
     /// Surplus tokens that are spent late, also those of a former leader, stay within the quota.
-    fn surplus_tokens_stay_within_the_quota(busy: Busy) -> TestResult {
-        let setting = &busy.setting;
-        let mut world = setting.world();
-        let end = busy.add_busy_time(&mut world);
-        if busy.elect_in_delay {
+    fn surplus_tokens_stay_within_the_quota(surplus_case: SurplusCase) -> TestResult {
+        let case = &surplus_case.case;
+        let mut world = case.world();
+        let end = surplus_case.add_busy_period(&mut world);
+        if surplus_case.elect_in_delay {
             world.elect(end);
         }
-        // Until long after the election both nodes want more than there is.
-        let blast = end + busy.delay;
+        // Until long after the election both nodes have more demand than the quota allows.
+        let burst_start = end + surplus_case.delay;
         for step in 0..20 {
             for node in [0, 1] {
-                for _ in 0..setting.burst {
-                    world.arrival(blast + step * 100_000, node);
+                for _ in 0..case.burst {
+                    world.arrival(burst_start + step * 100_000, node);
                 }
             }
         }
-        world.run_until(blast + 4 * SECOND);
-        test_result(fits_bucket(&setting.quota(), &world.tally.spent), setting, &world)
+        world.run_until(burst_start + 4 * SECOND);
+        test_result(fits_bucket(&case.quota(), &world.tally.spent), case, &world)
     }
 
-    /// Granted and spent is at most burst + rate * window, whatever is lost or elected.
-    fn no_window_exceeds_the_quota(setting: Setting) -> TestResult {
-        let mut world = setting.world();
-        setting.add_heavy_demand(&mut world);
-        setting.add_faults(&mut world);
+    /// At most burst + rate * window tokens are spent in any window, also when messages are lost,
+    /// nodes crash and leaders change.
+    fn no_window_exceeds_the_quota(case: TestCase) -> TestResult {
+        let mut world = case.world();
+        case.add_heavy_demand(&mut world);
+        case.add_faults(&mut world);
         world.run_until(world.start() + RUN + 3 * SECOND);
-        let fits = fits_bucket(&setting.quota(), &world.tally.spent);
-        test_result(fits, &setting, &world)
+        let fits = fits_bucket(&case.quota(), &world.tally.spent);
+        test_result(fits, &case, &world)
     }
 
-    /// Demand under the quota is never refused, also when replies are lost, nodes crash and
-    /// leaders change; without faults all of it is served.
-    fn demand_under_the_quota_is_never_refused(setting: Setting) -> TestResult {
-        let mut world = setting.world();
-        let arrivals = setting.add_demand_under_quota(&mut world, 200_000);
+    /// Demand within the quota is never refused, also when messages are lost, nodes crash and
+    /// leaders change. All of it is served, except the requests that were waiting at a crashed
+    /// node.
+    fn demand_under_the_quota_is_never_refused(case: TestCase) -> TestResult {
+        let mut world = case.world();
+        let arrivals = case.add_demand_under_quota(&mut world, 200_000);
         if arrivals == 0 {
             return TestResult::discard();
         }
-        setting.add_faults(&mut world);
+        case.add_faults(&mut world);
         world.run_until(world.start() + RUN + 60 * SECOND);
         let tally = &world.tally;
         let served = tally.spent.len() as u64 + tally.lost_in_crashes;
         let passed = tally.refused == 0 && tally.left_waiting == 0 && served == tally.arrivals.len() as u64;
-        test_result(passed, &setting, &world)
+        test_result(passed, &case, &world)
     }
 
-    /// Nothing is wasted: under heavy demand and without faults as much is served as by one bucket.
-    fn heavy_demand_gets_the_complete_quota(setting: Setting) -> TestResult {
-        let mut world = setting.world();
-        setting.add_heavy_demand(&mut world);
+    /// Under heavy demand and without faults, at least 95% of what one exact bucket would serve,
+    /// less two requests, is served.
+    fn heavy_demand_gets_the_complete_quota(case: TestCase) -> TestResult {
+        let mut world = case.world();
+        case.add_heavy_demand(&mut world);
         world.run_until(world.start() + RUN);
         let spent = world.tally.spent.len() as u64;
-        let exact = served_by_exact_bucket(&setting.quota(), &world.tally.arrivals);
-        test_result(spent + 2 >= exact * 95 / 100, &setting, &world)
+        let exact = served_by_exact_bucket(&case.quota(), &world.tally.arrivals);
+        test_result(spent + 2 >= exact * 95 / 100, &case, &world)
     }
 }
--- a/crates/control-state/tests/control_state/quota_clients.rs
+++ b/crates/control-state/tests/control_state/quota_clients.rs
@@ -1,19 +1,19 @@
-//! The complete quota path: the agents' quota clients and the leaders' leases together.
+//! Complete quota path: the agents' quota clients together with the leaders' leases.
 
 use crate::fixtures::client_world::ClientWorld;
 use crate::fixtures::exact_bucket::fits_bucket;
 use millford_api::config::Quota;
 use quickcheck::{Arbitrary, Gen, TestResult, quickcheck};
 
-/// Time in which requests arrive, in milliseconds.
+/// Time during which requests arrive, in milliseconds.
 const RUN_MS: u64 = 6_000;
-/// Upper bound of the delay between granting and admission, in milliseconds: a window may contain
-/// what the rate yields in that time more.
+/// Upper bound of the delay between granting and admission, in milliseconds. A window may contain
+/// additional requests, as many as the rate yields in that time.
 const MAX_GRANT_DELAY_MS: u32 = 20;
 
 /// A random quota, fleet and faults.
 #[derive(Clone, Debug)]
-struct Setting {
+struct TestCase {
     seed: u64,
     quota: Quota,
     clients: usize,
@@ -21,7 +21,7 @@
     loss_percent: u64,
 }
 
-impl Arbitrary for Setting {
+impl Arbitrary for TestCase {
     fn arbitrary(generator: &mut Gen) -> Self {
         let mut below = |limit: u64| u64::arbitrary(generator) % limit;
         let mut small = |low: u64, limit: u64| u32::try_from(low + below(limit)).expect("small");
@@ -30,7 +30,7 @@
             burst: small(1, 60),
             concurrent_streams: small(1, 20),
         };
-        Setting {
+        TestCase {
             seed: u64::arbitrary(generator),
             quota,
             clients: usize::from(u8::arbitrary(generator) % 4 + 1),
@@ -44,8 +44,8 @@
     }
 }
 
-impl Setting {
-    /// Runs the world; `requests_at` returns how many requests arrive in a millisecond.
+impl TestCase {
+    /// Runs the simulation; `requests_at` returns how many requests arrive in a millisecond.
     fn run(
         &self,
         streams: bool,
@@ -72,7 +72,7 @@
         world
     }
 
-    /// Three times the rate, and now and then a burst.
+    /// Runs the simulation with requests at three times the rate and occasional bursts.
     fn run_heavy(&self, streams: bool) -> ClientWorld {
         let rate = u64::from(self.quota.requests_per_second);
         let burst = u64::from(self.quota.burst);
@@ -84,13 +84,13 @@
     }
 }
 
-fn test_result(passed: bool, setting: &Setting, world: &ClientWorld) -> TestResult {
+fn test_result(passed: bool, case: &TestCase, world: &ClientWorld) -> TestResult {
     if passed {
         return TestResult::passed();
     }
     let outcome = &world.outcome;
     TestResult::error(format!(
-        "{setting:?}: arrived {}, admitted {}, refused {}, timed out {}, most streams {}",
+        "{case:?}: arrived {}, admitted {}, refused {}, timed out {}, most streams {}",
         outcome.arrived,
         outcome.admitted.len(),
         outcome.refused,
@@ -100,32 +100,33 @@
 }
 
 quickcheck! {
-    fn admitted_requests_stay_within_the_quota(setting: Setting) -> TestResult {
-        let mut setting = setting;
-        // A lost reply is resent up to a second later, and counts when granted.
-        setting.loss_percent = 0;
-        let world = setting.run_heavy(false);
-        let mut allowed = setting.quota;
+    fn admitted_requests_stay_within_the_quota(case: TestCase) -> TestResult {
+        let mut case = case;
+        // A lost reply may be resent up to a second after its tokens were granted, which is more
+        // than `MAX_GRANT_DELAY_MS` allows for.
+        case.loss_percent = 0;
+        let world = case.run_heavy(false);
+        let mut allowed = case.quota;
         allowed.burst += 1 + allowed.requests_per_second * MAX_GRANT_DELAY_MS / 1000;
-        test_result(fits_bucket(&allowed, &world.outcome.admitted), &setting, &world)
+        test_result(fits_bucket(&allowed, &world.outcome.admitted), &case, &world)
     }
 
-    fn streams_stay_within_their_limit(setting: Setting) -> TestResult {
-        let world = setting.run_heavy(true);
-        let passed = world.outcome.most_streams <= setting.quota.concurrent_streams;
-        test_result(passed, &setting, &world)
+    fn streams_stay_within_their_limit(case: TestCase) -> TestResult {
+        let world = case.run_heavy(true);
+        let passed = world.outcome.most_streams <= case.quota.concurrent_streams;
+        test_result(passed, &case, &world)
     }
 
-    fn requests_under_the_quota_are_admitted(setting: Setting) -> TestResult {
-        // What arrives while replies are lost and resent bunches up at the leader.
-        let slack = 1 + setting.quota.requests_per_second;
-        let Some(burst) = setting.quota.burst.checked_sub(slack) else {
+    fn requests_under_the_quota_are_admitted(case: TestCase) -> TestResult {
+        // Requests that arrive while replies are lost and resent reach the leader all at once.
+        let slack = 1 + case.quota.requests_per_second;
+        let Some(burst) = case.quota.burst.checked_sub(slack) else {
             return TestResult::discard();
         };
-        let rate = u64::from(setting.quota.requests_per_second);
+        let rate = u64::from(case.quota.requests_per_second);
         let full = u64::from(burst) * 1000;
         let mut level = full;
-        let world = setting.run(false, |world, _| {
+        let world = case.run(false, |world, _| {
             level = (level + rate).min(full);
             let desired = match world.random(400) {
                 0 => u64::from(burst),
@@ -137,16 +138,16 @@
         });
         let outcome = &world.outcome;
         let passed = outcome.refused == 0 && outcome.admitted.len() as u64 == outcome.arrived;
-        test_result(passed, &setting, &world)
+        test_result(passed, &case, &world)
     }
 }
 
-/// A request takes a slot of the former leader's lease while the node's first request to the new
-/// leader is in flight; the reply lets it retry only once slots may be granted, and until then the
-/// new leader has to learn of that stream.
+/// Guards against streams above the limit after a change of leader. A stream takes a slot of the
+/// former leader's lease while the node's first request to the new leader is in flight. The reply
+/// tells the node to retry when slots may be granted; the node must report the stream before that.
 #[test]
 fn a_slot_used_while_the_request_to_a_new_leader_is_in_flight_is_reported() {
-    let setting = Setting {
+    let case = TestCase {
         seed: 10_700_725_685_278_463_493,
         quota: Quota {
             requests_per_second: 28,
@@ -157,6 +158,6 @@
         elections: vec![1_000, 3_500],
         loss_percent: 2,
     };
-    let world = setting.run_heavy(true);
-    assert!(world.outcome.most_streams <= setting.quota.concurrent_streams);
+    let world = case.run_heavy(true);
+    assert!(world.outcome.most_streams <= case.quota.concurrent_streams);
 }
--- a/crates/control-state/tests/control_state/quota_outage.rs
+++ b/crates/control-state/tests/control_state/quota_outage.rs
@@ -1,4 +1,4 @@
-//! Requests that waited while there was no leader are not counted against their tenant.
+//! Requests that waited during an outage are not refused if their tenant stayed within its quota.
 
 use millford_api::config::Quota;
 use millford_api::internal::{QuotaGrant, QuotaReply, QuotaRequest, TenantQuotaRequest};
@@ -9,16 +9,16 @@
 const BURST: u32 = 10;
 const OUTAGE_MS: u32 = 3_000;
 
-/// What a leader, just elected, grants a node where `waiting` requests wait.
-fn first_answer(waiting: u32, oldest_wait_ms: u32) -> QuotaGrant {
+/// Returns the first grant of a newly elected leader to a node where `waiting` requests wait.
+fn first_grant(waiting: u32, oldest_wait_ms: u32) -> QuotaGrant {
     let elected = MonotonicTime::from_millis(10_000);
     let mut leases = leader(elected);
-    // The former leader may have led until then.
+    // Until this time the former leader may have granted tokens.
     let grants_from = elected + QuotaOptions::default().step_down_bound;
-    answer(&mut leases, grants_from, "agent-1", waiting, oldest_wait_ms)
+    grant(&mut leases, grants_from, "agent-1", waiting, oldest_wait_ms)
 }
 
-fn answer(
+fn grant(
     leases: &mut QuotaLeases,
     now: MonotonicTime,
     member: &str,
@@ -31,10 +31,10 @@
         oldest_wait_ms,
         ..TenantQuotaRequest::default()
     };
-    answer_to(leases, now, member, 1, tenant_request)
+    grant_to(leases, now, member, 1, tenant_request)
 }
 
-fn answer_to(
+fn grant_to(
     leases: &mut QuotaLeases,
     now: MonotonicTime,
     member: &str,
@@ -69,7 +69,7 @@
     replies.expect("a reply")
 }
 
-/// The leases of a leader that was elected at this moment and knows the tenant's quota.
+/// Returns the leases of a leader that was elected at `elected` and has the tenant's quota.
 fn leader(elected: MonotonicTime) -> QuotaLeases {
     let mut leases = QuotaLeases::new(ShardId(1), QuotaOptions::default());
     let quota = Quota {
@@ -85,24 +85,24 @@
 #[test]
 fn demand_under_the_rate_is_not_refused_after_an_outage() {
     // Nine a second for three seconds without a leader: an exact bucket would have served all.
-    let grant = first_answer(27, OUTAGE_MS);
-    assert_eq!(grant.refused_tokens, 0, "they wait on");
+    let grant = first_grant(27, OUTAGE_MS);
+    assert_eq!(grant.refused_tokens, 0, "the requests continue to wait");
 }
 
 #[test]
-fn requests_that_waited_through_an_outage_do_not_displace_others() {
+fn requests_that_waited_through_an_outage_do_not_cause_refusals_of_others() {
     let mut leases = leader(MonotonicTime::ZERO);
     // Long after the election, so that the bucket is certainly full.
     let now = MonotonicTime::from_millis(120_000);
     leases.tick(now);
-    let returning = answer(&mut leases, now, "agent-1", BURST, OUTAGE_MS);
+    let returning = grant(&mut leases, now, "agent-1", BURST, OUTAGE_MS);
     assert_eq!(returning.tokens, BURST);
-    let other = answer(&mut leases, now, "agent-2", 1, 0);
-    assert!(!other.refused, "an exact bucket would have earned again");
+    let other = grant(&mut leases, now, "agent-2", 1, 0);
+    assert!(!other.refused, "an exact bucket would have been refilled");
 }
 
 #[test]
-fn requests_waiting_under_other_messages_still_count() {
+fn waiting_requests_of_earlier_messages_are_still_counted() {
     let mut leases = leader(MonotonicTime::ZERO);
     let mut tenant_request = |at_ms: u64, request_id: u64, tokens: u32, waiting: u32| {
         let tenant_request = TenantQuotaRequest {
@@ -112,22 +112,23 @@
             ..TenantQuotaRequest::default()
         };
         let now = MonotonicTime::from_millis(at_ms);
-        answer_to(&mut leases, now, "agent-1", request_id, tenant_request)
+        grant_to(&mut leases, now, "agent-1", request_id, tenant_request)
     };
-    // Forty wait after an outage of three seconds; ten are served at once.
+    // Forty requests wait after an outage of three seconds; ten are served at once.
     let first = tenant_request(120_000, 1, 40, 40);
     assert_eq!((first.tokens, first.refused_tokens), (BURST, 0));
-    // While their message is in flight, others arrive as fast as the rate serves them.
+    // While the others wait, new requests arrive as fast as the rate serves them.
     for step in 1..=20 {
         let next = tenant_request(120_000 + step * 500, 1 + step, 5, 35);
         assert_eq!(next.refused_tokens, 0, "step {step}");
     }
-    // The credit of the outage has ended; all that still wait are requested again.
+    // The outage credit has expired; tokens for all requests that still wait are requested again.
     let last = tenant_request(130_200, 100, 30, 30);
-    assert_eq!(last.refused_tokens, 0, "they waited within their quota");
+    assert_eq!(last.refused_tokens, 0, "the tenant stayed within its quota");
 }
 
-/// A relay that was stalled forwards, seconds later, requests that their node gave up long ago.
+/// Guards against processing requests that a stalled relay forwards seconds after their node gave
+/// them up.
 #[test]
 fn an_abandoned_request_is_not_counted_again() {
     let mut leases = leader(MonotonicTime::ZERO);
@@ -140,12 +141,12 @@
             waiting: 1,
             ..TenantQuotaRequest::default()
         };
-        answer_to(leases, now, "agent-1", 10 + step, tenant_request)
+        grant_to(leases, now, "agent-1", 10 + step, tenant_request)
     };
     for step in 0..40 {
         assert_eq!(steady(&mut leases, step).refused_tokens, 0, "step {step}");
     }
-    // Sent before the first of them, forwarded by the relay only now.
+    // This request was sent before the first of those above, and the relay forwards it only now.
     let now = MonotonicTime::from_millis(start_ms + 4_000);
     let backlog = TenantQuotaRequest {
         tokens: BURST * 3,
@@ -163,7 +164,8 @@
     }
 }
 
-/// An answer that was forgotten must not make its request a new one: what it returns counts once.
+/// Guards against counting returned tokens twice: a request whose cached reply was dropped must not
+/// be processed as a new one.
 #[test]
 fn a_request_answered_long_ago_is_not_processed_twice() {
     let mut leases = leader(MonotonicTime::ZERO);
--- a/crates/control-state/tests/control_state/quota_slots.rs
+++ b/crates/control-state/tests/control_state/quota_slots.rs
@@ -1,4 +1,4 @@
-//! Stream slots, sessions and idle accounts of the quota leases.
+//! Stream slots, session epochs and idle accounts of the quota leases.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
 }
 
 impl Leader {
-    /// A leader that was elected an hour ago, with one tenant.
+    /// Creates a leader that was elected an hour ago, with the quota of one tenant.
     fn new(concurrent_streams: u32) -> Self {
         let mut leases = QuotaLeases::new(ShardId(1), QuotaOptions::default());
         leases.lead(MonotonicTime::ZERO, 1);
@@ -72,7 +72,7 @@
     }
 }
 
-/// A message of a node with one tenant's request.
+/// Creates a node's message with the request of one tenant.
 fn request(
     member: &str,
     epoch: u64,
@@ -88,7 +88,7 @@
     }
 }
 
-/// A request for tokens of the tenant that every leader knows.
+/// Creates a request for tokens of the tenant that is configured at every leader.
 fn token_request(tokens: u32) -> TenantQuotaRequest {
     TenantQuotaRequest {
         tenant: "library".to_owned(),
@@ -97,7 +97,7 @@
     }
 }
 
-/// A request for stream slots of the tenant that every leader knows.
+/// Creates a request for stream slots of the tenant that is configured at every leader.
 fn slot_request(requested: u32, in_use: u32) -> TenantQuotaRequest {
     TenantQuotaRequest {
         tenant: "library".to_owned(),
@@ -136,7 +136,8 @@
     assert_eq!(leader.slots("b", 2, 0).slots, 2);
 }
 
-/// A slow bucket, and a node that was granted surplus tokens for its demand a second ago.
+/// Creates a leader with a slowly refilling bucket. Node `a` was granted surplus tokens because of
+/// its demand a second ago.
 fn leader_with_surplus_tokens_at_a() -> Leader {
     let mut leader = Leader::new(0);
     let slow = Quota {
@@ -194,7 +195,7 @@
     leader.leases.tick(leader.now());
     assert!(
         leader.slots("b", 1, 0).slots_refused,
-        "a may only be cut off"
+        "node a may be disconnected with its streams still open"
     );
     leader.now_ms += 10_000;
     leader.leases.tick(leader.now());
@@ -202,7 +203,7 @@
 }
 
 #[test]
-fn a_restarted_node_gives_up_what_it_does_not_claim_again() {
+fn a_restarted_node_loses_slots_that_it_does_not_request_again() {
     let mut leader = Leader::new(4);
     leader.slots("a", 4, 4);
     leader.tokens("b", 1);
@@ -232,7 +233,11 @@
     let first = leader.deliver(&resent);
     leader.now_ms += 1;
     assert_eq!(leader.deliver(&resent), first);
-    assert_eq!(leader.tokens("b", 60).tokens, 40, "60 were taken once");
+    assert_eq!(
+        leader.tokens("b", 60).tokens,
+        40,
+        "60 tokens were deducted only once"
+    );
 }
 
 #[test]
@@ -242,17 +247,24 @@
     leader.next_request = 1;
     leader.slots("a", 4, 4);
     leader.deliver(&late);
-    assert!(leader.slots("b", 1, 0).slots_refused, "a still uses four");
+    assert!(
+        leader.slots("b", 1, 0).slots_refused,
+        "node a still uses four slots"
+    );
 }
 
 #[test]
-fn a_new_leader_learns_what_is_in_use_before_it_grants() {
+fn a_new_leader_grants_no_new_slots_until_nodes_have_reported_those_in_use() {
     let mut leader = Leader::new(4);
     leader.leases.lead(leader.now(), 2);
     let early = leader.slots("b", 2, 0);
     assert_eq!((early.slots, early.slots_refused), (0, false));
     leader.now_ms += 400;
-    assert_eq!(leader.slots("a", 3, 3).slots, 3, "streams in use go on");
+    assert_eq!(
+        leader.slots("a", 3, 3).slots,
+        3,
+        "slots in use are granted at once"
+    );
     leader.now_ms += u64::from(early.retry_after_ms) - 400 + 1;
     let b = leader.slots("b", 2, 0);
     assert_eq!((b.slots, b.slots_refused), (1, true));
@@ -267,7 +279,7 @@
 }
 
 #[test]
-fn an_unknown_tenant_waits_for_its_configuration() {
+fn a_tenant_without_configuration_is_told_to_retry() {
     let mut leader = Leader::new(4);
     let tenant_request = TenantQuotaRequest {
         tenant: "new".to_owned(),
@@ -280,7 +292,7 @@
 }
 
 #[test]
-fn a_smaller_quota_holds_at_once() {
+fn a_smaller_quota_applies_at_once() {
     let mut leader = Leader::new(4);
     leader.tokens("a", 1);
     let smaller = Quota {
@@ -300,7 +312,7 @@
 }
 
 #[test]
-fn sixteen_thousand_tenants_cost_memory_only_while_active() {
+fn only_active_tenants_have_accounts() {
     let mut leader = Leader::new(4);
     let quota = Quota {
         requests_per_second: 1,
@@ -324,7 +336,7 @@
 }
 
 quickcheck! {
-    /// Whatever the nodes request, all that they are granted together stays within the limit.
+    /// The slots granted to all nodes together stay within the limit for any sequence of requests.
     fn granted_slots_never_exceed_the_limit(limit: u8, requests: Vec<(u8, u8, u8, u8)>) -> bool {
         let limit = u32::from(limit % 20) + 1;
         let mut leader = Leader::new(limit);
