--- a/crates/control-state/tests/control_state/shard_machine.rs
+++ b/crates/control-state/tests/control_state/shard_machine.rs
@@ -17,7 +17,7 @@
         let applied = self.apply_kind(Kind::OpenSession(open(member, boot_id)));
         match applied.result.kind {
             Some(command_result::Kind::OpenSession(result)) => result.epoch,
-            _ => panic!("no answer to an opened session: {applied:?}"),
+            _ => panic!("the result is not a reply to an opened session: {applied:?}"),
         }
     }
 
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn epochs_grow_and_a_resent_opening_keeps_its_epoch() {
+fn epochs_grow_and_a_resent_open_command_returns_the_same_epoch() {
     let mut machine = Machine::new(ShardId(2));
     let first = machine.open("agent-1", 7);
     assert_eq!(machine.open("agent-1", 7), first);
@@ -107,7 +107,7 @@
     assert_eq!(machine.machine.sessions().len(), 0);
     assert!(
         machine.open("agent-1", 8) > new,
-        "epochs are never given twice"
+        "an epoch is never assigned twice"
     );
 }
 
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_drain_order_outlives_the_registry_and_ends_when_lifted() {
+fn a_drain_order_stays_in_effect_over_registry_updates_until_it_is_lifted() {
     let mut machine = Machine::new(ShardId(2));
     machine.update(vec![backend("b1", "saga")], Vec::new());
     assert_eq!(machine.drain("b1", true).changes.len(), 1);
@@ -145,11 +145,13 @@
 #[test]
 fn the_difference_to_the_registry_ignores_drain_orders() {
     let mut machine = Machine::new(ShardId(2));
-    let seen = vec![backend("b1", "saga"), backend("b2", "saga")];
-    machine.update(seen.clone(), Vec::new());
+    let registered = vec![backend("b1", "saga"), backend("b2", "saga")];
+    machine.update(registered.clone(), Vec::new());
     machine.drain("b1", true);
     assert_eq!(
-        machine.machine.catalogue_difference("pool-saga", &seen),
+        machine
+            .machine
+            .catalogue_difference("pool-saga", &registered),
         None
     );
     let next = vec![
@@ -163,7 +165,7 @@
     assert_eq!(difference.upserts, next);
     assert_eq!(difference.removals, ["b2"]);
     let applied = machine.apply_kind(Kind::UpdateBackends(difference));
-    assert_eq!(applied.changes.len(), 2, "b1 drains already");
+    assert_eq!(applied.changes.len(), 2, "b1 is already draining");
     assert_eq!(
         machine.machine.catalogue_difference("pool-saga", &next),
         None
@@ -199,7 +201,7 @@
 }
 
 #[test]
-fn an_entry_that_was_applied_is_not_applied_again() {
+fn an_entry_is_not_applied_twice() {
     let mut machine = ShardMachine::new(ShardId(0));
     machine.apply(3, 1, &order(0, "a", &valid_document()));
     let again = machine.apply(3, 1, &order(1, "b", &valid_document()));
@@ -208,7 +210,7 @@
 }
 
 #[test]
-fn a_broken_snapshot_changes_nothing() {
+fn restoring_a_malformed_snapshot_changes_nothing() {
     let mut machine = Machine::new(ShardId(2));
     machine.open("agent-1", 7);
     let before = machine.machine.snapshot();
@@ -255,8 +257,8 @@
 }
 
 quickcheck! {
-    /// A replica that was restored in the middle ends in the same state, byte for byte, as one that
-    /// applied everything, and returns the same results.
+    /// A replica that was restored from a snapshot returns the same results as one that applied all
+    /// commands, and its final snapshot has the same bytes.
     fn a_restored_replica_continues_identically(before: Vec<AnyCommand>, after: Vec<AnyCommand>) -> bool {
         let mut uninterrupted = Machine::new(ShardId(2));
         for any in before {
@@ -271,18 +273,18 @@
         same && uninterrupted.machine.snapshot() == restored.machine.snapshot()
     }
 
-    /// The changes of each command, put together, give the public state.
+    /// Applying the changes of all commands in order results in the public state.
     fn changes_add_up_to_the_public_state(commands: Vec<AnyCommand>) -> bool {
         let mut machine = Machine::new(ShardId(2));
-        let mut followed = std::collections::BTreeMap::new();
+        let mut rebuilt = std::collections::BTreeMap::new();
         for any in commands {
             for item in machine.apply_kind(any.0).changes {
                 match item.value {
-                    Some(value) => followed.insert(item.key, value),
-                    None => followed.remove(&item.key),
+                    Some(value) => rebuilt.insert(item.key, value),
+                    None => rebuilt.remove(&item.key),
                 };
             }
         }
-        &followed == machine.machine.public_state()
+        &rebuilt == machine.machine.public_state()
     }
 }
