--- a/crates/placement/examples/tick_cost.rs
+++ b/crates/placement/examples/tick_cost.rs
@@ -1,4 +1,6 @@
-//! Processor time of one planning tick: `cargo run --release -p millford-placement --example tick_cost`.
+//! Measures the time of one planning tick.
+//!
+//! `cargo run --release -p millford-placement --example tick_cost`
 
 use std::collections::BTreeMap;
 use std::time::Instant;
--- a/crates/placement/src/cost/mod.rs
+++ b/crates/placement/src/cost/mod.rs
@@ -1,4 +1,4 @@
-//! Costs of models, learned from the traffic of the nodes.
+//! Costs of models, learned from the requests that the nodes report.
 
 pub mod bandwidth_attribution;
 pub mod cost_model;
--- a/crates/placement/src/cost/model_cost.rs
+++ b/crates/placement/src/cost/model_cost.rs
@@ -1,33 +1,33 @@
-//! Cost of one model.
+//! Costs of one model.
 
 use millford_api::internal::CostSample;
 
 use crate::cost::line_fit::LineFit;
 
-/// Prior of prefill: milliseconds per prompt token on one core.
+/// Assumed prefill time per prompt token on one core before the first sample, in milliseconds.
 pub const PRIOR_PREFILL_CORE_MS_PER_TOKEN: f64 = 1.0;
-/// Prior of decode: milliseconds of a step without streams.
+/// Assumed time of a decode step without streams before the first sample, in milliseconds.
 pub const PRIOR_STEP_MS: f64 = 20.0;
-/// Prior of decode: milliseconds that each stream adds to a step.
+/// Assumed time that each stream adds to a decode step before the first sample, in milliseconds.
 pub const PRIOR_STREAM_MS: f64 = 0.4;
-/// Typical prompt tokens per core, the scale of the prefill fit.
+/// Scale of the prefill fit: a typical number of prompt tokens per core.
 const PREFILL_SCALE: f64 = 100.0;
-/// Typical streams of a replica, the scale of the decode fit.
+/// Scale of the decode fit: a typical number of streams on a replica.
 const STREAM_SCALE: f64 = 10.0;
-/// Share of a new sample in the moving means.
+/// Weight of a new sample in the moving means.
 const MEAN_SHARE: f64 = 0.02;
-/// Prior of the mean prompt and answer lengths, in tokens.
+/// Assumed mean lengths of prompts and answers before the first sample, in tokens.
 const PRIOR_MEAN_TOKENS: f64 = 200.0;
 
-/// Largest decode capacity that is accepted: guards against a fitted slope of nearly zero.
+/// Upper limit of the decode capacity in streams, for a fitted slope of nearly zero.
 const MAX_STREAM_CAPACITY: f64 = 256.0;
 
 /// Costs of one model, learned from answered requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ModelCost {
-    /// First-token time in milliseconds against uncached prompt tokens per core.
+    /// Fit of the time to the first token, in milliseconds, over uncached prompt tokens per core.
     pub prefill: LineFit,
-    /// Inter-token time in milliseconds against streams on the replica.
+    /// Fit of the inter-token time, in milliseconds, over streams on the replica.
     pub decode: LineFit,
     mean_prompt_tokens: f64,
     mean_output_tokens: f64,
@@ -45,7 +45,8 @@
 }
 
 impl ModelCost {
-    /// Takes an answered request on a backend of `cores` cores that carried `streams` streams.
+    /// Updates the costs with an answered request, on a backend with `cores` cores that served
+    /// `streams` streams.
     pub fn observe(&mut self, sample: &CostSample, cores: f64, streams: u32) {
         let prompt_tokens = f64::from(sample.prompt_tokens);
         self.prefill.observe(
@@ -64,23 +65,25 @@
         self.mean_output_tokens += MEAN_SHARE * (output_tokens - self.mean_output_tokens);
     }
 
-    /// Processor time of prompt tokens, in core milliseconds.
+    /// Returns the processor time of the prefill of `prompt_tokens`, in core milliseconds.
     #[must_use]
     pub fn prefill_core_ms(&self, prompt_tokens: f64) -> f64 {
         prompt_tokens * self.prefill.slope()
     }
 
-    /// Processor time left in a stream of unknown length, in core milliseconds.
+    /// Returns the expected remaining processor time of a stream of unknown length, in core
+    /// milliseconds.
     ///
-    /// A stream observed at a random moment has half of its tokens left. Each costs a stream's own part
-    /// of a step, during which all of the backend's cores are in use.
+    /// A stream observed at a random time has half of its tokens left on average. Each token costs
+    /// the stream's own part of a step, during which all cores of the backend are in use.
     #[must_use]
     pub fn stream_core_ms(&self, cores: f64) -> f64 {
         let tokens_left = self.mean_output_tokens / 2.0;
         tokens_left * self.stream_step_ms() * cores
     }
 
-    /// Time that one more stream adds to a step, in milliseconds of all the backend's cores.
+    /// Returns the time that one more stream adds to a step, in milliseconds during which all cores
+    /// of the backend are in use.
     #[must_use]
     pub fn stream_step_ms(&self) -> f64 {
         self.decode
@@ -88,19 +91,20 @@
             .max(self.decode.intercept() / MAX_STREAM_CAPACITY)
     }
 
-    /// Streams at which a step takes twice as long as an empty one: the decode capacity.
+    /// Returns the decode capacity: the number of streams at which a step takes twice as long as
+    /// one without streams.
     #[must_use]
     pub fn stream_capacity(&self) -> f64 {
         (self.decode.intercept() / self.stream_step_ms().max(f64::MIN_POSITIVE)).max(1.0)
     }
 
-    /// Mean uncached prompt length, in tokens.
+    /// Returns the mean number of uncached tokens of a prompt, at least 1.
     #[must_use]
     pub fn mean_prompt_tokens(&self) -> f64 {
         self.mean_prompt_tokens.max(1.0)
     }
 
-    /// Mean answer length, in tokens.
+    /// Returns the mean length of answers in tokens, at least 1.
     #[must_use]
     pub fn mean_output_tokens(&self) -> f64 {
         self.mean_output_tokens.max(1.0)
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,7 +1,8 @@
-//! Placement of model replicas from the work in flight: cost model, load snapshot, transition gate.
+//! Placement of model replicas by the work in flight: cost model, load snapshot, placement plans.
 //!
-//! [`Placer`] is the placement role of one pool. It is called by the leader of the shard that owns
-//! the pool's service, which fences what it publishes by an epoch. All of it is pure.
+//! [`Placer`] plans the placement of one pool. The leader of the shard that owns the pool's service
+//! calls it and publishes the placements, fenced by an epoch. The crate does no input or output and
+//! reads no clock.
 
 pub mod cost;
 pub mod load;
--- a/crates/placement/src/load/load_snapshot.rs
+++ b/crates/placement/src/load/load_snapshot.rs
@@ -1,4 +1,4 @@
-//! Work in flight over all nodes, from their reports.
+//! Work in flight over all nodes, collected from their reports.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,11 @@
 use crate::load::replica_work::ReplicaWork;
 use crate::replica_key::ReplicaKey;
 
-/// The last known counts of each member; each expires when it is not refreshed.
+/// Last reported counts of each member. A count expires when it is not refreshed.
 ///
-/// Members report what changed, and repeat what has not at longer intervals. A count that is reported as zero
-/// stays as zero until it expires, so that readers of the snapshot learn that the work has ended.
+/// Members report changed counts, and repeat unchanged ones at longer intervals. A count reported
+/// as zero stays as zero until it expires, so that the nodes that receive the snapshot see that the
+/// work has ended.
 #[derive(Clone, Debug)]
 pub struct LoadSnapshot {
     stale_after: Duration,
@@ -25,7 +26,7 @@
 }
 
 impl LoadSnapshot {
-    /// An empty snapshot; a reported count is valid for `stale_after`.
+    /// Creates an empty snapshot. A reported count is valid for `stale_after`.
     #[must_use]
     pub fn new(stale_after: Duration) -> Self {
         Self {
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Takes a member's counts; those that it does not list stay.
+    /// Records the counts that a member reports; its other counts stay.
     pub fn observe(&mut self, now: MonotonicTime, member: &str, loads: &[ReplicaLoad]) {
         let counts = self.members.entry(member.to_owned()).or_default();
         for load in loads {
@@ -43,18 +44,18 @@
         }
     }
 
-    /// Number of members with valid counts.
+    /// Returns the number of members with counts that were not removed by [`LoadSnapshot::expire`].
     #[must_use]
     pub fn members(&self) -> usize {
         self.members.len()
     }
 
-    /// Forgets a member whose session has ended.
+    /// Removes the counts of a member whose session has ended.
     pub fn forget(&mut self, member: &str) {
         self.members.remove(member);
     }
 
-    /// Forgets counts that have not been refreshed for too long.
+    /// Removes counts that are stale at `now`, and members without counts.
     pub fn expire(&mut self, now: MonotonicTime) {
         let stale_after = self.stale_after;
         for counts in self.members.values_mut() {
@@ -63,7 +64,7 @@
         self.members.retain(|_, counts| !counts.is_empty());
     }
 
-    /// Sums over the counts that are not stale at `now`.
+    /// Returns the sums over all members by replica, without counts that are stale at `now`.
     #[must_use]
     pub fn totals(&self, now: MonotonicTime) -> BTreeMap<ReplicaKey, ReplicaWork> {
         let mut totals: BTreeMap<ReplicaKey, ReplicaWork> = BTreeMap::new();
@@ -75,7 +76,7 @@
         totals
     }
 
-    /// The sums as the message that goes back to the nodes.
+    /// Returns the sums in the form in which they are sent to the nodes.
     #[must_use]
     pub fn to_loads(&self, now: MonotonicTime) -> Vec<ReplicaLoad> {
         self.totals(now)
--- a/crates/placement/src/load/mod.rs
+++ b/crates/placement/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! Work in flight, per replica, over all nodes.
+//! Work in flight of all nodes, per replica.
 
 pub mod load_snapshot;
 pub mod replica_work;
--- a/crates/placement/src/load/replica_work.rs
+++ b/crates/placement/src/load/replica_work.rs
@@ -5,9 +5,9 @@
 /// Counts of the work that the nodes have in flight on one replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaWork {
-    /// Prompt tokens sent and not answered by a first token.
+    /// Prompt tokens of requests that were sent and have not returned a first token.
     pub prefill_tokens: u64,
-    /// Streams past their first token.
+    /// Streams that have returned their first token.
     pub decode_streams: u32,
     /// Requests held open while the backend drains.
     pub held_requests: u32,
@@ -16,7 +16,7 @@
 }
 
 impl ReplicaWork {
-    /// Whether nothing is in flight.
+    /// Whether no work is in flight. Failures are not considered.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.prefill_tokens == 0 && self.decode_streams == 0 && self.held_requests == 0
--- a/crates/placement/src/load/smoothed_load.rs
+++ b/crates/placement/src/load/smoothed_load.rs
@@ -1,4 +1,4 @@
-//! Moving means of the work in flight.
+//! Exponential means of the work in flight.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,19 +7,20 @@
 use crate::load::replica_work::ReplicaWork;
 use crate::replica_key::ReplicaKey;
 
-/// Mean under which a replica or backend is removed.
+/// Means at or below this value count as 0: the replica or backend is removed.
 const NEGLIGIBLE: f64 = 0.005;
 
-/// Moving means of one replica's work.
+/// Exponential means of one replica's work.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SmoothedWork {
-    /// Streams past their first token, and requests held open while the backend drains.
+    /// Streams that have returned their first token, and requests held open while the backend
+    /// drains.
     pub streams: f64,
-    /// Share of the moments at which a prompt was in service: how busy prefill keeps the backend.
+    /// Share of the time in which a prompt was in prefill on the replica, from 0 to 1.
     pub prefill_busy: f64,
 }
 
-/// Moving means of a pool's work.
+/// Exponential means of a pool's work, by replica and by backend.
 #[derive(Clone, Debug)]
 pub struct SmoothedLoad {
     stream_constant: Duration,
@@ -30,7 +31,8 @@
 }
 
 impl SmoothedLoad {
-    /// No work yet. The constants are those of exponential means, for streams and for busy moments.
+    /// Creates means without work. `stream_constant` is the time constant of the means of streams,
+    /// `busy_constant` that of the shares of time in prefill.
     #[must_use]
     pub fn new(stream_constant: Duration, busy_constant: Duration) -> Self {
         Self {
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Takes the work in flight at `now`.
+    /// Updates the means with the work in flight at `now`.
     pub fn observe(&mut self, now: MonotonicTime, work: &BTreeMap<ReplicaKey, ReplicaWork>) {
         let passed = self.last_tick.map(|last| now.since(last));
         self.last_tick = Some(now);
@@ -55,8 +57,8 @@
         for (key, mean) in &mut self.replicas {
             let present = work.get(key).copied().unwrap_or_default();
             let streams = f64::from(present.decode_streams) + f64::from(present.held_requests);
-            approach(&mut mean.streams, streams, stream_share);
-            approach(
+            update_mean(&mut mean.streams, streams, stream_share);
+            update_mean(
                 &mut mean.prefill_busy,
                 indicator(present.prefill_tokens > 0),
                 busy_share,
@@ -68,7 +70,7 @@
             .map(|(key, _)| key.backend.as_str())
             .collect();
         for (backend, busy) in &mut self.backends {
-            approach(
+            update_mean(
                 busy,
                 indicator(prefilling.contains(backend.as_str())),
                 busy_share,
@@ -79,13 +81,13 @@
         self.backends.retain(|_, busy| *busy > NEGLIGIBLE);
     }
 
-    /// Means by replica.
+    /// Returns the means by replica.
     #[must_use]
     pub fn replicas(&self) -> &BTreeMap<ReplicaKey, SmoothedWork> {
         &self.replicas
     }
 
-    /// Means of the replicas on one backend. Keys sort by backend first.
+    /// Returns the means of the replicas on one backend.
     pub fn replicas_on<'a>(
         &'a self,
         backend: &'a str,
@@ -95,13 +97,13 @@
             .take_while(move |(key, _)| key.backend == backend)
     }
 
-    /// Share of the moments at which any prompt was in service on a backend.
+    /// Returns the share of the time in which any prompt was in prefill on a backend, from 0 to 1.
     #[must_use]
     pub fn prefill_busy(&self, backend: &str) -> f64 {
         self.backends.get(backend).copied().unwrap_or(0.0)
     }
 
-    /// Mean streams on a backend by model.
+    /// Returns the mean number of streams on a backend, by model.
     #[must_use]
     pub fn streams_on(&self, backend: &str) -> BTreeMap<String, f64> {
         let mut streams = BTreeMap::new();
@@ -112,13 +114,13 @@
     }
 }
 
-/// Share of a new value in an exponential mean; the first value counts fully.
+/// Returns the weight of a new value in an exponential mean; 1 for the first value.
 fn share(passed: Option<Duration>, constant: Duration) -> f64 {
     let constant = constant.as_secs_f64().max(f64::MIN_POSITIVE);
     passed.map_or(1.0, |passed| 1.0 - (-passed.as_secs_f64() / constant).exp())
 }
 
-fn approach(mean: &mut f64, value: f64, share: f64) {
+fn update_mean(mean: &mut f64, value: f64, share: f64) {
     *mean += share * (value - *mean);
 }
 
--- a/crates/placement/src/options.rs
+++ b/crates/placement/src/options.rs
@@ -1,56 +1,65 @@
-//! Options of the placement role.
+//! Options of the placer.
 
 use std::collections::BTreeMap;
 
 use millford_core::Duration;
 
-/// Largest used share of the memory bandwidth when the pool names none, in percent.
+/// Limit of the used share of a backend's memory bandwidth if the pool's configuration sets none,
+/// in percent.
 pub const DEFAULT_BANDWIDTH_LIMIT_PERCENT: u32 = 65;
-/// Transition threshold when the pool names none, in percent of utilization.
+/// Utilization up to which transitions may proceed if the pool's configuration sets none, in
+/// percent.
 pub const DEFAULT_TRANSITION_BUDGET_PERCENT: u32 = 70;
-/// Time to drain when the pool names none, in milliseconds.
+/// Drain time of a replica if the pool's configuration sets none, in milliseconds.
 pub const DEFAULT_DRAIN_MS: u32 = 30_000;
-/// Longest deferral of a transition when the pool names none, in milliseconds: ten minutes.
+/// Longest deferral of a transition if the pool's configuration sets none, in milliseconds: ten
+/// minutes.
 pub const DEFAULT_LONGEST_DEFERRAL_MS: u32 = 600_000;
 
-/// Figures that the pool's configuration does not carry.
+/// Options of the placer that are not part of a pool's configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacerOptions {
-    /// A reported count is valid for this long unless it is refreshed.
+    /// How long a reported count of work in flight is valid unless it is refreshed.
     pub member_stale_after: Duration,
-    /// Fewest replicas of a model, as far as enough backends declare it.
+    /// Fewest replicas of a model when sized by load, if enough backends declare it.
     pub min_replicas: usize,
-    /// Whether models on shared backends get only the replicas that their load needs. Off by default:
-    /// backends that declare a model hold it in memory anyway, and fewer replicas measured worse
-    /// (experiment `bandwidth`).
+    /// Whether models that share backends get only the replicas that their load needs. Off by
+    /// default: backends that declare a model hold it in memory anyway, and fewer replicas gave
+    /// worse results in the experiment `bandwidth`.
     pub size_by_load: bool,
-    /// Utilization that replicas on shared backends are sized for, when sized by load.
+    /// Utilization for which the number of replicas on shared backends is computed when sized by
+    /// load, from 0 to 1.
     pub target_utilization: f64,
-    /// A surplus replica is withdrawn only after it was surplus for this long.
+    /// How long a model must have had more replicas than desired before one is withdrawn.
     pub scale_down_delay: Duration,
-    /// Least time between two steps of a transition or of scaling down.
+    /// Shortest time between two steps of a transition or of scaling down.
     pub step_interval: Duration,
-    /// Least time between two forced steps of a transition.
+    /// Shortest time between two forced steps of a transition.
     pub forced_step_interval: Duration,
-    /// Share of a model's backends that one step may touch, from 0 to 1; at least one backend.
+    /// Share of a model's backends that one step of a transition may change, from 0 to 1. One
+    /// backend is always allowed.
     pub step_share: f64,
-    /// A backend above its bandwidth limit is relieved after this long.
+    /// How long a backend must have been above its bandwidth limit before it is relieved.
     pub bandwidth_relief_delay: Duration,
-    /// Lowered weights on a backend well below its limit rise after this long, step by step.
+    /// How long a backend must have been well below its bandwidth limit before its lowered weights
+    /// are raised by one step, and the time between two such steps.
     pub recovery_delay: Duration,
-    /// Time constant of the mean of streams.
+    /// Time constant of the exponential mean of streams.
     pub smoothing: Duration,
-    /// Time constant of the mean of busy moments, which utilization is estimated from.
+    /// Time constant of the exponential mean of the time in which prompts are processed, from which
+    /// utilization is estimated.
     pub utilization_smoothing: Duration,
-    /// A draining replica remains at least this long, so that nodes have reported what they sent it.
+    /// Shortest time for which a draining replica remains, so that nodes have reported the work
+    /// that they sent to it.
     pub min_drain: Duration,
-    /// Bandwidth use of a stream of an unknown model, in GB/s.
+    /// Assumed memory bandwidth use of a stream of a model whose use is not known yet, in GB/s.
     pub prior_stream_gbps: f64,
-    /// Known bandwidth use per stream by model, in GB/s; it is not learned then.
+    /// Known memory bandwidth use per stream by model, in GB/s. It is not learned for these models.
     pub declared_stream_gbps: BTreeMap<String, f64>,
-    /// Whether memory bandwidth is a packing dimension. Off only for comparison.
+    /// Whether placement considers memory bandwidth. Switched off only for comparison.
     pub bandwidth_dimension: bool,
-    /// Whether transitions wait for the budget. Off only for comparison.
+    /// Whether transitions wait until utilization is within the budget. Switched off only for
+    /// comparison.
     pub transition_gate: bool,
 }
 
--- a/crates/placement/src/placer.rs
+++ b/crates/placement/src/placer.rs
@@ -1,4 +1,4 @@
-//! The placement role of one pool.
+//! Planning of one pool's placement.
 
 use std::collections::BTreeMap;
 
@@ -13,16 +13,18 @@
 use crate::plan::draft::Draft;
 use crate::plan::moves::{Move, MoveReason, PlanOutcome};
 use crate::plan::pool_view::{PoolLoad, PoolView};
-use crate::plan::retire::{DrainClock, remove_drained, retire};
-use crate::plan::scale::{SurplusClock, Withdrawal, scale};
-use crate::plan::transition::{TransitionClock, transition};
-use crate::plan::weights::{PressureClock, adjust_weights};
+use crate::plan::retire::{DrainTimers, remove_drained, retire};
+use crate::plan::scale::{SurplusTimers, Withdrawal, scale};
+use crate::plan::transition::{Transitions, transition};
+use crate::plan::weights::{BandwidthTimers, adjust_weights};
 use crate::replica_key::ReplicaKey;
 
-/// Most samples that wait for the next tick, which knows the backends' cores; more are dropped.
+/// Most cost samples kept until the next tick, at which the backends' cores are known. Further ones
+/// are dropped.
 const MAX_PENDING_SAMPLES: usize = 4096;
 
-/// Plans the placement of one pool. Its state can be learned again after a change of leader.
+/// Plans the placement of one pool. Its state is not replicated: after a change of leader it is
+/// learned again from the members' reports.
 #[derive(Clone, Debug)]
 pub struct Placer {
     options: PlacerOptions,
@@ -31,10 +33,10 @@
     bandwidth: BandwidthAttribution,
     pending: Vec<PendingSample>,
     smoothed: SmoothedLoad,
-    drains: DrainClock,
-    surplus: SurplusClock,
-    pressure: PressureClock,
-    transitions: TransitionClock,
+    drains: DrainTimers,
+    surplus: SurplusTimers,
+    bandwidth_timers: BandwidthTimers,
+    transitions: Transitions,
     last_withdrawal: Option<MonotonicTime>,
     utilization: f64,
 }
@@ -47,7 +49,7 @@
 }
 
 impl Placer {
-    /// A placer without any reports yet.
+    /// Creates a placer without reports.
     #[must_use]
     pub fn new(options: PlacerOptions) -> Self {
         Self {
@@ -59,19 +61,19 @@
             ),
             pending: Vec::new(),
             smoothed: SmoothedLoad::new(options.smoothing, options.utilization_smoothing),
-            drains: DrainClock::default(),
-            surplus: SurplusClock::default(),
-            pressure: PressureClock::default(),
-            transitions: TransitionClock::default(),
+            drains: DrainTimers::default(),
+            surplus: SurplusTimers::default(),
+            bandwidth_timers: BandwidthTimers::default(),
+            transitions: Transitions::default(),
             last_withdrawal: None,
             utilization: 0.0,
             options,
         }
     }
 
-    /// Takes a member's report: changed counts of its work in flight, and its new cost samples.
+    /// Records a member's report: changed counts of its work in flight, and new cost samples.
     ///
-    /// Counts that it does not list stay until they expire.
+    /// Counts that the report does not list stay until they expire.
     pub fn observe(&mut self, now: MonotonicTime, member: &str, loads: &[ReplicaLoad]) {
         self.load_snapshot.observe(now, member, loads);
         if loads.iter().all(|load| load.samples.is_empty()) {
@@ -94,36 +96,38 @@
         }
     }
 
-    /// Forgets a member whose session has ended.
+    /// Drops the counts of a member whose session has ended.
     pub fn forget(&mut self, member: &str) {
         self.load_snapshot.forget(member);
     }
 
-    /// Work in flight over all members, without stale counts; sent back to the nodes.
+    /// Returns the work in flight over all members, without stale counts, as it is sent to the
+    /// nodes.
     #[must_use]
     pub fn load_snapshot(&self, now: MonotonicTime) -> Vec<ReplicaLoad> {
         self.load_snapshot.to_loads(now)
     }
 
-    /// Number of members with counts in the load snapshot.
+    /// Returns the number of members with counts in the load snapshot.
     #[must_use]
     pub fn members(&self) -> usize {
         self.load_snapshot.members()
     }
 
-    /// Estimated utilization of the pool at the last tick, on which the transition gate decides.
+    /// Returns the estimated utilization of the pool at the last tick, which the transition gate
+    /// compares with the budget; 1 means fully used.
     #[must_use]
     pub fn utilization(&self) -> f64 {
         self.utilization
     }
 
-    /// Learned costs.
+    /// Returns the learned processor costs of the models.
     #[must_use]
     pub fn costs(&self) -> &CostModel {
         &self.costs
     }
 
-    /// Learned bandwidth use.
+    /// Returns the learned memory bandwidth use of the models.
     #[must_use]
     pub fn bandwidth(&self) -> &BandwidthAttribution {
         &self.bandwidth
@@ -131,8 +135,9 @@
 
     /// Plans one tick. The caller publishes the placement under `epoch` through its shard's log.
     ///
-    /// Order of the steps: retirements, desired replicas, bandwidth, transitions. Transitions wait for a
-    /// tick in which the steps before them, retirements aside, change nothing.
+    /// The steps run in this order: retirements, number of replicas, weights by bandwidth,
+    /// transitions. Transitions run only in a tick in which the two steps before them change
+    /// nothing.
     pub fn plan(
         &mut self,
         now: MonotonicTime,
@@ -146,7 +151,7 @@
         let work = self.load_snapshot.totals(now);
         self.smoothed.observe(now, &work);
         let smoothed = self.smoothed.clone();
-        // A placer whose epoch is behind was replaced: it must not publish over its successor.
+        // A placement with a higher epoch comes from a later leader, which must not be overwritten.
         if let Some(current) = current.filter(|current| current.epoch > epoch) {
             return fenced(current);
         }
@@ -165,7 +170,7 @@
         self.utilization = view.pool_utilization();
         let mut draft = Draft::new(current);
         self.run_steps(&view, &mut draft);
-        self.drains.follow(&draft, now);
+        self.drains.update(&draft, now);
         let placement = (draft.changes() > 0).then(|| draft.to_placement(&pool.name, epoch));
         PlanOutcome {
             placement,
@@ -174,7 +179,7 @@
     }
 
     fn run_steps(&mut self, view: &PoolView<'_>, draft: &mut Draft) {
-        self.drains.follow(draft, view.now);
+        self.drains.update(draft, view.now);
         retire(view, draft);
         remove_drained(view, &self.drains, draft);
         let before = draft.changes();
@@ -184,7 +189,7 @@
         if reasons.any(|reason| reason == MoveReason::ScaledDown) {
             self.last_withdrawal = Some(view.now);
         }
-        adjust_weights(view, &mut self.pressure, draft);
+        adjust_weights(view, &mut self.bandwidth_timers, draft);
         if draft.changes() > before {
             return;
         }
@@ -194,13 +199,14 @@
     fn withdrawal(&self, view: &PoolView<'_>) -> Withdrawal {
         let passed = self.last_withdrawal.map(|last| view.now.since(last));
         if passed.is_some_and(|passed| passed < view.options.step_interval) {
-            Withdrawal::Paced
+            Withdrawal::TooSoon
         } else {
             Withdrawal::Allowed
         }
     }
 
-    /// Learns costs from the pending samples; those of unknown backends are dropped.
+    /// Updates the cost estimates with the pending samples. Samples of unknown backends are
+    /// dropped.
     fn learn(&mut self, backends: &BTreeMap<String, Backend>) {
         for pending in std::mem::take(&mut self.pending) {
             let Some(backend) = backends.get(&pending.replica.backend) else {
@@ -217,7 +223,9 @@
         }
     }
 
-    /// Learns bandwidth use from a sample's inter-token time, before the fit takes the sample.
+    /// Updates the estimated bandwidth use with a sample's inter-token time. It runs before the
+    /// sample is added to the cost fit, so that the sample does not influence the time expected for
+    /// it.
     fn learn_bandwidth(&mut self, pending: &PendingSample, backend: &Backend) {
         let cost = self.costs.model(&pending.replica.model);
         if pending.sample.output_tokens < 2 || !cost.decode.is_trusted() {
--- a/crates/placement/src/plan/declared_models.rs
+++ b/crates/placement/src/plan/declared_models.rs
@@ -1,4 +1,4 @@
-//! Which active backends declare which models and versions.
+//! Models and versions that the active backends of a pool declare.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,10 +8,10 @@
 use crate::replica_key::ReplicaKey;
 use crate::version::compare_versions;
 
-/// Ids of backends.
+/// Set of backend ids.
 type BackendIds = BTreeSet<String>;
 
-/// Backends that declare a model, by version.
+/// Backends that declare a model, by the model's version.
 type Versions = BTreeMap<String, BackendIds>;
 
 /// Declarations of a pool's active backends, by model and version.
@@ -21,7 +21,7 @@
 }
 
 impl DeclaredModels {
-    /// The declarations of the active backends that the selector takes.
+    /// Collects the declarations of the active backends that match the selector.
     #[must_use]
     pub fn new(backends: &BTreeMap<String, Backend>, selector: &Selector) -> Self {
         let mut models: BTreeMap<String, Versions> = BTreeMap::new();
@@ -40,7 +40,7 @@
         Self { models }
     }
 
-    /// Names of the models, sorted.
+    /// Returns the names of the models, sorted.
     pub fn models(&self) -> impl Iterator<Item = &String> {
         self.models.keys()
     }
@@ -58,7 +58,7 @@
         backends.is_some_and(|backends| backends.contains(backend))
     }
 
-    /// Backends that declare any version of the model.
+    /// Returns the backends that declare any version of the model.
     #[must_use]
     pub fn backends_of_model(&self, model: &str) -> BTreeSet<&str> {
         let versions = self.models.get(model);
@@ -70,21 +70,22 @@
             .collect()
     }
 
-    /// Backends that declare this version of the model.
+    /// Returns the backends that declare this version of the model.
     #[must_use]
     pub fn backends_of_version(&self, model: &str, version: &str) -> BTreeSet<&str> {
         let backends = self.version(model, version);
         backends.into_iter().flatten().map(String::as_str).collect()
     }
 
-    /// Number of models that a backend declares.
+    /// Returns the number of models that a backend declares.
     #[must_use]
     pub fn models_on(&self, backend: &str) -> usize {
         let on_backend = |versions: &&Versions| versions.values().any(|ids| ids.contains(backend));
         self.models.values().filter(on_backend).count()
     }
 
-    /// `preferred` where a backend declares it, else the highest version declared.
+    /// Returns `preferred` if a backend declares it, else the highest declared version of the
+    /// model. Returns `None` if no backend declares the model.
     #[must_use]
     pub fn target_version(&self, model: &str, preferred: &str) -> Option<&str> {
         let versions = self.models.get(model)?;
@@ -97,7 +98,7 @@
             .map(String::as_str)
     }
 
-    /// The highest version of the model that this backend declares.
+    /// Returns the highest version of the model that this backend declares, if any.
     #[must_use]
     pub fn highest_version_on(&self, model: &str, backend: &str) -> Option<&str> {
         let versions = self.models.get(model)?;
@@ -113,13 +114,13 @@
     }
 }
 
-/// Whether a selector takes a declaration. Empty fields take everything.
+/// Whether a declaration matches a selector. Empty fields of the selector match any value.
 #[must_use]
 pub fn selects(selector: &Selector, declaration: &Declaration) -> bool {
-    let takes = |selected: &str, declared: &str| selected.is_empty() || selected == declared;
-    takes(&selector.model, &declaration.model)
-        && takes(&selector.version, &declaration.version)
-        && takes(&selector.stage, &declaration.stage)
+    let matches = |selected: &str, declared: &str| selected.is_empty() || selected == declared;
+    matches(&selector.model, &declaration.model)
+        && matches(&selector.version, &declaration.version)
+        && matches(&selector.stage, &declaration.stage)
         && selector
             .adapters
             .iter()
--- a/crates/placement/src/plan/draft.rs
+++ b/crates/placement/src/plan/draft.rs
@@ -1,4 +1,4 @@
-//! The placement that a plan works on.
+//! Placement in preparation, which the steps of a plan modify.
 
 use std::collections::BTreeMap;
 
@@ -7,15 +7,15 @@
 use crate::plan::moves::{Move, MoveReason};
 use crate::replica_key::ReplicaKey;
 
-/// Weight of a replica without any reduction, in thousandths.
+/// Weight of a replica whose weight was not lowered, in thousandths.
 pub const FULL_WEIGHT_MILLI: u32 = 1000;
 
-/// One replica of a draft.
+/// State and weight of a replica in a draft.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DraftReplica {
-    /// Takes new work, or drains.
+    /// Whether the replica is active, which means that it takes new work, or draining.
     pub state: ReplicaState,
-    /// Weight of new work in thousandths.
+    /// Weight of the replica for new work, in thousandths.
     pub weight_milli: u32,
 }
 
@@ -28,17 +28,17 @@
     }
 }
 
-/// A placement in preparation, with the moves made so far.
+/// A placement in preparation, with the moves recorded so far.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Draft {
-    /// Replicas by key.
+    /// Replicas of the placement by key.
     pub replicas: BTreeMap<ReplicaKey, DraftReplica>,
-    /// Moves so far.
+    /// Changes made so far, and steps that were deferred, in the order of their recording.
     pub moves: Vec<Move>,
 }
 
 impl Draft {
-    /// Starts from the placement that is applied now.
+    /// Creates a draft of the placement that is currently applied; empty when there is none.
     #[must_use]
     pub fn new(current: Option<&PoolPlacement>) -> Self {
         let replicas = current
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The draft as a placement.
+    /// Converts the draft to a placement of `pool` under `epoch`.
     #[must_use]
     pub fn to_placement(&self, pool: &str, epoch: u64) -> PoolPlacement {
         let replicas = self
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Records a move, or a reason that changes nothing.
+    /// Records a change, or the reason why a step was deferred or a limit is exceeded.
     pub fn record(&mut self, replica: ReplicaKey, reason: MoveReason) {
         self.moves.push(Move { replica, reason });
     }
 
-    /// Lets new work go to a replica.
+    /// Adds a replica that takes new work with full weight.
     pub fn place(&mut self, replica: ReplicaKey, reason: MoveReason) {
         let active = DraftReplica {
             state: ReplicaState::ReplicaActive,
@@ -88,7 +88,8 @@
         self.record(replica, reason);
     }
 
-    /// Stops new work to an active replica.
+    /// Sets an active replica to draining, so that it gets no new work. Other replicas are
+    /// unchanged.
     pub fn drain(&mut self, replica: &ReplicaKey, reason: MoveReason) {
         if let Some(present) = self.replicas.get_mut(replica)
             && present.state == ReplicaState::ReplicaActive
@@ -98,14 +99,14 @@
         }
     }
 
-    /// Removes a replica.
+    /// Removes a replica and records the move, if the draft contains it.
     pub fn remove(&mut self, replica: &ReplicaKey, reason: MoveReason) {
         if self.replicas.remove(replica).is_some() {
             self.record(replica.clone(), reason);
         }
     }
 
-    /// Changes a replica's weight of new work, in thousandths.
+    /// Sets a replica's weight for new work, in thousandths, and records the move if it changes.
     pub fn reweight(&mut self, replica: &ReplicaKey, weight_milli: u32, reason: MoveReason) {
         if let Some(present) = self.replicas.get_mut(replica)
             && present.weight_milli != weight_milli
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Number of moves that change something.
+    /// Returns the number of recorded moves that change the placement.
     #[must_use]
     pub fn changes(&self) -> usize {
         self.moves
@@ -124,12 +125,12 @@
             .count()
     }
 
-    /// Keys of the active replicas.
+    /// Returns the keys of the active replicas.
     pub fn active(&self) -> impl Iterator<Item = &ReplicaKey> {
         self.in_state(ReplicaState::ReplicaActive)
     }
 
-    /// Keys of the draining replicas.
+    /// Returns the keys of the draining replicas.
     pub fn draining(&self) -> impl Iterator<Item = &ReplicaKey> {
         self.in_state(ReplicaState::ReplicaDraining)
     }
--- a/crates/placement/src/plan/mod.rs
+++ b/crates/placement/src/plan/mod.rs
@@ -1,5 +1,5 @@
-//! The steps of a plan: [`retire`], [`scale`], [`weights`], [`transition`], in the order in which they
-//! run.
+//! Steps of a plan, in the order in which they run: [`retire`], [`scale`], [`weights`],
+//! [`transition`].
 
 pub mod declared_models;
 pub mod draft;
--- a/crates/placement/src/plan/moves.rs
+++ b/crates/placement/src/plan/moves.rs
@@ -1,4 +1,4 @@
-//! Changes that a plan makes, with their reasons.
+//! Changes that a plan makes to replicas, with their reasons.
 
 use millford_api::state::PoolPlacement;
 
@@ -7,58 +7,63 @@
 /// Result of one planning tick.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlanOutcome {
-    /// The placement to publish; none when nothing changes.
+    /// Placement to publish; `None` if nothing changes or the placer is fenced.
     pub placement: Option<PoolPlacement>,
-    /// Changes, and steps that are deferred or limits that are exceeded, with reasons.
+    /// Changes, deferred steps and exceeded limits, each with its replica and reason.
     pub reasons: Vec<Move>,
 }
 
-/// One change to a replica, or one that is deferred.
+/// A change to a replica, a deferred step or an exceeded limit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
-    /// The replica.
+    /// Replica that the move concerns. For [`MoveReason::Fenced`] only its model is set, to the
+    /// name of the pool.
     pub replica: ReplicaKey,
-    /// Why.
+    /// Kind of the move and its cause.
     pub reason: MoveReason,
 }
 
-/// Reasons of moves.
+/// Kinds of moves, with their causes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MoveReason {
-    /// The applied placement has a larger epoch: this placer is fenced off.
+    /// The placer is fenced: the current placement has a higher epoch. Nothing changes.
     Fenced,
-    /// New work may go to the replica from now on.
+    /// The first replicas of a model are placed; this one gets new work.
     Placed,
-    /// The platform retires the backend, or it withdrew the declaration: no new work.
+    /// The replica drains, because the platform retires its backend or the backend no longer
+    /// declares the model version.
     Retired,
-    /// The drained replica is empty and removed.
+    /// The drained replica has no work left and is removed.
     Drained,
-    /// The replica is removed with work still open, because `drain_ms` has passed.
+    /// The replica is removed with work still in flight, because the pool's drain time has passed.
     DrainTimedOut,
-    /// The backend is above its bandwidth limit; the replica gets less new work.
+    /// The replica's weight is lowered, because its backend is above its bandwidth limit.
     BandwidthRelief,
-    /// The backend is above its bandwidth limit and no other one has headroom.
+    /// The backend is above its bandwidth limit, and no other backend has headroom. Nothing
+    /// changes.
     BandwidthExceeded,
-    /// A replica of the target version starts in place of the old one.
+    /// A replica of the target version is placed beside an old one, which drains.
     TransitionStep,
-    /// As [`Self::TransitionStep`], over the budget because the longest deferral has passed.
+    /// As [`Self::TransitionStep`], although utilization is above the budget, because the longest
+    /// deferral has passed.
     TransitionForced,
-    /// The transition waits: utilization is over the budget.
+    /// The transition is deferred, because utilization would exceed the budget. Nothing changes.
     TransitionDeferred,
-    /// The transition waits: retirements by the platform spend the budget.
+    /// The transition is deferred, because the platform already retires at least as many backends
+    /// as one step may change. Nothing changes.
     TransitionBehindRetirements,
-    /// The old version's replica takes no new work.
+    /// The replica of an old version drains, because replicas of the target version take its work.
     OldVersionWithdrawn,
-    /// More replicas are desired.
+    /// The replica is placed, because the model needs more replicas.
     ScaledUp,
-    /// Fewer replicas are desired.
+    /// The replica drains, because the model needs fewer replicas.
     ScaledDown,
-    /// The replica's weight of new work changes.
+    /// The replica's lowered weight is raised again.
     Reweighted,
 }
 
 impl MoveReason {
-    /// Whether the reason belongs to a change, and not only to something deferred or exceeded.
+    /// Whether a move of this kind changes the placement.
     #[must_use]
     pub fn is_change(self) -> bool {
         !matches!(
--- a/crates/placement/src/plan/pool_view.rs
+++ b/crates/placement/src/plan/pool_view.rs
@@ -1,5 +1,5 @@
-//! Input of one planning tick: the pool, its backends, and the estimated use of processor time and
-//! memory bandwidth.
+//! Input of one planning tick: the pool, its backends, and their estimated use of processor time
+//! and memory bandwidth.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,16 +14,16 @@
 use crate::plan::pool_limits::PoolLimits;
 use crate::replica_key::ReplicaKey;
 
-/// Learned costs and measured load of a pool.
+/// Learned costs and reported work of a pool.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLoad<'a> {
-    /// Learned costs.
+    /// Learned processor costs of the models.
     pub costs: &'a CostModel,
-    /// Learned bandwidth use.
+    /// Learned memory bandwidth use of the models.
     pub bandwidth: &'a BandwidthAttribution,
-    /// Work in flight now.
+    /// Work in flight at the time of the tick, by replica.
     pub work: &'a BTreeMap<ReplicaKey, ReplicaWork>,
-    /// Work in flight, smoothed over some seconds.
+    /// Exponential means of the work in flight.
     pub smoothed: &'a SmoothedLoad,
 }
 
@@ -33,11 +33,11 @@
     pub now: MonotonicTime,
     /// Options of the placer.
     pub options: &'a PlacerOptions,
-    /// The pool's limits.
+    /// Limits of the pool, with defaults applied.
     pub limits: PoolLimits,
-    /// The pool's backends.
+    /// The pool's backends by id, including those that are draining or gone.
     pub backends: &'a BTreeMap<String, Backend>,
-    /// Learned costs and work in flight.
+    /// Learned costs and reported work.
     pub load: PoolLoad<'a>,
     /// Models and versions that the active backends declare.
     pub declared: DeclaredModels,
@@ -45,7 +45,7 @@
 }
 
 impl<'a> PoolView<'a> {
-    /// Gathers the view of a pool.
+    /// Creates the view of a pool at `now`.
     #[must_use]
     pub fn new(
         now: MonotonicTime,
@@ -66,22 +66,23 @@
         }
     }
 
-    /// The version of the model that the pool should serve.
+    /// Returns the version of the model that the pool should serve.
     ///
-    /// It is the pool's target version where a backend declares it, else the highest declared.
+    /// It is the pool's target version if an active backend declares it, else the highest declared
+    /// version; `None` if no active backend declares the model.
     #[must_use]
     pub fn target_version(&self, model: &str) -> Option<&str> {
         self.declared.target_version(model, &self.target_version)
     }
 
-    /// Active backends that declare the model's target version.
+    /// Returns the active backends that declare the model's target version.
     #[must_use]
     pub fn backends_of_target(&self, model: &str) -> BTreeSet<&str> {
         let target = self.target_version(model).unwrap_or_default();
         self.declared.backends_of_version(model, target)
     }
 
-    /// Whether the backend takes new work.
+    /// Whether the backend is active, so that it may take new work.
     #[must_use]
     pub fn is_active(&self, backend: &str) -> bool {
         self.backends
@@ -89,17 +90,18 @@
             .is_some_and(|backend| backend.state() == BackendState::BackendActive)
     }
 
-    /// Active backends of the pool.
+    /// Returns the active backends of the pool.
     pub fn active_backends(&self) -> impl Iterator<Item = &'a Backend> {
         self.backends
             .values()
             .filter(|backend| backend.state() == BackendState::BackendActive)
     }
 
-    /// Share of a backend that all the work on it keeps busy, smoothed.
+    /// Returns the smoothed utilization of a backend by all the work on it; 1 means fully used.
     ///
-    /// Prefill takes every core that decode leaves, so that the backend is busy while any prompt is in
-    /// service, and otherwise to the extent of its streams. Derived from counts in flight only.
+    /// Prefill uses all cores that decode leaves free. A backend is therefore fully used while any
+    /// prompt is in prefill, and otherwise in proportion to its streams. The estimate uses only the
+    /// counts of work in flight.
     #[must_use]
     pub fn utilization(&self, backend: &str) -> f64 {
         let decode: f64 = self
@@ -107,10 +109,10 @@
             .iter()
             .map(|(model, streams)| self.load.costs.decode_utilization(model, *streams))
             .sum();
-        combine(decode, self.load.smoothed.prefill_busy(backend))
+        combined_utilization(decode, self.load.smoothed.prefill_busy(backend))
     }
 
-    /// Share of a backend that one model's work keeps busy, smoothed.
+    /// Returns the smoothed utilization of a backend by the work of one model; 1 means fully used.
     #[must_use]
     pub fn model_utilization(&self, backend: &str, model: &str) -> f64 {
         let mut decode = 0.0;
@@ -121,10 +123,11 @@
                 prefill = prefill.max(mean.prefill_busy);
             }
         }
-        combine(decode, prefill)
+        combined_utilization(decode, prefill)
     }
 
-    /// Utilization of one model summed over the backends: how many full backends it keeps busy.
+    /// Returns the utilization by one model summed over the backends, which is the number of fully
+    /// used backends that its work is equivalent to.
     #[must_use]
     pub fn model_backends_busy(&self, model: &str) -> f64 {
         let replicas = self.load.smoothed.replicas().keys();
@@ -138,14 +141,15 @@
             .sum()
     }
 
-    /// Whether any work of the model was reported lately.
+    /// Whether work of the model was reported recently.
     #[must_use]
     pub fn has_load(&self, model: &str) -> bool {
         let mut replicas = self.load.smoothed.replicas().keys();
         replicas.any(|key| key.model == model)
     }
 
-    /// Mean utilization of the active backends, the work that draining ones must still move included.
+    /// Returns the mean utilization of the active backends. It includes the work on draining
+    /// backends, which the active ones may have to take over.
     #[must_use]
     pub fn pool_utilization(&self) -> f64 {
         let busy: f64 = self
@@ -156,7 +160,7 @@
         busy / self.active_backends().count().max(1) as f64
     }
 
-    /// Estimated bandwidth use of a backend, in GB/s.
+    /// Returns the estimated bandwidth use of a backend, in GB/s.
     #[must_use]
     pub fn bandwidth_use(&self, backend: &str) -> f64 {
         self.load
@@ -164,8 +168,8 @@
             .use_gbps(backend, &self.streams_on(backend))
     }
 
-    /// Bandwidth that a backend may use under the pool's limit, in GB/s; 0 when its bandwidth is not
-    /// known.
+    /// Returns the bandwidth that a backend may use under the pool's limit, in GB/s; 0 if the
+    /// backend's bandwidth is not known.
     #[must_use]
     pub fn bandwidth_limit(&self, backend: &str) -> f64 {
         let backend = self.backends.get(backend);
@@ -173,7 +177,8 @@
         total_gbps * self.limits.max_bandwidth_share
     }
 
-    /// Whether a backend may take `gbps` more under its limit, in GB/s. One of unknown bandwidth may.
+    /// Whether a backend may use `gbps` GB/s more under its limit. A backend of unknown bandwidth
+    /// has no limit.
     #[must_use]
     pub fn bandwidth_fits(&self, backend: &str, gbps: f64) -> bool {
         let limit = self.bandwidth_limit(backend);
@@ -181,13 +186,13 @@
         !bounded || self.bandwidth_use(backend) + gbps <= limit
     }
 
-    /// Streams on a backend by model, smoothed.
+    /// Returns the smoothed number of streams on a backend, by model.
     #[must_use]
     pub fn streams_on(&self, backend: &str) -> BTreeMap<String, f64> {
         self.load.smoothed.streams_on(backend)
     }
 
-    /// Smoothed streams of a model over all backends.
+    /// Returns the smoothed number of streams of a model over all backends.
     #[must_use]
     pub fn streams_of_model(&self, model: &str) -> f64 {
         let replicas = self.load.smoothed.replicas().iter();
@@ -198,8 +203,8 @@
     }
 }
 
-/// Busy share of a backend whose streams use the share `decode` of it, and where prompts are in service
-/// for the share `prefill` of the time.
-fn combine(decode: f64, prefill: f64) -> f64 {
+/// Returns the utilization of a backend of which the streams use the share `decode`, and on which
+/// prompts are in prefill for the share `prefill` of the time.
+fn combined_utilization(decode: f64, prefill: f64) -> f64 {
     decode + (1.0 - decode).max(0.0) * prefill
 }
--- a/crates/placement/src/plan/retire.rs
+++ b/crates/placement/src/plan/retire.rs
@@ -1,4 +1,4 @@
-//! First step: drains replicas that may take no new work, and removes drained ones.
+//! First step of a plan: drains replicas that must not take new work, and removes drained ones.
 
 use std::collections::BTreeMap;
 
@@ -9,18 +9,19 @@
 use crate::plan::pool_view::PoolView;
 use crate::replica_key::ReplicaKey;
 
-/// Since when each replica drains, as far as this placer knows.
+/// Times at which this placer first saw each draining replica.
 ///
-/// A new placer counts from its first tick: what drains then may take up to `drain_ms` more.
+/// After a change of leader, the new placer counts from its first tick. Replicas that are draining
+/// at that time get the whole drain time again.
 #[derive(Clone, Debug, Default)]
-pub struct DrainClock {
+pub struct DrainTimers {
     started: Option<MonotonicTime>,
     since: BTreeMap<ReplicaKey, MonotonicTime>,
 }
 
-impl DrainClock {
-    /// Starts the clock of what drains and forgets the rest.
-    pub fn follow(&mut self, draft: &Draft, now: MonotonicTime) {
+impl DrainTimers {
+    /// Records the start of newly draining replicas and removes those that no longer drain.
+    pub fn update(&mut self, draft: &Draft, now: MonotonicTime) {
         self.started.get_or_insert(now);
         let mut since = BTreeMap::new();
         for key in draft.draining() {
@@ -41,7 +42,8 @@
     }
 }
 
-/// Drains what the platform retires: no gate, no pacing.
+/// Drains the replicas that their backends no longer declare or whose backends are not active. This
+/// is neither deferred nor limited in rate, because the platform decides it.
 pub fn retire(view: &PoolView<'_>, draft: &mut Draft) {
     let retired: Vec<ReplicaKey> = draft
         .active()
@@ -53,13 +55,13 @@
     }
 }
 
-/// Removes draining replicas that are empty or past `drain_ms`.
-pub fn remove_drained(view: &PoolView<'_>, clock: &DrainClock, draft: &mut Draft) {
-    // The load snapshot of a new placer is incomplete: a replica that it lacks is not known to be idle.
-    let snapshot_is_complete = clock.has_run_for(view.now, view.options.member_stale_after);
+/// Removes draining replicas that have no work in flight or whose drain time has passed.
+pub fn remove_drained(view: &PoolView<'_>, timers: &DrainTimers, draft: &mut Draft) {
+    // The load snapshot of a new placer is incomplete: a replica without counts may have work.
+    let snapshot_is_complete = timers.has_run_for(view.now, view.options.member_stale_after);
     let draining: Vec<ReplicaKey> = draft.draining().cloned().collect();
     for key in draining {
-        let Some(start) = clock.start(&key) else {
+        let Some(start) = timers.start(&key) else {
             continue;
         };
         let drained_for = view.now.since(start);
@@ -67,7 +69,8 @@
             Some(work) => work.is_idle(),
             None => snapshot_is_complete,
         };
-        // A node may have sent work just before it applied the drain: wait until it has reported.
+        // A node may have sent work just before it applied the drain, so wait until it has
+        // reported.
         if idle && drained_for >= view.options.min_drain.min(view.limits.drain) {
             draft.remove(&key, MoveReason::Drained);
         } else if drained_for >= view.limits.drain {
--- a/crates/placement/src/plan/scale.rs
+++ b/crates/placement/src/plan/scale.rs
@@ -1,4 +1,4 @@
-//! Second step: as many replicas of each model as its load needs.
+//! Second step of a plan: places missing replicas of each model and withdraws surplus ones.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,29 +10,30 @@
 use crate::plan::pool_view::PoolView;
 use crate::replica_key::ReplicaKey;
 
-/// Old versions are placed again when the utilization of the target's backends exceeds the transition
-/// budget by this factor.
+/// Backends that declare only an old version may host the model again when the utilization of the
+/// target version's backends exceeds the transition budget by this factor.
 const OLD_VERSION_MARGIN: f64 = 1.3;
 
-/// Whether the plan may withdraw a surplus replica now.
+/// Whether a plan may withdraw a surplus replica in this tick.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Withdrawal {
-    /// The last withdrawal is long enough ago.
+    /// At least one step interval has passed since the last withdrawal.
     Allowed,
-    /// The last withdrawal was less than a step interval ago.
-    Paced,
+    /// Less than one step interval has passed since the last withdrawal.
+    TooSoon,
 }
 
-/// Since when a model has had more replicas than desired.
+/// Times since which each model has had more replicas than desired.
 #[derive(Clone, Debug, Default)]
-pub struct SurplusClock {
+pub struct SurplusTimers {
     since: BTreeMap<String, MonotonicTime>,
 }
 
-/// Number of backends that should host the model.
+/// Returns the number of backends that should host the model.
 ///
-/// All eligible ones, by default: fewer would idle cores. Sized by load, models that share backends get
-/// what their load needs of processor time and of memory bandwidth.
+/// By default these are all eligible backends, because with fewer of them cores would be idle. With
+/// `size_by_load`, models that share backends get the number that their load needs in processor
+/// time and memory bandwidth.
 #[must_use]
 pub fn desired_replicas(view: &PoolView<'_>, model: &str, draft: &Draft) -> usize {
     let backends = eligible_backends(view, model, draft);
@@ -44,7 +45,7 @@
         return backends.len();
     }
     if !view.has_load(model) {
-        // Nothing is known, as after a change of leader: retain what there is.
+        // No load was reported, for instance after a change of leader: keep the current replicas.
         return present.max(view.options.min_replicas).min(backends.len());
     }
     let busy = view.model_backends_busy(model);
@@ -54,10 +55,12 @@
     for_cores.max(for_bandwidth).max(fewest).min(backends.len())
 }
 
-/// Backends that may host the model.
+/// Returns the backends that may host the model.
 ///
-/// Those that declare only an old version count while they host it, at the first placement, and when the
-/// target's backends are too few; the margin over the withdrawal's threshold prevents flapping.
+/// A backend that declares only an old version is eligible while it hosts the model, at the first
+/// placement, and when there are too few backends with the target version for the load.
+/// [`OLD_VERSION_MARGIN`] sets that threshold above the one of the withdrawal of old versions, so
+/// that such replicas are not placed and withdrawn in turn.
 fn eligible_backends<'a>(view: &'a PoolView<'_>, model: &str, draft: &Draft) -> BTreeSet<&'a str> {
     let all = view.declared.backends_of_model(model);
     let hosting = hosting_backends(draft, model);
@@ -85,10 +88,10 @@
     (demand / mean_limit).ceil() as usize
 }
 
-/// Places missing replicas at once, and withdraws surplus ones slowly.
+/// Places all missing replicas at once, and withdraws surplus ones one at a time.
 pub fn scale(
     view: &PoolView<'_>,
-    clock: &mut SurplusClock,
+    timers: &mut SurplusTimers,
     withdrawal: Withdrawal,
     draft: &mut Draft,
 ) {
@@ -98,18 +101,18 @@
         let present = hosting_backends(draft, &model).len();
         match present.cmp(&desired) {
             Ordering::Less => {
-                clock.since.remove(&model);
+                timers.since.remove(&model);
                 place_missing(view, &model, desired - present, draft);
             }
             Ordering::Equal => {
-                clock.since.remove(&model);
+                timers.since.remove(&model);
             }
-            Ordering::Greater => withdraw_surplus(view, &model, clock, withdrawal, draft),
+            Ordering::Greater => withdraw_surplus(view, &model, timers, withdrawal, draft),
         }
     }
 }
 
-/// Backends with an active replica of the model.
+/// Returns the backends with an active replica of the model.
 fn hosting_backends(draft: &Draft, model: &str) -> BTreeSet<String> {
     draft
         .active()
@@ -130,7 +133,8 @@
     }
 }
 
-/// Replicas that could be placed, on the backend that is least used in its tighter dimension first.
+/// Returns the replicas that could be placed. The first is on the backend whose more heavily used
+/// resource, processor time or bandwidth, is used least.
 fn candidates(view: &PoolView<'_>, model: &str, draft: &Draft) -> Vec<ReplicaKey> {
     let share = expected_gbps(view, model, draft);
     let mut candidates: Vec<Candidate> = eligible_backends(view, model, draft)
@@ -141,8 +145,8 @@
         .filter(|candidate| !draft.replicas.contains_key(&candidate.key))
         .collect();
     candidates.sort_by(|left, right| {
-        left.fullness
-            .total_cmp(&right.fullness)
+        left.used_share
+            .total_cmp(&right.used_share)
             .then_with(|| left.key.cmp(&right.key))
     });
     candidates
@@ -153,8 +157,8 @@
 
 struct Candidate {
     key: ReplicaKey,
-    /// Used share of the tighter of processor time and bandwidth.
-    fullness: f64,
+    /// Used share of processor time or bandwidth, whichever is higher.
+    used_share: f64,
 }
 
 fn candidate(view: &PoolView<'_>, model: &str, backend: &str) -> Option<Candidate> {
@@ -167,11 +171,12 @@
     };
     Some(Candidate {
         key: ReplicaKey::new(backend, model, version),
-        fullness: view.utilization(backend).max(bandwidth),
+        used_share: view.utilization(backend).max(bandwidth),
     })
 }
 
-/// The version to place on a backend without the model: the target, else the highest that it declares.
+/// Returns the version to place on a backend that does not host the model: the target version if
+/// the backend declares it, else the highest version that it declares.
 fn version_on<'a>(view: &'a PoolView<'_>, model: &str, backend: &str) -> Option<&'a str> {
     let target = view.target_version(model)?;
     if view.declared.declares(backend, model, target) {
@@ -180,7 +185,8 @@
     view.declared.highest_version_on(model, backend)
 }
 
-/// Bandwidth that one more replica would take over, in GB/s.
+/// Returns the bandwidth that one more replica would use, in GB/s, if the model's streams were
+/// spread evenly.
 fn expected_gbps(view: &PoolView<'_>, model: &str, draft: &Draft) -> f64 {
     let replicas = hosting_backends(draft, model).len() + 1;
     view.load.bandwidth.stream_gbps(model) * view.streams_of_model(model) / replicas as f64
@@ -189,15 +195,15 @@
 fn withdraw_surplus(
     view: &PoolView<'_>,
     model: &str,
-    clock: &mut SurplusClock,
+    timers: &mut SurplusTimers,
     withdrawal: Withdrawal,
     draft: &mut Draft,
 ) {
-    let since = *clock.since.entry(model.to_owned()).or_insert(view.now);
-    if withdrawal == Withdrawal::Paced || view.now.since(since) < view.options.scale_down_delay {
+    let since = *timers.since.entry(model.to_owned()).or_insert(view.now);
+    if withdrawal == Withdrawal::TooSoon || view.now.since(since) < view.options.scale_down_delay {
         return;
     }
-    let fullest = draft
+    let most_used = draft
         .active()
         .filter(|key| key.model == model)
         .max_by(|left, right| {
@@ -205,9 +211,9 @@
             left_use.total_cmp(&view.utilization(&right.backend))
         })
         .cloned();
-    if let Some(key) = fullest {
+    if let Some(key) = most_used {
         draft.drain(&key, MoveReason::ScaledDown);
-        // One at a time: the next decision uses the load that follows.
-        clock.since.insert(model.to_owned(), view.now);
+        // Withdraw one at a time, because the next decision needs the load that results from it.
+        timers.since.insert(model.to_owned(), view.now);
     }
 }
--- a/crates/placement/src/plan/transition.rs
+++ b/crates/placement/src/plan/transition.rs
@@ -1,4 +1,4 @@
-//! Fourth step: version transitions under the budget gate.
+//! Fourth step of a plan: version transitions, as far as the utilization budget allows.
 
 use std::collections::BTreeMap;
 
@@ -10,12 +10,12 @@
 use crate::plan::pool_view::PoolView;
 use crate::replica_key::ReplicaKey;
 
-/// How much smaller forced steps are than ordinary ones.
+/// Divisor of the size of an ordinary step that gives the size of a forced one.
 const FORCED_STEP_DIVISOR: usize = 4;
 
-/// Progress of the transitions, by model.
+/// Transitions in progress, by model.
 #[derive(Clone, Debug, Default)]
-pub struct TransitionClock {
+pub struct Transitions {
     models: BTreeMap<String, Progress>,
 }
 
@@ -26,8 +26,8 @@
     last_step: Option<MonotonicTime>,
 }
 
-/// Takes the next step of every model's transition that may go on.
-pub fn transition(view: &PoolView<'_>, clock: &mut TransitionClock, draft: &mut Draft) {
+/// Takes the next step of each model's transition that may proceed.
+pub fn transition(view: &PoolView<'_>, transitions: &mut Transitions, draft: &mut Draft) {
     let models: Vec<String> = view.declared.models().cloned().collect();
     for model in models {
         let Some(target) = view.target_version(&model) else {
@@ -35,23 +35,23 @@
         };
         let old = old_replicas(draft, &model, target);
         if old.is_empty() {
-            clock.models.remove(&model);
+            transitions.models.remove(&model);
             continue;
         }
-        let progress = clock.progress(&model, target, view.now);
+        let progress = transitions.progress(&model, target, view.now);
         step(view, &model, &old, progress, draft);
     }
 }
 
-impl TransitionClock {
+impl Transitions {
     fn progress(&mut self, model: &str, target: &str, now: MonotonicTime) -> &mut Progress {
         let new = || Progress {
             target: String::new(),
             desired_since: now,
             last_step: None,
         };
-        // The deferral counts from when any newer version was first desired: a later target does not
-        // restart it.
+        // The deferral counts from when a transition was first desired. A change of the target
+        // version meanwhile does not restart it.
         let progress = self.models.entry(model.to_owned()).or_insert_with(new);
         target.clone_into(&mut progress.target);
         progress
@@ -69,11 +69,11 @@
 /// Decision on the next step of a transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Gate {
-    /// The step may touch this many backends.
+    /// The step may change this many backends.
     Open(usize),
-    /// The step is over the budget, but the longest deferral has passed.
+    /// The step would be deferred, but the longest deferral has passed.
     Forced,
-    /// The step waits.
+    /// The step is deferred for this reason.
     Closed(MoveReason),
 }
 
@@ -117,14 +117,16 @@
     }
 }
 
-/// Whether an old replica of the model still drains beside its successor. Steps do not overlap.
+/// Whether a replica of the model is still draining on an active backend that also has an active
+/// replica of the model. The next step waits for its end, so that steps do not overlap.
 fn step_is_under_way(view: &PoolView<'_>, model: &str, draft: &Draft) -> bool {
     draft.draining().any(|key| {
         key.model == model && view.is_active(&key.backend) && draft.hosts_model(&key.backend, model)
     })
 }
 
-/// Old replicas on backends that declare the target too, the least used first.
+/// Returns the old replicas whose backends also declare the target version, least used backend
+/// first.
 fn replaceable_in_place(view: &PoolView<'_>, target: &str, old: &[ReplicaKey]) -> Vec<ReplicaKey> {
     let mut replaceable: Vec<ReplicaKey> = old
         .iter()
@@ -140,7 +142,7 @@
     replaceable
 }
 
-/// Decides whether the next step may go on and how many backends it may touch.
+/// Decides whether the next step may proceed and how many backends it may change.
 fn gate(view: &PoolView<'_>, model: &str, overdue: bool) -> Gate {
     let backends = view.declared.backends_of_model(model).len();
     let allowed = step_size(view, backends);
@@ -152,7 +154,7 @@
     let closed = if left == 0 {
         MoveReason::TransitionBehindRetirements
     } else {
-        // As if the backends of the step gave no capacity while they hold both versions.
+        // Assume that the backends of the step provide no capacity while they hold both versions.
         let remaining = backends.saturating_sub(left).max(1);
         let projected = view.pool_utilization() * backends as f64 / remaining as f64;
         if projected <= view.limits.transition_budget {
@@ -171,7 +173,8 @@
     ((backends as f64 * view.options.step_share) as usize).max(1)
 }
 
-/// Backends that the platform retires and that still carry work: they spend the budget.
+/// Returns the number of backends that the platform retires and that still have work in flight.
+/// Each of them reduces the size of the next step by one.
 fn retiring_backends(view: &PoolView<'_>) -> usize {
     view.backends
         .keys()
@@ -185,13 +188,15 @@
         .count()
 }
 
-/// Forced steps are a quarter of the ordinary ones, at least one backend.
+/// Returns the number of backends that a forced step changes: a quarter of an ordinary step, at
+/// least one backend.
 fn forced_step_size(view: &PoolView<'_>, model: &str) -> usize {
     let backends = view.declared.backends_of_model(model).len();
     (step_size(view, backends) / FORCED_STEP_DIVISOR).max(1)
 }
 
-/// Places the target beside each old replica and drains the old one in the same change.
+/// Places a replica of the target version beside each of the first `count` old replicas, with the
+/// same weight, and drains the old one in the same change.
 fn replace(
     in_place: &[ReplicaKey],
     count: usize,
@@ -210,9 +215,10 @@
     }
 }
 
-/// Drains old replicas on backends without the target once the target's replicas can carry all load.
+/// Drains old replicas on backends without the target version once the target version's replicas
+/// can take the whole load.
 ///
-/// This is never forced: a single new replica must not get the load of the whole pool.
+/// This is never forced, because a single new replica must not get the load of the whole pool.
 fn withdraw_surplus_old(
     view: &PoolView<'_>,
     model: &str,
--- a/crates/placement/src/plan/weights.rs
+++ b/crates/placement/src/plan/weights.rs
@@ -1,8 +1,9 @@
-//! Third step: weights of new work by memory bandwidth.
+//! Third step of a plan: weights for new work according to memory bandwidth.
 //!
-//! Routing counts the processor work of every model on a backend by itself, but sees nothing of the memory
-//! bandwidth. Weights therefore express bandwidth only: they fall on a backend above its limit, for the
-//! model with most headroom elsewhere, and rise again when the backend is well below.
+//! Routing accounts for the processor work of all models on a backend, but has no data on memory
+//! bandwidth. Weights therefore depend on bandwidth only. On a backend above its limit, the weight
+//! of the model with the most headroom on other backends is lowered. It is raised again when the
+//! backend is well below its limit.
 
 use std::collections::BTreeMap;
 
@@ -13,26 +14,28 @@
 use crate::plan::pool_view::PoolView;
 use crate::replica_key::ReplicaKey;
 
-/// Smallest weight, in thousandths: enough work to observe when the replica could take more.
+/// Lowest weight, in thousandths. It leaves enough work on the replica to observe when it could
+/// take more.
 const MIN_WEIGHT_MILLI: u32 = 100;
-/// Share of its limit to which a backend is relieved.
+/// Share of its bandwidth limit to which a backend is relieved.
 const RELIEF_TARGET: f64 = 0.9;
-/// Smallest factor by which one step lowers a weight.
+/// Lowest factor by which one step multiplies a weight.
 const MIN_RELIEF_FACTOR: f64 = 0.7;
-/// Share of the limit under which weights recover.
+/// Share of the bandwidth limit below which lowered weights are raised.
 const RECOVERY_BELOW: f64 = 0.75;
-/// Factor by which one step raises a recovering weight.
+/// Factor by which one step raises a lowered weight.
 const RECOVERY_FACTOR: f64 = 1.15;
 
-/// Since when each backend has been above its limit or well below it.
+/// Times since which each backend has been above its bandwidth limit or well below it, or at which
+/// its weights were last changed for that.
 #[derive(Clone, Debug, Default)]
-pub struct PressureClock {
+pub struct BandwidthTimers {
     above: BTreeMap<String, MonotonicTime>,
     below: BTreeMap<String, MonotonicTime>,
 }
 
-impl PressureClock {
-    /// Whether a state has lasted for `delay`; the clock then starts again.
+impl BandwidthTimers {
+    /// Whether a backend's state has lasted for `delay`. If so, the time starts again at `now`.
     fn due(
         since: &mut BTreeMap<String, MonotonicTime>,
         backend: &str,
@@ -48,8 +51,9 @@
     }
 }
 
-/// Relieves backends that have been above the limit and lets others recover.
-pub fn adjust_weights(view: &PoolView<'_>, clock: &mut PressureClock, draft: &mut Draft) {
+/// Lowers weights on backends that have been above the bandwidth limit, and raises lowered weights
+/// on those that have been well below it.
+pub fn adjust_weights(view: &PoolView<'_>, timers: &mut BandwidthTimers, draft: &mut Draft) {
     if !view.options.bandwidth_dimension {
         return;
     }
@@ -62,28 +66,29 @@
         if limit <= 0.0 {
             continue;
         }
-        let pressure = view.bandwidth_use(backend) / limit;
-        if pressure <= 1.0 {
-            clock.above.remove(backend);
+        let share_of_limit = view.bandwidth_use(backend) / limit;
+        if share_of_limit <= 1.0 {
+            timers.above.remove(backend);
         } else {
             let delay = view.options.bandwidth_relief_delay;
-            if PressureClock::due(&mut clock.above, backend, view.now, delay) {
-                relieve(view, backend, pressure, draft);
+            if BandwidthTimers::due(&mut timers.above, backend, view.now, delay) {
+                relieve(view, backend, share_of_limit, draft);
             }
         }
-        if pressure >= RECOVERY_BELOW {
-            clock.below.remove(backend);
+        if share_of_limit >= RECOVERY_BELOW {
+            timers.below.remove(backend);
         } else {
             let delay = view.options.recovery_delay;
-            if PressureClock::due(&mut clock.below, backend, view.now, delay) {
+            if BandwidthTimers::due(&mut timers.below, backend, view.now, delay) {
                 recover(backend, draft);
             }
         }
     }
 }
 
-/// Lowers the weight of the model with most headroom elsewhere, or records that none has any.
-fn relieve(view: &PoolView<'_>, backend: &str, pressure: f64, draft: &mut Draft) {
+/// Lowers the weight of the model with the most headroom on other backends, or records that no
+/// model has any.
+fn relieve(view: &PoolView<'_>, backend: &str, share_of_limit: f64, draft: &mut Draft) {
     let streams = view.streams_on(backend);
     let candidates: Vec<ReplicaKey> = draft
         .active()
@@ -100,7 +105,7 @@
         .map(|(key, _)| key.clone());
     match (best, candidates.into_iter().next()) {
         (Some(key), _) => {
-            let factor = (RELIEF_TARGET / pressure).max(MIN_RELIEF_FACTOR);
+            let factor = (RELIEF_TARGET / share_of_limit).max(MIN_RELIEF_FACTOR);
             let lowered = (f64::from(weight_of(draft, &key)) * factor) as u32;
             draft.reweight(
                 &key,
@@ -108,13 +113,13 @@
                 MoveReason::BandwidthRelief,
             );
         }
-        // No other backend has headroom: the limit stays exceeded, and the plan says so.
+        // No other backend has headroom: the limit stays exceeded, which the plan reports.
         (None, Some(key)) => draft.record(key, MoveReason::BandwidthExceeded),
         (None, None) => {}
     }
 }
 
-/// Bandwidth that is free under the limit on the model's other backends, in GB/s.
+/// Returns the bandwidth that is free under the limit on the model's other backends, in GB/s.
 fn headroom_elsewhere(view: &PoolView<'_>, key: &ReplicaKey, draft: &Draft) -> f64 {
     draft
         .active()
--- a/crates/placement/src/replica_key.rs
+++ b/crates/placement/src/replica_key.rs
@@ -3,10 +3,10 @@
 use millford_api::internal::ReplicaLoad;
 use millford_api::state::Replica;
 
-/// One model version on one backend.
+/// Identifies a replica: one version of a model on one backend.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaKey {
-    /// Identity of the backend.
+    /// Id of the backend.
     pub backend: String,
     /// Name of the model.
     pub model: String,
@@ -15,7 +15,7 @@
 }
 
 impl ReplicaKey {
-    /// A key from its parts.
+    /// Creates a key from backend id, model and version.
     #[must_use]
     pub fn new(backend: &str, model: &str, version: &str) -> Self {
         Self {
--- a/crates/placement/src/version.rs
+++ b/crates/placement/src/version.rs
@@ -1,8 +1,8 @@
-//! Order of version names.
+//! Comparison of version names.
 
 use std::cmp::Ordering;
 
-/// Compares version names; runs of digits compare as numbers, so that `v10` is above `v9`.
+/// Compares version names. Runs of digits compare as numbers, so that `v10` is greater than `v9`.
 #[must_use]
 pub fn compare_versions(left: &str, right: &str) -> Ordering {
     let left_parts = parts(left);
@@ -10,7 +10,7 @@
     left_parts.cmp(&right_parts).then_with(|| left.cmp(right))
 }
 
-/// A part of a version name; text sorts before numbers.
+/// Part of a version name; text sorts before numbers.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Part {
     Text(String),
--- a/crates/placement/tests/costs.rs
+++ b/crates/placement/tests/costs.rs
@@ -1,4 +1,4 @@
-//! Learned costs converge to what generated them.
+//! Learned costs converge to the costs from which the samples were generated.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
     let mut fit = LineFit::new(0.0, 5.0, 100.0);
     for _ in 0..2000 {
         let x = random.random_range(5.0..400.0);
-        // A third of the samples contain waiting, of up to the service time.
+        // A third of the samples contain waiting time, at most as long as the service time.
         let waiting = if random.random_bool(0.33) {
             random.random_range(1.0..2.0)
         } else {
@@ -75,7 +75,8 @@
     assert!(near(costs.inter_token_ms("light", 20), 16.0, 0.05));
 }
 
-/// Inflation at which use times inflation meets the demand, the use's latency rising steeply past 67%.
+/// Returns the inflation at which bandwidth use times inflation equals the demand. The latency
+/// rises steeply above a use of 67%. `demand` is a share of the bandwidth.
 fn stable_inflation(demand: f64) -> f64 {
     let slowdown = |used: f64| (7.0 * (used - 0.67).max(0.0)).exp();
     let (mut low, mut high) = (0.0, demand);
--- a/crates/placement/tests/placer.rs
+++ b/crates/placement/tests/placer.rs
@@ -1,4 +1,4 @@
-//! Properties of the placer.
+//! Placements that the placer plans for simulated pools.
 
 mod support;
 
@@ -10,12 +10,12 @@
 use quickcheck::{TestResult, quickcheck};
 use support::{Fixture, TICK, load, pool, two_versions};
 
-/// Streams that keep a replica about 40% and 90% busy at the prior costs.
+/// Streams at which a replica's utilization is about 40% and 90% at the prior costs.
 const LOW_LOAD_STREAMS: u32 = 20;
 const HIGH_LOAD_STREAMS: u32 = 45;
 
 #[test]
-fn a_lone_model_is_placed_on_every_backend() {
+fn a_model_that_shares_no_backend_is_placed_on_all_backends() {
     let fixture = two_versions();
     assert_eq!(fixture.active().len(), 12);
     assert!(fixture.active().iter().all(|key| key.version == "v1"));
@@ -88,7 +88,8 @@
     fixture.placer = Placer::new(PlacerOptions::default());
     fixture.epoch += 1;
     fixture.streams.clear();
-    // No report has come yet: nothing changes, although no work of the draining replica is known.
+    // The new placer has no reports that cover the draining replica, so it must not take the
+    // replica for idle.
     for _ in 0..8 {
         assert_eq!(fixture.tick(), Vec::new());
     }
@@ -99,7 +100,7 @@
 }
 
 #[test]
-fn a_lowered_weight_recovers_when_the_pressure_ends() {
+fn a_lowered_weight_is_raised_again_when_the_load_ends() {
     let mut fixture = Fixture::new(pool(), shared_options());
     shared_backends(&mut fixture);
     fixture.tick();
@@ -107,15 +108,15 @@
         .streams
         .insert(ReplicaKey::new("s0", "heavy", "v1"), 100);
     fixture.run(Duration::from_secs(30));
-    let least = |fixture: &Fixture| {
+    let lowest_weight = |fixture: &Fixture| {
         let replicas = &fixture.placement.as_ref().unwrap().replicas;
         replicas.iter().map(|replica| replica.weight_milli).min()
     };
-    let lowered = least(&fixture);
+    let lowered = lowest_weight(&fixture);
     assert!(lowered < Some(1000), "{lowered:?}");
     fixture.streams.clear();
     fixture.run(Duration::from_mins(5));
-    assert_eq!(least(&fixture), Some(1000));
+    assert_eq!(lowest_weight(&fixture), Some(1000));
     let stable = fixture.history.len();
     fixture.run(Duration::from_mins(1));
     assert_eq!(fixture.history.len(), stable);
@@ -129,8 +130,11 @@
     fixture.pool.target_version = "v2".to_owned();
     for _ in 0..200 {
         fixture.tick();
-        let on_two = fixture.draining().len();
-        assert!(on_two <= 1, "{on_two} backends hold both versions at once");
+        let with_both = fixture.draining().len();
+        assert!(
+            with_both <= 1,
+            "{with_both} backends hold both versions at once"
+        );
         assert_eq!(fixture.active().len(), 12);
         fixture.load_active(LOW_LOAD_STREAMS);
     }
@@ -194,7 +198,7 @@
             .is_empty()
     );
     assert_eq!(fixture.times_of(MoveReason::TransitionStep), Vec::new());
-    // Its work ends; the transition goes on.
+    // Once the work on the retired backend has ended, the transition proceeds.
     fixture.streams.retain(|key, _| key.backend != "b07");
     fixture.run(Duration::from_secs(4));
     let steps = fixture.times_of(MoveReason::TransitionStep);
@@ -202,7 +206,7 @@
 }
 
 #[test]
-fn old_replicas_without_a_successor_remain_while_needed() {
+fn old_replicas_on_backends_without_the_target_version_remain_while_needed() {
     let mut fixture = Fixture::new(pool(), PlacerOptions::default());
     for number in 0..6 {
         fixture.add_backend(&format!("old{number}"), &[("m", "v1")]);
@@ -217,18 +221,19 @@
     for number in 1..6 {
         fixture.add_backend(&format!("new{number}"), &[("m", "v2")]);
     }
-    let mut seen = Vec::new();
+    let mut counts = Vec::new();
     for _ in 0..400 {
         fixture.load_active(LOW_LOAD_STREAMS / 2);
         fixture.tick();
-        seen.push(fixture.active().len());
+        counts.push(fixture.active().len());
     }
     assert_eq!(fixture.active().len(), 6);
     assert!(fixture.active().iter().all(|key| key.version == "v2"));
     assert!(
-        seen.windows(2)
+        counts
+            .windows(2)
             .all(|pair| pair[1] <= pair[0] || pair[0] < 12),
-        "{seen:?}"
+        "{counts:?}"
     );
 }
 
@@ -237,11 +242,12 @@
     let mut fixture = Fixture::new(pool(), shared_options());
     shared_backends(&mut fixture);
     fixture.tick();
-    // 130 GB/s are allowed; 100 streams of the heavy model use 200.
+    // The limit is 130 GB/s; 100 streams of the heavy model use 200 GB/s.
     fixture
         .streams
         .insert(ReplicaKey::new("s0", "heavy", "v1"), 100);
-    // The smoothed work exceeds the limit after about two seconds, and must stay there for five.
+    // The smoothed use exceeds the limit after about two seconds, and weights are lowered when it
+    // has stayed above for five.
     fixture.run(Duration::from_secs(8));
     assert_ne!(fixture.times_of(MoveReason::BandwidthRelief), Vec::new());
     for key in fixture.active() {
@@ -288,7 +294,7 @@
 }
 
 #[test]
-fn counts_missing_from_a_report_remain_and_ended_ones_are_zero() {
+fn counts_missing_from_a_report_remain_and_counts_of_ended_work_are_zero() {
     let mut placer = Placer::new(PlacerOptions::default());
     let first = ReplicaKey::new("b1", "m", "v1");
     let second = ReplicaKey::new("b2", "m", "v1");
@@ -305,7 +311,7 @@
     assert_eq!(placer.load_snapshot(start + TICK), Vec::new());
 }
 
-/// Estimated use of each backend, in GB/s.
+/// Returns the estimated bandwidth use of each backend, in GB/s.
 fn use_by_backend(streams: &BTreeMap<ReplicaKey, u32>) -> BTreeMap<String, f64> {
     let options = shared_options();
     let mut used = BTreeMap::new();
@@ -317,7 +323,7 @@
 }
 
 quickcheck! {
-    /// New work is never placed on a backend over its bandwidth limit.
+    /// A replica is never added on a backend above its bandwidth limit.
     fn no_replica_is_added_over_the_bandwidth_limit(counts: Vec<u8>, ticks: u8) -> TestResult {
         if counts.is_empty() {
             return TestResult::discard();
@@ -338,7 +344,7 @@
                     let added = matches!(step.reason, MoveReason::ScaledUp | MoveReason::Placed);
                     let over = loaded.get(&step.replica.backend).is_some_and(|used| *used > 131.0);
                     if added && over {
-                        return TestResult::error(format!("{} added over the limit", step.replica));
+                        return TestResult::error(format!("{} added above the limit", step.replica));
                     }
                 }
             }
@@ -346,7 +352,8 @@
         TestResult::passed()
     }
 
-    /// Whatever the platform does, epochs only grow and no inactive backend takes new work.
+    /// For any sequence of backend states, epochs never decrease and no inactive backend takes new
+    /// work.
     fn inactive_backends_take_no_new_work(steps: Vec<(u8, u8, u8)>) -> bool {
         let mut fixture = two_versions();
         let mut epoch = 0;
@@ -367,10 +374,10 @@
                 return false;
             }
             epoch = placement.epoch;
-            let sound = fixture.active().iter().all(|key| {
+            let all_active = fixture.active().iter().all(|key| {
                 fixture.backends[&key.backend].state() == BackendState::BackendActive
             });
-            if !sound {
+            if !all_active {
                 return false;
             }
         }
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A pool under a placer, stepped by the tests.
+//! A simulated pool with its placer, advanced tick by tick.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::collections::BTreeMap;
@@ -9,6 +9,7 @@
 use millford_core::{Duration, MonotonicTime};
 use millford_placement::{Move, MoveReason, Placer, PlacerOptions, ReplicaKey};
 
+/// Time between two planning ticks.
 pub(crate) const TICK: Duration = Duration::from_millis(500);
 
 pub(crate) struct Fixture {
@@ -18,7 +19,7 @@
     pub(crate) placement: Option<PoolPlacement>,
     pub(crate) now: MonotonicTime,
     pub(crate) epoch: u64,
-    /// Streams that each replica carries, reported by one member at each tick.
+    /// Streams on each replica, reported by one member at each tick.
     pub(crate) streams: BTreeMap<ReplicaKey, u32>,
     pub(crate) history: Vec<(MonotonicTime, Move)>,
 }
@@ -60,7 +61,7 @@
         self.backends.get_mut(id).unwrap().set_state(state);
     }
 
-    /// One tick; returns the moves.
+    /// Advances by one tick, with a report and a plan; returns the moves.
     pub(crate) fn tick(&mut self) -> Vec<Move> {
         self.now = self.now + TICK;
         let known = self.placer.load_snapshot(self.now);
@@ -117,7 +118,7 @@
             .collect()
     }
 
-    /// Puts `streams` streams on every active replica and none on the others.
+    /// Sets the load to `streams` streams on each active replica and none on the others.
     pub(crate) fn load_active(&mut self, streams: u32) {
         self.streams = self
             .active()
@@ -146,7 +147,8 @@
     }
 }
 
-/// Twelve backends that each declare one model in two versions; the pool serves the older.
+/// Creates a pool of twelve backends that all declare one model in two versions. The target version
+/// is the older one, and it has been placed.
 pub(crate) fn two_versions() -> Fixture {
     let mut fixture = Fixture::new(pool(), PlacerOptions::default());
     for number in 0..12 {
