--- a/crates/control-state/src/document/check/names.rs
+++ b/crates/control-state/src/document/check/names.rs
@@ -12,7 +12,7 @@
 }
 
 impl<'document> UniqueNames<'document> {
-    /// Checks that the name at `path` is well formed and was not used before.
+    /// Checks that the name at `path` is well formed and differs from all names checked before.
     pub(super) fn check(&mut self, path: String, name: &'document str, faults: &mut FaultList) {
         if name.is_empty() {
             faults.add(path, "the name is empty");
--- a/crates/control-state/src/machine/catalogue.rs
+++ b/crates/control-state/src/machine/catalogue.rs
@@ -80,7 +80,7 @@
         self.drain_orders.values()
     }
 
-    /// Replaces the drain orders by those of a snapshot.
+    /// Replaces the drain orders with those of a snapshot.
     pub(crate) fn replace(&mut self, drain_orders: Vec<DrainOrder>) {
         self.drain_orders = drain_orders
             .into_iter()
--- a/crates/control-state/src/machine/configuration.rs
+++ b/crates/control-state/src/machine/configuration.rs
@@ -67,7 +67,7 @@
     Applied::accepted_order(revision, changes)
 }
 
-/// Replaces the configuration items by those of the desired document. Returns only the items that
+/// Replaces the configuration items with those of the desired document. Returns only the items that
 /// changed.
 fn replace(
     state: &mut PublicState,
--- a/crates/control-state/src/machine/public_state.rs
+++ b/crates/control-state/src/machine/public_state.rs
@@ -53,7 +53,7 @@
         })
     }
 
-    /// Replaces all items by those of a snapshot.
+    /// Replaces all items with those of a snapshot.
     pub(crate) fn replace(&mut self, items: BTreeMap<String, StateValue>) {
         self.items = items;
     }
--- a/crates/control-state/src/machine/session_registry.rs
+++ b/crates/control-state/src/machine/session_registry.rs
@@ -65,7 +65,7 @@
         self.last_epoch
     }
 
-    /// Replaces all sessions and the last assigned epoch by those of a snapshot.
+    /// Replaces all sessions and the last assigned epoch with those of a snapshot.
     pub(crate) fn replace(&mut self, records: Vec<SessionRecord>, last_epoch: u64) {
         self.last_epoch = last_epoch;
         self.sessions = records
--- a/crates/control-state/src/machine/snapshot.rs
+++ b/crates/control-state/src/machine/snapshot.rs
@@ -31,7 +31,7 @@
         snapshot.encode_to_vec()
     }
 
-    /// Replaces the complete state by that of a snapshot. On an error the state is unchanged.
+    /// Replaces the complete state with that of a snapshot. On an error the state is unchanged.
     ///
     /// # Errors
     /// [`RestoreError`] when the bytes are not a snapshot.
--- a/crates/control-state/src/planner/plan.rs
+++ b/crates/control-state/src/planner/plan.rs
@@ -9,8 +9,9 @@
 use super::session_moves::session_moves;
 use super::warnings::warnings;
 
-/// Computes the effects of replacing `before` by `after`. `sessions` are the hashes of the sessions
-/// whose homes are compared: those of real sessions, or those from [`super::sample_sessions`].
+/// Computes the effects of replacing `before` with `after`. `sessions` are the hashes of the
+/// sessions whose homes are compared: those of real sessions, or those from
+/// [`super::sample_sessions`].
 #[must_use]
 pub fn plan(
     before: &Document,
--- a/crates/control-state/src/quota/bucket.rs
+++ b/crates/control-state/src/quota/bucket.rs
@@ -77,7 +77,7 @@
         let leases_end = self.takeover.predecessor_leases_end;
         if self.updated_at < leases_end {
             // Safety: until then the predecessor's surplus tokens, up to `surplus_limit`, may still
-            // be spent beside this bucket's.
+            // be spent in addition to the tokens of this bucket.
             let limit = self.burst - self.surplus_limit;
             self.accrue_until(now.min(leases_end), limit, surplus);
         }
--- a/crates/control-state/src/quota/leases.rs
+++ b/crates/control-state/src/quota/leases.rs
@@ -106,7 +106,7 @@
         let Some(account) = leadership.accounts.get_mut(tenant) else {
             return Vec::new();
         };
-        // A removed tenant's account goes on under a quota of 0. If the tenant is added again, its
+        // A removed tenant's account remains, with a quota of 0. If the tenant is added again, its
         // tokens are available at once, as those of a new tenant are.
         let effective = quota.unwrap_or_default();
         account.set_quota(now, &effective, &self.options);
--- a/crates/placement/tests/placer.rs
+++ b/crates/placement/tests/placer.rs
@@ -88,8 +88,8 @@
     fixture.placer = Placer::new(PlacerOptions::default());
     fixture.epoch += 1;
     fixture.streams.clear();
-    // The new placer has no reports that cover the draining replica, so it must not take the
-    // replica for idle.
+    // No member has reported work on the draining replica to the new placer yet, so the replica
+    // must not count as idle.
     for _ in 0..8 {
         assert_eq!(fixture.tick(), Vec::new());
     }
