--- a/crates/control-state/src/document/parse.rs
+++ b/crates/control-state/src/document/parse.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// Reads a document without checking its rules; see [`super::check`].
+/// Reads a document without checking its rules; see [`super::check()`].
 ///
 /// # Errors
 /// Returns the first fault of each route, pool and tenant that cannot be read.
