--- a/crates/replication/examples/throughput.rs
+++ b/crates/replication/examples/throughput.rs
@@ -1,9 +1,9 @@
-//! Measures one group of three on real files: entries and fsyncs a second, at several numbers of
-//! proposals in flight.
+//! Measures the throughput of one group of three replicas on real files, in entries and fsyncs per
+//! second, for several numbers of proposals in flight.
 //!
 //! `cargo run --release -p millford-replication --example throughput -- [DIRECTORY] [SECONDS]`
 //!
-//! Each replica has a thread of its own, as in the daemon; messages go through channels.
+//! Each replica runs on its own thread, as in the daemon; messages go through channels.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -18,7 +18,9 @@
 
 const NODES: u64 = 3;
 const COMMAND_BYTES: usize = 200;
+/// Limits on the leader's proposals in flight, one for each run.
 const IN_FLIGHT: [u64; 5] = [1, 4, 16, 64, 256];
+/// Applied entries after which a replica saves a snapshot.
 const SNAPSHOT_EVERY: u64 = 10_000;
 
 /// A file disk that counts its syncs.
@@ -52,13 +54,15 @@
     }
 }
 
-/// One replica and its thread's state.
+/// One replica and the state of its thread.
 struct Worker {
     replica: Replica,
     inbox: Receiver<ReplicationMessage>,
+    /// Channels to all replicas; the one to node N has index N - 1.
     peers: Vec<Sender<ReplicationMessage>>,
+    /// Most proposals in flight.
     limit: u64,
-    /// When each proposal in flight was made, oldest first.
+    /// Start of each proposal in flight, oldest first.
     proposed: std::collections::VecDeque<Instant>,
     latencies: Vec<Duration>,
     applied_since_snapshot: u64,
@@ -104,7 +108,7 @@
     fn handle(&mut self, ready: Ready) {
         for message in ready.messages {
             let target = usize::try_from(message.to - 1).expect("small");
-            // A receiver that has stopped already loses the message.
+            // Fails if the receiving replica has stopped already; the message is lost then.
             let _ = self.peers[target].send(message);
         }
         for entry in &ready.committed {
--- a/crates/replication/src/append_receiving.rs
+++ b/crates/replication/src/append_receiving.rs
@@ -1,16 +1,17 @@
-//! Entries that come from the leader (Raft thesis, section 3.5).
+//! Append requests as a follower handles them (Raft thesis, section 3.5).
 
 use millford_api::replication::{AppendReply, AppendRequest, LogEntry, replication_message::Body};
 use millford_core::NodeId;
 
 use crate::Replica;
 
-/// Outcome of a leader's message for the follower's log.
+/// Outcome of an append request.
 #[derive(Clone, Copy, Debug)]
 enum AppendOutcome {
-    /// The log agrees with the leader's up to this index.
+    /// The log matches the leader's up to this index.
     Accepted { match_index: u64 },
-    /// The log does not agree; the leader should try again behind this index.
+    /// The log does not match at the previous index; the leader should retry with the entry after
+    /// `conflict_hint`.
     Rejected { conflict_hint: u64 },
 }
 
@@ -30,19 +31,21 @@
         if !self.store_entries(request.entries) {
             return;
         }
-        // Only up to what this message proves to match: what follows may be of another leader.
+        // Only up to the last index that this message proves to match: later entries of the log may
+        // come from another leader.
         let committed = header.commit_index.min(match_index);
         self.commit_index = self.commit_index.max(committed);
-        // The reply leaves after the flush has synced the entries.
+        // The flush syncs the entries before it returns the reply.
         self.reply_append(from, &header, AppendOutcome::Accepted { match_index });
     }
 
-    /// Whether the log agrees with the leader's up to an entry. Committed entries agree always.
+    /// Whether the entry at `index` has the term `term` or is committed. If so, the log matches the
+    /// leader's up to it.
     fn log_matches(&self, index: u64, term: u64) -> bool {
         index <= self.commit_index || self.storage.term_at(index) == Some(term)
     }
 
-    /// Stores the entries that are new and drops those that conflict. False if the storage failed.
+    /// Appends the new entries and truncates conflicting ones. Returns false if the storage failed.
     fn store_entries(&mut self, entries: Vec<LogEntry>) -> bool {
         let mut new_entries = entries;
         new_entries.retain(|entry| !self.log_matches(entry.index, entry.term));
@@ -64,8 +67,8 @@
         true
     }
 
-    /// Where the leader should try next: before the whole term that conflicts, but not before what
-    /// is committed.
+    /// Returns the last index of a log that ends before `previous_index`; else the last index
+    /// before the entries of the conflicting term, but at least the commit index.
     fn conflict_hint(&self, previous_index: u64) -> u64 {
         let last_index = self.storage.last_index();
         if previous_index > last_index {
@@ -93,7 +96,7 @@
         self.send(to, Body::AppendReply(reply));
     }
 
-    /// Sends a leader of an older term the present one, so that it steps down.
+    /// Sends the current term to the leader of an older one, so that it steps down.
     pub(crate) fn reject_stale_leader(&mut self, from: NodeId) {
         self.send(from, Body::AppendReply(AppendReply::default()));
     }
--- a/crates/replication/src/append_sending.rs
+++ b/crates/replication/src/append_sending.rs
@@ -1,4 +1,4 @@
-//! Entries that a leader sends (Raft thesis, sections 3.5 and 10.2.2).
+//! Append requests as a leader sends them (Raft thesis, sections 3.5 and 10.2.2).
 
 use millford_api::replication::{AppendRequest, LogEntry, replication_message::Body};
 use millford_core::NodeId;
@@ -8,8 +8,8 @@
 use crate::role::RoleState;
 
 impl Replica {
-    /// Sends every replica what it needs. Called after the sync, so that only durable entries
-    /// leave.
+    /// Sends each peer the entries, snapshot chunk or heartbeat that its progress calls for. Called
+    /// after the sync, so that only durable entries are sent.
     pub(crate) fn send_to_peers(&mut self) {
         let Some(state) = self.leader_state() else {
             return;
@@ -22,7 +22,7 @@
     }
 
     fn send_to_peer(&mut self, node: NodeId, broadcast_due: bool) {
-        // Taken out while messages are made, and put back after.
+        // Removed from the map while messages are built from `self`; inserted again at the end.
         let Some(mut peer) = self.take_peer(node) else {
             return;
         };
@@ -50,7 +50,8 @@
         !peer.receives_snapshot() && is_missing
     }
 
-    /// One message at a time until the matching index is known; again at each heartbeat.
+    /// Sends one message at a time while the match index is unknown, and repeats it at each
+    /// heartbeat.
     fn send_probe(&mut self, node: NodeId, peer: &mut Progress, broadcast_due: bool) {
         let ProgressState::Probe { awaiting_reply } = &mut peer.state else {
             return;
@@ -63,7 +64,8 @@
         self.send_append(node, peer, peer.next_index() - 1, entries);
     }
 
-    /// Everything that fits the window, else an empty message when one is due.
+    /// Sends all entries that the in-flight window allows. Sends an empty message if there are none
+    /// and a heartbeat or a newer commit index is due.
     fn send_entries(&mut self, node: NodeId, peer: &mut Progress, broadcast_due: bool) {
         let last_index = self.storage.synced_index();
         let mut is_sent = false;
@@ -91,7 +93,8 @@
         self.storage.entries(index, last_index, limit)
     }
 
-    /// Sends entries behind `previous_index`, whose term the log must know.
+    /// Sends entries that follow `previous_index`. Sends nothing if the term of that index is
+    /// unknown because the log was compacted.
     pub(crate) fn send_append(
         &mut self,
         node: NodeId,
--- a/crates/replication/src/bootstrap.rs
+++ b/crates/replication/src/bootstrap.rs
@@ -7,10 +7,12 @@
 /// Term of the first configuration of a group.
 const FIRST_TERM: u64 = 1;
 
-/// Writes the first entry of a group, the same on each of its first replicas.
+/// Writes the first configuration of a group as entry 1, which is identical on each of its initial
+/// replicas. Does nothing on storage that is already in use.
 ///
-/// The hard state comes first: a log without one counts as corruption. Storage whose log is empty
-/// and whose hard state is still the first one is the result of a crash between the two writes.
+/// The hard state is written first, as recovery treats a log without one as corruption. Storage
+/// with an empty log and the initial hard state is left by a crash between the two writes; the
+/// entry is then written again.
 ///
 /// # Errors
 /// Any error of the storage.
--- a/crates/replication/src/commit.rs
+++ b/crates/replication/src/commit.rs
@@ -1,4 +1,4 @@
-//! What a leader may take as committed (Raft thesis, section 3.6.2).
+//! Advancing a leader's commit index (Raft thesis, section 3.6.2).
 
 use millford_api::replication::{TimeoutNow, replication_message::Body};
 use millford_core::NodeId;
@@ -8,7 +8,8 @@
 use crate::role::RoleState;
 
 impl Replica {
-    /// Advances the commit index to what a quorum holds durably, this replica's own disk included.
+    /// Advances the commit index to the highest index that is durable on a quorum. For this replica
+    /// the synced index counts.
     pub(crate) fn advance_commit(&mut self) {
         let RoleState::Leader(state) = &self.role else {
             return;
@@ -21,8 +22,8 @@
             }
             state.peers.get(&voter).map_or(0, Progress::match_index)
         });
-        // An entry of an earlier term that a quorum holds can still be replaced by a later leader;
-        // it is committed only together with an entry of the own term.
+        // An entry of an earlier term can still be replaced by a later leader although a quorum
+        // holds it. It is committed only together with an entry of the leader's own term.
         let is_own_term = self.storage.term_at(quorum_index) == Some(self.term);
         if quorum_index > self.commit_index && is_own_term {
             self.commit_index = quorum_index;
@@ -37,7 +38,7 @@
         }
     }
 
-    /// A leader whose own removal is committed hands the leadership over and steps down.
+    /// Transfers the leadership and steps down once this leader's own removal is committed.
     pub(crate) fn step_down_if_removed(&mut self) {
         let is_committed = self.configurations.latest_index() <= self.commit_index;
         if !self.is_leader() || self.is_voter() || !is_committed {
--- a/crates/replication/src/configuration.rs
+++ b/crates/replication/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations of a group: who votes, who only receives.
+//! Configurations of a group: its voters and learners.
 
 use std::collections::BTreeSet;
 
@@ -8,9 +8,9 @@
 /// Voters and learners of a group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Configuration {
-    /// Replicas that count for the quorum.
+    /// Replicas that vote and count towards quorums.
     pub(crate) voters: BTreeSet<NodeId>,
-    /// Replicas that receive the log and do not vote.
+    /// Replicas that receive the log and neither vote nor count towards quorums.
     pub(crate) learners: BTreeSet<NodeId>,
 }
 
@@ -20,30 +20,34 @@
         self.voters.len() / 2 + 1
     }
 
-    /// Whether the voters that satisfy `holds` are a quorum. Never true without voters.
-    pub(crate) fn is_quorum(&self, holds: impl Fn(NodeId) -> bool) -> bool {
-        let count = self.voters.iter().filter(|voter| holds(**voter)).count();
+    /// Whether the voters that satisfy `predicate` form a quorum. False without voters.
+    pub(crate) fn is_quorum(&self, predicate: impl Fn(NodeId) -> bool) -> bool {
+        let count = self
+            .voters
+            .iter()
+            .filter(|voter| predicate(**voter))
+            .count();
         count >= self.quorum()
     }
 
-    /// The highest value that a quorum has reached; 0 without voters.
+    /// The highest number that the values of a quorum of voters reach or exceed; 0 without voters.
     pub(crate) fn quorum_value(&self, value: impl Fn(NodeId) -> u64) -> u64 {
         let mut values: Vec<u64> = self.voters.iter().map(|voter| value(*voter)).collect();
         values.sort_unstable_by(|left, right| right.cmp(left));
         values.get(self.quorum() - 1).copied().unwrap_or(0)
     }
 
-    /// Whether the node votes.
+    /// Whether the node is a voter.
     pub(crate) fn is_voter(&self, node: NodeId) -> bool {
         self.voters.contains(&node)
     }
 
-    /// Whether the node votes or learns.
+    /// Whether the node is a voter or a learner.
     pub(crate) fn contains(&self, node: NodeId) -> bool {
         self.is_voter(node) || self.learners.contains(&node)
     }
 
-    /// Every node but `node`.
+    /// Voters and learners without `node`.
     pub(crate) fn others(&self, node: NodeId) -> impl Iterator<Item = NodeId> {
         let all = self.voters.iter().chain(&self.learners).copied();
         all.filter(move |other| *other != node)
@@ -70,25 +74,28 @@
     }
 }
 
-/// A configuration and the log index that set it.
+/// A configuration and the index of its log entry, or of the snapshot that contains it; 0 for the
+/// empty configuration of a new replica.
 #[derive(Clone, Debug)]
 pub(crate) struct IndexedConfiguration {
     pub(crate) index: u64,
     pub(crate) configuration: Configuration,
 }
 
-/// Configurations of the log since the snapshot.
+/// Configurations in the log since the snapshot.
 ///
-/// The latest one is in force, committed or not (Raft thesis, section 4.1): a leader that waited for
-/// the commit could count votes and acknowledgements by a configuration that others left behind.
+/// The latest one is in force, committed or not (Raft thesis, section 4.1). A leader that waited
+/// for the commit could count votes and acknowledgements by a configuration that the other replicas
+/// have already replaced.
 #[derive(Clone, Debug)]
 pub(crate) struct ConfigurationHistory {
-    /// Ordered by index; never empty.
+    /// In ascending order of index; never empty.
     items: Vec<IndexedConfiguration>,
 }
 
 impl ConfigurationHistory {
-    /// Starts with the configuration of a snapshot, or the empty one at index 0.
+    /// Creates a history that starts with the configuration of a snapshot, or with the empty one at
+    /// index 0.
     pub(crate) fn new(index: u64, configuration: Configuration) -> Self {
         let first = IndexedConfiguration {
             index,
@@ -107,14 +114,14 @@
         }
     }
 
-    /// Forgets the configurations from `index` on, which were truncated.
+    /// Removes the configurations from `index` on, whose entries were truncated.
     pub(crate) fn truncate_from(&mut self, index: u64) {
         while self.items.len() > 1 && self.latest_index() >= index {
             self.items.pop();
         }
     }
 
-    /// Forgets configurations that were replaced before or at `index`.
+    /// Removes configurations that were replaced at or before `index`.
     pub(crate) fn compact(&mut self, index: u64) {
         while self.items.len() > 1 && self.items[1].index <= index {
             self.items.remove(0);
@@ -131,13 +138,13 @@
         self.items[self.items.len() - 1].index
     }
 
-    /// Whether the node was a member in any configuration that is still known.
+    /// Whether any configuration of the history contains the node.
     pub(crate) fn ever_contained(&self, node: NodeId) -> bool {
         let mut items = self.items.iter();
         items.any(|item| item.configuration.contains(node))
     }
 
-    /// The configuration as of an index.
+    /// The configuration in force at an index; the oldest one for an index before it.
     pub(crate) fn as_of(&self, index: u64) -> &IndexedConfiguration {
         let found = self.items.iter().rev().find(|item| item.index <= index);
         found.unwrap_or(&self.items[0])
--- a/crates/replication/src/debug.rs
+++ b/crates/replication/src/debug.rs
@@ -1,5 +1,5 @@
-//! Debug output of a replica: everything that its decisions rest on except times and random
-//! numbers, so that replicas in the same situation print the same.
+//! Debug output of a replica. It contains all state that decisions depend on, except times and
+//! random numbers, so that replicas in equivalent states print the same text.
 
 use std::fmt::{Debug, Formatter, Result};
 
--- a/crates/replication/src/election.rs
+++ b/crates/replication/src/election.rs
@@ -1,4 +1,5 @@
-//! Elections: ticks, pre-votes and votes on the candidate's side (Raft thesis, sections 3.4 and 9.6).
+//! Elections: ticks, and pre-votes and votes as a candidate requests and counts them (Raft thesis,
+//! sections 3.4 and 9.6).
 
 use millford_api::replication::{VoteReply, VoteRequest, replication_message::Body};
 use millford_core::{Duration, MonotonicTime, NodeId};
@@ -14,15 +15,14 @@
     PreVote,
     /// An election in a new term.
     Election,
-    /// An election that the leader requested: voters grant it although they have contact with a
-    /// leader.
+    /// An election that the leader requested in a transfer: voters grant their votes although they
+    /// have contact with a leader.
     Transfer,
 }
 
 impl Replica {
-    /// Lets time pass: elections, heartbeats and step-down. Messages leave with the next flush.
-    ///
-    /// Expected every [`crate::TICK`].
+    /// Processes timeouts: begins an election, makes heartbeats due, or steps down. The owner calls
+    /// it every [`crate::TICK`]; the next flush returns the messages.
     pub fn tick(&mut self, now: MonotonicTime) {
         self.advance_clock(now);
         if self.failure.is_some() {
@@ -40,11 +40,12 @@
         }
     }
 
-    /// Defers the election after a stall of this process.
+    /// Postpones the election deadline after a stall of this process.
     ///
-    /// The owner did not run for `stalled_time` until now: what the leader sent meanwhile may still be
-    /// queued, so this time is no sign that the leader is unresponsive. Only the campaign is put off;
-    /// the reported contact with the leader, and a leader's check of its quorum, go by real time.
+    /// The owner did not run for `stalled_time` until now. Messages that the leader sent in that
+    /// time may still be queued, so the stall does not indicate an unresponsive leader. Only the
+    /// campaign is postponed; the reported contact with the leader and a leader's quorum check use
+    /// the real time.
     pub fn defer_election_deadline(&mut self, now: MonotonicTime, stalled_time: Duration) {
         self.advance_clock(now);
         self.election_timer
@@ -60,8 +61,9 @@
         self.election_timer.reset(self.now, &self.options.timing);
     }
 
-    /// Requests pre-votes: finds out whether an election would succeed, without raising the term: a replica that was
-    /// partitioned does not depose a leader that the others follow.
+    /// Requests pre-votes, which find out whether an election would succeed without raising the
+    /// term. A replica that was partitioned therefore does not depose a leader that the others
+    /// follow.
     fn start_pre_vote(&mut self) {
         let tally = VoteTally::new(self.options.node);
         self.role = RoleState::PreCandidate(tally);
@@ -69,7 +71,7 @@
         self.count_votes();
     }
 
-    /// Raises the term and requests votes.
+    /// Raises the term, votes for itself and requests the others' votes.
     pub(crate) fn start_election(&mut self, campaign: Campaign) {
         self.term += 1;
         self.voted_for = self.options.node;
@@ -104,9 +106,10 @@
 
     pub(crate) fn on_vote_reply(&mut self, from: NodeId, term: u64, reply: VoteReply) {
         self.election_timer.backoff.record_contested();
-        // A granted pre-vote names the term that would follow and must not be adopted.
-        let names_future_term = reply.pre_vote && reply.granted;
-        if term > self.term && !names_future_term {
+        // A granted pre-vote carries the term of the election that would follow, which must not be
+        // adopted.
+        let carries_future_term = reply.pre_vote && reply.granted;
+        if term > self.term && !carries_future_term {
             self.adopt_term(term);
         }
         if reply.removed && !self.is_leader() {
@@ -139,23 +142,25 @@
         }
     }
 
-    /// A voter with a newer committed configuration says that this replica is no member any more.
+    /// Stops campaigning, as a voter with a newer committed configuration reported that it no
+    /// longer contains this replica.
     fn record_removed(&mut self) {
         self.removed = true;
         self.role = RoleState::Follower;
     }
 
-    /// Adopts a newer term, as follower without a known leader.
+    /// Becomes a follower without a known leader, in `term` if that is newer than the current one.
     pub(crate) fn adopt_term(&mut self, term: u64) {
         if term > self.term {
             self.term = term;
-            // A vote belongs to its term.
+            // A vote is valid in its own term only.
             self.voted_for = NodeId::NONE;
         }
         self.step_down();
     }
 
-    /// Follows the leader of a term that is not older than the own one.
+    /// Follows `leader`, whose term must not be older than the current one, and records the
+    /// contact.
     pub(crate) fn follow(&mut self, term: u64, leader: NodeId) {
         let is_same_follower = term == self.term && matches!(self.role, RoleState::Follower);
         if !is_same_follower {
@@ -168,7 +173,8 @@
         self.reset_election_timer();
     }
 
-    /// Whether the last contact with a leader is so recent that a vote could only disrupt it.
+    /// Whether this replica leads, or had contact with the current leader within the shortest
+    /// election timeout, so that granting a vote could only disrupt that leader.
     pub(crate) fn has_leader_contact(&self, now: MonotonicTime) -> bool {
         let shortest = self.options.timing.election_timeout_min;
         let contact = self.leader_contact;
--- a/crates/replication/src/election_backoff.rs
+++ b/crates/replication/src/election_backoff.rs
@@ -1,40 +1,41 @@
-//! How much longer a replica waits after elections that others took part in and nobody won.
+//! Backoff of the election timeout after contested elections without a winner.
 
 use millford_core::Duration;
 
-/// Most doublings of the election timeouts: 2 to 4 s with the default timing.
+/// Highest number of doublings of the election timeout: 2 to 4 s with the default timing.
 const MAX_DOUBLINGS: u32 = 2;
 
-/// Divides the timeout of a replica that has known no leader since it was opened.
+/// Divides the election timeout of a replica that has not followed a leader since it was opened.
 ///
-/// After a loss of power nobody leads, and a replica that waits for the full timeout keeps the whole
-/// group unavailable. A replica that restarts alone disrupts nobody: the voters that have contact
-/// with a leader reject its pre-vote.
+/// When the whole group restarts after a power failure there is no leader, and the group is
+/// unavailable for as long as its replicas wait. A replica that restarts alone does not disrupt the
+/// group: voters in contact with a leader do not grant its pre-vote.
 const INITIAL_TIMEOUT_DIVISOR: u32 = 8;
 
-/// Exponential backoff of the election timeouts.
+/// Exponential backoff of the election timeout.
 ///
-/// When messages or syncs are slower than the timeouts, each election is abandoned before its
-/// replies arrive, and the next one makes them worthless. Longer timeouts let one election finish.
-/// Only contested elections count: a replica whose peers do not respond keeps the short timeouts,
-/// because it must be quick once they are back.
+/// When messages or syncs take longer than the timeout, each election is abandoned before its
+/// replies arrive, and they do not count in the next one. A longer timeout lets one election
+/// finish. Only contested elections count: a replica whose peers do not respond keeps the short
+/// timeout, so that it campaigns soon after they are reachable again.
 #[derive(Debug, Default)]
 pub(crate) struct ElectionBackoff {
-    /// Contested elections in a row that ended without a leader.
+    /// Consecutive contested elections without a leader.
     failed_elections: u32,
-    /// Another replica took part in the current election.
+    /// Whether a message of another replica about the current election was received.
     contested: bool,
-    /// A leader was known since the replica was opened.
+    /// Whether there was a leader since the replica was opened.
     has_known_leader: bool,
 }
 
 impl ElectionBackoff {
-    /// Another replica took part in the election.
+    /// Marks the current election as contested by another replica.
     pub(crate) fn record_contested(&mut self) {
         self.contested = true;
     }
 
-    /// The election ended without a leader.
+    /// Ends the current election without a leader: counts it if it was contested, else resets the
+    /// count.
     pub(crate) fn record_failed_election(&mut self) {
         let contested = std::mem::take(&mut self.contested);
         self.failed_elections = if contested {
@@ -44,7 +45,7 @@
         };
     }
 
-    /// There is a working leader: the backoff starts over.
+    /// Resets the backoff, as there is a leader that makes progress.
     pub(crate) fn record_leader(&mut self) {
         *self = Self {
             has_known_leader: true,
@@ -52,8 +53,9 @@
         };
     }
 
-    /// `timeout`, extended by the backoff that was built up (or shortened before the first leader).
-    pub(crate) fn extend(&self, timeout: Duration) -> Duration {
+    /// Returns `timeout`, doubled for each failed election up to [`MAX_DOUBLINGS`], or shortened
+    /// before the first leader.
+    pub(crate) fn adjust_timeout(&self, timeout: Duration) -> Duration {
         if !self.has_known_leader && self.failed_elections == 0 {
             return timeout / INITIAL_TIMEOUT_DIVISOR;
         }
--- a/crates/replication/src/election_timer.rs
+++ b/crates/replication/src/election_timer.rs
@@ -7,16 +7,17 @@
 use crate::Timing;
 use crate::election_backoff::ElectionBackoff;
 
-/// When a replica that has no contact with a leader begins an election.
+/// Randomised deadline after which a replica without contact with a leader begins an election.
 pub(crate) struct ElectionTimer {
     random: StdRng,
     deadline: MonotonicTime,
-    /// Backoff by which each timeout is extended.
+    /// Backoff that adjusts each timeout.
     pub(crate) backoff: ElectionBackoff,
 }
 
 impl ElectionTimer {
-    /// A timer that has not been set yet. `seed` determines every timeout that it will draw.
+    /// Creates a timer that is already expired until the first [`ElectionTimer::reset`]. `seed`
+    /// determines the sequence of random timeouts.
     pub(crate) fn new(seed: u64, now: MonotonicTime) -> Self {
         Self {
             random: StdRng::seed_from_u64(seed),
@@ -25,24 +26,25 @@
         }
     }
 
-    /// Draws a new timeout that begins at `now`.
+    /// Sets the deadline to a new random timeout from `now` on.
     pub(crate) fn reset(&mut self, now: MonotonicTime, timing: &Timing) {
         let shortest = timing.election_timeout_min;
         let longest = timing.election_timeout_max;
         let timeout = self.random.random_range(shortest..=longest);
-        self.deadline = now + self.backoff.extend(timeout);
+        self.deadline = now + self.backoff.adjust_timeout(timeout);
     }
 
-    /// Moves the deadline back by the time that the process was stalled.
+    /// Postpones the deadline by the time that the process was stalled.
     ///
-    /// Never to more than a complete timeout from now: a leader that was stalled steps down on the
-    /// first message that it takes, and a timer that is set then is not part of the stall.
+    /// The deadline is at most one longest timeout from `now`: a stalled leader steps down on the
+    /// first message that it processes and resets its timer then, so that the new deadline does not
+    /// include the stall and must not be postponed by all of it.
     pub(crate) fn defer(&mut self, now: MonotonicTime, stalled_time: Duration, timing: &Timing) {
-        let longest = self.backoff.extend(timing.election_timeout_max);
+        let longest = self.backoff.adjust_timeout(timing.election_timeout_max);
         self.deadline = (self.deadline + stalled_time).min(now + longest);
     }
 
-    /// Whether the timeout has passed.
+    /// Whether `now` has reached the deadline.
     pub(crate) fn is_expired(&self, now: MonotonicTime) -> bool {
         now >= self.deadline
     }
--- a/crates/replication/src/error.rs
+++ b/crates/replication/src/error.rs
@@ -1,100 +1,101 @@
-//! Why a replica rejects a request of its owner.
+//! Errors of a replica's operations.
 
 use millford_core::NodeId;
 use millford_storage::StorageError;
 use thiserror::Error;
 
-/// Only the leader accepts this request.
+/// The request was rejected because only the leader accepts it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("this replica does not lead the group")]
+#[error("this replica is not the leader")]
 pub struct NotLeader {
-    /// The leader, as far as known; [`NodeId::NONE`] otherwise.
+    /// The leader, or the target of its transfer in progress; [`NodeId::NONE`] if unknown.
     pub hint: NodeId,
 }
 
-/// Why a change of the voters is rejected.
+/// Reason why a configuration change was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum VoterChangeError {
-    /// Only the leader changes voters.
-    #[error("this replica does not lead the group")]
+    /// This replica is not the leader.
+    #[error("this replica is not the leader")]
     NotLeader {
-        /// The leader, as far as known.
+        /// The leader; [`NodeId::NONE`] if unknown.
         hint: NodeId,
     },
     /// An earlier change is not committed yet.
-    #[error("an earlier change of the voters is not committed yet")]
+    #[error("an earlier configuration change is not committed yet")]
     ChangePending,
     /// The leader has not committed an entry of its own term yet.
     #[error("the leader has not committed an entry of its own term yet")]
     TermNotCommitted,
-    /// The node is what the change would make it.
-    #[error("the change makes no difference")]
+    /// The node to add is already a member or has no identity, or the node to remove is not a
+    /// member.
+    #[error("the change has no effect on the configuration")]
     NoDifference,
-    /// Only a learner can be promoted.
-    #[error("the node is no learner")]
+    /// The node to promote is not a learner.
+    #[error("the node is not a learner")]
     NotLearner,
-    /// The learner lacks entries or is unreachable.
+    /// The learner lacks too many entries or was not in contact recently.
     #[error("the learner has not caught up")]
     NotCaughtUp,
-    /// The changed group would have no quorum of voters that were in contact lately, and could
-    /// not even commit the change.
-    #[error("the changed group would have no reachable quorum")]
+    /// Fewer than a quorum of the new configuration's voters were in contact recently, so the
+    /// change itself could not be committed.
+    #[error("the new configuration would have no reachable quorum")]
     NoQuorum,
-    /// The last voter cannot be removed.
+    /// The node to remove is the only voter.
     #[error("the last voter cannot be removed")]
     LastVoter,
     /// The leadership is being transferred.
-    #[error("the leadership is being transferred")]
+    #[error("a leadership transfer is in progress")]
     TransferInProgress,
 }
 
-/// Why a transfer of the leadership is rejected.
+/// Reason why a leadership transfer was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum TransferError {
-    /// Only the leader transfers the leadership.
-    #[error("this replica does not lead the group")]
+    /// This replica is not the leader.
+    #[error("this replica is not the leader")]
     NotLeader {
-        /// The leader, as far as known.
+        /// The leader; [`NodeId::NONE`] if unknown.
         hint: NodeId,
     },
-    /// Only another voter can become leader.
-    #[error("the node is no other voter")]
+    /// The target is this replica, a learner or not a member.
+    #[error("the target is not another voter of the group")]
     NotVoter,
-    /// There was no contact with the voter lately.
-    #[error("the voter is unreachable")]
+    /// The target was not in contact within the quorum timeout.
+    #[error("the target is unreachable")]
     TargetUnreachable,
-    /// A transfer is in progress.
-    #[error("a transfer is in progress")]
+    /// Another transfer has not finished yet.
+    #[error("a leadership transfer is already in progress")]
     InProgress,
 }
 
-/// Why a snapshot is rejected.
+/// Reason why a snapshot was not saved.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SnapshotError {
-    /// The index was not delivered as committed yet.
-    #[error("the index has not been delivered yet")]
+    /// No flush has returned the entry of this index as committed yet.
+    #[error("the index has not been delivered as committed yet")]
     NotDelivered,
-    /// A snapshot of this index or a later one exists.
-    #[error("there is a newer snapshot")]
+    /// The newest snapshot has this index or a later one.
+    #[error("a snapshot of this or a later index exists")]
     Outdated,
-    /// The snapshot could not be stored; [`StorageError::Full`] leaves the replica usable.
+    /// The snapshot could not be stored. After [`StorageError::Full`] the replica is still usable.
     #[error(transparent)]
     Storage(#[from] StorageError),
 }
 
-/// Why a replica cannot be opened.
+/// Reason why a replica could not be opened.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum OpenError {
-    /// The storage belongs to another identity, whose votes this one must not continue.
+    /// The storage belongs to another identity, and its votes must not be used under this one.
     #[error("the storage belongs to node {owner}")]
     ForeignStorage {
         /// The identity that wrote the storage.
         owner: NodeId,
     },
-    /// [`NodeId::NONE`] cannot be a replica's identity.
-    #[error("the node id is missing")]
+    /// The identity in the options is [`NodeId::NONE`].
+    #[error("the node ID is missing")]
     NodeIdMissing,
-    /// The storage failed.
+    /// The first entry of a new group could not be stored.
     #[error(transparent)]
     Storage(#[from] StorageError),
 }
--- a/crates/replication/src/flush.rs
+++ b/crates/replication/src/flush.rs
@@ -1,4 +1,5 @@
-//! The flush: one fsync, then everything that may leave because of it.
+//! The flush: stores all input with one fsync, then returns the messages and results that depend on
+//! it.
 
 use millford_api::replication::{HardState, LogEntry};
 use millford_core::MonotonicTime;
@@ -8,21 +9,22 @@
 use crate::{Ready, Replica};
 
 impl Replica {
-    /// Makes durable what came in since the last flush, then returns what may leave.
+    /// Makes all input since the last flush durable, then returns the messages to send and the
+    /// results for the owner.
     ///
     /// # Errors
-    /// An error is final: the replica must be dropped, and whether its last writes are durable is
-    /// unknown. A full disk is no error: see [`Ready::storage_full`].
+    /// An error is final: the replica must be dropped, and its last writes may be durable or not. A
+    /// full disk is not an error: see [`Ready::storage_full`].
     pub fn flush(&mut self, now: MonotonicTime) -> Result<Ready, StorageError> {
         self.advance_clock(now);
-        self.check_alive()?;
-        // Term and vote first: no message of a term may leave before they are durable, and a log
-        // without them counts as corruption.
+        self.check_not_failed()?;
+        // Term and vote first: no message of a term may be sent before they are durable, and
+        // recovery treats a log without a hard state as corruption.
         let stored = self.store_hard_state().and_then(|()| self.storage.sync());
         if let Err(error) = stored {
             self.record_storage_error(error);
         }
-        self.check_alive()?;
+        self.check_not_failed()?;
         if self.pending.storage_full {
             self.discard_unsynced();
         }
@@ -30,8 +32,8 @@
         Ok(self.take_ready())
     }
 
-    /// The error that the replica did not survive, if any.
-    pub(crate) fn check_alive(&self) -> Result<(), StorageError> {
+    /// Returns the earlier storage error that made the replica unusable, if any.
+    pub(crate) fn check_not_failed(&self) -> Result<(), StorageError> {
         self.failure.clone().map_or(Ok(()), Err)
     }
 
@@ -48,7 +50,7 @@
         self.storage.set_hard_state(hard_state)
     }
 
-    /// Records an error of the storage: a full disk passes, anything else is final.
+    /// Records an error of the storage: a full disk is temporary, any other error is final.
     pub(crate) fn record_storage_error(&mut self, error: StorageError) {
         if error.is_full() {
             self.pending.storage_full = true;
@@ -57,13 +59,14 @@
         }
     }
 
-    /// The replica is dead; the next flush returns the error.
+    /// Makes the replica unusable; each flush from now on returns the error.
     pub(crate) fn fail(&mut self, error: StorageError) {
         self.failure = Some(error);
     }
 
-    /// After a write that found no space: nothing that was not stored may leave or count. The
-    /// replica stops leading, and what it had acknowledged before stays on its disk.
+    /// Discards all input since the last flush after a write failed for lack of space: entries that
+    /// were not stored must not be acknowledged or counted. The replica stops leading; entries that
+    /// it acknowledged earlier remain on its disk.
     fn discard_unsynced(&mut self) {
         self.storage.drop_unsynced();
         let last_index = self.storage.last_index();
@@ -74,7 +77,8 @@
         self.disk_full_until = Some(self.now + FULL_DISK_CAMPAIGN_BACKOFF);
     }
 
-    /// Work of a leader after the sync.
+    /// Advances commits, reads, transfers and replication on a leader. Called after the sync, so
+    /// that only durable entries count.
     fn advance_leader(&mut self) {
         if !self.is_leader() {
             return;
--- a/crates/replication/src/incoming_snapshot.rs
+++ b/crates/replication/src/incoming_snapshot.rs
@@ -1,15 +1,15 @@
-//! A snapshot that is being received.
+//! State of a snapshot transfer on the receiving replica.
 
 use millford_api::replication::SnapshotChunk;
 use millford_core::NodeId;
 
 use crate::log_position::LogPosition;
 
-/// Chunks received so far, in memory; a restart begins anew.
+/// Chunks received so far. They are in memory only, so a transfer starts over after a restart.
 #[derive(Debug)]
 pub(crate) struct IncomingSnapshot {
     leader: NodeId,
-    /// Term of the leader that sends it.
+    /// Term in which the leader sends it.
     leader_term: u64,
     /// Last entry that the snapshot covers.
     last: LogPosition,
@@ -17,7 +17,7 @@
 }
 
 impl IncomingSnapshot {
-    /// An empty transfer of the snapshot that a chunk belongs to.
+    /// Starts a transfer of the snapshot that a chunk belongs to, without the chunk's data.
     pub(crate) fn new(leader: NodeId, leader_term: u64, chunk: &SnapshotChunk) -> Self {
         Self {
             leader,
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Whether a chunk belongs to this snapshot. Two leaders may write the same state as different
-    /// bytes, for instance in different versions, so their chunks are never put together.
+    /// Whether a chunk belongs to this transfer. Two leaders may encode the same state as different
+    /// bytes, for instance with different versions, so their chunks are never combined.
     pub(crate) fn matches(&self, leader: NodeId, leader_term: u64, chunk: &SnapshotChunk) -> bool {
         let is_same_sender = self.leader == leader && self.leader_term == leader_term;
         is_same_sender && self.last == last_position_of(chunk)
@@ -39,12 +39,12 @@
         self.data.len() as u64
     }
 
-    /// Appends the bytes of the next chunk.
+    /// Appends the data of the next chunk.
     pub(crate) fn append(&mut self, bytes: &[u8]) {
         self.data.extend_from_slice(bytes);
     }
 
-    /// The bytes received so far.
+    /// Returns the data received so far.
     pub(crate) fn into_data(self) -> Vec<u8> {
         self.data
     }
--- a/crates/replication/src/inspection.rs
+++ b/crates/replication/src/inspection.rs
@@ -1,4 +1,4 @@
-//! What a replica reports of itself to its owner.
+//! Read access to a replica's state for its owner.
 
 use millford_storage::ReplicaStorage;
 
@@ -6,7 +6,7 @@
 use crate::{PeerStatus, Replica, ReplicaStatus, Role};
 
 impl Replica {
-    /// Role; cheaper than the whole status.
+    /// Current role. Cheaper than [`Replica::status`].
     #[must_use]
     pub fn role(&self) -> Role {
         match &self.role {
@@ -18,26 +18,27 @@
         }
     }
 
-    /// Term; cheaper than the whole status.
+    /// Current term, which may be newer than the stored one until the next flush. Cheaper than
+    /// [`Replica::status`].
     #[must_use]
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// Whether this replica leads and has committed an entry of its own term; cheaper than the whole
-    /// status.
+    /// Whether this replica leads and has committed an entry of its own term. Cheaper than
+    /// [`Replica::status`].
     #[must_use]
     pub fn leads_confirmed(&self) -> bool {
         self.has_committed_own_term()
     }
 
-    /// Durable state of the replica.
+    /// Log, snapshot and hard state, for reading.
     #[must_use]
     pub fn storage(&self) -> &ReplicaStorage {
         &self.storage
     }
 
-    /// What the replica knows of itself and its group.
+    /// Returns a copy of the replica's state and of its view of the group.
     #[must_use]
     pub fn status(&self) -> ReplicaStatus {
         let configuration = self.configurations.latest();
@@ -60,8 +61,9 @@
         }
     }
 
-    /// Reported by a voter, or known from the own committed log. A learner whose first snapshot is
-    /// older than its addition was no member yet, so it does not count as removed.
+    /// Whether this replica was removed from the group, as reported by a voter or as found in its
+    /// own committed log. A learner whose first snapshot predates its addition appears in no
+    /// configuration yet; it does not count as removed.
     fn is_removed(&self) -> bool {
         let node = self.options.node;
         let committed = &self.configurations.as_of(self.commit_index).configuration;
--- a/crates/replication/src/leader_state.rs
+++ b/crates/replication/src/leader_state.rs
@@ -1,4 +1,4 @@
-//! State that only a leader has.
+//! State specific to the leader role.
 
 use std::collections::BTreeMap;
 
@@ -11,32 +11,32 @@
 /// A transfer of the leadership in progress.
 #[derive(Clone, Copy)]
 pub(crate) struct LeaderTransfer {
-    /// The voter that shall lead.
+    /// The voter that should become leader.
     pub(crate) target: NodeId,
-    /// When proposals are accepted again if the transfer has not succeeded.
+    /// When the transfer is abandoned and proposals are accepted again.
     pub(crate) deadline: MonotonicTime,
-    /// Whether the target was requested to campaign.
+    /// Whether the request to campaign was sent to the target.
     pub(crate) timeout_now_sent: bool,
 }
 
 /// State of a leader in one term.
 pub(crate) struct LeaderState {
-    /// Every other replica of the configuration in force.
+    /// Progress of every other replica of the configuration in force, learners included.
     pub(crate) peers: BTreeMap<NodeId, Progress>,
-    /// Index of the first entry of the own term.
+    /// Index of the first entry of the leader's own term.
     pub(crate) term_start_index: u64,
     /// When the next heartbeat is due.
     pub(crate) next_heartbeat: MonotonicTime,
-    /// Whether every replica gets a message at the next flush.
+    /// Whether the next flush sends a message to every peer.
     pub(crate) broadcast_due: bool,
     /// Confirmed reads that are queued or in progress.
     pub(crate) reads: ReadQueue,
-    /// Set while the leadership is being transferred.
+    /// Transfer in progress; `None` otherwise.
     pub(crate) transfer: Option<LeaderTransfer>,
 }
 
 impl LeaderState {
-    /// State of a new leader whose first entry is `term_start_index`.
+    /// Creates the state of a new leader whose first entry has index `term_start_index`.
     pub(crate) fn new(term_start_index: u64, now: MonotonicTime) -> Self {
         Self {
             peers: BTreeMap::new(),
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Follows a change of the configuration. New replicas are probed at `next_index`.
+    /// Removes peers that are not in `configuration` and adds the missing ones, which are probed at
+    /// `next_index`.
     pub(crate) fn align_peers(
         &mut self,
         configuration: &Configuration,
--- a/crates/replication/src/leadership.rs
+++ b/crates/replication/src/leadership.rs
@@ -1,4 +1,4 @@
-//! Becoming leader, staying leader, stepping down (Raft thesis, sections 6.2 and 6.4).
+//! Becoming leader, checking for a quorum, stepping down (Raft thesis, sections 6.2 and 6.4).
 
 use millford_api::replication::{Empty, log_entry::Payload};
 use millford_core::{Duration, MonotonicTime, NodeId};
@@ -21,8 +21,8 @@
         }
     }
 
-    /// Begins to lead with an empty entry of the own term: only once it is committed are the
-    /// entries of earlier terms known to be.
+    /// Becomes leader and appends an empty entry of the own term: entries of earlier terms are
+    /// known to be committed only once that entry is.
     pub(crate) fn become_leader(&mut self) {
         let next_index = self.storage.last_index() + 1;
         let mut state = LeaderState::new(next_index, self.now);
@@ -36,7 +36,7 @@
         self.append_own(Payload::Empty(Empty {}));
     }
 
-    /// Becomes follower of the present term without a known leader.
+    /// Becomes a follower of the current term without a known leader.
     pub(crate) fn step_down(&mut self) {
         let previous = std::mem::replace(&mut self.role, RoleState::Follower);
         if let RoleState::Leader(state) = previous {
@@ -63,19 +63,20 @@
         }
     }
 
-    /// Steps down when partitioned from the quorum: the others may elect another leader, and nobody
-    /// should wait for this one. Done before any message is processed, so that replies that were queued while
-    /// the process was stopped do not count as recent.
+    /// Steps down without recent contact with a quorum: the other replicas may have elected another
+    /// leader, and clients should not wait for this one. Called before each message is processed,
+    /// so that replies that were queued while the process was stalled do not count as recent.
     pub(crate) fn check_quorum(&mut self) {
-        // The first replies to a new leader take as long as the election's messages took.
+        // The first replies to a new leader take as long as the messages of its election did, so
+        // the election backoff applies here too.
         let quorum_timeout = self.options.timing.quorum_timeout;
-        let timeout = self.election_timer.backoff.extend(quorum_timeout);
+        let timeout = self.election_timer.backoff.adjust_timeout(quorum_timeout);
         if self.is_leader() && !self.has_quorum_contact(self.configurations.latest(), timeout) {
             self.step_down();
         }
     }
 
-    /// Whether a quorum of a configuration, this replica included, was in contact within `max_age`.
+    /// Whether a quorum of a configuration, counting this replica, was in contact within `max_age`.
     pub(crate) fn has_quorum_contact(
         &self,
         configuration: &Configuration,
@@ -92,7 +93,8 @@
         })
     }
 
-    /// On a leader: the latest time since which a quorum has been in contact.
+    /// On a leader: the latest time such that a quorum's last contacts are no older. `None` on
+    /// other replicas.
     pub(crate) fn last_quorum_contact(&self) -> Option<MonotonicTime> {
         let RoleState::Leader(state) = &self.role else {
             return None;
@@ -105,7 +107,7 @@
         Some(MonotonicTime::from_micros(micros))
     }
 
-    /// A replica answered in the present term.
+    /// Records on a leader that a peer replied in the current term.
     pub(crate) fn record_contact(&mut self, from: NodeId) {
         let now = self.now;
         let state = self.leader_state();
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,22 +1,24 @@
 //! The replica group of one shard: election, log replication, confirmed reads, membership.
 //!
-//! An implementation of Raft as in Ongaro's thesis ("Consensus: Bridging Theory and Practice", 2014),
-//! with pre-vote, `ReadIndex`, learners, leadership transfer and changes by one voter at a time.
+//! An implementation of Raft as in Ongaro's thesis ("Consensus: Bridging Theory and Practice",
+//! 2014), with pre-vote, `ReadIndex`, learners, leadership transfer and changes by one voter at a
+//! time.
 //!
-//! [`Replica`] is pure logic over a [`millford_storage::ReplicaStorage`]: time, messages and ticks
-//! come in, and nothing leaves before [`Replica::flush`] has made durable what it claims. One
-//! flush makes one fsync, whatever came in since the last one, so that batches grow with the load.
+//! [`Replica`] is a state machine over a [`millford_storage::ReplicaStorage`], without threads,
+//! timers or sockets of its own. Its owner passes in the time, ticks and messages, and
+//! [`Replica::flush`] returns outgoing messages only after the state that they report is durable.
+//! One flush makes one fsync for all input since the last flush, so batches grow with the load.
 //!
 //! Invariants that the safety of the group rests on, and the modules that uphold them:
-//! - term and vote are durable before a message of that term leaves (`flush`);
-//! - a replica grants one vote a term, and only to a candidate whose log is up to date
-//!   (`vote_receiving`);
-//! - an entry counts as held by a replica only once it is synced there, the leader included
-//!   (`flush`, `commit`);
+//! - term and vote are durable before a message of that term is sent (`flush`);
+//! - a replica grants one vote per term, and only to a candidate whose log is at least as up to
+//!   date as its own (`vote_receiving`);
+//! - a replica's copy of an entry, the leader's included, counts towards a quorum only once it is
+//!   synced on that replica's disk (`flush`, `commit`);
 //! - a leader commits by counting only entries of its own term (`commit`);
-//! - a confirmed read needs a quorum's replies to a broadcast that began after the read arrived, and
-//!   a committed entry of the leader's own term (`reads`);
-//! - one voter changes at a time (`membership`).
+//! - a confirmed read needs a quorum's replies to a broadcast that began after the read arrived,
+//!   and a committed entry of the leader's own term (`reads`);
+//! - the configuration changes by one voter at a time (`membership`).
 
 mod append_receiving;
 mod append_sending;
--- a/crates/replication/src/membership.rs
+++ b/crates/replication/src/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of the group, one node at a time (Raft thesis, sections 4.1 and 4.2).
+//! Configuration changes, one node at a time (Raft thesis, sections 4.1 and 4.2).
 
 use millford_api::replication::{VoterSet, log_entry::Payload};
 use millford_core::{Duration, NodeId};
@@ -10,15 +10,16 @@
 use crate::{Replica, VoterChange, VoterChangeError};
 
 impl Replica {
-    /// Appends a configuration that differs by one node. It is in force at once, and committed when
-    /// the entry of the returned index is.
+    /// Appends a configuration that differs from the latest one by one node, and returns the index
+    /// of its entry. It is in force at once, and committed when that entry is.
     ///
-    /// Quorums of configurations that differ by one voter overlap; those of two changes need not.
-    /// So a change is rejected while an earlier one is not committed, and also before the leader has
-    /// committed an entry of its own term, since it may not know of an earlier leader's change.
+    /// Quorums of configurations that differ by one voter overlap; after two changes they need not.
+    /// Therefore a change is rejected while an earlier one is not committed, and also before the
+    /// leader has committed an entry of its own term, as its log may lack a change that an earlier
+    /// leader made.
     ///
     /// # Errors
-    /// A [`VoterChangeError`] that says which condition does not hold; nothing was appended.
+    /// A [`VoterChangeError`] for the condition that is not met; nothing was appended.
     pub fn change_voters(&mut self, change: VoterChange) -> Result<u64, VoterChangeError> {
         self.check_change_allowed()?;
         let configuration = self.changed_configuration(change)?;
@@ -75,7 +76,7 @@
         Ok(())
     }
 
-    /// Longest age of the last contact with a replica that a change may count on.
+    /// Longest time since the last contact with a replica that a change may rely on.
     fn contact_max_age(&self) -> Duration {
         self.options.timing.heartbeat * CONTACT_MAX_AGE_HEARTBEATS
     }
@@ -99,7 +100,7 @@
         peer.is_some_and(|peer| self.is_caught_up(peer))
     }
 
-    /// Whether a replica was in contact lately and lacks no more than one message brings.
+    /// Whether a peer was in contact recently and lacks at most `promotion_lag` committed entries.
     pub(crate) fn is_caught_up(&self, peer: &Progress) -> bool {
         let replicates = matches!(peer.state, ProgressState::Replicate);
         let lag = self.commit_index.saturating_sub(peer.match_index());
--- a/crates/replication/src/message_check.rs
+++ b/crates/replication/src/message_check.rs
@@ -1,7 +1,7 @@
-//! Which messages a replica processes at all.
+//! Validation of incoming messages.
 //!
-//! Peers are trusted to follow the protocol, not to be of the same version or free of faults: what
-//! could not have been sent by a correct replica is ignored, as if it had been lost.
+//! Peers are trusted to follow the protocol, but they may run another version or have faults. A
+//! message that no correct replica could have sent is ignored, as if it had been lost.
 
 use millford_api::replication::{
     AppendRequest, LogEntry, ReplicationMessage, SnapshotChunk, replication_message::Body,
@@ -9,29 +9,30 @@
 
 use crate::log_position::LogPosition;
 
-/// Largest term, index, offset or sequence that is accepted, so that sums with them cannot overflow.
-const MAX_NUMBER: u64 = u64::MAX / 4;
+/// Largest accepted term, index, offset or sequence number, so that sums of them cannot overflow.
+const MAX_ACCEPTED: u64 = u64::MAX / 4;
 
 /// Whether a correct replica could have sent the message.
 pub(crate) fn is_plausible(message: &ReplicationMessage) -> bool {
     let body_is_plausible = match &message.body {
         Some(Body::VoteRequest(request)) => {
-            fits(&[request.last_index, request.last_term]) && request.last_term <= message.term
+            all_in_range(&[request.last_index, request.last_term])
+                && request.last_term <= message.term
         }
         Some(Body::VoteReply(_) | Body::TimeoutNow(_)) => true,
         Some(Body::AppendRequest(request)) => append_is_plausible(request, message.term),
         Some(Body::AppendReply(reply)) => {
-            fits(&[reply.match_index, reply.read_sequence, reply.previous_index])
+            all_in_range(&[reply.match_index, reply.read_sequence, reply.previous_index])
         }
         Some(Body::SnapshotChunk(chunk)) => chunk_is_plausible(chunk, message.term),
-        Some(Body::SnapshotReply(reply)) => fits(&[reply.last_index, reply.next_position]),
+        Some(Body::SnapshotReply(reply)) => all_in_range(&[reply.last_index, reply.next_position]),
         None => false,
     };
-    body_is_plausible && fits(&[message.term])
+    body_is_plausible && all_in_range(&[message.term])
 }
 
-fn fits(numbers: &[u64]) -> bool {
-    numbers.iter().all(|number| *number <= MAX_NUMBER)
+fn all_in_range(numbers: &[u64]) -> bool {
+    numbers.iter().all(|number| *number <= MAX_ACCEPTED)
 }
 
 fn append_is_plausible(request: &AppendRequest, term: u64) -> bool {
@@ -45,7 +46,7 @@
         term: request.previous_term,
         index: request.previous_index,
     };
-    fits(&numbers)
+    all_in_range(&numbers)
         && request.entries.iter().all(|entry| {
             let follows = entry_follows(entry, previous, term);
             previous = LogPosition {
@@ -56,8 +57,11 @@
         })
 }
 
-/// Whether an entry may follow another one: indices have no gap and terms do not fall. An entry without a payload is of a kind that only a
-/// newer version knows: storing it would lose it.
+/// Whether an entry may follow the one at `previous` in a message of `term`: indices are
+/// contiguous, and terms neither decrease nor exceed `term`.
+///
+/// An entry without a payload has a payload kind that only a newer version can decode; storing the
+/// entry would lose that payload.
 fn entry_follows(entry: &LogEntry, previous: LogPosition, term: u64) -> bool {
     let is_next = entry.index == previous.index.saturating_add(1);
     let is_ordered = entry.term >= previous.term && entry.term <= term;
@@ -70,5 +74,5 @@
         .as_ref()
         .is_some_and(|voters| !voters.voters.is_empty());
     let covers_entry = chunk.last_index > 0 && chunk.last_term > 0 && chunk.last_term <= term;
-    fits(&[chunk.last_index, chunk.position]) && covers_entry && has_voters
+    all_in_range(&[chunk.last_index, chunk.position]) && covers_entry && has_voters
 }
--- a/crates/replication/src/options.rs
+++ b/crates/replication/src/options.rs
@@ -1,4 +1,4 @@
-//! Options of a replica.
+//! Timing, limits and identity of a replica.
 
 use millford_api::replication::VoterSet;
 use millford_core::time::Duration;
@@ -7,35 +7,35 @@
 /// How often the owner calls [`crate::Replica::tick`].
 pub const TICK: Duration = Duration::from_millis(20);
 
-/// Longest time between two messages of a leader to a replica (heartbeat interval).
+/// Default heartbeat interval.
 pub(crate) const HEARTBEAT: Duration = Duration::from_millis(100);
 
-/// Shortest time without a leader before an election begins.
+/// Default lower bound of the random election timeout.
 pub(crate) const ELECTION_TIMEOUT_MIN: Duration = Duration::from_millis(500);
 
-/// Longest time without a leader before an election begins.
+/// Default upper bound of the random election timeout.
 pub(crate) const ELECTION_TIMEOUT_MAX: Duration = Duration::from_secs(1);
 
-/// A leader without contact with a quorum for this long steps down.
+/// Default time without contact with a quorum after which a leader steps down.
 pub const QUORUM_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A change of the voters counts on contacts that are no older than this many heartbeats: a change
-/// that counts on a voter whose disk was just lost may never be committed, nor rolled back.
+/// Highest age, in heartbeat intervals, of a contact that a configuration change relies on. A
+/// change that relies on a voter whose disk was just lost may never be committed, nor rolled back.
 pub(crate) const CONTACT_MAX_AGE_HEARTBEATS: u32 = 2;
 
-/// After its disk was full, a replica does not campaign for this long.
+/// Time for which a replica does not campaign after its disk was full.
 pub(crate) const FULL_DISK_CAMPAIGN_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Times of a replica group; the same on all replicas of a group.
+/// Intervals and timeouts, which must be equal on all replicas of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// Longest time between two messages of a leader to a replica (heartbeat interval).
+    /// Longest time between two messages of a leader to a peer.
     pub heartbeat: Duration,
-    /// Shortest time without a leader before an election begins.
+    /// Shortest time without contact with a leader before an election begins, without backoff.
     pub election_timeout_min: Duration,
-    /// Longest time without a leader before an election begins.
+    /// Longest time without contact with a leader before an election begins, without backoff.
     pub election_timeout_max: Duration,
-    /// A leader without contact with a quorum for this long steps down.
+    /// Time without contact with a quorum after which a leader steps down, without backoff.
     pub quorum_timeout: Duration,
 }
 
@@ -50,16 +50,17 @@
     }
 }
 
-/// Limits on messages and on what is in flight.
+/// Limits on message sizes, messages in flight and promotions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of entries in one message.
+    /// Most bytes of entries in one message; a single larger entry is still sent.
     pub append_bytes: usize,
-    /// Messages with entries in flight to a replica.
+    /// Most messages with entries in flight to one peer.
     pub appends_in_flight: usize,
-    /// Bytes of a snapshot in one message.
+    /// Most bytes of snapshot data in one message.
     pub snapshot_chunk_bytes: usize,
-    /// Entries that a learner may lack when it is promoted; one message brings them.
+    /// Most committed entries that a learner may lack when it is promoted; few enough to be sent in
+    /// one message.
     pub promotion_lag: u64,
 }
 
@@ -74,26 +75,27 @@
     }
 }
 
-/// Everything that a replica is opened with, besides its storage.
+/// Options with which a replica is opened.
 #[derive(Clone, Debug)]
 pub struct ReplicaOptions {
-    /// Identity of this node, minted on the disk that the storage lies on.
+    /// Identity of this node, generated for the disk that holds the storage and never used with
+    /// another one.
     pub node: NodeId,
     /// The shard that the group replicates.
     pub shard: ShardId,
-    /// Seed of the election timeouts.
+    /// Seed of the random election timeouts.
     pub seed: u64,
-    /// Times of the group.
+    /// Intervals and timeouts of the group.
     pub timing: Timing,
-    /// Limits on messages.
+    /// Limits on message sizes, messages in flight and promotions.
     pub limits: Limits,
-    /// First configuration of a new group, the same on every one of its replicas. Used only when
-    /// the storage is empty; `None` for a replica that waits to be added by a leader.
+    /// First configuration of a new group, identical on each of its initial replicas. Used only
+    /// when the storage is empty; `None` for a replica that a leader will add.
     pub initial_voters: Option<VoterSet>,
 }
 
 impl ReplicaOptions {
-    /// Default timing and limits, no first configuration.
+    /// Creates options with the default timing and limits and without a first configuration.
     #[must_use]
     pub fn new(node: NodeId, shard: ShardId, seed: u64) -> Self {
         Self {
@@ -106,7 +108,7 @@
         }
     }
 
-    /// With the first configuration of a new group.
+    /// Sets the first configuration of a new group.
     #[must_use]
     pub fn with_initial_voters(mut self, voters: VoterSet) -> Self {
         self.initial_voters = Some(voters);
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -1,52 +1,52 @@
-//! What a leader knows of one other replica.
+//! Replication progress of one peer, as the leader tracks it.
 
 use std::collections::VecDeque;
 
 use millford_core::MonotonicTime;
 use millford_storage::Snapshot;
 
-/// How entries are sent to a replica.
+/// How entries are sent to a peer.
 #[derive(Debug)]
 pub(crate) enum ProgressState {
-    /// The matching index is unknown: one message at a time.
+    /// The match index is unknown: one message at a time.
     Probe {
-        /// Whether the reply to a message is outstanding.
+        /// Whether a message was sent and not answered yet.
         awaiting_reply: bool,
     },
-    /// The matching index is known: several messages in flight.
+    /// The match index is known: several messages in flight.
     Replicate,
-    /// The log no longer holds what the replica needs.
+    /// The peer needs entries that the log no longer holds, and receives a snapshot.
     Snapshot(SnapshotTransfer),
 }
 
-/// A snapshot that is being sent to a replica, one chunk at a time.
+/// A snapshot that is being sent to a peer, one chunk at a time.
 pub(crate) struct SnapshotTransfer {
     pub(crate) snapshot: Snapshot,
     /// Offset of the chunk to send or in flight, in bytes.
     pub(crate) offset: u64,
-    /// When the chunk was sent last; `None` when it is to be sent at once.
+    /// When the chunk was last sent; `None` if it has not been sent yet.
     pub(crate) sent_at: Option<MonotonicTime>,
 }
 
-/// Progress of one replica.
+/// Replication progress of one peer in the leader's term.
 pub(crate) struct Progress {
     pub(crate) state: ProgressState,
-    /// Last index known to be durable there.
+    /// Highest index up to which the peer's durable log is known to match; 0 while unknown.
     match_index: u64,
-    /// Next index to send.
+    /// Index of the next entry to send.
     next_index: u64,
     /// Last index of each message with entries that is in flight.
     in_flight: VecDeque<u64>,
-    /// Highest commit index sent.
+    /// Commit index of the last message sent.
     sent_commit_index: u64,
-    /// Highest read sequence answered.
+    /// Highest read sequence that the peer has answered.
     read_sequence: u64,
-    /// When the last message of the present term came.
+    /// When the last message of the current term was received from the peer.
     last_contact: MonotonicTime,
 }
 
 impl Progress {
-    /// Progress of a replica of which nothing is known yet.
+    /// Returns the progress of a peer whose match index is unknown, to be probed at `next_index`.
     pub(crate) fn new(next_index: u64, now: MonotonicTime) -> Self {
         Self {
             state: ProgressState::Probe {
@@ -61,17 +61,17 @@
         }
     }
 
-    /// Last index known to be durable there.
+    /// Highest index up to which the peer's durable log is known to match; 0 while unknown.
     pub(crate) fn match_index(&self) -> u64 {
         self.match_index
     }
 
-    /// Next index to send.
+    /// Index of the next entry to send.
     pub(crate) fn next_index(&self) -> u64 {
         self.next_index
     }
 
-    /// Messages with entries in flight.
+    /// Number of messages with entries in flight.
     pub(crate) fn in_flight(&self) -> usize {
         self.in_flight.len()
     }
@@ -81,48 +81,50 @@
         &self.in_flight
     }
 
-    /// Highest commit index sent.
+    /// Commit index of the last message sent.
     pub(crate) fn sent_commit_index(&self) -> u64 {
         self.sent_commit_index
     }
 
-    /// Highest read sequence answered.
+    /// Highest read sequence that the peer has answered.
     pub(crate) fn read_sequence(&self) -> u64 {
         self.read_sequence
     }
 
-    /// When the last message of the present term came; the start of the term before the first one.
+    /// When the last message of the current term was received from the peer. Before the first one,
+    /// when the leader began to track the peer.
     pub(crate) fn last_contact(&self) -> MonotonicTime {
         self.last_contact
     }
 
-    /// Whether the replica receives a snapshot.
+    /// Whether a snapshot is being sent to the peer.
     pub(crate) fn receives_snapshot(&self) -> bool {
         matches!(self.state, ProgressState::Snapshot(_))
     }
 
-    /// A message of the present term came.
+    /// Records the receipt of a message of the current term.
     pub(crate) fn record_contact(&mut self, now: MonotonicTime) {
         self.last_contact = now;
     }
 
-    /// The replica answered a message that carried `sequence`.
+    /// Records a reply to a message that carried the read sequence `sequence`.
     pub(crate) fn record_read_sequence(&mut self, sequence: u64) {
         self.read_sequence = self.read_sequence.max(sequence);
     }
 
-    /// A message with this commit index leaves.
+    /// Records the commit index of a message that is being sent.
     pub(crate) fn record_sent_commit(&mut self, commit_index: u64) {
         self.sent_commit_index = commit_index;
     }
 
-    /// A message with entries up to `last_index` leaves.
+    /// Records a message with entries up to `last_index` as in flight.
     pub(crate) fn record_sent_entries(&mut self, last_index: u64) {
         self.in_flight.push_back(last_index);
         self.next_index = last_index + 1;
     }
 
-    /// The replica holds everything up to `index` durably.
+    /// Records that the peer's durable log matches up to `index`, which acknowledges the messages
+    /// in flight up to there.
     pub(crate) fn record_match(&mut self, index: u64) {
         self.match_index = self.match_index.max(index);
         self.next_index = self.next_index.max(self.match_index + 1);
@@ -134,7 +136,7 @@
         {}
     }
 
-    /// Goes back to probing at `next_index`.
+    /// Switches to probing, at `next_index` or behind the match index.
     pub(crate) fn become_probe(&mut self, next_index: u64) {
         self.state = ProgressState::Probe {
             awaiting_reply: false,
@@ -143,14 +145,14 @@
         self.in_flight.clear();
     }
 
-    /// Begins to send without waiting for each reply.
+    /// Switches to sending entries without waiting for each reply.
     pub(crate) fn become_replicate(&mut self) {
         self.state = ProgressState::Replicate;
         self.next_index = self.match_index + 1;
         self.in_flight.clear();
     }
 
-    /// Begins to send a snapshot.
+    /// Switches to sending a snapshot, from its first byte.
     pub(crate) fn become_snapshot(&mut self, snapshot: Snapshot) {
         self.in_flight.clear();
         self.state = ProgressState::Snapshot(SnapshotTransfer {
--- a/crates/replication/src/read_queue.rs
+++ b/crates/replication/src/read_queue.rs
@@ -1,4 +1,4 @@
-//! Confirmed reads of a leader, from the request to the quorum's confirmation.
+//! A leader's confirmed reads, from the request until a quorum has confirmed the leadership.
 
 use std::collections::VecDeque;
 
@@ -7,18 +7,18 @@
 /// Reads that one broadcast confirms together.
 #[derive(Debug)]
 struct ReadBatch {
-    /// Number that the broadcast carries and the replies echo.
+    /// Read sequence that the broadcast carries and the replies echo.
     sequence: u64,
     /// Commit index when the broadcast began.
     index: u64,
-    /// Requests of the owner.
+    /// Numbers that the owner chose for the reads.
     requests: Vec<u64>,
 }
 
-/// Reads that wait for a broadcast, and batches that wait for a quorum's replies.
+/// Reads waiting for a broadcast, and batches waiting for replies of a quorum.
 #[derive(Debug, Default)]
 pub(crate) struct ReadQueue {
-    /// Requests that no broadcast covers yet.
+    /// Requests that are not part of a batch yet.
     queued: Vec<u64>,
     /// Batches whose broadcast has begun, oldest first.
     batches: VecDeque<ReadBatch>,
@@ -37,7 +37,8 @@
         self.queued.push(request);
     }
 
-    /// Begins a batch of the queued requests, to be read at `index`. False if there are none.
+    /// Begins a batch of the queued requests, to be read at `index`. Returns false if there are
+    /// none.
     pub(crate) fn begin_batch(&mut self, index: u64) -> bool {
         if self.queued.is_empty() {
             return false;
@@ -51,7 +52,7 @@
         true
     }
 
-    /// Takes the reads of all batches up to `sequence`, which a quorum has answered.
+    /// Removes and returns the reads of all batches up to `sequence`, which a quorum has answered.
     pub(crate) fn take_confirmed(&mut self, sequence: u64) -> Vec<ConfirmedRead> {
         let mut confirmed = Vec::new();
         while let Some(batch) = self
@@ -65,7 +66,7 @@
         confirmed
     }
 
-    /// Every request that was not confirmed: the queued ones first, then the batches, oldest first.
+    /// Returns all unconfirmed requests: the queued ones first, then the batches, oldest first.
     pub(crate) fn into_requests(self) -> impl Iterator<Item = u64> {
         let batches = self.batches.into_iter();
         let started = batches.flat_map(|batch| batch.requests);
--- a/crates/replication/src/reads.rs
+++ b/crates/replication/src/reads.rs
@@ -1,13 +1,13 @@
-//! Confirmed reads: proof that this replica still leads, at an index (`ReadIndex`, Raft thesis,
-//! section 6.4).
+//! Confirmed reads: linearizable reads without a log entry, by confirming the leadership at a
+//! commit index (`ReadIndex`, Raft thesis, section 6.4).
 
 use crate::progress::Progress;
 use crate::role::RoleState;
 use crate::{NotLeader, Replica};
 
 impl Replica {
-    /// Requests a confirmed read. `request` comes back in a flush, in [`crate::Ready::confirmed_reads`]
-    /// or [`crate::Ready::failed_reads`].
+    /// Requests a confirmed read. A later flush returns `request`, a number chosen by the owner, in
+    /// [`crate::Ready::confirmed_reads`] or [`crate::Ready::failed_reads`].
     ///
     /// # Errors
     /// [`NotLeader`] when this replica does not lead.
@@ -20,8 +20,8 @@
 
     /// Begins a broadcast for the reads that were requested since the last one.
     ///
-    /// Not before an entry of the own term is committed: until then the commit index may lag behind
-    /// what earlier leaders acknowledged.
+    /// Waits until an entry of the leader's own term is committed: before that, the commit index
+    /// may be lower than the index up to which earlier leaders have acknowledged entries.
     pub(crate) fn begin_read_batch(&mut self) {
         if !self.has_committed_own_term() {
             return;
@@ -36,8 +36,9 @@
 
     /// Confirms the reads whose broadcast a quorum has answered.
     ///
-    /// A replica that answered in this term after the broadcast began had not helped to elect a newer
-    /// leader before it began; so no newer leader can have committed anything by then.
+    /// A replica that answers in this term after the broadcast began had not voted for a newer
+    /// leader before it began. With such answers from a quorum, no newer leader can have been
+    /// elected, or have committed anything, before the broadcast began.
     pub(crate) fn confirm_reads(&mut self) {
         let own = self.options.node;
         let RoleState::Leader(state) = &mut self.role else {
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -1,4 +1,4 @@
-//! The replica: its state, how it is opened, and proposals.
+//! The replica: state, opening, proposals and queueing of messages.
 
 use millford_api::replication::{
     LogEntry, ReplicationMessage, log_entry::Payload, replication_message::Body,
@@ -17,44 +17,49 @@
 
 /// One replica of a shard's group.
 ///
-/// The owner calls [`Replica::step`] and [`Replica::tick`] as messages and time come in, and then
-/// [`Replica::flush`]; only what a flush returns may leave or be applied.
+/// The owner calls [`Replica::step`] for each message received and [`Replica::tick`] every
+/// [`crate::TICK`], and then [`Replica::flush`]. It sends and applies only what a flush returns.
 pub struct Replica {
     pub(crate) options: ReplicaOptions,
     pub(crate) storage: ReplicaStorage,
     /// The latest time that the owner passed in.
     pub(crate) now: MonotonicTime,
-    /// Term and vote as they will be stored by the next flush.
+    /// Current term; the next flush stores it with the vote.
     pub(crate) term: u64,
+    /// Vote in the current term; [`NodeId::NONE`] for none. The next flush stores it.
     pub(crate) voted_for: NodeId,
     pub(crate) role: RoleState,
-    /// The leader of the present term; [`NodeId::NONE`] while it is unknown.
+    /// The leader of the current term; [`NodeId::NONE`] while it is unknown.
     pub(crate) leader: NodeId,
-    /// When the last message of a leader came.
+    /// When the last message of a leader was received; `None` before the first.
     pub(crate) leader_contact: Option<MonotonicTime>,
     pub(crate) election_timer: ElectionTimer,
     pub(crate) configurations: ConfigurationHistory,
     /// Last index known to be committed.
     pub(crate) commit_index: u64,
-    /// Last index that a flush has handed out as committed or restored.
+    /// Last index that was returned by a flush as committed or restored, or is covered by a
+    /// snapshot that the next flush returns.
     pub(crate) delivered_index: u64,
-    /// A voter reported that the committed configuration does not hold this replica any more.
+    /// Whether a voter reported that the committed configuration no longer contains this replica.
     pub(crate) removed: bool,
+    /// Snapshot that is being received from the leader.
     pub(crate) incoming_snapshot: Option<IncomingSnapshot>,
-    /// No campaign before this time, after the disk was full.
+    /// Time before which the replica does not campaign because its disk was full.
     pub(crate) disk_full_until: Option<MonotonicTime>,
-    /// An error of the storage that the replica does not survive.
+    /// Final error of the storage; the replica is unusable after it.
     pub(crate) failure: Option<StorageError>,
-    /// Results that the next flush hands out. `committed` is filled by the flush itself.
+    /// Results that the next flush returns. The flush itself fills in `committed`.
     pub(crate) pending: Ready,
 }
 
 impl Replica {
-    /// Opens a replica on its storage. Empty storage begins with the options' first configuration.
+    /// Opens a replica on its storage. If the storage is empty and the options have a first
+    /// configuration, that configuration is stored as the first entry.
     ///
     /// # Errors
-    /// [`OpenError::NodeIdMissing`] and [`OpenError::ForeignStorage`] when the identity does not fit;
-    /// [`OpenError::Storage`] when the first entry cannot be stored.
+    /// [`OpenError::NodeIdMissing`] without an identity, [`OpenError::ForeignStorage`] when the
+    /// storage belongs to another one, and [`OpenError::Storage`] when the first entry cannot be
+    /// stored.
     pub fn open(
         options: ReplicaOptions,
         mut storage: ReplicaStorage,
@@ -106,8 +111,9 @@
         }
     }
 
-    /// Appends a command to the log, on the leader only. The entry is committed when it comes back
-    /// in [`crate::Ready::committed`] with this index and the present term.
+    /// Appends a command to the leader's log and returns the index of its entry. The command is
+    /// committed when [`crate::Ready::committed`] contains an entry of that index and of the term
+    /// in which it was proposed.
     ///
     /// # Errors
     /// [`NotLeader`] when this replica does not lead or is transferring the leadership.
@@ -116,7 +122,7 @@
         Ok(self.append_own(Payload::Command(command)))
     }
 
-    /// The leader accepts proposals unless it is transferring the leadership.
+    /// Fails unless this replica leads and is not transferring the leadership.
     fn check_accepts_proposals(&self) -> Result<(), NotLeader> {
         match &self.role {
             RoleState::Leader(state) => match state.transfer {
@@ -133,7 +139,7 @@
         NotLeader { hint: self.leader }
     }
 
-    /// Appends an entry of the own term in memory; the next flush syncs and sends it.
+    /// Appends an entry of the current term in memory; the next flush syncs and sends it.
     pub(crate) fn append_own(&mut self, payload: Payload) -> u64 {
         let entry = LogEntry {
             index: self.storage.last_index() + 1,
@@ -146,12 +152,13 @@
         index
     }
 
-    /// Queues a message of the present term.
+    /// Queues a message of the current term.
     pub(crate) fn send(&mut self, to: NodeId, body: Body) {
         self.send_with_term(to, self.term, body);
     }
 
-    /// Queues a message of another term: pre-votes speak of the term that would follow.
+    /// Queues a message of another term, as pre-votes carry the term of the election that would
+    /// follow.
     pub(crate) fn send_with_term(&mut self, to: NodeId, term: u64, body: Body) {
         self.pending.messages.push(ReplicationMessage {
             shard: self.options.shard.0,
@@ -162,7 +169,8 @@
         });
     }
 
-    /// Time only moves forward, also when the owner passes times that were read in another order.
+    /// Sets the current time, unless it is earlier than the last one: the owner may have read its
+    /// clock in another order than it makes the calls.
     pub(crate) fn advance_clock(&mut self, now: MonotonicTime) {
         self.now = self.now.max(now);
     }
@@ -181,7 +189,8 @@
     }
 }
 
-/// Votes belong to an identity. A disk that is copied or mounted under another one is refused.
+/// Rejects a disk that was copied from or mounted on another node, because the votes on it belong
+/// to the identity that wrote them.
 fn check_owner(options: &ReplicaOptions, storage: &ReplicaStorage) -> Result<(), OpenError> {
     let owner = storage.hard_state().map_or(0, |state| state.node);
     if owner != 0 && owner != options.node.0 {
@@ -192,7 +201,7 @@
     Ok(())
 }
 
-/// Configurations of the snapshot and of the log behind it.
+/// Reads the configurations of the snapshot and of the log entries that follow it.
 pub(crate) fn read_configurations(storage: &ReplicaStorage) -> ConfigurationHistory {
     let mut history = match storage.snapshot() {
         Some(snapshot) => {
--- a/crates/replication/src/replies.rs
+++ b/crates/replication/src/replies.rs
@@ -1,4 +1,4 @@
-//! Replies of the other replicas to a leader's entries.
+//! Append replies as a leader handles them.
 
 use millford_api::replication::AppendReply;
 use millford_core::NodeId;
@@ -16,7 +16,7 @@
         let Some(peer) = state.peers.get_mut(&from) else {
             return;
         };
-        // A rejection confirms the leadership as well: it is of the present term.
+        // A rejection of the current term confirms the leadership as well.
         peer.record_read_sequence(reply.read_sequence.min(last_sequence));
         if !reply.accepted {
             on_rejected(peer, &reply);
@@ -49,8 +49,8 @@
         return;
     }
     if reply.previous_index <= peer.match_index() {
-        // The replica denies what it acknowledged: its disk lost synced data. Probing again at once
-        // would only repeat the reply; the next heartbeat does.
+        // The peer rejects entries that it had acknowledged, so its disk lost synced data. An
+        // immediate probe would get the same reply again; the next heartbeat probes in any case.
         return;
     }
     let hint = reply.match_index.min(reply.previous_index - 1);
--- a/crates/replication/src/role.rs
+++ b/crates/replication/src/role.rs
@@ -3,22 +3,22 @@
 use crate::leader_state::LeaderState;
 use crate::vote_tally::VoteTally;
 
-/// Role of a replica, for its owner.
+/// Role of a replica, as reported to its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Not a voter: receives the log and never campaigns.
+    /// Is not a voter in the latest configuration: receives the log and never campaigns.
     Learner,
-    /// Follows a leader, or waits for one.
+    /// Voter that follows a leader, or has none and waits for its election timeout.
     Follower,
-    /// Requests pre-votes: finds out whether an election would succeed.
+    /// Requests pre-votes to find out whether an election would succeed, without raising the term.
     PreCandidate,
-    /// Requests votes.
+    /// Requests votes in a new term.
     Candidate,
-    /// Leads the group.
+    /// Accepts proposals and replicates its log to the other replicas.
     Leader,
 }
 
-/// Role with the state that only this role has.
+/// Role with the state specific to it. Learners are `Follower` here.
 #[derive(Debug)]
 pub(crate) enum RoleState {
     Follower,
--- a/crates/replication/src/snapshot_receiving.rs
+++ b/crates/replication/src/snapshot_receiving.rs
@@ -1,4 +1,4 @@
-//! Snapshots that come from the leader.
+//! Snapshot chunks as a follower handles them.
 
 use millford_api::replication::{SnapshotChunk, SnapshotReply, replication_message::Body};
 use millford_core::NodeId;
@@ -12,7 +12,7 @@
 impl Replica {
     pub(crate) fn on_snapshot_chunk(&mut self, from: NodeId, chunk: &SnapshotChunk) {
         if chunk.last_index <= self.commit_index {
-            // Everything that the snapshot covers is held already.
+            // This replica already has every entry that the snapshot covers.
             self.reply_installed(from, chunk.last_index, 0);
             return;
         }
@@ -28,7 +28,8 @@
         self.incoming_snapshot = Some(incoming);
     }
 
-    /// The transfer that a chunk belongs to, or a new one. Chunks of another one are dropped.
+    /// Takes the current transfer if the chunk belongs to it, else starts a new one and drops the
+    /// chunks received for the current one.
     fn take_incoming(&mut self, from: NodeId, chunk: &SnapshotChunk) -> IncomingSnapshot {
         let term = self.term;
         let known = self.incoming_snapshot.take();
@@ -43,15 +44,16 @@
         }
     }
 
-    /// Replaces the log's beginning, and the owner's state, by a complete snapshot. False if the
-    /// storage failed.
+    /// Replaces the log up to the snapshot's last entry, and the owner's state, by a complete
+    /// snapshot. Returns false if the storage failed.
     fn install_snapshot(&mut self, chunk: &SnapshotChunk, data: Vec<u8>) -> bool {
         let meta = SnapshotMeta {
             index: chunk.last_index,
             term: chunk.last_term,
             voters: chunk.voters.clone().unwrap_or_default(),
         };
-        // The hard state goes first: data without one would look like a forgotten vote.
+        // The hard state is stored first: recovery treats a snapshot without one as corruption,
+        // because a vote may have been lost.
         let stored = self
             .store_hard_state()
             .and_then(|()| self.storage.install_snapshot(meta, data.clone()));
@@ -79,7 +81,7 @@
         self.send(to, Body::SnapshotReply(reply));
     }
 
-    /// Requests the chunk that begins at an offset.
+    /// Requests the chunk that begins at byte `next_position`.
     fn request_chunk(&mut self, to: NodeId, last_index: u64, next_position: u64) {
         let reply = SnapshotReply {
             last_index,
--- a/crates/replication/src/snapshot_saving.rs
+++ b/crates/replication/src/snapshot_saving.rs
@@ -1,23 +1,24 @@
-//! Snapshots of the owner's state, which let the log be compacted.
+//! Saving snapshots of the owner's state, after which the log is compacted.
 
 use millford_storage::SnapshotMeta;
 
 use crate::{Replica, SnapshotError};
 
 impl Replica {
-    /// Stores a snapshot of the owner's state, which has applied everything up to `applied_index`,
-    /// and compacts the log behind it.
+    /// Stores a snapshot of the owner's state, which includes every entry up to `applied_index`,
+    /// and compacts the log up to it.
     ///
     /// # Errors
-    /// [`SnapshotError::NotDelivered`] and [`SnapshotError::Outdated`] when the index is not one to
-    /// save; [`SnapshotError::Storage`] when it could not be stored, after which the replica is dead
-    /// unless the disk was merely full.
+    /// [`SnapshotError::NotDelivered`] for an index that no flush has returned yet,
+    /// [`SnapshotError::Outdated`] for one that is not newer than the newest snapshot, and
+    /// [`SnapshotError::Storage`] when the snapshot could not be stored. A storage error other than
+    /// a full disk makes the replica unusable.
     pub fn save_snapshot(
         &mut self,
         applied_index: u64,
         data: Vec<u8>,
     ) -> Result<(), SnapshotError> {
-        self.check_alive()?;
+        self.check_not_failed()?;
         if applied_index > self.delivered_index {
             return Err(SnapshotError::NotDelivered);
         }
--- a/crates/replication/src/snapshot_sending.rs
+++ b/crates/replication/src/snapshot_sending.rs
@@ -1,5 +1,5 @@
-//! Snapshots that a leader sends to a replica whose entries are compacted away (Raft thesis,
-//! section 5.1).
+//! Snapshot transfers as a leader sends them, to a peer that needs entries which were compacted
+//! (Raft thesis, section 5.1).
 
 use millford_api::replication::{SnapshotChunk, SnapshotReply, replication_message::Body};
 use millford_core::{MonotonicTime, NodeId};
@@ -7,7 +7,7 @@
 use crate::Replica;
 use crate::progress::{Progress, ProgressState, SnapshotTransfer};
 
-/// A chunk that was not answered within this many heartbeats is sent again.
+/// Heartbeat intervals after which an unanswered chunk is sent again.
 const RESEND_HEARTBEATS: u32 = 3;
 
 impl Replica {
@@ -20,7 +20,8 @@
     /// Sends the next chunk unless one is in flight, and a heartbeat when one is due.
     pub(crate) fn send_chunk(&mut self, node: NodeId, peer: &mut Progress, broadcast_due: bool) {
         if broadcast_due {
-            // Index 0 matches always: the message keeps the leadership and confirms reads.
+            // The previous index 0 matches any log, so this message is a heartbeat that also
+            // confirms reads.
             self.send_append(node, peer, 0, Vec::new());
         }
         let now = self.now;
--- a/crates/replication/src/status.rs
+++ b/crates/replication/src/status.rs
@@ -1,28 +1,28 @@
-//! Status of a replica, for its owner.
+//! Status of a replica, as reported to its owner.
 
 use millford_core::{MonotonicTime, NodeId};
 
 use crate::Role;
 
-/// State of a replica at one moment.
+/// Copy of a replica's state at one point in time.
 #[expect(
     clippy::struct_excessive_bools,
     reason = "independent facts that the owner reads one by one"
 )]
 #[derive(Clone, Debug)]
 pub struct ReplicaStatus {
-    /// Role.
+    /// Role in the current term.
     pub role: Role,
-    /// Term.
+    /// Current term, which may be newer than the stored one until the next flush.
     pub term: u64,
-    /// The leader as far as known; [`NodeId::NONE`] otherwise.
+    /// The leader of the current term; [`NodeId::NONE`] if unknown.
     pub leader: NodeId,
-    /// Last contact with the leader; `None` before the first. On the leader: last contact with a
+    /// Last contact with a leader; `None` before the first. On the leader: last contact with a
     /// quorum.
     pub leader_contact: Option<MonotonicTime>,
-    /// Last committed index.
+    /// Last index that this replica has found to be committed.
     pub commit_index: u64,
-    /// Last index of the log.
+    /// Last index of the log, synced or not.
     pub last_index: u64,
     /// Index of the newest snapshot; 0 without one.
     pub snapshot_index: u64,
@@ -34,30 +34,32 @@
     pub learners: Vec<NodeId>,
     /// Whether the configuration in force is committed.
     pub configuration_committed: bool,
-    /// Whether the group's committed configuration does not hold this replica any more.
+    /// Whether the group's committed configuration no longer contains this replica.
     pub removed: bool,
-    /// Whether the disk was full lately: the replica stores nothing and falls behind.
+    /// Whether the disk was full recently, so that the replica does not campaign. While the disk is
+    /// full, the replica stores nothing and falls behind.
     pub storage_full: bool,
-    /// On a leader: whether its first entry is committed, so that it serves reads and membership
-    /// changes.
+    /// On a leader: whether an entry of its own term is committed, so that it serves reads and
+    /// configuration changes. False on other replicas.
     pub leads_confirmed: bool,
-    /// On a leader: the other replicas.
+    /// On a leader: the other replicas. Empty on other replicas.
     pub peers: Vec<PeerStatus>,
 }
 
-/// What a leader knows of another replica.
+/// State of another replica, as the leader tracks it.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerStatus {
-    /// The replica's node.
+    /// Node of the replica.
     pub node: NodeId,
-    /// Whether it votes.
+    /// Whether it is a voter; else it is a learner.
     pub is_voter: bool,
-    /// Last index known to be durable there.
+    /// Highest index up to which its durable log is known to match; 0 while unknown.
     pub match_index: u64,
-    /// Last contact in this term; the start of the term before the first.
+    /// Last contact in the current term. Before the first, when the leader began to track it.
     pub last_contact: MonotonicTime,
-    /// Whether it has caught up, so that a learner may be promoted.
+    /// Whether it was in contact recently and lacks few enough entries to be promoted if it is a
+    /// learner.
     pub caught_up: bool,
-    /// Whether it receives a snapshot.
+    /// Whether a snapshot is being sent to it.
     pub receives_snapshot: bool,
 }
--- a/crates/replication/src/step.rs
+++ b/crates/replication/src/step.rs
@@ -1,4 +1,4 @@
-//! Messages that come in, and how their terms are compared with the own one (Raft thesis,
+//! Handling of incoming messages and comparison of their terms with the current one (Raft thesis,
 //! section 3.3).
 
 use millford_api::replication::{ReplicationMessage, replication_message::Body};
@@ -8,9 +8,10 @@
 use crate::message_check::is_plausible;
 
 impl Replica {
-    /// Processes a message of another replica. Replies leave with the next flush.
+    /// Processes a message from another replica. The next flush returns the replies.
     ///
-    /// Messages may be lost, duplicated, late or out of order; implausible ones are ignored.
+    /// Messages may be lost, duplicated, delayed or reordered. A message that no correct replica
+    /// could have sent is ignored.
     pub fn step(&mut self, now: MonotonicTime, message: ReplicationMessage) {
         self.advance_clock(now);
         if self.failure.is_some() || !self.is_addressed_here(&message) || !is_plausible(&message) {
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Whether a message comes from another replica of the group and is meant for this one.
+    /// Whether a message comes from another node and is addressed to this replica and shard.
     fn is_addressed_here(&self, message: &ReplicationMessage) -> bool {
         message.shard == self.options.shard.0
             && message.to == self.options.node.0
@@ -59,22 +60,22 @@
         }
     }
 
-    /// Whether a leader's message is of the present term. A newer term is adopted; the sender of an
-    /// older one is sent the present term, so that it steps down.
+    /// Follows the sender of a leader's message, adopting a newer term. Returns false for a message
+    /// of an older term, whose sender is sent the current term so that it steps down.
     fn accept_leader(&mut self, from: NodeId, term: u64) -> bool {
         if term < self.term {
             self.reject_stale_leader(from);
             return false;
         }
         if term == self.term && self.is_leader() {
-            // Two leaders of one term cannot exist; the message is corrupt.
+            // A term has at most one leader, so the message is corrupt.
             return false;
         }
         self.follow(term, from);
         true
     }
 
-    /// Whether a reply is of the present term. A newer term is adopted.
+    /// Whether a reply is of the current term. A newer term is adopted, and the reply ignored.
     fn accept_reply(&mut self, from: NodeId, term: u64) -> bool {
         if term > self.term {
             self.adopt_term(term);
--- a/crates/replication/src/transfer.rs
+++ b/crates/replication/src/transfer.rs
@@ -1,4 +1,4 @@
-//! Transfer of the leadership to another voter (Raft thesis, section 3.10).
+//! Leadership transfer to another voter (Raft thesis, section 3.10).
 
 use millford_api::replication::{TimeoutNow, replication_message::Body};
 use millford_core::NodeId;
@@ -9,14 +9,15 @@
 use crate::{Replica, TransferError};
 
 impl Replica {
-    /// Transfers the leadership to a voter: once it holds the complete log, it is requested to campaign.
+    /// Begins to transfer the leadership to a voter, which is requested to campaign once its log
+    /// matches the complete log of this leader.
     ///
-    /// Proposals are rejected until then; they are accepted again if the transfer has not succeeded
+    /// Proposals are rejected during the transfer. They are accepted again if it has not succeeded
     /// within the shortest election timeout.
     ///
     /// # Errors
-    /// A [`TransferError`] when this replica does not lead, a transfer is in progress already, or the
-    /// target is no reachable voter.
+    /// A [`TransferError`] when this replica does not lead, a transfer is already in progress, or
+    /// the target is not a reachable voter.
     pub fn transfer_leadership(&mut self, target: NodeId) -> Result<(), TransferError> {
         let deadline = self.now + self.options.timing.election_timeout_min;
         let quorum_timeout = self.options.timing.quorum_timeout;
@@ -42,7 +43,7 @@
         Ok(())
     }
 
-    /// Requests the target of a transfer to campaign once it holds the complete log.
+    /// Requests the target of a transfer to campaign once its log matches the complete log.
     pub(crate) fn advance_transfer(&mut self) {
         let last_index = self.storage.last_index();
         let Some(state) = self.leader_state() else {
@@ -61,8 +62,8 @@
         self.send(transfer.target, Body::TimeoutNow(TimeoutNow {}));
     }
 
-    /// The leader requests this replica to campaign. A late or duplicated message costs an election and
-    /// no safety.
+    /// Starts an election at the request of the leader. A delayed or duplicated request may cause
+    /// an unnecessary election, but does not affect safety.
     pub(crate) fn on_timeout_now(&mut self, from: NodeId, term: u64) {
         let is_current = term == self.term && self.leader == from;
         let is_follower = matches!(self.role, RoleState::Follower);
--- a/crates/replication/src/vote_receiving.rs
+++ b/crates/replication/src/vote_receiving.rs
@@ -1,4 +1,4 @@
-//! Votes on the voter's side (Raft thesis, sections 3.4, 4.2.3 and 9.6).
+//! Vote requests as a voter handles them (Raft thesis, sections 3.4, 4.2.3 and 9.6).
 
 use millford_api::replication::{VoteReply, VoteRequest, replication_message::Body};
 use millford_core::NodeId;
@@ -9,16 +9,17 @@
 impl Replica {
     /// Answers a request for a vote or pre-vote.
     ///
-    /// The own configuration does not matter: a replica that was just promoted may not know it yet,
-    /// and the candidate counts only the voters of its own configuration.
+    /// A replica answers also when its own configuration does not list it as a voter: one that was
+    /// just promoted may not have received that entry yet, and the candidate counts only the voters
+    /// of the candidate's configuration.
     pub(crate) fn on_vote_request(&mut self, from: NodeId, term: u64, request: VoteRequest) {
         if term < self.term {
             self.reject_vote(from, &request);
             return;
         }
         if self.has_leader_contact(self.now) && !request.transfer {
-            // Neither the term nor the vote changes while there is contact with a leader: a candidate
-            // that the leader does not reach cannot depose it.
+            // Neither the term nor the vote changes while there is contact with a leader, so that a
+            // candidate that the leader's messages do not reach cannot depose the leader.
             self.notify_if_removed(from, &request);
             return;
         }
@@ -47,13 +48,14 @@
         if term > self.term {
             self.adopt_term(term);
         }
-        // One vote a term: election safety rests on it.
-        let is_free = !self.voted_for.is_some() || self.voted_for == from;
-        if !is_free || !self.is_up_to_date(request) {
+        // At most one vote per term: election safety rests on it.
+        let may_vote = !self.voted_for.is_some() || self.voted_for == from;
+        if !may_vote || !self.is_up_to_date(request) {
             self.reject_vote(from, request);
             return;
         }
-        // Durable before the reply leaves: the flush stores term and vote first.
+        // The flush stores term and vote before it returns the reply, so the vote is durable before
+        // the candidate can count it.
         self.voted_for = from;
         self.reset_election_timer();
         let reply = VoteReply {
@@ -64,8 +66,8 @@
         self.send(from, Body::VoteReply(reply));
     }
 
-    /// Whether the candidate's log holds every entry that this replica may have acknowledged. A
-    /// candidate that a quorum finds up to date holds every committed entry (leader completeness).
+    /// Whether the candidate's log is at least as up to date as the own one. A candidate for which
+    /// that holds on a quorum has every committed entry (leader completeness).
     fn is_up_to_date(&self, request: &VoteRequest) -> bool {
         last_position_of(request) >= self.last_position()
     }
@@ -79,15 +81,16 @@
         self.send(from, Body::VoteReply(reply));
     }
 
+    /// Rejects the request if that tells the sender that it was removed; else sends nothing.
     fn notify_if_removed(&mut self, from: NodeId, request: &VoteRequest) {
         if self.is_known_removed(from, request) {
             self.reject_vote(from, request);
         }
     }
 
-    /// Whether the sender is not in the committed configuration and cannot know it: the
-    /// configuration's entry is newer than the sender's whole log. A replica that was added later
-    /// has a newer log or will be contacted by the leader that added it.
+    /// Whether the committed configuration lacks the sender and is newer than the sender's whole
+    /// log, so that the sender cannot have received it. A sender that was added after that
+    /// configuration has a newer log or is contacted by the leader that added it.
     fn is_known_removed(&self, sender: NodeId, request: &VoteRequest) -> bool {
         let committed = self.configurations.as_of(self.commit_index);
         if committed.index == 0 || committed.configuration.contains(sender) {
--- a/crates/replication/src/vote_tally.rs
+++ b/crates/replication/src/vote_tally.rs
@@ -13,14 +13,14 @@
 }
 
 impl VoteTally {
-    /// A tally that holds the candidate's own vote.
+    /// Creates a tally with the candidate's own vote.
     pub(crate) fn new(candidate: NodeId) -> Self {
         Self {
             granted: BTreeSet::from([candidate]),
         }
     }
 
-    /// Counts a vote; the same node counts once.
+    /// Counts a granted vote. Repeated votes of a node count once.
     pub(crate) fn record_grant(&mut self, voter: NodeId) {
         self.granted.insert(voter);
     }
--- a/crates/replication/src/voter_change.rs
+++ b/crates/replication/src/voter_change.rs
@@ -2,13 +2,13 @@
 
 use millford_core::NodeId;
 
-/// A change that concerns one node.
+/// A configuration change that affects one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoterChange {
-    /// The node receives the log and does not vote.
+    /// Adds a node as a learner, which receives the log and does not vote.
     AddLearner(NodeId),
-    /// A learner that has caught up becomes a voter.
+    /// Makes a learner that has caught up a voter.
     Promote(NodeId),
-    /// A voter or learner is removed from the group.
+    /// Removes a voter or learner from the group.
     Remove(NodeId),
 }
--- a/crates/replication/tests/disks.rs
+++ b/crates/replication/tests/disks.rs
@@ -1,4 +1,4 @@
-//! Full, failing, foreign and damaged disks under a replica.
+//! Replicas on disks that are full, fail, or belong to another identity.
 
 mod group;
 
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_leader_whose_disk_is_full_steps_down_and_returns_as_follower() {
+fn a_leader_with_a_full_disk_steps_down_and_catches_up_once_there_is_space() {
     let (mut simulation, leader) = group_with_leader(1, 3);
     set_space(&simulation, leader, Some(10));
     propose(&mut simulation, leader);
@@ -35,38 +35,38 @@
         propose(&mut simulation, next);
         simulation.run_for(SECOND);
     }
-    let goal = simulation.machines[&next].applied_index;
-    assert!(simulation.machines[&leader].applied_index < goal);
+    let applied = simulation.machines[&next].applied_index;
+    assert!(simulation.machines[&leader].applied_index < applied);
     set_space(&simulation, leader, None);
     simulation.run_for(SECOND * 2);
-    assert_eq!(simulation.machines[&leader].applied_index, goal);
+    assert_eq!(simulation.machines[&leader].applied_index, applied);
     assert_eq!(simulation.history.violations, Vec::<String>::new());
 }
 
 #[test]
-fn a_snapshot_that_finds_no_space_does_not_stop_the_replica() {
+fn a_snapshot_that_does_not_fit_on_the_disk_leaves_the_replica_usable() {
     let (mut simulation, leader) = group_with_leader(2, 3);
     set_space(&simulation, leader, Some(0));
     let applied = simulation.machines[&leader].applied_index;
     let replica = simulation.running_replica(leader);
-    let refused = replica.save_snapshot(applied, vec![1; 100]);
+    let rejected = replica.save_snapshot(applied, vec![1; 100]);
     assert!(matches!(
-        refused,
+        rejected,
         Err(SnapshotError::Storage(StorageError::Full { .. }))
     ));
-    let ahead = replica.save_snapshot(applied + 1, Vec::new());
-    assert_eq!(ahead, Err(SnapshotError::NotDelivered));
+    let not_delivered = replica.save_snapshot(applied + 1, Vec::new());
+    assert_eq!(not_delivered, Err(SnapshotError::NotDelivered));
     set_space(&simulation, leader, None);
     let replica = simulation.running_replica(leader);
     replica
         .save_snapshot(applied, vec![1; 100])
         .expect("space again");
-    let again = replica.save_snapshot(applied, vec![1; 100]);
-    assert_eq!(again, Err(SnapshotError::Outdated));
+    let repeated = replica.save_snapshot(applied, vec![1; 100]);
+    assert_eq!(repeated, Err(SnapshotError::Outdated));
 }
 
 #[test]
-fn a_replica_whose_sync_failed_is_dead_and_sends_nothing_more() {
+fn a_replica_whose_sync_failed_is_unusable_and_sends_no_messages() {
     let (mut simulation, leader) = group_with_leader(3, 3);
     let disk = simulation.machines[&leader].disk.clone();
     disk.set_faults(Faults {
--- a/crates/replication/tests/earlier_terms.rs
+++ b/crates/replication/tests/earlier_terms.rs
@@ -1,5 +1,5 @@
-//! An entry of an earlier term is not committed because a quorum holds it: a leader of a later term
-//! than the entry's may still replace it.
+//! An entry of an earlier term is not committed merely because a quorum holds it: a later leader
+//! may still replace it (Raft thesis, section 3.6.2).
 
 mod group;
 
@@ -10,16 +10,18 @@
 const B: usize = 1;
 const C: usize = 2;
 
-/// A leads and its entry stays alone; B leads with C's vote and its entry of the same index stays
-/// alone; A leads again and brings its old entry, and no more, to C.
-fn old_entry_on_a_quorum() -> World {
+/// Returns a group in which A leads again and has an entry of an earlier term to send to C.
+///
+/// A leads first, and its entry reaches no other replica. B then leads with C's vote, and its entry
+/// at the same index reaches no other replica either. Last, A is elected again with C's vote.
+fn leader_with_entry_of_an_earlier_term() -> World {
     let mut world = World::new(Defect::None);
     for machine in &mut world.machines {
-        // One entry in a message, so that the old one goes alone.
+        // One entry per message, so that the old entry is sent without newer ones.
         machine.limits.append_bytes = 1;
     }
     for position in [A, B, C] {
-        world.act(Action::Crash(position));
+        world.apply(Action::Crash(position));
     }
     world.elect(A, C);
     world.elect(B, C);
@@ -30,18 +32,19 @@
 
 #[test]
 fn an_entry_of_an_earlier_term_is_not_committed_by_counting_replicas() {
-    let mut world = old_entry_on_a_quorum();
+    let mut world = leader_with_entry_of_an_earlier_term();
     let old = entry_term(&world, A, 2);
-    // The probe, its refusal, and the old entry until C holds it.
+    // Delivers the probe, its rejection and the old entry, until C holds that entry.
     while entry_term(&world, C, 2).is_none() {
         deliver_between(&mut world, A, C);
     }
     deliver_between(&mut world, C, A);
     assert_eq!(entry_term(&world, C, 2), old);
     assert!(entry_term(&world, C, 3).is_none());
-    // B's entry is of a later term, so that C may vote for B, which replaces the old one.
+    // B's entry has a later term than the old one, so C may vote for B, which then replaces the old
+    // entry.
     world.elect(B, C);
-    world.act(Action::Propose(B));
+    world.apply(Action::Propose(B));
     world.exchange(B, C);
     assert!(world.history.committed_index() > 2);
     assert_ne!(entry_term(&world, C, 2), old);
@@ -60,5 +63,5 @@
         .in_transit
         .iter()
         .position(|message| pair.contains(&message.from) && pair.contains(&message.to));
-    world.act(Action::Deliver(index.expect("a message is in transit")));
+    world.apply(Action::Deliver(index.expect("a message is in transit")));
 }
--- a/crates/replication/tests/first_elections.rs
+++ b/crates/replication/tests/first_elections.rs
@@ -1,4 +1,5 @@
-//! After a loss of power a group elects a leader quickly; a replica that restarts alone disrupts nobody.
+//! First elections after a restart: a group that lost power elects a leader quickly, and a replica
+//! that restarts alone does not depose the leader.
 
 mod group;
 
@@ -6,8 +7,9 @@
 use group::simulation::Simulation;
 use millford_core::{Duration, NodeId};
 
-/// Longest time from the start of all replicas to a leader. The default timeouts alone begin at 500 ms.
-const QUICKLY: Duration = Duration::from_millis(450);
+/// Longest time from the start of all replicas until one leads. It is shorter than the shortest
+/// default election timeout of 500 ms, so it holds only with the shortened initial timeout.
+const MAX_TIME_TO_LEADER: Duration = Duration::from_millis(450);
 
 fn time_to_leader(simulation: &mut Simulation) -> Duration {
     let start = simulation.now;
@@ -19,8 +21,8 @@
 fn a_group_that_starts_together_elects_a_leader_quickly() {
     for seed in 0..50 {
         let mut simulation = new_group(seed, 3);
-        let taken = time_to_leader(&mut simulation);
-        assert!(taken <= QUICKLY, "seed {seed}: {taken:?}");
+        let elapsed = time_to_leader(&mut simulation);
+        assert!(elapsed <= MAX_TIME_TO_LEADER, "seed {seed}: {elapsed:?}");
     }
 }
 
@@ -36,8 +38,8 @@
         for node in &nodes {
             simulation.start(*node);
         }
-        let taken = time_to_leader(&mut simulation);
-        assert!(taken <= QUICKLY, "seed {seed}: {taken:?}");
+        let elapsed = time_to_leader(&mut simulation);
+        assert!(elapsed <= MAX_TIME_TO_LEADER, "seed {seed}: {elapsed:?}");
         simulation.check_logs();
     }
 }
--- a/crates/replication/tests/group/chaos.rs
+++ b/crates/replication/tests/group/chaos.rs
@@ -1,4 +1,4 @@
-//! Random work and random faults.
+//! Random load and random faults.
 
 use std::collections::BTreeSet;
 
@@ -12,22 +12,22 @@
 use super::simulation::{Defect, Simulation};
 use super::support::crash_disk::Faults;
 
-/// Longest time until the group is complete again after all faults have ended.
+/// Longest time from the end of all faults until the group is complete again.
 const RECOVERY_DEADLINE: Duration = Duration::from_secs(12);
-/// Longest time that a lost machine's messages are in transit.
-const IN_TRANSIT: Duration = Duration::from_millis(500);
+/// Longest time for which messages of a lost machine may still be in transit.
+const MAX_TRANSIT_TIME: Duration = Duration::from_millis(500);
 /// Time between two proposals while the group recovers.
-const GOAL_INTERVAL: Duration = Duration::from_secs(1);
-/// Steps of the simulation between two steps of repair.
+const RECOVERY_PROPOSAL_INTERVAL: Duration = Duration::from_secs(1);
+/// Simulation steps between two repair steps.
 const REPAIR_INTERVAL_STEPS: u32 = 40;
 
 impl Simulation {
-    /// Random work and faults for a number of steps, checks throughout. `fault_rate` is the
-    /// probability of a fault in a step.
+    /// Runs random load and faults for a number of steps, with checks throughout. `fault_rate` is
+    /// the probability of a fault per step.
     pub(crate) fn run_chaos(&mut self, steps: u32, desired_voters: usize, fault_rate: f64) {
         for step in 0..steps {
             self.step();
-            self.work();
+            self.inject_load();
             if step % REPAIR_INTERVAL_STEPS == 0 {
                 self.check_logs();
                 self.repair(desired_voters);
@@ -38,7 +38,7 @@
         }
     }
 
-    fn work(&mut self) {
+    fn inject_load(&mut self) {
         for leader in self.leaders() {
             let body = self.random.random::<u64>().to_le_bytes().to_vec();
             let proposes = self.random.random_bool(0.3);
@@ -56,24 +56,24 @@
             }
         }
         if self.random.random_bool(0.002) {
-            self.transfer();
+            self.transfer_to_any_node();
         }
         if self.random.random_bool(0.001) {
             self.remove_any_member();
         }
     }
 
-    fn transfer(&mut self) {
+    fn transfer_to_any_node(&mut self) {
         let target = self.any_node();
         for leader in self.leaders() {
             if let Some(replica) = self.replica(leader) {
-                // Refused unless the target is another voter that is reachable.
+                // Rejected unless the target is another reachable voter.
                 let _ = replica.transfer_leadership(target);
             }
         }
     }
 
-    /// Removes some member; repair brings it back later, with its old disk and identity.
+    /// Removes a random member, which repair may add again later with its old disk and identity.
     fn remove_any_member(&mut self) {
         let target = self.any_node();
         for leader in self.leaders() {
@@ -83,9 +83,10 @@
             let Some(replica) = self.replica(leader) else {
                 continue;
             };
-            // Not while a disk is lost: two of three would be left, one of them lost for good.
+            // Not while a voter's disk is lost: two of three voters would remain, one of them lost
+            // for good, so the group would have no quorum.
             if is_complete && voters.len() > 2 {
-                // Refused when another change is in progress.
+                // Rejected while another change is in progress.
                 let _ = replica.change_voters(VoterChange::Remove(target));
             }
         }
@@ -105,9 +106,9 @@
             4 => self.inject_disk_failure(node),
             5 => self.partition(node),
             6 | 13 => self.network.heal(),
-            7 => self.freeze(node),
+            7 => self.stall(node),
             8 => self.inject_full_disk(node),
-            9 => self.free_disks(),
+            9 => self.clear_disk_faults(),
             _ => self.replace(node),
         }
     }
@@ -117,13 +118,14 @@
         if let Some(machine) = self.machines.get_mut(&node) {
             machine.lose_power(seed);
         }
-        if self.defect == Defect::ForgottenVotes {
-            // At once, while the election is still open.
+        if self.defect == Defect::LostVotes {
+            // Restarts at once, so that the replica can vote again in an election still in
+            // progress.
             self.start(node);
         }
     }
 
-    /// The process dies; the machine, and what the disk has not synced yet, stays.
+    /// Ends the process. The machine keeps running, so unsynced data is not lost.
     fn kill(&mut self, node: NodeId) {
         let faults = self.planted_faults();
         if let Some(machine) = self.machines.get_mut(&node) {
@@ -132,7 +134,7 @@
         }
     }
 
-    /// The disk fails within the next operations, in the middle of a flush perhaps.
+    /// Makes the disk fail within the next few operations, possibly in the middle of a flush.
     fn inject_disk_failure(&mut self, node: NodeId) {
         let left = self.random.random_range(0..6);
         let faults = Faults {
@@ -155,7 +157,7 @@
         }
     }
 
-    fn free_disks(&mut self) {
+    fn clear_disk_faults(&mut self) {
         let faults = self.planted_faults();
         for machine in self.machines.values_mut() {
             machine.disk.set_faults(faults);
@@ -176,14 +178,14 @@
         }
     }
 
-    fn freeze(&mut self, node: NodeId) {
+    fn stall(&mut self, node: NodeId) {
         let until = self.now + Duration::from_millis(self.random.random_range(10..4000));
         if let Some(machine) = self.machines.get_mut(&node) {
-            machine.frozen_until = until;
+            machine.stalled_until = until;
         }
     }
 
-    /// Loses a machine for good and adds an empty one, if the group tolerates the loss.
+    /// Removes a machine for good and adds an empty one, if the group tolerates the loss.
     fn replace(&mut self, node: NodeId) {
         if !self.can_lose(node) {
             return;
@@ -201,7 +203,7 @@
         self.add_machine(None);
     }
 
-    /// The planted defect: an identity starts again on an empty disk.
+    /// Restarts a machine on an empty disk under its old identity, for [`Defect::ReusedIdentity`].
     fn wipe_and_restart(&mut self, node: NodeId) {
         if let Some(machine) = self.machines.get_mut(&node) {
             machine.replica = None;
@@ -210,12 +212,12 @@
         self.start(node);
     }
 
-    /// Whether every configuration that some machine holds keeps a quorum of disks without `node`.
+    /// Whether every configuration held by any machine still has a quorum of disks without `node`.
     ///
-    /// Those of machines that were lost just now count as well: the last messages of a leader may
-    /// still be in transit and bring its configuration to others.
+    /// Configurations of recently lost machines count as well: the last messages of a lost leader
+    /// may still be in transit and carry its configuration to others.
     fn can_lose(&self, node: NodeId) -> bool {
-        let is_recent = |at: MonotonicTime| self.now.since(at) < IN_TRANSIT;
+        let is_recent = |at: MonotonicTime| self.now.since(at) < MAX_TRANSIT_TIME;
         let lost = self.lost_voter_sets.iter().filter(|(at, _)| is_recent(*at));
         let machines = self.machines.values();
         let held = machines.flat_map(Machine::voter_sets);
@@ -230,42 +232,43 @@
         })
     }
 
-    /// Ends all faults; then the group must take a proposal and bring it to every voter. The times
-    /// are recorded.
+    /// Ends all faults and checks that the group then commits a proposal and applies it on every
+    /// voter within [`RECOVERY_DEADLINE`]. Records the times taken.
     pub(crate) fn recover(&mut self, desired_voters: usize) {
         self.network.heal();
         self.network.conditions = NetworkConditions::CALM;
-        self.free_disks();
+        self.clear_disk_faults();
         let now = self.now;
         for machine in self.machines.values_mut() {
-            machine.frozen_until = now;
+            machine.stalled_until = now;
         }
         let start = self.now;
         let end = start + RECOVERY_DEADLINE;
-        let mut goal = None;
-        let mut next_goal = self.now;
+        let mut target_index = None;
+        let mut next_proposal = self.now;
         while self.now < end {
             self.start_stopped();
             self.step();
             self.repair(desired_voters);
-            let is_due = goal.is_none_or(|_| self.now >= next_goal);
+            let is_due = target_index.is_none_or(|_| self.now >= next_proposal);
             if self.history.time_to_leader.is_none() && self.has_confirmed_leader() {
                 self.history.time_to_leader = Some(self.now.since(start));
             }
             if is_due {
-                // Again now and then: a leader that is deposed takes its proposals with it.
-                goal = self.propose_goal().or(goal);
-                next_goal = self.now + GOAL_INTERVAL;
+                // Repeated, because proposals of a deposed leader may be lost.
+                target_index = self.propose_recovery_entry().or(target_index);
+                next_proposal = self.now + RECOVERY_PROPOSAL_INTERVAL;
             }
-            if goal.is_some_and(|goal| self.all_voters_applied(goal, desired_voters)) {
+            if target_index.is_some_and(|index| self.all_voters_applied(index, desired_voters)) {
                 self.history.time_to_recovery = Some(self.now.since(start));
                 return;
             }
         }
-        let goal = goal.unwrap_or(0);
+        let target_index = target_index.unwrap_or(0);
         let states = self.describe();
-        let text =
-            format!("not complete {RECOVERY_DEADLINE:?} after the faults, goal {goal}:{states}");
+        let text = format!(
+            "not complete {RECOVERY_DEADLINE:?} after the faults, target {target_index}:{states}"
+        );
         self.history.violations.push(text);
     }
 
@@ -280,7 +283,8 @@
         self.machines.values().map(describe).collect()
     }
 
-    /// Starts what is down, also processes that only now meet a disk error of before.
+    /// Starts all stopped processes, including those stopped during recovery by an earlier disk
+    /// error.
     fn start_stopped(&mut self) {
         let stopped = self.machines.values();
         let stopped = stopped.filter(|machine| machine.replica.is_none());
@@ -296,18 +300,18 @@
         replicas.any(|replica| replica.status().leads_confirmed)
     }
 
-    fn propose_goal(&mut self) -> Option<u64> {
-        let mut goal = None;
+    fn propose_recovery_entry(&mut self) -> Option<u64> {
+        let mut index = None;
         for leader in self.leaders() {
             let replica = self.replica(leader)?;
             if replica.status().leads_confirmed {
-                goal = replica.propose(b"goal".to_vec()).ok();
+                index = replica.propose(b"goal".to_vec()).ok();
             }
         }
-        goal
+        index
     }
 
-    fn all_voters_applied(&self, goal: u64, desired_voters: usize) -> bool {
+    fn all_voters_applied(&self, index: u64, desired_voters: usize) -> bool {
         let leaders = self.leaders();
         let [leader] = leaders.as_slice() else {
             return false;
@@ -315,7 +319,7 @@
         let voters = &self.machines[leader].flushed_voters;
         let is_applied = |voter: &NodeId| {
             let machine = self.machines.get(voter);
-            machine.is_some_and(|machine| machine.applied_index >= goal)
+            machine.is_some_and(|machine| machine.applied_index >= index)
         };
         voters.len() == desired_voters && voters.iter().all(is_applied)
     }
--- a/crates/replication/tests/group/machine.rs
+++ b/crates/replication/tests/group/machine.rs
@@ -1,4 +1,4 @@
-//! One machine: a disk, an identity, a replica while it runs, and the state it applied.
+//! One machine: a disk, an identity, a replica while its process runs, and the applied state.
 
 use millford_api::replication::{
     AppendReply, LogEntry, ReplicationMessage, VoterSet, replication_message::Body,
@@ -11,12 +11,13 @@
 use super::support::crash_disk::CrashDisk;
 
 const SHARD: ShardId = ShardId(3);
-/// Small, so that segments, chunks and windows end often.
+/// Small values, so that runs cross the limits of segments and of the retained log often.
 const STORAGE: StorageOptions = StorageOptions {
     segment_bytes: 600,
     retained_entries: 6,
     retained_bytes: 150,
 };
+/// Small values, so that runs reach the limits of messages, chunks and windows often.
 pub(crate) const LIMITS: Limits = Limits {
     append_bytes: 200,
     appends_in_flight: 3,
@@ -24,7 +25,7 @@
     promotion_lag: 2,
 };
 
-/// A reply to a leader, as one may be queued while its process is stopped.
+/// An append reply to a leader, such as may be queued while the leader's process is stalled.
 pub(crate) fn queued_reply(from: NodeId, to: NodeId, term: u64) -> ReplicationMessage {
     ReplicationMessage {
         shard: SHARD.0,
@@ -39,17 +40,19 @@
 pub(crate) struct Machine {
     pub(crate) node: NodeId,
     pub(crate) disk: CrashDisk,
+    /// `None` while the process is stopped.
     pub(crate) replica: Option<Replica>,
     pub(crate) applied_index: u64,
+    /// Digest of the applied entries, which serves as the state machine's state.
     pub(crate) digest: Digest,
     pub(crate) limits: Limits,
-    /// The first configuration, for the first members.
+    /// The first configuration; `None` for machines that are added later.
     pub(crate) initial_voters: Option<VoterSet>,
-    /// No ticks and messages before this time: the process is stopped.
-    pub(crate) frozen_until: MonotonicTime,
-    /// Voters as of the last flush.
+    /// End of the current stall of the process. The replica gets no ticks or messages before.
+    pub(crate) stalled_until: MonotonicTime,
+    /// Voters as of the last successful flush.
     pub(crate) flushed_voters: Vec<NodeId>,
-    /// Voters of the last attempted flush: a failed one may have written them.
+    /// Voters as of the last attempted flush, which may have written them even if it failed.
     pub(crate) attempted_voters: Vec<NodeId>,
 }
 
@@ -63,13 +66,13 @@
             digest: 0,
             limits: LIMITS,
             initial_voters,
-            frozen_until: MonotonicTime::ZERO,
+            stalled_until: MonotonicTime::ZERO,
             flushed_voters: Vec::new(),
             attempted_voters: Vec::new(),
         }
     }
 
-    /// Starts the process. Fails if the disk refuses.
+    /// Starts the process on its disk.
     pub(crate) fn start(&mut self, now: MonotonicTime, seed: u64) -> Result<(), OpenError> {
         let storage = ReplicaStorage::open(Box::new(self.disk.clone()), STORAGE)?;
         let mut options = ReplicaOptions::new(self.node, SHARD, seed);
@@ -83,10 +86,10 @@
     }
 
     pub(crate) fn is_running(&self, now: MonotonicTime) -> bool {
-        self.replica.is_some() && now >= self.frozen_until
+        self.replica.is_some() && now >= self.stalled_until
     }
 
-    /// Every set of voters that the disk or the process may hold.
+    /// All sets of voters that may be in force on the disk or in memory.
     pub(crate) fn voter_sets(&self) -> Vec<Vec<NodeId>> {
         let in_memory = self.replica.as_ref().map(|replica| replica.status().voters);
         let mut voter_sets = vec![self.flushed_voters.clone(), self.attempted_voters.clone()];
@@ -94,7 +97,8 @@
         voter_sets
     }
 
-    /// Flushes and applies. A dead replica is dropped.
+    /// Flushes the replica, applies the results and records them in `history`. Drops the replica if
+    /// the flush fails.
     pub(crate) fn flush(&mut self, now: MonotonicTime, history: &mut History) -> Option<Ready> {
         let replica = self.replica.as_mut()?;
         self.attempted_voters = replica.status().voters;
@@ -152,17 +156,18 @@
         history.record_committed(self.node, entry, self.digest);
     }
 
-    /// Saves a snapshot of the applied state; several chunks long.
+    /// Saves a snapshot of the applied state, padded to several chunks.
     pub(crate) fn save_snapshot(&mut self) {
         let mut data = self.digest.to_le_bytes().to_vec();
         data.extend([0; 9]);
         if let Some(replica) = &mut self.replica {
-            // Refused when nothing is new; a disk that fails shows at the next flush.
+            // Rejected if no entry was applied since the last snapshot. The next flush reports a
+            // failed disk.
             let _ = replica.save_snapshot(self.applied_index, data);
         }
     }
 
-    /// The power fails: the process ends, and what was not synced is lost.
+    /// Fails the power: the process ends, and unsynced data may be lost.
     pub(crate) fn lose_power(&mut self, seed: u64) {
         self.replica = None;
         self.disk.crash(seed);
--- a/crates/replication/tests/group/mod.rs
+++ b/crates/replication/tests/group/mod.rs
@@ -1,5 +1,5 @@
-//! A group of replicas under simulated time, network and disks, with checks of its complete history.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! A group of replicas with simulated time, network and disks, and safety checks over its history.
+#![allow(dead_code, reason = "each test file uses only some of these items")]
 
 #[path = "../../../storage/tests/support/mod.rs"]
 pub(crate) mod support;
--- a/crates/replication/tests/group/network.rs
+++ b/crates/replication/tests/group/network.rs
@@ -7,11 +7,14 @@
 use rand::Rng;
 use rand::rngs::StdRng;
 
-/// Probabilities of faults, and the longest delay.
+/// Fault probabilities and the longest delay.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct NetworkConditions {
+    /// Probability that a message is lost.
     pub(crate) loss: f64,
+    /// Probability that a message is sent twice.
     pub(crate) duplication: f64,
+    /// Upper bound of the random delay, which is at least 100 microseconds.
     pub(crate) max_delay: Duration,
 }
 
@@ -24,13 +27,13 @@
     };
 }
 
-/// Messages in transit.
+/// Messages in transit and blocked links.
 #[derive(Debug)]
 pub(crate) struct Network {
     pub(crate) conditions: NetworkConditions,
-    /// Directed links that deliver nothing.
+    /// Directed links (sender, receiver) that deliver no messages.
     blocked_links: BTreeSet<(NodeId, NodeId)>,
-    /// By the time when they are due; the sequence keeps the order of messages that are due together.
+    /// Messages by delivery time; the sequence number orders messages with the same time.
     in_transit: BTreeMap<(MonotonicTime, u64), ReplicationMessage>,
     next_sequence: u64,
 }
@@ -45,17 +48,17 @@
         }
     }
 
-    /// Blocks one direction of a link.
+    /// Blocks messages from `from` to `to`.
     pub(crate) fn block(&mut self, from: NodeId, to: NodeId) {
         self.blocked_links.insert((from, to));
     }
 
-    /// Ends all partitions.
+    /// Unblocks all links.
     pub(crate) fn heal(&mut self) {
         self.blocked_links.clear();
     }
 
-    /// Takes a message; the network may lose, duplicate or delay it.
+    /// Sends a message, which may be lost, duplicated or delayed.
     pub(crate) fn send(
         &mut self,
         now: MonotonicTime,
@@ -79,7 +82,8 @@
         self.next_sequence += 1;
     }
 
-    /// The next message that is due, unless its link is blocked.
+    /// Returns the next message that is due. Messages on blocked links are dropped when they are
+    /// due.
     pub(crate) fn receive(&mut self, now: MonotonicTime) -> Option<ReplicationMessage> {
         loop {
             let first = self.in_transit.first_entry()?;
--- a/crates/replication/tests/group/repair.rs
+++ b/crates/replication/tests/group/repair.rs
@@ -1,19 +1,19 @@
-//! The owner's part of repair, as the control node does it: standby machines become learners, lost voters
-//! are removed, learners are promoted.
+//! Repair of a group as a control node does it: adds standby machines as learners, removes lost
+//! voters and promotes learners.
 
 use millford_core::{Duration, NodeId};
 use millford_replication::{ReplicaStatus, VoterChange};
 
 use super::simulation::Simulation;
 
-/// A voter that was unresponsive for this long counts as lost when a standby is ready.
+/// Time without contact after which a voter counts as lost.
 const REPLACE_AFTER: Duration = Duration::from_millis(1500);
-/// Longest time that the leader may still count on a disk that is lost: the age of a contact that a
-/// change accepts, and a reply in transit.
+/// Longest time for which the leader may still rely on a disk that is lost: the highest age of a
+/// contact that a configuration change accepts, and the transit time of a reply.
 const RECENT_LOSS: Duration = Duration::from_millis(500);
 
 impl Simulation {
-    /// One step of repair on every replica that believes to lead.
+    /// Runs one step of repair on every replica in the leader role.
     pub(crate) fn repair(&mut self, desired_voters: usize) {
         if self.has_recent_loss() {
             return;
@@ -27,7 +27,7 @@
                 continue;
             };
             if let Some(replica) = self.replica(leader) {
-                // Refused when an earlier change is not committed; tried again later.
+                // Rejected while an earlier change is not committed; the next step retries.
                 let _ = replica.change_voters(change);
             }
         }
@@ -38,7 +38,8 @@
             .peers
             .iter()
             .filter(|peer| self.now.since(peer.last_contact) >= REPLACE_AFTER);
-        // Learners first: one that never catches up must not block a standby.
+        // Learners first: a learner that never catches up would prevent another standby from being
+        // added.
         let lost = unresponsive.min_by_key(|peer| peer.is_voter);
         if let Some(learner) = lost.filter(|peer| !peer.is_voter) {
             return Some(VoterChange::Remove(learner.node));
@@ -64,15 +65,15 @@
         }
     }
 
-    /// Whether a disk was lost so lately that the leader may still count on it. A change that is
-    /// made then, when the group is at the limit of what it tolerates, can end it: this is the limit
-    /// of changes by one voter, and the runs stay within it.
+    /// Whether a disk was lost so recently that the leader may still rely on it. In a group that
+    /// tolerates no further loss, a change at that time can make the group unavailable for good.
+    /// This is a limitation of single-voter changes, and the runs stay within it.
     pub(crate) fn has_recent_loss(&self) -> bool {
         let latest = self.lost_voter_sets.last().map(|(at, _)| *at);
         latest.is_some_and(|at| self.now.since(at) < RECENT_LOSS)
     }
 
-    /// A running machine outside the group.
+    /// A running machine that is neither voter nor learner.
     fn standby(&self, status: &ReplicaStatus) -> Option<NodeId> {
         let is_outside =
             |node: &NodeId| !status.voters.contains(node) && !status.learners.contains(node);
--- a/crates/replication/tests/group/simulation.rs
+++ b/crates/replication/tests/group/simulation.rs
@@ -1,4 +1,4 @@
-//! The run: time, deliveries, ticks and flushes.
+//! The simulation loop: time, message delivery, ticks and flushes.
 
 use std::collections::BTreeMap;
 
@@ -16,32 +16,32 @@
 use super::network::{Network, NetworkConditions};
 use super::support::crash_disk::Faults;
 
-/// Simulated time of one step.
+/// Simulated time by which a step advances the clock.
 const STEP: Duration = Duration::from_millis(5);
 
-/// Longest simulated time that a test waits for something.
+/// Longest simulated time that [`Simulation::run_until`] waits.
 const MAX_WAIT: Duration = Duration::from_mins(1);
 
-/// Faults of the program that a run plants, to show that the checks find them.
+/// A defect that is planted in a run to show that the checks detect it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Defect {
     #[default]
     None,
-    /// Disks report syncs of the log that they do not make.
-    LyingSyncs,
-    /// Disks report a replaced hard state before it is durable.
-    LyingReplaces,
-    /// A restarted replica has forgotten its vote.
-    ForgottenVotes,
-    /// A wiped disk comes back under its old identity.
+    /// Disks report success for syncs of the log without making them.
+    IgnoredSyncs,
+    /// Disks report that a replaced hard state is durable before it is.
+    VolatileReplaces,
+    /// A restart loses the replica's vote.
+    LostVotes,
+    /// A replica restarts on a wiped disk under its old identity.
     ReusedIdentity,
     /// Reads are answered without a quorum's confirmation.
     UnconfirmedReads,
-    /// Commands change in transit.
+    /// Commands are altered in transit.
     AlteredCommands,
 }
 
-/// A group under simulation.
+/// A simulated group of replicas.
 pub(crate) struct Simulation {
     pub(crate) now: MonotonicTime,
     pub(crate) random: StdRng,
@@ -49,17 +49,17 @@
     pub(crate) network: Network,
     pub(crate) history: History,
     pub(crate) defect: Defect,
-    /// Whether repair removes a lost voter before it promotes the standby, or after.
+    /// Whether repair removes a lost voter before it promotes the standby; else after.
     pub(crate) removes_before_promotion: bool,
     pub(crate) next_node: u64,
     pub(crate) next_request: u64,
-    /// Voters that machines knew when their disks were lost.
+    /// Sets of voters that lost machines held, with the time of each loss.
     pub(crate) lost_voter_sets: Vec<(MonotonicTime, Vec<NodeId>)>,
     next_tick: MonotonicTime,
 }
 
 impl Simulation {
-    /// A new group of `size` voters, all started.
+    /// Creates a group of `size` voters and starts all of them.
     pub(crate) fn new(seed: u64, size: u64, conditions: NetworkConditions, defect: Defect) -> Self {
         let mut simulation = Self {
             now: MonotonicTime::ZERO,
@@ -84,7 +84,7 @@
         simulation
     }
 
-    /// Adds an empty machine with a new identity and starts it.
+    /// Adds a machine with an empty disk and a new identity, and starts it.
     pub(crate) fn add_machine(&mut self, initial_voters: Option<VoterSet>) -> NodeId {
         let node = NodeId(self.next_node);
         self.next_node += 1;
@@ -95,11 +95,11 @@
         node
     }
 
-    /// Disk faults that last: those of the planted defect.
+    /// Disk faults of the planted defect, which apply for the whole run.
     pub(crate) fn planted_faults(&self) -> Faults {
         Faults {
-            lie_about_sync: self.defect == Defect::LyingSyncs,
-            lie_about_replace: self.defect == Defect::LyingReplaces,
+            ignore_syncs: self.defect == Defect::IgnoredSyncs,
+            volatile_replaces: self.defect == Defect::VolatileReplaces,
             ..Default::default()
         }
     }
@@ -108,31 +108,32 @@
     pub(crate) fn start(&mut self, node: NodeId) {
         let seed = self.random.random();
         let now = self.now;
-        let forgets = self.defect == Defect::ForgottenVotes;
+        let loses_vote = self.defect == Defect::LostVotes;
         let Some(machine) = self.machines.get_mut(&node) else {
             return;
         };
         if machine.replica.is_some() {
             return;
         }
-        if forgets {
-            forget_vote(machine);
+        if loses_vote {
+            erase_vote(machine);
         }
         let Err(error) = machine.start(now, seed) else {
             return;
         };
-        // A disk that fails or is full now may work later; damage that no test made may not be.
-        let is_passing = matches!(
+        // A failing or full disk is an injected fault and may work later. Runs inject no
+        // corruption, so any other error is a violation.
+        let is_transient = matches!(
             error,
             OpenError::Storage(StorageError::Io { .. } | StorageError::Full { .. })
         );
-        if !is_passing {
+        if !is_transient {
             let text = format!("{node} does not start: {error}");
             self.history.violations.push(text);
         }
     }
 
-    /// Runs for a time.
+    /// Runs for at least `duration` of simulated time.
     pub(crate) fn run_for(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end {
@@ -140,16 +141,18 @@
         }
     }
 
-    /// Runs until something holds; fails after a time that is ample for everything.
-    pub(crate) fn run_until(&mut self, holds: impl Fn(&Simulation) -> bool) {
+    /// Runs until a condition holds. Panics after [`MAX_WAIT`], which is longer than any awaited
+    /// event takes.
+    pub(crate) fn run_until(&mut self, condition: impl Fn(&Simulation) -> bool) {
         let end = self.now + MAX_WAIT;
-        while !holds(self) {
-            assert!(self.now < end, "the condition never held");
+        while !condition(self) {
+            assert!(self.now < end, "the condition did not hold in time");
             self.step();
         }
     }
 
-    /// One step: deliveries and ticks, each followed by a flush or not, then the rest flushed.
+    /// Advances the clock by one step: delivers the messages that are due, each followed by a flush
+    /// at random, ticks if due, then flushes all machines.
     pub(crate) fn step(&mut self) {
         self.now = self.now + STEP;
         while let Some(message) = self.network.receive(self.now) {
@@ -191,7 +194,7 @@
         }
     }
 
-    /// Flushes a machine and sends what may leave.
+    /// Flushes a machine and sends the resulting messages.
     pub(crate) fn flush(&mut self, node: NodeId) {
         let now = self.now;
         let machine = self.machines.get_mut(&node);
@@ -211,7 +214,7 @@
         }
     }
 
-    /// Replicas that believe to lead.
+    /// Replicas in the leader role; after a partition there may be several, in different terms.
     pub(crate) fn leaders(&self) -> Vec<NodeId> {
         let is_leader = |machine: &&Machine| {
             let replica = machine.replica.as_ref();
@@ -221,7 +224,7 @@
         leaders.map(|machine| machine.node).collect()
     }
 
-    /// A running replica.
+    /// The replica of a node; `None` if its process is stopped or stalled.
     pub(crate) fn replica(&mut self, node: NodeId) -> Option<&mut Replica> {
         let now = self.now;
         let machine = self.machines.get_mut(&node)?;
@@ -231,7 +234,7 @@
         machine.replica.as_mut()
     }
 
-    /// Requests a confirmed read.
+    /// Requests a confirmed read from a node.
     pub(crate) fn read(&mut self, node: NodeId) {
         let request = self.next_request;
         self.next_request += 1;
@@ -251,7 +254,7 @@
         }
     }
 
-    /// Compares the logs of all running replicas.
+    /// Checks that the logs of all running replicas match pairwise.
     pub(crate) fn check_logs(&mut self) {
         let replicas = self.machines.values();
         let replicas: Vec<&Replica> = replicas
@@ -265,8 +268,8 @@
     }
 }
 
-/// The planted defect: a restarted replica does not know whom it voted for.
-pub(crate) fn forget_vote(machine: &Machine) {
+/// Erases the vote on a machine's disk, as [`Defect::LostVotes`] does at a restart.
+pub(crate) fn erase_vote(machine: &Machine) {
     let options = StorageOptions::default();
     let disk = Box::new(machine.disk.clone());
     let Ok(mut storage) = ReplicaStorage::open(disk, options) else {
--- a/crates/replication/tests/group/world.rs
+++ b/crates/replication/tests/group/world.rs
@@ -1,5 +1,5 @@
-//! Three replicas that are driven action by action, each with a clock of its own that moves at its
-//! timeouts only.
+//! Three replicas that are driven action by action. Each has its own clock, which advances only at
+//! its timeouts.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -10,40 +10,43 @@
 
 use super::history::History;
 use super::machine::Machine;
-use super::simulation::{Defect, forget_vote};
+use super::simulation::{Defect, erase_vote};
 
-/// The replicas.
+/// Identities of the replicas. Positions index this array and [`World::machines`].
 pub(crate) const NODES: [u64; 3] = [1, 2, 3];
-/// Longer than any election timeout, and longer than a quorum may be unresponsive.
+/// Clock advance of a timeout: longer than any election timeout and than the quorum timeout.
 const TIMEOUT: Duration = Duration::from_secs(4);
 
-/// More actions than an election takes, a refused first one included.
+/// More actions than an election takes, including a rejected first attempt.
 const ELECTION_STEPS: usize = 30;
 
-/// Something that may happen next.
+/// An action on the group. Replicas are given by position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Action {
+    /// Advances the replica's clock by [`TIMEOUT`] and ticks it.
     Timeout(usize),
+    /// Fails the replica's power and restarts it.
     Crash(usize),
+    /// Proposes a command on the replica.
     Propose(usize),
-    /// Delivers a message, by its position among those in transit.
+    /// Delivers a message, given by its index in [`World::in_transit`].
     Deliver(usize),
     /// Delivers a message and keeps it in transit.
     Duplicate(usize),
 }
 
-/// The group.
+/// The group, its messages in transit and its history.
 pub(crate) struct World {
     pub(crate) machines: Vec<Machine>,
     clocks: [MonotonicTime; 3],
     pub(crate) in_transit: Vec<ReplicationMessage>,
     pub(crate) history: History,
-    /// Only [`Defect::ForgottenVotes`] has an effect: a crash also loses the vote.
+    /// Only [`Defect::LostVotes`] has an effect: a crash also loses the vote.
     defect: Defect,
 }
 
 impl World {
-    /// Three replicas that have just started.
+    /// Creates and starts three replicas.
     pub(crate) fn new(defect: Defect) -> Self {
         let voters = VoterSet {
             voters: NODES.to_vec(),
@@ -70,17 +73,17 @@
             .expect("the disk is intact");
     }
 
-    /// The group after a sequence of actions.
+    /// Creates a group and applies a sequence of actions to it.
     pub(crate) fn run(path: &[Action], defect: Defect) -> Self {
         let mut world = Self::new(defect);
         for action in path {
-            world.act(*action);
+            world.apply(*action);
         }
         world
     }
 
-    /// Lets one action happen, then compares the logs.
-    pub(crate) fn act(&mut self, action: Action) {
+    /// Applies one action, then checks that the logs match.
+    pub(crate) fn apply(&mut self, action: Action) {
         match action {
             Action::Timeout(position) => self.time_out(position),
             Action::Crash(position) => self.crash(position),
@@ -106,8 +109,8 @@
     fn crash(&mut self, position: usize) {
         let machine = &mut self.machines[position];
         machine.lose_power(0);
-        if self.defect == Defect::ForgottenVotes {
-            forget_vote(machine);
+        if self.defect == Defect::LostVotes {
+            erase_vote(machine);
         }
         self.start(position);
         self.flush(position);
@@ -115,7 +118,7 @@
 
     fn propose(&mut self, position: usize) {
         if let Some(replica) = &mut self.machines[position].replica {
-            // Refused on a replica that does not lead.
+            // Rejected on a replica that does not lead.
             let _ = replica.propose(b"command".to_vec());
         }
         self.flush(position);
@@ -145,7 +148,7 @@
         }
     }
 
-    /// A digest that is the same for the same situation.
+    /// Hash of the replicas, messages in transit and safety records, equal for equivalent states.
     pub(crate) fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for machine in &self.machines {
@@ -155,7 +158,7 @@
             self.in_transit.iter().map(Message::encode_to_vec).collect();
         messages.sort_unstable();
         messages.hash(&mut hasher);
-        self.history.facts().hash(&mut hasher);
+        self.history.safety_records().hash(&mut hasher);
         hasher.finish()
     }
 
@@ -165,24 +168,25 @@
         replica.is_some_and(|replica| replica.role() == Role::Leader)
     }
 
-    /// Delivers what is in transit between two replicas, until nothing is; the rest stays.
+    /// Delivers all messages between two replicas until none is in transit; other messages remain.
     pub(crate) fn exchange(&mut self, left: usize, right: usize) {
         let pair = [NODES[left], NODES[right]];
         let is_between = |message: &ReplicationMessage| {
             pair.contains(&message.from) && pair.contains(&message.to)
         };
         while let Some(index) = self.in_transit.iter().position(is_between) {
-            self.act(Action::Deliver(index));
+            self.apply(Action::Deliver(index));
         }
     }
 
-    /// Loses what is in transit, then times a replica out, with one other in reach, until it leads.
+    /// Drops all messages in transit, then times `candidate` out until it leads, with only `voter`
+    /// reachable.
     pub(crate) fn elect(&mut self, candidate: usize, voter: usize) {
         self.in_transit.clear();
-        // The voter has had no contact with its leader for as long either.
+        // Else the voter would still have contact with its leader and reject the candidate.
         self.clocks[voter] = self.clocks[voter] + TIMEOUT;
         let pair = [NODES[candidate], NODES[voter]];
-        self.act(Action::Timeout(candidate));
+        self.apply(Action::Timeout(candidate));
         for _ in 0..ELECTION_STEPS {
             if self.leads(candidate) {
                 return;
@@ -191,8 +195,8 @@
                 .in_transit
                 .iter()
                 .position(|message| pair.contains(&message.from) && pair.contains(&message.to));
-            self.act(index.map_or(Action::Timeout(candidate), Action::Deliver));
+            self.apply(index.map_or(Action::Timeout(candidate), Action::Deliver));
         }
-        panic!("replica {candidate} is not elected");
+        panic!("the replica at position {candidate} was not elected");
     }
 }
--- a/crates/replication/tests/implausible_messages.rs
+++ b/crates/replication/tests/implausible_messages.rs
@@ -1,4 +1,4 @@
-//! Messages that no correct replica sends change nothing and stop nothing.
+//! Messages that no correct replica sends are ignored, and no message makes a replica panic.
 
 mod group;
 
@@ -11,7 +11,8 @@
 use prost::Message;
 use quickcheck::{Arbitrary, Gen, quickcheck};
 
-/// Small numbers that mean something to the group, and large ones that overflow.
+/// Generates small numbers, which occur as terms, indices and nodes in the group, and large ones,
+/// which could overflow sums.
 fn number(generator: &mut Gen) -> u64 {
     let small = u64::arbitrary(generator) % 8;
     *generator
@@ -132,13 +133,13 @@
         true
     }
 
-    fn messages_survive_the_codec(message: AnyMessage) -> bool {
+    fn messages_round_trip_through_the_codec(message: AnyMessage) -> bool {
         let bytes = message.0.encode_to_vec();
         ReplicationMessage::decode(bytes.as_slice()) == Ok(message.0)
     }
 }
 
-/// A message of node 2 to node 1.
+/// A message from node 2 to node 1.
 fn message(term: u64, body: Body) -> ReplicationMessage {
     ReplicationMessage {
         shard: 3,
@@ -149,7 +150,7 @@
     }
 }
 
-/// An append request behind `previous_index` with one entry.
+/// An append request with one entry after `previous_index`, whose term is 1.
 fn append_request(previous_index: u64, index: u64, term: u64, payload: Option<Payload>) -> Body {
     let entry = LogEntry {
         index,
@@ -164,7 +165,8 @@
     })
 }
 
-/// Messages that no correct replica sends in `term` to one whose last index is `last`.
+/// Bodies that no correct replica sends in `term` to a replica whose last index is `last`, each
+/// with its fault.
 fn implausible_bodies(term: u64, last: u64) -> [(&'static str, Body); 5] {
     let command = Some(Payload::Command(Vec::new()));
     let chunk_without_voters = SnapshotChunk {
--- a/crates/replication/tests/leadership.rs
+++ b/crates/replication/tests/leadership.rs
@@ -1,4 +1,4 @@
-//! Who leads, who does not, and what a leader may answer.
+//! Loss and transfer of the leadership, and the reads that a leader may confirm.
 
 mod group;
 
@@ -6,7 +6,7 @@
 use millford_core::{Duration, NodeId};
 use millford_replication::TransferError;
 
-/// Check of the quorum, one election timeout, one more election.
+/// Bound on a failover: the old leader's quorum timeout, an election timeout and a second election.
 const FAILOVER: Duration = Duration::from_millis(2500);
 
 #[test]
@@ -40,13 +40,13 @@
 }
 
 #[test]
-fn a_frozen_leader_answers_no_reads_when_it_resumes() {
+fn a_stalled_leader_confirms_no_reads_when_it_resumes() {
     let (mut simulation, leader) = group_with_leader(2, 3);
     simulation
         .machines
         .get_mut(&leader)
         .expect("machine")
-        .frozen_until = simulation.now + SECOND * 20;
+        .stalled_until = simulation.now + SECOND * 20;
     simulation.run_for(SECOND * 5);
     let next = simulation
         .leaders()
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_new_leader_confirms_no_read_before_an_entry_of_its_own_term() {
+fn a_new_leader_confirms_no_read_before_it_has_committed_an_entry_of_its_own_term() {
     let (mut simulation, leader) = group_with_leader(3, 3);
     simulation.machines.remove(&leader);
     simulation.run_until(|simulation| !simulation.leaders().is_empty());
@@ -110,8 +110,8 @@
         .propose(b"accepted again".to_vec())
         .expect("the transfer is over");
     simulation.lose_power(simulation.others(leader)[1]);
-    let refused = simulation
+    let rejected = simulation
         .running_replica(leader)
         .transfer_leadership(target);
-    assert_eq!(refused, Err(TransferError::TargetUnreachable));
+    assert_eq!(rejected, Err(TransferError::TargetUnreachable));
 }
--- a/crates/replication/tests/membership.rs
+++ b/crates/replication/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Learners, promotions and removals, step by step.
+//! Configuration changes: adding learners, promotions and removals.
 
 mod group;
 
@@ -7,11 +7,10 @@
 use millford_core::{Duration, NodeId};
 use millford_replication::{Role, VoterChange, VoterChangeError};
 
-/// Seed of every group here.
 const SEED: u64 = 5;
 
-/// A group and its only leader.
-fn started(size: u64) -> (Simulation, NodeId) {
+/// Returns a group of `size` voters and its leader, after checking that there is only one.
+fn group_with_only_leader(size: u64) -> (Simulation, NodeId) {
     let (simulation, _) = group_with_leader(SEED, size);
     let leader = only_leader(&simulation);
     (simulation, leader)
@@ -44,8 +43,8 @@
 }
 
 #[test]
-fn an_empty_disk_replaces_a_lost_voter_and_a_second_loss_is_survived() {
-    let (mut simulation, leader) = started(3);
+fn a_lost_voter_is_replaced_by_an_empty_disk_before_a_second_loss() {
+    let (mut simulation, leader) = group_with_only_leader(3);
     propose(&mut simulation, leader, 50);
     simulation
         .machines
@@ -62,7 +61,7 @@
     simulation.run_for(SECOND);
     change(&mut simulation, leader, VoterChange::Remove(lost)).expect("removed");
     simulation.run_for(SECOND);
-    // The second loss, right after: the old leader, whose disk held everything.
+    // The second loss follows at once and hits the old leader, whose disk held all entries.
     simulation.machines.remove(&leader);
     simulation.run_for(SECOND * 4);
     let next = only_leader(&simulation);
@@ -103,7 +102,7 @@
 
 #[test]
 fn an_unreachable_learner_is_not_promoted() {
-    let (mut simulation, leader) = started(3);
+    let (mut simulation, leader) = group_with_only_leader(3);
     let standby = simulation.add_machine(None);
     change(&mut simulation, leader, VoterChange::AddLearner(standby)).expect("added");
     simulation.run_for(SECOND);
@@ -118,7 +117,7 @@
 
 #[test]
 fn a_change_that_would_leave_no_reachable_quorum_is_rejected() {
-    let (mut simulation, leader) = started(3);
+    let (mut simulation, leader) = group_with_only_leader(3);
     let others = simulation.others(leader);
     let (lost, healthy) = (others[0], others[1]);
     simulation.lose_power(lost);
@@ -133,8 +132,8 @@
 }
 
 #[test]
-fn a_removed_leader_transfers_leadership_and_does_not_return() {
-    let (mut simulation, leader) = started(3);
+fn a_removed_leader_transfers_leadership_and_does_not_campaign() {
+    let (mut simulation, leader) = group_with_only_leader(3);
     propose(&mut simulation, leader, 3);
     change(&mut simulation, leader, VoterChange::Remove(leader)).expect("appended");
     simulation.run_for(Duration::from_millis(300));
@@ -148,8 +147,8 @@
 }
 
 #[test]
-fn a_voter_removed_while_partitioned_learns_of_it_and_disrupts_nobody() {
-    let (mut simulation, leader) = started(3);
+fn a_voter_removed_while_partitioned_is_notified_and_does_not_depose_the_leader() {
+    let (mut simulation, leader) = group_with_only_leader(3);
     let partitioned = simulation.others(leader)[0];
     simulation.isolate(partitioned);
     simulation.run_for(SECOND);
@@ -163,7 +162,7 @@
     let removed = simulation.status(partitioned);
     assert!(removed.removed);
     assert_eq!(removed.role, Role::Follower);
-    // It may come back with its old disk and identity.
+    // It may be added again with its old disk and identity.
     change(
         &mut simulation,
         leader,
@@ -178,7 +177,7 @@
 
 #[test]
 fn a_change_that_a_new_leader_overwrites_is_rolled_back() {
-    let (mut simulation, leader) = started(3);
+    let (mut simulation, leader) = group_with_only_leader(3);
     simulation.isolate(leader);
     change(&mut simulation, leader, VoterChange::AddLearner(NodeId(77))).expect("appended");
     simulation.run_for(SECOND * 4);
--- a/crates/replication/tests/model_check.rs
+++ b/crates/replication/tests/model_check.rs
@@ -1,9 +1,9 @@
-//! Exhaustive exploration of a group of three real replicas, to a bounded depth.
+//! Bounded model checking: explores all states of a group of three real replicas up to a depth.
 //!
-//! Every order of timeouts, deliveries, crashes and a proposal is tried; a message that is never
-//! delivered is a lost one, and one may be delivered twice. A situation that was seen before, in
-//! whatever order it came about, is not explored again. Each replica has a clock of its own that
-//! moves at its timeouts only.
+//! All orders of timeouts, deliveries, crashes and proposals are tried, within bounds for each
+//! kind. A message that is never delivered models a lost one, and a message may be delivered twice.
+//! A state that was reached before on another path is not explored again. Each replica has its own
+//! clock, which advances only at its timeouts.
 
 mod group;
 
@@ -12,9 +12,10 @@
 use group::simulation::Defect;
 use group::world::{Action, NODES, World};
 
-/// How often each kind of action may happen in one run.
+/// Most actions of each kind on one path.
 #[derive(Clone, Copy, Debug)]
 struct Bounds {
+    /// Most actions of all kinds.
     depth: usize,
     timeouts: usize,
     crashes: usize,
@@ -22,7 +23,7 @@
     duplicates: usize,
 }
 
-/// How often each bounded kind of action happened in a run.
+/// Number of actions of each bounded kind on a path.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct ActionCounts {
     timeouts: usize,
@@ -47,7 +48,7 @@
     }
 }
 
-/// What may happen next, given what has happened.
+/// Returns the possible next actions within the bounds.
 fn actions(world: &World, counts: ActionCounts, bounds: Bounds) -> Vec<Action> {
     let mut actions: Vec<Action> = (0..world.in_transit.len()).map(Action::Deliver).collect();
     if counts.duplicates < bounds.duplicates {
@@ -67,47 +68,53 @@
     actions
 }
 
-/// What an exploration found.
+/// Result of an exploration.
 #[derive(Debug, Default)]
-struct Findings {
-    situations: usize,
+struct Exploration {
+    /// Distinct states reached.
+    states: usize,
+    /// States after an election.
     elected: usize,
+    /// States in which an entry after the initial configuration is committed.
     committed: usize,
+    /// The first violation found, with its path.
     violation: Option<String>,
 }
 
-/// Explores breadth first, so that a violation comes with a shortest run.
-fn explore(prefix: &[Action], bounds: Bounds, defect: Defect) -> Findings {
-    let mut findings = Findings::default();
-    let mut seen = HashSet::new();
+/// Explores the states after `prefix` breadth first, so that a violation is reported with a
+/// shortest path.
+fn explore(prefix: &[Action], bounds: Bounds, defect: Defect) -> Exploration {
+    let mut exploration = Exploration::default();
+    let mut visited = HashSet::new();
     let mut paths = vec![prefix.to_vec()];
     for _ in 0..=bounds.depth {
         let mut next_paths = Vec::new();
         for path in paths {
             let world = World::run(&path, defect);
             let counts = ActionCounts::of(&path[prefix.len()..]);
-            // The same situation with more actions left is another one.
-            if !seen.insert((world.fingerprint(), counts)) {
+            // The same group with other action counts is a distinct state, as other actions may
+            // follow.
+            if !visited.insert((world.fingerprint(), counts)) {
                 continue;
             }
-            findings.record(&world, &path);
-            if findings.violation.is_some() {
-                return findings;
+            exploration.record(&world, &path);
+            if exploration.violation.is_some() {
+                return exploration;
             }
             for action in actions(&world, counts, bounds) {
-                let mut longer = path.clone();
-                longer.push(action);
-                next_paths.push(longer);
+                let mut extended = path.clone();
+                extended.push(action);
+                next_paths.push(extended);
             }
         }
         paths = next_paths;
     }
-    findings
+    exploration
 }
 
-impl Findings {
+impl Exploration {
     fn record(&mut self, world: &World, path: &[Action]) {
-        self.situations += 1;
+        self.states += 1;
         self.elected += usize::from(world.history.elections > 0);
         self.committed += usize::from(world.history.committed_index() > 1);
         if let Some(violation) = world.history.violations.first() {
@@ -116,17 +123,17 @@
     }
 }
 
-/// Depth of the explorations; `MILLFORD_DEPTH` adds to it.
-fn depth(usual: usize) -> usize {
-    let more = std::env::var("MILLFORD_DEPTH").ok();
-    usual + more.and_then(|text| text.parse().ok()).unwrap_or(0)
+/// Returns the default depth of an exploration plus the number in `MILLFORD_DEPTH`, if set.
+fn depth(default: usize) -> usize {
+    let extra = std::env::var("MILLFORD_DEPTH").ok();
+    default + extra.and_then(|text| text.parse().ok()).unwrap_or(0)
 }
 
-/// More deliveries than an election and its first entry take.
+/// More deliveries than an election and the commit of its first entry take.
 const STABILISING_DELIVERIES: usize = 40;
 
-/// Times one replica out and delivers everything until nothing is in transit.
-fn stable(first: Action) -> Vec<Action> {
+/// Returns a path that begins with `first` and delivers all messages until none is in transit.
+fn path_to_quiescence(first: Action) -> Vec<Action> {
     let mut path = vec![first];
     for _ in 0..STABILISING_DELIVERIES {
         if World::run(&path, Defect::None).in_transit.is_empty() {
@@ -134,20 +141,21 @@
         }
         path.push(Action::Deliver(0));
     }
-    panic!("the group does not come to rest");
+    panic!("messages are still in transit after {STABILISING_DELIVERIES} deliveries");
 }
 
-/// A stable leader whose next proposal has reached one of the two others, unanswered.
-fn half_replicated() -> Vec<Action> {
-    let mut path = stable(Action::Timeout(0));
+/// Returns a path to a leader whose proposal has reached one of the two followers, while the reply
+/// is still in transit.
+fn path_to_half_replicated_entry() -> Vec<Action> {
+    let mut path = path_to_quiescence(Action::Timeout(0));
     path.extend([Action::Propose(0), Action::Deliver(0)]);
     path
 }
 
-fn assert_holds(findings: &Findings) {
-    println!("{findings:?}");
-    assert_eq!(findings.violation, None);
-    assert!(findings.elected > 0 && findings.committed > 0);
+fn assert_safe(exploration: &Exploration) {
+    println!("{exploration:?}");
+    assert_eq!(exploration.violation, None);
+    assert!(exploration.elected > 0 && exploration.committed > 0);
 }
 
 #[test]
@@ -159,7 +167,7 @@
         proposals: 1,
         duplicates: 0,
     };
-    assert_holds(&explore(&[], bounds, Defect::None));
+    assert_safe(&explore(&[], bounds, Defect::None));
 }
 
 #[test]
@@ -171,7 +179,7 @@
         proposals: 1,
         duplicates: 1,
     };
-    assert_holds(&explore(&[], bounds, Defect::None));
+    assert_safe(&explore(&[], bounds, Defect::None));
 }
 
 #[test]
@@ -183,11 +191,15 @@
         proposals: 1,
         duplicates: 0,
     };
-    assert_holds(&explore(&half_replicated(), bounds, Defect::None));
+    assert_safe(&explore(
+        &path_to_half_replicated_entry(),
+        bounds,
+        Defect::None,
+    ));
 }
 
 #[test]
-fn a_forgotten_vote_is_found() {
+fn a_lost_vote_is_detected() {
     let bounds = Bounds {
         depth: 9,
         timeouts: 2,
@@ -195,8 +207,8 @@
         proposals: 0,
         duplicates: 0,
     };
-    let violation = explore(&[], bounds, Defect::ForgottenVotes)
+    let violation = explore(&[], bounds, Defect::LostVotes)
         .violation
-        .expect("found");
+        .expect("detected");
     assert!(violation.contains("voted for"), "{violation}");
 }
--- a/crates/replication/tests/outage_orders.rs
+++ b/crates/replication/tests/outage_orders.rs
@@ -1,9 +1,8 @@
-//! Every order of a partition, a stalled process and a lost disk over one group of three voters: once the
-//! partition has healed and the stalled process has resumed, two voters remain, and they must serve again in
-//! time.
+//! All orders of a partition, a stall and a disk loss in a group of three voters, each fault on
+//! another voter. After the partition has healed and the stalled process has resumed, the two
+//! remaining voters must serve again in time, and committed entries must not change.
 //!
-//! One voter is partitioned and heals, another one stalls and resumes, the third loses its disk for good;
-//! each of them may have been the leader. What was committed stays, whatever the order.
+//! Any of the three voters may have been the leader. The disk loss is permanent.
 
 mod group;
 
@@ -12,11 +11,10 @@
 use group::simulation::Simulation;
 use millford_core::{Duration, MonotonicTime, NodeId};
 
-/// Seed of the simulation.
 const SEED: u64 = 7;
-/// The required bound for the return of service.
+/// Required upper bound on the time until the group serves again.
 const RECOVERY_BOUND: Duration = Duration::from_secs(12);
-/// Delays before each event: shorter than an election, and longer than several.
+/// Delay before each event: shorter than an election, or longer than several.
 const DELAYS: [Duration; 2] = [Duration::from_millis(400), Duration::from_secs(4)];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,22 +26,22 @@
     LoseDisk,
 }
 
-/// Which links of the partitioned voter fail.
+/// Directions in which the partitioned voter's links are blocked.
 #[derive(Clone, Copy, Debug)]
 enum Direction {
     Both,
-    /// It receives nothing; what it sends arrives.
+    /// The voter receives no messages, but its own are delivered.
     Inbound,
 }
 
-/// First input of a process that resumes.
+/// First input of a stalled process when it resumes.
 #[derive(Clone, Copy, Debug)]
 enum FirstInput {
     Message,
     Tick,
 }
 
-/// Which node gets which fault.
+/// The node that each fault affects.
 #[derive(Clone, Copy, Debug)]
 struct Assignment {
     partitioned: NodeId,
@@ -66,19 +64,17 @@
     Event::LoseDisk,
 ];
 
-/// All orders in which a fault begins before it ends.
+/// Returns all orders of the events in which each fault begins before it ends.
 fn orders() -> Vec<Vec<Event>> {
     let mut orders = vec![Vec::new()];
     for _ in 0..EVENTS.len() {
-        orders = orders
-            .iter()
-            .flat_map(|order| longer_by_one(order))
-            .collect();
+        orders = orders.iter().flat_map(|order| extensions(order)).collect();
     }
     orders
 }
 
-fn longer_by_one(order: &[Event]) -> Vec<Vec<Event>> {
+/// Returns `order` extended by each event that may follow it.
+fn extensions(order: &[Event]) -> Vec<Vec<Event>> {
     let has = |event: Event| order.contains(&event);
     let may_follow = |event: &Event| match event {
         Event::Heal => has(Event::Partition),
@@ -86,15 +82,15 @@
         Event::Partition | Event::Stall | Event::LoseDisk => true,
     };
     let next = EVENTS.iter().filter(|event| !has(**event));
-    let longer = next.filter(|event| may_follow(event)).map(|event| {
-        let mut longer = order.to_vec();
-        longer.push(*event);
-        longer
+    let extended = next.filter(|event| may_follow(event)).map(|event| {
+        let mut extended = order.to_vec();
+        extended.push(*event);
+        extended
     });
-    longer.collect()
+    extended.collect()
 }
 
-/// Every way to assign the faults to three voters.
+/// Returns all assignments of the three faults to distinct voters.
 fn assignments(nodes: [NodeId; 3]) -> Vec<Assignment> {
     let mut all = Vec::new();
     for partitioned in nodes {
@@ -129,7 +125,7 @@
     all
 }
 
-/// A stall that only the test ends.
+/// Length of a stall that the test ends itself: longer than any run.
 const UNTIL_RESUMED: Duration = Duration::from_secs(100_000);
 
 struct Outage {
@@ -166,15 +162,16 @@
         self.stalled_at = self.simulation.now;
         let until = self.simulation.now + UNTIL_RESUMED;
         let machine = self.simulation.machines.get_mut(&self.assignment.stalled);
-        machine.expect("not wiped").frozen_until = until;
+        machine.expect("not wiped").stalled_until = until;
     }
 
-    /// As the owner does it: a tick defers the election deadline first.
+    /// Resumes the stalled process as a replica's owner does: it defers the election deadline
+    /// before the first tick.
     fn resume(&mut self) {
         let now = self.simulation.now;
         let (node, peer) = (self.assignment.stalled, self.assignment.partitioned);
         let machine = self.simulation.machines.get_mut(&node).expect("not wiped");
-        machine.frozen_until = MonotonicTime::ZERO;
+        machine.stalled_until = MonotonicTime::ZERO;
         let replica = machine.replica.as_mut().expect("runs");
         if matches!(self.variant.first_input, FirstInput::Message) {
             let term = replica.status().term;
@@ -184,7 +181,7 @@
         replica.tick(now);
     }
 
-    /// Proposes something on whoever leads, so that logs differ in length.
+    /// Proposes an entry on each leader, so that logs differ in length.
     fn propose(&mut self) {
         for leader in self.simulation.leaders() {
             if let Some(replica) = self.simulation.replica(leader) {
@@ -202,7 +199,7 @@
     }
 }
 
-/// Plays one order; the time until the group serves again.
+/// Applies the events in order and returns the time from the last one until the group serves again.
 fn time_to_serve(order: &[Event], position: usize, variant: Variant) -> Duration {
     let (simulation, leader) = group_with_leader(SEED, 3);
     let others = simulation.others(leader);
@@ -222,14 +219,14 @@
     while !outage.serves() && outage.simulation.now.since(start) < RECOVERY_BOUND * 2 {
         outage.simulation.step();
     }
-    let taken = outage.simulation.now.since(start);
-    // What the new leader commits must not replace what was committed before.
+    let elapsed = outage.simulation.now.since(start);
+    // Entries that the new leader commits must not replace committed ones.
     outage.propose();
     outage.simulation.run_for(Duration::from_secs(1));
     outage.simulation.check_logs();
     let violations = &outage.simulation.history.violations;
     assert!(violations.is_empty(), "{violations:?} after {order:?}");
-    taken
+    elapsed
 }
 
 #[test]
@@ -240,14 +237,14 @@
     for order in &orders {
         for position in 0..6 {
             for variant in variants() {
-                let taken = time_to_serve(order, position, variant);
+                let elapsed = time_to_serve(order, position, variant);
                 assert!(
-                    taken < RECOVERY_BOUND,
-                    "{taken:?} after {order:?}, assignment {position}, {variant:?}"
+                    elapsed < RECOVERY_BOUND,
+                    "{elapsed:?} after {order:?}, assignment {position}, {variant:?}"
                 );
-                worst = worst.max(taken);
+                worst = worst.max(elapsed);
             }
         }
     }
-    println!("worst return of service {worst:?}");
+    println!("longest time until the group served again: {worst:?}");
 }
--- a/crates/replication/tests/planted_defects.rs
+++ b/crates/replication/tests/planted_defects.rs
@@ -1,4 +1,4 @@
-//! Every check detects the defect that it is there for, when the defect is planted.
+//! Each safety check detects the defect that it guards against, when a run plants that defect.
 
 mod group;
 
@@ -18,14 +18,15 @@
     duplication: 0.05,
     max_delay: Duration::from_millis(60),
 };
-/// Slow messages make elections long, so that a restart falls into one.
+/// A network with longer delays, which make elections long enough for a restart to happen during
+/// one.
 const LOSSY_AND_SLOW: NetworkConditions = NetworkConditions {
     loss: 0.1,
     duplication: 0.05,
     max_delay: Duration::from_millis(400),
 };
 
-/// Asserts that one of the first seeds shows a violation that contains `words`.
+/// Asserts that a run with one of the seeds has a violation whose text contains `words`.
 fn assert_detected(defect: Defect, conditions: NetworkConditions, fault_rate: f64, words: &str) {
     let is_detected = (0..SEEDS).any(|seed| {
         let mut simulation = Simulation::new(seed, SIZE, conditions, defect);
@@ -40,9 +41,9 @@
 }
 
 #[test]
-fn lying_syncs_lose_committed_entries() {
+fn ignored_syncs_lose_committed_entries() {
     assert_detected(
-        Defect::LyingSyncs,
+        Defect::IgnoredSyncs,
         LOSSY,
         FAULT_RATE,
         "lacks committed entry",
@@ -50,20 +51,20 @@
 }
 
 #[test]
-fn lying_replaces_vote_twice() {
-    assert_detected(Defect::LyingReplaces, LOSSY, FAULT_RATE, "voted for");
+fn volatile_replaces_allow_two_votes_in_a_term() {
+    assert_detected(Defect::VolatileReplaces, LOSSY, FAULT_RATE, "voted for");
 }
 
 #[test]
-fn forgotten_votes_elect_two_leaders() {
+fn lost_votes_elect_two_leaders_in_a_term() {
     assert_detected(
-        Defect::ForgottenVotes,
+        Defect::LostVotes,
         LOSSY_AND_SLOW,
         HIGH_FAULT_RATE,
         "voted for",
     );
     assert_detected(
-        Defect::ForgottenVotes,
+        Defect::LostVotes,
         LOSSY_AND_SLOW,
         HIGH_FAULT_RATE,
         "in term",
--- a/crates/replication/tests/random_group.rs
+++ b/crates/replication/tests/random_group.rs
@@ -1,6 +1,7 @@
-//! Random work under random faults: the safety invariants hold throughout, and the group recovers after.
+//! Random load and random faults: the safety invariants hold throughout, and the group recovers
+//! after the faults have ended.
 //!
-//! `MILLFORD_SEEDS=N` and `MILLFORD_FIRST_SEED=S` choose another range of seeds.
+//! `MILLFORD_SEEDS=N` and `MILLFORD_FIRST_SEED=S` select another range of seeds.
 
 mod group;
 
@@ -11,12 +12,12 @@
 const SEEDS: u64 = 300;
 const STEPS: u32 = 6000;
 
-fn number(name: &str, default: u64) -> u64 {
+fn number_from_environment(name: &str, default: u64) -> u64 {
     let text = std::env::var(name).ok();
     text.and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// Few faults let much happen between them; many strike while others last.
+/// Low rates leave time for progress between faults; high rates make faults overlap.
 fn fault_rate(seed: u64) -> f64 {
     [0.002, 0.005, 0.01, 0.03][usize::try_from(seed / 16 % 4).expect("small")]
 }
@@ -24,7 +25,7 @@
 fn conditions(seed: u64) -> NetworkConditions {
     let loss = [0.0, 0.02, 0.1, 0.3];
     let delays = [5, 20, 60, 200];
-    let choice = |step: u64| usize::try_from(seed / step % 4).expect("small");
+    let choice = |divisor: u64| usize::try_from(seed / divisor % 4).expect("small");
     NetworkConditions {
         loss: loss[choice(1)],
         duplication: 0.05,
@@ -41,8 +42,8 @@
 }
 
 fn sweep(size: u64) {
-    let first = number("MILLFORD_FIRST_SEED", 0);
-    let count = number("MILLFORD_SEEDS", SEEDS);
+    let first = number_from_environment("MILLFORD_FIRST_SEED", 0);
+    let count = number_from_environment("MILLFORD_SEEDS", SEEDS);
     let (mut time_to_leader, mut time_to_recovery) = (None, None);
     let (mut entries, mut elections, mut reads, mut snapshots) = (0, 0, 0, 0);
     for seed in first..first + count {
@@ -67,8 +68,8 @@
     );
     assert!(
         entries > count && elections > count && reads > count && snapshots > 0,
-        "too little happened: {entries} entries, {elections} elections, {reads} reads, \
-         {snapshots} snapshots in {count} runs"
+        "too few events for the checks to be meaningful: {entries} entries, {elections} elections, \
+         {reads} reads, {snapshots} snapshots in {count} runs"
     );
 }
 
@@ -84,7 +85,7 @@
 
 #[test]
 fn the_same_seed_produces_the_same_run() {
-    let facts = |simulation: &Simulation| {
+    let summary = |simulation: &Simulation| {
         let machines = simulation.machines.values();
         let digests: Vec<u64> = machines.map(|machine| machine.digest).collect();
         (
@@ -93,5 +94,5 @@
             simulation.history.committed_index(),
         )
     };
-    assert_eq!(facts(&run(11, 3)), facts(&run(11, 3)));
+    assert_eq!(summary(&run(11, 3)), summary(&run(11, 3)));
 }
--- a/crates/replication/tests/replica_rules.rs
+++ b/crates/replication/tests/replica_rules.rs
@@ -1,4 +1,4 @@
-//! Behaviour of one replica, message by message.
+//! Reactions of a single replica to single messages.
 
 mod group;
 
@@ -66,7 +66,7 @@
     message(from, term, Body::VoteRequest(request))
 }
 
-/// Replies to a vote request that leave after it.
+/// Passes a vote request to the replica and returns the vote replies of the next flush.
 fn vote_replies(replica: &mut Replica, request: ReplicationMessage) -> Vec<SentVote> {
     replica.step(START, request);
     let ready: Ready = replica.flush(START).expect("the disk works");
@@ -84,10 +84,10 @@
 }
 
 #[test]
-fn a_vote_given_in_a_known_term_survives_a_power_failure() {
+fn a_vote_granted_in_an_already_stored_term_survives_a_power_failure() {
     let disk = CrashDisk::default();
     let mut replica = open(&disk, &[1, 2, 3]);
-    // The term becomes known by a request that is rejected; only the vote is new after that.
+    // The first request is rejected but raises the term; the second one changes only the vote.
     assert_eq!(
         vote_replies(&mut replica, vote_request(2, 5, 0)),
         [rejected(2)]
@@ -121,7 +121,7 @@
     replica.flush(START).expect("the disk works");
     assert_eq!(vote_replies(&mut replica, vote_request(3, 7, 9)), []);
     assert_eq!(replica.term(), 2);
-    // The old leader itself requested the campaign.
+    // A campaign that the current leader requested in a transfer is the exception.
     let mut transfer = vote_request(3, 7, 9);
     if let Some(Body::VoteRequest(request)) = &mut transfer.body {
         request.transfer = true;
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_snapshot_brings_its_configuration() {
+fn an_installed_snapshot_replaces_the_configuration() {
     let mut replica = open(&CrashDisk::default(), &[1, 2, 3]);
     let chunk = SnapshotChunk {
         last_index: 40,
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_configuration_change_that_found_no_space_is_discarded() {
+fn a_configuration_change_is_discarded_when_the_disk_is_full() {
     let disk = CrashDisk::default();
     let mut replica = open(&disk, &[1]);
     replica.tick(START + Duration::from_secs(2));
@@ -167,7 +167,7 @@
     replica
         .change_voters(VoterChange::AddLearner(NodeId(9)))
         .expect("appended");
-    let ready = replica.flush(START).expect("a full disk is no failure");
+    let ready = replica.flush(START).expect("a full disk is not an error");
     assert!(ready.storage_full && ready.lost_leadership);
     assert_eq!(replica.status().learners, []);
     assert!(replica.status().configuration_committed);
--- a/crates/replication/tests/smoke.rs
+++ b/crates/replication/tests/smoke.rs
@@ -1,4 +1,4 @@
-//! A group of three on real files elects a leader, commits and confirms a read.
+//! A group of three replicas on real files elects a leader, commits an entry and confirms a read.
 
 use std::collections::VecDeque;
 use std::path::Path;
--- a/crates/storage/tests/crash_points.rs
+++ b/crates/storage/tests/crash_points.rs
@@ -237,7 +237,7 @@
     let caught = (0..CRASH_SEEDS).filter(|seed| {
         let disk = CrashDisk::default();
         let faults = Faults {
-            lie_about_sync: true,
+            ignore_syncs: true,
             ..Faults::default()
         };
         let (model, result) = run_until_failure(&disk, faults, *INSTALL_INDICES.start());
--- a/crates/storage/tests/support/crash_disk.rs
+++ b/crates/storage/tests/support/crash_disk.rs
@@ -20,9 +20,9 @@
     /// The next sync fails.
     pub(crate) fail_sync: bool,
     /// Syncs report success and do nothing.
-    pub(crate) lie_about_sync: bool,
+    pub(crate) ignore_syncs: bool,
     /// Replaced files report success before they are durable.
-    pub(crate) lie_about_replace: bool,
+    pub(crate) volatile_replaces: bool,
 }
 
 #[derive(Debug, Default)]
@@ -72,8 +72,8 @@
             }
         }
         inner.faults = Faults {
-            lie_about_sync: inner.faults.lie_about_sync,
-            lie_about_replace: inner.faults.lie_about_replace,
+            ignore_syncs: inner.faults.ignore_syncs,
+            volatile_replaces: inner.faults.volatile_replaces,
             ..Faults::default()
         };
     }
@@ -180,7 +180,7 @@
             return Err(failure("sync", name));
         }
         inner.syncs += 1;
-        if inner.faults.lie_about_sync {
+        if inner.faults.ignore_syncs {
             return Ok(());
         }
         let file = inner.files.entry(name.to_owned()).or_default();
@@ -194,7 +194,7 @@
         if inner.take_space(bytes.len()) < bytes.len() {
             return Err(full(name));
         }
-        let lies = inner.faults.lie_about_replace;
+        let lies = inner.faults.volatile_replaces;
         match inner.files.get_mut(name).filter(|_| lies) {
             Some(file) => file.current = bytes.to_vec(),
             None => inner.insert_durable(name, bytes.to_vec()),
