--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -6,7 +6,7 @@
 
 use thiserror::Error;
 
-/// An error of the operating system. It is shared, so that a failed storage can report it again.
+/// An I/O error, reference-counted so that it can be cloned and reported again.
 #[derive(Clone, Debug)]
 pub struct DiskError(Arc<io::Error>);
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// Errors of the same kind are equal.
+/// Compares errors by their kind.
 impl PartialEq for DiskError {
     fn eq(&self, other: &Self) -> bool {
         self.0.kind() == other.0.kind()
@@ -37,51 +37,51 @@
 
 impl Eq for DiskError {}
 
-/// Why a storage operation failed.
+/// Reason why a storage operation failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StorageError {
-    /// The disk reported an error.
+    /// The operating system reported an error.
     #[error("{operation} of {name} failed: {source}")]
     Io {
-        /// The operation that failed.
+        /// The operation that failed, as a verb.
         operation: &'static str,
-        /// File name.
+        /// Name of the file, or path of the directory.
         name: String,
-        /// The cause.
+        /// Error of the operating system.
         source: DiskError,
     },
-    /// The disk is full. Nothing that was synced before is lost, and the operation may be tried
-    /// again once there is space.
-    #[error("no space left for {name}")]
+    /// The disk is full. No synced data is lost, and the operation may be retried once there is
+    /// space.
+    #[error("no space left on the disk to write {name}")]
     Full {
-        /// File name.
+        /// Name of the file, or path of the directory.
         name: String,
     },
-    /// Data that was synced is damaged. The replica must not run on it: its owner clears the
+    /// Synced data is corrupt or missing. The replica must not run on it: its owner clears the
     /// directory and starts a new replica under a new identity.
     #[error("{name} is corrupt at byte {offset}: {reason}")]
     Corrupt {
-        /// File name.
+        /// Name of the file.
         name: String,
-        /// Offset in the file, in bytes.
+        /// Offset of the fault in the file, in bytes.
         offset: u64,
-        /// What is wrong.
+        /// Description of the fault.
         reason: String,
     },
-    /// An earlier write or sync failed, so that what the disk holds is unknown. Nothing is
-    /// retried: a second fsync may report success for pages that the first one dropped.
-    #[error("the storage failed earlier and stays closed")]
+    /// An earlier write or sync failed, so the content of the disk is unknown. Nothing is retried:
+    /// a second fsync may report success for pages that the first one dropped.
+    #[error("storage is unusable after an earlier error")]
     Failed,
 }
 
 impl StorageError {
-    /// Whether the replica may go on after this error.
+    /// Whether the disk was full. This is the only error after which the storage remains usable.
     #[must_use]
     pub fn is_full(&self) -> bool {
         matches!(self, StorageError::Full { .. })
     }
 
-    /// A [`StorageError::Corrupt`].
+    /// Creates a [`StorageError::Corrupt`].
     #[must_use]
     pub fn corrupt(name: &str, offset: usize, reason: &str) -> Self {
         StorageError::Corrupt {
--- a/crates/storage/src/file_disk.rs
+++ b/crates/storage/src/file_disk.rs
@@ -1,4 +1,4 @@
-//! A disk made of real files in one directory.
+//! [`Disk`] on the files of one directory.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
@@ -7,26 +7,27 @@
 
 use crate::{Disk, StorageError};
 
-/// Ending of the names of files that are being written and not yet renamed.
+/// Suffix of files that are being written and are renamed when they are complete.
 const TEMPORARY_SUFFIX: &str = ".tmp";
 
-/// Files of one directory of the operating system.
+/// Files of one directory, without subdirectories and temporary files.
 #[derive(Debug)]
 pub struct FileDisk {
     directory: PathBuf,
-    /// Files open for appending.
+    /// Files open for appending, by name.
     open_files: BTreeMap<String, OpenFile>,
 }
 
 #[derive(Debug)]
 struct OpenFile {
     file: File,
-    /// Whether the directory entry still has to be synced.
+    /// Whether the file was created and its directory entry is not synced yet.
     is_new: bool,
 }
 
 impl FileDisk {
-    /// Opens the directory, creates it when absent and removes files that were never renamed.
+    /// Opens a directory, which is created if it does not exist, and removes temporary files that
+    /// an earlier process left.
     ///
     /// # Errors
     /// [`StorageError::Full`] when there is no space for the directory, else [`StorageError::Io`].
@@ -38,14 +39,15 @@
         };
         disk.create_directory()?;
         disk.remove_temporary_files()?;
-        // A rename or removal of an earlier process may be visible and not durable yet. What is
-        // read from here on must not disappear: it may be a vote.
+        // Renames and removals by an earlier process may be visible without being durable. Files
+        // that are read from here on must not revert in a crash, as one of them may contain a vote.
         let name = disk.directory.display().to_string();
         sync_directory(&disk.directory).map_err(|error| io_error("sync", &name, error))?;
         Ok(disk)
     }
 
-    /// A new directory must survive a crash with everything that is synced into it.
+    /// Creates the directory with its missing ancestors and syncs their parents, so that the new
+    /// directories survive a crash together with the files that are synced into them.
     fn create_directory(&self) -> Result<(), StorageError> {
         let name = self.directory.display().to_string();
         let mut missing = Vec::new();
@@ -150,7 +152,7 @@
     fn replace(&mut self, name: &str, bytes: &[u8]) -> Result<(), StorageError> {
         let temporary = self.path(&format!("{name}{TEMPORARY_SUFFIX}"));
         self.open_files.remove(name);
-        // The old file is intact until the rename, so lack of space here is recoverable.
+        // The old file is intact until the rename, so a full disk is recoverable here.
         write_durably(&temporary, bytes).map_err(|error| write_error("write", name, error))?;
         fs::rename(&temporary, self.path(name)).map_err(|error| io_error("rename", name, error))?;
         sync_directory(&self.directory).map_err(|error| io_error("sync", name, error))
@@ -184,7 +186,8 @@
     File::open(directory)?.sync_all()
 }
 
-/// An error of a write, where lack of space is distinguished from other causes.
+/// Converts an error of an operation that a full disk leaves recoverable: lack of space becomes
+/// [`StorageError::Full`], any other cause [`StorageError::Io`].
 fn write_error(operation: &'static str, name: &str, error: io::Error) -> StorageError {
     let is_full = matches!(
         error.kind(),
@@ -198,7 +201,7 @@
     io_error(operation, name, error)
 }
 
-/// An error after which the file's state is unknown, whatever its kind.
+/// Converts an error of an operation that leaves the file in an unknown state, whatever the cause.
 fn io_error(operation: &'static str, name: &str, error: io::Error) -> StorageError {
     StorageError::Io {
         operation,
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,15 +1,15 @@
-//! Storage of one shard replica: a segmented log with checksums, the hard state (term and vote)
-//! and the snapshots beside it.
+//! Durable storage of one shard replica: a segmented log with checksums, the hard state (term, vote
+//! and node identity) and the newest snapshot.
 //!
-//! Everything goes through the [`Disk`] trait, so that the same code runs on real files
-//! ([`FileDisk`]) and on a simulated disk that loses what was not synced.
+//! All I/O goes through the [`Disk`] trait, so that the same code runs on real files ([`FileDisk`])
+//! and on a simulated disk that loses unsynced data.
 //!
 //! Order of writes that recovery relies on:
 //! - the hard state is written before the first log entry or snapshot of a replica;
-//! - a segment is synced completely before the next one is created, so that only the last segment can
-//!   have a torn tail;
+//! - a segment is synced completely before the next one is created, so that only the last segment
+//!   can have a torn tail;
 //! - a snapshot is durable before any log entry that it covers is removed;
-//! - a truncation is durable before anything is appended behind it.
+//! - a truncation is durable before anything is appended after it.
 
 mod checked_file;
 mod disk;
--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -1,7 +1,8 @@
-//! The replicated log of one shard: entries in memory, segments on disk.
+//! The replicated log of one shard: entries in memory and segments on disk.
 //!
-//! Entries are appended in memory; [`SegmentedLog::sync`] writes everything new as one batch and
-//! syncs it. What is not synced is distinguished by its index, so a failed batch is dropped cleanly.
+//! Entries are appended in memory; [`SegmentedLog::sync`] writes all new entries as one batch and
+//! syncs it. The index of the last synced entry separates durable entries from new ones, so the
+//! entries of a failed batch can be dropped.
 
 use std::collections::VecDeque;
 
@@ -12,19 +13,21 @@
 use crate::segment_recovery::RecoveredSegment;
 use crate::{Disk, StorageError, StorageOptions};
 
-/// The log. Entry `first_index` is the first in memory; what came before is in a snapshot.
+/// A log whose entries before `first_index` were compacted into a snapshot.
 #[derive(Debug)]
 pub struct SegmentedLog {
     options: StorageOptions,
-    /// On disk, oldest first, contiguous; the last one is appended to.
+    /// Segments on disk, oldest first and contiguous. Only the last one is appended to.
     segments: Vec<Segment>,
+    /// Entries from `first_index` on, synced or not.
     entries: VecDeque<LogEntry>,
     first_index: u64,
+    /// Index of the last durable entry.
     synced_index: u64,
 }
 
 impl SegmentedLog {
-    /// An empty log whose first entry will be `first_index`.
+    /// Creates an empty log whose first entry will have index `first_index`.
     pub(crate) fn empty(options: StorageOptions, first_index: u64) -> Self {
         Self {
             options,
@@ -35,14 +38,15 @@
         }
     }
 
-    /// Adds a segment that was read after a restart; it must continue the log. Its entries are durable.
+    /// Adds a segment that was read after a restart. It must continue the log, and its entries must
+    /// be durable.
     pub(crate) fn push_recovered(&mut self, recovered: RecoveredSegment) {
         self.append(recovered.entries);
         self.segments.push(recovered.segment);
         self.synced_index = self.last_index();
     }
 
-    /// File name of the oldest segment.
+    /// File name of the oldest segment; `None` if there is none.
     pub(crate) fn first_segment_name(&self) -> Option<&str> {
         self.segments.first().map(|segment| segment.name.as_str())
     }
@@ -53,7 +57,7 @@
         self.first_index
     }
 
-    /// Index of the last entry; one less than the first when empty.
+    /// Index of the last entry, synced or not; `first_index - 1` if the log is empty.
     #[must_use]
     pub fn last_index(&self) -> u64 {
         self.first_index + self.entries.len() as u64 - 1
@@ -65,20 +69,21 @@
         self.synced_index
     }
 
-    /// Bytes of all segments.
+    /// Total bytes of the records in all segments.
     #[must_use]
     pub fn bytes(&self) -> u64 {
         self.segments.iter().map(Segment::bytes).sum()
     }
 
-    /// The entry at an index.
+    /// The entry at an index; `None` if the log does not contain it.
     #[must_use]
     pub fn entry(&self, index: u64) -> Option<&LogEntry> {
         let offset = index.checked_sub(self.first_index)?;
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Entries from `from` up to and with `to`, at most `max_bytes` but at least one if there is.
+    /// Entries from `from` to `to`, both included, up to `max_bytes` in total. The first entry is
+    /// returned even if it is larger. Stops at the first index that the log does not contain.
     #[must_use]
     pub fn entries(&self, from: u64, to: u64, max_bytes: usize) -> Vec<LogEntry> {
         let mut result = Vec::new();
@@ -98,7 +103,7 @@
         result
     }
 
-    /// First entry to retain when a snapshot covers everything up to `covered`.
+    /// Index of the first entry to retain when a snapshot covers all entries up to `covered`.
     pub(crate) fn first_retained_index(&self, covered: u64, options: &StorageOptions) -> u64 {
         let mut first = covered + 1;
         let mut bytes = 0;
@@ -115,7 +120,7 @@
         first
     }
 
-    /// Appends in memory. Each entry must follow the last one.
+    /// Appends entries in memory. Each entry must have the index after the last one.
     pub(crate) fn append(&mut self, entries: impl IntoIterator<Item = LogEntry>) {
         for entry in entries {
             debug_assert_eq!(entry.index, self.last_index() + 1);
@@ -123,8 +128,8 @@
         }
     }
 
-    /// Drops the entries from `index` on. What was on disk is truncated durably before this returns,
-    /// so that no later append can end up behind bytes that should have been removed.
+    /// Drops the entries from `index` on. Records on disk are truncated durably before this
+    /// returns, so that a later append can never follow bytes that should have been removed.
     pub(crate) fn truncate_from(
         &mut self,
         disk: &mut dyn Disk,
@@ -136,7 +141,7 @@
         if index > self.synced_index {
             return Ok(());
         }
-        // Newest first: a crash on the way leaves a shorter log without a gap.
+        // Newest first, so that a crash in between leaves a shorter log without a gap.
         while let Some(segment) = self.segments.pop_if(|segment| segment.first_index >= index) {
             disk.remove(&segment.name)?;
         }
@@ -149,18 +154,19 @@
         Ok(())
     }
 
-    /// Drops what is not durable, after a write that found no space.
+    /// Drops the entries that are not durable, after a failed write.
     pub(crate) fn drop_unsynced(&mut self) {
         let remaining = (self.synced_index + 1).saturating_sub(self.first_index);
         self.entries
             .truncate(usize::try_from(remaining).unwrap_or(usize::MAX));
     }
 
-    /// Makes every entry durable with one fsync (more only when segments fill up on the way).
+    /// Makes all entries durable with one fsync, or with several if they exceed the size of a
+    /// segment.
     ///
     /// # Errors
-    /// After [`StorageError::Full`] the file is as it was before; after any other error its state
-    /// is unknown.
+    /// After [`StorageError::Full`] the file has no bytes of the failed batch; after any other
+    /// error its state is unknown.
     pub(crate) fn sync(&mut self, disk: &mut dyn Disk) -> Result<(), StorageError> {
         while self.synced_index < self.last_index() {
             self.sync_batch(disk)?;
@@ -188,8 +194,8 @@
         Ok(())
     }
 
-    /// Begins a new segment when there is none or the last one is full. The last one is synced
-    /// completely: every batch is synced before the next one begins.
+    /// Starts a new segment if there is none or the last one is full. The last one is synced
+    /// completely then, because each batch is synced before the next one begins.
     fn open_segment(&mut self, first_index: u64) {
         let full = match self.segments.last() {
             None => true,
@@ -200,13 +206,14 @@
         }
     }
 
-    /// Removes segments that end before `index`, oldest first, and forgets entries before it.
+    /// Removes segments that end before `index`, oldest first, and drops the durable entries before
+    /// `index` from memory.
     pub(crate) fn compact_before(
         &mut self,
         disk: &mut dyn Disk,
         index: u64,
     ) -> Result<(), StorageError> {
-        // The last segment stays, so that its name still records where the log continues.
+        // The last segment is kept, because its name records the index at which the log continues.
         while self.segments.len() > 1 && self.segments[0].last_index() < index {
             disk.remove(&self.segments[0].name)?;
             self.segments.remove(0);
@@ -218,10 +225,11 @@
         Ok(())
     }
 
-    /// Removes everything; the next entry will be `first_index`.
+    /// Removes all entries and segments; the next entry will have index `first_index`.
     ///
-    /// Newest first: what a crash leaves is a prefix of the old log, which recovery recognises as
-    /// not reaching the snapshot. A suffix could be mistaken for what follows the snapshot.
+    /// Segments are removed newest first. A crash in between then leaves a prefix of the old log,
+    /// which recovery recognises because it does not reach the snapshot. A suffix could be mistaken
+    /// for the entries that follow the snapshot.
     pub(crate) fn clear(
         &mut self,
         disk: &mut dyn Disk,
@@ -235,7 +243,8 @@
     }
 }
 
-/// Rolls back a batch that found no space. If that fails too, the error is final.
+/// Removes the bytes of a batch for which there was not enough space. Returns the original error,
+/// or the error of the removal, which is final.
 fn undo_append(disk: &mut dyn Disk, segment: &Segment, error: StorageError) -> StorageError {
     if !error.is_full() {
         return error;
--- a/crates/storage/src/log_recovery.rs
+++ b/crates/storage/src/log_recovery.rs
@@ -20,13 +20,13 @@
     if continues(&log, meta) {
         return check_start(log, meta.index);
     }
-    // A crash came between the installed snapshot and the removal of the log that it replaced.
+    // The process crashed after it installed the snapshot and before it removed the replaced log.
     log.clear(disk, meta.index + 1)?;
     Ok(log)
 }
 
-/// Whether the log continues the snapshot: it holds the snapshot's last entry, or it begins right
-/// behind it.
+/// Whether the log continues the snapshot: it begins after the snapshot's last entry, or contains
+/// that entry with the same term.
 fn continues(log: &SegmentedLog, meta: &SnapshotMeta) -> bool {
     if log.first_index() > meta.index {
         return true;
@@ -35,7 +35,7 @@
         .is_some_and(|entry| entry.term == meta.term)
 }
 
-/// A log that begins too late has lost entries.
+/// Fails if the log begins later than the entry after the snapshot, so that entries were lost.
 fn check_start(log: SegmentedLog, snapshot_index: u64) -> Result<SegmentedLog, StorageError> {
     if log.first_index() <= snapshot_index + 1 {
         return Ok(log);
@@ -52,7 +52,7 @@
     let mut first_indices: Vec<u64> = disk
         .list()?
         .iter()
-        .filter_map(|name| Segment::first_index_of(name))
+        .filter_map(|name| Segment::first_index_in_name(name))
         .collect();
     first_indices.sort_unstable();
     let Some(first_index) = first_indices.first().copied() else {
@@ -63,7 +63,7 @@
     for (ordinal, first) in first_indices.into_iter().enumerate() {
         let segment = Segment::new(first);
         if first != log.last_index() + 1 {
-            let reason = "the segment before it does not reach up to it";
+            let reason = "entries are missing between the previous segment and this one";
             return Err(StorageError::corrupt(&segment.name, 0, reason));
         }
         let kind = if ordinal == last {
--- a/crates/storage/src/options.rs
+++ b/crates/storage/src/options.rs
@@ -1,22 +1,23 @@
-//! Options of the storage.
+//! Size limits of the storage.
 
-/// Bytes after which a new log segment begins.
+/// Size at which a log segment is full.
 pub(crate) const DEFAULT_SEGMENT_BYTES: u64 = 4 * 1024 * 1024;
 
-/// Entries retained behind a snapshot, so that a replica that lags a little needs no snapshot.
+/// Covered entries retained after a snapshot, so that a replica which lags slightly needs no
+/// snapshot.
 pub(crate) const DEFAULT_RETAINED_ENTRIES: u64 = 2_000;
 
-/// Bytes of entries retained behind a snapshot: a few large entries must not fill memory.
+/// Bytes of covered entries retained after a snapshot, so that large entries do not fill memory.
 pub(crate) const DEFAULT_RETAINED_BYTES: usize = 8 * 1024 * 1024;
 
-/// Sizes of a replica's storage, in bytes and entries.
+/// Size limits of a replica's storage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StorageOptions {
-    /// A segment that has reached this many bytes is closed.
+    /// Size in bytes at which a segment is full and the next batch starts a new one.
     pub segment_bytes: u64,
-    /// Most entries retained behind the snapshot.
+    /// Most entries covered by the snapshot that the log retains.
     pub retained_entries: u64,
-    /// Most bytes of entries retained behind the snapshot.
+    /// Most encoded bytes of entries covered by the snapshot that the log retains.
     pub retained_bytes: usize,
 }
 
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -1,9 +1,9 @@
-//! Log records: one entry each, with a checksum of its own for the header and for the body.
+//! Log records: one entry each, with separate checksums for the header and the body.
 //!
-//! Layout, before whitening (see [`crate::whitening`]), little endian:
-//! body length (4), batch start (4), checksum of the body (4), checksum of the header (4), body,
-//! zeros up to a multiple of eight bytes. Checksums are CRC-32C. The batch start is the offset in the
-//! segment up to which everything had been synced when the record was written.
+//! Layout before whitening (see [`crate::whitening`]), little endian, with sizes in bytes: body
+//! length (4), batch start (4), checksum of the body (4), checksum of the header (4), body, zeros
+//! up to a multiple of eight bytes. Checksums are CRC-32C. The batch start is the offset in the
+//! segment up to which all bytes had been synced when the record was written.
 
 use millford_api::replication::LogEntry;
 use prost::Message;
@@ -13,31 +13,32 @@
 /// Bytes of a record's header.
 pub(crate) const HEADER_BYTES: usize = 16;
 
-/// Bytes of the header that its own checksum covers; the checksum follows them.
+/// Offset of the header's checksum, which covers the bytes before it.
 const HEADER_CHECKSUM_OFFSET: usize = 12;
 
-/// Header of a record whose checksum was right.
+/// Header of a record, after its checksum was verified.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RecordHeader {
     /// Bytes of the body, without padding.
     pub(crate) body_bytes: usize,
-    /// Everything before this offset was synced when the record was written.
+    /// Offset in the segment up to which all bytes had been synced when the record was written.
     pub(crate) batch_start: usize,
     body_checksum: u32,
 }
 
-/// What a segment holds at an offset.
+/// Result of reading a record at an offset of a segment.
 #[derive(Debug)]
 pub(crate) enum RecordAt {
-    /// A complete entry; the next record begins at `end`.
+    /// A complete record; the next one begins at offset `end`.
     Entry { entry: LogEntry, end: usize },
-    /// The bytes end within the record.
+    /// The segment ends within the record.
     Truncated,
-    /// A checksum is wrong, or the body is no entry.
+    /// A checksum does not match, or the body cannot be decoded as an entry.
     Corrupt,
 }
 
-/// Appends one entry as a record. `buffer` will be written at offset `base` of its segment.
+/// Appends one entry as a record to `buffer`, which will be written at offset `base` of its
+/// segment.
 pub(crate) fn encode(entry: &LogEntry, base: usize, batch_start: usize, buffer: &mut Vec<u8>) {
     let start = buffer.len();
     buffer.resize(start + HEADER_BYTES, 0);
@@ -49,7 +50,7 @@
     whitening::apply(base + start, &mut buffer[start..]);
 }
 
-/// Reads the record at `offset`, which must not be past the end.
+/// Reads the record at `offset`, which must not be greater than the segment's length.
 pub(crate) fn read(segment: &[u8], offset: usize) -> RecordAt {
     if segment.len() - offset < HEADER_BYTES {
         return RecordAt::Truncated;
@@ -73,7 +74,7 @@
     }
 }
 
-/// The header at `offset` if it is complete and its checksum is right.
+/// Returns the header at `offset` if it is complete and its checksum matches.
 pub(crate) fn read_header(segment: &[u8], offset: usize) -> Option<RecordHeader> {
     let whitened = segment.get(offset..offset + HEADER_BYTES)?;
     let mut header = whitened.to_vec();
@@ -93,7 +94,7 @@
     })
 }
 
-/// Bytes of a complete record with a body of `body_bytes`.
+/// Bytes of a complete record, with header and padding, for a body of `body_bytes`.
 fn record_bytes(body_bytes: usize) -> usize {
     HEADER_BYTES + body_bytes.next_multiple_of(WORD_BYTES)
 }
@@ -106,7 +107,8 @@
     target[HEADER_CHECKSUM_OFFSET..HEADER_BYTES].copy_from_slice(&header_checksum.to_le_bytes());
 }
 
-/// Segments and entries stay far below 4 GiB; a larger one must not be written truncated.
+/// Converts a size or offset to a header field. Panics from 4 GiB on, which segments and entries
+/// are far below, so that a larger value is never written truncated.
 fn field_value(value: usize) -> u32 {
     u32::try_from(value).expect("log segments are smaller than 4 GiB")
 }
--- a/crates/storage/src/replica_storage.rs
+++ b/crates/storage/src/replica_storage.rs
@@ -1,4 +1,4 @@
-//! The storage of one replica: log, hard state and snapshot over one disk.
+//! The storage of one replica: log, hard state and snapshot on one disk.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::snapshot::{self, Snapshot, SnapshotMeta};
 use crate::{Disk, SegmentedLog, StorageError, StorageOptions, checked_file, log_recovery};
 
-/// File of the hard state: term, vote and identity.
+/// File name of the hard state: term, vote and node identity.
 const HARD_STATE_FILE: &str = "hard-state";
 
 /// Durable state of one replica.
@@ -22,20 +22,21 @@
 }
 
 impl ReplicaStorage {
-    /// Reads what the disk holds and truncates a torn tail.
+    /// Reads the state on the disk and truncates a torn tail of the log.
     ///
     /// # Errors
-    /// [`StorageError::Corrupt`] means that synced data is damaged or missing: the owner must not
-    /// run this identity any more. It clears the directory and starts empty under a new identity,
-    /// which joins as a learner.
+    /// [`StorageError::Corrupt`] means that synced data is corrupt or missing. The owner must not
+    /// use this identity any more: it clears the directory and starts empty under a new identity,
+    /// which joins the group as a learner.
     pub fn open(mut disk: Box<dyn Disk>, options: StorageOptions) -> Result<Self, StorageError> {
         let hard_state = read_hard_state(disk.as_ref())?;
         let snapshot = snapshot::recover(disk.as_mut())?;
         let meta = snapshot.as_ref().map(|snapshot| &snapshot.meta);
         let log = log_recovery::recover(disk.as_mut(), options, meta)?;
-        let holds_data = snapshot.is_some() || log.last_index() > 0;
-        if hard_state.is_none() && holds_data {
-            // The hard state is written first. Without it, votes would be forgotten.
+        let has_data = snapshot.is_some() || log.last_index() > 0;
+        if hard_state.is_none() && has_data {
+            // The hard state is written before any other data, so it was lost. Without it the
+            // replica could vote twice in a term.
             let reason = "the hard state is missing";
             return Err(StorageError::corrupt(HARD_STATE_FILE, 0, reason));
         }
@@ -49,19 +50,19 @@
         })
     }
 
-    /// Whether nothing was ever stored here.
+    /// Whether no hard state was ever stored, and therefore no other data either.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.hard_state.is_none()
     }
 
-    /// Term and vote; `None` before the first were stored.
+    /// Term, vote and node identity; `None` before they were first stored.
     #[must_use]
     pub fn hard_state(&self) -> Option<HardState> {
         self.hard_state
     }
 
-    /// Stores term and vote; durable on return.
+    /// Stores term, vote and node identity; durable on return.
     ///
     /// # Errors
     /// Any error of the disk; all but [`StorageError::Full`] are final.
@@ -74,13 +75,14 @@
         Ok(())
     }
 
-    /// Index of the first entry that the log still holds.
+    /// Index of the first entry that the log still contains.
     #[must_use]
     pub fn first_index(&self) -> u64 {
         self.log.first_index()
     }
 
-    /// Index of the last entry, synced or not; the snapshot's when the log is empty.
+    /// Index of the last entry, synced or not. If the log is empty, the snapshot's index, or 0
+    /// without a snapshot.
     #[must_use]
     pub fn last_index(&self) -> u64 {
         self.log.last_index()
@@ -92,13 +94,14 @@
         self.log.synced_index()
     }
 
-    /// Bytes of the log on disk.
+    /// Total bytes of the log's records on disk.
     #[must_use]
     pub fn log_bytes(&self) -> u64 {
         self.log.bytes()
     }
 
-    /// Term of the entry at an index; 0 for index 0, `None` when unknown.
+    /// Term of the entry at an index, also if it is the snapshot's last entry. 0 for index 0,
+    /// `None` if the log does not contain the entry.
     #[must_use]
     pub fn term_at(&self, index: u64) -> Option<u64> {
         if index == 0 {
@@ -111,24 +114,26 @@
         (meta.index == index).then_some(meta.term)
     }
 
-    /// The entry at an index, if the log holds it.
+    /// The entry at an index; `None` if the log does not contain it.
     #[must_use]
     pub fn entry(&self, index: u64) -> Option<&LogEntry> {
         self.log.entry(index)
     }
 
-    /// Entries from `from` up to and with `to`, at most `max_bytes` but at least one if there is.
+    /// Entries from `from` to `to`, both included, up to `max_bytes` in total. The first entry is
+    /// returned even if it is larger. Stops at the first index that the log does not contain.
     #[must_use]
     pub fn entries(&self, from: u64, to: u64, max_bytes: usize) -> Vec<LogEntry> {
         self.log.entries(from, to, max_bytes)
     }
 
-    /// Appends entries that follow the last one. Durable only after [`ReplicaStorage::sync`].
+    /// Appends entries, each with the index after the last one. Durable only after
+    /// [`ReplicaStorage::sync`].
     pub fn append(&mut self, entries: impl IntoIterator<Item = LogEntry>) {
         self.log.append(entries);
     }
 
-    /// Drops the entries from `index` on, durably.
+    /// Drops the entries from `index` on; durable on return.
     ///
     /// # Errors
     /// Any error of the disk; all but [`StorageError::Full`] are final.
@@ -138,11 +143,12 @@
         self.record_failure(result)
     }
 
-    /// Makes everything appended durable with one fsync.
+    /// Makes all appended entries durable with one fsync, or with several if they exceed the size
+    /// of a segment.
     ///
     /// # Errors
-    /// Any error of the disk; all but [`StorageError::Full`] are final. The entries that are not durable
-    /// are dropped.
+    /// Any error of the disk; all but [`StorageError::Full`] are final. Entries that are not
+    /// durable are dropped.
     pub fn sync(&mut self) -> Result<(), StorageError> {
         self.check_usable()?;
         let result = self.log.sync(self.disk.as_mut());
@@ -157,13 +163,14 @@
         self.log.drop_unsynced();
     }
 
-    /// The newest snapshot.
+    /// The newest snapshot; `None` before the first.
     #[must_use]
     pub fn snapshot(&self) -> Option<&Snapshot> {
         self.snapshot.as_ref()
     }
 
-    /// Stores a snapshot of this replica's own state and compacts the log behind it.
+    /// Stores a snapshot of this replica's own state and removes the log entries that it covers,
+    /// except those to retain.
     ///
     /// # Errors
     /// Any error of the disk; all but [`StorageError::Full`] are final.
@@ -174,8 +181,8 @@
         self.compact(first_retained_index)
     }
 
-    /// Stores a snapshot received from the leader. The log is retained if it holds the snapshot's last
-    /// entry, else it is dropped completely.
+    /// Stores a snapshot received from the leader. The log is retained if it contains the
+    /// snapshot's last entry with the same term, else it is removed completely.
     ///
     /// # Errors
     /// Any error of the disk; all but [`StorageError::Full`] are final.
@@ -197,13 +204,16 @@
         self.record_failure(result)
     }
 
-    /// Removes log entries before `index`, which a snapshot must cover.
+    /// Removes log entries before `index`, as far as the newest snapshot covers them.
     ///
     /// # Errors
     /// Any error of the disk; all but [`StorageError::Full`] are final.
     pub fn compact(&mut self, index: u64) -> Result<(), StorageError> {
         self.check_usable()?;
-        let covered = self.snapshot.as_ref().map_or(0, |newest| newest.meta.index);
+        let covered = self
+            .snapshot
+            .as_ref()
+            .map_or(0, |snapshot| snapshot.meta.index);
         let result = self
             .log
             .compact_before(self.disk.as_mut(), index.min(covered + 1));
@@ -229,7 +239,8 @@
         Ok(())
     }
 
-    /// After any error but a full disk, what the disk holds is unknown: nothing is retried.
+    /// Marks the storage as failed after any error but a full disk: the content of the disk is
+    /// unknown then, and nothing is retried.
     fn record_failure(&mut self, result: Result<(), StorageError>) -> Result<(), StorageError> {
         if result.as_ref().is_err_and(|error| !error.is_full()) {
             self.failed = true;
@@ -243,7 +254,7 @@
         return Ok(None);
     };
     let Ok(hard_state) = HardState::decode(body.as_slice()) else {
-        let reason = "the hard state cannot be read";
+        let reason = "the hard state cannot be decoded";
         return Err(StorageError::corrupt(HARD_STATE_FILE, 0, reason));
     };
     Ok(Some(hard_state))
--- a/crates/storage/src/segment.rs
+++ b/crates/storage/src/segment.rs
@@ -1,4 +1,4 @@
-//! One segment of the log: a file that is only appended to.
+//! One segment of the log: an append-only file of records.
 
 use millford_api::replication::LogEntry;
 
@@ -7,21 +7,21 @@
 const FILE_PREFIX: &str = "log-";
 const FILE_SUFFIX: &str = ".v1";
 
-/// A segment's file and the offsets of its records.
+/// A segment's file name and the offsets of its records.
 #[derive(Clone, Debug)]
 pub(crate) struct Segment {
-    /// File name; it carries the index of the first entry.
+    /// File name, which contains the index of the first entry in twenty digits.
     pub(crate) name: String,
     /// Index of the first entry.
     pub(crate) first_index: u64,
-    /// Offset of each record; the records are on disk and synced.
+    /// Offset of each record that is on disk and synced, in bytes.
     record_offsets: Vec<u64>,
-    /// Bytes of all records.
+    /// Total bytes of these records.
     bytes: u64,
 }
 
 impl Segment {
-    /// An empty segment that begins at `first_index`.
+    /// Creates an empty segment whose first entry will have index `first_index`.
     pub(crate) fn new(first_index: u64) -> Self {
         Self {
             name: format!("{FILE_PREFIX}{first_index:020}{FILE_SUFFIX}"),
@@ -31,23 +31,23 @@
         }
     }
 
-    /// The first index in a segment's file name; `None` for other files.
-    pub(crate) fn first_index_of(name: &str) -> Option<u64> {
+    /// Parses the first index from a segment's file name. Returns `None` for other files.
+    pub(crate) fn first_index_in_name(name: &str) -> Option<u64> {
         let digits = name.strip_prefix(FILE_PREFIX)?.strip_suffix(FILE_SUFFIX)?;
         digits.parse().ok()
     }
 
-    /// Index of the last entry; one less than the first when empty.
+    /// Index of the last entry; `first_index - 1` if the segment is empty.
     pub(crate) fn last_index(&self) -> u64 {
         self.first_index + self.record_offsets.len() as u64 - 1
     }
 
-    /// Bytes of the records.
+    /// Total bytes of the synced records, which is the offset where the next one begins.
     pub(crate) fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// Encodes entries as one batch that begins at the segment's end.
+    /// Encodes entries as one batch that starts at the end of the synced records.
     pub(crate) fn encode(&self, entries: &[LogEntry]) -> EncodedBatch {
         let base = usize::try_from(self.bytes).unwrap_or(usize::MAX);
         let mut buffer = Vec::new();
@@ -62,13 +62,14 @@
         }
     }
 
-    /// Records that a record ends at `end`, after it has been synced or read.
+    /// Adds a record that ends at offset `end`, after it has been synced or read.
     pub(crate) fn push(&mut self, end: u64) {
         self.record_offsets.push(self.bytes);
         self.bytes = end;
     }
 
-    /// Forgets the records from `index` on and returns the bytes that remain.
+    /// Removes the records from `index` on and returns the total bytes of the remaining ones. Does
+    /// not change the file.
     pub(crate) fn truncate_from(&mut self, index: u64) -> u64 {
         let remaining =
             usize::try_from(index.saturating_sub(self.first_index)).unwrap_or(usize::MAX);
@@ -80,7 +81,7 @@
     }
 }
 
-/// Bytes to append and the offset where each record ends.
+/// Bytes to append, and the offset in the segment where each record ends.
 #[derive(Debug)]
 pub(crate) struct EncodedBatch {
     pub(crate) buffer: Vec<u8>,
--- a/crates/storage/src/segment_recovery.rs
+++ b/crates/storage/src/segment_recovery.rs
@@ -1,5 +1,5 @@
-//! Reading a segment after a restart: which bytes are complete records, and whether the rest is a
-//! torn write or corruption.
+//! Reading a segment after a restart: finds the complete records and decides whether the remaining
+//! bytes are a torn write or corruption.
 
 use millford_api::replication::LogEntry;
 
@@ -8,26 +8,26 @@
 use crate::whitening::WORD_BYTES;
 use crate::{Disk, StorageError};
 
-/// A disk writes each sector completely or not at all; a lost one reads as zeros.
+/// Bytes that a disk writes completely or not at all. A sector that was not written reads as zeros.
 const SECTOR_BYTES: usize = 512;
 
-/// Whether a segment was still appended to when the process ended.
+/// Whether the process may have been appending to a segment when it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SegmentKind {
-    /// A newer segment exists: this one had been synced completely before.
+    /// A newer segment exists, so this one had been synced completely before.
     Sealed,
     /// The last segment, which may end with a torn write.
     Active,
 }
 
-/// A segment as it was read.
+/// A segment that was read, and its entries.
 pub(crate) struct RecoveredSegment {
     pub(crate) segment: Segment,
     pub(crate) entries: Vec<LogEntry>,
 }
 
-/// Reads a segment. Only the active one may have a torn tail, which is truncated; what remains is
-/// durable.
+/// Reads a segment and truncates a torn tail, which only the active segment may have. The returned
+/// entries are durable.
 ///
 /// # Errors
 /// [`StorageError::Corrupt`] when synced bytes are damaged; any error of the disk.
@@ -51,7 +51,7 @@
     if offset < bytes.len() {
         let is_torn = kind == SegmentKind::Active && is_torn_write(&bytes, offset);
         if !is_torn {
-            let reason = "a record is damaged";
+            let reason = "a synced record is corrupt";
             return Err(StorageError::corrupt(&segment.name, offset, reason));
         }
     }
@@ -61,16 +61,16 @@
     Ok(RecoveredSegment { segment, entries })
 }
 
-/// Rewrites what was read, without a torn tail. Bytes that were read need not be on the disk: the
-/// process may have died before its sync, or after a sync that failed and dropped them. From here
-/// on they count as synced, so they are written anew.
+/// Rewrites a segment with the bytes that were read, without a torn tail. These bytes may be in the
+/// page cache only: the earlier process may have ended before its sync, or after a failed sync that
+/// left the pages marked as clean. From here on they count as synced, so they are written again.
 fn make_durable(disk: &mut dyn Disk, segment: &Segment, bytes: &[u8]) -> Result<(), StorageError> {
     match disk.replace(&segment.name, bytes) {
         Err(error) if error.is_full() => {}
         result => return result,
     }
-    // No space for a copy: the file itself is truncated and synced. The truncation is durable before
-    // anything is appended, else old and new bytes could mix after a crash.
+    // Without space for a copy, the file itself is truncated and synced. The truncation must be
+    // durable before the next append; otherwise a crash could leave a mixture of old and new bytes.
     disk.truncate(&segment.name, bytes.len() as u64)?;
     disk.sync(&segment.name)
 }
@@ -79,15 +79,16 @@
     if entry.index == segment.last_index() + 1 {
         return Ok(());
     }
-    let reason = "an entry has the wrong index";
+    let reason = "an entry does not have the expected index";
     Err(StorageError::corrupt(&segment.name, offset, reason))
 }
 
-/// Whether the bytes from `offset` on, which begin with no complete record, are an unsynced tail.
+/// Whether the bytes from `offset` on, where no complete record begins, are a torn write of the
+/// last batch.
 ///
 /// A torn write leaves a truncated record or lost sectors. Any other fault, such as a flipped bit,
-/// may have hit entries that were synced and acknowledged; truncating the log there would lose them
-/// silently, so it is corruption.
+/// may affect entries that were synced and acknowledged. Truncating the log there would lose them
+/// silently, so such a fault is corruption.
 fn is_torn_write(bytes: &[u8], offset: usize) -> bool {
     if was_synced(bytes, offset) {
         return false;
@@ -98,7 +99,8 @@
     }
 }
 
-/// Whether a later record proves that the bytes at `offset` had been synced before it was written.
+/// Whether the header of a later record shows that the bytes at `offset` had been synced before
+/// that record was written.
 fn was_synced(bytes: &[u8], offset: usize) -> bool {
     (offset..bytes.len())
         .step_by(WORD_BYTES)
@@ -106,6 +108,8 @@
         .any(|header| header.batch_start > offset)
 }
 
+/// Whether all bytes of a sector from `offset` on are zeros, which whitened bytes never are in
+/// practice.
 fn has_lost_sector(bytes: &[u8], offset: usize) -> bool {
     let mut start = offset;
     while start < bytes.len() {
--- a/crates/storage/src/snapshot.rs
+++ b/crates/storage/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the state machine, beside the log.
+//! Snapshot files: saving, recovery and encoding.
 
 use std::sync::Arc;
 
@@ -7,10 +7,10 @@
 
 use crate::{Disk, StorageError, checked_file};
 
-/// Beginning of a snapshot's file name; the index follows in twenty digits.
+/// Prefix of a snapshot's file name; the index follows in twenty digits.
 const FILE_PREFIX: &str = "snapshot-";
 
-/// What a snapshot covers.
+/// Position and configuration of a snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SnapshotMeta {
     /// Index of the last entry that the snapshot covers.
@@ -21,16 +21,16 @@
     pub voters: VoterSet,
 }
 
-/// A snapshot with the state machine's bytes.
+/// A snapshot of the state machine, with its position and configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
-    /// What it covers.
+    /// Position and configuration.
     pub meta: SnapshotMeta,
-    /// The state machine's bytes, shared with the transfers to other replicas.
+    /// The state machine's encoded state, shared with the transfers to other replicas.
     pub data: Arc<[u8]>,
 }
 
-/// Writes a snapshot, then removes the older ones. Durable on return.
+/// Writes a snapshot and removes the older ones. Durable on return.
 ///
 /// # Errors
 /// Any error of the disk.
@@ -40,7 +40,8 @@
     remove_before(disk, snapshot.meta.index)
 }
 
-/// The newest snapshot. Older ones, left by a crash between save and removal, are removed.
+/// Reads the newest snapshot, if any, and removes older ones, which a crash between their
+/// replacement and removal leaves.
 ///
 /// # Errors
 /// [`StorageError::Corrupt`] when the newest snapshot is damaged; any error of the disk.
@@ -74,7 +75,7 @@
     name.strip_prefix(FILE_PREFIX)?.parse().ok()
 }
 
-/// A snapshot file holds one chunk message with the complete snapshot.
+/// Encodes a snapshot file: one `SnapshotChunk` message with the complete snapshot.
 fn encode(snapshot: &Snapshot) -> Vec<u8> {
     let chunk = SnapshotChunk {
         last_index: snapshot.meta.index,
@@ -92,7 +93,7 @@
         return Err(StorageError::corrupt(
             name,
             0,
-            "the snapshot cannot be read",
+            "the snapshot cannot be decoded",
         ));
     };
     let meta = SnapshotMeta {
--- a/crates/storage/src/whitening.rs
+++ b/crates/storage/src/whitening.rs
@@ -1,17 +1,17 @@
-//! Whitening of log bytes.
+//! Whitening of log bytes, so that written bytes can be told from a lost sector.
 //!
-//! A lost sector reads as zeros, and recovery takes zeros in the last batch for a torn write. For
-//! that to be safe, bytes that were really written must not look like a lost sector. Log bytes are
-//! therefore combined with a fixed stream that depends on their position: eight bytes in a row
-//! that are written as zeros occur by chance only, once in 2^64.
+//! A lost sector reads as zeros, and recovery treats zeros in the last batch as a torn write. For
+//! that to be safe, bytes that were written must not read as zeros. Log bytes are therefore
+//! combined (XOR) with a fixed pseudo-random stream that depends on their offset: a word of eight
+//! zero bytes is written only by chance, with a probability of 2^-64.
 
-/// Bytes per word of the stream; records are aligned to it.
+/// Bytes per word of the stream. Records are padded to a multiple of it.
 pub(crate) const WORD_BYTES: usize = 8;
 
 /// Increment of the splitmix64 generator (Steele, Lea and Flood, 2014).
 const SPLITMIX64_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Whitens or restores `bytes`, which are stored at `offset` of their segment.
+/// Whitens `bytes`, which are stored at `offset` of their segment, or reverses the whitening.
 ///
 /// `offset` must be a multiple of [`WORD_BYTES`].
 pub(crate) fn apply(offset: usize, bytes: &mut [u8]) {
--- a/crates/storage/tests/committed_folder.rs
+++ b/crates/storage/tests/committed_folder.rs
@@ -1,7 +1,9 @@
-//! A replica's folder that b3d3e00 wrote is read and written by the present code.
+//! Compatibility of the file format: the current code opens the replica folder that commit b3d3e00
+//! wrote, and writes identical files.
 //!
-//! `data/replica` holds what [`write`] leaves on an empty disk, as the code of b3d3e00 wrote it. It
-//! is not written again: a replica must be able to start on what an earlier release left.
+//! `data/replica` contains the files that [`write`] created on an empty disk with the code of
+//! b3d3e00. They must not be regenerated, because a replica must be able to start on the files of
+//! an earlier release.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -9,7 +11,7 @@
 use millford_api::replication::{Empty, HardState, LogEntry, VoterSet, log_entry::Payload};
 use millford_storage::{FileDisk, ReplicaStorage, SnapshotMeta, StorageOptions};
 
-/// Sizes at which the few entries fill several segments.
+/// Small limits, so that few entries fill several segments.
 const OPTIONS: StorageOptions = StorageOptions {
     segment_bytes: 160,
     retained_entries: 3,
@@ -40,7 +42,7 @@
     }
 }
 
-/// Entries of every kind, in three terms; a long row of zeros is among them.
+/// Entries of every kind in three terms, including a long run of zeros.
 fn entries() -> Vec<LogEntry> {
     let command = |bytes: &[u8]| Payload::Command(bytes.to_vec());
     let payloads = [
@@ -73,7 +75,8 @@
     }
 }
 
-/// Writes hard state, segments, a truncation, a snapshot and what compaction leaves.
+/// Stores a hard state and several segments, truncates the log, appends to it, and saves a
+/// snapshot, which compacts the log.
 fn write(folder: &Path) {
     let mut storage = open(folder);
     let first = HardState {
@@ -141,7 +144,7 @@
     assert!(storage.first_index() > 1, "the log was compacted");
     assert!(
         storage.first_index() <= 5,
-        "entries stay behind the snapshot"
+        "entries covered by the snapshot are retained"
     );
     let read = storage.entries(storage.first_index(), 9, usize::MAX);
     let mut expected = entries().split_off(usize::try_from(storage.first_index()).unwrap() - 1);
--- a/crates/storage/tests/crash_points.rs
+++ b/crates/storage/tests/crash_points.rs
@@ -1,5 +1,5 @@
-//! A power failure at every disk operation of a script that appends, truncates, saves and installs
-//! snapshots: what was synced is there afterwards, and nothing that was never written.
+//! A power failure at every disk operation of a script that appends, truncates, and saves and
+//! installs snapshots: afterwards all synced data is present, and no data that was never written.
 
 mod support;
 
@@ -13,30 +13,32 @@
     retained_entries: 3,
     retained_bytes: usize::MAX,
 };
-/// Crashes that are tried at each operation, each with other losses.
+/// Crashes tried at each operation, each with other random losses.
 const CRASH_SEEDS: u64 = 12;
-/// Within the log, at its end and behind it.
+/// Snapshot indices within the log, at its end and after it.
 const INSTALL_INDICES: std::ops::RangeInclusive<u64> = 11..=21;
 
-/// What the script knows to be durable, and what may be.
+/// Data that must be durable after the operations so far, and data that an interrupted operation
+/// may have made durable.
 #[derive(Clone, Default)]
 struct Model {
     hard_state: Option<HardState>,
     possible_hard_state: Option<HardState>,
     /// Entries that were synced, or that a durable snapshot covers.
     synced: Vec<LogEntry>,
-    /// Every log that may be found besides: each one that the script went through since.
+    /// Other logs that may be found: those of interrupted operations since the last successful one.
     possible: Vec<Vec<LogEntry>>,
     snapshot_index: u64,
     possible_snapshot: Option<u64>,
-    /// What the log must agree with if a snapshot whose installation was interrupted is found.
+    /// Log that must be found together with a snapshot whose installation was interrupted.
     installed: Option<Vec<LogEntry>>,
 }
 
-/// A sequence of operations on a storage, and what is known of its durable state.
+/// Operations on storage, with a model of its durable state.
 struct Script {
     storage: ReplicaStorage,
     model: Model,
+    /// The log in memory, from index 1 on.
     log: Vec<LogEntry>,
 }
 
@@ -59,7 +61,7 @@
         self.model.possible.push(self.log.clone());
         self.log
             .truncate(usize::try_from(index - 1).expect("small"));
-        // From here on the old tail may be there or not.
+        // From here on the truncated entries may be found or not.
         self.model.synced.clone_from(&self.log);
         self.storage.truncate_from(index)?;
         self.model.possible.clear();
@@ -88,7 +90,8 @@
         Ok(())
     }
 
-    /// A snapshot that the log does not reach, or whose last entry it holds with another term.
+    /// Installs a snapshot whose last entry the log does not contain, or contains with another
+    /// term.
     fn install(&mut self, index: u64, term: u64) -> Result<(), StorageError> {
         self.model.possible_snapshot = Some(index);
         let old = self.log.clone();
@@ -121,7 +124,8 @@
         for _ in 0..6 {
             self.append(1, 3)?;
         }
-        // Whatever the index, no segment of the replaced log may be taken for what follows it.
+        // For any index, recovery must not mistake a segment of the replaced log for entries that
+        // follow the snapshot.
         self.install(install_index, 5)?;
         self.append(3, 5)?;
         self.install(30, 6)?;
@@ -148,7 +152,7 @@
     (script.model, result)
 }
 
-/// Compares what a crash left with the model.
+/// Opens storage after a crash and compares its content with the model.
 fn check(disk: &CrashDisk, model: &Model) -> Result<(), String> {
     let storage = open(disk, OPTIONS).map_err(|error| format!("does not open: {error}"))?;
     let hard_state = storage.hard_state();
@@ -173,10 +177,10 @@
     }
     let installed = model.installed.as_ref();
     if let Some(installed) = installed.filter(|_| snapshot > model.snapshot_index) {
-        if agrees(storage, installed, snapshot) {
+        if contains_stored_entries(storage, installed, snapshot) {
             return Ok(());
         }
-        return Err("entries of the replaced log behind the snapshot".to_owned());
+        return Err("entries of the replaced log after the snapshot".to_owned());
     }
     let synced_last = model.synced.last().map_or(0, |entry| entry.index);
     if storage.last_index() < synced_last && snapshot < synced_last {
@@ -186,55 +190,57 @@
         ));
     }
     let logs = model.possible.iter().chain([&model.synced]);
-    let is_known = logs.clone().any(|log| agrees(storage, log, snapshot));
-    if !is_known {
+    let is_possible = logs
+        .clone()
+        .any(|log| contains_stored_entries(storage, log, snapshot));
+    if !is_possible {
         return Err("entries that were never written in this order".to_owned());
     }
     Ok(())
 }
 
-/// Whether every stored entry behind the snapshot is in the log.
-fn agrees(storage: &ReplicaStorage, log: &[LogEntry], snapshot: u64) -> bool {
+/// Whether `log` contains every stored entry after the snapshot.
+fn contains_stored_entries(storage: &ReplicaStorage, log: &[LogEntry], snapshot: u64) -> bool {
     let from = (snapshot + 1).max(storage.first_index());
     let mut stored = storage.entries(from, u64::MAX, usize::MAX).into_iter();
     stored.all(|entry| log.contains(&entry))
 }
 
 #[test]
-fn a_crash_at_any_operation_loses_nothing_synced() {
+fn a_crash_at_any_operation_loses_no_synced_data() {
     for install_index in INSTALL_INDICES {
-        crash_everywhere(install_index);
+        crash_at_every_operation(install_index);
     }
 }
 
-fn crash_everywhere(install_index: u64) {
+fn crash_at_every_operation(install_index: u64) {
     let disk = CrashDisk::default();
     let (_, result) = run_until_failure(&disk, Faults::default(), install_index);
     result.expect("the script runs");
     let operations = disk.operations();
     assert!(operations > 30);
-    for survived in 0..=operations {
+    for successful_operations in 0..=operations {
         for seed in 0..CRASH_SEEDS {
             let disk = CrashDisk::default();
             let faults = Faults {
-                operations_left: Some(survived),
+                operations_left: Some(successful_operations),
                 ..Faults::default()
             };
             let (model, _) = run_until_failure(&disk, faults, install_index);
             disk.crash(seed);
-            let checked = check(&disk, &model);
+            let result = check(&disk, &model);
             assert_eq!(
-                checked,
+                result,
                 Ok(()),
-                "install {install_index} operation {survived} seed {seed}"
+                "install {install_index} operation {successful_operations} seed {seed}"
             );
         }
     }
 }
 
 #[test]
-fn the_check_catches_a_disk_that_lies_about_sync() {
-    let caught = (0..CRASH_SEEDS).filter(|seed| {
+fn the_check_detects_a_disk_that_ignores_syncs() {
+    let detected = (0..CRASH_SEEDS).filter(|seed| {
         let disk = CrashDisk::default();
         let faults = Faults {
             ignore_syncs: true,
@@ -245,11 +251,11 @@
         disk.crash(*seed);
         check(&disk, &model).is_err()
     });
-    assert_eq!(caught.count() as u64, CRASH_SEEDS);
+    assert_eq!(detected.count() as u64, CRASH_SEEDS);
 }
 
 #[test]
-fn entries_read_after_a_kill_survive_a_power_failure() {
+fn entries_read_after_a_process_failure_survive_a_power_failure() {
     let disk = CrashDisk::default();
     let mut storage = open(&disk, OPTIONS).expect("empty disk");
     storage
@@ -262,7 +268,7 @@
     });
     storage.sync().expect_err("injected");
     drop(storage);
-    // The bytes are still visible to the next process, which counts them as synced.
+    // The unsynced bytes are still visible to the next process, which treats them as synced.
     let storage = open(&disk, OPTIONS).expect("opens");
     assert_eq!(storage.synced_index(), 1);
     for seed in 0..CRASH_SEEDS {
--- a/crates/storage/tests/disk_faults.rs
+++ b/crates/storage/tests/disk_faults.rs
@@ -1,4 +1,5 @@
-//! A full disk rolls a batch back; a failed sync is final; real files behave the same.
+//! Full disks and failed syncs on the simulated disk, compaction, and the same storage on real
+//! files.
 
 mod support;
 
@@ -12,7 +13,7 @@
     ReplicaStorage::open(Box::new(disk), StorageOptions::default()).expect("opens")
 }
 
-/// Opens a storage that has nothing but its first hard state.
+/// Opens storage on an empty disk and stores a hard state.
 fn open_empty(disk: &CrashDisk, options: StorageOptions) -> ReplicaStorage {
     let mut storage = open(disk, options).expect("empty disk");
     storage
@@ -21,8 +22,8 @@
     storage
 }
 
-/// A storage with one synced entry.
-fn with_one_entry(disk: &CrashDisk) -> ReplicaStorage {
+/// Opens storage on an empty disk and stores one synced entry.
+fn open_with_one_entry(disk: &CrashDisk) -> ReplicaStorage {
     let mut storage = open_empty(disk, StorageOptions::default());
     storage.append([command(1, 1, b"kept")]);
     storage.sync().expect("sync");
@@ -34,7 +35,7 @@
     let batch = [command(2, 1, &[1; 300]), command(3, 1, &[2; 300])];
     for space in 0..600 {
         let disk = CrashDisk::default();
-        let mut storage = with_one_entry(&disk);
+        let mut storage = open_with_one_entry(&disk);
         disk.set_faults(Faults {
             space_left: Some(space),
             ..Faults::default()
@@ -55,7 +56,7 @@
 #[test]
 fn a_failed_sync_is_never_retried() {
     let disk = CrashDisk::default();
-    let mut storage = with_one_entry(&disk);
+    let mut storage = open_with_one_entry(&disk);
     disk.set_faults(Faults {
         fail_sync: true,
         ..Faults::default()
@@ -75,7 +76,7 @@
 #[test]
 fn one_sync_makes_a_complete_batch_durable() {
     let disk = CrashDisk::default();
-    let mut storage = with_one_entry(&disk);
+    let mut storage = open_with_one_entry(&disk);
     let before = disk.syncs();
     storage.append((2..=200).map(|index| command(index, 1, b"entry")));
     storage.sync().expect("sync");
@@ -84,7 +85,7 @@
 }
 
 #[test]
-fn real_files_survive_reopening_and_truncation() {
+fn a_log_on_real_files_is_recovered_after_a_truncation_and_a_torn_write() {
     let directory = tempfile::tempdir().expect("directory");
     let path = directory.path().join("shard").join("0");
     let mut storage = open_default(FileDisk::open(&path).expect("directory"));
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn compaction_removes_segments_and_retains_some_entries() {
+fn compaction_removes_segments_and_retains_the_configured_number_of_entries() {
     let options = StorageOptions {
         segment_bytes: 500,
         retained_entries: 10,
@@ -137,7 +138,7 @@
 }
 
 #[test]
-fn large_entries_are_not_retained_behind_a_snapshot() {
+fn entries_beyond_the_byte_limit_are_not_retained_after_a_snapshot() {
     let options = StorageOptions {
         segment_bytes: 500,
         retained_entries: 10,
@@ -152,7 +153,7 @@
 }
 
 #[test]
-fn a_file_without_space_is_reported_as_full() {
+fn a_write_to_a_full_device_is_reported_as_full() {
     let directory = tempfile::tempdir().expect("directory");
     let mut disk = FileDisk::open(directory.path()).expect("directory");
     std::os::unix::fs::symlink("/dev/full", directory.path().join("full")).expect("link");
--- a/crates/storage/tests/recovery_corruption.rs
+++ b/crates/storage/tests/recovery_corruption.rs
@@ -1,4 +1,5 @@
-//! Truncations and flipped bits at every byte of a small log, of the hard state and of a snapshot.
+//! Recovery after truncations and bit flips at every byte of a small log, the hard state and a
+//! snapshot.
 
 mod support;
 
@@ -9,7 +10,7 @@
 
 /// Bytes that a disk writes completely or not at all.
 const SECTOR_BYTES: usize = 512;
-/// Small, so that the log has several segments.
+/// Small limits, so that the log has several segments.
 const SMALL_SEGMENTS: StorageOptions = StorageOptions {
     segment_bytes: 60,
     retained_entries: 0,
@@ -17,7 +18,8 @@
 };
 
 fn entries() -> Vec<LogEntry> {
-    // Long runs of zeros and commands longer than a sector are included on purpose.
+    // Includes long runs of zeros, which could be mistaken for lost sectors, and a command longer
+    // than a sector.
     let bodies: [&[u8]; 7] = [b"a", b"", &[0; 600], b"text", &[0xff; 40], &[0; 7], b"z"];
     let numbered = (1..).zip(bodies);
     numbered
@@ -25,7 +27,7 @@
         .collect()
 }
 
-/// A log in several batches, each synced.
+/// Creates a disk with a log that was written in several synced batches.
 fn disk_with_log(options: StorageOptions) -> CrashDisk {
     let disk = CrashDisk::default();
     let mut storage = open(&disk, options).expect("empty disk");
--- a/crates/storage/tests/support/crash_disk.rs
+++ b/crates/storage/tests/support/crash_disk.rs
@@ -1,5 +1,5 @@
-//! A disk in memory with faults. Handles share the same files, so that a test can crash the disk
-//! under a storage and open it again.
+//! An in-memory disk with injected faults. Handles share the same files, so that a test can crash
+//! the disk of an open storage and open storage on it again.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -10,18 +10,18 @@
 
 use super::file_state::FileState;
 
-/// Faults of the disk.
+/// Faults to inject.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Faults {
-    /// Operations that still succeed before the power fails; `None` for no failure.
+    /// Operations that still succeed before all others fail; `None` for no failure.
     pub(crate) operations_left: Option<u64>,
-    /// Bytes that still fit; `None` for no limit.
+    /// Bytes that can still be written; `None` for no limit.
     pub(crate) space_left: Option<u64>,
-    /// The next sync fails.
+    /// Whether the next sync fails.
     pub(crate) fail_sync: bool,
-    /// Syncs report success and do nothing.
+    /// Whether syncs report success without making anything durable.
     pub(crate) ignore_syncs: bool,
-    /// Replaced files report success before they are durable.
+    /// Whether replacing an existing file reports success without making the new bytes durable.
     pub(crate) volatile_replaces: bool,
 }
 
@@ -33,7 +33,7 @@
     syncs: u64,
 }
 
-/// Handle of a disk.
+/// Shared handle of a disk.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CrashDisk {
     inner: Arc<Mutex<Inner>>,
@@ -43,25 +43,26 @@
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner
             .lock()
-            .expect("no test thread panics with the lock")
+            .expect("no test thread panics while it holds the lock")
     }
 
-    /// Sets the faults from now on.
+    /// Replaces the faults to inject.
     pub(crate) fn set_faults(&self, faults: Faults) {
         self.lock().faults = faults;
     }
 
-    /// Operations that changed the disk or failed to.
+    /// Number of attempted write operations, failed ones included.
     pub(crate) fn operations(&self) -> u64 {
         self.lock().operations
     }
 
-    /// Successful syncs.
+    /// Number of syncs that reported success.
     pub(crate) fn syncs(&self) -> u64 {
         self.lock().syncs
     }
 
-    /// Loses unsynced bytes as a power failure does, and ends all faults but lies.
+    /// Loses unsynced bytes as a power failure does, and clears all faults except `ignore_syncs`
+    /// and `volatile_replaces`.
     pub(crate) fn crash(&self, seed: u64) {
         let mut random = StdRng::seed_from_u64(seed);
         let mut inner = self.lock();
@@ -78,17 +79,17 @@
         };
     }
 
-    /// Removes everything.
+    /// Removes all files and clears faults and counters.
     pub(crate) fn wipe(&self) {
         *self.lock() = Inner::default();
     }
 
-    /// Bytes of a file.
+    /// Current bytes of a file, which must exist.
     pub(crate) fn bytes(&self, name: &str) -> Vec<u8> {
         self.lock().files[name].current.clone()
     }
 
-    /// Replaces the bytes of a file, as damage does.
+    /// Replaces the durable bytes of a file, to simulate corruption.
     pub(crate) fn set_bytes(&self, name: &str, bytes: Vec<u8>) {
         self.lock().insert_durable(name, bytes);
     }
@@ -100,7 +101,7 @@
         names.cloned().collect()
     }
 
-    /// A disk of its own with the same durable files.
+    /// Creates an independent disk with the same current files, all of them durable.
     pub(crate) fn copy(&self) -> CrashDisk {
         let copy = CrashDisk::default();
         for (name, file) in &self.lock().files {
@@ -109,7 +110,7 @@
         copy
     }
 
-    /// A disk of its own with the same files, their unsynced bytes still unsynced.
+    /// Creates an independent disk with the same files, whose unsynced bytes remain unsynced.
     pub(crate) fn copy_with_unsynced(&self) -> CrashDisk {
         let copy = CrashDisk::default();
         copy.lock().files.clone_from(&self.lock().files);
@@ -126,19 +127,19 @@
         self.files.insert(name.to_owned(), file);
     }
 
-    /// Counts an operation; fails once the power is out.
-    fn operate(&mut self, operation: &'static str, name: &str) -> Result<(), StorageError> {
+    /// Counts an operation and fails if no operations are left.
+    fn count_operation(&mut self, operation: &'static str, name: &str) -> Result<(), StorageError> {
         self.operations += 1;
         if let Some(left) = &mut self.faults.operations_left {
             if *left == 0 {
-                return Err(failure(operation, name));
+                return Err(io_error(operation, name));
             }
             *left -= 1;
         }
         Ok(())
     }
 
-    /// Takes space for `bytes` and returns how many of them fit.
+    /// Reserves space for `bytes` and returns the number of bytes that fit.
     fn take_space(&mut self, bytes: usize) -> usize {
         let Some(left) = &mut self.faults.space_left else {
             return bytes;
@@ -161,9 +162,10 @@
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<(), StorageError> {
         let mut inner = self.lock();
-        let result = inner.operate("append", name);
+        let result = inner.count_operation("append", name);
         let fits = inner.take_space(bytes.len());
-        // A power failure may also strike in the middle of a write; the crash draws how much remains.
+        // A failed append writes its bytes as well, because a power failure may happen in the
+        // middle of a write. The crash decides at random how much of them remains.
         let file = inner.files.entry(name.to_owned()).or_default();
         file.current.extend_from_slice(&bytes[..fits]);
         result?;
@@ -175,9 +177,9 @@
 
     fn sync(&mut self, name: &str) -> Result<(), StorageError> {
         let mut inner = self.lock();
-        inner.operate("sync", name)?;
+        inner.count_operation("sync", name)?;
         if std::mem::take(&mut inner.faults.fail_sync) {
-            return Err(failure("sync", name));
+            return Err(io_error("sync", name));
         }
         inner.syncs += 1;
         if inner.faults.ignore_syncs {
@@ -190,12 +192,12 @@
 
     fn replace(&mut self, name: &str, bytes: &[u8]) -> Result<(), StorageError> {
         let mut inner = self.lock();
-        inner.operate("replace", name)?;
+        inner.count_operation("replace", name)?;
         if inner.take_space(bytes.len()) < bytes.len() {
             return Err(full(name));
         }
-        let lies = inner.faults.volatile_replaces;
-        match inner.files.get_mut(name).filter(|_| lies) {
+        let is_volatile = inner.faults.volatile_replaces;
+        match inner.files.get_mut(name).filter(|_| is_volatile) {
             Some(file) => file.current = bytes.to_vec(),
             None => inner.insert_durable(name, bytes.to_vec()),
         }
@@ -204,7 +206,7 @@
 
     fn truncate(&mut self, name: &str, len: u64) -> Result<(), StorageError> {
         let mut inner = self.lock();
-        inner.operate("truncate", name)?;
+        inner.count_operation("truncate", name)?;
         let file = inner.files.entry(name.to_owned()).or_default();
         file.current
             .truncate(usize::try_from(len).unwrap_or(usize::MAX));
@@ -213,13 +215,13 @@
 
     fn remove(&mut self, name: &str) -> Result<(), StorageError> {
         let mut inner = self.lock();
-        inner.operate("remove", name)?;
+        inner.count_operation("remove", name)?;
         inner.files.remove(name);
         Ok(())
     }
 }
 
-fn failure(operation: &'static str, name: &str) -> StorageError {
+fn io_error(operation: &'static str, name: &str) -> StorageError {
     StorageError::Io {
         operation,
         name: name.to_owned(),
--- a/crates/storage/tests/support/file_state.rs
+++ b/crates/storage/tests/support/file_state.rs
@@ -1,4 +1,4 @@
-//! One file of the crash disk: what is there now and what a crash leaves.
+//! One file of the crash disk: its current bytes and the bytes that a crash leaves.
 
 use rand::Rng;
 use rand::rngs::StdRng;
@@ -6,17 +6,18 @@
 /// Bytes that a disk writes completely or not at all.
 const SECTOR_BYTES: usize = 512;
 
-/// Bytes of a file.
+/// Current and durable bytes of a file.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FileState {
-    /// What readers see.
+    /// Bytes that a read returns.
     pub(crate) current: Vec<u8>,
-    /// What was synced; `None` when the file itself was not.
+    /// Bytes as of the last sync; `None` if the file was never synced.
     pub(crate) durable: Option<Vec<u8>>,
 }
 
 impl FileState {
-    /// What a crash leaves of the file; `None` when it does not exist afterwards.
+    /// Returns the bytes that remain after a crash, or `None` if the file does not exist
+    /// afterwards.
     pub(crate) fn after_crash(&self, random: &mut StdRng) -> Option<Vec<u8>> {
         let durable = match &self.durable {
             Some(durable) => durable.clone(),
@@ -24,7 +25,7 @@
             None => Vec::new(),
         };
         if !self.current.starts_with(&durable) {
-            // An unsynced truncation took place or it did not.
+            // An unsynced truncation is either durable or lost.
             let remaining = if random.random_bool(0.5) {
                 &self.current
             } else {
@@ -35,7 +36,7 @@
         Some(self.torn_append(durable.len(), random))
     }
 
-    /// Keeps a part of the unsynced bytes; sectors among them may be lost.
+    /// Keeps a random prefix of the unsynced bytes and zeroes some of its sectors.
     fn torn_append(&self, synced: usize, random: &mut StdRng) -> Vec<u8> {
         let remaining = random.random_range(synced..=self.current.len());
         let mut bytes = self.current[..remaining].to_vec();
--- a/crates/storage/tests/support/mod.rs
+++ b/crates/storage/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! The fixture of the storage's tests: a disk in memory that loses what was not synced, and samples.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Shared fixture: an in-memory disk that loses unsynced data, and sample entries and snapshots.
+#![allow(dead_code, reason = "each test file uses only some of these items")]
 
 pub(crate) mod crash_disk;
 pub(crate) mod file_state;
@@ -9,7 +9,7 @@
 
 use crash_disk::CrashDisk;
 
-/// An entry with a command.
+/// Creates an entry with a command payload.
 pub(crate) fn command(index: u64, term: u64, bytes: &[u8]) -> LogEntry {
     LogEntry {
         index,
@@ -18,7 +18,7 @@
     }
 }
 
-/// Opens a storage on a handle of the disk.
+/// Opens storage on a shared handle of the disk.
 pub(crate) fn open(
     disk: &CrashDisk,
     options: StorageOptions,
@@ -26,7 +26,7 @@
     ReplicaStorage::open(Box::new(disk.clone()), options)
 }
 
-/// What a snapshot covers, without voters.
+/// Creates the metadata of a snapshot without voters.
 pub(crate) fn snapshot_meta(index: u64, term: u64) -> SnapshotMeta {
     SnapshotMeta {
         index,
@@ -35,7 +35,7 @@
     }
 }
 
-/// Every entry that the log holds.
+/// All entries of the log.
 pub(crate) fn all_entries(storage: &ReplicaStorage) -> Vec<LogEntry> {
     storage.entries(storage.first_index(), u64::MAX, usize::MAX)
 }
