--- a/crates/settings/src/command_line.rs
+++ b/crates/settings/src/command_line.rs
@@ -1,4 +1,4 @@
-//! Command line of a daemon.
+//! Command line of a daemon: parsing, help text and exit statuses.
 
 use getopts::{Matches, Options};
 use toml::{Table, Value};
@@ -7,34 +7,35 @@
 use crate::key::{KeyKind, SettingsKey};
 use crate::reader::{self, Settings, SettingsText};
 
-/// Exit status of a process whose settings have faults.
+/// Exit status of a daemon whose command line or settings are invalid.
 pub const FAULT_EXIT_STATUS: i32 = 2;
 
-/// Name and purpose of a daemon, for its command line.
+/// Name, purpose and version of a daemon, as its command line shows them.
 #[derive(Clone, Copy, Debug)]
 pub struct DaemonCommand {
-    /// Program name.
+    /// Name of the program, printed in the usage line, the version and error messages.
     pub program: &'static str,
-    /// One sentence for `--help`.
+    /// One sentence that begins the help text.
     pub purpose: &'static str,
-    /// Version that `--version` prints.
+    /// Version that `--version` prints after the program name.
     pub version: &'static str,
 }
 
-/// What a command line requests.
+/// Action that a command line requests.
 #[derive(Debug)]
 pub enum Invocation<S> {
     /// Run with these settings.
     Run(S),
-    /// Print this text and leave with status 0.
+    /// Print this text and exit with status 0.
     Print(String),
 }
 
 impl DaemonCommand {
-    /// Reads the command line (without the program name) and the settings file that it names.
+    /// Parses `arguments`, which exclude the program name, and reads the settings file that they
+    /// name. Flags override the values of the file.
     ///
     /// # Errors
-    /// A flag or argument is not valid, the file cannot be read, or the settings have faults.
+    /// A flag or argument is invalid, the file cannot be read, or the settings are invalid.
     pub fn parse<S: Settings>(&self, arguments: &[String]) -> Result<Invocation<S>, SettingsError> {
         let options = daemon_options(S::KEYS);
         let matches = options.parse(arguments)?;
@@ -60,8 +61,9 @@
         Ok(Invocation::Run(settings))
     }
 
-    /// Reads the process's own command line. Ends the process with status 0 when it only prints, and
-    /// with [`FAULT_EXIT_STATUS`] after an error, which is printed with its place.
+    /// Parses the command line of the process. If it requests output only, prints that and exits
+    /// with status 0. On an error, prints it with its location to standard error and exits with
+    /// [`FAULT_EXIT_STATUS`].
     pub fn parse_or_exit<S: Settings>(&self) -> S {
         let arguments: Vec<String> = std::env::args().skip(1).collect();
         match self.parse(&arguments) {
@@ -84,13 +86,13 @@
     }
 }
 
-/// The flags that every daemon has, and one for each key.
+/// The flags common to all daemons, and one flag for each key.
 fn daemon_options(keys: &[SettingsKey]) -> Options {
     let mut options = Options::new();
     options.optopt("s", "settings", "settings file in TOML", "FILE");
-    options.optflag("", "check", "check the settings and leave");
-    options.optflag("h", "help", "print this help and leave");
-    options.optflag("V", "version", "print the version and leave");
+    options.optflag("", "check", "check the settings and exit");
+    options.optflag("h", "help", "print this help and exit");
+    options.optflag("V", "version", "print the version and exit");
     for key in keys {
         let hint = match key.kind {
             KeyKind::Text => "TEXT",
@@ -103,7 +105,7 @@
     options
 }
 
-/// The values given by flags, as a settings file would hold them.
+/// Returns the values of the flags as a table with the keys and types of a settings file.
 fn flag_table(keys: &[SettingsKey], matches: &Matches) -> Result<Table, SettingsError> {
     let mut table = Table::new();
     for key in keys {
--- a/crates/settings/src/fault.rs
+++ b/crates/settings/src/fault.rs
@@ -1,16 +1,16 @@
-//! Settings values that are missing or out of range.
+//! Checks for settings values that are missing or out of range.
 
-/// One fault found after the settings were read.
+/// A missing or invalid value, found after the settings were parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsFault {
-    /// Key at fault.
+    /// Key of the value, as in the settings file.
     pub key: &'static str,
     /// Description of the fault, as a short sentence.
     pub text: String,
 }
 
 impl SettingsFault {
-    /// A fault of `key`.
+    /// Creates a fault in the value of `key`.
     #[must_use]
     pub fn new(key: &'static str, text: impl Into<String>) -> Self {
         Self {
@@ -20,7 +20,7 @@
     }
 }
 
-/// Adds a fault for each required text that is empty.
+/// Adds a fault for each value that is empty. Values are given with their keys.
 pub fn require_texts(faults: &mut Vec<SettingsFault>, values: &[(&'static str, &str)]) {
     for (key, value) in values {
         if value.is_empty() {
@@ -29,7 +29,7 @@
     }
 }
 
-/// Adds a fault for each value that is not an IP address with a port, empty ones included.
+/// Adds a fault for each value that is not an IP address with a port. Empty values are faults too.
 pub fn require_addresses(faults: &mut Vec<SettingsFault>, values: &[(&'static str, &str)]) {
     for (key, value) in values {
         if value.parse::<std::net::SocketAddr>().is_err() {
@@ -39,7 +39,7 @@
     }
 }
 
-/// As [`require_addresses`], for a value that may be empty.
+/// Adds a fault for a value that is neither empty nor an IP address with a port.
 pub fn check_optional_address(faults: &mut Vec<SettingsFault>, key: &'static str, value: &str) {
     if !value.is_empty() {
         require_addresses(faults, &[(key, value)]);
--- a/crates/settings/src/key.rs
+++ b/crates/settings/src/key.rs
@@ -1,54 +1,54 @@
-//! Description of one settings key, from which the flag and the help text are made.
+//! Description of a settings key, from which its flag and help text are generated.
 
 /// Type of a key's value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyKind {
-    /// Text, addresses among them.
+    /// A string, for example a name, a path or an address.
     Text,
-    /// A whole number.
+    /// An integer.
     Number,
     /// `true` or `false`.
     Flag,
-    /// Several texts; the flag takes them separated by commas.
+    /// An array of strings. On the command line they are separated by commas.
     List,
 }
 
-/// One key of a settings file. Its flag is the name with `-` for `_`.
+/// A key of a settings file. Its flag has the same name with `-` instead of `_`.
 #[derive(Clone, Copy, Debug)]
 pub struct SettingsKey {
     /// Name in the file, in snake case.
     pub name: &'static str,
     /// Type of the value.
     pub kind: KeyKind,
-    /// One line for `--help`.
+    /// Description in the help text, in one line.
     pub help: &'static str,
 }
 
 impl SettingsKey {
-    /// Least severe level of log lines; every daemon has it.
+    /// Least severe level of the log lines that are written. Common to all daemons.
     pub const LOG_LEVEL: Self = Self::text("log_level", "error, warn, info, debug or trace");
-    /// Form of log lines; every daemon has it.
+    /// Format of the log lines. Common to all daemons.
     pub const LOG_FORMAT: Self = Self::text("log_format", "text or json");
 
-    /// A key that holds text.
+    /// Describes a key whose value is a string.
     #[must_use]
     pub const fn text(name: &'static str, help: &'static str) -> Self {
         Self::new(name, KeyKind::Text, help)
     }
 
-    /// A key that holds a whole number.
+    /// Describes a key whose value is an integer.
     #[must_use]
     pub const fn number(name: &'static str, help: &'static str) -> Self {
         Self::new(name, KeyKind::Number, help)
     }
 
-    /// A key that holds several texts.
+    /// Describes a key whose value is an array of strings.
     #[must_use]
     pub const fn list(name: &'static str, help: &'static str) -> Self {
         Self::new(name, KeyKind::List, help)
     }
 
-    /// A key that holds `true` or `false`.
+    /// Describes a key whose value is `true` or `false`.
     #[must_use]
     pub const fn flag(name: &'static str, help: &'static str) -> Self {
         Self::new(name, KeyKind::Flag, help)
@@ -58,7 +58,7 @@
         Self { name, kind, help }
     }
 
-    /// The command-line flag, without the leading dashes.
+    /// Name of the command-line flag, without the leading dashes.
     #[must_use]
     pub fn flag_name(&self) -> String {
         self.name.replace('_', "-")
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings files and flags, structured logs and metrics of the daemons.
+//! Common parts of the daemons: settings files and flags, logging, and the output of metrics.
 
 pub mod command_line;
 pub mod error;
--- a/crates/settings/src/logging.rs
+++ b/crates/settings/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs of a daemon: one sentence a line, with a fixed prefix for each part.
+//! Logging of a daemon: one sentence per line, with a fixed prefix for each part of the daemon.
 
 use std::fmt::Display;
 use std::sync::Arc;
@@ -7,28 +7,28 @@
 use spdlog::sink::{Sink, StdStream, StdStreamSink};
 use spdlog::{Level, LevelFilter, Logger};
 
-/// How log lines are written to standard error.
+/// Format of the log lines on standard error.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// Time, level, prefix, sentence.
+    /// Plain text: date, time, level, prefix and sentence.
     #[default]
     Text,
-    /// One JSON object a line, with the part as a field.
+    /// One JSON object per line, with the prefix also as the field `part`.
     Json,
 }
 
-/// What to log and how.
+/// Level and format of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogOptions {
     /// Least severe level that is written.
     pub level: Level,
-    /// Form of a line.
+    /// Format of a line.
     pub format: LogFormat,
 }
 
 impl LogOptions {
-    /// Options from the values of the settings. A level that is not known counts as `info`.
+    /// Creates options from settings values. An unknown level counts as `info`.
     #[must_use]
     pub fn new(level_name: &str, format: LogFormat) -> Self {
         let level = parse_level(level_name).unwrap_or(Level::Info);
@@ -36,8 +36,8 @@
     }
 }
 
-/// Reads a level by name: `error`, `warn`, `info`, `debug` or `trace`. An
-/// empty name is `info`; an unknown one gives none.
+/// Parses the name of a level: `error`, `warn`, `info`, `debug` or `trace`. An empty name means
+/// `info`. Returns `None` for an unknown name.
 #[must_use]
 pub fn parse_level(name: &str) -> Option<Level> {
     match name {
@@ -50,7 +50,7 @@
     }
 }
 
-/// Sends the process's logs to standard error.
+/// Sets the default logger of the process, which writes to standard error.
 ///
 /// # Errors
 /// The logger cannot be built.
@@ -81,38 +81,38 @@
     Ok(Arc::new(sink))
 }
 
-/// Logger of one part of a daemon.
+/// Logger for one part of a daemon, whose prefix begins each of its lines.
 #[derive(Clone, Copy, Debug)]
 pub struct PartLog {
     prefix: &'static str,
 }
 
 impl PartLog {
-    /// A logger whose lines begin with `prefix`, for example `FEED`.
+    /// Creates a logger whose lines begin with `prefix`, for example `FEED`.
     #[must_use]
     pub const fn new(prefix: &'static str) -> Self {
         Self { prefix }
     }
 
-    /// Something a developer may want to follow.
+    /// Logs a detail that helps a developer to debug.
     pub fn debug(&self, sentence: impl Display) {
         let part = self.prefix;
         spdlog::debug!("{}: {}", part, sentence, kv: { part });
     }
 
-    /// A normal event that an operator may want to see.
+    /// Logs a normal event that is of interest to an operator.
     pub fn info(&self, sentence: impl Display) {
         let part = self.prefix;
         spdlog::info!("{}: {}", part, sentence, kv: { part });
     }
 
-    /// Something that heals by itself but should not happen often.
+    /// Logs a problem from which the daemon recovers by itself, but which should not occur often.
     pub fn warn(&self, sentence: impl Display) {
         let part = self.prefix;
         spdlog::warn!("{}: {}", part, sentence, kv: { part });
     }
 
-    /// Something that needs an operator.
+    /// Logs a problem that needs an operator's action.
     pub fn error(&self, sentence: impl Display) {
         let part = self.prefix;
         spdlog::error!("{}: {}", part, sentence, kv: { part });
--- a/crates/settings/src/metrics.rs
+++ b/crates/settings/src/metrics.rs
@@ -1,16 +1,16 @@
-//! Text form of metrics for a scrape.
+//! Metrics in the Prometheus text format.
 
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// Content type of the text form.
+/// HTTP content type of the text format.
 pub const CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 
-/// Every metric of the registry in the Prometheus text form.
+/// Encodes all metrics of the registry. If that fails, returns a comment line with the error.
 #[must_use]
 pub fn render(registry: &Registry) -> String {
     let mut buffer = Vec::new();
     match TextEncoder::new().encode(&registry.gather(), &mut buffer) {
         Ok(()) => String::from_utf8_lossy(&buffer).into_owned(),
-        Err(error) => format!("# metrics cannot be encoded: {error}\n"),
+        Err(error) => format!("# failed to encode the metrics: {error}\n"),
     }
 }
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads settings from a TOML file and flags.
+//! Reading of settings from a TOML file and flags.
 
 use miette::NamedSource;
 use serde::de::DeserializeOwned;
@@ -8,21 +8,22 @@
 use crate::fault::SettingsFault;
 use crate::key::SettingsKey;
 
-/// The settings of one daemon. Deserialization must refuse unknown keys and default missing ones.
+/// The settings of one daemon. Deserialization must reject unknown keys and use defaults for
+/// missing ones.
 pub trait Settings: DeserializeOwned + Default {
-    /// Every key, for flags and help.
+    /// Descriptions of all keys, from which the flags and the help text are generated.
     const KEYS: &'static [SettingsKey];
 
-    /// Missing or impossible values, all of them.
+    /// Returns all missing and invalid values; empty if the settings are valid.
     fn faults(&self) -> Vec<SettingsFault>;
 }
 
-/// A settings file as it was read.
+/// Path and content of a settings file.
 #[derive(Clone, Debug, Default)]
 pub struct SettingsText {
-    /// Path as given; empty without a file.
+    /// Path as given on the command line; empty without a settings file.
     pub path: String,
-    /// Content.
+    /// Content of the file; empty without a settings file.
     pub text: String,
 }
 
@@ -30,7 +31,7 @@
     /// Reads the file at `path`.
     ///
     /// # Errors
-    /// The file cannot be read, or is not UTF-8.
+    /// [`SettingsError::Unreadable`] if the file cannot be read, or is not UTF-8.
     pub fn read(path: &str) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Unreadable {
             path: path.to_owned(),
@@ -42,7 +43,7 @@
         })
     }
 
-    /// Line of the first assignment to `key`, from 1.
+    /// Line of the first assignment to `key`, from 1; `None` if there is none.
     fn line_of(&self, key: &str) -> Option<usize> {
         let assigns = |line: &str| {
             line.trim_start()
@@ -52,7 +53,7 @@
         self.text.lines().position(assigns).map(|line| line + 1)
     }
 
-    /// The parser's error with its place in the file.
+    /// Adds the path, the line and the text of the file to an error of the parser.
     fn invalid(&self, error: &toml::de::Error) -> SettingsError {
         let span = error.span().unwrap_or(0..0);
         let before = &self.text[..span.start.min(self.text.len())];
@@ -67,12 +68,13 @@
     }
 }
 
-/// Reads and checks settings: the file first, `flags` over it.
+/// Parses and checks the settings in `file`, overridden by the values in `flags`.
 ///
 /// # Errors
-/// The file is not valid, a flag is out of range, or [`Settings::faults`] finds any.
+/// The file is invalid, a flag is out of range, or [`Settings::faults`] returns any fault.
 pub fn read<S: Settings>(file: &SettingsText, flags: Table) -> Result<S, SettingsError> {
-    // Parsed by itself first, so that a fault of the file is reported with its place.
+    // The file is parsed without the flags first, so that its errors are reported with their
+    // location.
     toml::from_str::<S>(&file.text).map_err(|error| file.invalid(&error))?;
     let mut merged: Table = toml::from_str(&file.text).map_err(|error| file.invalid(&error))?;
     merged.extend(flags);
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Reading of settings files and flags.
+//! Parsing and checking of settings files and flags.
 
 use millford_settings::fault::{require_addresses, require_texts};
 use millford_settings::{DaemonCommand, Invocation, Settings, SettingsFault, SettingsKey};
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn an_unknown_key_is_refused_with_file_and_line() {
+fn an_unknown_key_is_rejected_with_file_and_line() {
     let file = file_with("zone = \"a\"\nadress = \"127.0.0.1:1\"\n");
     let path = file.path().to_str().expect("path");
     let error = parse(&["--settings", path]).expect_err("unknown key");
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_wrong_type_is_refused_with_file_and_line() {
+fn a_wrong_type_is_rejected_with_file_and_line() {
     let file = file_with("\n\nlimit = \"many\"\n");
     let path = file.path().to_str().expect("path");
     let error = parse(&["--settings", path]).expect_err("wrong type");
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn invalid_flags_are_refused() {
+fn invalid_command_lines_are_rejected() {
     for arguments in [
         vec!["--limit", "many"],
         vec!["--limit", "-1", "--zone", "a", "--address", "127.0.0.1:1"],
@@ -100,14 +100,14 @@
 }
 
 #[test]
-fn help_version_and_check_only_print() {
-    let good = ["--zone", "a", "--address", "127.0.0.1:1"];
+fn help_version_and_check_print_without_running() {
+    let valid = ["--zone", "a", "--address", "127.0.0.1:1"];
     for (flag, expected) in [
         ("--help", "--seeds"),
         ("--version", "example 1.2.3"),
         ("--check", "valid"),
     ] {
-        let mut arguments = good.to_vec();
+        let mut arguments = valid.to_vec();
         arguments.push(flag);
         match parse(&arguments) {
             Ok(Invocation::Print(text)) => assert!(text.contains(expected), "{text}"),
--- a/crates/settings/tests/support/daemon_flags.rs
+++ b/crates/settings/tests/support/daemon_flags.rs
@@ -1,24 +1,25 @@
-//! What every daemon's command line and settings file must go on taking.
+//! Compatibility checks of a daemon's command line, settings file and exit statuses, shared by the
+//! daemons' tests.
 
-#![allow(dead_code, reason = "each program has a part of this")]
+#![allow(dead_code, reason = "each test file uses only some of these items")]
 
 use std::net::TcpListener;
 use std::process::{Command, Output};
 
 use super::committed::assert_committed;
 
-/// Exit status of a daemon whose settings have faults.
+/// Exit status of a daemon whose command line or settings are invalid.
 const SETTINGS_FAULT: i32 = 2;
 
-/// A daemon and where its committed lists lie.
+/// A daemon and the location of its reference files.
 pub(crate) struct DaemonUnderTest<'a> {
-    /// Path of the program.
+    /// Path of the executable.
     pub(crate) program: &'a str,
-    /// Folder with `flags.txt` and `settings.toml`, both of b3d3e00.
+    /// Folder with `flags.txt` and `settings.toml`, both as of commit b3d3e00.
     pub(crate) data: &'a str,
-    /// Flag of the address that is bound first.
+    /// Flag that sets the address which the daemon binds first, with the leading dashes.
     pub(crate) address_flag: &'a str,
-    /// Exit status when that address is taken.
+    /// Exit status when that address is in use.
     pub(crate) address_taken_status: i32,
 }
 
@@ -32,7 +33,8 @@
         format!("{}/settings.toml", self.data)
     }
 
-    /// The flags with their kinds of value; the sentences behind them may change.
+    /// Asserts that the flags and the kinds of their values are unchanged. Their descriptions may
+    /// change.
     #[track_caller]
     pub(crate) fn assert_flags(&self) {
         let output = self.run(&["--help"]);
@@ -41,7 +43,8 @@
         assert_committed(&format!("{}/flags.txt", self.data), &flags(&help));
     }
 
-    /// A file with every key is valid, and the flags name the same keys.
+    /// Asserts that the settings file, which contains all keys, is valid, and that there is a flag
+    /// for each of its keys and no other.
     #[track_caller]
     pub(crate) fn assert_keys(&self) {
         let output = self.run(&["--settings", &self.settings_file(), "--check"]);
@@ -65,7 +68,7 @@
         assert_eq!(keys, named);
     }
 
-    /// Faults of the settings and an address that is taken end the process with their statuses.
+    /// Asserts the exit status and the result code for invalid settings and for an address in use.
     #[track_caller]
     pub(crate) fn assert_exit_statuses(&self) {
         let settings = self.settings_file();
@@ -94,7 +97,7 @@
     }
 }
 
-/// The options of a usage text, a line for each, without the sentences behind them.
+/// Returns the options of a usage text, one per line, without their descriptions.
 pub(crate) fn flags(help: &str) -> String {
     let options = help
         .lines()
@@ -102,7 +105,8 @@
     options.fold(String::new(), |lines, line| lines + &column(line) + "\n")
 }
 
-/// The first word of a line and what belongs to it: further flags, and names of values in capitals.
+/// Returns the first word of a line and the words after it that are flags or names of values, which
+/// are in capitals.
 pub(crate) fn column(line: &str) -> String {
     let is_value = |word: &str| {
         let mut letters = word.chars();
@@ -114,10 +118,11 @@
     others.fold(first, |column, word| format!("{column} {word}"))
 }
 
-/// Name, type and labels of each metric of a text form that has a sample.
+/// Returns the name and type of each metric, and the name and label names of each sample, in a text
+/// in the Prometheus format. Sorted and without duplicates.
 #[allow(
     dead_code,
-    reason = "the proxies list their metrics by their descriptions"
+    reason = "the tests of the proxies list the metrics by their descriptions instead"
 )]
 pub(crate) fn metrics(text: &str) -> String {
     let mut lines = Vec::new();
