--- a/crates/replication/src/append_receiving.rs
+++ b/crates/replication/src/append_receiving.rs
@@ -67,8 +67,9 @@
         true
     }
 
-    /// Returns the last index of a log that ends before `previous_index`; else the last index
-    /// before the entries of the conflicting term, but at least the commit index.
+    /// Index after which the leader should retry: the last one if the log ends before
+    /// `previous_index`, else the one before the entries of the conflicting term, but at least the
+    /// commit index.
     fn conflict_hint(&self, previous_index: u64) -> u64 {
         let last_index = self.storage.last_index();
         if previous_index > last_index {
--- a/crates/replication/src/configuration.rs
+++ b/crates/replication/src/configuration.rs
@@ -30,7 +30,8 @@
         count >= self.quorum()
     }
 
-    /// The highest number that the values of a quorum of voters reach or exceed; 0 without voters.
+    /// The highest number that the values of a quorum of voters reach, for example the highest
+    /// index that is durable on a quorum. 0 without voters.
     pub(crate) fn quorum_value(&self, value: impl Fn(NodeId) -> u64) -> u64 {
         let mut values: Vec<u64> = self.voters.iter().map(|voter| value(*voter)).collect();
         values.sort_unstable_by(|left, right| right.cmp(left));
--- a/crates/replication/src/election_backoff.rs
+++ b/crates/replication/src/election_backoff.rs
@@ -45,7 +45,7 @@
         };
     }
 
-    /// Resets the backoff, as there is a leader that makes progress.
+    /// Resets the backoff when a leader makes progress.
     pub(crate) fn record_leader(&mut self) {
         *self = Self {
             has_known_leader: true,
--- a/crates/replication/src/election_timer.rs
+++ b/crates/replication/src/election_timer.rs
@@ -36,9 +36,9 @@
 
     /// Postpones the deadline by the time that the process was stalled.
     ///
-    /// The deadline is at most one longest timeout from `now`: a stalled leader steps down on the
-    /// first message that it processes and resets its timer then, so that the new deadline does not
-    /// include the stall and must not be postponed by all of it.
+    /// The new deadline is at most the longest timeout from `now`. A stalled leader steps down on
+    /// the first message that it processes and resets its timer at that time. That deadline already
+    /// lies after the stall and must not be postponed by its whole length.
     pub(crate) fn defer(&mut self, now: MonotonicTime, stalled_time: Duration, timing: &Timing) {
         let longest = self.backoff.adjust_timeout(timing.election_timeout_max);
         self.deadline = (self.deadline + stalled_time).min(now + longest);
--- a/crates/replication/src/flush.rs
+++ b/crates/replication/src/flush.rs
@@ -1,5 +1,5 @@
-//! The flush: stores all input with one fsync, then returns the messages and results that depend on
-//! it.
+//! The flush: stores all input with one fsync of the log, then returns the messages and results
+//! that depend on it.
 
 use millford_api::replication::{HardState, LogEntry};
 use millford_core::MonotonicTime;
--- a/crates/replication/src/leadership.rs
+++ b/crates/replication/src/leadership.rs
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Becomes leader and appends an empty entry of the own term: entries of earlier terms are
+    /// Becomes leader and appends an empty entry of the new term: entries of earlier terms are
     /// known to be committed only once that entry is.
     pub(crate) fn become_leader(&mut self) {
         let next_index = self.storage.last_index() + 1;
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -7,7 +7,8 @@
 //! [`Replica`] is a state machine over a [`millford_storage::ReplicaStorage`], without threads,
 //! timers or sockets of its own. Its owner passes in the time, ticks and messages, and
 //! [`Replica::flush`] returns outgoing messages only after the state that they report is durable.
-//! One flush makes one fsync for all input since the last flush, so batches grow with the load.
+//! One flush makes one fsync of the log for all input since the last flush, so batches grow with
+//! the load.
 //!
 //! Invariants that the safety of the group rests on, and the modules that uphold them:
 //! - term and vote are durable before a message of that term is sent (`flush`);
--- a/crates/replication/src/log_position.rs
+++ b/crates/replication/src/log_position.rs
@@ -2,8 +2,8 @@
 
 /// Term and index of a log entry.
 ///
-/// Positions compare as Raft compares logs by their last entries (section 3.6.1 of the thesis): the
-/// higher term is more up to date; with equal terms, the higher index is.
+/// Ordered as Raft compares logs by the positions of their last entries (section 3.6.1 of the
+/// thesis): the higher term is more up to date; with equal terms, the higher index is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct LogPosition {
     // The derived `Ord` compares fields in declaration order, so the term must come first.
--- a/crates/replication/src/message_check.rs
+++ b/crates/replication/src/message_check.rs
@@ -9,7 +9,7 @@
 
 use crate::log_position::LogPosition;
 
-/// Largest accepted term, index, offset or sequence number, so that sums of them cannot overflow.
+/// Largest accepted term, index, offset or sequence number, so that sums with them cannot overflow.
 const MAX_ACCEPTED: u64 = u64::MAX / 4;
 
 /// Whether a correct replica could have sent the message.
--- a/crates/replication/src/options.rs
+++ b/crates/replication/src/options.rs
@@ -4,7 +4,7 @@
 use millford_core::time::Duration;
 use millford_core::{NodeId, ShardId};
 
-/// How often the owner calls [`crate::Replica::tick`].
+/// Interval at which the owner calls [`crate::Replica::tick`].
 pub const TICK: Duration = Duration::from_millis(20);
 
 /// Default heartbeat interval.
@@ -90,7 +90,7 @@
     /// Limits on message sizes, messages in flight and promotions.
     pub limits: Limits,
     /// First configuration of a new group, identical on each of its initial replicas. Used only
-    /// when the storage is empty; `None` for a replica that a leader will add.
+    /// when the storage is empty; `None` for a replica that joins an existing group.
     pub initial_voters: Option<VoterSet>,
 }
 
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -136,7 +136,7 @@
         {}
     }
 
-    /// Switches to probing, at `next_index` or behind the match index.
+    /// Switches to probing at `next_index`, but not before the entry after the match index.
     pub(crate) fn become_probe(&mut self, next_index: u64) {
         self.state = ProgressState::Probe {
             awaiting_reply: false,
--- a/crates/replication/src/reads.rs
+++ b/crates/replication/src/reads.rs
@@ -36,9 +36,9 @@
 
     /// Confirms the reads whose broadcast a quorum has answered.
     ///
-    /// A replica that answers in this term after the broadcast began had not voted for a newer
-    /// leader before it began. With such answers from a quorum, no newer leader can have been
-    /// elected, or have committed anything, before the broadcast began.
+    /// A replica that answers the broadcast in this term had not voted for a newer leader before
+    /// the broadcast began. With answers from a quorum, no newer leader can have been elected, or
+    /// have committed an entry, before then.
     pub(crate) fn confirm_reads(&mut self) {
         let own = self.options.node;
         let RoleState::Leader(state) = &mut self.role else {
--- a/crates/replication/src/role.rs
+++ b/crates/replication/src/role.rs
@@ -6,7 +6,7 @@
 /// Role of a replica, as reported to its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Is not a voter in the latest configuration: receives the log and never campaigns.
+    /// Not a voter in the latest configuration: receives the log and never campaigns.
     Learner,
     /// Voter that follows a leader, or has none and waits for its election timeout.
     Follower,
--- a/crates/replication/src/vote_receiving.rs
+++ b/crates/replication/src/vote_receiving.rs
@@ -66,8 +66,9 @@
         self.send(from, Body::VoteReply(reply));
     }
 
-    /// Whether the candidate's log is at least as up to date as the own one. A candidate for which
-    /// that holds on a quorum has every committed entry (leader completeness).
+    /// Whether the candidate's log is at least as up to date as this replica's, and so has every
+    /// committed entry that this replica has acknowledged. A candidate that passes this check on a
+    /// quorum has every committed entry (leader completeness).
     fn is_up_to_date(&self, request: &VoteRequest) -> bool {
         last_position_of(request) >= self.last_position()
     }
--- a/crates/replication/tests/group/history.rs
+++ b/crates/replication/tests/group/history.rs
@@ -19,7 +19,7 @@
     hasher.finish()
 }
 
-/// A committed entry, as the first replica to deliver it delivered it.
+/// Term and digest of a committed entry, from the first replica that delivered it.
 #[derive(Clone, Debug)]
 struct CommittedEntry {
     term: u64,
--- a/crates/replication/tests/group/network.rs
+++ b/crates/replication/tests/group/network.rs
@@ -12,7 +12,7 @@
 pub(crate) struct NetworkConditions {
     /// Probability that a message is lost.
     pub(crate) loss: f64,
-    /// Probability that a message is sent twice.
+    /// Probability that a message is duplicated.
     pub(crate) duplication: f64,
     /// Upper bound of the random delay, which is at least 100 microseconds.
     pub(crate) max_delay: Duration,
--- a/crates/replication/tests/group/world.rs
+++ b/crates/replication/tests/group/world.rs
@@ -183,7 +183,7 @@
     /// reachable.
     pub(crate) fn elect(&mut self, candidate: usize, voter: usize) {
         self.in_transit.clear();
-        // Else the voter would still have contact with its leader and reject the candidate.
+        // Otherwise the voter would still have contact with its leader and ignore the candidate.
         self.clocks[voter] = self.clocks[voter] + TIMEOUT;
         let pair = [NODES[candidate], NODES[voter]];
         self.apply(Action::Timeout(candidate));
--- a/crates/replication/tests/outage_orders.rs
+++ b/crates/replication/tests/outage_orders.rs
@@ -1,6 +1,6 @@
-//! All orders of a partition, a stall and a disk loss in a group of three voters, each fault on
-//! another voter. After the partition has healed and the stalled process has resumed, the two
-//! remaining voters must serve again in time, and committed entries must not change.
+//! All orders of a partition, a stall and a disk loss in a group of three voters, where each fault
+//! affects a different voter. After the partition has healed and the stalled process has resumed,
+//! the two remaining voters must serve again in time, and committed entries must not change.
 //!
 //! Any of the three voters may have been the leader. The disk loss is permanent.
 
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -52,7 +52,7 @@
     },
     /// The disk is full. No synced data is lost, and the operation may be retried once there is
     /// space.
-    #[error("no space left on the disk to write {name}")]
+    #[error("no space left on the disk for {name}")]
     Full {
         /// Name of the file, or path of the directory.
         name: String,
--- a/crates/storage/src/log_recovery.rs
+++ b/crates/storage/src/log_recovery.rs
@@ -7,7 +7,7 @@
 /// Reads all segments and reconciles the log with the snapshot.
 ///
 /// # Errors
-/// [`StorageError::Corrupt`] when synced entries are damaged or missing; any error of the disk.
+/// [`StorageError::Corrupt`] when synced entries are corrupt or missing; any error of the disk.
 pub(crate) fn recover(
     disk: &mut dyn Disk,
     options: StorageOptions,
@@ -17,7 +17,7 @@
     let Some(meta) = snapshot else {
         return check_start(log, 0);
     };
-    if continues(&log, meta) {
+    if continues_snapshot(&log, meta) {
         return check_start(log, meta.index);
     }
     // The process crashed after it installed the snapshot and before it removed the replaced log.
@@ -27,7 +27,7 @@
 
 /// Whether the log continues the snapshot: it begins after the snapshot's last entry, or contains
 /// that entry with the same term.
-fn continues(log: &SegmentedLog, meta: &SnapshotMeta) -> bool {
+fn continues_snapshot(log: &SegmentedLog, meta: &SnapshotMeta) -> bool {
     if log.first_index() > meta.index {
         return true;
     }
@@ -35,7 +35,7 @@
         .is_some_and(|entry| entry.term == meta.term)
 }
 
-/// Fails if the log begins later than the entry after the snapshot, so that entries were lost.
+/// Fails if the log begins later than the entry after the snapshot, as entries are missing then.
 fn check_start(log: SegmentedLog, snapshot_index: u64) -> Result<SegmentedLog, StorageError> {
     if log.first_index() <= snapshot_index + 1 {
         return Ok(log);
--- a/crates/storage/src/segment_recovery.rs
+++ b/crates/storage/src/segment_recovery.rs
@@ -30,7 +30,7 @@
 /// entries are durable.
 ///
 /// # Errors
-/// [`StorageError::Corrupt`] when synced bytes are damaged; any error of the disk.
+/// [`StorageError::Corrupt`] when synced bytes are corrupt; any error of the disk.
 pub(crate) fn recover(
     disk: &mut dyn Disk,
     mut segment: Segment,
@@ -51,7 +51,7 @@
     if offset < bytes.len() {
         let is_torn = kind == SegmentKind::Active && is_torn_write(&bytes, offset);
         if !is_torn {
-            let reason = "a synced record is corrupt";
+            let reason = "a record is corrupt";
             return Err(StorageError::corrupt(&segment.name, offset, reason));
         }
     }
@@ -62,8 +62,9 @@
 }
 
 /// Rewrites a segment with the bytes that were read, without a torn tail. These bytes may be in the
-/// page cache only: the earlier process may have ended before its sync, or after a failed sync that
-/// left the pages marked as clean. From here on they count as synced, so they are written again.
+/// page cache only: the earlier process may have ended before its sync, or after a failed sync,
+/// which may drop pages without writing them. From here on they count as synced, so they are
+/// written again.
 fn make_durable(disk: &mut dyn Disk, segment: &Segment, bytes: &[u8]) -> Result<(), StorageError> {
     match disk.replace(&segment.name, bytes) {
         Err(error) if error.is_full() => {}
--- a/crates/storage/src/snapshot.rs
+++ b/crates/storage/src/snapshot.rs
@@ -44,7 +44,7 @@
 /// replacement and removal leaves.
 ///
 /// # Errors
-/// [`StorageError::Corrupt`] when the newest snapshot is damaged; any error of the disk.
+/// [`StorageError::Corrupt`] when the newest snapshot is corrupt; any error of the disk.
 pub(crate) fn recover(disk: &mut dyn Disk) -> Result<Option<Snapshot>, StorageError> {
     let names = disk.list()?;
     let newest = names.iter().filter_map(|name| index_of(name)).max();
