--- a/crates/agent/tests/committed_members.rs
+++ b/crates/agent/tests/committed_members.rs
@@ -1,11 +1,12 @@
-//! The list of control nodes that an agent of b3d3e00 saved is read and written by the present code.
+//! Compatibility of the saved list of control members: the current code reads and writes the file
+//! format of commit b3d3e00.
 
 use millford_agent::daemon::saved_members::SavedMembers;
 use millford_api::state::ControlMember;
 
 const FILE_NAME: &str = "control-members.json";
 
-/// The file that the code of b3d3e00 wrote for [`members`].
+/// The file that the code of commit b3d3e00 wrote for [`members`].
 const COMMITTED: &[u8] = include_bytes!("data/control-members.json");
 
 fn members() -> Vec<ControlMember> {
@@ -24,29 +25,29 @@
 
 #[test]
 fn the_committed_file_is_read() {
-    let folder = tempfile::tempdir().expect("a folder");
-    std::fs::write(folder.path().join(FILE_NAME), COMMITTED).expect("the file is copied");
-    let saved = SavedMembers::in_folder(folder.path()).expect("the folder");
+    let folder = tempfile::tempdir().expect("create a temporary folder");
+    std::fs::write(folder.path().join(FILE_NAME), COMMITTED).expect("copy the committed file");
+    let saved = SavedMembers::in_folder(folder.path()).expect("open the folder");
     assert_eq!(saved.load(), members());
 }
 
 #[test]
-fn the_same_members_are_saved_as_the_committed_file() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let saved = SavedMembers::in_folder(folder.path()).expect("the folder");
+fn saving_the_same_members_writes_the_committed_file() {
+    let folder = tempfile::tempdir().expect("create a temporary folder");
+    let saved = SavedMembers::in_folder(folder.path()).expect("open the folder");
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
-        .expect("a runtime");
+        .expect("build a runtime");
     runtime.block_on(async { saved.save(members()) });
-    // The write runs on a thread for blocking work; dropping the runtime waits for it.
+    // The file is written on a blocking thread; dropping the runtime waits for it.
     drop(runtime);
-    let written = std::fs::read(folder.path().join(FILE_NAME)).expect("the file is there");
+    let written = std::fs::read(folder.path().join(FILE_NAME)).expect("read the saved file");
     if std::env::var_os("MILLFORD_WRITE_COMMITTED").is_some_and(|value| value == "1") {
         let path = concat!(
             env!("CARGO_MANIFEST_DIR"),
             "/tests/data/control-members.json"
         );
-        std::fs::write(path, &written).expect("the file is written");
+        std::fs::write(path, &written).expect("write the committed file");
     }
     assert_eq!(
         String::from_utf8_lossy(&written),
--- a/crates/agent/tests/daemon.rs
+++ b/crates/agent/tests/daemon.rs
@@ -1,4 +1,5 @@
-//! The program itself: ready line, health, metrics, settings faults, a clean shutdown.
+//! Runs the `millford-agent` program: ready line, health checks, metrics, invalid settings and a
+//! clean shutdown.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
@@ -7,7 +8,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_millford-agent");
 
-/// The program, running; killed when dropped.
+/// A running instance of the program, which is killed when dropped.
 struct Process {
     child: Child,
     output: BufReader<ChildStdout>,
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn health_and_metrics_work_without_control_and_sigterm_ends_the_process() {
+fn health_and_metrics_work_without_a_control_node_and_sigterm_ends_the_process() {
     let mut process = Process::start();
     assert!(process.get("/healthz").starts_with("HTTP/1.1 200"));
     assert!(process.get("/readyz").starts_with("HTTP/1.1 503"));
@@ -71,7 +72,7 @@
         .status();
     assert!(terminate.expect("kill").success());
     let signalled = Instant::now();
-    // The output ends when the process does.
+    // Standard output is closed when the process exits.
     let mut rest = String::new();
     process
         .output
@@ -82,15 +83,16 @@
     assert!(shutdown_time < Duration::from_secs(5), "{shutdown_time:?}");
 }
 
-fn refused(arguments: &[&str]) -> String {
+/// Runs the program with invalid settings and returns its standard error.
+fn settings_error(arguments: &[&str]) -> String {
     let output = Command::new(PROGRAM).args(arguments).output().expect("run");
     assert_eq!(output.status.code(), Some(2), "{arguments:?}");
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
 #[test]
-fn invalid_settings_are_named_and_end_the_process() {
-    let good = [
+fn invalid_settings_are_reported_and_end_the_process() {
+    let required = [
         "--name",
         "n",
         "--zone",
@@ -100,11 +102,11 @@
         "--http-address",
         "127.0.0.1:0",
     ];
-    let with = |more: &[&'static str]| refused(&[&good[..], more].concat());
+    let with = |more: &[&'static str]| settings_error(&[&required[..], more].concat());
     assert!(with(&[]).contains("seeds"));
     assert!(with(&["--seeds", "nowhere"]).contains("nowhere"));
     assert!(with(&["--seeds", "127.0.0.1:1", "--log-level", "loud"]).contains("loud"));
     assert!(with(&["--seeds", "127.0.0.1:1", "--registry-address", "x"]).contains("registry"));
-    assert!(refused(&["--colour", "red"]).contains("colour"));
-    assert!(refused(&["--settings", "/nonexistent.toml"]).contains("nonexistent"));
+    assert!(settings_error(&["--colour", "red"]).contains("colour"));
+    assert!(settings_error(&["--settings", "/nonexistent.toml"]).contains("nonexistent"));
 }
--- a/crates/agent/tests/fail_over.rs
+++ b/crates/agent/tests/fail_over.rs
@@ -1,4 +1,4 @@
-//! Failover between control nodes, and what the proxy retains meanwhile.
+//! Failover between control nodes, and the state that the proxy keeps in the meantime.
 
 mod support;
 
@@ -12,7 +12,7 @@
 const ADDRESSES: [&str; 3] = ["c1", "c2", "c3"];
 
 #[test]
-fn an_unresponsive_node_is_failed_over_and_the_next_one_sends_only_changes() {
+fn the_agent_fails_over_from_an_unresponsive_node_and_the_next_one_sends_only_changes() {
     let mut fleet = Fleet::started(&ADDRESSES);
     let first = fleet.connected_node();
     fleet.take_proxy_frames();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_node_without_quorum_is_failed_over_at_once() {
+fn the_agent_fails_over_from_a_node_without_quorum_immediately() {
     let mut fleet = Fleet::started(&ADDRESSES);
     let first = fleet.connected_node();
     fleet.controls[first].has_quorum = false;
@@ -76,8 +76,16 @@
         .iter()
         .map(|connect| connect.at.as_millis())
         .collect();
-    assert!(times.len() >= 3 * 9, "still retrying: {}", times.len());
-    assert!(times.len() <= 3 * 20, "not hammering: {}", times.len());
+    assert!(
+        times.len() >= 3 * 9,
+        "too few connection attempts: {}",
+        times.len()
+    );
+    assert!(
+        times.len() <= 3 * 20,
+        "too many connection attempts: {}",
+        times.len()
+    );
     let longest = times.windows(2).map(|pair| pair[1] - pair[0]).max();
     assert!(longest <= Some(1100), "longest backoff {longest:?} ms");
     for pass in fleet.connects.chunks_exact(3) {
@@ -89,23 +97,23 @@
 }
 
 #[test]
-fn control_nodes_that_start_after_the_agent_are_found_at_once() {
+fn the_agent_connects_quickly_to_control_nodes_that_start_after_it() {
     let starts = (50..750).step_by(50);
-    for (late_ms, unreachable) in starts.flat_map(|late| [(late, false), (late, true)]) {
+    for (start_delay_ms, unreachable) in starts.flat_map(|delay| [(delay, false), (delay, true)]) {
         let mut fleet = Fleet::new(&ADDRESSES);
         fleet.unreachable = unreachable;
         let controls = std::mem::take(&mut fleet.controls);
-        fleet.run(late_ms);
+        fleet.run(start_delay_ms);
         fleet.controls = controls;
-        // One connection attempt that times out, one backoff between passes.
+        // Allows for one backoff between passes and, if unreachable, one connection timeout.
         fleet.run(if unreachable { 250 } else { 150 });
-        let case = format!("up after {late_ms} ms, unreachable {unreachable}");
+        let case = format!("up after {start_delay_ms} ms, unreachable {unreachable}");
         assert!(fleet.core.is_connected(), "{case}");
     }
 }
 
 #[test]
-fn learned_members_are_used_after_every_seed_was_replaced() {
+fn reported_members_are_used_after_every_seed_was_replaced() {
     let mut fleet = Fleet::started(&["c1"]);
     fleet.controls[0].members = vec![ControlMember {
         node_id: 9,
@@ -160,7 +168,8 @@
     let mut fleet = Fleet::started(&ADDRESSES);
     fleet.publish(0, 2, &[head(2)]);
     fleet.run(10);
-    // All but one node lose the second revision again, as nodes partitioned before it would have.
+    // All nodes but one are reset to the first revision, like nodes that were partitioned before
+    // the second.
     let ahead = 2;
     for (index, address) in ADDRESSES.iter().enumerate().take(2) {
         let mut behind = FakeControlNode::new(address);
@@ -171,7 +180,7 @@
     }
     fleet.restart_agent(&ADDRESSES);
     assert!(!fleet.core.complete(), "{:?}", fleet.core.counters());
-    fleet.link_proxy();
+    fleet.connect_proxy();
     let applied = millford_api::local::ProxyApplied { revision: 2 };
     fleet.proxy_sends(local_frame::Body::Applied(applied));
     fleet.run(3_000);
@@ -184,9 +193,9 @@
 fn the_agent_is_complete_only_when_every_shard_was_confirmed_since_the_start() {
     let mut fleet = Fleet::new(&["c1"]);
     fleet.controls[0].publishers.remove(&2);
-    let withheld = millford_feed::FeedPublisher::new(millford_core::ShardId(2));
-    fleet.controls[0].publishers.insert(2, withheld);
-    // Shard 2 has nothing at all yet: its empty state still has to be confirmed.
+    let empty = millford_feed::FeedPublisher::new(millford_core::ShardId(2));
+    fleet.controls[0].publishers.insert(2, empty);
+    // Shard 2 has no items and no position; its empty state still has to be confirmed.
     fleet.run(500);
     assert!(fleet.core.complete(), "{:?}", fleet.core.counters());
     let mut fleet = Fleet::new(&["c1"]);
@@ -203,7 +212,7 @@
     fleet.proxy.clear();
     fleet.handle(AgentInput::ProxyDown);
     fleet.take_proxy_frames();
-    fleet.link_proxy();
+    fleet.connect_proxy();
     let sent = fleet.take_proxy_frames();
     let snapshots = sent
         .iter()
@@ -238,13 +247,15 @@
     assert_eq!(fleet.proxy_backend(1, "backend/p/a"), Some(draining));
     assert_eq!(fleet.proxy_backend(1, "backend/p/b"), Some(gone));
     assert_eq!(fleet.proxy_backend(1, "backend/p/stranger"), None);
-    // The list names nobody of pool q: more likely a registry that has just started.
+    // The list contains no backend of pool q, so it more likely comes from a registry that has just
+    // started.
     assert_eq!(fleet.proxy_backend(2, "backend/q/c"), Some(0));
-    // A proxy that starts meanwhile gets the merged state.
+    // A proxy that connects in the meantime receives the merged state.
     fleet.proxy.clear();
-    fleet.link_proxy();
+    fleet.connect_proxy();
     assert_eq!(fleet.proxy_backend(1, "backend/p/a"), Some(draining));
-    // Connected again, the feed's state applies once control had the time to read the registry itself.
+    // After the agent has reconnected, the feed's state applies once the control plane has had time
+    // to read the registry itself.
     for control in &mut fleet.controls {
         control.unresponsive = false;
     }
@@ -276,14 +287,14 @@
         control.stale_shards.clear();
     }
     fleet.run(1_500);
-    // The new leader had no time to read the registry yet.
+    // The new leader has not had time to read the registry yet.
     assert_eq!(fleet.proxy_backend(1, "backend/p/a"), Some(draining));
     fleet.run(4_000);
     assert_eq!(fleet.proxy_backend(1, "backend/p/a"), Some(0));
 }
 
 #[test]
-fn an_agent_that_knows_no_backend_does_not_read_the_registry() {
+fn the_registry_is_not_read_while_the_feeds_contain_no_backend() {
     let mut fleet = Fleet::new(&ADDRESSES);
     for control in &mut fleet.controls {
         control.unresponsive = true;
@@ -293,7 +304,7 @@
 }
 
 #[test]
-fn a_registry_that_refuses_is_read_at_growing_intervals() {
+fn failed_registry_reads_are_repeated_at_growing_intervals() {
     let mut fleet = Fleet::started(&ADDRESSES);
     for control in &mut fleet.controls {
         control.unresponsive = true;
@@ -306,9 +317,10 @@
             fleet.handle(AgentInput::RegistryFailed);
         }
     }
-    // Twenty seconds: intervals of 1, 2, 4, 8 and more, each by up to a half shorter.
+    // In 20 seconds: intervals of 1, 2, 4, 8 and more seconds, each shortened by up to half by
+    // jitter.
     assert!((3..=9).contains(&refused), "{refused} reads");
-    // The registry answers again: the next reads follow sooner.
+    // The registry answers again, so the intervals become shorter.
     let before = fleet.registry_reads;
     for _ in 0..60 {
         fleet.run(1_000);
@@ -366,7 +378,8 @@
     assert!((750..=800).contains(&first_pass), "{first_pass}");
     let later = times[times.len() - 2] - times[times.len() - 3];
     assert!((3_000..=4_100).contains(&later), "{later}");
-    // Once a node was stable, the inactivity timeout is the initial one again.
+    // After a period of stable quorum contact, the inactivity timeout is reset to its initial
+    // value.
     fleet
         .controls
         .iter_mut()
--- a/crates/agent/tests/in_flight_requests.rs
+++ b/crates/agent/tests/in_flight_requests.rs
@@ -1,4 +1,4 @@
-//! Quota requests that are sent again.
+//! Resent quota requests.
 
 use millford_agent::quota::InFlightRequests;
 use millford_api::internal::{QuotaRequest, TenantQuotaRequest};
@@ -14,10 +14,11 @@
     }
 }
 
-/// The leader credits a tenant with what the rate gave while it was not connected to the node; an
-/// old figure would make it refuse requests that an exact bucket would have granted.
+/// The leader credits a tenant with the tokens that the rate provided while the leader was not
+/// connected to the node. An outdated waiting time would make it refuse requests that an exact
+/// token bucket would have granted.
 #[test]
-fn a_resent_request_reports_the_present_waiting_time() {
+fn a_resent_request_reports_the_current_waiting_time() {
     let start = MonotonicTime::from_millis(10_000);
     let mut in_flight = InFlightRequests::default();
     let request = QuotaRequest {
@@ -27,10 +28,10 @@
     };
     in_flight.record_sent(start, request);
     for passed in [300, 700] {
-        let again = in_flight.due_requests(start + Duration::from_millis(passed));
-        assert_eq!(again.len(), 1);
-        assert_eq!(again[0].request_id, 7);
-        let waits: Vec<u32> = again[0]
+        let resent = in_flight.due_requests(start + Duration::from_millis(passed));
+        assert_eq!(resent.len(), 1);
+        assert_eq!(resent[0].request_id, 7);
+        let waits: Vec<u32> = resent[0]
             .tenants
             .iter()
             .map(|tenant| tenant.oldest_wait_ms)
--- a/crates/agent/tests/open_streams.rs
+++ b/crates/agent/tests/open_streams.rs
@@ -1,4 +1,4 @@
-//! A new connection of the proxy replaces the agent's count of its streams.
+//! The open streams that a proxy reports on a new connection replace the agent's count.
 
 use std::collections::BTreeMap;
 
@@ -27,7 +27,7 @@
     client.due_requests(now, ShardLayout::new(1), "front-1", 1, next_id)
 }
 
-/// A client with one granted stream.
+/// Returns a client with one granted stream.
 fn client_with_a_stream(now: MonotonicTime, next_id: &mut u64) -> QuotaClient {
     let mut client = QuotaClient::default();
     assert!(
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_restarted_proxy_frees_the_slots_of_the_old_one() {
+fn a_proxy_restart_frees_the_slots_of_the_previous_process() {
     let now = MonotonicTime::from_millis(10_000);
     let mut next_id = 0;
     let mut client = client_with_a_stream(now, &mut next_id);
@@ -66,7 +66,7 @@
     );
     client.reconcile_streams(now, &BTreeMap::new());
     assert_eq!(client.slots_in_use(), 0);
-    // The old connection's request is void: nobody would take its answer.
+    // The request of the old connection was dropped, since its reply could not be delivered.
     let later = now + Duration::from_secs(10);
     assert_eq!(client.tick(later), Vec::new());
 }
--- a/crates/agent/tests/outside_names.rs
+++ b/crates/agent/tests/outside_names.rs
@@ -1,4 +1,5 @@
-//! Names of the agent that others rely on are those of b3d3e00: flags, settings keys, metrics.
+//! Compatibility of externally visible names: flags, settings keys, exit statuses and metrics are
+//! those of commit b3d3e00.
 
 #[path = "../../api/tests/support/committed.rs"]
 mod committed;
--- a/crates/agent/tests/quota_ages.rs
+++ b/crates/agent/tests/quota_ages.rs
@@ -1,5 +1,5 @@
-//! Ages of requests and of grants: what a request waited before it arrived counts, and a grant says
-//! until when it may be used.
+//! Ages of requests and grants: the time for which a request waited before it arrived is included
+//! in its waiting time, and a grant carries the time within which it may be used.
 
 use millford_agent::quota::{QuotaClient, StreamLimit};
 use millford_api::internal::{QuotaGrant, QuotaReply, QuotaRequest};
@@ -10,6 +10,7 @@
 const START: MonotonicTime = MonotonicTime::from_millis(10_000);
 const LEASE_MS: u32 = 1_000;
 
+/// Returns a client with one request that had waited for `waited_ms` when it arrived at [`START`].
 fn client_with_request(waited_ms: u32) -> QuotaClient {
     let mut client = QuotaClient::default();
     let request = LocalQuotaRequest {
@@ -66,6 +67,7 @@
     let answers = client.reply(after(200), &reply);
     assert_eq!(answers.len(), 1);
     assert!(answers[0].granted, "{answers:?}");
-    // Counted from the proxy's request: the lease runs from when the request was sent, 30 ms later.
+    // The time counts from the proxy's request, the lease from the request to the leader 30 ms
+    // later.
     assert_eq!(answers[0].use_within_ms, LEASE_MS + 30);
 }
--- a/crates/agent/tests/quota_and_claims.rs
+++ b/crates/agent/tests/quota_and_claims.rs
@@ -1,4 +1,5 @@
-//! Quota leases, claims and their outcomes through leader vacancies, recalls and timeouts.
+//! Quota leases, claims and claim outcomes while shards have no leader, after recalls and at
+//! timeouts.
 
 mod support;
 
@@ -23,7 +24,7 @@
     }
 }
 
-/// A started fleet with one tenant, for long enough that its bucket is full.
+/// Returns a started fleet with one tenant, after enough time for its token bucket to be full.
 fn fleet_with(quota: Quota) -> Fleet {
     let mut fleet = Fleet::started(&ADDRESSES);
     fleet.publish(0, 2, &[tenant("t", quota)]);
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn requests_over_the_quota_are_refused_at_once_with_a_retry_time() {
+fn requests_over_the_quota_are_refused_immediately_with_a_retry_time() {
     let mut fleet = fleet_with(quota(1, 4, 0));
     for id in 0..10 {
         request_quota(&mut fleet, id, false, 5_000);
@@ -75,7 +76,7 @@
     let granted = replies.iter().filter(|reply| reply.granted).count();
     assert_eq!(granted, 4);
     let refused: Vec<_> = replies.iter().filter(|reply| !reply.granted).collect();
-    assert_eq!(refused.len(), 6, "no refusal is delayed");
+    assert_eq!(refused.len(), 6, "every refusal arrives within 60 ms");
     for reply in refused {
         assert_eq!(reply.code, ResultCode::QuotaExceeded.number());
         assert!(reply.retry_after_ms > 0, "{reply:?}");
@@ -83,9 +84,9 @@
 }
 
 #[test]
-fn a_request_waits_through_a_leader_vacancy_and_is_then_granted() {
+fn a_request_waits_while_there_is_no_leader_and_is_then_granted() {
     let mut fleet = fleet_with(quota(10, 10, 0));
-    fleet.shared.lose_leaders();
+    fleet.shared.remove_leaders();
     request_quota(&mut fleet, 1, false, 5_000);
     fleet.run(800);
     assert_eq!(
@@ -104,7 +105,7 @@
 #[test]
 fn a_request_without_a_decision_is_refused_at_its_deadline() {
     let mut fleet = fleet_with(quota(10, 10, 0));
-    fleet.shared.lose_leaders();
+    fleet.shared.remove_leaders();
     request_quota(&mut fleet, 1, false, 300);
     fleet.run(298);
     assert_eq!(replies(&mut fleet), Vec::new());
@@ -114,7 +115,8 @@
     assert_eq!(replies[0].code, ResultCode::QuotaUnavailable.number());
 }
 
-/// Steady demand makes the leader grant surplus tokens beside those requested; ends with some idle.
+/// Sends requests at a steady rate until the leader has granted surplus tokens in addition to those
+/// requested and at least two are idle.
 fn accumulate_surplus_tokens(fleet: &mut Fleet) {
     for id in 1_000..1_400 {
         request_quota(fleet, id, false, 1_000);
@@ -128,7 +130,7 @@
 }
 
 #[test]
-fn while_disconnected_leased_tokens_are_spent_and_nothing_more() {
+fn while_disconnected_only_leased_tokens_are_spent() {
     let mut fleet = fleet_with(quota(200, 200, 0));
     accumulate_surplus_tokens(&mut fleet);
     for control in &mut fleet.controls {
@@ -138,7 +140,7 @@
         request_quota(&mut fleet, id, false, 400);
     }
     let granted = replies(&mut fleet).len();
-    assert!(granted > 0, "a lease was valid");
+    assert!(granted > 0, "no leased token was spent");
     fleet.run(500);
     let later = replies(&mut fleet);
     assert_eq!(granted + later.len(), 60);
@@ -149,11 +151,11 @@
     );
     fleet.run(2_000);
     request_quota(&mut fleet, 200, false, 100);
-    assert_eq!(replies(&mut fleet), Vec::new(), "the leases have expired");
+    assert_eq!(replies(&mut fleet), Vec::new(), "expired tokens were spent");
 }
 
 #[test]
-fn a_recall_is_answered_at_once_with_the_idle_tokens() {
+fn a_recall_is_answered_immediately_with_the_idle_tokens() {
     let mut fleet = fleet_with(quota(200, 200, 0));
     accumulate_surplus_tokens(&mut fleet);
     let index = fleet.connected_node();
@@ -167,7 +169,7 @@
     fleet.control_sends(index, vec![frame::Body::QuotaRecall(recall)]);
     fleet.run(8);
     assert_eq!(fleet.core.available_quota_tokens(fleet.now), 0);
-    // No idle token is left here: the next request needs a round trip.
+    // No idle token is left on this node, so the next request needs a round trip.
     request_quota(&mut fleet, 500, false, 1_000);
     assert_eq!(replies(&mut fleet), Vec::new());
     fleet.run(8);
@@ -204,7 +206,7 @@
     request_quota(&mut fleet, 2, true, 1_000);
     fleet.run(50);
     assert_eq!(replies(&mut fleet).len(), 2);
-    fleet.shared.lose_leaders();
+    fleet.shared.remove_leaders();
     fleet.run(700);
     let now = fleet.now;
     fleet.shared.elect(now, 2);
@@ -228,7 +230,7 @@
 #[test]
 fn a_claim_is_resent_under_its_attempt_id_until_it_is_answered() {
     let mut fleet = fleet_with(quota(10, 10, 0));
-    fleet.shared.lose_leaders();
+    fleet.shared.remove_leaders();
     fleet.proxy_sends(local_frame::Body::Claim(LocalClaim {
         request_id: 5,
         claim: Some(claim("attempt-1")),
@@ -258,7 +260,7 @@
 #[test]
 fn a_claim_past_its_deadline_is_refused_and_released() {
     let mut fleet = fleet_with(quota(10, 10, 0));
-    fleet.shared.lose_leaders();
+    fleet.shared.remove_leaders();
     fleet.proxy_sends(local_frame::Body::Claim(LocalClaim {
         request_id: 5,
         claim: Some(claim("attempt-1")),
@@ -314,11 +316,12 @@
     assert_eq!(recorded.len(), 20);
 }
 
-/// Requests in the queue of a stopped agent may be older than the proxy beside it.
+/// Requests queued at an agent process that was suspended may be older than the connected proxy.
+/// Quota granted for them would be missing for the current requests.
 #[test]
 fn no_quota_is_requested_for_a_disconnected_proxy() {
     let mut fleet = fleet_with(quota(10, 10, 0));
-    fleet.shared.lose_leaders();
+    fleet.shared.remove_leaders();
     for request_id in 1..=10 {
         request_quota(&mut fleet, request_id, false, 5_000);
     }
@@ -328,7 +331,7 @@
     fleet.shared.elect(now, 2);
     fleet.run(3_000);
     assert_eq!(fleet.core.counters().quota_granted, 0);
-    fleet.link_proxy();
+    fleet.connect_proxy();
     for request_id in 11..=15 {
         request_quota(&mut fleet, request_id, false, 500);
     }
--- a/crates/agent/tests/quota_hot_tenant.rs
+++ b/crates/agent/tests/quota_hot_tenant.rs
@@ -1,5 +1,5 @@
-//! A tenant sends far more than its quota on many nodes: requests that are not granted are refused
-//! soon, and none waits until its timeout while others are granted or refused.
+//! A tenant exceeds its quota by far on many nodes: requests that are not granted are refused
+//! quickly, and no request waits until its timeout while others are granted or refused.
 
 #[path = "support/message_queue.rs"]
 mod message_queue;
@@ -17,15 +17,16 @@
 const TENANT: &str = "hot";
 const RATE: u32 = 20;
 const BURST: u32 = 40;
-/// Requests at the start of an overload.
+/// Number of requests sent at once at the start of an overload.
 const OVERLOAD_BURST: u64 = 80;
-/// Time between two requests of an overload: five times the rate.
+/// Time between two requests during an overload; the resulting rate is five times the quota's rate.
 const OVERLOAD_PERIOD_MS: u64 = 10;
 const OVERLOAD_MS: u64 = 4_000;
-/// Timeout of a request.
+/// Timeout of a quota request.
 const TIMEOUT_MS: u32 = 3_000;
 const LONGEST_DELAY_MS: u64 = 5;
-/// Recalling idle tokens takes two round trips, and nodes send a new request once a token is due.
+/// Largest accepted time to a decision: a recall of idle tokens takes two round trips, and nodes
+/// send a new request once a token is due.
 const LONGEST_DECISION: Duration = Duration::from_millis(400);
 
 #[derive(Clone, Copy, Debug)]
@@ -47,7 +48,7 @@
 }
 
 impl Harness {
-    /// The leader took over at 10 s.
+    /// Creates idle nodes and a leader whose term starts at 10 s of simulated time.
     fn new(seed: u64) -> Self {
         let now = MonotonicTime::from_millis(10_000);
         let mut leases = QuotaLeases::new(ShardId(1), QuotaOptions::default());
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Requests now and then on every node, well under the quota.
+    /// Sends a request every 120 ms on a random node, well under the quota.
     fn light_load(&mut self, millis: u64) {
         for millis in 0..millis {
             if millis % 120 == 0 {
@@ -108,7 +109,7 @@
         };
         self.requested_at.push(self.now);
         let replies = self.clients[node].request(self.now, &request, StreamLimit::Unlimited);
-        self.take(replies);
+        self.record_replies(replies);
     }
 
     fn step(&mut self) {
@@ -117,7 +118,7 @@
         self.deliver();
         for node in 0..NODES {
             let replies = self.clients[node].tick(self.now);
-            self.take(replies);
+            self.record_replies(replies);
             let name = name_of(node);
             let id = &mut self.ids[node];
             let layout = ShardLayout::new(1);
@@ -127,7 +128,7 @@
         }
     }
 
-    fn take(&mut self, replies: Vec<LocalQuotaReply>) {
+    fn record_replies(&mut self, replies: Vec<LocalQuotaReply>) {
         for reply in replies {
             let requested_at = self.requested_at[reply.request_id as usize];
             self.decisions.push(Decision {
@@ -155,7 +156,7 @@
                 }
                 Message::Reply(node, reply) => {
                     let replies = self.clients[node].reply(now, &reply);
-                    self.take(replies);
+                    self.record_replies(replies);
                 }
                 Message::Recall(node, recall) => self.clients[node].recall(&recall),
             }
@@ -174,7 +175,7 @@
 }
 
 #[test]
-fn a_tenant_over_its_quota_is_granted_or_refused_soon() {
+fn requests_of_a_tenant_over_its_quota_are_decided_quickly() {
     for seed in 0..20 {
         let mut harness = Harness::new(seed);
         harness.idle(10_000);
@@ -194,7 +195,7 @@
 }
 
 #[test]
-fn an_overload_right_after_a_leader_change_leaves_no_queue() {
+fn an_overload_right_after_a_leader_change_leaves_no_request_undecided() {
     for seed in 0..20 {
         let mut harness = Harness::new(seed);
         harness.idle(300);
--- a/crates/agent/tests/quota_over_nodes.rs
+++ b/crates/agent/tests/quota_over_nodes.rs
@@ -1,5 +1,6 @@
-//! Several nodes' quota clients and one leader's leases over a network that delays and loses messages:
-//! neither the rate nor the streams of a tenant exceed its quota over all nodes together.
+//! Several nodes' quota clients and one leader's leases, connected by a network that delays and
+//! loses messages: over all nodes together, a tenant never exceeds the rate or concurrent streams
+//! of its quota.
 
 #[path = "support/message_queue.rs"]
 mod message_queue;
@@ -19,9 +20,10 @@
 const RATE: u32 = 40;
 const BURST: u32 = 20;
 const STREAMS: u32 = 12;
-/// Granted tokens count from the grant, and are spent at most one lease later.
+/// Duration of a token lease. A token counts against the rate when it is granted and may be spent
+/// up to this much later.
 const LEASE: Duration = Duration::from_secs(1);
-/// Timeout of a request.
+/// Timeout of a quota request.
 const TIMEOUT_MS: u32 = 800;
 const RUN_MILLIS: u64 = 12_000;
 
@@ -32,7 +34,7 @@
     changes_leader: bool,
 }
 
-/// A stream that was granted.
+/// A granted stream that has not ended.
 struct OpenStream {
     ends_at: MonotonicTime,
     node: usize,
@@ -50,7 +52,8 @@
     open: Vec<OpenStream>,
     requested: u64,
     answered: u64,
-    quiet: bool,
+    /// Whether no more requests are sent, so that the last ones are decided before the run ends.
+    stops_requests: bool,
 }
 
 impl Harness {
@@ -76,7 +79,7 @@
             open: Vec::new(),
             requested: 0,
             answered: 0,
-            quiet: false,
+            stops_requests: false,
         }
     }
 
@@ -89,23 +92,23 @@
             if self.network.changes_leader && millis == 5_700 {
                 self.leases.lead(self.now, 2);
             }
-            self.quiet = millis >= RUN_MILLIS - u64::from(TIMEOUT_MS) - 10;
+            self.stops_requests = millis >= RUN_MILLIS - u64::from(TIMEOUT_MS) - 10;
             self.leases.tick(self.now);
             self.deliver();
             for node in 0..NODES {
-                self.work(node);
+                self.step_node(node);
             }
             self.check()?;
         }
         Ok(())
     }
 
-    fn work(&mut self, node: usize) {
+    fn step_node(&mut self, node: usize) {
         self.request_at_random(node);
         self.release_ended_streams(node);
         let now = self.now;
         let replies = self.clients[node].tick(now);
-        self.take(node, replies);
+        self.record_replies(node, replies);
         let layout = ShardLayout::new(1);
         let name = name_of(node);
         let id = &mut self.ids[node];
@@ -114,11 +117,12 @@
         }
     }
 
-    /// About twice the quota, in waves, so that leases run out and lie idle in turns.
+    /// Sends requests at about twice the quota, with one busy node at a time, so that leases
+    /// alternate between being used up and being idle.
     fn request_at_random(&mut self, node: usize) {
         let busy = (self.now.as_millis() / 1_500) as usize % NODES == node;
         let chance = match busy {
-            _ if self.quiet => 0.0,
+            _ if self.stops_requests => 0.0,
             true => 0.06,
             false => 0.01,
         };
@@ -134,7 +138,7 @@
             waited_ms: 0,
         };
         let replies = self.clients[node].request(self.now, &request, StreamLimit::Limited);
-        self.take(node, replies);
+        self.record_replies(node, replies);
     }
 
     fn release_ended_streams(&mut self, node: usize) {
@@ -150,11 +154,11 @@
                 unused: false,
             };
             let replies = self.clients[node].release(now, &release, StreamLimit::Limited);
-            self.take(node, replies);
+            self.record_replies(node, replies);
         }
     }
 
-    fn take(&mut self, node: usize, replies: Vec<LocalQuotaReply>) {
+    fn record_replies(&mut self, node: usize, replies: Vec<LocalQuotaReply>) {
         for reply in replies {
             self.answered += 1;
             if reply.granted {
@@ -188,7 +192,7 @@
                 }
                 Message::Reply(node, reply) => {
                     let replies = self.clients[node].reply(now, &reply);
-                    self.take(node, replies);
+                    self.record_replies(node, replies);
                 }
                 Message::Recall(node, recall) => self.clients[node].recall(&recall),
             }
@@ -215,16 +219,17 @@
     }
 }
 
-fn holds(seed: u64, network: NetworkConditions) -> TestResult {
+/// Runs the nodes and checks that the quota holds and that every request is answered.
+fn check_run(seed: u64, network: NetworkConditions) -> TestResult {
     let mut harness = Harness::new(seed, network);
     if let Err(fault) = harness.run() {
         return TestResult::error(format!("seed {seed}, {network:?}: {fault}"));
     }
-    // Every request is answered within its timeout, also when no more follow.
-    let late = harness.requested - harness.answered;
-    if late > 0 || harness.granted.is_empty() {
+    // Every request is answered within its timeout, even when no further requests follow.
+    let unanswered = harness.requested - harness.answered;
+    if unanswered > 0 || harness.granted.is_empty() {
         return TestResult::error(format!(
-            "seed {seed}: {late} of {} unanswered",
+            "seed {seed}: {unanswered} of {} unanswered",
             harness.requested
         ));
     }
@@ -234,7 +239,7 @@
 #[test]
 fn quotas_hold_over_all_nodes_when_messages_are_late_or_lost() {
     fn property(seed: u64, loss: u8, delay: u8) -> TestResult {
-        holds(
+        check_run(
             seed,
             NetworkConditions {
                 loss_percent: u32::from(loss) % 30,
@@ -251,7 +256,7 @@
 #[test]
 fn quotas_hold_over_all_nodes_through_a_leader_change() {
     fn property(seed: u64, delay: u8) -> TestResult {
-        holds(
+        check_run(
             seed,
             NetworkConditions {
                 loss_percent: 0,
@@ -265,22 +270,23 @@
         .quickcheck(property as fn(u64, u8) -> TestResult);
 }
 
-/// Runs that once opened 13 of 12 streams: an old request that was sent again after the node had
-/// returned everything counted as a new one, and took slots that were granted to another node.
+/// Regression test with runs that opened 13 of 12 streams. An old request that was sent again after
+/// the node had returned everything was counted as a new one, and was granted slots that another
+/// node held.
 #[test]
 fn a_resent_request_takes_no_slots_from_other_nodes() {
-    let found = [
+    let failing_runs = [
         (4_180_856_028_755_012_523, 18, 2),
         (4_464_057_124_022_253_963, 19, 59),
         (6_866_104_530_316_248_170, 26, 147),
     ];
-    for (seed, loss_percent, longest_delay_ms) in found {
+    for (seed, loss_percent, longest_delay_ms) in failing_runs {
         let network = NetworkConditions {
             loss_percent,
             longest_delay_ms,
             changes_leader: false,
         };
-        let result = holds(seed, network);
+        let result = check_run(seed, network);
         assert!(!result.is_failure(), "{result:?}");
     }
 }
--- a/crates/agent/tests/support/fake_control_node.rs
+++ b/crates/agent/tests/support/fake_control_node.rs
@@ -1,4 +1,5 @@
-//! A fake control node: the real feed publishers and quota leases, and simple answers.
+//! Fake control node with real feed publishers and quota leases, and simplified answers to other
+//! requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,15 +18,19 @@
 
 use super::DATA_SHARDS;
 
-/// State that all control nodes share.
+/// State of the shards that all control nodes share.
 pub(crate) struct SharedShards {
     /// Whether the shards have no leaders.
-    pub(crate) vacant: bool,
+    pub(crate) leaderless: bool,
     pub(crate) leases: BTreeMap<u32, QuotaLeases>,
+    /// Epoch of each open session, by member.
     pub(crate) sessions: BTreeMap<String, u64>,
     pub(crate) next_epoch: u64,
+    /// Claims received, in order and with duplicates.
     pub(crate) claims: Vec<millford_api::command::Claim>,
+    /// Claim outcomes received, in order and with duplicates.
     pub(crate) resolutions: Vec<millford_api::command::ResolveClaim>,
+    /// Members that have closed their session.
     pub(crate) closed: Vec<String>,
 }
 
@@ -38,7 +43,7 @@
             leases.insert(shard, leases_of_shard);
         }
         Self {
-            vacant: false,
+            leaderless: false,
             leases,
             sessions: BTreeMap::new(),
             next_epoch: 0,
@@ -54,15 +59,15 @@
         leases_of_shard.set_quota(now, tenant, Some(quota));
     }
 
-    /// Every shard's leader is lost.
-    pub(crate) fn lose_leaders(&mut self) {
-        self.vacant = true;
+    /// Removes the leader of every shard.
+    pub(crate) fn remove_leaders(&mut self) {
+        self.leaderless = true;
         self.leases.values_mut().for_each(QuotaLeases::resign);
     }
 
-    /// New leaders are elected.
+    /// Elects a new leader for every shard, in `term`.
     pub(crate) fn elect(&mut self, now: MonotonicTime, term: u64) {
-        self.vacant = false;
+        self.leaderless = false;
         for leases_of_shard in self.leases.values_mut() {
             leases_of_shard.lead(now, term);
         }
@@ -80,7 +85,7 @@
     }
 
     fn propose(&mut self, command: Command) -> Option<CommandResult> {
-        if self.vacant {
+        if self.leaderless {
             return None;
         }
         let kind = match command.kind? {
@@ -115,19 +120,21 @@
     }
 }
 
-/// One control node.
+/// One fake control node.
 pub(crate) struct FakeControlNode {
     pub(crate) address: String,
+    /// Whether the node keeps its connections open but sends nothing.
     pub(crate) unresponsive: bool,
-    /// Shards whose leader the node cannot reach.
+    /// Shards whose state the node cannot confirm because it cannot reach their leader.
     pub(crate) stale_shards: BTreeSet<u32>,
     pub(crate) has_quorum: bool,
     pub(crate) members: Vec<ControlMember>,
     pub(crate) publishers: BTreeMap<u32, FeedPublisher>,
+    /// Shard and offset of each subscription received.
     pub(crate) subscriptions: Vec<(u32, u64)>,
 }
 
-/// The only subscriber of a fake node's publishers.
+/// Id of the agent, the only subscriber of a fake node's publishers.
 const SUBSCRIBER: u64 = 1;
 
 impl FakeControlNode {
@@ -157,7 +164,7 @@
         messages.map(frame::Body::Feed).collect()
     }
 
-    pub(crate) fn link_closed(&mut self) {
+    pub(crate) fn unsubscribe_agent(&mut self) {
         for publisher in self.publishers.values_mut() {
             publisher.unsubscribe(SUBSCRIBER);
         }
@@ -189,7 +196,7 @@
         }
     }
 
-    /// The message of a node that cannot confirm a shard.
+    /// Returns the message that reports that the node cannot confirm a shard.
     pub(crate) fn stale(shard: u32) -> frame::Body {
         frame::Body::Feed(FeedMessage {
             shard,
@@ -211,7 +218,7 @@
 
 fn answer(request: ShardRequest, shared: &mut SharedShards) -> frame::Body {
     let Some(shard_request::Kind::Propose(command)) = request.kind else {
-        panic!("an agent only proposes");
+        panic!("an agent only sends proposals");
     };
     let result = shared.propose(command);
     let code = match result {
--- a/crates/agent/tests/support/fleet.rs
+++ b/crates/agent/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! Simulated time, one agent, its proxy's views and the control nodes.
+//! One agent, its proxy's view of each shard, and fake control nodes under simulated time.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,7 +11,7 @@
 
 use super::{DATA_SHARDS, FakeControlNode, SharedShards};
 
-/// Delay of a frame, each way.
+/// One-way delay of a frame.
 const LATENCY: Duration = Duration::from_millis(1);
 
 /// The agent's connection to one of the control nodes.
@@ -22,21 +22,22 @@
     pub(crate) node: usize,
 }
 
-/// A connection that the agent began to open.
+/// A connection that the agent started to open.
 #[derive(Clone, Debug)]
 pub(crate) struct ConnectAttempt {
     pub(crate) at: MonotonicTime,
     pub(crate) address: String,
 }
 
-/// A frame on its way from the agent to a control node.
+/// A frame in flight from the agent to a control node.
 struct SentFrame {
     arrives_at: MonotonicTime,
     link: u64,
     frame: Frame,
 }
 
-/// One agent with its proxy and the control nodes, in simulated time of one millisecond a step.
+/// One agent with its proxy and the control nodes, under simulated time in steps of one
+/// millisecond.
 pub(crate) struct Fleet {
     pub(crate) now: MonotonicTime,
     pub(crate) core: AgentCore,
@@ -50,14 +51,17 @@
     pub(crate) registry_reads: usize,
     pub(crate) saved_members: usize,
     pub(crate) stopped: bool,
-    /// Connections to absent nodes time out and are not refused: their machines are without power.
+    /// Whether connections to absent nodes time out, as with powered-off machines, instead of being
+    /// refused.
     pub(crate) unreachable: bool,
+    /// Inputs in flight to the agent, with their arrival times.
     arriving: VecDeque<(MonotonicTime, AgentInput)>,
     sent: VecDeque<SentFrame>,
 }
 
 impl Fleet {
-    /// An agent beside nodes at `addresses`, all with a little state; nothing has happened yet.
+    /// Creates an agent and control nodes at `addresses`, which all have the same initial state. No
+    /// time has passed.
     pub(crate) fn new(addresses: &[&str]) -> Self {
         let now = MonotonicTime::from_millis(1000);
         let mut fleet = Self {
@@ -85,17 +89,18 @@
         fleet
     }
 
-    /// The same, run until every shard is confirmed and the proxy linked.
+    /// Creates a fleet as [`Self::new`] does, connects the proxy, and runs until every shard is
+    /// confirmed.
     pub(crate) fn started(addresses: &[&str]) -> Self {
         let mut fleet = Self::new(addresses);
-        fleet.link_proxy();
+        fleet.connect_proxy();
         fleet.run(500);
         assert!(fleet.core.complete() && fleet.core.is_connected());
         assert_ne!(fleet.core.session_epoch(), 0);
         fleet
     }
 
-    /// The agent process starts again; its proxy stays and links again.
+    /// Restarts the agent process. The proxy keeps running and has to be connected again.
     pub(crate) fn restart_agent(&mut self, addresses: &[&str]) {
         self.core = AgentCore::new(&options(addresses, 2), self.now);
         self.link = None;
@@ -103,29 +108,29 @@
         self.sent.clear();
         self.controls
             .iter_mut()
-            .for_each(FakeControlNode::link_closed);
+            .for_each(FakeControlNode::unsubscribe_agent);
     }
 
-    /// The proxy connects and says hello.
-    pub(crate) fn link_proxy(&mut self) {
+    /// Connects the proxy and sends its hello.
+    pub(crate) fn connect_proxy(&mut self) {
         self.handle(AgentInput::ProxyUp);
         self.proxy_sends(local_frame::Body::ProxyHello(ProxyHello::default()));
     }
 
-    /// The proxy sends a frame, which the agent receives at once.
+    /// Sends a frame from the proxy, which the agent receives immediately.
     pub(crate) fn proxy_sends(&mut self, body: local_frame::Body) {
         let frame = Box::new(LocalFrame { body: Some(body) });
         self.handle(AgentInput::ProxyFrame(frame));
     }
 
-    /// Every node applies the entry.
+    /// Applies an entry with `items` at every node.
     pub(crate) fn publish(&mut self, shard: u32, offset: u64, items: &[StateItem]) {
         for index in 0..self.controls.len() {
             self.publish_at(index, shard, offset, items.to_vec());
         }
     }
 
-    /// One node applies the entry.
+    /// Applies an entry with `items` at one node.
     pub(crate) fn publish_at(
         &mut self,
         index: usize,
@@ -137,7 +142,7 @@
         self.control_sends(index, bodies);
     }
 
-    /// A node sends frames, if it is the one that the agent is linked to.
+    /// Sends frames from a node, if the agent is connected to that node and it is responsive.
     pub(crate) fn control_sends(&mut self, index: usize, bodies: Vec<frame::Body>) {
         let Some(link) = self.link else { return };
         if link.node != index || self.controls[index].unresponsive {
@@ -151,12 +156,12 @@
         }
     }
 
-    /// Index of the node that the agent is linked to.
+    /// Returns the index of the node that the agent is connected to.
     pub(crate) fn connected_node(&self) -> usize {
-        self.link.expect("linked").node
+        self.link.expect("a connection to a control node").node
     }
 
-    /// Runs for some milliseconds.
+    /// Advances simulated time by `millis`.
     pub(crate) fn run(&mut self, millis: u64) {
         let end = self.now + Duration::from_millis(millis);
         while self.now < end {
@@ -173,13 +178,13 @@
         }
     }
 
-    /// Takes the bodies sent to the proxy since they were last taken.
+    /// Removes and returns the bodies of the frames sent to the proxy since the last call.
     pub(crate) fn take_proxy_frames(&mut self) -> Vec<local_frame::Body> {
         let frames = std::mem::take(&mut self.proxy_frames).into_iter();
         frames.filter_map(|(_, frame)| frame.body).collect()
     }
 
-    /// The state of a backend as the proxy sees it.
+    /// Returns the state of a backend in the proxy's view.
     pub(crate) fn proxy_backend(&self, shard: u32, key: &str) -> Option<i32> {
         let value = self.proxy.get(&shard)?.items().get(key)?;
         match value.kind.as_ref()? {
@@ -216,7 +221,7 @@
                 let index = controls.position(|control| control.address == address);
                 let input = match index {
                     Some(index) => {
-                        self.controls[index].link_closed();
+                        self.controls[index].unsubscribe_agent();
                         self.link = Some(FleetLink {
                             id: link,
                             node: index,
@@ -243,7 +248,8 @@
         }
     }
 
-    /// The proxy has a view of each shard, as the real one does; a gap would be a fault.
+    /// Applies a frame to the proxy's view of its shard, as a real proxy does, and asserts that
+    /// there is no gap.
     fn deliver_to_proxy(&mut self, frame: LocalFrame) {
         let outcome = match frame.body.clone() {
             Some(local_frame::Body::Snapshot(snapshot)) => {
--- a/crates/agent/tests/support/message_queue.rs
+++ b/crates/agent/tests/support/message_queue.rs
@@ -1,10 +1,10 @@
-//! Messages between the nodes' quota clients and a leader's quota leases.
+//! Simulated network between the nodes' quota clients and a leader's quota leases.
 
 use millford_api::internal::{QuotaRecall, QuotaReply, QuotaRequest};
 use millford_control_state::quota::QuotaOutput;
 use millford_core::MonotonicTime;
 
-/// A message in flight; answers and recalls name the node that they go to.
+/// A message in flight. Replies and recalls carry the index of the node that they are sent to.
 pub(crate) enum Message {
     Request(QuotaRequest),
     Reply(usize, QuotaReply),
@@ -20,7 +20,7 @@
     }
 }
 
-/// Messages in flight, each with the time at which it arrives.
+/// Messages in flight with their arrival times.
 #[derive(Default)]
 pub(crate) struct MessageQueue {
     in_flight: Vec<(MonotonicTime, Message)>,
@@ -31,7 +31,7 @@
         self.in_flight.push((at, message));
     }
 
-    /// Takes out what has arrived, in the order of sending.
+    /// Removes and returns the messages that have arrived, in the order in which they were sent.
     pub(crate) fn take_arrived(&mut self, now: MonotonicTime) -> Vec<Message> {
         let messages = std::mem::take(&mut self.in_flight);
         let (arrived, later): (Vec<_>, Vec<_>) =
@@ -41,7 +41,7 @@
     }
 }
 
-/// Name of a node, as [`node_of`] reads it.
+/// Returns the name of a node, which [`node_of`] parses.
 pub(crate) fn name_of(node: usize) -> String {
     format!("node-{node}")
 }
--- a/crates/agent/tests/support/mod.rs
+++ b/crates/agent/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! One agent, its proxy and a few control nodes under simulated time.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Test fixtures: one agent, its proxy and several control nodes under simulated time.
+#![allow(dead_code, reason = "each test file uses only a part")]
 
 mod fake_control_node;
 mod fleet;
