--- a/crates/agent/src/daemon/agent_settings.rs
+++ b/crates/agent/src/daemon/agent_settings.rs
@@ -37,20 +37,29 @@
     const KEYS: &'static [SettingsKey] = &[
         SettingsKey::text("name", "name of this node, unique in the fleet"),
         SettingsKey::text("zone", "zone of this node"),
-        SettingsKey::text("local_address", "loopback address for the proxy"),
-        SettingsKey::text("http_address", "address of health and metrics"),
+        SettingsKey::text(
+            "local_address",
+            "loopback address that the proxy connects to",
+        ),
+        SettingsKey::text(
+            "http_address",
+            "address of the HTTP server for health checks and metrics",
+        ),
         SettingsKey::text(
             "exchange_address",
-            "IP:PORT where the proxy exchanges news with other proxies",
+            "IP:PORT on which the proxy exchanges messages with other proxies",
+        ),
+        SettingsKey::list(
+            "seeds",
+            "internal addresses of the control nodes to try first",
         ),
-        SettingsKey::list("seeds", "internal addresses of control nodes to begin with"),
         SettingsKey::text(
             "registry_address",
-            "address of the service registry, read while out of touch with control",
+            "address of the service registry, read while a shard is not confirmed",
         ),
         SettingsKey::text(
             "data_folder",
-            "folder that keeps the list of control nodes over restarts",
+            "folder in which the list of control nodes is saved across restarts",
         ),
         SettingsKey::LOG_LEVEL,
         SettingsKey::LOG_FORMAT,
--- a/crates/agent/src/daemon/metrics.rs
+++ b/crates/agent/src/daemon/metrics.rs
@@ -58,7 +58,7 @@
         ),
         Metric::new(
             "complete",
-            "1 once every shard was confirmed",
+            "1 once every shard has been confirmed",
             u64::from(report.complete),
         ),
         Metric::new(
@@ -73,12 +73,12 @@
         ),
         Metric::new(
             "config_revision",
-            "configuration revision received",
+            "newest configuration revision received",
             report.revision,
         ),
         Metric::new(
             "settles_waiting",
-            "claim outcomes not recorded yet",
+            "claim outcomes not acknowledged yet",
             report.pending_resolutions as u64,
         ),
     ]
@@ -119,7 +119,7 @@
         ),
         Metric::new(
             "registry_views_total",
-            "registry lists read while disconnected",
+            "registry lists applied while a shard was unconfirmed",
             counters.registry_views,
         ),
     ]
@@ -130,17 +130,17 @@
     [
         Metric::new(
             "quota_granted_total",
-            "requests granted quota",
+            "quota requests granted",
             counters.quota_granted,
         ),
         Metric::new(
             "quota_refused_total",
-            "requests refused: quota exceeded",
+            "quota requests refused: quota exceeded",
             counters.quota_refused,
         ),
         Metric::new(
             "quota_unavailable_total",
-            "requests refused: no quota decision in time",
+            "quota requests refused: no decision before the timeout",
             counters.quota_unavailable,
         ),
     ]
@@ -156,12 +156,12 @@
         ),
         Metric::new(
             "claims_unavailable_total",
-            "claims abandoned without an answer",
+            "claims abandoned: no answer before the timeout",
             counters.claims_unavailable,
         ),
         Metric::new(
             "settles_acknowledged_total",
-            "claim outcomes recorded",
+            "claim outcomes acknowledged",
             counters.resolutions_acknowledged,
         ),
         Metric::new(
--- a/crates/agent/src/daemon/run.rs
+++ b/crates/agent/src/daemon/run.rs
@@ -29,7 +29,7 @@
 /// Command line of the program.
 pub const COMMAND: DaemonCommand = DaemonCommand {
     program: "millford-agent",
-    purpose: "Keeps the link between a proxy and the control plane.",
+    purpose: "Connects the proxy on this host to the control plane.",
     version: env!("CARGO_PKG_VERSION"),
 };
 
--- a/crates/agent/src/quota/client.rs
+++ b/crates/agent/src/quota/client.rs
@@ -86,9 +86,9 @@
         self.replies(decisions)
     }
 
-    /// Replaces the numbers of open streams by those that the proxy reports by tenant on a new
-    /// connection. A restarted proxy has no open streams; a restarted agent recovers the number of
-    /// streams that were granted before.
+    /// Replaces each tenant's number of open streams with the number that the proxy reports on a
+    /// new connection; tenants without an entry have none. A restarted proxy has no open streams; a
+    /// restarted agent recovers the number of streams that were granted before.
     pub fn reconcile_streams(&mut self, now: MonotonicTime, streams: &BTreeMap<String, u32>) {
         for lease in self.leases.values_mut() {
             lease.reconcile_streams(0);
@@ -210,8 +210,9 @@
         requests
     }
 
-    /// Returns when [`Self::tick`] or [`Self::due_requests`] next has work, or `None` if no time is
-    /// known.
+    /// Returns the earliest time at which the deadline of a waiting request passes or a new request
+    /// to a leader is due; `None` if there is neither. Resends and timeouts of requests in flight
+    /// are not included, as the regular ticks are sufficient for them.
     #[must_use]
     pub fn next_wakeup(&self, now: MonotonicTime) -> Option<MonotonicTime> {
         let leases = self.active.iter().filter_map(|name| self.leases.get(name));
--- a/crates/agent/src/quota/slot_reservation.rs
+++ b/crates/agent/src/quota/slot_reservation.rs
@@ -58,7 +58,7 @@
         self.in_use = self.in_use.saturating_sub(1);
     }
 
-    /// Replaces the number of slots in use by the number of open streams that the proxy reports.
+    /// Sets the number of slots in use to the number of open streams that the proxy reports.
     pub fn reconcile(&mut self, open_streams: u32) {
         self.in_use = open_streams;
     }
@@ -75,8 +75,8 @@
         self.reported_at = now;
         self.renew_at = now + SLOT_RENEWAL_PERIOD;
         self.last_request = request_id;
-        // Safety: as soon as the leader receives this request, it may grant slots that it does not
-        // ask for to other nodes.
+        // Safety: once the leader has received this request, it may grant the slots that are not
+        // requested here to other nodes.
         self.granted = self.granted.min(requested);
     }
 
--- a/crates/agent/src/quota/tenant_lease.rs
+++ b/crates/agent/src/quota/tenant_lease.rs
@@ -185,7 +185,7 @@
     }
 
     /// Returns when the next request to the leader is due, or `None` if there is nothing to
-    /// request, return or report.
+    /// request, return or report; the time may have passed already.
     #[must_use]
     pub fn next_request_due(&self, now: MonotonicTime) -> Option<MonotonicTime> {
         if self.recalled || self.tokens_to_return > 0 {
@@ -340,7 +340,7 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Refuses up to `count` of the waiting requests that `is_eligible` selects, the newest first.
+    /// Refuses up to `count` of the waiting requests that `is_eligible` selects.
     fn refuse(
         &mut self,
         count: u32,
