--- a/crates/agent/src/counters.rs
+++ b/crates/agent/src/counters.rs
@@ -19,7 +19,8 @@
     pub feed_gaps: u64,
     /// The proxy's quota requests that were granted.
     pub quota_granted: u64,
-    /// The proxy's quota requests that were refused because the tenant's quota was exceeded.
+    /// The proxy's quota requests that were refused because the tenant's rate or stream limit was
+    /// exceeded.
     pub quota_refused: u64,
     /// The proxy's quota requests that were refused because no decision arrived before their
     /// timeout.
--- a/crates/agent/src/daemon/driver.rs
+++ b/crates/agent/src/daemon/driver.rs
@@ -135,7 +135,7 @@
     }
 
     /// Sends a frame to the proxy, if one is connected. Disconnects a proxy whose queue is full,
-    /// because it could not detect the missing frame.
+    /// because the proxy could not detect the missing frame.
     fn send_proxy(&mut self, frame: LocalFrame) {
         let Some(proxy) = &self.proxy else { return };
         if proxy.send(frame).is_err() {
--- a/crates/agent/src/options.rs
+++ b/crates/agent/src/options.rs
@@ -7,7 +7,7 @@
     pub name: String,
     /// Availability zone of the node, as reported when the session is opened.
     pub zone: String,
-    /// Address that operators are shown with the session; not used for connections.
+    /// Address of the agent that operators are shown with the session.
     pub address: String,
     /// Address on which the local proxy exchanges messages with other proxies; empty if it does
     /// not.
--- a/crates/agent/src/quota/quota_counts.rs
+++ b/crates/agent/src/quota/quota_counts.rs
@@ -5,7 +5,7 @@
 pub struct QuotaCounts {
     /// Requests that were granted.
     pub granted: u64,
-    /// Requests that were refused because the tenant's quota was exceeded.
+    /// Requests that were refused because the tenant's rate or stream limit was exceeded.
     pub refused: u64,
     /// Requests that were refused because no decision arrived before their deadline.
     pub unavailable: u64,
--- a/crates/agent/src/quota/tenant_lease.rs
+++ b/crates/agent/src/quota/tenant_lease.rs
@@ -323,7 +323,7 @@
         decisions
     }
 
-    /// Stops waiting for the reply to a request, which would arrive too late to be used.
+    /// Removes a request from those in flight, because its reply would arrive too late to be used.
     pub fn abandon_request(&mut self, request: &TenantQuotaRequest) {
         self.record_answered(request);
     }
