--- a/crates/agent/src/daemon/agent_settings.rs
+++ b/crates/agent/src/daemon/agent_settings.rs
@@ -5,29 +5,31 @@
 use millford_settings::{LogFormat, Settings, SettingsFault, SettingsKey};
 use serde::Deserialize;
 
-/// What the settings file and the flags say.
+/// Settings from the settings file and the command line.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AgentSettings {
     /// Name of the node, unique in the fleet.
     pub name: String,
-    /// Zone of the node.
+    /// Availability zone of the node.
     pub zone: String,
-    /// Loopback address for the proxy.
+    /// Loopback address (IP and port) on which the agent accepts the proxy's connection.
     pub local_address: String,
-    /// Address of health and metrics.
+    /// Address (IP and port) of the HTTP server for health checks and metrics.
     pub http_address: String,
-    /// Address where the proxy beside the agent exchanges messages with other proxies. May be empty.
+    /// Address on which the local proxy exchanges messages with other proxies; empty if it does
+    /// not.
     pub exchange_address: String,
-    /// Internal addresses of control nodes to start with.
+    /// Internal addresses of the control nodes that are tried first; at least one is required.
     pub seeds: Vec<String>,
-    /// Address of the service registry, read while disconnected from the control plane. May be empty.
+    /// Address of the service registry, which is read while the control plane does not confirm
+    /// every shard; empty if there is none.
     pub registry_address: String,
-    /// Folder for the list of control nodes. May be empty: nothing is saved.
+    /// Folder in which the list of control nodes is saved across restarts; empty to save nothing.
     pub data_folder: String,
-    /// Least severe level of log lines.
+    /// Lowest severity that is logged.
     pub log_level: String,
-    /// Form of log lines.
+    /// Output format of the log.
     pub log_format: LogFormat,
 }
 
@@ -35,20 +37,29 @@
     const KEYS: &'static [SettingsKey] = &[
         SettingsKey::text("name", "name of this node, unique in the fleet"),
         SettingsKey::text("zone", "zone of this node"),
-        SettingsKey::text("local_address", "loopback address for the proxy"),
-        SettingsKey::text("http_address", "address of health and metrics"),
+        SettingsKey::text(
+            "local_address",
+            "loopback address that the proxy connects to",
+        ),
+        SettingsKey::text(
+            "http_address",
+            "address of the HTTP server for health checks and metrics",
+        ),
         SettingsKey::text(
             "exchange_address",
-            "IP:PORT where the proxy exchanges news with other proxies",
+            "IP:PORT on which the proxy exchanges messages with other proxies",
+        ),
+        SettingsKey::list(
+            "seeds",
+            "internal addresses of the control nodes to try first",
         ),
-        SettingsKey::list("seeds", "internal addresses of control nodes to begin with"),
         SettingsKey::text(
             "registry_address",
-            "address of the service registry, read while out of touch with control",
+            "address of the service registry, read while a shard is not confirmed",
         ),
         SettingsKey::text(
             "data_folder",
-            "folder that keeps the list of control nodes over restarts",
+            "folder in which the list of control nodes is saved across restarts",
         ),
         SettingsKey::LOG_LEVEL,
         SettingsKey::LOG_FORMAT,
@@ -74,7 +85,7 @@
         }
         check_optional_address(&mut faults, "registry_address", &self.registry_address);
         if parse_level(&self.log_level).is_none() {
-            let text = format!("\"{}\" is not a level.", self.log_level);
+            let text = format!("\"{}\" is not a log level.", self.log_level);
             faults.push(SettingsFault::new("log_level", text));
         }
         faults
--- a/crates/agent/src/daemon/metrics.rs
+++ b/crates/agent/src/daemon/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of the agent.
+//! Prometheus metrics of the agent.
 
 use millford_settings::metrics::render;
 use prometheus::{IntGauge, Opts, Registry};
@@ -6,10 +6,10 @@
 use crate::daemon::report::AgentReport;
 use crate::daemon::traffic_meter::TrafficMeter;
 
-/// Prefix of all names.
+/// Prefix of all metric names.
 const NAMESPACE: &str = "millford_agent";
 
-/// One value of a scrape.
+/// One metric with its value at the time of a scrape.
 struct Metric {
     name: &'static str,
     help: &'static str,
@@ -22,7 +22,7 @@
     }
 }
 
-/// The metrics in the Prometheus text form.
+/// Renders all metrics in the Prometheus text format.
 #[must_use]
 pub fn text(report: &AgentReport, meter: &TrafficMeter) -> String {
     let registry = Registry::new();
@@ -40,7 +40,8 @@
 
 fn register(registry: &Registry, metric: &Metric) {
     let options = Opts::new(metric.name, metric.help).namespace(NAMESPACE);
-    // An invalid name would be a fault of the tables below; a scrape shows the rest all the same.
+    // Only an invalid name in the tables below could fail here; the other metrics are still
+    // rendered.
     let Ok(gauge) = IntGauge::with_opts(options) else {
         return;
     };
@@ -57,7 +58,7 @@
         ),
         Metric::new(
             "complete",
-            "1 once every shard was confirmed",
+            "1 once every shard has been confirmed",
             u64::from(report.complete),
         ),
         Metric::new(
@@ -72,12 +73,12 @@
         ),
         Metric::new(
             "config_revision",
-            "configuration revision received",
+            "newest configuration revision received",
             report.revision,
         ),
         Metric::new(
             "settles_waiting",
-            "claim outcomes not recorded yet",
+            "claim outcomes not acknowledged yet",
             report.pending_resolutions as u64,
         ),
     ]
@@ -118,7 +119,7 @@
         ),
         Metric::new(
             "registry_views_total",
-            "registry lists read while disconnected",
+            "registry lists applied while a shard was unconfirmed",
             counters.registry_views,
         ),
     ]
@@ -129,17 +130,17 @@
     [
         Metric::new(
             "quota_granted_total",
-            "requests granted quota",
+            "quota requests granted",
             counters.quota_granted,
         ),
         Metric::new(
             "quota_refused_total",
-            "requests refused: quota exceeded",
+            "quota requests refused: quota exceeded",
             counters.quota_refused,
         ),
         Metric::new(
             "quota_unavailable_total",
-            "requests refused: no quota decision in time",
+            "quota requests refused: no decision before the timeout",
             counters.quota_unavailable,
         ),
     ]
@@ -155,12 +156,12 @@
         ),
         Metric::new(
             "claims_unavailable_total",
-            "claims abandoned without an answer",
+            "claims abandoned: no answer before the timeout",
             counters.claims_unavailable,
         ),
         Metric::new(
             "settles_acknowledged_total",
-            "claim outcomes recorded",
+            "claim outcomes acknowledged",
             counters.resolutions_acknowledged,
         ),
         Metric::new(
