--- a/crates/forward/src/quota/peer_usage.rs
+++ b/crates/forward/src/quota/peer_usage.rs
@@ -89,7 +89,7 @@
         self.boot_id == boot_id && now.since(self.received_at) <= PARTITION_GAP
     }
 
-    /// Whether nothing was received from the peer for [`UNRESPONSIVE_AFTER`] or longer.
+    /// Whether nothing was received from the peer for `UNRESPONSIVE_AFTER` or longer.
     #[must_use]
     pub fn is_unresponsive(&self, now: MonotonicTime) -> bool {
         now.since(self.received_at) >= UNRESPONSIVE_AFTER
--- a/crates/forward/src/request/candidates.rs
+++ b/crates/forward/src/request/candidates.rs
@@ -75,7 +75,7 @@
 }
 
 /// Returns, for each candidate, the tokens of the most specific shareable block that it would prefill although
-/// another backend has them cached. If no backend has the block cached, the share [`HOME_CACHED_SHARE`] of it counts
+/// another backend has them cached. If no backend has the block cached, the share `HOME_CACHED_SHARE` of it counts
 /// as cached on its home backend.
 ///
 /// Prefixes that many prompts share are soon cached on every backend; it is the block that few prompts share
