--- a/crates/core/src/backoff.rs
+++ b/crates/core/src/backoff.rs
@@ -1,8 +1,8 @@
-//! Delays between attempts at the same thing.
+//! Exponential backoff for retries.
 
 use std::time::Duration;
 
-/// Doubling delay with a ceiling, reset by success.
+/// Retry delay that doubles with each attempt up to a maximum.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     first: Duration,
@@ -11,7 +11,7 @@
 }
 
 impl Backoff {
-    /// A delay that starts at `first` and doubles up to `ceiling`.
+    /// Creates a backoff whose first delay is `first` and which doubles up to `ceiling`.
     #[must_use]
     pub fn new(first: Duration, ceiling: Duration) -> Self {
         Self {
@@ -21,14 +21,14 @@
         }
     }
 
-    /// The delay before the next attempt; the one after is twice as long.
+    /// Returns the delay before the next attempt, and doubles the following one up to the maximum.
     pub fn next_delay(&mut self) -> Duration {
         let delay = self.next;
         self.next = (delay * 2).min(self.ceiling);
         delay
     }
 
-    /// Starts over after a success.
+    /// Resets the delay to the first one. Called after a success.
     pub fn reset(&mut self) {
         self.next = self.first;
     }
--- a/crates/core/src/identifiers.rs
+++ b/crates/core/src/identifiers.rs
@@ -1,22 +1,24 @@
-//! Identifiers that travel between processes.
+//! Identifiers that processes exchange.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Identity of a control node, minted at random on its empty disk and stored there.
+/// Identity of a control node. The node generates it at random when its disk is empty, and stores
+/// it there.
 ///
-/// A wiped disk gives a new identity, so a replica can never vote as one that forgot its votes.
+/// A node whose disk was wiped gets a new identity, so it cannot vote again in a term in which it
+/// voted under the lost state.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct NodeId(pub u64);
 
 impl NodeId {
-    /// "No node": no vote given, no leader known.
+    /// Stands for no node, where no vote was cast or no leader is known.
     pub const NONE: NodeId = NodeId(0);
 
-    /// Whether this names a node.
+    /// Returns whether this identifies a node.
     #[must_use]
     pub fn is_some(self) -> bool {
         self != NodeId::NONE
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,4 +1,4 @@
-//! Identifiers, time, result codes and hashing shared by every part of millford.
+//! Identifiers, time, result codes, shard layout and key hashing, shared by all crates of millford.
 
 pub mod backoff;
 pub mod identifiers;
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,14 +1,14 @@
 //! Monotonic time, real or simulated.
 //!
-//! Nothing that millford decides rests on a wall clock: wall clocks jump.
+//! millford makes no decision by the wall clock, since wall clocks can jump.
 
 use std::ops::{Add, Sub};
 
 pub use std::time::Duration;
 
-/// Microseconds since an arbitrary start of this process (or of the simulation).
+/// A point in time, in microseconds since the start of the process's or the simulation's clock.
 ///
-/// Values of different processes must never be compared.
+/// Values of different processes must not be compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MonotonicTime(u64);
 
@@ -16,31 +16,31 @@
     /// The start of the clock.
     pub const ZERO: MonotonicTime = MonotonicTime(0);
 
-    /// Time at `micros` microseconds from the start of the clock.
+    /// Returns the time at `micros` microseconds from the start of the clock.
     #[must_use]
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Time at `millis` milliseconds from the start of the clock.
+    /// Returns the time at `millis` milliseconds from the start of the clock.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1000)
     }
 
-    /// Microseconds since the start of the clock.
+    /// Returns the microseconds since the start of the clock.
     #[must_use]
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Whole milliseconds since the start of the clock.
+    /// Returns the whole milliseconds since the start of the clock.
     #[must_use]
     pub const fn as_millis(self) -> u64 {
         self.0 / 1000
     }
 
-    /// Time passed since `earlier`; zero if `earlier` is later.
+    /// Returns the time elapsed since `earlier`; zero if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: MonotonicTime) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
@@ -64,7 +64,7 @@
     }
 }
 
-/// The process's monotonic clock, counted from the first call.
+/// Reads the process's monotonic clock, which starts at zero with the first call.
 #[must_use]
 pub fn monotonic_now() -> MonotonicTime {
     use std::sync::OnceLock;
