--- a/crates/proxy/src/daemon/backend_client.rs
+++ b/crates/proxy/src/daemon/backend_client.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 towards the backends: one new connection for each attempt.
+//! HTTP/1.1 client for the backends. Each request uses a new connection.
 
 use std::net::SocketAddr;
 
@@ -26,14 +26,14 @@
     WithdrawRequest,
 };
 
-/// Opens connections to backends.
+/// Sends requests to backends, each on its own connection.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendClient {
-    /// Longest time to open a connection.
+    /// Longest time for opening a TCP connection.
     pub connect_timeout: Duration,
 }
 
-/// Ends the connection's task, and with it the connection, when dropped.
+/// Task that drives a connection. Dropping it aborts the task, which closes the connection.
 #[derive(Debug)]
 struct ConnectionTask(JoinHandle<()>);
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// An answer and the connection that carries it.
+/// An answer from a backend, with the connection that its body is read from.
 #[derive(Debug)]
 pub struct HttpAnswer {
     head: AnswerHead,
@@ -82,12 +82,13 @@
     /// Sends one attempt and reads the head of its answer.
     ///
     /// # Errors
-    /// Fails when no connection was opened, and when the connection broke before the head came.
+    /// Fails when no connection can be opened, and when the connection fails before the answer
+    /// head.
     pub async fn dispatch(&self, request: BackendRequest) -> Result<HttpAnswer, DispatchError> {
         let message = http_request(&request).ok_or(DispatchError::NotConnected)?;
         let connection = self.open(&request.address).await;
         let mut connection = connection.ok_or(DispatchError::NotConnected)?;
-        // From here on a byte may leave at any time.
+        // From here on a byte may be sent at any time.
         request.sent.set();
         let response = connection.sender.send_request(message).await;
         let response = response.map_err(|_| DispatchError::Lost)?;
@@ -98,7 +99,8 @@
         })
     }
 
-    /// Withdraws an attempt.
+    /// Asks the backend to withdraw an attempt. Returns [`WithdrawAnswer::Unknown`] if it does not
+    /// answer within the request's timeout or its answer is invalid.
     pub async fn withdraw(&self, request: WithdrawRequest) -> WithdrawAnswer {
         let exchange = self.exchange(&request.address, withdrawal(&request));
         let answered = tokio::time::timeout(request.timeout, exchange).await;
@@ -116,14 +118,15 @@
         }
     }
 
-    /// Whether the backend answers a probe in time.
+    /// Sends a health probe. Returns whether the backend answers with success within `timeout`.
     pub async fn probe(&self, address: &str, timeout: Duration) -> bool {
-        let request = small_request("GET", address, HEALTH_PATH);
+        let request = request_without_body("GET", address, HEALTH_PATH);
         let exchange = self.exchange(address, request);
         matches!(tokio::time::timeout(timeout, exchange).await, Ok(Some(_)))
     }
 
-    /// A small request on a connection of its own; nothing unless it is answered with success.
+    /// Sends a request without a body and returns the body of the answer, or `None` if there is no
+    /// answer or its status is not a success.
     async fn exchange(&self, address: &str, request: request::Builder) -> Option<Bytes> {
         let request = request.body(Full::<Bytes>::default()).ok()?;
         let mut connection = self.open(address).await?;
@@ -135,12 +138,12 @@
         Some(body.to_bytes())
     }
 
-    /// Opens a connection; no byte leaves before a request is sent on it.
+    /// Opens a connection. No byte is sent on it before a request is.
     async fn open(&self, address: &str) -> Option<BackendConnection> {
         let stream = self.connect(address).await?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
         let task = ConnectionTask(tokio::spawn(async move {
-            // An error here shows as the error of the request.
+            // The request that uses the connection fails with the same error.
             let _ = connection.await;
         }));
         Some(BackendConnection { sender, task })
@@ -156,7 +159,7 @@
     }
 }
 
-fn small_request(method: &str, address: &str, path: &str) -> request::Builder {
+fn request_without_body(method: &str, address: &str, path: &str) -> request::Builder {
     Request::builder()
         .method(method)
         .uri(path)
@@ -166,7 +169,8 @@
 fn withdrawal(request: &WithdrawRequest) -> request::Builder {
     let path = format!("{ATTEMPTS_PATH}{}", request.attempt);
     let age = request.age(monotonic_now()).as_micros().div_ceil(1000);
-    small_request("DELETE", &request.address, &path).header(ATTEMPT_AGE_HEADER, age.to_string())
+    request_without_body("DELETE", &request.address, &path)
+        .header(ATTEMPT_AGE_HEADER, age.to_string())
 }
 
 fn http_request(request: &BackendRequest) -> Option<Request<Full<Bytes>>> {
@@ -188,12 +192,12 @@
     if let Some(resume) = request.resume_from {
         builder = builder.header(RESUME_FROM_HEADER, resume.0);
     }
-    let named = [
+    let optional_headers = [
         (VERSION_HEADER, &request.version),
         (STAGE_HEADER, &request.stage),
         (ADAPTER_HEADER, &request.adapter),
     ];
-    for (name, value) in named {
+    for (name, value) in optional_headers {
         if !value.is_empty() {
             builder = builder.header(name, value);
         }
--- a/crates/proxy/src/daemon/body_reader.rs
+++ b/crates/proxy/src/daemon/body_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a caller's HTTP request within its limit.
+//! Reads the body of a caller's HTTP request within limits of size and time.
 
 use bytes::{Buf, Bytes, BytesMut};
 use futures::{Stream, StreamExt};
@@ -8,13 +8,14 @@
 
 use crate::request::refusal::Refusal;
 
-/// Longest time for a body to arrive.
+/// Longest time for the complete body to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Reads the complete body. A body announced as too large is refused before it is read.
+/// Reads the complete body. A body whose content length is above `max_bytes` is refused before it
+/// is read.
 ///
 /// # Errors
-/// Refuses a body that is too large, and one that does not arrive completely and in time.
+/// Refuses a body that is larger than `max_bytes`, and one that does not arrive completely in time.
 pub async fn read_body<B: Buf>(
     headers: &HeaderMap,
     body: impl Stream<Item = Result<B, warp::Error>> + Unpin,
@@ -31,12 +32,12 @@
     let incomplete = || Refusal::not_run(ResultCode::BodyIncomplete);
     match tokio::time::timeout(BODY_TIMEOUT, reading).await {
         Ok(Ok(body)) => Ok(body),
-        Ok(Err(ReadFault::TooLarge)) => Err(too_large()),
-        Ok(Err(ReadFault::Incomplete)) | Err(_) => Err(incomplete()),
+        Ok(Err(BodyReadError::TooLarge)) => Err(too_large()),
+        Ok(Err(BodyReadError::Incomplete)) | Err(_) => Err(incomplete()),
     }
 }
 
-enum ReadFault {
+enum BodyReadError {
     TooLarge,
     Incomplete,
 }
@@ -44,12 +45,12 @@
 async fn collect_body<B: Buf>(
     mut body: impl Stream<Item = Result<B, warp::Error>> + Unpin,
     max_bytes: u64,
-) -> Result<Bytes, ReadFault> {
+) -> Result<Bytes, BodyReadError> {
     let mut collected = BytesMut::new();
     while let Some(part) = body.next().await {
-        let mut part = part.map_err(|_| ReadFault::Incomplete)?;
+        let mut part = part.map_err(|_| BodyReadError::Incomplete)?;
         if (collected.len() + part.remaining()) as u64 > max_bytes {
-            return Err(ReadFault::TooLarge);
+            return Err(BodyReadError::TooLarge);
         }
         collected.extend_from_slice(&part.copy_to_bytes(part.remaining()));
     }
--- a/crates/proxy/src/daemon/caller_channel.rs
+++ b/crates/proxy/src/daemon/caller_channel.rs
@@ -1,4 +1,4 @@
-//! The way back to an HTTP caller.
+//! Channel for the response, from the request path to the HTTP server.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -12,10 +12,10 @@
 
 use crate::request::caller::{CallerDisconnected, CallerHead, CallerPresence, CallerSink};
 
-/// Parts of a body that may wait for a slow caller.
+/// Most parts of a body that are buffered for a slow caller.
 const BUFFERED_CHUNKS: usize = 16;
 
-/// The request path's end.
+/// Sending end, which the request path writes to.
 #[derive(Debug)]
 pub struct ChannelSink {
     head: Option<oneshot::Sender<CallerHead>>,
@@ -24,34 +24,35 @@
     disconnected: CancellationToken,
 }
 
-/// Resolves when the HTTP connection was dropped.
+/// Detects that the HTTP server dropped the response because the caller disconnected.
 #[derive(Clone, Debug)]
 pub struct ChannelPresence(CancellationToken);
 
-/// The HTTP server's end: head, then body.
+/// Receiving end, which the HTTP server reads: the head, then the body.
 #[derive(Debug)]
 pub struct CallerChannel {
-    /// The head, once the request path decided it.
+    /// Receives the head once the request path has sent it.
     pub head: oneshot::Receiver<CallerHead>,
-    /// The body.
+    /// Body of the response, as a stream of its parts.
     pub body: CallerBody,
 }
 
-/// Body of the answer. Unless it was ended as complete, it ends in an error.
+/// Body of the response. If the request path ends without finishing it, the stream ends with an
+/// error. Dropping the body signals the caller's disconnect.
 #[derive(Debug)]
 pub struct CallerBody {
     chunks: mpsc::Receiver<Bytes>,
     complete: Arc<AtomicBool>,
     ended: bool,
-    _present: DropGuard,
+    _disconnect_on_drop: DropGuard,
 }
 
-/// The request path ended without ending the body.
+/// Error at the end of a body that the request path did not finish.
 #[derive(Debug, thiserror::Error)]
-#[error("the answer was truncated")]
+#[error("the response body is incomplete")]
 pub struct BodyTruncated;
 
-/// Makes both ends.
+/// Creates a channel for one response.
 #[must_use]
 pub fn caller_channel() -> (ChannelSink, CallerChannel) {
     let (head_sender, head) = oneshot::channel();
@@ -68,7 +69,7 @@
         chunks,
         complete,
         ended: false,
-        _present: disconnected.drop_guard(),
+        _disconnect_on_drop: disconnected.drop_guard(),
     };
     (sink, CallerChannel { head, body })
 }
@@ -115,7 +116,8 @@
             Poll::Ready(Some(bytes)) => Poll::Ready(Some(Ok(bytes))),
             Poll::Ready(None) => {
                 self.ended = true;
-                // A body that was not ended as complete breaks the connection instead of looking so.
+                // The error breaks the caller's connection, so that a truncated body cannot be
+                // taken for a complete one.
                 let complete = self.complete.load(Ordering::SeqCst);
                 Poll::Ready((!complete).then_some(Err(BodyTruncated)))
             }
--- a/crates/proxy/src/daemon/caller_headers.rs
+++ b/crates/proxy/src/daemon/caller_headers.rs
@@ -6,10 +6,11 @@
 use crate::request::caller::CallerHeaders;
 use crate::request::refusal::Refusal;
 
-/// Takes the headers that the request path reads; each may be there once, as text.
+/// Reads the headers that the request path uses. Each may occur at most once, as text.
 ///
 /// # Errors
-/// Refuses headers that are too large, not text, or there more than once.
+/// Refuses headers whose names and values have more than `max_bytes` in total, and a header that is
+/// not text or occurs more than once.
 pub fn read_headers(headers: &HeaderMap, max_bytes: u64) -> Result<CallerHeaders, Refusal> {
     check_size(headers, max_bytes)?;
     Ok(CallerHeaders {
@@ -35,7 +36,7 @@
 }
 
 fn single(headers: &HeaderMap, name: &str) -> Result<Option<String>, Refusal> {
-    let bad = |problem: &str| {
+    let bad_header = |problem: &str| {
         let detail = format!("{name} {problem}.");
         Refusal::not_run(ResultCode::BadHeader).with_detail(detail)
     };
@@ -44,8 +45,8 @@
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(bad("is there more than once"));
+        return Err(bad_header("is there more than once"));
     }
-    let text = value.to_str().map_err(|_| bad("is not text"))?;
+    let text = value.to_str().map_err(|_| bad_header("is not text"))?;
     Ok(Some(text.to_owned()))
 }
--- a/crates/proxy/src/daemon/connections.rs
+++ b/crates/proxy/src/daemon/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of callers: how many there may be, and how long one may take over its headers.
+//! Accepts callers' connections and limits their number and the time to receive request headers.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -14,30 +14,33 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use warp::Filter;
 
-use crate::daemon::responses::{HttpResponse, refusal_response, set};
+use crate::daemon::responses::{HttpResponse, refusal_response, set_header};
 use crate::request::refusal::Refusal;
 
 const LOG: PartLog = PartLog::new("CALLERS");
 
-/// Wait after a failure to accept, which mostly means that the process has no free descriptors.
+/// Delay after a failure to accept a connection. The usual cause is that the process has no free
+/// file descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
-/// Connections above the cap that are refused with an answer at one time; further ones are closed.
+/// Most connections above the limit that are answered with a refusal at the same time; further ones
+/// are closed without an answer.
 const MAX_REFUSALS: usize = 64;
-/// Longest time that a connection above the cap may take.
+/// Longest time that a connection above the limit may take for its refusal.
 const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
-/// When a refused caller should come back, in milliseconds.
+/// Retry delay suggested in the refusal, in milliseconds.
 const RETRY_AFTER_MS: u32 = 1000;
 
 /// Limits of the callers' connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// Most connections open at one time.
+    /// Most connections that are served at the same time.
     pub max_connections: usize,
-    /// Longest time for the complete headers of a request, and for a kept-alive connection to be idle.
+    /// Longest time to receive the complete headers of a request. It also limits how long a
+    /// keep-alive connection may be idle.
     pub header_timeout: Duration,
 }
 
-/// Accepts connections without end and serves each with the filter.
+/// Accepts connections and serves each with the filter, until the future is dropped.
 pub async fn serve_connections<F>(listener: TcpListener, filter: F, limits: ConnectionLimits)
 where
     F: Filter<Extract = (HttpResponse,), Error = Infallible> + Clone + Send + Sync + 'static,
@@ -50,7 +53,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                LOG.warn(format!("A connection could not be accepted: {error}"));
+                LOG.warn(format!("Failed to accept a connection: {error}"));
                 tokio::time::sleep(ACCEPT_BACKOFF).await;
                 continue;
             }
@@ -73,7 +76,8 @@
     F::Future: TryFuture<Ok = (HttpResponse,), Error = Infallible> + Send,
 {
     let service = TowerToHyperService::new(warp::service(filter));
-    // An error here is a caller that disconnected, was too slow or spoke no HTTP.
+    // The result is ignored: the caller disconnected, was too slow or sent something else than
+    // HTTP.
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(header_timeout)
@@ -81,7 +85,8 @@
         .await;
 }
 
-/// Says that no further connection is served. Nothing of the request is read beyond its headers.
+/// Answers one request with the refusal for too many connections. The body of the request is not
+/// read.
 async fn refuse(stream: TcpStream, _permit: OwnedSemaphorePermit) {
     let service = service_fn(|_| async { Ok::<_, Infallible>(connection_limit_response()) });
     let connection = http1::Builder::new()
@@ -95,6 +100,6 @@
         .with_retry_after(RETRY_AFTER_MS)
         .with_detail("Too many connections are open.");
     let mut response = refusal_response(&refusal);
-    set(&mut response, "connection", "close");
+    set_header(&mut response, "connection", "close");
     response
 }
--- a/crates/proxy/src/daemon/environment.rs
+++ b/crates/proxy/src/daemon/environment.rs
@@ -1,4 +1,4 @@
-//! The request path's environment in the daemon.
+//! Implements the request path's environment for the daemon.
 
 use std::sync::Arc;
 
@@ -16,14 +16,14 @@
 use crate::request::environment::RequestEnvironment;
 use crate::request::message::{BackendRequest, DispatchError, WithdrawAnswer, WithdrawRequest};
 
-/// tokio's clock, the agent over loopback, and backends over HTTP.
+/// Environment that uses tokio's timers, the agent over loopback and the backends over HTTP.
 #[derive(Clone, Debug)]
 pub struct DaemonEnvironment {
-    /// State of the proxy.
-    pub shared: Arc<ProxyState>,
-    /// Link to the agent.
+    /// State shared by all requests of the proxy.
+    pub proxy_state: Arc<ProxyState>,
+    /// Link to the agent on the same node.
     pub agent: AgentLink,
-    /// Connections to the backends.
+    /// HTTP client for the backends.
     pub backends: BackendClient,
 }
 
@@ -31,7 +31,7 @@
     type Answer = HttpAnswer;
 
     fn state(&self) -> &ProxyState {
-        &self.shared
+        &self.proxy_state
     }
 
     fn now(&self) -> MonotonicTime {
@@ -46,8 +46,8 @@
         rand::rng().random()
     }
 
-    async fn request_quota(&self, ask: AdmissionRequest) -> AdmissionReply {
-        self.agent.request_quota(ask).await
+    async fn request_quota(&self, request: AdmissionRequest) -> AdmissionReply {
+        self.agent.request_quota(request).await
     }
 
     fn release_quota(&self, release: QuotaRelease) {
--- a/crates/proxy/src/daemon/mod.rs
+++ b/crates/proxy/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The `millford-proxy` process: sockets, runtimes and signals around the request path.
+//! The `millford-proxy` process: sockets, runtimes and signals for the request path.
 
 pub mod backend_client;
 pub mod body_reader;
--- a/crates/proxy/src/daemon/models.rs
+++ b/crates/proxy/src/daemon/models.rs
@@ -1,4 +1,4 @@
-//! The list of models in the shape that `OpenAI` clients ask for.
+//! Lists the models in the format of `OpenAI` clients.
 
 use http::{HeaderMap, StatusCode};
 use millford_core::ResultCode;
@@ -6,14 +6,16 @@
 use serde::Serialize;
 
 use crate::daemon::caller_headers::read_headers;
-use crate::daemon::responses::{HttpResponse, REQUEST_ID_HEADER, set, set_revision, text_response};
+use crate::daemon::responses::{
+    HttpResponse, REQUEST_ID_HEADER, set_header, set_revision, text_response,
+};
 use crate::request::authenticate::authenticate;
 use crate::request::environment::RequestEnvironment;
 use crate::request::plan::random_id;
 use crate::request::record::RequestRecord;
 use crate::request::refusal::Refusal;
 
-/// Path of the list.
+/// Path of the model list.
 pub const MODELS_PATH: &str = "/v1/models";
 
 #[derive(Serialize)]
@@ -26,15 +28,16 @@
 struct ModelEntry<'a> {
     id: &'a str,
     object: &'static str,
-    /// The interface demands a time; a route has none.
+    /// Always 0: the format requires a creation time, but a route has none.
     created: u64,
     owned_by: &'static str,
 }
 
-/// Lists the models of the routes in force. It takes nothing from the tenant's quota.
+/// Lists the models of the current routes. The request does not count against the tenant's quota.
 ///
 /// # Errors
-/// Refuses what a request of the same caller would be refused for.
+/// Refuses invalid headers, callers without a known key, and all requests while the proxy drains or
+/// has no confirmed configuration.
 pub fn list_models<E: RequestEnvironment>(
     environment: &E,
     headers: &HeaderMap,
@@ -47,8 +50,8 @@
     record.code = ResultCode::Ok;
     record.count(state);
     let mut response = text_response(StatusCode::OK, body(&table));
-    set(&mut response, "content-type", "application/json");
-    set(&mut response, REQUEST_ID_HEADER, &record.request_id);
+    set_header(&mut response, "content-type", "application/json");
+    set_header(&mut response, REQUEST_ID_HEADER, &record.request_id);
     set_revision(&mut response, table.revision());
     Ok(response)
 }
--- a/crates/proxy/src/daemon/prober.rs
+++ b/crates/proxy/src/daemon/prober.rs
@@ -1,4 +1,4 @@
-//! Active probes of ejected and quiet backends, on the control thread.
+//! Sends health probes to ejected and inactive backends, on the control thread.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,25 +15,25 @@
 
 const LOG: PartLog = PartLog::new("HEALTH");
 
-/// Time between two rounds of probes.
+/// Pause between two rounds of probes.
 pub const PROBE_PERIOD: Duration = Duration::from_millis(200);
-/// Longest wait for the answer to a probe.
+/// Longest time for a backend to answer a probe.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
-/// A backend in use that was not heard for this long is probed.
+/// Inactivity after which a backend in use is probed.
 pub const QUIET_BEFORE_PROBE: Duration = Duration::from_millis(750);
-/// Probes at once.
-const PROBES_IN_FLIGHT: usize = 32;
+/// Most probes in flight at the same time.
+const MAX_PROBES_IN_FLIGHT: usize = 32;
 
 /// A backend to probe.
-struct Target {
+struct ProbeTarget {
     id: String,
     address: String,
 }
 
-/// Probes for as long as the process lives.
+/// Probes backends until the process ends.
 ///
-/// A backend that vanishes is out of use after at most the quiet time, two periods and two
-/// timeouts: 1.95 s.
+/// A backend that becomes unreachable is ejected after at most [`QUIET_BEFORE_PROBE`], two periods
+/// and two timeouts: 1.95 s.
 pub async fn run(state: Arc<ProxyState>, backends: BackendClient) {
     let mut logged = BTreeMap::new();
     loop {
@@ -41,40 +41,42 @@
         log_changes(&mut logged, state.health.ejections());
         let targets = targets(&state);
         stream::iter(targets)
-            .for_each_concurrent(PROBES_IN_FLIGHT, |target| probe(&state, backends, target))
+            .for_each_concurrent(MAX_PROBES_IN_FLIGHT, |target| {
+                probe(&state, backends, target)
+            })
             .await;
     }
 }
 
-fn targets(state: &ProxyState) -> Vec<Target> {
+fn targets(state: &ProxyState) -> Vec<ProbeTarget> {
     let table = state.table();
     let due = state.health.to_probe(monotonic_now(), QUIET_BEFORE_PROBE);
     let address = |id: String| {
         let backend = table.pools().find_map(|pool| pool.backend(&id))?;
         let address = backend.address.clone();
-        Some(Target { id, address })
+        Some(ProbeTarget { id, address })
     };
     due.into_iter().filter_map(address).collect()
 }
 
-/// Logs the ejections and readmissions since the last round.
+/// Logs the backends that were ejected or are in use again since the last round.
 fn log_changes(
     logged: &mut BTreeMap<String, EjectionReason>,
     ejected: BTreeMap<String, EjectionReason>,
 ) {
     for (id, reason) in &ejected {
         if !logged.contains_key(id) {
-            LOG.warn(format!("Backend {id} is ejected: {}.", reason.name()));
+            LOG.warn(format!("Ejected backend {id}: {}.", reason.name()));
         }
     }
     for id in logged.keys().filter(|id| !ejected.contains_key(*id)) {
-        LOG.info(format!("Backend {id} is used again."));
+        LOG.info(format!("Backend {id} is in use again."));
     }
     *logged = ejected;
 }
 
-async fn probe(state: &ProxyState, backends: BackendClient, target: Target) {
-    let Target { id, address } = target;
+async fn probe(state: &ProxyState, backends: BackendClient, target: ProbeTarget) {
+    let ProbeTarget { id, address } = target;
     if backends.probe(&address, PROBE_TIMEOUT).await {
         state.health.probe_succeeded(&id, monotonic_now());
     } else if state.health.probe_failed(&id) {
--- a/crates/proxy/src/daemon/run.rs
+++ b/crates/proxy/src/daemon/run.rs
@@ -1,4 +1,4 @@
-//! Starts the process's threads and ends them.
+//! Starts the proxy's runtimes, serves callers, and drains on a signal.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,17 +24,17 @@
 
 const LOG: PartLog = PartLog::new("PROXY");
 
-/// Time between two checks of the open requests while draining.
+/// Interval between checks of the conditions that the drain waits for.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Longest wait for streams to end once they must.
+/// Longest wait for the remaining requests to end after the drain timeout.
 const STOP_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for the last resolutions of claims to be acknowledged.
+/// Longest wait for the agent to acknowledge the last claim resolutions.
 const RESOLUTION_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Runs until a signal ends the process.
+/// Serves callers until SIGTERM or SIGINT, then drains.
 ///
 /// # Errors
-/// Fails when the process cannot start, above all when its address is in use.
+/// Fails when the process cannot start, for example because its address is in use.
 pub fn run(settings: &ProxySettings) -> miette::Result<()> {
     let agent_address: SocketAddr = settings.agent_address.parse().into_diagnostic()?;
     let state = Arc::new(ProxyState::new(settings.limits()));
@@ -57,7 +57,7 @@
         .build()
         .into_diagnostic()?;
     let environment = DaemonEnvironment {
-        shared: state,
+        proxy_state: state,
         agent,
         backends,
     };
@@ -70,13 +70,13 @@
     let bound = listener.local_addr().into_diagnostic()?;
     let mut terminate = signal(SignalKind::terminate())
         .into_diagnostic()
-        .wrap_err("cannot wait for signals")?;
+        .wrap_err("failed to install the signal handler")?;
     let mut interrupt = signal(SignalKind::interrupt()).into_diagnostic()?;
     let limits = HttpLimits {
         max_body_bytes: settings.max_body_bytes,
         max_header_bytes: settings.max_header_bytes,
     };
-    let state = Arc::clone(&environment.shared);
+    let state = Arc::clone(&environment.proxy_state);
     let agent = environment.agent.clone();
     let filter = service(&Arc::new(environment), limits);
     tokio::spawn(serve_connections(
@@ -102,9 +102,10 @@
     })
 }
 
-/// New requests are refused at once; open ones end by themselves within a bound.
+/// Refuses new requests, waits up to `timeout` for open ones to end, then interrupts the streams
+/// that remain.
 async fn drain(state: &ProxyState, agent: &AgentLink, timeout: Duration) {
-    LOG.info("Draining: new requests are refused.");
+    LOG.info("Draining: refusing new requests.");
     state.set_draining();
     wait_while(timeout, || state.metrics.open_requests.get() > 0).await;
     state.set_stopping();
--- a/crates/proxy/src/daemon/server.rs
+++ b/crates/proxy/src/daemon/server.rs
@@ -1,4 +1,4 @@
-//! The callers' HTTP interface.
+//! The HTTP interface for callers.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use crate::daemon::caller_headers::read_headers;
 use crate::daemon::models::{MODELS_PATH, list_models};
 use crate::daemon::responses::{
-    HttpResponse, channel_response, refusal_response, set, set_revision, text_response,
+    HttpResponse, channel_response, refusal_response, set_header, set_revision, text_response,
 };
 use crate::request::caller::CallerRequest;
 use crate::request::completion::serve_completion;
@@ -32,16 +32,16 @@
 const READY_PATH: &str = "/readyz";
 const METRICS_PATH: &str = "/metrics";
 
-/// Limits of the HTTP interface.
+/// Limits on the size of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpLimits {
     /// Largest request body, in bytes.
     pub max_body_bytes: u64,
-    /// Largest sum of the request headers, in bytes.
+    /// Largest total size of the request headers, names and values, in bytes.
     pub max_header_bytes: u64,
 }
 
-/// The service for callers, over any environment.
+/// Builds the HTTP service for callers, for any environment.
 pub fn service<E>(
     environment: &Arc<E>,
     limits: HttpLimits,
@@ -49,7 +49,7 @@
 where
     E: RequestEnvironment + 'static,
 {
-    own_pages(environment)
+    operational_routes(environment)
         .or(completion_route(environment, limits))
         .unify()
         .or(models_route(environment, limits))
@@ -60,16 +60,16 @@
         .unify()
 }
 
-/// Hands the environment to a handler.
-fn with<E: RequestEnvironment + 'static>(
+/// Passes the environment to a handler.
+fn with_environment<E: RequestEnvironment + 'static>(
     environment: &Arc<E>,
 ) -> impl Filter<Extract = (Arc<E>,), Error = Infallible> + Clone + use<E> {
     let environment = Arc::clone(environment);
     warp::any().map(move || Arc::clone(&environment))
 }
 
-/// Health, readiness and metrics.
-fn own_pages<E: RequestEnvironment + 'static>(
+/// Serves health, readiness and metrics.
+fn operational_routes<E: RequestEnvironment + 'static>(
     environment: &Arc<E>,
 ) -> impl Filter<Extract = (HttpResponse,), Error = Rejection> + Clone + use<E> {
     let health = warp::path("healthz")
@@ -79,12 +79,12 @@
     let ready = warp::path("readyz")
         .and(warp::path::end())
         .and(warp::get())
-        .and(with(environment))
+        .and(with_environment(environment))
         .map(|environment: Arc<E>| ready_response(environment.as_ref()));
     let metrics = warp::path("metrics")
         .and(warp::path::end())
         .and(warp::get())
-        .and(with(environment))
+        .and(with_environment(environment))
         .map(|environment: Arc<E>| metrics_response(environment.as_ref()));
     health.or(ready).unify().or(metrics).unify()
 }
@@ -95,7 +95,7 @@
 ) -> impl Filter<Extract = (HttpResponse,), Error = Rejection> + Clone + use<E> {
     warp::path!("v1" / "chat" / "completions")
         .and(warp::post())
-        .and(with(environment))
+        .and(with_environment(environment))
         .and(warp::header::headers_cloned())
         .and(warp::body::stream())
         .then(move |environment, headers, body| completion(environment, limits, headers, body))
@@ -107,7 +107,7 @@
 ) -> impl Filter<Extract = (HttpResponse,), Error = Rejection> + Clone + use<E> {
     warp::path!("v1" / "models")
         .and(warp::get())
-        .and(with(environment))
+        .and(with_environment(environment))
         .and(warp::header::headers_cloned())
         .map(move |environment: Arc<E>, headers: HeaderMap| {
             models(environment.as_ref(), limits, &headers)
@@ -124,7 +124,7 @@
     warp::get()
         .and(warp::path::full())
         .and(query)
-        .and(with(environment))
+        .and(with_environment(environment))
         .and(warp::header::headers_cloned())
         .then(
             move |path: FullPath, query: Option<String>, environment, headers| {
@@ -134,13 +134,13 @@
         )
 }
 
-/// Takes what no other route serves.
+/// Refuses requests that no other route serves.
 fn unserved_route<E: RequestEnvironment + 'static>(
     environment: &Arc<E>,
 ) -> impl Filter<Extract = (HttpResponse,), Error = Infallible> + Clone + use<E> {
     warp::any()
         .and(warp::path::full())
-        .and(with(environment))
+        .and(with_environment(environment))
         .map(|path: FullPath, environment: Arc<E>| unserved(path.as_str(), environment.as_ref()))
 }
 
@@ -172,8 +172,7 @@
         arrived,
     };
     let (mut sink, channel) = caller_channel();
-    // The request runs on its own task to the resolution of its claim, also when the caller
-    // disconnects.
+    // The request has its own task, so that its claim is resolved even if the caller disconnects.
     tokio::spawn(async move {
         let record = serve_completion(environment.as_ref(), request, &mut sink).await;
         log_record(&record);
@@ -222,20 +221,20 @@
     channel_response(channel).await
 }
 
-/// A refusal before the request path began.
+/// Counts and builds a refusal of a request that does not reach the request path.
 fn early_refusal<E: RequestEnvironment>(environment: &E, refusal: &Refusal) -> HttpResponse {
     let mut record = RequestRecord::new(String::new());
     record.code = refusal.code;
     record.count(environment.state());
     let mut response = refusal_response(refusal);
-    // The rest of the request was not read: the connection cannot be used again.
-    set(&mut response, "connection", "close");
+    // The rest of the request was not read, so the connection cannot be reused.
+    set_header(&mut response, "connection", "close");
     set_revision(&mut response, environment.state().table().revision());
     response
 }
 
 fn unserved<E: RequestEnvironment>(path: &str, environment: &E) -> HttpResponse {
-    let own_paths = [
+    let fixed_paths = [
         COMPLETIONS_PATH,
         MODELS_PATH,
         HEALTH_PATH,
@@ -243,7 +242,7 @@
         METRICS_PATH,
     ];
     let is_known =
-        own_paths.contains(&path) || environment.state().table().match_path(path).is_ok();
+        fixed_paths.contains(&path) || environment.state().table().match_path(path).is_ok();
     let code = if is_known {
         ResultCode::MethodNotAllowed
     } else {
@@ -267,7 +266,7 @@
 fn metrics_response<E: RequestEnvironment>(environment: &E) -> HttpResponse {
     let text = metrics::render(&environment.state().metrics.registry);
     let mut response = text_response(StatusCode::OK, text);
-    set(&mut response, "content-type", metrics::CONTENT_TYPE);
+    set_header(&mut response, "content-type", metrics::CONTENT_TYPE);
     response
 }
 
@@ -285,11 +284,11 @@
             "Request {id} on route \"{route}\": the caller disconnected."
         ));
     } else if record.code == ResultCode::Ok {
-        LOG.debug(format!("Request {id} on route \"{route}\" is served."));
+        LOG.debug(format!("Request {id} on route \"{route}\" was served."));
     } else {
         let code = record.code;
         LOG.info(format!(
-            "Request {id} on route \"{route}\" is refused: {code}"
+            "Request {id} on route \"{route}\" was refused: {code}"
         ));
     }
 }
--- a/crates/proxy/src/daemon/settings.rs
+++ b/crates/proxy/src/daemon/settings.rs
@@ -13,35 +13,36 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ProxySettings {
-    /// Name of the node.
+    /// Name of the node; it must not be empty.
     pub name: String,
-    /// Zone of the node.
+    /// Zone of the node; may be empty.
     pub zone: String,
-    /// IP address and port for callers.
+    /// IP address and port on which callers are served.
     pub caller_address: String,
-    /// IP address and port of the agent beside the proxy.
+    /// IP address and port of the agent on the same node.
     pub agent_address: String,
-    /// Least severe level that is logged.
+    /// Least severe level that is logged: error, warn, info, debug or trace.
     pub log_level: String,
-    /// Form of a log line.
+    /// Format of a log line: text or JSON.
     pub log_format: LogFormat,
     /// Largest request body, in bytes.
     pub max_body_bytes: u64,
-    /// Largest sum of the request headers, in bytes.
+    /// Largest total size of the request headers, names and values, in bytes.
     pub max_header_bytes: u64,
-    /// Most connections of callers open at one time.
+    /// Most connections of callers that are served at the same time.
     pub max_connections: u64,
-    /// Longest time for the complete headers of a request, and for a kept-alive connection to be idle, in
-    /// milliseconds.
+    /// Longest time to receive the complete headers of a request, in milliseconds. It also limits
+    /// how long a keep-alive connection may be idle.
     pub header_timeout_ms: u64,
-    /// Longest time to open a connection to a backend, in milliseconds.
+    /// Longest time for opening a TCP connection to a backend, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// Estimated time to the first token above which requests wait or are shed, in milliseconds.
+    /// Estimated time to the first token above which requests are queued or refused, in
+    /// milliseconds.
     pub first_token_limit_ms: u64,
     /// Inactivity of a stream after which its backend is ejected, in milliseconds.
     #[serde(rename = "stream_silence_ms")]
     pub stream_inactivity_timeout_ms: u64,
-    /// Longest wait for open requests when the process drains, in milliseconds.
+    /// Longest wait for open requests to end when the process drains, in milliseconds.
     #[serde(rename = "leave_timeout_ms")]
     pub drain_timeout_ms: u64,
 }
@@ -69,7 +70,7 @@
 }
 
 impl ProxySettings {
-    /// Limits of the request path.
+    /// Returns the limits of the request path.
     #[must_use]
     pub fn limits(&self) -> RequestLimits {
         RequestLimits {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Limits of the callers' connections.
+    /// Returns the limits of the callers' connections.
     #[must_use]
     pub fn connection_limits(&self) -> ConnectionLimits {
         ConnectionLimits {
@@ -88,7 +89,8 @@
         }
     }
 
-    /// How to log.
+    /// Returns the level and format of the log. An invalid level, which is reported as a fault,
+    /// counts as info.
     #[must_use]
     pub fn log_options(&self) -> LogOptions {
         LogOptions {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,4 +1,5 @@
-//! Proxy for the callers: one function a request, from authentication to the resolution of its claim.
+//! Proxy that serves callers: one async function handles a request, from authentication to the
+//! resolution of its claim.
 
 pub mod backend_protocol;
 pub mod daemon;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -13,7 +13,7 @@
 fn main() -> miette::Result<()> {
     let settings: ProxySettings = COMMAND.parse_or_exit();
     if let Err(error) = logging::init(settings.log_options()) {
-        eprintln!("millford-proxy: the log cannot be set up: {error}");
+        eprintln!("millford-proxy: failed to initialize logging: {error}");
     }
     run(&settings)
 }
--- a/crates/proxy/src/request/admit.rs
+++ b/crates/proxy/src/request/admit.rs
@@ -1,4 +1,4 @@
-//! Admission by the estimated time to the first token, fair among tenants.
+//! Admission control by the estimated time to the first token, with fair queueing among tenants.
 
 use std::sync::Arc;
 
@@ -11,7 +11,8 @@
 use crate::request::plan::RequestPlan;
 use crate::request::refusal::Refusal;
 
-/// An admitted request's share of its tenant's work, until its prefill ends.
+/// Prompt tokens of an admitted request, counted as its tenant's work until the guard is dropped at
+/// the end of the prefill.
 pub struct AdmissionGuard {
     queue: Arc<FairQueue>,
     tenant: String,
@@ -24,7 +25,7 @@
     }
 }
 
-/// A position in the queue, given up on whatever path the wait ends.
+/// A position in the queue, which is left when the wait ends for any reason.
 struct QueuePosition<'a> {
     queue: &'a FairQueue,
     tenant: &'a str,
@@ -37,13 +38,14 @@
     }
 }
 
-/// Admits the request, lets it wait for its tenant's turn, or sheds it.
+/// Admits the request, queues it for a bounded time, or refuses it.
 ///
-/// While the first token would come too late, a tenant over its share is refused at once; the
-/// others wait for a bounded time.
+/// While no backend is estimated to produce the first token in time, a tenant over its fair share
+/// is refused at once; requests of other tenants wait in the queue.
 ///
 /// # Errors
-/// Refuses a request that would get its first token too late.
+/// Refuses the request as overloaded: at once if its tenant is over its share, otherwise when the
+/// wait ends before its turn comes and a backend has capacity.
 pub async fn admit<E: RequestEnvironment>(
     environment: &E,
     plan: &RequestPlan,
@@ -90,13 +92,13 @@
     Err(overloaded(environment, plan))
 }
 
-/// Whether some backend would give the first token in time.
+/// Whether some backend is estimated to produce the first token in time.
 fn has_capacity<E: RequestEnvironment>(environment: &E, plan: &RequestPlan) -> bool {
     let state = environment.state();
     let limit = first_token_limit(environment, plan.deadline);
     match best_estimate(environment, plan) {
         Some(estimate) => estimate.admits(&plan.requirement.model, &state.costs, limit),
-        // Nothing to wait for here: the choice of the backend gives the refusal.
+        // There is no usable backend to wait for; choosing the backend returns the refusal.
         None => true,
     }
 }
@@ -127,7 +129,8 @@
     })
 }
 
-/// The refusal tells when the queue before the request should have been worked off.
+/// Builds the refusal. Its retry delay is the time by which the estimated first token exceeds the
+/// limit.
 fn overloaded<E: RequestEnvironment>(environment: &E, plan: &RequestPlan) -> Refusal {
     let refusal = Refusal::not_run(ResultCode::Overloaded);
     let Some(estimate) = best_estimate(environment, plan) else {
@@ -138,9 +141,9 @@
     let limit = first_token_limit(environment, plan.deadline);
     let excess = first_token.saturating_sub(limit).as_millis();
     let millis = u32::try_from(excess).unwrap_or(u32::MAX);
-    refusal.with_retry_after(millis.clamp(SHORTEST_RETRY_AFTER_MS, LONGEST_RETRY_AFTER_MS))
+    refusal.with_retry_after(millis.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS))
 }
 
-/// Bounds of the time after which a shed caller is asked to come back, in milliseconds.
-const SHORTEST_RETRY_AFTER_MS: u32 = 250;
-const LONGEST_RETRY_AFTER_MS: u32 = 30_000;
+/// Bounds of the retry delay that a refused caller is given, in milliseconds.
+const MIN_RETRY_AFTER_MS: u32 = 250;
+const MAX_RETRY_AFTER_MS: u32 = 30_000;
--- a/crates/proxy/src/request/attempt.rs
+++ b/crates/proxy/src/request/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a request: from the connection to the first part of the answer.
+//! One attempt to serve a request, from the connection to the first part of the answer.
 
 use bytes::Bytes;
 use millford_core::{MonotonicTime, ResultCode};
@@ -15,20 +15,20 @@
 use crate::request::plan::{RequestPlan, random_id};
 use crate::request::stream_watch::until_ejected;
 
-/// An attempt in progress. Dropped unfinished, it is withdrawn from the backend.
+/// An attempt in progress. If it is dropped before it finished, it is withdrawn from the backend.
 pub struct Attempt<'a, E: RequestEnvironment> {
     environment: &'a E,
-    /// Where it goes.
+    /// Replica that the attempt is sent to.
     pub replica: ChosenReplica,
-    /// Run that it starts or continues.
+    /// Id of the run that the attempt starts or continues.
     pub run: String,
-    /// Counts it in the load table.
+    /// Counts the attempt in the load table until it is dropped.
     pub in_flight: InFlightGuard,
-    /// When it started.
+    /// When the attempt was prepared, before any byte was sent.
     pub started: MonotonicTime,
-    /// Uncached prompt tokens on the backend at the start, its own included.
+    /// Uncached prompt tokens queued on the replica at the start, including this request's.
     pub queued_tokens: u64,
-    /// Streams on the backend at the start.
+    /// Streams in the decode phase on the replica at the start.
     pub streams_at_start: u32,
     id: String,
     sent: SentFlag,
@@ -38,47 +38,47 @@
 
 /// The first part of an answer.
 pub enum AnswerStart<A> {
-    /// A stream and its first item.
+    /// The start of a stream.
     Stream {
-        /// Reads the rest.
+        /// Reads the items after the first.
         reader: ChunkReader<A>,
         /// The first chunk, or the end of an empty stream.
         first: StreamItem,
     },
     /// A complete plain answer.
     Plain {
-        /// The body.
+        /// The complete body.
         body: Bytes,
-        /// Its content type.
+        /// Content type of the body; empty if the backend sent none.
         content_type: String,
     },
 }
 
-/// An attempt that brought an answer.
+/// An attempt with the start of a valid answer.
 pub struct OpenedAttempt<'a, E: RequestEnvironment> {
-    /// The attempt.
+    /// The attempt, still to be finished.
     pub attempt: Attempt<'a, E>,
-    /// Its answer.
+    /// First item of a stream, or the complete plain answer.
     pub answer: AnswerStart<E::Answer>,
 }
 
-/// An attempt that brought none.
+/// An attempt that failed before a usable answer.
 #[derive(Debug)]
 pub struct FailedAttempt {
-    /// Why.
+    /// Reason for the failure.
     pub failure: AttemptFailure,
-    /// How to withdraw it.
-    pub reference: WithdrawRequest,
+    /// Withdrawal to send if the attempt may still run.
+    pub withdraw_request: WithdrawRequest,
 }
 
 impl<'a, E: RequestEnvironment> Attempt<'a, E> {
-    /// Prepares an attempt that starts a run of its own.
+    /// Prepares an attempt that starts a new run.
     pub fn start(environment: &'a E, replica: ChosenReplica) -> Self {
         let run = random_id([environment.random(), environment.random()]);
         Self::prepare(environment, replica, run, None)
     }
 
-    /// Prepares an attempt that continues a run at `sequence`.
+    /// Prepares an attempt that continues `run` at the chunk with number `sequence`.
     pub fn resume(environment: &'a E, replica: ChosenReplica, run: String, sequence: u64) -> Self {
         Self::prepare(environment, replica, run, Some(ResumeFrom(sequence)))
     }
@@ -107,9 +107,9 @@
         }
     }
 
-    /// How to withdraw the attempt.
+    /// Returns the withdrawal of this attempt.
     #[must_use]
-    pub fn reference(&self) -> WithdrawRequest {
+    pub fn withdraw_request(&self) -> WithdrawRequest {
         WithdrawRequest {
             backend_id: self.replica.key.backend_id.clone(),
             address: self.replica.address.clone(),
@@ -119,21 +119,22 @@
         }
     }
 
-    /// The flag that is set once a byte may have left.
+    /// Returns the flag that is set once a byte may have been sent.
     #[must_use]
     pub fn sent_flag(&self) -> SentFlag {
         self.sent.clone()
     }
 
-    /// The answer is complete, or the failure is known: nothing is left to withdraw.
+    /// Marks the attempt as finished, so that dropping it sends no withdrawal.
     pub fn finish(&mut self) {
         self.finished = true;
     }
 
-    /// Sends the request and reads until the first part of the answer.
+    /// Sends the request and reads the first part of the answer.
     ///
     /// # Errors
-    /// Fails when no answer came, or one that this attempt may not use.
+    /// Fails when no answer arrives, when the answer is invalid for this attempt, or when the
+    /// backend is ejected as unresponsive meanwhile.
     pub async fn run(mut self, plan: &RequestPlan) -> Result<OpenedAttempt<'a, E>, FailedAttempt> {
         let backend_id = self.replica.key.backend_id.clone();
         let environment = self.environment;
@@ -148,7 +149,7 @@
                 self.finish();
                 Err(FailedAttempt {
                     failure,
-                    reference: self.reference(),
+                    withdraw_request: self.withdraw_request(),
                 })
             }
         }
@@ -216,10 +217,10 @@
     }
 
     fn check_head(&self, head: &AnswerHead) -> Result<(), AttemptFailure> {
-        // An answer that does not name this attempt belongs to another request. Its refusal
-        // would not be about this request either, so this comes first.
+        // An answer with another attempt id belongs to another request. This is checked first,
+        // since a refusal in such an answer does not apply to this request either.
         if head.attempt.as_deref() != Some(self.id.as_str()) {
-            self.dropped("attempt_mismatch");
+            self.count_dropped_answer("attempt_mismatch");
             return Err(AttemptFailure::unknown(ResultCode::AnswerMismatch));
         }
         match head.status {
@@ -230,13 +231,13 @@
         }
     }
 
-    /// A continued run must be confirmed at exactly the requested sequence number.
+    /// Checks that a backend which continues a run confirms exactly the requested sequence number.
     fn check_resume(&self, head: &AnswerHead) -> Result<(), AttemptFailure> {
         let requested = self.resume_from.map(|resume| resume.0);
         if requested.is_none() || head.resume_at == requested {
             return Ok(());
         }
-        self.dropped("resume_mismatch");
+        self.count_dropped_answer("resume_mismatch");
         Err(AttemptFailure::unknown(ResultCode::StreamOutOfOrder))
     }
 
@@ -249,7 +250,7 @@
             .record_activity(id, environment.now());
     }
 
-    fn dropped(&self, cause: &str) {
+    fn count_dropped_answer(&self, cause: &str) {
         let metrics = &self.environment.state().metrics;
         metrics.dropped_answers.with_label_values(&[cause]).inc();
     }
@@ -269,7 +270,7 @@
 impl<E: RequestEnvironment> Drop for Attempt<'_, E> {
     fn drop(&mut self) {
         if !self.finished && self.sent.is_set() {
-            self.environment.withdraw_later(self.reference());
+            self.environment.withdraw_later(self.withdraw_request());
         }
     }
 }
--- a/crates/proxy/src/request/authenticate.rs
+++ b/crates/proxy/src/request/authenticate.rs
@@ -1,4 +1,4 @@
-//! Who the caller is.
+//! Authenticates a caller by its tenant key.
 
 use std::sync::Arc;
 
@@ -12,31 +12,31 @@
 
 const BEARER_SCHEME: &str = "bearer";
 
-/// A caller whose key is known, and the routing table that knows it.
+/// Tenant of a caller, with the routing table in which it was found.
 #[derive(Clone, Debug)]
 pub struct AuthenticatedCaller {
-    /// The table that decides the request's route.
+    /// Routing table to use for the whole request.
     pub table: Arc<RoutingTable>,
-    /// The caller's tenant.
+    /// Tenant that the caller's key belongs to.
     pub tenant: Arc<Tenant>,
 }
 
-/// Finds the tenant by the hash of its key. The key itself goes no further than this module.
+/// Finds the tenant by the hash of its key. The key itself is not passed on from this module.
 ///
 /// # Errors
-/// Refuses while the proxy drains or has no confirmed configuration, and a caller without a known
-/// key.
+/// Refuses all requests while the proxy drains or has no confirmed configuration, and requests
+/// without a known key.
 pub fn authenticate(
     state: &ProxyState,
     headers: &CallerHeaders,
 ) -> Result<AuthenticatedCaller, Refusal> {
-    check_open(state)?;
+    check_accepting(state)?;
     let table = state.table();
     let tenant = find_tenant(&table, headers)?;
     Ok(AuthenticatedCaller { table, tenant })
 }
 
-fn check_open(state: &ProxyState) -> Result<(), Refusal> {
+fn check_accepting(state: &ProxyState) -> Result<(), Refusal> {
     if state.is_draining() {
         return Err(Refusal::not_run(ResultCode::ProxyDraining));
     }
--- a/crates/proxy/src/request/caller.rs
+++ b/crates/proxy/src/request/caller.rs
@@ -1,45 +1,45 @@
-//! The caller's request and the way back to the caller.
+//! The caller's request, and the interface for answering the caller.
 
 use std::future::Future;
 
 use bytes::Bytes;
 use millford_core::MonotonicTime;
 
-/// Headers of a caller's request that the request path reads. Values that are not text are
-/// refused before.
+/// Headers of a caller's request that the request path reads, absent if the caller sent none.
+/// Requests with values that are not text were refused earlier.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallerHeaders {
-    /// `authorization`.
+    /// `authorization`: scheme and tenant key.
     pub authorization: Option<String>,
-    /// `content-type`.
+    /// `content-type`, with its parameters.
     pub content_type: Option<String>,
-    /// `idempotency-key`.
+    /// `idempotency-key`: key of the claim on a route that is not repeatable.
     pub idempotency_key: Option<String>,
-    /// `x-millford-session`.
+    /// `x-millford-session`: name of a session whose requests prefer one backend.
     pub session: Option<String>,
-    /// `x-millford-deadline-ms`.
+    /// `x-millford-deadline-ms`: the caller's own deadline, not parsed yet.
     pub deadline_ms: Option<String>,
-    /// `x-millford-stage`.
+    /// `x-millford-stage`: stage that should serve the request.
     pub stage: Option<String>,
-    /// `x-millford-adapter`.
+    /// `x-millford-adapter`: adapter to apply to the model.
     pub adapter: Option<String>,
 }
 
-/// A complete request of a caller.
+/// A caller's request, read completely.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
-    /// Path with the query, as it was sent.
+    /// Path and query as the caller sent them.
     pub path_and_query: String,
-    /// Headers.
+    /// Headers that the request path reads.
     pub headers: CallerHeaders,
-    /// Body.
+    /// Complete body; empty for lookups.
     pub body: Bytes,
-    /// When the head arrived.
+    /// When the request head arrived; deadlines count from here.
     pub arrived: MonotonicTime,
 }
 
 impl CallerRequest {
-    /// The path without the query.
+    /// Returns the path without the query.
     #[must_use]
     pub fn path(&self) -> &str {
         let path_and_query = self.path_and_query.as_str();
@@ -47,46 +47,46 @@
     }
 }
 
-/// Head of the answer to the caller.
+/// Head of the response to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerHead {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Content type.
+    /// Content type of the body.
     pub content_type: String,
-    /// Length of the body; absent for streams.
+    /// Length of the body in bytes; absent for streams.
     pub content_length: Option<usize>,
-    /// Id of this request, for support.
+    /// Id of this request, for finding it in the logs.
     pub request_id: String,
-    /// Configuration revision that decided the request.
+    /// Configuration revision that the request was routed by; 0 if there is none.
     pub revision: u64,
-    /// When to come back, in milliseconds.
+    /// Time after which the caller should retry, in milliseconds; absent if no retry is suggested.
     pub retry_after_ms: Option<u32>,
 }
 
-/// The caller is not there any more.
+/// The caller closed its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the caller disconnected")]
 pub struct CallerDisconnected;
 
-/// Resolves when the caller disconnects.
+/// Handle for detecting that the caller disconnects.
 pub trait CallerPresence: Clone + Send + Sync {
     /// Resolves once the caller has disconnected.
     fn disconnected(&self) -> impl Future<Output = ()> + Send;
 }
 
-/// The way back to the caller.
+/// Writes the response to the caller.
 ///
-/// A sink that is dropped after [`CallerSink::begin`] and before [`CallerSink::finish`] breaks the
-/// caller's connection, so that a truncated body never looks complete.
+/// Dropping a sink after [`CallerSink::begin`] and before [`CallerSink::finish`] breaks the
+/// caller's connection, so that a truncated body cannot be taken for a complete one.
 pub trait CallerSink: Send {
-    /// Handle to wait for the caller's disconnect.
+    /// Handle for detecting the caller's disconnect.
     type Presence: CallerPresence;
 
-    /// The presence of this caller.
+    /// Returns a handle that detects this caller's disconnect.
     fn presence(&self) -> Self::Presence;
 
-    /// Sends the head.
+    /// Sends the response head; called once.
     fn begin(
         &mut self,
         head: CallerHead,
@@ -96,6 +96,6 @@
     fn send(&mut self, bytes: Bytes)
     -> impl Future<Output = Result<(), CallerDisconnected>> + Send;
 
-    /// Ends the body as complete.
+    /// Marks the body as complete and ends it.
     fn finish(&mut self);
 }
--- a/crates/proxy/src/request/chat_request.rs
+++ b/crates/proxy/src/request/chat_request.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a completion request in the shape that `OpenAI` clients send.
+//! Parses and checks a completion request in the format of `OpenAI` clients.
 
 use bytes::Bytes;
 use millford_core::ResultCode;
@@ -8,40 +8,41 @@
 use crate::request::caller::CallerRequest;
 use crate::request::refusal::Refusal;
 
-/// Bytes of prompt text that make up one token, as estimated before a backend counts them.
+/// Prompt bytes per token, for the estimate before a backend counts the tokens.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Longest name of a model, stage or adapter, in bytes.
-const LONGEST_NAME: usize = 200;
+/// Longest `model` field, in bytes.
+const MAX_MODEL_BYTES: usize = 200;
 
-/// Longest idempotency key or session name, in bytes.
-const LONGEST_KEY: usize = 255;
+/// Longest idempotency key, session, stage or adapter name, in bytes.
+const MAX_KEY_BYTES: usize = 255;
 
 /// Most messages in one request.
-const MOST_MESSAGES: usize = 4096;
+const MAX_MESSAGES: usize = 4096;
 
 /// A checked completion request.
 #[derive(Clone, Debug)]
 pub struct ChatRequest {
-    /// What the request asks for.
+    /// Model, version, stage and adapter that the request asks for.
     pub requested: ModelRequest,
-    /// Whether the answer is a stream.
+    /// Whether the caller asks for a stream; false if the field is absent.
     pub stream: bool,
-    /// Text of all messages, with their roles.
+    /// Roles and texts of all messages, each followed by a line feed.
     pub prompt: Vec<u8>,
-    /// Body for the backend: the caller's, with the plain name of the model.
+    /// Body for the backend: the caller's, with the version removed from the `model` field.
     pub body: Bytes,
-    /// The caller's idempotency key.
+    /// The caller's idempotency key, if it sent one.
     pub idempotency_key: Option<String>,
-    /// The caller's session.
+    /// Name of the caller's session, if it sent one.
     pub session: Option<String>,
 }
 
 impl ChatRequest {
-    /// Reads and checks headers and body.
+    /// Parses the body and checks it and the headers.
     ///
     /// # Errors
-    /// Refuses a body that is not a completion request, and headers that name nothing.
+    /// Refuses a body that is not a valid completion request, another content type than JSON, and
+    /// invalid values of headers.
     pub fn read(request: &CallerRequest) -> Result<Self, Refusal> {
         check_content_type(request.headers.content_type.as_deref())?;
         let mut fields = parse_object(&request.body)?;
@@ -60,17 +61,18 @@
         })
     }
 
-    /// Estimated tokens of the prompt.
+    /// Estimates the number of prompt tokens from the prompt's length.
     #[must_use]
     pub fn prompt_tokens(&self) -> u64 {
         self.prompt.len().div_ceil(BYTES_PER_TOKEN) as u64
     }
 }
 
-/// A header value that names something of the caller's: short, printable, not empty.
+/// Checks the value of the header `name`: 1 to 255 printable ASCII characters. Returns `None` if
+/// the header is absent.
 ///
 /// # Errors
-/// Refuses an empty, too long or unprintable value.
+/// Refuses a value that is blank, too long or not printable.
 pub fn checked_key(name: &str, value: &Option<String>) -> Result<Option<String>, Refusal> {
     let Some(value) = value else {
         return Ok(None);
@@ -78,8 +80,8 @@
     let printable = value
         .bytes()
         .all(|byte| byte.is_ascii_graphic() || byte == b' ');
-    if value.trim().is_empty() || value.len() > LONGEST_KEY || !printable {
-        let detail = format!("{name} must be 1 to {LONGEST_KEY} printable characters.");
+    if value.trim().is_empty() || value.len() > MAX_KEY_BYTES || !printable {
+        let detail = format!("{name} must be 1 to {MAX_KEY_BYTES} printable characters.");
         return Err(Refusal::not_run(ResultCode::BadHeader).with_detail(detail));
     }
     Ok(Some(value.clone()))
@@ -114,7 +116,7 @@
         return Err(bad_field("model must be a string."));
     };
     let mut requested = ModelRequest::from_model_field(model);
-    if requested.model.is_empty() || model.len() > LONGEST_NAME {
+    if requested.model.is_empty() || model.len() > MAX_MODEL_BYTES {
         return Err(bad_field("model must be 1 to 200 characters."));
     }
     requested.stage = checked_key("x-millford-stage", &request.headers.stage)?.unwrap_or_default();
@@ -159,7 +161,7 @@
     let Some(Value::Array(messages)) = fields.get("messages") else {
         return Err(bad_field("messages must be an array."));
     };
-    if messages.is_empty() || messages.len() > MOST_MESSAGES {
+    if messages.is_empty() || messages.len() > MAX_MESSAGES {
         return Err(bad_field("messages must hold 1 to 4096 messages."));
     }
     let mut prompt = Vec::new();
@@ -195,7 +197,8 @@
     Ok(())
 }
 
-/// The backend learns the version from a header; its body names the plain model.
+/// Returns the body for the backend. The version is sent in a header, so the `model` field holds
+/// the model's name alone.
 fn backend_body(fields: &mut Map<String, Value>, requested: &ModelRequest, body: &Bytes) -> Bytes {
     if requested.version.is_empty() {
         return body.clone();
--- a/crates/proxy/src/request/choose_backend.rs
+++ b/crates/proxy/src/request/choose_backend.rs
@@ -1,46 +1,47 @@
-//! Choice of the backend for one attempt.
+//! Chooses the backend for one attempt.
 
 use millford_routing::{Affinity, Candidate, ReplicaKey, ServingReplica, choose};
 
 use crate::request::environment::RequestEnvironment;
 use crate::request::plan::RequestPlan;
 
-/// The replica that an attempt goes to.
+/// The replica that an attempt is sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChosenReplica {
-    /// Which counts the attempt belongs to.
+    /// Key under which the attempt is counted in the load table.
     pub key: ReplicaKey,
     /// IP address and port of the backend.
     pub address: String,
-    /// Uncached prompt tokens to expect.
+    /// Estimated prompt tokens that are not in the backend's prefix cache.
     pub uncached_tokens: u64,
-    /// Whether the backend is a home of the request's affinity key.
+    /// Whether the backend was chosen by the request's affinity key.
     pub by_affinity: bool,
 }
 
-/// Chooses among the backends that take new work now, without those in `without`.
+/// Chooses among the backends that accept new work now, except those in `excluded`.
 ///
-/// With `version`, only replicas of that version: a run is never continued by another one.
+/// If `version` is given, only replicas of that model version qualify: a run is never continued by
+/// another version.
 pub fn choose_backend<E: RequestEnvironment>(
     environment: &E,
     plan: &RequestPlan,
-    without: &[String],
+    excluded: &[String],
     version: Option<&str>,
 ) -> Option<ChosenReplica> {
     let state = environment.state();
-    // The table is read afresh for each attempt: a backend that began to drain while the request
-    // waited gets no new work.
+    // The table is read again for each attempt, so that a backend that began to drain while the
+    // request waited gets no new work.
     let table = state.table();
     let pool = table.pool(&plan.route.pool)?;
     let usable = |replica: &&ServingReplica| {
         let id = &replica.backend.id;
-        !without.contains(id)
+        !excluded.contains(id)
             && state.health.is_usable(id)
             && version.is_none_or(|version| replica.version == version)
     };
     let candidates = pool.candidates(&plan.requirement);
     let replicas: Vec<&ServingReplica> = candidates.into_iter().filter(usable).collect();
-    let weighed: Vec<Candidate> = replicas
+    let weighted: Vec<Candidate> = replicas
         .iter()
         .map(|replica| candidate(environment, replica))
         .collect();
@@ -48,10 +49,11 @@
     let random = [environment.random(), environment.random()];
     let affinity = plan.affinity.map(|key| Affinity {
         key,
-        saving: state.costs.home_saving_ms(model, plan.prompt_tokens) / mean_cores(&replicas),
+        saving: state.costs.home_saving_ms(model, plan.prompt_tokens)
+            / mean_cores_per_backend(&replicas),
         gain: state.costs.home_gain(model),
     });
-    let choice = choose(&weighed, affinity, random)?;
+    let choice = choose(&weighted, affinity, random)?;
     let replica = replicas[choice.index];
     let uncached_tokens = if choice.by_affinity {
         state
@@ -70,7 +72,7 @@
     })
 }
 
-/// The key under which a replica's work is counted.
+/// Returns the key under which a replica's work is counted in the load table.
 #[must_use]
 pub fn replica_key(pool: &str, replica: &ServingReplica) -> ReplicaKey {
     ReplicaKey {
@@ -94,8 +96,9 @@
     }
 }
 
-/// Loads are counted over the cores: what a request saves is too.
-fn mean_cores(replicas: &[&ServingReplica]) -> f64 {
+/// Mean number of cores of the replicas' backends. Loads are counted per core, so the time that a
+/// request saves by affinity is divided by the cores too.
+fn mean_cores_per_backend(replicas: &[&ServingReplica]) -> f64 {
     let cores = replicas.iter().map(|replica| replica.backend.cores.max(1));
     f64::from(cores.sum::<u32>()) / replicas.len().max(1) as f64
 }
--- a/crates/proxy/src/request/chunk.rs
+++ b/crates/proxy/src/request/chunk.rs
@@ -1,23 +1,23 @@
-//! One chunk of a stream.
+//! Chunks of a completion stream.
 
 use bytes::Bytes;
 use serde_json::{Map, Value};
 
 use crate::backend_protocol::CHUNK_FIELD;
 
-/// Tokens that a backend counted.
+/// Token counts that a backend reports for one run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens of the prompt that were found in the cache.
+    /// Number of prompt tokens found in the backend's prefix cache.
     pub cached_tokens: u64,
-    /// Tokens of the answer.
+    /// Number of generated tokens.
     pub completion_tokens: u64,
 }
 
 impl Usage {
-    /// Reads the `usage` field of a chunk or a body.
+    /// Reads the `usage` field of a chunk or a body, if it is there; a missing count is 0.
     #[must_use]
     pub fn read(fields: &Map<String, Value>) -> Option<Self> {
         let usage = fields.get("usage")?.as_object()?;
@@ -30,20 +30,20 @@
     }
 }
 
-/// A chunk with the run and the sequence number that the backend gave it.
+/// A stream chunk with the run id and sequence number that the backend assigned.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Chunk {
-    /// Run of the chunk.
+    /// Id of the run that the chunk belongs to.
     pub run: String,
-    /// Place in the run, from 0.
+    /// Position of the chunk in the run, from 0.
     pub sequence: u64,
-    /// Usage, in the last chunk of a run.
+    /// Token counts, which a backend sends in the last chunk of a run.
     pub usage: Option<Usage>,
     fields: Map<String, Value>,
 }
 
 impl Chunk {
-    /// Reads the data of an event; nothing if it is not a numbered chunk.
+    /// Parses the data of an event. Returns `None` if it is not a numbered chunk.
     #[must_use]
     pub fn parse(data: &str) -> Option<Self> {
         let Ok(Value::Object(mut fields)) = serde_json::from_str(data) else {
@@ -58,10 +58,11 @@
         })
     }
 
-    /// The event for the caller: the sequence number as its id, the chunk in the usual shape.
+    /// Encodes the chunk as an event for the caller, with the sequence number as the event id and
+    /// without the backend protocol's field.
     #[must_use]
     pub fn into_caller_event(mut self, request_id: &str) -> Bytes {
-        // One id over the whole stream, also when another backend continues it.
+        // The id stays the same for the whole stream, also when another backend continues it.
         self.fields.insert(
             "id".to_owned(),
             Value::String(format!("chatcmpl-{request_id}")),
--- a/crates/proxy/src/request/chunk_reader.rs
+++ b/crates/proxy/src/request/chunk_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a stream from a backend and checks each chunk.
+//! Reads a stream from a backend and validates each chunk.
 
 use millford_core::ResultCode;
 
@@ -8,18 +8,18 @@
 use crate::request::message::AnswerError;
 use crate::request::sse::{SseDecoder, SseEvent};
 
-/// What a stream brings next.
+/// Next item of a stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StreamItem {
-    /// The next chunk, in sequence and of the right run.
+    /// The next chunk of the expected run, in sequence.
     Chunk(Chunk),
-    /// The end marker: the stream is complete.
+    /// The end marker of a complete stream.
     Done,
-    /// The backend reports that the run failed.
+    /// The event by which the backend reports that the run failed.
     BackendError,
 }
 
-/// Reads one answer. Nothing is delivered that is not the next chunk of the expected run.
+/// Reads a streamed answer and returns only chunks of the expected run, in sequence.
 #[derive(Debug)]
 pub struct ChunkReader<A> {
     answer: A,
@@ -29,7 +29,7 @@
 }
 
 impl<A: BackendAnswer> ChunkReader<A> {
-    /// Expects the chunks of `run` from `next_sequence` on.
+    /// Creates a reader that expects the chunks of `run` from number `next_sequence` on.
     #[must_use]
     pub fn new(answer: A, run: String, next_sequence: u64) -> Self {
         Self {
@@ -40,22 +40,23 @@
         }
     }
 
-    /// Sequence number of the next chunk.
+    /// Returns the sequence number that the next chunk must have.
     #[must_use]
     pub fn next_sequence(&self) -> u64 {
         self.next_sequence
     }
 
-    /// Bytes that came after what was delivered.
+    /// Returns how many received bytes are not part of a returned item.
     #[must_use]
     pub fn pending_bytes(&self) -> usize {
         self.decoder.pending_bytes()
     }
 
-    /// The next item. Dropping the future loses nothing.
+    /// Reads the next item. Cancel safe: dropping the future loses no bytes.
     ///
     /// # Errors
-    /// Fails with the result code of a stream that ended early or broke its sequence.
+    /// Fails with the result code of the fault when the stream ends early, or when a chunk is
+    /// malformed, of another run or out of sequence.
     pub async fn next(&mut self) -> Result<StreamItem, ResultCode> {
         loop {
             let event = self.decoder.next_event();
@@ -80,11 +81,11 @@
             return Ok(StreamItem::Done);
         }
         let chunk = Chunk::parse(&event.data).ok_or(ResultCode::StreamOutOfOrder)?;
-        // A chunk of another run is another request's answer or a splice: never delivered.
+        // A chunk of another run belongs to another request's answer and must not be relayed.
         if chunk.run != self.run {
             return Err(ResultCode::AnswerMismatch);
         }
-        // Neither a skip nor a repeat reaches the caller.
+        // A skipped or repeated chunk must not be relayed to the caller.
         if chunk.sequence != self.next_sequence {
             return Err(ResultCode::StreamOutOfOrder);
         }
--- a/crates/proxy/src/request/claim_guard.rs
+++ b/crates/proxy/src/request/claim_guard.rs
@@ -1,4 +1,4 @@
-//! The claim of a request that may run only once.
+//! Claims the idempotency key of a request that may run at most once.
 
 use millford_api::command::{Claim, ResolveClaim, RunOutcome};
 use millford_core::{ResultCode, RunState};
@@ -12,18 +12,20 @@
 use crate::request::refusal::Refusal;
 use crate::request::unserved::Unserved;
 
-/// A granted claim, or none for a request that needs none. Unless resolved, a claim stays "may
-/// have run".
+/// A granted claim, or none for a request that needs none. A claim that is not resolved stays
+/// recorded as "may have run".
 #[derive(Clone, Debug)]
 pub struct ClaimGuard {
     claim: Option<Claim>,
 }
 
 impl ClaimGuard {
-    /// Claims the key of a request that may not be repeated, before a byte goes to a backend.
+    /// Claims the idempotency key of a request that is not repeatable, before any byte is sent to a
+    /// backend. Requests without a key and requests on repeatable routes need no claim.
     ///
     /// # Errors
-    /// Refuses when the key is taken or reused, or when the claim was not confirmed in time.
+    /// Refuses when the key is claimed by an earlier request, when it was used for a different
+    /// request, or when the claim is not confirmed in time.
     pub async fn acquire_if_needed<E: RequestEnvironment>(
         environment: &E,
         plan: &RequestPlan,
@@ -46,8 +48,8 @@
         Self::acquire(environment, plan, claim).await
     }
 
-    /// A claim that was not confirmed in time is never used for a run, so it is resolved as not
-    /// run: it may have been recorded all the same, and the key can then be claimed again.
+    /// Requests the claim. A claim that is not confirmed in time is never used for a run, but it
+    /// may have been recorded; it is resolved as not run, so that the key can be claimed again.
     async fn acquire<E: RequestEnvironment>(
         environment: &E,
         plan: &RequestPlan,
@@ -59,7 +61,7 @@
         };
         match environment.claim(claim, timeout).await {
             ClaimAnswer::Granted => Ok(guard),
-            ClaimAnswer::Taken(outcome) => Err(taken(outcome)),
+            ClaimAnswer::Taken(outcome) => Err(claim_taken_refusal(outcome)),
             ClaimAnswer::KeyReused => Err(Refusal::not_run(ResultCode::IdempotencyKeyReused)),
             ClaimAnswer::Unavailable => {
                 guard.resolve(environment, RunOutcome::RunNotRun);
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Records what became of the run.
+    /// Resolves the claim, if there is one, with the outcome of the run.
     pub fn resolve<E: RequestEnvironment>(&self, environment: &E, outcome: RunOutcome) {
         let Some(claim) = &self.claim else {
             return;
@@ -81,7 +83,8 @@
         });
     }
 
-    /// Records a request without an answer: not run, failed, or nothing while its fate is unknown.
+    /// Resolves the claim of a request without a complete answer: as not run or as failed. Leaves
+    /// it unresolved if it is unknown whether the request ran.
     pub fn resolve_unserved<E: RequestEnvironment>(&self, environment: &E, unserved: &Unserved) {
         match unserved {
             Unserved::Refused(Refusal {
@@ -97,7 +100,7 @@
     }
 }
 
-/// Digest of everything that decides the answer: the body, the stage and the adapter.
+/// Digest of everything that determines the answer: the body, the stage and the adapter.
 fn request_digest(chat: &ChatRequest, request: &CallerRequest) -> Vec<u8> {
     let mut hasher = Sha256::new();
     for part in [&chat.requested.stage, &chat.requested.adapter] {
@@ -108,12 +111,13 @@
     hasher.finalize().to_vec()
 }
 
-fn taken(outcome: RunOutcome) -> Refusal {
+/// Refusal for a key that an earlier request claimed, depending on the outcome of that request.
+fn claim_taken_refusal(outcome: RunOutcome) -> Refusal {
     match outcome {
         RunOutcome::RunCompleted => Refusal::may_have_run(ResultCode::AlreadyCompleted),
         RunOutcome::RunFailed => Refusal::may_have_run(ResultCode::AlreadyFailed),
         RunOutcome::RunUnknown => Refusal::may_have_run(ResultCode::MayHaveRun),
-        // The earlier claim was given back while this one was answered: it can be claimed again.
+        // The earlier claim was resolved as not run in the meantime: the key can be claimed again.
         RunOutcome::RunNotRun => Refusal::not_run(ResultCode::ClaimUnavailable),
     }
 }
--- a/crates/proxy/src/request/completion.rs
+++ b/crates/proxy/src/request/completion.rs
@@ -1,4 +1,4 @@
-//! A completion request, from the caller's headers to the resolved claim.
+//! Serves a completion request, from the caller's headers to the resolution of its claim.
 
 use bytes::Bytes;
 use millford_api::command::RunOutcome;
@@ -13,7 +13,7 @@
 use crate::request::caller::{CallerRequest, CallerSink};
 use crate::request::chat_request::ChatRequest;
 use crate::request::claim_guard::ClaimGuard;
-use crate::request::deadline::deadline_of;
+use crate::request::deadline::effective_deadline;
 use crate::request::environment::RequestEnvironment;
 use crate::request::first_answer::first_answer;
 use crate::request::message::BackendMethod;
@@ -27,7 +27,8 @@
 use crate::request::run_cost::RunCost;
 use crate::request::unserved::Unserved;
 
-/// Serves one completion request and writes its complete answer to the caller.
+/// Serves one completion request, writes the response to the caller, and returns the record of the
+/// request for the log.
 pub async fn serve_completion<E, C>(
     environment: &E,
     request: CallerRequest,
@@ -64,9 +65,9 @@
         tenant: caller.tenant.name.clone(),
         route: route.clone(),
         requirement: route.requirement(&chat.requested),
-        affinity: affinity_of(&caller.tenant, &chat),
+        affinity: affinity_hash(&caller.tenant, &chat),
         prompt_tokens: chat.prompt_tokens(),
-        deadline: deadline_of(route, request)?,
+        deadline: effective_deadline(route, request)?,
         stream: chat.stream,
         method: BackendMethod::Post,
         path: COMPLETIONS_PATH.to_owned(),
@@ -109,11 +110,12 @@
             totals.undelivered
         }
     };
-    cost.learn(state, &plan);
+    cost.record(state, &plan);
     undelivered.map_or(Ok(()), Err)
 }
 
-/// Gives the caller a plain answer. The run is complete, whether or not the caller still takes it.
+/// Sends a plain answer to the caller. Returns the failure if the caller has disconnected; the run
+/// counts as complete in either case.
 async fn deliver_plain<E: RequestEnvironment, C: CallerSink>(
     mut attempt: Attempt<'_, E>,
     body: Bytes,
@@ -126,8 +128,9 @@
         .map(|_| Unserved::CallerDisconnected(RunState::MayHaveRun))
 }
 
-/// A session stays with its backend; without one, requests that share a prefix do.
-fn affinity_of(tenant: &Tenant, chat: &ChatRequest) -> Option<u64> {
+/// Returns the hash that keeps related requests on one backend: of the session if the caller names
+/// one, otherwise of the prompt's prefix.
+fn affinity_hash(tenant: &Tenant, chat: &ChatRequest) -> Option<u64> {
     match &chat.session {
         Some(session) => Some(session_hash(&tenant.name, session)),
         None => prefix_hash(&chat.requested.model, &chat.prompt),
--- a/crates/proxy/src/request/environment.rs
+++ b/crates/proxy/src/request/environment.rs
@@ -1,4 +1,4 @@
-//! What the request path needs from outside the process.
+//! Interfaces through which the request path reaches the clock, the agent and the backends.
 
 use std::future::Future;
 
@@ -14,39 +14,42 @@
     AnswerError, AnswerHead, BackendRequest, DispatchError, WithdrawAnswer, WithdrawRequest,
 };
 
-/// Clock, randomness, agent and backends of one proxy.
+/// Clock, random numbers, agent and backends of one proxy.
 ///
-/// The daemon implements it with tokio and hyper, the simulator with its own executor. The request
-/// path uses no other source of time or I/O.
+/// The daemon implements the trait with tokio and hyper, the simulator with its own executor. The
+/// request path uses no other source of time or I/O.
 pub trait RequestEnvironment: Send + Sync {
-    /// An answer whose head arrived.
+    /// An answer from a backend whose head has arrived.
     type Answer: BackendAnswer;
 
-    /// State shared by all requests of the proxy.
+    /// Returns the state shared by all requests of the proxy.
     fn state(&self) -> &ProxyState;
 
-    /// The monotonic clock.
+    /// Returns the current time of the monotonic clock.
     fn now(&self) -> MonotonicTime;
 
-    /// Resolves after the duration.
+    /// Waits for the duration.
     fn sleep(&self, duration: Duration) -> impl Future<Output = ()> + Send;
 
-    /// A fresh random number.
+    /// Returns a new random number.
     fn random(&self) -> u64;
 
-    /// Requests the admission of one request of a tenant. Resolves within its timeout.
-    fn request_quota(&self, ask: AdmissionRequest) -> impl Future<Output = AdmissionReply> + Send;
+    /// Asks the agent to admit one request of a tenant. Completes within the request's timeout.
+    fn request_quota(
+        &self,
+        request: AdmissionRequest,
+    ) -> impl Future<Output = AdmissionReply> + Send;
 
-    /// Gives a stream slot or an unused token back.
+    /// Returns a stream slot or an unused request token to the tenant's quota.
     fn release_quota(&self, release: QuotaRelease);
 
-    /// Reserves the single run of a request. Resolves within the timeout.
+    /// Claims the right to run a request once. Completes within the timeout.
     fn claim(&self, claim: Claim, timeout: Duration) -> impl Future<Output = ClaimAnswer> + Send;
 
-    /// Records what became of a claimed run; the agent repeats it until it is acknowledged.
+    /// Resolves a claim with the outcome of its run; the agent retries it until it is acknowledged.
     fn resolve_claim(&self, resolution: ResolveClaim);
 
-    /// Opens a new connection, sends the request and reads the head of the answer.
+    /// Sends the request on a new connection and reads the head of the answer.
     ///
     /// The request's [`SentFlag`](crate::request::message::SentFlag) is set before the first byte
     /// is handed to the connection. Dropping the future closes the connection.
@@ -55,20 +58,21 @@
         request: BackendRequest,
     ) -> impl Future<Output = Result<Self::Answer, DispatchError>> + Send;
 
-    /// Asks a backend to withdraw an attempt. Resolves within the request's timeout.
+    /// Asks a backend to withdraw an attempt. Completes within the request's timeout.
     fn withdraw(&self, request: WithdrawRequest) -> impl Future<Output = WithdrawAnswer> + Send;
 
-    /// Withdraws an attempt without waiting for the answer.
+    /// Asks a backend to withdraw an attempt, without waiting for its answer.
     fn withdraw_later(&self, request: WithdrawRequest);
 }
 
-/// An answer from a backend. Dropping it closes the connection, which is never used again.
+/// An answer from a backend. Dropping it closes the connection, which is never reused.
 pub trait BackendAnswer: Send {
-    /// The head of the answer.
+    /// Returns the head of the answer.
     fn head(&self) -> &AnswerHead;
 
-    /// The next part of the body; nothing once the body ended complete by its framing.
+    /// Reads the next part of the body. Returns `None` at the end of a body that is complete by its
+    /// framing.
     ///
-    /// Dropping the future loses no bytes.
+    /// Cancel safe: dropping the future loses no bytes.
     fn next_bytes(&mut self) -> impl Future<Output = Result<Option<Bytes>, AnswerError>> + Send;
 }
--- a/crates/proxy/src/request/failure.rs
+++ b/crates/proxy/src/request/failure.rs
@@ -1,78 +1,78 @@
-//! Why one attempt gave no answer.
+//! Reasons why an attempt failed before a usable answer.
 
 use millford_core::ResultCode;
 
-/// What is known about the run of a failed attempt.
+/// Whether the request of a failed attempt ran, as far as it is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RunFate {
-    /// No byte left.
+pub enum AttemptOutcome {
+    /// No byte was sent, so it did not run.
     NotSent,
-    /// The backend refused before work, by protocol.
+    /// The backend refused before any work, as the protocol's header confirms.
     RefusedBeforeWork,
-    /// Nobody knows, unless a withdrawal is confirmed.
+    /// It may have run, unless the backend confirms a withdrawal.
     Unknown,
-    /// The backend ran it and reported a failure.
+    /// The backend ran the request and reported a failure.
     Failed,
 }
 
-/// A failed attempt.
+/// How an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptFailure {
-    /// Numbered code.
+    /// Result code for the caller.
     pub code: ResultCode,
-    /// What is known about the run.
-    pub fate: RunFate,
-    /// Whether another backend may do better.
-    pub elsewhere: bool,
-    /// When the backend wants to be sent the request again, in milliseconds.
+    /// Whether the request ran, as far as it is known.
+    pub outcome: AttemptOutcome,
+    /// Whether another backend may be tried.
+    pub retryable: bool,
+    /// Time after which the backend asks for a retry, in milliseconds, if it sent one.
     pub retry_after_ms: Option<u32>,
 }
 
 impl AttemptFailure {
-    /// A failure after which nobody knows whether the request ran.
+    /// A failure that leaves it unknown whether the request ran.
     #[must_use]
     pub fn unknown(code: ResultCode) -> Self {
         Self {
             code,
-            fate: RunFate::Unknown,
-            elsewhere: true,
+            outcome: AttemptOutcome::Unknown,
+            retryable: true,
             retry_after_ms: None,
         }
     }
 
-    /// No connection: no byte left.
+    /// No connection was opened, so no byte was sent.
     #[must_use]
     pub fn not_sent() -> Self {
         Self {
-            fate: RunFate::NotSent,
+            outcome: AttemptOutcome::NotSent,
             ..Self::unknown(ResultCode::ConnectFailed)
         }
     }
 
-    /// The backend refused before work.
+    /// The backend refused the request before any work on it.
     #[must_use]
     pub fn refused(retry_after_ms: Option<u32>) -> Self {
         Self {
-            fate: RunFate::RefusedBeforeWork,
+            outcome: AttemptOutcome::RefusedBeforeWork,
             retry_after_ms,
             ..Self::unknown(ResultCode::BackendRefused)
         }
     }
 
-    /// The backend reported an error of its own.
+    /// The backend reported an error on its side.
     #[must_use]
     pub fn backend_fault() -> Self {
         Self {
-            fate: RunFate::Failed,
+            outcome: AttemptOutcome::Failed,
             ..Self::unknown(ResultCode::BackendError)
         }
     }
 
-    /// The backend found a fault in the request, which would repeat itself elsewhere.
+    /// The backend rejected the request as invalid; another backend would do the same.
     #[must_use]
     pub fn request_fault() -> Self {
         Self {
-            elsewhere: false,
+            retryable: false,
             ..Self::backend_fault()
         }
     }
--- a/crates/proxy/src/request/lookup.rs
+++ b/crates/proxy/src/request/lookup.rs
@@ -1,4 +1,4 @@
-//! A lookup by path, from the caller's headers to the complete answer.
+//! Serves a lookup by path, from the caller's headers to the complete answer.
 
 use bytes::Bytes;
 use millford_core::{ResultCode, RunState};
@@ -7,7 +7,7 @@
 use crate::request::attempt::AnswerStart;
 use crate::request::authenticate::authenticate;
 use crate::request::caller::{CallerRequest, CallerSink};
-use crate::request::deadline::deadline_of;
+use crate::request::deadline::effective_deadline;
 use crate::request::environment::RequestEnvironment;
 use crate::request::first_answer::first_answer;
 use crate::request::message::BackendMethod;
@@ -18,10 +18,12 @@
 use crate::request::request_scope::RequestScope;
 use crate::request::unserved::Unserved;
 
-/// What a lookup counts as in the load table, so that busy backends are told from idle ones.
+/// Prompt tokens that a lookup counts as in the load table, so that lookups show in a backend's
+/// load.
 const LOOKUP_TOKENS: u64 = 1;
 
-/// Serves one lookup and writes its complete answer to the caller.
+/// Serves one lookup, writes the response to the caller, and returns the record of the request for
+/// the log.
 pub async fn serve_lookup<E, C>(
     environment: &E,
     request: CallerRequest,
@@ -58,7 +60,7 @@
         requirement: route.requirement(&ModelRequest::default()),
         affinity: None,
         prompt_tokens: LOOKUP_TOKENS,
-        deadline: deadline_of(route, request)?,
+        deadline: effective_deadline(route, request)?,
         stream: false,
         method: BackendMethod::Get,
         path: request.path_and_query.clone(),
@@ -68,7 +70,8 @@
     let opened = match first_answer(environment, &plan, &scope.reply.presence()).await {
         Ok(opened) => opened,
         Err(unserved) => {
-            // Unlike a completion, a lookup whose caller disconnected always spends its token.
+            // Unlike a completion, a lookup whose caller disconnected always spends its request
+            // token.
             let is_refused_unrun =
                 matches!(&unserved, Unserved::Refused(refusal) if refusal.run == RunState::NotRun);
             if !is_refused_unrun {
--- a/crates/proxy/src/request/message.rs
+++ b/crates/proxy/src/request/message.rs
@@ -6,161 +6,162 @@
 use bytes::Bytes;
 use millford_core::{Duration, MonotonicTime};
 
-/// Set once a byte of a request may have left for a backend.
+/// Flag that is set once a byte of a request may have been sent to a backend.
 #[derive(Clone, Debug, Default)]
 pub struct SentFlag(Arc<AtomicBool>);
 
 impl SentFlag {
-    /// From now on the request may have run.
+    /// Sets the flag: from now on the request may have run.
     pub fn set(&self) {
         self.0.store(true, Ordering::SeqCst);
     }
 
-    /// Whether a byte may have left.
+    /// Returns whether a byte may have been sent.
     #[must_use]
     pub fn is_set(&self) -> bool {
         self.0.load(Ordering::SeqCst)
     }
 }
 
-/// Method of a request to a backend.
+/// HTTP method of a request to a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendMethod {
-    /// A lookup.
+    /// Used for lookups.
     Get,
-    /// A completion.
+    /// Used for completions.
     Post,
 }
 
-/// Continues a run at a sequence number.
+/// Sequence number of the chunk at which a run should be continued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResumeFrom(pub u64);
 
-/// One attempt at a request.
+/// The request that one attempt sends to a backend.
 #[derive(Clone, Debug)]
 pub struct BackendRequest {
-    /// Id of the backend, for connection records and logs.
+    /// Id of the backend, for connection records and logs; it is not sent.
     pub backend_id: String,
     /// IP address and port of the backend.
     pub address: String,
-    /// Method.
+    /// HTTP method.
     pub method: BackendMethod,
-    /// Path and query.
+    /// Path and query, as sent to the backend.
     pub path: String,
-    /// Attempt id that the answer must echo.
+    /// Id of the attempt, which the answer must echo.
     pub attempt: String,
-    /// Run that the attempt starts or continues.
+    /// Id of the run that the attempt starts or continues.
     pub run: String,
-    /// Version of the model, if known.
+    /// Version of the model on the chosen replica; empty if unknown.
     pub version: String,
-    /// Stage, if the request or the route names one.
+    /// Stage that the request or the route names; empty if none.
     pub stage: String,
-    /// Adapter, if the request or the route names one.
+    /// Adapter that the request or the route names; empty if none.
     pub adapter: String,
-    /// Where to continue a run, if the attempt does not start one.
+    /// Where to continue the run; absent if the attempt starts a new run.
     pub resume_from: Option<ResumeFrom>,
-    /// Time left for the complete answer.
+    /// Time left until the request's deadline.
     pub time_left: Duration,
     /// Body; empty for lookups.
     pub body: Bytes,
-    /// Set before the first byte leaves.
+    /// Must be set before the first byte is sent.
     pub sent: SentFlag,
 }
 
-/// Why no answer head arrived.
+/// Reason why no answer head arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DispatchError {
-    /// No connection was opened: no byte left.
+    /// No connection was opened, so no byte was sent.
     #[error("no connection to the backend was opened")]
     NotConnected,
-    /// The connection broke or carried something that is not HTTP.
-    #[error("the connection to the backend was lost before its answer")]
+    /// The connection failed before the answer head, or the bytes received were not valid HTTP.
+    #[error("the connection to the backend failed before the answer head")]
     Lost,
 }
 
-/// How the end of a body is marked.
+/// How a body is delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// By its length in bytes.
     Length(u64),
-    /// By its last chunk.
+    /// By the last chunk of the chunked transfer coding.
     Chunked,
-    /// Not at all: it ends with the connection, so a truncation cannot be seen.
+    /// By the end of the connection, so a truncation cannot be detected.
     UntilClose,
 }
 
-/// Head of a backend's answer.
+/// Head of an answer from a backend.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnswerHead {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Attempt id that the backend echoed.
+    /// Attempt id that the backend echoed; absent if it sent none.
     pub attempt: Option<String>,
-    /// Whether the backend says that the request did not run.
+    /// Whether the backend states that the request did not run.
     pub not_run: bool,
-    /// Sequence number at which the backend continues the run.
+    /// Sequence number at which the backend confirms that it continues the run.
     pub resume_at: Option<u64>,
-    /// When the backend wants to be sent the request again, in milliseconds.
+    /// Time after which the backend asks for a retry, in milliseconds; absent if it sent none.
     pub retry_after_ms: Option<u32>,
-    /// Content type.
+    /// Content type of the body; empty if the backend sent none.
     pub content_type: String,
-    /// How the end of the body is marked.
+    /// How the body is delimited.
     pub framing: Framing,
 }
 
-/// Why a body ended early.
+/// Reason why reading a body failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AnswerError {
-    /// The connection ended before the body did.
-    #[error("the connection to the backend ended before the body did")]
+    /// The connection closed before the end of the body.
+    #[error("the connection to the backend closed before the end of the body")]
     Disconnected,
-    /// The bytes break the protocol.
-    #[error("the body breaks the protocol")]
+    /// The bytes are not a valid HTTP body.
+    #[error("the body from the backend is not valid HTTP")]
     Malformed,
 }
 
-/// An attempt to be withdrawn.
+/// Request to a backend to withdraw an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WithdrawRequest {
     /// Id of the backend.
     pub backend_id: String,
     /// IP address and port of the backend.
     pub address: String,
-    /// Attempt.
+    /// Id of the attempt to withdraw.
     pub attempt: String,
-    /// When the attempt began: before its first byte could leave.
+    /// When the attempt was prepared, before its first byte could be sent.
     pub started: MonotonicTime,
-    /// Longest time to wait for the answer.
+    /// Longest time to wait for the backend's answer.
     pub timeout: Duration,
 }
 
-/// Share of an attempt's age that is added for clocks of different speed: 1 in this many parts.
-const CLOCK_SPEED_SHARE: u32 = 1000;
+/// Divisor for the margin added to an attempt's age for clock drift between proxy and backend:
+/// 1/1000 of the age.
+const CLOCK_DRIFT_DIVISOR: u32 = 1000;
 
 impl WithdrawRequest {
-    /// Upper bound of the attempt's age at any moment at which an answer is still taken, when the
-    /// withdrawal is sent at `now`.
+    /// Returns an upper bound on the attempt's age at any time at which the backend's answer is
+    /// still accepted, for a withdrawal that is sent at `now`.
     ///
-    /// Safety: a backend that has been up for at least this long when it reads the withdrawal was
-    /// up when the attempt's first byte left. The age is counted when the withdrawal is sent and
-    /// the backend's time when it is read, so the longest way between them is added: answers after
-    /// `timeout` are not taken.
+    /// Safety: a backend whose uptime is at least this long when it reads the withdrawal was
+    /// already up when the attempt's first byte was sent. The age is computed when the withdrawal
+    /// is sent, but the uptime is read when the withdrawal arrives. The longest delay between the
+    /// two is therefore added; it is `timeout`, since later answers are not accepted.
     #[must_use]
     pub fn age(&self, now: MonotonicTime) -> Duration {
         let age = now.since(self.started) + self.timeout;
-        age + age / CLOCK_SPEED_SHARE
+        age + age / CLOCK_DRIFT_DIVISOR
     }
 }
 
-/// What the backend says about a withdrawn attempt.
+/// State of an attempt as the backend reports it in answer to a withdrawal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WithdrawAnswer {
-    /// It never ran and never will, even if it arrives later.
+    /// The request did not run and will not run, even if it arrives later.
     Withdrawn,
-    /// It is running.
+    /// The request is running.
     Running,
-    /// It ran to its end.
+    /// The request ran to its end.
     Finished,
-    /// No answer in time, or the backend cannot know.
+    /// The backend did not answer in time, or it does not know, for example after a restart.
     Unknown,
 }
--- a/crates/proxy/src/request/mod.rs
+++ b/crates/proxy/src/request/mod.rs
@@ -1,8 +1,8 @@
-//! The request path: one function a request, read from top to bottom.
+//! The request path: one async function handles a request from start to end.
 //!
-//! [`completion::serve_completion`] and [`lookup::serve_lookup`] hold the order of the steps; the
-//! other modules are the steps. Everything outside the process is reached through
-//! [`environment::RequestEnvironment`], so that the simulator runs the same functions.
+//! [`completion::serve_completion`] and [`lookup::serve_lookup`] run the steps in order; the other
+//! modules implement the steps. All access to the clock, the agent and the backends goes through
+//! [`environment::RequestEnvironment`], so that the simulator runs the same code.
 
 pub mod admit;
 pub mod attempt;
--- a/crates/proxy/src/request/move_stream.rs
+++ b/crates/proxy/src/request/move_stream.rs
@@ -1,4 +1,4 @@
-//! Moves a stream that lost its backend to another one.
+//! Continues a stream on another backend after its backend was lost.
 
 use millford_api::config::Resume;
 use millford_core::{ResultCode, RunState};
@@ -7,29 +7,29 @@
 use crate::request::caller::CallerPresence;
 use crate::request::choose_backend::choose_backend;
 use crate::request::environment::RequestEnvironment;
-use crate::request::failure::RunFate;
+use crate::request::failure::AttemptOutcome;
 use crate::request::plan::RequestPlan;
 use crate::request::refusal::Refusal;
 use crate::request::unserved::Unserved;
-use crate::request::wait::{Waited, wait_until};
+use crate::request::wait::{WaitOutcome, wait_until};
 
-/// A stream that lost its backend.
+/// A stream whose backend was lost.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LostStream {
-    /// The lost backend.
+    /// Id of the lost backend.
     pub backend_id: String,
-    /// Version of the model that ran: no other version continues the run.
+    /// Model version of the run; no other version may continue it.
     pub version: String,
-    /// The run.
+    /// Id of the run.
     pub run: String,
-    /// Sequence number of the first chunk that the caller has not got.
+    /// Sequence number of the first chunk that was not relayed to the caller.
     pub next_sequence: u64,
-    /// Why it was lost.
+    /// Reason for the loss, which the caller gets if no other backend continues the run.
     pub code: ResultCode,
 }
 
 impl LostStream {
-    /// What another backend needs to continue the attempt's run.
+    /// Describes the interrupted run of `attempt`, for another backend to continue it.
     #[must_use]
     pub fn of<E: RequestEnvironment>(
         attempt: &Attempt<'_, E>,
@@ -46,10 +46,11 @@
     }
 }
 
-/// Lets another backend continue the run at exactly the next sequence number.
+/// Continues the run on another backend, at exactly the next sequence number.
 ///
 /// # Errors
-/// Fails when the route, the budget or the time allow no other backend, or none confirms the run.
+/// Fails when the route, the retry budget or the deadline do not allow another attempt, when no
+/// other backend confirms that it continues the run, or when the caller disconnects.
 pub async fn move_stream<'a, E: RequestEnvironment, P: CallerPresence>(
     environment: &'a E,
     plan: &RequestPlan,
@@ -57,17 +58,17 @@
     lost: &LostStream,
 ) -> Result<OpenedAttempt<'a, E>, Unserved> {
     let state = environment.state();
-    let broken = || Unserved::Refused(Refusal::may_have_run(lost.code));
+    let stream_lost = || Unserved::Refused(Refusal::may_have_run(lost.code));
     let allowed = plan.is_repeatable() && plan.route.resume == Resume::Continue;
     if !allowed {
-        return Err(broken());
+        return Err(stream_lost());
     }
     let mut tried = vec![lost.backend_id.clone()];
     for _ in 0..state.limits.max_connects {
         let version = Some(lost.version.as_str());
-        let replica = choose_backend(environment, plan, &tried, version).ok_or_else(broken)?;
+        let replica = choose_backend(environment, plan, &tried, version).ok_or_else(stream_lost)?;
         if environment.now() >= plan.deadline || !state.budget.try_spend() {
-            return Err(broken());
+            return Err(stream_lost());
         }
         state
             .metrics
@@ -79,21 +80,23 @@
         let attempt = Attempt::resume(environment, replica, run, lost.next_sequence);
         let running = attempt.run(plan);
         match wait_until(environment, presence, plan.deadline, running).await {
-            Waited::Ready(Ok(opened)) => {
+            WaitOutcome::Ready(Ok(opened)) => {
                 state.metrics.moved_streams.inc();
                 return Ok(opened);
             }
-            Waited::Ready(Err(failed)) if failed.failure.fate == RunFate::NotSent => {
+            WaitOutcome::Ready(Err(failed))
+                if failed.failure.outcome == AttemptOutcome::NotSent =>
+            {
                 state.budget.refund();
             }
-            Waited::Ready(Err(failed)) => environment.withdraw_later(failed.reference),
-            Waited::TimedOut => {
+            WaitOutcome::Ready(Err(failed)) => environment.withdraw_later(failed.withdraw_request),
+            WaitOutcome::TimedOut => {
                 return Err(Refusal::may_have_run(ResultCode::DeadlineAfterSend).into());
             }
-            Waited::CallerDisconnected => {
+            WaitOutcome::CallerDisconnected => {
                 return Err(Unserved::CallerDisconnected(RunState::MayHaveRun));
             }
         }
     }
-    Err(broken())
+    Err(stream_lost())
 }
--- a/crates/proxy/src/request/plain_body.rs
+++ b/crates/proxy/src/request/plain_body.rs
@@ -1,4 +1,4 @@
-//! Reads a complete body from a backend.
+//! Reads a plain (not streamed) body from a backend.
 
 use bytes::{Bytes, BytesMut};
 use millford_core::ResultCode;
@@ -29,7 +29,7 @@
     }
     match framing {
         Framing::Length(length) if length != body.len() as u64 => Err(ResultCode::AnswerTruncated),
-        // Without a length or a last chunk a truncation cannot be told from the end.
+        // Without a length or a last chunk, a truncated body looks like a complete one.
         Framing::UntilClose => Err(ResultCode::AnswerTruncated),
         Framing::Length(_) | Framing::Chunked => Ok(body.freeze()),
     }
--- a/crates/proxy/src/request/quota_guard.rs
+++ b/crates/proxy/src/request/quota_guard.rs
@@ -1,4 +1,4 @@
-//! A tenant's admission, given back on whatever path the request ends.
+//! A tenant's quota for one request, released when the request ends for any reason.
 
 use millford_core::ResultCode;
 use millford_data_plane::agent_message::{AdmissionReply, AdmissionRequest, QuotaRelease};
@@ -7,7 +7,9 @@
 use crate::request::plan::RequestPlan;
 use crate::request::refusal::Refusal;
 
-/// One admitted request of a tenant.
+/// Quota of one admitted request: a request token and, for a stream, a stream slot.
+///
+/// Dropping it releases the stream slot, and the token unless it was spent.
 pub struct QuotaGuard<'a, E: RequestEnvironment> {
     environment: &'a E,
     tenant: String,
@@ -16,11 +18,11 @@
 }
 
 impl<'a, E: RequestEnvironment> QuotaGuard<'a, E> {
-    /// Requests the admission from the agent, which waits for the tenant's shard within the
-    /// deadline before it refuses.
+    /// Requests quota from the agent. The agent waits for the tenant's shard, at most until the
+    /// deadline, before it refuses.
     ///
     /// # Errors
-    /// Refuses when the deadline has passed, and when the agent does.
+    /// Refuses when the deadline has passed or the agent refuses.
     pub async fn acquire(environment: &'a E, plan: &RequestPlan) -> Result<Self, Refusal> {
         let timeout = plan.deadline.since(environment.now());
         if timeout.is_zero() {
@@ -45,7 +47,7 @@
         }
     }
 
-    /// The request was sent: its token is spent.
+    /// Marks the request token as spent, since the request was sent.
     pub fn spend(&mut self) {
         self.used = true;
     }
--- a/crates/proxy/src/request/record.rs
+++ b/crates/proxy/src/request/record.rs
@@ -1,24 +1,24 @@
-//! What is counted and logged of one request. Never its key, prompt or answer.
+//! The record of a request for metrics and logs. It never holds the key, the prompt or the answer.
 
 use millford_core::ResultCode;
 
 use millford_data_plane::proxy_state::ProxyState;
 
-/// The end of one request.
+/// Result of one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestRecord {
     /// Id of the request.
     pub request_id: String,
-    /// Matched route; empty if none.
+    /// Name of the matched route; empty if none matched.
     pub route: String,
-    /// How it ended.
+    /// Result code of the request.
     pub code: ResultCode,
-    /// Whether the caller disconnected before the end.
+    /// Whether the caller disconnected before the end of the response.
     pub caller_disconnected: bool,
 }
 
 impl RequestRecord {
-    /// A request that has not ended.
+    /// Creates the record of a request in progress.
     #[must_use]
     pub fn new(request_id: String) -> Self {
         Self {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Counts the ended request.
+    /// Counts the finished request in the metrics.
     pub fn count(&self, state: &ProxyState) {
         let code = if self.caller_disconnected {
             "caller_left".to_owned()
@@ -43,13 +43,13 @@
     }
 }
 
-/// Counts a request in progress until it is dropped.
+/// Counts a request as open in the metrics until it is dropped.
 pub struct OpenRequest<'a> {
     state: &'a ProxyState,
 }
 
 impl<'a> OpenRequest<'a> {
-    /// The request arrived.
+    /// Counts a request that has arrived.
     #[must_use]
     pub fn start(state: &'a ProxyState) -> Self {
         state.metrics.open_requests.inc();
@@ -63,13 +63,13 @@
     }
 }
 
-/// Counts an open stream until it is dropped.
+/// Counts a stream as open in the metrics until it is dropped.
 pub struct OpenStream<'a> {
     state: &'a ProxyState,
 }
 
 impl<'a> OpenStream<'a> {
-    /// The first chunk goes to the caller.
+    /// Counts a stream that starts towards the caller.
     #[must_use]
     pub fn start(state: &'a ProxyState) -> Self {
         state.metrics.open_streams.inc();
--- a/crates/proxy/src/request/refusal.rs
+++ b/crates/proxy/src/request/refusal.rs
@@ -1,30 +1,30 @@
-//! The answer to a request that was not served.
+//! The error response to a request that was not served.
 
 use millford_api::http_status::http_status;
 use millford_core::{ResultCode, RunState};
 use serde::Serialize;
 
-/// When to come back after a lack of capacity, in milliseconds.
+/// Retry delay suggested when capacity is short, in milliseconds.
 pub const RETRY_AFTER_BUSY_MS: u32 = 500;
 
-/// When to come back after a lack of backends or of the control plane, in milliseconds.
+/// Retry delay suggested when backends or the control plane are unavailable, in milliseconds.
 pub const RETRY_AFTER_OUTAGE_MS: u32 = 1_000;
 
-/// Why a request was not served, whether it may have run, and when to come back.
+/// Reason why a request was not served, whether it may have run, and when to retry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Numbered code.
+    /// Result code that states the reason.
     pub code: ResultCode,
-    /// Whether a backend may have run it.
+    /// Whether a backend may have run the request.
     pub run: RunState,
-    /// When to come back, in milliseconds.
+    /// Time after which the caller should retry, in milliseconds; absent if no retry is suggested.
     pub retry_after_ms: Option<u32>,
-    /// Detail beside the code's own sentence.
+    /// Sentence that follows the code's own text in the message, if there is one.
     pub detail: Option<String>,
 }
 
 impl Refusal {
-    /// A refusal before anything was sent.
+    /// A refusal of a request that did not run.
     #[must_use]
     pub fn not_run(code: ResultCode) -> Self {
         Self {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// A failure after something was sent.
+    /// A refusal of a request that may have run.
     #[must_use]
     pub fn may_have_run(code: ResultCode) -> Self {
         Self {
@@ -44,27 +44,27 @@
         }
     }
 
-    /// Adds a detail to the code's sentence.
+    /// Sets the sentence that follows the code's own text.
     #[must_use]
     pub fn with_detail(mut self, detail: impl Into<String>) -> Self {
         self.detail = Some(detail.into());
         self
     }
 
-    /// Sets when to come back.
+    /// Sets the time after which the caller should retry, in milliseconds.
     #[must_use]
     pub fn with_retry_after(mut self, retry_after_ms: u32) -> Self {
         self.retry_after_ms = Some(retry_after_ms);
         self
     }
 
-    /// HTTP status of the refusal.
+    /// Returns the HTTP status for the code.
     #[must_use]
     pub fn status(&self) -> u16 {
         http_status(self.code)
     }
 
-    /// The JSON body.
+    /// Returns the JSON body of the error response.
     #[must_use]
     pub fn body(&self) -> String {
         let text = self.code.text();
--- a/crates/proxy/src/request/relay.rs
+++ b/crates/proxy/src/request/relay.rs
@@ -1,4 +1,5 @@
-//! Relays a stream to the caller, from one backend or, where the route allows, from the next.
+//! Relays a stream from a backend to the caller. If the backend is lost and the route allows it,
+//! another backend continues the stream.
 
 use millford_core::{Duration, MonotonicTime, ResultCode, RunState};
 use millford_data_plane::proxy_metrics::ProxyMetrics;
@@ -16,35 +17,35 @@
 use crate::request::reply::{Reply, ReplyError};
 use crate::request::stream_watch::{StreamWatch, WatchVerdict};
 use crate::request::unserved::Unserved;
-use crate::request::wait::{Waited, wait_until};
+use crate::request::wait::{WaitOutcome, wait_until};
 
-/// What a complete stream brought, for the learned costs.
+/// Totals of a complete stream, for the cost estimates.
 #[derive(Clone, Debug, Default)]
 pub struct StreamTotals {
     /// Time from the first chunk to the last.
     pub decode: Duration,
     /// Number of chunks relayed.
     pub chunks: u64,
-    /// Usage, if the backend sent it.
+    /// Token counts, if the backend sent them.
     pub usage: Option<Usage>,
-    /// Why the caller did not get the end of the complete stream, if it did not.
+    /// Reason why the end of the stream could not be delivered to the caller; absent if it was.
     pub undelivered: Option<Unserved>,
 }
 
-/// Why the present backend gives no more chunks.
+/// Reason to stop reading from the current backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Interruption {
-    /// The backend is lost; another one may continue the run.
+    /// The backend is lost or the stream is invalid; another backend may continue the run.
     Lost(ResultCode),
     Deadline,
     CallerDisconnected,
     Stopping,
 }
 
-/// Relays the stream to its end marker, or returns why the run did not come to its end.
+/// Relays the stream up to its end marker.
 ///
 /// # Errors
-/// Fails when no backend brings the stream to its end, and when the caller does not take it.
+/// Fails when no backend completes the stream, or when a chunk cannot be delivered to the caller.
 pub async fn relay_stream<'a, E, C>(
     environment: &'a E,
     plan: &RequestPlan,
@@ -75,7 +76,7 @@
             }
             Ok(StreamItem::Done) => {
                 source.finish();
-                // The run is complete, whether or not the caller still takes its end.
+                // The run counts as complete even if the end cannot be delivered to the caller.
                 let sent = reply.send_done(plan.deadline).await;
                 totals.undelivered = sent.err().map(Unserved::from);
                 return Ok(totals);
@@ -102,9 +103,10 @@
     }
 }
 
-/// The backend that a stream comes from at present.
+/// The backend that a stream is currently read from.
 ///
-/// The reader is the first field, so that its connection is closed before the attempt is withdrawn.
+/// Fields drop in order: the reader is first, so that its connection is closed before the attempt
+/// is withdrawn.
 struct StreamSource<'a, E: RequestEnvironment> {
     reader: ChunkReader<E::Answer>,
     attempt: Attempt<'a, E>,
@@ -112,14 +114,14 @@
     environment: &'a E,
 }
 
-/// A stream that another backend continues.
+/// A stream that another backend continues, with its first item from there.
 struct MovedStream<'a, E: RequestEnvironment> {
     source: StreamSource<'a, E>,
     first: StreamItem,
 }
 
 impl<'a, E: RequestEnvironment> StreamSource<'a, E> {
-    /// The first item of the reader has arrived.
+    /// Begins to read from a backend whose first item has arrived.
     fn begin(
         environment: &'a E,
         mut attempt: Attempt<'a, E>,
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Waits for the next item, checking the backend's state from time to time.
+    /// Waits for the next item and checks the backend's state at a fixed interval.
     async fn next_item<P: CallerPresence>(
         &mut self,
         plan: &RequestPlan,
@@ -158,16 +160,16 @@
             let next_check = environment.now() + environment.state().limits.backend_check_interval;
             let until = next_check.min(plan.deadline);
             match wait_until(environment, presence, until, self.reader.next()).await {
-                Waited::Ready(Ok(item)) => {
+                WaitOutcome::Ready(Ok(item)) => {
                     self.record_activity(&backend_id, waited_from);
                     return Ok(item);
                 }
-                Waited::Ready(Err(code)) => return Err(Interruption::Lost(code)),
-                Waited::TimedOut if environment.now() >= plan.deadline => {
+                WaitOutcome::Ready(Err(code)) => return Err(Interruption::Lost(code)),
+                WaitOutcome::TimedOut if environment.now() >= plan.deadline => {
                     return Err(Interruption::Deadline);
                 }
-                Waited::TimedOut => {}
-                Waited::CallerDisconnected => return Err(Interruption::CallerDisconnected),
+                WaitOutcome::TimedOut => {}
+                WaitOutcome::CallerDisconnected => return Err(Interruption::CallerDisconnected),
             }
         }
     }
@@ -181,8 +183,8 @@
         ProxyMetrics::observe(&state.metrics.inter_token_seconds, waited);
     }
 
-    /// The end marker arrived: nothing is left to withdraw. Bytes after it are dropped with the
-    /// connection and never attributed.
+    /// Finishes the attempt after the end marker. Bytes received after the marker are counted and
+    /// dropped with the connection; they are never relayed.
     fn finish(&mut self) {
         if self.reader.pending_bytes() > 0 {
             let dropped = &self.environment.state().metrics.dropped_answers;
@@ -191,7 +193,7 @@
         self.attempt.finish();
     }
 
-    /// Lets another backend continue the run from the next chunk on.
+    /// Continues the run on another backend, from the next chunk on.
     async fn continue_elsewhere<P: CallerPresence>(
         self,
         plan: &RequestPlan,
@@ -201,8 +203,8 @@
         self.record_loss(code);
         let environment = self.environment;
         let lost = LostStream::of(&self.attempt, self.reader.next_sequence(), code);
-        // The old connection is closed and its attempt withdrawn before another backend is asked:
-        // nothing of the old one can come between the chunks of the new one.
+        // The old connection is closed and its attempt withdrawn before another backend is asked,
+        // so that no chunks of the old attempt can mix with those of the new one.
         drop(self);
         let moved = move_stream(environment, plan, presence, &lost).await?;
         let AnswerStart::Stream { reader, first } = moved.answer else {
@@ -224,7 +226,7 @@
             ResultCode::BackendSilent => {
                 state.eject(&key.backend_id, EjectionReason::Unresponsive);
             }
-            // A stream that ends with its backend's drain says nothing about the backend's health.
+            // A stream that ends because its backend drains is no sign of a fault in the backend.
             ResultCode::BackendLost if is_active => {
                 state.eject(&key.backend_id, EjectionReason::ConnectionLost);
             }
--- a/crates/proxy/src/request/reply.rs
+++ b/crates/proxy/src/request/reply.rs
@@ -1,4 +1,4 @@
-//! Writes one answer to the caller, in whichever form it began.
+//! Writes the response to the caller: a plain answer, a stream or a refusal.
 
 use bytes::Bytes;
 use millford_core::{MonotonicTime, ResultCode};
@@ -7,20 +7,21 @@
 use crate::request::caller::{CallerDisconnected, CallerHead, CallerSink};
 use crate::request::environment::RequestEnvironment;
 use crate::request::refusal::Refusal;
-use crate::request::wait::{Waited, wait_until};
+use crate::request::wait::{WaitOutcome, wait_until};
 
 const JSON: &str = "application/json";
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// Time for a caller to take the end of an answer after its deadline.
+/// Longest time to deliver the error event of a stream, counted from its failure. It also applies
+/// after the request's deadline.
 const FINAL_SEND_TIMEOUT: millford_core::Duration = millford_core::Duration::from_secs(1);
 
-/// Why a part could not be given to the caller.
+/// Reason why a part of the response could not be delivered to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyError {
     /// The caller disconnected.
     CallerDisconnected,
-    /// The deadline passed while the caller read slowly.
+    /// The time limit passed while the caller read too slowly.
     TimedOut,
 }
 
@@ -30,7 +31,7 @@
     }
 }
 
-/// The answer to one caller.
+/// The response to one caller.
 pub struct Reply<'a, E, C> {
     environment: &'a E,
     sink: &'a mut C,
@@ -40,7 +41,7 @@
 }
 
 impl<'a, E: RequestEnvironment, C: CallerSink> Reply<'a, E, C> {
-    /// An answer that has not begun.
+    /// Creates a response of which nothing has been sent.
     pub fn new(environment: &'a E, sink: &'a mut C, request_id: String, revision: u64) -> Self {
         Self {
             environment,
@@ -51,13 +52,13 @@
         }
     }
 
-    /// Handle to wait for the caller's disconnect.
+    /// Returns a handle that detects the caller's disconnect.
     #[must_use]
     pub fn presence(&self) -> C::Presence {
         self.sink.presence()
     }
 
-    /// Begins a stream.
+    /// Sends the head of a stream.
     ///
     /// # Errors
     /// Fails when the caller disconnected.
@@ -67,10 +68,10 @@
         Ok(self.sink.begin(head).await?)
     }
 
-    /// Gives the caller an event of the stream, within the deadline.
+    /// Sends an event of the stream, at the latest at the deadline.
     ///
     /// # Errors
-    /// Fails when the caller disconnected or the time is up.
+    /// Fails when the caller disconnected or the deadline passed.
     pub async fn send_event(
         &mut self,
         event: Bytes,
@@ -79,16 +80,16 @@
         let presence = self.sink.presence();
         let sending = self.sink.send(event);
         match wait_until(self.environment, &presence, deadline, sending).await {
-            Waited::Ready(sent) => Ok(sent?),
-            Waited::TimedOut => Err(ReplyError::TimedOut),
-            Waited::CallerDisconnected => Err(ReplyError::CallerDisconnected),
+            WaitOutcome::Ready(sent) => Ok(sent?),
+            WaitOutcome::TimedOut => Err(ReplyError::TimedOut),
+            WaitOutcome::CallerDisconnected => Err(ReplyError::CallerDisconnected),
         }
     }
 
-    /// Ends a complete stream.
+    /// Sends the end marker of a complete stream and ends the body.
     ///
     /// # Errors
-    /// Fails when the caller disconnected or the time is up.
+    /// Fails when the caller disconnected or the deadline passed.
     pub async fn send_done(&mut self, deadline: MonotonicTime) -> Result<(), ReplyError> {
         let event = Bytes::from(format!("data: {DONE_MARKER}\n\n"));
         self.send_event(event, deadline).await?;
@@ -96,7 +97,7 @@
         Ok(())
     }
 
-    /// Gives a complete plain answer.
+    /// Sends a complete plain answer.
     ///
     /// # Errors
     /// Fails when the caller disconnected.
@@ -113,10 +114,10 @@
         Ok(())
     }
 
-    /// Ends the answer with a refusal: as its body, or as the last event of a stream.
+    /// Sends a refusal: as the complete response, or as the last event of a stream that has begun.
     ///
     /// # Errors
-    /// Fails when the caller disconnected or the time is up.
+    /// Fails when the caller disconnected, or when the last event could not be delivered in time.
     pub async fn refuse(&mut self, refusal: &Refusal) -> Result<(), ReplyError> {
         if self.begun {
             return self.end_stream_with_error(refusal).await;
@@ -131,7 +132,8 @@
         Ok(())
     }
 
-    /// There is no end marker after an error event: a truncated stream never looks complete.
+    /// Ends a stream with an error event. No end marker follows, so that a truncated stream cannot
+    /// be taken for a complete one.
     async fn end_stream_with_error(&mut self, refusal: &Refusal) -> Result<(), ReplyError> {
         let event = format!("event: {ERROR_EVENT}\ndata: {}\n\n", refusal.body());
         let until = self.environment.now() + FINAL_SEND_TIMEOUT;
@@ -158,7 +160,7 @@
     }
 }
 
-/// The result code that a failure to reply is counted as.
+/// Returns the result code under which a failure to deliver the response is counted.
 #[must_use]
 pub fn code_of(error: ReplyError) -> ResultCode {
     match error {
--- a/crates/proxy/src/request/request_scope.rs
+++ b/crates/proxy/src/request/request_scope.rs
@@ -1,4 +1,4 @@
-//! What surrounds every request: its id, its record and the way back to its caller.
+//! State that every request needs: its id, its record and the response to its caller.
 
 use millford_core::ResultCode;
 
@@ -9,18 +9,18 @@
 use crate::request::reply::Reply;
 use crate::request::unserved::Unserved;
 
-/// One request from its arrival to its counted end.
+/// One request, from its arrival until it is counted.
 pub(super) struct RequestScope<'a, E, C> {
-    /// The answer to the caller.
+    /// Response to the caller.
     pub(super) reply: Reply<'a, E, C>,
-    /// What is counted and logged of the request.
+    /// Record of the request for metrics and logs.
     pub(super) record: RequestRecord,
     environment: &'a E,
     open: OpenRequest<'a>,
 }
 
 impl<'a, E: RequestEnvironment, C: CallerSink> RequestScope<'a, E, C> {
-    /// A request that has just arrived.
+    /// Assigns an id to a request that has arrived and counts it as open.
     pub(super) fn begin(environment: &'a E, caller: &'a mut C) -> Self {
         let request_id = random_id([environment.random(), environment.random()]);
         let revision = environment.state().table().revision();
@@ -33,13 +33,14 @@
         }
     }
 
-    /// Ends the request: its refusal, if any, goes out, and its record is completed and counted.
+    /// Ends the request: sends its refusal, if there is one, and completes and counts its record.
     pub(super) async fn conclude(mut self, served: Result<(), Unserved>) -> RequestRecord {
         match served {
             Ok(()) => self.record.code = ResultCode::Ok,
             Err(Unserved::Refused(refusal)) => {
                 self.record.code = refusal.code;
-                // The refusal goes out at once; a caller that disconnected does not need it.
+                // A refusal that cannot be delivered is ignored: the caller has disconnected or
+                // does not read.
                 let _ = self.reply.refuse(&refusal).await;
             }
             Err(Unserved::CallerDisconnected(_)) => self.record.caller_disconnected = true,
--- a/crates/proxy/src/request/run_cost.rs
+++ b/crates/proxy/src/request/run_cost.rs
@@ -1,4 +1,4 @@
-//! What one run shows of its model's cost.
+//! Measures one run for the estimates of its model's cost.
 
 use millford_api::internal::CostSample;
 use millford_core::Duration;
@@ -13,7 +13,7 @@
 use crate::request::plan::RequestPlan;
 use crate::request::relay::StreamTotals;
 
-/// Times and tokens of one run, learned once its answer is complete.
+/// Times and token counts of one run, added to the estimates once its answer is complete.
 pub(super) struct RunCost {
     replica: ReplicaKey,
     by_affinity: bool,
@@ -22,8 +22,8 @@
 }
 
 impl RunCost {
-    /// Starts at the first part of the answer, and records the time to the first token of a
-    /// stream.
+    /// Starts the measurement when the first part of the answer has arrived. For a stream, records
+    /// the time to the first token at once.
     pub(super) fn at_first_token<E: RequestEnvironment>(
         environment: &E,
         plan: &RequestPlan,
@@ -54,20 +54,21 @@
         }
     }
 
-    /// Adds what a complete plain answer says.
+    /// Adds the token counts from the body of a plain answer.
     pub(super) fn add_plain(&mut self, body: &[u8]) {
         self.usage = plain_usage(body);
     }
 
-    /// Adds what a complete stream brought.
+    /// Adds the totals of a complete stream.
     pub(super) fn add_stream(&mut self, totals: &StreamTotals) {
         self.sample.output_tokens = clamp_to_u32(totals.chunks);
         self.sample.decode_ms = millis(totals.decode);
         self.usage = totals.usage;
     }
 
-    /// Learns the model's cost, here and at the other proxies.
-    pub(super) fn learn(self, state: &ProxyState, plan: &RequestPlan) {
+    /// Adds the run to this proxy's cost estimates, and to the sample that is reported for the
+    /// other proxies.
+    pub(super) fn record(self, state: &ProxyState, plan: &RequestPlan) {
         let model = &plan.requirement.model;
         if let Some(usage) = self.usage.filter(|usage| usage.prompt_tokens > 0) {
             let share = usage.cached_tokens as f64 / usage.prompt_tokens as f64;
--- a/crates/proxy/src/request/send_progress.rs
+++ b/crates/proxy/src/request/send_progress.rs
@@ -1,52 +1,55 @@
-//! What has been sent for one request so far.
+//! Tracks the failed attempts of one request.
 
 use millford_core::RunState;
 
 use crate::request::environment::RequestEnvironment;
-use crate::request::failure::{AttemptFailure, RunFate};
+use crate::request::failure::{AttemptFailure, AttemptOutcome};
 use crate::request::message::{WithdrawAnswer, WithdrawRequest};
 use crate::request::refusal::Refusal;
 
 /// Attempts of one request that ended without an answer.
 #[derive(Debug, Default)]
 pub struct SendProgress {
-    /// Attempts of which a byte may have left.
+    /// Number of attempts of which a byte was or may still be sent.
     pub sends: u32,
-    /// Backends that failed and are not tried again.
+    /// Ids of the backends that failed; they are not tried again.
     pub tried: Vec<String>,
     last_failure: Option<AttemptFailure>,
     unconfirmed: Vec<WithdrawRequest>,
-    certainly_ran: bool,
+    known_to_have_run: bool,
 }
 
 impl SendProgress {
-    /// Notes a failed attempt.
+    /// Records a failed attempt.
     pub fn record_failure(&mut self, failure: AttemptFailure, attempt: WithdrawRequest) {
         self.tried.push(attempt.backend_id.clone());
-        match failure.fate {
-            RunFate::NotSent | RunFate::RefusedBeforeWork => {}
-            RunFate::Unknown => self.unconfirmed.push(attempt),
-            RunFate::Failed => self.certainly_ran = true,
+        match failure.outcome {
+            AttemptOutcome::NotSent | AttemptOutcome::RefusedBeforeWork => {}
+            AttemptOutcome::Unknown => self.unconfirmed.push(attempt),
+            AttemptOutcome::Failed => self.known_to_have_run = true,
         }
         self.last_failure = Some(failure);
     }
 
-    /// The failure of the last attempt.
+    /// Returns the failure of the last failed attempt, if any failed.
     #[must_use]
     pub fn last_failure(&self) -> Option<AttemptFailure> {
         self.last_failure
     }
 
-    /// An attempt succeeded elsewhere: the others are withdrawn without waiting.
+    /// Withdraws the failed attempts that may have run, without waiting for the answers. Called
+    /// when another attempt succeeded.
     pub fn withdraw_rest<E: RequestEnvironment>(&mut self, environment: &E) {
         for attempt in self.unconfirmed.drain(..) {
             environment.withdraw_later(attempt);
         }
     }
 
-    /// Withdraws what may still run, then says truthfully whether the request ran.
+    /// Withdraws the failed attempts that may have run, waits for the answers, and returns the
+    /// refusal with its run state.
     ///
-    /// Only "withdrawn" from every backend that may have got a byte makes it "not run".
+    /// The request counts as "not run" only if every backend that may have received a byte confirms
+    /// the withdrawal, and no attempt is known to have run.
     pub async fn give_up<E: RequestEnvironment>(
         &mut self,
         environment: &E,
@@ -60,7 +63,7 @@
         let all_withdrawn = answers
             .iter()
             .all(|answer| *answer == WithdrawAnswer::Withdrawn);
-        let run = if all_withdrawn && !self.certainly_ran {
+        let run = if all_withdrawn && !self.known_to_have_run {
             RunState::NotRun
         } else {
             RunState::MayHaveRun
@@ -69,9 +72,9 @@
     }
 }
 
-/// Withdraws one attempt. An answer after the time-out counts as none: the age that the backend
-/// compared with would no longer be an upper bound. A process that was frozen meanwhile may well
-/// find such an answer before it finds that the time is over.
+/// Withdraws one attempt. An answer after the timeout is ignored, since the age that the backend
+/// compared its uptime with would no longer be an upper bound. The time is checked again here
+/// because a process that was suspended may read a late answer before its timer fires.
 async fn withdraw_in_time<E: RequestEnvironment>(
     environment: &E,
     attempt: WithdrawRequest,
--- a/crates/proxy/src/request/sse.rs
+++ b/crates/proxy/src/request/sse.rs
@@ -1,22 +1,22 @@
-//! Server-sent events.
+//! Decoder for server-sent events.
 
 /// Largest event accepted, in bytes.
 pub const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// One event.
+/// One server-sent event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SseEvent {
-    /// Name; empty for plain data.
+    /// Name of the event; empty if it has none.
     pub name: String,
     /// Data lines, joined by line feeds.
     pub data: String,
 }
 
-/// Why bytes are not taken as an event stream.
+/// Reason why bytes cannot be decoded as an event stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SseError {
-    /// An event is not text.
-    #[error("an event is not UTF-8")]
+    /// An event is not valid UTF-8.
+    #[error("an event is not valid UTF-8")]
     NotUtf8(#[from] std::str::Utf8Error),
     /// An event is larger than [`MAX_EVENT_BYTES`].
     #[error("an event is larger than {MAX_EVENT_BYTES} bytes")]
@@ -30,21 +30,21 @@
 }
 
 impl SseDecoder {
-    /// Adds bytes in the order in which they came.
+    /// Appends received bytes; they must be added in the order of arrival.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes that are not part of an event taken so far.
+    /// Returns how many bytes are not part of an event returned so far.
     #[must_use]
     pub fn pending_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Takes the next complete event; nothing while more bytes are needed.
+    /// Removes and returns the next complete event, or `None` while more bytes are needed.
     ///
     /// # Errors
-    /// Fails when the bytes are not an event stream, or an event is too large.
+    /// Fails when an event is not valid UTF-8 or is too large.
     pub fn next_event(&mut self) -> Result<Option<SseEvent>, SseError> {
         while let Some(end) = event_end(&self.buffer) {
             let block: Vec<u8> = self.buffer.drain(..end).collect();
@@ -60,7 +60,7 @@
     }
 }
 
-/// Position after the blank line that ends the first event.
+/// Returns the position after the blank line that ends the first event, if it is complete.
 fn event_end(buffer: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (position, byte) in buffer.iter().enumerate() {
--- a/crates/proxy/src/request/stream_watch.rs
+++ b/crates/proxy/src/request/stream_watch.rs
@@ -1,4 +1,4 @@
-//! Watches the backend of a waiting request: inactivity, ejection, drain.
+//! Monitors the backend of a request in progress for inactivity, ejection and drain.
 
 use std::future::Future;
 use std::pin::pin;
@@ -11,33 +11,35 @@
 use crate::request::failure::AttemptFailure;
 use crate::request::plan::RequestPlan;
 
-/// A gap between two checks counts as at most this many times the usual one.
+/// The time between two checks counts as inactivity for at most this many check intervals.
 ///
-/// When the whole process was frozen, inactivity during the freeze says nothing about the backend.
-const LARGEST_COUNTED_GAP: u32 = 2;
+/// While the whole process was suspended, a lack of chunks is no sign of a fault in the backend.
+const MAX_COUNTED_INTERVALS: u32 = 2;
 
-/// Inactivity beyond this many timeouts ends a stream even if no other backend responds.
-const LONE_INACTIVITY_FACTOR: u32 = 2;
+/// Inactivity of this many timeouts interrupts a stream even if no other backend responds.
+const UNCONDITIONAL_INACTIVITY_FACTOR: u32 = 2;
 
-/// Result of a check of a stream's backend.
+/// Result of checking a stream's backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchVerdict {
-    /// Keep waiting.
+    /// The backend may still send the next chunk: keep waiting.
     Wait,
-    /// Inactive for too long: the backend is ejected.
+    /// The backend was inactive for too long and is to be ejected.
     Unresponsive,
-    /// The drain time of the backend is over.
+    /// The drain time of the backend has passed.
     Drained,
-    /// The proxy itself stops now.
+    /// The proxy itself is stopping.
     Stopping,
 }
 
-/// Runs a future until its backend has been unresponsive for too long and is ejected for it.
+/// Runs a future, and cancels it if its backend is ejected as unresponsive and the inactivity
+/// timeout has passed.
 ///
-/// Ejection alone is not enough: a probe may fail on a busy machine while the answer is on its way.
+/// Ejection alone does not cancel it: a probe may fail on a busy machine while the answer is on its
+/// way.
 ///
 /// # Errors
-/// Fails with the future's own failure, or when the backend is ejected.
+/// Fails with the future's own failure, or when the future is cancelled.
 pub async fn until_ejected<E: RequestEnvironment, T>(
     environment: &E,
     backend_id: &str,
@@ -53,7 +55,8 @@
             Either::Left((output, _)) => return output,
             Either::Right(_) => {}
         }
-        // Checks are counted, not time: after a freeze of this process nothing is held against it.
+        // Check intervals are counted rather than elapsed time, so that a suspension of this
+        // process does not count as inactivity of the backend.
         waited += check;
         let ejected = state.health.ejection(backend_id) == Some(EjectionReason::Unresponsive);
         if ejected && waited >= state.limits.stream_inactivity_timeout {
@@ -62,38 +65,39 @@
     }
 }
 
-/// Inactivity and drain of one open stream.
+/// Tracks inactivity and drain of the backend of one open stream.
 #[derive(Debug)]
 pub struct StreamWatch {
     inactive_for: Duration,
-    looked_at: MonotonicTime,
+    checked_at: MonotonicTime,
     draining_since: Option<MonotonicTime>,
 }
 
 impl StreamWatch {
-    /// A watch that starts at the time of the first chunk.
+    /// Starts tracking at the time of the first chunk.
     #[must_use]
     pub fn new(now: MonotonicTime) -> Self {
         Self {
             inactive_for: Duration::ZERO,
-            looked_at: now,
+            checked_at: now,
             draining_since: None,
         }
     }
 
-    /// A chunk came.
+    /// Records that a chunk arrived, which resets the inactivity.
     pub fn record_activity(&mut self, now: MonotonicTime) {
         self.inactive_for = Duration::ZERO;
-        self.looked_at = now;
+        self.checked_at = now;
     }
 
-    /// Whether the backend drains.
+    /// Returns whether the backend was draining at the last check.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.draining_since.is_some()
     }
 
-    /// Checks the backend after a while without a chunk, or between two chunks.
+    /// Checks the backend. Called before each wait for a chunk, and again at every check interval
+    /// during the wait.
     pub fn check<E: RequestEnvironment>(
         &mut self,
         environment: &E,
@@ -102,9 +106,9 @@
     ) -> WatchVerdict {
         let now = environment.now();
         let limits = &environment.state().limits;
-        let counted_gap = limits.backend_check_interval * LARGEST_COUNTED_GAP;
-        self.inactive_for += now.since(self.looked_at).min(counted_gap);
-        self.looked_at = now;
+        let max_counted = limits.backend_check_interval * MAX_COUNTED_INTERVALS;
+        self.inactive_for += now.since(self.checked_at).min(max_counted);
+        self.checked_at = now;
         if environment.state().is_stopping() {
             return WatchVerdict::Stopping;
         }
@@ -123,11 +127,14 @@
         if self.inactive_for < limit {
             return false;
         }
-        let others_go_on = state
-            .health
-            .others_responsive(backend_id, environment.now(), limit);
+        let others_responsive =
+            state
+                .health
+                .others_responsive(backend_id, environment.now(), limit);
         let already_ejected = !state.health.is_usable(backend_id);
-        others_go_on || already_ejected || self.inactive_for >= limit * LONE_INACTIVITY_FACTOR
+        others_responsive
+            || already_ejected
+            || self.inactive_for >= limit * UNCONDITIONAL_INACTIVITY_FACTOR
     }
 
     fn drain_is_over<E: RequestEnvironment>(
@@ -146,7 +153,8 @@
             return false;
         }
         let since = *self.draining_since.get_or_insert(now);
-        // Checks come every `backend_check_interval`: one less than the pool's time keeps within it.
+        // Two check intervals are subtracted, so that the stream is interrupted within the pool's
+        // drain time although the drain is seen only at the next check.
         let allowed = pool
             .drain
             .saturating_sub(environment.state().limits.backend_check_interval * 2);
--- a/crates/proxy/src/request/unserved.rs
+++ b/crates/proxy/src/request/unserved.rs
@@ -1,20 +1,20 @@
-//! Why a request got no complete answer.
+//! Reasons why a request got no complete answer.
 
 use millford_core::RunState;
 
 use crate::request::refusal::Refusal;
 
-/// Why a request ended without an answer, or without the end of one.
+/// Reason why a request ended without a complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Unserved {
-    /// It is refused.
+    /// The caller gets this refusal.
     Refused(Refusal),
-    /// The caller disconnected; whether the request may have run.
+    /// The caller disconnected. The value states whether the request may have run.
     CallerDisconnected(RunState),
 }
 
 impl Unserved {
-    /// Whether a backend may have run the request.
+    /// Returns whether a backend may have run the request.
     #[must_use]
     pub fn run_state(&self) -> RunState {
         match self {
--- a/crates/proxy/src/request/wait.rs
+++ b/crates/proxy/src/request/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting for something, the deadline or the caller's disconnect, whichever comes first.
+//! Waits for a future, a time limit or the caller's disconnect, whichever comes first.
 
 use std::future::Future;
 use std::pin::pin;
@@ -9,27 +9,27 @@
 use crate::request::caller::CallerPresence;
 use crate::request::environment::RequestEnvironment;
 
-/// How a wait ended.
+/// Result of a wait.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Waited<T> {
-    /// It came.
+pub enum WaitOutcome<T> {
+    /// The future completed with this output.
     Ready(T),
-    /// The time was up first.
+    /// The time limit passed first.
     TimedOut,
     /// The caller disconnected first.
     CallerDisconnected,
 }
 
-/// Waits for `future` until the time `until`, as long as the caller is there.
+/// Waits for `future` until the time `until` or the caller's disconnect.
 ///
-/// What is ready is taken before the time is checked: after a freeze of the whole process an
-/// answer that lies ready is not thrown away.
+/// The future is polled before the timer, so that an answer that is already available is not
+/// discarded after the whole process was suspended.
 pub async fn wait_until<E, P, F>(
     environment: &E,
     presence: &P,
     until: MonotonicTime,
     future: F,
-) -> Waited<F::Output>
+) -> WaitOutcome<F::Output>
 where
     E: RequestEnvironment,
     P: CallerPresence,
@@ -40,8 +40,8 @@
     let timer = pin!(environment.sleep(left));
     let disconnected = pin!(presence.disconnected());
     match select(future, select(timer, disconnected)).await {
-        Either::Left((output, _)) => Waited::Ready(output),
-        Either::Right((Either::Left(_), _)) => Waited::TimedOut,
-        Either::Right((Either::Right(_), _)) => Waited::CallerDisconnected,
+        Either::Left((output, _)) => WaitOutcome::Ready(output),
+        Either::Right((Either::Left(_), _)) => WaitOutcome::TimedOut,
+        Either::Right((Either::Right(_), _)) => WaitOutcome::CallerDisconnected,
     }
 }
--- a/crates/proxy/tests/bad_inputs/cases.rs
+++ b/crates/proxy/tests/bad_inputs/cases.rs
@@ -1,11 +1,11 @@
-//! The bad inputs: headers, bodies and paths.
+//! Invalid requests: headers, bodies and paths.
 
 use millford_core::ResultCode;
 
 use super::support::fixture::KEY;
 use super::support::raw_backend::{get, post};
 
-/// A request and what it must be answered with.
+/// An invalid request with the status and code that it must be answered with.
 pub(crate) struct Case {
     pub(crate) name: &'static str,
     pub(crate) request: Vec<u8>,
@@ -26,52 +26,55 @@
     format!("authorization: Bearer {KEY}\r\ncontent-type: application/json\r\n{extra}")
 }
 
-/// A case that differs from a good request in its body.
+/// A case that differs from a valid request only in its body.
 fn body_case(name: &'static str, body: &str, status: u16, code: ResultCode) -> Case {
     case(name, post(&headers(""), body), status, code)
 }
 
-const GOOD: &str = r#"{"model":"saga","messages":[{"role":"user","content":"One."}]}"#;
+const VALID_BODY: &str = r#"{"model":"saga","messages":[{"role":"user","content":"One."}]}"#;
 
 pub(crate) fn header_cases() -> Vec<Case> {
     use ResultCode as Code;
     let json = "content-type: application/json\r\n";
-    let with = |extra: &str| post(&headers(extra), GOOD);
+    let with = |extra: &str| post(&headers(extra), VALID_BODY);
     let long_key = format!("idempotency-key: {}\r\n", "k".repeat(300));
-    let wide = format!("x-other: {}\r\n", "w".repeat(3000));
+    let long_header = format!("x-other: {}\r\n", "w".repeat(3000));
     let twice = "idempotency-key: a\r\nidempotency-key: b\r\n";
     let auth_twice = format!("authorization: Bearer {KEY}\r\n");
-    let mut binary = post(&headers("x-millford-session: B\r\n"), GOOD);
-    let place = binary
+    let mut binary = post(&headers("x-millford-session: B\r\n"), VALID_BODY);
+    let position = binary
         .windows(9)
         .position(|window| window == b"session: ")
         .expect("header")
         + 9;
-    binary[place] = 0xff;
+    binary[position] = 0xff;
     vec![
-        case("no key", post(json, GOOD), 401, Code::KeyMissing),
+        case("no key", post(json, VALID_BODY), 401, Code::KeyMissing),
         case(
             "another scheme",
-            post(&format!("authorization: Basic {KEY}\r\n{json}"), GOOD),
+            post(&format!("authorization: Basic {KEY}\r\n{json}"), VALID_BODY),
             401,
             Code::KeyMissing,
         ),
         case(
             "an empty key",
-            post(&format!("authorization: Bearer \r\n{json}"), GOOD),
+            post(&format!("authorization: Bearer \r\n{json}"), VALID_BODY),
             401,
             Code::KeyMissing,
         ),
         case(
             "an unknown key",
-            post(&format!("authorization: Bearer other\r\n{json}"), GOOD),
+            post(
+                &format!("authorization: Bearer other\r\n{json}"),
+                VALID_BODY,
+            ),
             401,
             Code::KeyUnknown,
         ),
         case("two keys", with(&auth_twice), 400, Code::BadHeader),
         case(
             "no content type",
-            post(&format!("authorization: Bearer {KEY}\r\n"), GOOD),
+            post(&format!("authorization: Bearer {KEY}\r\n"), VALID_BODY),
             415,
             Code::ContentTypeUnsupported,
         ),
@@ -79,7 +82,7 @@
             "another content type",
             post(
                 &format!("authorization: Bearer {KEY}\r\ncontent-type: text/plain\r\n"),
-                GOOD,
+                VALID_BODY,
             ),
             415,
             Code::ContentTypeUnsupported,
@@ -97,7 +100,7 @@
             Code::BadHeader,
         ),
         case(
-            "a deadline in words",
+            "a deadline that is not a number",
             with("x-millford-deadline-ms: soon\r\n"),
             400,
             Code::BadHeader,
@@ -122,7 +125,12 @@
         ),
         case("two idempotency keys", with(twice), 400, Code::BadHeader),
         case("a binary session", binary, 400, Code::BadHeader),
-        case("wide headers", with(&wide), 431, Code::HeadersTooLarge),
+        case(
+            "headers over the limit",
+            with(&long_header),
+            431,
+            Code::HeadersTooLarge,
+        ),
         case(
             "an unknown adapter",
             with("x-millford-adapter: none\r\n"),
@@ -154,11 +162,11 @@
     let with = |fields: &str| format!(r#"{{"model":"saga",{fields},{messages}}}"#);
     vec![
         body_case("no body", "", 400, Code::BadJson),
-        body_case("half a body", r#"{"model":"sa"#, 400, Code::BadJson),
-        body_case("no JSON", "model=saga", 400, Code::BadJson),
+        body_case("a truncated body", r#"{"model":"sa"#, 400, Code::BadJson),
+        body_case("a body that is not JSON", "model=saga", 400, Code::BadJson),
         body_case(
             "bytes after the JSON",
-            &format!("{GOOD}x"),
+            &format!("{VALID_BODY}x"),
             400,
             Code::BadJson,
         ),
@@ -178,7 +186,7 @@
         ),
         body_case("no messages", r#"{"model":"saga"}"#, 400, Code::BadField),
         body_case(
-            "messages of text",
+            "messages that are not an array",
             r#"{"model":"saga","messages":"x"}"#,
             400,
             Code::BadField,
@@ -202,7 +210,7 @@
             Code::BadField,
         ),
         body_case(
-            "a stream in words",
+            "a stream field that is not a boolean",
             &with(r#""stream":"yes""#),
             400,
             Code::BadField,
@@ -219,16 +227,21 @@
             400,
             Code::BadField,
         ),
-        body_case("several answers", &with(r#""n":3"#), 400, Code::BadField),
+        body_case(
+            "more than one answer",
+            &with(r#""n":3"#),
+            400,
+            Code::BadField,
+        ),
         body_case(
             "an unknown model",
-            &GOOD.replace("saga", "edda"),
+            &VALID_BODY.replace("saga", "edda"),
             404,
             Code::ModelUnknown,
         ),
         body_case(
             "an unknown version",
-            &GOOD.replace("saga", "saga@9"),
+            &VALID_BODY.replace("saga", "saga@9"),
             503,
             Code::NoBackend,
         ),
@@ -240,15 +253,15 @@
             Code::BodyTooLarge,
         ),
         case(
-            "a cut chunked body",
-            truncated_chunks(),
+            "an invalid chunked body",
+            invalid_chunks(),
             400,
             Code::BodyIncomplete,
         ),
     ]
 }
 
-fn truncated_chunks() -> Vec<u8> {
+fn invalid_chunks() -> Vec<u8> {
     let head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\n";
     let framing = "transfer-encoding: chunked\r\n\r\n";
     format!("{head}{}{framing}zz\r\nnot a chunk", headers("")).into_bytes()
@@ -267,7 +280,7 @@
             Code::PathUnknown,
         ),
         case(
-            "half a path prefix",
+            "a path that only begins like a route",
             get("/stationsx", &headers("")),
             404,
             Code::PathUnknown,
@@ -303,7 +316,7 @@
             Code::MethodNotAllowed,
         ),
         case(
-            "POST to nowhere",
+            "POST to an unknown path",
             method("POST", "/nowhere"),
             404,
             Code::PathUnknown,
--- a/crates/proxy/tests/bad_inputs/main.rs
+++ b/crates/proxy/tests/bad_inputs/main.rs
@@ -1,4 +1,5 @@
-//! Bad inputs get their documented code and leave the process serving.
+//! Tests that invalid requests are refused with their documented codes and that the proxy continues
+//! to serve.
 
 mod cases;
 #[path = "../support/mod.rs"]
@@ -29,12 +30,12 @@
 const MAX_BODY_BYTES: u64 = 4 * 1024;
 const MAX_HEADER_BYTES: u64 = 2 * 1024;
 
-/// An environment whose backends never connect.
-struct Unreachable {
+/// An environment in which no backend accepts a connection.
+struct UnreachableBackends {
     state: ProxyState,
 }
 
-impl RequestEnvironment for Unreachable {
+impl RequestEnvironment for UnreachableBackends {
     type Answer = ScriptedAnswer;
 
     fn state(&self) -> &ProxyState {
@@ -53,7 +54,7 @@
         4
     }
 
-    async fn request_quota(&self, _ask: AdmissionRequest) -> AdmissionReply {
+    async fn request_quota(&self, _request: AdmissionRequest) -> AdmissionReply {
         AdmissionReply::Granted
     }
 
@@ -80,7 +81,7 @@
 }
 
 async fn start() -> SocketAddr {
-    let environment = Unreachable {
+    let environment = UnreachableBackends {
         state: Fixture::default().state(),
     };
     let limits = HttpLimits {
@@ -95,7 +96,7 @@
 }
 
 #[tokio::test]
-async fn every_bad_input_gets_its_code_and_the_process_serves_on() {
+async fn every_invalid_request_gets_its_code_and_the_proxy_continues_to_serve() {
     let address = start().await;
     let mut cases = header_cases();
     cases.extend(body_cases());
@@ -113,7 +114,7 @@
         assert_eq!(error["run"], "not_run", "{}", case.name);
         assert!(
             !answer.contains(KEY),
-            "{}: the key is never repeated",
+            "{}: the response contains the key",
             case.name
         );
         let healthy = exchange(address, &get("/healthz", "")).await;
@@ -122,21 +123,21 @@
 }
 
 #[tokio::test]
-async fn bytes_that_are_not_http_leave_the_process_serving() {
+async fn the_proxy_continues_to_serve_after_bytes_that_are_not_http() {
     let address = start().await;
-    for garbage in [
+    for invalid in [
         &b"\x00\xff\x13nonsense\r\n\r\n"[..],
         b"GET\r\n\r\n",
         b"\r\n\r\n\r\n",
     ] {
-        exchange(address, &[garbage, &get("/unknown", "")].concat()).await;
+        exchange(address, &[invalid, &get("/unknown", "")].concat()).await;
         let healthy = exchange(address, &get("/healthz", "")).await;
         assert!(healthy.starts_with("HTTP/1.1 200"), "{healthy}");
     }
 }
 
 #[tokio::test]
-async fn metrics_are_in_the_text_form() {
+async fn metrics_are_in_the_text_format() {
     let address = start().await;
     exchange(address, &get("/stations/1", &headers(""))).await;
     let text = exchange(address, &get("/metrics", "")).await;
--- a/crates/proxy/tests/callers_interface.rs
+++ b/crates/proxy/tests/callers_interface.rs
@@ -1,4 +1,4 @@
-//! The parts of the callers' interface that need no backend.
+//! Tests of the HTTP interface for callers that need no backend.
 
 mod support;
 
@@ -18,10 +18,10 @@
 use tokio::time::timeout;
 
 const CHAT: &str = r#"{"model":"saga","messages":[{"role":"user","content":"One."}]}"#;
-const BOUND: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const LIMITS: ConnectionLimits = ConnectionLimits {
     max_connections: 1000,
-    header_timeout: BOUND,
+    header_timeout: TIMEOUT,
 };
 
 async fn start(state: ProxyState, limits: ConnectionLimits) -> SocketAddr {
@@ -41,20 +41,20 @@
     format!("authorization: Bearer {KEY}\r\ncontent-type: application/json\r\n")
 }
 
-/// Opens a connection that stays open, and makes sure that it is served.
+/// Opens a keep-alive connection and checks that a request on it is served.
 async fn open(address: SocketAddr) -> TcpStream {
     let mut stream = TcpStream::connect(address).await.expect("connect");
     let request = b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n";
     stream.write_all(request).await.expect("write");
     let mut answer = [0; 12];
-    let read = timeout(BOUND, stream.read_exact(&mut answer)).await;
+    let read = timeout(TIMEOUT, stream.read_exact(&mut answer)).await;
     read.expect("in time").expect("an answer");
     assert_eq!(&answer, b"HTTP/1.1 200");
     stream
 }
 
 #[tokio::test]
-async fn a_node_that_is_not_ready_names_no_revision() {
+async fn a_proxy_that_is_not_ready_sends_no_revision_header() {
     let address = start(ProxyState::new(RequestLimits::default()), LIMITS).await;
     for request in [
         post(&authorization(), CHAT),
@@ -96,7 +96,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_slow_over_its_headers_is_disconnected_and_others_are_served() {
+async fn a_caller_that_sends_its_headers_too_slowly_is_disconnected_and_others_are_served() {
     let limits = ConnectionLimits {
         header_timeout: Duration::from_millis(100),
         ..LIMITS
@@ -108,7 +108,7 @@
         let healthy = exchange(address, &get("/healthz", "")).await;
         assert!(healthy.starts_with("HTTP/1.1 200"), "{healthy}");
         let mut answer = Vec::new();
-        let end = timeout(BOUND, slow.read_to_end(&mut answer)).await;
+        let end = timeout(TIMEOUT, slow.read_to_end(&mut answer)).await;
         let _ = end.expect("the connection is closed in time");
         assert!(!answer.starts_with(b"HTTP/1.1 200"), "{beginning:?}");
     }
@@ -136,5 +136,7 @@
             tokio::task::yield_now().await;
         }
     };
-    timeout(BOUND, served).await.expect("a place is free");
+    timeout(TIMEOUT, served)
+        .await
+        .expect("a connection is free");
 }
--- a/crates/proxy/tests/capacity.rs
+++ b/crates/proxy/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! Hedges, the retry share, admission, drains and leaving.
+//! Tests of hedges, the retry budget, admission, draining backends and stopping.
 
 mod support;
 
@@ -26,25 +26,26 @@
     }
 }
 
-/// The first attempt never answers; every later one is a complete stream.
-fn first_never_answers(environment: &ScriptedEnvironment) -> support::sink::Seen {
-    environment.by_default(Script::NeverAnswer);
+/// Serves a request whose first attempt gets no answer and whose later attempts get a complete
+/// stream.
+fn first_never_answers(environment: &ScriptedEnvironment) -> support::sink::CallerResponse {
+    environment.set_default_script(Script::NeverAnswer);
     let mut sink = RecordingSink::new(environment.clock.clone());
     let switch = async {
         environment.sleep(Duration::from_millis(100)).await;
-        environment.by_default(complete_stream(0, 3));
+        environment.set_default_script(complete_stream(0, 3));
     };
     let serving = serve_completion(environment, request(true), &mut sink);
     environment.clock.run(join(serving, switch));
-    sink.seen()
+    sink.response()
 }
 
 #[test]
-fn a_hedge_answers_for_an_unresponsive_backend_and_the_loser_is_withdrawn() {
+fn a_hedge_answers_for_an_unresponsive_backend_and_the_first_attempt_is_withdrawn() {
     let environment = hedging().environment();
     environment.fill_retry_budget(1);
-    let seen = first_never_answers(&environment);
-    assert!(seen.is_done());
+    let response = first_never_answers(&environment);
+    assert!(response.is_done());
     let sent = environment.sent();
     assert_eq!(sent.len(), 2);
     assert_eq!(sent[1].at, MonotonicTime::from_millis(200));
@@ -55,16 +56,16 @@
 }
 
 #[test]
-fn no_hedge_without_budget_or_for_what_may_not_be_repeated() {
+fn no_hedge_without_retry_budget_or_on_a_route_that_is_not_repeatable() {
     let not_repeatable = Fixture {
         repeatable: false,
         ..hedging()
     };
-    for (fixture, saved) in [(hedging(), 0), (not_repeatable, 3)] {
+    for (fixture, second_sends) in [(hedging(), 0), (not_repeatable, 3)] {
         let environment = fixture.environment();
-        environment.fill_retry_budget(saved);
-        let seen = first_never_answers(&environment);
-        assert_eq!(seen.error().code, ResultCode::DeadlineAfterSend);
+        environment.fill_retry_budget(second_sends);
+        let response = first_never_answers(&environment);
+        assert_eq!(response.error().code, ResultCode::DeadlineAfterSend);
         assert_eq!(environment.sent().len(), 1);
     }
 }
@@ -78,13 +79,13 @@
 }
 
 quickcheck! {
-    /// Whatever the backends do, second sends stay under a fifth of first sends.
+    /// Whatever the backends do, at most a fifth of all sends are retries, hedges or resumes.
     fn second_sends_stay_under_a_fifth(faults: Vec<u8>, seed: u64) -> bool {
         let state = hedging().state();
         let environment = ScriptedEnvironment::new(state, seed);
         let (mut firsts, mut seconds) = (0, 0);
         for fault in faults {
-            environment.by_default(match fault % 6 {
+            environment.set_default_script(match fault % 6 {
                 0 => Script::LoseBeforeHead,
                 1 => status(503, true),
                 2 => Script::NeverAnswer,
@@ -97,7 +98,7 @@
             let sends = environment.sent().len() - before;
             firsts += sends.min(1);
             seconds += sends.saturating_sub(1);
-            // Probes bring the backends back between two requests.
+            // Two successful probes bring an ejected backend back into use before the next request.
             for id in ["b1", "b2", "b3"] {
                 let now = environment.now();
                 environment.state().health.probe_succeeded(id, now);
@@ -139,10 +140,10 @@
     }
 }
 
-/// Fills every backend with so much prefill that the first token would come too late.
-fn fill(environment: &ScriptedEnvironment) -> Vec<millford_routing::InFlightGuard> {
+/// Queues so many prefill tokens on every backend that the first token would come too late.
+fn saturate_backends(environment: &ScriptedEnvironment) -> Vec<millford_routing::InFlightGuard> {
     let state = environment.state();
-    let fill = |id: &str| {
+    let queue_prefill = |id: &str| {
         let key = millford_routing::ReplicaKey {
             pool: "models".to_owned(),
             backend_id: id.to_owned(),
@@ -151,7 +152,7 @@
         };
         state.load_table.start(key, 10_000_000)
     };
-    ["b1", "b2", "b3"].map(fill).into()
+    ["b1", "b2", "b3"].map(queue_prefill).into()
 }
 
 fn queue_of_models(
@@ -164,51 +165,51 @@
 }
 
 #[test]
-fn a_tenant_over_its_share_is_shed_at_once() {
+fn a_tenant_over_its_share_is_refused_at_once() {
     let environment = Fixture::default().environment();
-    let _full = fill(&environment);
+    let _load = saturate_backends(&environment);
     let queue = queue_of_models(&environment);
     queue.begin(TENANT, 20_000_000);
     queue.begin(SECOND_TENANT, 10_000_000);
-    let seen = serve(&environment, request(true));
-    assert_eq!(seen.error().code, ResultCode::Overloaded);
-    assert_eq!(seen.error().run, "not_run");
-    assert_eq!(seen.ended_at, MonotonicTime::ZERO);
-    assert!(seen.error().retry_after_ms >= Some(250));
+    let response = serve(&environment, request(true));
+    assert_eq!(response.error().code, ResultCode::Overloaded);
+    assert_eq!(response.error().run, "not_run");
+    assert_eq!(response.ended_at, MonotonicTime::ZERO);
+    assert!(response.error().retry_after_ms >= Some(250));
     assert!(environment.recorded().quota_releases[0].unused);
 }
 
 #[test]
 fn a_tenant_under_its_share_waits_and_is_served() {
     let environment = Fixture::default().environment();
-    let full = fill(&environment);
+    let load = saturate_backends(&environment);
     let queue = queue_of_models(&environment);
     queue.begin(TENANT, 30_000_000);
     let mut small = request(true);
     small.headers.authorization = Some(format!("Bearer {SECOND_KEY}"));
     let mut sink = RecordingSink::new(environment.clock.clone());
-    let ease = async {
+    let release_load = async {
         environment.sleep(Duration::from_millis(400)).await;
-        drop(full);
+        drop(load);
     };
     let serving = serve_completion(&environment, small, &mut sink);
-    environment.clock.run(join(serving, ease));
-    assert!(sink.seen().is_done());
+    environment.clock.run(join(serving, release_load));
+    assert!(sink.response().is_done());
     assert!(environment.sent()[0].at >= MonotonicTime::from_millis(400));
 }
 
 #[test]
-fn a_wait_for_a_turn_is_bounded() {
+fn the_wait_for_admission_is_bounded() {
     let environment = Fixture::default().environment();
-    let _full = fill(&environment);
-    let seen = serve(&environment, request(true));
-    assert_eq!(seen.error().code, ResultCode::Overloaded);
-    assert!(seen.ended_at <= MonotonicTime::from_millis(1_020));
+    let _load = saturate_backends(&environment);
+    let response = serve(&environment, request(true));
+    assert_eq!(response.error().code, ResultCode::Overloaded);
+    assert!(response.ended_at <= MonotonicTime::from_millis(1_020));
     assert!(!queue_of_models(&environment).has_waiters());
 }
 
 #[test]
-fn many_requests_release_everything() {
+fn finished_requests_release_their_load_and_stream_slots() {
     let environment = Fixture::default().environment();
     environment.fill_retry_budget(5);
     let serving = (0..40).map(|index| {
@@ -227,27 +228,27 @@
         assert!(state.load_table.backend_load(id, 8, &state.costs) == 0.0);
     }
     let recorded = environment.recorded();
-    let asked = recorded
+    let acquired = recorded
         .quota_requests
         .iter()
-        .filter(|ask| ask.stream)
+        .filter(|request| request.stream)
         .count();
-    let freed = recorded
+    let released = recorded
         .quota_releases
         .iter()
         .filter(|release| release.stream)
         .count();
-    assert_eq!((asked, freed), (20, 20));
+    assert_eq!((acquired, released), (20, 20));
 }
 
 #[test]
-fn a_proxy_that_must_stop_ends_its_streams_with_an_error() {
+fn a_stopping_proxy_ends_its_streams_with_an_error() {
     let fixture = Fixture {
         resume: Resume::Never,
         ..Fixture::default()
     };
     let environment = fixture.environment();
-    environment.by_default(stream(chunks(0..500), Step::Done));
+    environment.set_default_script(stream(chunks(0..500), Step::Done));
     let mut sink = RecordingSink::new(environment.clock.clone());
     let stop = async {
         environment.sleep(Duration::from_millis(300)).await;
@@ -255,8 +256,8 @@
     };
     let serving = serve_completion(&environment, request(true), &mut sink);
     environment.clock.run(join(serving, stop));
-    let seen = sink.seen();
-    assert_eq!(seen.error().code, ResultCode::ProxyDraining);
-    assert_eq!(seen.error().run, "may_have_run");
-    assert!(seen.ended_at < MonotonicTime::from_millis(500));
+    let response = sink.response();
+    assert_eq!(response.error().code, ResultCode::ProxyDraining);
+    assert_eq!(response.error().run, "may_have_run");
+    assert!(response.ended_at < MonotonicTime::from_millis(500));
 }
--- a/crates/proxy/tests/daemon_path.rs
+++ b/crates/proxy/tests/daemon_path.rs
@@ -1,4 +1,4 @@
-//! The daemon's own parts over loopback: agent link, HTTP server, backend connections.
+//! Tests of the daemon over loopback: agent link, HTTP server and backend connections.
 
 mod support;
 
@@ -39,7 +39,7 @@
     let (agent, task) = agent_link(Arc::clone(&state), agent_address, hello);
     tokio::spawn(task.run());
     let environment = DaemonEnvironment {
-        shared: Arc::clone(&state),
+        proxy_state: Arc::clone(&state),
         agent: agent.clone(),
         backends: BackendClient {
             connect_timeout: Duration::from_millis(300),
@@ -53,7 +53,7 @@
     let address = listener.local_addr().expect("address");
     let filter = service(&Arc::new(environment), limits);
     tokio::spawn(warp::serve(filter).incoming(listener).run());
-    until("the proxy is ready", || state.is_ready()).await;
+    wait_for("the proxy is ready", || state.is_ready()).await;
     Proxy {
         address,
         state,
@@ -63,22 +63,22 @@
     }
 }
 
-/// Waits for an event with a bound.
-async fn until(what: &str, condition: impl Fn() -> bool) {
+/// Waits until the condition holds; panics after about ten seconds.
+async fn wait_for(what: &str, condition: impl Fn() -> bool) {
     for _ in 0..5_000 {
         if condition() {
             return;
         }
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
-    panic!("not in time: {what}");
+    panic!("timed out: {what}");
 }
 
 fn headers(extra: &str) -> String {
     format!("authorization: Bearer {KEY}\r\ncontent-type: application/json\r\n{extra}")
 }
 
-/// The same answer to every request except withdrawals.
+/// Answers every request with the result of `make`, and confirms every withdrawal.
 fn answering(make: impl Fn(&RawRequest) -> String + Send + Sync + 'static) -> Answer {
     Arc::new(move |request| {
         if request.head.starts_with("DELETE") {
@@ -120,14 +120,14 @@
 }
 
 #[tokio::test]
-async fn a_plain_answer_passes_and_the_key_does_not() {
+async fn a_plain_answer_is_relayed_and_the_key_is_not_sent_to_the_backend() {
     let answer = answering(|request| with_length(request, r#"{"choices":[1]}"#));
-    let proxy = start(&Fixture::once(), answer).await;
+    let proxy = start(&Fixture::not_repeatable(), answer).await;
     let extra = "idempotency-key: order-9\r\nx-millford-session: s1\r\n";
-    let seen = exchange(proxy.address, &post(&headers(extra), CHAT)).await;
-    assert!(seen.starts_with("HTTP/1.1 200 OK\r\n"), "{seen}");
-    assert!(seen.contains("x-millford-revision: 3"), "{seen}");
-    assert!(seen.ends_with(r#"{"choices":[1]}"#), "{seen}");
+    let response = exchange(proxy.address, &post(&headers(extra), CHAT)).await;
+    assert!(response.starts_with("HTTP/1.1 200 OK\r\n"), "{response}");
+    assert!(response.contains("x-millford-revision: 3"), "{response}");
+    assert!(response.ends_with(r#"{"choices":[1]}"#), "{response}");
     let requests = proxy.backend_requests.lock().expect("requests").clone();
     assert_eq!(requests.len(), 1);
     let complete = format!("{}\n{}", requests[0].head, requests[0].body);
@@ -139,11 +139,11 @@
         let mut frames = received.iter();
         frames.any(|body| matches!(body, local_frame::Body::ResolveClaim(_)))
     };
-    until("the claim is settled", resolved_outcomes).await;
+    wait_for("the claim is resolved", resolved_outcomes).await;
 }
 
 #[tokio::test]
-async fn bytes_after_the_announced_length_reach_nobody() {
+async fn bytes_after_the_content_length_are_not_delivered() {
     let answer = answering(|request| {
         let complete = with_length(request, r#"{"choices":[1]}"#);
         format!(
@@ -153,38 +153,41 @@
     });
     let proxy = start(&Fixture::default(), answer).await;
     for _ in 0..3 {
-        let seen = exchange(proxy.address, &post(&headers(""), CHAT)).await;
-        assert!(seen.ends_with(r#"{"choices":[1]}"#), "{seen}");
+        let response = exchange(proxy.address, &post(&headers(""), CHAT)).await;
+        assert!(response.ends_with(r#"{"choices":[1]}"#), "{response}");
     }
     let requests = proxy.backend_requests.lock().expect("requests").len();
     assert_eq!(requests, 3);
 }
 
 #[tokio::test]
-async fn a_body_shorter_than_announced_is_no_success() {
+async fn a_body_shorter_than_its_content_length_is_an_error() {
     let answer = answering(|request| {
         let complete = with_length(request, r#"{"choices":[1]}"#);
         complete[..complete.len() - 4].to_owned()
     });
-    let proxy = start(&Fixture::once(), answer).await;
-    let seen = exchange(proxy.address, &post(&headers(""), CHAT)).await;
-    assert!(seen.starts_with("HTTP/1.1 502"), "{seen}");
+    let proxy = start(&Fixture::not_repeatable(), answer).await;
+    let response = exchange(proxy.address, &post(&headers(""), CHAT)).await;
+    assert!(response.starts_with("HTTP/1.1 502"), "{response}");
     assert!(
-        seen.contains("\"code\":3006") && seen.contains("not_run"),
-        "{seen}"
+        response.contains("\"code\":3006") && response.contains("not_run"),
+        "{response}"
     );
 }
 
 #[tokio::test]
-async fn a_stream_passes_to_its_end() {
+async fn a_stream_is_relayed_to_its_end() {
     let answer = answering(|request| chunked(request, &events(request, 3, true), true));
     let proxy = start(&Fixture::default(), answer).await;
-    let seen = exchange(proxy.address, &post(&headers(""), CHAT_STREAM)).await;
-    assert!(seen.contains("content-type: text/event-stream"), "{seen}");
+    let response = exchange(proxy.address, &post(&headers(""), CHAT_STREAM)).await;
+    assert!(
+        response.contains("content-type: text/event-stream"),
+        "{response}"
+    );
     for expected in ["id: 0\n", "id: 1\n", "id: 2\n", "data: [DONE]\n\n"] {
-        assert!(seen.contains(expected), "{seen}");
+        assert!(response.contains(expected), "{response}");
     }
-    assert!(!seen.contains("event: error"));
+    assert!(!response.contains("event: error"));
     assert_eq!(
         proxy.state.metrics.first_token_seconds.get_sample_count(),
         1
@@ -201,40 +204,40 @@
         let answer =
             answering(move |request| chunked(request, &events(request, 3, false), last_chunk));
         let proxy = start(&fixture, answer).await;
-        let seen = exchange(proxy.address, &post(&headers(""), CHAT_STREAM)).await;
+        let response = exchange(proxy.address, &post(&headers(""), CHAT_STREAM)).await;
         assert!(
-            seen.contains("id: 2\n") && seen.contains("event: error\n"),
-            "{seen}"
+            response.contains("id: 2\n") && response.contains("event: error\n"),
+            "{response}"
         );
-        assert!(!seen.contains("[DONE]"), "{seen}");
+        assert!(!response.contains("[DONE]"), "{response}");
     }
 }
 
 #[tokio::test]
-async fn a_crossed_answer_is_dropped() {
+async fn an_answer_with_another_attempt_id_is_dropped() {
     let answer = answering(|_| {
-        let crossed = RawRequest {
+        let other_request = RawRequest {
             head: "x-millford-attempt: another".to_owned(),
             ..RawRequest::default()
         };
-        with_length(&crossed, r#"{"choices":["crossed"]}"#)
+        with_length(&other_request, r#"{"choices":["mismatched"]}"#)
     });
-    let proxy = start(&Fixture::once(), answer).await;
-    let seen = exchange(proxy.address, &post(&headers(""), CHAT)).await;
-    assert!(seen.contains("\"code\":3005"), "{seen}");
-    assert!(!seen.contains("crossed\"]"), "{seen}");
+    let proxy = start(&Fixture::not_repeatable(), answer).await;
+    let response = exchange(proxy.address, &post(&headers(""), CHAT)).await;
+    assert!(response.contains("\"code\":3005"), "{response}");
+    assert!(!response.contains("mismatched\"]"), "{response}");
 }
 
 #[tokio::test]
 async fn a_lookup_keeps_its_path_and_query() {
     let answer = answering(|request| with_length(request, r#"{"station":"Dakar"}"#));
     let proxy = start(&Fixture::default(), answer).await;
-    let seen = exchange(
+    let response = exchange(
         proxy.address,
         &get("/stations/61641?from=1981", &headers("")),
     )
     .await;
-    assert!(seen.ends_with(r#"{"station":"Dakar"}"#), "{seen}");
+    assert!(response.ends_with(r#"{"station":"Dakar"}"#), "{response}");
     let head = proxy.backend_requests.lock().expect("requests")[0]
         .head
         .clone();
@@ -261,8 +264,8 @@
         let mut frames = received.iter();
         frames.any(|body| matches!(body, local_frame::Body::QuotaRelease(_)))
     };
-    until("the slot is released", released).await;
-    until("no request is open", || {
+    wait_for("the slot is released", released).await;
+    wait_for("no request is open", || {
         proxy.state.metrics.open_requests.get() == 0
     })
     .await;
@@ -279,19 +282,21 @@
     });
     let proxy = start(&Fixture::default(), answer).await;
     let request = post(&headers("x-millford-deadline-ms: 200\r\n"), CHAT);
-    let seen = exchange(proxy.address, &request).await;
-    assert!(seen.contains("\"run\":\"may_have_run\""), "{seen}");
+    let response = exchange(proxy.address, &request).await;
+    assert!(response.contains("\"run\":\"may_have_run\""), "{response}");
     let requests = proxy.backend_requests.lock().expect("requests").clone();
     let mut requests = requests.iter();
     let withdrawal = requests.find(|request| request.head.starts_with("DELETE"));
-    let age = withdrawal.expect("one").header("x-millford-attempt-age-ms");
+    let age = withdrawal
+        .expect("a withdrawal")
+        .header("x-millford-attempt-age-ms");
     let timeout = RequestLimits::default().withdraw_timeout.as_millis();
     let age: u128 = age.parse().expect("a number");
     assert!(age >= timeout + 100, "{age}");
 }
 
 #[tokio::test]
-async fn a_draining_proxy_refuses_and_says_not_run() {
+async fn a_draining_proxy_refuses_requests_as_not_run() {
     let answer = answering(|request| with_length(request, "{}"));
     let proxy = start(&Fixture::default(), answer).await;
     let ready = exchange(proxy.address, &get("/readyz", "")).await;
@@ -299,12 +304,12 @@
     proxy.state.set_draining();
     let ready = exchange(proxy.address, &get("/readyz", "")).await;
     assert!(ready.starts_with("HTTP/1.1 503"), "{ready}");
-    let seen = exchange(proxy.address, &post(&headers(""), CHAT)).await;
+    let response = exchange(proxy.address, &post(&headers(""), CHAT)).await;
     assert!(
-        seen.contains("\"code\":2006") && seen.contains("\"run\":\"not_run\""),
-        "{seen}"
+        response.contains("\"code\":2006") && response.contains("\"run\":\"not_run\""),
+        "{response}"
     );
-    assert!(seen.contains("retry-after: 1"), "{seen}");
+    assert!(response.contains("retry-after: 1"), "{response}");
     assert!(proxy.backend_requests.lock().expect("requests").is_empty());
 }
 
@@ -319,7 +324,7 @@
     tokio::io::AsyncWriteExt::write_all(&mut stream, &request)
         .await
         .expect("write");
-    until("the request is at the backend", || {
+    wait_for("the request is at the backend", || {
         !proxy.backend_requests.lock().expect("requests").is_empty()
     })
     .await;
@@ -333,8 +338,8 @@
     };
     assert_eq!(reported_streams().len(), 1);
     assert!(reported_streams()[0].is_empty());
-    proxy.agent.send(stub_agent::hang_up());
-    until("the proxy has linked again", || {
+    proxy.agent.send(stub_agent::disconnect_frame());
+    wait_for("the proxy has reconnected", || {
         reported_streams().len() == 2
     })
     .await;
--- a/crates/proxy/tests/outside_names.rs
+++ b/crates/proxy/tests/outside_names.rs
@@ -1,4 +1,5 @@
-//! Names of the chat proxy that others rely on are those of b3d3e00: flags, settings keys, metrics, headers.
+//! Checks that the flags, settings keys, metrics and headers of the proxy match the committed
+//! lists. Operators and other programs use these names; the lists hold them as of commit b3d3e00.
 
 #[path = "../../api/tests/support/committed.rs"]
 mod committed;
@@ -41,7 +42,7 @@
     DAEMON.assert_exit_statuses();
 }
 
-/// Names and labels of a metric, whether it has a sample or not.
+/// Appends the name and labels of a metric, also if it has no sample.
 fn describe(lines: &mut Vec<String>, metric: &dyn Collector) {
     for description in metric.desc() {
         let labels = description.variable_labels.join(",");
@@ -72,7 +73,7 @@
         describe(&mut lines, metric);
     }
     lines.sort();
-    // What a scrape shows of a proxy that has served nothing: types and buckets too.
+    // The scrape of a proxy that has served no request shows types and buckets too.
     let text = render(&metrics.registry);
     let samples = text.lines().filter(|line| !line.starts_with("# HELP"));
     lines.extend(samples.map(|line| format!("{line}\n")));
@@ -104,7 +105,7 @@
     ];
     let mut lines = String::new();
     for (what, name) in names {
-        writeln!(lines, "{what}: {name}").expect("a string grows");
+        writeln!(lines, "{what}: {name}").expect("write to a string");
     }
     assert_committed(&format!("{DATA}/headers.txt"), &lines);
 }
@@ -123,7 +124,7 @@
     ] {
         headers.insert(name, HeaderValue::from_static(name));
     }
-    let read = read_headers(&headers, 4096).expect("sound headers");
+    let read = read_headers(&headers, 4096).expect("valid headers");
     assert_eq!(read.authorization.as_deref(), Some("authorization"));
     assert_eq!(read.content_type.as_deref(), Some("content-type"));
     assert_eq!(read.idempotency_key.as_deref(), Some("idempotency-key"));
--- a/crates/proxy/tests/process_lifecycle.rs
+++ b/crates/proxy/tests/process_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The program itself: command line, ready line, leaving on a signal.
+//! Tests of the `millford-proxy` program: command line, ready line and drain on a signal.
 
 mod support;
 
@@ -13,19 +13,19 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_millford-proxy");
 
-struct Running {
+struct RunningProxy {
     child: Child,
     address: SocketAddr,
 }
 
-impl Drop for Running {
+impl Drop for RunningProxy {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-fn start(agent: SocketAddr) -> Running {
+fn start(agent: SocketAddr) -> RunningProxy {
     let mut child = Command::new(PROGRAM)
         .args([
             "--name",
@@ -47,17 +47,17 @@
         .expect("ready line");
     let address = line.trim().strip_prefix("millford-proxy ready callers=");
     let address = address.expect("the ready line").parse().expect("address");
-    Running { child, address }
+    RunningProxy { child, address }
 }
 
-async fn until_answer(address: SocketAddr, request: &[u8], status: &str) {
+async fn wait_for_status(address: SocketAddr, request: &[u8], status: &str) {
     for _ in 0..2_000 {
         if exchange(address, request).await.starts_with(status) {
             return;
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    panic!("no answer {status} in time");
+    panic!("no response with status {status} in time");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -69,7 +69,7 @@
     let (agent, _received) = stub_agent::start(items).await;
     let mut running = start(agent);
     let address = running.address;
-    until_answer(address, &get("/readyz", ""), "HTTP/1.1 200").await;
+    wait_for_status(address, &get("/readyz", ""), "HTTP/1.1 200").await;
     let authorized = format!("authorization: Bearer {KEY}\r\n");
     let lookup = get("/stations/1", &authorized);
     let open = tokio::spawn(async move { exchange(address, &lookup).await });
@@ -77,12 +77,12 @@
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     let pid = running.child.id().to_string();
-    let signalled = Command::new("kill")
+    let kill_status = Command::new("kill")
         .args(["-TERM", &pid])
         .status()
         .expect("kill");
-    assert!(signalled.success());
-    until_answer(address, &get("/readyz", ""), "HTTP/1.1 503").await;
+    assert!(kill_status.success());
+    wait_for_status(address, &get("/readyz", ""), "HTTP/1.1 503").await;
     let refused = exchange(address, &get("/stations/1", &authorized)).await;
     assert!(refused.contains("\"code\":2006"), "{refused}");
     release.notify_one();
@@ -92,7 +92,8 @@
     assert_eq!(status.code(), Some(0));
 }
 
-/// Answers its first request once it is released.
+/// Starts a backend that answers a lookup only after `release` is notified. Returns its address and
+/// the number of lookups that it received.
 async fn slow_backend(
     release: std::sync::Arc<tokio::sync::Notify>,
 ) -> (SocketAddr, std::sync::Arc<std::sync::atomic::AtomicUsize>) {
@@ -114,7 +115,7 @@
 }
 
 #[test]
-fn the_command_line_is_checked() {
+fn invalid_arguments_and_settings_are_rejected() {
     let run = |arguments: &[&str]| Command::new(PROGRAM).args(arguments).output().expect("run");
     assert!(run(&["--help"]).status.success());
     assert!(run(&["--version"]).status.success());
@@ -150,7 +151,7 @@
 }
 
 #[test]
-fn a_taken_address_is_named() {
+fn an_address_in_use_is_reported() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("bind");
     let address = taken.local_addr().expect("address").to_string();
     let output = Command::new(PROGRAM)
