--- a/crates/proxy/tests/run_state.rs
+++ b/crates/proxy/tests/run_state.rs
@@ -1,4 +1,5 @@
-//! At most one run for what may not be repeated, and the truth of "not run".
+//! Tests that a request on a route that is not repeatable runs at most once, and that "not run" is
+//! reported only for requests that did not run.
 
 mod support;
 
@@ -14,13 +15,13 @@
 const MAY_HAVE_RUN: &str = "may_have_run";
 
 #[test]
-fn a_lost_request_that_may_not_be_repeated_is_sent_once() {
-    let environment = Fixture::once().environment();
+fn a_request_that_is_not_repeatable_is_sent_once_when_its_backend_is_lost() {
+    let environment = Fixture::not_repeatable().environment();
     environment.fill_retry_budget(3);
-    environment.by_default(Script::LoseBeforeHead);
-    let seen = serve(&environment, request(false));
-    assert_eq!(seen.error().code, ResultCode::BackendLost);
-    assert_eq!(seen.error().run, MAY_HAVE_RUN);
+    environment.set_default_script(Script::LoseBeforeHead);
+    let response = serve(&environment, request(false));
+    assert_eq!(response.error().code, ResultCode::BackendLost);
+    assert_eq!(response.error().run, MAY_HAVE_RUN);
     assert_eq!(environment.recorded().dispatches.len(), 1);
     assert_eq!(environment.recorded().withdrawals.len(), 1);
 }
@@ -33,32 +34,32 @@
         (WithdrawAnswer::Finished, MAY_HAVE_RUN),
         (WithdrawAnswer::Unknown, MAY_HAVE_RUN),
     ] {
-        let environment = Fixture::once().environment();
-        environment.by_default(Script::LoseBeforeHead);
+        let environment = Fixture::not_repeatable().environment();
+        environment.set_default_script(Script::LoseBeforeHead);
         environment.answer_withdrawals(answer);
-        let seen = serve(&environment, request(false));
-        assert_eq!(seen.error().run, run, "{answer:?}");
+        let response = serve(&environment, request(false));
+        assert_eq!(response.error().run, run, "{answer:?}");
         assert_eq!(environment.recorded().dispatches.len(), 1);
     }
 }
 
 #[test]
-fn a_withdrawal_confirmed_after_its_time_out_proves_nothing() {
-    let environment = Fixture::once().environment();
+fn a_withdrawal_confirmed_after_its_timeout_is_ignored() {
+    let environment = Fixture::not_repeatable().environment();
     let timeout = environment.state().limits.withdraw_timeout;
-    environment.by_default(Script::LoseBeforeHead);
+    environment.set_default_script(Script::LoseBeforeHead);
     environment.answer_withdrawals(WithdrawAnswer::Withdrawn);
     environment.delay_withdrawals(timeout + Duration::from_millis(1));
-    let seen = serve(&environment, request(false));
-    assert_eq!(seen.error().run, MAY_HAVE_RUN);
+    let response = serve(&environment, request(false));
+    assert_eq!(response.error().run, MAY_HAVE_RUN);
 }
 
 #[test]
-fn the_age_of_an_attempt_covers_its_start_and_the_way_of_the_withdrawal() {
-    let environment = Fixture::once().environment();
-    environment.by_default(Script::NeverAnswer);
-    let seen = serve(&environment, request(false));
-    assert_eq!(seen.error().code, ResultCode::DeadlineAfterSend);
+fn the_age_of_an_attempt_includes_the_time_since_its_start_and_the_withdrawal_timeout() {
+    let environment = Fixture::not_repeatable().environment();
+    environment.set_default_script(Script::NeverAnswer);
+    let response = serve(&environment, request(false));
+    assert_eq!(response.error().code, ResultCode::DeadlineAfterSend);
     let sent_at = environment.sent()[0].at;
     let now = environment.clock.now();
     let recorded = environment.recorded();
@@ -73,21 +74,21 @@
     let environment = Fixture::default().environment();
     environment.fill_retry_budget(5);
     environment.answer_withdrawals(WithdrawAnswer::Withdrawn);
-    environment.by_default(status(503, false));
-    let seen = serve(&environment, request(false));
-    // A status of 503 without the protocol's word means that it ran.
-    assert_eq!(seen.error().code, ResultCode::BackendError);
-    assert_eq!(seen.error().run, MAY_HAVE_RUN);
+    environment.set_default_script(status(503, false));
+    let response = serve(&environment, request(false));
+    // Without the run-state header, a status of 503 counts as a failure after the run.
+    assert_eq!(response.error().code, ResultCode::BackendError);
+    assert_eq!(response.error().run, MAY_HAVE_RUN);
 }
 
 #[test]
-fn a_refused_connection_is_not_a_send() {
-    let environment = Fixture::once().environment();
-    environment.by_default(Script::RefuseConnection);
-    let seen = serve(&environment, request(false));
-    assert_eq!(seen.error().code, ResultCode::ConnectFailed);
-    assert_eq!(seen.error().run, NOT_RUN);
-    assert!(seen.error().retry_after_ms.is_some());
+fn a_refused_connection_does_not_count_as_a_send() {
+    let environment = Fixture::not_repeatable().environment();
+    environment.set_default_script(Script::RefuseConnection);
+    let response = serve(&environment, request(false));
+    assert_eq!(response.error().code, ResultCode::ConnectFailed);
+    assert_eq!(response.error().run, NOT_RUN);
+    assert!(response.error().retry_after_ms.is_some());
     assert_eq!(environment.recorded().dispatches.len(), 3);
     assert!(environment.recorded().withdrawals.is_empty());
     assert!(environment.recorded().quota_releases[0].unused);
@@ -95,13 +96,16 @@
 
 #[test]
 fn another_backend_serves_when_one_refuses_connections() {
-    let environment = Fixture::once().with_backends(&["b1", "b2"]).environment();
-    environment.next("b1", Script::RefuseConnection);
-    environment.by_default(plain("{}"));
-    // Both backends are equally good, so within ten requests the refusing one is met.
+    let environment = Fixture::not_repeatable()
+        .with_backends(&["b1", "b2"])
+        .environment();
+    environment.queue_script("b1", Script::RefuseConnection);
+    environment.set_default_script(plain("{}"));
+    // Both backends are equally likely to be chosen, so within ten requests b1 is chosen at
+    // least once.
     for _ in 0..10 {
-        let seen = serve(&environment, request(false));
-        assert_eq!(seen.status(), 200);
+        let response = serve(&environment, request(false));
+        assert_eq!(response.status(), 200);
     }
     assert!(!environment.state().health.is_usable("b1"));
     let recorded = environment.recorded();
@@ -113,38 +117,38 @@
 }
 
 #[test]
-fn a_refusal_before_work_is_not_run_and_frees_the_claim() {
-    let environment = Fixture::once().environment();
-    environment.by_default(status(503, true));
-    let seen = serve(&environment, keyed_request(false));
-    assert_eq!(seen.error().code, ResultCode::BackendRefused);
-    assert_eq!(seen.error().run, NOT_RUN);
+fn a_refusal_before_work_is_not_run_and_resolves_the_claim_as_not_run() {
+    let environment = Fixture::not_repeatable().environment();
+    environment.set_default_script(status(503, true));
+    let response = serve(&environment, keyed_request(false));
+    assert_eq!(response.error().code, ResultCode::BackendRefused);
+    assert_eq!(response.error().run, NOT_RUN);
     assert_eq!(environment.recorded().dispatches.len(), 1);
     let outcomes = resolved_outcomes(&environment);
     assert_eq!(outcomes, [RunOutcome::RunNotRun]);
 }
 
 #[test]
-fn a_refusal_in_a_crossed_answer_is_not_believed() {
-    let environment = Fixture::once().environment();
-    environment.by_default(Script::Answer(AnswerScript {
+fn a_refusal_with_another_attempt_id_is_ignored() {
+    let environment = Fixture::not_repeatable().environment();
+    environment.set_default_script(Script::Answer(AnswerScript {
         status: 503,
         not_run: true,
-        crossed: true,
+        attempt_mismatch: true,
         ..AnswerScript::new(Vec::new())
     }));
-    let seen = serve(&environment, keyed_request(false));
-    assert_eq!(seen.error().code, ResultCode::AnswerMismatch);
-    assert_eq!(seen.error().run, MAY_HAVE_RUN);
+    let response = serve(&environment, keyed_request(false));
+    assert_eq!(response.error().code, ResultCode::AnswerMismatch);
+    assert_eq!(response.error().run, MAY_HAVE_RUN);
     assert!(resolved_outcomes(&environment).is_empty());
 }
 
 #[test]
 fn a_completed_run_is_recorded() {
-    let environment = Fixture::once().environment();
-    environment.by_default(plain("{\"choices\":[]}"));
-    let seen = serve(&environment, keyed_request(false));
-    assert_eq!(seen.status(), 200);
+    let environment = Fixture::not_repeatable().environment();
+    environment.set_default_script(plain("{\"choices\":[]}"));
+    let response = serve(&environment, keyed_request(false));
+    assert_eq!(response.status(), 200);
     assert_eq!(resolved_outcomes(&environment), [RunOutcome::RunCompleted]);
     let recorded = environment.recorded();
     assert_eq!(recorded.claims.len(), 1);
@@ -152,7 +156,7 @@
 }
 
 #[test]
-fn a_taken_claim_is_answered_without_a_send() {
+fn a_claim_that_is_not_granted_is_answered_without_a_send() {
     let cases = [
         (
             ClaimAnswer::Taken(RunOutcome::RunCompleted),
@@ -181,36 +185,36 @@
         ),
     ];
     for (answer, code, run) in cases {
-        let environment = Fixture::once().environment();
+        let environment = Fixture::not_repeatable().environment();
         environment.answer_claims(answer);
-        let seen = serve(&environment, keyed_request(false));
-        assert_eq!(seen.error().code, code);
-        assert_eq!(seen.error().run, run);
+        let response = serve(&environment, keyed_request(false));
+        assert_eq!(response.error().code, code);
+        assert_eq!(response.error().run, run);
         assert!(environment.recorded().dispatches.is_empty());
         assert!(environment.recorded().quota_releases[0].unused);
     }
 }
 
 #[test]
-fn a_claim_that_came_too_late_is_resolved_as_not_run() {
-    let environment = Fixture::once().environment();
+fn a_claim_that_is_not_confirmed_in_time_is_resolved_as_not_run() {
+    let environment = Fixture::not_repeatable().environment();
     environment.answer_claims(ClaimAnswer::Unavailable);
-    let seen = serve(&environment, keyed_request(false));
-    assert!(seen.error().retry_after_ms.is_some());
+    let response = serve(&environment, keyed_request(false));
+    assert!(response.error().retry_after_ms.is_some());
     assert_eq!(resolved_outcomes(&environment), [RunOutcome::RunNotRun]);
 }
 
 #[test]
 fn a_key_on_a_repeatable_route_needs_no_claim() {
     let environment = Fixture::default().environment();
-    let seen = serve(&environment, keyed_request(true));
-    assert!(seen.is_done());
+    let response = serve(&environment, keyed_request(true));
+    assert!(response.is_done());
     assert!(environment.recorded().claims.is_empty());
 }
 
 #[test]
 fn the_digest_differs_between_bodies_and_adapters() {
-    let environment = Fixture::once().environment();
+    let environment = Fixture::not_repeatable().environment();
     let mut other_body = keyed_request(false);
     other_body.body = String::from_utf8(other_body.body.to_vec())
         .expect("text")
@@ -218,7 +222,7 @@
         .into();
     let mut other_adapter = keyed_request(false);
     other_adapter.headers.adapter = Some("captions".to_owned());
-    environment.by_default(plain("{}"));
+    environment.set_default_script(plain("{}"));
     serve(&environment, keyed_request(false));
     serve(&environment, keyed_request(false));
     serve(&environment, other_body);
@@ -229,52 +233,52 @@
 }
 
 #[test]
-fn a_truncated_plain_body_is_no_success() {
+fn a_truncated_plain_body_is_an_error() {
     let complete = "{\"choices\":[]}";
     let mut cut = AnswerScript::new(vec![Step::Raw(complete.as_bytes()[..6].to_vec().into())]);
     cut.framing = millford_proxy::request::message::Framing::Length(complete.len() as u64);
     let mut unframed = AnswerScript::new(vec![Step::Raw(complete.into())]);
     unframed.framing = millford_proxy::request::message::Framing::UntilClose;
     for script in [cut, unframed] {
-        let environment = Fixture::once().environment();
-        environment.by_default(Script::Answer(script));
-        let seen = serve(&environment, keyed_request(false));
-        assert_eq!(seen.status(), 502);
-        assert_eq!(seen.error().code, ResultCode::AnswerTruncated);
-        assert_eq!(seen.error().run, MAY_HAVE_RUN);
+        let environment = Fixture::not_repeatable().environment();
+        environment.set_default_script(Script::Answer(script));
+        let response = serve(&environment, keyed_request(false));
+        assert_eq!(response.status(), 502);
+        assert_eq!(response.error().code, ResultCode::AnswerTruncated);
+        assert_eq!(response.error().run, MAY_HAVE_RUN);
         assert!(resolved_outcomes(&environment).is_empty());
     }
 }
 
 #[test]
-fn a_deadline_after_the_send_ends_at_once_and_truthfully() {
+fn a_deadline_after_the_send_ends_the_request_at_once_with_the_right_run_state() {
     for (answer, run) in [
         (WithdrawAnswer::Withdrawn, NOT_RUN),
         (WithdrawAnswer::Running, MAY_HAVE_RUN),
     ] {
         let environment = Fixture {
             deadline_ms: 700,
-            ..Fixture::once()
+            ..Fixture::not_repeatable()
         }
         .environment();
-        environment.by_default(Script::NeverAnswer);
+        environment.set_default_script(Script::NeverAnswer);
         environment.answer_withdrawals(answer);
-        let seen = serve(&environment, keyed_request(false));
-        assert_eq!(seen.error().code, ResultCode::DeadlineAfterSend);
-        assert_eq!(seen.error().run, run);
-        assert_eq!(seen.ended_at, MonotonicTime::from_millis(700));
+        let response = serve(&environment, keyed_request(false));
+        assert_eq!(response.error().code, ResultCode::DeadlineAfterSend);
+        assert_eq!(response.error().run, run);
+        assert_eq!(response.ended_at, MonotonicTime::from_millis(700));
         assert_eq!(environment.recorded().dispatches.len(), 1);
     }
 }
 
 #[test]
-fn a_given_up_request_is_answered_at_once() {
+fn a_request_without_a_backend_is_refused_at_once() {
     let environment = Fixture::default().with_backends(&[]).environment();
-    let seen = serve(&environment, request(true));
-    assert_eq!(seen.error().code, ResultCode::NoBackend);
-    assert_eq!(seen.error().run, NOT_RUN);
-    assert_eq!(seen.ended_at, MonotonicTime::ZERO);
-    assert_eq!(seen.error().retry_after_ms, Some(1_000));
+    let response = serve(&environment, request(true));
+    assert_eq!(response.error().code, ResultCode::NoBackend);
+    assert_eq!(response.error().run, NOT_RUN);
+    assert_eq!(response.ended_at, MonotonicTime::ZERO);
+    assert_eq!(response.error().retry_after_ms, Some(1_000));
 }
 
 #[test]
@@ -284,16 +288,16 @@
         code: ResultCode::QuotaExceeded,
         retry_after_ms: 130,
     });
-    let seen = serve(&environment, request(true));
-    assert_eq!(seen.status(), 429);
-    assert_eq!(seen.error().retry_after_ms, Some(130));
-    assert_eq!(seen.error().run, NOT_RUN);
+    let response = serve(&environment, request(true));
+    assert_eq!(response.status(), 429);
+    assert_eq!(response.error().retry_after_ms, Some(130));
+    assert_eq!(response.error().run, NOT_RUN);
     assert!(environment.recorded().dispatches.is_empty());
     assert!(environment.recorded().quota_releases.is_empty());
 }
 
 #[test]
-fn the_admission_may_be_waited_for_until_the_deadline() {
+fn the_quota_request_times_out_at_the_deadline() {
     let environment = Fixture::default().environment();
     serve(&environment, request(true));
     let timeout = environment.recorded().quota_requests[0].timeout;
@@ -302,11 +306,11 @@
 
 #[test]
 fn a_caller_that_disconnects_early_has_its_attempt_withdrawn() {
-    let environment = Fixture::once().environment();
-    environment.by_default(Script::NeverAnswer);
+    let environment = Fixture::not_repeatable().environment();
+    environment.set_default_script(Script::NeverAnswer);
     environment.answer_withdrawals(WithdrawAnswer::Withdrawn);
-    let seen = serve_disconnecting(&environment, keyed_request(true), 300);
-    assert!(seen.head.is_none());
+    let response = serve_disconnecting(&environment, keyed_request(true), 300);
+    assert!(response.head.is_none());
     assert!(!environment.recorded().withdrawals.is_empty());
     assert_eq!(resolved_outcomes(&environment), [RunOutcome::RunNotRun]);
     let releases = environment.recorded().quota_releases.clone();
@@ -315,10 +319,10 @@
 
 #[test]
 fn a_caller_that_disconnects_from_a_stream_keeps_its_claim_unresolved() {
-    let environment = Fixture::once().environment();
-    environment.by_default(stream(chunks(0..100), Step::Done));
-    let seen = serve_disconnecting(&environment, keyed_request(true), 300);
-    assert!(!seen.complete);
+    let environment = Fixture::not_repeatable().environment();
+    environment.set_default_script(stream(chunks(0..100), Step::Done));
+    let response = serve_disconnecting(&environment, keyed_request(true), 300);
+    assert!(!response.complete);
     assert_eq!(environment.recorded().withdrawals.len(), 1);
     assert!(resolved_outcomes(&environment).is_empty());
     let releases = environment.recorded().quota_releases.clone();
@@ -335,14 +339,14 @@
 }
 
 #[test]
-fn a_caller_that_disconnects_at_the_very_end_has_a_completed_run() {
-    let environment = Fixture::once().environment();
+fn a_run_counts_as_completed_if_the_caller_disconnects_at_the_end_marker() {
+    let environment = Fixture::not_repeatable().environment();
     let mut steps = chunks(0..2);
     steps.push(Step::Wait(Duration::from_millis(500)));
-    environment.by_default(stream(steps, Step::Done));
-    // The end marker comes 540 ms after the start, when the caller is just gone.
-    let seen = serve_disconnecting(&environment, keyed_request(true), 540);
-    assert_eq!(seen.sequences(), [0, 1]);
-    assert!(!seen.is_done() && !seen.complete);
+    environment.set_default_script(stream(steps, Step::Done));
+    // The end marker comes 540 ms after the start, at the moment when the caller disconnects.
+    let response = serve_disconnecting(&environment, keyed_request(true), 540);
+    assert_eq!(response.sequences(), [0, 1]);
+    assert!(!response.is_done() && !response.complete);
     assert_eq!(resolved_outcomes(&environment), [RunOutcome::RunCompleted]);
 }
--- a/crates/proxy/tests/stream_continuity.rs
+++ b/crates/proxy/tests/stream_continuity.rs
@@ -1,4 +1,5 @@
-//! A stream never skips, repeats or splices, and moves only as its route allows.
+//! Tests that a stream never skips, repeats or mixes chunks of different runs, and that it moves to
+//! another backend only if its route allows it.
 
 mod support;
 
@@ -12,29 +13,29 @@
 use support::environment::ScriptedEnvironment;
 use support::fixture::{Fixture, request, serve};
 use support::script::{AnswerScript, Script, Step, chunks, complete_stream, stream};
-use support::sink::{RecordingSink, Seen};
+use support::sink::{CallerResponse, RecordingSink};
 
-fn assert_ends_in_error(seen: &Seen, chunks: u64, code: ResultCode) {
+fn assert_ends_in_error(response: &CallerResponse, chunks: u64, code: ResultCode) {
     let expected: Vec<u64> = (0..chunks).collect();
-    assert_eq!(seen.sequences(), expected);
-    assert!(!seen.text().contains("[DONE]"));
-    assert_eq!(seen.error().code, code);
-    assert_eq!(seen.error().run, "may_have_run");
+    assert_eq!(response.sequences(), expected);
+    assert!(!response.text().contains("[DONE]"));
+    assert_eq!(response.error().code, code);
+    assert_eq!(response.error().run, "may_have_run");
 }
 
-fn assert_complete(seen: &Seen, chunks: u64) {
+fn assert_complete(response: &CallerResponse, chunks: u64) {
     let expected: Vec<u64> = (0..chunks).collect();
-    assert_eq!(seen.sequences(), expected);
-    assert!(seen.is_done() && seen.complete);
+    assert_eq!(response.sequences(), expected);
+    assert!(response.is_done() && response.complete);
 }
 
 #[test]
 fn a_complete_stream_has_numbered_chunks_and_an_end() {
     let environment = Fixture::default().environment();
-    let seen = serve(&environment, request(true));
-    assert_eq!(seen.status(), 200);
-    assert_complete(&seen, 5);
-    assert!(!seen.text().contains("\"millford\""));
+    let response = serve(&environment, request(true));
+    assert_eq!(response.status(), 200);
+    assert_complete(&response, 5);
+    assert!(!response.text().contains("\"millford\""));
     assert!(environment.recorded().withdrawals.is_empty());
     let releases = environment.recorded().quota_releases.clone();
     assert!(releases.len() == 1 && releases[0].stream && !releases[0].unused);
@@ -63,61 +64,61 @@
         ),
     ];
     for (bad, code) in cases {
-        let environment = never_moving().environment();
+        let environment = without_resume().environment();
         let mut steps = chunks(0..3);
         steps.push(bad);
         steps.extend(chunks(3..6));
-        environment.by_default(stream(steps, Step::Done));
-        let seen = serve(&environment, request(true));
-        assert_ends_in_error(&seen, 3, code);
+        environment.set_default_script(stream(steps, Step::Done));
+        let response = serve(&environment, request(true));
+        assert_ends_in_error(&response, 3, code);
     }
 }
 
 #[test]
 fn a_body_that_ends_without_the_end_marker_is_an_error() {
-    let environment = never_moving().environment();
-    environment.by_default(Script::Answer(AnswerScript::new(chunks(0..3))));
-    let seen = serve(&environment, request(true));
-    assert_ends_in_error(&seen, 3, ResultCode::AnswerTruncated);
+    let environment = without_resume().environment();
+    environment.set_default_script(Script::Answer(AnswerScript::new(chunks(0..3))));
+    let response = serve(&environment, request(true));
+    assert_ends_in_error(&response, 3, ResultCode::AnswerTruncated);
 }
 
 #[test]
-fn bytes_after_the_end_marker_reach_nobody() {
+fn bytes_after_the_end_marker_are_not_delivered() {
     let environment = Fixture::default().environment();
     let mut steps = chunks(0..2);
     steps.push(raw("data: [DONE]\n\ndata: {\"choices\":[\"stray\"]}\n\n"));
-    environment.by_default(Script::Answer(AnswerScript::new(steps)));
-    let seen = serve(&environment, request(true));
-    assert_complete(&seen, 2);
-    assert!(!seen.text().contains("stray"));
+    environment.set_default_script(Script::Answer(AnswerScript::new(steps)));
+    let response = serve(&environment, request(true));
+    assert_complete(&response, 2);
+    assert!(!response.text().contains("stray"));
 }
 
 #[test]
-fn a_repeatable_request_moves_before_its_first_chunk() {
+fn a_repeatable_request_is_retried_before_its_first_chunk() {
     for script in [
         Script::LoseBeforeHead,
         stream(Vec::new(), Step::Disconnected(AnswerError::Disconnected)),
     ] {
-        let environment = never_moving().with_backends(&["b1", "b2"]).environment();
+        let environment = without_resume().with_backends(&["b1", "b2"]).environment();
         environment.fill_retry_budget(1);
-        environment.next("b1", script.clone());
-        environment.next("b2", script);
-        let seen = serve(&environment, request(true));
-        // Both fail: the budget allows one retry, and the runs are different ones.
+        environment.queue_script("b1", script.clone());
+        environment.queue_script("b2", script);
+        let response = serve(&environment, request(true));
+        // Both attempts fail: the budget allows one retry, which starts a new run.
         assert_eq!(environment.sent().len(), 2);
-        assert_eq!(seen.status(), 502);
+        assert_eq!(response.status(), 502);
         let sent = environment.sent();
         assert_ne!(sent[0].request.run, sent[1].request.run);
     }
 }
 
 #[test]
-fn without_budget_nothing_is_sent_twice() {
+fn without_retry_budget_a_request_is_sent_once() {
     let environment = Fixture::default().environment();
-    environment.by_default(Script::LoseBeforeHead);
-    let seen = serve(&environment, request(true));
+    environment.set_default_script(Script::LoseBeforeHead);
+    let response = serve(&environment, request(true));
     assert_eq!(environment.sent().len(), 1);
-    assert_eq!(seen.error().run, "may_have_run");
+    assert_eq!(response.error().run, "may_have_run");
 }
 
 #[test]
@@ -126,8 +127,8 @@
         .with_backends(&["b1", "b2"])
         .environment();
     environment.fill_retry_budget(1);
-    let seen = serve_lost_then(&environment, complete_stream(3, 4));
-    assert_complete(&seen, 7);
+    let response = serve_lost_then(&environment, complete_stream(3, 4));
+    assert_complete(&response, 7);
     let sent = environment.sent();
     assert_eq!(sent.len(), 2);
     assert_eq!(sent[1].request.resume_from.map(|resume| resume.0), Some(3));
@@ -147,14 +148,14 @@
             resume_at,
             ..AnswerScript::new(chunks(first..first + 4))
         });
-        let seen = serve_lost_then(&environment, wrong);
-        assert_ends_in_error(&seen, 3, ResultCode::BackendLost);
+        let response = serve_lost_then(&environment, wrong);
+        assert_ends_in_error(&response, 3, ResultCode::BackendLost);
     }
 }
 
 #[test]
 fn a_stream_moves_only_where_its_route_allows() {
-    let never = never_moving();
+    let never = without_resume();
     let from_start = Fixture {
         resume: Resume::FromStart,
         ..Fixture::default()
@@ -166,8 +167,8 @@
     for fixture in [never, from_start, not_repeatable] {
         let environment = fixture.with_backends(&["b1", "b2"]).environment();
         environment.fill_retry_budget(3);
-        let seen = serve_lost_then(&environment, complete_stream(3, 4));
-        assert_ends_in_error(&seen, 3, ResultCode::BackendLost);
+        let response = serve_lost_then(&environment, complete_stream(3, 4));
+        assert_ends_in_error(&response, 3, ResultCode::BackendLost);
         assert_eq!(environment.sent().len(), 1);
     }
 }
@@ -179,12 +180,13 @@
         .environment();
     environment.fill_retry_budget(1);
     let unresponsive = stream(chunks(0..3), Step::Inactivity);
-    let seen = serve_lost_then_by(&environment, unresponsive, complete_stream(3, 2));
-    assert_complete(&seen, 5);
+    let response = serve_first_then(&environment, unresponsive, complete_stream(3, 2));
+    assert_complete(&response, 5);
     let first = environment.sent()[0].request.backend_id.clone();
     assert!(!environment.state().health.is_usable(&first));
-    // No other backend was heard, so the wait is twice the limit of two seconds.
-    assert!(seen.ended_at < MonotonicTime::from_millis(4_500));
+    // No other backend responded, so the stream is interrupted only after twice the limit of two
+    // seconds.
+    assert!(response.ended_at < MonotonicTime::from_millis(4_500));
 }
 
 #[test]
@@ -200,7 +202,7 @@
             ]
         })
         .collect();
-    environment.by_default(stream(slow, Step::Done));
+    environment.set_default_script(stream(slow, Step::Done));
     let mut sink = RecordingSink::new(environment.clock.clone());
     let drain = async {
         environment.sleep(Duration::from_millis(500)).await;
@@ -210,7 +212,7 @@
             .with_state(&first, BackendState::BackendDraining);
         environment.state().set_table(draining.table());
         let other = if first == "b1" { "b2" } else { "b1" };
-        environment.next(other, Script::Answer(resumed()));
+        environment.queue_script(other, Script::Answer(resumed()));
     };
     let serving = serve_completion(&environment, request(true), &mut sink);
     environment.clock.run(futures::future::join(serving, drain));
@@ -219,16 +221,17 @@
     assert_ne!(sent[0].request.backend_id, sent[1].request.backend_id);
     let since_drain = sent[1].at.since(MonotonicTime::from_millis(500));
     assert!(since_drain <= Duration::from_secs(1), "{since_drain:?}");
-    assert!(sink.seen().is_done());
+    assert!(sink.response().is_done());
 }
 
-/// An answer that continues wherever it is asked to, with one more chunk and the end.
+/// An answer that continues the run at the requested sequence number, with the end marker alone.
 fn resumed() -> AnswerScript {
-    // The stream above has ten chunks a second and is moved 900 ms after the drain began.
+    // The stream in the test has ten chunks per second and moves 900 ms after the start of the
+    // drain.
     AnswerScript::new(vec![Step::Done])
 }
 
-fn never_moving() -> Fixture {
+fn without_resume() -> Fixture {
     Fixture {
         resume: Resume::Never,
         ..Fixture::default()
@@ -239,24 +242,28 @@
     Step::Raw(Bytes::from_static(text.as_bytes()))
 }
 
-fn serve_lost_then(environment: &ScriptedEnvironment, then: Script) -> Seen {
+fn serve_lost_then(environment: &ScriptedEnvironment, then: Script) -> CallerResponse {
     let lost = stream(chunks(0..3), Step::Disconnected(AnswerError::Disconnected));
-    serve_lost_then_by(environment, lost, then)
+    serve_first_then(environment, lost, then)
 }
 
-/// The first attempt gets `first`, every later one `then`.
-fn serve_lost_then_by(environment: &ScriptedEnvironment, first: Script, then: Script) -> Seen {
-    environment.by_default(first);
+/// Serves a stream. The first attempt is answered with `first`, every later one with `then`.
+fn serve_first_then(
+    environment: &ScriptedEnvironment,
+    first: Script,
+    then: Script,
+) -> CallerResponse {
+    environment.set_default_script(first);
     let mut sink = RecordingSink::new(environment.clock.clone());
     let switch = async {
         environment.sleep(Duration::from_millis(5)).await;
-        environment.by_default(then);
+        environment.set_default_script(then);
     };
     let serving = serve_completion(environment, request(true), &mut sink);
     environment
         .clock
         .run(futures::future::join(serving, switch));
-    sink.seen()
+    sink.response()
 }
 
 #[test]
@@ -265,7 +272,7 @@
         .with_backends(&["b1", "b2"])
         .environment();
     environment.fill_retry_budget(1);
-    environment.by_default(Script::NeverAnswer);
+    environment.set_default_script(Script::NeverAnswer);
     let mut sink = RecordingSink::new(environment.clock.clone());
     let eject = async {
         environment.sleep(Duration::from_millis(500)).await;
@@ -273,11 +280,11 @@
         environment
             .state()
             .eject(&first, millford_routing::EjectionReason::Unresponsive);
-        environment.by_default(complete_stream(0, 2));
+        environment.set_default_script(complete_stream(0, 2));
     };
     let serving = serve_completion(&environment, request(true), &mut sink);
     environment.clock.run(futures::future::join(serving, eject));
-    assert_complete(&sink.seen(), 2);
+    assert_complete(&sink.response(), 2);
     let second_at = environment.sent()[1].at;
     assert_eq!(second_at, MonotonicTime::from_millis(2_000));
 }
--- a/crates/proxy/tests/support/clock.rs
+++ b/crates/proxy/tests/support/clock.rs
@@ -1,4 +1,4 @@
-//! A clock that jumps to the next timer when nothing else can run.
+//! Simulated time that advances to the next timer when no future can make progress.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -16,7 +16,7 @@
     pending: BTreeMap<(MonotonicTime, u64), Waker>,
 }
 
-/// Simulated time.
+/// A simulated clock that also runs futures.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SimulatedClock(Arc<Mutex<Timers>>);
 
@@ -33,9 +33,9 @@
         }
     }
 
-    /// Runs a future to its end; panics when it waits for something that can never come.
+    /// Runs a future to its end. Panics if it is not ready and no timer is pending.
     pub(crate) fn run<F: Future>(&self, future: F) -> F::Output {
-        let woken = Arc::new(Woken(AtomicBool::new(true)));
+        let woken = Arc::new(WakeFlag(AtomicBool::new(true)));
         let waker = Waker::from(Arc::clone(&woken));
         let mut context = Context::from_waker(&waker);
         let mut future = pin!(future);
@@ -52,22 +52,22 @@
     fn advance(&self) {
         let mut timers = self.0.lock().expect("clock");
         let next = timers.pending.pop_first();
-        let ((at, _), waker) = next.expect("the future waits for something that never comes");
+        let ((at, _), waker) = next.expect("the future is pending, but no timer is");
         timers.now = timers.now.max(at);
         drop(timers);
         waker.wake();
     }
 }
 
-struct Woken(AtomicBool);
+struct WakeFlag(AtomicBool);
 
-impl Wake for Woken {
+impl Wake for WakeFlag {
     fn wake(self: Arc<Self>) {
         self.0.store(true, Ordering::SeqCst);
     }
 }
 
-/// Resolves at its time; forgets its timer when dropped.
+/// Completes at the simulated time `until`; removes its timer when dropped.
 pub(crate) struct Sleep {
     clock: SimulatedClock,
     until: MonotonicTime,
--- a/crates/proxy/tests/support/environment.rs
+++ b/crates/proxy/tests/support/environment.rs
@@ -1,4 +1,4 @@
-//! A scripted environment under simulated time that records what the request path does.
+//! A scripted environment with simulated time, which records the calls of the request path.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -21,14 +21,14 @@
 use super::clock::SimulatedClock;
 use super::script::{AnswerScript, Script, Step, complete_stream};
 
-/// One recorded attempt.
+/// A request to a backend and the time at which it was made.
 #[derive(Clone, Debug)]
 pub(crate) struct Dispatch {
     pub(crate) at: MonotonicTime,
     pub(crate) request: BackendRequest,
 }
 
-/// Everything that the request path asked for.
+/// The calls of the request path.
 #[derive(Debug, Default)]
 pub(crate) struct Recorded {
     pub(crate) dispatches: Vec<Dispatch>,
@@ -42,8 +42,8 @@
 #[derive(Debug)]
 struct Scripts {
     by_backend: BTreeMap<String, VecDeque<Script>>,
-    /// Used when a backend's own scripts are used up.
-    usual: Script,
+    /// Used for a backend without scripts of its own.
+    default_script: Script,
     quota: AdmissionReply,
     claim: ClaimAnswer,
     withdrawal: WithdrawAnswer,
@@ -51,7 +51,7 @@
     random: StdRng,
 }
 
-/// The scripted environment.
+/// An environment whose backends and agent follow scripts.
 #[derive(Clone, Debug)]
 pub(crate) struct ScriptedEnvironment {
     pub(crate) clock: SimulatedClock,
@@ -64,7 +64,7 @@
     pub(crate) fn new(state: ProxyState, seed: u64) -> Self {
         let scripts = Scripts {
             by_backend: BTreeMap::new(),
-            usual: complete_stream(0, 5),
+            default_script: complete_stream(0, 5),
             quota: AdmissionReply::Granted,
             claim: ClaimAnswer::Granted,
             withdrawal: WithdrawAnswer::Unknown,
@@ -79,13 +79,13 @@
         }
     }
 
-    /// What every backend does unless told otherwise.
-    pub(crate) fn by_default(&self, script: Script) {
-        self.scripts().usual = script;
+    /// Sets the script that backends without scripts of their own follow.
+    pub(crate) fn set_default_script(&self, script: Script) {
+        self.scripts().default_script = script;
     }
 
-    /// What one backend does with its next attempt.
-    pub(crate) fn next(&self, backend_id: &str, script: Script) {
+    /// Queues a script for one attempt at a backend, after those already queued.
+    pub(crate) fn queue_script(&self, backend_id: &str, script: Script) {
         let mut scripts = self.scripts();
         let queue = scripts.by_backend.entry(backend_id.to_owned());
         queue.or_default().push_back(script);
@@ -103,16 +103,16 @@
         self.scripts().withdrawal = answer;
     }
 
-    /// Withdrawals are answered this long after they are asked for.
+    /// Sets the delay before withdrawals are answered.
     pub(crate) fn delay_withdrawals(&self, delay: Duration) {
         self.scripts().withdrawal_delay = delay;
     }
 
     pub(crate) fn recorded(&self) -> MutexGuard<'_, Recorded> {
-        self.recorded.lock().expect("record")
+        self.recorded.lock().expect("recorded calls")
     }
 
-    /// Attempts of which a byte left.
+    /// Returns the attempts of which a byte was sent.
     pub(crate) fn sent(&self) -> Vec<Dispatch> {
         let recorded = self.recorded();
         let dispatches = recorded.dispatches.iter();
@@ -120,7 +120,7 @@
         sent.cloned().collect()
     }
 
-    /// Lets the state's budget allow this many second sends.
+    /// Adds enough to the retry budget for this many sends after the first.
     pub(crate) fn fill_retry_budget(&self, second_sends: u32) {
         for _ in 0..second_sends * 7 {
             self.state.budget.earn();
@@ -135,7 +135,7 @@
         let mut scripts = self.scripts();
         let queue = scripts.by_backend.get_mut(backend_id);
         let own = queue.and_then(VecDeque::pop_front);
-        own.unwrap_or_else(|| scripts.usual.clone())
+        own.unwrap_or_else(|| scripts.default_script.clone())
     }
 }
 
@@ -158,8 +158,8 @@
         self.scripts().random.random()
     }
 
-    async fn request_quota(&self, ask: AdmissionRequest) -> AdmissionReply {
-        self.recorded().quota_requests.push(ask);
+    async fn request_quota(&self, request: AdmissionRequest) -> AdmissionReply {
+        self.recorded().quota_requests.push(request);
         self.scripts().quota
     }
 
@@ -207,7 +207,7 @@
     }
 }
 
-/// A scripted answer.
+/// An answer from a backend that follows a script.
 #[derive(Debug)]
 pub(crate) struct ScriptedAnswer {
     clock: SimulatedClock,
--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -1,4 +1,4 @@
-//! A configuration with one model, its backends and two tenants.
+//! A test configuration with one model, its backends and two tenants.
 
 use bytes::Bytes;
 use millford_api::config::{Hedge, Pool, Quota, Resume, Route, RouteMatch, Tenant};
@@ -13,14 +13,14 @@
 use millford_routing::RoutingTable;
 
 use super::environment::ScriptedEnvironment;
-use super::sink::{RecordingSink, Seen};
+use super::sink::{CallerResponse, RecordingSink};
 
 pub(crate) const TENANT: &str = "library";
 pub(crate) const KEY: &str = "key-of-the-library";
 pub(crate) const SECOND_TENANT: &str = "shop";
 pub(crate) const SECOND_KEY: &str = "key-of-the-shop";
 
-/// What a test varies in the configuration.
+/// The parts of the configuration that tests vary.
 #[derive(Clone, Debug)]
 pub(crate) struct Fixture {
     pub(crate) backends: Vec<(String, BackendState)>,
@@ -46,7 +46,8 @@
 }
 
 impl Fixture {
-    pub(crate) fn once() -> Self {
+    /// A configuration whose model route is not repeatable and never resumes a stream.
+    pub(crate) fn not_repeatable() -> Self {
         Self {
             repeatable: false,
             resume: Resume::Never,
@@ -60,7 +61,7 @@
         self
     }
 
-    /// The same with one backend in another state.
+    /// Sets the state of one backend.
     pub(crate) fn with_state(mut self, id: &str, state: BackendState) -> Self {
         for backend in &mut self.backends {
             if backend.0 == id {
@@ -86,7 +87,7 @@
         RoutingTable::build(items.iter().map(|(key, value)| (key.as_str(), value)))
     }
 
-    /// The same as feed items, with the backends at these addresses.
+    /// Returns the configuration as feed items, with every backend at this address.
     pub(crate) fn feed_items(&self, address: &str) -> Vec<StateItem> {
         let items = self.items().into_iter().map(|(key, mut value)| {
             if let Some(Kind::Backend(backend)) = &mut value.kind {
@@ -197,7 +198,7 @@
     }
 }
 
-/// A request of the library's.
+/// A completion request of [`TENANT`].
 pub(crate) fn request(stream: bool) -> CallerRequest {
     let messages = r#"[{"role":"user","content":"Caption panel one."}]"#;
     let body = format!(r#"{{"model":"saga","stream":{stream},"messages":{messages}}}"#);
@@ -213,31 +214,34 @@
     }
 }
 
-/// The same with an idempotency key.
+/// A completion request of [`TENANT`] with an idempotency key.
 pub(crate) fn keyed_request(stream: bool) -> CallerRequest {
     let mut request = request(stream);
     request.headers.idempotency_key = Some("order-17".to_owned());
     request
 }
 
-/// Serves one request to its end.
-pub(crate) fn serve(environment: &ScriptedEnvironment, mut request: CallerRequest) -> Seen {
+/// Serves one request to its end and returns the caller's response.
+pub(crate) fn serve(
+    environment: &ScriptedEnvironment,
+    mut request: CallerRequest,
+) -> CallerResponse {
     request.arrived = environment.now();
     let mut sink = RecordingSink::new(environment.clock.clone());
     let served = serve_completion(environment, request, &mut sink);
     environment.clock.run(served);
-    sink.seen()
+    sink.response()
 }
 
-/// Serves one request to a caller that leaves after this many milliseconds.
+/// Serves one request whose caller disconnects at this time, in milliseconds of simulated time.
 pub(crate) fn serve_disconnecting(
     environment: &ScriptedEnvironment,
     request: CallerRequest,
     disconnects_after_ms: u64,
-) -> Seen {
+) -> CallerResponse {
     let sink = RecordingSink::new(environment.clock.clone());
     let mut sink = sink.disconnecting_at(MonotonicTime::from_millis(disconnects_after_ms));
     let served = serve_completion(environment, request, &mut sink);
     environment.clock.run(served);
-    sink.seen()
+    sink.response()
 }
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Simulated time, scripted backends and a recording caller for the tests of the request path.
-#![allow(dead_code, reason = "each test program uses its own part")]
+//! Simulated time, scripted backends and a recording caller, for tests of the request path.
+#![allow(dead_code, reason = "each test program uses only a part of the module")]
 
 pub(crate) mod clock;
 pub(crate) mod environment;
--- a/crates/proxy/tests/support/raw_backend.rs
+++ b/crates/proxy/tests/support/raw_backend.rs
@@ -1,4 +1,4 @@
-//! A backend on loopback that answers with exact bytes, and a raw HTTP caller.
+//! A backend on loopback that answers with given bytes, and a caller that sends given bytes.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -6,10 +6,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Makes the bytes of an answer from a request's head.
+/// Returns the bytes to answer a request with; none means that the request is never answered.
 pub(crate) type Answer = Arc<dyn Fn(&RawRequest) -> Vec<u8> + Send + Sync>;
 
-/// A request as it came.
+/// A request as the backend received it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RawRequest {
     pub(crate) head: String,
@@ -17,7 +17,7 @@
 }
 
 impl RawRequest {
-    /// Value of a header.
+    /// Returns the value of a header; empty if the request has none.
     pub(crate) fn header(&self, name: &str) -> String {
         let lines = self.head.lines().filter_map(|line| line.split_once(':'));
         let mut found = lines.filter(|(key, _)| key.eq_ignore_ascii_case(name));
@@ -27,10 +27,10 @@
     }
 }
 
-/// Requests that reached the backend.
+/// Requests that the backend received.
 pub(crate) type Requests = Arc<Mutex<Vec<RawRequest>>>;
 
-/// Starts a backend; it lives as long as the runtime.
+/// Starts a backend, which runs until the runtime ends.
 pub(crate) async fn start(answer: Answer) -> (SocketAddr, Requests) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address");
@@ -52,7 +52,7 @@
     let bytes = answer(&request);
     let _ = stream.write_all(&bytes).await;
     if bytes.is_empty() {
-        // Never answers: waits until the proxy closes the connection.
+        // Sends no answer and waits until the proxy closes the connection.
         let _ = stream.read(&mut [0; 1]).await;
     }
 }
@@ -79,7 +79,7 @@
     }
 }
 
-/// Sends raw bytes and reads until the other side closes.
+/// Sends raw bytes and reads until the server closes the connection.
 pub(crate) async fn exchange(address: SocketAddr, request: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).await.expect("connect");
     // The server may answer and close before it has read everything.
@@ -89,14 +89,14 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// A POST of this body that asks for the connection to be closed.
+/// A completion request with this body and `connection: close`.
 pub(crate) fn post(headers: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     let head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\n";
     format!("{head}{headers}content-length: {length}\r\n\r\n{body}").into_bytes()
 }
 
-/// A GET that asks for the connection to be closed.
+/// A GET request with `connection: close`.
 pub(crate) fn get(path: &str, headers: &str) -> Vec<u8> {
     format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n{headers}\r\n").into_bytes()
 }
--- a/crates/proxy/tests/support/script.rs
+++ b/crates/proxy/tests/support/script.rs
@@ -1,72 +1,76 @@
-//! What a scripted backend does with one attempt.
+//! Scripts that determine how a backend answers one attempt.
 
 use bytes::Bytes;
 use millford_core::Duration;
 use millford_proxy::request::message::{AnswerError, AnswerHead, Framing};
 
-/// One step of a body.
+/// One step in sending a body.
 #[derive(Clone, Debug)]
 pub(crate) enum Step {
-    /// Time passes.
+    /// Waits for this time.
     Wait(Duration),
-    /// A chunk with this sequence number; the run is the attempt's.
+    /// Sends a chunk of the attempt's run with this sequence number.
     Chunk(u64),
-    /// A chunk of this run with this sequence number.
+    /// Sends a chunk of this run with this sequence number.
     ChunkOfRun(String, u64),
-    /// These bytes.
+    /// Sends these bytes.
     Raw(Bytes),
-    /// The end marker.
+    /// Sends the end marker.
     Done,
-    /// The connection breaks.
+    /// Fails with this error.
     Disconnected(AnswerError),
-    /// Nothing more ever comes.
+    /// Sends nothing more and keeps the connection open.
     Inactivity,
 }
 
-/// What a scripted backend does with one attempt.
+/// How a backend answers one attempt.
 #[derive(Clone, Debug)]
 pub(crate) enum Script {
-    /// No connection.
+    /// Accepts no connection.
     RefuseConnection,
-    /// The connection breaks before the head.
+    /// Receives the request, then closes the connection before the head.
     LoseBeforeHead,
-    /// No head ever comes.
+    /// Receives the request and never answers.
     NeverAnswer,
-    /// An answer.
+    /// Sends this answer.
     Answer(AnswerScript),
 }
 
-/// An answer: head after a delay, then the steps, then the end of the body.
+/// An answer: the head after a delay, then the steps, then the end of the body.
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerScript {
     pub(crate) delay: Duration,
     pub(crate) status: u16,
     pub(crate) not_run: bool,
-    /// Another attempt's id instead of this one's.
-    pub(crate) crossed: bool,
-    /// Confirms another sequence number than the wanted one.
+    /// Whether the head echoes another attempt's id.
+    pub(crate) attempt_mismatch: bool,
+    /// Sequence number to confirm; if absent, the requested one is confirmed.
     pub(crate) resume_at: Option<u64>,
     pub(crate) framing: Framing,
     pub(crate) steps: Vec<Step>,
 }
 
 impl AnswerScript {
-    /// An answer with these steps.
+    /// Creates a successful answer with these steps, 20 ms after the request.
     pub(crate) fn new(steps: Vec<Step>) -> Self {
         Self {
             delay: Duration::from_millis(20),
             status: 200,
             not_run: false,
-            crossed: false,
+            attempt_mismatch: false,
             resume_at: None,
             framing: Framing::Chunked,
             steps,
         }
     }
 
-    /// The head of the answer to an attempt.
+    /// Returns the head of the answer to an attempt.
     pub(crate) fn head(&self, attempt: &str, resume_from: Option<u64>) -> AnswerHead {
-        let echoed = if self.crossed { "another" } else { attempt };
+        let echoed = if self.attempt_mismatch {
+            "another"
+        } else {
+            attempt
+        };
         AnswerHead {
             status: self.status,
             attempt: Some(echoed.to_owned()),
@@ -79,19 +83,19 @@
     }
 }
 
-/// A stream of these chunks without an end marker, 10 ms apart.
+/// Steps that send these chunks 10 ms apart, without an end marker.
 pub(crate) fn chunks(sequences: std::ops::Range<u64>) -> Vec<Step> {
     let steps = sequences
         .flat_map(|sequence| [Step::Wait(Duration::from_millis(10)), Step::Chunk(sequence)]);
     steps.collect()
 }
 
-/// A whole stream of `count` chunks from `first` on.
+/// A complete stream of `count` chunks from number `first` on.
 pub(crate) fn complete_stream(first: u64, count: u64) -> Script {
     stream(chunks(first..first + count), Step::Done)
 }
 
-/// A stream with another end.
+/// A stream with these steps and this last step.
 pub(crate) fn stream(mut steps: Vec<Step>, end: Step) -> Script {
     steps.push(end);
     Script::Answer(AnswerScript::new(steps))
--- a/crates/proxy/tests/support/sink.rs
+++ b/crates/proxy/tests/support/sink.rs
@@ -1,4 +1,4 @@
-//! A caller that records its answer and may leave.
+//! A caller that records its response and may disconnect.
 
 use std::sync::{Arc, Mutex};
 
@@ -9,16 +9,16 @@
 
 use super::clock::SimulatedClock;
 
-/// What the caller saw.
+/// The response that the caller received.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Seen {
+pub(crate) struct CallerResponse {
     pub(crate) head: Option<CallerHead>,
     pub(crate) body: Vec<u8>,
     pub(crate) complete: bool,
     pub(crate) ended_at: MonotonicTime,
 }
 
-impl Seen {
+impl CallerResponse {
     pub(crate) fn status(&self) -> u16 {
         self.head.as_ref().map_or(0, |head| head.status)
     }
@@ -27,7 +27,7 @@
         String::from_utf8(self.body.clone()).expect("text")
     }
 
-    /// Sequence numbers of the chunks, in the order in which they came.
+    /// Returns the sequence numbers of the chunks, in the order of arrival.
     pub(crate) fn sequences(&self) -> Vec<u64> {
         let text = self.text();
         let ids = text.lines().filter_map(|line| line.strip_prefix("id: "));
@@ -38,8 +38,8 @@
         self.text().ends_with("data: [DONE]\n\n")
     }
 
-    /// The error body, of the complete answer or of its last event.
-    pub(crate) fn error(&self) -> SeenError {
+    /// Parses the error body from the complete response or from the last event of a stream.
+    pub(crate) fn error(&self) -> ErrorResponse {
         let text = self.text();
         let json = match text.rsplit_once("event: error\ndata: ") {
             Some((_, event)) => event.trim().to_owned(),
@@ -48,7 +48,7 @@
         let body: serde_json::Value = serde_json::from_str(&json).expect("error body");
         let error = &body["error"];
         let code = u32::try_from(error["code"].as_u64().expect("code")).expect("code");
-        SeenError {
+        ErrorResponse {
             code: ResultCode::from_number(code).expect("known code"),
             run: error["run"].as_str().expect("run").to_owned(),
             retry_after_ms: error["retry_after_ms"].as_u64(),
@@ -56,19 +56,19 @@
     }
 }
 
-/// An error body as the caller reads it.
+/// The fields of an error body that the tests check.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct SeenError {
+pub(crate) struct ErrorResponse {
     pub(crate) code: ResultCode,
     pub(crate) run: String,
     pub(crate) retry_after_ms: Option<u64>,
 }
 
-/// A caller under simulated time.
+/// A caller with simulated time.
 #[derive(Clone, Debug)]
 pub(crate) struct RecordingSink {
     clock: SimulatedClock,
-    seen: Arc<Mutex<Seen>>,
+    response: Arc<Mutex<CallerResponse>>,
     disconnects_at: Option<MonotonicTime>,
 }
 
@@ -76,7 +76,7 @@
     pub(crate) fn new(clock: SimulatedClock) -> Self {
         Self {
             clock,
-            seen: Arc::default(),
+            response: Arc::default(),
             disconnects_at: None,
         }
     }
@@ -86,8 +86,8 @@
         self
     }
 
-    pub(crate) fn seen(&self) -> Seen {
-        self.seen.lock().expect("seen").clone()
+    pub(crate) fn response(&self) -> CallerResponse {
+        self.response.lock().expect("response").clone()
     }
 
     fn check_present(&self) -> Result<(), CallerDisconnected> {
@@ -116,23 +116,26 @@
 
     async fn begin(&mut self, head: CallerHead) -> Result<(), CallerDisconnected> {
         self.check_present()?;
-        let mut seen = self.seen.lock().expect("seen");
-        assert!(seen.head.is_none(), "an answer has one head");
-        seen.head = Some(head);
+        let mut response = self.response.lock().expect("response");
+        assert!(response.head.is_none(), "the head is sent twice");
+        response.head = Some(head);
         Ok(())
     }
 
     async fn send(&mut self, bytes: Bytes) -> Result<(), CallerDisconnected> {
         self.check_present()?;
-        let mut seen = self.seen.lock().expect("seen");
-        assert!(!seen.complete, "nothing follows the end of an answer");
-        seen.body.extend_from_slice(&bytes);
+        let mut response = self.response.lock().expect("response");
+        assert!(
+            !response.complete,
+            "bytes are sent after the end of the response"
+        );
+        response.body.extend_from_slice(&bytes);
         Ok(())
     }
 
     fn finish(&mut self) {
-        let mut seen = self.seen.lock().expect("seen");
-        seen.complete = true;
-        seen.ended_at = self.clock.now();
+        let mut response = self.response.lock().expect("response");
+        response.complete = true;
+        response.ended_at = self.clock.now();
     }
 }
--- a/crates/proxy/tests/support/stub_agent.rs
+++ b/crates/proxy/tests/support/stub_agent.rs
@@ -1,4 +1,4 @@
-//! An agent on loopback that shows one configuration and grants everything.
+//! A stub agent on loopback that sends one configuration and grants all quota and claims.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -14,10 +14,10 @@
 use millford_transport::accept;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Frames that the proxy sent.
+/// Frames that the stub received from the proxy.
 pub(crate) type Received = Arc<Mutex<Vec<local_frame::Body>>>;
 
-/// Starts the agent; it lives as long as the runtime.
+/// Starts the stub, which runs until the runtime ends.
 pub(crate) async fn start(items: Vec<StateItem>) -> (SocketAddr, Received) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address");
@@ -31,8 +31,8 @@
     (address, received)
 }
 
-/// A frame at which the stub ends the connection, as a dying agent does.
-pub(crate) fn hang_up() -> local_frame::Body {
+/// A frame on which the stub closes the connection, as if the agent had crashed.
+pub(crate) fn disconnect_frame() -> local_frame::Body {
     local_frame::Body::Applied(ProxyApplied { revision: u64::MAX })
 }
 
@@ -40,7 +40,7 @@
     let (mut reader, mut writer) = accept::<LocalFrame>(stream).expect("socket");
     while let Some(Ok(frame)) = reader.next().await {
         let body = frame.body.expect("body");
-        if body == hang_up() {
+        if body == disconnect_frame() {
             return;
         }
         received.lock().expect("received").push(body.clone());
@@ -70,9 +70,9 @@
                 complete: true,
             }),
         ],
-        local_frame::Body::QuotaRequest(ask) => {
+        local_frame::Body::QuotaRequest(request) => {
             vec![local_frame::Body::QuotaReply(LocalQuotaReply {
-                request_id: ask.request_id,
+                request_id: request.request_id,
                 granted: true,
                 ..LocalQuotaReply::default()
             })]
@@ -85,10 +85,10 @@
                 ..ClaimResult::default()
             }),
         })],
-        local_frame::Body::ResolveClaim(settle) => {
+        local_frame::Body::ResolveClaim(resolution) => {
             vec![local_frame::Body::ResolveClaimReply(
                 LocalResolveClaimReply {
-                    request_id: settle.request_id,
+                    request_id: resolution.request_id,
                     code: 0,
                 },
             )]
