--- a/crates/core/src/result_code.rs
+++ b/crates/core/src/result_code.rs
@@ -14,7 +14,7 @@
         pub enum ResultCode { $($(#[$doc])* $name = $number,)* }
 
         impl ResultCode {
-            /// All codes, by number.
+            /// All codes, ordered by number.
             pub const ALL: &'static [ResultCode] = &[$(ResultCode::$name),*];
 
             /// Returns a short sentence that explains the code to people.
@@ -90,7 +90,8 @@
     ConnectFailed = 3002, "No backend accepted a connection.";
     /// The backend refused the request before any work on it.
     BackendRefused = 3003, "The backend refused the request before running it.";
-    /// The connection to the backend failed after the request was sent.
+    /// The connection to the backend failed after the request was sent, or the backend's drain time
+    /// passed before the stream ended.
     BackendLost = 3004, "The backend was lost after the request was sent.";
     /// The answer carries another attempt's id.
     AnswerMismatch = 3005, "The backend's answer belongs to another request.";
@@ -156,7 +157,7 @@
     DiskFull = 6002, "The disk is full.";
     /// A checksum does not match in the middle of a log.
     LogCorrupt = 6003, "The log is corrupt.";
-    /// The data folder belongs to another cluster or program.
+    /// The data folder does not belong to this cluster.
     DataFolderForeign = 6004, "The data folder does not belong to this cluster.";
     /// A setting in the settings file or on the command line is invalid.
     SettingsInvalid = 7001, "The settings have faults.";
--- a/crates/proxy/src/request/admit.rs
+++ b/crates/proxy/src/request/admit.rs
@@ -25,7 +25,8 @@
     }
 }
 
-/// A position in the queue, which is left when the wait ends for any reason.
+/// A position in the queue. Dropping it removes the request from the queue, whichever way the wait
+/// ends.
 struct QueuePosition<'a> {
     queue: &'a FairQueue,
     tenant: &'a str,
--- a/crates/proxy/src/request/caller.rs
+++ b/crates/proxy/src/request/caller.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use millford_core::MonotonicTime;
 
-/// Headers of a caller's request that the request path reads, absent if the caller sent none.
-/// Requests with values that are not text were refused earlier.
+/// Headers of a caller's request that the request path reads; `None` for a header that the caller
+/// did not send. Requests with values that are not text were refused earlier.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallerHeaders {
     /// `authorization`: scheme and tenant key.
--- a/crates/proxy/src/request/chunk.rs
+++ b/crates/proxy/src/request/chunk.rs
@@ -49,10 +49,10 @@
         let Ok(Value::Object(mut fields)) = serde_json::from_str(data) else {
             return None;
         };
-        let mark = fields.remove(CHUNK_FIELD)?;
+        let metadata = fields.remove(CHUNK_FIELD)?;
         Some(Self {
-            run: mark.get("run")?.as_str()?.to_owned(),
-            sequence: mark.get("seq")?.as_u64()?,
+            run: metadata.get("run")?.as_str()?.to_owned(),
+            sequence: metadata.get("seq")?.as_u64()?,
             usage: Usage::read(&fields),
             fields,
         })
--- a/crates/proxy/src/request/run_cost.rs
+++ b/crates/proxy/src/request/run_cost.rs
@@ -66,8 +66,8 @@
         self.usage = totals.usage;
     }
 
-    /// Adds the run to this proxy's cost estimates, and to the sample that is reported for the
-    /// other proxies.
+    /// Adds the run to this proxy's cost estimates, and to the samples of its next load report,
+    /// from which the placement role estimates costs.
     pub(super) fn record(self, state: &ProxyState, plan: &RequestPlan) {
         let model = &plan.requirement.model;
         if let Some(usage) = self.usage.filter(|usage| usage.prompt_tokens > 0) {
--- a/crates/proxy/tests/daemon_path.rs
+++ b/crates/proxy/tests/daemon_path.rs
@@ -109,8 +109,8 @@
 fn events(request: &RawRequest, count: u64, done: bool) -> String {
     let run = request.header("x-millford-run");
     let chunk = |sequence: u64| {
-        let mark = format!("{{\"run\":\"{run}\",\"seq\":{sequence}}}");
-        format!("data: {{\"choices\":[],\"millford\":{mark}}}\n\n")
+        let metadata = format!("{{\"run\":\"{run}\",\"seq\":{sequence}}}");
+        format!("data: {{\"choices\":[],\"millford\":{metadata}}}\n\n")
     };
     let mut events: String = (0..count).map(chunk).collect();
     if done {
--- a/crates/proxy/tests/support/environment.rs
+++ b/crates/proxy/tests/support/environment.rs
@@ -265,8 +265,8 @@
 
 fn chunk(run: &str, sequence: u64) -> Bytes {
     let choices = format!("[{{\"index\":0,\"delta\":{{\"content\":\"w{sequence} \"}}}}]");
-    let mark = format!("{{\"run\":\"{run}\",\"seq\":{sequence}}}");
+    let metadata = format!("{{\"run\":\"{run}\",\"seq\":{sequence}}}");
     Bytes::from(format!(
-        "data: {{\"choices\":{choices},\"millford\":{mark}}}\n\n"
+        "data: {{\"choices\":{choices},\"millford\":{metadata}}}\n\n"
     ))
 }
