--- a/crates/proxy/src/request/first_answer.rs
+++ b/crates/proxy/src/request/first_answer.rs
@@ -190,7 +190,8 @@
         self.plan.is_repeatable() && failure.retryable
     }
 
-    /// Records the successful attempt and withdraws those whose outcome is unknown.
+    /// Records the successful attempt and withdraws the failed ones that may have run. Attempts
+    /// still in flight are withdrawn when they are dropped.
     fn conclude(&mut self, withdraw_request: &WithdrawRequest) {
         self.record_sent(withdraw_request);
         self.progress.withdraw_rest(self.environment);
