--- a/crates/api/src/http_status.rs
+++ b/crates/api/src/http_status.rs
@@ -1,11 +1,11 @@
-//! HTTP status of each numbered result, the same for callers and operators.
+//! HTTP status of each numbered result code, the same for callers and operators.
 
 use millford_core::ResultCode;
 
-/// The status that an HTTP answer with this code has.
+/// Returns the HTTP status of a response with this result code.
 ///
-/// Codes that never leave the control plane or the command line have 503 here, the status of
-/// anything that is not expected to reach a client.
+/// Codes that only occur inside the control plane or on the command line map to 503, like every
+/// code that is not expected in a response to a client.
 #[must_use]
 pub fn http_status(code: ResultCode) -> u16 {
     match code {
--- a/crates/api/src/json/mod.rs
+++ b/crates/api/src/json/mod.rs
@@ -1,4 +1,4 @@
-//! JSON forms of fields that the protocol types keep as numbers or bytes.
+//! JSON forms of fields that the protocol types store as numbers or bytes.
 
 pub mod backend_state;
 pub mod hexadecimal;
--- a/crates/api/src/json/replica_state.rs
+++ b/crates/api/src/json/replica_state.rs
@@ -1,23 +1,23 @@
-//! JSON form of [`crate::state::ReplicaState`]: its name in snake case.
+//! JSON form of [`crate::state::ReplicaState`]: the name of the value in snake case.
 
 use crate::state::ReplicaState;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Writes the name of the value; an unknown number is an error.
+/// Serializes the enum value with this number as its name.
 ///
 /// # Errors
 ///
-/// Where the serializer fails.
+/// Fails when the number is no [`ReplicaState`] or the serializer fails.
 pub fn serialize<S: Serializer>(value: &i32, serializer: S) -> Result<S::Ok, S::Error> {
     let value = ReplicaState::try_from(*value).map_err(serde::ser::Error::custom)?;
     value.serialize(serializer)
 }
 
-/// Reads the name of the value; an unknown name is an error that lists the known ones.
+/// Deserializes the name of a value to its number.
 ///
 /// # Errors
 ///
-/// Where the text is not such a value.
+/// Fails when the text is not the name of a [`ReplicaState`]; the error lists the valid names.
 pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<i32, D::Error> {
     Ok(ReplicaState::deserialize(deserializer)? as i32)
 }
--- a/crates/api/src/operator/config_body.rs
+++ b/crates/api/src/operator/config_body.rs
@@ -8,36 +8,39 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PutConfigBody {
-    /// Revision that the document was built on; 0 for the first.
+    /// Revision that the document is based on; 0 for the first configuration.
     pub base_revision: u64,
-    /// Chosen by the operator; resending the same order is acknowledged again.
+    /// Idempotency key chosen by the operator: a resent order with the same id is acknowledged again
+    /// instead of being applied twice. May be empty.
     #[serde(default)]
     pub order_id: String,
-    /// The whole configuration.
+    /// The complete new configuration.
     pub document: Document,
 }
 
-/// Answer to an accepted order.
+/// Response to `PUT /v1/config` when the order is accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PutConfigReply {
-    /// Number that the order got.
+    /// Revision assigned to the order.
     pub revision: u64,
-    /// Whether the order had been accepted before.
+    /// Whether an order with the same id had already been accepted.
     pub repeated: bool,
 }
 
-/// Answer to `GET /v1/config`: the configuration in force, by a confirmed read.
+/// Response to `GET /v1/config`: the configuration in force, from a linearizable read.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigReply {
-    /// Number of the configuration; 0 before the first order.
+    /// Revision in force; 0 before the first order.
     pub revision: u64,
-    /// SHA-256 of the canonical JSON in lower-case hexadecimal; empty before the first order.
+    /// SHA-256 of the document in canonical JSON, in lower-case hexadecimal; empty before the first
+    /// order.
     pub digest: String,
-    /// The whole configuration, its lists sorted by name.
+    /// The complete configuration, with its lists sorted by name.
     pub document: Document,
-    /// The document as the operator sent it, when it came in another form; not part of this body.
+    /// The document as the operator sent it, if it was sent in a format other than [`Document`];
+    /// otherwise empty. Not part of the JSON body.
     #[serde(skip)]
     pub source: Vec<u8>,
 }
--- a/crates/api/src/operator/drain_body.rs
+++ b/crates/api/src/operator/drain_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of the drain of a backend.
+//! Bodies of `/v1/services/{pool}/backends/{id}/drain`.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,18 +6,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DrainBody {
-    /// True keeps new work off the backend, false lifts that again.
+    /// True stops routing new work to the backend, false lifts an earlier drain.
     pub drain: bool,
 }
 
-/// Answer to a drain order.
+/// Response to a drain order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DrainReply {
-    /// Pool of the backend.
+    /// Name of the pool of the backend.
     pub pool: String,
     /// Identity of the backend.
     pub backend_id: String,
-    /// Whether a drain order stands now.
+    /// Whether the backend is drained by an operator now.
     pub drain: bool,
 }
--- a/crates/api/src/operator/error_body.rs
+++ b/crates/api/src/operator/error_body.rs
@@ -1,34 +1,34 @@
-//! Body of every refusal, to callers and operators alike.
+//! Body of every error response, to callers as well as to operators.
 
 use millford_core::{ResultCode, RunState};
 use serde::{Deserialize, Serialize};
 
-/// `{"error": {...}}`.
+/// Body of an error response: `{"error": {...}}`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// What went wrong.
+    /// The error.
     pub error: ErrorDetail,
-    /// Present revision, beside [`ResultCode::RevisionConflict`].
+    /// Configuration revision in force; set with [`ResultCode::RevisionConflict`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revision: Option<u64>,
 }
 
-/// What went wrong.
+/// An error with its numbered result code.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorDetail {
-    /// Number of the result, see `docs/ERRORS.md`.
+    /// Number of the result code, see `docs/ERRORS.md`.
     pub code: u32,
-    /// Name of the result.
+    /// Name of the result code.
     pub name: String,
-    /// One sentence for people.
+    /// Human-readable description, one sentence.
     pub message: String,
-    /// To callers only: whether the request may have run.
+    /// Whether a backend may have run the request; set only in responses to callers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub run: Option<RunState>,
-    /// When asking again may help, in milliseconds.
+    /// Time after which a retry may succeed, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// Every fault of a document or order.
+    /// All faults of a document or order.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub faults: Vec<FaultBody>,
 }
@@ -38,18 +38,18 @@
 pub struct FaultBody {
     /// Path of the field, such as `document.routes[0].pool`.
     pub path: String,
-    /// One sentence for people.
+    /// Human-readable description, one sentence.
     pub message: String,
 }
 
 impl ErrorBody {
-    /// A body with the code's own sentence.
+    /// Creates a body with the result code's own text as the message.
     #[must_use]
     pub fn new(code: ResultCode) -> Self {
         Self::with_message(code, code.text())
     }
 
-    /// A body with another sentence.
+    /// Creates a body with the given message.
     #[must_use]
     pub fn with_message(code: ResultCode, message: impl Into<String>) -> Self {
         let error = ErrorDetail {
--- a/crates/api/src/operator/mod.rs
+++ b/crates/api/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! JSON bodies of the operators' interface, as `openapi/operator.json` has them.
+//! JSON bodies of the operators' API, as `openapi/operator.json` describes them.
 
 mod config_body;
 mod drain_body;
@@ -20,7 +20,7 @@
     MemberBody, PlacementBody, ReplicaBody, SessionBody, ShardBody, StatusReply,
 };
 
-/// Paths of the operators' interface; the server and the OpenAPI file have the same.
+/// Paths of the operators' API. The server and the OpenAPI file have the same paths.
 pub const OPERATOR_PATHS: [&str; 8] = [
     "/v1/config",
     "/v1/plan",
--- a/crates/api/src/operator/plan_body.rs
+++ b/crates/api/src/operator/plan_body.rs
@@ -13,12 +13,12 @@
     pub document: Document,
 }
 
-/// Answer to `POST /v1/plan`.
+/// Response to `POST /v1/plan`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlanReply {
-    /// Revision that the plan was worked out against; use it as `base_revision`.
+    /// Revision that the plan was computed against; the `base_revision` for applying the document.
     pub revision: u64,
-    /// What the change would move.
+    /// Changes that applying the document would make.
     pub plan: Plan,
 }
--- a/crates/api/src/operator/plan_change.rs
+++ b/crates/api/src/operator/plan_change.rs
@@ -1,8 +1,8 @@
-//! What a change of configuration moves.
+//! Effects of a configuration change, as a plan lists them.
 
 use serde::{Deserialize, Serialize};
 
-/// Everything that a change moves; empty lists mean that nothing of the kind does.
+/// All effects of a configuration change. An empty list means that there is no effect of that kind.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Plan {
@@ -12,31 +12,31 @@
     pub pools: Vec<NamedChange>,
     /// Tenants that are added, removed or changed.
     pub tenants: Vec<NamedChange>,
-    /// Keys that become valid or are revoked.
+    /// Tenant keys that become valid or are revoked.
     pub keys: Vec<KeyMove>,
-    /// Quotas that change.
+    /// Request and stream quotas that change.
     pub quotas: Vec<QuotaMove>,
     /// Backends that join or leave a pool.
     pub replicas: Vec<ReplicaMove>,
-    /// Shares of session homes that move from one backend to another.
+    /// Sampled shares of sessions whose home moves from one backend to another.
     pub sessions: Vec<SessionMove>,
-    /// What the operator should look at before applying.
+    /// Changes that are valid but probably not intended.
     pub warnings: Vec<PlanWarning>,
-    /// Items that the change sends to the nodes, deletions included.
+    /// Number of state items that the change sends to the nodes, deletions included.
     pub changed_items: u64,
-    /// Size of these items on the wire, in bytes.
+    /// Encoded size of these items, in bytes.
     pub changed_bytes: u64,
 }
 
-/// How something changes.
+/// Kind of change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeKind {
-    /// It is new.
+    /// Only the new configuration has it.
     Added,
-    /// It goes away.
+    /// Only the configuration in force has it.
     Removed,
-    /// It stays, with other values.
+    /// Both configurations have it, with different values.
     Changed,
 }
 
@@ -44,11 +44,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NamedChange {
-    /// Its name.
+    /// Name of the route, pool or tenant.
     pub name: String,
-    /// How it changes.
+    /// Kind of change.
     pub change: ChangeKind,
-    /// Fields that change, when it stays.
+    /// Names of the fields that differ; empty unless `change` is [`ChangeKind::Changed`].
     #[serde(default)]
     pub fields: Vec<String>,
 }
@@ -59,21 +59,21 @@
 pub struct KeyMove {
     /// Name of the tenant.
     pub tenant: String,
-    /// First digits of the key's hash.
+    /// First hexadecimal digits of the key's SHA-256.
     pub key_hash_prefix: String,
-    /// Added or removed; a key that passes to another tenant is both.
+    /// Added or removed. A key that moves to another tenant is listed once as each.
     pub change: ChangeKind,
 }
 
-/// A quota that changes; an absent side means that there is no such tenant.
+/// A tenant's quota that changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QuotaMove {
     /// Name of the tenant.
     pub tenant: String,
-    /// Quota in force.
+    /// Quota in force. Absent: the tenant has none or does not exist.
     pub before: Option<crate::config::Quota>,
-    /// Quota after the change.
+    /// Quota after the change. Absent: the tenant has none or does not exist.
     pub after: Option<crate::config::Quota>,
 }
 
@@ -85,32 +85,32 @@
     pub pool: String,
     /// Identity of the backend.
     pub backend_id: String,
-    /// Added to the pool or removed from it.
+    /// Whether the backend is added to the pool or removed from it.
     pub change: ChangeKind,
 }
 
-/// Session homes of one route that move between two backends.
+/// Sampled sessions of one route whose home moves between the same two backends.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SessionMove {
     /// Name of the route.
     pub route: String,
-    /// Backend that is the home now; empty when no backend serves the route.
+    /// Identity of the present home; empty when no backend serves the route.
     pub from: String,
-    /// Backend that becomes the home; empty when no backend will serve the route.
+    /// Identity of the new home; empty when no backend will serve the route.
     pub to: String,
-    /// Sessions of the sample that move so.
+    /// Number of sampled sessions that move from `from` to `to`.
     pub moved: u64,
-    /// Sessions of the sample on this route.
+    /// Number of sessions sampled on this route.
     pub sampled: u64,
 }
 
-/// Something that is allowed and yet likely not meant.
+/// A change that is valid but probably not intended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlanWarning {
-    /// Path of what it is about, such as `pools/captions`.
+    /// Path of the item concerned, such as `pools/captions`.
     pub path: String,
-    /// One sentence for people.
+    /// Human-readable description, one sentence.
     pub message: String,
 }
--- a/crates/api/tests/error_table.rs
+++ b/crates/api/tests/error_table.rs
@@ -1,11 +1,11 @@
-//! `docs/ERRORS.md` and the code list the same results.
+//! Checks that `docs/ERRORS.md` and the code list the same result codes.
 
 use std::collections::BTreeMap;
 
 use millford_api::http_status::http_status;
 use millford_core::ResultCode;
 
-/// One row of the table.
+/// One row of the table in `docs/ERRORS.md`, without its number.
 #[derive(Debug, PartialEq, Eq)]
 struct Row {
     name: String,
@@ -13,7 +13,7 @@
     text: String,
 }
 
-fn table() -> BTreeMap<u32, Row> {
+fn read_table() -> BTreeMap<u32, Row> {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/ERRORS.md");
     let page = std::fs::read_to_string(path).expect("docs/ERRORS.md");
     let mut rows = BTreeMap::new();
@@ -28,23 +28,26 @@
                 status: cells[3].to_owned(),
                 text: cells[5].to_owned(),
             };
-            assert!(rows.insert(number, row).is_none(), "{number} stands twice");
+            assert!(
+                rows.insert(number, row).is_none(),
+                "{number} is listed twice"
+            );
         }
     }
     rows
 }
 
 #[test]
-fn the_table_has_every_code_and_no_other() {
-    let table = table();
+fn table_lists_exactly_the_codes_of_the_code() {
+    let table = read_table();
     let listed: Vec<u32> = table.keys().copied().collect();
     let known: Vec<u32> = ResultCode::ALL.iter().map(|code| code.number()).collect();
     assert_eq!(listed, known);
 }
 
 #[test]
-fn names_and_sentences_are_those_of_the_code() {
-    let table = table();
+fn names_and_texts_match_the_code() {
+    let table = read_table();
     for code in ResultCode::ALL {
         let row = &table[&code.number()];
         assert_eq!(row.name, code.name());
@@ -53,8 +56,8 @@
 }
 
 #[test]
-fn statuses_are_those_of_the_code() {
-    let table = table();
+fn http_statuses_match_the_code() {
+    let table = read_table();
     for code in ResultCode::ALL {
         let row = &table[&code.number()];
         if row.status != "-" {
--- a/crates/api/tests/openapi.rs
+++ b/crates/api/tests/openapi.rs
@@ -1,4 +1,4 @@
-//! The OpenAPI files and the code describe the same interface.
+//! Checks that the OpenAPI files describe the same APIs as the code.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,7 +17,7 @@
 use serde::Serialize;
 use serde_json::Value;
 
-fn file(name: &str) -> Value {
+fn read_openapi(name: &str) -> Value {
     let path = format!("{}/openapi/{name}", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(path).expect("the OpenAPI file");
     serde_json::from_str(&text).expect("JSON")
@@ -28,7 +28,7 @@
     fields.keys().cloned().collect()
 }
 
-/// One value of every type, with every optional field there, by the name of its schema.
+/// One serialized value of every type, with all optional fields set, by the name of its schema.
 struct Samples(BTreeMap<&'static str, Value>);
 
 impl Samples {
@@ -37,7 +37,7 @@
         self.0.insert(schema, value);
     }
 
-    fn of_documents(&mut self) {
+    fn add_documents(&mut self) {
         self.add("Document", Document::default());
         self.add("Route", Route::default());
         self.add("RouteMatch", RouteMatch::default());
@@ -52,7 +52,7 @@
         self.add("WeightedPool", WeightedPool::default());
     }
 
-    fn of_orders(&mut self) {
+    fn add_orders(&mut self) {
         self.add(
             "PutConfigBody",
             PutConfigBody {
@@ -96,7 +96,7 @@
         self.add("RecoveryReply", RecoveryReply { shards: Vec::new() });
     }
 
-    fn of_errors(&mut self) {
+    fn add_errors(&mut self) {
         let mut error = ErrorBody::new(ResultCode::DocumentInvalid);
         error.revision = Some(1);
         error.error.run = Some(RunState::NotRun);
@@ -112,7 +112,7 @@
         self.add("FaultBody", fault);
     }
 
-    fn of_plans(&mut self) {
+    fn add_plans(&mut self) {
         let change = ChangeKind::Added;
         self.add("Plan", Plan::default());
         self.add(
@@ -179,7 +179,7 @@
         );
     }
 
-    fn of_status(&mut self) {
+    fn add_status(&mut self) {
         self.add("StatusReply", StatusReply::default());
         self.add("MemberBody", MemberBody::default());
         self.add("ShardBody", ShardBody::default());
@@ -190,43 +190,45 @@
 
     fn all() -> BTreeMap<&'static str, Value> {
         let mut samples = Self(BTreeMap::new());
-        samples.of_documents();
-        samples.of_orders();
-        samples.of_errors();
-        samples.of_plans();
-        samples.of_status();
+        samples.add_documents();
+        samples.add_orders();
+        samples.add_errors();
+        samples.add_plans();
+        samples.add_status();
         samples.0
     }
 }
 
-/// Every `$ref` below a value.
-fn references(value: &Value, found: &mut BTreeSet<String>) {
+/// Collects the target of every `$ref` in a value.
+fn collect_references(value: &Value, references: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
             for (field, value) in fields {
                 match (field.as_str(), value) {
                     ("$ref", Value::String(target)) => {
-                        found.insert(target.clone());
+                        references.insert(target.clone());
                     }
-                    _ => references(value, found),
+                    _ => collect_references(value, references),
                 }
             }
         }
-        Value::Array(entries) => entries.iter().for_each(|entry| references(entry, found)),
+        Value::Array(entries) => entries
+            .iter()
+            .for_each(|entry| collect_references(entry, references)),
         _ => {}
     }
 }
 
-/// Each operation of a file.
-fn operations(file: &Value) -> Vec<&Value> {
-    let paths = file["paths"].as_object().expect("paths");
+/// All operations of an OpenAPI file.
+fn operations(openapi: &Value) -> Vec<&Value> {
+    let paths = openapi["paths"].as_object().expect("paths");
     let methods = paths
         .values()
         .flat_map(|path| path.as_object().expect("methods").values());
     methods.collect()
 }
 
-/// Numbers of four digits in a text.
+/// All four-digit numbers in a text: the result codes that it lists.
 fn codes_in(text: &str) -> Vec<u32> {
     text.split(|character: char| !character.is_ascii_digit())
         .filter(|word| word.len() == 4)
@@ -235,14 +237,14 @@
 }
 
 #[test]
-fn the_operators_paths_are_those_of_the_code() {
+fn operator_paths_match_the_code() {
     let expected: BTreeSet<String> = OPERATOR_PATHS.map(str::to_owned).into();
-    assert_eq!(keys(&file("operator.json")["paths"]), expected);
+    assert_eq!(keys(&read_openapi("operator.json")["paths"]), expected);
 }
 
 #[test]
 fn every_type_has_a_schema_with_the_same_fields() {
-    let operator = file("operator.json");
+    let operator = read_openapi("operator.json");
     let schemas = &operator["components"]["schemas"];
     for (name, sample) in Samples::all() {
         assert_eq!(keys(&schemas[name]["properties"]), keys(&sample), "{name}");
@@ -250,16 +252,16 @@
 }
 
 #[test]
-fn every_schema_has_a_type() {
-    let operator = file("operator.json");
+fn every_schema_has_a_type_in_the_code() {
+    let operator = read_openapi("operator.json");
     let mut expected: BTreeSet<String> = Samples::all().keys().map(|&name| name.into()).collect();
     expected.extend(["Resume".to_owned(), "ChangeKind".to_owned()]);
     assert_eq!(keys(&operator["components"]["schemas"]), expected);
 }
 
 #[test]
-fn fields_that_the_code_refuses_are_refused_by_the_schema() {
-    let operator = file("operator.json");
+fn schemas_reject_unknown_fields_as_the_code_does() {
+    let operator = read_openapi("operator.json");
     let schemas = operator["components"]["schemas"]
         .as_object()
         .expect("schemas");
@@ -271,8 +273,8 @@
 }
 
 #[test]
-fn enumerations_have_the_values_of_the_code() {
-    let operator = file("operator.json");
+fn enum_values_match_the_code() {
+    let operator = read_openapi("operator.json");
     let schemas = &operator["components"]["schemas"];
     let resumes = [Resume::Never, Resume::FromStart, Resume::Continue];
     let changes = [ChangeKind::Added, ChangeKind::Removed, ChangeKind::Changed];
@@ -293,28 +295,29 @@
 }
 
 #[test]
-fn every_reference_leads_to_a_schema() {
+fn every_reference_resolves_to_a_schema() {
     for name in ["operator.json", "caller.json"] {
-        let whole = file(name);
-        let mut found = BTreeSet::new();
-        references(&whole, &mut found);
-        assert!(!found.is_empty());
-        for reference in found {
+        let openapi = read_openapi(name);
+        let mut references = BTreeSet::new();
+        collect_references(&openapi, &mut references);
+        assert!(!references.is_empty());
+        for reference in references {
             let pointer = reference.trim_start_matches('#');
-            assert!(whole.pointer(pointer).is_some(), "{name}: {reference}");
+            assert!(openapi.pointer(pointer).is_some(), "{name}: {reference}");
         }
     }
 }
 
 #[test]
-fn codes_stand_under_the_status_that_they_have() {
+fn codes_are_described_under_their_http_status() {
     for name in ["operator.json", "caller.json"] {
-        let whole = file(name);
-        for operation in operations(&whole) {
+        let openapi = read_openapi(name);
+        for operation in operations(&openapi) {
             for (status, response) in operation["responses"].as_object().expect("responses") {
                 let text = response["description"].as_str().expect("a description");
-                let foremost = text.split(". Nothing was").next().expect("a sentence");
-                for number in codes_in(foremost) {
+                // The text after "Nothing was" may refer to codes with another status.
+                let listed = text.split(". Nothing was").next().expect("a sentence");
+                for number in codes_in(listed) {
                     let code = ResultCode::from_number(number).expect("a known code");
                     let expected = http_status(code).to_string();
                     assert_eq!(*status, expected, "{name}: {number} in {text}");
@@ -325,13 +328,13 @@
 }
 
 #[test]
-fn operations_are_named_once_and_described() {
+fn operations_have_a_unique_id_and_a_summary() {
     for name in ["operator.json", "caller.json"] {
-        let whole = file(name);
-        let mut names = BTreeSet::new();
-        for operation in operations(&whole) {
+        let openapi = read_openapi(name);
+        let mut ids = BTreeSet::new();
+        for operation in operations(&openapi) {
             let id = operation["operationId"].as_str().expect("an id");
-            assert!(names.insert(id.to_owned()), "{id} stands twice");
+            assert!(ids.insert(id.to_owned()), "{id} is used twice");
             assert!(
                 operation["summary"]
                     .as_str()
@@ -342,9 +345,9 @@
 }
 
 #[test]
-fn errors_are_the_same_for_callers_and_operators() {
-    let operator = file("operator.json");
-    let caller = file("caller.json");
+fn error_schemas_are_the_same_for_callers_and_operators() {
+    let operator = read_openapi("operator.json");
+    let caller = read_openapi("caller.json");
     for schema in ["ErrorBody", "ErrorDetail", "FaultBody"] {
         let pointer = format!("/components/schemas/{schema}");
         assert_eq!(operator.pointer(&pointer), caller.pointer(&pointer));
--- a/crates/api/tests/outside_names.rs
+++ b/crates/api/tests/outside_names.rs
@@ -1,4 +1,5 @@
-//! Result codes and the operators' and callers' interfaces are those of b3d3e00.
+//! Checks that the result codes and the APIs of operators and callers, which clients rely on, are still those
+//! of commit b3d3e00.
 
 #[path = "support/committed.rs"]
 mod committed;
@@ -22,28 +23,29 @@
     assert_committed(&format!("{DATA}/result_codes.txt"), &lines);
 }
 
-/// Every value of a file by its place, without the sentences for people.
-fn flatten(value: &Value, place: &str, lines: &mut Vec<String>) {
-    const SENTENCES: [&str; 3] = ["description", "summary", "title"];
+/// Appends a line with path and value for each scalar of a JSON document, except for texts for people.
+fn flatten(value: &Value, json_path: &str, lines: &mut Vec<String>) {
+    const DESCRIPTIVE_FIELDS: [&str; 3] = ["description", "summary", "title"];
     match value {
         Value::Object(fields) => {
             for (name, value) in fields {
-                let is_sentence = SENTENCES.contains(&name.as_str()) && value.is_string();
-                if !is_sentence {
-                    flatten(value, &format!("{place}/{name}"), lines);
+                let is_descriptive =
+                    DESCRIPTIVE_FIELDS.contains(&name.as_str()) && value.is_string();
+                if !is_descriptive {
+                    flatten(value, &format!("{json_path}/{name}"), lines);
                 }
             }
         }
         Value::Array(values) => {
             for (ordinal, value) in values.iter().enumerate() {
-                flatten(value, &format!("{place}/{ordinal}"), lines);
+                flatten(value, &format!("{json_path}/{ordinal}"), lines);
             }
         }
-        plain => lines.push(format!("{place} {plain}\n")),
+        scalar => lines.push(format!("{json_path} {scalar}\n")),
     }
 }
 
-fn assert_interface(name: &str) {
+fn assert_api_is_committed(name: &str) {
     let path = format!("{}/openapi/{name}.json", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(path).expect("the OpenAPI file");
     let value: Value = serde_json::from_str(&text).expect("JSON");
@@ -53,13 +55,13 @@
     assert_committed(&format!("{DATA}/{name}.txt"), &lines.concat());
 }
 
-/// `openapi.rs` holds this file and the code's types together.
+/// `openapi.rs` checks that this file matches the code's types.
 #[test]
-fn the_operators_paths_and_fields_are_the_committed_ones() {
-    assert_interface("operator");
+fn operator_api_is_the_committed_one() {
+    assert_api_is_committed("operator");
 }
 
 #[test]
-fn the_callers_paths_and_fields_are_the_committed_ones() {
-    assert_interface("caller");
+fn caller_api_is_the_committed_one() {
+    assert_api_is_committed("caller");
 }
--- a/crates/api/tests/support/committed.rs
+++ b/crates/api/tests/support/committed.rs
@@ -1,11 +1,11 @@
-//! Compares what the present code says with a file that was written by the code of b3d3e00.
+//! Compares output of the present code with a file that the code of commit b3d3e00 wrote.
 
 use std::path::Path;
 
-/// Checks that `lines` are those of the file, and says which ones differ.
+/// Asserts that `lines` are the lines of the file, and prints the lines that differ.
 ///
-/// With `MILLFORD_WRITE_COMMITTED=1` in the environment the file is written instead and the test
-/// fails: for a list that grows on purpose. A line that a program or a user relies on never changes.
+/// With `MILLFORD_WRITE_COMMITTED=1` in the environment, writes the file instead and then fails. This
+/// is for lists that grow on purpose; a line that a program or a user relies on must never change.
 #[track_caller]
 pub(crate) fn assert_committed(file: &str, lines: &str) {
     let path = Path::new(file);
@@ -13,7 +13,7 @@
         let folder = path.parent().expect("a folder");
         std::fs::create_dir_all(folder).expect("the folder is made");
         std::fs::write(path, lines).expect("the file is written");
-        panic!("{file} is written: run again without MILLFORD_WRITE_COMMITTED");
+        panic!("{file} was written; run the test again without MILLFORD_WRITE_COMMITTED");
     }
     let committed = match std::fs::read_to_string(path) {
         Ok(committed) => committed,
@@ -22,15 +22,15 @@
     if committed == lines {
         return;
     }
-    let lost: Vec<&str> = committed
+    let removed: Vec<&str> = committed
         .lines()
         .filter(|line| !lines.lines().any(|l| l == *line))
         .collect();
-    let new: Vec<&str> = lines
+    let added: Vec<&str> = lines
         .lines()
         .filter(|line| !committed.lines().any(|l| l == *line))
         .collect();
     panic!(
-        "{file} differs (lines in another order if none follow).\nlost: {lost:#?}\nnew: {new:#?}"
+        "{file} differs (only in the order of lines if none are listed).\nremoved: {removed:#?}\nadded: {added:#?}"
     );
 }
--- a/crates/api/tests/wire/command.rs
+++ b/crates/api/tests/wire/command.rs
@@ -4,7 +4,7 @@
 
 use crate::sample::{Sample, Samples, Values};
 
-/// Adds a sample of each message; one of each kind where a message is one of several.
+/// Adds a sample of each message. A message with a `oneof` has one sample for each of its kinds.
 pub(crate) fn add(samples: &mut Samples) {
     samples.add("millford.command.Command.put_config", |values| {
         command::Command {
--- a/crates/api/tests/wire/main.rs
+++ b/crates/api/tests/wire/main.rs
@@ -1,7 +1,7 @@
-//! Every message has the bytes that it had in b3d3e00, and every field its number and type.
+//! Checks that every message is encoded as in commit b3d3e00, and that every field has the same number and type.
 //!
-//! The names of messages and fields may change, since the wire carries numbers. The samples follow
-//! a renaming; the committed files name each message as b3d3e00 did and were written by its code.
+//! Messages and fields may be renamed, since the encoding has only their numbers. The samples are built with the
+//! present names; the committed files were written by the code of b3d3e00 and have the names of that commit.
 
 #[path = "../support/committed.rs"]
 mod committed;
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn every_message_of_the_protocol_files_has_a_sample() {
+fn every_message_in_proto_has_a_sample() {
     let mut samples = Samples::default();
     for add in [
         config::add,
--- a/crates/api/tests/wire/sample.rs
+++ b/crates/api/tests/wire/sample.rs
@@ -1,19 +1,19 @@
-//! Messages with every field filled, each field with a value of its own.
+//! Sample messages in which every field is set, each to a different value.
 
 use std::fmt::{Debug, Write};
 
 use prost::Message;
 use prost::bytes::Bytes;
 
-/// A value with every field filled.
+/// A type with a sample value in which every field is set.
 pub(crate) trait Sample: Sized {
     fn sample(values: &mut Values) -> Self;
 }
 
-/// Gives a different value for each field of a message, in the order in which they are asked for.
+/// Generates a different value for each field of a message, in the order of the calls.
 ///
-/// Booleans have two values only. A message's samples differ in them: sample 0 sets all, sample `n`
-/// sets those whose ordinal has bit `n - 1`, so that no two fields agree in all samples.
+/// Booleans have only two values, so a message has several sample variants: variant 0 sets all booleans,
+/// variant `n` sets those whose ordinal has bit `n - 1`. No two boolean fields are equal in all variants.
 pub(crate) struct Values {
     number: u64,
     booleans: u32,
@@ -21,7 +21,7 @@
 }
 
 impl Values {
-    /// Variants of a message: enough to tell eight booleans apart.
+    /// Number of variants of each message: enough to distinguish eight booleans.
     pub(crate) const VARIANTS: u32 = 4;
 
     fn new(variant: u32) -> Values {
@@ -98,21 +98,22 @@
     }
 }
 
-/// Two elements, so that a list differs from a single value.
+/// A list has two elements, so that its encoding differs from that of a single value.
 impl<T: Sample> Sample for Vec<T> {
     fn sample(values: &mut Values) -> Vec<T> {
         vec![values.next(), values.next()]
     }
 }
 
-/// The encoded samples, a line for each: the name that the message had in b3d3e00 and its bytes.
+/// The encoded samples, one per line: the message's name in commit b3d3e00 and its encoding in hexadecimal.
 #[derive(Default)]
 pub(crate) struct Samples {
     lines: String,
 }
 
 impl Samples {
-    /// Encodes a message in all its variants and checks that each is read back as it was.
+    /// Encodes all variants of a message and checks that each decodes to the same message. Variants with the
+    /// same encoding are added once.
     pub(crate) fn add<M>(&mut self, name: &str, build: impl Fn(&mut Values) -> M)
     where
         M: Message + Default + PartialEq + Debug,
@@ -121,8 +122,8 @@
         for variant in 0..Values::VARIANTS {
             let message = build(&mut Values::new(variant));
             let bytes = message.encode_to_vec();
-            let read = M::decode(bytes.as_slice()).expect("the bytes are read back");
-            assert_eq!(read, message, "{name} is not read back as it was written");
+            let decoded = M::decode(bytes.as_slice()).expect("the encoded message can be decoded");
+            assert_eq!(decoded, message, "{name} decodes to another message");
             if !seen.contains(&bytes) {
                 writeln!(self.lines, "{name} {}", hex::encode(&bytes)).expect("a string grows");
                 seen.push(bytes);
--- a/crates/api/tests/wire/schema.rs
+++ b/crates/api/tests/wire/schema.rs
@@ -1,9 +1,9 @@
-//! Reads numbers and types out of the text of a protocol file and leaves the names aside.
+//! Describes the numbers and types in the protocol files, without their names.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Packages in the order in which their files import each other.
+/// Packages, ordered so that each file only imports files before it.
 pub(crate) const PACKAGES: [&str; 7] = [
     "config",
     "state",
@@ -14,19 +14,19 @@
     "exchange",
 ];
 
-/// A message or an enum of a protocol file.
+/// Declaration of a message or an enum in a protocol file.
 struct Declaration {
     is_enum: bool,
     name: String,
-    /// The words between its braces; `{`, `}`, `=`, `;` and `,` are words too.
-    words: Vec<String>,
+    /// The tokens between its braces; `{`, `}`, `=`, `;` and `,` are separate tokens.
+    tokens: Vec<String>,
 }
 
-/// Numbers and types of all files, without a name: what a renaming leaves as it was.
+/// Describes the numbers and types of all files, without names, so that the description does not change when
+/// something is renamed.
 ///
-/// A line for each field, `package ordinal-of-the-message number [repeated] type [oneof]`. A type
-/// that another message declares is `package#ordinal`. Further lines say which numbers are reserved
-/// and which an enum has.
+/// Each field has a line `package ordinal-of-the-message number [repeated] type [oneof]`. A message or enum
+/// type is written as `package#ordinal`. Further lines have the reserved numbers and the values of enums.
 pub(crate) fn describe() -> String {
     let files: Vec<(&str, Vec<Declaration>)> = PACKAGES
         .into_iter()
@@ -61,8 +61,8 @@
     std::fs::read_to_string(format!("{folder}/{package}.proto")).expect("the protocol file")
 }
 
-fn split(text: &str) -> Vec<String> {
-    let mut words = Vec::new();
+fn tokenize(text: &str) -> Vec<String> {
+    let mut tokens = Vec::new();
     for line in text.lines() {
         let code = line.split("//").next().expect("a first part");
         let mut spaced = String::new();
@@ -75,26 +75,26 @@
                 spaced.push(letter);
             }
         }
-        words.extend(spaced.split_whitespace().map(str::to_owned));
+        tokens.extend(spaced.split_whitespace().map(str::to_owned));
     }
-    words
+    tokens
 }
 
 fn declarations(text: &str) -> Vec<Declaration> {
-    let words = split(text);
+    let tokens = tokenize(text);
     let mut found = Vec::new();
     let mut at = 0;
-    while at < words.len() {
-        if words[at] != "message" && words[at] != "enum" {
+    while at < tokens.len() {
+        if tokens[at] != "message" && tokens[at] != "enum" {
             at += 1;
             continue;
         }
-        assert_eq!(words[at + 2], "{", "after {}", words[at + 1]);
+        assert_eq!(tokens[at + 2], "{", "after {}", tokens[at + 1]);
         let begin = at + 3;
         let mut depth = 1;
         let mut end = begin;
         while depth > 0 {
-            match words[end].as_str() {
+            match tokens[end].as_str() {
                 "{" => depth += 1,
                 "}" => depth -= 1,
                 _ => {}
@@ -102,9 +102,9 @@
             end += 1;
         }
         found.push(Declaration {
-            is_enum: words[at] == "enum",
-            name: words[at + 1].clone(),
-            words: words[begin..end - 1].to_vec(),
+            is_enum: tokens[at] == "enum",
+            name: tokens[at + 1].clone(),
+            tokens: tokens[begin..end - 1].to_vec(),
         });
         at = end;
     }
@@ -118,24 +118,24 @@
 ) -> Vec<String> {
     let mut lines = Vec::new();
     let mut in_oneof = false;
-    let mut words: &[String] = &declaration.words;
-    while let Some((first, rest)) = words.split_first() {
+    let mut tokens: &[String] = &declaration.tokens;
+    while let Some((first, rest)) = tokens.split_first() {
         match first.as_str() {
             "oneof" => {
                 in_oneof = true;
-                words = &rest[2..];
+                tokens = &rest[2..];
                 continue;
             }
             "}" => {
                 in_oneof = false;
-                words = rest;
+                tokens = rest;
                 continue;
             }
             _ => {}
         }
-        let end = words.iter().position(|word| word == ";").expect("a `;`");
-        let statement: Vec<&str> = words[..end].iter().map(String::as_str).collect();
-        words = &words[end + 1..];
+        let end = tokens.iter().position(|token| token == ";").expect("a `;`");
+        let statement: Vec<&str> = tokens[..end].iter().map(String::as_str).collect();
+        tokens = &tokens[end + 1..];
         lines.push(match statement[..] {
             ["reserved", ..] => statement.join(" "),
             [_, "=", number] if declaration.is_enum => format!("{number} value"),
@@ -146,7 +146,7 @@
                 let oneof = if in_oneof { " oneof" } else { "" };
                 format!("{number} {}{oneof}", type_of(package, kind, ordinals))
             }
-            _ => panic!("{}: {statement:?} is not understood", declaration.name),
+            _ => panic!("{}: unsupported statement {statement:?}", declaration.name),
         });
     }
     lines
@@ -166,6 +166,6 @@
     };
     match ordinals.get(&full) {
         Some(ordinal) => ordinal.clone(),
-        None => panic!("{full} is declared nowhere"),
+        None => panic!("{full} is not declared"),
     }
 }
--- a/crates/api/tests/wire/state.rs
+++ b/crates/api/tests/wire/state.rs
@@ -4,7 +4,7 @@
 
 use crate::sample::{Sample, Samples, Values};
 
-/// Adds a sample of each message; one of each kind where a message is one of several.
+/// Adds a sample of each message. A message with a `oneof` has one sample for each of its kinds.
 pub(crate) fn add(samples: &mut Samples) {
     samples.add("millford.state.StateItem", state::StateItem::sample);
     samples.add("millford.state.StateValue.config_head", |values| {
--- a/tools/generate/src/main.rs
+++ b/tools/generate/src/main.rs
@@ -1,11 +1,11 @@
-//! Writes the Rust types of the protocol files into `crates/api/src/generated`.
+//! Generates the Rust types of the protocol files into `crates/api/src/generated`.
 //!
-//! The result is committed, so that a build needs no generator. Run it from the workspace root
-//! after a change to a file under `proto`: `cargo run -p millford-generate`.
+//! The output is committed, so that a build does not need this generator. Run it from the workspace
+//! root after each change to a file under `proto`: `cargo run -p millford-generate`.
 
 use std::path::Path;
 
-/// Protocol files, relative to the `proto` folder.
+/// Protocol files, relative to the `proto` directory.
 const PROTOCOL_FILES: [&str; 7] = [
     "millford/config.proto",
     "millford/state.proto",
@@ -16,7 +16,7 @@
     "millford/exchange.proto",
 ];
 
-/// Packages whose types are also read from and written as JSON.
+/// Packages whose types also have a JSON form.
 const JSON_PACKAGES: [&str; 2] = [".millford.config", ".millford.state"];
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
@@ -50,7 +50,7 @@
         "#[serde(with = \"crate::json::hexadecimal\")]",
     );
     config.out_dir(Path::new("crates/api/src/generated"));
-    // Shared by all subscribers of a feed instead of copied for each.
+    // `Bytes` is shared by all subscribers of a feed, where `Vec<u8>` would be copied for each.
     config.bytes([".millford.internal.FeedMessage.packed_snapshot"]);
     config.btree_map(["."]);
     config.compile_fds(descriptors)?;
