--- a/crates/ctl/src/client/attempt.rs
+++ b/crates/ctl/src/client/attempt.rs
@@ -10,18 +10,20 @@
 /// Outcome of one attempt.
 #[derive(Clone, Debug)]
 pub enum AttemptOutcome {
-    /// The node responded with a success status; the response body.
+    /// The node responded with a success status. Contains the response's body.
     Succeeded(Vec<u8>),
     /// The node responded with a failure status.
     Rejected(Failure),
-    /// No connection was established, so the node did not receive the request.
+    /// No connection was established, so the node did not receive the request. Contains the reason.
     NotSent(String),
-    /// The request was sent but no complete response arrived: the node may have executed it.
+    /// The request was sent but no complete response arrived, so the node may have executed it.
+    /// Contains the reason.
     ResponseLost(String),
 }
 
 impl AttemptOutcome {
-    /// Classifies an HTTP response by its status.
+    /// Classifies an HTTP response by its status. A failure without a valid error body becomes
+    /// [`ResultCode::ProtocolViolation`].
     #[must_use]
     pub fn from_response(status: StatusCode, body: Vec<u8>) -> Self {
         if status.is_success() {
@@ -33,7 +35,7 @@
         }
     }
 
-    /// Whether the node may have executed the request although it did not succeed.
+    /// Returns whether the node may have executed the request although the attempt did not succeed.
     #[must_use]
     pub fn may_have_executed(&self) -> bool {
         match self {
@@ -55,6 +57,6 @@
 fn malformed_response() -> Failure {
     Failure::with_message(
         ResultCode::ProtocolViolation,
-        "the answer is not one of a control node; check the address and the releases",
+        "the response is not from a control node of this release; check the address and the versions",
     )
 }
--- a/crates/ctl/src/client/control_client.rs
+++ b/crates/ctl/src/client/control_client.rs
@@ -21,26 +21,26 @@
 
 /// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Timeout for one response: a partitioned node never responds.
+/// Timeout for one response. Without it, a partitioned node would block the attempts at other nodes.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Delay after all nodes have been tried once.
+/// Delay between two rounds, each of which tries all nodes once.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Maximum size of a response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 256 * 1024 * 1024;
 
-/// A request that any control node may answer.
+/// A request to the control nodes.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path.
+    /// Path of the URL.
     pub path: String,
-    /// JSON body; empty for none.
+    /// JSON body; empty if the request has none.
     pub body: Bytes,
 }
 
 impl Request {
-    /// A read without a body.
+    /// Creates a GET request, which has no body.
     #[must_use]
     pub fn get(path: &str) -> Self {
         Self {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A request with a JSON body.
+    /// Creates a request with a JSON body.
     ///
     /// # Errors
     /// [`ResultCode::BadJson`] when the body cannot be serialized.
@@ -68,13 +68,13 @@
         })
     }
 
-    /// Whether the request changes state when it is executed.
+    /// Returns whether executing the request changes state.
     fn is_write(&self) -> bool {
         self.method != Method::GET && self.path != PLAN_PATH
     }
 }
 
-/// Client of the control nodes that the command line names.
+/// HTTP client for the control nodes given on the command line.
 pub struct ControlClient {
     http: Client<HttpConnector, Full<Bytes>>,
     addresses: Vec<String>,
@@ -83,13 +83,13 @@
 }
 
 impl ControlClient {
-    /// Creates a client for the addresses and the operator key of the command line.
+    /// Creates a client with the addresses and the timeout of the command line.
     ///
     /// # Errors
-    /// [`ResultCode::BadArgument`] when no address is named.
+    /// [`ResultCode::BadArgument`] when there is no address.
     pub fn new(common: &CommonOptions, key: OperatorKey) -> Result<Self, Failure> {
         if common.addresses.is_empty() {
-            let text = "no control node: use --control or MILLFORD_CONTROL";
+            let text = "no control node address: use --control or MILLFORD_CONTROL";
             return Err(Failure::with_message(ResultCode::BadArgument, text));
         }
         let mut connector = HttpConnector::new();
@@ -105,14 +105,14 @@
         })
     }
 
-    /// Sends the same request to one node after the other until one succeeds or rejects it
-    /// permanently.
+    /// Sends the request to one node after another until it succeeds, is rejected permanently, or the
+    /// timeout expires.
     ///
-    /// Only for idempotent requests: reads, and orders that carry an id.
+    /// Only for idempotent requests: reads, drains, and orders with an id.
     ///
     /// # Errors
-    /// The rejection; [`ResultCode::ServerUnreachable`] when no node was reached before the
-    /// deadline; [`ResultCode::OrderUncertain`] when one may have executed the request.
+    /// The rejection; [`ResultCode::ServerUnreachable`] when no node responded before the deadline;
+    /// [`ResultCode::OrderUncertain`] when a node may have executed a write.
     pub async fn send<T: DeserializeOwned>(&self, request: &Request) -> Result<T, Failure> {
         let deadline = Instant::now() + self.timeout;
         let mut may_have_executed = false;
@@ -139,15 +139,15 @@
         }
     }
 
-    /// Sends a request once, to the only node that is named.
+    /// Sends the request once, to the only node given on the command line.
     ///
     /// For requests that must not reach a second node.
     ///
     /// # Errors
-    /// [`ResultCode::BadArgument`] when several nodes are named, else as [`ControlClient::send`].
+    /// [`ResultCode::BadArgument`] when several nodes are given; otherwise as [`ControlClient::send`].
     pub async fn send_once<T: DeserializeOwned>(&self, request: &Request) -> Result<T, Failure> {
         let [address] = self.addresses.as_slice() else {
-            let text = "name exactly one control node with --control";
+            let text = "give exactly one control node with --control";
             return Err(Failure::with_message(ResultCode::BadArgument, text));
         };
         let deadline = Instant::now() + self.timeout;
@@ -165,7 +165,7 @@
         let exchange = self.exchange(address, request);
         match tokio::time::timeout(remaining.min(RESPONSE_TIMEOUT), exchange).await {
             Ok(outcome) => outcome,
-            Err(_) => AttemptOutcome::ResponseLost(format!("{address}: no answer in time")),
+            Err(_) => AttemptOutcome::ResponseLost(format!("{address}: no response in time")),
         }
     }
 
@@ -198,8 +198,8 @@
     }
 }
 
-/// The failure to report once the deadline has passed, from the last outcome. A write that a node may
-/// have executed is reported as uncertain whatever came last.
+/// Returns the failure to report when a request is not retried any more, from its last outcome. A write
+/// that a node may have executed is reported as uncertain, whatever the last outcome was.
 fn final_failure(last: Option<AttemptOutcome>, uncertain: bool) -> Failure {
     let text = match last {
         Some(AttemptOutcome::Rejected(failure)) if !uncertain => return failure,
--- a/crates/ctl/src/command/apply.rs
+++ b/crates/ctl/src/command/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: replaces the configuration with a document.
+//! `apply`: replaces the configuration in force with a document.
 
 use hyper::Method;
 use millford_api::operator::{ConfigReply, PutConfigBody, PutConfigReply};
@@ -15,22 +15,23 @@
 /// An accepted order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ApplyReport {
-    /// Revision that the order was accepted as.
+    /// Revision assigned to the order.
     pub revision: u64,
-    /// Whether an earlier request with the same order id had been accepted.
+    /// Whether an order with the same id had already been accepted.
     pub repeated: bool,
-    /// Revision that the document was built on.
+    /// Revision that the document is based on.
     pub base_revision: u64,
-    /// Identity of the order.
+    /// Idempotency key of the order.
     pub order_id: String,
 }
 
-/// Checks the document offline, then sends the order under one id until it is acknowledged or
-/// rejected. The order id makes the request idempotent: after a lost response the same or another
-/// node acknowledges it again.
+/// Checks the document offline, then sends the order until a control node acknowledges or rejects it.
+/// The order id makes the request idempotent: if a response is lost, the order is sent again with the
+/// same id, and the same or another node acknowledges it again.
 ///
 /// # Errors
-/// [`ResultCode::DocumentInvalid`] with every fault, [`ResultCode::RevisionConflict`], or [`ResultCode::OrderUncertain`] with the id to send again.
+/// [`ResultCode::DocumentInvalid`] with all faults, [`ResultCode::RevisionConflict`], or
+/// [`ResultCode::OrderUncertain`] with advice on how to resend the order under its id.
 pub async fn apply(client: &ControlClient, options: &ApplyOptions) -> Result<ApplyReport, Failure> {
     let document = read_document(&options.file)?;
     let base_revision = match options.base_revision {
@@ -60,13 +61,13 @@
     Ok(reply.revision)
 }
 
-/// Names the command that finds out what became of the order: resending it under its id.
+/// Adds the command that resends an uncertain order under its id, which shows whether it was accepted.
 fn with_resend_advice(failure: Failure, base_revision: u64, order_id: &str) -> Failure {
     if failure.code != ResultCode::OrderUncertain {
         return failure;
     }
     failure.with_help(format!(
-        "find out with the same order: millfordctl apply --base {base_revision} --order-id {order_id} FILE"
+        "to find out, resend the same order: millfordctl apply --base {base_revision} --order-id {order_id} FILE"
     ))
 }
 
@@ -82,7 +83,7 @@
             "accepted"
         };
         format!(
-            "revision {} {accepted} (built on {}, order {})\n",
+            "revision {} {accepted} (based on {}, order {})\n",
             self.revision, self.base_revision, self.order_id
         )
     }
--- a/crates/ctl/src/command/check.rs
+++ b/crates/ctl/src/command/check.rs
@@ -12,7 +12,7 @@
 /// Summary of a valid document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct CheckReport {
-    /// SHA-256 of its canonical JSON in hexadecimal.
+    /// SHA-256 of the document in canonical JSON, in lower-case hexadecimal.
     pub digest: String,
     /// Number of routes.
     pub routes: usize,
@@ -25,7 +25,7 @@
 /// Validates the document in the file.
 ///
 /// # Errors
-/// [`ResultCode::DocumentInvalid`](millford_core::ResultCode::DocumentInvalid) with every fault, or
+/// [`ResultCode::DocumentInvalid`](millford_core::ResultCode::DocumentInvalid) with all faults, or
 /// [`ResultCode::BadArgument`](millford_core::ResultCode::BadArgument) when the file cannot be read.
 pub fn check(file: &Path) -> Result<CheckReport, Failure> {
     let document = read_document(file)?;
@@ -40,7 +40,7 @@
 impl Report for CheckReport {
     fn text(&self) -> String {
         format!(
-            "sound: {} routes, {} pools, {} tenants\ndigest {}\n",
+            "valid: {} routes, {} pools, {} tenants\ndigest {}\n",
             self.routes, self.pools, self.tenants, self.digest
         )
     }
--- a/crates/ctl/src/command/document_file.rs
+++ b/crates/ctl/src/command/document_file.rs
@@ -1,4 +1,4 @@
-//! Reads a document from a file and validates it.
+//! Reads a configuration document from a file and validates it.
 
 use std::path::Path;
 
@@ -11,7 +11,8 @@
 /// Reads the file and validates the document.
 ///
 /// # Errors
-/// [`ResultCode::BadArgument`] when the file cannot be read, else the document's faults, all at once.
+/// [`ResultCode::BadArgument`] when the file cannot be read; otherwise a failure with all faults of the
+/// document.
 pub fn read_document(file: &Path) -> Result<Document, Failure> {
     let text = std::fs::read(file).map_err(|error| {
         let message = format!("{}: {error}", file.display());
--- a/crates/ctl/src/command/drain.rs
+++ b/crates/ctl/src/command/drain.rs
@@ -1,4 +1,4 @@
-//! `drain`: stops new work from being routed to a backend, or allows it again.
+//! `drain`: stops routing new work to a backend, or lifts an earlier drain.
 
 use hyper::Method;
 use millford_api::operator::{DrainBody, DrainReply};
@@ -9,11 +9,11 @@
 use crate::invocation::{DrainAction, DrainOptions};
 use crate::report::Report;
 
-/// Sends the request until it is acknowledged; it is idempotent.
+/// Sends the request until a control node acknowledges it. The request is idempotent.
 ///
 /// # Errors
-/// [`ResultCode::BadArgument`] for a name that cannot stand in a path, [`ResultCode::BackendUnknown`],
-/// another rejection, or no reachable node.
+/// [`ResultCode::BadArgument`] for a name with characters that are not allowed in a path,
+/// [`ResultCode::BackendUnknown`], another rejection, or a failure of [`ControlClient::send`].
 pub async fn drain(client: &ControlClient, options: &DrainOptions) -> Result<DrainReply, Failure> {
     validate_path_segment("pool", &options.pool)?;
     validate_path_segment("backend", &options.backend_id)?;
@@ -29,22 +29,22 @@
         .await
 }
 
-/// Rejects a name that would change the structure of the path.
-fn validate_path_segment(what: &str, name: &str) -> Result<(), Failure> {
+/// Rejects a name that would change the structure of the request's path.
+fn validate_path_segment(kind: &str, name: &str) -> Result<(), Failure> {
     let is_plain = |byte: u8| byte.is_ascii_graphic() && !b"/?#%".contains(&byte);
     if !name.is_empty() && name.bytes().all(is_plain) {
         return Ok(());
     }
-    let text = format!("\"{name}\" is no name of a {what}");
+    let text = format!("\"{name}\" is not a valid {kind} name");
     Err(Failure::with_message(ResultCode::BadArgument, text))
 }
 
 impl Report for DrainReply {
     fn text(&self) -> String {
         let state = if self.drain {
-            "drains: it gets no new work"
+            "is draining: no new work is routed to it"
         } else {
-            "takes new work again, as the registry says"
+            "is no longer drained: it has the state that the registry declares"
         };
         format!("{} of {} {state}\n", self.backend_id, self.pool)
     }
--- a/crates/ctl/src/command/get.rs
+++ b/crates/ctl/src/command/get.rs
@@ -1,4 +1,4 @@
-//! `get`: the current configuration.
+//! `get`: prints the configuration in force.
 
 use millford_api::operator::ConfigReply;
 
@@ -6,17 +6,17 @@
 use crate::failure::Failure;
 use crate::report::Report;
 
-/// Reads the current configuration by a linearizable read: a quorum confirms it.
+/// Reads the configuration in force. The read is linearizable: a quorum confirms it.
 ///
 /// # Errors
-/// A rejection, or no reachable node.
+/// A rejection, or a failure of [`ControlClient::send`].
 pub async fn get(client: &ControlClient) -> Result<ConfigReply, Failure> {
     client.send(&Request::get(CONFIG_PATH)).await
 }
 
 impl Report for ConfigReply {
-    /// The document alone, ready to be edited and applied. The revision is in the JSON output and in
-    /// `status`.
+    /// Only the document, so that it can be edited and applied. The revision is in the JSON output and
+    /// in the output of `status`.
     fn text(&self) -> String {
         let text = serde_json::to_string_pretty(&self.document).unwrap_or_default();
         format!("{text}\n")
--- a/crates/ctl/src/command/mod.rs
+++ b/crates/ctl/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The commands: one module and one function each.
+//! The commands. Each has a module with one function that runs it and the text of its result.
 
 pub mod apply;
 pub mod check;
--- a/crates/ctl/src/command/plan.rs
+++ b/crates/ctl/src/command/plan.rs
@@ -1,4 +1,4 @@
-//! `plan`: what applying a document would change.
+//! `plan`: prints what applying a document would change.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -14,13 +14,13 @@
 use crate::failure::Failure;
 use crate::report::Report;
 
-/// Maximum number of lines of a section in the text output; the JSON output has all.
+/// Maximum number of lines per section of the text output. The JSON output is not limited.
 const MAX_LINES_PER_SECTION: usize = 20;
 
-/// Requests from a control node what the document would change.
+/// Requests a plan of the changes that the document would make from a control node.
 ///
 /// # Errors
-/// Every fault of the document, the node's rejection, or no reachable node.
+/// A failure with all faults of the document, a rejection, or a failure of [`ControlClient::send`].
 pub async fn plan(client: &ControlClient, file: &Path) -> Result<PlanReply, Failure> {
     let body = PlanBody {
         document: read_document(file)?,
@@ -33,7 +33,7 @@
     fn text(&self) -> String {
         let plan = &self.plan;
         let mut text = format!(
-            "against revision {}: {} items, {} bytes to every node\n",
+            "compared with revision {}: {} items, {} bytes to every node\n",
             self.revision, plan.changed_items, plan.changed_bytes
         );
         write_section(&mut text, "routes", &named_lines(&plan.routes));
@@ -68,7 +68,7 @@
     if lines.len() > MAX_LINES_PER_SECTION {
         let _ = writeln!(
             text,
-            "  and {} more; --json has all",
+            "  and {} more; use --json to print all",
             lines.len() - MAX_LINES_PER_SECTION
         );
     }
@@ -77,7 +77,7 @@
 fn named_lines(changes: &[NamedChange]) -> Vec<String> {
     let line = |change: &NamedChange| {
         let fields = change.fields.join(", ");
-        let sign = sign(change.change);
+        let sign = diff_sign(change.change);
         format!("{sign} {} {fields}", change.name)
             .trim_end()
             .to_owned()
@@ -90,7 +90,7 @@
     keys.map(|key| {
         format!(
             "{} {} {}…",
-            sign(key.change),
+            diff_sign(key.change),
             key.tenant,
             key.key_hash_prefix
         )
@@ -120,7 +120,7 @@
         .map(|replica| {
             format!(
                 "{} {} {}",
-                sign(replica.change),
+                diff_sign(replica.change),
                 replica.pool,
                 replica.backend_id
             )
@@ -142,8 +142,8 @@
         .collect()
 }
 
-/// Mark of a change as in a diff.
-fn sign(change: ChangeKind) -> char {
+/// Returns the sign that marks the change, as in a diff.
+fn diff_sign(change: ChangeKind) -> char {
     match change {
         ChangeKind::Added => '+',
         ChangeKind::Removed => '-',
--- a/crates/ctl/src/command/recover.rs
+++ b/crates/ctl/src/command/recover.rs
@@ -9,19 +9,20 @@
 use crate::invocation::RecoverOptions;
 use crate::report::Report;
 
-/// Sends the request once, to the one node that is named: a second node that also continued without a
-/// quorum would split the cluster in two.
+/// Sends the request once, to exactly one node. If a second node continued without a quorum as well, the
+/// cluster would be split in two.
 ///
 /// # Errors
 /// [`ResultCode::BadArgument`] when the confirmation differs from
-/// [`RecoveryBody::CONFIRMATION`], [`ResultCode::RecoveryRefused`], or no reachable node.
+/// [`RecoveryBody::CONFIRMATION`], [`ResultCode::RecoveryRefused`], or a failure of
+/// [`ControlClient::send_once`].
 pub async fn recover(
     client: &ControlClient,
     options: &RecoverOptions,
 ) -> Result<RecoveryReply, Failure> {
     if options.confirm != RecoveryBody::CONFIRMATION {
         let text = format!(
-            "--confirm takes the words \"{}\"",
+            "--confirm must be exactly \"{}\"",
             RecoveryBody::CONFIRMATION
         );
         return Err(Failure::with_message(ResultCode::BadArgument, text));
@@ -37,7 +38,7 @@
 impl Report for RecoveryReply {
     fn text(&self) -> String {
         format!(
-            "RECOVERED {} shards with the survivors only. Orders that they did not hold are LOST. \
+            "RECOVERED {} shards with the survivors only. Orders that they had not stored are LOST. \
              Make sure that the other nodes stay down, then add new ones.\n",
             self.shards.len()
         )
--- a/crates/ctl/src/command/status.rs
+++ b/crates/ctl/src/command/status.rs
@@ -1,4 +1,4 @@
-//! `status`: members, shards, sessions and placements as one control node sees them.
+//! `status`: prints members, shards, sessions and placements as one control node sees them.
 
 use std::fmt::Write;
 
@@ -8,10 +8,10 @@
 use crate::failure::Failure;
 use crate::report::Report;
 
-/// Requests the status from the first reachable node.
+/// Requests the status from the first control node that can be reached.
 ///
 /// # Errors
-/// A rejection, or no reachable node.
+/// A rejection, or a failure of [`ControlClient::send`].
 pub async fn status(client: &ControlClient) -> Result<StatusReply, Failure> {
     client.send(&Request::get(STATUS_PATH)).await
 }
@@ -27,7 +27,7 @@
             or_none(&self.cluster)
         );
         let _ = writeln!(text, "configuration revision {}", self.revision);
-        let _ = writeln!(text, "\ncontrol members ({}):", self.members.len());
+        let _ = writeln!(text, "\ncontrol nodes ({}):", self.members.len());
         self.members
             .iter()
             .for_each(|member| write_member(&mut text, member));
@@ -48,14 +48,14 @@
 }
 
 fn write_member(text: &mut String, member: &MemberBody) {
-    let contact = if member.connected {
-        "in touch"
+    let connection = if member.connected {
+        "connected"
     } else {
-        "OUT OF TOUCH"
+        "NOT CONNECTED"
     };
     let _ = writeln!(
         text,
-        "  {} zone {} internal {} operator {} {contact}",
+        "  {} zone {} internal {} operator {} {connection}",
         member.node, member.zone, member.internal_address, member.operator_address
     );
 }
@@ -81,7 +81,7 @@
     };
     let _ = writeln!(
         text,
-        "  {} zone {} {} epoch {} shows {}{behind}",
+        "  {} zone {} {} epoch {} revision {}{behind}",
         session.member, session.zone, session.address, session.epoch, session.applied_revision
     );
 }
--- a/crates/ctl/src/command_line.rs
+++ b/crates/ctl/src/command_line.rs
@@ -1,4 +1,4 @@
-//! Parses the command line.
+//! Parses the command line and prints its help text.
 
 use std::path::PathBuf;
 
@@ -11,29 +11,29 @@
     OutputFormat, RecoverOptions,
 };
 
-/// Environment variable with the control nodes' operator addresses, separated by commas.
+/// Name of the environment variable with the control nodes' operator addresses, separated by commas.
 pub const ADDRESSES_VARIABLE: &str = "MILLFORD_CONTROL";
-/// Default of `--timeout-ms`.
+/// Default of `--timeout-ms`, in milliseconds.
 const DEFAULT_TIMEOUT_MS: u64 = 30_000;
 
 const BRIEF: &str = "Usage: millfordctl [options] COMMAND
 
 Commands:
-    check FILE              check a document offline; every fault is printed
-    plan FILE               print what the document would move
-    apply FILE              replace the configuration by the document
-    get                     print the configuration in force, by a confirmed read
+    check FILE              validate a document offline and print all faults
+    plan FILE               print what applying the document would change
+    apply FILE              replace the configuration with the document
+    get                     print the configuration in force (linearizable read)
     status                  print members, shards, sessions and replicas
-    drain POOL BACKEND      keep new work off a backend
-    recover                 go on with the named survivors after a quorum was lost for good
+    drain POOL BACKEND      stop routing new work to a backend
+    recover                 continue with the named survivors after a permanent loss of quorum
 
 The operator key comes from --key-file or from the environment variable MILLFORD_OPERATOR_KEY.";
 
-/// Parses the arguments without the program's name. `environment` has the addresses to use when
-/// the command line names none.
+/// Parses the arguments, the program's name excluded. `environment` is the value of
+/// [`ADDRESSES_VARIABLE`], which is used if the arguments have no `--control`.
 ///
 /// # Errors
-/// [`ResultCode::BadArgument`] with a message that names the argument.
+/// [`ResultCode::BadArgument`] with a message about the argument that is wrong.
 pub fn parse(arguments: &[String], environment: Option<&str>) -> Result<Invocation, Failure> {
     let matches = options()
         .parse(arguments)
@@ -43,7 +43,7 @@
     Ok(Invocation { common, command })
 }
 
-/// The help text.
+/// Returns the help text.
 #[must_use]
 pub fn help() -> String {
     options().usage(BRIEF)
@@ -57,32 +57,32 @@
     options.optopt(
         "t",
         "timeout-ms",
-        "how long to go on trying, in milliseconds (default: 30000)",
+        "time after which requests are no longer retried, in milliseconds (default: 30000)",
         "MS",
     );
     options.optopt(
         "b",
         "base",
-        "apply: revision that the document was built on (default: the one in force)",
+        "apply: revision that the document is based on (default: the revision in force)",
         "REVISION",
     );
     options.optopt(
         "o",
         "order-id",
-        "apply: identity of the order, to resend one whose fate is unknown (default: made up)",
+        "apply: id of the order, to resend one that may have been accepted (default: generated)",
         "ID",
     );
-    options.optflag("u", "undo", "drain: lift the order");
+    options.optflag("u", "undo", "drain: lift an earlier drain");
     options.optmulti(
         "s",
         "survivor",
-        "recover: identity of a control node that remains, as `status` prints it",
+        "recover: identity of a surviving control node, as printed by `status`",
         "ID",
     );
     options.optopt(
         "",
         "confirm",
-        "recover: \"I accept that orders may be lost\"",
+        "recover: confirmation, exactly \"I accept that orders may be lost\"",
         "TEXT",
     );
     options.optflag("h", "help", "print this help");
@@ -98,7 +98,7 @@
         return Ok(Command::Version);
     }
     let Some((name, operands)) = matches.free.split_first() else {
-        return Err(usage_error("no command is named"));
+        return Err(usage_error("no command is given"));
     };
     let command = match name.as_str() {
         "check" => Command::Check {
@@ -112,24 +112,26 @@
         "status" => no_operands(operands, OnlineCommand::Status)?,
         "drain" => Command::Online(OnlineCommand::Drain(drain_options(matches, operands)?)),
         "recover" => Command::Online(OnlineCommand::Recover(recover_options(matches, operands)?)),
-        other => return Err(usage_error(format!("there is no command \"{other}\""))),
+        other => return Err(usage_error(format!("unknown command \"{other}\""))),
     };
-    reject_foreign_options(name, matches)?;
+    reject_options_of_other_commands(name, matches)?;
     Ok(command)
 }
 
-/// Rejects options that belong to another command instead of ignoring them.
-fn reject_foreign_options(command: &str, matches: &Matches) -> Result<(), Failure> {
-    let belongs = [
+/// Rejects options of other commands, which would otherwise be ignored.
+fn reject_options_of_other_commands(command: &str, matches: &Matches) -> Result<(), Failure> {
+    let command_options = [
         ("base", "apply"),
         ("order-id", "apply"),
         ("undo", "drain"),
         ("survivor", "recover"),
         ("confirm", "recover"),
     ];
-    for (option, owner) in belongs {
+    for (option, owner) in command_options {
         if matches.opt_present(option) && owner != command {
-            return Err(usage_error(format!("--{option} belongs to `{owner}`")));
+            return Err(usage_error(format!(
+                "--{option} is an option of `{owner}` only"
+            )));
         }
     }
     Ok(())
@@ -144,7 +146,9 @@
     }
     for address in &addresses {
         if address.parse::<std::net::SocketAddr>().is_err() {
-            return Err(usage_error(format!("\"{address}\" is not IP:PORT")));
+            return Err(usage_error(format!(
+                "\"{address}\" is not an address of the form IP:PORT"
+            )));
         }
     }
     let timeout_ms = number(matches, "timeout-ms")?.unwrap_or(DEFAULT_TIMEOUT_MS);
@@ -174,7 +178,7 @@
 
 fn drain_options(matches: &Matches, operands: &[String]) -> Result<DrainOptions, Failure> {
     let [pool, backend_id] = operands else {
-        return Err(usage_error("drain takes a pool and a backend"));
+        return Err(usage_error("drain requires a pool and a backend"));
     };
     Ok(DrainOptions {
         pool: pool.clone(),
@@ -191,12 +195,12 @@
     let survivors = matches.opt_strs("survivor");
     if survivors.is_empty() || !operands.is_empty() {
         return Err(usage_error(
-            "recover takes --survivor for each node that remains",
+            "recover requires --survivor for each surviving node and no other arguments",
         ));
     }
     let Some(confirm) = matches.opt_str("confirm") else {
         return Err(usage_error(
-            "recover takes --confirm with the words of the help",
+            "recover requires --confirm with the text shown by --help",
         ));
     };
     Ok(RecoverOptions { survivors, confirm })
@@ -205,14 +209,14 @@
 fn file(operands: &[String]) -> Result<PathBuf, Failure> {
     match operands {
         [file] => Ok(PathBuf::from(file)),
-        _ => Err(usage_error("the command takes one file")),
+        _ => Err(usage_error("the command requires exactly one file")),
     }
 }
 
 fn no_operands(operands: &[String], command: OnlineCommand) -> Result<Command, Failure> {
     match operands.first() {
         None => Ok(Command::Online(command)),
-        Some(extra) => Err(usage_error(format!("\"{extra}\" is one argument too many"))),
+        Some(extra) => Err(usage_error(format!("unexpected argument \"{extra}\""))),
     }
 }
 
@@ -223,7 +227,7 @@
     match text.parse() {
         Ok(number) => Ok(Some(number)),
         Err(_) => Err(usage_error(format!(
-            "--{option} takes a whole number, not \"{text}\""
+            "--{option} requires a whole number, not \"{text}\""
         ))),
     }
 }
--- a/crates/ctl/src/exit_status.rs
+++ b/crates/ctl/src/exit_status.rs
@@ -1,4 +1,4 @@
-//! Exit statuses, as `docs/ERRORS.md` lists them.
+//! Exit statuses of `millfordctl`, as listed in `docs/ERRORS.md`.
 
 use millford_core::ResultCode;
 
@@ -6,28 +6,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ExitStatus {
-    /// Done.
+    /// The command succeeded.
     Success = 0,
-    /// Failed for a reason without a status of its own.
+    /// The command failed for a reason that has no status of its own.
     Failed = 1,
-    /// Wrong arguments or settings.
+    /// The command line is wrong, or the operator key is missing or unreadable.
     Usage = 2,
-    /// The document or order has faults.
+    /// The document or order is invalid.
     Faults = 3,
-    /// Another order was accepted on this base, or the order id was used before.
+    /// Another order was accepted on the base revision, or the order id was used for another
+    /// document.
     Conflict = 4,
-    /// No control node could be reached or answered in time.
+    /// No control node could be reached, or none responded in time.
     Unreachable = 5,
-    /// The order may or may not have been accepted.
+    /// No response confirmed the order: it may have been accepted.
     Uncertain = 6,
-    /// The operator key was not accepted.
+    /// The operator key was rejected.
     KeyWrong = 7,
-    /// No such backend, or recovery was refused.
+    /// There is no such backend, or the recovery was rejected.
     Rejected = 8,
 }
 
 impl ExitStatus {
-    /// The status for a result.
+    /// Returns the exit status for a result code.
     #[must_use]
     pub fn of(code: ResultCode) -> Self {
         match code {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// The number that the shell sees.
+    /// Returns the number that the process exits with.
     #[must_use]
     pub fn number(self) -> u8 {
         self as u8
--- a/crates/ctl/src/failure.rs
+++ b/crates/ctl/src/failure.rs
@@ -12,14 +12,14 @@
 #[derive(Clone, Debug, Error, Diagnostic)]
 #[error("{number} {name}: {message}", number = code.number(), name = code.name())]
 pub struct Failure {
-    /// Numbered result code; it decides the exit status.
+    /// Numbered result code, which determines the exit status.
     pub code: ResultCode,
-    /// One sentence.
+    /// Human-readable description, one sentence.
     pub message: String,
-    /// Advice on what to do, if there is any.
+    /// Advice on what the operator can do.
     #[help]
     pub help: Option<String>,
-    /// Current revision, with [`ResultCode::RevisionConflict`].
+    /// Configuration revision in force; set with [`ResultCode::RevisionConflict`].
     pub revision: Option<u64>,
     /// Faults of a document or order.
     #[related]
@@ -30,20 +30,20 @@
 #[derive(Clone, Debug, Error, Diagnostic, PartialEq, Eq)]
 #[error("{path}: {message}")]
 pub struct FaultReport {
-    /// Path of the field.
+    /// Path of the field, such as `document.routes[0].pool`.
     pub path: String,
-    /// One sentence.
+    /// Human-readable description, one sentence.
     pub message: String,
 }
 
 impl Failure {
-    /// A failure with the result code's own text.
+    /// Creates a failure with the result code's own text as the message.
     #[must_use]
     pub fn new(code: ResultCode) -> Self {
         Self::with_message(code, code.text())
     }
 
-    /// A failure with a message of its own.
+    /// Creates a failure with the given message.
     #[must_use]
     pub fn with_message(code: ResultCode, message: impl Into<String>) -> Self {
         Self {
@@ -55,14 +55,14 @@
         }
     }
 
-    /// Adds advice.
+    /// Adds advice on what the operator can do.
     #[must_use]
     pub fn with_help(mut self, help: impl Into<String>) -> Self {
         self.help = Some(help.into());
         self
     }
 
-    /// A failure for faults that were found offline.
+    /// Creates a failure from the faults that the offline check found.
     #[must_use]
     pub fn from_faults(faults: &[Fault]) -> Self {
         let mut failure = Self::new(Fault::overall(faults));
@@ -70,7 +70,8 @@
         failure
     }
 
-    /// Converts the error body of a control node.
+    /// Converts the error body of a control node's response. An unknown result code becomes
+    /// [`ResultCode::ProtocolViolation`].
     #[must_use]
     pub fn from_body(body: ErrorBody) -> Self {
         let known = ResultCode::from_number(body.error.code);
@@ -85,13 +86,13 @@
             .collect();
         if let Some(revision) = body.revision {
             failure.help = Some(format!(
-                "the present revision is {revision}: read it with `get`, build on it, plan, apply"
+                "the revision in force is {revision}: read it with `get`, base the document on it, then plan and apply again"
             ));
         }
         failure
     }
 
-    /// The error body of the operators' interface for this failure.
+    /// Converts the failure to an error body of the operators' API, for the JSON output.
     #[must_use]
     pub fn to_body(&self) -> ErrorBody {
         let mut body = ErrorBody::with_message(self.code, &self.message);
@@ -100,7 +101,7 @@
         body
     }
 
-    /// Whether another node, or the same one later, may succeed.
+    /// Returns whether the request may succeed at another node, or later at the same one.
     #[must_use]
     pub fn is_retryable(&self) -> bool {
         matches!(
@@ -113,7 +114,7 @@
         )
     }
 
-    /// Exit status of the process.
+    /// Returns the exit status of the process.
     #[must_use]
     pub fn exit_status(&self) -> ExitStatus {
         ExitStatus::of(self.code)
@@ -147,7 +148,7 @@
     }
 }
 
-/// An empty path refers to the whole document.
+/// Replaces an empty path, which refers to the whole document, with a readable text.
 fn path_or_root(path: &str) -> String {
     if path.is_empty() { "(whole)" } else { path }.to_owned()
 }
--- a/crates/ctl/src/invocation.rs
+++ b/crates/ctl/src/invocation.rs
@@ -1,62 +1,62 @@
-//! A parsed command line.
+//! Types of a parsed command line.
 
 use std::path::PathBuf;
 
 use millford_core::Duration;
 
-/// Options that hold for every command.
+/// Options that every command has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommonOptions {
-    /// Operator addresses of control nodes, tried in turn.
+    /// Operator addresses (IP address and port) of control nodes, tried in turn.
     pub addresses: Vec<String>,
-    /// File with the operator key; else the environment has it.
+    /// File with the operator key. Absent: the key is in the environment.
     pub key_file: Option<PathBuf>,
-    /// Form of the output.
+    /// Output format.
     pub output: OutputFormat,
-    /// How long to keep retrying.
+    /// Time after which a request is no longer retried.
     pub timeout: Duration,
 }
 
-/// Form of what is printed, for people or for programs.
+/// Output format of results and failures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutputFormat {
-    /// Text for people.
+    /// Human-readable text.
     Text,
-    /// One line of JSON, for failures too.
+    /// One line of JSON.
     Json,
 }
 
-/// What the command line requests.
+/// The command to run, with its own options.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Print the help.
+    /// Print the help text.
     Help,
-    /// Print the version.
+    /// Print the program's version.
     Version,
-    /// Check a document offline.
+    /// Validate a document offline.
     Check {
-        /// File of the document.
+        /// File with the document.
         file: PathBuf,
     },
-    /// A command that needs a control node.
+    /// A command that is sent to a control node.
     Online(OnlineCommand),
 }
 
-/// A command that is sent to the control nodes, with its own options.
+/// A command that is sent to a control node, with its own options.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OnlineCommand {
-    /// Replace the configuration.
+    /// Replace the configuration in force.
     Apply(ApplyOptions),
-    /// Print the current configuration.
+    /// Print the configuration in force.
     Get,
     /// Print what a document would change.
     Plan {
-        /// File of the document.
+        /// File with the document.
         file: PathBuf,
     },
     /// Print members, shards, sessions and replicas.
     Status,
-    /// Drain a backend, or lift that.
+    /// Drain a backend or lift its drain.
     Drain(DrainOptions),
     /// Continue with the named survivors after a permanent loss of quorum.
     Recover(RecoverOptions),
@@ -65,11 +65,11 @@
 /// Options of `apply`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ApplyOptions {
-    /// File of the document.
+    /// File with the document.
     pub file: PathBuf,
-    /// Revision that the document was built on; the current one when absent.
+    /// Revision that the document is based on. Absent: the revision in force.
     pub base_revision: Option<u64>,
-    /// Identity of the order; generated when absent.
+    /// Idempotency key of the order. Absent: one is generated.
     pub order_id: Option<String>,
 }
 
@@ -96,17 +96,17 @@
 /// Options of `recover`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoverOptions {
-    /// Identities of the survivors, in hexadecimal.
+    /// Identities of the surviving control nodes, in hexadecimal.
     pub survivors: Vec<String>,
-    /// The operator's confirmation, verbatim.
+    /// The operator's confirmation; must equal `RecoveryBody::CONFIRMATION`.
     pub confirm: String,
 }
 
-/// A complete command line.
+/// A parsed command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Invocation {
-    /// Options that hold for every command.
+    /// Options that every command has.
     pub common: CommonOptions,
-    /// The command.
+    /// The command to run.
     pub command: Command,
 }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,4 +1,4 @@
-//! Operators' command: apply, get, plan, status, check, drain, recover.
+//! `millfordctl`, the operators' command-line tool: apply, get, plan, status, check, drain, recover.
 
 pub mod client;
 pub mod command;
--- a/crates/ctl/src/operator_key.rs
+++ b/crates/ctl/src/operator_key.rs
@@ -1,4 +1,4 @@
-//! The operator key. It is never taken from the command line, where other users could see it.
+//! The operator key. It is never read from the command line, which other users of the machine can see.
 
 use std::fmt;
 use std::path::Path;
@@ -7,7 +7,7 @@
 
 use crate::failure::Failure;
 
-/// Environment variable with the operator key.
+/// Name of the environment variable with the operator key.
 pub const KEY_VARIABLE: &str = "MILLFORD_OPERATOR_KEY";
 
 /// An operator key; its `Debug` form hides the value.
@@ -15,11 +15,12 @@
 pub struct OperatorKey(String);
 
 impl OperatorKey {
-    /// Reads the key from the file or, if none is named, from the environment variable's value.
+    /// Reads the key from `file` or, if there is none, takes `environment`, the value of
+    /// [`KEY_VARIABLE`].
     ///
     /// # Errors
-    /// [`ResultCode::BadArgument`] when there is no key, the file cannot be read or the key cannot stand
-    /// in a header.
+    /// [`ResultCode::BadArgument`] when there is no key, the file cannot be read or the key has
+    /// characters that are not allowed in a header.
     pub fn find(file: Option<&Path>, environment: Option<String>) -> Result<Self, Failure> {
         let text = match file {
             Some(file) => read(file)?,
@@ -33,13 +34,13 @@
         }
         if !key.bytes().all(|byte| byte.is_ascii_graphic()) {
             return Err(invalid_key(
-                "the operator key has characters that a header cannot carry",
+                "the operator key contains characters that are not allowed in an HTTP header",
             ));
         }
         Ok(Self(key.to_owned()))
     }
 
-    /// Value of the authorization header.
+    /// Returns the value of the `Authorization` header.
     #[must_use]
     pub fn header(&self) -> String {
         format!("Bearer {}", self.0)
--- a/crates/ctl/src/report.rs
+++ b/crates/ctl/src/report.rs
@@ -1,16 +1,16 @@
-//! Results of commands, as text or as JSON.
+//! Formats the results of commands as text or as JSON.
 
 use serde::Serialize;
 
 use crate::invocation::OutputFormat;
 
-/// Result of a command.
+/// Result of a command that can be printed. Its JSON form is its serialization.
 pub trait Report: Serialize {
-    /// The result as text for people; ends with a newline.
+    /// Formats the result as human-readable text that ends with a newline.
     fn text(&self) -> String;
 }
 
-/// The result in the requested form; ends with a newline.
+/// Formats the result in the requested output format; the text ends with a newline.
 #[must_use]
 pub fn render<R: Report>(report: &R, format: OutputFormat) -> String {
     if format == OutputFormat::Text {
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs one command line, prints its result and gives the exit status.
+//! Runs one command line, prints its result and returns the exit status.
 
 use std::io::Write;
 use std::process::ExitCode;
@@ -15,7 +15,7 @@
 use crate::operator_key::{KEY_VARIABLE, OperatorKey};
 use crate::report::render;
 
-/// Runs the command line given by the arguments without the program's name.
+/// Runs the command line with these arguments, the program's name excluded.
 #[must_use]
 pub fn run(arguments: &[String]) -> ExitCode {
     let addresses = std::env::var(ADDRESSES_VARIABLE).ok();
@@ -31,8 +31,8 @@
     ExitCode::from(status.number())
 }
 
-/// Form of a failure. A command line that cannot be parsed has no options, so the flag is looked for
-/// among the arguments themselves.
+/// Returns the output format of a failure. The flag is searched in the raw arguments, because a command
+/// line that cannot be parsed has no options.
 fn failure_format(arguments: &[String]) -> OutputFormat {
     let is_json_flag = |argument: &String| argument == "--json" || argument == "-j";
     if arguments.iter().any(is_json_flag) {
@@ -79,7 +79,7 @@
 }
 
 fn print(text: &str) -> ExitStatus {
-    // A reader that closed the pipe early, such as `head`, is no failure.
+    // A reader that closes the pipe early, such as `head`, is not an error.
     match std::io::stdout().write_all(text.as_bytes()) {
         Ok(()) => ExitStatus::Success,
         Err(error) if error.kind() == std::io::ErrorKind::BrokenPipe => ExitStatus::Success,
@@ -92,11 +92,11 @@
         let body = serde_json::to_string(&failure.to_body()).unwrap_or_default();
         print(&format!("{body}\n"));
     } else {
-        // Lines are not wrapped, so that a command in the help can be copied.
+        // Lines are not wrapped, so that a command in the advice can be copied.
         let handler = |_: &_| -> Box<dyn miette::ReportHandler> {
             Box::new(MietteHandlerOpts::new().wrap_lines(false).build())
         };
-        // Fails only when a handler is installed already.
+        // Fails only if a hook is installed already.
         let _ = miette::set_hook(Box::new(handler));
         eprintln!("{:?}", miette::Report::new(failure.clone()));
     }
--- a/crates/ctl/tests/commands.rs
+++ b/crates/ctl/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The program against scripted control nodes: outcomes, exit statuses, resent orders.
+//! Runs the program against scripted control nodes: outcomes, exit statuses, resent orders.
 
 mod support;
 
@@ -10,7 +10,7 @@
 };
 use tempfile::NamedTempFile;
 
-const SOUND: &str = r#"{"routes":[{"name":"captions","match":{"model":"saga"},"pool":"saga",
+const VALID_DOCUMENT: &str = r#"{"routes":[{"name":"captions","match":{"model":"saga"},"pool":"saga",
     "repeatable":true,"deadline_ms":30000}],"pools":[{"name":"saga","drain_ms":2000}],
     "tenants":[{"name":"library","quota":{"requests_per_second":10,"burst":20}}]}"#;
 
@@ -34,13 +34,14 @@
 }
 
 fn config(revision: u64) -> ScriptedResponse {
-    let body = format!("{{\"revision\":{revision},\"digest\":\"00\",\"document\":{SOUND}}}");
+    let body =
+        format!("{{\"revision\":{revision},\"digest\":\"00\",\"document\":{VALID_DOCUMENT}}}");
     ScriptedResponse::Respond(200, body)
 }
 
 #[test]
-fn check_needs_no_node_and_no_key() {
-    let file = file(SOUND);
+fn check_requires_neither_a_node_nor_a_key() {
+    let file = file(VALID_DOCUMENT);
     let output = program(&["check", path(&file)]).output().expect("runs");
     assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
     assert!(stdout(&output).contains("1 routes, 1 pools, 1 tenants"));
@@ -49,7 +50,7 @@
 #[test]
 fn check_prints_every_fault_with_its_path() {
     let file = file(
-        &SOUND
+        &VALID_DOCUMENT
             .replace("30000", "1")
             .replace("\"burst\":20", "\"burst\":0"),
     );
@@ -76,28 +77,28 @@
 }
 
 #[test]
-fn apply_builds_on_the_revision_in_force() {
+fn apply_without_base_uses_the_revision_in_force() {
     let node = ScriptedNode::start(vec![config(6), accepted(7, false)]);
-    let file = file(SOUND);
+    let file = file(VALID_DOCUMENT);
     let output = ctl(&["--json", "-c", &node.address, "apply", path(&file)]);
     assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
     assert_eq!(json(&stdout(&output))["revision"], 7);
     let received = node.received();
-    assert!(received[0].line.starts_with("GET /v1/config"));
-    assert!(received[1].line.starts_with("PUT /v1/config"));
+    assert!(received[0].request_line.starts_with("GET /v1/config"));
+    assert!(received[1].request_line.starts_with("PUT /v1/config"));
     assert_eq!(received[1].authorization, "Bearer the-operator-key");
     assert_eq!(json(&received[1].body)["base_revision"], 6);
 }
 
 #[test]
-fn a_lost_response_is_followed_by_the_same_order_until_acknowledged() {
+fn an_order_with_a_lost_response_is_resent_until_acknowledged() {
     let node = ScriptedNode::start(vec![
         ScriptedResponse::CloseWithoutResponse,
         ScriptedResponse::Respond(504, error(4006, "OrderUncertain", "")),
         ScriptedResponse::Respond(503, error(5001, "NoLeader", "")),
         accepted(3, true),
     ]);
-    let file = file(SOUND);
+    let file = file(VALID_DOCUMENT);
     let output = ctl(&["-c", &node.address, "apply", "--base", "2", path(&file)]);
     assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
     assert!(stdout(&output).contains("revision 3 had been accepted before"));
@@ -119,7 +120,7 @@
 fn an_unreachable_node_is_skipped() {
     let closed = closed_address();
     let node = ScriptedNode::start(vec![accepted(1, false)]);
-    let file = file(SOUND);
+    let file = file(VALID_DOCUMENT);
     let output = ctl(&[
         "-c",
         &closed,
@@ -134,10 +135,10 @@
 }
 
 #[test]
-fn a_conflict_names_the_present_revision() {
+fn a_conflict_reports_the_revision_in_force() {
     let body = error(4002, "RevisionConflict", ",\"revision\":9");
     let node = ScriptedNode::start(vec![ScriptedResponse::Respond(409, body)]);
-    let file = file(SOUND);
+    let file = file(VALID_DOCUMENT);
     let output = ctl(&[
         "--json",
         "-c",
@@ -155,7 +156,7 @@
 #[test]
 fn an_order_with_an_uncertain_outcome_is_reported_with_its_id() {
     let node = ScriptedNode::start(vec![ScriptedResponse::CloseWithoutResponse]);
-    let file = file(SOUND);
+    let file = file(VALID_DOCUMENT);
     let arguments = [
         "-t",
         "600",
@@ -177,7 +178,7 @@
 #[test]
 fn without_a_reachable_node_the_order_is_reported_as_not_sent() {
     let closed = closed_address();
-    let file = file(SOUND);
+    let file = file(VALID_DOCUMENT);
     let output = ctl(&["-t", "400", "-c", &closed, "apply", "-b", "2", path(&file)]);
     assert_eq!(output.status.code(), Some(5));
 }
@@ -187,14 +188,14 @@
     let body = r#"{"error":{"code":4001,"name":"DocumentInvalid","message":"scripted",
         "faults":[{"path":"document.routes[0].pool","message":"no pool"}]}}"#;
     let node = ScriptedNode::start(vec![ScriptedResponse::Respond(400, body.to_owned())]);
-    let file = file(SOUND);
+    let file = file(VALID_DOCUMENT);
     let output = ctl(&["-c", &node.address, "apply", "-b", "2", path(&file)]);
     assert_eq!(output.status.code(), Some(3));
     assert!(stderr(&output).contains("document.routes[0].pool"));
 }
 
 #[test]
-fn a_wrong_key_has_its_own_status_and_is_not_printed() {
+fn a_rejected_key_has_its_own_exit_status_and_is_not_printed() {
     let body = error(4004, "OperatorKeyWrong", "");
     let node = ScriptedNode::start(vec![ScriptedResponse::Respond(401, body)]);
     let output = ctl(&["-c", &node.address, "get"]);
@@ -203,7 +204,7 @@
 }
 
 #[test]
-fn the_key_may_come_from_a_file() {
+fn the_key_is_read_from_a_file() {
     let node = ScriptedNode::start(vec![config(1)]);
     let key = file("key-from-file\n");
     let arguments = ["-k", path(&key), "-c", &node.address, "get"];
@@ -214,8 +215,8 @@
 
 #[test]
 fn invalid_command_lines_are_rejected() {
-    let file = file(SOUND);
-    let usage_error: [&[&str]; 14] = [
+    let file = file(VALID_DOCUMENT);
+    let command_lines: [&[&str]; 14] = [
         &[],
         &["nonsense"],
         &["check"],
@@ -239,7 +240,7 @@
         ],
         &["check", "/nowhere/at/all.json"],
     ];
-    for arguments in usage_error {
+    for arguments in command_lines {
         let output = ctl(arguments);
         assert_eq!(
             output.status.code(),
@@ -272,13 +273,13 @@
 }
 
 #[test]
-fn plan_prints_what_moves() {
+fn plan_prints_the_changes() {
     let body = r#"{"revision":4,"plan":{"changed_items":2,"changed_bytes":99,
         "routes":[{"name":"captions","change":"changed","fields":["pool"]}],
         "sessions":[{"route":"captions","from":"a","to":"b","moved":250,"sampled":1000}],
-        "warnings":[{"path":"pools/saga","message":"no route names the pool"}]}}"#;
+        "warnings":[{"path":"pools/saga","message":"no route refers to the pool"}]}}"#;
     let node = ScriptedNode::start(vec![ScriptedResponse::Respond(200, body.to_owned())]);
-    let file = file(SOUND);
+    let file = file(VALID_DOCUMENT);
     let output = ctl(&["-c", &node.address, "plan", path(&file)]);
     let text = stdout(&output);
     assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
@@ -290,11 +291,11 @@
     ] {
         assert!(text.contains(part), "{text}");
     }
-    assert!(node.received()[0].line.starts_with("POST /v1/plan"));
+    assert!(node.received()[0].request_line.starts_with("POST /v1/plan"));
 }
 
 #[test]
-fn status_prints_members_and_sessions_on_an_older_revision() {
+fn status_marks_disconnected_members_and_sessions_on_an_older_revision() {
     let body = r#"{"node":"0a","cluster":"0b","revision":5,"members":[{"node":"0a",
         "internal_address":"127.0.0.1:1","operator_address":"127.0.0.1:2","zone":"a",
         "in_touch":false}],"shards":[{"shard":0,"leader":"","term":2,"commit_index":9,
@@ -303,13 +304,13 @@
     let node = ScriptedNode::start(vec![ScriptedResponse::Respond(200, body.to_owned())]);
     let output = ctl(&["-c", &node.address, "status"]);
     let text = stdout(&output);
-    for part in ["OUT OF TOUCH", "leader none", "shows 4 BEHIND"] {
+    for part in ["NOT CONNECTED", "leader none", "revision 4 BEHIND"] {
         assert!(text.contains(part), "{text}");
     }
 }
 
 #[test]
-fn drain_names_the_backend_in_the_path() {
+fn drain_sends_the_backend_in_the_path() {
     let body = r#"{"pool":"saga","backend_id":"b1","drain":false}"#;
     let node = ScriptedNode::start(vec![ScriptedResponse::Respond(200, body.to_owned())]);
     let output = ctl(&["-c", &node.address, "drain", "--undo", "saga", "b1"]);
@@ -317,12 +318,12 @@
     let received = node.received();
     assert!(
         received[0]
-            .line
+            .request_line
             .starts_with("POST /v1/services/saga/backends/b1/drain")
     );
     assert_eq!(received[0].body, "{\"drain\":false}");
-    let refused = ctl(&["-c", &node.address, "drain", "saga", "../b1"]);
-    assert_eq!(refused.status.code(), Some(2));
+    let rejected = ctl(&["-c", &node.address, "drain", "saga", "../b1"]);
+    assert_eq!(rejected.status.code(), Some(2));
     assert_eq!(node.received().len(), 1);
 }
 
--- a/crates/ctl/tests/exit_statuses.rs
+++ b/crates/ctl/tests/exit_statuses.rs
@@ -1,12 +1,12 @@
-//! The exit statuses are those that `docs/ERRORS.md` lists.
+//! Checks that the exit statuses are those listed in `docs/ERRORS.md`.
 
 use std::collections::BTreeMap;
 
 use millford_core::ResultCode;
 use millford_ctl::exit_status::ExitStatus;
 
-/// Status and the codes that its row names, from the section about `millfordctl`.
-fn table() -> BTreeMap<u8, Vec<u32>> {
+/// Reads the section about `millfordctl`: each exit status with the result codes that its row lists.
+fn read_table() -> BTreeMap<u8, Vec<u32>> {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/ERRORS.md");
     let page = std::fs::read_to_string(path).expect("docs/ERRORS.md");
     let section = page
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn every_status_has_a_row_with_its_codes() {
+fn every_exit_status_is_listed_with_its_result_codes() {
     let mut expected: BTreeMap<u8, Vec<u32>> = BTreeMap::new();
     expected.insert(ExitStatus::Success.number(), Vec::new());
     expected.insert(ExitStatus::Failed.number(), Vec::new());
@@ -44,7 +44,7 @@
                 .push(code.number());
         }
     }
-    let mut table = table();
+    let mut table = read_table();
     for codes in table.values_mut() {
         codes.sort_unstable();
     }
--- a/crates/ctl/tests/outside_names.rs
+++ b/crates/ctl/tests/outside_names.rs
@@ -1,4 +1,5 @@
-//! Commands, flags, variables and exit statuses of `millfordctl` are those of b3d3e00.
+//! Checks that the commands, flags, environment variables and exit statuses of `millfordctl`, which scripts rely
+//! on, are still those of commit b3d3e00.
 
 #[path = "../../api/tests/support/committed.rs"]
 mod committed;
@@ -22,20 +23,20 @@
     String::from_utf8(output.stdout).expect("text")
 }
 
-/// First column of the help's tables; the sentences behind it may change.
+/// Compares the first column of the help's tables. The descriptions in the second column may change.
 #[test]
 fn commands_and_flags_are_the_committed_ones() {
     let help = help();
     let rows = help.lines().filter(|line| line.starts_with("    "));
     let columns = rows.filter_map(|line| line.trim_end().strip_prefix("    "));
-    // A sentence that does not fit its line goes on below, further to the right.
+    // Continuation lines of a description are indented further.
     let columns = columns.filter(|line| !line.starts_with("      "));
     let lines = columns.map(|line| format!("{}\n", daemon_flags::column(line)));
     assert_committed(&format!("{DATA}/help.txt"), &lines.collect::<String>());
 }
 
 #[test]
-fn variables_of_the_environment_are_the_committed_ones() {
+fn environment_variables_are_the_committed_ones() {
     let help = help();
     let words = help.split(|letter: char| !letter.is_ascii_uppercase() && letter != '_');
     let mut names: Vec<&str> = words.filter(|word| word.starts_with("MILLFORD_")).collect();
--- a/crates/ctl/tests/support/mod.rs
+++ b/crates/ctl/tests/support/mod.rs
@@ -1,28 +1,29 @@
-//! A control node that answers by a script, and the program run against it.
+//! A control node with scripted responses, and helpers that run `millfordctl` against it.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::process::{Command, Output};
 use std::sync::{Arc, Mutex};
 
-/// What the node does with one request.
+/// The node's reaction to one request.
 #[derive(Clone, Debug)]
 pub(crate) enum ScriptedResponse {
-    /// Answers with a status and a body.
+    /// Responds with this status and body.
     Respond(u16, String),
-    /// Reads the request and closes the connection.
+    /// Reads the request and closes the connection without a response.
     CloseWithoutResponse,
 }
 
-/// One request that the node got.
+/// One request that the node received.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReceivedRequest {
-    pub line: String,
+    pub request_line: String,
     pub authorization: String,
     pub body: String,
 }
 
-/// A control node on loopback; the last step of the script is repeated.
+/// A control node on loopback that reacts to the n-th request with the n-th step of its script. The last step
+/// is repeated.
 pub(crate) struct ScriptedNode {
     pub address: String,
     received: Arc<Mutex<Vec<ReceivedRequest>>>,
@@ -78,8 +79,8 @@
             length = value.parse().expect("a length");
         } else if let Some(value) = line.strip_prefix("authorization: ") {
             value.clone_into(&mut received.authorization);
-        } else if received.line.is_empty() {
-            received.line = line;
+        } else if received.request_line.is_empty() {
+            received.request_line = line;
         }
     }
     let mut body = vec![0; length];
@@ -88,7 +89,7 @@
     received
 }
 
-/// Runs `millfordctl` with the key in the environment.
+/// Runs `millfordctl` with an operator key in the environment.
 pub(crate) fn ctl(arguments: &[&str]) -> Output {
     program(arguments)
         .env("MILLFORD_OPERATOR_KEY", "the-operator-key")
@@ -96,7 +97,7 @@
         .expect("millfordctl runs")
 }
 
-/// `millfordctl` without a key.
+/// Returns a command that runs `millfordctl` without an operator key or addresses in the environment.
 pub(crate) fn program(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_millfordctl"));
     command
@@ -114,13 +115,13 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-/// An address that nobody listens on.
+/// Returns a loopback address on which no process listens.
 pub(crate) fn closed_address() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     listener.local_addr().expect("an address").to_string()
 }
 
-/// A refusal's body.
+/// Returns the body of an error response; `extra` is appended after the `error` field.
 pub(crate) fn error(code: u32, name: &str, extra: &str) -> String {
     format!("{{\"error\":{{\"code\":{code},\"name\":\"{name}\",\"message\":\"scripted\"}}{extra}}}")
 }
