--- a/tools/check_packages.sh
+++ b/tools/check_packages.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Proves that the `packages` of deploy/system.toml are all that a clean build needs beside the Rust toolchain:
-# builds the deploy line in a fresh clone with an empty cargo home and a PATH that holds only the toolchain and
-# the programs of the listed packages and of what they depend on. Needs a Debian system. Not part of CI: the
-# build is cold and takes minutes.
+# Checks that a clean build needs only the `packages` of deploy/system.toml and the Rust toolchain. Runs the `build`
+# command of deploy/system.toml in a fresh clone, with an empty cargo home and a PATH that has only the toolchain and
+# the programs of the listed packages and their dependencies. Requires a Debian system. Not part of CI, because the
+# build starts from scratch and takes minutes.
 set -euo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
 work=$(mktemp -d)
@@ -13,34 +13,34 @@
 packages=$(sed -nE 's/^packages *= *\[(.*)\]/\1/p' "$root/deploy/system.toml" | tr -d '",')
 [ -n "$packages" ] || { echo "deploy/system.toml lists no packages"; exit 1; }
 
-# Each package with everything that its installation brings along.
-declare -A taken=()
-take() {
-    [ -z "${taken[$1]:-}" ] || return 0
-    taken[$1]=1
+# The listed packages and, recursively, their dependencies.
+declare -A installed=()
+add_package() {
+    [ -z "${installed[$1]:-}" ] || return 0
+    installed[$1]=1
     local depends
     depends=$(dpkg-query -W -f='${Depends}, ${Pre-Depends}' "$1" 2>/dev/null) || return 0
-    local next
-    for next in $(tr ',' '\n' <<<"$depends" | sed -E 's/\|.*//; s/\(.*//; s/:.*//' | tr -d ' '); do
-        take "$next"
+    local dependency
+    for dependency in $(tr ',' '\n' <<<"$depends" | sed -E 's/\|.*//; s/\(.*//; s/:.*//' | tr -d ' '); do
+        add_package "$dependency"
     done
 }
 for package in $packages; do
-    dpkg-query -W "$package" >/dev/null || { echo "$package is not installed here"; exit 1; }
-    take "$package"
+    dpkg-query -W "$package" >/dev/null || { echo "$package is not installed"; exit 1; }
+    add_package "$package"
 done
 
 mkdir "$work/bin" "$work/cargo-home"
-for package in "${!taken[@]}"; do
+for package in "${!installed[@]}"; do
     for program in $(dpkg-query -L "$package" 2>/dev/null | grep -E '^/(usr/)?bin/[^/]+$' || true); do
         ln -sf "$program" "$work/bin/$(basename "$program")"
     done
 done
-# The alternative that the compiler's package sets up.
+# `cc` is an alternative that the installation of the compiler's package sets up, not a file of the package.
 ln -sf "$(command -v gcc)" "$work/bin/cc"
 ln -sf "$sysroot/bin/cargo" "$work/bin/cargo"
 ln -sf "$sysroot/bin/rustc" "$work/bin/rustc"
-# Where the registry is, if it is configured; nothing that was fetched.
+# Copies the configuration of the registry, if there is one, but no downloaded crates.
 [ ! -f "$cargo_home/config.toml" ] || cp "$cargo_home/config.toml" "$work/cargo-home/"
 
 git clone --quiet "$root" "$work/clone"
--- a/tools/landing.sh
+++ b/tools/landing.sh
@@ -1,30 +1,31 @@
 #!/usr/bin/env bash
-# Plays a landing's runs of the users' bench one after the other and prints their table. A run that came to its
-# end is not played again, so that the script goes on where it was cut off.
+# Executes the runs of the users' bench that a landing requires, one after another, and prints a table of their
+# results. Completed runs are skipped, so that the script can be restarted after an interruption.
 #
-#   BENCH=path/of/the/bench SITES=folder/of/the/sites tools/landing.sh PLAN WHY [JOBS]
+#   BENCH=path/of/the/bench SITES=directory/of/the/sites tools/landing.sh PLAN WHY [JOBS]
 #
-# PLAN has a line for each run: `hunt DAYS SITE` or `score [--quick] SITE`; SITE is a path under SITES. The runs
-# begin with the largest sites, which take longest. State and output are kept under target/landing, by commit.
-# Long hunts are better several lines: an entry is written only at the end of a run.
+# PLAN is a file with a line for each run: `hunt DAYS SITE` or `score [--quick] SITE`, where SITE is a path relative
+# to SITES. Put the largest sites first, since they take longest. Split a long hunt into several lines, because a run
+# writes its journal entry only at its end. WHY is the reason that the journal entries state. State and output are
+# stored under target/landing, by commit.
 set -euo pipefail
 cd "$(dirname "$0")/.."
-plan=${1:?a plan}
-why=${2:?a reason}
+plan=${1:?PLAN is required}
+why=${2:?WHY is required}
 jobs=${3:-0}
-: "${BENCH:?where the bench is}" "${SITES:?where the sites are}"
+: "${BENCH:?BENCH is required}" "${SITES:?SITES is required}"
 
 commit=$(git rev-parse HEAD)
-[ -z "$(git status --porcelain -- . ':!journal')" ] || { echo "there are changes that are not committed"; exit 1; }
+[ -z "$(git status --porcelain -- . ':!journal')" ] || { echo "the work tree has uncommitted changes"; exit 1; }
 state=target/landing/$commit
 mkdir -p "$state"
 
-# Processor jobs: as asked for, else half of the processors, and no more than half of the memory bears. A day of
-# 300 machines takes about 2 GB.
+# Number of parallel jobs: JOBS or, by default, half of the processors; at most as many as fit into half of the
+# memory. A day of a site with 300 machines takes about 2 GB.
 memory_gb=$(awk '/MemTotal/ {print int($2 / 1048576)}' /proc/meminfo)
-most=$((memory_gb / 2 / 2))
+max_jobs=$((memory_gb / 2 / 2))
 [ "$jobs" -gt 0 ] || jobs=$(($(nproc) / 2))
-[ "$jobs" -le "$most" ] || jobs=$most
+[ "$jobs" -le "$max_jobs" ] || jobs=$max_jobs
 [ "$jobs" -ge 1 ] || jobs=1
 
 number=0
@@ -44,12 +45,12 @@
         touch "$state/$name.done"
     else
         failed=$((failed + 1))
-        echo "  ended with status $?; see $state/$name.out"
+        echo "  failed with status $?; see $state/$name.out"
     fi
     grep -E 'with a rule broken|GATE|rules broken' "$state/$name.out" | cut -c1-200 || true
 done <"$plan"
 
-# Entries of this commit, whoever played them.
+# All journal entries of this commit, also those of runs that were started without this script.
 mapfile -t entries < <(grep -l "\"head\": *\"$commit\"" journal/*.json 2>/dev/null || true)
 if [ "${#entries[@]}" -gt 0 ]; then
     cargo run --quiet --release --locked -p millford-lab -- days "${entries[@]}"
