--- a/crates/api/src/operator/config_body.rs
+++ b/crates/api/src/operator/config_body.rs
@@ -11,7 +11,8 @@
     /// Revision that the document is based on; 0 for the first configuration.
     pub base_revision: u64,
     /// Idempotency key chosen by the operator: a resent order with the same id is acknowledged again
-    /// instead of being applied twice. May be empty.
+    /// instead of being applied twice. Empty: a resent order is recognized by its base revision and
+    /// document.
     #[serde(default)]
     pub order_id: String,
     /// The complete new configuration.
@@ -24,7 +25,7 @@
 pub struct PutConfigReply {
     /// Revision assigned to the order.
     pub revision: u64,
-    /// Whether an order with the same id had already been accepted.
+    /// Whether the same order had already been accepted.
     pub repeated: bool,
 }
 
--- a/crates/api/tests/error_table.rs
+++ b/crates/api/tests/error_table.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn table_lists_exactly_the_codes_of_the_code() {
+fn table_lists_exactly_the_known_codes() {
     let table = read_table();
     let listed: Vec<u32> = table.keys().copied().collect();
     let known: Vec<u32> = ResultCode::ALL.iter().map(|code| code.number()).collect();
--- a/crates/api/tests/wire/schema.rs
+++ b/crates/api/tests/wire/schema.rs
@@ -66,13 +66,13 @@
     for line in text.lines() {
         let code = line.split("//").next().expect("a first part");
         let mut spaced = String::new();
-        for letter in code.chars() {
-            if "{}=;,".contains(letter) {
+        for character in code.chars() {
+            if "{}=;,".contains(character) {
                 spaced.push(' ');
-                spaced.push(letter);
+                spaced.push(character);
                 spaced.push(' ');
             } else {
-                spaced.push(letter);
+                spaced.push(character);
             }
         }
         tokens.extend(spaced.split_whitespace().map(str::to_owned));
--- a/crates/ctl/tests/outside_names.rs
+++ b/crates/ctl/tests/outside_names.rs
@@ -38,7 +38,7 @@
 #[test]
 fn environment_variables_are_the_committed_ones() {
     let help = help();
-    let words = help.split(|letter: char| !letter.is_ascii_uppercase() && letter != '_');
+    let words = help.split(|character: char| !character.is_ascii_uppercase() && character != '_');
     let mut names: Vec<&str> = words.filter(|word| word.starts_with("MILLFORD_")).collect();
     names.sort_unstable();
     names.dedup();
