--- a/crates/backend-model/src/backend.rs
+++ b/crates/backend-model/src/backend.rs
@@ -12,7 +12,7 @@
 use crate::run::{Phase, Run};
 use crate::run_table::{ROUNDING, RunTable};
 
-/// A backend that runs prompts of several models; its caller advances its time.
+/// A simulated backend that runs prompts of several models. It reads no clock: the caller passes the time.
 #[derive(Clone, Debug)]
 pub struct EmulatedBackend {
     options: BackendOptions,
@@ -26,7 +26,7 @@
 }
 
 impl EmulatedBackend {
-    /// A backend without models and runs at `now`.
+    /// Creates a backend at time `now`, with no model loaded and no run open.
     #[must_use]
     pub fn new(options: BackendOptions, now: MonotonicTime) -> Self {
         Self {
@@ -41,22 +41,22 @@
         }
     }
 
-    /// Loads a model. Its runs are accepted from now on.
+    /// Loads a model, or replaces its profile. Runs of the model are accepted from this call on.
     pub fn load_model(&mut self, model: &str, profile: ModelProfile) {
         self.profiles.insert(model.to_owned(), profile);
         self.update_rates();
     }
 
-    /// Whether a model is loaded.
+    /// Returns whether a model is loaded.
     #[must_use]
     pub fn serves(&self, model: &str) -> bool {
         self.profiles.contains_key(model)
     }
 
-    /// Sets the speed factor from `now` on: 1 is normal, 0.1 a tenth. Values that are not above 0 count as
-    /// just above it.
+    /// Sets the factor on the rate of all work from `now` on: 1 is normal speed, 0.1 a tenth of it. Values
+    /// of 0 and below are raised to the smallest accepted value, 1e-6.
     ///
-    /// Returns the events up to `now`.
+    /// Advances to `now` at the old speed first, and returns the events of that time.
     pub fn set_speed(&mut self, now: MonotonicTime, speed: f64) -> Vec<BackendEvent> {
         let events = self.advance(now);
         self.speed = speed.max(ROUNDING);
@@ -64,10 +64,10 @@
         events
     }
 
-    /// Accepts a run, or refuses it before any work. Call [`Self::advance`] to `now` first.
+    /// Starts a run at the time of the last [`Self::advance`], or refuses it before any work.
     ///
     /// # Errors
-    /// [`RunRefused`] when the backend is full, lacks the model, or the number is in use.
+    /// [`RunRefused`] if the backend is full, the model is not loaded, or the run's number is in use.
     pub fn start(&mut self, request: &RunRequest) -> Result<RunStarted, RunRefused> {
         let Some(profile) = self.profiles.get(&request.model) else {
             return Err(RunRefused::ModelUnknown);
@@ -90,7 +90,7 @@
         })
     }
 
-    /// Number of prompt tokens of the request whose blocks are cached.
+    /// Returns how many leading prompt tokens of the request are in the prefix cache.
     #[must_use]
     pub fn cached_tokens(&self, request: &RunRequest) -> u32 {
         let hits = self
@@ -102,14 +102,14 @@
             .min(request.prompt_tokens)
     }
 
-    /// Cancels a run. Returns whether it was open. Call [`Self::advance`] first.
+    /// Cancels a run at the time of the last [`Self::advance`]. Returns whether the run was open.
     pub fn cancel(&mut self, run: u64) -> bool {
         let removed = self.runs.remove(run);
         self.update_rates();
         removed
     }
 
-    /// Loses every run and the prefix cache, as a restart does.
+    /// Drops every run and empties the prefix cache at time `now`, as a restart does. Emits no events.
     pub fn restart(&mut self, now: MonotonicTime) {
         self.runs.clear();
         self.cache.clear();
@@ -117,7 +117,7 @@
         self.update_rates();
     }
 
-    /// Progresses to `now`; returns what happened, in order of time.
+    /// Advances the simulation to `now` and returns the events up to then, in order of time.
     pub fn advance(&mut self, now: MonotonicTime) -> Vec<BackendEvent> {
         let mut events = Vec::new();
         while self.now < now {
@@ -134,7 +134,8 @@
         events
     }
 
-    /// When the next run changes phase or ends, if nothing else happens before.
+    /// Returns when the next run changes phase or ends, unless a call changes the rates before; `None` if no
+    /// run is open.
     #[must_use]
     pub fn next_change(&self) -> Option<MonotonicTime> {
         let micros = self
@@ -145,7 +146,8 @@
         Some(self.time_after(micros))
     }
 
-    /// When the next token of any run is there, if nothing else happens before.
+    /// Returns when a run completes its next token, unless a call changes the rates before; `None` if no run
+    /// is open.
     #[must_use]
     pub fn next_token(&self) -> Option<MonotonicTime> {
         let micros = self
@@ -156,7 +158,7 @@
         Some(self.time_after(micros))
     }
 
-    /// Number of streams past their first token of one model.
+    /// Returns the number of one model's runs that are past their first token.
     #[must_use]
     pub fn streams(&self, model: &str) -> usize {
         self.runs
@@ -165,38 +167,38 @@
             .count()
     }
 
-    /// The speed factor in force.
+    /// Returns the current speed factor; see [`Self::set_speed`].
     #[must_use]
     pub fn speed(&self) -> f64 {
         self.speed
     }
 
-    /// Processor time spent since the start, in core seconds, up to the last advance.
+    /// Returns the processor time used since the start, in core seconds, up to the last [`Self::advance`].
     #[must_use]
     pub fn busy_core_seconds(&self) -> f64 {
         self.busy_core_micros / 1_000_000.0
     }
 
-    /// Demand for cores, as a share of the cores; prefill uses every core that decode leaves free.
+    /// Returns the demand for cores, as a share of the cores. Prefill uses every core that decode leaves free.
     #[must_use]
     pub fn processor_utilization(&self) -> f64 {
         self.rates.processor_utilization
     }
 
-    /// Demand for memory bandwidth at full pace, as a share of the bandwidth; may exceed 1.
+    /// Returns the demand for memory bandwidth without stalls, as a share of the bandwidth; may exceed 1.
     #[must_use]
     pub fn bandwidth_utilization(&self) -> f64 {
         self.rates.bandwidth_utilization
     }
 
-    /// Processor time that the open runs still need, spread over all cores, in seconds.
+    /// Returns the processor time that the open runs still need, in seconds of all cores together.
     #[must_use]
     pub fn outstanding_seconds(&self) -> f64 {
         let core_micros: f64 = self.runs.iter().map(|run| self.core_micros_left(run)).sum();
         core_micros / self.options.cores / 1_000_000.0
     }
 
-    /// The size of the backend.
+    /// Returns the options that the backend was created with.
     #[must_use]
     pub fn options(&self) -> &BackendOptions {
         &self.options
@@ -213,9 +215,9 @@
         }
     }
 
-    /// The time `micros` microseconds from now, in whole microseconds.
+    /// Returns the time `micros` microseconds from now, at least one microsecond ahead.
     fn time_after(&self, micros: f64) -> MonotonicTime {
-        // Rounded up, so that the change has happened by then.
+        // Rounded up, so that the change is complete at the returned time.
         self.now + Duration::from_micros(micros.ceil().max(1.0) as u64)
     }
 
--- a/crates/backend-model/src/bandwidth.rs
+++ b/crates/backend-model/src/bandwidth.rs
@@ -1,25 +1,25 @@
-//! How memory latency rises with the use of the memory bandwidth.
+//! Curve of memory latency over the use of the memory bandwidth.
 
-/// Use of the memory bandwidth past which latency rises steeply, as a share of the bandwidth.
+/// Default [`LatencyCurve::knee`].
 pub const DEFAULT_KNEE: f64 = 0.67;
-/// Growth of the exponent past the knee, per unit of bandwidth use.
+/// Default [`LatencyCurve::steepness`].
 pub const DEFAULT_STEEPNESS: f64 = 7.0;
-/// Growth of latency below the knee, per unit of bandwidth use.
+/// Default [`LatencyCurve::gentle_slope`].
 pub const DEFAULT_GENTLE_SLOPE: f64 = 0.1;
-/// Largest slowdown that the curve gives.
+/// Upper bound of [`LatencyCurve::slowdown`].
 pub const MAX_SLOWDOWN: f64 = 40.0;
 
-/// Halvings of the interval in which the steady-state use is sought.
+/// Steps of the bisection that solves for the steady-state use of the bandwidth.
 const BISECTION_STEPS: u32 = 40;
 
-/// Factor on the time of memory-bound work as a function of bandwidth use.
+/// Slowdown factor of memory-bound work as a function of bandwidth use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LatencyCurve {
-    /// Bandwidth use at which the steep part starts, as a share of the bandwidth.
+    /// Bandwidth use past which latency grows exponentially, as a share of the bandwidth.
     pub knee: f64,
-    /// Exponent per unit of bandwidth use past the knee.
+    /// Growth of the exponent per unit of bandwidth use past the knee.
     pub steepness: f64,
-    /// Linear growth per unit of bandwidth use, everywhere.
+    /// Linear growth of latency per unit of bandwidth use, below and past the knee.
     pub gentle_slope: f64,
 }
 
@@ -34,7 +34,8 @@
 }
 
 impl LatencyCurve {
-    /// Slowdown at a bandwidth use (1.0 is the full bandwidth); at least 1 and never falling.
+    /// Returns the slowdown at a bandwidth use (1.0 is the full bandwidth). At least 1, at most
+    /// [`MAX_SLOWDOWN`], and monotonic in `utilization`.
     #[must_use]
     pub fn slowdown(&self, utilization: f64) -> f64 {
         let gentle = 1.0 + self.gentle_slope * utilization.max(0.0);
@@ -43,9 +44,10 @@
         (gentle * steep).min(MAX_SLOWDOWN)
     }
 
-    /// Slowdown under a demand at full pace (1.0 is the full bandwidth).
+    /// Returns the slowdown under a demand for bandwidth without stalls (1.0 is the full bandwidth).
     ///
-    /// Slowed work needs less: the steady state is where use times slowdown is the demand, at most at 1.
+    /// Stalled work uses less bandwidth. In the steady state, use times slowdown equals the demand, and the
+    /// use is at most 1.
     #[must_use]
     pub fn steady_state_slowdown(&self, demand: f64) -> f64 {
         if demand <= 0.0 {
--- a/crates/backend-model/src/event.rs
+++ b/crates/backend-model/src/event.rs
@@ -1,24 +1,24 @@
-//! What goes into and comes out of an emulated backend.
+//! Requests to an emulated backend, and the events that it reports.
 
 use millford_core::MonotonicTime;
 use thiserror::Error;
 
-/// A run that a caller requests.
+/// A request to run one prompt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunRequest {
-    /// Chosen by the caller, unique among the open runs.
+    /// Number of the run, chosen by the caller; must be unique among the open runs.
     pub run: u64,
-    /// Name of the model.
+    /// Name that the model was loaded under.
     pub model: String,
     /// Prompt length in tokens.
     pub prompt_tokens: u32,
     /// Chain hashes of the prompt's full blocks, from `chain_blocks` or `text_blocks`.
     pub prompt_blocks: Vec<u64>,
-    /// Tokens to generate, at least one.
+    /// Number of tokens to generate; 0 counts as 1.
     pub output_tokens: u32,
 }
 
-/// What the backend found in its prefix cache.
+/// Split of an accepted prompt by the prefix cache; the two counts add up to the prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunStarted {
     /// Prompt tokens that need no prefill.
@@ -27,38 +27,38 @@
     pub uncached_tokens: u32,
 }
 
-/// Why a run was refused before any work.
+/// Reason for which a run was refused before any work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RunRefused {
-    /// The largest number of runs is open.
-    #[error("the backend runs as many requests as it may")]
+    /// [`BackendOptions::max_runs`](crate::BackendOptions::max_runs) runs are open.
+    #[error("the backend has reached its limit of open runs")]
     Full,
-    /// The model is not loaded.
-    #[error("the backend does not serve this model")]
+    /// The requested model is not loaded.
+    #[error("the model is not loaded on this backend")]
     ModelUnknown,
-    /// A run with the number is open.
-    #[error("a run with this number is open")]
+    /// Another open run has the same number.
+    #[error("a run with this number is already open")]
     Duplicate,
 }
 
-/// Something that happened to a run.
+/// An event in the progress of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackendEvent {
-    /// When it happened; never after the time that was advanced to.
+    /// Time of the event; at most the time that the backend was advanced to.
     pub at: MonotonicTime,
-    /// The run.
+    /// Number of the run, from [`RunRequest::run`].
     pub run: u64,
-    /// What happened.
+    /// Kind of the event.
     pub kind: BackendEventKind,
 }
 
 /// Kinds of events of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendEventKind {
-    /// Prefill ended: token 0 is there.
+    /// Prefill ended and produced the first token.
     FirstToken,
-    /// This many tokens are there by now, the first included. At most one event for each run and advance.
+    /// Total number of tokens produced so far, the first included. At most one event per run and advance.
     Tokens(u32),
-    /// The last token is there; the run is closed.
+    /// The last token was produced and the run is closed.
     Finished,
 }
--- a/crates/backend-model/src/options.rs
+++ b/crates/backend-model/src/options.rs
@@ -1,28 +1,28 @@
-//! Size of an emulated backend.
+//! Capacity and limits of an emulated backend.
 
 use crate::bandwidth::LatencyCurve;
 
-/// Default limit of open runs.
+/// Default [`BackendOptions::max_runs`].
 pub const DEFAULT_MAX_RUNS: usize = 512;
-/// Default prefix cache size, in blocks.
+/// Default [`BackendOptions::cache_blocks`].
 pub const DEFAULT_CACHE_BLOCKS: usize = 4096;
-/// Default block size of the prefix cache, in tokens.
+/// Default [`BackendOptions::block_tokens`].
 pub const DEFAULT_BLOCK_TOKENS: u32 = 64;
 
-/// Size and limits of one emulated backend.
+/// Capacity and limits of one emulated backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackendOptions {
-    /// Processor cores.
+    /// Number of processor cores; may be fractional.
     pub cores: f64,
     /// Memory bandwidth, in GB/s.
     pub bandwidth_gbps: f64,
-    /// Limit of open runs; further ones are refused before any work.
+    /// Largest number of open runs; further ones are refused before any work.
     pub max_runs: usize,
-    /// Blocks that the prefix cache holds, over all models.
+    /// Capacity of the prefix cache in blocks, shared by all models.
     pub cache_blocks: usize,
-    /// Tokens of one block of the prefix cache.
+    /// Tokens per block of the prefix cache.
     pub block_tokens: u32,
-    /// How latency rises with bandwidth use.
+    /// Slowdown of memory-bound work over bandwidth use.
     pub curve: LatencyCurve,
 }
 
--- a/crates/backend-model/src/prefix_cache.rs
+++ b/crates/backend-model/src/prefix_cache.rs
@@ -1,11 +1,11 @@
-//! Prefix cache of a backend: blocks of prompts, the least recently used evicted first.
+//! Prefix cache of a backend: blocks of prompts under least-recently-used eviction.
 
 use std::collections::BTreeMap;
 
-/// A cached block: which model and the chain hash up to and with the block.
+/// Key of a cached block: the model, and the chain hash that ends with the block.
 type BlockKey = (String, u64);
 
-/// Blocks of the prompts that a backend has worked on.
+/// Blocks of the prompts that a backend has prefilled.
 #[derive(Clone, Debug)]
 pub struct PrefixCache {
     capacity: usize,
@@ -15,7 +15,7 @@
 }
 
 impl PrefixCache {
-    /// An empty cache of `capacity` blocks.
+    /// Creates an empty cache of at most `capacity` blocks.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         Self {
@@ -26,13 +26,13 @@
         }
     }
 
-    /// Number of cached blocks.
+    /// Returns the number of cached blocks, over all models.
     #[must_use]
     pub fn len(&self) -> usize {
         self.used_at.len()
     }
 
-    /// Whether no block is cached.
+    /// Returns whether no block is cached.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.used_at.is_empty()
@@ -44,7 +44,7 @@
         self.by_use.clear();
     }
 
-    /// Number of leading blocks of the prompt that are cached.
+    /// Returns how many leading blocks of the prompt are cached; does not mark them as used.
     #[must_use]
     pub fn leading_hits(&self, model: &str, blocks: &[u64]) -> usize {
         blocks
@@ -53,9 +53,10 @@
             .count()
     }
 
-    /// Marks the prompt's blocks as used now and evicts the least recently used ones.
+    /// Inserts the prompt's blocks as the most recently used ones, and evicts down to the capacity.
     ///
-    /// Later blocks are marked first, so that a chain loses its end before its start.
+    /// Blocks are inserted from last to first, so that a chain is evicted from its end: a block is of no use
+    /// without those before it.
     pub fn mark_used(&mut self, model: &str, blocks: &[u64]) {
         for block in blocks.iter().rev() {
             self.mark_block_used((model.to_owned(), *block));
--- a/crates/backend-model/src/profile.rs
+++ b/crates/backend-model/src/profile.rs
@@ -1,17 +1,17 @@
-//! What a model costs on a backend.
+//! Processor and memory costs of a model.
 
-/// Costs of one model, the same on every backend up to its cores and bandwidth.
+/// Costs of one model. They do not depend on the backend, whose cores and bandwidth only limit them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ModelProfile {
     /// Processor time of one uncached prompt token, in core microseconds.
     pub prefill_core_micros_per_token: f64,
     /// Memory traffic of one busy core during prefill, in GB/s.
     pub prefill_gbps_per_core: f64,
-    /// Time of a decode step apart from what each stream adds, in microseconds.
+    /// Fixed part of the time of a decode step, in microseconds.
     pub decode_base_micros: f64,
     /// Time that each stream adds to a decode step, in microseconds.
     pub decode_stream_micros: f64,
-    /// Cores that one stream keeps busy at full pace.
+    /// Cores that one stream keeps busy when neither cores nor bandwidth are short.
     pub decode_cores_per_stream: f64,
     /// Weights read in each decode step, in GB.
     pub weights_gigabytes: f64,
@@ -20,7 +20,7 @@
 }
 
 impl ModelProfile {
-    /// A heavy model: long prefill, wide weights.
+    /// Returns the profile of a large model: slow prefill, large weights.
     #[must_use]
     pub fn heavy() -> Self {
         Self {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// A light model: short prefill, small weights.
+    /// Returns the profile of a small model: fast prefill, small weights.
     #[must_use]
     pub fn light() -> Self {
         Self {
@@ -48,13 +48,14 @@
         }
     }
 
-    /// Time of one decode step with `streams` streams and nothing else on the backend, in microseconds.
+    /// Returns the time of one decode step of `streams` streams on an otherwise idle backend, in
+    /// microseconds.
     #[must_use]
     pub fn step_micros(&self, streams: usize) -> f64 {
         self.decode_base_micros + self.decode_stream_micros * streams as f64
     }
 
-    /// Memory traffic of `streams` streams at full pace, in GB/s.
+    /// Returns the memory traffic of `streams` streams that are not slowed down, in GB/s.
     #[must_use]
     pub fn decode_gbps(&self, streams: usize) -> f64 {
         if streams == 0 {
--- a/crates/backend-model/src/prompt.rs
+++ b/crates/backend-model/src/prompt.rs
@@ -1,11 +1,11 @@
-//! Prompts as chains of block hashes: a block's hash covers everything before it.
+//! Chain hashes of prompt blocks: the hash of a block covers every block before it.
 
-/// Odd multiplier of the mixing step (splitmix64).
+/// Odd multiplier of the mixing step (from splitmix64).
 const MIX_MULTIPLIER: u64 = 0xbf58_476d_1ce4_e5b9;
-/// Start of every chain.
+/// Initial value of every chain, also the second multiplier of the mixing step.
 const CHAIN_START: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Mixes a value into a chain hash.
+/// Returns the chain hash after `value`.
 fn mix(chain: u64, value: u64) -> u64 {
     let mut mixed = (chain ^ value).wrapping_mul(MIX_MULTIPLIER);
     mixed ^= mixed >> 29;
@@ -13,7 +13,7 @@
     mixed ^ (mixed >> 32)
 }
 
-/// Chain hashes of blocks that are named by numbers, for generated workloads.
+/// Returns the chain hashes of blocks that numbers stand for, as in generated workloads.
 #[must_use]
 pub fn chain_blocks(names: &[u64]) -> Vec<u64> {
     let mut chain = CHAIN_START;
@@ -26,7 +26,8 @@
         .collect()
 }
 
-/// Chain hashes of the full blocks of a text of `block_bytes` bytes each; the rest has no block.
+/// Splits a text into blocks of `block_bytes` bytes and returns their chain hashes. An incomplete last
+/// block is left out.
 #[must_use]
 pub fn text_blocks(text: &str, block_bytes: usize) -> Vec<u64> {
     let names: Vec<u64> = text
--- a/crates/backend-model/src/rates.rs
+++ b/crates/backend-model/src/rates.rs
@@ -1,14 +1,14 @@
-//! Rates of progress while the set of runs and their phases stay the same.
+//! Rates of progress; constant while the set of runs and their phases stay the same.
 
 use std::collections::BTreeMap;
 
 use crate::options::BackendOptions;
 use crate::profile::ModelProfile;
 
-/// Share of the cores that decode leaves to prefill when both compete.
+/// Share of the cores reserved for prefill while decode competes with it.
 const MIN_PREFILL_SHARE: f64 = 0.2;
 
-/// Runs of one model by phase.
+/// Number of one model's runs in each phase.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ModelRuns {
     pub(crate) prefills: usize,
@@ -20,9 +20,9 @@
 pub(crate) struct Rates {
     /// Core microseconds of prefill done per microsecond, for each prefilling run.
     pub(crate) prefill_cores_per_run: f64,
-    /// Microseconds per token of each model's streams.
+    /// Microseconds per token of a stream, by model; holds only models with a stream.
     pub(crate) token_micros: BTreeMap<String, f64>,
-    /// Busy cores.
+    /// Cores in use by decode and prefill.
     pub(crate) busy_cores: f64,
     /// Demand for cores, as a share of the cores; at least 1 when any prefill runs.
     pub(crate) processor_utilization: f64,
@@ -30,9 +30,9 @@
     pub(crate) bandwidth_utilization: f64,
 }
 
-/// How decode and prefill share the cores.
+/// Split of the cores between decode and prefill.
 struct CoreShares {
-    /// Cores that decode would use at full pace.
+    /// Cores that decode would use without a limit.
     decode_demand: f64,
     /// Cores that decode uses.
     decode: f64,
@@ -41,7 +41,8 @@
 }
 
 impl CoreShares {
-    /// Decode goes first, but leaves some cores to prefill; prefill uses all the others.
+    /// Gives decode priority, but reserves [`MIN_PREFILL_SHARE`] while any run is in prefill. Prefill uses all
+    /// cores that decode does not use.
     fn new(cores: f64, decode_demand: f64, prefills: usize) -> Self {
         let decode_limit = if prefills > 0 {
             cores * (1.0 - MIN_PREFILL_SHARE)
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Factor on the time of a decode step for want of cores.
+    /// Returns the factor by which a shortage of cores lengthens a decode step; at least 1.
     fn decode_slowdown(&self) -> f64 {
         if self.decode > 0.0 {
             self.decode_demand / self.decode
@@ -67,7 +68,7 @@
     }
 }
 
-/// Works out the rates for the runs of a backend at a speed factor.
+/// Computes the rates for a backend's runs at a speed factor (1 is normal speed).
 pub(crate) fn rates(
     options: &BackendOptions,
     profiles: &BTreeMap<String, ModelProfile>,
@@ -101,7 +102,7 @@
     }
 }
 
-/// Memory traffic that the runs would cause at full pace, in GB/s.
+/// Returns the memory traffic that the runs would cause without stalls, in GB/s.
 fn bandwidth_demand(
     profiles: &BTreeMap<String, ModelProfile>,
     runs: &BTreeMap<String, ModelRuns>,
--- a/crates/backend-model/src/run.rs
+++ b/crates/backend-model/src/run.rs
@@ -2,28 +2,28 @@
 
 use crate::event::RunRequest;
 
-/// Progress of one run.
+/// An open run and its progress.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
     pub(crate) model: String,
     pub(crate) blocks: Vec<u64>,
     pub(crate) output_tokens: u32,
     pub(crate) phase: Phase,
-    /// Tokens reported to the caller so far.
+    /// Number of tokens that events have reported so far.
     pub(crate) reported_tokens: u32,
 }
 
-/// Phase of a run and its progress.
+/// Phase of a run, and the progress within it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Phase {
-    /// Core microseconds of prefill left.
+    /// Prefill: processor time left, in core microseconds.
     Prefill { core_micros_left: f64 },
-    /// Tokens generated so far, with the part of the next one.
+    /// Decode: tokens generated so far, with the fraction of the next one.
     Decode { tokens: f64 },
 }
 
 impl Run {
-    /// A run that starts its prefill.
+    /// Creates a run at the start of its prefill, which takes `core_micros` core microseconds.
     pub(crate) fn new(request: &RunRequest, core_micros: f64) -> Self {
         Self {
             model: request.model.clone(),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether the run is past its first token.
+    /// Returns whether the run is past its first token.
     pub(crate) fn decodes(&self) -> bool {
         matches!(self.phase, Phase::Decode { .. })
     }
--- a/crates/backend-model/src/run_table.rs
+++ b/crates/backend-model/src/run_table.rs
@@ -1,4 +1,4 @@
-//! The open runs of an emulated backend and their progress between two moments.
+//! The open runs of an emulated backend, and their progress over time.
 
 use std::collections::BTreeMap;
 
@@ -9,56 +9,56 @@
 use crate::rates::{ModelRuns, Rates};
 use crate::run::{Phase, Run};
 
-/// Work smaller than this counts as done; hides rounding.
+/// Remaining work below this counts as done, which absorbs rounding errors. Also the smallest speed factor.
 pub(crate) const ROUNDING: f64 = 1e-6;
 
-/// Open runs by the number that their caller chose.
+/// Open runs, by [`RunRequest::run`](crate::RunRequest::run).
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RunTable {
     runs: BTreeMap<u64, Run>,
 }
 
-/// The end of a run's phase.
+/// The phase that a run has completed.
 #[derive(Clone, Copy)]
 enum PhaseEnd {
-    /// Prefill is done: the first token is there.
+    /// Prefill; it produces the first token.
     Prefill,
-    /// All tokens are there.
+    /// Decode; all tokens are produced.
     Decode,
 }
 
 impl RunTable {
-    /// Number of open runs.
+    /// Returns the number of open runs.
     pub(crate) fn len(&self) -> usize {
         self.runs.len()
     }
 
-    /// Whether a run with this number is open.
+    /// Returns whether a run with this number is open.
     pub(crate) fn contains(&self, run: u64) -> bool {
         self.runs.contains_key(&run)
     }
 
-    /// Opens a run.
+    /// Adds a run under its number.
     pub(crate) fn insert(&mut self, number: u64, run: Run) {
         self.runs.insert(number, run);
     }
 
-    /// Closes a run. Returns whether it was open.
+    /// Removes a run. Returns whether it was open.
     pub(crate) fn remove(&mut self, run: u64) -> bool {
         self.runs.remove(&run).is_some()
     }
 
-    /// Closes every run.
+    /// Removes every run.
     pub(crate) fn clear(&mut self) {
         self.runs.clear();
     }
 
-    /// The open runs in the order of their numbers.
+    /// Iterates over the open runs in the order of their numbers.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Run> {
         self.runs.values()
     }
 
-    /// Runs of each model by phase.
+    /// Counts the runs of each model in each phase.
     pub(crate) fn count_by_model(&self) -> BTreeMap<String, ModelRuns> {
         let mut counts: BTreeMap<String, ModelRuns> = BTreeMap::new();
         for run in self.runs.values() {
@@ -72,7 +72,7 @@
         counts
     }
 
-    /// Lets every run progress for `micros` microseconds at constant rates.
+    /// Advances every run by `micros` microseconds at constant rates.
     pub(crate) fn progress(&mut self, micros: f64, rates: &Rates) {
         for run in self.runs.values_mut() {
             match &mut run.phase {
@@ -84,9 +84,10 @@
         }
     }
 
-    /// Ends the phases that are done by `now`: prompts enter the cache, finished runs are closed.
+    /// Ends the phases that are complete at `now`: caches the prompts of completed prefills, and closes
+    /// finished runs.
     ///
-    /// Returns whether any phase ended, so that the rates change.
+    /// Returns whether any phase ended, in which case the rates must be recomputed.
     pub(crate) fn end_phases(
         &mut self,
         now: MonotonicTime,
@@ -138,7 +139,7 @@
         events.push(event(now, number, BackendEventKind::Finished));
     }
 
-    /// Reports the tokens that streams completed since they were last reported.
+    /// Appends an event for each run that completed tokens since its last report.
     pub(crate) fn report_tokens(&mut self, now: MonotonicTime, events: &mut Vec<BackendEvent>) {
         for (number, run) in &mut self.runs {
             let Phase::Decode { tokens } = run.phase else {
--- a/crates/backend-model/tests/backend.rs
+++ b/crates/backend-model/tests/backend.rs
@@ -1,4 +1,4 @@
-//! The emulated backend: monotonicity, conservation, cache.
+//! Tests of the emulated backend: monotonic latencies, token counts, prefix cache.
 
 use millford_backend_model::{
     BackendEventKind, BackendOptions, EmulatedBackend, LatencyCurve, ModelProfile, RunRefused,
@@ -27,7 +27,7 @@
     }
 }
 
-/// Runs until all is done; returns the times of first token and end of `run`, in microseconds.
+/// Advances until no run is open. Returns when `run` had its first token and when it ended, in microseconds.
 fn finish_times(backend: &mut EmulatedBackend, run: u64) -> (u64, u64) {
     let mut times = (0, 0);
     while let Some(next) = backend.next_change() {
@@ -64,7 +64,7 @@
     let measured = first_token_with(0, 1000) as f64;
     assert!(
         (measured - expected * stall).abs() < 10.0,
-        "{measured} against {expected}"
+        "measured {measured} us, expected {expected} us before the stall factor"
     );
 }
 
