--- a/crates/simulation/src/checkers/adoption.rs
+++ b/crates/simulation/src/checkers/adoption.rs
@@ -1,4 +1,4 @@
-//! Every connected node applies an acknowledged revision within two seconds.
+//! Checks that every connected proxy node applies an acknowledged revision within two seconds.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,18 +12,18 @@
 use crate::history::{OrderAnswer, ProxyNodeNumber, Record};
 use crate::scenario::Figure;
 
-/// Time from the acknowledgement of a revision to its use by every connected node.
+/// Longest time from the acknowledgement of a revision until every connected proxy node routes by it.
 const LIMIT: Duration = Duration::from_secs(2);
 
-/// A revision that a proxy node has not applied.
+/// An acknowledged revision that a proxy node has not applied.
 #[derive(Clone, Copy)]
 struct PendingRevision {
     revision: u64,
-    /// Since when the proxy node could have applied it.
+    /// Time since which the revision is acknowledged and the proxy node is connected.
     since: MonotonicTime,
 }
 
-/// Follows the revision of each proxy node behind the acknowledged ones.
+/// Compares the revision of each proxy node with the acknowledged revisions.
 #[derive(Default)]
 pub struct AdoptionChecker {
     connectivity: ConnectivityTable,
@@ -31,13 +31,13 @@
     acknowledged: BTreeMap<u64, MonotonicTime>,
     /// Revision that each proxy node routes by.
     applied: BTreeMap<ProxyNodeNumber, u64>,
-    /// Revision up to which a proxy node was reported as late.
+    /// Highest revision whose late adoption was reported, by proxy node.
     reported: BTreeMap<ProxyNodeNumber, u64>,
 }
 
 impl Checker for AdoptionChecker {
     fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
-        // Before the record is applied: what was overdue under the connectivity until now.
+        // Checked before the record is applied, since the connectivity until now decides what is overdue.
         self.check_overdue(at, verdict);
         self.connectivity.observe(at, record);
         match record {
@@ -63,9 +63,9 @@
 }
 
 impl AdoptionChecker {
-    /// The first acknowledged revision that a connected proxy node has not applied.
+    /// Returns the first acknowledged revision that a connected proxy node has not applied.
     fn pending(&self, proxy_node: ProxyNodeNumber) -> Option<PendingRevision> {
-        // A node that applied nothing serves nothing; how long that may last is the recovery's guarantee.
+        // A proxy node without a revision serves no request; the recovery checker limits that time.
         let applied = self.applied.get(&proxy_node)?;
         let (revision, acknowledged) = self.acknowledged.range(applied + 1..).next()?;
         let connected = self.connectivity.connected_since(proxy_node)?;
@@ -88,7 +88,8 @@
             *reported = revision;
             let applied = self.applied.get(&proxy_node).copied().unwrap_or(0);
             let text = format!(
-                "{proxy_node:?} is connected and routes by {applied}, not {revision}, after 2 s"
+                "{proxy_node:?} is connected but still routes by revision {applied}, 2 s after \
+                 revision {revision} was acknowledged"
             );
             verdict.record_violation(at, Guarantee::Adoption, text);
         }
--- a/crates/simulation/src/checkers/answer_identity.rs
+++ b/crates/simulation/src/checkers/answer_identity.rs
@@ -1,4 +1,4 @@
-//! No caller gets another request's answer.
+//! Checks that no caller receives the answer to another request.
 
 use millford_core::MonotonicTime;
 
@@ -8,7 +8,7 @@
 use crate::checkers::verdict::Verdict;
 use crate::history::Record;
 
-/// Compares the content that a chunk answers with what its caller requested.
+/// Compares the content of each chunk with the content that its caller requested.
 #[derive(Default)]
 pub struct AnswerIdentityChecker {
     requests: RequestTable,
@@ -29,7 +29,7 @@
         };
         if sent.content != chunk.content {
             let text = format!(
-                "{client_request:?} asked {:?} and got {chunk:?}",
+                "{client_request:?} requested {:?} but received {chunk:?}",
                 sent.content
             );
             verdict.record_violation(at, Guarantee::AnswerIdentity, text);
--- a/crates/simulation/src/checkers/at_most_once.rs
+++ b/crates/simulation/src/checkers/at_most_once.rs
@@ -1,4 +1,4 @@
-//! What may not be repeated runs at most once.
+//! Checks that a request that is not repeatable runs at most once.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use crate::checkers::verdict::Verdict;
 use crate::history::{AttemptNumber, ContentNumber, Record, Repeatability};
 
-/// Counts the runs of each content that may not be repeated.
+/// Finds second runs of the same content, unless the request is repeatable.
 #[derive(Default)]
 pub struct AtMostOnceChecker {
     requests: RequestTable,
@@ -20,7 +20,7 @@
 impl Checker for AtMostOnceChecker {
     fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
         self.requests.observe(record);
-        // A run that is continued is the same run.
+        // Only starts at chunk 0 count: a resumed run is the same run.
         let Record::BackendStarted {
             attempt,
             content,
@@ -37,7 +37,7 @@
             return;
         }
         if let Some(first) = self.runs.insert(*content, *attempt) {
-            let text = format!("{content:?} ran as {first:?} and again as {attempt:?}");
+            let text = format!("{content:?} ran twice: as {first:?} and as {attempt:?}");
             verdict.record_violation(at, Guarantee::AtMostOnce, text);
         }
     }
--- a/crates/simulation/src/checkers/checker.rs
+++ b/crates/simulation/src/checkers/checker.rs
@@ -5,11 +5,11 @@
 use crate::checkers::verdict::Verdict;
 use crate::history::Record;
 
-/// Watches the history as it grows.
+/// Evaluates the history of a run, record by record.
 pub trait Checker {
-    /// Takes the next record; records come in the order of their times.
+    /// Evaluates the next record, which happened at the simulated time `at`. Records come in order of time.
     fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict);
 
-    /// The run is over.
+    /// Evaluates the end of the run. By default it does nothing.
     fn finish(&mut self, _at: MonotonicTime, _verdict: &mut Verdict) {}
 }
--- a/crates/simulation/src/checkers/complete_answers.rs
+++ b/crates/simulation/src/checkers/complete_answers.rs
@@ -1,4 +1,4 @@
-//! No partial answer passes for a complete one, and no success is invented.
+//! Checks that no truncated answer is reported as complete, and no success without a completed run.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,7 +10,7 @@
 use crate::checkers::verdict::Verdict;
 use crate::history::{ContentNumber, Record, RequestEnd, RequestNumber};
 
-/// Wants the last chunk, and a backend's success, behind every complete answer.
+/// Requires the last chunk and a completed run for every answer that its caller took as complete.
 #[derive(Default)]
 pub struct CompleteAnswersChecker {
     requests: RequestTable,
@@ -45,14 +45,15 @@
 impl CompleteAnswersChecker {
     fn check(&self, at: MonotonicTime, client_request: RequestNumber, verdict: &mut Verdict) {
         if self.last_chunk_seen.get(&client_request) != Some(&true) {
-            let text = format!("{client_request:?} ended as complete without its last piece");
+            let text = format!("{client_request:?} ended as complete without its last chunk");
             verdict.record_violation(at, Guarantee::CompleteAnswers, text);
         }
         let Some(sent) = self.requests.get(client_request) else {
             return;
         };
         if !self.finished.contains(&sent.content) {
-            let text = format!("{client_request:?} ended as complete, but no backend finished it");
+            let text =
+                format!("{client_request:?} ended as complete, but no backend completed its run");
             verdict.record_violation(at, Guarantee::CompleteAnswers, text);
         }
     }
--- a/crates/simulation/src/checkers/connectivity_table.rs
+++ b/crates/simulation/src/checkers/connectivity_table.rs
@@ -1,4 +1,4 @@
-//! Which proxy nodes are connected, and since when.
+//! Connectivity of the proxy nodes, derived from the history.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,30 +8,30 @@
 use crate::history::{ProxyNodeNumber, Record};
 use crate::network::MachineId;
 
-/// After this much time without a fault a proxy node counts as connected, whatever its agent says.
-const CONNECTED_AFTER_CALM: Duration = Duration::from_secs(12);
+/// A proxy node counts as connected after this time without any active fault, whatever its agent reports.
+const CONNECTED_AFTER_LAST_FAULT: Duration = Duration::from_secs(12);
 
 /// Connectivity of one proxy node.
 #[derive(Default)]
 struct ProxyNodeConnectivity {
-    /// Since when its agent reports that it is connected.
+    /// Time since which its agent reports that it is connected; absent while it does not.
     reported_since: Option<MonotonicTime>,
-    /// Active faults that disturb it.
+    /// Numbers of the active faults that affect it.
     faults: BTreeSet<u32>,
-    /// When the last fault that disturbed it ended.
-    calm_since: MonotonicTime,
+    /// End of the last fault that affected it.
+    last_fault_end: MonotonicTime,
 }
 
-/// Connectivity of every proxy node, and since when the site is free of faults.
+/// Connectivity of every proxy node, and the time since the last fault anywhere.
 #[derive(Default)]
 pub struct ConnectivityTable {
     proxy_nodes: BTreeMap<ProxyNodeNumber, ProxyNodeConnectivity>,
     faults: BTreeSet<u32>,
-    calm_since: MonotonicTime,
+    last_fault_end: MonotonicTime,
 }
 
 impl ConnectivityTable {
-    /// Learns from a record.
+    /// Updates the table from a record at simulated time `at`.
     pub fn observe(&mut self, at: MonotonicTime, record: &Record) {
         match record {
             Record::AgentConnectivity {
@@ -66,37 +66,39 @@
 
     fn end(&mut self, at: MonotonicTime, fault: u32, machines: &[MachineId]) {
         self.faults.remove(&fault);
-        self.calm_since = at;
+        self.last_fault_end = at;
         for proxy_node in proxy_nodes_of(machines) {
             let connectivity = self.proxy_nodes.entry(proxy_node).or_default();
             connectivity.faults.remove(&fault);
-            connectivity.calm_since = at;
+            connectivity.last_fault_end = at;
         }
     }
 
-    /// Since when no fault is active.
+    /// Returns the time since which no fault is active, or `None` while one is.
     #[must_use]
-    pub fn calm_since(&self) -> Option<MonotonicTime> {
-        self.faults.is_empty().then_some(self.calm_since)
+    pub fn fault_free_since(&self) -> Option<MonotonicTime> {
+        self.faults.is_empty().then_some(self.last_fault_end)
     }
 
-    /// Since when the proxy node is connected and undisturbed.
+    /// Returns the time since which the proxy node is connected and no active fault affects it.
     #[must_use]
     pub fn connected_since(&self, proxy_node: ProxyNodeNumber) -> Option<MonotonicTime> {
         let connectivity = self.proxy_nodes.get(&proxy_node)?;
         if !connectivity.faults.is_empty() {
             return None;
         }
-        let by_calm = self.calm_since().map(|since| since + CONNECTED_AFTER_CALM);
-        let since = match (connectivity.reported_since, by_calm) {
-            (Some(reported), Some(calm)) => reported.min(calm),
+        let assumed_since = self
+            .fault_free_since()
+            .map(|since| since + CONNECTED_AFTER_LAST_FAULT);
+        let since = match (connectivity.reported_since, assumed_since) {
+            (Some(reported), Some(assumed)) => reported.min(assumed),
             (Some(reported), None) => reported,
-            (None, calm) => calm?,
+            (None, assumed) => assumed?,
         };
-        Some(since.max(connectivity.calm_since))
+        Some(since.max(connectivity.last_fault_end))
     }
 
-    /// Every proxy node that a record named.
+    /// Iterates over the proxy nodes that occurred in a record.
     pub fn proxy_nodes(&self) -> impl Iterator<Item = ProxyNodeNumber> + '_ {
         self.proxy_nodes.keys().copied()
     }
--- a/crates/simulation/src/checkers/drain.rs
+++ b/crates/simulation/src/checkers/drain.rs
@@ -1,4 +1,4 @@
-//! A draining or vanished backend gets no new work after three seconds.
+//! Checks that a draining or unavailable backend gets no new request after three seconds.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,14 +11,15 @@
 use crate::history::{BackendNumber, ProxyNodeNumber, Record};
 use crate::scenario::Figure;
 
-/// Time from the end of a backend's service to its last new work.
+/// Longest time from the moment a backend becomes unavailable to the last request sent to it.
 const LIMIT: Duration = Duration::from_secs(3);
 
-/// Follows backends that are draining or unavailable.
+/// Checks each send against the time since which its backend is unavailable.
 #[derive(Default)]
 pub struct DrainChecker {
     unavailable_since: BTreeMap<BackendNumber, MonotonicTime>,
-    /// When a proxy node that was frozen or down ran again: it learns of it afterwards.
+    /// Time at which a proxy node last resumed or started. It can notice the change only after that, so the
+    /// limit counts from there.
     resumed: BTreeMap<ProxyNodeNumber, MonotonicTime>,
 }
 
@@ -48,7 +49,7 @@
                 let millis = verdict.figures.raise_duration(Figure::Drain, late);
                 if late > LIMIT {
                     let text = format!(
-                        "{proxy_node:?} sent {attempt:?} to {backend:?} {millis} ms after it left"
+                        "{proxy_node:?} sent {attempt:?} to {backend:?} {millis} ms after it became unavailable"
                     );
                     verdict.record_violation(at, Guarantee::Drain, text);
                 }
--- a/crates/simulation/src/checkers/durability.rs
+++ b/crates/simulation/src/checkers/durability.rs
@@ -1,4 +1,4 @@
-//! Acknowledged revisions survive, and no control node serves an older one.
+//! Checks that acknowledged revisions are durable, and that reads never return an older one.
 
 use std::collections::BTreeMap;
 
@@ -9,14 +9,14 @@
 use crate::checkers::verdict::Verdict;
 use crate::history::{OrderAnswer, Record};
 
-/// Holds confirmed reads against acknowledged orders.
+/// Compares linearizable reads of the configuration with the acknowledged orders.
 #[derive(Default)]
 pub struct DurabilityChecker {
-    /// Highest acknowledged revision from each time on.
+    /// Highest acknowledged revision, by the time of the acknowledgement.
     acknowledged: BTreeMap<MonotonicTime, u64>,
-    /// Digest of the document of each revision.
+    /// Digest of the configuration document of each revision.
     documents: BTreeMap<u64, u64>,
-    /// Confirmed reads so far.
+    /// Number of successful reads so far.
     reads: u64,
 }
 
@@ -45,7 +45,7 @@
 
     fn finish(&mut self, at: MonotonicTime, verdict: &mut Verdict) {
         if self.reads == 0 {
-            let text = "no confirmed read succeeded by the end".to_string();
+            let text = "no read of the configuration succeeded during the run".to_string();
             verdict.record_violation(at, Guarantee::Durability, text);
         }
     }
@@ -71,7 +71,9 @@
     ) {
         let floor = self.acknowledged_by(sent);
         if revision < floor {
-            let text = format!("a read sent after {floor} was acknowledged shows {revision}");
+            let text = format!(
+                "a read sent after revision {floor} was acknowledged returned revision {revision}"
+            );
             verdict.record_violation(at, Guarantee::Durability, text);
         }
     }
@@ -79,7 +81,7 @@
     fn check_document(&self, at: MonotonicTime, revision: u64, digest: u64, verdict: &mut Verdict) {
         let expected = self.documents.get(&revision);
         if expected.is_some_and(|expected| *expected != digest) {
-            let text = format!("revision {revision} reads back as another document");
+            let text = format!("a read of revision {revision} returned another document");
             verdict.record_violation(at, Guarantee::Durability, text);
         }
     }
--- a/crates/simulation/src/checkers/guarantee.rs
+++ b/crates/simulation/src/checkers/guarantee.rs
@@ -1,38 +1,38 @@
-//! The guarantees that are checked.
+//! The guarantees that the checkers verify.
 
-/// A guarantee of the system.
+/// A guarantee of the system. Reports print the variant's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Guarantee {
-    /// What may not be repeated runs at most once.
+    /// A request that is not repeatable runs at most once.
     AtMostOnce,
-    /// "Not run" is true.
+    /// A request that is reported as "not run" never runs.
     NotRunTruth,
-    /// No caller gets another request's answer.
+    /// No caller receives the answer to another request.
     AnswerIdentity,
-    /// No truncated body passes for a complete one, no success is invented.
+    /// No truncated answer is reported as complete, and no success without a completed run.
     CompleteAnswers,
-    /// Streams neither skip nor repeat nor splice, and move only where the route allows.
+    /// Streams skip and repeat no chunk, never mix runs, and move to another backend only if the route allows.
     StreamContinuity,
-    /// No node steps back a revision.
+    /// No proxy node returns to an older revision.
     RevisionOrder,
-    /// An acknowledged revision governs every node connected within two seconds.
+    /// Every connected proxy node applies an acknowledged revision within two seconds.
     Adoption,
-    /// One winner per base; an order sent again is acknowledged again.
+    /// At most one order is accepted per base revision, and a resend gets the same answer.
     OneWinner,
-    /// A revoked key stops working within two seconds.
+    /// A revoked key is no longer accepted after two seconds.
     Revocation,
-    /// Backends never see a key.
+    /// No request to a backend contains a tenant key.
     KeySecrecy,
-    /// Quotas hold over all nodes, and nobody under one is refused.
+    /// Quotas hold over all proxy nodes together, and no tenant below its quota is refused.
     Quota,
-    /// Second sends stay within a fifth of first sends.
+    /// The number of second sends is at most a fifth of that of first sends.
     SecondSends,
-    /// A draining or vanished backend gets no new work after three seconds.
+    /// A draining or unavailable backend gets no new request after three seconds.
     Drain,
-    /// Acknowledged revisions survive.
+    /// Acknowledged revisions are durable.
     Durability,
-    /// Service is back within twelve seconds.
+    /// Every proxy node serves again within twelve seconds of the last fault.
     Recovery,
-    /// A bound that the scenario file sets.
+    /// The measured figures are within the bounds of the scenario file.
     Expectation,
 }
--- a/crates/simulation/src/checkers/key_secrecy.rs
+++ b/crates/simulation/src/checkers/key_secrecy.rs
@@ -1,4 +1,4 @@
-//! Backends never see a tenant key.
+//! Checks that no request to a backend contains a tenant key.
 
 use millford_core::MonotonicTime;
 
@@ -7,7 +7,7 @@
 use crate::checkers::verdict::Verdict;
 use crate::history::Record;
 
-/// Watches what reaches backends.
+/// Checks each request that reaches a backend.
 #[derive(Default)]
 pub struct KeySecrecyChecker;
 
@@ -19,7 +19,7 @@
             key_seen: true,
         } = record
         {
-            let text = format!("{backend:?} saw a tenant key in {attempt:?}");
+            let text = format!("{backend:?} received a tenant key in {attempt:?}");
             verdict.record_violation(at, Guarantee::KeySecrecy, text);
         }
     }
--- a/crates/simulation/src/checkers/mod.rs
+++ b/crates/simulation/src/checkers/mod.rs
@@ -1,4 +1,4 @@
-//! Checks of the system's guarantees over the history of a run.
+//! Checkers: each verifies one guarantee of the system over the history of a run.
 
 pub mod adoption;
 pub mod answer_identity;
--- a/crates/simulation/src/checkers/not_run_truth.rs
+++ b/crates/simulation/src/checkers/not_run_truth.rs
@@ -1,4 +1,4 @@
-//! A refusal that says "not run" is true.
+//! Checks that a request that was refused as "not run" did not run and never runs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,7 +10,7 @@
 use crate::checkers::verdict::Verdict;
 use crate::history::{Record, RequestEnd, RequestNumber};
 
-/// Holds refusals against what the backends ran, before and after.
+/// Compares "not run" refusals with the runs of backends, before and after the refusal.
 #[derive(Default)]
 pub struct NotRunTruthChecker {
     requests: RequestTable,
@@ -32,8 +32,9 @@
                 };
                 self.started.insert(client_request);
                 if let Some(code) = self.refused.get(&client_request) {
-                    let text =
-                        format!("{client_request:?} was refused with {code} as not run, then ran");
+                    let text = format!(
+                        "{client_request:?} was refused as not run with code {code}, then ran"
+                    );
                     verdict.record_violation(at, Guarantee::NotRunTruth, text);
                 }
             }
@@ -48,8 +49,9 @@
             } => {
                 self.refused.insert(*client_request, code.number());
                 if self.started.contains(client_request) {
-                    let text =
-                        format!("{client_request:?} ran, but was refused with {code} as not run");
+                    let text = format!(
+                        "{client_request:?} ran, but was refused as not run with code {code}"
+                    );
                     verdict.record_violation(at, Guarantee::NotRunTruth, text);
                 }
             }
--- a/crates/simulation/src/checkers/one_winner.rs
+++ b/crates/simulation/src/checkers/one_winner.rs
@@ -1,4 +1,5 @@
-//! One winner per base; an order sent again is acknowledged again with its number.
+//! Checks that at most one order is accepted per base revision, and that an order that is sent again gets
+//! the same answer.
 
 use std::collections::BTreeMap;
 
@@ -9,11 +10,14 @@
 use crate::checkers::verdict::Verdict;
 use crate::history::{OrderAnswer, OrderNumber, Record};
 
-/// Follows the answers that operators received.
+/// Compares the answers that operators received.
 #[derive(Default)]
 pub struct OneWinnerChecker {
+    /// Accepted order, by base revision.
     winners: BTreeMap<u64, OrderNumber>,
+    /// Revision of each accepted order.
     accepted: BTreeMap<OrderNumber, u64>,
+    /// Orders refused for a conflict, with the revision that was current.
     lost: BTreeMap<OrderNumber, u64>,
 }
 
@@ -27,12 +31,12 @@
         else {
             return;
         };
-        let fault = match answer {
+        let violation = match answer {
             OrderAnswer::Accepted { revision, .. } => self.accepted(*order, *base, *revision),
             OrderAnswer::Conflict { present } => self.refused(*order, *present),
             _ => None,
         };
-        if let Some(text) = fault {
+        if let Some(text) = violation {
             verdict.record_violation(at, Guarantee::OneWinner, text);
         }
     }
@@ -41,15 +45,21 @@
 impl OneWinnerChecker {
     fn accepted(&mut self, order: OrderNumber, base: u64, revision: u64) -> Option<String> {
         if revision != base + 1 {
-            return Some(format!("{order:?} on base {base} became {revision}"));
+            return Some(format!(
+                "{order:?} on base {base} was accepted as revision {revision}"
+            ));
         }
         if let Some(present) = self.lost.get(&order) {
-            return Some(format!("{order:?} was refused at {present}, then accepted"));
+            return Some(format!(
+                "{order:?} was refused at revision {present}, then accepted"
+            ));
         }
         self.accepted.insert(order, revision);
         let winner = *self.winners.entry(base).or_insert(order);
         if winner != order {
-            return Some(format!("{winner:?} and {order:?} both won on base {base}"));
+            return Some(format!(
+                "{winner:?} and {order:?} were both accepted on base {base}"
+            ));
         }
         None
     }
@@ -57,7 +67,7 @@
     fn refused(&mut self, order: OrderNumber, present: u64) -> Option<String> {
         if let Some(revision) = self.accepted.get(&order) {
             return Some(format!(
-                "{order:?} was accepted as {revision}, then refused"
+                "{order:?} was accepted as revision {revision}, then refused"
             ));
         }
         self.lost.insert(order, present);
--- a/crates/simulation/src/checkers/panel.rs
+++ b/crates/simulation/src/checkers/panel.rs
@@ -1,4 +1,4 @@
-//! All checkers together.
+//! The set of all checkers.
 
 use millford_core::MonotonicTime;
 
@@ -22,7 +22,7 @@
 use crate::checkers::verdict::Verdict;
 use crate::history::Record;
 
-/// Every checker, fed record by record.
+/// One checker of each kind, with their common results.
 pub struct Checkers {
     checkers: Vec<Box<dyn Checker>>,
     verdict: Verdict,
@@ -56,14 +56,14 @@
 }
 
 impl Checkers {
-    /// Takes the next record.
+    /// Passes the next record to every checker.
     pub fn observe(&mut self, at: MonotonicTime, record: &Record) {
         for checker in &mut self.checkers {
             checker.observe(at, record, &mut self.verdict);
         }
     }
 
-    /// Ends the run and returns the verdict.
+    /// Ends the run and returns the results.
     pub fn finish(&mut self, at: MonotonicTime) -> Verdict {
         for checker in &mut self.checkers {
             checker.finish(at, &mut self.verdict);
@@ -71,7 +71,7 @@
         std::mem::take(&mut self.verdict)
     }
 
-    /// What was found so far.
+    /// Returns the results so far.
     #[must_use]
     pub fn verdict(&self) -> &Verdict {
         &self.verdict
--- a/crates/simulation/src/checkers/quota.rs
+++ b/crates/simulation/src/checkers/quota.rs
@@ -1,4 +1,4 @@
-//! Quotas hold over all nodes together, and nobody under one is refused.
+//! Checks that quotas hold over all proxy nodes together, and that no tenant below its quota is refused.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,26 +10,25 @@
 use crate::checkers::verdict::Verdict;
 use crate::history::{ProxyNodeNumber, Record, RequestEnd, RequestNumber};
 
-/// Tokens by which a bucket may be overdrawn: rounding and the drift of the machines' clocks.
+/// Tokens by which a bucket may be overdrawn, for rounding and the drift of the machines' clocks.
 const TOLERANCE: f64 = 0.05;
 
-/// A token is granted at one moment and admits a client request when the answer has arrived, up to a
-/// slow packet later. The leader's count is exact at the time of the grant; this is the difference, in
-/// seconds.
+/// Longest time from the grant of a token to the admission that uses it, in seconds: up to a slow packet.
+/// The leader's count is exact at the time of the grant, but the checker only sees the admission.
 const DELIVERY_SECONDS: f64 = 0.06;
 
-/// Tokens that leases of several nodes may leave unused for a moment: a tenant that comes this
-/// near to its quota does not count as under it.
+/// Tokens that leases of several nodes may hold unused for a moment. A tenant with no more than this
+/// left does not count as below its quota.
 const NEAR_LIMIT: f64 = 2.0;
 
-/// A tenant that an exact bucket would have refused within this time is over its quota.
+/// A tenant counts as over its quota for this time after an exact bucket would have refused it.
 const OVER_QUOTA_FOR: Duration = Duration::from_secs(5);
 
-/// One counter for all nodes, without faults and without delay.
+/// Reference token bucket: a single counter for all nodes, without faults and delay.
 struct ExactBucket {
     per_second: f64,
     burst: f64,
-    /// Tokens in the bucket at `at`.
+    /// Tokens in the bucket at time `at`; negative if overdrawn.
     level: f64,
     at: MonotonicTime,
 }
@@ -50,7 +49,7 @@
         self.at = at;
     }
 
-    /// Adds tokens, or takes them if below 0. Returns the level.
+    /// Adds tokens, or takes them if `tokens` is negative. Returns the new level.
     fn add_tokens(&mut self, at: MonotonicTime, tokens: f64) -> f64 {
         self.advance(at);
         self.level = (self.level + tokens).min(self.burst);
@@ -58,13 +57,13 @@
     }
 }
 
-/// What a tenant was admitted, and what it requested.
+/// Reference buckets of a tenant.
 struct TenantBuckets {
-    /// Fed by admissions: it must never be overdrawn.
+    /// Charged for each admission; must never be overdrawn.
     admitted: ExactBucket,
-    /// Fed by arrivals: while it refuses nobody, nobody may be refused.
+    /// Charged for each arrival that it would admit. While it would refuse none, none may be refused.
     arrived: ExactBucket,
-    /// When an exact bucket last refused a client request.
+    /// Time at which `arrived` last was at its limit; absent if it never was.
     over_quota: Option<MonotonicTime>,
 }
 
@@ -74,8 +73,8 @@
         if self.arrived.level < 1.0 + NEAR_LIMIT {
             self.over_quota = Some(at);
         }
-        // Whatever an exact bucket would admit is taken out of it, also near the limit: else a tenant
-        // that uses its last tokens would seem to have them still.
+        // Every arrival that an exact bucket would admit is charged, also near the limit. Otherwise a
+        // tenant that uses its last tokens would still count as having them.
         if self.arrived.level >= 1.0 {
             self.arrived.level -= 1.0;
         }
@@ -87,12 +86,12 @@
     }
 }
 
-/// Keeps exact buckets for each tenant.
+/// Compares admissions and refusals with reference buckets of each tenant.
 #[derive(Default)]
 pub struct QuotaChecker {
     tenants: BTreeMap<u16, TenantBuckets>,
     requests: BTreeMap<RequestNumber, u16>,
-    /// Client requests that were not admitted yet, by the proxy node that they wait at.
+    /// Client requests that are neither admitted nor ended, with their proxy node.
     waiting: BTreeMap<RequestNumber, ProxyNodeNumber>,
 }
 
@@ -156,10 +155,10 @@
         }
     }
 
-    /// What piled up before a frozen agent arrives at once when it continues: nobody can know by
-    /// then how long it waited.
+    /// Counts every waiting request of a resumed proxy node as arriving now. Requests that were queued for a
+    /// frozen agent reach it at once, and no node can tell how long they waited.
     fn record_queued_arrivals(&mut self, at: MonotonicTime, proxy_node: ProxyNodeNumber) {
-        let waiting = self.waiting.iter().filter(|(_, it)| **it == proxy_node);
+        let waiting = self.waiting.iter().filter(|(_, node)| **node == proxy_node);
         let requests: Vec<RequestNumber> =
             waiting.map(|(client_request, _)| *client_request).collect();
         for client_request in requests {
@@ -174,10 +173,10 @@
         let level = buckets.admitted.add_tokens(at, -1.0);
         let delivery = buckets.admitted.per_second * DELIVERY_SECONDS;
         if level < -TOLERANCE - delivery {
-            // Each excess is reported once.
+            // The bucket is reset, so that each excess is reported once.
             buckets.admitted.level = 0.0;
             let text = format!(
-                "{client_request:?} takes its tenant {:.2} over its quota",
+                "admission of {client_request:?} exceeds its tenant's quota by {:.2} tokens",
                 -level
             );
             verdict.record_violation(at, Guarantee::Quota, text);
@@ -194,7 +193,7 @@
             return;
         };
         if buckets.is_under_quota(at) {
-            let text = format!("{client_request:?} was refused, but its tenant is under its quota");
+            let text = format!("{client_request:?} was refused, but its tenant is below its quota");
             verdict.record_violation(at, Guarantee::Quota, text);
         }
     }
--- a/crates/simulation/src/checkers/recovery.rs
+++ b/crates/simulation/src/checkers/recovery.rs
@@ -1,4 +1,4 @@
-//! Service is back within twelve seconds after the machines are.
+//! Checks that service recovers within twelve seconds of the last fault.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,11 +14,11 @@
 };
 use crate::scenario::Figure;
 
-/// Time from the end of the last fault until every proxy node serves.
+/// Longest time from the end of the last fault until every proxy node serves requests and orders.
 const LIMIT: Duration = Duration::from_secs(12);
 
-/// Refusals that no machine's fault explains once service is back.
-const UNSERVED: [ResultCode; 8] = [
+/// Result codes that no request may be refused with once service has recovered.
+const UNAVAILABILITY_CODES: [ResultCode; 8] = [
     ResultCode::NotReady,
     ResultCode::QuotaUnavailable,
     ResultCode::DeadlineBeforeSend,
@@ -29,26 +29,26 @@
     ResultCode::RetryBudgetExhausted,
 ];
 
-/// A client request without an end.
+/// A client request that has not ended.
 struct OpenRequest {
     proxy_node: ProxyNodeNumber,
     sent: MonotonicTime,
 }
 
-/// Watches the calm times between faults.
+/// Checks the service in the periods without an active fault.
 #[derive(Default)]
 pub struct RecoveryChecker {
     connectivity: ConnectivityTable,
     requests: BTreeMap<RequestNumber, OpenRequest>,
-    /// When each order was sent last.
+    /// Time at which each order was last sent.
     orders: BTreeMap<OrderNumber, MonotonicTime>,
-    /// Since when no fault is active.
-    calm: Option<MonotonicTime>,
-    /// Proxy nodes that got a client request in this calm time.
+    /// Start of the present period without an active fault; absent while a fault is active.
+    fault_free_since: Option<MonotonicTime>,
+    /// Proxy nodes that were sent a client request in this period, with the time of the first.
     requested: BTreeMap<ProxyNodeNumber, MonotonicTime>,
-    /// Proxy nodes that served in this calm time.
+    /// Proxy nodes that completed a client request of this period.
     served: BTreeSet<ProxyNodeNumber>,
-    /// Whether this calm time was checked.
+    /// Whether the proxy nodes that serve no request were already reported in this period.
     reported: bool,
 }
 
@@ -56,7 +56,7 @@
     fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
         self.check_overdue(at, verdict);
         self.connectivity.observe(at, record);
-        self.follow_calm();
+        self.update_period();
         match record {
             Record::RequestSent(sent) => {
                 let open = OpenRequest {
@@ -64,7 +64,7 @@
                     sent: at,
                 };
                 self.requests.insert(sent.client_request, open);
-                if self.calm.is_some() {
+                if self.fault_free_since.is_some() {
                     self.requested.entry(sent.proxy_node).or_insert(at);
                 }
             }
@@ -85,26 +85,30 @@
 }
 
 impl RecoveryChecker {
-    fn follow_calm(&mut self) {
-        let calm = self.connectivity.calm_since();
-        if calm == self.calm {
+    /// Resets the state of the period when it changes.
+    fn update_period(&mut self) {
+        let fault_free_since = self.connectivity.fault_free_since();
+        if fault_free_since == self.fault_free_since {
             return;
         }
-        self.calm = calm;
+        self.fault_free_since = fault_free_since;
         self.requested.clear();
         self.served.clear();
         self.reported = false;
     }
 
     fn check_overdue(&mut self, at: MonotonicTime, verdict: &mut Verdict) {
-        let Some(calm) = self.calm else { return };
-        if at.since(calm) <= LIMIT || self.reported {
+        let Some(fault_free_since) = self.fault_free_since else {
+            return;
+        };
+        if at.since(fault_free_since) <= LIMIT || self.reported {
             return;
         }
         self.reported = true;
         for proxy_node in self.requested.keys() {
             if !self.served.contains(proxy_node) {
-                let text = format!("{proxy_node:?} has not served 12 s after the last fault");
+                let text =
+                    format!("{proxy_node:?} has completed no request 12 s after the last fault");
                 verdict.record_violation(at, Guarantee::Recovery, text);
             }
         }
@@ -120,15 +124,21 @@
         let Some(OpenRequest { proxy_node, sent }) = self.requests.remove(&client_request) else {
             return;
         };
-        let Some(calm) = self.calm else { return };
+        let Some(fault_free_since) = self.fault_free_since else {
+            return;
+        };
         match end {
-            RequestEnd::Complete if sent >= calm && self.served.insert(proxy_node) => {
+            RequestEnd::Complete if sent >= fault_free_since && self.served.insert(proxy_node) => {
                 verdict
                     .figures
-                    .raise_duration(Figure::Recovery, at.since(calm));
+                    .raise_duration(Figure::Recovery, at.since(fault_free_since));
             }
-            RequestEnd::Refused { code, .. } if sent > calm + LIMIT && UNSERVED.contains(&code) => {
-                let text = format!("{proxy_node:?} refused {client_request:?} in calm: {code}");
+            RequestEnd::Refused { code, .. }
+                if sent > fault_free_since + LIMIT && UNAVAILABILITY_CODES.contains(&code) =>
+            {
+                let text = format!(
+                    "{proxy_node:?} refused {client_request:?} without an active fault: {code}"
+                );
                 verdict.record_violation(at, Guarantee::Recovery, text);
             }
             _ => {}
@@ -145,9 +155,11 @@
         let Some(sent) = self.orders.get(&order) else {
             return;
         };
-        let Some(calm) = self.calm else { return };
-        if answer == OrderAnswer::Undecided && *sent > calm + LIMIT {
-            let text = format!("{order:?} sent in calm was not decided");
+        let Some(fault_free_since) = self.fault_free_since else {
+            return;
+        };
+        if answer == OrderAnswer::Undecided && *sent > fault_free_since + LIMIT {
+            let text = format!("{order:?} was sent without an active fault but got no decision");
             verdict.record_violation(at, Guarantee::Recovery, text);
         }
     }
--- a/crates/simulation/src/checkers/request_table.rs
+++ b/crates/simulation/src/checkers/request_table.rs
@@ -1,10 +1,10 @@
-//! Client requests and attempts by number, for checkers that need to look back.
+//! Lookup of earlier client requests and attempts, for the checkers.
 
 use std::collections::BTreeMap;
 
 use crate::history::{AttemptNumber, ContentNumber, Record, RequestNumber, RequestSent};
 
-/// What was sent, by client request and by attempt.
+/// Client requests by number, by attempt and by content.
 #[derive(Default)]
 pub struct RequestTable {
     requests: BTreeMap<RequestNumber, RequestSent>,
@@ -13,7 +13,7 @@
 }
 
 impl RequestTable {
-    /// Learns from a record.
+    /// Adds the client request or attempt of a record.
     pub fn observe(&mut self, record: &Record) {
         match record {
             Record::RequestSent(sent) => {
@@ -31,13 +31,13 @@
         }
     }
 
-    /// The client request with this number.
+    /// Returns the client request with this number.
     #[must_use]
     pub fn get(&self, client_request: RequestNumber) -> Option<&RequestSent> {
         self.requests.get(&client_request)
     }
 
-    /// The client request that an attempt belongs to.
+    /// Returns the client request that an attempt belongs to.
     #[must_use]
     pub fn request_of_attempt(&self, attempt: AttemptNumber) -> Option<&RequestSent> {
         self.attempts
@@ -45,7 +45,7 @@
             .and_then(|client_request| self.get(*client_request))
     }
 
-    /// The latest client request for a content.
+    /// Returns the latest client request with this content.
     #[must_use]
     pub fn latest_of(&self, content: ContentNumber) -> Option<&RequestSent> {
         self.contents.get(&content)
--- a/crates/simulation/src/checkers/revision_order.rs
+++ b/crates/simulation/src/checkers/revision_order.rs
@@ -1,4 +1,4 @@
-//! No node steps back a revision, restarts included.
+//! Checks that no proxy node returns to an older revision, not even by a restart.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,10 @@
 use crate::checkers::verdict::Verdict;
 use crate::history::{ProxyNodeNumber, Record};
 
-/// Follows the revision that each proxy node routes by.
+/// Compares each applied revision with the newest one of the same proxy node.
 #[derive(Default)]
 pub struct RevisionOrderChecker {
-    /// Newest revision of each proxy node.
+    /// Newest revision that each proxy node has applied.
     applied: BTreeMap<ProxyNodeNumber, u64>,
 }
 
@@ -25,7 +25,7 @@
         {
             let applied = self.applied.entry(*proxy_node).or_default();
             if revision < applied {
-                let text = format!("{proxy_node:?} fell back from {applied} to {revision}");
+                let text = format!("{proxy_node:?} returned from revision {applied} to {revision}");
                 verdict.record_violation(at, Guarantee::RevisionOrder, text);
             }
             *applied = (*applied).max(*revision);
--- a/crates/simulation/src/checkers/revocation.rs
+++ b/crates/simulation/src/checkers/revocation.rs
@@ -1,4 +1,4 @@
-//! A revoked key stops working within two seconds.
+//! Checks that a revoked key is no longer accepted after two seconds.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,16 +12,17 @@
 use crate::history::{Record, RequestNumber, RequestSent};
 use crate::scenario::Figure;
 
-/// Time from a revocation to the last use of the key.
+/// Longest time from a revocation to the last request that the key is accepted for.
 const LIMIT: Duration = Duration::from_secs(2);
 
-/// Follows client requests with revoked keys.
+/// Checks each client request that carries a revoked key.
 #[derive(Default)]
 pub struct RevocationChecker {
     connectivity: ConnectivityTable,
-    /// Time of the revocation of each key.
+    /// Time of revocation, by key.
     revoked: BTreeMap<u32, MonotonicTime>,
-    /// Time from the revocation to the sending, for client requests with a revoked key.
+    /// For client requests with a revoked key: time from the revocation, or from the reconnection of the
+    /// proxy node if that is later, to the send.
     age: BTreeMap<RequestNumber, Duration>,
     reported: BTreeSet<RequestNumber>,
 }
@@ -61,7 +62,7 @@
         let millis = verdict.figures.raise_duration(Figure::Revocation, *age);
         if *age > LIMIT && self.reported.insert(client_request) {
             let text =
-                format!("{client_request:?} was served {millis} ms after its key was revoked");
+                format!("{client_request:?} was accepted {millis} ms after its key was revoked");
             verdict.record_violation(at, Guarantee::Revocation, text);
         }
     }
--- a/crates/simulation/src/checkers/second_sends.rs
+++ b/crates/simulation/src/checkers/second_sends.rs
@@ -1,4 +1,4 @@
-//! Second sends stay within a fifth of first sends, fleet-wide, at every moment.
+//! Checks that second sends are at most a fifth of first sends, over the whole fleet and at any time.
 
 use millford_core::MonotonicTime;
 
@@ -8,10 +8,11 @@
 use crate::history::Record;
 use crate::scenario::Figure;
 
-const SHARE_DIVISOR: u64 = 5;
+/// Number of first sends that each second send requires.
+const MIN_FIRST_SENDS_PER_SECOND_SEND: u64 = 5;
 const PERCENT: u64 = 100;
 
-/// Counts sends.
+/// Counts first and second sends.
 #[derive(Default)]
 pub struct SecondSendsChecker {
     first: u64,
@@ -31,9 +32,12 @@
         self.second += 1;
         let share = self.second * PERCENT / self.first.max(1);
         verdict.figures.raise(Figure::SecondSends, share);
-        if self.second * SHARE_DIVISOR > self.first && !self.reported {
+        if self.second * MIN_FIRST_SENDS_PER_SECOND_SEND > self.first && !self.reported {
             self.reported = true;
-            let text = format!("{} second sends on {} first", self.second, self.first);
+            let text = format!(
+                "{} second sends for {} first sends",
+                self.second, self.first
+            );
             verdict.record_violation(at, Guarantee::SecondSends, text);
         }
     }
--- a/crates/simulation/src/checkers/stream_continuity.rs
+++ b/crates/simulation/src/checkers/stream_continuity.rs
@@ -1,4 +1,5 @@
-//! Streams neither skip nor repeat nor splice, and move only where the route allows.
+//! Checks that streams skip and repeat no chunk, never mix runs, and move to another backend only if the
+//! route allows it.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +11,7 @@
 use crate::checkers::verdict::Verdict;
 use crate::history::{Chunk, Record, RequestNumber, ResumeRule};
 
-/// Follows the chunks of each stream and the attempts behind them.
+/// Checks each chunk against the one before, and each second attempt against the route.
 #[derive(Default)]
 pub struct StreamContinuityChecker {
     requests: RequestTable,
@@ -49,7 +50,7 @@
         let expected = before.map_or(0, |before| before.sequence + 1);
         if chunk.sequence != expected {
             let text = format!(
-                "{client_request:?} got piece {} for {expected}",
+                "{client_request:?} received chunk {} instead of {expected}",
                 chunk.sequence
             );
             verdict.record_violation(at, Guarantee::StreamContinuity, text);
@@ -57,17 +58,19 @@
         if let Some(before) = before
             && before.run != chunk.run
         {
-            let text = format!("{client_request:?} got pieces of two runs");
+            let text = format!("{client_request:?} received chunks of two runs");
             verdict.record_violation(at, Guarantee::StreamContinuity, text);
         }
     }
 
-    /// After its first chunk a stream may be sent elsewhere only where the route continues runs.
+    /// Checks a second attempt: after the first chunk it is allowed only if the route resumes runs.
     fn check_move(&self, at: MonotonicTime, client_request: RequestNumber, verdict: &mut Verdict) {
         let sent = self.requests.get(client_request);
         let resume = sent.map(|sent| sent.resume);
         if self.last_chunk.contains_key(&client_request) && resume != Some(ResumeRule::Continue) {
-            let text = format!("{client_request:?} moved after its first piece, against its route");
+            let text = format!(
+                "{client_request:?} moved after its first chunk, but its route does not resume runs"
+            );
             verdict.record_violation(at, Guarantee::StreamContinuity, text);
         }
     }
--- a/crates/simulation/src/checkers/totals.rs
+++ b/crates/simulation/src/checkers/totals.rs
@@ -1,4 +1,5 @@
-//! Counts what was served, so that a scenario can require work to be done, not only that nothing fails.
+//! Counts served requests and accepted orders, so that a scenario can require a minimum of work done, not
+//! only the absence of violations.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +12,7 @@
 
 const PERCENT: u64 = 100;
 
-/// Client requests, complete answers and accepted revisions.
+/// Counts client requests, complete answers and accepted revisions. It reports no violation.
 #[derive(Default)]
 pub struct TotalsChecker {
     requests: u64,
--- a/crates/simulation/src/checkers/verdict.rs
+++ b/crates/simulation/src/checkers/verdict.rs
@@ -1,32 +1,32 @@
-//! What the checkers found.
+//! Results of the checkers.
 
 use millford_core::MonotonicTime;
 
 use crate::checkers::figures::Figures;
 use crate::checkers::guarantee::Guarantee;
 
-/// A broken guarantee.
+/// A violation of a guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// True time at which it showed.
+    /// Simulated time at which it was detected.
     pub at: MonotonicTime,
-    /// The guarantee.
+    /// The violated guarantee.
     pub guarantee: Guarantee,
-    /// What happened.
+    /// Description with the affected requests, nodes or orders.
     pub text: String,
 }
 
-/// Violations and figures of a run.
+/// Violations and measured figures of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Verdict {
-    /// Broken guarantees, in order.
+    /// Violations in the order of their detection.
     pub violations: Vec<Violation>,
-    /// Worst figures.
+    /// Worst value of each measured figure.
     pub figures: Figures,
 }
 
 impl Verdict {
-    /// Adds a violation.
+    /// Adds a violation that was detected at simulated time `at`.
     pub fn record_violation(&mut self, at: MonotonicTime, guarantee: Guarantee, text: String) {
         self.violations.push(Violation {
             at,
@@ -35,7 +35,7 @@
         });
     }
 
-    /// Whether a guarantee was broken.
+    /// Returns whether a guarantee was violated.
     #[must_use]
     pub fn has(&self, guarantee: Guarantee) -> bool {
         let mut violations = self.violations.iter();
--- a/crates/simulation/src/command.rs
+++ b/crates/simulation/src/command.rs
@@ -1,4 +1,4 @@
-//! Entry point of `millford-lab scenarios`.
+//! The command `millford-lab scenarios`.
 
 use std::process::ExitCode;
 
@@ -11,14 +11,14 @@
 };
 use crate::world::RunOptions;
 
-/// Exit status of a wrong command line or scenario file.
+/// Exit status for an invalid command line or scenario file.
 const USAGE_EXIT: u8 = 2;
-/// Violations printed of one failed run.
+/// Largest number of violations printed per failed run.
 const MAX_PRINTED_VIOLATIONS: usize = 3;
-/// Failed runs printed of one scenario.
+/// Largest number of failed runs printed per scenario.
 const MAX_PRINTED_FAILURES: usize = 20;
 
-/// Why the command cannot start.
+/// Error that keeps the command from starting.
 #[derive(Debug, Error)]
 enum CommandError {
     #[error(transparent)]
@@ -27,7 +27,8 @@
     Scenarios(#[from] ScenarioFileError),
 }
 
-/// Runs the scenario files that the arguments name. Fails if any run violated a guarantee.
+/// Runs the scenario files that the arguments name. The exit status is 0 if no run violated a guarantee,
+/// 1 if one did, and 2 for an invalid command line or scenario file.
 #[must_use]
 pub fn run(arguments: &[String]) -> ExitCode {
     let wants_help = arguments.iter().any(|argument| argument == "--help");
@@ -66,7 +67,7 @@
     Ok((arguments, files))
 }
 
-/// Runs all seeds of a file and prints a summary. Returns the number of failed runs.
+/// Runs all seeds of a file in parallel and prints a summary. Returns the number of failed runs.
 fn run_file(arguments: &Arguments, file: &ScenarioFile) -> u64 {
     let seeds = arguments.seeds.unwrap_or(file.scenario.seeds);
     let summary = sweep(&file.scenario, arguments.from, seeds, arguments.jobs);
@@ -77,7 +78,7 @@
     summary.failed
 }
 
-/// Runs the seeds one by one and prints their histories. Returns the number of failed runs.
+/// Runs the seeds of a file in sequence and prints their histories. Returns the number of failed runs.
 fn print_histories(arguments: &Arguments, file: &ScenarioFile) -> u64 {
     let seeds = arguments.seeds.unwrap_or(1);
     let mut failed = 0;
--- a/crates/simulation/src/disk/condition.rs
+++ b/crates/simulation/src/disk/condition.rs
@@ -1,17 +1,17 @@
-//! How a disk behaves for the moment.
+//! Present condition of a simulated disk.
 
-/// Behaviour of a simulated disk.
+/// Condition of a simulated disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiskCondition {
     /// Syncs take a fraction of a millisecond.
     #[default]
     Healthy,
-    /// Each sync takes this many microseconds.
+    /// Every sync takes this many microseconds.
     Slow(u64),
-    /// The next sync takes until the fault ends.
+    /// Syncs do not complete until the fault ends.
     Stalled,
-    /// Writes fail because no space is left.
+    /// Writes fail because no space is left; an append may still write a part.
     Full,
-    /// Syncs fail; the unsynced bytes may be lost.
+    /// Syncs fail with an I/O error; the unsynced bytes may be lost.
     FailingSync,
 }
--- a/crates/simulation/src/disk/disk_image.rs
+++ b/crates/simulation/src/disk/disk_image.rs
@@ -1,4 +1,4 @@
-//! The files of one machine's disk, apart from the process that uses them.
+//! Simulated disk of one machine; independent of the process that uses it.
 
 use std::collections::BTreeMap;
 
@@ -7,55 +7,55 @@
 use crate::disk::condition::DiskCondition;
 use crate::disk::file::DiskFile;
 
-/// Microseconds of a sync on a healthy disk.
+/// Duration of a sync on a healthy disk, in microseconds.
 pub const HEALTHY_SYNC_MICROS: u64 = 300;
 
-/// State of a disk; it outlives the process, but not a wipe.
+/// Files and condition of a disk. They outlive the process that uses the disk.
 #[derive(Debug, Default)]
 pub struct DiskImage {
     files: BTreeMap<String, DiskFile>,
     condition: DiskCondition,
-    /// Time that operations took since this was last read.
+    /// Total duration of the operations since [`Self::take_busy_micros`], in microseconds.
     busy_micros: u64,
-    /// A planted defect: syncs make nothing durable.
+    /// Injected defect: syncs make nothing durable.
     ignores_syncs: bool,
-    /// Whether a sync met a stalled disk since this was last read.
+    /// Whether the disk was stalled at a sync since [`Self::take_stalled`].
     stalled: bool,
 }
 
 impl DiskImage {
-    /// Changes how the disk behaves.
+    /// Sets the condition of the disk.
     pub fn set_condition(&mut self, condition: DiskCondition) {
         self.condition = condition;
     }
 
-    /// How the disk behaves now.
+    /// Returns the present condition of the disk.
     #[must_use]
     pub fn condition(&self) -> DiskCondition {
         self.condition
     }
 
-    /// Time that operations took since this was last read, in microseconds.
+    /// Returns the total duration of the operations since the last call, in microseconds.
     pub fn take_busy_micros(&mut self) -> u64 {
         std::mem::take(&mut self.busy_micros)
     }
 
-    /// Whether a sync since this was last read met a stalled disk.
+    /// Returns whether the disk was stalled at any sync since the last call.
     pub fn take_stalled(&mut self) -> bool {
         std::mem::take(&mut self.stalled)
     }
 
-    /// From now on syncs do nothing: a planted defect.
+    /// Injects a defect: from now on, syncs make nothing durable.
     pub fn ignore_syncs(&mut self) {
         self.ignores_syncs = true;
     }
 
-    /// Forgets every file.
+    /// Deletes every file.
     pub fn wipe(&mut self) {
         self.files.clear();
     }
 
-    /// What is left after a kill of the machine: synced bytes, and perhaps a torn part of the others.
+    /// Simulates a power loss: synced bytes are kept, and of the others a random, possibly torn part.
     pub fn lose_power(&mut self, random: &mut ChaCha8Rng) {
         for file in self.files.values_mut() {
             file.lose_power(random);
@@ -64,7 +64,7 @@
         self.busy_micros = 0;
     }
 
-    /// Names under `prefix` that a reader sees.
+    /// Returns the names of the existing files that start with `prefix`, without the prefix.
     #[must_use]
     pub fn names(&self, prefix: &str) -> Vec<String> {
         let visible = self
@@ -75,7 +75,7 @@
         names.map(str::to_string).collect()
     }
 
-    /// Bytes of a file that a reader sees.
+    /// Returns the bytes of a file, synced or not; `None` if it does not exist.
     #[must_use]
     pub fn read(&self, name: &str) -> Option<Vec<u8>> {
         self.files
@@ -83,12 +83,13 @@
             .and_then(|file| file.current().cloned())
     }
 
-    /// The file, made if it does not exist.
+    /// Returns the file with this name, and creates it if it does not exist.
     pub fn file(&mut self, name: &str) -> &mut DiskFile {
         self.files.entry(name.to_string()).or_default()
     }
 
-    /// Syncs a file and counts the time it takes.
+    /// Syncs a file and adds the duration to the busy time. On a stalled disk the duration is that of a
+    /// healthy one; the caller adds the stall, see [`Self::take_stalled`].
     pub fn sync(&mut self, name: &str) {
         self.stalled |= self.condition == DiskCondition::Stalled;
         self.busy_micros += match self.condition {
--- a/crates/simulation/src/disk/file.rs
+++ b/crates/simulation/src/disk/file.rs
@@ -1,67 +1,68 @@
-//! One file of a simulated disk.
+//! A file of a simulated disk.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// Bytes that a disk writes as one.
+/// Size of the unit that a disk writes atomically, in bytes.
 const SECTOR_BYTES: usize = 512;
 
-/// A file: what certainly survives a kill, and what a reader sees now.
+/// A file with its durable content and its present content.
 #[derive(Clone, Debug, Default)]
 pub struct DiskFile {
-    /// Bytes at the last sync; `None` if the file's name was never synced.
+    /// Content at the last sync, which survives a power loss; `None` if the file did not exist then.
     durable: Option<Vec<u8>>,
-    /// Bytes as written; `None` if the file is removed.
+    /// Content as readers see it; `None` if the file does not exist or is removed.
     current: Option<Vec<u8>>,
 }
 
 impl DiskFile {
-    /// The bytes that a reader sees.
+    /// Returns the content as readers see it; `None` if the file does not exist.
     #[must_use]
     pub fn current(&self) -> Option<&Vec<u8>> {
         self.current.as_ref()
     }
 
-    /// Adds bytes to the end, unsynced.
+    /// Appends bytes without a sync.
     pub fn append(&mut self, bytes: &[u8]) {
         self.current
             .get_or_insert_with(Vec::new)
             .extend_from_slice(bytes);
     }
 
-    /// Shortens the file, unsynced.
+    /// Truncates the file to `length` bytes without a sync.
     pub fn truncate(&mut self, length: usize) {
         if let Some(current) = self.current.as_mut() {
             current.truncate(length);
         }
     }
 
-    /// Replaces the bytes; the caller syncs.
+    /// Replaces the content without a sync.
     pub fn write(&mut self, bytes: &[u8]) {
         self.current = Some(bytes.to_vec());
     }
 
-    /// Removes the file, unsynced.
+    /// Removes the file without a sync.
     pub fn remove(&mut self) {
         self.current = None;
     }
 
-    /// Makes the present bytes durable.
+    /// Makes the present content, or the removal, durable.
     pub fn sync(&mut self) {
         self.durable = self.current.clone();
     }
 
-    /// Whether nothing of the file remains, durable or not.
+    /// Returns whether the file neither exists nor would exist after a power loss.
     #[must_use]
     pub fn is_removed(&self) -> bool {
         self.durable.is_none() && self.current.is_none()
     }
 
-    /// What is left after a power loss: the durable bytes, and perhaps some of what followed them.
+    /// Simulates a power loss: the durable content is kept, and a random part of what was appended since.
+    /// An unsynced creation, removal or rewrite is either kept or undone.
     pub fn lose_power(&mut self, random: &mut ChaCha8Rng) {
         let survivor = match (self.durable.take(), self.current.take()) {
             (None, None) => None,
-            // A new name or a removal that was not synced may or may not survive.
+            // An unsynced creation or removal may be kept or undone.
             (None, Some(current)) => random.random_bool(0.5).then(|| torn(&[], current, random)),
             (Some(durable), None) => random.random_bool(0.5).then_some(durable),
             (Some(durable), Some(current)) => Some(merge(durable, current, random)),
@@ -75,7 +76,7 @@
     if current.len() >= durable.len() && current.starts_with(&durable) {
         return torn(&durable, current, random);
     }
-    // Rewritten or truncated without a sync: either the old bytes or a torn form of the new.
+    // Rewritten or truncated without a sync: either the old content or a torn form of the new.
     if random.random_bool(0.5) {
         return durable;
     }
@@ -87,7 +88,7 @@
     left.iter().zip(right).take_while(|(a, b)| a == b).count()
 }
 
-// Keeps the prefix that is durable, and of the rest any length, at times with a sector of zeros.
+/// Keeps the durable prefix and a random length of the rest, sometimes with a sector of zeros.
 fn torn(durable: &[u8], mut current: Vec<u8>, random: &mut ChaCha8Rng) -> Vec<u8> {
     let unsynced = current.len() - durable.len();
     let survived = random.random_range(0..=unsynced);
--- a/crates/simulation/src/disk/memory_disk.rs
+++ b/crates/simulation/src/disk/memory_disk.rs
@@ -1,4 +1,4 @@
-//! The storage's view of a simulated disk.
+//! Implementation of the storage interface on a simulated disk.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -7,14 +7,14 @@
 use crate::disk::condition::DiskCondition;
 use crate::disk::disk_image::DiskImage;
 
-/// One folder of a [`DiskImage`]; the disk image outlives the process that holds this.
+/// A folder of a [`DiskImage`]. The disk image outlives the process that uses the folder.
 pub struct MemoryDisk {
     disk_image: Arc<Mutex<DiskImage>>,
     prefix: String,
 }
 
 impl MemoryDisk {
-    /// The folder `folder` of the disk image.
+    /// Opens the folder `folder` of the disk image.
     #[must_use]
     pub fn new(disk_image: Arc<Mutex<DiskImage>>, folder: &str) -> Self {
         Self {
@@ -47,7 +47,7 @@
         let path = self.path(name);
         let mut disk_image = self.disk_image();
         let written = match disk_image.condition() {
-            // A full disk may have taken a part.
+            // A full disk may still write a part of the bytes.
             DiskCondition::Full => &bytes[..bytes.len() / 2],
             _ => bytes,
         };
--- a/crates/simulation/src/disk/mod.rs
+++ b/crates/simulation/src/disk/mod.rs
@@ -1,4 +1,4 @@
-//! Disks in memory that lose what was not synced, tear it and fail as real disks do.
+//! Simulated disks: in memory, with loss of unsynced data, torn writes and failures.
 
 pub mod condition;
 pub mod disk_image;
--- a/crates/simulation/src/history/identifiers.rs
+++ b/crates/simulation/src/history/identifiers.rs
@@ -1,21 +1,21 @@
-//! Numbers by which the history names requests, attempts, machines and backends.
+//! Identifiers of requests, attempts, machines and backends in the history.
 
-/// One send of a caller; a resend is another client request.
+/// A client request: one send of a caller. A resend has another number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestNumber(pub u64);
 
-/// What a caller wants done: a resend has the same content.
+/// Content of a client request: all resends of a request have the same content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ContentNumber(pub u64);
 
-/// One send of a proxy to a backend.
+/// An attempt: one send of a request by a proxy to a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptNumber(pub u64);
 
-/// A proxy node.
+/// A proxy node, numbered from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProxyNodeNumber(pub u16);
 
-/// A backend; a replacement has another number.
+/// A backend, numbered from 1; a replacement has another number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackendNumber(pub u16);
--- a/crates/simulation/src/history/mod.rs
+++ b/crates/simulation/src/history/mod.rs
@@ -1,4 +1,4 @@
-//! What happened in a run, as the checkers see it.
+//! History of a run: the records that the checkers evaluate.
 
 pub mod client_request;
 pub mod identifiers;
--- a/crates/simulation/src/history/order.rs
+++ b/crates/simulation/src/history/order.rs
@@ -1,26 +1,26 @@
-//! Operators' orders.
+//! Orders of operators: requests to change the configuration.
 
-/// An order of an operator; a resend is the same order.
+/// An order; a resend has the same number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OrderNumber(pub u64);
 
-/// What a control node answered to an order.
+/// Answer of a control node to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// Accepted, now or before.
+    /// The order is accepted, by this request or an earlier one.
     Accepted {
-        /// Its revision.
+        /// Configuration revision that the order created.
         revision: u64,
-        /// Whether the answer says that it had been accepted before.
+        /// Whether the answer says that the order was already accepted before.
         repeated: bool,
     },
-    /// Another order won.
+    /// Another order changed the base revision first.
     Conflict {
-        /// Revision in force.
+        /// Current configuration revision.
         present: u64,
     },
-    /// Not decided: no leader, no answer in time.
+    /// The outcome is open: there was no leader, or no answer in time.
     Undecided,
-    /// Refused for another reason, with its number.
+    /// The order was refused for another reason, given by its result code.
     Refused(u32),
 }
--- a/crates/simulation/src/history/record.rs
+++ b/crates/simulation/src/history/record.rs
@@ -9,66 +9,66 @@
 use crate::history::order::{OrderAnswer, OrderNumber};
 use crate::network::MachineId;
 
-/// Something that happened, at a true time that the history keeps beside it.
+/// An event of a run. The history stores its simulated time separately.
 ///
-/// Verbose runs print records in their debug form; tools read the numbers in it, so the order of the
-/// fields is part of the format.
+/// Verbose runs print records in their debug form, and the trace hash covers it. Tools parse the numbers
+/// in it, so names and order of the fields are part of the format.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
     /// Rate and burst of a tenant's quota, from the start of the run.
     Quota {
         /// Tenant, from 0.
         tenant: u16,
-        /// Requests a second.
+        /// Rate, in requests per second.
         per_second: u32,
-        /// Requests at once.
+        /// Burst, in requests.
         burst: u32,
     },
     /// A caller sent a request.
     RequestSent(RequestSent),
-    /// A proxy received a client request. Requests queue up before a frozen one, and arrive when it
+    /// A proxy received a client request. Requests to a frozen proxy are queued and arrive when it
     /// continues.
     RequestArrived {
-        /// The request.
+        /// The client request.
         client_request: RequestNumber,
     },
     /// A proxy admitted a client request under its tenant's quota.
     Admitted {
-        /// The request.
+        /// The client request.
         client_request: RequestNumber,
     },
-    /// The token of an admitted client request was returned: nothing was sent.
+    /// The quota token of an admitted client request was returned, since no attempt was sent.
     AdmissionReturned {
-        /// The request.
+        /// The client request.
         client_request: RequestNumber,
     },
-    /// A chunk reached the caller.
+    /// A chunk of an answer reached the caller.
     ChunkReceived {
-        /// The request that it answers, as the caller sees it.
+        /// The client request on whose connection it arrived.
         client_request: RequestNumber,
         /// The chunk.
         chunk: Chunk,
     },
-    /// The caller knows the end.
+    /// A client request ended for its caller.
     RequestEnded {
-        /// The request.
+        /// The client request.
         client_request: RequestNumber,
-        /// How it ended.
+        /// Kind of end.
         end: RequestEnd,
-        /// Revision that the answer named.
+        /// Configuration revision in the answer; absent without an answer.
         revision: Option<u64>,
     },
     /// A proxy sent a request to a backend.
     Dispatched {
-        /// The client request that it serves.
+        /// The client request that is served.
         client_request: RequestNumber,
-        /// The send.
+        /// The attempt.
         attempt: AttemptNumber,
         /// Proxy node that sent it.
         proxy_node: ProxyNodeNumber,
         /// Backend that it was sent to.
         backend: BackendNumber,
-        /// Whether an earlier attempt at the client request was sent.
+        /// Whether the client request had an earlier attempt.
         second: bool,
     },
     /// A request reached a backend.
@@ -77,32 +77,32 @@
         backend: BackendNumber,
         /// The attempt.
         attempt: AttemptNumber,
-        /// Whether any part of it holds a tenant key.
+        /// Whether the request contains a tenant key.
         key_seen: bool,
     },
-    /// A backend began to work.
+    /// A backend started to run an attempt.
     BackendStarted {
         /// The backend.
         backend: BackendNumber,
         /// The attempt.
         attempt: AttemptNumber,
-        /// What it works on.
+        /// Content of the request.
         content: ContentNumber,
-        /// Number of the run.
+        /// Number of the run, a hash of its id.
         run: u64,
-        /// First chunk, 0 unless resumed.
+        /// First chunk that is generated; above 0 for a resumed run.
         from: u64,
     },
-    /// A backend did all the work of an attempt, with success.
+    /// A backend completed an attempt.
     BackendFinished {
         /// The attempt.
         attempt: AttemptNumber,
-        /// What it worked on.
+        /// Content of the request.
         content: ContentNumber,
-        /// Chunks of the complete run.
+        /// Number of chunks of the complete run.
         chunks: u64,
     },
-    /// The registry reports the backend as draining, or the backend died or stopped responding.
+    /// The registry lists the backend as draining, or the backend crashed or stopped responding.
     BackendUnavailable {
         /// The backend.
         backend: BackendNumber,
@@ -116,14 +116,14 @@
     OrderSent {
         /// The order.
         order: OrderNumber,
-        /// Revision that it was built on.
+        /// Base revision of the order.
         base: u64,
     },
-    /// An operator got an answer to an order.
+    /// An operator received the answer to an order, or timed out.
     OrderAnswered {
         /// The order.
         order: OrderNumber,
-        /// Revision that it was built on.
+        /// Base revision of the order.
         base: u64,
         /// The answer.
         answer: OrderAnswer,
@@ -132,19 +132,19 @@
     KeyRevoked {
         /// Serial number of the key.
         key: u32,
-        /// Revision of the order.
+        /// Revision that the order created.
         revision: u64,
     },
-    /// A proxy routes by a revision from now on.
+    /// A proxy routes by a new revision.
     RevisionApplied {
-        /// Its proxy node.
+        /// Proxy node of the proxy.
         proxy_node: ProxyNodeNumber,
         /// The revision.
         revision: u64,
     },
-    /// A proxy starts: it applies and serves nothing until it is ready.
+    /// A proxy started. Until it is ready it applies no revision and serves no request.
     ProxyNodeStarted {
-        /// Its proxy node.
+        /// Proxy node of the proxy.
         proxy_node: ProxyNodeNumber,
     },
     /// A process of a proxy node runs again after a freeze or a restart.
@@ -152,41 +152,41 @@
         /// The proxy node.
         proxy_node: ProxyNodeNumber,
     },
-    /// A control node answered a confirmed read of the configuration.
+    /// A control node answered a linearizable read of the configuration.
     RevisionRead {
         /// Revision that was read.
         revision: u64,
         /// Digest of the document that was read.
         digest: u64,
-        /// True time at which the read was sent.
+        /// Simulated time at which the read was sent.
         sent: MonotonicTime,
     },
-    /// A revision was accepted.
+    /// An operator received the acceptance of a revision for the first time.
     RevisionWritten {
         /// The revision.
         revision: u64,
         /// Digest of its document.
         digest: u64,
     },
-    /// The agent of a proxy node reports whether it is connected to the control plane.
+    /// The agent of a proxy node connected to the control plane, or lost its connection.
     AgentConnectivity {
         /// The proxy node.
         proxy_node: ProxyNodeNumber,
-        /// Whether it is.
+        /// Whether the agent is connected now.
         connected: bool,
     },
     /// A fault began.
     FaultBegan {
-        /// Its number among the active faults.
+        /// Number of the active fault.
         fault: u32,
-        /// What it disturbs.
+        /// Machines that the fault affects.
         machines: Vec<MachineId>,
     },
-    /// A fault ended: its machines are back.
+    /// A fault ended.
     FaultEnded {
-        /// Its number among the active faults.
+        /// Number of the active fault.
         fault: u32,
-        /// What it disturbed.
+        /// Machines that the fault affected.
         machines: Vec<MachineId>,
     },
 }
--- a/crates/simulation/src/kernel/clock.rs
+++ b/crates/simulation/src/kernel/clock.rs
@@ -1,13 +1,13 @@
-//! The monotonic clock of one simulated process.
+//! Monotonic clock of a simulated process.
 
 use millford_core::MonotonicTime;
 
 const MILLION: i128 = 1_000_000;
 
-/// A clock that starts anywhere, runs a little fast or slow and may jump ahead.
+/// A clock with any start value, which drifts and may jump ahead.
 ///
-/// It never steps back: the code under test uses the monotonic clock only, and that is its
-/// guarantee. Wall clocks jump both ways, but nothing in that code can see one.
+/// It never steps back: the code under test only uses the monotonic clock, which guarantees that. Wall
+/// clocks jump both ways, but that code has no access to one.
 #[derive(Clone, Debug)]
 pub struct ProcessClock {
     base_true: MonotonicTime,
@@ -16,7 +16,8 @@
 }
 
 impl ProcessClock {
-    /// A clock that shows `local` at true time `now` and drifts by `drift_ppm` parts per million.
+    /// Creates a clock that reads `local` at simulated time `now` and drifts by `drift_ppm` parts per million;
+    /// negative is slow.
     #[must_use]
     pub fn new(now: MonotonicTime, local: MonotonicTime, drift_ppm: i32) -> Self {
         Self {
@@ -26,7 +27,7 @@
         }
     }
 
-    /// What the clock shows at true time `now`.
+    /// Returns the reading of the clock at simulated time `now`.
     #[must_use]
     pub fn local(&self, now: MonotonicTime) -> MonotonicTime {
         let elapsed = i128::from(now.as_micros()) - i128::from(self.base_true.as_micros());
@@ -35,14 +36,14 @@
         MonotonicTime::from_micros(u64::try_from(local).unwrap_or(u64::MAX))
     }
 
-    /// Moves the clock ahead by `micros` microseconds at true time `now`.
+    /// Moves the clock ahead by `micros` microseconds at simulated time `now`.
     pub fn jump(&mut self, now: MonotonicTime, micros: u64) {
         let local = self.local(now).as_micros().saturating_add(micros);
         self.base_local = MonotonicTime::from_micros(local);
         self.base_true = now;
     }
 
-    /// Changes the drift at true time `now`; what the clock shows does not step.
+    /// Changes the drift at simulated time `now`, without a step of the reading.
     pub fn set_drift(&mut self, now: MonotonicTime, drift_ppm: i32) {
         self.base_local = self.local(now);
         self.base_true = now;
--- a/crates/simulation/src/kernel/event_queue.rs
+++ b/crates/simulation/src/kernel/event_queue.rs
@@ -1,4 +1,4 @@
-//! Events in the order of their simulated time.
+//! Priority queue of events by simulated time.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -26,13 +26,13 @@
 }
 
 impl<E> Ord for Entry<E> {
-    // Reversed: the heap's largest entry is the earliest event.
+    // Reversed, since the heap pops its largest entry first.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-/// Queue of future events; events of one instant are popped in the order in which they were pushed.
+/// Queue of future events. Events at the same time are popped in the order in which they were pushed.
 pub struct EventQueue<E> {
     heap: BinaryHeap<Entry<E>>,
     next_sequence: u64,
@@ -50,13 +50,13 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Time of the event that left last.
+    /// Returns the simulated time: that of the event popped last.
     #[must_use]
     pub fn now(&self) -> MonotonicTime {
         self.now
     }
 
-    /// Adds an event; a time that has passed counts as now.
+    /// Adds an event at time `at`, or now if `at` has passed.
     pub fn push(&mut self, at: MonotonicTime, event: E) {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -67,7 +67,7 @@
         });
     }
 
-    /// Takes the earliest event and moves time to it.
+    /// Takes the earliest event and advances the simulated time to it.
     pub fn pop(&mut self) -> Option<(MonotonicTime, E)> {
         let entry = self.heap.pop()?;
         self.now = entry.at;
--- a/crates/simulation/src/kernel/mod.rs
+++ b/crates/simulation/src/kernel/mod.rs
@@ -1,4 +1,4 @@
-//! Discrete-event kernel: event queue, clocks of processes, trace hash.
+//! Kernel of the discrete-event simulation: event queue, process clocks, trace hash.
 
 pub mod clock;
 pub mod event_queue;
--- a/crates/simulation/src/kernel/trace_hash.rs
+++ b/crates/simulation/src/kernel/trace_hash.rs
@@ -1,8 +1,8 @@
-//! Running hash over everything that happened, in order.
+//! Running hash over the events of a run.
 
 use xxhash_rust::xxh3::Xxh3;
 
-/// Hash of a run: the same seed gives the same value, so a replay can be trusted.
+/// Hash over the events of a run in order. Equal values show that two runs of a seed had the same history.
 #[derive(Default)]
 pub struct TraceHash {
     state: Xxh3,
@@ -10,7 +10,7 @@
 }
 
 impl TraceHash {
-    /// Adds one event: its true time in microseconds, a tag and its bytes.
+    /// Adds an event: its simulated time in microseconds, the tag of its kind, and its bytes.
     pub fn add(&mut self, micros: u64, tag: u8, bytes: &[u8]) {
         self.events += 1;
         self.state.update(&micros.to_le_bytes());
@@ -18,13 +18,13 @@
         self.state.update(bytes);
     }
 
-    /// Number of events added.
+    /// Returns the number of events added.
     #[must_use]
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    /// The hash so far.
+    /// Returns the hash of the events added so far.
     #[must_use]
     pub fn value(&self) -> u64 {
         self.state.digest()
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,7 +1,7 @@
-//! A whole fleet under simulated time, with simulated network and disks.
+//! Deterministic simulation of a whole fleet: time, network and disks are simulated.
 //!
-//! The control nodes, agents and the request path are the daemons' own code. Callers, backends,
-//! the service registry and operators are simulated parts that exchange messages with them.
+//! Control nodes, agents and the proxies' request path run the daemons' own code. Callers, backends, the
+//! service registry and operators are models that exchange messages with them.
 
 pub mod checkers;
 pub mod command;
--- a/crates/simulation/src/network/link.rs
+++ b/crates/simulation/src/network/link.rs
@@ -1,4 +1,4 @@
-//! One simulated TCP connection.
+//! A simulated TCP connection.
 
 use std::collections::VecDeque;
 
@@ -20,31 +20,31 @@
     Backward,
 }
 
-/// How far a connection has come.
+/// State of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkState {
-    /// The connecting side waits for the answer.
+    /// The connector waits for the acceptor's answer.
     Connecting,
     /// Both sides may send.
     Open,
-    /// One side closed; what was sent before may still arrive.
+    /// One side closed; packets sent before may still arrive.
     Closed,
 }
 
 /// One side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkEnd {
-    /// The process.
+    /// The process on this side.
     pub process: ProcessId,
-    /// Its incarnation; 0 for the accepting side until it accepted.
+    /// Incarnation of the process; 0 for the acceptor until it accepts.
     pub incarnation: u64,
 }
 
-/// Packets that travel in one direction.
+/// Packets in flight in one direction.
 #[derive(Default)]
 struct Lane {
     in_flight: VecDeque<Packet>,
-    /// Earliest arrival of the next packet: TCP never reorders.
+    /// Arrival of the last packet. The next one arrives no earlier, since TCP keeps the order.
     last_arrival: MonotonicTime,
 }
 
@@ -53,16 +53,16 @@
     connector: LinkEnd,
     acceptor: LinkEnd,
     state: LinkState,
-    /// A machine was lost: nothing more arrives, and no peer is notified.
+    /// Whether the machine of one side was lost: no more packets arrive, and the other side is not notified.
     unresponsive: bool,
-    /// The side that closed; nothing reaches it any more.
+    /// The side that closed first; it gets no more packets.
     closed_by: Option<ProcessId>,
     forward: Lane,
     backward: Lane,
 }
 
 impl Link {
-    /// A connection that is being opened.
+    /// Creates a connection in state [`LinkState::Connecting`].
     #[must_use]
     pub fn new(connector: LinkEnd, acceptor: ProcessId) -> Self {
         Self {
@@ -79,38 +79,38 @@
         }
     }
 
-    /// The side that connected.
+    /// Returns the side that connects.
     #[must_use]
     pub fn connector(&self) -> LinkEnd {
         self.connector
     }
 
-    /// The side that accepts.
+    /// Returns the side that accepts.
     #[must_use]
     pub fn acceptor(&self) -> LinkEnd {
         self.acceptor
     }
 
-    /// How far the connection has come.
+    /// Returns the state of the connection.
     #[must_use]
     pub fn state(&self) -> LinkState {
         self.state
     }
 
-    /// Whether a machine was lost, so that nothing more arrives.
+    /// Returns whether a machine was lost, so that no more packets arrive.
     #[must_use]
     pub fn is_unresponsive(&self) -> bool {
         self.unresponsive
     }
 
-    /// Whether a process is one of the two sides.
+    /// Returns whether a process is one of the two sides.
     #[must_use]
     pub fn involves(&self, process: ProcessId) -> bool {
         self.connector.process == process || self.acceptor.process == process
     }
 
-    /// The accepting side accepted. Its packets may arrive from `forward_from` on, those to it from
-    /// `backward_from` on.
+    /// Opens the connection with an incarnation of the acceptor. Packets to the acceptor arrive no earlier
+    /// than `forward_from`, packets from it no earlier than `backward_from`.
     pub fn accept(
         &mut self,
         incarnation: u64,
@@ -123,25 +123,25 @@
         self.backward.last_arrival = backward_from;
     }
 
-    /// A side closed. The first to do so gets nothing any more.
+    /// Closes the connection. The side that closes first gets no more packets.
     pub fn close(&mut self, by: ProcessId) {
         self.state = LinkState::Closed;
         self.closed_by.get_or_insert(by);
     }
 
-    /// The machine of a side is lost.
+    /// Marks the connection as unresponsive, because the machine of one side is lost.
     pub fn abandon(&mut self) {
         self.unresponsive = true;
     }
 
-    /// Whether a packet that arrives at a side is delivered.
+    /// Returns whether a packet that arrives at a side is delivered.
     #[must_use]
     pub fn delivers_to(&self, process: ProcessId) -> bool {
         !self.unresponsive && self.closed_by != Some(process)
     }
 
-    /// Sends a packet and returns its arrival, never before that of an earlier one; `None` if the
-    /// connection is closed.
+    /// Sends a packet that would arrive at `arrival`. Returns when it does arrive, never before an earlier
+    /// packet, or `None` if the connection is closed.
     pub fn send(
         &mut self,
         direction: Direction,
@@ -158,7 +158,7 @@
         Some(arrival)
     }
 
-    /// Takes the next packet of a direction.
+    /// Takes the next packet in flight in a direction.
     pub fn take(&mut self, direction: Direction) -> Option<Packet> {
         self.lane(direction).in_flight.pop_front()
     }
@@ -170,7 +170,7 @@
         }
     }
 
-    /// The direction in which a side sends.
+    /// Returns the direction in which a side sends.
     #[must_use]
     pub fn direction_from(&self, process: ProcessId) -> Direction {
         if self.connector.process == process {
@@ -180,7 +180,7 @@
         }
     }
 
-    /// The side that sends in a direction.
+    /// Returns the side that sends in a direction.
     #[must_use]
     pub fn sender(&self, direction: Direction) -> LinkEnd {
         match direction {
@@ -189,7 +189,7 @@
         }
     }
 
-    /// The side that receives in a direction.
+    /// Returns the side that receives in a direction.
     #[must_use]
     pub fn receiver(&self, direction: Direction) -> LinkEnd {
         match direction {
--- a/crates/simulation/src/network/links.rs
+++ b/crates/simulation/src/network/links.rs
@@ -1,4 +1,4 @@
-//! All connections of a run.
+//! Table of all connections of a run.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use crate::network::packet::Packet;
 use crate::network::process_id::ProcessId;
 
-/// Table of connections, by number.
+/// Connections by number.
 #[derive(Default)]
 pub struct Links {
     links: BTreeMap<LinkNumber, Link>,
@@ -16,7 +16,7 @@
 }
 
 impl Links {
-    /// Starts a connection from a process's incarnation to another process.
+    /// Starts a connection from an incarnation of a process to another process. Returns its number.
     pub fn connect(
         &mut self,
         connector: ProcessId,
@@ -33,24 +33,23 @@
         number
     }
 
-    /// The connection, unless it was removed.
+    /// Returns a connection, unless it was removed.
     #[must_use]
     pub fn get(&self, number: LinkNumber) -> Option<&Link> {
         self.links.get(&number)
     }
 
-    /// The connection for changes, unless it was removed.
+    /// Returns a connection for modification, unless it was removed.
     pub fn get_mut(&mut self, number: LinkNumber) -> Option<&mut Link> {
         self.links.get_mut(&number)
     }
 
-    /// Forgets a connection.
+    /// Removes a connection, with its packets in flight.
     pub fn remove(&mut self, number: LinkNumber) -> Option<Link> {
         self.links.remove(&number)
     }
 
-    /// Sends a packet and returns its arrival, never before that of an earlier one; `None` if the
-    /// connection is closed or was removed.
+    /// Sends a packet as [`Link::send`] does; `None` if the connection is closed or was removed.
     pub fn send(
         &mut self,
         number: LinkNumber,
@@ -62,7 +61,7 @@
         link.send(direction, packet, arrival)
     }
 
-    /// Numbers of the connections of a process, in order.
+    /// Returns the numbers of a process's connections, in ascending order.
     #[must_use]
     pub fn of_process(&self, process: ProcessId) -> Vec<LinkNumber> {
         let links = self.links.iter().filter(|(_, link)| link.involves(process));
--- a/crates/simulation/src/network/mod.rs
+++ b/crates/simulation/src/network/mod.rs
@@ -1,4 +1,4 @@
-//! Simulated network: TCP connections between machines that delay, stall, reset and are partitioned.
+//! Simulated network: TCP connections between machines, with delays, resets and partitions.
 
 pub mod link;
 pub mod links;
--- a/crates/simulation/src/network/packet.rs
+++ b/crates/simulation/src/network/packet.rs
@@ -1,4 +1,4 @@
-//! What travels on simulated connections.
+//! Messages on simulated connections.
 
 use std::time::Duration;
 
@@ -8,47 +8,47 @@
 use millford_proxy::request::message::{AnswerHead, BackendRequest, WithdrawAnswer};
 use prost::Message;
 
-/// One message on a connection.
+/// A message on a connection.
 #[derive(Clone, Debug)]
 pub enum Packet {
-    /// Between control nodes, and from agents to them.
+    /// Frame between control nodes, or between an agent and a control node.
     Frame(Box<Frame>),
-    /// Between an agent and its proxy.
+    /// Frame between an agent and its proxy.
     Local(Box<LocalFrame>),
-    /// Between a proxy and a backend.
+    /// Message between a proxy and a backend.
     Http(HttpPacket),
-    /// The other side closed, or its process died.
+    /// End of the connection: the other side closed it, or its process ended.
     End,
 }
 
-/// Message form of the backend protocol.
+/// Message of the backend protocol, in place of HTTP.
 #[derive(Clone, Debug)]
 pub enum HttpPacket {
     /// A complete request.
     Request(Box<BackendRequest>),
-    /// Head of the answer.
+    /// Status and headers of an answer.
     Head(Box<AnswerHead>),
-    /// Bytes of the answer's body.
+    /// A part of an answer's body.
     Body(Bytes),
-    /// The body ended complete, by its framing.
+    /// The body is complete according to its framing.
     Finish,
-    /// Withdraw an attempt.
+    /// Request to withdraw an attempt.
     Withdraw {
-        /// Its id.
+        /// Id of the attempt.
         attempt: String,
-        /// Upper bound of its age.
+        /// Upper bound of the attempt's age.
         age: Duration,
     },
     /// Answer to a withdrawal.
     WithdrawAnswer(WithdrawAnswer),
-    /// Is the backend well?
+    /// Health probe.
     Probe,
-    /// It is.
+    /// Positive answer to a health probe.
     ProbeAnswer,
 }
 
 impl Packet {
-    /// Tag and size for the trace hash.
+    /// Returns tag and size for the trace hash.
     #[must_use]
     pub fn trace(&self) -> (u8, usize) {
         match self {
--- a/crates/simulation/src/network/process_id.rs
+++ b/crates/simulation/src/network/process_id.rs
@@ -1,24 +1,24 @@
-//! Names of simulated machines and processes.
+//! Identifiers of simulated machines and processes.
 
-/// A machine: what network partitions separate.
+/// A machine: the unit that network partitions separate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MachineId {
-    /// A control node, by its number in the scenario; a replacement has a new number.
+    /// A control node by number, from 1; a replacement has a new number.
     ControlNode(u16),
-    /// A proxy node.
+    /// A proxy node by number, from 1.
     ProxyNode(u16),
-    /// The machine of a backend.
+    /// The machine of a backend, by the backend's number.
     Backend(u16),
-    /// Where the service registry runs.
+    /// The machine of the service registry.
     Registry,
-    /// Where callers and operators are.
+    /// All machines of callers and operators.
     Outside,
 }
 
 /// A process on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ProcessId {
-    /// The control node of a control node.
+    /// The process of a control node.
     Control(u16),
     /// The agent of a proxy node.
     Agent(u16),
@@ -29,7 +29,7 @@
 }
 
 impl ProcessId {
-    /// The machine that the process runs on.
+    /// Returns the machine that the process runs on.
     #[must_use]
     pub fn machine(self) -> MachineId {
         match self {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Number of the process among its kind.
+    /// Returns the number of the process among its kind.
     #[must_use]
     pub fn number(self) -> u16 {
         match self {
--- a/crates/simulation/src/runner/arguments.rs
+++ b/crates/simulation/src/runner/arguments.rs
@@ -6,7 +6,7 @@
 
 use thiserror::Error;
 
-/// Folder of the scenario files when none is named.
+/// Folder of the scenario files if the command line names none.
 const DEFAULT_FOLDER: &str = "scenarios";
 
 /// Options of the command line.
@@ -14,44 +14,44 @@
 pub struct Arguments {
     /// A scenario file, or a folder of them.
     pub path: PathBuf,
-    /// Seeds per scenario; the file's own number if absent.
+    /// Number of seeds per scenario; if absent, that of the file, or 1 for a verbose run.
     pub seeds: Option<u64>,
-    /// First seed.
+    /// First seed; 0 by default.
     pub from: u64,
-    /// Threads.
+    /// Number of threads; by default that of the machine's cores.
     pub jobs: usize,
-    /// Whether histories are printed.
+    /// Whether the histories are printed.
     pub verbose: bool,
 }
 
-/// Why a command line cannot be parsed.
+/// Error in the command line.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ArgumentError {
-    /// An argument is no option.
+    /// An argument is not a known option.
     #[error("unknown argument {argument:?}")]
     Unknown {
         /// The argument.
         argument: String,
     },
-    /// The last option lacks its value.
-    #[error("{option} needs a value")]
+    /// The last option has no value.
+    #[error("option {option} requires a value")]
     MissingValue {
         /// The option.
         option: String,
     },
-    /// The value of an option is no number of the right size.
-    #[error("{option}: {value:?} is not a number")]
+    /// The value of an option is not an integer, or is out of range.
+    #[error("option {option}: {value:?} is not an integer in the allowed range")]
     InvalidNumber {
         /// The option.
         option: String,
-        /// Its value.
+        /// Value on the command line.
         value: String,
-        /// Why it is none.
+        /// Error of the integer parser.
         source: ParseIntError,
     },
 }
 
-/// Help text.
+/// Help text of the command.
 pub const USAGE: &str = "\
 usage: millford-lab scenarios [--file FILE|FOLDER] [--seeds N] [--from SEED] [--jobs N] [--verbose]
 
@@ -63,7 +63,7 @@
     /// Parses the arguments after `scenarios`.
     ///
     /// # Errors
-    /// [`ArgumentError`] names the first argument that is unknown, lacks its value or is no number.
+    /// [`ArgumentError`] for the first argument that is unknown, has no value or has an invalid one.
     pub fn parse(arguments: &[String]) -> Result<Self, ArgumentError> {
         let mut parsed = Self {
             path: PathBuf::from(DEFAULT_FOLDER),
--- a/crates/simulation/src/runner/mod.rs
+++ b/crates/simulation/src/runner/mod.rs
@@ -1,4 +1,4 @@
-//! Runs scenario files over many seeds and reports.
+//! Runs scenario files over many seeds and summarizes the results.
 
 pub mod arguments;
 pub mod run_report;
--- a/crates/simulation/src/runner/run_report.rs
+++ b/crates/simulation/src/runner/run_report.rs
@@ -1,31 +1,31 @@
-//! One run of a scenario.
+//! A single run of a scenario.
 
 use crate::checkers::{Guarantee, Verdict};
 use crate::scenario::{Bound, Expectation, Scenario};
 use crate::world::{RunOptions, Site};
 
-/// What a run showed.
+/// Results of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunReport {
     /// Seed of the run.
     pub seed: u64,
-    /// Violations and figures.
+    /// Violations and measured figures.
     pub verdict: Verdict,
-    /// Hash of everything that happened.
+    /// Hash of the run's events; the same for every run of the seed.
     pub trace_hash: u64,
-    /// Events of the run.
+    /// Number of events in the hash.
     pub events: u64,
 }
 
 impl RunReport {
-    /// Whether no guarantee was violated.
+    /// Returns whether no guarantee was violated.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.verdict.violations.is_empty()
     }
 }
 
-/// Runs a scenario once.
+/// Runs a scenario once, with the checkers and the scenario's expectations.
 #[must_use]
 pub fn run_scenario(scenario: &Scenario, options: RunOptions) -> RunReport {
     let mut site = Site::new(scenario, options);
@@ -42,14 +42,17 @@
 }
 
 fn check_expectation(expectation: Expectation, verdict: &mut Verdict, site: &Site) {
-    // What was never measured keeps any upper bound and no lower one.
+    // A figure that was never measured counts as 0: within any upper bound, below any lower bound but 0.
     let value = verdict.figures.get(expectation.figure).unwrap_or(0);
     let is_met = match expectation.bound {
         Bound::AtLeast => value >= expectation.value,
         Bound::AtMost => value <= expectation.value,
     };
     if !is_met {
-        let text = format!("{} is {value}", expectation.figure.keyword());
+        let text = format!(
+            "figure {} is {value}, outside its bound",
+            expectation.figure.keyword()
+        );
         verdict.record_violation(site.now(), Guarantee::Expectation, text);
     }
 }
--- a/crates/simulation/src/runner/scenario_files.rs
+++ b/crates/simulation/src/runner/scenario_files.rs
@@ -1,4 +1,4 @@
-//! Finds and reads scenario files.
+//! Loads scenario files.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -7,42 +7,42 @@
 
 use crate::scenario::{ParseError, Scenario};
 
-/// A scenario and the file that it came from.
+/// A scenario with its file.
 #[derive(Clone, Debug)]
 pub struct ScenarioFile {
-    /// The file.
+    /// Path of the file.
     pub path: PathBuf,
-    /// What it says.
+    /// Scenario parsed from the file.
     pub scenario: Scenario,
 }
 
-/// Why scenario files cannot be loaded.
+/// Error that keeps scenario files from being loaded.
 #[derive(Debug, Error)]
 pub enum ScenarioFileError {
     /// A file or folder cannot be read.
-    #[error("{} cannot be read: {source}", path.display())]
+    #[error("cannot read {}: {source}", path.display())]
     Unreadable {
-        /// The file or folder.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// Why.
+        /// Error of the file system.
         source: io::Error,
     },
-    /// A file is no scenario.
+    /// A file is not a valid scenario.
     #[error("{}: {source}", path.display())]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The line that is wrong, and why.
+        /// Syntax error, with its line.
         source: ParseError,
     },
 }
 
 const EXTENSION: &str = "scn";
 
-/// Reads a file, or every scenario file of a folder in the order of their names.
+/// Loads a file, or every scenario file of a folder in the order of their names.
 ///
 /// # Errors
-/// [`ScenarioFileError`] names the first file or folder that cannot be read or parsed.
+/// [`ScenarioFileError`] for the first file or folder that cannot be read or parsed.
 pub fn load_scenarios(path: &Path) -> Result<Vec<ScenarioFile>, ScenarioFileError> {
     if path.is_file() {
         return Ok(vec![load_file(path)?]);
@@ -50,7 +50,10 @@
     let entries = std::fs::read_dir(path).map_err(|source| unreadable(path, source))?;
     let mut paths: Vec<PathBuf> = entries
         .filter_map(|entry| entry.ok().map(|entry| entry.path()))
-        .filter(|path| path.extension().is_some_and(|it| it == EXTENSION))
+        .filter(|path| {
+            path.extension()
+                .is_some_and(|extension| extension == EXTENSION)
+        })
         .collect();
     paths.sort();
     paths.iter().map(|path| load_file(path)).collect()
--- a/crates/simulation/src/runner/summary.rs
+++ b/crates/simulation/src/runner/summary.rs
@@ -1,4 +1,4 @@
-//! All runs of one scenario.
+//! Summary of all runs of a scenario.
 
 use std::fmt;
 
@@ -6,25 +6,25 @@
 use crate::runner::run_report::RunReport;
 use crate::scenario::Figure;
 
-/// Counts and worst figures.
+/// Counts and worst figures over all runs of a scenario.
 #[derive(Clone, Debug, Default)]
 pub struct Summary {
     /// Name of the scenario.
     pub name: String,
-    /// Runs.
+    /// Number of runs, one per seed.
     pub seeds: u64,
-    /// Runs that broke a guarantee.
+    /// Number of runs that violated a guarantee.
     pub failed: u64,
     /// Simulated time of all runs, in seconds.
     pub virtual_seconds: u64,
     /// Worst figures over all runs.
     pub figures: Figures,
-    /// Failed runs, the lowest seed first.
+    /// Failed runs, sorted by seed.
     pub failures: Vec<RunReport>,
 }
 
 impl Summary {
-    /// Adds a run.
+    /// Adds the results of a run.
     pub fn add(&mut self, report: RunReport) {
         self.seeds += 1;
         self.figures.merge(&report.verdict.figures);
--- a/crates/simulation/src/runner/sweep.rs
+++ b/crates/simulation/src/runner/sweep.rs
@@ -1,4 +1,4 @@
-//! Runs one scenario over many seeds, on several threads.
+//! Runs a scenario over many seeds in parallel.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -9,8 +9,8 @@
 use crate::scenario::Scenario;
 use crate::world::RunOptions;
 
-/// Runs the seeds from `from` on and sums up. Each run is on one thread; the sum does not depend
-/// on their order.
+/// Runs `seeds` seeds from `from` on with `jobs` threads and summarizes the results. Each run uses one
+/// thread; the summary does not depend on their order.
 #[must_use]
 pub fn sweep(scenario: &Scenario, from: u64, seeds: u64, jobs: usize) -> Summary {
     let next = AtomicU64::new(from);
@@ -28,7 +28,7 @@
     summary.into_inner().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Runs the next seed and the next again, until `end`.
+/// Runs one seed after the other, taken from the shared counter `next`, until `end` is reached.
 fn run_seeds(scenario: &Scenario, next: &AtomicU64, end: u64, summary: &Mutex<Summary>) {
     loop {
         let seed = next.fetch_add(1, Ordering::Relaxed);
--- a/crates/simulation/src/scenario/answer_fault.rs
+++ b/crates/simulation/src/scenario/answer_fault.rs
@@ -1,24 +1,24 @@
-//! Ways in which backends answer wrongly.
+//! Faults in the answers of backends.
 
-/// A fault in the answers of backends.
+/// A way in which a backend's answer is wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerFault {
-    /// Answers take seconds longer.
+    /// The answer is delayed by seconds.
     Late,
-    /// An answer goes to another request that is open on the backend.
+    /// The answer is that of another recent run.
     Crossed,
-    /// Chunks of another run appear within a stream.
+    /// A stream contains a chunk of another run.
     Stray,
-    /// Answers end before their end marker.
+    /// The answer ends before its end marker.
     Truncated,
-    /// The answer of a request that ran is lost with its connection.
+    /// The request runs, but its connection closes before any of the answer is sent.
     Lost,
-    /// A chunk of a stream comes twice, or one is left out.
+    /// A chunk of a stream is repeated or left out.
     Skipped,
 }
 
 impl AnswerFault {
-    /// Every kind, for draws.
+    /// Every answer fault, for random draws.
     pub const ALL: [AnswerFault; 6] = [
         AnswerFault::Late,
         AnswerFault::Crossed,
@@ -28,7 +28,7 @@
         AnswerFault::Skipped,
     ];
 
-    /// The kind with this keyword of the scenario files.
+    /// Returns the answer fault that a keyword of the scenario files stands for.
     #[must_use]
     pub fn from_keyword(token: &str) -> Option<Self> {
         Some(match token {
--- a/crates/simulation/src/scenario/definition.rs
+++ b/crates/simulation/src/scenario/definition.rs
@@ -1,4 +1,4 @@
-//! A scenario as read from its file.
+//! A parsed scenario file.
 
 use std::time::Duration;
 
@@ -8,29 +8,29 @@
 use crate::scenario::topology::Topology;
 use crate::scenario::workload::Workload;
 
-/// A scenario: everything of a run but its seed.
+/// A scenario: everything that determines a run, apart from the seed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scenario {
-    /// Unique name.
+    /// Name in reports; unique among the scenario files.
     pub name: String,
-    /// Machines. Several sites: the seed chooses one.
+    /// Topologies to run on; if there are several, the seed selects one.
     pub sites: Vec<Topology>,
     /// Length of the run in simulated time.
     pub duration: Duration,
-    /// Seeds run when the command names no number.
+    /// Number of seeds to run if the command line gives none.
     pub seeds: u64,
-    /// Traffic.
+    /// Traffic of callers and operators.
     pub workload: Workload,
-    /// Faults at fixed times.
+    /// Faults at fixed times, sorted by time.
     pub faults: Vec<TimedFault>,
-    /// Faults drawn by the seed.
+    /// Faults drawn at random from the seed.
     pub draws: Vec<Draw>,
-    /// Bounds on the figures of this scenario.
+    /// Bounds on the measured figures of a run.
     pub expectations: Vec<Expectation>,
 }
 
 impl Scenario {
-    /// The site that a seed runs on.
+    /// Returns the topology that a seed runs on.
     #[must_use]
     pub fn site(&self, seed: u64) -> Topology {
         let sites = self.sites.len().max(1) as u64;
--- a/crates/simulation/src/scenario/disk_fault.rs
+++ b/crates/simulation/src/scenario/disk_fault.rs
@@ -1,16 +1,16 @@
-//! What happens to a disk for a while.
+//! Temporary faults of a disk.
 
 use std::time::Duration;
 
-/// A fault of a control node's disk.
+/// A temporary fault of a control node's disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskFault {
-    /// Each sync takes this long.
+    /// Every sync takes this long.
     Slow(Duration),
-    /// The disk stops answering until the fault ends.
+    /// Syncs do not complete until the fault ends.
     Stalled,
-    /// No space is left.
+    /// Writes fail because no space is left.
     Full,
-    /// Syncs fail.
+    /// Syncs fail with an I/O error.
     FailingSync,
 }
--- a/crates/simulation/src/scenario/draw.rs
+++ b/crates/simulation/src/scenario/draw.rs
@@ -1,30 +1,30 @@
-//! Faults drawn by the seed.
+//! Faults drawn at random from the seed.
 
 use std::time::Duration;
 
-/// Classes of faults that a draw may take from.
+/// Class of faults that a draw may take from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultClass {
-    /// Kills, freezes and herds of proxy nodes.
+    /// Kills, freezes and simultaneous restarts of proxy nodes.
     ProxyNodes,
-    /// Kills, freezes, wipes and replacements of control nodes, one at a time.
+    /// Kills, freezes, wipes and replacements of control nodes.
     ControlNodes,
-    /// Cuts and resets.
+    /// Partitions and connection resets.
     Network,
-    /// Disks that stall, slow, fill or fail.
+    /// Disks that are slow, stall, are full or fail to sync.
     Disks,
-    /// Clocks that jump or drift.
+    /// Clocks that drift.
     Clocks,
-    /// Backends that crash, go dark, are retired or answer wrongly.
+    /// Backends that crash, freeze, are retired or answer wrongly, and a registry that stops changing.
     Backends,
-    /// Operators that race, lose answers, revoke keys.
+    /// Operators that race, lose replies, revoke keys or send many orders.
     Operators,
-    /// Bursts and hot tenants.
+    /// Bursts of requests, and a single tenant that sends most of them.
     Load,
 }
 
 impl FaultClass {
-    /// Every class.
+    /// Every class, in the order of draws.
     pub const ALL: [FaultClass; 8] = [
         FaultClass::ProxyNodes,
         FaultClass::ControlNodes,
@@ -36,7 +36,7 @@
         FaultClass::Load,
     ];
 
-    /// The class with this keyword of the scenario files.
+    /// Returns the class that a keyword of the scenario files stands for.
     #[must_use]
     pub fn from_keyword(token: &str) -> Option<Self> {
         Some(match token {
@@ -53,15 +53,16 @@
     }
 }
 
-/// Draws a number of faults between two times.
+/// A number of random faults within a span of time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Draw {
-    /// How many.
+    /// Number of faults to draw.
     pub count: u32,
-    /// Earliest time.
+    /// Earliest start of a fault, from the start of the run.
     pub from: Duration,
-    /// Latest time.
+    /// End of the span in which faults start, from the start of the run. Kills, freezes, partitions and disk
+    /// faults also end within it.
     pub to: Duration,
-    /// Classes to draw from.
+    /// Classes to draw from, each with the same probability.
     pub classes: Vec<FaultClass>,
 }
--- a/crates/simulation/src/scenario/expectation.rs
+++ b/crates/simulation/src/scenario/expectation.rs
@@ -1,26 +1,26 @@
-//! What a scenario expects beyond the checkers, which always run.
+//! Bounds that a scenario sets on measured figures, in addition to the checkers, which always run.
 
 /// A measured figure of a run. Times are in milliseconds, shares in percent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Figure {
-    /// Longest time from a backend's draining or death to its last new work.
+    /// Longest time from a backend's draining or failure to the last request that was sent to it.
     Drain,
-    /// Longest time from an acknowledged revision to its rule over every node connected.
+    /// Longest time from the acknowledgement of a revision until every connected proxy node routes by it.
     Adoption,
-    /// Longest time from an acknowledged revocation to the last use of the key.
+    /// Longest time from the acknowledgement of a revocation to the last admission of the key.
     Revocation,
-    /// Longest time without service after the machines were back.
+    /// Longest time from the end of the last fault to the first complete answer of a proxy node.
     Recovery,
-    /// Second sends per hundred first sends, fleet-wide.
+    /// Second sends per hundred first sends, over the whole fleet.
     SecondSends,
-    /// Client requests answered in full, in percent.
+    /// Share of client requests that got a complete answer, in percent.
     Served,
-    /// Orders acknowledged, counted.
+    /// Number of accepted orders.
     Orders,
 }
 
 impl Figure {
-    /// Every figure.
+    /// Every figure, in the order of reports.
     pub const ALL: [Figure; 7] = [
         Figure::Drain,
         Figure::Adoption,
@@ -31,7 +31,7 @@
         Figure::Orders,
     ];
 
-    /// The keyword of the figure in scenario files and reports.
+    /// Returns the keyword of the figure in scenario files and reports.
     #[must_use]
     pub fn keyword(self) -> &'static str {
         match self {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Unit of the figure's values.
+    /// Returns the unit of the figure's values, as printed after a value.
     #[must_use]
     pub fn unit(self) -> &'static str {
         match self {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The figure with this keyword.
+    /// Returns the figure with this keyword.
     #[must_use]
     pub fn from_keyword(keyword: &str) -> Option<Self> {
         Figure::ALL
@@ -64,22 +64,22 @@
     }
 }
 
-/// On which side of its value a figure must stay.
+/// Kind of bound on a figure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bound {
-    /// The value is the largest allowed.
+    /// Upper bound, inclusive.
     AtMost,
-    /// The value is the smallest allowed.
+    /// Lower bound, inclusive.
     AtLeast,
 }
 
 /// A bound on a figure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Expectation {
-    /// The figure.
+    /// Figure that is bounded.
     pub figure: Figure,
-    /// Which side is allowed.
+    /// Whether `value` is an upper or a lower bound.
     pub bound: Bound,
-    /// Milliseconds, percent or a count.
+    /// Bound in the unit of the figure: milliseconds, percent or a count.
     pub value: u64,
 }
--- a/crates/simulation/src/scenario/fault.rs
+++ b/crates/simulation/src/scenario/fault.rs
@@ -1,4 +1,4 @@
-//! Faults and events that a scenario can order.
+//! Faults and other events of a scenario.
 
 use std::time::Duration;
 
@@ -6,153 +6,154 @@
 use crate::scenario::disk_fault::DiskFault;
 use crate::scenario::target::Target;
 
-/// Which directions of a partition lose packets.
+/// Direction in which a partition loses packets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartitionDirection {
-    /// Both.
+    /// Packets from and to the target.
     Both,
-    /// What the target sends.
+    /// Packets that the target sends.
     Outward,
-    /// What the target would receive.
+    /// Packets to the target.
     Inward,
 }
 
-/// What a rolling restart goes over, one after the other.
+/// Kind of machine that a rolling restart restarts, one after the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RollKind {
-    /// Control nodes, each after the one before is back.
+    /// Control nodes; each is back before the next one stops.
     ControlNodes,
-    /// Proxy nodes.
+    /// Proxy nodes; each is back before the next one stops.
     ProxyNodes,
-    /// Model backends: each is retired and replaced by a new one.
+    /// Model backends; each is retired and replaced by a new one.
     Models,
 }
 
-/// A fault or another event.
+/// A fault, or another event that a scenario can cause.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The process dies without warning and is started again.
+    /// Kills the processes and starts them again.
     Kill {
-        /// What dies.
+        /// Processes to kill.
         target: Target,
-        /// Time until it starts again.
+        /// Time until they start again.
         down: Duration,
     },
-    /// As a kill, and the disk is empty afterwards.
+    /// Takes machines down without closing their connections, and starts them again; a control node gets an
+    /// empty disk.
     Wipe {
-        /// What dies.
+        /// Machines to take down.
         target: Target,
-        /// Time until it starts again.
+        /// Time until they start again.
         down: Duration,
     },
-    /// The machine is lost for good; an empty one comes at a new address.
+    /// Removes control nodes for good, and starts empty ones at new addresses.
     Replace {
-        /// What is lost.
+        /// Control nodes to remove.
         target: Target,
-        /// Time until the new machine starts.
+        /// Time until the new machines start.
         down: Duration,
     },
-    /// The process stops for a while and continues as if nothing had been (SIGSTOP).
+    /// Suspends the processes, which later continue with their state (as SIGSTOP and SIGCONT do).
     Freeze {
-        /// What stops.
+        /// Processes to suspend.
         target: Target,
-        /// For how long.
+        /// Duration of the suspension.
         length: Duration,
     },
-    /// Packets between the machine and one other, or all others, vanish.
+    /// Drops packets between the target's machines and others.
     Partition {
-        /// The machine.
+        /// Machines to separate.
         target: Target,
-        /// The other; all if absent.
+        /// Machines to separate them from; every other machine if absent.
         from: Option<Target>,
-        /// Which packets vanish.
+        /// Direction in which packets are dropped.
         direction: PartitionDirection,
-        /// For how long.
+        /// Duration of the partition.
         length: Duration,
     },
-    /// Every connection of the machine to other machines is reset.
+    /// Resets every connection of the target's machines to other machines.
     Reset {
-        /// The machine.
+        /// Machines whose connections are reset.
         target: Target,
     },
-    /// The disk misbehaves for a while.
+    /// Makes the disks of control nodes faulty.
     Disk {
-        /// The control node.
+        /// Control nodes whose disks are affected.
         target: Target,
-        /// How it misbehaves.
+        /// Kind of disk fault.
         fault: DiskFault,
-        /// For how long.
+        /// Duration of the fault.
         length: Duration,
     },
-    /// The monotonic clock jumps ahead.
+    /// Moves monotonic clocks ahead.
     ClockJump {
-        /// Whose clock.
+        /// Processes whose clocks jump.
         target: Target,
-        /// By how much.
+        /// Length of the jump.
         by: Duration,
     },
-    /// The monotonic clock runs fast or slow from now on.
+    /// Makes monotonic clocks run fast or slow until the end of the run.
     ClockDrift {
-        /// Whose clock.
+        /// Processes whose clocks drift.
         target: Target,
-        /// Parts per million; below 0 is slow.
+        /// Drift in parts per million; negative is slow.
         ppm: i32,
     },
-    /// The registry declares a backend draining; it shuts down later and a new one starts.
+    /// Marks backends as draining in the registry. They shut down later; their replacements start at once.
     Retire {
-        /// The backend.
+        /// Backends to retire.
         target: Target,
     },
-    /// Answers of all backends go wrong now and then, for a while.
+    /// Makes a share of all backends' answers faulty.
     Answers {
-        /// How they go wrong.
+        /// Kind of answer fault.
         fault: AnswerFault,
-        /// For how long.
+        /// Duration of the fault.
         length: Duration,
     },
-    /// The registry's published list does not change for a while.
+    /// Keeps the registry's published list from changing.
     FrozenRegistry {
-        /// For how long.
+        /// Duration of the fault.
         length: Duration,
     },
-    /// Two operators send different orders on the same base, to different nodes.
+    /// Makes two operators send different orders on the same base revision.
     Race,
-    /// Replies to operators are lost for a while; they send the same order to another node.
+    /// Loses a share of the replies to operators, who then send the same order to another node.
     LostReplies {
-        /// For how long.
+        /// Duration of the fault.
         length: Duration,
     },
-    /// An operator revokes a tenant's key.
+    /// Makes an operator revoke the keys of one tenant.
     Revoke,
-    /// Callers send this many times as much for a while.
+    /// Multiplies the rate of all callers.
     Burst {
-        /// Factor on the rates.
+        /// Factor on the request rates.
         times: u32,
-        /// For how long.
+        /// Duration of the burst.
         length: Duration,
     },
-    /// One tenant sends nearly everything for a while.
+    /// Makes one tenant send most requests.
     HotTenant {
-        /// For how long.
+        /// Duration of the fault.
         length: Duration,
     },
-    /// Restarts one after the other.
+    /// Restarts every machine of a kind, one after the other.
     Roll {
-        /// What is restarted.
+        /// Kind of machine to restart.
         kind: RollKind,
     },
-    /// Operators send orders one after the other, as fast as they are acknowledged.
+    /// Makes operators send orders in sequence, each as soon as the one before is accepted.
     Orders {
-        /// How many.
+        /// Number of orders.
         count: u32,
     },
 }
 
-/// A fault at a time.
+/// A fault with its start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TimedFault {
     /// Time from the start of the run.
     pub at: Duration,
-    /// What happens.
+    /// Fault that begins then.
     pub fault: Fault,
 }
--- a/crates/simulation/src/scenario/fault_parser.rs
+++ b/crates/simulation/src/scenario/fault_parser.rs
@@ -1,4 +1,4 @@
-//! Parses one fault from the tokens after `at TIME`.
+//! Parser of one fault: the tokens after `at TIME`.
 
 use std::time::Duration;
 
@@ -9,17 +9,17 @@
 use crate::scenario::target::{Choice, Target, TargetKind};
 use crate::scenario::tokens::Tokens;
 
-/// How long a process stays down when the file names no time.
+/// Time that a process stays down if the statement has no `for`.
 const DEFAULT_DOWN: Duration = Duration::from_secs(2);
 
-/// Whether a target keyword names one of its kind or all.
+/// Whether a target keyword selects one machine of its kind or all.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Count {
     One,
     All,
 }
 
-/// Parses the fault; the caller checks that nothing follows.
+/// Parses a fault; the caller checks that no token follows.
 pub(crate) fn parse_fault(tokens: &mut Tokens<'_>) -> Result<Fault, StatementError> {
     match tokens.next("a fault")? {
         "race" => Ok(Fault::Race),
@@ -44,7 +44,7 @@
     }
 }
 
-/// Parses a fault that strikes a target.
+/// Parses a fault that has a target.
 fn parse_target_fault(keyword: &str, tokens: &mut Tokens<'_>) -> Result<Fault, StatementError> {
     match keyword {
         "kill" => Ok(Fault::Kill {
@@ -86,7 +86,7 @@
             choice: Choice::All,
         });
     }
-    let choice = match tokens.next("which one")? {
+    let choice = match tokens.next("a number, any or leader")? {
         "any" => Choice::Any,
         "leader" if kind == TargetKind::ControlNode => Choice::Leader,
         number => {
@@ -102,7 +102,7 @@
     Ok(Target { kind, choice })
 }
 
-/// The scenario files' keywords for machines and processes.
+/// Returns what a keyword for machines or processes selects.
 fn target_kind(keyword: &str) -> Option<(TargetKind, Count)> {
     Some(match keyword {
         "core" => (TargetKind::ControlNode, Count::One),
@@ -192,7 +192,7 @@
 }
 
 fn parse_roll(tokens: &mut Tokens<'_>) -> Result<Fault, StatementError> {
-    let kind = match tokens.next("what to roll")? {
+    let kind = match tokens.next("a kind of machine to restart")? {
         "cores" => RollKind::ControlNodes,
         "fronts" => RollKind::ProxyNodes,
         "models" => RollKind::Models,
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! Scenarios: small text files with a topology, a workload, timed faults and expectations.
+//! Scenarios: text files with a topology, a workload, faults and expectations.
 
 pub mod answer_fault;
 pub mod definition;
--- a/crates/simulation/src/scenario/parse_error.rs
+++ b/crates/simulation/src/scenario/parse_error.rs
@@ -1,32 +1,32 @@
-//! Errors of scenario files.
+//! Syntax errors of scenario files.
 
 use std::num::ParseIntError;
 
 use thiserror::Error;
 
-/// Why a scenario file cannot be parsed, with the line that is wrong.
+/// Syntax error of a scenario file, with its line.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("line {line}: {source}")]
 pub struct ParseError {
     /// Line number, from 1.
     pub line: usize,
-    /// What is wrong with the line.
+    /// Error in the statement of that line.
     pub source: StatementError,
 }
 
-/// Why a statement of a scenario file cannot be parsed.
+/// Syntax error in a statement of a scenario file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StatementError {
-    /// The line ends too early.
+    /// The line ends before the statement is complete.
     #[error("{expected} is missing")]
     Missing {
-        /// What should follow.
+        /// Description of the token that should follow.
         expected: &'static str,
     },
-    /// Another token is found where a keyword is due.
+    /// The statement requires a keyword, but another token follows.
     #[error("expected {expected:?}, found {found:?}")]
     UnexpectedToken {
-        /// The keyword.
+        /// Required keyword.
         expected: &'static str,
         /// The token of the file.
         found: String,
@@ -37,69 +37,69 @@
         /// The token of the file.
         found: String,
     },
-    /// Something follows a complete statement.
-    #[error("unexpected {found:?}")]
+    /// A token follows a complete statement.
+    #[error("unexpected {found:?} after the statement")]
     TrailingToken {
         /// The token of the file.
         found: String,
     },
-    /// A number lacks its unit.
+    /// A number does not end with its unit.
     #[error("{found:?} must end with {suffix:?}")]
     MissingSuffix {
         /// The token of the file.
         found: String,
-        /// The unit.
+        /// Unit that must follow the number.
         suffix: &'static str,
     },
-    /// A token should be a number of the right size.
-    #[error("{found:?} is not a number")]
+    /// A token is not an integer, or is out of range.
+    #[error("{found:?} is not an integer in the allowed range")]
     InvalidNumber {
         /// The token of the file.
         found: String,
-        /// Why it is none.
+        /// Error of the integer parser.
         source: ParseIntError,
     },
-    /// A target is named neither by number nor by keyword.
+    /// The selector after a target keyword is neither a number nor `any` nor `leader`.
     #[error("{found:?} is not a number, any or leader")]
     InvalidChoice {
         /// The token of the file.
         found: String,
-        /// Why it is no number.
+        /// Error of the integer parser.
         source: ParseIntError,
     },
-    /// A token should be a length of time.
-    #[error("{found:?} is not a length of time")]
+    /// A token is not a duration in `ms` or `s`.
+    #[error("{found:?} is not a duration in ms or s")]
     InvalidDuration {
         /// The token of the file.
         found: String,
     },
-    /// A token is none of the keywords of its kind.
+    /// A token is not one of the keywords that are allowed there.
     #[error("unknown {kind} {found:?}")]
     UnknownKeyword {
-        /// Kind of keyword.
+        /// What the keyword should name.
         kind: &'static str,
         /// The token of the file.
         found: String,
     },
-    /// A rolling restart names something that cannot be restarted one by one.
-    #[error("cannot roll {found:?}")]
+    /// `roll` names something other than `cores`, `fronts` or `models`.
+    #[error("rolling restart of {found:?} is not supported; expected cores, fronts or models")]
     InvalidRoll {
         /// The token of the file.
         found: String,
     },
     /// The end of a draw is not after its start.
-    #[error("the draw ends before it starts")]
+    #[error("the end of the draw must be after its start")]
     EmptyDraw,
     /// The file has no `scenario` statement.
-    #[error("the scenario has no name")]
+    #[error("the file has no `scenario` statement")]
     NoName,
     /// The file has no `site` statement.
-    #[error("the scenario names no site")]
+    #[error("the file has no `site` statement")]
     NoSite,
 }
 
 impl StatementError {
-    /// A token that is none of the keywords of its kind.
+    /// Returns [`StatementError::UnknownKeyword`].
     pub(crate) fn unknown(kind: &'static str, found: &str) -> Self {
         Self::UnknownKeyword {
             kind,
--- a/crates/simulation/src/scenario/parser.rs
+++ b/crates/simulation/src/scenario/parser.rs
@@ -1,4 +1,4 @@
-//! Parses a scenario file. The crate's README describes the format.
+//! Parser of scenario files. The crate's README describes the format.
 
 use std::time::Duration;
 
@@ -19,8 +19,8 @@
     /// Parses the text of a scenario file.
     ///
     /// # Errors
-    /// [`ParseError`] names the first line that is no statement; a file without a name or a site
-    /// counts as wrong in its first line.
+    /// [`ParseError`] with the first line that is not a valid statement. A missing `scenario` or `site`
+    /// statement is reported for line 1.
     pub fn parse(text: &str) -> Result<Scenario, ParseError> {
         let mut scenario = Scenario {
             name: String::new(),
@@ -131,9 +131,9 @@
     }
     let mut classes = Vec::new();
     if tokens.take("over") {
-        for keyword in tokens.next("classes of faults")?.split(',') {
+        for keyword in tokens.next("a list of fault classes")?.split(',') {
             let class = FaultClass::from_keyword(keyword)
-                .ok_or_else(|| StatementError::unknown("class of faults", keyword))?;
+                .ok_or_else(|| StatementError::unknown("fault class", keyword))?;
             classes.push(class);
         }
     } else {
--- a/crates/simulation/src/scenario/target.rs
+++ b/crates/simulation/src/scenario/target.rs
@@ -1,11 +1,11 @@
-//! What a fault strikes.
+//! Selection of the machines or processes that a fault affects.
 
 /// Kind of machine or process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetKind {
-    /// A control node and its control node.
+    /// A control node.
     ControlNode,
-    /// A proxy node: agent and proxy.
+    /// A proxy node, with its agent and its proxy.
     ProxyNode,
     /// The agent of a proxy node.
     Agent,
@@ -17,16 +17,16 @@
     Lookup,
 }
 
-/// Which of a kind.
+/// Selection among the machines or processes of a kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// The one with this number, from 1.
+    /// The machine or process with this number, from 1. Backends are counted among those not retired.
     Number(u16),
-    /// One drawn by the seed when the fault comes.
+    /// One that is drawn at random when the fault begins.
     Any,
-    /// The control node that leads the configuration shard when the fault comes.
+    /// The control node that leads the configuration shard when the fault begins.
     Leader,
-    /// Every one.
+    /// All of the kind.
     All,
 }
 
@@ -35,12 +35,12 @@
 pub struct Target {
     /// Kind of machine or process.
     pub kind: TargetKind,
-    /// Which of the kind.
+    /// Selection among the kind.
     pub choice: Choice,
 }
 
 impl Target {
-    /// The one of a kind with this number, from 1.
+    /// Selects the machine or process of a kind with this number, from 1.
     #[must_use]
     pub fn number(kind: TargetKind, number: u16) -> Self {
         Self {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Every one of a kind.
+    /// Selects all of a kind.
     #[must_use]
     pub fn all(kind: TargetKind) -> Self {
         Self {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// One of a kind, drawn by the seed.
+    /// Selects one of a kind at random.
     #[must_use]
     pub fn any(kind: TargetKind) -> Self {
         Self {
--- a/crates/simulation/src/scenario/tokens.rs
+++ b/crates/simulation/src/scenario/tokens.rs
@@ -1,4 +1,4 @@
-//! The tokens of one line of a scenario file.
+//! Tokenizer of one line of a scenario file.
 
 use std::iter::Peekable;
 use std::num::ParseIntError;
@@ -9,20 +9,20 @@
 
 const MILLIS_PER_SECOND: u64 = 1000;
 
-/// Reads a line token by token.
+/// Reads a line token by token; tokens are separated by white space.
 pub(crate) struct Tokens<'line> {
     tokens: Peekable<SplitWhitespace<'line>>,
 }
 
 impl<'line> Tokens<'line> {
-    /// The tokens of `line`.
+    /// Creates a reader at the start of `line`.
     pub(crate) fn new(line: &'line str) -> Self {
         Self {
             tokens: line.split_whitespace().peekable(),
         }
     }
 
-    /// The next token, which must exist; `expected` names it in the error.
+    /// Takes the next token, which must exist; `expected` describes it in the error.
     pub(crate) fn next(&mut self, expected: &'static str) -> Result<&'line str, StatementError> {
         self.tokens
             .next()
@@ -34,7 +34,7 @@
         self.tokens.next_if(|next| *next == keyword).is_some()
     }
 
-    /// The next token must be `keyword`.
+    /// Takes the next token, which must be `keyword`.
     pub(crate) fn expect(&mut self, keyword: &'static str) -> Result<(), StatementError> {
         let found = self.next(keyword)?;
         if found == keyword {
@@ -46,7 +46,7 @@
         })
     }
 
-    /// An integer.
+    /// Takes an integer.
     pub(crate) fn number<N>(&mut self) -> Result<N, StatementError>
     where
         N: FromStr<Err = ParseIntError>,
@@ -54,7 +54,7 @@
         self.number_with_suffix("")
     }
 
-    /// An integer that `suffix` must follow directly.
+    /// Takes an integer that is directly followed by `suffix`.
     pub(crate) fn number_with_suffix<N>(
         &mut self,
         suffix: &'static str,
@@ -78,21 +78,21 @@
             })
     }
 
-    /// A length of time such as `250ms` or `3s`.
+    /// Takes a duration such as `250ms` or `3s`.
     pub(crate) fn duration(&mut self) -> Result<Duration, StatementError> {
-        let token = self.next("a length of time")?;
+        let token = self.next("a duration")?;
         parse_duration(token).ok_or_else(|| StatementError::InvalidDuration {
             found: token.to_owned(),
         })
     }
 
-    /// `for` and a length of time.
+    /// Takes `for` and a duration.
     pub(crate) fn length(&mut self) -> Result<Duration, StatementError> {
         self.expect("for")?;
         self.duration()
     }
 
-    /// `for` and a length of time if present, else `default`.
+    /// Takes `for` and a duration if the next token is `for`; else returns `default`.
     pub(crate) fn length_or(&mut self, default: Duration) -> Result<Duration, StatementError> {
         if self.take("for") {
             return self.duration();
@@ -100,7 +100,7 @@
         Ok(default)
     }
 
-    /// Nothing may follow.
+    /// Checks that no token is left.
     pub(crate) fn end(mut self) -> Result<(), StatementError> {
         match self.tokens.next() {
             None => Ok(()),
--- a/crates/simulation/src/scenario/topology.rs
+++ b/crates/simulation/src/scenario/topology.rs
@@ -1,4 +1,4 @@
-//! Machines of a site.
+//! Number of machines and tenants of a simulated site.
 
 /// Numbers of machines and tenants of a site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -13,12 +13,12 @@
     pub models: u16,
     /// Lookup backends.
     pub lookups: u16,
-    /// Tenants; the first ones dominate.
+    /// Tenants; the first two send most of the requests.
     pub tenants: u16,
 }
 
 impl Topology {
-    /// The site in Iceland.
+    /// The site of scenarios with `site reykjavik`.
     pub const REYKJAVIK: Topology = Topology {
         proxy_nodes: 8,
         zones: 4,
@@ -28,7 +28,7 @@
         tenants: 5,
     };
 
-    /// The site in Senegal.
+    /// The site of scenarios with `site dakar`.
     pub const DAKAR: Topology = Topology {
         proxy_nodes: 6,
         zones: 4,
@@ -38,7 +38,7 @@
         tenants: 5,
     };
 
-    /// A site for scenarios about one mechanism.
+    /// A small site for scenarios that test a single mechanism (`site small`).
     pub const SMALL: Topology = Topology {
         proxy_nodes: 2,
         zones: 2,
@@ -48,7 +48,7 @@
         tenants: 3,
     };
 
-    /// The site with this name.
+    /// Returns the site that a keyword of the scenario files stands for.
     #[must_use]
     pub fn from_keyword(token: &str) -> Option<Self> {
         Some(match token {
--- a/crates/simulation/src/scenario/workload.rs
+++ b/crates/simulation/src/scenario/workload.rs
@@ -1,25 +1,25 @@
-//! What callers and operators send.
+//! Traffic of callers and operators.
 
 use std::time::Duration;
 
-/// Rates and shares of the callers' traffic.
+/// Rates and shares of the traffic of callers and operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Workload {
-    /// Model requests a second, over all proxy nodes.
+    /// Model requests per second, over all proxy nodes.
     pub requests_per_second: u32,
-    /// Lookups a second.
+    /// Lookups per second, over all proxy nodes.
     pub lookups_per_second: u32,
-    /// Of a hundred model requests, how many carry an idempotency key and may not be repeated.
+    /// Share of model requests that are not repeatable and carry an idempotency key, in percent.
     pub keyed_percent: u32,
-    /// Of a hundred model requests, how many may not be repeated and carry no key.
+    /// Share of model requests that are not repeatable and carry no idempotency key, in percent.
     pub unkeyed_percent: u32,
-    /// Of a hundred requests that failed or were refused, how many are sent again.
+    /// Probability that a caller sends a failed or refused request again, in percent.
     pub resend_percent: u32,
-    /// Time between two orders; zero for none.
+    /// Time between two orders of operators; zero for no further order after the first.
     pub order_every: Duration,
-    /// Requests a second in each tenant's quota.
+    /// Rate of each tenant's quota, in requests per second.
     pub quota_per_second: u32,
-    /// Requests that a tenant may send at once.
+    /// Burst of each tenant's quota, in requests.
     pub quota_burst: u32,
 }
 
