--- a/crates/simulation/src/checkers/adoption.rs
+++ b/crates/simulation/src/checkers/adoption.rs
@@ -5,10 +5,10 @@
 
 use millford_core::MonotonicTime;
 
+use crate::checkers::check_results::CheckResults;
 use crate::checkers::checker::Checker;
 use crate::checkers::connectivity_table::ConnectivityTable;
 use crate::checkers::guarantee::Guarantee;
-use crate::checkers::verdict::Verdict;
 use crate::history::{OrderAnswer, ProxyNodeNumber, Record};
 use crate::scenario::Figure;
 
@@ -36,9 +36,9 @@
 }
 
 impl Checker for AdoptionChecker {
-    fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
+    fn observe(&mut self, at: MonotonicTime, record: &Record, results: &mut CheckResults) {
         // Checked before the record is applied, since the connectivity until now decides what is overdue.
-        self.check_overdue(at, verdict);
+        self.check_overdue(at, results);
         self.connectivity.observe(at, record);
         match record {
             Record::OrderAnswered {
@@ -54,7 +54,7 @@
                 proxy_node,
                 revision,
             } => {
-                self.measure(at, *proxy_node, *revision, verdict);
+                self.measure(at, *proxy_node, *revision, results);
                 self.applied.insert(*proxy_node, *revision);
             }
             _ => {}
@@ -75,7 +75,7 @@
         })
     }
 
-    fn check_overdue(&mut self, at: MonotonicTime, verdict: &mut Verdict) {
+    fn check_overdue(&mut self, at: MonotonicTime, results: &mut CheckResults) {
         let proxy_nodes: Vec<ProxyNodeNumber> = self.connectivity.proxy_nodes().collect();
         for proxy_node in proxy_nodes {
             let Some(PendingRevision { revision, since }) = self.pending(proxy_node) else {
@@ -91,7 +91,7 @@
                 "{proxy_node:?} is connected but still routes by revision {applied}, 2 s after \
                  revision {revision} was acknowledged"
             );
-            verdict.record_violation(at, Guarantee::Adoption, text);
+            results.record_violation(at, Guarantee::Adoption, text);
         }
     }
 
@@ -100,13 +100,13 @@
         at: MonotonicTime,
         proxy_node: ProxyNodeNumber,
         revision: u64,
-        verdict: &mut Verdict,
+        results: &mut CheckResults,
     ) {
         let Some(pending) = self.pending(proxy_node) else {
             return;
         };
         if revision >= pending.revision {
-            verdict
+            results
                 .figures
                 .raise_duration(Figure::Adoption, at.since(pending.since));
         }
--- a/crates/simulation/src/checkers/answer_identity.rs
+++ b/crates/simulation/src/checkers/answer_identity.rs
@@ -2,10 +2,10 @@
 
 use millford_core::MonotonicTime;
 
+use crate::checkers::check_results::CheckResults;
 use crate::checkers::checker::Checker;
 use crate::checkers::guarantee::Guarantee;
 use crate::checkers::request_table::RequestTable;
-use crate::checkers::verdict::Verdict;
 use crate::history::Record;
 
 /// Compares the content of each chunk with the content that its caller requested.
@@ -15,7 +15,7 @@
 }
 
 impl Checker for AnswerIdentityChecker {
-    fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
+    fn observe(&mut self, at: MonotonicTime, record: &Record, results: &mut CheckResults) {
         self.requests.observe(record);
         let Record::ChunkReceived {
             client_request,
@@ -32,7 +32,7 @@
                 "{client_request:?} requested {:?} but received {chunk:?}",
                 sent.content
             );
-            verdict.record_violation(at, Guarantee::AnswerIdentity, text);
+            results.record_violation(at, Guarantee::AnswerIdentity, text);
         }
     }
 }
--- a/crates/simulation/src/checkers/at_most_once.rs
+++ b/crates/simulation/src/checkers/at_most_once.rs
@@ -4,10 +4,10 @@
 
 use millford_core::MonotonicTime;
 
+use crate::checkers::check_results::CheckResults;
 use crate::checkers::checker::Checker;
 use crate::checkers::guarantee::Guarantee;
 use crate::checkers::request_table::RequestTable;
-use crate::checkers::verdict::Verdict;
 use crate::history::{AttemptNumber, ContentNumber, Record, Repeatability};
 
 /// Finds second runs of the same content, unless the request is repeatable.
@@ -18,7 +18,7 @@
 }
 
 impl Checker for AtMostOnceChecker {
-    fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
+    fn observe(&mut self, at: MonotonicTime, record: &Record, results: &mut CheckResults) {
         self.requests.observe(record);
         // Only starts at chunk 0 count: a resumed run is the same run.
         let Record::BackendStarted {
@@ -38,7 +38,7 @@
         }
         if let Some(first) = self.runs.insert(*content, *attempt) {
             let text = format!("{content:?} ran twice: as {first:?} and as {attempt:?}");
-            verdict.record_violation(at, Guarantee::AtMostOnce, text);
+            results.record_violation(at, Guarantee::AtMostOnce, text);
         }
     }
 }
--- a/crates/simulation/src/checkers/verdict.rs
+++ b/crates/simulation/src/checkers/check_results.rs
@@ -18,14 +18,14 @@
 
 /// Violations and measured figures of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Verdict {
+pub struct CheckResults {
     /// Violations in the order of their detection.
     pub violations: Vec<Violation>,
     /// Worst value of each measured figure.
     pub figures: Figures,
 }
 
-impl Verdict {
+impl CheckResults {
     /// Adds a violation that was detected at simulated time `at`.
     pub fn record_violation(&mut self, at: MonotonicTime, guarantee: Guarantee, text: String) {
         self.violations.push(Violation {
--- a/crates/simulation/src/checkers/panel.rs
+++ b/crates/simulation/src/checkers/checker_set.rs
@@ -5,6 +5,7 @@
 use crate::checkers::adoption::AdoptionChecker;
 use crate::checkers::answer_identity::AnswerIdentityChecker;
 use crate::checkers::at_most_once::AtMostOnceChecker;
+use crate::checkers::check_results::CheckResults;
 use crate::checkers::checker::Checker;
 use crate::checkers::complete_answers::CompleteAnswersChecker;
 use crate::checkers::drain::DrainChecker;
@@ -19,16 +20,15 @@
 use crate::checkers::second_sends::SecondSendsChecker;
 use crate::checkers::stream_continuity::StreamContinuityChecker;
 use crate::checkers::totals::TotalsChecker;
-use crate::checkers::verdict::Verdict;
 use crate::history::Record;
 
 /// One checker of each kind, with their common results.
-pub struct Checkers {
+pub struct CheckerSet {
     checkers: Vec<Box<dyn Checker>>,
-    verdict: Verdict,
+    results: CheckResults,
 }
 
-impl Default for Checkers {
+impl Default for CheckerSet {
     fn default() -> Self {
         let checkers: Vec<Box<dyn Checker>> = vec![
             Box::<AtMostOnceChecker>::default(),
@@ -50,30 +50,30 @@
         ];
         Self {
             checkers,
-            verdict: Verdict::default(),
+            results: CheckResults::default(),
         }
     }
 }
 
-impl Checkers {
+impl CheckerSet {
     /// Passes the next record to every checker.
     pub fn observe(&mut self, at: MonotonicTime, record: &Record) {
         for checker in &mut self.checkers {
-            checker.observe(at, record, &mut self.verdict);
+            checker.observe(at, record, &mut self.results);
         }
     }
 
     /// Ends the run and returns the results.
-    pub fn finish(&mut self, at: MonotonicTime) -> Verdict {
+    pub fn finish(&mut self, at: MonotonicTime) -> CheckResults {
         for checker in &mut self.checkers {
-            checker.finish(at, &mut self.verdict);
+            checker.finish(at, &mut self.results);
         }
-        std::mem::take(&mut self.verdict)
+        std::mem::take(&mut self.results)
     }
 
     /// Returns the results so far.
     #[must_use]
-    pub fn verdict(&self) -> &Verdict {
-        &self.verdict
+    pub fn results(&self) -> &CheckResults {
+        &self.results
     }
 }
--- a/crates/simulation/src/checkers/complete_answers.rs
+++ b/crates/simulation/src/checkers/complete_answers.rs
@@ -4,10 +4,10 @@
 
 use millford_core::MonotonicTime;
 
+use crate::checkers::check_results::CheckResults;
 use crate::checkers::checker::Checker;
 use crate::checkers::guarantee::Guarantee;
 use crate::checkers::request_table::RequestTable;
-use crate::checkers::verdict::Verdict;
 use crate::history::{ContentNumber, Record, RequestEnd, RequestNumber};
 
 /// Requires the last chunk and a completed run for every answer that its caller took as complete.
@@ -19,7 +19,7 @@
 }
 
 impl Checker for CompleteAnswersChecker {
-    fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
+    fn observe(&mut self, at: MonotonicTime, record: &Record, results: &mut CheckResults) {
         self.requests.observe(record);
         match record {
             Record::BackendFinished { content, .. } => {
@@ -36,17 +36,17 @@
                 client_request,
                 end: RequestEnd::Complete,
                 ..
-            } => self.check(at, *client_request, verdict),
+            } => self.check(at, *client_request, results),
             _ => {}
         }
     }
 }
 
 impl CompleteAnswersChecker {
-    fn check(&self, at: MonotonicTime, client_request: RequestNumber, verdict: &mut Verdict) {
+    fn check(&self, at: MonotonicTime, client_request: RequestNumber, results: &mut CheckResults) {
         if self.last_chunk_seen.get(&client_request) != Some(&true) {
             let text = format!("{client_request:?} ended as complete without its last chunk");
-            verdict.record_violation(at, Guarantee::CompleteAnswers, text);
+            results.record_violation(at, Guarantee::CompleteAnswers, text);
         }
         let Some(sent) = self.requests.get(client_request) else {
             return;
@@ -54,7 +54,7 @@
         if !self.finished.contains(&sent.content) {
             let text =
                 format!("{client_request:?} ended as complete, but no backend completed its run");
-            verdict.record_violation(at, Guarantee::CompleteAnswers, text);
+            results.record_violation(at, Guarantee::CompleteAnswers, text);
         }
     }
 }
--- a/crates/simulation/src/checkers/drain.rs
+++ b/crates/simulation/src/checkers/drain.rs
@@ -5,9 +5,9 @@
 
 use millford_core::MonotonicTime;
 
+use crate::checkers::check_results::CheckResults;
 use crate::checkers::checker::Checker;
 use crate::checkers::guarantee::Guarantee;
-use crate::checkers::verdict::Verdict;
 use crate::history::{BackendNumber, ProxyNodeNumber, Record};
 use crate::scenario::Figure;
 
@@ -24,7 +24,7 @@
 }
 
 impl Checker for DrainChecker {
-    fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
+    fn observe(&mut self, at: MonotonicTime, record: &Record, results: &mut CheckResults) {
         match record {
             Record::BackendUnavailable { backend } => {
                 self.unavailable_since.entry(*backend).or_insert(at);
@@ -46,12 +46,12 @@
                 };
                 let resumed = self.resumed.get(proxy_node).copied().unwrap_or_default();
                 let late = at.since((*since).max(resumed));
-                let millis = verdict.figures.raise_duration(Figure::Drain, late);
+                let millis = results.figures.raise_duration(Figure::Drain, late);
                 if late > LIMIT {
                     let text = format!(
                         "{proxy_node:?} sent {attempt:?} to {backend:?} {millis} ms after it became unavailable"
                     );
-                    verdict.record_violation(at, Guarantee::Drain, text);
+                    results.record_violation(at, Guarantee::Drain, text);
                 }
             }
             _ => {}
--- a/crates/simulation/src/checkers/durability.rs
+++ b/crates/simulation/src/checkers/durability.rs
@@ -4,9 +4,9 @@
 
 use millford_core::MonotonicTime;
 
+use crate::checkers::check_results::CheckResults;
 use crate::checkers::checker::Checker;
 use crate::checkers::guarantee::Guarantee;
-use crate::checkers::verdict::Verdict;
 use crate::history::{OrderAnswer, Record};
 
 /// Compares linearizable reads of the configuration with the acknowledged orders.
@@ -21,7 +21,7 @@
 }
 
 impl Checker for DurabilityChecker {
-    fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
+    fn observe(&mut self, at: MonotonicTime, record: &Record, results: &mut CheckResults) {
         match record {
             Record::OrderAnswered {
                 answer: OrderAnswer::Accepted { revision, .. },
@@ -36,17 +36,17 @@
                 sent,
             } => {
                 self.reads += 1;
-                self.check_age(at, *revision, *sent, verdict);
-                self.check_document(at, *revision, *digest, verdict);
+                self.check_age(at, *revision, *sent, results);
+                self.check_document(at, *revision, *digest, results);
             }
             _ => {}
         }
     }
 
-    fn finish(&mut self, at: MonotonicTime, verdict: &mut Verdict) {
+    fn finish(&mut self, at: MonotonicTime, results: &mut CheckResults) {
         if self.reads == 0 {
             let text = "no read of the configuration succeeded during the run".to_string();
-            verdict.record_violation(at, Guarantee::Durability, text);
+            results.record_violation(at, Guarantee::Durability, text);
         }
     }
 }
@@ -67,22 +67,28 @@
         at: MonotonicTime,
         revision: u64,
         sent: MonotonicTime,
-        verdict: &mut Verdict,
+        results: &mut CheckResults,
     ) {
         let floor = self.acknowledged_by(sent);
         if revision < floor {
             let text = format!(
                 "a read sent after revision {floor} was acknowledged returned revision {revision}"
             );
-            verdict.record_violation(at, Guarantee::Durability, text);
+            results.record_violation(at, Guarantee::Durability, text);
         }
     }
 
-    fn check_document(&self, at: MonotonicTime, revision: u64, digest: u64, verdict: &mut Verdict) {
+    fn check_document(
+        &self,
+        at: MonotonicTime,
+        revision: u64,
+        digest: u64,
+        results: &mut CheckResults,
+    ) {
         let expected = self.documents.get(&revision);
         if expected.is_some_and(|expected| *expected != digest) {
             let text = format!("a read of revision {revision} returned another document");
-            verdict.record_violation(at, Guarantee::Durability, text);
+            results.record_violation(at, Guarantee::Durability, text);
         }
     }
 }
--- a/crates/simulation/src/checkers/key_secrecy.rs
+++ b/crates/simulation/src/checkers/key_secrecy.rs
@@ -2,9 +2,9 @@
 
 use millford_core::MonotonicTime;
 
+use crate::checkers::check_results::CheckResults;
 use crate::checkers::checker::Checker;
 use crate::checkers::guarantee::Guarantee;
-use crate::checkers::verdict::Verdict;
 use crate::history::Record;
 
 /// Checks each request that reaches a backend.
@@ -12,7 +12,7 @@
 pub struct KeySecrecyChecker;
 
 impl Checker for KeySecrecyChecker {
-    fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
+    fn observe(&mut self, at: MonotonicTime, record: &Record, results: &mut CheckResults) {
         if let Record::BackendReceived {
             backend,
             attempt,
@@ -20,7 +20,7 @@
         } = record
         {
             let text = format!("{backend:?} received a tenant key in {attempt:?}");
-            verdict.record_violation(at, Guarantee::KeySecrecy, text);
+            results.record_violation(at, Guarantee::KeySecrecy, text);
         }
     }
 }
--- a/crates/simulation/src/checkers/not_run_truth.rs
+++ b/crates/simulation/src/checkers/not_run_truth.rs
@@ -4,10 +4,10 @@
 
 use millford_core::{MonotonicTime, RunState};
 
+use crate::checkers::check_results::CheckResults;
 use crate::checkers::checker::Checker;
 use crate::checkers::guarantee::Guarantee;
 use crate::checkers::request_table::RequestTable;
-use crate::checkers::verdict::Verdict;
 use crate::history::{Record, RequestEnd, RequestNumber};
 
 /// Compares "not run" refusals with the runs of backends, before and after the refusal.
@@ -19,7 +19,7 @@
 }
 
 impl Checker for NotRunTruthChecker {
-    fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
+    fn observe(&mut self, at: MonotonicTime, record: &Record, results: &mut CheckResults) {
         self.requests.observe(record);
         match record {
             Record::BackendStarted { attempt, .. } => {
@@ -35,7 +35,7 @@
                     let text = format!(
                         "{client_request:?} was refused as not run with code {code}, then ran"
                     );
-                    verdict.record_violation(at, Guarantee::NotRunTruth, text);
+                    results.record_violation(at, Guarantee::NotRunTruth, text);
                 }
             }
             Record::RequestEnded {
@@ -52,7 +52,7 @@
                     let text = format!(
                         "{client_request:?} ran, but was refused as not run with code {code}"
                     );
-                    verdict.record_violation(at, Guarantee::NotRunTruth, text);
+                    results.record_violation(at, Guarantee::NotRunTruth, text);
                 }
             }
             _ => {}
--- a/crates/simulation/src/checkers/one_winner.rs
+++ b/crates/simulation/src/checkers/one_winner.rs
@@ -5,9 +5,9 @@
 
 use millford_core::MonotonicTime;
 
+use crate::checkers::check_results::CheckResults;
 use crate::checkers::checker::Checker;
 use crate::checkers::guarantee::Guarantee;
-use crate::checkers::verdict::Verdict;
 use crate::history::{OrderAnswer, OrderNumber, Record};
 
 /// Compares the answers that operators received.
@@ -22,7 +22,7 @@
 }
 
 impl Checker for OneWinnerChecker {
-    fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
+    fn observe(&mut self, at: MonotonicTime, record: &Record, results: &mut CheckResults) {
         let Record::OrderAnswered {
             order,
             base,
@@ -37,7 +37,7 @@
             _ => None,
         };
         if let Some(text) = violation {
-            verdict.record_violation(at, Guarantee::OneWinner, text);
+            results.record_violation(at, Guarantee::OneWinner, text);
         }
     }
 }
--- a/crates/simulation/src/checkers/quota.rs
+++ b/crates/simulation/src/checkers/quota.rs
@@ -5,9 +5,9 @@
 
 use millford_core::{MonotonicTime, ResultCode};
 
+use crate::checkers::check_results::CheckResults;
 use crate::checkers::checker::Checker;
 use crate::checkers::guarantee::Guarantee;
-use crate::checkers::verdict::Verdict;
 use crate::history::{ProxyNodeNumber, Record, RequestEnd, RequestNumber};
 
 /// Tokens by which a bucket may be overdrawn, for rounding and the drift of the machines' clocks.
@@ -63,7 +63,7 @@
     admitted: ExactBucket,
     /// Charged for each arrival that it would admit. While it would refuse none, none may be refused.
     arrived: ExactBucket,
-    /// Time at which `arrived` last was at its limit; absent if it never was.
+    /// Time at which the tenant last was at or near its limit; absent if it never was.
     over_quota: Option<MonotonicTime>,
 }
 
@@ -96,7 +96,7 @@
 }
 
 impl Checker for QuotaChecker {
-    fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
+    fn observe(&mut self, at: MonotonicTime, record: &Record, results: &mut CheckResults) {
         if let Record::Admitted { client_request } | Record::RequestEnded { client_request, .. } =
             record
         {
@@ -114,7 +114,7 @@
             }
             Record::RequestArrived { client_request } => self.record_arrival(at, *client_request),
             Record::ProxyNodeResumed { proxy_node } => self.record_queued_arrivals(at, *proxy_node),
-            Record::Admitted { client_request } => self.admit(at, *client_request, verdict),
+            Record::Admitted { client_request } => self.admit(at, *client_request, results),
             Record::AdmissionReturned { client_request } => {
                 if let Some(buckets) = self.buckets(*client_request) {
                     buckets.admitted.add_tokens(at, 1.0);
@@ -128,7 +128,7 @@
                         ..
                     },
                 ..
-            } => self.check_refusal(at, *client_request, verdict),
+            } => self.check_refusal(at, *client_request, results),
             _ => {}
         }
     }
@@ -166,7 +166,12 @@
         }
     }
 
-    fn admit(&mut self, at: MonotonicTime, client_request: RequestNumber, verdict: &mut Verdict) {
+    fn admit(
+        &mut self,
+        at: MonotonicTime,
+        client_request: RequestNumber,
+        results: &mut CheckResults,
+    ) {
         let Some(buckets) = self.buckets(client_request) else {
             return;
         };
@@ -179,7 +184,7 @@
                 "admission of {client_request:?} exceeds its tenant's quota by {:.2} tokens",
                 -level
             );
-            verdict.record_violation(at, Guarantee::Quota, text);
+            results.record_violation(at, Guarantee::Quota, text);
         }
     }
 
@@ -187,14 +192,14 @@
         &mut self,
         at: MonotonicTime,
         client_request: RequestNumber,
-        verdict: &mut Verdict,
+        results: &mut CheckResults,
     ) {
         let Some(buckets) = self.buckets(client_request) else {
             return;
         };
         if buckets.is_under_quota(at) {
             let text = format!("{client_request:?} was refused, but its tenant is below its quota");
-            verdict.record_violation(at, Guarantee::Quota, text);
+            results.record_violation(at, Guarantee::Quota, text);
         }
     }
 }
--- a/crates/simulation/src/checkers/recovery.rs
+++ b/crates/simulation/src/checkers/recovery.rs
@@ -5,10 +5,10 @@
 
 use millford_core::{MonotonicTime, ResultCode};
 
+use crate::checkers::check_results::CheckResults;
 use crate::checkers::checker::Checker;
 use crate::checkers::connectivity_table::ConnectivityTable;
 use crate::checkers::guarantee::Guarantee;
-use crate::checkers::verdict::Verdict;
 use crate::history::{
     OrderAnswer, OrderNumber, ProxyNodeNumber, Record, RequestEnd, RequestNumber,
 };
@@ -53,8 +53,8 @@
 }
 
 impl Checker for RecoveryChecker {
-    fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
-        self.check_overdue(at, verdict);
+    fn observe(&mut self, at: MonotonicTime, record: &Record, results: &mut CheckResults) {
+        self.check_overdue(at, results);
         self.connectivity.observe(at, record);
         self.update_period();
         match record {
@@ -72,12 +72,12 @@
                 client_request,
                 end,
                 ..
-            } => self.request_ended(at, *client_request, *end, verdict),
+            } => self.request_ended(at, *client_request, *end, results),
             Record::OrderSent { order, .. } => {
                 self.orders.insert(*order, at);
             }
             Record::OrderAnswered { order, answer, .. } => {
-                self.order_answered(at, *order, *answer, verdict);
+                self.order_answered(at, *order, *answer, results);
             }
             _ => {}
         }
@@ -97,7 +97,7 @@
         self.reported = false;
     }
 
-    fn check_overdue(&mut self, at: MonotonicTime, verdict: &mut Verdict) {
+    fn check_overdue(&mut self, at: MonotonicTime, results: &mut CheckResults) {
         let Some(fault_free_since) = self.fault_free_since else {
             return;
         };
@@ -109,7 +109,7 @@
             if !self.served.contains(proxy_node) {
                 let text =
                     format!("{proxy_node:?} has completed no request 12 s after the last fault");
-                verdict.record_violation(at, Guarantee::Recovery, text);
+                results.record_violation(at, Guarantee::Recovery, text);
             }
         }
     }
@@ -119,7 +119,7 @@
         at: MonotonicTime,
         client_request: RequestNumber,
         end: RequestEnd,
-        verdict: &mut Verdict,
+        results: &mut CheckResults,
     ) {
         let Some(OpenRequest { proxy_node, sent }) = self.requests.remove(&client_request) else {
             return;
@@ -129,7 +129,7 @@
         };
         match end {
             RequestEnd::Complete if sent >= fault_free_since && self.served.insert(proxy_node) => {
-                verdict
+                results
                     .figures
                     .raise_duration(Figure::Recovery, at.since(fault_free_since));
             }
@@ -139,7 +139,7 @@
                 let text = format!(
                     "{proxy_node:?} refused {client_request:?} without an active fault: {code}"
                 );
-                verdict.record_violation(at, Guarantee::Recovery, text);
+                results.record_violation(at, Guarantee::Recovery, text);
             }
             _ => {}
         }
@@ -150,7 +150,7 @@
         at: MonotonicTime,
         order: OrderNumber,
         answer: OrderAnswer,
-        verdict: &mut Verdict,
+        results: &mut CheckResults,
     ) {
         let Some(sent) = self.orders.get(&order) else {
             return;
@@ -160,7 +160,7 @@
         };
         if answer == OrderAnswer::Undecided && *sent > fault_free_since + LIMIT {
             let text = format!("{order:?} was sent without an active fault but got no decision");
-            verdict.record_violation(at, Guarantee::Recovery, text);
+            results.record_violation(at, Guarantee::Recovery, text);
         }
     }
 }
--- a/crates/simulation/src/checkers/revision_order.rs
+++ b/crates/simulation/src/checkers/revision_order.rs
@@ -4,9 +4,9 @@
 
 use millford_core::MonotonicTime;
 
+use crate::checkers::check_results::CheckResults;
 use crate::checkers::checker::Checker;
 use crate::checkers::guarantee::Guarantee;
-use crate::checkers::verdict::Verdict;
 use crate::history::{ProxyNodeNumber, Record};
 
 /// Compares each applied revision with the newest one of the same proxy node.
@@ -17,7 +17,7 @@
 }
 
 impl Checker for RevisionOrderChecker {
-    fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
+    fn observe(&mut self, at: MonotonicTime, record: &Record, results: &mut CheckResults) {
         if let Record::RevisionApplied {
             proxy_node,
             revision,
@@ -26,7 +26,7 @@
             let applied = self.applied.entry(*proxy_node).or_default();
             if revision < applied {
                 let text = format!("{proxy_node:?} returned from revision {applied} to {revision}");
-                verdict.record_violation(at, Guarantee::RevisionOrder, text);
+                results.record_violation(at, Guarantee::RevisionOrder, text);
             }
             *applied = (*applied).max(*revision);
         }
--- a/crates/simulation/src/checkers/revocation.rs
+++ b/crates/simulation/src/checkers/revocation.rs
@@ -5,10 +5,10 @@
 
 use millford_core::MonotonicTime;
 
+use crate::checkers::check_results::CheckResults;
 use crate::checkers::checker::Checker;
 use crate::checkers::connectivity_table::ConnectivityTable;
 use crate::checkers::guarantee::Guarantee;
-use crate::checkers::verdict::Verdict;
 use crate::history::{Record, RequestNumber, RequestSent};
 use crate::scenario::Figure;
 
@@ -28,7 +28,7 @@
 }
 
 impl Checker for RevocationChecker {
-    fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
+    fn observe(&mut self, at: MonotonicTime, record: &Record, results: &mut CheckResults) {
         self.connectivity.observe(at, record);
         match record {
             Record::KeyRevoked { key, .. } => {
@@ -36,7 +36,7 @@
             }
             Record::RequestSent(sent) => self.record_sent(at, sent),
             Record::Admitted { client_request } | Record::Dispatched { client_request, .. } => {
-                self.check(at, *client_request, verdict);
+                self.check(at, *client_request, results);
             }
             _ => {}
         }
@@ -55,15 +55,20 @@
         self.age.insert(sent.client_request, at.since(since));
     }
 
-    fn check(&mut self, at: MonotonicTime, client_request: RequestNumber, verdict: &mut Verdict) {
+    fn check(
+        &mut self,
+        at: MonotonicTime,
+        client_request: RequestNumber,
+        results: &mut CheckResults,
+    ) {
         let Some(age) = self.age.get(&client_request) else {
             return;
         };
-        let millis = verdict.figures.raise_duration(Figure::Revocation, *age);
+        let millis = results.figures.raise_duration(Figure::Revocation, *age);
         if *age > LIMIT && self.reported.insert(client_request) {
             let text =
                 format!("{client_request:?} was accepted {millis} ms after its key was revoked");
-            verdict.record_violation(at, Guarantee::Revocation, text);
+            results.record_violation(at, Guarantee::Revocation, text);
         }
     }
 }
--- a/crates/simulation/src/checkers/second_sends.rs
+++ b/crates/simulation/src/checkers/second_sends.rs
@@ -2,9 +2,9 @@
 
 use millford_core::MonotonicTime;
 
+use crate::checkers::check_results::CheckResults;
 use crate::checkers::checker::Checker;
 use crate::checkers::guarantee::Guarantee;
-use crate::checkers::verdict::Verdict;
 use crate::history::Record;
 use crate::scenario::Figure;
 
@@ -21,7 +21,7 @@
 }
 
 impl Checker for SecondSendsChecker {
-    fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
+    fn observe(&mut self, at: MonotonicTime, record: &Record, results: &mut CheckResults) {
         let Record::Dispatched { second, .. } = record else {
             return;
         };
@@ -31,19 +31,19 @@
         }
         self.second += 1;
         let share = self.second * PERCENT / self.first.max(1);
-        verdict.figures.raise(Figure::SecondSends, share);
+        results.figures.raise(Figure::SecondSends, share);
         if self.second * MIN_FIRST_SENDS_PER_SECOND_SEND > self.first && !self.reported {
             self.reported = true;
             let text = format!(
                 "{} second sends for {} first sends",
                 self.second, self.first
             );
-            verdict.record_violation(at, Guarantee::SecondSends, text);
+            results.record_violation(at, Guarantee::SecondSends, text);
         }
     }
 
-    fn finish(&mut self, _at: MonotonicTime, verdict: &mut Verdict) {
+    fn finish(&mut self, _at: MonotonicTime, results: &mut CheckResults) {
         let share = self.second * PERCENT / self.first.max(1);
-        verdict.figures.raise(Figure::SecondSends, share);
+        results.figures.raise(Figure::SecondSends, share);
     }
 }
--- a/crates/simulation/src/checkers/stream_continuity.rs
+++ b/crates/simulation/src/checkers/stream_continuity.rs
@@ -5,10 +5,10 @@
 
 use millford_core::MonotonicTime;
 
+use crate::checkers::check_results::CheckResults;
 use crate::checkers::checker::Checker;
 use crate::checkers::guarantee::Guarantee;
 use crate::checkers::request_table::RequestTable;
-use crate::checkers::verdict::Verdict;
 use crate::history::{Chunk, Record, RequestNumber, ResumeRule};
 
 /// Checks each chunk against the one before, and each second attempt against the route.
@@ -19,19 +19,19 @@
 }
 
 impl Checker for StreamContinuityChecker {
-    fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
+    fn observe(&mut self, at: MonotonicTime, record: &Record, results: &mut CheckResults) {
         self.requests.observe(record);
         match record {
             Record::ChunkReceived {
                 client_request,
                 chunk,
-            } => self.check_chunk(at, *client_request, *chunk, verdict),
+            } => self.check_chunk(at, *client_request, *chunk, results),
             Record::Dispatched {
                 client_request,
                 second,
                 ..
             } if *second => {
-                self.check_move(at, *client_request, verdict);
+                self.check_move(at, *client_request, results);
             }
             _ => {}
         }
@@ -44,7 +44,7 @@
         at: MonotonicTime,
         client_request: RequestNumber,
         chunk: Chunk,
-        verdict: &mut Verdict,
+        results: &mut CheckResults,
     ) {
         let before = self.last_chunk.insert(client_request, chunk);
         let expected = before.map_or(0, |before| before.sequence + 1);
@@ -53,25 +53,30 @@
                 "{client_request:?} received chunk {} instead of {expected}",
                 chunk.sequence
             );
-            verdict.record_violation(at, Guarantee::StreamContinuity, text);
+            results.record_violation(at, Guarantee::StreamContinuity, text);
         }
         if let Some(before) = before
             && before.run != chunk.run
         {
             let text = format!("{client_request:?} received chunks of two runs");
-            verdict.record_violation(at, Guarantee::StreamContinuity, text);
+            results.record_violation(at, Guarantee::StreamContinuity, text);
         }
     }
 
     /// Checks a second attempt: after the first chunk it is allowed only if the route resumes runs.
-    fn check_move(&self, at: MonotonicTime, client_request: RequestNumber, verdict: &mut Verdict) {
+    fn check_move(
+        &self,
+        at: MonotonicTime,
+        client_request: RequestNumber,
+        results: &mut CheckResults,
+    ) {
         let sent = self.requests.get(client_request);
         let resume = sent.map(|sent| sent.resume);
         if self.last_chunk.contains_key(&client_request) && resume != Some(ResumeRule::Continue) {
             let text = format!(
                 "{client_request:?} moved after its first chunk, but its route does not resume runs"
             );
-            verdict.record_violation(at, Guarantee::StreamContinuity, text);
+            results.record_violation(at, Guarantee::StreamContinuity, text);
         }
     }
 }
--- a/crates/simulation/src/checkers/totals.rs
+++ b/crates/simulation/src/checkers/totals.rs
@@ -5,8 +5,8 @@
 
 use millford_core::MonotonicTime;
 
+use crate::checkers::check_results::CheckResults;
 use crate::checkers::checker::Checker;
-use crate::checkers::verdict::Verdict;
 use crate::history::{OrderAnswer, Record, RequestEnd};
 use crate::scenario::Figure;
 
@@ -21,7 +21,7 @@
 }
 
 impl Checker for TotalsChecker {
-    fn observe(&mut self, _at: MonotonicTime, record: &Record, _verdict: &mut Verdict) {
+    fn observe(&mut self, _at: MonotonicTime, record: &Record, _verdict: &mut CheckResults) {
         match record {
             Record::RequestSent(_) => self.requests += 1,
             Record::RequestEnded {
@@ -38,10 +38,10 @@
         }
     }
 
-    fn finish(&mut self, _at: MonotonicTime, verdict: &mut Verdict) {
+    fn finish(&mut self, _at: MonotonicTime, results: &mut CheckResults) {
         let served = self.complete * PERCENT / self.requests.max(1);
-        verdict.figures.lower(Figure::Served, served);
+        results.figures.lower(Figure::Served, served);
         let orders = self.revisions.len() as u64;
-        verdict.figures.lower(Figure::Orders, orders);
+        results.figures.lower(Figure::Orders, orders);
     }
 }
--- a/crates/simulation/src/command.rs
+++ b/crates/simulation/src/command.rs
@@ -105,7 +105,7 @@
         file.path.display(),
         report.seed
     );
-    let violations = &report.verdict.violations;
+    let violations = &report.results.violations;
     for violation in violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!(
             "    at {} ms, {:?}: {}",
--- a/crates/simulation/src/runner/summary.rs
+++ b/crates/simulation/src/runner/summary.rs
@@ -27,7 +27,7 @@
     /// Adds the results of a run.
     pub fn add(&mut self, report: RunReport) {
         self.seeds += 1;
-        self.figures.merge(&report.verdict.figures);
+        self.figures.merge(&report.results.figures);
         if !report.is_clean() {
             self.failed += 1;
             self.failures.push(report);
--- a/crates/simulation/src/scenario/definition.rs
+++ b/crates/simulation/src/scenario/definition.rs
@@ -14,7 +14,7 @@
     /// Name in reports; unique among the scenario files.
     pub name: String,
     /// Topologies to run on; if there are several, the seed selects one.
-    pub sites: Vec<Topology>,
+    pub topologies: Vec<Topology>,
     /// Length of the run in simulated time.
     pub duration: Duration,
     /// Number of seeds to run if the command line gives none.
@@ -32,9 +32,12 @@
 impl Scenario {
     /// Returns the topology that a seed runs on.
     #[must_use]
-    pub fn site(&self, seed: u64) -> Topology {
-        let sites = self.sites.len().max(1) as u64;
-        let index = usize::try_from(seed % sites).unwrap_or(0);
-        self.sites.get(index).copied().unwrap_or(Topology::SMALL)
+    pub fn topology(&self, seed: u64) -> Topology {
+        let topologies = self.topologies.len().max(1) as u64;
+        let index = usize::try_from(seed % topologies).unwrap_or(0);
+        self.topologies
+            .get(index)
+            .copied()
+            .unwrap_or(Topology::SMALL)
     }
 }
--- a/crates/simulation/src/scenario/parser.rs
+++ b/crates/simulation/src/scenario/parser.rs
@@ -24,7 +24,7 @@
     pub fn parse(text: &str) -> Result<Scenario, ParseError> {
         let mut scenario = Scenario {
             name: String::new(),
-            sites: Vec::new(),
+            topologies: Vec::new(),
             duration: DEFAULT_DURATION,
             seeds: DEFAULT_SEEDS,
             workload: Workload::default(),
@@ -49,7 +49,7 @@
     if scenario.name.is_empty() {
         return Err(StatementError::NoName);
     }
-    if scenario.sites.is_empty() {
+    if scenario.topologies.is_empty() {
         return Err(StatementError::NoSite);
     }
     Ok(())
@@ -62,7 +62,7 @@
     };
     match statement {
         "scenario" => scenario.name = tokens.next("the name")?.to_string(),
-        "site" => scenario.sites.push(parse_site(&mut tokens)?),
+        "site" => scenario.topologies.push(parse_site(&mut tokens)?),
         "duration" => scenario.duration = tokens.duration()?,
         "seeds" => scenario.seeds = tokens.number()?,
         "at" => {
--- a/crates/simulation/src/world/active_faults.rs
+++ b/crates/simulation/src/world/active_faults.rs
@@ -1,4 +1,4 @@
-//! Planned and active faults, and what they disturb.
+//! Planned and active faults, and the state that they leave on machines.
 
 use std::collections::BTreeMap;
 
@@ -7,95 +7,95 @@
 use crate::network::{MachineId, ProcessId};
 use crate::scenario::{AnswerFault, Fault};
 
-/// What happens when a fault ends.
+/// An action that reverts a part of a fault when it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Undo {
-    /// A process starts again.
+    /// Starts a process.
     Start(ProcessId),
-    /// A machine is back.
+    /// Marks a machine as up.
     MachineUp(MachineId),
-    /// A frozen process continues.
+    /// Resumes a frozen process.
     Thaw(ProcessId),
-    /// Packets pass again in one direction.
+    /// Ends a partition in one direction.
     Heal {
-        /// Machine that sends.
+        /// Sending machine.
         from: MachineId,
-        /// Machine that receives.
+        /// Receiving machine.
         to: MachineId,
     },
-    /// The disk of a control node is healthy again.
+    /// Makes the disk of a control node healthy.
     RestoreDisk {
-        /// Which control node.
+        /// Number of the control node.
         control_node: u16,
-        /// Whether its process must be restarted.
+        /// Whether the process of the control node is restarted.
         restart: bool,
     },
-    /// Answers are correct again.
+    /// Ends a fault in the answers of backends.
     CorrectAnswers(AnswerFault),
-    /// The registry's list changes again.
+    /// Ends a freeze of the registry's published list.
     UnfreezeRegistry,
-    /// Operators get their replies again.
+    /// Ends a loss of replies to operators.
     DeliverReplies,
-    /// A burst of this factor is over.
+    /// Ends a burst of this factor.
     EndBurst(u32),
-    /// One tenant no longer sends nearly everything.
+    /// Ends the dominance of one tenant.
     EndHotTenant,
 }
 
-/// An active fault.
+/// A fault that has begun and not ended.
 #[derive(Clone, Debug, Default)]
 pub struct ActiveFault {
-    /// What happens when it ends.
+    /// Actions that revert the fault when it ends, in order.
     pub undo: Vec<Undo>,
-    /// Machines that it disturbs.
+    /// Machines that the fault affects.
     pub machines: Vec<MachineId>,
 }
 
 /// All faults of a run.
 #[derive(Default)]
 pub struct ActiveFaults {
-    /// Planned faults by the number that events use.
+    /// Planned faults; an event refers to one by its index.
     planned: Vec<Fault>,
     active: BTreeMap<u32, ActiveFault>,
-    /// Until when the disk of a control node completes nothing.
+    /// End of the last disk fault, by control node; a stalled disk completes no sync before.
     stalls: BTreeMap<u16, MonotonicTime>,
-    /// Number of faults that hold a machine down.
+    /// Number of active faults that keep a machine down; no entry for 0.
     down: BTreeMap<MachineId, u32>,
     answers: Vec<AnswerFault>,
     last_active: u32,
 }
 
 impl ActiveFaults {
-    /// Plans a fault and returns its number.
+    /// Adds a planned fault and returns its number.
     pub fn plan(&mut self, fault: Fault) -> usize {
         self.planned.push(fault);
         self.planned.len() - 1
     }
 
-    /// The planned fault with this number.
+    /// Returns the planned fault with this number.
     #[must_use]
     pub fn planned(&self, number: usize) -> Option<&Fault> {
         self.planned.get(number)
     }
 
-    /// Begins a fault and returns its number among the active ones.
+    /// Adds an active fault and returns its number.
     pub fn begin(&mut self, fault: ActiveFault) -> u32 {
         self.last_active += 1;
         self.active.insert(self.last_active, fault);
         self.last_active
     }
 
-    /// Ends the active fault with this number.
+    /// Removes and returns the active fault with this number.
     pub fn end(&mut self, number: u32) -> Option<ActiveFault> {
         self.active.remove(&number)
     }
 
-    /// A machine is down, without a process that could refuse a connection.
+    /// Marks a machine as down: connection requests to it get no answer, not even a refusal.
     pub fn machine_down(&mut self, machine: MachineId) {
         *self.down.entry(machine).or_default() += 1;
     }
 
-    /// A machine is back.
+    /// Removes one mark of [`Self::machine_down`].
     pub fn machine_up(&mut self, machine: MachineId) {
         let Some(count) = self.down.get_mut(&machine) else {
             return;
@@ -106,36 +106,36 @@
         }
     }
 
-    /// Whether a machine is down.
+    /// Returns whether a machine is down.
     #[must_use]
     pub fn is_machine_down(&self, machine: MachineId) -> bool {
         self.down.contains_key(&machine)
     }
 
-    /// If the disk of a control node stalls, it does so until then.
+    /// Sets the time until which the disk of a control node completes no sync if it is stalled.
     pub fn stall_disk(&mut self, control_node: u16, until: MonotonicTime) {
         self.stalls.insert(control_node, until);
     }
 
-    /// Until when a stalled disk completes nothing.
+    /// Returns the time until which a stalled disk completes no sync.
     #[must_use]
     pub fn stalled_until(&self, control_node: u16) -> MonotonicTime {
         self.stalls.get(&control_node).copied().unwrap_or_default()
     }
 
-    /// Answers go wrong in this way from now on.
+    /// Activates a fault in the answers of backends.
     pub fn add_answer_fault(&mut self, fault: AnswerFault) {
         self.answers.push(fault);
     }
 
-    /// Answers no longer go wrong in this way.
+    /// Deactivates one fault of this kind in the answers of backends.
     pub fn remove_answer_fault(&mut self, fault: AnswerFault) {
         if let Some(index) = self.answers.iter().position(|it| *it == fault) {
             self.answers.remove(index);
         }
     }
 
-    /// Ways in which answers go wrong now.
+    /// Returns the active faults in the answers of backends.
     #[must_use]
     pub fn answer_faults(&self) -> &[AnswerFault] {
         &self.answers
--- a/crates/simulation/src/world/agent_driver.rs
+++ b/crates/simulation/src/world/agent_driver.rs
@@ -1,4 +1,4 @@
-//! Drives the agents: the part that is I/O in the daemon.
+//! Drives the agents; replaces the I/O of the agent daemon.
 
 use std::time::Duration;
 
@@ -9,18 +9,19 @@
 use crate::network::{LinkNumber, Packet, ProcessId};
 use crate::world::addresses::{agent_address, control_at, seed_addresses};
 use crate::world::process_input::ProcessInput;
-use crate::world::site::Site;
+use crate::world::simulation::Simulation;
 
-/// Longest and shortest time between two ticks.
+/// Longest time between two ticks.
 const MAX_TICK: Duration = Duration::from_millis(50);
+/// Shortest time between two ticks.
 const MIN_TICK: Duration = Duration::from_micros(500);
-/// Time that a read of the registry takes.
+/// Duration of a read of the registry.
 const REGISTRY_DELAY: Duration = Duration::from_millis(3);
-/// Time from a start to the first tick.
+/// Time from the start of an agent to its first tick.
 const START_TICK: Duration = Duration::from_millis(1);
 
-impl Site {
-    /// Starts the agent.
+impl Simulation {
+    /// Starts an agent with the control node addresses saved on its disk.
     pub(super) fn start_agent(&mut self, number: u16) {
         let process = ProcessId::Agent(number);
         let local = self.local_time(process);
@@ -51,19 +52,19 @@
         self.tick_after(process, incarnation, START_TICK);
     }
 
-    /// The agent died.
-    pub(super) fn agent_died(&mut self, number: u16) {
+    /// Handles the end of an agent's process.
+    pub(super) fn agent_exited(&mut self, number: u16) {
         if let Some(agent) = self.agents.get_mut(&number) {
             agent.forget_incarnation();
         }
         self.record_connectivity(number, false);
     }
 
-    /// Hands an input to an agent.
-    pub(super) fn agent_input(&mut self, number: u16, input: ProcessInput, waits: bool) {
+    /// Passes an input to an agent. A `blocked` agent is frozen or busy and only gets its next tick scheduled.
+    pub(super) fn agent_input(&mut self, number: u16, input: ProcessInput, blocked: bool) {
         let process = ProcessId::Agent(number);
         let is_tick = matches!(input, ProcessInput::Tick);
-        if is_tick && waits {
+        if is_tick && blocked {
             let incarnation = self.incarnation_of(process);
             self.tick_after(process, incarnation, MAX_TICK);
             return;
--- a/crates/simulation/src/world/agent_link_driver.rs
+++ b/crates/simulation/src/world/agent_link_driver.rs
@@ -1,4 +1,4 @@
-//! The proxies' links to their agents.
+//! Connections of the proxies to their agents.
 
 use std::time::Duration;
 
@@ -8,15 +8,15 @@
 use crate::history::{ProxyNodeNumber, Record};
 use crate::network::ProcessId;
 use crate::world::addresses::caller_address;
-use crate::world::defect::Defect;
+use crate::world::injected_defect::InjectedDefect;
 use crate::world::process_input::ProcessInput;
 use crate::world::proxy::{AgentLink, ProxyAction, ProxyProcess, lock};
-use crate::world::site::Site;
+use crate::world::simulation::Simulation;
 
-/// Time from the end of a connection to the next attempt.
+/// Time from the end of a connection until the proxy reconnects.
 const RECONNECT_AFTER: Duration = Duration::from_millis(50);
 
-impl Site {
+impl Simulation {
     /// Opens the connection of a proxy to its agent.
     pub(super) fn connect_to_agent(&mut self, number: u16) {
         let link = self.open_link(ProcessId::Proxy(number), ProcessId::Agent(number));
@@ -25,7 +25,8 @@
         }
     }
 
-    /// The connection is open: the proxy says who it is, what it applied and what is in flight.
+    /// Handles an open connection: the proxy sends its identity, the revision it has applied and its
+    /// in-flight requests.
     pub(super) fn send_hello(&mut self, number: u16) {
         let boot_id = self.incarnation_of(ProcessId::Proxy(number));
         let Some(proxy) = self.proxies.get_mut(&number) else {
@@ -43,7 +44,8 @@
         });
         let mut frames = vec![LocalFrame { body: Some(hello) }];
         frames.push(running.handler.applied_revision_frame());
-        // What tasks queued for the old connection is among the frames in flight, or out of date.
+        // Frames that tasks queued for the old connection are either in flight, and so sent below, or
+        // outdated.
         let mut port = lock(&running.port);
         port.actions
             .retain(|action| !matches!(action, ProxyAction::ToAgent(_)));
@@ -55,7 +57,7 @@
         }
     }
 
-    /// The connection ended: the proxy connects again after a moment.
+    /// Handles the end of the connection: the proxy reconnects after [`RECONNECT_AFTER`].
     pub(super) fn agent_disconnected(&mut self, number: u16) {
         let process = ProcessId::Proxy(number);
         let incarnation = self.incarnation_of(process);
@@ -66,9 +68,9 @@
         self.schedule_input(RECONNECT_AFTER, process, incarnation, input);
     }
 
-    /// A frame of the agent arrived.
+    /// Handles a frame from the agent.
     pub(super) fn local_frame(&mut self, number: u16, frame: LocalFrame) {
-        if self.holds_back(number, &frame) {
+        if self.drops_state_frame(number, &frame) {
             return;
         }
         let Some(proxy) = self.proxies.get_mut(&number) else {
@@ -99,21 +101,22 @@
         }
     }
 
-    /// A planted defect: the first proxy node applies no state after its first revision.
-    fn holds_back(&self, number: u16, frame: &LocalFrame) -> bool {
+    /// Injected defect: returns whether the first proxy node drops the frame, because it carries state and
+    /// the node has already applied a revision.
+    fn drops_state_frame(&self, number: u16, frame: &LocalFrame) -> bool {
         let proxy = self.proxies.get(&number);
         let has_revision = proxy.is_some_and(ProxyProcess::has_recorded_revision);
         let is_state = matches!(
             frame.body,
             Some(local_frame::Body::Snapshot(_) | local_frame::Body::Change(_))
         );
-        self.options.defect == Some(Defect::HoldsRevisions)
+        self.options.defect == Some(InjectedDefect::StaleRevision)
             && number == 1
             && has_revision
             && is_state
     }
 
-    /// Records the revision that a proxy routes by, if it changed.
+    /// Records the revision that a proxy routes by, if it has changed.
     pub(super) fn record_applied_revision(&mut self, number: u16) {
         let proxy = self.proxies.get_mut(&number);
         if let Some(revision) = proxy.and_then(ProxyProcess::take_applied_revision) {
@@ -125,20 +128,20 @@
     }
 }
 
-/// Key of the number of the configuration in force.
+/// Key of the state item that holds the current configuration revision.
 const CONFIG_HEAD_KEY: &str = "config/head";
 
-/// Whether the frame carries items of the configuration.
+/// Returns whether the frame belongs to the feed of the configuration shard.
 fn is_configuration(frame: &LocalFrame) -> bool {
     match &frame.body {
-        // An empty snapshot counts: it is where the changes after it begin.
+        // An empty snapshot counts too: later changes build on it.
         Some(local_frame::Body::Snapshot(snapshot)) => snapshot.shard == 0,
         Some(local_frame::Body::Change(change)) => change.shard == 0,
         _ => false,
     }
 }
 
-/// Whether the frame tells the number of a configuration.
+/// Returns whether the frame contains the current configuration revision.
 fn names_revision(frame: &LocalFrame) -> bool {
     let items = match &frame.body {
         Some(local_frame::Body::Snapshot(snapshot)) => &snapshot.items,
--- a/crates/simulation/src/world/agent_process.rs
+++ b/crates/simulation/src/world/agent_process.rs
@@ -1,4 +1,4 @@
-//! The agent of a proxy node.
+//! State of a simulated agent.
 
 use millford_agent::AgentCore;
 
@@ -8,22 +8,22 @@
 
 /// An agent and its connections.
 pub struct AgentProcess {
-    /// The process.
+    /// Process of the agent.
     pub process: ProcessState,
-    /// The agent while the process runs.
+    /// The agent's logic; absent while the process does not run.
     pub core: Option<AgentCore>,
-    /// The agent's numbers of its connections to control nodes.
+    /// Connections to control nodes, by the agent's own numbers.
     pub links: LinkNames<u64>,
-    /// Connection of the proxy.
+    /// Connection from the proxy, if there is one.
     pub proxy: Option<LinkNumber>,
-    /// Addresses of control nodes saved on disk.
+    /// Addresses of control nodes that the agent saved on its disk.
     pub saved_addresses: Vec<String>,
-    /// Whether the agent was connected as last recorded.
+    /// Last recorded connectivity to the control plane.
     recorded_connected: bool,
 }
 
 impl AgentProcess {
-    /// An agent that was not started yet.
+    /// Creates an agent that has not started.
     #[must_use]
     pub fn new(process: ProcessState) -> Self {
         Self {
@@ -36,12 +36,12 @@
         }
     }
 
-    /// Takes over whether the agent is connected. Returns whether that is a change to be recorded.
+    /// Updates the connectivity to the control plane. Returns whether it changed and must be recorded.
     pub fn update_connected(&mut self, connected: bool) -> bool {
         std::mem::replace(&mut self.recorded_connected, connected) != connected
     }
 
-    /// Forgets the agent and its connections.
+    /// Drops the agent's logic and its connections; the saved addresses are kept.
     pub fn forget_incarnation(&mut self) {
         self.core = None;
         self.links.clear();
--- a/crates/simulation/src/world/answer_driver.rs
+++ b/crates/simulation/src/world/answer_driver.rs
@@ -1,4 +1,4 @@
-//! Answers of simulated backends, right and wrong.
+//! Answers of simulated backends, correct and faulty.
 
 use bytes::Bytes;
 use millford_proxy::request::message::{AnswerHead, Framing};
@@ -7,22 +7,27 @@
 use crate::network::{HttpPacket, LinkNumber, ProcessId};
 use crate::scenario::AnswerFault;
 use crate::world::backend::{Answering, chunk_text};
-use crate::world::site::Site;
+use crate::world::simulation::Simulation;
 
 const OK: u16 = 200;
 
 /// Whether a stream continues.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum StreamProgress {
-    /// More is to be sent.
+    /// More chunks follow.
     Open,
-    /// Its connection is closed.
+    /// The stream ended and its connection is closed.
     Ended,
 }
 
-impl Site {
-    /// Sends the complete answer of a request that is no stream, right or wrong.
-    pub(super) fn answer_at_once(&mut self, number: u16, link: LinkNumber, work: &Answering) {
+impl Simulation {
+    /// Sends the answer to a request that does not stream, with the fault that was drawn for it.
+    pub(super) fn send_unstreamed_answer(
+        &mut self,
+        number: u16,
+        link: LinkNumber,
+        work: &Answering,
+    ) {
         self.finish_work(number, work);
         let process = ProcessId::Backend(number);
         if work.fault == Some(AnswerFault::Lost) {
@@ -59,7 +64,7 @@
         self.close_link(process, link);
     }
 
-    /// Sends one chunk of a stream, and its end after the last.
+    /// Sends the next chunk of a stream, and after the last one the end. Applies the fault that was drawn.
     pub(super) fn stream_step(
         &mut self,
         number: u16,
@@ -84,13 +89,13 @@
             work.next += 1;
         }
         if work.next < work.total {
-            return self.disturb_stream(number, link, work);
+            return self.apply_stream_fault(number, link, work);
         }
         self.end_stream(number, link, work);
         StreamProgress::Ended
     }
 
-    /// From here on the answer is another run's, with or without that run's attempt id.
+    /// Replaces the rest of the answer by that of another run, with or without the other attempt id.
     fn cross_streams(&mut self, work: &mut Answering) {
         let Some(other) = self.another_run(work.content) else {
             return;
@@ -103,8 +108,8 @@
         work.run_number = other.run_number;
     }
 
-    /// What goes wrong after half of the stream.
-    fn disturb_stream(
+    /// Applies the faults that take effect once half of the stream was sent.
+    fn apply_stream_fault(
         &mut self,
         number: u16,
         link: LinkNumber,
@@ -128,7 +133,7 @@
                 work.fault = None;
             }
             Some(AnswerFault::Skipped) => {
-                // Nobody can detect a last chunk that is left out before the end marker.
+                // The last chunk is never left out: without it, the end marker would hide the gap.
                 if self.random.random_bool(0.5) && work.next + 1 < work.total {
                     work.next += 1;
                 } else {
--- a/crates/simulation/src/world/backend/backend_process.rs
+++ b/crates/simulation/src/world/backend/backend_process.rs
@@ -1,4 +1,4 @@
-//! A backend and what it works on.
+//! State of a simulated backend.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,37 +10,37 @@
 use crate::world::backend::answering::Answering;
 use crate::world::process::ProcessState;
 
-/// What a backend serves.
+/// Kind of backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendKind {
-    /// Models.
+    /// Serves model requests.
     Model,
-    /// Lookups.
+    /// Serves lookups.
     Lookup,
 }
 
 /// A simulated backend.
 pub struct BackendProcess {
-    /// The process.
+    /// Process of the backend.
     pub process: ProcessState,
-    /// What it serves.
+    /// Kind of backend.
     pub kind: BackendKind,
-    /// Whether the platform retired it: it never comes back.
+    /// Whether the platform retired the backend for good.
     pub retired: bool,
-    /// When its present incarnation started.
+    /// Start of the present incarnation.
     started_at: MonotonicTime,
-    /// Work by connection.
+    /// Requests in progress, by connection.
     work: BTreeMap<LinkNumber, Answering>,
-    /// Attempts that may never run.
+    /// Ids of withdrawn attempts, which must not run.
     withdrawn: BTreeSet<String>,
-    /// Attempts that began to run.
+    /// Ids of the attempts that this incarnation started.
     started: BTreeSet<String>,
-    /// Attempts that ran to their end.
+    /// Ids of the attempts that this incarnation completed.
     finished: BTreeSet<String>,
 }
 
 impl BackendProcess {
-    /// A backend that was not started yet.
+    /// Creates a backend that has not started.
     #[must_use]
     pub fn new(process: ProcessState, kind: BackendKind) -> Self {
         Self {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Starts a new incarnation: it knows nothing of earlier attempts.
+    /// Starts a new incarnation, without any state of earlier attempts.
     pub fn start(&mut self, now: MonotonicTime) {
         self.started_at = now;
         self.work.clear();
@@ -64,12 +64,12 @@
         self.finished.clear();
     }
 
-    /// Drops all work, as the death of the process does.
+    /// Drops all requests in progress, as a crash does.
     pub fn drop_work(&mut self) {
         self.work.clear();
     }
 
-    /// Withdraws an attempt that is at most `age` old.
+    /// Withdraws an attempt that is at most `age` old. `now` is the simulated time.
     pub fn withdraw(
         &mut self,
         attempt: String,
@@ -79,12 +79,12 @@
         if self.finished.contains(&attempt) {
             return WithdrawAnswer::Finished;
         }
-        // A run that was broken off began all the same.
+        // An attempt that was aborted has run too, in part.
         if self.started.contains(&attempt) {
             return WithdrawAnswer::Running;
         }
         self.withdrawn.insert(attempt);
-        // Its former incarnation may have run an attempt older than itself.
+        // An earlier incarnation may have run an attempt that is older than this incarnation.
         if now.since(self.started_at) >= age {
             WithdrawAnswer::Withdrawn
         } else {
@@ -92,29 +92,29 @@
         }
     }
 
-    /// Whether an attempt may never run.
+    /// Returns whether an attempt is withdrawn and must not run.
     #[must_use]
     pub fn is_withdrawn(&self, attempt: &str) -> bool {
         self.withdrawn.contains(attempt)
     }
 
-    /// Begins to answer on a connection.
+    /// Starts to answer a request on a connection.
     pub fn start_work(&mut self, link: LinkNumber, work: Answering) {
         self.started.insert(work.attempt.clone());
         self.work.insert(link, work);
     }
 
-    /// Takes the work of a connection.
+    /// Removes and returns the request in progress on a connection.
     pub fn take_work(&mut self, link: LinkNumber) -> Option<Answering> {
         self.work.remove(&link)
     }
 
-    /// Puts work back that is not done.
+    /// Puts back a request that is not completed.
     pub fn continue_work(&mut self, link: LinkNumber, work: Answering) {
         self.work.insert(link, work);
     }
 
-    /// An attempt ran to its end.
+    /// Marks an attempt as completed.
     pub fn finish(&mut self, attempt: String) {
         self.finished.insert(attempt);
     }
--- a/crates/simulation/src/world/backend/chunk_text.rs
+++ b/crates/simulation/src/world/backend/chunk_text.rs
@@ -1,11 +1,11 @@
-//! The text of simulated chunks: it names content, run and sequence number, so that callers can check them.
+//! Text of simulated chunks. It contains content, run and sequence number, so that callers can check them.
 
 use crate::history::{Chunk, ContentNumber};
 
 const START: &str = "<<";
 const END: &str = ">>";
 
-/// Text of a chunk.
+/// Returns the text of a chunk.
 #[must_use]
 pub fn chunk_text(chunk: &Chunk) -> String {
     let last = u8::from(chunk.last);
@@ -15,7 +15,7 @@
     )
 }
 
-/// Chunks in a text.
+/// Parses the chunks in a text; other parts of the text are ignored.
 #[must_use]
 pub fn read_chunks(text: &str) -> Vec<Chunk> {
     let starts = text.split(START).skip(1);
--- a/crates/simulation/src/world/backend/mod.rs
+++ b/crates/simulation/src/world/backend/mod.rs
@@ -1,4 +1,4 @@
-//! Simulated backends: the message form of the backend protocol.
+//! Simulated backends, which answer messages of the backend protocol.
 
 pub mod answering;
 pub mod backend_process;
--- a/crates/simulation/src/world/backend/recent_runs.rs
+++ b/crates/simulation/src/world/backend/recent_runs.rs
@@ -1,4 +1,4 @@
-//! Runs that backends began recently, for crossed answers and stray chunks.
+//! Runs that backends started recently; the source of crossed answers and stray chunks.
 
 use std::collections::VecDeque;
 
@@ -8,17 +8,17 @@
 use crate::history::ContentNumber;
 use crate::world::backend::answering::Answering;
 
-/// Runs that are remembered.
+/// Largest number of runs kept.
 const CAPACITY: usize = 8;
 
-/// The newest runs of all backends.
+/// The latest runs of all backends, from oldest to newest.
 #[derive(Default)]
 pub struct RecentRuns {
     runs: VecDeque<Answering>,
 }
 
 impl RecentRuns {
-    /// Remembers a run that began.
+    /// Adds a run that started, and drops the oldest beyond [`CAPACITY`].
     pub fn push(&mut self, run: Answering) {
         self.runs.push_back(run);
         if self.runs.len() > CAPACITY {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Draws a run of another content.
+    /// Draws a run of another content; `None` if there is none.
     pub fn draw_other(&self, content: ContentNumber, random: &mut ChaCha8Rng) -> Option<Answering> {
         let others: Vec<&Answering> = self
             .runs
--- a/crates/simulation/src/world/backend/request_text.rs
+++ b/crates/simulation/src/world/backend/request_text.rs
@@ -1,4 +1,4 @@
-//! What a simulated backend reads in the text of a request.
+//! Parsing of requests by simulated backends.
 
 use millford_proxy::request::message::BackendRequest;
 
@@ -6,7 +6,7 @@
 use crate::world::backend::backend_process::BackendKind;
 use crate::world::client_request::KEY_PREFIX;
 
-/// Number of the content that a request names.
+/// Returns the number of the content that the body, or else the path, of a request contains.
 #[must_use]
 pub fn content_of(request: &BackendRequest) -> Option<ContentNumber> {
     let body = String::from_utf8_lossy(&request.body);
@@ -20,7 +20,7 @@
     digits.parse().ok().map(ContentNumber)
 }
 
-/// What the backend of a request serves: only lookups have no body.
+/// Returns the kind of backend that a request is for: only lookups have no body.
 #[must_use]
 pub fn kind_of(request: &BackendRequest) -> BackendKind {
     if request.body.is_empty() {
@@ -30,15 +30,15 @@
     }
 }
 
-/// Whether a body requests a stream.
+/// Returns whether a request body asks for a stream.
 #[must_use]
 pub fn is_stream(body: &[u8]) -> bool {
     String::from_utf8_lossy(body).contains("\"stream\":true")
 }
 
-/// Whether any part of a request holds a tenant key.
+/// Returns whether any text of a request contains a tenant key.
 #[must_use]
-pub fn holds_key(request: &BackendRequest) -> bool {
+pub fn contains_key(request: &BackendRequest) -> bool {
     let body = String::from_utf8_lossy(&request.body);
     let texts = [
         body.as_ref(),
--- a/crates/simulation/src/world/backend_driver.rs
+++ b/crates/simulation/src/world/backend_driver.rs
@@ -1,4 +1,4 @@
-//! Drives the simulated backends: requests, withdrawals, probes and the pace of answers.
+//! Drives the simulated backends: requests, withdrawals, probes and the timing of answers.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -11,31 +11,31 @@
 use crate::network::{HttpPacket, LinkNumber, Packet, ProcessId};
 use crate::scenario::AnswerFault;
 use crate::world::answer_driver::StreamProgress;
-use crate::world::backend::request_text::{content_of, holds_key, is_stream};
+use crate::world::backend::request_text::{contains_key, content_of, is_stream};
 use crate::world::backend::{Answering, BackendKind, BackendProcess, attempt_number, run_number};
 use crate::world::process_input::ProcessInput;
-use crate::world::site::Site;
+use crate::world::simulation::Simulation;
 
-/// Time until the first chunk of a model's answer, in microseconds.
+/// Range of the time to the first chunk of a model's answer, in microseconds.
 const FIRST_CHUNK_MICROS: Range<u64> = 40_000..400_000;
-/// Time between two chunks, in microseconds.
+/// Range of the time between two chunks, in microseconds.
 const NEXT_CHUNK_MICROS: Range<u64> = 30_000..90_000;
-/// Time until a lookup is answered, in microseconds.
+/// Range of the time to the answer of a lookup, in microseconds.
 const LOOKUP_MICROS: Range<u64> = 2_000..20_000;
-/// Time until a late answer begins, in microseconds.
+/// Range of the time to the start of a late answer, in microseconds.
 const LATE_MICROS: Range<u64> = 1_500_000..7_000_000;
-/// Share of answers that go wrong while an answer fault is active.
+/// Share of answers that are faulty while an answer fault is active.
 const FAULT_SHARE: f64 = 0.35;
 /// Share of requests that a backend refuses before any work.
 const REFUSAL_SHARE: f64 = 0.01;
-/// Share of resumptions that a backend refuses.
+/// Additional share of resumptions that a backend refuses.
 const RESUME_REFUSED_SHARE: f64 = 0.1;
 /// Share of resumptions that a backend answers from the start.
 const RESUME_IGNORED_SHARE: f64 = 0.1;
 const UNAVAILABLE: u16 = 503;
 
-impl Site {
-    /// Adds a backend with a new number.
+impl Simulation {
+    /// Adds a backend that has not started, and returns its number.
     pub(super) fn add_backend(&mut self, kind: BackendKind) -> u16 {
         let number = self.backends.keys().next_back().map_or(1, |last| last + 1);
         let backend = BackendProcess::new(self.new_process(), kind);
@@ -43,7 +43,7 @@
         number
     }
 
-    /// A new incarnation of the backend starts.
+    /// Starts a new incarnation of a backend.
     pub(super) fn start_backend(&mut self, number: u16) {
         let now = self.now();
         if let Some(backend) = self.backends.get_mut(&number) {
@@ -51,14 +51,14 @@
         }
     }
 
-    /// The backend died.
-    pub(super) fn backend_died(&mut self, number: u16) {
+    /// Handles the end of a backend's process.
+    pub(super) fn backend_exited(&mut self, number: u16) {
         if let Some(backend) = self.backends.get_mut(&number) {
             backend.drop_work();
         }
     }
 
-    /// Hands an input to a backend.
+    /// Passes an input to a backend.
     pub(super) fn backend_input(&mut self, number: u16, input: ProcessInput) {
         match input {
             ProcessInput::Packet {
@@ -98,7 +98,7 @@
     fn backend_request(&mut self, number: u16, link: LinkNumber, request: &BackendRequest) {
         let backend = BackendNumber(number);
         let attempt = attempt_number(&request.attempt);
-        let key_seen = holds_key(request);
+        let key_seen = contains_key(request);
         self.record(&Record::BackendReceived {
             backend,
             attempt,
@@ -139,7 +139,7 @@
         let stream = is_stream(&request.body);
         let total = Answering::chunk_count(content, stream);
         let resume = request.resume_from.map(|from| from.0);
-        // A backend that does not know resumption starts over and confirms nothing.
+        // A backend without support for resumption starts over and does not confirm a position.
         let ignored = resume.is_some() && self.random.random_bool(RESUME_IGNORED_SHARE);
         let resume_at = resume.filter(|_| !ignored);
         Answering {
@@ -166,7 +166,7 @@
         Some(active[index])
     }
 
-    /// Draws a recent run of another content.
+    /// Draws a recent run of another content; `None` if there is none.
     pub(super) fn another_run(&mut self, content: ContentNumber) -> Option<Answering> {
         self.recent_runs.draw_other(content, &mut self.random)
     }
@@ -211,7 +211,7 @@
             return;
         };
         if !work.stream {
-            self.answer_at_once(number, link, &work);
+            self.send_unstreamed_answer(number, link, &work);
             return;
         }
         if self.stream_step(number, link, &mut work) == StreamProgress::Ended {
@@ -224,7 +224,7 @@
         self.work_after(number, link, delay);
     }
 
-    /// A backend did all the work of an attempt.
+    /// Records that a backend completed an attempt.
     pub(super) fn finish_work(&mut self, number: u16, work: &Answering) {
         if let Some(backend) = self.backends.get_mut(&number) {
             backend.finish(work.attempt.clone());
@@ -236,7 +236,7 @@
         });
     }
 
-    /// A backend sends a packet on a connection.
+    /// Sends a packet of a backend on a connection.
     pub(super) fn backend_sends(&mut self, number: u16, link: LinkNumber, packet: HttpPacket) {
         let now = self.now();
         let process = ProcessId::Backend(number);
--- a/crates/simulation/src/world/caller_driver.rs
+++ b/crates/simulation/src/world/caller_driver.rs
@@ -1,4 +1,4 @@
-//! Sends client requests to the proxies and delivers answers to their callers.
+//! Drives the callers: sends client requests to the proxies and delivers the answers.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -12,25 +12,25 @@
 use crate::world::client_request::{ArrivingRequest, RequestKind, http_request};
 use crate::world::event::{CallerDelivery, Event};
 use crate::world::process_input::ProcessInput;
-use crate::world::received_answer::planted_chunk;
-use crate::world::site::Site;
+use crate::world::received_answer::inject_chunk_defect;
+use crate::world::simulation::Simulation;
 
-/// When the first request is sent, and how often a rate of 0 is looked at again.
+/// Time to the first request; also the interval at which a rate of 0 is checked again.
 const FIRST_REQUEST_AFTER: Duration = Duration::from_millis(500);
-/// Delay between a caller and a proxy, in microseconds.
+/// Range of the network delay between a caller and a proxy, in microseconds.
 const CALLER_DELAY_MICROS: Range<u64> = 200..2_000;
-/// How long a caller waits for its answer.
+/// Time after which a caller stops waiting for the answer.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(25);
-/// Part of the timeout after which a caller of [`EARLY_DISCONNECT_SHARE`] disconnects.
+/// A caller that disconnects early does so after [`CALLER_TIMEOUT`] divided by this.
 const EARLY_DISCONNECT_DIVISOR: u32 = 25;
 /// Share of callers that disconnect early.
 const EARLY_DISCONNECT_SHARE: f64 = 0.02;
-/// Time until a request is sent again, in microseconds.
+/// Range of the time from a failure to the resend, in microseconds.
 const RESEND_MICROS: Range<u64> = 50_000..1_500_000;
-/// Share of requests with an idempotency key that are sent twice at once.
+/// Share of requests with an idempotency key that are sent to two proxy nodes at the same time.
 const DOUBLE_SEND_SHARE: f64 = 0.05;
 
-impl Site {
+impl Simulation {
     /// Starts the callers' traffic.
     pub(super) fn start_callers(&mut self) {
         let workload = self.scenario.workload;
@@ -45,7 +45,7 @@
         self.schedule_after(FIRST_REQUEST_AFTER, Event::CallerSends { lookup: true });
     }
 
-    /// A caller sends a new request, and the next one is scheduled.
+    /// Sends a new request of a caller and schedules the next one.
     pub(super) fn caller_sends(&mut self, lookup: bool) {
         let Some(gap) = self.callers.draw_gap(lookup, &mut self.random) else {
             self.schedule_after(FIRST_REQUEST_AFTER, Event::CallerSends { lookup });
@@ -57,7 +57,7 @@
         if matches!(submission.kind, RequestKind::Once { keyed: true, .. })
             && self.random.random_bool(DOUBLE_SEND_SHARE)
         {
-            // An impatient caller: the same request at two nodes at once.
+            // Simulates a caller that retries at once: the same request is sent to two nodes.
             self.send_request(Submission {
                 sends: submission.sends + 1,
                 ..submission
@@ -79,7 +79,8 @@
         let client_request = sent.client_request;
         let down = self.faults.is_machine_down(process.machine());
         if incarnation == 0 && !down {
-            // The connection is refused at once: the caller knows that nothing was sent.
+            // The machine is up but the proxy does not run, so the connection is refused at once and the
+            // caller can tell that nothing was sent.
             let delivery = CallerDelivery::lost();
             self.schedule_after(
                 delay,
@@ -109,7 +110,7 @@
         Duration::from_micros(self.random.random_range(CALLER_DELAY_MICROS))
     }
 
-    /// The caller gives up and closes its connection.
+    /// Handles a caller's timeout: the caller closes its connection.
     pub(super) fn caller_times_out(&mut self, client_request: RequestNumber) {
         let Some(open) = self.callers.waiting(client_request) else {
             return;
@@ -122,21 +123,21 @@
         self.caller_receives(client_request, CallerDelivery::lost());
     }
 
-    /// The proxy sends the head of an answer.
+    /// Handles the head of an answer that a proxy sends.
     pub(super) fn send_caller_head(&mut self, client_request: RequestNumber, head: &CallerHead) {
         self.callers.receive_head(client_request, head);
     }
 
-    /// The proxy sends bytes of an answer.
+    /// Handles a part of an answer's body that a proxy sends.
     pub(super) fn send_caller_bytes(&mut self, client_request: RequestNumber, bytes: &[u8]) {
         for chunk in self.callers.receive_bytes(client_request, bytes) {
-            if let Some(chunk) = planted_chunk(self.options.defect, chunk) {
+            if let Some(chunk) = inject_chunk_defect(self.options.defect, chunk) {
                 self.send_to_caller(client_request, CallerDelivery::Chunk(chunk));
             }
         }
     }
 
-    /// The answer ends, complete or not.
+    /// Handles the end of an answer; `complete` is whether its framing was complete.
     pub(super) fn end_caller_answer(&mut self, client_request: RequestNumber, complete: bool) {
         let Some(answer) = self.callers.finish_answer(client_request, complete) else {
             return;
@@ -151,7 +152,7 @@
         self.send_to_caller(client_request, delivery);
     }
 
-    /// Sends a chunk or the end to the caller, to arrive after what was sent before.
+    /// Sends a chunk or the end to a caller. It arrives after everything that was sent before.
     pub(super) fn send_to_caller(
         &mut self,
         client_request: RequestNumber,
@@ -169,7 +170,7 @@
         self.queue.push(at, event);
     }
 
-    /// A chunk or the end reaches the caller.
+    /// Handles a chunk or the end that reaches a caller.
     pub(super) fn caller_receives(
         &mut self,
         client_request: RequestNumber,
@@ -201,7 +202,7 @@
         }
     }
 
-    /// A caller sends a request again, to any proxy node.
+    /// Sends a request again, to a random proxy node.
     pub(super) fn caller_resends(&mut self, client_request: RequestNumber) {
         if let Some(submission) = self.callers.resubmit(client_request) {
             self.send_request(submission);
--- a/crates/simulation/src/world/callers.rs
+++ b/crates/simulation/src/world/callers.rs
@@ -1,4 +1,4 @@
-//! Simulated callers: what they send and what they know.
+//! Simulated callers: their requests, keys and resends.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,77 +13,77 @@
 };
 use crate::scenario::{Scenario, Topology, Workload};
 use crate::world::client_request::RequestKind;
-use crate::world::defect::Defect;
+use crate::world::injected_defect::InjectedDefect;
 use crate::world::received_answer::{AnswerEnd, ReceivedAnswer};
 
-/// Sends of one content, the first included.
+/// Largest number of sends of one content, the first included.
 const MAX_SENDS: u32 = 4;
-/// Share of requests with an old key while callers know one.
+/// Share of a tenant's requests that use the revoked key, once it has one.
 const OLD_KEY_SHARE: f64 = 0.3;
-/// Share of requests that a hot tenant sends.
+/// Share of requests of the hot tenant.
 const HOT_TENANT_SHARE: f64 = 0.9;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 const PERCENT: u32 = 100;
 
-/// A client request whose caller waits, or may send it again.
+/// A client request whose caller waits for the answer or will send it again.
 #[derive(Clone, Debug)]
 pub struct OpenRequest {
-    /// As the history has it.
+    /// The request as recorded in the history.
     pub sent: RequestSent,
-    /// Its kind.
+    /// Kind of the request.
     pub kind: RequestKind,
-    /// How often the content was sent, this send included.
+    /// Number of sends of the content, this one included.
     pub sends: u32,
     answer: ReceivedAnswer,
-    /// Arrival of the latest part, so that parts keep their order.
+    /// Arrival of the latest part at the caller, so that parts keep their order.
     last_arrival: MonotonicTime,
-    /// Whether the caller has its end.
+    /// Whether the end has reached the caller.
     ended: bool,
 }
 
-/// A content to send, for the first time or again.
+/// A request to send, for the first time or again.
 #[derive(Clone, Copy, Debug)]
 pub struct Submission {
-    /// What is to be done.
+    /// Content of the request.
     pub content: ContentNumber,
-    /// Tenant that sends it.
+    /// Tenant of the caller, from 0.
     pub tenant: u16,
-    /// Its kind.
+    /// Kind of the request.
     pub kind: RequestKind,
-    /// How often the content was sent, this send included.
+    /// Number of sends of the content, this one included.
     pub sends: u32,
 }
 
-/// A tenant as its callers know it.
+/// Keys that a tenant's callers use.
 #[derive(Clone, Debug)]
 struct CallerTenant {
-    /// Serial number of the key that callers use.
+    /// Serial number of the current key.
     key: u32,
-    /// An older key that some callers still try.
+    /// Serial number of a revoked key that some callers still use.
     old_key: Option<u32>,
 }
 
-/// All callers.
+/// All callers of a run.
 pub struct Callers {
     workload: Workload,
     topology: Topology,
-    defect: Option<Defect>,
+    defect: Option<InjectedDefect>,
     /// Tenants by number.
     tenants: Vec<CallerTenant>,
-    /// Client requests under way, and those that may be sent again.
+    /// Client requests that are in progress or will be sent again.
     open_requests: BTreeMap<RequestNumber, OpenRequest>,
-    /// Factor on the rates.
+    /// Product of the factors of the active bursts; 1 without one.
     burst: u32,
-    /// Number of active faults that make one tenant hot.
+    /// Number of active faults that make tenant 0 send most requests.
     hot_tenant_faults: u32,
     last_request: u64,
     last_content: u64,
 }
 
 impl Callers {
-    /// Callers of a scenario.
+    /// Creates the callers of a scenario.
     #[must_use]
-    pub fn new(scenario: &Scenario, topology: Topology, defect: Option<Defect>) -> Self {
+    pub fn new(scenario: &Scenario, topology: Topology, defect: Option<InjectedDefect>) -> Self {
         let tenants = (0..topology.tenants).map(|tenant| CallerTenant {
             key: u32::from(tenant),
             old_key: None,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Draws the time to the next request; `None` while callers send none.
+    /// Draws the time to the next request; `None` if the rate is 0.
     pub fn draw_gap(&self, lookup: bool, random: &mut ChaCha8Rng) -> Option<Duration> {
         let rate = if lookup {
             self.workload.lookups_per_second
@@ -114,7 +114,7 @@
         Some(Duration::from_micros(micros))
     }
 
-    /// Draws kind and tenant of a new content.
+    /// Draws kind and tenant of a request with new content.
     pub fn draw_submission(&mut self, lookup: bool, random: &mut ChaCha8Rng) -> Submission {
         let kind = if lookup {
             RequestKind::Lookup
@@ -146,7 +146,8 @@
         }
     }
 
-    /// A few tenants dominate; a hot one sends nearly everything.
+    /// Draws a tenant. The first two are the most likely; a hot tenant sends [`HOT_TENANT_SHARE`] of all
+    /// requests.
     fn draw_tenant(&self, random: &mut ChaCha8Rng) -> u16 {
         let tenants = self.topology.tenants.max(1);
         if self.hot_tenant_faults > 0 && random.random_bool(HOT_TENANT_SHARE) {
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Opens a client request to a proxy node that is drawn, with a key of its tenant.
+    /// Opens a client request with a key of its tenant, to a random proxy node.
     pub fn open(
         &mut self,
         submission: Submission,
@@ -200,7 +201,7 @@
         }
     }
 
-    /// The client request, unless its caller has its end.
+    /// Returns a client request whose end has not reached its caller yet.
     #[must_use]
     pub fn waiting(&self, client_request: RequestNumber) -> Option<&OpenRequest> {
         self.open_requests
@@ -208,28 +209,28 @@
             .filter(|open| !open.ended)
     }
 
-    /// Serial number of the key that a client request carries.
+    /// Returns the serial number of the key in a client request.
     #[must_use]
     pub fn key_of(&self, client_request: RequestNumber) -> Option<u32> {
         let open = self.open_requests.get(&client_request)?;
         Some(open.sent.key)
     }
 
-    /// Serial number of the present key of the tenant that sent a client request.
+    /// Returns the serial number of the current key of a client request's tenant.
     #[must_use]
     pub fn present_key_of(&self, client_request: RequestNumber) -> Option<u32> {
         let open = self.open_requests.get(&client_request)?;
         Some(self.tenants[usize::from(open.sent.tenant)].key)
     }
 
-    /// The head of an answer was sent.
+    /// Stores the head of an answer.
     pub fn receive_head(&mut self, client_request: RequestNumber, head: &CallerHead) {
         if let Some(open) = self.open_requests.get_mut(&client_request) {
             open.answer.receive_head(head);
         }
     }
 
-    /// Bytes of an answer were sent. Returns the chunks in them if the answer is a stream.
+    /// Stores a part of an answer's body. Returns the chunks in it if the answer is a stream.
     pub fn receive_bytes(&mut self, client_request: RequestNumber, bytes: &[u8]) -> Vec<Chunk> {
         match self.open_requests.get_mut(&client_request) {
             Some(open) => open.answer.receive_bytes(bytes, open.sent.stream),
@@ -237,7 +238,7 @@
         }
     }
 
-    /// The answer ended, complete by its framing or not.
+    /// Ends an answer; `complete` is whether its framing was complete.
     pub fn finish_answer(
         &mut self,
         client_request: RequestNumber,
@@ -247,7 +248,7 @@
         Some(open.answer.finish(open.sent.stream, complete, self.defect))
     }
 
-    /// When a part sent now arrives: at `earliest`, but never before a part sent earlier.
+    /// Returns when a part that is sent now arrives: at `earliest`, but never before an earlier part.
     pub fn arrival(
         &mut self,
         client_request: RequestNumber,
@@ -258,8 +259,8 @@
         Some(open.last_arrival)
     }
 
-    /// The caller has its end. Returns whether it will send the content again; the request stays open
-    /// for that.
+    /// Handles the end at the caller. Returns whether the caller will send the content again, in which case
+    /// the request stays open.
     pub fn end(
         &mut self,
         client_request: RequestNumber,
@@ -280,7 +281,7 @@
         resends
     }
 
-    /// Closes a client request that is sent again. Returns the next send of its content.
+    /// Closes a client request that is sent again, and returns the next send of its content.
     pub fn resubmit(&mut self, client_request: RequestNumber) -> Option<Submission> {
         let open = self.open_requests.remove(&client_request)?;
         Some(Submission {
@@ -291,14 +292,14 @@
         })
     }
 
-    /// A tenant got a new key; some callers still try the revoked one.
+    /// Replaces the key of a tenant; some of its callers continue to use the revoked key.
     pub fn replace_key(&mut self, tenant: u16, revoked: u32, key: u32) {
         let tenant = &mut self.tenants[usize::from(tenant)];
         tenant.key = key;
         tenant.old_key = Some(revoked);
     }
 
-    /// Callers send `times` as much from now on.
+    /// Multiplies the rate of all callers by `times`.
     pub fn start_burst(&mut self, times: u32) {
         self.burst *= times;
     }
@@ -308,18 +309,19 @@
         self.burst = (self.burst / times).max(1);
     }
 
-    /// One tenant sends nearly everything from now on.
+    /// Makes tenant 0 send most requests.
     pub fn start_hot_tenant(&mut self) {
         self.hot_tenant_faults += 1;
     }
 
-    /// Ends one fault that makes a tenant hot.
+    /// Ends one fault that makes tenant 0 send most requests.
     pub fn end_hot_tenant(&mut self) {
         self.hot_tenant_faults = self.hot_tenant_faults.saturating_sub(1);
     }
 }
 
-/// What may not be repeated and has no key is sent again only after a "not run".
+/// Returns whether a caller may send a request again. Without an idempotency key, a request that is not
+/// repeatable may only be sent again if the answer says that it did not run.
 fn may_resend(end: RequestEnd, repeatability: Repeatability) -> bool {
     match end {
         RequestEnd::Complete => false,
--- a/crates/simulation/src/world/client_request.rs
+++ b/crates/simulation/src/world/client_request.rs
@@ -1,4 +1,4 @@
-//! Client requests as callers send them.
+//! Client requests, as callers send them.
 
 use bytes::Bytes;
 use millford_core::MonotonicTime;
@@ -6,32 +6,32 @@
 
 use crate::history::{Repeatability, RequestNumber, RequestSent, ResumeRule};
 
-/// Start of every tenant key; backends must never see it.
+/// Prefix of every tenant key. Requests to backends must not contain it.
 pub const KEY_PREFIX: &str = "millford-key-";
 
-/// Kinds of client requests, by the model that they name.
+/// Kind of client request; each model request kind has its own model and route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// A long stream whose run may be continued elsewhere.
+    /// A repeatable stream whose run another backend may resume.
     Caption,
-    /// A shorter question.
+    /// A repeatable request whose answer may only start over.
     Question {
         /// Whether the answer is a stream.
         stream: bool,
     },
-    /// A request that may not be repeated.
+    /// A request that is not repeatable.
     Once {
-        /// Whether it carries an idempotency key.
+        /// Whether the request carries an idempotency key.
         keyed: bool,
         /// Whether the answer is a stream.
         stream: bool,
     },
-    /// A lookup.
+    /// A lookup; repeatable, without a stream.
     Lookup,
 }
 
 impl RequestKind {
-    /// Whether it may run more than once.
+    /// Returns whether the request may run more than once.
     #[must_use]
     pub fn repeatability(self) -> Repeatability {
         match self {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// What its route allows for streams.
+    /// Returns how its route handles the loss of a stream's backend.
     #[must_use]
     pub fn resume(self) -> ResumeRule {
         match self {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Whether the answer is a stream.
+    /// Returns whether the answer is a stream.
     #[must_use]
     pub fn stream(self) -> bool {
         match self {
@@ -74,27 +74,27 @@
 /// A client request that arrives at a proxy.
 #[derive(Clone, Debug)]
 pub struct ArrivingRequest {
-    /// Its number in the history.
+    /// Number of the request in the history.
     pub client_request: RequestNumber,
-    /// Its HTTP form; the proxy sets the time of arrival.
+    /// The HTTP request. The proxy sets the time of arrival.
     pub request: CallerRequest,
-    /// Whether it is a lookup.
+    /// Whether the request is a lookup.
     pub lookup: bool,
 }
 
-/// The text of a tenant key.
+/// Returns the tenant key with this serial number.
 #[must_use]
 pub fn key_text(serial: u32) -> String {
     format!("{KEY_PREFIX}{serial}")
 }
 
-/// The authorization header of a tenant key.
+/// Returns the authorization header for the tenant key with this serial number.
 #[must_use]
 pub fn authorization(serial: u32) -> String {
     format!("Bearer {}", key_text(serial))
 }
 
-/// The HTTP form of a client request.
+/// Builds the HTTP request of a client request.
 #[must_use]
 pub fn http_request(sent: &RequestSent, kind: RequestKind) -> CallerRequest {
     let content = sent.content.0;
--- a/crates/simulation/src/world/control_driver.rs
+++ b/crates/simulation/src/world/control_driver.rs
@@ -1,4 +1,4 @@
-//! Drives the control nodes: the part that is I/O in the daemon.
+//! Drives the control nodes; replaces the I/O of the control daemon.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,35 +16,35 @@
     SEEDS, control_address, control_at, operator_address, seed_addresses,
 };
 use crate::world::control_process::ControlProcess;
-use crate::world::defect::Defect;
 use crate::world::event::{Event, OperatorEvent};
+use crate::world::injected_defect::InjectedDefect;
 use crate::world::process::ProcessLoss;
 use crate::world::process_input::ProcessInput;
-use crate::world::site::Site;
+use crate::world::simulation::Simulation;
 
-/// Syncs up to this long delay messages; longer ones block the node.
-const LONGEST_UNNOTICED_SYNC: Duration = Duration::from_millis(200);
-/// Shards beside that of the configuration.
+/// Longest sync that only delays the messages it makes durable; a longer one blocks the whole node.
+const MAX_NONBLOCKING_SYNC: Duration = Duration::from_millis(200);
+/// Number of shards, without the configuration shard.
 const DATA_SHARDS: u32 = 6;
-/// Time after which a node that is not there is replaced in its shards.
+/// Time after which a node that is not reachable is replaced in its shards.
 const REPLACE_AFTER: Duration = Duration::from_secs(5);
-/// Time until a node that stopped with a fatal error is started again.
+/// Time from a fatal error of a node to its restart.
 const RESTART_AFTER_FATAL: Duration = Duration::from_secs(1);
-/// Time from a start to the first read of the registry.
+/// Time from the start of a node to its first read of the registry.
 const FIRST_REGISTRY_READ_AFTER: Duration = Duration::from_millis(10);
 
-impl Site {
+impl Simulation {
     /// Adds a control node with an empty disk.
     pub(super) fn add_control(&mut self, number: u16) {
-        let seeds = self.seeds_for_a_new_machine(number);
+        let seeds = self.seeds_for_new_control(number);
         let control = ControlProcess::new(self.new_process(), seeds);
-        if self.options.defect == Some(Defect::IgnoredSyncs) {
+        if self.options.defect == Some(InjectedDefect::IgnoredSyncs) {
             control.disk().ignore_syncs();
         }
         self.controls.insert(number, control);
     }
 
-    /// Opens the control node of a process that starts.
+    /// Opens the node of a control process that starts.
     pub(super) fn start_control(&mut self, number: u16) {
         let process = ProcessId::Control(number);
         let local = self.local_time(process);
@@ -65,15 +65,15 @@
                 self.schedule_registry_read(FIRST_REGISTRY_READ_AFTER, process, incarnation);
             }
             Err(error) => {
-                self.log(|| format!("control {number} cannot open: {error}"));
+                self.log(|| format!("control node {number} failed to open its data: {error}"));
                 self.control_fatal(number);
             }
         }
     }
 
-    /// The first machines name each other. Who sets up a later one names machines that serve, as the
-    /// operators' guide says.
-    fn seeds_for_a_new_machine(&self, number: u16) -> Vec<String> {
+    /// Returns the seed addresses of a new control node. The initial nodes have each other's addresses. Later
+    /// ones get the addresses of nodes in service, as the operators' guide requires.
+    fn seeds_for_new_control(&self, number: u16) -> Vec<String> {
         if number <= SEEDS {
             return seed_addresses();
         }
@@ -100,14 +100,14 @@
         }
     }
 
-    /// Zone of the machine with this number among its kind.
+    /// Returns the zone of the machine with this number among its kind.
     #[must_use]
     pub(super) fn zone(&self, number: u16) -> String {
         format!("zone-{}", number % self.topology.zones.max(1))
     }
 
-    /// The process died: its node is dropped, and unsynced bytes are lost.
-    pub(super) fn control_died(&mut self, number: u16) {
+    /// Handles the end of a control process: drops its node and loses unsynced bytes.
+    pub(super) fn control_exited(&mut self, number: u16) {
         let Some(control) = self.controls.get_mut(&number) else {
             return;
         };
@@ -121,13 +121,13 @@
         self.schedule_after(RESTART_AFTER_FATAL, Event::Start { process });
     }
 
-    /// Hands an input to a control node.
-    pub(super) fn control_input(&mut self, number: u16, input: ProcessInput, waits: bool) {
+    /// Passes an input to a control node. A `blocked` node is frozen or busy and ignores ticks.
+    pub(super) fn control_input(&mut self, number: u16, input: ProcessInput, blocked: bool) {
         let process = ProcessId::Control(number);
         let incarnation = self.incarnation_of(process);
         if matches!(input, ProcessInput::Tick) {
             self.tick_after(process, incarnation, TICK);
-            if waits {
+            if blocked {
                 return;
             }
         }
@@ -136,7 +136,8 @@
         }
     }
 
-    /// Hands everything that waited while the disk was busy to a control node, for one flush.
+    /// Passes the inputs that were queued while the disk was busy to a control node as one batch, which needs
+    /// only one flush.
     pub(super) fn control_batch(&mut self, number: u16, inputs: Vec<ProcessInput>) {
         let inputs = inputs.into_iter();
         let inputs: Vec<_> = inputs
@@ -164,9 +165,9 @@
         if stalled {
             free_at = free_at.max(self.faults.stalled_until(number));
         }
-        // In the daemon each shard syncs on its own thread, all that waits with one sync: a short
-        // sync delays what it makes durable, and only a long one holds up the node.
-        if free_at > self.now() + LONGEST_UNNOTICED_SYNC {
+        // In the daemon each shard syncs on its own thread, with one sync for all that is waiting. So a
+        // short sync only delays what it makes durable; only a long one blocks the node.
+        if free_at > self.now() + MAX_NONBLOCKING_SYNC {
             self.busy_until(process, incarnation, free_at);
         }
         for output in outputs {
@@ -253,10 +254,10 @@
                 );
             }
             NodeOutput::Event(event) => {
-                self.log(|| format!("control {number}: {event:?}"));
+                self.log(|| format!("control node {number}: {event:?}"));
             }
             NodeOutput::Fatal { code } => {
-                self.log(|| format!("control {number} stops: {code}"));
+                self.log(|| format!("control node {number} stops after a fatal error: {code}"));
                 self.control_fatal(number);
             }
         }
--- a/crates/simulation/src/world/control_process.rs
+++ b/crates/simulation/src/world/control_process.rs
@@ -1,4 +1,4 @@
-//! A control node with its machine's disk.
+//! State of a simulated control node.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -9,26 +9,26 @@
 use crate::world::link_names::LinkNames;
 use crate::world::process::ProcessState;
 
-/// A control node.
+/// A control node with the disk of its machine.
 pub struct ControlProcess {
-    /// The process.
+    /// Process of the control node.
     pub process: ProcessState,
-    /// The disk; it outlives the process.
+    /// Disk of the machine; it outlives the process.
     pub disk_image: Arc<Mutex<DiskImage>>,
-    /// The node while the process runs.
+    /// The node's logic; absent while the process does not run.
     pub node: Option<ControlNode>,
-    /// The node's names of its connections.
+    /// Connections, by the node's own ids.
     pub links: LinkNames<LinkId>,
-    /// Number of the last accepted connection.
+    /// Number of connections that this incarnation accepted; source of their ids.
     last_accepted: u64,
     /// Whether the machine is lost for good.
     pub lost: bool,
-    /// Addresses of control nodes that its settings name.
+    /// Seed addresses from the node's settings.
     pub seeds: Vec<String>,
 }
 
 impl ControlProcess {
-    /// A control node with an empty disk, whose settings name these control nodes.
+    /// Creates a control node that has not started, with an empty disk and these seed addresses.
     #[must_use]
     pub fn new(process: ProcessState, seeds: Vec<String>) -> Self {
         Self {
@@ -42,20 +42,20 @@
         }
     }
 
-    /// The disk.
+    /// Locks the disk.
     pub fn disk(&self) -> MutexGuard<'_, DiskImage> {
         self.disk_image
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Names a connection that the node accepted.
+    /// Assigns an id to a connection that the node accepted.
     pub fn accept_link(&mut self, link: LinkNumber) {
         self.last_accepted += 1;
         self.links.insert(link, LinkId(self.last_accepted));
     }
 
-    /// Forgets the node and its connections.
+    /// Drops the node's logic and its connections; the disk is kept.
     pub fn forget_incarnation(&mut self) {
         self.node = None;
         self.links.clear();
--- a/crates/simulation/src/world/draws.rs
+++ b/crates/simulation/src/world/draws.rs
@@ -1,4 +1,4 @@
-//! Draws faults by the seed: any of them at any moment, together or twice.
+//! Draws random faults from the seed. Faults may overlap and repeat.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -11,29 +11,29 @@
     TargetKind, TimedFault,
 };
 
-/// Length of a short fault, in milliseconds.
+/// Range of the duration of a short fault, in milliseconds.
 const SHORT_MILLIS: Range<u64> = 200..3_000;
-/// Length of a middling fault, in milliseconds.
+/// Range of the duration of a medium fault, in milliseconds.
 const MIDDLE_MILLIS: Range<u64> = 1_000..8_000;
-/// Length of a long fault, in milliseconds.
+/// Range of the duration of a long fault, in milliseconds.
 const LONG_MILLIS: Range<u64> = 5_000..24_000;
-/// Time of one sync of a slow disk, in milliseconds.
+/// Range of the duration of a sync on a slow disk, in milliseconds.
 const SLOW_SYNC_MILLIS: Range<u64> = 5..400;
-/// Drift of a clock, in parts per million.
+/// Range of a clock's drift, in parts per million.
 const DRIFT_PPM: Range<i32> = -500..500;
-/// Factor of a burst.
+/// Range of the factor of a burst.
 const BURST: Range<u32> = 2..6;
-/// Orders sent one after the other.
+/// Range of the number of orders that are sent in sequence.
 const ORDERS: Range<u32> = 5..40;
 
-/// Draws the faults of a run.
+/// Generator of random faults.
 pub(super) struct FaultDraws<'random> {
-    /// All randomness of the run.
+    /// Random number generator of the run.
     pub(super) random: &'random mut ChaCha8Rng,
 }
 
 impl FaultDraws<'_> {
-    /// The faults of one draw, in no order.
+    /// Returns the faults of one draw, not sorted by time.
     pub(super) fn draw_faults(&mut self, draw: &Draw) -> Vec<TimedFault> {
         let mut faults = Vec::new();
         for _ in 0..draw.count {
@@ -248,7 +248,8 @@
     }
 }
 
-/// What a draw begins also ends within its time, so that the run shows the recovery.
+/// Limits kills, freezes, partitions and disk faults to the time left in the draw, so that the rest of the
+/// run shows the recovery.
 fn within(fault: Fault, left: Duration) -> Fault {
     match fault {
         Fault::Kill { target, down } => Fault::Kill {
--- a/crates/simulation/src/world/event.rs
+++ b/crates/simulation/src/world/event.rs
@@ -1,51 +1,51 @@
-//! Events of the simulated site.
+//! Events of the simulation.
 
 use crate::history::{Chunk, RequestEnd, RequestNumber};
 use crate::network::{Direction, LinkNumber, Packet, ProcessId};
 use crate::world::process_input::ProcessInput;
 
-/// Something that happens at a time.
+/// A scheduled event.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A process gets an input.
+    /// A process receives an input.
     Input {
-        /// The process.
+        /// The receiving process.
         process: ProcessId,
-        /// The incarnation that it is meant for.
+        /// Incarnation that the input is for; another one ignores it.
         incarnation: u64,
         /// The input.
         input: ProcessInput,
     },
-    /// A process may be free again.
+    /// A process may be able to handle its queued inputs again.
     Ready {
         /// The process.
         process: ProcessId,
-        /// The incarnation that was busy or frozen.
+        /// Incarnation that was busy or frozen.
         incarnation: u64,
     },
-    /// A connection request reaches the other side.
+    /// A connection request reaches the acceptor.
     Connect {
         /// The connection.
         link: LinkNumber,
-        /// Earlier attempts that got no answer.
+        /// Number of earlier connection requests without an answer.
         attempts: u32,
     },
     /// The next packet of a connection arrives.
     Arrive {
         /// The connection.
         link: LinkNumber,
-        /// The direction in which it travels.
+        /// Direction of the packet.
         direction: Direction,
     },
-    /// A process sends what waited for its disk.
+    /// A process sends a packet that waited for a sync of its disk.
     SendLater {
-        /// The process.
+        /// The sending process.
         process: ProcessId,
-        /// The incarnation that wrote it.
+        /// Incarnation that produced the packet; another one does not send it.
         incarnation: u64,
         /// The connection.
         link: LinkNumber,
-        /// What it sends.
+        /// The packet.
         packet: Box<Packet>,
     },
     /// A process starts.
@@ -55,65 +55,65 @@
     },
     /// A planned fault begins.
     FaultBegins {
-        /// Its number among the planned faults.
+        /// Number of the planned fault.
         fault: usize,
     },
     /// An active fault ends.
     FaultEnds {
-        /// Its number among the active faults.
+        /// Number of the active fault.
         fault: u32,
     },
-    /// A caller sends its next request.
+    /// A caller sends a new request.
     CallerSends {
-        /// Whether it is a lookup.
+        /// Whether the request is a lookup.
         lookup: bool,
     },
     /// A caller sends a request again.
     CallerResends {
-        /// The earlier send.
+        /// Number of the earlier send.
         client_request: RequestNumber,
     },
-    /// A chunk or the end reaches a caller.
+    /// A part of an answer reaches a caller.
     CallerReceives {
         /// The request that is answered.
         client_request: RequestNumber,
-        /// What arrives.
+        /// The part of the answer.
         delivery: CallerDelivery,
     },
-    /// A caller gives up waiting.
+    /// A caller stops waiting for an answer.
     CallerTimeout {
-        /// Its request.
+        /// The request that is not answered.
         client_request: RequestNumber,
     },
-    /// An operator works on an order or a read.
+    /// An event of the operators.
     Operator(OperatorEvent),
-    /// The registry's list changes.
+    /// A change of the registry's list.
     Registry(RegistryEvent),
     /// A process reads the registry.
     ReadRegistry {
         /// The process.
         process: ProcessId,
-        /// The incarnation that reads.
+        /// Incarnation that reads; another one does not.
         incarnation: u64,
     },
 }
 
-/// What reaches a caller of an answer.
+/// A part of an answer that reaches a caller.
 #[derive(Clone, Copy, Debug)]
 pub enum CallerDelivery {
-    /// A chunk.
+    /// A chunk of the answer.
     Chunk(Chunk),
-    /// The end.
+    /// The end of the answer.
     End {
-        /// How the request ended.
+        /// Kind of end.
         end: RequestEnd,
-        /// Revision that the head named.
+        /// Configuration revision in the head of the answer; absent without a head.
         revision: Option<u64>,
     },
 }
 
 impl CallerDelivery {
-    /// The connection broke, or the caller gave up.
+    /// Returns the end of a request whose connection was lost or whose caller timed out.
     #[must_use]
     pub fn lost() -> Self {
         Self::End {
@@ -126,21 +126,21 @@
 /// Events of operators.
 #[derive(Clone, Copy, Debug)]
 pub enum OperatorEvent {
-    /// It is time for an order.
+    /// The next order is due.
     NextOrder,
-    /// It is time for a read.
+    /// The next read of the configuration is due.
     NextRead,
-    /// A reply arrives.
+    /// The reply to a request arrives.
     Reply {
         /// Number of the request.
         request: u64,
     },
-    /// No reply came.
+    /// The reply to a request is overdue, or the request is to be sent to another node.
     Timeout {
         /// Number of the request.
         request: u64,
     },
-    /// Every accepted order is sent again.
+    /// Every accepted order is to be sent again.
     ResendAll,
 }
 
@@ -149,17 +149,17 @@
 pub enum RegistryEvent {
     /// A backend registers.
     Register {
-        /// Its number.
+        /// Number of the backend.
         backend: u16,
     },
-    /// The list drops a backend that vanished.
+    /// The registry removes a backend, unless it runs again.
     Remove {
-        /// Its number.
+        /// Number of the backend.
         backend: u16,
     },
     /// A retired backend shuts down.
     ShutDown {
-        /// Its number.
+        /// Number of the backend.
         backend: u16,
     },
 }
--- a/crates/simulation/src/world/exchange_driver.rs
+++ b/crates/simulation/src/world/exchange_driver.rs
@@ -1,4 +1,4 @@
-//! Exchanges between proxies and backends.
+//! Drives the exchanges of requests and answers between proxies and backends.
 
 use millford_core::MonotonicTime;
 use millford_proxy::request::message::{BackendRequest, DispatchError};
@@ -10,15 +10,15 @@
 use crate::world::backend::request_text::kind_of;
 use crate::world::backend::{BackendKind, attempt_number};
 use crate::world::client_request::key_text;
-use crate::world::defect::Defect;
+use crate::world::injected_defect::InjectedDefect;
 use crate::world::probe_driver::ProbeOutcome;
 use crate::world::proxy::answer::BodyPart;
 use crate::world::proxy::port::ExchangeWaiter;
 use crate::world::proxy::{BackendLink, lock};
-use crate::world::site::Site;
+use crate::world::simulation::Simulation;
 
-impl Site {
-    /// A connection to a backend is open: the request is sent.
+impl Simulation {
+    /// Handles an open connection to a backend: sends the request that it was opened for.
     pub(super) fn backend_link_opened(&mut self, number: u16, link: LinkNumber) {
         let Some(proxy) = self.proxies.get_mut(&number) else {
             return;
@@ -32,7 +32,7 @@
                 let (exchange, client_request) = (*exchange, *client_request);
                 let request = request.clone();
                 self.record_dispatch(number, exchange, client_request, &request);
-                HttpPacket::Request(self.spoil_request(client_request, request))
+                HttpPacket::Request(self.inject_key_leak(client_request, request))
             }
             Some(BackendLink::Withdraw { attempt, age, .. }) => HttpPacket::Withdraw {
                 attempt: attempt.clone(),
@@ -45,7 +45,7 @@
         self.send_packet(ProcessId::Proxy(number), link, Packet::Http(packet), now);
     }
 
-    /// From here on the request may have run.
+    /// Records the send of a request; from here on it may have run.
     fn record_dispatch(
         &mut self,
         number: u16,
@@ -70,18 +70,23 @@
             backend: BackendNumber(backend_at(&request.address).unwrap_or(0)),
             second,
         });
-        self.send_twice(number, client_request, request);
+        self.inject_duplicate_request(number, client_request, request);
     }
 
-    /// Planted defects: the same request goes to a second backend as well.
-    fn send_twice(&mut self, number: u16, client_request: RequestNumber, request: &BackendRequest) {
+    /// Injected defects: sends the same request to a second backend as well.
+    fn inject_duplicate_request(
+        &mut self,
+        number: u16,
+        client_request: RequestNumber,
+        request: &BackendRequest,
+    ) {
         let kind = kind_of(request);
-        let planted = match self.options.defect {
-            Some(Defect::SendsTwice) => kind == BackendKind::Model,
-            Some(Defect::HedgesAlways) => kind == BackendKind::Lookup,
+        let injected = match self.options.defect {
+            Some(InjectedDefect::DuplicateModelRequests) => kind == BackendKind::Model,
+            Some(InjectedDefect::DuplicateLookups) => kind == BackendKind::Lookup,
             _ => false,
         };
-        if !planted {
+        if !injected {
             return;
         }
         let Some(other) = self.draw_backend(kind) else {
@@ -120,13 +125,13 @@
         numbers.get(index).copied()
     }
 
-    /// A planted defect: the key goes along with the request.
-    fn spoil_request(
+    /// Injected defect: adds the tenant key to the request.
+    fn inject_key_leak(
         &self,
         client_request: RequestNumber,
         mut request: Box<BackendRequest>,
     ) -> Box<BackendRequest> {
-        if self.options.defect == Some(Defect::LeaksKeys)
+        if self.options.defect == Some(InjectedDefect::LeakedKey)
             && let Some(key) = self.callers.key_of(client_request)
         {
             request.stage = key_text(key);
@@ -134,7 +139,7 @@
         request
     }
 
-    /// A connection was not opened in time.
+    /// Handles the connect timeout of a connection to a backend.
     pub(super) fn connect_overdue(&mut self, number: u16, link: LinkNumber) {
         let connecting = self
             .links
@@ -146,7 +151,7 @@
         }
     }
 
-    /// A connection to a backend ended or could not be opened.
+    /// Handles the end of a connection to a backend, or the failure to open it.
     pub(super) fn backend_link_closed(&mut self, number: u16, link: LinkNumber) {
         let Some(proxy) = self.proxies.get_mut(&number) else {
             return;
@@ -178,7 +183,7 @@
         }
     }
 
-    /// Something of an answer arrived from a backend.
+    /// Handles a message from a backend.
     pub(super) fn backend_answers(&mut self, number: u16, link: LinkNumber, packet: HttpPacket) {
         let Some(proxy) = self.proxies.get_mut(&number) else {
             return;
@@ -203,7 +208,7 @@
         }
     }
 
-    /// The proxy closes an exchange. What it sent before still arrives, as with TCP.
+    /// Closes an exchange of a proxy. Data that the proxy sent before still arrives, as with TCP.
     pub(super) fn close_exchange(&mut self, number: u16, exchange: u64) {
         let Some(proxy) = self.proxies.get_mut(&number) else {
             return;
@@ -215,7 +220,7 @@
     }
 }
 
-/// Hands a packet to its waiter. Returns what is awaited afterwards.
+/// Passes a packet to the task that waits for it. Returns what the task waits for next, or `None`.
 fn take_packet(waiter: ExchangeWaiter, packet: HttpPacket) -> Option<ExchangeWaiter> {
     match (waiter, packet) {
         (ExchangeWaiter::Head { head, body, .. }, HttpPacket::Head(answer)) => {
--- a/crates/simulation/src/world/fault_driver.rs
+++ b/crates/simulation/src/world/fault_driver.rs
@@ -1,4 +1,5 @@
-//! Begins and ends faults. The drivers beside it know what each does to processes, network and disks.
+//! Begins and ends faults. `process_fault_driver` and `machine_fault_driver` implement the effects on
+//! processes, network and disks.
 
 use std::time::Duration;
 
@@ -9,10 +10,10 @@
 use crate::world::draws::FaultDraws;
 use crate::world::event::Event;
 use crate::world::operator_driver::KeyChange;
-use crate::world::site::Site;
+use crate::world::simulation::Simulation;
 
-impl Site {
-    /// Plans the scenario's faults and those that the seed draws.
+impl Simulation {
+    /// Plans the scenario's faults at fixed times and its random ones.
     pub(super) fn plan_faults(&mut self) {
         for timed in self.scenario.faults.clone() {
             self.plan_fault(timed.at, timed.fault);
@@ -27,13 +28,13 @@
         }
     }
 
-    /// Plans a fault after a delay.
+    /// Schedules a fault after a delay.
     pub(super) fn plan_fault(&mut self, delay: Duration, fault: Fault) {
         let fault = self.faults.plan(fault);
         self.schedule_after(delay, Event::FaultBegins { fault });
     }
 
-    /// A planned fault begins.
+    /// Begins a planned fault.
     pub(super) fn fault_begins(&mut self, number: usize) {
         let Some(fault) = self.faults.planned(number).cloned() else {
             return;
@@ -55,7 +56,7 @@
                 target,
                 fault,
                 length,
-            } => self.disturb_disks(target, fault, length),
+            } => self.fault_disks(target, fault, length),
             Fault::ClockJump { target, by } => self.jump_clocks(target, by),
             Fault::ClockDrift { target, ppm } => self.drift_clocks(target, ppm),
             Fault::Retire { target } => self.retire(target),
@@ -64,7 +65,7 @@
         }
     }
 
-    /// A fault begins that strikes no machine: of answers, registry, operators or load.
+    /// Begins a fault of answers, registry, operators or load, which affects no machine.
     fn traffic_fault_begins(&mut self, fault: &Fault) {
         match *fault {
             Fault::Answers { fault, length } => {
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Records a fault that disturbs these machines, and schedules its end.
+    /// Records the begin of a fault that affects these machines, and schedules its end.
     pub(super) fn begin_fault(
         &mut self,
         undo: Vec<Undo>,
@@ -113,7 +114,7 @@
         self.schedule_after(length, Event::FaultEnds { fault });
     }
 
-    /// An active fault ends: its machines are back.
+    /// Ends an active fault and reverts its effects.
     pub(super) fn fault_ends(&mut self, number: u32) {
         let Some(fault) = self.faults.end(number) else {
             return;
@@ -157,7 +158,7 @@
     }
 }
 
-/// The machines of processes, in their order; neighbours on one machine count once.
+/// Returns the machines of processes in the same order; adjacent processes of one machine give one entry.
 pub(super) fn machines_of(processes: &[ProcessId]) -> Vec<MachineId> {
     let mut machines: Vec<MachineId> = processes.iter().map(|it| it.machine()).collect();
     machines.dedup();
--- a/crates/simulation/src/world/link_driver.rs
+++ b/crates/simulation/src/world/link_driver.rs
@@ -1,4 +1,4 @@
-//! Connections: opening, sending, closing, loss.
+//! Drives the connections: open, send, close, loss.
 
 use std::time::Duration;
 
@@ -9,27 +9,29 @@
 use crate::world::event::Event;
 use crate::world::process::ProcessLoss;
 use crate::world::process_input::ProcessInput;
-use crate::world::site::Site;
+use crate::world::simulation::Simulation;
 
-/// Delay of a packet between two machines, in microseconds.
+/// Shortest delay of a packet between two machines, in microseconds.
 const MIN_DELAY_MICROS: u64 = 100;
+/// Upper bound of the delay of most packets between two machines, in microseconds.
 const MAX_DELAY_MICROS: u64 = 1500;
-/// Largest delay of the packets in [`LONG_DELAY_SHARE`], in microseconds.
+/// Upper bound of the delay of the other packets, in microseconds.
 const LONG_DELAY_MICROS: u64 = 30_000;
-/// Share of packets with a long delay.
+/// Share of packets whose delay is only bounded by [`LONG_DELAY_MICROS`].
 const LONG_DELAY_SHARE: f64 = 0.005;
 /// Delay between two processes of one machine, in microseconds.
 const LOCAL_DELAY_MICROS: u64 = 60;
-/// Time until a lost packet is sent again, in microseconds.
+/// Shortest time until a lost packet is retransmitted, in microseconds.
 const RETRANSMIT_MIN_MICROS: u64 = 100_000;
+/// Upper bound of the time until a lost packet is retransmitted, in microseconds.
 const RETRANSMIT_MAX_MICROS: u64 = 400_000;
-/// Time until a connection request without an answer is sent again.
+/// Time until a connection request without an answer is repeated.
 const CONNECT_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Connection requests until the connection counts as failed.
+/// Number of connection requests without an answer after which the connection fails.
 const CONNECT_ATTEMPTS: u32 = 4;
 
-impl Site {
-    /// Delay of one packet between two processes.
+impl Simulation {
+    /// Draws the delay of a packet between two processes.
     pub(super) fn network_delay(&mut self, from: ProcessId, to: ProcessId) -> Duration {
         if from.machine() == to.machine() {
             return Duration::from_micros(LOCAL_DELAY_MICROS);
@@ -49,7 +51,7 @@
         Duration::from_micros(micros)
     }
 
-    /// Starts a connection; the connecting process gets `LinkOpened` or `LinkClosed`.
+    /// Starts a connection. The connecting process later gets `LinkOpened` or `LinkClosed`.
     pub(super) fn open_link(&mut self, connector: ProcessId, acceptor: ProcessId) -> LinkNumber {
         let incarnation = self.incarnation_of(connector);
         let link = self.links.connect(connector, incarnation, acceptor);
@@ -58,7 +60,7 @@
         link
     }
 
-    /// A connection request arrives, or is lost.
+    /// Handles the arrival of a connection request, or its loss.
     pub(super) fn connection_arrives(&mut self, link: LinkNumber, attempts: u32) {
         let Some(it) = self.links.get(link) else {
             return;
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Sends a packet at a time, now or later.
+    /// Sends a packet at simulated time `at`, now or later.
     pub(super) fn send_packet(
         &mut self,
         from: ProcessId,
@@ -130,7 +132,7 @@
         }
     }
 
-    /// A process sends what waited for its disk, if it is still the incarnation that wrote it.
+    /// Sends a packet that waited for a sync, if its process is still the same incarnation.
     pub(super) fn send_later(
         &mut self,
         process: ProcessId,
@@ -152,7 +154,8 @@
         self.recorder.trace(now, tag, &bytes);
     }
 
-    /// The next packet of a direction arrives, unless it is lost and sent again.
+    /// Handles the arrival of the next packet of a direction. In a partition the packet is lost and
+    /// retransmitted later.
     pub(super) fn packet_arrives(&mut self, link: LinkNumber, direction: Direction) {
         let Some(it) = self.links.get(link) else {
             return;
@@ -185,7 +188,7 @@
         self.deliver_input(to.process, to.incarnation, input);
     }
 
-    /// One side closes; the other receives the end after what was sent before.
+    /// Closes a connection from one side. The other side gets the end after all packets that were sent before.
     pub(super) fn close_link(&mut self, process: ProcessId, link: LinkNumber) {
         let Some(it) = self.links.get(link) else {
             return;
@@ -201,7 +204,8 @@
         }
     }
 
-    /// A process ended: its connections are closed, or stop responding if its machine is lost.
+    /// Ends the connections of a process that ended: closes them, or makes them unresponsive if the machine
+    /// is lost.
     pub(super) fn end_links(&mut self, process: ProcessId, loss: ProcessLoss) {
         for link in self.links.of_process(process) {
             match loss {
@@ -215,7 +219,7 @@
         }
     }
 
-    /// A machine that was lost is back: its old connections are reset.
+    /// Resets the unresponsive connections of a process whose machine is up again.
     pub(super) fn reset_unresponsive_links(&mut self, process: ProcessId) {
         for link in self.links.of_process(process) {
             let Some(it) = self.links.get(link).filter(|it| it.is_unresponsive()) else {
--- a/crates/simulation/src/world/machine_fault_driver.rs
+++ b/crates/simulation/src/world/machine_fault_driver.rs
@@ -1,4 +1,4 @@
-//! Partitions the network, resets connections and disturbs disks.
+//! Effects of faults on network and disks.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 use crate::world::active_faults::Undo;
 use crate::world::fault_driver::machines_of;
 use crate::world::process::ProcessLoss;
-use crate::world::site::Site;
+use crate::world::simulation::Simulation;
 
-/// Longest sync of a slow disk.
+/// Upper bound of the sync duration of a slow disk.
 const MAX_SYNC: Duration = Duration::from_hours(1);
 
-impl Site {
-    /// Packets between the machines of the target and others, or all others, vanish.
+impl Simulation {
+    /// Drops packets between the machines of the target and those of `from`, or all others.
     pub(super) fn partition(
         &mut self,
         target: Target,
@@ -61,7 +61,7 @@
         machines.chain([MachineId::Registry]).collect()
     }
 
-    /// Every connection of the target's machines to other machines is reset.
+    /// Resets every connection of the target's processes to other machines.
     pub(super) fn reset(&mut self, target: Target) {
         let processes = self.resolve(target);
         for process in &processes {
@@ -70,8 +70,8 @@
         self.begin_fault(Vec::new(), machines_of(&processes), Duration::ZERO);
     }
 
-    /// The disks of control nodes misbehave.
-    pub(super) fn disturb_disks(&mut self, target: Target, fault: DiskFault, length: Duration) {
+    /// Makes the disks of control nodes faulty.
+    pub(super) fn fault_disks(&mut self, target: Target, fault: DiskFault, length: Duration) {
         let processes = self.resolve(target);
         let until = self.now() + length;
         let mut undo = Vec::new();
@@ -91,13 +91,13 @@
         self.begin_fault(undo, machines_of(&processes), length);
     }
 
-    /// The disk of a control node is healthy again.
+    /// Makes the disk of a control node healthy, and restarts its process if `restart`.
     pub(super) fn restore_disk(&mut self, control_node: u16, restart: bool) {
         if let Some(control) = self.controls.get(&control_node) {
             control.disk().set_condition(DiskCondition::Healthy);
         }
         if restart {
-            // An operator replaces the disk's cable and restarts the process.
+            // Stands for an operator who repairs the disk and restarts the process.
             let process = ProcessId::Control(control_node);
             self.kill_process(process, ProcessLoss::Crash);
             self.start_process(process);
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -1,9 +1,9 @@
-//! The simulated site: machines, processes, callers, operators, faults and the loop over events.
+//! The simulated system: machines, processes, callers, operators, faults and the event loop.
 //!
-//! Each part has a type of its own that owns its state, such as [`callers::Callers`] or
-//! [`active_faults::ActiveFaults`]. [`Site`] owns the parts, the event queue and all randomness. The
-//! `*_driver` modules extend it: each takes the events of one part, lets the part decide and
-//! schedules what follows.
+//! The state of each part is in a type of its own, such as [`callers::Callers`] or
+//! [`active_faults::ActiveFaults`]. [`Simulation`] owns the parts, the event queue and the random number
+//! generator. The `*_driver` modules extend it: each handles the events of one part, by calling the
+//! part and scheduling the events that follow.
 
 pub mod active_faults;
 mod addresses;
@@ -18,11 +18,11 @@
 pub mod client_request;
 mod control_driver;
 pub mod control_process;
-pub mod defect;
 mod draws;
 pub mod event;
 mod exchange_driver;
 mod fault_driver;
+pub mod injected_defect;
 mod link_driver;
 pub mod link_names;
 mod machine_fault_driver;
@@ -41,9 +41,9 @@
 mod roll_driver;
 pub mod run_options;
 pub mod service_registry;
-pub mod site;
+pub mod simulation;
 mod targets;
 
-pub use defect::Defect;
+pub use injected_defect::InjectedDefect;
 pub use run_options::RunOptions;
-pub use site::Site;
+pub use simulation::Simulation;
--- a/crates/simulation/src/world/operator_document.rs
+++ b/crates/simulation/src/world/operator_document.rs
@@ -1,4 +1,4 @@
-//! Configuration documents that simulated operators build.
+//! Configuration documents of simulated operators.
 
 use millford_api::config::{
     Document, Hedge, Pool, Quota, Resume, Route, RouteMatch, Selector, Tenant,
@@ -9,23 +9,23 @@
 use crate::world::client_request::key_text;
 use crate::world::service_registry::MODELS;
 
-/// Route whose deadline carries the document's serial number.
+/// Name of the route whose deadline encodes the document's serial number.
 const SERIAL_ROUTE: &str = "captions";
 const DEADLINE_MS: u32 = 20_000;
 const HEDGE_MS: u32 = 600;
 const DRAIN_MS: u32 = 2_000;
 
-/// What orders change in a document: the keys of each tenant, and a serial number.
+/// The variable parts of a document: the keys of each tenant and a serial number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Draft {
     /// Serial numbers of the keys, by tenant.
     pub keys: Vec<Vec<u32>>,
-    /// Number that tells this document from all others.
+    /// Serial number, unique among the documents of a run: that of the order.
     pub serial: u32,
 }
 
 impl Draft {
-    /// The document, with the quota that the workload gives each tenant.
+    /// Builds the document, with the workload's quota for each tenant.
     #[must_use]
     pub fn document(&self, workload: &Workload) -> Document {
         let lookup_match = RouteMatch {
@@ -72,7 +72,7 @@
     }
 }
 
-/// The serial number of a document that was read back.
+/// Returns the serial number of a document; 0 if it has none.
 #[must_use]
 pub fn serial_of(document: &Document) -> u32 {
     let route = document
--- a/crates/simulation/src/world/operator_driver.rs
+++ b/crates/simulation/src/world/operator_driver.rs
@@ -1,4 +1,4 @@
-//! Sends the operators' orders and reads to control nodes and handles the replies.
+//! Drives the operators: sends orders and reads to control nodes and handles the replies.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -9,39 +9,43 @@
 
 use crate::history::{OrderAnswer, OrderNumber, Record};
 use crate::network::ProcessId;
-use crate::world::defect::Defect;
 use crate::world::event::{Event, OperatorEvent};
+use crate::world::injected_defect::InjectedDefect;
 use crate::world::operator_document::serial_of;
 use crate::world::operators::{Order, PendingReply};
 use crate::world::process_input::ProcessInput;
-use crate::world::site::Site;
+use crate::world::simulation::Simulation;
 
+/// Time to the first order, and interval of further attempts until the first one is accepted.
 const FIRST_ORDER_AFTER: Duration = Duration::from_millis(1500);
+/// Interval between two reads of the configuration.
 const READ_PERIOD: Duration = Duration::from_millis(700);
+/// Time after which an operator stops waiting for a reply.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(6);
+/// Time from an undecided or lost reply to the next attempt.
 const RETRY_AFTER: Duration = Duration::from_millis(200);
 /// Time before the end of the run at which accepted orders are sent again.
 const RESEND_BEFORE_END: Duration = Duration::from_secs(4);
-/// Sends of one order before its operator gives up.
+/// Largest number of sends of one order.
 const MAX_ATTEMPTS: u32 = 60;
-/// Share of replies that get lost while a fault loses them.
+/// Share of replies that are lost while such a fault is active.
 const LOST_REPLY_SHARE: f64 = 0.7;
 /// Share of orders that revoke a tenant's keys.
 const REVOKING_SHARE: f64 = 0.15;
-/// Delay between an operator and a control node, in microseconds.
+/// Range of the network delay between an operator and a control node, in microseconds.
 const OPERATOR_DELAY_MICROS: Range<u64> = 200..2_000;
 
-/// Whether an order revokes the keys of a tenant.
+/// Change of tenant keys by an order.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum KeyChange {
-    /// All keys stay as they are.
+    /// No key changes.
     Keep,
-    /// One tenant gets a new key for its old ones.
+    /// The keys of one tenant are replaced by a new one.
     Revoke,
 }
 
-impl Site {
-    /// Starts the operators.
+impl Simulation {
+    /// Schedules the first events of the operators.
     pub(super) fn start_operators(&mut self) {
         self.schedule_operator(FIRST_ORDER_AFTER, OperatorEvent::NextOrder);
         self.schedule_operator(READ_PERIOD, OperatorEvent::NextRead);
@@ -53,7 +57,7 @@
         self.schedule_after(delay, Event::Operator(event));
     }
 
-    /// An event of the operators.
+    /// Handles an event of the operators.
     pub(super) fn handle_operator(&mut self, event: OperatorEvent) {
         match event {
             OperatorEvent::NextOrder => self.next_order(),
@@ -72,14 +76,14 @@
             return;
         }
         let period = self.scenario.workload.order_every;
-        let first = !self.operators.knows_revision();
+        let first = !self.operators.has_revision();
         if first {
-            // Until the first order is accepted there is nothing to build on.
+            // Before the first order is accepted there is no base revision for further ones.
             self.schedule_operator(FIRST_ORDER_AFTER, OperatorEvent::NextOrder);
         } else if !period.is_zero() {
             self.schedule_operator(period, OperatorEvent::NextOrder);
         }
-        if first && self.operators.awaits_order() {
+        if first && self.operators.has_pending_order() {
             return;
         }
         let revokes = !first && self.random.random_bool(REVOKING_SHARE);
@@ -90,7 +94,7 @@
         });
     }
 
-    /// An operator builds an order on the newest revision that it knows, and sends it.
+    /// Sends a new order on the latest revision that the operators have received.
     pub(super) fn send_new_order(&mut self, change: KeyChange) {
         let tenant = self.random.random_range(0..self.topology.tenants.max(1));
         let revoked = (change == KeyChange::Revoke).then_some(tenant);
@@ -98,7 +102,7 @@
         self.send_operator_request(Some(order), 1);
     }
 
-    /// Two operators build on the same revision and reach different nodes.
+    /// Sends two orders of different operators on the same base revision, each to a random node.
     pub(super) fn race_operators(&mut self) {
         self.send_new_order(KeyChange::Keep);
         self.send_new_order(KeyChange::Keep);
@@ -145,7 +149,7 @@
             return;
         };
         if self.operators.loses_replies() && self.random.random_bool(LOST_REPLY_SHARE) {
-            // The connection broke: the operator tries another node after a moment.
+            // The reply is lost with its connection; the operator sends again, to a random node.
             self.schedule_operator(RETRY_AFTER, OperatorEvent::Timeout { request });
             return;
         }
@@ -191,7 +195,7 @@
         match answer {
             OrderAnswer::Accepted { revision, .. } => self.order_accepted(number, revision),
             OrderAnswer::Undecided => {
-                // The same order goes to another node.
+                // The same order is sent again, to a random node.
                 let sent = self.now();
                 let request = self.operators.expect_reply(PendingReply {
                     order: Some(number),
@@ -235,10 +239,11 @@
             digest: u64::from(serial),
             sent: pending.sent,
         });
-        self.operators.learn_revision(config.revision, serial);
+        self.operators
+            .update_latest_revision(config.revision, serial);
     }
 
-    /// At the end every accepted order is sent again: each must be acknowledged with its number.
+    /// Sends every accepted order again; each must be acknowledged with the same revision.
     fn resend_orders(&mut self) {
         for number in self.operators.start_resending() {
             self.send_operator_request(Some(number), MAX_ATTEMPTS);
@@ -246,14 +251,14 @@
     }
 }
 
-fn answer_of(reply: &OperatorReply, order: &Order, defect: Option<Defect>) -> OrderAnswer {
+fn answer_of(reply: &OperatorReply, order: &Order, defect: Option<InjectedDefect>) -> OrderAnswer {
     match reply {
         OperatorReply::Order(accepted) => OrderAnswer::Accepted {
             revision: accepted.revision,
             repeated: accepted.repeated,
         },
         OperatorReply::Failed(failure) => match failure.code {
-            ResultCode::RevisionConflict if defect == Some(Defect::AcceptsAll) => {
+            ResultCode::RevisionConflict if defect == Some(InjectedDefect::AcceptedConflict) => {
                 OrderAnswer::Accepted {
                     revision: order.base + 1,
                     repeated: false,
--- a/crates/simulation/src/world/operators.rs
+++ b/crates/simulation/src/world/operators.rs
@@ -1,4 +1,4 @@
-//! Simulated operators: the orders that they sent and what they know of the configuration.
+//! Simulated operators: their orders, pending requests and the latest revision they received.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 use crate::scenario::{Scenario, Topology, Workload};
 use crate::world::operator_document::Draft;
 
-/// A tenant key that an order revokes.
+/// A tenant key that an order revokes, with its replacement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RevokedKey {
     /// Tenant that the key belongs to.
@@ -25,59 +25,59 @@
 /// An order of an operator.
 #[derive(Clone, Debug)]
 pub struct Order {
-    /// Its number.
+    /// Number of the order.
     pub number: OrderNumber,
-    /// Revision that it was built on.
+    /// Base revision of the order.
     pub base: u64,
-    /// What it holds.
+    /// Content of the new configuration.
     pub draft: Draft,
-    /// Keys that it revokes.
+    /// Keys that the order revokes.
     pub revoked: Vec<RevokedKey>,
-    /// Revision that it got.
+    /// Revision that the order created; absent until it is accepted.
     accepted: Option<u64>,
 }
 
 /// A request to a control node whose reply has not arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingReply {
-    /// The order, or a read.
+    /// The order that was sent; absent for a read of the configuration.
     pub order: Option<OrderNumber>,
-    /// When it was sent.
+    /// Simulated time of the send.
     pub sent: MonotonicTime,
-    /// How often it was sent, this time included.
+    /// Number of sends, this one included.
     pub attempts: u32,
 }
 
-/// The newest revision that operators know.
+/// The latest revision that the operators have received.
 #[derive(Clone, Debug)]
-struct KnownRevision {
-    /// Its number, 0 before the first.
+struct LatestRevision {
+    /// Number of the revision; 0 before the first.
     revision: u64,
-    /// What it holds.
+    /// Content of the configuration.
     draft: Draft,
 }
 
-/// All operators.
+/// All operators of a run.
 pub struct Operators {
     workload: Workload,
     orders: BTreeMap<OrderNumber, Order>,
     /// Requests without a reply, by number.
     pending: BTreeMap<u64, PendingReply>,
-    /// Replies that are on their way, by number of the request.
+    /// Replies in transit, by the number of the request.
     replies: BTreeMap<u64, OperatorReply>,
-    newest: KnownRevision,
+    latest: LatestRevision,
     /// Number of active faults that lose replies.
     lost_reply_faults: u32,
-    /// Orders still to be sent, each when the one before it is accepted.
+    /// Number of orders to send, each when the one before it is accepted.
     queued_orders: u32,
-    /// Whether accepted orders are being sent again, and no new ones.
+    /// Whether the end of the run has begun, in which accepted orders are sent again and no new ones.
     resending: bool,
     last_request: u64,
     next_key: u32,
 }
 
 impl Operators {
-    /// Operators before the first order.
+    /// Creates the operators of a scenario, before their first order.
     #[must_use]
     pub fn new(scenario: &Scenario, topology: Topology) -> Self {
         let tenants = u32::from(topology.tenants);
@@ -87,7 +87,7 @@
             orders: BTreeMap::new(),
             pending: BTreeMap::new(),
             replies: BTreeMap::new(),
-            newest: KnownRevision {
+            latest: LatestRevision {
                 revision: 0,
                 draft: Draft { keys, serial: 0 },
             },
@@ -99,22 +99,22 @@
         }
     }
 
-    /// Whether a revision is known that orders can be built on.
+    /// Returns whether the operators have received a revision, the base for further orders.
     #[must_use]
-    pub fn knows_revision(&self) -> bool {
-        self.newest.revision != 0
+    pub fn has_revision(&self) -> bool {
+        self.latest.revision != 0
     }
 
-    /// Whether the reply to an order is awaited.
+    /// Returns whether the reply to any order is pending.
     #[must_use]
-    pub fn awaits_order(&self) -> bool {
+    pub fn has_pending_order(&self) -> bool {
         self.pending.values().any(|pending| pending.order.is_some())
     }
 
-    /// A new order on the newest revision; with `revoked`, that tenant gets a new key for its old ones.
+    /// Creates an order on the latest revision. If `revoked` is a tenant, its keys are replaced by a new one.
     pub fn new_order(&mut self, revoked: Option<u16>) -> OrderNumber {
         let number = OrderNumber(self.orders.len() as u64 + 1);
-        let mut draft = self.newest.draft.clone();
+        let mut draft = self.latest.draft.clone();
         draft.serial = u32::try_from(number.0).unwrap_or(u32::MAX);
         let revoked = match revoked {
             Some(tenant) => self.replace_keys(tenant, &mut draft),
@@ -122,7 +122,7 @@
         };
         let order = Order {
             number,
-            base: self.newest.revision,
+            base: self.latest.revision,
             draft,
             revoked,
             accepted: None,
@@ -144,13 +144,13 @@
         revoked.collect()
     }
 
-    /// The order with this number.
+    /// Returns the order with this number.
     #[must_use]
     pub fn order(&self, number: OrderNumber) -> Option<&Order> {
         self.orders.get(&number)
     }
 
-    /// The body of a request: the order, or a read.
+    /// Builds the request for an order, or for a read of the configuration if there is none.
     #[must_use]
     pub fn request_body(&self, order: Option<&Order>) -> OperatorRequest {
         match order {
@@ -170,29 +170,29 @@
         }
     }
 
-    /// Expects the reply to an order or a read. Returns the number of the request.
+    /// Adds a pending request. Returns its number.
     pub fn expect_reply(&mut self, pending: PendingReply) -> u64 {
         self.last_request += 1;
         self.pending.insert(self.last_request, pending);
         self.last_request
     }
 
-    /// The request is no longer pending: it was answered or timed out.
+    /// Removes a pending request, because it was answered or timed out.
     pub fn take_pending(&mut self, request: u64) -> Option<PendingReply> {
         self.pending.remove(&request)
     }
 
-    /// A reply is on its way.
+    /// Stores a reply in transit.
     pub fn send_reply(&mut self, request: u64, reply: OperatorReply) {
         self.replies.insert(request, reply);
     }
 
-    /// The reply that arrived.
+    /// Takes a reply that arrived.
     pub fn take_reply(&mut self, request: u64) -> Option<OperatorReply> {
         self.replies.remove(&request)
     }
 
-    /// An order got a revision. Returns the order the first time.
+    /// Marks an order as accepted with a revision. Returns the order if it was not accepted before.
     pub fn accept(&mut self, number: OrderNumber, revision: u64) -> Option<Order> {
         let order = self.orders.get_mut(&number)?;
         if order.accepted.is_some() {
@@ -200,8 +200,8 @@
         }
         order.accepted = Some(revision);
         let order = order.clone();
-        if revision > self.newest.revision {
-            self.newest = KnownRevision {
+        if revision > self.latest.revision {
+            self.latest = LatestRevision {
                 revision,
                 draft: order.draft.clone(),
             };
@@ -209,25 +209,26 @@
         Some(order)
     }
 
-    /// A read showed a revision. Operators that lost a race, or a reply, build on what they read.
-    pub fn learn_revision(&mut self, revision: u64, serial: u32) {
-        if revision <= self.newest.revision {
+    /// Updates the latest revision from a read, so that operators whose order conflicted, or whose reply was
+    /// lost, have a current base for the next order.
+    pub fn update_latest_revision(&mut self, revision: u64, serial: u32) {
+        if revision <= self.latest.revision {
             return;
         }
         if let Some(order) = self.orders.get(&OrderNumber(u64::from(serial))) {
-            self.newest = KnownRevision {
+            self.latest = LatestRevision {
                 revision,
                 draft: order.draft.clone(),
             };
         }
     }
 
-    /// Adds orders that are sent one after the other as they are accepted.
+    /// Adds `count` orders to send in sequence, each when the one before is accepted.
     pub fn queue_orders(&mut self, count: u32) {
         self.queued_orders += count;
     }
 
-    /// Takes one queued order. Returns whether there was one to send.
+    /// Takes one queued order. Returns whether one is to be sent.
     pub fn take_queued_order(&mut self) -> bool {
         if self.queued_orders == 0 || self.resending {
             return false;
@@ -236,13 +237,13 @@
         true
     }
 
-    /// Whether accepted orders are being sent again, and no new ones.
+    /// Returns whether accepted orders are being sent again, and no new ones.
     #[must_use]
     pub fn is_resending(&self) -> bool {
         self.resending
     }
 
-    /// From now on accepted orders are sent again, and no new ones. Returns the accepted orders.
+    /// Stops new orders. Returns the accepted orders, which are to be sent again.
     pub fn start_resending(&mut self) -> Vec<OrderNumber> {
         self.resending = true;
         let orders = self.orders.values();
@@ -250,13 +251,13 @@
         accepted.map(|order| order.number).collect()
     }
 
-    /// Whether a fault that loses replies is active.
+    /// Returns whether a fault that loses replies is active.
     #[must_use]
     pub fn loses_replies(&self) -> bool {
         self.lost_reply_faults > 0
     }
 
-    /// Replies may be lost from now on.
+    /// Begins a fault that loses replies.
     pub fn start_losing_replies(&mut self) {
         self.lost_reply_faults += 1;
     }
--- a/crates/simulation/src/world/probe_driver.rs
+++ b/crates/simulation/src/world/probe_driver.rs
@@ -1,4 +1,4 @@
-//! Probes and load reports of the proxies.
+//! Drives the health probes and load reports of the proxies.
 
 use millford_api::local::{LocalFrame, local_frame};
 use millford_proxy::daemon::prober::{PROBE_TIMEOUT, QUIET_BEFORE_PROBE};
@@ -7,21 +7,21 @@
 use crate::world::addresses::backend_of_id;
 use crate::world::process_input::ProcessInput;
 use crate::world::proxy::{BackendLink, lock};
-use crate::world::site::Site;
+use crate::world::simulation::Simulation;
 
-/// Ticks of a proxy between two load reports.
+/// Number of ticks of a proxy per load report.
 const TICKS_PER_REPORT: u64 = 4;
 
-/// How a probe ended.
+/// Outcome of a health probe.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ProbeOutcome {
     /// The backend answered.
     Answered,
-    /// Its connection failed, or no answer came in time.
+    /// The connection failed, or no answer arrived in time.
     Failed,
 }
 
-impl Site {
+impl Simulation {
     pub(super) fn proxy_tick(&mut self, number: u16) {
         let Some(proxy) = self.proxies.get_mut(&number) else {
             return;
@@ -64,7 +64,7 @@
         self.schedule_input(PROBE_TIMEOUT, process, incarnation, input);
     }
 
-    /// A probe was answered, failed or took too long.
+    /// Handles the end of a health probe.
     pub(super) fn probe_ends(&mut self, number: u16, link: LinkNumber, outcome: ProbeOutcome) {
         let Some(proxy) = self.proxies.get_mut(&number) else {
             return;
--- a/crates/simulation/src/world/process.rs
+++ b/crates/simulation/src/world/process.rs
@@ -1,4 +1,4 @@
-//! What every simulated process has.
+//! State that every simulated process has.
 
 use std::collections::VecDeque;
 
@@ -7,38 +7,38 @@
 use crate::kernel::ProcessClock;
 use crate::world::process_input::ProcessInput;
 
-/// How a process ends without warning.
+/// Way in which a process ends abruptly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessLoss {
-    /// It crashes: its machine closes its connections.
+    /// The process crashes, and its machine closes the connections.
     Crash,
-    /// Its machine is lost: its peers get no more packets and no end.
+    /// The machine is lost: peers get neither packets nor the end of the connections.
     MachineLost,
 }
 
-/// Incarnation, clock and inbox of a process.
+/// Incarnation, clock and queued inputs of a process.
 pub struct ProcessState {
-    /// Number of the incarnation; 0 before the first start.
+    /// Number of the present or last incarnation, unique in a run; 0 before the first start.
     pub incarnation: u64,
-    /// Whether it runs, frozen or not.
-    pub alive: bool,
+    /// Whether the process runs, frozen or not.
+    pub running: bool,
     /// Number of active freezes.
     pub frozen: u32,
-    /// Its thread waits for the disk until then.
+    /// Simulated time until which the process waits for its disk.
     pub busy_until: MonotonicTime,
-    /// Inputs that wait while it is frozen or busy.
+    /// Inputs queued while the process is frozen or busy.
     pub inbox: VecDeque<ProcessInput>,
-    /// Its monotonic clock.
+    /// Monotonic clock of the process.
     pub clock: ProcessClock,
 }
 
 impl ProcessState {
-    /// A process that was not started yet.
+    /// Creates a process that has not started.
     #[must_use]
     pub fn new(clock: ProcessClock) -> Self {
         Self {
             incarnation: 0,
-            alive: false,
+            running: false,
             frozen: 0,
             busy_until: MonotonicTime::ZERO,
             inbox: VecDeque::new(),
@@ -46,23 +46,23 @@
         }
     }
 
-    /// Whether it can handle an input now.
+    /// Returns whether the process can handle an input at simulated time `now`.
     #[must_use]
     pub fn is_free(&self, now: MonotonicTime) -> bool {
-        self.alive && self.frozen == 0 && self.busy_until <= now
+        self.running && self.frozen == 0 && self.busy_until <= now
     }
 
-    /// Starts a new incarnation.
+    /// Starts a new incarnation with this number.
     pub fn start(&mut self, incarnation: u64) {
         self.incarnation = incarnation;
-        self.alive = true;
+        self.running = true;
         self.busy_until = MonotonicTime::ZERO;
         self.inbox.clear();
     }
 
-    /// Ends the incarnation; the inbox is lost.
+    /// Ends the incarnation and drops its queued inputs.
     pub fn stop(&mut self) {
-        self.alive = false;
+        self.running = false;
         self.inbox.clear();
     }
 }
--- a/crates/simulation/src/world/process_fault_driver.rs
+++ b/crates/simulation/src/world/process_fault_driver.rs
@@ -1,4 +1,4 @@
-//! Kills, freezes and replaces processes, and disturbs their clocks.
+//! Effects of faults on processes and their clocks.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 use crate::world::process::ProcessLoss;
 use crate::world::process_input::ProcessInput;
 use crate::world::registry_driver::Unavailability;
-use crate::world::site::Site;
+use crate::world::simulation::Simulation;
 
-impl Site {
-    /// The processes die and start again after `down`.
+impl Simulation {
+    /// Kills the processes and starts them again after `down`.
     pub(super) fn kill(&mut self, target: Target, down: Duration) {
         let processes = self.resolve(target);
         let mut undo = Vec::new();
@@ -23,13 +23,14 @@
                 continue;
             }
             self.kill_process(*process, ProcessLoss::Crash);
-            self.backend_unavailable(*process, Unavailability::Dead);
+            self.backend_unavailable(*process, Unavailability::Crashed);
             undo.push(Undo::Start(*process));
         }
         self.begin_fault(undo, machines_of(&processes), down);
     }
 
-    /// As a kill, and the disk is empty afterwards.
+    /// Takes the machines down and starts them again after `down`, control nodes with an empty disk. A kill
+    /// instead, unless a disk may be lost.
     pub(super) fn wipe(&mut self, target: Target, down: Duration) {
         if !self.may_lose_disk(target) {
             self.kill(target, down);
@@ -44,14 +45,15 @@
             {
                 control.disk().wipe();
             }
-            self.backend_unavailable(*process, Unavailability::Dead);
+            self.backend_unavailable(*process, Unavailability::Crashed);
             undo.push(Undo::MachineUp(process.machine()));
             undo.push(Undo::Start(*process));
         }
         self.begin_fault(undo, machines_of(&processes), down);
     }
 
-    /// Control nodes are lost for good; an empty one starts for each, at a new address, after `down`.
+    /// Removes control nodes for good, and starts an empty one for each after `down`, at a new address. A kill
+    /// instead, for other targets or unless a disk may be lost.
     pub(super) fn replace(&mut self, target: Target, down: Duration) {
         if target.kind != TargetKind::ControlNode || !self.may_lose_disk(target) {
             self.kill(target, down);
@@ -61,7 +63,7 @@
         let mut undo = Vec::new();
         let mut machines = machines_of(&processes);
         for process in &processes {
-            // The old address never answers again.
+            // The machine is never marked as up again, so its address no longer answers.
             self.lose_machine(*process);
             if let ProcessId::Control(number) = process
                 && let Some(control) = self.controls.get_mut(number)
@@ -76,10 +78,10 @@
         self.begin_fault(undo, machines, down);
     }
 
-    /// Losing two disks before the first is repaired is beyond the guarantee: such a fault becomes a
-    /// kill.
+    /// Returns whether a fault may destroy a disk. Losing a second disk before the shards are fully replicated
+    /// again is outside the guarantee.
     fn may_lose_disk(&self, target: Target) -> bool {
-        self.is_repaired() && target.choice != Choice::All
+        self.is_fully_replicated() && target.choice != Choice::All
     }
 
     fn lose_machine(&mut self, process: ProcessId) {
@@ -87,7 +89,7 @@
         self.faults.machine_down(process.machine());
     }
 
-    /// The processes stop, and continue after `length` as if nothing had been.
+    /// Suspends the processes for `length`; they then continue with their state.
     pub(super) fn freeze(&mut self, target: Target, length: Duration) {
         let processes = self.resolve(target);
         let mut undo = Vec::new();
@@ -101,7 +103,7 @@
         self.begin_fault(undo, machines_of(&processes), length);
     }
 
-    /// A frozen process continues.
+    /// Ends one freeze of a process; without another one the process continues.
     pub(super) fn thaw(&mut self, process: ProcessId) {
         let Some(state) = self.process_mut(process) else {
             return;
@@ -122,7 +124,7 @@
         self.backend_available(process);
     }
 
-    /// The monotonic clocks of the processes jump ahead.
+    /// Moves the monotonic clocks of the processes ahead.
     pub(super) fn jump_clocks(&mut self, target: Target, by: Duration) {
         let now = self.now();
         let processes = self.resolve(target);
@@ -140,7 +142,7 @@
         self.begin_fault(Vec::new(), machines_of(&processes), Duration::ZERO);
     }
 
-    /// The monotonic clocks of the processes drift by parts per million from now on.
+    /// Sets the drift of the processes' monotonic clocks, in parts per million.
     pub(super) fn drift_clocks(&mut self, target: Target, ppm: i32) {
         let now = self.now();
         for process in self.resolve(target) {
--- a/crates/simulation/src/world/process_input.rs
+++ b/crates/simulation/src/world/process_input.rs
@@ -6,14 +6,14 @@
 use crate::network::{LinkNumber, Packet};
 use crate::world::client_request::ArrivingRequest;
 
-/// Something that a process has to handle.
+/// An input that a process handles.
 #[derive(Clone, Debug)]
 pub enum ProcessInput {
-    /// A connection that the process opened or accepted is up.
+    /// A connection is open.
     LinkOpened {
         /// The connection.
         link: LinkNumber,
-        /// Whether the process accepted it.
+        /// Whether the process accepted the connection; else it opened it.
         accepted: bool,
     },
     /// A connection ended or could not be opened.
@@ -28,15 +28,15 @@
         /// The packet.
         packet: Packet,
     },
-    /// Time passes.
+    /// Periodic tick.
     Tick,
-    /// A timer of a request is due.
+    /// A timer of a proxy's tasks may be due.
     Timer,
-    /// The registry's list arrived, as it was at the reading.
+    /// The result of a read of the registry is available.
     Registry,
     /// A request of an operator arrived.
     Operator {
-        /// Number that the reply carries.
+        /// Number of the request; the reply has the same.
         request: u64,
         /// The request.
         body: Box<OperatorRequest>,
@@ -45,19 +45,19 @@
     ClientRequest(Box<ArrivingRequest>),
     /// A caller disconnected.
     CallerDisconnected(RequestNumber),
-    /// A connection should be open by now.
+    /// The connect timeout of a connection to a backend expired.
     ConnectOverdue {
         /// The connection.
         link: LinkNumber,
     },
-    /// A probe should be answered by now.
+    /// The timeout of a health probe expired.
     ProbeOverdue {
-        /// Its connection.
+        /// Connection of the probe.
         link: LinkNumber,
     },
-    /// The proxy connects to its agent again.
+    /// The proxy must reconnect to its agent.
     Reconnect,
-    /// A backend continues the answer on a connection.
+    /// The backend must send the next part of an answer.
     Work {
         /// The connection.
         link: LinkNumber,
--- a/crates/simulation/src/world/proxy/action.rs
+++ b/crates/simulation/src/world/proxy/action.rs
@@ -1,4 +1,4 @@
-//! Actions that the tasks of a proxy request.
+//! Actions that the tasks of a proxy request from its driver.
 
 use bytes::Bytes;
 use millford_api::local::LocalFrame;
@@ -8,57 +8,57 @@
 
 use crate::history::RequestNumber;
 
-/// Number of an exchange with a backend, given by the proxy.
+/// Number of a proxy's exchange with a backend; unique per incarnation of the proxy.
 pub type ExchangeNumber = u64;
 
-/// One action that a task requests.
+/// An action that a task requests from the driver.
 #[derive(Debug)]
 pub enum ProxyAction {
-    /// Send to the agent.
+    /// Sends a frame to the agent.
     ToAgent(LocalFrame),
-    /// Wake the tasks at a local time.
+    /// Wakes the tasks at a local time.
     WakeAt(MonotonicTime),
-    /// Connect to a backend, then send the request.
+    /// Connects to a backend, then sends the request.
     Dispatch {
         /// The exchange that waits for the answer.
         exchange: ExchangeNumber,
         /// The client request that is served.
         client_request: RequestNumber,
-        /// What is sent.
+        /// The request to send.
         request: Box<BackendRequest>,
     },
-    /// Connect to a backend, then send the withdrawal.
+    /// Connects to a backend, then sends the withdrawal.
     Withdraw {
         /// The exchange that waits for the answer.
         exchange: ExchangeNumber,
-        /// What is sent.
+        /// The withdrawal to send.
         request: WithdrawRequest,
     },
-    /// Close the connection of an exchange.
+    /// Closes the connection of an exchange.
     CloseExchange(ExchangeNumber),
-    /// A client request was admitted under its tenant's quota.
+    /// Records the admission of a client request under its tenant's quota.
     Admitted(RequestNumber),
-    /// The token of an admitted client request was returned: nothing was sent.
+    /// Records the return of a client request's quota token, since no attempt was sent.
     AdmissionReturned(RequestNumber),
-    /// Send the head of an answer to the caller.
+    /// Sends the head of an answer to the caller.
     CallerHead {
         /// The request that is answered.
         client_request: RequestNumber,
-        /// The head.
+        /// The head to send.
         head: CallerHead,
     },
-    /// Send a part of the body to the caller.
+    /// Sends a part of an answer's body to the caller.
     CallerBytes {
         /// The request that is answered.
         client_request: RequestNumber,
-        /// The part.
+        /// The part to send.
         bytes: Bytes,
     },
-    /// The body ends.
+    /// Ends an answer.
     CallerEnd {
         /// The request that is answered.
         client_request: RequestNumber,
-        /// Whether the body is complete; else the connection breaks.
+        /// Whether the body is complete; else the connection to the caller is aborted.
         complete: bool,
     },
 }
--- a/crates/simulation/src/world/proxy/agent_client.rs
+++ b/crates/simulation/src/world/proxy/agent_client.rs
@@ -1,4 +1,4 @@
-//! Requests of a proxy to its agent, and how answers reach them.
+//! Requests of a proxy to its agent.
 
 use futures::channel::oneshot;
 use futures::future::{Either, select};
@@ -13,43 +13,43 @@
 use millford_data_plane::frame_handler::FrameOutcome;
 
 use crate::history::RequestNumber;
-use crate::world::defect::Defect;
+use crate::world::injected_defect::InjectedDefect;
 use crate::world::proxy::action::ProxyAction;
 use crate::world::proxy::in_flight_requests::InFlightRequests;
 use crate::world::proxy::port::{SharedPort, lock};
 
-/// A planted defect refuses one in this many quota requests.
-const PLANTED_REFUSAL_DIVISOR: u64 = 5;
+/// An injected defect refuses one in this many quota requests.
+const INJECTED_REFUSAL_DIVISOR: u64 = 5;
 
-/// Requests that the agent has not answered. A new connection to the agent sends them again, as in
+/// Requests that the agent has not answered. They are sent again on a new connection to the agent, as in
 /// the daemon.
 #[derive(Default)]
 pub struct AgentClient {
-    /// A planted defect, if any.
-    defect: Option<Defect>,
+    /// Injected defect, if any.
+    defect: Option<InjectedDefect>,
     quotas: InFlightRequests<AdmissionReply>,
     claims: InFlightRequests<ClaimAnswer>,
     resolutions: InFlightRequests<()>,
 }
 
 impl AgentClient {
-    /// A client without requests, with a planted defect if any.
+    /// Creates a client without requests, and with an injected defect, if any.
     #[must_use]
-    pub fn new(defect: Option<Defect>) -> Self {
+    pub fn new(defect: Option<InjectedDefect>) -> Self {
         Self {
             defect,
             ..Self::default()
         }
     }
 
-    /// Requests one admission, and records a granted one.
+    /// Requests an admission, and records it if granted.
     pub async fn admit(
         &self,
         port: &SharedPort,
         client_request: RequestNumber,
         request: AdmissionRequest,
     ) -> AdmissionReply {
-        let reply = match self.planted_reply(port) {
+        let reply = match self.injected_reply(port) {
             Some(reply) => reply,
             None => self.request_quota(port, request).await,
         };
@@ -60,11 +60,12 @@
         reply
     }
 
-    fn planted_reply(&self, port: &SharedPort) -> Option<AdmissionReply> {
+    /// Returns the reply that an injected defect gives in place of the agent's.
+    fn injected_reply(&self, port: &SharedPort) -> Option<AdmissionReply> {
         match self.defect {
-            Some(Defect::GrantsAll) => Some(AdmissionReply::Granted),
-            Some(Defect::RefusesSome)
-                if lock(port).random().is_multiple_of(PLANTED_REFUSAL_DIVISOR) =>
+            Some(InjectedDefect::UnlimitedQuota) => Some(AdmissionReply::Granted),
+            Some(InjectedDefect::FalseQuotaRefusal)
+                if lock(port).random().is_multiple_of(INJECTED_REFUSAL_DIVISOR) =>
             {
                 Some(AdmissionReply::Refused {
                     code: ResultCode::QuotaExceeded,
@@ -95,7 +96,7 @@
         })
     }
 
-    /// Returns a stream slot or a token.
+    /// Returns a stream slot, an unused token, or both, to the agent.
     pub fn release_quota(
         &self,
         port: &SharedPort,
@@ -109,7 +110,7 @@
         send_release(port, release.tenant, release.stream, release.unused);
     }
 
-    /// Reserves a run.
+    /// Claims a run under an idempotency key. Without an answer within `timeout` the claim is unavailable.
     pub async fn claim(&self, port: &SharedPort, claim: Claim, timeout: Duration) -> ClaimAnswer {
         let request_id = lock(port).next_number();
         let body = local_frame::Body::Claim(LocalClaim {
@@ -125,7 +126,7 @@
         answer.unwrap_or(ClaimAnswer::Unavailable)
     }
 
-    /// Records the outcome of a claim, again and again until it is acknowledged.
+    /// Sends the outcome of a claim. It is sent again on every new connection until it is acknowledged.
     pub fn resolve(&self, port: &SharedPort, resolution: ResolveClaim) {
         let request_id = lock(port).next_number();
         let body = local_frame::Body::ResolveClaim(LocalResolveClaim {
@@ -137,7 +138,7 @@
         send(port, body);
     }
 
-    /// Hands an answer to its requester. A grant that came too late is returned.
+    /// Passes an answer to its requester. A grant whose requester no longer waits is returned.
     pub fn handle_answer(&self, port: &SharedPort, outcome: &FrameOutcome) {
         match *outcome {
             FrameOutcome::Quota {
@@ -188,14 +189,14 @@
             return false;
         };
         if request.stream {
-            // The agent counts the slot as taken; its token is used.
+            // The agent counts the slot as in use, so it is returned; the token is spent.
             send_release(port, request.tenant.clone(), true, false);
         }
         send(port, local_frame::Body::QuotaRequest(request));
         true
     }
 
-    /// Frames to send again on a new connection.
+    /// Returns the frames to send again on a new connection.
     #[must_use]
     pub fn in_flight_frames(&self, now: MonotonicTime) -> Vec<LocalFrame> {
         let mut frames = self.resolutions.renew(now);
@@ -217,7 +218,7 @@
     };
     match select(&mut answer, timer).await {
         Either::Left((answer, _)) => answer.ok(),
-        // An answer that arrived at this very moment counts all the same.
+        // An answer that arrives at the same time as the timeout still counts.
         Either::Right(_) => answer.try_recv().ok().flatten(),
     }
 }
--- a/crates/simulation/src/world/proxy/answer.rs
+++ b/crates/simulation/src/world/proxy/answer.rs
@@ -1,4 +1,4 @@
-//! An answer of a simulated backend, as the request path reads it.
+//! Answer of a simulated backend, as the request path reads it.
 
 use bytes::Bytes;
 use futures::StreamExt;
@@ -9,20 +9,20 @@
 use crate::world::proxy::action::{ExchangeNumber, ProxyAction};
 use crate::world::proxy::port::{SharedPort, lock};
 
-/// A part of an answer's body.
+/// An event in an answer's body.
 #[derive(Clone, Debug)]
 pub enum BodyPart {
-    /// Bytes of the body.
+    /// A part of the body.
     Bytes(Bytes),
-    /// The body ended complete by its framing.
+    /// The body is complete according to its framing.
     Finish,
 }
 
 /// Closes the connection of an exchange when dropped.
 pub struct ExchangeGuard {
-    /// Where to close.
+    /// Port of the proxy.
     pub port: SharedPort,
-    /// Which exchange.
+    /// The exchange to close.
     pub exchange: ExchangeNumber,
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// Head and body of an answer.
+/// Head and body of an answer; the exchange is closed when it is dropped.
 pub struct SimulatedAnswer {
     head: AnswerHead,
     body: mpsc::UnboundedReceiver<BodyPart>,
@@ -43,7 +43,7 @@
 }
 
 impl SimulatedAnswer {
-    /// An answer whose head arrived.
+    /// Creates an answer whose head has arrived; `body` delivers the rest.
     #[must_use]
     pub fn new(
         head: AnswerHead,
--- a/crates/simulation/src/world/proxy/backend_links.rs
+++ b/crates/simulation/src/world/proxy/backend_links.rs
@@ -1,4 +1,4 @@
-//! A proxy's connections to backends.
+//! Connections of a proxy to backends.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,36 +9,36 @@
 use crate::network::LinkNumber;
 use crate::world::proxy::action::ExchangeNumber;
 
-/// Why a connection to a backend was opened.
+/// Purpose of a connection to a backend.
 #[derive(Clone, Debug)]
 pub enum BackendLink {
-    /// For an attempt at a client request.
+    /// Sends an attempt at a client request.
     Dispatch {
         /// The exchange that waits for the answer.
         exchange: ExchangeNumber,
         /// The client request.
         client_request: RequestNumber,
-        /// What is sent once the connection is open.
+        /// The request to send once the connection is open.
         request: Box<BackendRequest>,
     },
-    /// To withdraw an attempt.
+    /// Withdraws an attempt.
     Withdraw {
         /// The exchange that waits for the answer.
         exchange: ExchangeNumber,
-        /// The attempt's id.
+        /// Id of the attempt.
         attempt: String,
-        /// Upper bound of its age.
+        /// Upper bound of the attempt's age.
         age: Duration,
     },
-    /// To probe a backend.
+    /// Probes the health of a backend.
     Probe {
-        /// Its id.
+        /// Id of the backend.
         backend: String,
     },
 }
 
 impl BackendLink {
-    /// The exchange that waits for an answer; a probe has none.
+    /// Returns the exchange that waits for an answer; a probe has none.
     #[must_use]
     pub fn exchange(&self) -> Option<ExchangeNumber> {
         match self {
@@ -48,7 +48,7 @@
     }
 }
 
-/// Connections to backends by number, and by exchange.
+/// Connections to backends, by number and by exchange.
 #[derive(Default)]
 pub struct BackendLinks {
     links: BTreeMap<LinkNumber, BackendLink>,
@@ -56,7 +56,7 @@
 }
 
 impl BackendLinks {
-    /// Adds a connection.
+    /// Adds a connection with its purpose.
     pub fn insert(&mut self, link: LinkNumber, purpose: BackendLink) {
         if let Some(exchange) = purpose.exchange() {
             self.exchanges.insert(exchange, link);
@@ -64,20 +64,20 @@
         self.links.insert(link, purpose);
     }
 
-    /// Why a connection was opened.
+    /// Returns the purpose of a connection.
     #[must_use]
     pub fn get(&self, link: LinkNumber) -> Option<&BackendLink> {
         self.links.get(&link)
     }
 
-    /// Whether a probe is under way.
+    /// Returns whether a probe is in progress.
     #[must_use]
     pub fn is_probing(&self) -> bool {
         let mut links = self.links.values();
         links.any(|purpose| matches!(purpose, BackendLink::Probe { .. }))
     }
 
-    /// Forgets a connection.
+    /// Removes a connection. Returns its purpose.
     pub fn remove(&mut self, link: LinkNumber) -> Option<BackendLink> {
         let purpose = self.links.remove(&link)?;
         if let Some(exchange) = purpose.exchange() {
@@ -86,14 +86,14 @@
         Some(purpose)
     }
 
-    /// Forgets the connection of an exchange. Returns its number.
+    /// Removes the connection of an exchange. Returns its number.
     pub fn remove_exchange(&mut self, exchange: ExchangeNumber) -> Option<LinkNumber> {
         let link = self.exchanges.remove(&exchange)?;
         self.links.remove(&link);
         Some(link)
     }
 
-    /// Forgets every connection.
+    /// Removes every connection.
     pub fn clear(&mut self) {
         self.links.clear();
         self.exchanges.clear();
--- a/crates/simulation/src/world/proxy/environment.rs
+++ b/crates/simulation/src/world/proxy/environment.rs
@@ -1,4 +1,4 @@
-//! The request path's view of the simulated site.
+//! Implementation of the request path's environment by the simulation.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -21,13 +21,13 @@
 use crate::world::proxy::answer::{ExchangeGuard, SimulatedAnswer};
 use crate::world::proxy::port::{ExchangeWaiter, SharedPort, lock};
 
-/// Environment of one client request on a proxy.
+/// Environment of a client request on a simulated proxy.
 pub struct SimulatedEnvironment {
-    /// Where actions are queued.
+    /// Port of the proxy, which queues the actions.
     pub port: SharedPort,
     /// State of the proxy.
     pub state: Arc<ProxyState>,
-    /// Requests to the agent.
+    /// Client for requests to the agent.
     pub agent: Arc<AgentClient>,
     /// The client request that is served.
     pub client_request: RequestNumber,
--- a/crates/simulation/src/world/proxy/executor.rs
+++ b/crates/simulation/src/world/proxy/executor.rs
@@ -1,4 +1,4 @@
-//! Runs the tasks of one proxy on the simulator's thread, in a fixed order.
+//! Deterministic, single-threaded executor of a proxy's tasks.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -29,7 +29,7 @@
     }
 }
 
-/// Tasks by number; woken tasks are polled in the order of their waking.
+/// Tasks by number. Woken tasks are polled in the order in which they were woken.
 #[derive(Default)]
 pub struct Executor {
     tasks: BTreeMap<u64, Task>,
@@ -38,14 +38,14 @@
 }
 
 impl Executor {
-    /// Adds a task; it is polled by the next [`Executor::run`].
+    /// Adds a task, to be polled by the next [`Executor::run`].
     pub fn spawn(&mut self, task: impl Future<Output = ()> + Send + 'static) {
         self.next += 1;
         self.tasks.insert(self.next, Box::pin(task));
         self.lock_woken().push(self.next);
     }
 
-    /// Polls woken tasks until none is.
+    /// Polls woken tasks until no task is woken.
     pub fn run(&mut self) {
         loop {
             let woken = std::mem::take(&mut *self.lock_woken());
--- a/crates/simulation/src/world/proxy/in_flight_requests.rs
+++ b/crates/simulation/src/world/proxy/in_flight_requests.rs
@@ -1,4 +1,4 @@
-//! Frames that wait for the agent's answer, with the daemon's rules and the simulator's time.
+//! Requests to the agent without an answer. They follow the daemon's rules on simulated time.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -11,12 +11,13 @@
 struct InFlightRequest<T> {
     frame: LocalFrame,
     times: SendTimes,
-    /// Where the answer goes; a claim's outcome has no requester.
+    /// Receives the answer; absent for the outcome of a claim, which only needs an acknowledgement.
     requester: Option<oneshot::Sender<T>>,
 }
 
 impl<T> InFlightRequest<T> {
-    /// Whether the answer is awaited. What has no requester waits until it is acknowledged.
+    /// Returns whether the request still needs an answer: always without a requester, else while the
+    /// requester waits.
     fn is_awaited(&self) -> bool {
         self.requester
             .as_ref()
@@ -30,7 +31,7 @@
     }
 }
 
-/// Frames of one kind by the number that their answers carry.
+/// In-flight requests of one kind, by request id.
 pub struct InFlightRequests<T> {
     requests: Mutex<BTreeMap<u64, InFlightRequest<T>>>,
 }
@@ -44,7 +45,7 @@
 }
 
 impl<T> InFlightRequests<T> {
-    /// Keeps a frame until it is answered. Returns the future answer.
+    /// Adds a request. Returns the receiver of its answer.
     pub fn insert(
         &self,
         now: MonotonicTime,
@@ -56,7 +57,7 @@
         receiver
     }
 
-    /// Keeps a frame until it is answered; nobody waits for the answer.
+    /// Adds a request that only needs an acknowledgement.
     pub fn insert_without_requester(&self, now: MonotonicTime, number: u64, frame: LocalFrame) {
         self.insert_for(now, number, frame, None);
     }
@@ -76,7 +77,7 @@
         self.lock().insert(number, request);
     }
 
-    /// Hands the answer to its requester; returns the frame if nobody waits for it any more.
+    /// Passes the answer to its requester. Returns the frame if the requester no longer waits.
     pub fn answer(&self, number: u64, answer: T) -> Option<LocalFrame> {
         let request = self.lock().remove(&number)?;
         match request.requester?.send(answer) {
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Every frame whose answer is awaited, to be sent again; the others are dropped.
+    /// Returns the frames to send again; drops the requests whose requester no longer waits.
     pub fn renew(&self, now: MonotonicTime) -> Vec<LocalFrame> {
         let mut requests = self.lock();
         requests.retain(|_, request| request.is_awaited());
@@ -93,7 +94,7 @@
         requests.map(|request| request.renew(now)).collect()
     }
 
-    /// The frame to send again if its grant can no longer be used and its answer is awaited.
+    /// Returns the frame to send again if its requester waits and the grant arrived too late to be used.
     pub fn renew_late(
         &self,
         now: MonotonicTime,
--- a/crates/simulation/src/world/proxy/mod.rs
+++ b/crates/simulation/src/world/proxy/mod.rs
@@ -1,4 +1,4 @@
-//! A proxy whose request path is the daemon's own, run by an executor of the simulator.
+//! Simulated proxy: the daemon's request path on a deterministic executor.
 
 pub mod action;
 pub mod agent_client;
--- a/crates/simulation/src/world/proxy/port.rs
+++ b/crates/simulation/src/world/proxy/port.rs
@@ -1,4 +1,4 @@
-//! Where the tasks of a proxy meet the simulated site.
+//! Interface between the tasks of a proxy and its driver.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,55 +13,55 @@
 use crate::world::proxy::action::{ExchangeNumber, ProxyAction};
 use crate::world::proxy::answer::BodyPart;
 
-/// What a task waits for on an exchange.
+/// The next message that a task expects on an exchange, and its receivers.
 pub enum ExchangeWaiter {
     /// The head of an answer.
     Head {
-        /// Where the head goes.
+        /// Sender of the head, or of the error.
         head: oneshot::Sender<Result<AnswerHead, DispatchError>>,
-        /// Where the rest of the answer goes.
+        /// Sender of the body that follows.
         body: mpsc::UnboundedSender<BodyPart>,
-        /// Set once the request may have run.
+        /// Set when the request is sent, after which it may have run.
         sent: SentFlag,
     },
-    /// The rest of an answer.
+    /// The body of an answer.
     Body(mpsc::UnboundedSender<BodyPart>),
-    /// The answer to a withdrawal; nobody may be waiting.
+    /// The answer to a withdrawal; without a sender the answer is dropped.
     Withdrawal(Option<oneshot::Sender<WithdrawAnswer>>),
 }
 
-/// Timers in the order of their times, then of their numbers.
+/// Key of a timer; orders timers by time, then by number.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
     at: MonotonicTime,
     number: u64,
 }
 
-/// State shared by a proxy's tasks and the driver; only ever used by one thread.
+/// State shared by the tasks of a proxy and its driver; used by one thread only.
 pub struct ProxyPort {
-    /// The proxy's clock.
+    /// Local time of the proxy.
     pub now: MonotonicTime,
     /// Actions that tasks requested, in order.
     pub actions: Vec<ProxyAction>,
-    /// Exchanges under way.
+    /// Exchanges that wait for a message.
     pub exchanges: BTreeMap<ExchangeNumber, ExchangeWaiter>,
-    /// Presence of each caller: dropped when the caller disconnects.
+    /// One sender per connected caller; dropping it signals that the caller disconnected.
     pub presences: BTreeMap<RequestNumber, oneshot::Sender<()>>,
     timers: BTreeMap<TimerKey, oneshot::Sender<()>>,
     random: ChaCha8Rng,
     last_number: u64,
 }
 
-/// The port as tasks and driver hold it.
+/// Shared handle of a port.
 pub type SharedPort = Arc<Mutex<ProxyPort>>;
 
-/// Takes the port; the lock is never contended.
+/// Locks a port. The lock is never contended.
 pub fn lock(port: &SharedPort) -> MutexGuard<'_, ProxyPort> {
     port.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl ProxyPort {
-    /// The port of a proxy that starts.
+    /// Creates the port of a proxy that starts at local time `now`.
     #[must_use]
     pub fn new(now: MonotonicTime, random: ChaCha8Rng) -> Self {
         Self {
@@ -75,18 +75,18 @@
         }
     }
 
-    /// A number that was not used before.
+    /// Returns a new number, for exchanges, requests and timers.
     pub fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
 
-    /// A random number.
+    /// Returns a random number.
     pub fn random(&mut self) -> u64 {
         self.random.random()
     }
 
-    /// A future that resolves at a local time.
+    /// Returns a future that resolves at local time `at`.
     pub fn timer(&mut self, at: MonotonicTime) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
         let number = self.next_number();
@@ -95,7 +95,7 @@
         receiver
     }
 
-    /// Resolves the timers that are due.
+    /// Resolves the timers that are due at the present local time.
     pub fn fire_timers(&mut self) {
         while let Some(entry) = self.timers.first_entry() {
             if entry.key().at > self.now {
--- a/crates/simulation/src/world/proxy/proxy_process.rs
+++ b/crates/simulation/src/world/proxy/proxy_process.rs
@@ -1,4 +1,4 @@
-//! The proxy of a proxy node.
+//! State of a simulated proxy.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
@@ -19,20 +19,20 @@
 use crate::world::proxy::executor::Executor;
 use crate::world::proxy::port::{ProxyPort, SharedPort, lock};
 
-/// A proxy's connection to its agent.
+/// Connection of a proxy to its agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AgentLink {
-    /// There is none.
+    /// There is no connection.
     #[default]
     Disconnected,
-    /// It is being opened.
+    /// The connection is being opened.
     Connecting(LinkNumber),
     /// Both sides may send.
     Open(LinkNumber),
 }
 
 impl AgentLink {
-    /// Number of the connection, open or not.
+    /// Returns the number of the connection, open or being opened.
     #[must_use]
     pub fn number(self) -> Option<LinkNumber> {
         match self {
@@ -42,42 +42,42 @@
     }
 }
 
-/// The running part of a proxy; dropped when the process dies.
+/// The running part of a proxy; dropped when its process ends.
 pub struct RunningProxy {
     /// State of the request path.
     pub state: Arc<ProxyState>,
-    /// Feed and link state.
+    /// Handler of the agent's frames.
     pub handler: FrameHandler,
-    /// Where tasks queue their actions.
+    /// Interface between tasks and driver.
     pub port: SharedPort,
-    /// Requests to the agent.
+    /// Client for requests to the agent.
     pub agent_client: Arc<AgentClient>,
-    /// Request tasks.
+    /// Executor of the tasks, one per client request.
     pub executor: Executor,
 }
 
 /// A proxy and its connections.
 pub struct ProxyProcess {
-    /// The process.
+    /// Process of the proxy.
     pub process: ProcessState,
-    /// The proxy while it runs.
+    /// The running part; absent while the process does not run.
     pub running: Option<RunningProxy>,
     /// Connection to the agent.
     pub agent: AgentLink,
     /// Connections to backends.
     pub backends: BackendLinks,
-    /// Client requests of which an attempt was sent, by any incarnation.
+    /// Client requests of which any incarnation sent an attempt.
     dispatched: BTreeSet<RequestNumber>,
-    /// Revision that was recorded last, 0 before the first.
+    /// Last recorded revision of this incarnation; 0 before the first.
     recorded_revision: u64,
-    /// Ticks since the start.
+    /// Number of ticks since the start.
     ticks: u64,
-    /// First state of the configuration, for a planted defect.
+    /// Frames of the first configuration, for an injected defect.
     pub first_frames: Vec<LocalFrame>,
 }
 
 impl ProxyProcess {
-    /// A proxy that was not started yet.
+    /// Creates a proxy that has not started.
     #[must_use]
     pub fn new(process: ProcessState) -> Self {
         Self {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Forgets everything of the last incarnation.
+    /// Drops the state of the last incarnation.
     pub fn forget_incarnation(&mut self) {
         self.running = None;
         self.agent = AgentLink::Disconnected;
@@ -107,19 +107,19 @@
         self.ticks
     }
 
-    /// An attempt at a client request is sent. Returns whether one was sent before.
+    /// Adds an attempt at a client request. Returns whether one was sent before.
     pub fn is_second_dispatch(&mut self, client_request: RequestNumber) -> bool {
         !self.dispatched.insert(client_request)
     }
 
-    /// Whether a revision was recorded since the start.
+    /// Returns whether a revision was recorded since the start.
     #[must_use]
     pub fn has_recorded_revision(&self) -> bool {
         self.recorded_revision > 0
     }
 
-    /// The revision that the proxy routes by, if it was not recorded yet. Until it is ready a proxy
-    /// serves nothing, so it applies nothing.
+    /// Returns the revision that the proxy routes by, if it has not been recorded, and marks it as recorded.
+    /// `None` until the proxy is ready, since it serves no request before.
     pub fn take_applied_revision(&mut self) -> Option<u64> {
         let state = &self.running.as_ref()?.state;
         let revision = state.table().revision();
@@ -130,7 +130,7 @@
         Some(revision)
     }
 
-    /// Runs the tasks at a local time and takes the actions that they queued.
+    /// Runs the tasks at local time `now`. Returns the actions that they requested.
     pub fn run_tasks(&mut self, now: MonotonicTime) -> Vec<ProxyAction> {
         let Some(running) = self.running.as_mut() else {
             return Vec::new();
@@ -146,7 +146,7 @@
 }
 
 impl RunningProxy {
-    /// A proxy that starts.
+    /// Creates the running part of a proxy that starts at local time `now`.
     #[must_use]
     pub fn new(now: MonotonicTime, random: ChaCha8Rng, agent_client: AgentClient) -> Self {
         let state = Arc::new(ProxyState::new(RequestLimits::default()));
--- a/crates/simulation/src/world/proxy/sink.rs
+++ b/crates/simulation/src/world/proxy/sink.rs
@@ -1,4 +1,4 @@
-//! The way back to a simulated caller.
+//! Connection of a proxy to a simulated caller.
 
 use std::future::Future;
 
@@ -12,7 +12,7 @@
 use crate::world::proxy::action::ProxyAction;
 use crate::world::proxy::port::{SharedPort, lock};
 
-/// Resolves when the caller disconnects.
+/// Signals that the caller disconnected.
 #[derive(Clone)]
 pub struct PipePresence(Shared<oneshot::Receiver<()>>);
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Connection of one client request.
+/// Connection to the caller of a client request. When it is dropped, the answer ends.
 pub struct CallerPipe {
     port: SharedPort,
     client_request: RequestNumber,
@@ -35,7 +35,7 @@
 }
 
 impl CallerPipe {
-    /// The pipe of a client request that arrived.
+    /// Creates the connection of a client request that arrived.
     #[must_use]
     pub fn new(port: SharedPort, client_request: RequestNumber) -> Self {
         let (sender, receiver) = oneshot::channel();
--- a/crates/simulation/src/world/proxy_driver.rs
+++ b/crates/simulation/src/world/proxy_driver.rs
@@ -1,4 +1,4 @@
-//! Drives the proxies: the part that is I/O in the daemon.
+//! Drives the proxies; replaces the I/O of the proxy daemon.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,8 +15,8 @@
 use crate::network::{LinkNumber, Packet, ProcessId};
 use crate::world::addresses::backend_at;
 use crate::world::client_request::{ArrivingRequest, authorization};
-use crate::world::defect::Defect;
 use crate::world::event::CallerDelivery;
+use crate::world::injected_defect::InjectedDefect;
 use crate::world::probe_driver::ProbeOutcome;
 use crate::world::process_input::ProcessInput;
 use crate::world::proxy::action::ExchangeNumber;
@@ -24,12 +24,12 @@
 use crate::world::proxy::{
     AgentLink, BackendLink, CallerPipe, ProxyAction, RunningProxy, SimulatedEnvironment, lock,
 };
-use crate::world::site::Site;
+use crate::world::simulation::Simulation;
 
-/// Time until a connection to a backend counts as failed.
+/// Time after which the attempt to connect to a backend fails.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-impl Site {
+impl Simulation {
     /// Starts a proxy with an empty state.
     pub(super) fn start_proxy(&mut self, number: u16) {
         let process = ProcessId::Proxy(number);
@@ -45,14 +45,14 @@
         let proxy_node = ProxyNodeNumber(number);
         self.record(&Record::ProxyNodeResumed { proxy_node });
         self.record(&Record::ProxyNodeStarted { proxy_node });
-        self.replay_first_frame(number);
+        self.replay_first_frames(number);
         self.connect_to_agent(number);
         self.tick_after(process, incarnation, PROBE_PERIOD);
     }
 
-    /// A planted defect: the proxy starts from the first state that it ever had.
-    fn replay_first_frame(&mut self, number: u16) {
-        if self.options.defect != Some(Defect::ForgetsRevisions) {
+    /// Injected defect: starts the proxy with the first configuration that it ever had.
+    fn replay_first_frames(&mut self, number: u16) {
+        if self.options.defect != Some(InjectedDefect::RevisionRollback) {
             return;
         }
         let proxy = self.proxies.get(&number);
@@ -68,8 +68,8 @@
         }
     }
 
-    /// The proxy died: its callers' connections break.
-    pub(super) fn proxy_died(&mut self, number: u16) {
+    /// Handles the end of a proxy's process: the connections of its callers are lost.
+    pub(super) fn proxy_exited(&mut self, number: u16) {
         let Some(proxy) = self.proxies.get_mut(&number) else {
             return;
         };
@@ -84,13 +84,13 @@
         }
     }
 
-    /// Hands an input to a proxy.
-    pub(super) fn proxy_input(&mut self, number: u16, input: ProcessInput, waits: bool) {
+    /// Passes an input to a proxy. A `blocked` proxy is frozen or busy and ignores ticks.
+    pub(super) fn proxy_input(&mut self, number: u16, input: ProcessInput, blocked: bool) {
         if matches!(input, ProcessInput::Tick) {
             let process = ProcessId::Proxy(number);
             let incarnation = self.incarnation_of(process);
             self.tick_after(process, incarnation, PROBE_PERIOD);
-            if waits {
+            if blocked {
                 return;
             }
         }
@@ -99,7 +99,7 @@
         self.run_proxy(number);
     }
 
-    /// The running part of a proxy, unless it is dead.
+    /// Returns the running part of a proxy; `None` while its process does not run.
     pub(super) fn running_proxy(&self, number: u16) -> Option<&RunningProxy> {
         self.proxies.get(&number)?.running.as_ref()
     }
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Runs the tasks until none requests an action.
+    /// Runs the tasks of a proxy and executes their actions until no task requests another.
     fn run_proxy(&mut self, number: u16) {
         loop {
             let local = self.local_time(ProcessId::Proxy(number));
@@ -208,7 +208,7 @@
         self.open_backend_link(number, &request.address, purpose);
     }
 
-    /// Sends a frame to the agent; it is lost while the connection is not open.
+    /// Sends a frame to the agent, or drops it while the connection is not open.
     pub(super) fn proxy_to_agent(&mut self, number: u16, frame: LocalFrame) {
         let agent = self.proxies.get(&number).map(|proxy| proxy.agent);
         let Some(AgentLink::Open(link)) = agent else {
@@ -219,7 +219,8 @@
         self.send_packet(ProcessId::Proxy(number), link, packet, now);
     }
 
-    /// Clocks drift: the timer looks at the process's clock again when it is due.
+    /// Schedules a timer of a proxy for local time `at`. Since the clock may run slow, the timer is delayed by
+    /// a margin for 500 parts per million of drift; the proxy reads its clock again when the timer is due.
     fn proxy_timer(&mut self, number: u16, at: millford_core::MonotonicTime) {
         let process = ProcessId::Proxy(number);
         let incarnation = self.incarnation_of(process);
@@ -272,7 +273,7 @@
         let client_request = arrival.client_request;
         self.record(&Record::RequestArrived { client_request });
         let mut request = arrival.request;
-        self.keep_old_key(client_request, &mut request.headers.authorization);
+        self.inject_current_key(client_request, &mut request.headers.authorization);
         let Some(running) = self
             .proxies
             .get_mut(&number)
@@ -299,9 +300,9 @@
         }
     }
 
-    /// A planted defect: revoked keys are taken for the present ones.
-    fn keep_old_key(&self, client_request: RequestNumber, header: &mut Option<String>) {
-        if self.options.defect != Some(Defect::KeepsKeys) {
+    /// Injected defect: replaces a revoked key by the tenant's current key.
+    fn inject_current_key(&self, client_request: RequestNumber, header: &mut Option<String>) {
+        if self.options.defect != Some(InjectedDefect::RevokedKeyAccepted) {
             return;
         }
         if let Some(key) = self.callers.present_key_of(client_request) {
--- a/crates/simulation/src/world/received_answer.rs
+++ b/crates/simulation/src/world/received_answer.rs
@@ -1,11 +1,11 @@
-//! An answer as its caller receives it.
+//! Answer, as its caller receives it.
 
 use millford_core::{ResultCode, RunState};
 use millford_proxy::request::caller::CallerHead;
 
 use crate::history::{Chunk, RequestEnd};
 use crate::world::backend::read_chunks;
-use crate::world::defect::Defect;
+use crate::world::injected_defect::InjectedDefect;
 
 const OK: u16 = 200;
 /// Start of an error event in a stream.
@@ -13,35 +13,35 @@
 /// The end marker of a stream.
 const END_MARKER: &str = "data: [DONE]";
 
-/// What a caller received of an answer so far.
+/// The part of an answer that was sent to its caller so far.
 #[derive(Clone, Debug, Default)]
 pub struct ReceivedAnswer {
-    /// Status of the head, 0 before it arrived.
+    /// HTTP status of the answer; 0 before the head.
     status: u16,
     revision: Option<u64>,
     body: String,
-    /// Bytes of the body whose chunks were read.
+    /// Length of the parsed part of the body, in bytes.
     read: usize,
 }
 
-/// How an answer ended, with the chunks that only the complete body shows.
+/// End of an answer, with the chunks that are only read from a complete body.
 pub struct AnswerEnd {
-    /// Chunks of an answer that is no stream.
+    /// Chunks of a complete answer that is not a stream; else empty.
     pub chunks: Vec<Chunk>,
-    /// The end.
+    /// Kind of end.
     pub end: RequestEnd,
-    /// Revision that the head named.
+    /// Configuration revision in the head; absent without a head.
     pub revision: Option<u64>,
 }
 
 impl ReceivedAnswer {
-    /// The head arrived.
+    /// Stores the head.
     pub fn receive_head(&mut self, head: &CallerHead) {
         self.status = head.status;
         self.revision = Some(head.revision);
     }
 
-    /// Bytes of the body arrived. Returns the chunks in them if the answer is a stream.
+    /// Stores a part of the body. Returns the chunks in it if the answer is a stream.
     pub fn receive_bytes(&mut self, bytes: &[u8], stream: bool) -> Vec<Chunk> {
         self.body.push_str(&String::from_utf8_lossy(bytes));
         if self.status != OK || !stream {
@@ -52,13 +52,18 @@
         chunks
     }
 
-    /// The connection delivers no more; `complete` is whether the body ended by its framing.
-    pub fn finish(&mut self, stream: bool, complete: bool, defect: Option<Defect>) -> AnswerEnd {
+    /// Ends the answer; `complete` is whether the body was complete according to its framing.
+    pub fn finish(
+        &mut self,
+        stream: bool,
+        complete: bool,
+        defect: Option<InjectedDefect>,
+    ) -> AnswerEnd {
         let body = std::mem::take(&mut self.body);
         let end = self.end_of(stream, &body, complete);
-        let end = planted_end(defect, self.status, end);
-        let at_once = !stream && self.status == OK;
-        let chunks = if at_once && end == RequestEnd::Complete {
+        let end = inject_end_defect(defect, self.status, end);
+        let unstreamed = !stream && self.status == OK;
+        let chunks = if unstreamed && end == RequestEnd::Complete {
             read_chunks(&body)
         } else {
             Vec::new()
@@ -105,24 +110,26 @@
     }
 }
 
-/// Planted defects: ends that are not what the proxy said.
-fn planted_end(defect: Option<Defect>, status: u16, end: RequestEnd) -> RequestEnd {
+/// Injected defects: falsifies the end of an answer.
+fn inject_end_defect(defect: Option<InjectedDefect>, status: u16, end: RequestEnd) -> RequestEnd {
     match (defect, end) {
-        (Some(Defect::DeniesRuns), RequestEnd::Refused { code, .. }) => RequestEnd::Refused {
-            code,
-            run: RunState::NotRun,
-        },
-        (Some(Defect::HidesTruncation), _) if status == OK => RequestEnd::Complete,
+        (Some(InjectedDefect::FalseNotRun), RequestEnd::Refused { code, .. }) => {
+            RequestEnd::Refused {
+                code,
+                run: RunState::NotRun,
+            }
+        }
+        (Some(InjectedDefect::FalseCompletion), _) if status == OK => RequestEnd::Complete,
         _ => end,
     }
 }
 
-/// Planted defects: chunks that are not what the proxy sent.
+/// Injected defects: falsifies a chunk, or drops it.
 #[must_use]
-pub fn planted_chunk(defect: Option<Defect>, mut chunk: Chunk) -> Option<Chunk> {
+pub fn inject_chunk_defect(defect: Option<InjectedDefect>, mut chunk: Chunk) -> Option<Chunk> {
     match defect {
-        Some(Defect::SwapsAnswers) => chunk.content.0 += 1,
-        Some(Defect::SkipsChunks) if chunk.sequence == 2 => return None,
+        Some(InjectedDefect::SwappedContent) => chunk.content.0 += 1,
+        Some(InjectedDefect::SkippedChunk) if chunk.sequence == 2 => return None,
         _ => {}
     }
     Some(chunk)
