--- a/crates/simulation/src/world/registry_driver.rs
+++ b/crates/simulation/src/world/registry_driver.rs
@@ -1,35 +1,35 @@
-//! Registers, retires and removes backends, and lets processes read the service registry.
+//! Drives the service registry: backends register, retire and are removed, and processes read the list.
 
 use std::time::Duration;
 
 use crate::history::{BackendNumber, Record};
 use crate::network::{MachineId, ProcessId};
-use crate::world::defect::Defect;
 use crate::world::event::{Event, RegistryEvent};
+use crate::world::injected_defect::InjectedDefect;
 use crate::world::process::ProcessLoss;
 use crate::world::process_input::ProcessInput;
-use crate::world::site::Site;
+use crate::world::simulation::Simulation;
 
-/// Period at which control nodes read the list.
+/// Interval at which control nodes read the list.
 const POLL_PERIOD: Duration = Duration::from_millis(500);
 /// Time between a backend's retirement and its shutdown.
 const SHUTDOWN_AFTER: Duration = Duration::from_secs(8);
-/// Time until the list drops a backend that vanished.
+/// Time from the crash of a backend until the registry removes it.
 const REMOVED_AFTER: Duration = Duration::from_secs(6);
-/// Time until a backend that is available again registers.
+/// Time from the restart or resumption of a backend until it registers.
 const REGISTER_AFTER: Duration = Duration::from_millis(300);
 
-/// Why a backend no longer serves.
+/// Reason for which a backend is unavailable.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Unavailability {
-    /// Its process died: the registry will drop it.
-    Dead,
-    /// Its process is frozen.
+    /// The process crashed; the registry will remove the backend.
+    Crashed,
+    /// The process is frozen; the registry keeps the backend.
     Frozen,
 }
 
-impl Site {
-    /// The list changes.
+impl Simulation {
+    /// Applies a change to the list and publishes it.
     pub(super) fn handle_registry(&mut self, event: RegistryEvent) {
         match event {
             RegistryEvent::Register { backend } => self.register_backend(backend),
@@ -51,27 +51,27 @@
         let Some(backend) = self.backends.get(&number) else {
             return;
         };
-        if backend.process.alive && !backend.retired {
+        if backend.process.running && !backend.retired {
             self.registry.register(number, backend.kind, zone);
         }
     }
 
-    /// The platform retires a backend; a new one replaces it.
+    /// Retires a backend and starts a new one in its place.
     pub(super) fn retire_backend(&mut self, number: u16) {
         let Some(backend) = self.backends.get_mut(&number) else {
             return;
         };
-        if backend.retired || !backend.process.alive {
+        if backend.retired || !backend.process.running {
             return;
         }
         backend.retired = true;
         let kind = backend.kind;
-        if self.options.defect != Some(Defect::HidesRetirements) {
+        if self.options.defect != Some(InjectedDefect::UnlistedRetirement) {
             self.registry.drain(number);
         }
         self.registry.publish();
-        // While the list is frozen nobody can know of the retirement.
-        if self.registry.announces_retirement(number) {
+        // While the list is frozen, the retirement is not visible to any process.
+        if self.registry.publishes_retirement(number) {
             self.record_unavailable(number);
         }
         let shut_down = RegistryEvent::ShutDown { backend: number };
@@ -88,26 +88,26 @@
         self.record(&Record::BackendUnavailable { backend });
     }
 
-    /// The list changes again.
+    /// Ends a freeze of the list and records the retirements that are published only now.
     pub(super) fn unfreeze_registry(&mut self) {
         for number in self.registry.unfreeze() {
             self.record_unavailable(number);
         }
     }
 
-    /// If the process is a backend, it no longer serves.
+    /// Marks a backend as unavailable; other processes are ignored.
     pub(super) fn backend_unavailable(&mut self, process: ProcessId, why: Unavailability) {
         let ProcessId::Backend(number) = process else {
             return;
         };
         self.record_unavailable(number);
-        if why == Unavailability::Dead {
+        if why == Unavailability::Crashed {
             let remove = RegistryEvent::Remove { backend: number };
             self.schedule_after(REMOVED_AFTER, Event::Registry(remove));
         }
     }
 
-    /// If the process is a backend that runs and is not retired, it serves again.
+    /// Marks a backend as available, if it runs, is not frozen and not retired. Other processes are ignored.
     pub(super) fn backend_available(&mut self, process: ProcessId) {
         let ProcessId::Backend(number) = process else {
             return;
@@ -126,7 +126,8 @@
         self.schedule_after(REGISTER_AFTER, Event::Registry(register));
     }
 
-    /// A process reads the list, if it can reach the registry; control nodes do so periodically.
+    /// Reads the list for a process, if it can reach the registry. For a control node the next read is
+    /// scheduled.
     pub(super) fn read_registry(&mut self, process: ProcessId, incarnation: u64) {
         if self.incarnation_of(process) != incarnation {
             return;
--- a/crates/simulation/src/world/roll_driver.rs
+++ b/crates/simulation/src/world/roll_driver.rs
@@ -1,18 +1,21 @@
-//! Rolling restarts.
+//! Plans rolling restarts.
 
 use std::time::Duration;
 
 use crate::network::ProcessId;
 use crate::scenario::{Fault, RollKind, Target, TargetKind};
-use crate::world::site::Site;
+use crate::world::simulation::Simulation;
 
+/// Time between the restarts of two control nodes.
 const CONTROL_NODE_RESTART_PERIOD: Duration = Duration::from_secs(6);
+/// Time between the restarts of two proxy nodes.
 const PROXY_NODE_RESTART_PERIOD: Duration = Duration::from_secs(2);
+/// Time between the retirements of two model backends.
 const MODEL_RESTART_PERIOD: Duration = Duration::from_secs(1);
-/// How long each restarted machine is down.
+/// Time that each restarted machine is down.
 const DOWN: Duration = Duration::from_secs(1);
 
-impl Site {
+impl Simulation {
     /// Plans a restart of every machine of a kind, one after the other.
     pub(super) fn roll(&mut self, roll: RollKind) {
         let (kind, period) = match roll {
@@ -25,7 +28,7 @@
         numbers.dedup();
         for (position, number) in (0_u32..).zip(numbers) {
             let fault = match roll {
-                // A retired backend no longer counts as present: the first is always the next.
+                // Retired backends are not counted, so the next one to retire is always number 1.
                 RollKind::Models => Fault::Retire {
                     target: Target::number(kind, 1),
                 },
--- a/crates/simulation/src/world/run_options.rs
+++ b/crates/simulation/src/world/run_options.rs
@@ -1,14 +1,14 @@
-//! How one run of a scenario is started.
+//! Options of a run.
 
-use crate::world::defect::Defect;
+use crate::world::injected_defect::InjectedDefect;
 
-/// Seed and switches of a run.
+/// Options of a single run of a scenario.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunOptions {
-    /// Seed of everything random.
+    /// Seed of the run's random number generator.
     pub seed: u64,
     /// Whether the history is printed.
     pub verbose: bool,
-    /// A planted defect, for tests of the checkers.
-    pub defect: Option<Defect>,
+    /// Defect to inject, for tests of the checkers; none otherwise.
+    pub defect: Option<InjectedDefect>,
 }
--- a/crates/simulation/src/world/service_registry.rs
+++ b/crates/simulation/src/world/service_registry.rs
@@ -1,4 +1,4 @@
-//! Simulation of the platform's service registry. Its list trails reality.
+//! Simulation of the platform's service registry, whose list lags behind the state of the backends.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -27,20 +27,20 @@
 /// Model that lookup backends declare.
 pub const LOOKUP_MODEL: &str = "stations";
 
-/// The registry's list, and what it publishes of it.
+/// The registry's list of backends, with its published version.
 #[derive(Default)]
 pub struct ServiceRegistry {
     entries: BTreeMap<u16, RegistryEntry>,
-    /// The list as it was published last.
+    /// The last published list.
     view: Arc<RegistryView>,
-    /// Number of active faults that keep the list from changing.
+    /// Number of active faults that keep the published list from changing.
     freezes: u32,
-    /// Backends retired while the list was frozen.
-    unannounced: Vec<u16>,
+    /// Backends retired while the list was frozen, in order.
+    unpublished_retirements: Vec<u16>,
 }
 
 impl ServiceRegistry {
-    /// Lists a backend of a zone as active.
+    /// Adds a backend in a zone as active, or makes it active again.
     pub fn register(&mut self, number: u16, kind: BackendKind, zone: String) {
         let (stage, models): (&str, &[&str]) = match kind {
             BackendKind::Lookup => (LOOKUP_STAGE, &[LOOKUP_MODEL]),
@@ -65,14 +65,14 @@
         self.entries.insert(number, entry);
     }
 
-    /// Lists a backend as draining.
+    /// Marks a backend as draining.
     pub fn drain(&mut self, number: u16) {
         if let Some(entry) = self.entries.get_mut(&number) {
             DRAINING.clone_into(&mut entry.state);
         }
     }
 
-    /// Drops a backend from the list.
+    /// Removes a backend.
     pub fn remove(&mut self, number: u16) {
         self.entries.remove(&number);
     }
@@ -89,37 +89,38 @@
         });
     }
 
-    /// The published list changes no more, until as many [`Self::unfreeze`].
+    /// Keeps the published list from changing until [`Self::unfreeze`] was called as often.
     pub fn freeze(&mut self) {
         self.freezes += 1;
     }
 
-    /// Ends a freeze. Returns the backends whose retirement is published only now.
+    /// Ends a freeze. Returns the backends whose retirement is published by this call.
     pub fn unfreeze(&mut self) -> Vec<u16> {
         self.freezes = self.freezes.saturating_sub(1);
         self.publish();
         if self.freezes > 0 {
             return Vec::new();
         }
-        std::mem::take(&mut self.unannounced)
+        std::mem::take(&mut self.unpublished_retirements)
     }
 
-    /// Whether a retirement is published at once; else [`Self::unfreeze`] returns it later.
-    pub fn announces_retirement(&mut self, number: u16) -> bool {
+    /// Returns whether a retirement is published at once. If not, [`Self::unfreeze`] returns the backend
+    /// later.
+    pub fn publishes_retirement(&mut self, number: u16) -> bool {
         if self.freezes > 0 {
-            self.unannounced.push(number);
+            self.unpublished_retirements.push(number);
             return false;
         }
         true
     }
 
-    /// The list as control nodes read it.
+    /// Returns the published list for control nodes.
     #[must_use]
     pub fn view(&self) -> Arc<RegistryView> {
         Arc::clone(&self.view)
     }
 
-    /// The list as agents read it.
+    /// Returns the published list for agents.
     #[must_use]
     pub fn agent_view(&self) -> AgentView {
         let entries = self.view.backends.iter().map(|entry| AgentEntry {
--- a/crates/simulation/src/world/site.rs
+++ b/crates/simulation/src/world/simulation.rs
@@ -1,4 +1,4 @@
-//! A site under simulated time.
+//! The simulation: state, event loop and dispatch to the drivers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::checkers::Verdict;
+use crate::checkers::CheckResults;
 use crate::history::Record;
 use crate::kernel::{EventQueue, ProcessClock};
 use crate::network::{Links, PartitionTable, ProcessId};
@@ -17,8 +17,8 @@
 use crate::world::backend::{BackendKind, BackendProcess, RecentRuns};
 use crate::world::callers::Callers;
 use crate::world::control_process::ControlProcess;
-use crate::world::defect::Defect;
 use crate::world::event::{Event, RegistryEvent};
+use crate::world::injected_defect::InjectedDefect;
 use crate::world::operators::Operators;
 use crate::world::process::{ProcessLoss, ProcessState};
 use crate::world::process_input::ProcessInput;
@@ -27,28 +27,28 @@
 use crate::world::run_options::RunOptions;
 use crate::world::service_registry::ServiceRegistry;
 
-/// Largest drift of a clock, in parts per million.
+/// Largest initial drift of a clock in either direction, in parts per million.
 const MAX_DRIFT_PPM: i32 = 200;
 
-/// Largest reading of a clock at the start, in microseconds.
+/// Upper bound of a clock's initial reading, in microseconds.
 const MAX_CLOCK_START: u64 = 1 << 40;
 
-/// Time within which the processes of a site start.
+/// Time within which the control nodes, agents and proxies start, in microseconds.
 const START_SPREAD_MICROS: u64 = 300_000;
 
-/// Everything of a running scenario.
-pub struct Site {
-    /// What is run.
+/// The whole state of a run.
+pub struct Simulation {
+    /// The scenario that is run.
     pub(super) scenario: Scenario,
-    /// Machines.
+    /// Number of machines and tenants.
     pub(super) topology: Topology,
-    /// Seed and switches.
+    /// Options of the run.
     pub(super) options: RunOptions,
     /// Future events.
     pub(super) queue: EventQueue<Event>,
-    /// All randomness.
+    /// Random number generator, the only source of randomness.
     pub(super) random: ChaCha8Rng,
-    /// History and checkers.
+    /// Recorder of the history, with the checkers.
     pub(super) recorder: Recorder,
     /// Connections.
     pub(super) links: Links,
@@ -70,17 +70,17 @@
     pub(super) operators: Operators,
     /// Planned and active faults.
     pub(super) faults: ActiveFaults,
-    /// Runs that backends began recently.
+    /// Runs that backends started recently.
     pub(super) recent_runs: RecentRuns,
     last_incarnation: u64,
 }
 
-impl Site {
-    /// A site at its first start: empty disks, nothing running.
+impl Simulation {
+    /// Creates a run of a scenario: empty disks, backends started, the first events scheduled.
     #[must_use]
     pub fn new(scenario: &Scenario, options: RunOptions) -> Self {
-        let topology = scenario.site(options.seed);
-        let mut site = Self {
+        let topology = scenario.topology(options.seed);
+        let mut simulation = Self {
             scenario: scenario.clone(),
             topology,
             options,
@@ -100,9 +100,9 @@
             recent_runs: RecentRuns::default(),
             last_incarnation: 0,
         };
-        site.recorder.verbose = options.verbose;
-        site.build();
-        site
+        simulation.recorder.verbose = options.verbose;
+        simulation.build();
+        simulation
     }
 
     fn build(&mut self) {
@@ -148,7 +148,7 @@
         self.handle_registry(RegistryEvent::Register { backend });
     }
 
-    /// A process with a clock of its own.
+    /// Creates a process with a random clock.
     pub(super) fn new_process(&mut self) -> ProcessState {
         let local = self.random.random_range(0..MAX_CLOCK_START);
         let drift = self.random.random_range(-MAX_DRIFT_PPM..=MAX_DRIFT_PPM);
@@ -157,38 +157,38 @@
         ProcessState::new(clock)
     }
 
-    /// Number of a new incarnation.
+    /// Returns the number of a new incarnation.
     pub(super) fn next_incarnation(&mut self) -> u64 {
         self.last_incarnation += 1;
         self.last_incarnation
     }
 
-    /// True time.
+    /// Returns the simulated time.
     #[must_use]
     pub fn now(&self) -> MonotonicTime {
         self.queue.now()
     }
 
-    /// Adds an event after a delay.
+    /// Schedules an event after a delay.
     pub(super) fn schedule_after(&mut self, delay: Duration, event: Event) {
         let at = self.now() + delay;
         self.queue.push(at, event);
     }
 
-    /// Adds to the history.
+    /// Adds a record to the history, at the present simulated time.
     pub(super) fn record(&mut self, record: &Record) {
         let now = self.now();
         self.recorder.record(now, record);
     }
 
-    /// Prints a line in verbose runs.
+    /// Prints a log line if the run is verbose.
     pub(super) fn log(&mut self, text: impl FnOnce() -> String) {
         let now = self.now();
         self.recorder.log(now, text);
     }
 
-    /// Runs to the end of the scenario.
-    pub fn run(&mut self) -> Verdict {
+    /// Runs to the end of the scenario. Returns the results of the checkers.
+    pub fn run(&mut self) -> CheckResults {
         let end = MonotonicTime::ZERO + self.scenario.duration;
         while self.now() < end {
             let Some((at, event)) = self.queue.pop() else {
@@ -202,13 +202,13 @@
         self.recorder.finish(end)
     }
 
-    /// Hash of everything that happened so far.
+    /// Returns the trace hash so far.
     #[must_use]
     pub fn trace_hash(&self) -> u64 {
         self.recorder.trace_hash()
     }
 
-    /// Number of events so far.
+    /// Returns the number of events in the trace hash.
     #[must_use]
     pub fn events(&self) -> u64 {
         self.recorder.events()
@@ -252,7 +252,7 @@
         }
     }
 
-    /// The state of a process.
+    /// Returns the state of a process.
     #[must_use]
     pub(super) fn process(&self, process: ProcessId) -> Option<&ProcessState> {
         match process {
@@ -263,7 +263,7 @@
         }
     }
 
-    /// The state of a process, for changes.
+    /// Returns the state of a process, for modification.
     pub(super) fn process_mut(&mut self, process: ProcessId) -> Option<&mut ProcessState> {
         match process {
             ProcessId::Control(number) => self.controls.get_mut(&number).map(|it| &mut it.process),
@@ -273,7 +273,7 @@
         }
     }
 
-    /// What the process's clock shows.
+    /// Returns the reading of a process's clock.
     #[must_use]
     pub(super) fn local_time(&self, process: ProcessId) -> MonotonicTime {
         let now = self.now();
@@ -281,16 +281,16 @@
             .map_or(now, |state| state.clock.local(now))
     }
 
-    /// Incarnation of the process, 0 while it does not run.
+    /// Returns the incarnation of a process, 0 while it does not run.
     #[must_use]
     pub(super) fn incarnation_of(&self, process: ProcessId) -> u64 {
         match self.process(process) {
-            Some(state) if state.alive => state.incarnation,
+            Some(state) if state.running => state.incarnation,
             _ => 0,
         }
     }
 
-    /// Hands an input to a process, or queues it while the process is frozen or busy.
+    /// Passes an input to a process, or queues it while the process is frozen or busy.
     pub(super) fn deliver_input(
         &mut self,
         process: ProcessId,
@@ -301,18 +301,18 @@
         let Some(state) = self.process_mut(process) else {
             return;
         };
-        if !state.alive || state.incarnation != incarnation {
+        if !state.running || state.incarnation != incarnation {
             return;
         }
-        let waits = !state.is_free(now) || !state.inbox.is_empty();
-        if waits && !matches!(input, ProcessInput::Tick) {
+        let blocked = !state.is_free(now) || !state.inbox.is_empty();
+        if blocked && !matches!(input, ProcessInput::Tick) {
             state.inbox.push_back(input);
             return;
         }
-        self.dispatch(process, input, waits);
+        self.dispatch(process, input, blocked);
     }
 
-    /// Lets a process handle the inputs in its inbox.
+    /// Passes the queued inputs to a process, as far as it can handle them.
     pub(super) fn drain_inbox(&mut self, process: ProcessId, incarnation: u64) {
         loop {
             let now = self.now();
@@ -334,29 +334,30 @@
         }
     }
 
-    // A tick of a process that cannot handle it only schedules the next one.
-    fn dispatch(&mut self, process: ProcessId, input: ProcessInput, waits: bool) {
+    /// Passes an input to the driver of a process. A `blocked` process is frozen or busy: the tick that it gets
+    /// only schedules the next one.
+    fn dispatch(&mut self, process: ProcessId, input: ProcessInput, blocked: bool) {
         match process {
-            ProcessId::Control(number) => self.control_input(number, input, waits),
-            ProcessId::Agent(number) => self.agent_input(number, input, waits),
-            ProcessId::Proxy(number) => self.proxy_input(number, input, waits),
+            ProcessId::Control(number) => self.control_input(number, input, blocked),
+            ProcessId::Agent(number) => self.agent_input(number, input, blocked),
+            ProcessId::Proxy(number) => self.proxy_input(number, input, blocked),
             ProcessId::Backend(number) => self.backend_input(number, input),
         }
     }
 
-    /// Starts a process with a new incarnation; its disk is as it was left.
+    /// Starts a process that does not run, as a new incarnation. Its disk is unchanged.
     pub(super) fn start_process(&mut self, process: ProcessId) {
         let incarnation = self.next_incarnation();
         let defect = self.options.defect;
         let Some(state) = self.process_mut(process) else {
             return;
         };
-        if state.alive {
+        if state.running {
             return;
         }
-        // A planted defect: the first proxy starts only once.
+        // Injected defect: the first proxy does not restart.
         let again = state.incarnation != 0 && process == ProcessId::Proxy(1);
-        if again && defect == Some(Defect::StaysDown) {
+        if again && defect == Some(InjectedDefect::NoRestart) {
             return;
         }
         state.start(incarnation);
@@ -369,21 +370,21 @@
         }
     }
 
-    /// Ends a process without warning.
+    /// Ends a process abruptly.
     pub(super) fn kill_process(&mut self, process: ProcessId, loss: ProcessLoss) {
         let Some(state) = self.process_mut(process) else {
             return;
         };
-        if !state.alive {
+        if !state.running {
             return;
         }
         state.stop();
         self.end_links(process, loss);
         match process {
-            ProcessId::Control(number) => self.control_died(number),
-            ProcessId::Agent(number) => self.agent_died(number),
-            ProcessId::Proxy(number) => self.proxy_died(number),
-            ProcessId::Backend(number) => self.backend_died(number),
+            ProcessId::Control(number) => self.control_exited(number),
+            ProcessId::Agent(number) => self.agent_exited(number),
+            ProcessId::Proxy(number) => self.proxy_exited(number),
+            ProcessId::Backend(number) => self.backend_exited(number),
         }
     }
 
@@ -392,7 +393,7 @@
         self.schedule_input(delay, process, incarnation, ProcessInput::Tick);
     }
 
-    /// Schedules an input of a process.
+    /// Schedules an input to an incarnation of a process.
     pub(super) fn schedule_input(
         &mut self,
         delay: Duration,
--- a/crates/simulation/src/world/targets.rs
+++ b/crates/simulation/src/world/targets.rs
@@ -1,14 +1,14 @@
-//! Finds what a fault strikes.
+//! Resolves the targets of faults.
 
 use rand::Rng;
 
 use crate::network::ProcessId;
 use crate::scenario::{Choice, Target, TargetKind};
 use crate::world::backend::BackendKind;
-use crate::world::site::Site;
+use crate::world::simulation::Simulation;
 
-impl Site {
-    /// The processes that a target means now.
+impl Simulation {
+    /// Returns the processes that a target selects now.
     pub(super) fn resolve(&mut self, target: Target) -> Vec<ProcessId> {
         let present = self.present(target.kind);
         let numbers = match target.choice {
@@ -58,7 +58,7 @@
         vec![present[index]]
     }
 
-    /// The control node that leads the configuration shard, as its own node sees it.
+    /// Returns the first control node that considers itself the leader of the configuration shard.
     #[must_use]
     pub(super) fn configuration_leader(&self) -> Option<u16> {
         let shard = millford_core::ShardId::CONFIGURATION;
@@ -72,11 +72,11 @@
         leaders.next().map(|(number, _)| *number)
     }
 
-    /// Whether every shard has three voters, all of them nodes that are there now.
+    /// Returns whether every replica has at least three voters, all of them running nodes.
     ///
-    /// Only then may a disk be lost: the guarantee is to survive the loss of any one of them.
+    /// Only then may a fault destroy a disk, since the guarantee covers the loss of any one disk.
     #[must_use]
-    pub(super) fn is_repaired(&self) -> bool {
+    pub(super) fn is_fully_replicated(&self) -> bool {
         let present = self.controls.values().filter(|control| !control.lost);
         let nodes: Option<Vec<_>> = present.map(|control| control.node.as_ref()).collect();
         let Some(nodes) = nodes else { return false };
@@ -92,12 +92,13 @@
     }
 }
 
-/// Control nodes and proxy nodes by their own number, backends by their position among the present.
+/// Selects by number: control nodes and proxy nodes by their own number, backends by their position among
+/// those not retired.
 fn numbered(kind: TargetKind, present: &[u16], number: u16) -> Vec<u16> {
-    let by_place = matches!(kind, TargetKind::Model | TargetKind::Lookup);
-    if by_place {
-        let place = usize::from(number.saturating_sub(1));
-        return present.get(place).copied().into_iter().collect();
+    let by_position = matches!(kind, TargetKind::Model | TargetKind::Lookup);
+    if by_position {
+        let position = usize::from(number.saturating_sub(1));
+        return present.get(position).copied().into_iter().collect();
     }
     present.iter().copied().filter(|it| *it == number).collect()
 }
--- a/crates/simulation/tests/determinism.rs
+++ b/crates/simulation/tests/determinism.rs
@@ -1,4 +1,4 @@
-//! The same seed gives the same run.
+//! Tests that a seed always gives the same run.
 
 mod fixture;
 
@@ -29,5 +29,5 @@
     let first = trace(7);
     assert_eq!(first, trace(7));
     assert_ne!(first, trace(8));
-    assert!(first.events > 1000, "the run did too little: {first:?}");
+    assert!(first.events > 1000, "the run has too few events: {first:?}");
 }
--- a/crates/simulation/tests/kernel.rs
+++ b/crates/simulation/tests/kernel.rs
@@ -1,4 +1,4 @@
-//! The kernel, the disk's files and the network's tables by themselves.
+//! Unit tests of the kernel, the simulated files and the network tables.
 
 use millford_core::MonotonicTime;
 use millford_simulation::disk::file::DiskFile;
@@ -51,7 +51,7 @@
         file.sync();
         file.append(&[7; 2000]);
         file.lose_power(&mut random);
-        let left = file.current().expect("a synced file stays");
+        let left = file.current().expect("a synced file survives a power loss");
         assert!(left.starts_with(b"synced"), "seed {seed}: {left:?}");
         assert!(left.len() <= 2006, "seed {seed}: {} bytes", left.len());
     }
--- a/crates/simulation/tests/planted_defects.rs
+++ b/crates/simulation/tests/planted_defects.rs
@@ -1,11 +1,12 @@
-//! Every checker catches its fault: a planted defect makes a scenario fail that passes without it.
+//! Tests that each checker detects the defect it is for: a scenario passes without the defect and fails
+//! with it.
 
 use millford_simulation::checkers::Guarantee;
-use millford_simulation::world::Defect;
+use millford_simulation::world::InjectedDefect;
 
 mod fixture;
 
-/// Enough of everything for each defect to show.
+/// A scenario with enough traffic, orders and faults to expose every defect.
 const TEXT: &str = "
 scenario planted
 site small
@@ -22,9 +23,9 @@
 at 17s kill cores for 1s
 ";
 
-fn violated(defect: Option<Defect>, seed: u64) -> Vec<Guarantee> {
+fn violated(defect: Option<InjectedDefect>, seed: u64) -> Vec<Guarantee> {
     let report = fixture::run(TEXT, seed, defect);
-    let violations = report.verdict.violations.into_iter();
+    let violations = report.results.violations.into_iter();
     violations.map(|violation| violation.guarantee).collect()
 }
 
@@ -34,10 +35,10 @@
 }
 
 #[test]
-fn each_planted_defect_is_reported_by_its_checker() {
-    let missed: Vec<_> = Defect::ALL
+fn each_injected_defect_is_reported_by_its_checker() {
+    let missed: Vec<_> = InjectedDefect::ALL
         .into_iter()
         .filter(|(defect, guarantee)| !violated(Some(*defect), 1).contains(guarantee))
         .collect();
-    assert_eq!(missed, [], "defects that no checker caught");
+    assert_eq!(missed, [], "defects that their checker did not report");
 }
--- a/crates/simulation/tests/quota_checker.rs
+++ b/crates/simulation/tests/quota_checker.rs
@@ -1,8 +1,8 @@
-//! The checker of quotas against histories of a few client requests.
+//! Tests of the quota checker on histories of a few client requests.
 
 use millford_core::{Duration, MonotonicTime, ResultCode, RunState};
 use millford_simulation::checkers::quota::QuotaChecker;
-use millford_simulation::checkers::{Checker, Guarantee, Verdict};
+use millford_simulation::checkers::{CheckResults, Checker, Guarantee};
 use millford_simulation::history::{
     ContentNumber, ProxyNodeNumber, Record, Repeatability, RequestEnd, RequestNumber, RequestSent,
     ResumeRule,
@@ -11,10 +11,10 @@
 const PER_SECOND: u32 = 20;
 const BURST: u32 = 20;
 
-/// A history of one tenant, watched by the quota checker.
+/// History of one tenant, evaluated by the quota checker.
 struct QuotaHistory {
     checker: QuotaChecker,
-    verdict: Verdict,
+    results: CheckResults,
     now: MonotonicTime,
     last: u64,
 }
@@ -23,7 +23,7 @@
     fn new() -> Self {
         let mut history = Self {
             checker: QuotaChecker::default(),
-            verdict: Verdict::default(),
+            results: CheckResults::default(),
             now: MonotonicTime::from_millis(1000),
             last: 0,
         };
@@ -36,7 +36,7 @@
     }
 
     fn observe(&mut self, record: &Record) {
-        self.checker.observe(self.now, record, &mut self.verdict);
+        self.checker.observe(self.now, record, &mut self.results);
     }
 
     fn pass(&mut self, millis: u64) {
@@ -72,7 +72,7 @@
     }
 
     fn violates_quota(&self) -> bool {
-        self.verdict.has(Guarantee::Quota)
+        self.results.has(Guarantee::Quota)
     }
 }
 
@@ -84,7 +84,7 @@
     }
     let client_request = history.arrive();
     history.refuse(client_request);
-    assert!(history.violates_quota(), "{:?}", history.verdict);
+    assert!(history.violates_quota(), "{:?}", history.results);
 }
 
 #[test]
@@ -95,10 +95,11 @@
     }
     let client_request = history.arrive();
     history.refuse(client_request);
-    assert!(!history.violates_quota(), "{:?}", history.verdict);
+    assert!(!history.violates_quota(), "{:?}", history.results);
 }
 
-/// Just at its rate for longer than a client request counts as over the quota: what it used before is still missing.
+/// The tenant spends its burst, then sends at exactly its rate for longer than one refusal counts against
+/// it. The bucket stays empty, so the refusal is correct.
 #[test]
 fn refusing_a_tenant_at_its_rate_without_tokens_violates_nothing() {
     let mut history = QuotaHistory::new();
@@ -111,11 +112,11 @@
     }
     let client_request = history.arrive();
     history.refuse(client_request);
-    assert!(!history.violates_quota(), "{:?}", history.verdict);
+    assert!(!history.violates_quota(), "{:?}", history.results);
 }
 
-/// Two tokens less than an exact bucket holds are leased elsewhere at most; with three and more left the refusal is
-/// wrong, however the tenant came there.
+/// Leases of other nodes may hold at most two tokens of those in an exact bucket. With three or more left a
+/// refusal is wrong, also for a tenant that was over its quota before.
 #[test]
 fn refusing_a_tenant_whose_tokens_refilled_violates_the_quota_guarantee() {
     let mut history = QuotaHistory::new();
@@ -128,5 +129,5 @@
     }
     let client_request = history.arrive();
     history.refuse(client_request);
-    assert!(history.violates_quota(), "{:?}", history.verdict);
+    assert!(history.violates_quota(), "{:?}", history.results);
 }
--- a/crates/simulation/tests/scenario_files.rs
+++ b/crates/simulation/tests/scenario_files.rs
@@ -1,4 +1,4 @@
-//! The scenario text format.
+//! Tests of the scenario file format.
 
 use std::time::Duration;
 
@@ -23,10 +23,10 @@
 
 #[test]
 fn a_scenario_file_is_parsed_completely() {
-    let scenario = Scenario::parse(TEXT).expect("the file is right");
+    let scenario = Scenario::parse(TEXT).expect("the file is valid");
     assert_eq!(scenario.name, "example");
-    assert_eq!(scenario.site(0), Topology::REYKJAVIK);
-    assert_eq!(scenario.site(1), Topology::DAKAR);
+    assert_eq!(scenario.topology(0), Topology::REYKJAVIK);
+    assert_eq!(scenario.topology(1), Topology::DAKAR);
     assert_eq!(scenario.workload.quota_burst, 15);
     let first = &scenario.faults[0];
     assert_eq!(first.at, Duration::from_secs(5));
@@ -63,7 +63,7 @@
         ("site small", 1),
     ];
     for (text, line) in cases {
-        let error = Scenario::parse(text).expect_err("the file is wrong");
+        let error = Scenario::parse(text).expect_err("the file is invalid");
         assert_eq!(error.line, line, "{text}");
     }
 }
--- a/crates/simulation/tests/scenarios.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! The scenario files of the repository, a few seeds each; the sweeps are the command's.
+//! Runs the scenario files of the repository with a few seeds each. Runs over many seeds are left to
+//! `millford-lab scenarios`.
 
 use std::path::Path;
 use std::sync::OnceLock;
@@ -6,10 +7,10 @@
 use millford_simulation::checkers::Guarantee;
 use millford_simulation::runner::{Summary, load_scenarios, sweep};
 
-/// Seeds of every scenario but the mix.
-const FEW: u64 = 1;
-/// Seeds of the mix.
-const MIX: u64 = 20;
+/// Number of seeds of every scenario other than the mix.
+const SCENARIO_SEEDS: u64 = 1;
+/// Number of seeds of the mix.
+const MIX_SEEDS: u64 = 20;
 const MIX_NAME: &str = "mix";
 
 fn folder() -> std::path::PathBuf {
@@ -23,7 +24,7 @@
 fn failures(summary: &Summary) -> Vec<String> {
     let failures = summary.failures.iter();
     let lines = failures.map(|failure| {
-        let first = &failure.verdict.violations[0];
+        let first = &failure.results.violations[0];
         let seed = failure.seed;
         format!(
             "millford-lab scenarios --file scenarios/{}.scn --from {seed} --seeds 1: {first:?}",
@@ -33,23 +34,23 @@
     lines.collect()
 }
 
-/// Every scenario but the mix, run once for all tests of this file.
+/// Returns the summaries of every scenario other than the mix; they run once for all tests of this file.
 fn scenarios() -> &'static [Summary] {
     static SUMMARIES: OnceLock<Vec<Summary>> = OnceLock::new();
     SUMMARIES.get_or_init(|| {
-        let files = load_scenarios(&folder()).expect("the scenario files are right");
-        assert!(files.len() > 30, "the files are there");
+        let files = load_scenarios(&folder()).expect("the scenario files are valid");
+        assert!(files.len() > 30, "too few scenario files found");
         let others = files.iter().filter(|file| file.scenario.name != MIX_NAME);
         others
-            .map(|file| sweep(&file.scenario, 0, FEW, jobs()))
+            .map(|file| sweep(&file.scenario, 0, SCENARIO_SEEDS, jobs()))
             .collect()
     })
 }
 
-/// Violations of other guarantees than that of quotas.
-fn violations_beside_quotas(summary: &Summary) -> Vec<String> {
+/// Returns the violations of all guarantees other than the quota guarantee.
+fn violations_except_quota(summary: &Summary) -> Vec<String> {
     let violations = summary.failures.iter().flat_map(|failure| {
-        let violations = failure.verdict.violations.iter();
+        let violations = failure.results.violations.iter();
         violations.map(move |violation| (failure.seed, violation))
     });
     violations
@@ -64,54 +65,57 @@
     assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
-/// Stays green while a fault of the quotas is known, so that no other fault hides behind it.
+/// Passes even while a quota violation is a known failure, so that violations of other guarantees are still
+/// noticed.
 #[test]
-fn no_scenario_breaks_a_guarantee_but_that_of_quotas() {
+fn no_scenario_violates_a_guarantee_other_than_quota() {
     let violations: Vec<_> = scenarios()
         .iter()
-        .flat_map(violations_beside_quotas)
+        .flat_map(violations_except_quota)
         .collect();
     assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
-/// The mix over its seeds, run once for all tests of this file.
+/// Returns the summary of the mix; it runs once for all tests of this file.
 fn mix() -> &'static Summary {
     static SUMMARY: OnceLock<Summary> = OnceLock::new();
     SUMMARY.get_or_init(|| {
         let path = folder().join("mix.scn");
-        let files = load_scenarios(&path).expect("the mix is right");
-        sweep(&files[0].scenario, 0, MIX, jobs())
+        let files = load_scenarios(&path).expect("the mix scenario is valid");
+        sweep(&files[0].scenario, 0, MIX_SEEDS, jobs())
     })
 }
 
 #[test]
 fn the_mix_keeps_every_guarantee() {
     let summary = mix();
-    assert_eq!(summary.seeds, MIX);
+    assert_eq!(summary.seeds, MIX_SEEDS);
     let violations = failures(summary);
     assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
-/// Stays green while a fault of the quotas is known, so that no other fault hides behind it.
+/// Passes even while a quota violation is a known failure, so that violations of other guarantees are still
+/// noticed.
 #[test]
-fn the_mix_breaks_no_guarantee_but_that_of_quotas() {
-    let violations = violations_beside_quotas(mix());
+fn the_mix_violates_no_guarantee_other_than_quota() {
+    let violations = violations_except_quota(mix());
     assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
-/// Too long for a test run: the command plays them. What they say is checked here.
+/// Only checks the statements of these scenarios; running them takes too long for a test and is left to
+/// `millford-lab scenarios`.
 #[test]
 fn scenarios_of_large_fleets_send_requests_to_every_proxy_node() {
-    let files = load_scenarios(&folder().join("large")).expect("the scenario files are right");
+    let files = load_scenarios(&folder().join("large")).expect("the scenario files are valid");
     let proxy_nodes: Vec<u16> = files
         .iter()
-        .map(|file| file.scenario.site(0).proxy_nodes)
+        .map(|file| file.scenario.topology(0).proxy_nodes)
         .collect();
     assert_eq!(proxy_nodes, [90, 300]);
     for file in &files {
         let requests = file.scenario.workload.requests_per_second;
-        let proxy_nodes = u32::from(file.scenario.site(0).proxy_nodes);
-        // A proxy node without a client request in 12 s would count as one that does not serve.
+        let proxy_nodes = u32::from(file.scenario.topology(0).proxy_nodes);
+        // With fewer requests, a proxy node could get none within 12 s and be reported as not serving.
         assert!(
             requests > proxy_nodes,
             "{}: {requests} requests a second to {proxy_nodes} proxy nodes",
