--- a/crates/simulation/src/checkers/at_most_once.rs
+++ b/crates/simulation/src/checkers/at_most_once.rs
@@ -14,6 +14,7 @@
 #[derive(Default)]
 pub struct AtMostOnceChecker {
     requests: RequestTable,
+    /// Latest attempt that ran, by content; only for requests that are not repeatable.
     runs: BTreeMap<ContentNumber, AttemptNumber>,
 }
 
--- a/crates/simulation/src/checkers/complete_answers.rs
+++ b/crates/simulation/src/checkers/complete_answers.rs
@@ -14,7 +14,9 @@
 #[derive(Default)]
 pub struct CompleteAnswersChecker {
     requests: RequestTable,
+    /// Contents of which a backend completed a run.
     finished: BTreeSet<ContentNumber>,
+    /// Whether the caller of a request received the last chunk of a run.
     last_chunk_seen: BTreeMap<RequestNumber, bool>,
 }
 
--- a/crates/simulation/src/checkers/connectivity_table.rs
+++ b/crates/simulation/src/checkers/connectivity_table.rs
@@ -8,7 +8,8 @@
 use crate::history::{ProxyNodeNumber, Record};
 use crate::network::MachineId;
 
-/// A proxy node counts as connected after this time without any active fault, whatever its agent reports.
+/// A proxy node counts as connected after this time without any active fault, even if its agent reports
+/// otherwise.
 const CONNECTED_AFTER_LAST_FAULT: Duration = Duration::from_secs(12);
 
 /// Connectivity of one proxy node.
--- a/crates/simulation/src/checkers/drain.rs
+++ b/crates/simulation/src/checkers/drain.rs
@@ -11,12 +11,13 @@
 use crate::history::{BackendNumber, ProxyNodeNumber, Record};
 use crate::scenario::Figure;
 
-/// Longest time from the moment a backend becomes unavailable to the last request sent to it.
+/// Longest time from the draining or failure of a backend to the last request sent to it.
 const LIMIT: Duration = Duration::from_secs(3);
 
 /// Checks each send against the time since which its backend is unavailable.
 #[derive(Default)]
 pub struct DrainChecker {
+    /// Time since which a backend is draining or unavailable.
     unavailable_since: BTreeMap<BackendNumber, MonotonicTime>,
     /// Time at which a proxy node last resumed or started. It can notice the change only after that, so the
     /// limit counts from there.
--- a/crates/simulation/src/checkers/not_run_truth.rs
+++ b/crates/simulation/src/checkers/not_run_truth.rs
@@ -14,7 +14,9 @@
 #[derive(Default)]
 pub struct NotRunTruthChecker {
     requests: RequestTable,
+    /// Client requests of which a backend started an attempt.
     started: BTreeSet<RequestNumber>,
+    /// Result codes of the client requests that were refused as "not run".
     refused: BTreeMap<RequestNumber, u32>,
 }
 
--- a/crates/simulation/src/checkers/quota.rs
+++ b/crates/simulation/src/checkers/quota.rs
@@ -17,8 +17,8 @@
 /// The leader's count is exact at the time of the grant, but the checker only sees the admission.
 const DELIVERY_SECONDS: f64 = 0.06;
 
-/// Tokens that leases of several nodes may hold unused for a moment. A tenant with no more than this
-/// left does not count as below its quota.
+/// Tokens that leases of several nodes may temporarily hold unused. A tenant whose bucket has fewer than
+/// this left after a request does not count as below its quota.
 const NEAR_LIMIT: f64 = 2.0;
 
 /// A tenant counts as over its quota for this time after an exact bucket would have refused it.
--- a/crates/simulation/src/checkers/stream_continuity.rs
+++ b/crates/simulation/src/checkers/stream_continuity.rs
@@ -15,6 +15,7 @@
 #[derive(Default)]
 pub struct StreamContinuityChecker {
     requests: RequestTable,
+    /// Latest chunk that the caller of each request received.
     last_chunk: BTreeMap<RequestNumber, Chunk>,
 }
 
--- a/crates/simulation/src/disk/disk_image.rs
+++ b/crates/simulation/src/disk/disk_image.rs
@@ -15,11 +15,11 @@
 pub struct DiskImage {
     files: BTreeMap<String, DiskFile>,
     condition: DiskCondition,
-    /// Total duration of the operations since [`Self::take_busy_micros`], in microseconds.
+    /// Total duration of the operations since the last [`Self::take_busy_micros`], in microseconds.
     busy_micros: u64,
     /// Injected defect: syncs make nothing durable.
     ignores_syncs: bool,
-    /// Whether the disk was stalled at a sync since [`Self::take_stalled`].
+    /// Whether the disk was stalled at a sync since the last [`Self::take_stalled`].
     stalled: bool,
 }
 
--- a/crates/simulation/src/scenario/fault.rs
+++ b/crates/simulation/src/scenario/fault.rs
@@ -39,14 +39,15 @@
         down: Duration,
     },
     /// Takes machines down without closing their connections, and starts them again; a control node gets an
-    /// empty disk.
+    /// empty disk. Becomes a kill while the loss of a disk would exceed the guaranteed fault tolerance.
     Wipe {
         /// Machines to take down.
         target: Target,
         /// Time until they start again.
         down: Duration,
     },
-    /// Removes control nodes for good, and starts empty ones at new addresses.
+    /// Removes control nodes for good, and starts empty ones at new addresses. Becomes a kill under the same
+    /// condition as [`Fault::Wipe`].
     Replace {
         /// Control nodes to remove.
         target: Target,
--- a/crates/simulation/src/world/agent_driver.rs
+++ b/crates/simulation/src/world/agent_driver.rs
@@ -60,7 +60,7 @@
         self.record_connectivity(number, false);
     }
 
-    /// Passes an input to an agent. A `blocked` agent is frozen or busy and only gets its next tick scheduled.
+    /// Passes an input to an agent. A `blocked` agent is frozen or busy, and a tick only schedules the next one.
     pub(super) fn agent_input(&mut self, number: u16, input: ProcessInput, blocked: bool) {
         let process = ProcessId::Agent(number);
         let is_tick = matches!(input, ProcessInput::Tick);
@@ -148,7 +148,9 @@
         let process = ProcessId::Agent(number);
         let now = self.now();
         match output {
-            AgentOutput::Connect { link, address } => self.agent_connects(number, link, &address),
+            AgentOutput::Connect { link, address } => {
+                self.connect_agent_to_control(number, link, &address);
+            }
             AgentOutput::SendControl { link, frame } => {
                 if let Some(link) = self.agent_link(number, link) {
                     self.send_packet(process, link, Packet::Frame(frame), now);
@@ -185,7 +187,7 @@
         self.agents.get(&number)?.links.link_of(link)
     }
 
-    fn agent_connects(&mut self, number: u16, id: u64, address: &str) {
+    fn connect_agent_to_control(&mut self, number: u16, id: u64, address: &str) {
         let process = ProcessId::Agent(number);
         let link = self.open_link(process, control_at(address));
         if let Some(agent) = self.agents.get_mut(&number) {
--- a/crates/simulation/src/world/agent_link_driver.rs
+++ b/crates/simulation/src/world/agent_link_driver.rs
@@ -69,7 +69,7 @@
     }
 
     /// Handles a frame from the agent.
-    pub(super) fn local_frame(&mut self, number: u16, frame: LocalFrame) {
+    pub(super) fn handle_agent_frame(&mut self, number: u16, frame: LocalFrame) {
         if self.drops_state_frame(number, &frame) {
             return;
         }
--- a/crates/simulation/src/world/answer_driver.rs
+++ b/crates/simulation/src/world/answer_driver.rs
@@ -36,7 +36,7 @@
         }
         let mut answering = work.clone();
         if work.fault == Some(AnswerFault::Crossed)
-            && let Some(other) = self.another_run(work.content)
+            && let Some(other) = self.draw_other_run(work.content)
         {
             answering = other;
         }
@@ -52,14 +52,14 @@
             Framing::Length(body.len() as u64)
         };
         let head = head_of(&answering, "application/json", framing);
-        self.backend_sends(number, link, HttpPacket::Head(Box::new(head)));
+        self.send_from_backend(number, link, HttpPacket::Head(Box::new(head)));
         let mut bytes = Bytes::from(body);
         if truncated {
             bytes.truncate(bytes.len() / 2);
         }
-        self.backend_sends(number, link, HttpPacket::Body(bytes));
+        self.send_from_backend(number, link, HttpPacket::Body(bytes));
         if !truncated || unframed {
-            self.backend_sends(number, link, HttpPacket::Finish);
+            self.send_from_backend(number, link, HttpPacket::Finish);
         }
         self.close_link(process, link);
     }
@@ -82,7 +82,7 @@
                 self.cross_streams(work);
             }
             let head = head_of(work, "text/event-stream", Framing::Chunked);
-            self.backend_sends(number, link, HttpPacket::Head(Box::new(head)));
+            self.send_from_backend(number, link, HttpPacket::Head(Box::new(head)));
         }
         if work.next < work.total {
             self.send_chunk(number, link, work, work.next);
@@ -97,7 +97,7 @@
 
     /// Replaces the rest of the answer by that of another run, with or without the other attempt id.
     fn cross_streams(&mut self, work: &mut Answering) {
-        let Some(other) = self.another_run(work.content) else {
+        let Some(other) = self.draw_other_run(work.content) else {
             return;
         };
         if self.random.random_bool(0.5) {
@@ -121,13 +121,13 @@
         match work.fault {
             Some(AnswerFault::Truncated) => {
                 if self.random.random_bool(0.5) {
-                    self.backend_sends(number, link, HttpPacket::Finish);
+                    self.send_from_backend(number, link, HttpPacket::Finish);
                 }
                 self.close_link(ProcessId::Backend(number), link);
                 return StreamProgress::Ended;
             }
             Some(AnswerFault::Stray) => {
-                if let Some(other) = self.another_run(work.content) {
+                if let Some(other) = self.draw_other_run(work.content) {
                     self.send_chunk(number, link, &other, work.next);
                 }
                 work.fault = None;
@@ -152,8 +152,8 @@
         if work.fault == Some(AnswerFault::Stray) {
             end.push_str("data: {\"stray\":true}\n\n");
         }
-        self.backend_sends(number, link, HttpPacket::Body(Bytes::from(end)));
-        self.backend_sends(number, link, HttpPacket::Finish);
+        self.send_from_backend(number, link, HttpPacket::Body(Bytes::from(end)));
+        self.send_from_backend(number, link, HttpPacket::Finish);
         self.close_link(ProcessId::Backend(number), link);
     }
 
@@ -164,7 +164,7 @@
             "data: {{\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"{text}\"}}}}],\
              \"millford\":{{\"run\":\"{run}\",\"seq\":{sequence}}}}}\n\n"
         );
-        self.backend_sends(number, link, HttpPacket::Body(Bytes::from(event)));
+        self.send_from_backend(number, link, HttpPacket::Body(Bytes::from(event)));
     }
 }
 
--- a/crates/simulation/src/world/backend/recent_runs.rs
+++ b/crates/simulation/src/world/backend/recent_runs.rs
@@ -18,7 +18,7 @@
 }
 
 impl RecentRuns {
-    /// Adds a run that started, and drops the oldest beyond [`CAPACITY`].
+    /// Adds a run that started, and drops the oldest one beyond the capacity.
     pub fn push(&mut self, run: Answering) {
         self.runs.push_back(run);
         if self.runs.len() > CAPACITY {
--- a/crates/simulation/src/world/backend_driver.rs
+++ b/crates/simulation/src/world/backend_driver.rs
@@ -70,7 +70,7 @@
                     backend.take_work(link);
                 }
             }
-            ProcessInput::Work { link } => self.backend_works(number, link),
+            ProcessInput::Work { link } => self.continue_answer(number, link),
             _ => {}
         }
     }
@@ -80,9 +80,9 @@
             HttpPacket::Request(request) => self.backend_request(number, link, &request),
             HttpPacket::Withdraw { attempt, age } => {
                 let answer = self.withdraw_attempt(number, attempt, age);
-                self.backend_sends(number, link, HttpPacket::WithdrawAnswer(answer));
+                self.send_from_backend(number, link, HttpPacket::WithdrawAnswer(answer));
             }
-            HttpPacket::Probe => self.backend_sends(number, link, HttpPacket::ProbeAnswer),
+            HttpPacket::Probe => self.send_from_backend(number, link, HttpPacket::ProbeAnswer),
             _ => {}
         }
     }
@@ -112,11 +112,11 @@
         let refused = self.random.random_bool(REFUSAL_SHARE)
             || (resumes && self.random.random_bool(RESUME_REFUSED_SHARE));
         if withdrawn || refused {
-            self.backend_refuses(number, link, request);
+            self.refuse_request(number, link, request);
             return;
         }
         let Some(content) = content_of(request) else {
-            self.backend_refuses(number, link, request);
+            self.refuse_request(number, link, request);
             return;
         };
         let answering = self.answering(request, content);
@@ -167,7 +167,7 @@
     }
 
     /// Draws a recent run of another content; `None` if there is none.
-    pub(super) fn another_run(&mut self, content: ContentNumber) -> Option<Answering> {
+    pub(super) fn draw_other_run(&mut self, content: ContentNumber) -> Option<Answering> {
         self.recent_runs.draw_other(content, &mut self.random)
     }
 
@@ -188,7 +188,7 @@
         self.schedule_input(delay, process, incarnation, input);
     }
 
-    fn backend_refuses(&mut self, number: u16, link: LinkNumber, request: &BackendRequest) {
+    fn refuse_request(&mut self, number: u16, link: LinkNumber, request: &BackendRequest) {
         let head = AnswerHead {
             status: UNAVAILABLE,
             attempt: Some(request.attempt.clone()),
@@ -198,12 +198,12 @@
             content_type: "application/json".to_owned(),
             framing: Framing::Length(2),
         };
-        self.backend_sends(number, link, HttpPacket::Head(Box::new(head)));
-        self.backend_sends(number, link, HttpPacket::Body(Bytes::from_static(b"{}")));
-        self.backend_sends(number, link, HttpPacket::Finish);
+        self.send_from_backend(number, link, HttpPacket::Head(Box::new(head)));
+        self.send_from_backend(number, link, HttpPacket::Body(Bytes::from_static(b"{}")));
+        self.send_from_backend(number, link, HttpPacket::Finish);
     }
 
-    fn backend_works(&mut self, number: u16, link: LinkNumber) {
+    fn continue_answer(&mut self, number: u16, link: LinkNumber) {
         let Some(backend) = self.backends.get_mut(&number) else {
             return;
         };
@@ -237,7 +237,7 @@
     }
 
     /// Sends a packet of a backend on a connection.
-    pub(super) fn backend_sends(&mut self, number: u16, link: LinkNumber, packet: HttpPacket) {
+    pub(super) fn send_from_backend(&mut self, number: u16, link: LinkNumber, packet: HttpPacket) {
         let now = self.now();
         let process = ProcessId::Backend(number);
         self.send_packet(process, link, Packet::Http(packet), now);
--- a/crates/simulation/src/world/caller_driver.rs
+++ b/crates/simulation/src/world/caller_driver.rs
@@ -46,7 +46,7 @@
     }
 
     /// Sends a new request of a caller and schedules the next one.
-    pub(super) fn caller_sends(&mut self, lookup: bool) {
+    pub(super) fn send_next_request(&mut self, lookup: bool) {
         let Some(gap) = self.callers.draw_gap(lookup, &mut self.random) else {
             self.schedule_after(FIRST_REQUEST_AFTER, Event::CallerSends { lookup });
             return;
@@ -111,7 +111,7 @@
     }
 
     /// Handles a caller's timeout: the caller closes its connection.
-    pub(super) fn caller_times_out(&mut self, client_request: RequestNumber) {
+    pub(super) fn handle_caller_timeout(&mut self, client_request: RequestNumber) {
         let Some(open) = self.callers.waiting(client_request) else {
             return;
         };
@@ -120,7 +120,7 @@
         let delay = self.caller_delay();
         let input = ProcessInput::CallerDisconnected(client_request);
         self.schedule_input(delay, process, incarnation, input);
-        self.caller_receives(client_request, CallerDelivery::lost());
+        self.deliver_to_caller(client_request, CallerDelivery::lost());
     }
 
     /// Handles the head of an answer that a proxy sends.
@@ -171,7 +171,7 @@
     }
 
     /// Handles a chunk or the end that reaches a caller.
-    pub(super) fn caller_receives(
+    pub(super) fn deliver_to_caller(
         &mut self,
         client_request: RequestNumber,
         delivery: CallerDelivery,
@@ -203,7 +203,7 @@
     }
 
     /// Sends a request again, to a random proxy node.
-    pub(super) fn caller_resends(&mut self, client_request: RequestNumber) {
+    pub(super) fn resend_request(&mut self, client_request: RequestNumber) {
         if let Some(submission) = self.callers.resubmit(client_request) {
             self.send_request(submission);
         }
--- a/crates/simulation/src/world/callers.rs
+++ b/crates/simulation/src/world/callers.rs
@@ -259,7 +259,7 @@
         Some(open.last_arrival)
     }
 
-    /// Handles the end at the caller. Returns whether the caller will send the content again, in which case
+    /// Marks a client request as ended. Returns whether the caller will send the content again, in which case
     /// the request stays open.
     pub fn end(
         &mut self,
--- a/crates/simulation/src/world/control_driver.rs
+++ b/crates/simulation/src/world/control_driver.rs
@@ -121,7 +121,8 @@
         self.schedule_after(RESTART_AFTER_FATAL, Event::Start { process });
     }
 
-    /// Passes an input to a control node. A `blocked` node is frozen or busy and ignores ticks.
+    /// Passes an input to a control node. A `blocked` node is frozen or busy, and a tick only schedules the
+    /// next one.
     pub(super) fn control_input(&mut self, number: u16, input: ProcessInput, blocked: bool) {
         let process = ProcessId::Control(number);
         let incarnation = self.incarnation_of(process);
@@ -166,7 +167,7 @@
             free_at = free_at.max(self.faults.stalled_until(number));
         }
         // In the daemon each shard syncs on its own thread, with one sync for all that is waiting. So a
-        // short sync only delays what it makes durable; only a long one blocks the node.
+        // short sync merely delays what it makes durable, while a long one blocks the node.
         if free_at > self.now() + MAX_NONBLOCKING_SYNC {
             self.busy_until(process, incarnation, free_at);
         }
@@ -237,7 +238,9 @@
                     self.schedule_send(at, process, link, packet);
                 }
             }
-            NodeOutput::Connect { link, address } => self.control_connects(number, link, &address),
+            NodeOutput::Connect { link, address } => {
+                self.connect_control_to_peer(number, link, &address);
+            }
             NodeOutput::Close { link } => {
                 let control = self.controls.get_mut(&number);
                 let link = control.and_then(|control| control.links.remove_name(link));
@@ -285,7 +288,7 @@
         self.controls.get(&number)?.links.link_of(link)
     }
 
-    fn control_connects(&mut self, number: u16, id: LinkId, address: &str) {
+    fn connect_control_to_peer(&mut self, number: u16, id: LinkId, address: &str) {
         let process = ProcessId::Control(number);
         let link = self.open_link(process, control_at(address));
         if let Some(control) = self.controls.get_mut(&number) {
--- a/crates/simulation/src/world/draws.rs
+++ b/crates/simulation/src/world/draws.rs
@@ -45,7 +45,7 @@
             let to = u64::try_from(draw.to.as_millis()).unwrap_or(u64::MAX);
             let at = Duration::from_millis(self.random.random_range(from..to));
             let fault = self.draw_fault(class);
-            let fault = within(fault, draw.to.saturating_sub(at));
+            let fault = limit_duration(fault, draw.to.saturating_sub(at));
             faults.push(TimedFault { at, fault });
         }
         faults
@@ -250,7 +250,7 @@
 
 /// Limits kills, freezes, partitions and disk faults to the time left in the draw, so that the rest of the
 /// run shows the recovery.
-fn within(fault: Fault, left: Duration) -> Fault {
+fn limit_duration(fault: Fault, left: Duration) -> Fault {
     match fault {
         Fault::Kill { target, down } => Fault::Kill {
             target,
--- a/crates/simulation/src/world/exchange_driver.rs
+++ b/crates/simulation/src/world/exchange_driver.rs
@@ -140,7 +140,7 @@
     }
 
     /// Handles the connect timeout of a connection to a backend.
-    pub(super) fn connect_overdue(&mut self, number: u16, link: LinkNumber) {
+    pub(super) fn handle_connect_timeout(&mut self, number: u16, link: LinkNumber) {
         let connecting = self
             .links
             .get(link)
@@ -160,15 +160,15 @@
             return;
         };
         match purpose.exchange() {
-            None => self.probe_ends(number, link, ProbeOutcome::Failed),
+            None => self.finish_probe(number, link, ProbeOutcome::Failed),
             Some(exchange) => {
                 proxy.backends.remove(link);
-                self.exchange_breaks(number, exchange);
+                self.fail_exchange(number, exchange);
             }
         }
     }
 
-    fn exchange_breaks(&mut self, number: u16, exchange: u64) {
+    fn fail_exchange(&mut self, number: u16, exchange: u64) {
         let Some(running) = self.running_proxy(number) else {
             return;
         };
@@ -183,8 +183,13 @@
         }
     }
 
-    /// Handles a message from a backend.
-    pub(super) fn backend_answers(&mut self, number: u16, link: LinkNumber, packet: HttpPacket) {
+    /// Handles a message from a backend: the outcome of a probe, or a part of an answer.
+    pub(super) fn handle_backend_packet(
+        &mut self,
+        number: u16,
+        link: LinkNumber,
+        packet: HttpPacket,
+    ) {
         let Some(proxy) = self.proxies.get_mut(&number) else {
             return;
         };
@@ -192,7 +197,7 @@
             return;
         };
         let Some(exchange) = purpose.exchange() else {
-            self.probe_ends(number, link, ProbeOutcome::Answered);
+            self.finish_probe(number, link, ProbeOutcome::Answered);
             return;
         };
         let Some(running) = proxy.running.as_ref() else {
--- a/crates/simulation/src/world/fault_driver.rs
+++ b/crates/simulation/src/world/fault_driver.rs
@@ -35,7 +35,7 @@
     }
 
     /// Begins a planned fault.
-    pub(super) fn fault_begins(&mut self, number: usize) {
+    pub(super) fn begin_planned_fault(&mut self, number: usize) {
         let Some(fault) = self.faults.planned(number).cloned() else {
             return;
         };
@@ -60,13 +60,13 @@
             Fault::ClockJump { target, by } => self.jump_clocks(target, by),
             Fault::ClockDrift { target, ppm } => self.drift_clocks(target, ppm),
             Fault::Retire { target } => self.retire(target),
-            Fault::Roll { kind } => self.roll(kind),
-            other => self.traffic_fault_begins(&other),
+            Fault::Roll { kind } => self.plan_rolling_restart(kind),
+            other => self.begin_traffic_fault(&other),
         }
     }
 
     /// Begins a fault of answers, registry, operators or load, which affects no machine.
-    fn traffic_fault_begins(&mut self, fault: &Fault) {
+    fn begin_traffic_fault(&mut self, fault: &Fault) {
         match *fault {
             Fault::Answers { fault, length } => {
                 self.faults.add_answer_fault(fault);
@@ -115,7 +115,7 @@
     }
 
     /// Ends an active fault and reverts its effects.
-    pub(super) fn fault_ends(&mut self, number: u32) {
+    pub(super) fn end_fault(&mut self, number: u32) {
         let Some(fault) = self.faults.end(number) else {
             return;
         };
--- a/crates/simulation/src/world/injected_defect.rs
+++ b/crates/simulation/src/world/injected_defect.rs
@@ -7,7 +7,7 @@
 pub enum InjectedDefect {
     /// Proxies send every model request to a second backend as well.
     DuplicateModelRequests,
-    /// Callers are told "not run" with every refusal.
+    /// Every refusal reports "not run" to its caller.
     FalseNotRun,
     /// Callers receive chunks of another content.
     SwappedContent,
@@ -31,7 +31,7 @@
     FalseQuotaRefusal,
     /// Proxies send every lookup to a second backend as well.
     DuplicateLookups,
-    /// The registry does not list retired backends as draining.
+    /// Retired backends stay active in the registry's list, so control nodes do not drain them.
     UnlistedRetirement,
     /// Disks confirm syncs without making anything durable.
     IgnoredSyncs,
--- a/crates/simulation/src/world/link_driver.rs
+++ b/crates/simulation/src/world/link_driver.rs
@@ -61,7 +61,7 @@
     }
 
     /// Handles the arrival of a connection request, or its loss.
-    pub(super) fn connection_arrives(&mut self, link: LinkNumber, attempts: u32) {
+    pub(super) fn handle_connect(&mut self, link: LinkNumber, attempts: u32) {
         let Some(it) = self.links.get(link) else {
             return;
         };
@@ -156,7 +156,7 @@
 
     /// Handles the arrival of the next packet of a direction. In a partition the packet is lost and
     /// retransmitted later.
-    pub(super) fn packet_arrives(&mut self, link: LinkNumber, direction: Direction) {
+    pub(super) fn handle_arrival(&mut self, link: LinkNumber, direction: Direction) {
         let Some(it) = self.links.get(link) else {
             return;
         };
--- a/crates/simulation/src/world/operator_driver.rs
+++ b/crates/simulation/src/world/operator_driver.rs
@@ -65,8 +65,8 @@
                 self.schedule_operator(READ_PERIOD, OperatorEvent::NextRead);
                 self.send_operator_request(None, 1);
             }
-            OperatorEvent::Reply { request } => self.operator_reply(request),
-            OperatorEvent::Timeout { request } => self.operator_timeout(request),
+            OperatorEvent::Reply { request } => self.handle_operator_reply(request),
+            OperatorEvent::Timeout { request } => self.handle_operator_timeout(request),
             OperatorEvent::ResendAll => self.resend_orders(),
         }
     }
@@ -144,7 +144,7 @@
         ProcessId::Control(numbers.get(index).copied().unwrap_or(1))
     }
 
-    fn operator_reply(&mut self, request: u64) {
+    fn handle_operator_reply(&mut self, request: u64) {
         let Some(reply) = self.operators.take_reply(request) else {
             return;
         };
@@ -157,12 +157,12 @@
             return;
         };
         match pending.order {
-            Some(order) => self.order_answered(order, pending.attempts, &reply),
-            None => self.read_answered(&pending, &reply),
+            Some(order) => self.handle_order_reply(order, pending.attempts, &reply),
+            None => self.handle_read_reply(&pending, &reply),
         }
     }
 
-    fn operator_timeout(&mut self, request: u64) {
+    fn handle_operator_timeout(&mut self, request: u64) {
         let Some(pending) = self.operators.take_pending(request) else {
             return;
         };
@@ -181,7 +181,7 @@
         }
     }
 
-    fn order_answered(&mut self, number: OrderNumber, attempts: u32, reply: &OperatorReply) {
+    fn handle_order_reply(&mut self, number: OrderNumber, attempts: u32, reply: &OperatorReply) {
         let Some(order) = self.operators.order(number) else {
             return;
         };
@@ -193,7 +193,7 @@
             answer,
         });
         match answer {
-            OrderAnswer::Accepted { revision, .. } => self.order_accepted(number, revision),
+            OrderAnswer::Accepted { revision, .. } => self.handle_accepted_order(number, revision),
             OrderAnswer::Undecided => {
                 // The same order is sent again, to a random node.
                 let sent = self.now();
@@ -208,7 +208,7 @@
         }
     }
 
-    fn order_accepted(&mut self, number: OrderNumber, revision: u64) {
+    fn handle_accepted_order(&mut self, number: OrderNumber, revision: u64) {
         let Some(order) = self.operators.accept(number, revision) else {
             return;
         };
@@ -229,7 +229,7 @@
         }
     }
 
-    fn read_answered(&mut self, pending: &PendingReply, reply: &OperatorReply) {
+    fn handle_read_reply(&mut self, pending: &PendingReply, reply: &OperatorReply) {
         let OperatorReply::Config(config) = reply else {
             return;
         };
--- a/crates/simulation/src/world/probe_driver.rs
+++ b/crates/simulation/src/world/probe_driver.rs
@@ -60,12 +60,12 @@
         if let Some(proxy) = self.proxies.get_mut(&number) {
             proxy.backends.insert(link, BackendLink::Probe { backend });
         }
-        let input = ProcessInput::ProbeOverdue { link };
+        let input = ProcessInput::ProbeTimeout { link };
         self.schedule_input(PROBE_TIMEOUT, process, incarnation, input);
     }
 
     /// Handles the end of a health probe.
-    pub(super) fn probe_ends(&mut self, number: u16, link: LinkNumber, outcome: ProbeOutcome) {
+    pub(super) fn finish_probe(&mut self, number: u16, link: LinkNumber, outcome: ProbeOutcome) {
         let Some(proxy) = self.proxies.get_mut(&number) else {
             return;
         };
--- a/crates/simulation/src/world/process_fault_driver.rs
+++ b/crates/simulation/src/world/process_fault_driver.rs
@@ -29,8 +29,8 @@
         self.begin_fault(undo, machines_of(&processes), down);
     }
 
-    /// Takes the machines down and starts them again after `down`, control nodes with an empty disk. A kill
-    /// instead, unless a disk may be lost.
+    /// Takes the machines down and starts them again after `down`, control nodes with an empty disk. Falls
+    /// back to [`Self::kill`] if no disk may be lost.
     pub(super) fn wipe(&mut self, target: Target, down: Duration) {
         if !self.may_lose_disk(target) {
             self.kill(target, down);
@@ -52,8 +52,8 @@
         self.begin_fault(undo, machines_of(&processes), down);
     }
 
-    /// Removes control nodes for good, and starts an empty one for each after `down`, at a new address. A kill
-    /// instead, for other targets or unless a disk may be lost.
+    /// Removes control nodes for good, and starts an empty one for each after `down`, at a new address. Falls
+    /// back to [`Self::kill`] for other targets, and if no disk may be lost.
     pub(super) fn replace(&mut self, target: Target, down: Duration) {
         if target.kind != TargetKind::ControlNode || !self.may_lose_disk(target) {
             self.kill(target, down);
@@ -103,7 +103,7 @@
         self.begin_fault(undo, machines_of(&processes), length);
     }
 
-    /// Ends one freeze of a process; without another one the process continues.
+    /// Ends one freeze of a process, which continues if no other freeze is active.
     pub(super) fn thaw(&mut self, process: ProcessId) {
         let Some(state) = self.process_mut(process) else {
             return;
--- a/crates/simulation/src/world/process_input.rs
+++ b/crates/simulation/src/world/process_input.rs
@@ -46,12 +46,12 @@
     /// A caller disconnected.
     CallerDisconnected(RequestNumber),
     /// The connect timeout of a connection to a backend expired.
-    ConnectOverdue {
+    ConnectTimeout {
         /// The connection.
         link: LinkNumber,
     },
     /// The timeout of a health probe expired.
-    ProbeOverdue {
+    ProbeTimeout {
         /// Connection of the probe.
         link: LinkNumber,
     },
--- a/crates/simulation/src/world/proxy/agent_client.rs
+++ b/crates/simulation/src/world/proxy/agent_client.rs
@@ -89,7 +89,7 @@
             .quotas
             .insert(lock(port).now, request_id, frame(body.clone()));
         send(port, body);
-        let reply = within(port, request.timeout, reply).await;
+        let reply = with_timeout(port, request.timeout, reply).await;
         reply.unwrap_or(AdmissionReply::Refused {
             code: ResultCode::QuotaUnavailable,
             retry_after_ms: 0,
@@ -122,7 +122,7 @@
             .claims
             .insert(lock(port).now, request_id, frame(body.clone()));
         send(port, body);
-        let answer = within(port, timeout, answer).await;
+        let answer = with_timeout(port, timeout, answer).await;
         answer.unwrap_or(ClaimAnswer::Unavailable)
     }
 
@@ -206,7 +206,7 @@
     }
 }
 
-async fn within<T>(
+async fn with_timeout<T>(
     port: &SharedPort,
     timeout: Duration,
     mut answer: oneshot::Receiver<T>,
--- a/crates/simulation/src/world/proxy/proxy_process.rs
+++ b/crates/simulation/src/world/proxy/proxy_process.rs
@@ -119,7 +119,7 @@
     }
 
     /// Returns the revision that the proxy routes by, if it has not been recorded, and marks it as recorded.
-    /// `None` until the proxy is ready, since it serves no request before.
+    /// `None` until the proxy is ready, since it serves no request until then.
     pub fn take_applied_revision(&mut self) -> Option<u64> {
         let state = &self.running.as_ref()?.state;
         let revision = state.table().revision();
--- a/crates/simulation/src/world/proxy_driver.rs
+++ b/crates/simulation/src/world/proxy_driver.rs
@@ -59,7 +59,7 @@
         let frames = proxy.map_or_else(Vec::new, |proxy| proxy.first_frames.clone());
         if !frames.is_empty() {
             for frame in frames {
-                self.local_frame(number, frame);
+                self.handle_agent_frame(number, frame);
             }
             if let Some(running) = self.running_proxy(number) {
                 running.state.set_ready();
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Passes an input to a proxy. A `blocked` proxy is frozen or busy and ignores ticks.
+    /// Passes an input to a proxy. A `blocked` proxy is frozen or busy, and a tick only schedules the next one.
     pub(super) fn proxy_input(&mut self, number: u16, input: ProcessInput, blocked: bool) {
         if matches!(input, ProcessInput::Tick) {
             let process = ProcessId::Proxy(number);
@@ -120,9 +120,9 @@
             ProcessInput::CallerDisconnected(client_request) => {
                 self.proxy_caller_disconnected(number, client_request);
             }
-            ProcessInput::ConnectOverdue { link } => self.connect_overdue(number, link),
-            ProcessInput::ProbeOverdue { link } => {
-                self.probe_ends(number, link, ProbeOutcome::Failed);
+            ProcessInput::ConnectTimeout { link } => self.handle_connect_timeout(number, link),
+            ProcessInput::ProbeTimeout { link } => {
+                self.finish_probe(number, link, ProbeOutcome::Failed);
             }
             ProcessInput::Reconnect => self.connect_to_agent(number),
             ProcessInput::Tick => self.proxy_tick(number),
@@ -261,10 +261,10 @@
                     .get(&number)
                     .is_some_and(|proxy| proxy.agent.number() == Some(link));
                 if is_agent {
-                    self.local_frame(number, *frame);
+                    self.handle_agent_frame(number, *frame);
                 }
             }
-            Packet::Http(packet) => self.backend_answers(number, link, packet),
+            Packet::Http(packet) => self.handle_backend_packet(number, link, packet),
             _ => {}
         }
     }
@@ -325,7 +325,7 @@
             return;
         };
         proxy.backends.insert(link, purpose);
-        let input = ProcessInput::ConnectOverdue { link };
+        let input = ProcessInput::ConnectTimeout { link };
         self.schedule_input(CONNECT_TIMEOUT, process, incarnation, input);
     }
 }
--- a/crates/simulation/src/world/roll_driver.rs
+++ b/crates/simulation/src/world/roll_driver.rs
@@ -17,7 +17,7 @@
 
 impl Simulation {
     /// Plans a restart of every machine of a kind, one after the other.
-    pub(super) fn roll(&mut self, roll: RollKind) {
+    pub(super) fn plan_rolling_restart(&mut self, roll: RollKind) {
         let (kind, period) = match roll {
             RollKind::ControlNodes => (TargetKind::ControlNode, CONTROL_NODE_RESTART_PERIOD),
             RollKind::ProxyNodes => (TargetKind::ProxyNode, PROXY_NODE_RESTART_PERIOD),
