--- a/crates/simulation/src/checkers/adoption.rs
+++ b/crates/simulation/src/checkers/adoption.rs
@@ -1,29 +1,29 @@
-//! Every connected node applies an acknowledged revision within two seconds.
+//! Checks that every connected proxy node applies an acknowledged revision within two seconds.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use millford_core::MonotonicTime;
 
+use crate::checkers::check_results::CheckResults;
 use crate::checkers::checker::Checker;
 use crate::checkers::connectivity_table::ConnectivityTable;
 use crate::checkers::guarantee::Guarantee;
-use crate::checkers::verdict::Verdict;
 use crate::history::{OrderAnswer, ProxyNodeNumber, Record};
 use crate::scenario::Figure;
 
-/// Time from the acknowledgement of a revision to its use by every connected node.
+/// Longest time from the acknowledgement of a revision until every connected proxy node routes by it.
 const LIMIT: Duration = Duration::from_secs(2);
 
-/// A revision that a proxy node has not applied.
+/// An acknowledged revision that a proxy node has not applied.
 #[derive(Clone, Copy)]
 struct PendingRevision {
     revision: u64,
-    /// Since when the proxy node could have applied it.
+    /// Time since which the revision is acknowledged and the proxy node is connected.
     since: MonotonicTime,
 }
 
-/// Follows the revision of each proxy node behind the acknowledged ones.
+/// Compares the revision of each proxy node with the acknowledged revisions.
 #[derive(Default)]
 pub struct AdoptionChecker {
     connectivity: ConnectivityTable,
@@ -31,14 +31,14 @@
     acknowledged: BTreeMap<u64, MonotonicTime>,
     /// Revision that each proxy node routes by.
     applied: BTreeMap<ProxyNodeNumber, u64>,
-    /// Revision up to which a proxy node was reported as late.
+    /// Highest revision whose late adoption was reported, by proxy node.
     reported: BTreeMap<ProxyNodeNumber, u64>,
 }
 
 impl Checker for AdoptionChecker {
-    fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
-        // Before the record is applied: what was overdue under the connectivity until now.
-        self.check_overdue(at, verdict);
+    fn observe(&mut self, at: MonotonicTime, record: &Record, results: &mut CheckResults) {
+        // Checked before the record is applied, since the connectivity until now decides what is overdue.
+        self.check_overdue(at, results);
         self.connectivity.observe(at, record);
         match record {
             Record::OrderAnswered {
@@ -54,7 +54,7 @@
                 proxy_node,
                 revision,
             } => {
-                self.measure(at, *proxy_node, *revision, verdict);
+                self.measure(at, *proxy_node, *revision, results);
                 self.applied.insert(*proxy_node, *revision);
             }
             _ => {}
@@ -63,9 +63,9 @@
 }
 
 impl AdoptionChecker {
-    /// The first acknowledged revision that a connected proxy node has not applied.
+    /// Returns the first acknowledged revision that a connected proxy node has not applied.
     fn pending(&self, proxy_node: ProxyNodeNumber) -> Option<PendingRevision> {
-        // A node that applied nothing serves nothing; how long that may last is the recovery's guarantee.
+        // A proxy node without a revision serves no request; the recovery checker limits that time.
         let applied = self.applied.get(&proxy_node)?;
         let (revision, acknowledged) = self.acknowledged.range(applied + 1..).next()?;
         let connected = self.connectivity.connected_since(proxy_node)?;
@@ -75,7 +75,7 @@
         })
     }
 
-    fn check_overdue(&mut self, at: MonotonicTime, verdict: &mut Verdict) {
+    fn check_overdue(&mut self, at: MonotonicTime, results: &mut CheckResults) {
         let proxy_nodes: Vec<ProxyNodeNumber> = self.connectivity.proxy_nodes().collect();
         for proxy_node in proxy_nodes {
             let Some(PendingRevision { revision, since }) = self.pending(proxy_node) else {
@@ -88,9 +88,10 @@
             *reported = revision;
             let applied = self.applied.get(&proxy_node).copied().unwrap_or(0);
             let text = format!(
-                "{proxy_node:?} is connected and routes by {applied}, not {revision}, after 2 s"
+                "{proxy_node:?} is connected but still routes by revision {applied}, 2 s after \
+                 revision {revision} was acknowledged"
             );
-            verdict.record_violation(at, Guarantee::Adoption, text);
+            results.record_violation(at, Guarantee::Adoption, text);
         }
     }
 
@@ -99,13 +100,13 @@
         at: MonotonicTime,
         proxy_node: ProxyNodeNumber,
         revision: u64,
-        verdict: &mut Verdict,
+        results: &mut CheckResults,
     ) {
         let Some(pending) = self.pending(proxy_node) else {
             return;
         };
         if revision >= pending.revision {
-            verdict
+            results
                 .figures
                 .raise_duration(Figure::Adoption, at.since(pending.since));
         }
--- a/crates/simulation/src/checkers/answer_identity.rs
+++ b/crates/simulation/src/checkers/answer_identity.rs
@@ -1,21 +1,21 @@
-//! No caller gets another request's answer.
+//! Checks that no caller receives the answer to another request.
 
 use millford_core::MonotonicTime;
 
+use crate::checkers::check_results::CheckResults;
 use crate::checkers::checker::Checker;
 use crate::checkers::guarantee::Guarantee;
 use crate::checkers::request_table::RequestTable;
-use crate::checkers::verdict::Verdict;
 use crate::history::Record;
 
-/// Compares the content that a chunk answers with what its caller requested.
+/// Compares the content of each chunk with the content that its caller requested.
 #[derive(Default)]
 pub struct AnswerIdentityChecker {
     requests: RequestTable,
 }
 
 impl Checker for AnswerIdentityChecker {
-    fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
+    fn observe(&mut self, at: MonotonicTime, record: &Record, results: &mut CheckResults) {
         self.requests.observe(record);
         let Record::ChunkReceived {
             client_request,
@@ -29,10 +29,10 @@
         };
         if sent.content != chunk.content {
             let text = format!(
-                "{client_request:?} asked {:?} and got {chunk:?}",
+                "{client_request:?} requested {:?} but received {chunk:?}",
                 sent.content
             );
-            verdict.record_violation(at, Guarantee::AnswerIdentity, text);
+            results.record_violation(at, Guarantee::AnswerIdentity, text);
         }
     }
 }
--- a/crates/simulation/src/checkers/at_most_once.rs
+++ b/crates/simulation/src/checkers/at_most_once.rs
@@ -1,26 +1,27 @@
-//! What may not be repeated runs at most once.
+//! Checks that a request that is not repeatable runs at most once.
 
 use std::collections::BTreeMap;
 
 use millford_core::MonotonicTime;
 
+use crate::checkers::check_results::CheckResults;
 use crate::checkers::checker::Checker;
 use crate::checkers::guarantee::Guarantee;
 use crate::checkers::request_table::RequestTable;
-use crate::checkers::verdict::Verdict;
 use crate::history::{AttemptNumber, ContentNumber, Record, Repeatability};
 
-/// Counts the runs of each content that may not be repeated.
+/// Finds second runs of the same content, unless the request is repeatable.
 #[derive(Default)]
 pub struct AtMostOnceChecker {
     requests: RequestTable,
+    /// Latest attempt that ran, by content; only for requests that are not repeatable.
     runs: BTreeMap<ContentNumber, AttemptNumber>,
 }
 
 impl Checker for AtMostOnceChecker {
-    fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
+    fn observe(&mut self, at: MonotonicTime, record: &Record, results: &mut CheckResults) {
         self.requests.observe(record);
-        // A run that is continued is the same run.
+        // Only starts at chunk 0 count: a resumed run is the same run.
         let Record::BackendStarted {
             attempt,
             content,
@@ -37,8 +38,8 @@
             return;
         }
         if let Some(first) = self.runs.insert(*content, *attempt) {
-            let text = format!("{content:?} ran as {first:?} and again as {attempt:?}");
-            verdict.record_violation(at, Guarantee::AtMostOnce, text);
+            let text = format!("{content:?} ran twice: as {first:?} and as {attempt:?}");
+            results.record_violation(at, Guarantee::AtMostOnce, text);
         }
     }
 }
--- a/crates/simulation/src/checkers/complete_answers.rs
+++ b/crates/simulation/src/checkers/complete_answers.rs
@@ -1,25 +1,27 @@
-//! No partial answer passes for a complete one, and no success is invented.
+//! Checks that no truncated answer is reported as complete, and no success without a completed run.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use millford_core::MonotonicTime;
 
+use crate::checkers::check_results::CheckResults;
 use crate::checkers::checker::Checker;
 use crate::checkers::guarantee::Guarantee;
 use crate::checkers::request_table::RequestTable;
-use crate::checkers::verdict::Verdict;
 use crate::history::{ContentNumber, Record, RequestEnd, RequestNumber};
 
-/// Wants the last chunk, and a backend's success, behind every complete answer.
+/// Requires the last chunk and a completed run for every answer that its caller took as complete.
 #[derive(Default)]
 pub struct CompleteAnswersChecker {
     requests: RequestTable,
+    /// Contents of which a backend completed a run.
     finished: BTreeSet<ContentNumber>,
+    /// Whether the caller of a request received the last chunk of a run.
     last_chunk_seen: BTreeMap<RequestNumber, bool>,
 }
 
 impl Checker for CompleteAnswersChecker {
-    fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
+    fn observe(&mut self, at: MonotonicTime, record: &Record, results: &mut CheckResults) {
         self.requests.observe(record);
         match record {
             Record::BackendFinished { content, .. } => {
@@ -36,24 +38,25 @@
                 client_request,
                 end: RequestEnd::Complete,
                 ..
-            } => self.check(at, *client_request, verdict),
+            } => self.check(at, *client_request, results),
             _ => {}
         }
     }
 }
 
 impl CompleteAnswersChecker {
-    fn check(&self, at: MonotonicTime, client_request: RequestNumber, verdict: &mut Verdict) {
+    fn check(&self, at: MonotonicTime, client_request: RequestNumber, results: &mut CheckResults) {
         if self.last_chunk_seen.get(&client_request) != Some(&true) {
-            let text = format!("{client_request:?} ended as complete without its last piece");
-            verdict.record_violation(at, Guarantee::CompleteAnswers, text);
+            let text = format!("{client_request:?} ended as complete without its last chunk");
+            results.record_violation(at, Guarantee::CompleteAnswers, text);
         }
         let Some(sent) = self.requests.get(client_request) else {
             return;
         };
         if !self.finished.contains(&sent.content) {
-            let text = format!("{client_request:?} ended as complete, but no backend finished it");
-            verdict.record_violation(at, Guarantee::CompleteAnswers, text);
+            let text =
+                format!("{client_request:?} ended as complete, but no backend completed its run");
+            results.record_violation(at, Guarantee::CompleteAnswers, text);
         }
     }
 }
--- a/crates/simulation/src/checkers/durability.rs
+++ b/crates/simulation/src/checkers/durability.rs
@@ -1,27 +1,27 @@
-//! Acknowledged revisions survive, and no control node serves an older one.
+//! Checks that acknowledged revisions are durable, and that reads never return an older one.
 
 use std::collections::BTreeMap;
 
 use millford_core::MonotonicTime;
 
+use crate::checkers::check_results::CheckResults;
 use crate::checkers::checker::Checker;
 use crate::checkers::guarantee::Guarantee;
-use crate::checkers::verdict::Verdict;
 use crate::history::{OrderAnswer, Record};
 
-/// Holds confirmed reads against acknowledged orders.
+/// Compares linearizable reads of the configuration with the acknowledged orders.
 #[derive(Default)]
 pub struct DurabilityChecker {
-    /// Highest acknowledged revision from each time on.
+    /// Highest acknowledged revision, by the time of the acknowledgement.
     acknowledged: BTreeMap<MonotonicTime, u64>,
-    /// Digest of the document of each revision.
+    /// Digest of the configuration document of each revision.
     documents: BTreeMap<u64, u64>,
-    /// Confirmed reads so far.
+    /// Number of successful reads so far.
     reads: u64,
 }
 
 impl Checker for DurabilityChecker {
-    fn observe(&mut self, at: MonotonicTime, record: &Record, verdict: &mut Verdict) {
+    fn observe(&mut self, at: MonotonicTime, record: &Record, results: &mut CheckResults) {
         match record {
             Record::OrderAnswered {
                 answer: OrderAnswer::Accepted { revision, .. },
@@ -36,17 +36,17 @@
                 sent,
             } => {
                 self.reads += 1;
-                self.check_age(at, *revision, *sent, verdict);
-                self.check_document(at, *revision, *digest, verdict);
+                self.check_age(at, *revision, *sent, results);
+                self.check_document(at, *revision, *digest, results);
             }
             _ => {}
         }
     }
 
-    fn finish(&mut self, at: MonotonicTime, verdict: &mut Verdict) {
+    fn finish(&mut self, at: MonotonicTime, results: &mut CheckResults) {
         if self.reads == 0 {
-            let text = "no confirmed read succeeded by the end".to_string();
-            verdict.record_violation(at, Guarantee::Durability, text);
+            let text = "no read of the configuration succeeded during the run".to_string();
+            results.record_violation(at, Guarantee::Durability, text);
         }
     }
 }
@@ -67,20 +67,28 @@
         at: MonotonicTime,
         revision: u64,
         sent: MonotonicTime,
-        verdict: &mut Verdict,
+        results: &mut CheckResults,
     ) {
         let floor = self.acknowledged_by(sent);
         if revision < floor {
-            let text = format!("a read sent after {floor} was acknowledged shows {revision}");
-            verdict.record_violation(at, Guarantee::Durability, text);
+            let text = format!(
+                "a read sent after revision {floor} was acknowledged returned revision {revision}"
+            );
+            results.record_violation(at, Guarantee::Durability, text);
         }
     }
 
-    fn check_document(&self, at: MonotonicTime, revision: u64, digest: u64, verdict: &mut Verdict) {
+    fn check_document(
+        &self,
+        at: MonotonicTime,
+        revision: u64,
+        digest: u64,
+        results: &mut CheckResults,
+    ) {
         let expected = self.documents.get(&revision);
         if expected.is_some_and(|expected| *expected != digest) {
-            let text = format!("revision {revision} reads back as another document");
-            verdict.record_violation(at, Guarantee::Durability, text);
+            let text = format!("a read of revision {revision} returned another document");
+            results.record_violation(at, Guarantee::Durability, text);
         }
     }
 }
--- a/crates/simulation/src/checkers/totals.rs
+++ b/crates/simulation/src/checkers/totals.rs
@@ -1,17 +1,18 @@
-//! Counts what was served, so that a scenario can require work to be done, not only that nothing fails.
+//! Counts served requests and accepted orders, so that a scenario can require a minimum of work done, not
+//! only the absence of violations.
 
 use std::collections::BTreeSet;
 
 use millford_core::MonotonicTime;
 
+use crate::checkers::check_results::CheckResults;
 use crate::checkers::checker::Checker;
-use crate::checkers::verdict::Verdict;
 use crate::history::{OrderAnswer, Record, RequestEnd};
 use crate::scenario::Figure;
 
 const PERCENT: u64 = 100;
 
-/// Client requests, complete answers and accepted revisions.
+/// Counts client requests, complete answers and accepted revisions. It reports no violation.
 #[derive(Default)]
 pub struct TotalsChecker {
     requests: u64,
@@ -20,7 +21,7 @@
 }
 
 impl Checker for TotalsChecker {
-    fn observe(&mut self, _at: MonotonicTime, record: &Record, _verdict: &mut Verdict) {
+    fn observe(&mut self, _at: MonotonicTime, record: &Record, _verdict: &mut CheckResults) {
         match record {
             Record::RequestSent(_) => self.requests += 1,
             Record::RequestEnded {
@@ -37,10 +38,10 @@
         }
     }
 
-    fn finish(&mut self, _at: MonotonicTime, verdict: &mut Verdict) {
+    fn finish(&mut self, _at: MonotonicTime, results: &mut CheckResults) {
         let served = self.complete * PERCENT / self.requests.max(1);
-        verdict.figures.lower(Figure::Served, served);
+        results.figures.lower(Figure::Served, served);
         let orders = self.revisions.len() as u64;
-        verdict.figures.lower(Figure::Orders, orders);
+        results.figures.lower(Figure::Orders, orders);
     }
 }
--- a/crates/simulation/src/scenario/parser.rs
+++ b/crates/simulation/src/scenario/parser.rs
@@ -1,4 +1,4 @@
-//! Parses a scenario file. The crate's README describes the format.
+//! Parser of scenario files. The crate's README describes the format.
 
 use std::time::Duration;
 
@@ -19,12 +19,12 @@
     /// Parses the text of a scenario file.
     ///
     /// # Errors
-    /// [`ParseError`] names the first line that is no statement; a file without a name or a site
-    /// counts as wrong in its first line.
+    /// [`ParseError`] with the first line that is not a valid statement. A missing `scenario` or `site`
+    /// statement is reported for line 1.
     pub fn parse(text: &str) -> Result<Scenario, ParseError> {
         let mut scenario = Scenario {
             name: String::new(),
-            sites: Vec::new(),
+            topologies: Vec::new(),
             duration: DEFAULT_DURATION,
             seeds: DEFAULT_SEEDS,
             workload: Workload::default(),
@@ -49,7 +49,7 @@
     if scenario.name.is_empty() {
         return Err(StatementError::NoName);
     }
-    if scenario.sites.is_empty() {
+    if scenario.topologies.is_empty() {
         return Err(StatementError::NoSite);
     }
     Ok(())
@@ -62,7 +62,7 @@
     };
     match statement {
         "scenario" => scenario.name = tokens.next("the name")?.to_string(),
-        "site" => scenario.sites.push(parse_site(&mut tokens)?),
+        "site" => scenario.topologies.push(parse_site(&mut tokens)?),
         "duration" => scenario.duration = tokens.duration()?,
         "seeds" => scenario.seeds = tokens.number()?,
         "at" => {
@@ -131,9 +131,9 @@
     }
     let mut classes = Vec::new();
     if tokens.take("over") {
-        for keyword in tokens.next("classes of faults")?.split(',') {
+        for keyword in tokens.next("a list of fault classes")?.split(',') {
             let class = FaultClass::from_keyword(keyword)
-                .ok_or_else(|| StatementError::unknown("class of faults", keyword))?;
+                .ok_or_else(|| StatementError::unknown("fault class", keyword))?;
             classes.push(class);
         }
     } else {
--- a/crates/simulation/src/world/answer_driver.rs
+++ b/crates/simulation/src/world/answer_driver.rs
@@ -1,4 +1,4 @@
-//! Answers of simulated backends, right and wrong.
+//! Answers of simulated backends, correct and faulty.
 
 use bytes::Bytes;
 use millford_proxy::request::message::{AnswerHead, Framing};
@@ -7,22 +7,27 @@
 use crate::network::{HttpPacket, LinkNumber, ProcessId};
 use crate::scenario::AnswerFault;
 use crate::world::backend::{Answering, chunk_text};
-use crate::world::site::Site;
+use crate::world::simulation::Simulation;
 
 const OK: u16 = 200;
 
 /// Whether a stream continues.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum StreamProgress {
-    /// More is to be sent.
+    /// More chunks follow.
     Open,
-    /// Its connection is closed.
+    /// The stream ended and its connection is closed.
     Ended,
 }
 
-impl Site {
-    /// Sends the complete answer of a request that is no stream, right or wrong.
-    pub(super) fn answer_at_once(&mut self, number: u16, link: LinkNumber, work: &Answering) {
+impl Simulation {
+    /// Sends the answer to a request that does not stream, with the fault that was drawn for it.
+    pub(super) fn send_unstreamed_answer(
+        &mut self,
+        number: u16,
+        link: LinkNumber,
+        work: &Answering,
+    ) {
         self.finish_work(number, work);
         let process = ProcessId::Backend(number);
         if work.fault == Some(AnswerFault::Lost) {
@@ -31,7 +36,7 @@
         }
         let mut answering = work.clone();
         if work.fault == Some(AnswerFault::Crossed)
-            && let Some(other) = self.another_run(work.content)
+            && let Some(other) = self.draw_other_run(work.content)
         {
             answering = other;
         }
@@ -47,19 +52,19 @@
             Framing::Length(body.len() as u64)
         };
         let head = head_of(&answering, "application/json", framing);
-        self.backend_sends(number, link, HttpPacket::Head(Box::new(head)));
+        self.send_from_backend(number, link, HttpPacket::Head(Box::new(head)));
         let mut bytes = Bytes::from(body);
         if truncated {
             bytes.truncate(bytes.len() / 2);
         }
-        self.backend_sends(number, link, HttpPacket::Body(bytes));
+        self.send_from_backend(number, link, HttpPacket::Body(bytes));
         if !truncated || unframed {
-            self.backend_sends(number, link, HttpPacket::Finish);
+            self.send_from_backend(number, link, HttpPacket::Finish);
         }
         self.close_link(process, link);
     }
 
-    /// Sends one chunk of a stream, and its end after the last.
+    /// Sends the next chunk of a stream, and after the last one the end. Applies the fault that was drawn.
     pub(super) fn stream_step(
         &mut self,
         number: u16,
@@ -77,22 +82,22 @@
                 self.cross_streams(work);
             }
             let head = head_of(work, "text/event-stream", Framing::Chunked);
-            self.backend_sends(number, link, HttpPacket::Head(Box::new(head)));
+            self.send_from_backend(number, link, HttpPacket::Head(Box::new(head)));
         }
         if work.next < work.total {
             self.send_chunk(number, link, work, work.next);
             work.next += 1;
         }
         if work.next < work.total {
-            return self.disturb_stream(number, link, work);
+            return self.apply_stream_fault(number, link, work);
         }
         self.end_stream(number, link, work);
         StreamProgress::Ended
     }
 
-    /// From here on the answer is another run's, with or without that run's attempt id.
+    /// Replaces the rest of the answer by that of another run, with or without the other attempt id.
     fn cross_streams(&mut self, work: &mut Answering) {
-        let Some(other) = self.another_run(work.content) else {
+        let Some(other) = self.draw_other_run(work.content) else {
             return;
         };
         if self.random.random_bool(0.5) {
@@ -103,8 +108,8 @@
         work.run_number = other.run_number;
     }
 
-    /// What goes wrong after half of the stream.
-    fn disturb_stream(
+    /// Applies the faults that take effect once half of the stream was sent.
+    fn apply_stream_fault(
         &mut self,
         number: u16,
         link: LinkNumber,
@@ -116,19 +121,19 @@
         match work.fault {
             Some(AnswerFault::Truncated) => {
                 if self.random.random_bool(0.5) {
-                    self.backend_sends(number, link, HttpPacket::Finish);
+                    self.send_from_backend(number, link, HttpPacket::Finish);
                 }
                 self.close_link(ProcessId::Backend(number), link);
                 return StreamProgress::Ended;
             }
             Some(AnswerFault::Stray) => {
-                if let Some(other) = self.another_run(work.content) {
+                if let Some(other) = self.draw_other_run(work.content) {
                     self.send_chunk(number, link, &other, work.next);
                 }
                 work.fault = None;
             }
             Some(AnswerFault::Skipped) => {
-                // Nobody can detect a last chunk that is left out before the end marker.
+                // The last chunk is never left out: without it, the end marker would hide the gap.
                 if self.random.random_bool(0.5) && work.next + 1 < work.total {
                     work.next += 1;
                 } else {
@@ -147,8 +152,8 @@
         if work.fault == Some(AnswerFault::Stray) {
             end.push_str("data: {\"stray\":true}\n\n");
         }
-        self.backend_sends(number, link, HttpPacket::Body(Bytes::from(end)));
-        self.backend_sends(number, link, HttpPacket::Finish);
+        self.send_from_backend(number, link, HttpPacket::Body(Bytes::from(end)));
+        self.send_from_backend(number, link, HttpPacket::Finish);
         self.close_link(ProcessId::Backend(number), link);
     }
 
@@ -159,7 +164,7 @@
             "data: {{\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"{text}\"}}}}],\
              \"millford\":{{\"run\":\"{run}\",\"seq\":{sequence}}}}}\n\n"
         );
-        self.backend_sends(number, link, HttpPacket::Body(Bytes::from(event)));
+        self.send_from_backend(number, link, HttpPacket::Body(Bytes::from(event)));
     }
 }
 
--- a/crates/simulation/src/world/backend_driver.rs
+++ b/crates/simulation/src/world/backend_driver.rs
@@ -1,4 +1,4 @@
-//! Drives the simulated backends: requests, withdrawals, probes and the pace of answers.
+//! Drives the simulated backends: requests, withdrawals, probes and the timing of answers.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -11,31 +11,31 @@
 use crate::network::{HttpPacket, LinkNumber, Packet, ProcessId};
 use crate::scenario::AnswerFault;
 use crate::world::answer_driver::StreamProgress;
-use crate::world::backend::request_text::{content_of, holds_key, is_stream};
+use crate::world::backend::request_text::{contains_key, content_of, is_stream};
 use crate::world::backend::{Answering, BackendKind, BackendProcess, attempt_number, run_number};
 use crate::world::process_input::ProcessInput;
-use crate::world::site::Site;
+use crate::world::simulation::Simulation;
 
-/// Time until the first chunk of a model's answer, in microseconds.
+/// Range of the time to the first chunk of a model's answer, in microseconds.
 const FIRST_CHUNK_MICROS: Range<u64> = 40_000..400_000;
-/// Time between two chunks, in microseconds.
+/// Range of the time between two chunks, in microseconds.
 const NEXT_CHUNK_MICROS: Range<u64> = 30_000..90_000;
-/// Time until a lookup is answered, in microseconds.
+/// Range of the time to the answer of a lookup, in microseconds.
 const LOOKUP_MICROS: Range<u64> = 2_000..20_000;
-/// Time until a late answer begins, in microseconds.
+/// Range of the time to the start of a late answer, in microseconds.
 const LATE_MICROS: Range<u64> = 1_500_000..7_000_000;
-/// Share of answers that go wrong while an answer fault is active.
+/// Share of answers that are faulty while an answer fault is active.
 const FAULT_SHARE: f64 = 0.35;
 /// Share of requests that a backend refuses before any work.
 const REFUSAL_SHARE: f64 = 0.01;
-/// Share of resumptions that a backend refuses.
+/// Additional share of resumptions that a backend refuses.
 const RESUME_REFUSED_SHARE: f64 = 0.1;
 /// Share of resumptions that a backend answers from the start.
 const RESUME_IGNORED_SHARE: f64 = 0.1;
 const UNAVAILABLE: u16 = 503;
 
-impl Site {
-    /// Adds a backend with a new number.
+impl Simulation {
+    /// Adds a backend that has not started, and returns its number.
     pub(super) fn add_backend(&mut self, kind: BackendKind) -> u16 {
         let number = self.backends.keys().next_back().map_or(1, |last| last + 1);
         let backend = BackendProcess::new(self.new_process(), kind);
@@ -43,7 +43,7 @@
         number
     }
 
-    /// A new incarnation of the backend starts.
+    /// Starts a new incarnation of a backend.
     pub(super) fn start_backend(&mut self, number: u16) {
         let now = self.now();
         if let Some(backend) = self.backends.get_mut(&number) {
@@ -51,14 +51,14 @@
         }
     }
 
-    /// The backend died.
-    pub(super) fn backend_died(&mut self, number: u16) {
+    /// Handles the end of a backend's process.
+    pub(super) fn backend_exited(&mut self, number: u16) {
         if let Some(backend) = self.backends.get_mut(&number) {
             backend.drop_work();
         }
     }
 
-    /// Hands an input to a backend.
+    /// Passes an input to a backend.
     pub(super) fn backend_input(&mut self, number: u16, input: ProcessInput) {
         match input {
             ProcessInput::Packet {
@@ -70,7 +70,7 @@
                     backend.take_work(link);
                 }
             }
-            ProcessInput::Work { link } => self.backend_works(number, link),
+            ProcessInput::Work { link } => self.continue_answer(number, link),
             _ => {}
         }
     }
@@ -80,9 +80,9 @@
             HttpPacket::Request(request) => self.backend_request(number, link, &request),
             HttpPacket::Withdraw { attempt, age } => {
                 let answer = self.withdraw_attempt(number, attempt, age);
-                self.backend_sends(number, link, HttpPacket::WithdrawAnswer(answer));
+                self.send_from_backend(number, link, HttpPacket::WithdrawAnswer(answer));
             }
-            HttpPacket::Probe => self.backend_sends(number, link, HttpPacket::ProbeAnswer),
+            HttpPacket::Probe => self.send_from_backend(number, link, HttpPacket::ProbeAnswer),
             _ => {}
         }
     }
@@ -98,7 +98,7 @@
     fn backend_request(&mut self, number: u16, link: LinkNumber, request: &BackendRequest) {
         let backend = BackendNumber(number);
         let attempt = attempt_number(&request.attempt);
-        let key_seen = holds_key(request);
+        let key_seen = contains_key(request);
         self.record(&Record::BackendReceived {
             backend,
             attempt,
@@ -112,11 +112,11 @@
         let refused = self.random.random_bool(REFUSAL_SHARE)
             || (resumes && self.random.random_bool(RESUME_REFUSED_SHARE));
         if withdrawn || refused {
-            self.backend_refuses(number, link, request);
+            self.refuse_request(number, link, request);
             return;
         }
         let Some(content) = content_of(request) else {
-            self.backend_refuses(number, link, request);
+            self.refuse_request(number, link, request);
             return;
         };
         let answering = self.answering(request, content);
@@ -139,7 +139,7 @@
         let stream = is_stream(&request.body);
         let total = Answering::chunk_count(content, stream);
         let resume = request.resume_from.map(|from| from.0);
-        // A backend that does not know resumption starts over and confirms nothing.
+        // A backend without support for resumption starts over and does not confirm a position.
         let ignored = resume.is_some() && self.random.random_bool(RESUME_IGNORED_SHARE);
         let resume_at = resume.filter(|_| !ignored);
         Answering {
@@ -166,8 +166,8 @@
         Some(active[index])
     }
 
-    /// Draws a recent run of another content.
-    pub(super) fn another_run(&mut self, content: ContentNumber) -> Option<Answering> {
+    /// Draws a recent run of another content; `None` if there is none.
+    pub(super) fn draw_other_run(&mut self, content: ContentNumber) -> Option<Answering> {
         self.recent_runs.draw_other(content, &mut self.random)
     }
 
@@ -188,7 +188,7 @@
         self.schedule_input(delay, process, incarnation, input);
     }
 
-    fn backend_refuses(&mut self, number: u16, link: LinkNumber, request: &BackendRequest) {
+    fn refuse_request(&mut self, number: u16, link: LinkNumber, request: &BackendRequest) {
         let head = AnswerHead {
             status: UNAVAILABLE,
             attempt: Some(request.attempt.clone()),
@@ -198,12 +198,12 @@
             content_type: "application/json".to_owned(),
             framing: Framing::Length(2),
         };
-        self.backend_sends(number, link, HttpPacket::Head(Box::new(head)));
-        self.backend_sends(number, link, HttpPacket::Body(Bytes::from_static(b"{}")));
-        self.backend_sends(number, link, HttpPacket::Finish);
+        self.send_from_backend(number, link, HttpPacket::Head(Box::new(head)));
+        self.send_from_backend(number, link, HttpPacket::Body(Bytes::from_static(b"{}")));
+        self.send_from_backend(number, link, HttpPacket::Finish);
     }
 
-    fn backend_works(&mut self, number: u16, link: LinkNumber) {
+    fn continue_answer(&mut self, number: u16, link: LinkNumber) {
         let Some(backend) = self.backends.get_mut(&number) else {
             return;
         };
@@ -211,7 +211,7 @@
             return;
         };
         if !work.stream {
-            self.answer_at_once(number, link, &work);
+            self.send_unstreamed_answer(number, link, &work);
             return;
         }
         if self.stream_step(number, link, &mut work) == StreamProgress::Ended {
@@ -224,7 +224,7 @@
         self.work_after(number, link, delay);
     }
 
-    /// A backend did all the work of an attempt.
+    /// Records that a backend completed an attempt.
     pub(super) fn finish_work(&mut self, number: u16, work: &Answering) {
         if let Some(backend) = self.backends.get_mut(&number) {
             backend.finish(work.attempt.clone());
@@ -236,8 +236,8 @@
         });
     }
 
-    /// A backend sends a packet on a connection.
-    pub(super) fn backend_sends(&mut self, number: u16, link: LinkNumber, packet: HttpPacket) {
+    /// Sends a packet of a backend on a connection.
+    pub(super) fn send_from_backend(&mut self, number: u16, link: LinkNumber, packet: HttpPacket) {
         let now = self.now();
         let process = ProcessId::Backend(number);
         self.send_packet(process, link, Packet::Http(packet), now);
