--- a/crates/scale/examples/scale.rs
+++ b/crates/scale/examples/scale.rs
@@ -1,4 +1,5 @@
-//! `millford-lab scale` by itself, for work on the rig without building the whole laboratory.
+//! Runs `millford-lab scale` on its own, so that the test harness can be developed without building all of
+//! `millford-lab`.
 
 fn main() -> std::process::ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
--- a/crates/scale/src/error.rs
+++ b/crates/scale/src/error.rs
@@ -1,15 +1,15 @@
-//! Errors of a scale run.
+//! Errors of a scale test.
 
-/// Why a scale run could not be finished: a failure of the rig or of the fleet under it.
+/// Failure of a scale test, in the test harness or in the fleet under test.
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleError {
     /// The flags cannot be parsed.
     #[error(transparent)]
     Flags(#[from] getopts::Fail),
-    /// An argument that belongs to no flag.
+    /// A positional argument, of which the command takes none.
     #[error("unexpected argument \"{argument}\"")]
     UnexpectedArgument {
-        /// The argument.
+        /// The argument as given.
         argument: String,
     },
     /// The value of a flag is not a number.
@@ -17,90 +17,91 @@
     NotANumber {
         /// Name of the flag, without dashes.
         flag: &'static str,
-        /// The value that was given.
+        /// The value as given.
         value: String,
     },
-    /// Files, sockets or processes failed.
-    #[error("{what}: {source}")]
+    /// An operation on a file, a socket, a thread or a process failed.
+    #[error("cannot {what}: {source}")]
     System {
-        /// What was tried.
+        /// The operation, as a verb phrase.
         what: String,
-        /// The system's error.
+        /// Error from the operating system.
         source: std::io::Error,
     },
-    /// A process did not start or ended too early.
-    #[error("{program} did not come up: {reason}")]
+    /// A process printed no ready line in time, or exited before it did.
+    #[error("{program} did not become ready: {reason}")]
     Process {
-        /// Program name.
+        /// Path of the program.
         program: String,
-        /// What it said.
+        /// The process's log output; empty when it logged nothing.
         reason: String,
     },
-    /// No control node accepted an order in time.
-    #[error("the operator interface: {source}")]
+    /// No control node accepted a configuration order before the timeout.
+    #[error("no control node accepted the configuration order: {source}")]
     Operator {
-        /// Why the last attempt failed; none when there was no time for one.
+        /// Failure of the last attempt, or [`OrderError::NotTried`] when the timeout left no time for one.
         source: OrderError,
     },
-    /// The fleet did not reach a state in time.
-    #[error("not reached within {seconds} s: {what} ({detail})")]
+    /// The fleet did not reach a state before the timeout.
+    #[error("timed out after {seconds} s waiting for {what} ({detail})")]
     NotReached {
-        /// What was waited for.
+        /// The awaited state, as a noun phrase.
         what: &'static str,
-        /// Longest wait.
+        /// The timeout, in seconds.
         seconds: u64,
-        /// How far it came.
+        /// Progress at the timeout, such as the number of nodes that had reached the state.
         detail: String,
     },
-    /// Something cannot be encoded as JSON.
-    #[error("the report cannot be written: {0}")]
+    /// A report or the registry's backend list cannot be encoded as JSON.
+    #[error("cannot encode as JSON: {0}")]
     Encode(#[from] serde_json::Error),
     /// The plot cannot be drawn or written.
-    #[error("the report cannot be written: {0}")]
+    #[error("the plot cannot be drawn or written: {0}")]
     Plot(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// Sizes of a sweep could not be measured; the report has their errors.
-    #[error("the report cannot be written: {failed} of {all} sizes failed")]
+    /// At least one size could not be measured; the report lists the error of each.
+    #[error("{failed} of {all} sizes failed")]
     SizesFailed {
-        /// Sizes that failed.
+        /// Number of sizes that failed.
         failed: usize,
-        /// Sizes of the sweep.
+        /// Number of sizes that were run.
         all: usize,
     },
 }
 
 impl ScaleError {
-    /// A system error while doing `what`.
+    /// Returns a conversion from an I/O error to [`ScaleError::System`]; `what` names the operation as a verb
+    /// phrase.
     pub fn system(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> Self {
         let what = what.into();
         move |source| Self::System { what, source }
     }
 }
 
-/// Why a control node did not accept an operator's order.
+/// Failure to get an operator's order accepted by a control node.
 #[derive(Debug, thiserror::Error)]
 pub enum OrderError {
-    /// No attempt was made before the time was over.
-    #[error("")]
+    /// The timeout passed before the first attempt.
+    #[error("no attempt was made before the timeout")]
     NotTried,
-    /// The order cannot be encoded, or the reply not be decoded.
+    /// The order cannot be encoded, or the reply cannot be decoded.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// No reply came in time.
-    #[error("no answer in time")]
+    /// The control node sent no reply before the timeout.
+    #[error("no reply before the timeout")]
     TimedOut,
-    /// The connection failed.
+    /// The TCP connection could not be opened.
     #[error(transparent)]
     Connect(#[from] std::io::Error),
-    /// The request cannot be built.
+    /// The HTTP request cannot be built.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    /// The exchange over the connection failed.
+    /// The HTTP exchange failed after the connection was open.
     #[error(transparent)]
     Exchange(#[from] hyper::Error),
-    /// The node refused the order.
+    /// The control node refused the order.
     #[error("{status}: {body}")]
     Refused {
-        /// HTTP status.
+        /// HTTP status of the reply.
         status: hyper::StatusCode,
         /// Body of the reply.
         body: String,
--- a/crates/scale/src/exchange/datagram_relay.rs
+++ b/crates/scale/src/exchange/datagram_relay.rs
@@ -1,7 +1,7 @@
-//! Relays the datagrams between proxies and counts them.
+//! UDP relay between proxies that counts their datagrams.
 //!
-//! Each proxy has a relay endpoint: the address that the others know it by. The receiver's endpoint receives a
-//! datagram and the sender's endpoint forwards it, so that the receiver's reply comes back the same way.
+//! Each proxy has a relay endpoint whose address the other proxies are configured with. The receiver's endpoint
+//! receives a datagram and the sender's endpoint forwards it, so that replies pass through the relay too.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,19 +14,19 @@
 /// Largest datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-/// Bytes of the IP and UDP headers of a datagram.
+/// Size of the IPv4 and UDP headers of a datagram, in bytes.
 pub const HEADER_BYTES: u64 = 28;
 
-/// What one proxy sent and received, headers included.
+/// Cumulative traffic of one proxy. Bytes include the IP and UDP headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeCounts {
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub sent: u64,
-    /// Bytes sent.
+    /// Bytes sent to all zones.
     pub sent_bytes: u64,
-    /// Of these, to other zones.
-    pub sent_bytes_elsewhere: u64,
-    /// Datagrams received.
+    /// Bytes sent to other zones.
+    pub sent_bytes_to_other_zones: u64,
+    /// Number of datagrams received.
     pub received: u64,
 }
 
@@ -34,7 +34,7 @@
 struct Counter {
     sent: AtomicU64,
     sent_bytes: AtomicU64,
-    sent_bytes_elsewhere: AtomicU64,
+    sent_bytes_to_other_zones: AtomicU64,
     received: AtomicU64,
 }
 
@@ -47,7 +47,7 @@
     counter: Counter,
 }
 
-/// The relay endpoints of all proxies. Dropping it ends their tasks.
+/// The relay endpoints of all proxies; their tasks are aborted on drop.
 #[derive(Debug)]
 pub struct DatagramRelay {
     members: Arc<Vec<Member>>,
@@ -61,7 +61,7 @@
 }
 
 impl DatagramRelay {
-    /// Opens an endpoint for each proxy, given by its zone and address.
+    /// Opens a relay endpoint for each proxy, which is given by its zone and its own address.
     ///
     /// # Errors
     /// Fails when a socket cannot be opened.
@@ -89,10 +89,10 @@
         })
     }
 
-    /// The addresses that the proxies know each other by.
+    /// Returns the relay address of each proxy, in the order given to [`Self::open`].
     ///
     /// # Errors
-    /// Fails when the system does not tell an endpoint's address.
+    /// Fails when the operating system does not return an endpoint's address.
     pub fn endpoint_addresses(&self) -> std::io::Result<Vec<SocketAddr>> {
         let addresses = self
             .members
@@ -101,20 +101,24 @@
         addresses.collect()
     }
 
-    /// What each proxy sent and received so far.
+    /// Returns the traffic of each proxy so far, in the order given to [`Self::open`].
     #[must_use]
     pub fn counts(&self) -> Vec<NodeCounts> {
         let counts = self.members.iter().map(|member| NodeCounts {
             sent: member.counter.sent.load(Ordering::Relaxed),
             sent_bytes: member.counter.sent_bytes.load(Ordering::Relaxed),
-            sent_bytes_elsewhere: member.counter.sent_bytes_elsewhere.load(Ordering::Relaxed),
+            sent_bytes_to_other_zones: member
+                .counter
+                .sent_bytes_to_other_zones
+                .load(Ordering::Relaxed),
             received: member.counter.received.load(Ordering::Relaxed),
         });
         counts.collect()
     }
 }
 
-/// Forwards what arrives at one proxy's endpoint, until the task is aborted.
+/// Forwards the datagrams that arrive at the endpoint of proxy `to`, until the task is aborted. Datagrams of
+/// unknown senders are dropped.
 async fn forward(members: &[Member], by_address: &BTreeMap<SocketAddr, usize>, to: usize) {
     let receiver = &members[to];
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
@@ -133,11 +137,11 @@
             .sent_bytes
             .fetch_add(bytes, Ordering::Relaxed);
         if sender.zone != receiver.zone {
-            let elsewhere = &sender.counter.sent_bytes_elsewhere;
+            let elsewhere = &sender.counter.sent_bytes_to_other_zones;
             elsewhere.fetch_add(bytes, Ordering::Relaxed);
         }
         receiver.counter.received.fetch_add(1, Ordering::Relaxed);
-        // A datagram that cannot be forwarded is lost, as on a network.
+        // A datagram that cannot be forwarded is dropped, as on a real network.
         let _ = sender
             .endpoint
             .send_to(&buffer[..length], receiver.address)
--- a/crates/scale/src/exchange/exchange_figures.rs
+++ b/crates/scale/src/exchange/exchange_figures.rs
@@ -1,29 +1,31 @@
-//! What the exchange of one fleet cost.
+//! Cost of the exchange between the proxies of one fleet.
 
 use serde::Serialize;
 
 use super::datagram_relay::NodeCounts;
 
-/// Figures of one size, each a second unless it is a share.
+/// Figures of one fleet size. Datagrams and bytes are per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct ExchangeFigures {
-    /// Proxies.
+    /// Number of proxies.
     pub nodes: usize,
-    /// Datagrams that a proxy sends, on average.
+    /// Mean number of datagrams that a proxy sends.
     pub datagrams: f64,
-    /// Datagrams that the busiest proxy sends and receives.
+    /// Datagrams sent and received by the proxy with the most of them.
     pub busiest_datagrams: f64,
-    /// Bytes that a proxy sends, headers included, on average.
+    /// Mean number of bytes that a proxy sends, including IP and UDP headers.
     pub bytes: f64,
-    /// Of these, bytes to other zones.
-    pub bytes_elsewhere: f64,
-    /// Share of the admissions that were decided on without an owner's answer.
+    /// Mean number of bytes that a proxy sends to other zones, including IP and UDP headers.
+    #[serde(rename = "bytes_elsewhere")]
+    pub bytes_to_other_zones: f64,
+    /// Share of the expected requests that were admitted in degraded mode, without an owner's reply; from 0 to 1.
     #[serde(rename = "alone_share")]
     pub degraded_share: f64,
 }
 
 impl ExchangeFigures {
-    /// The figures of what was counted `before` and `after` some seconds.
+    /// Computes the figures from two counts of the same proxies, taken `seconds` apart. The degraded share is left
+    /// at 0.
     #[must_use]
     pub fn between(before: &[NodeCounts], after: &[NodeCounts], seconds: f64) -> Self {
         let nodes = after.len();
@@ -43,7 +45,7 @@
             datagrams: sum(|counts| counts.sent),
             busiest_datagrams: busiest.fold(0.0, f64::max),
             bytes: sum(|counts| counts.sent_bytes),
-            bytes_elsewhere: sum(|counts| counts.sent_bytes_elsewhere),
+            bytes_to_other_zones: sum(|counts| counts.sent_bytes_to_other_zones),
             degraded_share: 0.0,
         }
     }
--- a/crates/scale/src/exchange/growth.rs
+++ b/crates/scale/src/exchange/growth.rs
@@ -1,20 +1,21 @@
-//! How a figure grows with the fleet.
+//! Growth of a figure with the size of the fleet.
 
 use serde::Serialize;
 
-/// Exponent of the power of the number of nodes that a figure follows, by least squares of the logarithms:
-/// 0 where the figure does not grow, 1 where it grows with the fleet.
+/// Power law `figure = factor * nodes^exponent`, fitted by least squares of the logarithms. The exponent is 0
+/// for a constant figure and 1 for one that grows in proportion to the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Growth {
-    /// Estimate.
+    /// Estimated exponent.
     pub exponent: f64,
-    /// Standard error of the estimate.
-    pub spread: f64,
+    /// Standard error of the exponent.
+    #[serde(rename = "spread")]
+    pub standard_error: f64,
 }
 
 impl Growth {
-    /// The growth of these figures by number of nodes; none for fewer than three sizes, or for figures
-    /// that are not above 0.
+    /// Fits pairs of a number of nodes and a figure. Returns `None` for fewer than three points, for points of
+    /// only one size, and when a number or figure is not above 0.
     #[must_use]
     pub fn of(points: &[(usize, f64)]) -> Option<Self> {
         if points.len() < 3
@@ -37,14 +38,14 @@
         }
         let product = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y));
         let exponent = product.sum::<f64>() / square;
-        let left = points.iter().map(|(x, y)| {
+        let squared_residuals = points.iter().map(|(x, y)| {
             let expected = mean_y + exponent * (x - mean_x);
             (y - expected).powi(2)
         });
-        let variance = left.sum::<f64>() / (count - 2.0);
+        let variance = squared_residuals.sum::<f64>() / (count - 2.0);
         Some(Self {
             exponent,
-            spread: (variance / square).sqrt(),
+            standard_error: (variance / square).sqrt(),
         })
     }
 }
--- a/crates/scale/src/exchange/mod.rs
+++ b/crates/scale/src/exchange/mod.rs
@@ -1,5 +1,5 @@
-//! What proxies send each other at several sizes of fleet: the real exchange between hollow proxies, over
-//! loopback, with requests that choose a backend and are never sent.
+//! Measures the datagrams that proxies exchange at several fleet sizes. The simulated proxies run the real exchange
+//! over loopback; their requests are admitted and a backend is chosen, but they are never sent to it.
 
 pub mod datagram_relay;
 pub mod exchange_figures;
--- a/crates/scale/src/exchange/proxy_fleet.rs
+++ b/crates/scale/src/exchange/proxy_fleet.rs
@@ -1,4 +1,4 @@
-//! Hollow proxies that know the same routes, backends and peers.
+//! A fleet of simulated proxies with the same routes, backends and peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,30 +17,30 @@
 use super::datagram_relay::{DatagramRelay, NodeCounts};
 use crate::error::ScaleError;
 
-/// Name of the one route and its pool.
+/// Name of the only pool.
 pub const POOL: &str = "pool";
-/// The model of all backends.
+/// Model that every request asks for.
 pub const MODEL: &str = "model";
-/// Zones of the fleet.
+/// Number of zones, over which the proxies and backends are spread evenly.
 const ZONES: usize = 3;
-/// Tenants with a quota.
+/// Number of tenants; each has a token quota.
 pub const TENANTS: usize = 40;
-/// Backends beside each hundred proxies, as in the deployments that are known.
+/// Backends per hundred proxies, as in known deployments.
 const BACKENDS_PER_HUNDRED: usize = 85;
-/// Quota of each tenant: never used up here.
+/// Token quota of each tenant, high enough never to be exhausted in this test.
 const QUOTA: TokenQuota = TokenQuota {
     tokens_per_second: 1_000_000,
     burst: 1_000_000,
     default_tokens: 100,
 };
 
-/// A hollow proxy.
-pub type HollowForward = Arc<ForwardNode<MillfordProtocol>>;
+/// The forwarding node of a simulated proxy.
+pub type SimulatedForwardNode = Arc<ForwardNode<MillfordProtocol>>;
 
-/// Proxies that exchange messages through a relay that counts them.
+/// Proxies that exchange datagrams through a counting relay; their tasks are aborted on drop.
 pub struct ProxyFleet {
-    /// The proxies.
-    pub nodes: Vec<HollowForward>,
+    /// The proxies, in the order of their numbers.
+    pub nodes: Vec<SimulatedForwardNode>,
     relay: DatagramRelay,
     exchanges: Vec<JoinHandle<()>>,
 }
@@ -52,12 +52,12 @@
 }
 
 impl ProxyFleet {
-    /// Starts this many proxies.
+    /// Starts `count` proxies.
     ///
     /// # Errors
     /// Fails when a socket cannot be opened.
     pub async fn start(count: usize) -> Result<Self, ScaleError> {
-        let opened = ScaleError::system("open a socket of a hollow proxy");
+        let opened = ScaleError::system("open a socket of a simulated proxy");
         Self::open(count).await.map_err(opened)
     }
 
@@ -71,7 +71,8 @@
         }
         let relay = DatagramRelay::open(proxies).await?;
         let table = Arc::new(table(&relay.endpoint_addresses()?));
-        let nodes: Vec<HollowForward> = (0..count).map(|number| node(number, &table)).collect();
+        let nodes: Vec<SimulatedForwardNode> =
+            (0..count).map(|number| node(number, &table)).collect();
         let exchanges = nodes.iter().zip(sockets).map(|(node, socket)| {
             let exchange = millford_forward::exchange::run(Arc::clone(node), socket);
             tokio::spawn(exchange)
@@ -83,13 +84,13 @@
         })
     }
 
-    /// What each proxy sent and received so far.
+    /// Returns the traffic of each proxy so far, in the order of their numbers.
     #[must_use]
     pub fn counts(&self) -> Vec<NodeCounts> {
         self.relay.counts()
     }
 
-    /// Admissions that proxies decided on without an owner's answer so far.
+    /// Returns the number of admissions so far that proxies decided in degraded mode, without an owner's reply.
     #[must_use]
     pub fn degraded_decisions(&self) -> u64 {
         let nodes = self.nodes.iter();
@@ -103,13 +104,13 @@
     format!("zone-{}", number % ZONES)
 }
 
-/// Name of a tenant.
+/// Returns the name of the tenant with this number.
 #[must_use]
 pub fn tenant_name(number: usize) -> String {
     format!("tenant-{number}")
 }
 
-fn node(number: usize, table: &RoutingTable) -> HollowForward {
+fn node(number: usize, table: &RoutingTable) -> SimulatedForwardNode {
     let settings = ForwardSettings {
         name: node_name(number),
         zone: zone_of(number),
@@ -165,7 +166,7 @@
     (key.to_owned(), StateValue { kind: Some(kind) })
 }
 
-/// The one route; its requests share prefix blocks of their prompts.
+/// Returns the only route. It is sticky, so that requests with common prefix blocks prefer the same backend.
 #[must_use]
 pub fn route() -> ForwardRoute {
     ForwardRoute {
--- a/crates/scale/src/exchange/run.rs
+++ b/crates/scale/src/exchange/run.rs
@@ -1,4 +1,4 @@
-//! Runs the sizes one after the other.
+//! Measures the exchange at each fleet size in sequence and writes the report.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -15,26 +15,28 @@
 use crate::error::ScaleError;
 use crate::report::write_files;
 
-/// Proxies of the sizes that are measured.
+/// Fleet sizes that are measured, in proxies.
 pub const SIZES: [usize; 4] = [10, 30, 100, 300];
 
-/// Threads of the rig.
+/// Worker threads of the runtime that all proxies share.
 const THREADS: usize = 4;
 
 /// Time for traffic to stabilize before the measurement.
 const WARM_UP: Duration = Duration::from_secs(3);
 
-/// A figure that is fitted, with its name.
+/// Name of a fitted figure and the function that extracts it.
 type Figure = (&'static str, fn(&ExchangeFigures) -> f64);
 
-/// The figures that are fitted.
+/// Figures whose growth is fitted.
 const FITTED: [Figure; 3] = [
     ("datagrams of a proxy", |figures| figures.datagrams),
     ("bytes of a proxy", |figures| figures.bytes),
-    ("bytes to other zones", |figures| figures.bytes_elsewhere),
+    ("bytes to other zones", |figures| {
+        figures.bytes_to_other_zones
+    }),
 ];
 
-/// Runs all sizes, prints and writes the report into `output`.
+/// Measures all sizes, prints the results and writes `exchange.txt` and `exchange.json` into `output`.
 ///
 /// # Errors
 /// Fails when a socket cannot be opened or the report cannot be written.
@@ -52,7 +54,7 @@
     }
     let summary = summary(&all);
     print!("{summary}");
-    let made = ScaleError::system("make the output folder");
+    let made = ScaleError::system("create the output folder");
     std::fs::create_dir_all(output).map_err(made)?;
     let lines: Vec<String> = all.iter().map(line).collect();
     let text = format!("{}\n{summary}", lines.join("\n"));
@@ -83,22 +85,22 @@
     })
 }
 
-/// One line for one size.
+/// Formats the figures of one size as a line.
 #[must_use]
 pub fn line(figures: &ExchangeFigures) -> String {
     format!(
         "{:4} proxies: {:6.1} datagrams/s sent, {:8.0} bytes/s, {:8.0} to other zones; busiest {:6.1} \
-         datagrams/s both ways; {:.2}% admitted without an answer",
+         datagrams/s both ways; {:.2}% admitted without an owner's reply",
         figures.nodes,
         figures.datagrams,
         figures.bytes,
-        figures.bytes_elsewhere,
+        figures.bytes_to_other_zones,
         figures.busiest_datagrams,
         figures.degraded_share * 100.0,
     )
 }
 
-/// How the figures grow.
+/// Formats how each fitted figure grows with the fleet.
 #[must_use]
 pub fn summary(all: &[ExchangeFigures]) -> String {
     let mut text = String::new();
@@ -112,9 +114,9 @@
             Some(growth) => writeln!(
                 text,
                 "{name}: grow with nodes^({:.2} +- {:.2})",
-                growth.exponent, growth.spread
+                growth.exponent, growth.standard_error
             ),
-            None => writeln!(text, "{name}: too few sizes to tell how they grow"),
+            None => writeln!(text, "{name}: too few sizes to fit the growth"),
         };
     }
     text
--- a/crates/scale/src/exchange/traffic.rs
+++ b/crates/scale/src/exchange/traffic.rs
@@ -1,4 +1,5 @@
-//! Requests at one hollow proxy: admitted, a backend chosen, counted as in flight, and never sent.
+//! Requests at one simulated proxy. They are admitted, a backend is chosen and they count as in flight, but they
+//! are never sent.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,36 +14,36 @@
 use millford_routing::PrefixBlock;
 use rand::Rng;
 
-use super::proxy_fleet::{HollowForward, MODEL, POOL, TENANTS, route, tenant_name};
+use super::proxy_fleet::{MODEL, POOL, SimulatedForwardNode, TENANTS, route, tenant_name};
 
-/// Tokens of each prefix block.
+/// Number of tokens in each prefix block.
 const BLOCK_TOKENS: u32 = 500;
-/// Number of first blocks, each shared by many prompts.
+/// Number of distinct first blocks; each is shared by many prompts.
 const COMMON_BLOCKS: u64 = 8;
-/// Number of second blocks, each shared by few prompts.
+/// Number of distinct second blocks; each is shared by few prompts.
 const RARE_BLOCKS: u64 = 1000;
-/// Time from the choice to the first event.
-const FIRST_EVENT_AFTER: Duration = Duration::from_millis(100);
-/// Time from the first event to the end.
-const STREAM_LASTS: Duration = Duration::from_millis(1500);
-/// Time that a request may take.
+/// Simulated time from the choice of a backend to the first event of the stream.
+const FIRST_EVENT_DELAY: Duration = Duration::from_millis(100);
+/// Simulated time from the first event to the end of the stream.
+const STREAM_DURATION: Duration = Duration::from_millis(1500);
+/// Time from a request's arrival to its deadline.
 const DEADLINE: millford_core::Duration = millford_core::Duration::from_secs(10);
 
-/// Sends requests, so many a second on average, for as long as the task lives.
-pub async fn send_requests(node: HollowForward, per_second: f64) {
+/// Starts `per_second` requests per second on average, until the task is aborted.
+pub async fn send_requests(node: SimulatedForwardNode, per_second: f64) {
     loop {
         tokio::time::sleep(gap(per_second)).await;
         tokio::spawn(request(Arc::clone(&node)));
     }
 }
 
-/// An exponential gap: arrivals know nothing of each other.
+/// Draws an exponential gap, which makes the arrivals independent of each other.
 fn gap(per_second: f64) -> Duration {
     let uniform: f64 = rand::rng().random();
     Duration::from_secs_f64(-(1.0 - uniform).ln() / per_second)
 }
 
-async fn request(node: HollowForward) {
+async fn request(node: SimulatedForwardNode) {
     let Some(plan) = plan(&node) else {
         return;
     };
@@ -62,12 +63,12 @@
     let shared = shareable_blocks(&plan).len();
     node.prefix_index
         .record_dispatch(monotonic_now(), &id, &plan.facts.prefix_blocks, shared);
-    tokio::time::sleep(FIRST_EVENT_AFTER).await;
+    tokio::time::sleep(FIRST_EVENT_DELAY).await;
     in_flight.begin_decode();
-    tokio::time::sleep(STREAM_LASTS).await;
+    tokio::time::sleep(STREAM_DURATION).await;
 }
 
-fn plan(node: &HollowForward) -> Option<Plan> {
+fn plan(node: &SimulatedForwardNode) -> Option<Plan> {
     let arrived = monotonic_now();
     let table = node.state.table();
     let tenant = tenant_name(rand::rng().random_range(0..TENANTS));
@@ -89,7 +90,7 @@
     })
 }
 
-/// A block that many prompts share, one that few share, and the request's own.
+/// Draws three blocks: one that many prompts share, one that few share and one unique to the request.
 fn prefix_blocks() -> Vec<PrefixBlock> {
     let mut random = rand::rng();
     let rare = random.random_range(0..RARE_BLOCKS);
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -1,45 +1,47 @@
-//! Least squares: what each node, tenant and backend adds to a figure.
+//! Least-squares fit of what each node, tenant and backend adds to a figure.
 
 use serde::Serialize;
 
 use crate::size::FleetSize;
 
-/// Number of unknowns: the constant part, and one for each direction of growth.
+/// Number of unknowns: the constant and the slopes for nodes, tenants and backends.
 const UNKNOWNS: usize = 4;
 
-/// Smallest pivot that is told from zero.
-const SINGULAR: f64 = 1e-9;
+/// Smallest absolute pivot; a matrix with a smaller one counts as singular.
+const MIN_PIVOT: f64 = 1e-9;
 
 type Row = [f64; UNKNOWNS];
 
-/// One term of a fitted sum, with its spread.
+/// One coefficient of a fit with its standard error.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Slope {
-    /// Estimate.
+    /// Estimated coefficient.
     pub value: f64,
-    /// Standard error of the estimate.
-    pub spread: f64,
+    /// Standard error of the estimate, in the same unit.
+    #[serde(rename = "spread")]
+    pub standard_error: f64,
 }
 
-/// `constant + node * nodes + tenant * tenants + backend * backends`.
+/// Linear model `constant + node * nodes + tenant * tenants + backend * backends`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Fit {
-    /// Part that does not grow.
+    /// Part that does not depend on the fleet size.
     pub constant: Slope,
-    /// What a node adds.
+    /// Increase per node.
     pub node: Slope,
-    /// What a tenant adds.
+    /// Increase per tenant.
     pub tenant: Slope,
-    /// What a backend adds.
+    /// Increase per backend.
     pub backend: Slope,
-    /// Standard deviation of what the sum does not explain.
+    /// Standard deviation of the residuals.
     pub residual: f64,
-    /// Number of points.
+    /// Number of measured points that the fit is based on.
     pub points: usize,
 }
 
 impl Fit {
-    /// Fits the points; none when there are too few, or they do not tell the directions apart.
+    /// Fits the points. Returns `None` when there are no more points than unknowns, or when nodes, tenants and
+    /// backends grow in proportion so that their contributions cannot be separated.
     #[must_use]
     pub fn of(points: &[(FleetSize, f64)]) -> Option<Self> {
         if points.len() <= UNKNOWNS {
@@ -47,15 +49,15 @@
         }
         let inverse = invert(normal_matrix(points))?;
         let estimate = multiply(&inverse, &moments(points));
-        let left = points.iter().map(|(size, value)| {
+        let squared_residuals = points.iter().map(|(size, value)| {
             let difference = value - dot(&row(*size), &estimate);
             difference * difference
         });
-        let freedom = points.len() - UNKNOWNS;
-        let variance = left.sum::<f64>() / freedom as f64;
-        let slope = |place: usize| Slope {
-            value: estimate[place],
-            spread: (variance * inverse[place][place]).max(0.0).sqrt(),
+        let degrees_of_freedom = points.len() - UNKNOWNS;
+        let variance = squared_residuals.sum::<f64>() / degrees_of_freedom as f64;
+        let slope = |index: usize| Slope {
+            value: estimate[index],
+            standard_error: (variance * inverse[index][index]).max(0.0).sqrt(),
         };
         Some(Self {
             constant: slope(0),
@@ -67,7 +69,7 @@
         })
     }
 
-    /// The fitted figure at a size.
+    /// Evaluates the fitted model at a size.
     #[must_use]
     pub fn at(&self, size: FleetSize) -> f64 {
         let terms = [self.constant, self.node, self.tenant, self.backend];
@@ -122,7 +124,8 @@
     product
 }
 
-/// Gauss-Jordan elimination with the largest pivot, on columns scaled to one.
+/// Inverts a matrix by Gauss-Jordan elimination with partial pivoting, after scaling its diagonal to 1.
+/// Returns `None` when it is singular.
 fn invert(matrix: [Row; UNKNOWNS]) -> Option<[Row; UNKNOWNS]> {
     let scale: Vec<f64> = (0..UNKNOWNS).map(|at| matrix[at][at].sqrt()).collect();
     if scale.contains(&0.0) {
@@ -145,7 +148,7 @@
         left.swap(column, largest);
         right.swap(column, largest);
         let pivot = left[column][column];
-        if pivot.abs() < SINGULAR {
+        if pivot.abs() < MIN_PIVOT {
             return None;
         }
         left[column] = left[column].map(|cell| cell / pivot);
--- a/crates/scale/src/hollow/hollow_node.rs
+++ b/crates/scale/src/hollow/hollow_node.rs
@@ -1,4 +1,4 @@
-//! One hollow node.
+//! A simulated node: a real agent and a simulated proxy.
 
 use std::sync::Arc;
 
@@ -11,35 +11,37 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
-use crate::hollow::hollow_proxy::HollowProxy;
+use crate::hollow::hollow_proxy::SimulatedProxy;
 use crate::hollow::revision_arrivals::RevisionArrivals;
 use crate::hollow::traffic::{TrafficCounts, TrafficShape};
 
-/// The two runtimes of the rig: their threads' names tell the agents' processor time from the rest.
+/// The two runtimes of the test harness. They are separate so that the agents' processor time can be measured
+/// by the names of their threads.
 #[derive(Clone, Debug)]
-pub struct RigRuntimes {
-    /// Agents only.
+pub struct HarnessRuntimes {
+    /// Runtime of the agents alone.
     pub agents: Handle,
-    /// Hollow proxies and the registry.
+    /// Runtime of the simulated proxies, the registry stub and the run itself.
     pub load: Handle,
 }
 
-/// An agent at work and its hollow proxy. Dropping it ends both.
+/// The tasks of an agent and of its simulated proxy, which are aborted on drop.
 #[derive(Debug)]
-pub struct HollowNode {
+pub struct SimulatedNode {
     meter: Arc<TrafficMeter>,
     report: SharedReport,
     tasks: [JoinHandle<()>; 2],
 }
 
-impl HollowNode {
-    /// Starts node number `number`.
+impl SimulatedNode {
+    /// Starts the agent and the simulated proxy of node `number`. `seeds` are the control nodes' internal
+    /// addresses.
     #[must_use]
     pub fn start(
         number: u32,
         seeds: &[String],
         shape: TrafficShape,
-        runtimes: &RigRuntimes,
+        runtimes: &HarnessRuntimes,
         revision_arrivals: Arc<RevisionArrivals>,
         counts: Arc<TrafficCounts>,
     ) -> Self {
@@ -59,12 +61,12 @@
             report: report.clone(),
         };
         let agent = runtimes.agents.spawn(async move {
-            // The update channel stays with the task, so that the driver keeps its sender.
+            // The task holds the channel open: the driver would drop its proxy sender if the channel closed.
             let _ = sender_updates.send(Some(sender)).await;
             Driver::new(components).run().await;
             drop(sender_updates);
         });
-        let proxy = HollowProxy::new(shape, queues, revision_arrivals, counts);
+        let proxy = SimulatedProxy::new(shape, queues, revision_arrivals, counts);
         let proxy = runtimes.load.spawn(proxy.run(frames));
         Self {
             meter,
@@ -73,20 +75,20 @@
         }
     }
 
-    /// The agent's present state.
+    /// Returns the agent's latest report of its state.
     #[must_use]
     pub fn report(&self) -> AgentReport {
         self.report.get()
     }
 
-    /// Traffic on the agent's link to control.
+    /// Returns the traffic counters of the agent's connection to control.
     #[must_use]
     pub fn meter(&self) -> &TrafficMeter {
         &self.meter
     }
 }
 
-impl Drop for HollowNode {
+impl Drop for SimulatedNode {
     fn drop(&mut self) {
         for task in &self.tasks {
             task.abort();
--- a/crates/scale/src/hollow/hollow_proxy.rs
+++ b/crates/scale/src/hollow/hollow_proxy.rs
@@ -1,4 +1,4 @@
-//! A traffic generator in place of a proxy.
+//! A traffic generator that speaks the agent's local protocol in place of a proxy.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -25,10 +25,10 @@
 };
 use crate::rig::document::{MODELS, backend_name, model_name, tenant_name};
 
-/// Time between two load reports, as the proxy has it.
+/// Time between two load reports; equal to the real proxy's.
 const REPORT_PERIOD: Duration = Duration::from_secs(1);
 
-/// Time from dispatch to the first token.
+/// Simulated time from dispatch to the first token.
 const FIRST_TOKEN_DELAY: Duration = Duration::from_millis(600);
 
 struct OpenStream {
@@ -38,8 +38,9 @@
     ends_at: Instant,
 }
 
-/// Sends requests, keeps streams open and reports load; stores nothing of the state that it receives.
-pub struct HollowProxy {
+/// Simulated proxy that requests quota, keeps streams open and reports load. Of the state that it receives it
+/// stores only the applied revision and the load of other proxies.
+pub struct SimulatedProxy {
     shape: TrafficShape,
     queues: EventQueues,
     revision_arrivals: Arc<RevisionArrivals>,
@@ -52,8 +53,8 @@
     applied_revision: u64,
 }
 
-impl HollowProxy {
-    /// A proxy that begins with [`Self::run`].
+impl SimulatedProxy {
+    /// Creates a proxy; it sends nothing until [`Self::run`].
     #[must_use]
     pub fn new(
         shape: TrafficShape,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Works until it is aborted.
+    /// Generates traffic until the agent closes the connection or the task is aborted.
     pub async fn run(mut self, mut frames: ProxyFrames) {
         self.queues.send_state(AgentInput::ProxyUp).await;
         let boot_id = self.random.random();
@@ -97,14 +98,14 @@
             }
             let now = Instant::now();
             if now >= next_request && self.applied_revision > 0 {
-                self.request(now).await;
+                self.request_quota(now).await;
                 next_request = now + self.request_gap();
             } else if self.applied_revision == 0 {
                 next_request = now + Duration::from_millis(100);
             }
             if now >= next_report {
                 next_report = now + REPORT_PERIOD;
-                self.report().await;
+                self.send_load_reports().await;
             }
             self.advance_streams(now).await;
         }
@@ -112,8 +113,8 @@
 
     async fn receive(&mut self, frame: LocalFrame) {
         match frame.body {
-            Some(local_frame::Body::Snapshot(snapshot)) => self.apply(&snapshot.items).await,
-            Some(local_frame::Body::Change(change)) => self.apply(&change.items).await,
+            Some(local_frame::Body::Snapshot(snapshot)) => self.apply_items(&snapshot.items).await,
+            Some(local_frame::Body::Change(change)) => self.apply_items(&change.items).await,
             Some(local_frame::Body::QuotaReply(reply)) => {
                 let Some((requested_at, tenant)) = self.pending_requests.remove(&reply.request_id)
                 else {
@@ -122,7 +123,7 @@
                 let millis = requested_at.elapsed().as_secs_f64() * 1e3;
                 self.counts.record_quota_reply(reply.granted, millis);
                 if reply.granted {
-                    self.admitted(tenant).await;
+                    self.start_stream(tenant).await;
                 }
             }
             Some(local_frame::Body::ClaimReply(reply)) => {
@@ -134,7 +135,7 @@
         }
     }
 
-    async fn apply(&mut self, items: &[StateItem]) {
+    async fn apply_items(&mut self, items: &[StateItem]) {
         let heads = items
             .iter()
             .filter_map(|item| match &item.value.as_ref()?.kind {
@@ -148,14 +149,14 @@
         self.send(local_frame::Body::Applied(ProxyApplied { revision }))
             .await;
         if first {
-            // The streams that would be open had the traffic been steady for long.
+            // Starts with as many streams as would be open after a long time of steady traffic.
             for _ in 0..self.shape.steady_streams() as u32 {
-                self.request(Instant::now()).await;
+                self.request_quota(Instant::now()).await;
             }
         }
     }
 
-    async fn request(&mut self, now: Instant) {
+    async fn request_quota(&mut self, now: Instant) {
         let tenant = self.draw_tenant();
         self.next_id += 1;
         self.pending_requests
@@ -170,16 +171,16 @@
         self.send(local_frame::Body::QuotaRequest(request)).await;
     }
 
-    /// A few large tenants dominate: the square of an even number falls low most often.
+    /// Draws a tenant by the square of a uniform number, so that tenants with low numbers dominate the traffic.
     fn draw_tenant(&mut self) -> String {
-        let even: f64 = self.random.random();
-        let number = (even * even * f64::from(self.shape.tenants)) as u32;
+        let uniform: f64 = self.random.random();
+        let number = (uniform * uniform * f64::from(self.shape.tenants)) as u32;
         tenant_name(number.min(self.shape.tenants - 1))
     }
 
-    async fn admitted(&mut self, tenant: String) {
+    async fn start_stream(&mut self, tenant: String) {
         if self.random.random_bool(CLAIMED_SHARE) {
-            self.claim(&tenant).await;
+            self.send_claim(&tenant).await;
         }
         let backend = self.random.random_range(0..self.shape.backends.max(1));
         let key = ReplicaKey {
@@ -198,7 +199,7 @@
         });
     }
 
-    async fn claim(&mut self, tenant: &str) {
+    async fn send_claim(&mut self, tenant: &str) {
         self.next_id += 1;
         let request_id = format!("{:x}-{}", self.random.random::<u64>(), self.next_id);
         let claim = Claim {
@@ -252,7 +253,7 @@
         ends.unwrap_or_else(|| Instant::now() + REPORT_PERIOD)
     }
 
-    async fn report(&mut self) {
+    async fn send_load_reports(&mut self) {
         for report in self.load.take_reports() {
             self.send(local_frame::Body::LoadReport(report)).await;
         }
@@ -269,10 +270,11 @@
     }
 }
 
-/// An exponentially distributed number of mean 1, truncated at 5 so that no run waits for its tail.
+/// Draws an exponentially distributed number with mean 1, capped at 5 so that no run waits for rare large
+/// values.
 fn exponential(random: &mut SmallRng) -> f64 {
-    let even: f64 = random.random_range(f64::EPSILON..1.0);
-    (-even.ln()).min(5.0)
+    let uniform: f64 = random.random_range(f64::EPSILON..1.0);
+    (-uniform.ln()).min(5.0)
 }
 
 fn millis(duration: Duration) -> u32 {
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,4 +1,5 @@
-//! Scale runs: hollow nodes beside real control nodes, and the slopes they give.
+//! Scale tests: simulated nodes connect to real control processes, and a least-squares fit estimates what
+//! each node, tenant and backend adds to the measured cost.
 
 pub mod error;
 pub mod exchange;
@@ -21,7 +22,7 @@
 
 use std::process::ExitCode;
 
-/// Entry of `millford-lab scale`.
+/// Runs `millford-lab scale` with the arguments after `scale`. The exit code is 2 for invalid arguments.
 #[must_use]
 pub fn run(arguments: &[String]) -> ExitCode {
     let options = match ScaleOptions::parse(arguments) {
--- a/crates/scale/src/measure/mod.rs
+++ b/crates/scale/src/measure/mod.rs
@@ -1,4 +1,4 @@
-//! Processor time, memory and distributions.
+//! Measurement of processor time and memory, and quantiles of measured values.
 
 pub mod process_sample;
 pub mod quantiles;
--- a/crates/scale/src/measure/process_sample.rs
+++ b/crates/scale/src/measure/process_sample.rs
@@ -1,23 +1,23 @@
-//! What the system says about a process.
+//! Processor time and memory of a process, read from `/proc`.
 
 use serde::Serialize;
 
-/// Clock ticks a second in `/proc`, fixed by the kernel's interface to programs.
+/// Clock ticks per second in `/proc` (`USER_HZ`), a constant of the Linux user-space interface.
 pub const TICKS_PER_SECOND: f64 = 100.0;
 
 /// Processor time and memory of one process at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct ProcessSample {
-    /// Processor time since the start, in seconds.
+    /// Processor time since the process started, in seconds, user and system together.
     pub cpu_seconds: f64,
     /// Resident memory, in bytes.
     pub resident_bytes: u64,
-    /// Largest resident memory so far, in bytes.
+    /// Peak resident memory so far, in bytes.
     pub peak_bytes: u64,
 }
 
 impl ProcessSample {
-    /// Reads `/proc` for a process; none when it is gone.
+    /// Reads the sample of a process; `None` when it has exited.
     #[must_use]
     pub fn of_process(id: u32) -> Option<Self> {
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
@@ -29,14 +29,15 @@
         })
     }
 
-    /// Reads `/proc` for this process.
+    /// Reads the sample of the calling process.
     #[must_use]
     pub fn of_self() -> Option<Self> {
         Self::of_process(std::process::id())
     }
 }
 
-/// User and system time out of a `stat` line. The name, in brackets, may contain spaces.
+/// Parses the sum of user and system time from a `stat` line. Fields are counted after the last closing
+/// bracket, since the program name in brackets may contain spaces.
 pub(crate) fn cpu_seconds(stat: &str) -> Option<f64> {
     let (_, rest) = stat.rsplit_once(')')?;
     let mut fields = rest.split_whitespace().skip(11);
--- a/crates/scale/src/measure/quantiles.rs
+++ b/crates/scale/src/measure/quantiles.rs
@@ -2,21 +2,21 @@
 
 use serde::Serialize;
 
-/// Median, tail and largest value.
+/// Count, median, 99th percentile and maximum; all 0 for an empty set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Quantiles {
     /// Number of values.
     pub count: usize,
-    /// Value that half of them do not exceed.
+    /// Median.
     pub p50: f64,
-    /// Value that 99 in 100 do not exceed.
+    /// 99th percentile.
     pub p99: f64,
-    /// Largest value.
+    /// Maximum.
     pub max: f64,
 }
 
 impl Quantiles {
-    /// Quantiles of these values by nearest rank.
+    /// Computes the quantiles of these values by nearest rank.
     #[must_use]
     pub fn of(values: &[f64]) -> Self {
         let mut sorted = values.to_vec();
--- a/crates/scale/src/measure/thread_time.rs
+++ b/crates/scale/src/measure/thread_time.rs
@@ -1,16 +1,17 @@
-//! Processor time of this process's threads by name.
+//! Processor time of this process's threads, selected by name.
 
 use crate::measure::process_sample::cpu_seconds;
 
-/// Sum over the threads whose names begin alike.
+/// Total processor time of the threads whose names have a common prefix.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ThreadTime {
-    /// Processor time, in seconds.
+    /// Processor time, in seconds, user and system together.
     pub cpu_seconds: f64,
 }
 
 impl ThreadTime {
-    /// Reads `/proc/self/task`. Names are cut at 15 characters by the kernel.
+    /// Sums up the threads in `/proc/self/task` whose names start with `prefix`. The kernel truncates names to 15
+    /// characters, so a longer prefix matches nothing.
     #[must_use]
     pub fn of_threads(prefix: &str) -> Self {
         let mut total = 0.0;
--- a/crates/scale/src/options.rs
+++ b/crates/scale/src/options.rs
@@ -7,48 +7,50 @@
 use crate::error::ScaleError;
 use crate::size::{FleetSize, PLANNED, SWEEP};
 
-/// Requests a second that one node carries at the planned peak: 1,200 over 330 nodes.
+/// Requests per second of one node at the planned peak: 1,200 requests per second over 330 nodes.
 pub const REQUESTS_PER_NODE: f64 = 1_200.0 / 330.0;
 
-/// What to run.
+/// Parsed command line.
 #[derive(Clone, Debug)]
 pub struct ScaleOptions {
-    /// Sizes, in order.
+    /// Fleet sizes to run, in this order.
     pub sizes: Vec<FleetSize>,
-    /// Whether the exchange between proxies is measured, and nothing else.
+    /// Whether only the datagram exchange between proxies is measured; the fleet sizes are then ignored.
     pub exchange: bool,
-    /// Time of steady measurement, in seconds.
+    /// Duration of the measurement under steady traffic, in seconds.
     pub steady_seconds: u64,
-    /// Configuration changes that are timed.
+    /// Number of configuration changes whose propagation is timed.
     pub changes: u32,
-    /// Requests a second and node.
+    /// Requests per second that each simulated node makes.
     pub requests_per_node: f64,
-    /// Whether control is restarted as a whole.
+    /// Whether all control processes are killed and restarted at the end, to time how long the nodes take to
+    /// reconnect.
     pub restart: bool,
-    /// Folder of the programs under test.
+    /// Folder that contains `millford-control` and `millford-agent`.
     pub programs: PathBuf,
-    /// Where `scale.txt`, `scale.json` and `scale.svg` go.
+    /// Folder that receives `scale.txt`, `scale.json` and `scale.svg`, or `exchange.txt` and `exchange.json`.
     pub output: PathBuf,
-    /// Seed of the traffic's random numbers.
+    /// Base seed of the traffic's random numbers; each node derives its own from it.
     pub seed: u64,
-    /// Least severe level that control processes log.
+    /// Value of `--log-level` for the control processes.
     pub control_log_level: String,
 }
 
-/// Outcome of reading the command line.
+/// Result of parsing the command line.
 #[derive(Debug)]
 pub enum Parsed {
-    /// Run this.
+    /// Run the test with these options.
     Run(ScaleOptions),
-    /// Print this.
+    /// Print this help text and exit.
     Help(String),
 }
 
 impl ScaleOptions {
-    /// Reads the arguments after `scale`.
+    /// Parses the arguments after `scale`.
     ///
     /// # Errors
-    /// Fails on an unknown flag or a value that is no number.
+    /// Fails on an unknown flag, a positional argument, a value that is not a number, or when the path of this
+    /// program cannot be determined.
     pub fn parse(arguments: &[String]) -> Result<Parsed, ScaleError> {
         let options = flags();
         let matches = options.parse(arguments)?;
@@ -58,7 +60,7 @@
             });
         }
         if matches.opt_present("help") {
-            let brief = "Measures what a fleet costs.\n\nUsage: millford-lab scale [options]";
+            let brief = "Measures the processor time, memory and network traffic of a fleet.\n\nUsage: millford-lab scale [options]";
             return Ok(Parsed::Help(options.usage(brief)));
         }
         Self::from_matches(&matches).map(Parsed::Run)
@@ -91,19 +93,24 @@
 
 fn flags() -> Options {
     let mut options = Options::new();
-    options.optopt("", "nodes", "hollow nodes (330)", "N");
+    options.optopt("", "nodes", "simulated nodes (330)", "N");
     options.optopt("", "tenants", "tenants in the configuration (16000)", "N");
     options.optopt("", "backends", "backends in the registry (1200)", "N");
-    options.optflag("", "sweep", "run the set of sizes and fit slopes");
+    options.optflag("", "sweep", "run a fixed set of fleet sizes and fit slopes");
     options.optflag(
         "",
         "exchange",
-        "measure what 10 to 300 proxies tell each other, and nothing else",
+        "measure only the datagrams that 10 to 300 proxies exchange",
     );
     options.optopt("", "steady", "seconds of steady measurement (10)", "N");
     options.optopt("", "changes", "configuration changes to time (8)", "N");
-    options.optopt("", "requests", "requests a second and node (3.64)", "RATE");
-    options.optflag("", "no-restart", "leave out the full restart of control");
+    options.optopt(
+        "",
+        "requests",
+        "requests per second and node (3.64)",
+        "RATE",
+    );
+    options.optflag("", "no-restart", "skip the full restart of control");
     options.optopt(
         "",
         "programs",
@@ -139,12 +146,13 @@
         .map_err(|_| ScaleError::NotANumber { flag, value: text })
 }
 
-/// The programs lie beside this one unless told otherwise.
+/// Returns the folder given by `--programs`, by default the folder of this program.
 fn program_folder(matches: &Matches) -> Result<PathBuf, ScaleError> {
     if let Some(folder) = matches.opt_str("programs") {
         return Ok(PathBuf::from(folder));
     }
-    let own = std::env::current_exe().map_err(ScaleError::system("find this program"))?;
+    let own =
+        std::env::current_exe().map_err(ScaleError::system("find the path of this program"))?;
     let folder = own.parent().map(std::path::Path::to_path_buf);
     Ok(folder.unwrap_or_default())
 }
--- a/crates/scale/src/report/figure.rs
+++ b/crates/scale/src/report/figure.rs
@@ -1,16 +1,16 @@
-//! The figures that are fitted and plotted.
+//! The figures of a run that are fitted and plotted.
 
 use crate::size::FleetSize;
 use crate::size_result::SizeResult;
 
-/// A figure of a run, with its limit.
+/// A figure of a run and its limit.
 #[derive(Clone, Copy, Debug)]
 pub struct Figure {
-    /// Name with unit.
+    /// Name with unit, as in the reports.
     pub name: &'static str,
-    /// Takes it out of a result; none when it was not measured.
+    /// Extracts the figure from a result; `None` when it was not measured.
     pub value: fn(&SizeResult) -> Option<f64>,
-    /// What it may be at most.
+    /// Largest acceptable value, in the unit of the name; `None` without a limit.
     pub limit: Option<f64>,
 }
 
@@ -18,7 +18,7 @@
 const MEBIBYTE: f64 = 1024.0 * 1024.0;
 
 impl Figure {
-    /// Every figure, in the order of the report.
+    /// All figures, in the order of the report.
     pub const ALL: [Figure; 11] = [
         Figure {
             name: "node: KB/s, both ways",
@@ -77,7 +77,7 @@
         },
     ];
 
-    /// The figure at each size.
+    /// Returns the figure for each size at which it was measured.
     #[must_use]
     pub fn points(&self, results: &[SizeResult]) -> Vec<(FleetSize, f64)> {
         let points = results.iter();
--- a/crates/scale/src/report/mod.rs
+++ b/crates/scale/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! Results of a run as text, JSON and a plot.
+//! Reports of a run as text, JSON and a plot.
 
 pub mod figure;
 pub mod plot;
@@ -15,32 +15,32 @@
 
 pub use figure::Figure;
 
-/// One figure over all sizes, fitted.
+/// Fit of one figure over all sizes.
 #[derive(Clone, Debug, Serialize)]
 pub struct FittedFigure {
-    /// Name with unit.
+    /// Name of the figure, with unit.
     pub name: &'static str,
-    /// The sum that fits best.
+    /// The fitted model.
     pub fit: Fit,
-    /// The fitted figure at the planned size.
+    /// Value of the fitted model at the planned size.
     pub planned: f64,
-    /// What it may be at most, if there is a limit.
+    /// Largest acceptable value; `None` without a limit.
     pub limit: Option<f64>,
 }
 
-/// All results of a sweep.
+/// Results of all sizes of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
-    /// Sizes measured.
+    /// Measurements of the sizes that succeeded.
     pub sizes: Vec<SizeResult>,
-    /// Sizes that failed, and why.
+    /// Size and error of each size that failed.
     pub failures: Vec<String>,
-    /// Fitted figures; empty with too few sizes.
+    /// Fitted figures; a figure is missing when there are too few sizes to fit it.
     pub fits: Vec<FittedFigure>,
 }
 
 impl Report {
-    /// Fits every figure.
+    /// Replaces the fits by new ones over the measured sizes.
     pub fn fit(&mut self) {
         let figures = Figure::ALL.iter();
         self.fits = figures
@@ -57,10 +57,10 @@
     }
 }
 
-/// Writes `NAME.txt` for people and `NAME.json` for programs into a folder.
+/// Writes the text as `NAME.txt` and the results as `NAME.json` into a folder.
 ///
 /// # Errors
-/// A file cannot be written, or the results not be put into JSON.
+/// Fails when a file cannot be written or the results cannot be encoded as JSON.
 pub fn write_files(
     folder: &Path,
     name: &str,
--- a/crates/scale/src/report/plot.rs
+++ b/crates/scale/src/report/plot.rs
@@ -10,13 +10,14 @@
 /// Width and height of the whole plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (1200, 1400);
 
-/// Panels beside each other.
+/// Number of panels in a row.
 const COLUMNS: usize = 2;
 
-/// Writes one panel for each figure: the figure against the number of nodes.
+/// Writes an SVG file with one panel per figure, which shows the figure against the number of nodes and its
+/// limit as a red line.
 ///
 /// # Errors
-/// Fails when the file cannot be written.
+/// Fails when the plot cannot be drawn or the file cannot be written.
 pub fn write(path: &Path, report: &Report) -> Result<(), ScaleError> {
     draw(path, report).map_err(ScaleError::Plot)
 }
--- a/crates/scale/src/report/text.rs
+++ b/crates/scale/src/report/text.rs
@@ -1,4 +1,4 @@
-//! The report for people.
+//! The report as text.
 
 use std::fmt::Write;
 
@@ -9,7 +9,7 @@
 const KIBIBYTE: f64 = 1024.0;
 const MEBIBYTE: f64 = 1024.0 * 1024.0;
 
-/// The figures of one size.
+/// Formats the measurements of one size, one line per group.
 #[must_use]
 pub fn size_lines(result: &SizeResult) -> String {
     let mut text = String::new();
@@ -73,7 +73,7 @@
     )?;
     writeln!(
         text,
-        "  quota: {} granted, {} refused, answer p50 {:.1} ms, p99 {:.1} ms; claims: {} ({} not granted)",
+        "  quota: {} granted, {} refused, reply p50 {:.1} ms, p99 {:.1} ms; claims: {} ({} not granted)",
         result.quota_granted,
         result.quota_refused,
         result.quota_ms.p50,
@@ -84,17 +84,17 @@
     if let Some(seconds) = result.return_seconds {
         writeln!(
             text,
-            "  every node back after a full restart: {seconds:.1} s"
+            "  every node reconnected after a full restart: {seconds:.1} s"
         )?;
     }
     write!(
         text,
-        "  control nodes left while steady: {}; load of the machine: {:.1}",
+        "  switches to another control node: {}; load average of the machine: {:.1}",
         result.fail_overs, result.machine_load,
     )
 }
 
-/// All sizes and the fits.
+/// Formats the measurements of all sizes, the failures and a table of the fits.
 #[must_use]
 pub fn summary(report: &Report) -> String {
     let mut text = String::new();
@@ -140,5 +140,9 @@
 }
 
 fn slope_text(slope: Slope, unit: f64) -> String {
-    format!("{:.4} ±{:.4}", slope.value * unit, slope.spread * unit)
+    format!(
+        "{:.4} ±{:.4}",
+        slope.value * unit,
+        slope.standard_error * unit
+    )
 }
--- a/crates/scale/src/rig/agent_process.rs
+++ b/crates/scale/src/rig/agent_process.rs
@@ -1,4 +1,4 @@
-//! One real agent process beside the hollow ones.
+//! A real agent process, measured for comparison with the simulated agents.
 
 use std::path::Path;
 
@@ -7,17 +7,17 @@
 use crate::rig::child::Child;
 use crate::rig::ports::free_addresses;
 
-/// A real `millford-agent` without a proxy.
+/// A running `millford-agent` process without a proxy.
 #[derive(Debug)]
 pub struct AgentProcess {
     child: Child,
 }
 
 impl AgentProcess {
-    /// Starts the agent.
+    /// Starts the agent and waits until it is ready. `seeds` are the control nodes' internal addresses.
     ///
     /// # Errors
-    /// Fails when it does not come up.
+    /// Fails when the process does not start or does not become ready in time.
     pub fn start(programs: &Path, folder: &Path, seeds: &[String]) -> Result<Self, ScaleError> {
         let addresses = free_addresses(2)?;
         let values = [
@@ -38,7 +38,7 @@
         Ok(Self { child })
     }
 
-    /// Processor time and memory.
+    /// Returns the process's processor time and memory; `None` when the process has exited.
     #[must_use]
     pub fn sample(&self) -> Option<ProcessSample> {
         ProcessSample::of_process(self.child.id())
--- a/crates/scale/src/rig/child.rs
+++ b/crates/scale/src/rig/child.rs
@@ -1,4 +1,4 @@
-//! A program under test.
+//! Child processes that run the programs under test.
 
 use std::io::{BufRead, BufReader};
 use std::path::Path;
@@ -8,17 +8,17 @@
 
 use crate::error::ScaleError;
 
-/// Longest time for a program's ready line.
-const READY_WITHIN: Duration = Duration::from_secs(10);
+/// Timeout for a program to print its ready line.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A process that is killed when this is dropped.
+/// A child process that is killed on drop.
 #[derive(Debug)]
 pub struct Child {
     process: std::process::Child,
 }
 
 impl Child {
-    /// Starts a program with these arguments; its log goes to a file. Waits for the ready line.
+    /// Starts a program, redirects its standard error to `log_file` and waits for its ready line.
     ///
     /// # Errors
     /// Fails when the program does not start or prints no ready line in time.
@@ -28,7 +28,8 @@
         log_file: &Path,
     ) -> Result<Self, ScaleError> {
         let name = program.display().to_string();
-        let log = std::fs::File::create(log_file).map_err(ScaleError::system("make a log file"))?;
+        let log =
+            std::fs::File::create(log_file).map_err(ScaleError::system("create a log file"))?;
         let mut process = Command::new(program)
             .args(arguments)
             .stdin(Stdio::null())
@@ -49,13 +50,13 @@
         })
     }
 
-    /// Process id.
+    /// Returns the operating system's process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.process.id()
     }
 
-    /// Ends the process at once, as a power failure would.
+    /// Kills the process without giving it time to shut down, as a power failure would, and waits for its exit.
     pub fn kill(&mut self) {
         let _ = self.process.kill();
         let _ = self.process.wait();
@@ -68,7 +69,8 @@
     }
 }
 
-/// Waits for the first line; goes on reading so that the program never blocks on its output.
+/// Waits for the first output line and returns whether it came in time. A thread keeps reading afterwards so
+/// that the program never blocks on its output.
 fn wait_for_line(output: std::process::ChildStdout) -> bool {
     let (sender, lines) = mpsc::channel();
     std::thread::spawn(move || {
@@ -79,5 +81,5 @@
             let _ = sender.send(());
         }
     });
-    lines.recv_timeout(READY_WITHIN).is_ok()
+    lines.recv_timeout(READY_TIMEOUT).is_ok()
 }
--- a/crates/scale/src/rig/control_cluster.rs
+++ b/crates/scale/src/rig/control_cluster.rs
@@ -1,4 +1,4 @@
-//! Three real control processes.
+//! Cluster of three real control processes.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -10,13 +10,14 @@
 use crate::rig::child::Child;
 use crate::rig::ports::free_addresses;
 
-/// Number of control processes.
+/// Number of control processes in the cluster.
 pub const CONTROL_NODES: usize = 3;
 
-/// The operator key of every run; the processes live on loopback for a minute.
+/// Operator key of every run. A constant is safe because the processes listen on loopback only and run for
+/// about a minute.
 pub const OPERATOR_KEY: &str = "scale-run-operator";
 
-/// Control processes with their addresses and folders.
+/// Running control processes with their addresses and data folders.
 #[derive(Debug)]
 pub struct ControlCluster {
     program: PathBuf,
@@ -29,10 +30,10 @@
 }
 
 impl ControlCluster {
-    /// Starts the processes on empty folders under `folder`.
+    /// Starts the processes with empty data folders under `folder` and waits until each is ready.
     ///
     /// # Errors
-    /// Fails when a process does not come up.
+    /// Fails when no address is free, or a process does not become ready in time.
     pub fn start(
         programs: &Path,
         folder: &Path,
@@ -54,28 +55,28 @@
         Ok(cluster)
     }
 
-    /// Kills every process and starts it again on its folder and addresses.
+    /// Kills every process and restarts it with the same data folder and addresses.
     ///
     /// # Errors
-    /// Fails when a process does not come up.
+    /// Fails when a process does not become ready in time.
     pub fn restart(&mut self) -> Result<(), ScaleError> {
         self.children.clear();
         self.start_processes()
     }
 
-    /// Addresses for agents.
+    /// Returns the internal addresses, which agents connect to.
     #[must_use]
     pub fn internal_addresses(&self) -> Vec<String> {
         self.internal.iter().map(ToString::to_string).collect()
     }
 
-    /// Addresses for operators.
+    /// Returns the addresses of the operator API.
     #[must_use]
     pub fn operator_addresses(&self) -> &[SocketAddr] {
         &self.operator
     }
 
-    /// Processor time and memory of every process.
+    /// Returns processor time and memory of every process that is still running.
     #[must_use]
     pub fn samples(&self) -> Vec<ProcessSample> {
         let children = self.children.iter();
@@ -84,7 +85,7 @@
             .collect()
     }
 
-    /// Bytes of all data folders.
+    /// Returns the total size of all data folders, in bytes.
     #[must_use]
     pub fn data_bytes(&self) -> u64 {
         (0..CONTROL_NODES)
--- a/crates/scale/src/rig/document.rs
+++ b/crates/scale/src/rig/document.rs
@@ -1,34 +1,34 @@
-//! The operators' document of a run.
+//! Generated configuration document of a run.
 
 use millford_api::config::{Document, Pool, Quota, Route, RouteMatch, Selector, Tenant};
 use sha2::{Digest, Sha256};
 
 use crate::size::FleetSize;
 
-/// Models in steady use at the planned size; each has a pool and a route.
+/// Number of models in steady use at the planned size; each has its own pool and route.
 pub const MODELS: u32 = 6;
 
-/// Name of a model, its pool and its route.
+/// Returns the name shared by a model, its pool and its route.
 #[must_use]
 pub fn model_name(model: u32) -> String {
     format!("model-{model}")
 }
 
-/// Name of a tenant.
+/// Returns the name of the tenant with this number.
 #[must_use]
 pub fn tenant_name(tenant: u32) -> String {
     format!("tenant-{tenant:05}")
 }
 
-/// Identity of a backend, and the model that it serves.
+/// Returns the identity of the backend with this number.
 #[must_use]
 pub fn backend_name(backend: u32) -> String {
     format!("backend-{backend:04}")
 }
 
-/// The document for a size; `change` counts the changes made to it so far.
+/// Builds the configuration for a size after `change` changes.
 ///
-/// Each change gives one tenant another quota, as most changes of a day do.
+/// Each change alters the quota of one tenant, which is the most common change in daily operation.
 #[must_use]
 pub fn document(size: FleetSize, change: u32) -> Document {
     Document {
@@ -69,7 +69,7 @@
 
 fn tenant(number: u32, change: u32) -> Tenant {
     let name = tenant_name(number);
-    // Each change raises the quota of the tenant with its number for good.
+    // Each change permanently raises the quota of one more tenant, in order of their numbers.
     let raised = u32::from(number < change);
     Tenant {
         key_hashes: vec![hex::encode(Sha256::digest(name.as_bytes()))],
--- a/crates/scale/src/rig/mod.rs
+++ b/crates/scale/src/rig/mod.rs
@@ -1,4 +1,4 @@
-//! The real processes of a run, and the stand-in of the registry.
+//! Test harness: the real processes of a run, their configuration and a stub of the service registry.
 
 pub mod agent_process;
 pub mod child;
--- a/crates/scale/src/rig/operator_client.rs
+++ b/crates/scale/src/rig/operator_client.rs
@@ -1,4 +1,4 @@
-//! The operator of a run.
+//! Client of the control nodes' operator API.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,10 +13,10 @@
 use crate::error::{OrderError, ScaleError};
 use crate::rig::control_cluster::OPERATOR_KEY;
 
-/// Longest time for one exchange.
+/// Timeout of one HTTP exchange.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Delay before an order is sent again.
+/// Delay before an order is retried on all nodes.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Serialize)]
@@ -35,14 +35,14 @@
     revision: u64,
 }
 
-/// Sends orders to the control nodes in turn.
+/// Sends configuration orders to the control nodes, trying each in turn.
 #[derive(Clone, Debug)]
 pub struct OperatorClient {
     addresses: Vec<SocketAddr>,
 }
 
 impl OperatorClient {
-    /// An operator who knows these addresses.
+    /// Creates a client for the control nodes with these operator addresses.
     #[must_use]
     pub fn new(addresses: &[SocketAddr]) -> Self {
         Self {
@@ -50,16 +50,17 @@
         }
     }
 
-    /// Puts a document on `base_revision`, again until it is accepted or `within` is over.
+    /// Replaces the configuration at `base_revision` and returns the new revision. Retries until a node accepts
+    /// the order or `timeout` has passed.
     ///
     /// # Errors
-    /// Fails when no node accepts the order in time.
+    /// Fails when the order cannot be encoded or no node accepts it before the timeout.
     pub async fn put(
         &self,
         base_revision: u64,
         order_id: &str,
         document: &Document,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<u64, ScaleError> {
         let order = Order {
             base_revision,
@@ -70,7 +71,7 @@
             source: error.into(),
         })?;
         let body = Bytes::from(body);
-        let end = Instant::now() + within;
+        let end = Instant::now() + timeout;
         let mut last = OrderError::NotTried;
         while Instant::now() < end {
             for address in &self.addresses {
--- a/crates/scale/src/rig/registry_stub.rs
+++ b/crates/scale/src/rig/registry_stub.rs
@@ -1,4 +1,4 @@
-//! A stub of the service registry, inside the rig's process.
+//! Stub of the service registry that runs in the test harness's process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -38,7 +38,7 @@
     adapters: Vec<String>,
 }
 
-/// Serves a fixed list and counts how often it is read.
+/// HTTP server that returns a fixed list of backends and counts the reads.
 #[derive(Debug)]
 pub struct RegistryStub {
     address: SocketAddr,
@@ -46,16 +46,16 @@
 }
 
 impl RegistryStub {
-    /// Starts to serve `backends` backends on a free port.
+    /// Starts serving a list of `backends` generated backends on a free loopback port.
     ///
     /// # Errors
-    /// Fails when no port can be bound or the list cannot be written.
+    /// Fails when no port can be bound or the list cannot be encoded.
     pub async fn start(backends: u32) -> Result<Self, ScaleError> {
         let bound = TcpListener::bind("127.0.0.1:0").await;
-        let listener = bound.map_err(ScaleError::system("bind the registry"))?;
+        let listener = bound.map_err(ScaleError::system("bind the registry stub's socket"))?;
         let address = listener
             .local_addr()
-            .map_err(ScaleError::system("bind the registry"))?;
+            .map_err(ScaleError::system("read the registry stub's address"))?;
         let entries = (0..backends).map(entry).collect();
         let text = serde_json::to_vec(&BackendList { backends: entries })?;
         let body = Bytes::from(text);
@@ -71,13 +71,13 @@
         Ok(Self { address, reads })
     }
 
-    /// Where it listens.
+    /// Returns the address that the stub listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// How often the list was read.
+    /// Returns the number of times that the list was read.
     #[must_use]
     pub fn reads(&self) -> u64 {
         self.reads.load(Ordering::Relaxed)
--- a/crates/scale/src/run_size.rs
+++ b/crates/scale/src/run_size.rs
@@ -1,4 +1,4 @@
-//! One run: a fleet of one size, from start to full restart.
+//! Runs a fleet of one size from its start to a full restart of control, and measures it.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use crate::error::ScaleError;
-use crate::hollow::hollow_node::RigRuntimes;
-use crate::hollow::{HollowNode, RevisionArrivals, TrafficCounts, TrafficShape};
+use crate::hollow::hollow_node::HarnessRuntimes;
+use crate::hollow::{RevisionArrivals, SimulatedNode, TrafficCounts, TrafficShape};
 use crate::measure::{ProcessSample, Quantiles, ThreadTime};
 use crate::options::ScaleOptions;
 use crate::rig::agent_process::AgentProcess;
@@ -18,47 +18,49 @@
 use crate::size_result::SizeResult;
 use crate::totals::Totals;
 
-/// Names of the threads that run agents begin so.
+/// Name of the threads that run the simulated agents; their processor time is found by this name.
 pub const AGENT_THREADS: &str = "hollow-agent";
 
-/// Longest time for a cluster to form and accept the first document.
-const FORM_WITHIN: Duration = Duration::from_secs(15);
+/// Timeout for the control cluster to form and accept the first configuration.
+const FORM_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Longest time for all nodes to start, or to return.
-const NODES_WITHIN: Duration = Duration::from_secs(30);
+/// Timeout for all nodes to start, or to reconnect after a restart.
+const NODES_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Longest time for a change to be applied on all nodes.
-const CHANGE_WITHIN: Duration = Duration::from_secs(10);
+/// Timeout for a configuration change to be accepted, and again for it to be applied on all nodes.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Time for traffic to stabilize before the steady measurement.
 const WARM_UP: Duration = Duration::from_secs(3);
 
-/// Time between the starts of two nodes, so that a start is no storm; the restart is one.
+/// Delay between the starts of two nodes, so that they do not all connect at once as they do after the
+/// restart.
 const START_SPACING: Duration = Duration::from_millis(20);
 
-/// Interval at which the rig polls whether a state was reached.
+/// Interval at which the test harness polls whether a state was reached.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 struct Fleet {
     size: FleetSize,
     cluster: ControlCluster,
     operator: OperatorClient,
-    nodes: Vec<HollowNode>,
+    nodes: Vec<SimulatedNode>,
     agent: AgentProcess,
     revision_arrivals: Arc<RevisionArrivals>,
     counts: Arc<TrafficCounts>,
     revision: u64,
 }
 
-/// Runs one size.
+/// Runs a fleet of one size and returns its measurements.
 ///
 /// # Errors
-/// Fails when the fleet does not come up, does not adopt a change or does not return in time.
+/// Fails when a process does not start, or when the nodes do not start, apply a configuration change or
+/// reconnect before their timeout.
 pub async fn run(
     options: &ScaleOptions,
     size: FleetSize,
     folder: &Path,
-    runtimes: &RigRuntimes,
+    runtimes: &HarnessRuntimes,
 ) -> Result<SizeResult, ScaleError> {
     let mut result = SizeResult {
         size: Some(size),
@@ -73,7 +75,7 @@
     )?;
     let operator = OperatorClient::new(cluster.operator_addresses());
     let first = document(size, 0);
-    let revision = operator.put(0, "first", &first, FORM_WITHIN).await?;
+    let revision = operator.put(0, "first", &first, FORM_TIMEOUT).await?;
     let memory_before = resident_bytes();
     let seeds = cluster.internal_addresses();
     let agent = AgentProcess::start(&options.programs, folder, &seeds)?;
@@ -87,15 +89,17 @@
         counts: Arc::default(),
         revision,
     };
-    fleet.boot(options, runtimes, &seeds, &mut result).await?;
+    fleet
+        .start_nodes(options, runtimes, &seeds, &mut result)
+        .await?;
     tokio::time::sleep(WARM_UP).await;
-    fleet.steady(options, &mut result).await;
+    fleet.measure_steady_traffic(options, &mut result).await;
     let grown = (resident_bytes() - memory_before).max(0.0);
     result.node_memory_bytes = grown / f64::from(size.nodes);
-    fleet.changes(options, &mut result).await?;
+    fleet.measure_changes(options, &mut result).await?;
     let peak_before = largest(&fleet.cluster.samples(), |sample| sample.peak_bytes);
     if options.restart {
-        result.return_seconds = Some(fleet.full_restart().await?);
+        result.return_seconds = Some(fleet.measure_full_restart().await?);
     }
     let peak_after = largest(&fleet.cluster.samples(), |sample| sample.peak_bytes);
     result.control_peak_bytes = peak_before.max(peak_after);
@@ -104,10 +108,10 @@
 }
 
 impl Fleet {
-    async fn boot(
+    async fn start_nodes(
         &mut self,
         options: &ScaleOptions,
-        runtimes: &RigRuntimes,
+        runtimes: &HarnessRuntimes,
         seeds: &[String],
         result: &mut SizeResult,
     ) -> Result<(), ScaleError> {
@@ -121,19 +125,20 @@
             };
             let revision_arrivals = Arc::clone(&self.revision_arrivals);
             let counts = Arc::clone(&self.counts);
-            let node = HollowNode::start(number, seeds, shape, runtimes, revision_arrivals, counts);
+            let node =
+                SimulatedNode::start(number, seeds, shape, runtimes, revision_arrivals, counts);
             self.nodes.push(node);
             tokio::time::sleep(START_SPACING).await;
         }
-        self.wait_for_all("every node complete with a session", is_up)
+        self.wait_for_all("every node to have its complete state and a session", is_up)
             .await?;
         result.boot_seconds = start.elapsed().as_secs_f64();
         result.boot_bytes_per_node = self.bytes_in() / f64::from(self.size.nodes);
         Ok(())
     }
 
-    async fn steady(&mut self, options: &ScaleOptions, result: &mut SizeResult) {
-        let _ = self.counts.take_grant_ms();
+    async fn measure_steady_traffic(&mut self, options: &ScaleOptions, result: &mut SizeResult) {
+        let _ = self.counts.take_quota_reply_ms();
         let before = self.totals();
         tokio::time::sleep(Duration::from_secs(options.steady_seconds)).await;
         let after = self.totals();
@@ -148,9 +153,15 @@
             result.node_bytes_by_kind.insert(kind, rate);
         }
         result.node_frames = (after.frames - before.frames) / seconds / nodes;
-        result.node_cpu_percent = percent(after.agents_cpu - before.agents_cpu, seconds) / nodes;
-        result.real_agent_cpu_percent = percent(after.agent_cpu - before.agent_cpu, seconds);
-        result.real_agent_memory_bytes = after.agent_memory;
+        result.node_cpu_percent = percent(
+            after.simulated_agents_cpu_seconds - before.simulated_agents_cpu_seconds,
+            seconds,
+        ) / nodes;
+        result.real_agent_cpu_percent = percent(
+            after.real_agent_cpu_seconds - before.real_agent_cpu_seconds,
+            seconds,
+        );
+        result.real_agent_memory_bytes = after.real_agent_memory_bytes;
         let control: Vec<f64> = after
             .control_cpu
             .iter()
@@ -163,7 +174,7 @@
         result.control_memory_bytes = largest(&samples, |sample| sample.resident_bytes);
         result.control_data_bytes = after.data_bytes;
         result.control_log_bytes = (after.data_bytes - before.data_bytes) / seconds;
-        result.quota_ms = Quantiles::of(&self.counts.take_grant_ms());
+        result.quota_ms = Quantiles::of(&self.counts.take_quota_reply_ms());
         result.quota_granted = after.granted - before.granted;
         result.quota_refused = after.refused - before.refused;
         result.claims = after.claims - before.claims;
@@ -171,7 +182,7 @@
         result.fail_overs = after.fail_overs - before.fail_overs;
     }
 
-    async fn changes(
+    async fn measure_changes(
         &mut self,
         options: &ScaleOptions,
         result: &mut SizeResult,
@@ -184,16 +195,20 @@
             let sent = Instant::now();
             let put = self
                 .operator
-                .put(self.revision, &order, &changed, CHANGE_WITHIN);
+                .put(self.revision, &order, &changed, CHANGE_TIMEOUT);
             self.revision = put.await?;
             let revision = self.revision;
             let nodes = self.nodes.len();
-            wait("a change everywhere", CHANGE_WITHIN, || {
-                let applied = self.revision_arrivals.count(revision);
-                (applied >= nodes)
-                    .then_some(())
-                    .ok_or_else(|| format!("{applied} of {nodes}"))
-            })
+            wait_until(
+                "a configuration change to be applied on all nodes",
+                CHANGE_TIMEOUT,
+                || {
+                    let applied = self.revision_arrivals.count(revision);
+                    (applied >= nodes)
+                        .then_some(())
+                        .ok_or_else(|| format!("{applied} of {nodes}"))
+                },
+            )
             .await?;
             let delays = self.revision_arrivals.delays_ms(revision, sent);
             everywhere.push(delays.iter().copied().fold(0.0, f64::max));
@@ -204,12 +219,12 @@
         Ok(())
     }
 
-    async fn full_restart(&mut self) -> Result<f64, ScaleError> {
+    async fn measure_full_restart(&mut self) -> Result<f64, ScaleError> {
         let start = Instant::now();
         self.cluster.restart()?;
-        // Agents notice the loss of their connection within a tick; none may count as up before.
+        // Agents detect the lost connection within a tick. Without this delay they would still count as up.
         tokio::time::sleep(POLL_INTERVAL * 4).await;
-        self.wait_for_all("every node connected again", is_up)
+        self.wait_for_all("every node to reconnect with a session", is_up)
             .await?;
         Ok(start.elapsed().as_secs_f64())
     }
@@ -217,9 +232,9 @@
     async fn wait_for_all(
         &self,
         what: &'static str,
-        reached: fn(&HollowNode) -> bool,
+        reached: fn(&SimulatedNode) -> bool,
     ) -> Result<(), ScaleError> {
-        wait(what, NODES_WITHIN, || {
+        wait_until(what, NODES_TIMEOUT, || {
             let ready = self.nodes.iter().filter(|node| reached(node)).count();
             let all = self.nodes.len();
             (ready == all)
@@ -230,7 +245,7 @@
     }
 
     fn bytes_in(&self) -> f64 {
-        let meters = self.nodes.iter().map(HollowNode::meter);
+        let meters = self.nodes.iter().map(SimulatedNode::meter);
         meters.map(|meter| meter.bytes_in() as f64).sum()
     }
 
@@ -245,10 +260,10 @@
     }
 
     fn totals(&self) -> Totals {
-        let meters = || self.nodes.iter().map(HollowNode::meter);
+        let meters = || self.nodes.iter().map(SimulatedNode::meter);
         let agent = self.agent.sample();
         let samples = self.cluster.samples();
-        let reports = self.nodes.iter().map(HollowNode::report);
+        let reports = self.nodes.iter().map(SimulatedNode::report);
         Totals {
             at: Instant::now(),
             bytes_in: self.bytes_in(),
@@ -257,9 +272,9 @@
             frames: meters()
                 .map(|meter| (meter.frames_in() + meter.frames_out()) as f64)
                 .sum(),
-            agents_cpu: ThreadTime::of_threads(AGENT_THREADS).cpu_seconds,
-            agent_cpu: agent.map_or(0.0, |sample| sample.cpu_seconds),
-            agent_memory: agent.map_or(0.0, |sample| sample.resident_bytes as f64),
+            simulated_agents_cpu_seconds: ThreadTime::of_threads(AGENT_THREADS).cpu_seconds,
+            real_agent_cpu_seconds: agent.map_or(0.0, |sample| sample.cpu_seconds),
+            real_agent_memory_bytes: agent.map_or(0.0, |sample| sample.resident_bytes as f64),
             control_cpu: samples.iter().map(|sample| sample.cpu_seconds).collect(),
             data_bytes: self.cluster.data_bytes() as f64,
             granted: self.counts.granted(),
@@ -271,14 +286,14 @@
     }
 }
 
-fn is_up(node: &HollowNode) -> bool {
+fn is_up(node: &SimulatedNode) -> bool {
     let report = node.report();
     report.connected && report.complete && report.session_epoch != 0
 }
 
-async fn wait(
+async fn wait_until(
     what: &'static str,
-    within: Duration,
+    timeout: Duration,
     mut reached: impl FnMut() -> Result<(), String>,
 ) -> Result<(), ScaleError> {
     let start = Instant::now();
@@ -287,10 +302,10 @@
             Ok(()) => return Ok(()),
             Err(detail) => detail,
         };
-        if start.elapsed() > within {
+        if start.elapsed() > timeout {
             return Err(ScaleError::NotReached {
                 what,
-                seconds: within.as_secs(),
+                seconds: timeout.as_secs(),
                 detail,
             });
         }
--- a/crates/scale/src/size.rs
+++ b/crates/scale/src/size.rs
@@ -1,27 +1,27 @@
-//! How large a fleet is.
+//! Fleet sizes of the scale test.
 
 use serde::{Deserialize, Serialize};
 
-/// Size of one run.
+/// Size of the fleet of one run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetSize {
-    /// Nodes: an agent and a proxy each.
+    /// Number of nodes; each has an agent and a proxy.
     pub nodes: u32,
-    /// Tenants in the configuration.
+    /// Number of tenants in the configuration.
     pub tenants: u32,
-    /// Backends in the registry, over all pools.
+    /// Number of backends in the registry, over all pools.
     pub backends: u32,
 }
 
-/// The size to design for.
+/// The planned fleet size that the system is designed for.
 pub const PLANNED: FleetSize = FleetSize {
     nodes: 330,
     tenants: 16_000,
     backends: 1_200,
 };
 
-/// Sizes of a sweep. Some grow together, some in one direction only, so that what a node, a
-/// tenant and a backend add can be told apart.
+/// Sizes of a sweep. In some, nodes, tenants and backends grow together; in others only one of them is
+/// large, so that the fit can separate their contributions.
 pub const SWEEP: [FleetSize; 9] = [
     FleetSize::new(10, 500, 36),
     FleetSize::new(40, 2_000, 150),
@@ -35,7 +35,7 @@
 ];
 
 impl FleetSize {
-    /// A size.
+    /// Creates a size from its three counts.
     #[must_use]
     pub const fn new(nodes: u32, tenants: u32, backends: u32) -> Self {
         Self {
--- a/crates/scale/src/size_result.rs
+++ b/crates/scale/src/size_result.rs
@@ -1,4 +1,4 @@
-//! What one size cost.
+//! Measurements of the run of one fleet size.
 
 use serde::Serialize;
 
@@ -8,61 +8,65 @@
 /// Measurements of one run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct SizeResult {
-    /// Size of the run.
+    /// Fleet size of the run; `None` only in a default value.
     pub size: Option<FleetSize>,
-    /// Time from the first node's start until every node was complete, in seconds.
+    /// Time from the first node's start until every node had its complete state and a session, in seconds.
     pub boot_seconds: f64,
-    /// Bytes that one node received while it started, on average.
+    /// Mean number of bytes that a node received from control while the fleet started.
     pub boot_bytes_per_node: f64,
-    /// Length of the steady measurement, in seconds.
+    /// Duration of the measurement under steady traffic, in seconds.
     pub steady_seconds: f64,
-    /// Bytes a second from control to one node, framing included, TCP and IP not.
+    /// Bytes per second from control to one node, including framing, without TCP and IP headers.
     pub node_bytes_in: f64,
-    /// Bytes a second from one node to control.
+    /// Bytes per second from one node to control, including framing, without TCP and IP headers.
     pub node_bytes_out: f64,
-    /// Bytes a second of one node, both ways, by kind of frame.
+    /// Bytes per second of one node in both directions, by kind of frame.
     pub node_bytes_by_kind: std::collections::BTreeMap<&'static str, f64>,
-    /// Frames a second, both ways, of one node.
+    /// Frames per second of one node in both directions.
     pub node_frames: f64,
-    /// Processor time of one hollow agent, in percent of a core.
+    /// Processor time of one simulated node's agent, in percent of a core.
     pub node_cpu_percent: f64,
-    /// Memory that one hollow agent adds to the rig, in bytes.
+    /// Resident memory that one simulated node adds to the test harness, in bytes.
     pub node_memory_bytes: f64,
     /// Processor time of the real agent process, in percent of a core.
     pub real_agent_cpu_percent: f64,
     /// Resident memory of the real agent process, in bytes.
     pub real_agent_memory_bytes: f64,
-    /// Processor time of the three control processes together, in percent of a core.
+    /// Total processor time of the three control processes, in percent of a core.
     pub control_cpu_percent: f64,
     /// Processor time of the busiest control process, in percent of a core.
     pub control_busiest_cpu_percent: f64,
     /// Resident memory of the largest control process, in bytes.
     pub control_memory_bytes: f64,
-    /// Largest resident memory that a control process ever had, in bytes.
+    /// Peak resident memory of any control process over the whole run, in bytes.
     pub control_peak_bytes: f64,
-    /// Bytes of all data folders after the steady part.
+    /// Total size of the control processes' data folders after the steady measurement, in bytes.
     pub control_data_bytes: f64,
-    /// Growth of all data folders, in bytes a second of the steady part.
+    /// Growth of the control processes' data folders during the steady measurement, in bytes per second.
     pub control_log_bytes: f64,
-    /// Time from sending a change to a proxy's showing it, over proxies and changes, in milliseconds.
+    /// Time from sending a configuration change until a proxy applied it, over all proxies and changes, in
+    /// milliseconds.
     pub change_ms: Quantiles,
-    /// Time from sending a change until every proxy showed it, over changes, in milliseconds.
+    /// Time from sending a configuration change until every proxy had applied it, over all changes, in
+    /// milliseconds.
     pub change_everywhere_ms: Quantiles,
-    /// Time from the kill of all control processes until every node was in touch with an open
-    /// session again, in seconds; absent when not measured.
+    /// Time from killing all control processes until every node was connected with a session again, in
+    /// seconds; `None` when the restart was not measured.
     pub return_seconds: Option<f64>,
-    /// Time to an answer to a quota ask, in milliseconds.
+    /// Time from a quota request to its reply in the steady measurement, in milliseconds.
     pub quota_ms: Quantiles,
-    /// Asks granted in the steady part.
+    /// Quota requests granted in the steady measurement.
     pub quota_granted: u64,
-    /// Asks refused in the steady part.
+    /// Quota requests refused in the steady measurement.
     pub quota_refused: u64,
-    /// Claims answered in the steady part.
+    /// Claims answered in the steady measurement, granted or not.
     pub claims: u64,
-    /// Claims not granted in the steady part.
+    /// Claims that were answered but not granted in the steady measurement.
     pub claims_failed: u64,
-    /// Control nodes left by hollow agents in the steady part; none should be.
+    /// Number of times that simulated agents switched to another control node in the steady measurement;
+    /// expected to be 0.
     pub fail_overs: u64,
-    /// Load average of the machine at the end: other work disturbs the figures.
+    /// One-minute load average of the machine at the end of the run. A high value suggests that other processes
+    /// distorted the measurements.
     pub machine_load: f64,
 }
--- a/crates/scale/src/sweep.rs
+++ b/crates/scale/src/sweep.rs
@@ -1,4 +1,4 @@
-//! Runs the sizes one after the other and writes the report.
+//! Runs the requested fleet sizes in sequence and writes the report.
 
 use std::path::Path;
 
@@ -6,28 +6,29 @@
 use tokio::runtime::{Builder, Runtime};
 
 use crate::error::ScaleError;
-use crate::hollow::hollow_node::RigRuntimes;
+use crate::hollow::hollow_node::HarnessRuntimes;
 use crate::options::ScaleOptions;
 use crate::report::{Report, plot, text, write_files};
 use crate::run_size::{self, AGENT_THREADS};
 use crate::size::FleetSize;
 use crate::size_result::SizeResult;
 
-/// Threads for the hollow agents, and as many for the rest of the rig.
+/// Worker threads of each of the two runtimes: one for the simulated agents, one for the rest of the test
+/// harness.
 const THREADS: usize = 3;
 
-/// Longest time for one size, starts and stops included.
-const SIZE_WITHIN: std::time::Duration = std::time::Duration::from_secs(75);
+/// Timeout of one size, including starting and stopping the processes.
+const SIZE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(75);
 
-/// Runs everything that the options ask for.
+/// Runs every size of the options, prints the results and writes the report.
 ///
 /// # Errors
-/// Fails when a size could not be measured, or the report not be written; sizes before it are
-/// reported all the same.
+/// Fails when a size could not be measured or the report cannot be written. A failed size stops neither the
+/// other sizes nor the report.
 pub fn run(options: &ScaleOptions) -> Result<(), ScaleError> {
-    quiet_logs();
+    limit_logging_to_errors();
     std::fs::create_dir_all(&options.output)
-        .map_err(ScaleError::system("make the output folder"))?;
+        .map_err(ScaleError::system("create the output folder"))?;
     let mut report = Report::default();
     for size in &options.sizes {
         println!("{size}: running");
@@ -55,32 +56,33 @@
     })
 }
 
-/// Hundreds of agents would log each change of their links.
-fn quiet_logs() {
+/// Limits this process's log to errors: hundreds of agents would otherwise log each change of their
+/// connections.
+fn limit_logging_to_errors() {
     let options = LogOptions {
         level: spdlog::Level::Error,
         format: LogFormat::Text,
     };
-    // Without a logger of its own the library writes more, not less; the run goes on all the same.
+    // A failure is harmless: the default logger writes more lines, and the run continues.
     let _ = logging::init(options);
 }
 
-/// Each size has fresh runtimes and a fresh folder, so that none leaves anything to the next.
+/// Runs one size with new runtimes and a new temporary folder, so that no state carries over to the next size.
 fn run_one(options: &ScaleOptions, size: FleetSize) -> Result<SizeResult, ScaleError> {
-    let folder = tempfile::tempdir().map_err(ScaleError::system("make a folder"))?;
+    let folder = tempfile::tempdir().map_err(ScaleError::system("create a temporary folder"))?;
     let agents = runtime(AGENT_THREADS)?;
     let load = runtime("hollow-load")?;
-    let runtimes = RigRuntimes {
+    let runtimes = HarnessRuntimes {
         agents: agents.handle().clone(),
         load: load.handle().clone(),
     };
     let result = load.block_on(async {
         let running = run_size::run(options, size, folder.path(), &runtimes);
-        let bounded = tokio::time::timeout(SIZE_WITHIN, running).await;
+        let bounded = tokio::time::timeout(SIZE_TIMEOUT, running).await;
         bounded.unwrap_or_else(|_| {
             Err(ScaleError::NotReached {
                 what: "the end of the run",
-                seconds: SIZE_WITHIN.as_secs(),
+                seconds: SIZE_TIMEOUT.as_secs(),
                 detail: size.to_string(),
             })
         })
@@ -88,7 +90,7 @@
     agents.shutdown_background();
     load.shutdown_background();
     if result.is_err() {
-        show_logs(folder.path());
+        print_log_tails(folder.path());
     }
     result
 }
@@ -99,11 +101,11 @@
         .thread_name(name)
         .enable_all()
         .build()
-        .map_err(ScaleError::system("make threads"))
+        .map_err(ScaleError::system("start a runtime"))
 }
 
-/// The ends of the processes' logs, for the developer whose run failed.
-fn show_logs(folder: &Path) {
+/// Prints the last lines of each process's log to standard error, to help diagnose a failed run.
+fn print_log_tails(folder: &Path) {
     const LINES: usize = 15;
     let entries = std::fs::read_dir(folder).into_iter().flatten().flatten();
     for entry in entries {
--- a/crates/scale/tests/fit.rs
+++ b/crates/scale/tests/fit.rs
@@ -1,4 +1,4 @@
-//! The fit finds the slopes that made the points, and its spread grows with noise.
+//! The fit recovers the slopes that generated the points, and its standard error grows with noise.
 
 use millford_scale::FleetSize;
 use millford_scale::fit::Fit;
@@ -14,7 +14,7 @@
 }
 
 quickcheck! {
-    fn exact_points_give_their_slopes(constant: i16, node: i8, tenant: i8, backend: i8) -> bool {
+    fn exact_points_yield_their_slopes(constant: i16, node: i8, tenant: i8, backend: i8) -> bool {
         let slopes = [
             f64::from(constant),
             f64::from(node) / 10.0,
@@ -39,8 +39,8 @@
         let points: Vec<(FleetSize, f64)> = SWEEP
             .iter()
             .enumerate()
-            .map(|(place, size)| {
-                let sign = if place % 2 == 0 { 1.0 } else { -1.0 };
+            .map(|(index, size)| {
+                let sign = if index % 2 == 0 { 1.0 } else { -1.0 };
                 (
                     *size,
                     figure(*size, [5.0, 0.1, 0.0, 0.0]) + sign * amplitude,
@@ -49,18 +49,18 @@
             .collect();
         Fit::of(&points).expect("fit")
     };
-    assert!(noisy(0.0).node.spread < 1e-6);
-    assert!(noisy(10.0).node.spread > noisy(1.0).node.spread);
-    assert!((noisy(1.0).node.value - 0.1).abs() < 3.0 * noisy(1.0).node.spread);
+    assert!(noisy(0.0).node.standard_error < 1e-6);
+    assert!(noisy(10.0).node.standard_error > noisy(1.0).node.standard_error);
+    assert!((noisy(1.0).node.value - 0.1).abs() < 3.0 * noisy(1.0).node.standard_error);
 }
 
 #[test]
-fn points_that_do_not_tell_the_directions_apart_give_no_fit() {
-    let in_step: Vec<(FleetSize, f64)> = (1..=8)
+fn proportional_or_too_few_points_yield_no_fit() {
+    let proportional: Vec<(FleetSize, f64)> = (1..=8)
         .map(|step| (FleetSize::new(step, step * 10, step * 5), f64::from(step)))
         .collect();
-    assert_eq!(Fit::of(&in_step), None);
-    assert_eq!(Fit::of(&in_step[..3]), None);
+    assert_eq!(Fit::of(&proportional), None);
+    assert_eq!(Fit::of(&proportional[..3]), None);
 }
 
 #[test]
