--- a/crates/experiments/src/command.rs
+++ b/crates/experiments/src/command.rs
@@ -9,10 +9,10 @@
 use crate::report::Report;
 use crate::suite::{affinity, balance, bandwidth, load_age, quota_age, retry_storm, transition};
 
-/// Seeds when the command names none.
+/// Number of seeds without `--seeds`.
 const DEFAULT_SEEDS: u64 = 3;
 
-/// An experiment by name.
+/// An experiment and its name on the command line.
 struct Experiment {
     name: &'static str,
     run: fn(u64) -> Report,
@@ -49,7 +49,8 @@
     },
 ];
 
-/// Runs `NAME --seeds N [--out DIR]`; prints the report and writes its files.
+/// Runs the experiment given by `NAME [--seeds N] [--out DIR]`, prints the report and writes its files if a
+/// folder is given.
 #[must_use]
 pub fn run(arguments: &[String]) -> ExitCode {
     match try_run(arguments) {
@@ -91,9 +92,14 @@
 
 fn options() -> Options {
     let mut options = Options::new();
-    options.optopt("", "seeds", "number of seeds, from 1 on", "N");
-    options.optopt("", "out", "folder for text, JSON and plots", "DIR");
-    options.optflag("h", "help", "show this");
+    options.optopt("", "seeds", "number of seeds, counted from 1 (3)", "N");
+    options.optopt(
+        "",
+        "out",
+        "folder for the report as text, JSON and plots",
+        "DIR",
+    );
+    options.optflag("h", "help", "print this help");
     options
 }
 
--- a/crates/experiments/src/error.rs
+++ b/crates/experiments/src/error.rs
@@ -1,48 +1,48 @@
-//! Errors of the command and of writing a report.
+//! Errors of the command line and of writing a report.
 
 use std::path::PathBuf;
 
-/// Why an experiment was not run, or its report not written.
+/// Failure to run an experiment or to write its report.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
     /// The flags cannot be parsed.
     #[error(transparent)]
     Flags(#[from] getopts::Fail),
-    /// No experiment, or more than one, is named.
-    #[error("Name one experiment.")]
+    /// The command line names no experiment, or more than one.
+    #[error("expected the name of one experiment")]
     NotOneName,
-    /// No experiment has this name.
-    #[error("There is no experiment {name}.")]
+    /// No experiment has the given name.
+    #[error("unknown experiment {name}")]
     UnknownExperiment {
-        /// The name that was given.
+        /// The name as given.
         name: String,
     },
     /// The value of `--seeds` is not a number.
     #[error("--seeds: {source}")]
     SeedsNotANumber {
-        /// What is wrong with it.
+        /// The parser's error.
         source: std::num::ParseIntError,
     },
     /// The value of `--seeds` is 0.
-    #[error("--seeds must be at least 1.")]
+    #[error("--seeds must be at least 1")]
     NoSeeds,
-    /// A folder or file of the report cannot be written.
-    #[error("{}: {source}", path.display())]
+    /// The report's folder cannot be created, or one of its files cannot be written.
+    #[error("cannot write {}: {source}", path.display())]
     Write {
-        /// The folder or file.
+        /// Path of the folder or file.
         path: PathBuf,
-        /// The system's error.
+        /// Error from the operating system.
         source: std::io::Error,
     },
     /// The report cannot be encoded as JSON.
     #[error("the report cannot be encoded as JSON: {0}")]
     Encode(#[from] serde_json::Error),
-    /// A chart cannot be drawn or written.
-    #[error("{}: {source}", path.display())]
+    /// A chart cannot be drawn or its file cannot be written.
+    #[error("cannot draw {}: {source}", path.display())]
     Draw {
-        /// The chart's file.
+        /// Path of the chart's file.
         path: PathBuf,
-        /// The drawing library's error.
+        /// Error from the plotting library.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
 }
--- a/crates/experiments/src/fleet/answers.rs
+++ b/crates/experiments/src/fleet/answers.rs
@@ -1,4 +1,4 @@
-//! Progress of backends and the answers that come from them.
+//! Progress of the simulated backends and handling of their first and last tokens.
 
 use millford_api::internal::CostSample;
 use millford_backend_model::{BackendEvent, BackendEventKind};
@@ -9,52 +9,52 @@
 use crate::fleet::simulation::Simulation;
 
 impl Simulation {
-    /// Requests with an attempt that the test takes.
-    pub(crate) fn requests_with(&self, test: impl Fn(&Request, &Attempt) -> bool) -> Vec<u64> {
+    /// Returns the ids of the requests whose current attempt matches the predicate.
+    pub(crate) fn requests_with(&self, predicate: impl Fn(&Request, &Attempt) -> bool) -> Vec<u64> {
         self.requests
             .iter()
             .filter(|(_, request)| {
                 let attempt = request.attempt.as_ref();
-                attempt.is_some_and(|attempt| test(request, attempt))
+                attempt.is_some_and(|attempt| predicate(request, attempt))
             })
             .map(|(id, _)| *id)
             .collect()
     }
 
-    /// Progresses a host to now and handles what happened on it.
+    /// Advances a host to the current time and handles the events that occurred on it.
     pub(crate) fn advance_host(&mut self, host: usize) {
         let events = self.hosts[host].advance(self.now);
         let changed = !events.is_empty();
         for event in events {
-            self.backend_event(event);
+            self.handle_backend_event(event);
         }
         if changed {
             self.reschedule_host(host);
         }
     }
 
-    /// Voids the host's pending change and schedules the present one.
+    /// Invalidates the host's pending change event and schedules its next change.
     pub(crate) fn reschedule_host(&mut self, host: usize) {
         let present = &mut self.hosts[host];
         present.generation += 1;
         let generation = present.generation;
-        if let (true, Some(at)) = (present.alive, present.backend.next_change()) {
+        if let (true, Some(at)) = (present.is_up, present.backend.next_change()) {
             self.queue.add(at, Event::HostChange { host, generation });
         }
     }
 
-    fn backend_event(&mut self, event: BackendEvent) {
+    fn handle_backend_event(&mut self, event: BackendEvent) {
         let Some(id) = self.runs.get(&event.run).copied() else {
             return;
         };
         match event.kind {
-            BackendEventKind::FirstToken => self.first_token(id, event.at),
+            BackendEventKind::FirstToken => self.handle_first_token(id, event.at),
             BackendEventKind::Tokens(_) => {}
-            BackendEventKind::Finished => self.finished(id, event.at),
+            BackendEventKind::Finished => self.handle_finish(id, event.at),
         }
     }
 
-    fn first_token(&mut self, id: u64, at: MonotonicTime) {
+    fn handle_first_token(&mut self, id: u64, at: MonotonicTime) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -73,7 +73,7 @@
             .record_first_token(request.arrived, at.since(request.arrived));
     }
 
-    fn finished(&mut self, id: u64, at: MonotonicTime) {
+    fn handle_finish(&mut self, id: u64, at: MonotonicTime) {
         let Some(mut request) = self.requests.remove(&id) else {
             return;
         };
@@ -82,7 +82,7 @@
         };
         self.runs.remove(&attempt.run);
         let proxy = &mut self.proxies[request.proxy];
-        proxy.own_open[attempt.host] -= 1;
+        proxy.own_open_attempts[attempt.host] -= 1;
         let first = attempt.first_token.unwrap_or(at);
         let output_tokens = request.prompt.output_tokens;
         let inter_token = at.since(first) / output_tokens.saturating_sub(1).max(1);
--- a/crates/experiments/src/fleet/control.rs
+++ b/crates/experiments/src/fleet/control.rs
@@ -1,4 +1,4 @@
-//! The control plane's part of a simulated fleet: reports, plans, faults, retirements.
+//! Control plane of a simulated fleet: load reports, placement, probes, faults and retirements.
 
 use std::collections::BTreeSet;
 
@@ -15,17 +15,17 @@
 use crate::fleet::proxy_node::host_index;
 use crate::fleet::simulation::Simulation;
 
-/// Epoch of the placement role: a simulated fleet has one placer from start to end.
+/// Epoch of the placement role; constant because a simulated fleet has a single placer.
 const EPOCH: u64 = 1;
-/// Inactivity after which a backend in use is probed.
-const PROBE_QUIET: Duration = Duration::from_secs(1);
-/// Speed under which a probe is not answered in time.
+/// Time without activity after which a backend in recent use is probed.
+const PROBE_AFTER_IDLE: Duration = Duration::from_secs(1);
+/// Speed, as a share of full speed, at or below which a probe times out.
 const PROBE_SPEED: f64 = 0.02;
-/// Core microseconds of one token of the loader's pretended prompt.
+/// Core microseconds per prompt token of the emulated run that stands for loading a replica.
 const LOADER_CORE_MICROS: f64 = 1600.0;
 
 impl Simulation {
-    /// Proxies report their load; the load snapshot of all goes back to each.
+    /// Collects the load reports of all proxies and distributes the merged load snapshot to each.
     pub(crate) fn report(&mut self) {
         for (index, proxy) in self.proxies.iter().enumerate() {
             let member = format!("proxy-{index}");
@@ -40,18 +40,18 @@
         };
         let mut open = vec![0; self.hosts.len()];
         for proxy in &self.proxies {
-            for (total, own) in open.iter_mut().zip(&proxy.own_open) {
+            for (total, own) in open.iter_mut().zip(&proxy.own_open_attempts) {
                 *total += own;
             }
         }
         for proxy in &mut self.proxies {
             proxy.load_table.merge_snapshot(&snapshot);
-            let others = open.iter().zip(&proxy.own_open);
-            proxy.others_open = others.map(|(total, own)| total - own).collect();
+            let others = open.iter().zip(&proxy.own_open_attempts);
+            proxy.others_open_attempts = others.map(|(total, own)| total - own).collect();
         }
     }
 
-    /// One tick of the placement role, if there is one.
+    /// Runs one tick of the placement role; does nothing in a fleet without placement.
     pub(crate) fn plan(&mut self) {
         if self.options.placement.is_none() {
             return;
@@ -64,17 +64,17 @@
             self.placement.as_ref(),
         );
         let counted = self.now <= MonotonicTime::ZERO + self.options.length;
-        if counted && self.metrics.counts(self.now) {
+        if counted && self.metrics.includes(self.now) {
             self.metrics.record_estimate(self.placer.utilization());
         }
         for step in &outcome.reasons {
             if step.reason.is_change() {
-                self.metrics.moves += 1;
+                self.metrics.placement_changes += 1;
             }
             self.record_transition(step.reason);
         }
         if let Some(placement) = outcome.placement {
-            self.apply(placement);
+            self.apply_placement(placement);
         }
     }
 
@@ -86,15 +86,15 @@
         }
     }
 
-    fn apply(&mut self, placement: PoolPlacement) {
+    fn apply_placement(&mut self, placement: PoolPlacement) {
         let first = self.placement.is_none();
         let before = replica_states(self.placement.as_ref());
         let after = replica_states(Some(&placement));
         self.placement = Some(placement);
         self.rebuild_serving();
-        let known: BTreeSet<&ReplicaKey> = before.iter().map(|(key, _)| key).collect();
+        let previous: BTreeSet<&ReplicaKey> = before.iter().map(|(key, _)| key).collect();
         for (key, state) in &after {
-            if !first && !known.contains(key) {
+            if !first && !previous.contains(key) {
                 self.load_replica(key);
             }
             if *state == ReplicaState::ReplicaDraining {
@@ -109,7 +109,7 @@
         self.record_transition_end(&after);
     }
 
-    /// Counts the requests that are open on a draining replica as draining.
+    /// Marks the requests in decode on a draining replica as draining in the load tables.
     fn begin_draining_requests(&mut self, key: &ReplicaKey) {
         let host = host_index(&key.backend);
         for request in self.requests.values_mut() {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Removes a replica: what still runs on it is lost.
+    /// Removes a replica. Attempts that still run on it are lost.
     fn remove_replica(&mut self, key: &ReplicaKey) {
         self.record_drained(key);
         let host = host_index(&key.backend);
@@ -133,7 +133,7 @@
             attempt.host == host && request.model == key.model && attempt.version == key.version
         });
         for id in lost {
-            self.lose_attempt(id);
+            self.handle_lost_attempt(id);
         }
     }
 
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Drains that are still open at a sample.
+    /// Updates the longest drain with the drains that are still in progress.
     pub(crate) fn record_open_drains(&mut self) {
         let longest = self
             .draining_since
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Loading a replica costs processor time and memory bandwidth.
+    /// Starts an emulated run on the replica's host that takes the processor time and memory bandwidth of loading it.
     fn load_replica(&mut self, key: &ReplicaKey) {
         let Some(placement) = &self.options.placement else {
             return;
@@ -183,23 +183,23 @@
             prompt_blocks: Vec::new(),
             output_tokens: 1,
         };
-        // A host whose slots are all in use loads the replica without the pretended work.
+        // A host without a free slot loads the replica without this work.
         if self.hosts[host].backend.start(&request).is_ok() {
             self.reschedule_host(host);
         }
     }
 
-    /// Probes ejected backends, and inactive ones in use.
+    /// Probes ejected backends, and those in recent use that had no activity for a while.
     pub(crate) fn probe(&mut self) {
         if !self.options.retries.ejects {
             return;
         }
         for proxy in &self.proxies {
-            for id in proxy.health.to_probe(self.now, PROBE_QUIET) {
+            for id in proxy.health.to_probe(self.now, PROBE_AFTER_IDLE) {
                 let host = &self.hosts[host_index(&id)];
-                if host.alive && host.backend.speed() > PROBE_SPEED {
+                if host.is_up && host.backend.speed() > PROBE_SPEED {
                     proxy.health.probe_succeeded(&id, self.now);
-                } else if host.alive {
+                } else if host.is_up {
                     proxy.health.probe_failed(&id);
                 } else {
                     proxy.health.eject(&id, EjectionReason::ConnectFailed);
@@ -208,11 +208,11 @@
         }
     }
 
-    /// Injects a fault or an operator's action.
-    pub(crate) fn fault(&mut self, kind: FaultKind) {
+    /// Applies a fault or an operator's action.
+    pub(crate) fn apply_fault(&mut self, kind: FaultKind) {
         match kind {
             FaultKind::Kill { host } => self.kill(host),
-            FaultKind::Revive { host } => self.revive(host),
+            FaultKind::Restart { host } => self.restart(host),
             FaultKind::Slow { host, speed } => {
                 self.advance_host(host);
                 let now = self.now;
@@ -230,17 +230,17 @@
 
     fn kill(&mut self, host: usize) {
         self.advance_host(host);
-        self.hosts[host].alive = false;
+        self.hosts[host].is_up = false;
         for id in self.requests_with(|_, attempt| attempt.host == host) {
-            self.lose_attempt(id);
+            self.handle_lost_attempt(id);
         }
         self.reschedule_host(host);
     }
 
-    fn revive(&mut self, host: usize) {
+    fn restart(&mut self, host: usize) {
         let now = self.now;
         let present: &mut Host = &mut self.hosts[host];
-        present.alive = true;
+        present.is_up = true;
         present.backend.restart(now);
         self.reschedule_host(host);
     }
@@ -255,8 +255,8 @@
         self.schedule(drain, Event::Retired { host });
     }
 
-    /// The platform ends a retired backend: what still runs on it is lost.
-    pub(crate) fn end_retired(&mut self, host: usize) {
+    /// Stops a retired backend at the end of its drain time. Attempts that still run on it are lost.
+    pub(crate) fn stop_retired(&mut self, host: usize) {
         self.hosts[host]
             .catalogue
             .set_state(BackendState::BackendGone);
--- a/crates/experiments/src/fleet/dispatch.rs
+++ b/crates/experiments/src/fleet/dispatch.rs
@@ -1,4 +1,4 @@
-//! Requests on their way to backends: choice, attempts, retries, ends.
+//! Dispatch of requests to backends: choice, attempts, retries, timeouts and failures.
 
 use millford_backend_model::RunRequest;
 use millford_routing::EjectionReason;
@@ -6,13 +6,13 @@
 
 use crate::fleet::event::Event;
 use crate::fleet::host::run_model;
-use crate::fleet::proxy_node::{ChoiceInput, Chosen};
+use crate::fleet::proxy_node::{ChoiceInput, ChosenReplica};
 use crate::fleet::request::{Attempt, Request};
 use crate::fleet::simulation::Simulation;
 use crate::fleet::workload::Prompt;
 
 impl Simulation {
-    /// Takes a request in at a random proxy and sends its first attempt.
+    /// Accepts a request at a random proxy and sends its first attempt.
     pub(crate) fn accept(&mut self, model: &'static str, prompt: Prompt) {
         let id = self.next_request;
         self.next_request += 1;
@@ -34,21 +34,21 @@
         self.send(id);
     }
 
-    /// Sends the next attempt, or fails the request when nothing takes it.
+    /// Sends the next attempt, and fails the request when no backend accepts it.
     fn send(&mut self, id: u64) {
         while let Some(chosen) = self.choose(id) {
-            self.count_send(id);
+            self.count_attempt(id);
             if self.start_attempt(id, &chosen) {
                 return;
             }
-            if !self.may_send_again(id) {
+            if !self.may_retry(id) {
                 break;
             }
         }
         self.fail(id);
     }
 
-    fn choose(&mut self, id: u64) -> Option<Chosen> {
+    fn choose(&mut self, id: u64) -> Option<ChosenReplica> {
         let request = self.requests.get(&id)?;
         let input = ChoiceInput {
             model: request.model,
@@ -66,22 +66,22 @@
         )
     }
 
-    fn count_send(&mut self, id: u64) {
+    fn count_attempt(&mut self, id: u64) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         request.attempts += 1;
-        let counts = self.metrics.counts(request.arrived);
+        let included = self.metrics.includes(request.arrived);
         if request.attempts == 1 {
             self.proxies[request.proxy].budget.earn();
-            self.metrics.first_sends += u64::from(counts);
+            self.metrics.first_attempts += u64::from(included);
         } else {
-            self.metrics.second_sends += u64::from(counts);
+            self.metrics.retries += u64::from(included);
         }
     }
 
-    /// Whether the attempt runs. A dead or full host fails it at once.
-    fn start_attempt(&mut self, id: u64, chosen: &Chosen) -> bool {
+    /// Starts an attempt and returns whether it runs. A host that is down or has no free slot fails it immediately.
+    fn start_attempt(&mut self, id: u64, chosen: &ChosenReplica) -> bool {
         self.advance_host(chosen.host);
         let run = self.next_run;
         self.next_run += 1;
@@ -90,7 +90,7 @@
         };
         let host = &mut self.hosts[chosen.host];
         let proxy = &self.proxies[request.proxy];
-        if !host.alive {
+        if !host.is_up {
             if self.options.retries.ejects {
                 proxy.health.eject(&host.id, EjectionReason::ConnectFailed);
             }
@@ -112,7 +112,7 @@
         let in_flight = proxy
             .load_table
             .start(chosen.key.clone(), chosen.uncached_tokens);
-        if self.metrics.counts(request.arrived) {
+        if self.metrics.includes(request.arrived) {
             self.metrics.prompt_tokens += u64::from(request.prompt.tokens);
             self.metrics.cached_tokens += u64::from(started.cached_tokens);
         }
@@ -130,7 +130,7 @@
             in_flight,
         });
         let attempt = request.attempts;
-        self.proxies[request.proxy].own_open[chosen.host] += 1;
+        self.proxies[request.proxy].own_open_attempts[chosen.host] += 1;
         self.runs.insert(run, id);
         if let Some(timeout) = self.options.retries.attempt_timeout {
             self.schedule(
@@ -141,34 +141,35 @@
                 },
             );
         }
-        self.record_late_send(chosen.host);
+        self.record_send_after_retirement(chosen.host);
         self.reschedule_host(chosen.host);
         true
     }
 
-    fn record_late_send(&mut self, host: usize) {
+    fn record_send_after_retirement(&mut self, host: usize) {
         if let Some(retired) = self.retired_at.get(&host) {
             let late = self.now.since(*retired);
-            self.metrics.longest_late_send = self.metrics.longest_late_send.max(late);
+            self.metrics.longest_send_after_retirement =
+                self.metrics.longest_send_after_retirement.max(late);
         }
     }
 
-    fn may_send_again(&mut self, id: u64) -> bool {
+    fn may_retry(&mut self, id: u64) -> bool {
         let Some(request) = self.requests.get(&id) else {
             return false;
         };
         let rules = &self.options.retries;
-        let allowed = request.attempts < rules.most_attempts;
+        let allowed = request.attempts < rules.max_attempts;
         allowed && (!rules.budgeted || self.proxies[request.proxy].budget.try_spend())
     }
 
-    /// Gives up the attempt under way and takes it off its host.
-    fn drop_attempt(&mut self, id: u64) -> Option<Attempt> {
+    /// Cancels the current attempt and returns it; `None` when there is none.
+    fn cancel_attempt(&mut self, id: u64) -> Option<Attempt> {
         let request = self.requests.get_mut(&id)?;
         let attempt = request.attempt.take()?;
-        self.proxies[request.proxy].own_open[attempt.host] -= 1;
+        self.proxies[request.proxy].own_open_attempts[attempt.host] -= 1;
         self.runs.remove(&attempt.run);
-        if self.hosts[attempt.host].alive {
+        if self.hosts[attempt.host].is_up {
             self.advance_host(attempt.host);
             self.hosts[attempt.host].backend.cancel(attempt.run);
             self.reschedule_host(attempt.host);
@@ -176,8 +177,9 @@
         Some(attempt)
     }
 
-    /// An attempt has no first token in time: another backend, if the retry rules allow it.
-    pub(crate) fn attempt_timed_out(&mut self, id: u64, attempt: u32) {
+    /// Handles an attempt timeout: retries on another backend if the attempt is still current and without a first
+    /// token, and the retry rules allow it.
+    pub(crate) fn handle_attempt_timeout(&mut self, id: u64, attempt: u32) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -185,20 +187,20 @@
             .attempt
             .as_ref()
             .is_some_and(|current| current.first_token.is_none());
-        if !unanswered || request.attempts != attempt || !self.may_send_again(id) {
+        if !unanswered || request.attempts != attempt || !self.may_retry(id) {
             return;
         }
-        let Some(dropped) = self.drop_attempt(id) else {
+        let Some(canceled) = self.cancel_attempt(id) else {
             return;
         };
         if let Some(request) = self.requests.get_mut(&id) {
-            request.failed_hosts.push(dropped.host);
+            request.failed_hosts.push(canceled.host);
         }
         self.send(id);
     }
 
-    /// The caller gives up unless the first token has arrived.
-    pub(crate) fn deadline(&mut self, id: u64) {
+    /// Handles the caller's deadline: cancels the request unless its first token has arrived.
+    pub(crate) fn handle_deadline(&mut self, id: u64) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -210,7 +212,7 @@
             return;
         }
         let arrived = request.arrived;
-        self.drop_attempt(id);
+        self.cancel_attempt(id);
         if self.requests.remove(&id).is_some() {
             self.metrics
                 .record_timeout(arrived, self.options.first_token_limit);
@@ -224,14 +226,15 @@
         }
     }
 
-    /// The attempt's backend or replica is lost: truncated after the first token, retried before it.
-    pub(crate) fn lose_attempt(&mut self, id: u64) {
-        let Some(attempt) = self.drop_attempt(id) else {
+    /// Handles the loss of an attempt's backend or replica. After the first token the stream is truncated; before it
+    /// the request is retried if the retry rules allow it, and fails otherwise.
+    pub(crate) fn handle_lost_attempt(&mut self, id: u64) {
+        let Some(attempt) = self.cancel_attempt(id) else {
             return;
         };
         if attempt.first_token.is_some() {
             if let Some(request) = self.requests.remove(&id)
-                && self.metrics.counts(request.arrived)
+                && self.metrics.includes(request.arrived)
             {
                 self.metrics.truncated += 1;
             }
@@ -240,7 +243,7 @@
         if let Some(request) = self.requests.get_mut(&id) {
             request.failed_hosts.push(attempt.host);
         }
-        if self.may_send_again(id) {
+        if self.may_retry(id) {
             self.send(id);
         } else {
             self.fail(id);
--- a/crates/experiments/src/fleet/event.rs
+++ b/crates/experiments/src/fleet/event.rs
@@ -1,8 +1,8 @@
-//! What happens in a simulated fleet.
+//! Events of a simulated fleet.
 
 use crate::fleet::fleet_options::FaultKind;
 
-/// One event.
+/// An event of the simulation's queue.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The next request of a model load arrives.
@@ -10,36 +10,36 @@
         /// Index of the model load.
         load: usize,
     },
-    /// A host's next phase change, unless the host changed since.
+    /// A host reaches its next phase change; ignored if the host changed after this was scheduled.
     HostChange {
         /// Index of the host.
         host: usize,
-        /// State of the host that the change was computed for; a later state voids it.
+        /// Generation of the host at scheduling; the event is ignored if the host has a newer one.
         generation: u64,
     },
-    /// The attempt has been unresponsive for too long.
+    /// An attempt's timeout for the first token passed.
     AttemptTimeout {
-        /// Number of the request.
+        /// Id of the request.
         request: u64,
-        /// Number of the attempt within the request.
+        /// Number of the attempt within the request, from 1 on.
         attempt: u32,
     },
-    /// The caller gives up.
+    /// The time that the caller waits for the first token passed.
     Deadline {
-        /// Number of the request.
+        /// Id of the request.
         request: u64,
     },
     /// Proxies report their load and receive the load snapshot.
     Report,
-    /// The placement role plans.
+    /// The placement role runs a tick.
     Plan,
-    /// Utilization is sampled.
+    /// The utilization of all hosts is sampled.
     Sample,
-    /// Proxies probe ejected backends.
+    /// Proxies probe backends.
     Probe,
-    /// A fault or an operator's act.
+    /// A fault or an operator's action occurs.
     Fault(FaultKind),
-    /// The platform ends a retired backend.
+    /// The platform stops a retired backend.
     Retired {
         /// Index of the host.
         host: usize,
--- a/crates/experiments/src/fleet/event_queue.rs
+++ b/crates/experiments/src/fleet/event_queue.rs
@@ -1,4 +1,4 @@
-//! Events in order of time; events of one moment in the order in which they were added.
+//! Event queue ordered by time; events at the same time keep the order in which they were added.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -7,7 +7,7 @@
 
 use crate::fleet::event::Event;
 
-/// The queue of a simulation.
+/// Pending events of a simulation.
 #[derive(Debug, Default)]
 pub struct EventQueue {
     order: BinaryHeap<Reverse<Due>>,
@@ -22,7 +22,7 @@
 }
 
 impl EventQueue {
-    /// Adds an event.
+    /// Adds an event at a time.
     pub fn add(&mut self, at: MonotonicTime, event: Event) {
         let number = self.next_number;
         self.next_number += 1;
@@ -30,7 +30,7 @@
         self.events.insert(number, event);
     }
 
-    /// Takes the next event up to and with `until`.
+    /// Removes and returns the next event; `None` if there is none at or before `until`.
     pub fn next(&mut self, until: MonotonicTime) -> Option<(MonotonicTime, Event)> {
         let Reverse(due) = *self.order.peek()?;
         if due.at > until {
--- a/crates/experiments/src/fleet/host.rs
+++ b/crates/experiments/src/fleet/host.rs
@@ -1,4 +1,4 @@
-//! One simulated backend with what the platform does to it.
+//! A simulated backend and its state in the registry.
 
 use std::collections::BTreeMap;
 
@@ -8,32 +8,33 @@
 
 use crate::fleet::fleet_options::HostOptions;
 
-/// Name of the pretended model whose runs stand for loading a replica.
+/// Name of the internal model whose runs stand for loading a replica.
 pub const LOADER: &str = "loader";
 
-/// A backend, its declarations and its health.
+/// A simulated backend with its registry entry and its utilization samples.
 #[derive(Debug)]
 pub struct Host {
-    /// Identity and address.
+    /// Identity, also used as the address.
     pub id: String,
     /// The emulated backend.
     pub backend: EmulatedBackend,
-    /// What the registry shows.
+    /// The backend's entry in the registry, with its declarations.
     pub catalogue: Backend,
-    /// Whether it answers.
-    pub alive: bool,
-    /// Grows whenever pending change events become void.
+    /// Whether the backend runs and accepts connections.
+    pub is_up: bool,
+    /// Incremented whenever the pending change event becomes invalid.
     pub generation: u64,
-    /// Busy core seconds at the last sample.
+    /// Cumulative busy core seconds at the last sample.
     pub sampled_busy: f64,
-    /// Utilization of past samples, the newest last.
+    /// Utilization of the cores at each sample, between 0 and 1, the newest last.
     pub utilizations: Vec<f64>,
-    /// Bandwidth demand over bandwidth at past samples.
+    /// Memory bandwidth demand as a share of the bandwidth at each sample, the newest last; above 1 when the demand
+    /// exceeds it.
     pub bandwidths: Vec<f64>,
 }
 
 impl Host {
-    /// A fresh host.
+    /// Creates an idle host; `index` is its position in the fleet.
     #[must_use]
     pub fn new(index: usize, options: &HostOptions) -> Self {
         let id = host_id(index);
@@ -62,7 +63,7 @@
             id,
             backend,
             catalogue,
-            alive: true,
+            is_up: true,
             generation: 0,
             sampled_busy: 0.0,
             utilizations: Vec::new(),
@@ -70,13 +71,13 @@
         }
     }
 
-    /// Whether the registry shows it as active.
+    /// Returns whether the registry lists the host as active.
     #[must_use]
     pub fn is_active(&self) -> bool {
         self.catalogue.state() == BackendState::BackendActive
     }
 
-    /// Takes a sample of the utilization over the last `seconds`.
+    /// Samples the utilization over the last `seconds` and the present bandwidth demand.
     pub fn sample(&mut self, seconds: f64) {
         let busy = self.backend.busy_core_seconds();
         let cores = self.backend.options().cores;
@@ -86,9 +87,9 @@
         self.sampled_busy = busy;
     }
 
-    /// Progresses to `now`. A dead host does not.
+    /// Advances the backend to `now` and returns the events on the way; none when the host is down.
     pub fn advance(&mut self, now: MonotonicTime) -> Vec<BackendEvent> {
-        if self.alive {
+        if self.is_up {
             self.backend.advance(now)
         } else {
             Vec::new()
@@ -96,19 +97,19 @@
     }
 }
 
-/// Identity of the host with this number.
+/// Returns the identity of the host at this position in the fleet.
 #[must_use]
 pub fn host_id(index: usize) -> String {
     format!("b{index:03}")
 }
 
-/// Name of a model version inside the emulated backend.
+/// Returns the name of a model version inside the emulated backend.
 #[must_use]
 pub fn run_model(model: &str, version: &str) -> String {
     format!("{model}@{version}")
 }
 
-/// Positions of hosts by id.
+/// Returns the positions of the hosts by their identity.
 #[must_use]
 pub fn index_by_id(hosts: &[Host]) -> BTreeMap<String, usize> {
     hosts
--- a/crates/experiments/src/fleet/mod.rs
+++ b/crates/experiments/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet under simulated time: proxies, backends, the placement role, callers.
+//! Simulation of a fleet with proxies, backends, the placement role and callers, in simulated time.
 
 mod answers;
 mod control;
--- a/crates/experiments/src/fleet/policy.rs
+++ b/crates/experiments/src/fleet/policy.rs
@@ -1,30 +1,30 @@
-//! How proxies choose a backend.
+//! Policies by which proxies choose a backend.
 
-/// A way to choose, ours or one that it replaces.
+/// The project's policy for choosing a backend, or one that it is compared with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Policy {
-    /// Each proxy goes round.
+    /// Each proxy uses the backends in turn.
     RoundRobin,
-    /// One at random.
+    /// A backend is drawn at random.
     Random,
-    /// The better of two by open requests on the whole host, all models alike.
+    /// The better of two random backends by open requests of all models.
     HostTotal,
-    /// The least open requests on the whole host, over all backends.
+    /// The backend with the fewest open requests of all models.
     HostTotalLeast,
-    /// The better of two by the utilization that backends reported some seconds ago.
+    /// The better of two random backends by the utilization that they reported some seconds ago.
     StaleReported,
-    /// The least true work left over all backends: what no node can know. A bound, not a choice.
+    /// The backend with the least outstanding work. No real proxy has this information; it serves as a bound.
     Oracle,
-    /// The home of the affinity key, whatever its load.
+    /// The home of the affinity key by rendezvous hashing, regardless of its load.
     PureHash,
-    /// The project's routing, without affinity.
+    /// The project's routing without affinity.
     MillfordWithoutAffinity,
     /// The project's routing.
     Millford,
 }
 
 impl Policy {
-    /// Name in tables.
+    /// Returns the name in tables and charts.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -40,9 +40,9 @@
         }
     }
 
-    /// Whether it is the project's own.
+    /// Returns whether this is the project's routing, with or without affinity.
     #[must_use]
-    pub fn is_ours(self) -> bool {
+    pub fn is_project_routing(self) -> bool {
         matches!(self, Policy::Millford | Policy::MillfordWithoutAffinity)
     }
 }
--- a/crates/experiments/src/fleet/proxy_node.rs
+++ b/crates/experiments/src/fleet/proxy_node.rs
@@ -1,4 +1,4 @@
-//! One simulated proxy: what it knows and how it chooses.
+//! A simulated proxy: its state and its choice of backends.
 
 use std::sync::Arc;
 
@@ -12,28 +12,28 @@
 use crate::fleet::host::Host;
 use crate::fleet::policy::Policy;
 
-/// Age of the load that backends report, in samples of a second.
+/// Age of the load that backends report, in samples at intervals of one second.
 const REPORT_AGE_SAMPLES: usize = 2;
 
 /// State of one proxy.
 #[derive(Debug)]
 pub struct ProxyNode {
-    /// Work in flight by replica: the real load table of the routing crate.
+    /// Work in flight by replica, kept in the routing crate's real load table.
     pub load_table: Arc<LoadTable>,
-    /// Learned costs: the real estimates of the routing crate.
+    /// Costs learned with the routing crate's real estimates.
     pub costs: CostEstimates,
-    /// Ejections: the real health of the routing crate.
+    /// Ejections and probes, kept by the routing crate's real implementation.
     pub health: BackendHealth,
-    /// Budget for second sends.
+    /// Budget for retries.
     pub budget: RetryBudget,
-    /// Own open requests by host, all models alike.
-    pub own_open: Vec<u32>,
-    /// Other proxies' open requests by host, as last reported.
-    pub others_open: Vec<u32>,
+    /// This proxy's open attempts by host, over all models.
+    pub own_open_attempts: Vec<u32>,
+    /// Other proxies' open attempts by host, over all models, as last reported.
+    pub others_open_attempts: Vec<u32>,
     next_round_robin: usize,
 }
 
-/// The request that a backend is chosen for.
+/// Properties of a request that determine the choice of a backend.
 #[derive(Clone, Copy, Debug)]
 pub struct ChoiceInput<'a> {
     /// Name of the model.
@@ -42,25 +42,25 @@
     pub prompt_tokens: u64,
     /// Affinity key.
     pub affinity: u64,
-    /// Hosts that failed the request already.
+    /// Indexes of the hosts on which an attempt of the request failed.
     pub excluded: &'a [usize],
 }
 
 /// A chosen replica.
 #[derive(Clone, Debug)]
-pub struct Chosen {
-    /// Position of the host.
+pub struct ChosenReplica {
+    /// Index of the host.
     pub host: usize,
-    /// Which counts the attempt belongs to.
+    /// Key of the replica in the load table.
     pub key: ReplicaKey,
-    /// Whether the host is a home of the affinity key.
+    /// Whether the host was chosen as a home of the affinity key.
     pub by_affinity: bool,
-    /// Uncached prompt tokens to expect.
+    /// Estimated number of uncached prompt tokens.
     pub uncached_tokens: u64,
 }
 
 impl ProxyNode {
-    /// A proxy before `hosts` hosts.
+    /// Creates a proxy for a fleet with this number of hosts.
     #[must_use]
     pub fn new(hosts: usize) -> Self {
         Self {
@@ -68,13 +68,13 @@
             costs: CostEstimates::default(),
             health: BackendHealth::default(),
             budget: RetryBudget::default(),
-            own_open: vec![0; hosts],
-            others_open: vec![0; hosts],
+            own_open_attempts: vec![0; hosts],
+            others_open_attempts: vec![0; hosts],
             next_round_robin: 0,
         }
     }
 
-    /// Chooses a replica by a policy.
+    /// Chooses a replica by a policy; `None` when no replica of the model is usable.
     pub fn choose(
         &mut self,
         policy: Policy,
@@ -82,7 +82,7 @@
         hosts: &[Host],
         input: ChoiceInput<'_>,
         random: &mut ChaCha8Rng,
-    ) -> Option<Chosen> {
+    ) -> Option<ChosenReplica> {
         let request = ModelRequest {
             model: input.model.to_owned(),
             ..ModelRequest::default()
@@ -108,7 +108,7 @@
             self.costs
                 .uncached_tokens_elsewhere(input.model, input.prompt_tokens)
         };
-        Some(Chosen {
+        Some(ChosenReplica {
             host: host_index(&replica.backend.id),
             key: ReplicaKey {
                 pool: pool.name.clone(),
@@ -131,44 +131,53 @@
     ) -> Option<(usize, bool)> {
         let count = replicas.len();
         let host_of = |index: usize| host_index(&replicas[index].backend.id);
-        let unaided = match policy {
+        let chosen_index = match policy {
             Policy::RoundRobin => {
                 self.next_round_robin += 1;
                 self.next_round_robin % count
             }
             Policy::Random => random.random_range(0..count),
-            Policy::HostTotal => best_of_two(count, random, |index| self.open(host_of(index))),
+            Policy::HostTotal => {
+                best_of_two(count, random, |index| self.open_attempts(host_of(index)))
+            }
             Policy::HostTotalLeast => {
                 let start = random.random_range(0..count);
                 let rotated = (0..count).map(|step| (start + step) % count);
                 rotated.min_by(|left, right| {
-                    let left = self.open(host_of(*left));
-                    left.total_cmp(&self.open(host_of(*right)))
+                    let left = self.open_attempts(host_of(*left));
+                    left.total_cmp(&self.open_attempts(host_of(*right)))
                 })?
             }
             Policy::Oracle => {
                 let work = |index: &usize| hosts[host_of(*index)].backend.outstanding_seconds();
                 (0..count).min_by(|left, right| work(left).total_cmp(&work(right)))?
             }
-            Policy::StaleReported => {
-                best_of_two(count, random, |index| reported(&hosts[host_of(index)]))
-            }
+            Policy::StaleReported => best_of_two(count, random, |index| {
+                reported_utilization(&hosts[host_of(index)])
+            }),
             Policy::PureHash => {
                 let score = |index: &usize| {
                     rendezvous::score(input.affinity, &replicas[*index].backend.id, 1000)
                 };
                 (0..count).max_by(|left, right| score(left).total_cmp(&score(right)))?
             }
-            Policy::MillfordWithoutAffinity => return self.ours(replicas, input, None, random),
+            Policy::MillfordWithoutAffinity => {
+                return self.choose_by_project_routing(replicas, input, None, random);
+            }
             Policy::Millford => {
-                return self.ours(replicas, input, Some(input.affinity), random);
+                return self.choose_by_project_routing(
+                    replicas,
+                    input,
+                    Some(input.affinity),
+                    random,
+                );
             }
         };
-        Some((unaided, policy == Policy::PureHash))
+        Some((chosen_index, policy == Policy::PureHash))
     }
 
-    /// As the proxy's `choose_backend` does it, on the routing crate's decisions.
-    fn ours(
+    /// Chooses by the routing crate as the real proxy's `choose_backend` does; `None` as `affinity` disables affinity.
+    fn choose_by_project_routing(
         &self,
         replicas: &[&ServingReplica],
         input: ChoiceInput<'_>,
@@ -201,12 +210,12 @@
         Some((choice.index, choice.by_affinity))
     }
 
-    fn open(&self, host: usize) -> f64 {
-        f64::from(self.own_open[host] + self.others_open[host])
+    fn open_attempts(&self, host: usize) -> f64 {
+        f64::from(self.own_open_attempts[host] + self.others_open_attempts[host])
     }
 }
 
-/// Draws two different positions and keeps the one with the lower load.
+/// Draws two different indexes and returns the one with the lower load.
 fn best_of_two(count: usize, random: &mut ChaCha8Rng, load: impl Fn(usize) -> f64) -> usize {
     let first = random.random_range(0..count);
     if count == 1 {
@@ -220,8 +229,8 @@
     }
 }
 
-/// The utilization that the host reported some seconds ago.
-fn reported(host: &Host) -> f64 {
+/// Returns the utilization that the host reported [`REPORT_AGE_SAMPLES`] ago; 0 before there is such a sample.
+fn reported_utilization(host: &Host) -> f64 {
     let samples = host.utilizations.len();
     match samples.checked_sub(1 + REPORT_AGE_SAMPLES) {
         Some(index) => host.utilizations[index],
@@ -229,7 +238,7 @@
     }
 }
 
-/// Position of the host with this id.
+/// Returns the index of the host with this identity.
 #[must_use]
 pub fn host_index(id: &str) -> usize {
     id.trim_start_matches('b').parse().unwrap_or(0)
--- a/crates/experiments/src/fleet/request.rs
+++ b/crates/experiments/src/fleet/request.rs
@@ -1,52 +1,52 @@
-//! One simulated request.
+//! A simulated request and its attempts.
 
 use millford_core::MonotonicTime;
 use millford_routing::InFlightGuard;
 
 use crate::fleet::workload::Prompt;
 
-/// A request from arrival to its end.
+/// An open request.
 #[derive(Debug)]
 pub struct Request {
     /// Name of the model.
     pub model: &'static str,
-    /// Its prompt.
+    /// Prompt and number of tokens to generate.
     pub prompt: Prompt,
-    /// When it arrived.
+    /// Time of arrival.
     pub arrived: MonotonicTime,
-    /// The proxy that took it.
+    /// Index of the proxy that accepted the request.
     pub proxy: usize,
-    /// Attempts started.
+    /// Number of attempts made so far, including those that failed to start.
     pub attempts: u32,
-    /// Hosts that failed it.
+    /// Indexes of the hosts on which an attempt failed.
     pub failed_hosts: Vec<usize>,
-    /// The attempt under way.
+    /// The current attempt; `None` between two attempts.
     pub attempt: Option<Attempt>,
 }
 
-/// One attempt on one backend.
+/// An attempt in progress on a backend.
 #[derive(Debug)]
 pub struct Attempt {
-    /// Position of the host.
+    /// Index of the host.
     pub host: usize,
-    /// Number of the run on the host.
+    /// Id of the run on the host, unique in the simulation.
     pub run: u64,
     /// Version of the model that runs.
     pub version: String,
-    /// When it was sent.
+    /// Time of dispatch.
     pub sent: MonotonicTime,
-    /// When the first token came.
+    /// Time of the first token; `None` before it.
     pub first_token: Option<MonotonicTime>,
-    /// Whether the host is a home of the affinity key.
+    /// Whether the host was chosen as a home of the affinity key.
     pub by_affinity: bool,
-    /// Prompt tokens that the backend had cached.
+    /// Prompt tokens found in the backend's prefix cache.
     pub cached_tokens: u32,
-    /// Uncached tokens in flight before it on the replica, its own included, as the proxy estimated.
+    /// Proxy's estimate of the uncached prompt tokens in flight on the replica at dispatch, including this attempt's.
     pub queued_tokens: u64,
-    /// Its own uncached tokens as the proxy estimated.
+    /// Proxy's estimate of this attempt's uncached prompt tokens.
     pub own_tokens: u64,
-    /// Streams on the replica before it, as the proxy knew.
+    /// Proxy's count of streams in decode on the replica at dispatch, without this attempt.
     pub streams_at_start: u32,
-    /// Counts it in the proxy's load table until it is dropped.
+    /// Guard that counts the attempt in the proxy's load table until it is dropped.
     pub in_flight: InFlightGuard,
 }
--- a/crates/experiments/src/fleet/simulation.rs
+++ b/crates/experiments/src/fleet/simulation.rs
@@ -1,4 +1,4 @@
-//! The loop of a simulated fleet.
+//! Event loop and state of a simulated fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -19,18 +19,18 @@
 use crate::fleet::request::Request;
 use crate::fleet::workload::{SessionTable, draw_prompt, next_arrival};
 
-/// Interval of load reports and of the load snapshot that goes back.
+/// Interval of the proxies' load reports and of the load snapshot returned to them.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// Interval of planning.
+/// Interval of the placement role's ticks.
 pub const PLAN_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval of utilization samples.
 pub const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
-/// Interval of probes of ejected backends.
+/// Interval of the proxies' probes.
 pub const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// Time after the last arrival in which open requests may end.
-const RUN_OUT: Duration = Duration::from_secs(30);
+/// Time after the end of arrivals that open requests have to complete.
+const COMPLETION_TIME: Duration = Duration::from_secs(30);
 
-/// A simulated fleet in progress.
+/// State of a simulated fleet.
 pub struct Simulation {
     pub(crate) options: FleetOptions,
     pub(crate) now: MonotonicTime,
@@ -38,7 +38,7 @@
     pub(crate) hosts: Vec<Host>,
     pub(crate) proxies: Vec<ProxyNode>,
     pub(crate) requests: BTreeMap<u64, Request>,
-    /// Request of each run on a host.
+    /// Id of the request by id of its run on a host.
     pub(crate) runs: BTreeMap<u64, u64>,
     pub(crate) next_request: u64,
     pub(crate) next_run: u64,
@@ -47,22 +47,23 @@
     pub(crate) serving: ServingPool,
     pub(crate) metrics: FleetMetrics,
     pub(crate) choices: ChaCha8Rng,
-    /// When the platform announced the retirement of a host.
+    /// Time at which the platform announced the retirement, by index of the host.
     pub(crate) retired_at: BTreeMap<usize, MonotonicTime>,
-    /// Since when the placement drains a replica.
+    /// Time since which the placement has been draining a replica.
     pub(crate) draining_since: BTreeMap<millford_placement::ReplicaKey, MonotonicTime>,
-    /// When the target version last changed.
+    /// Time at which the target version last changed; `None` if it has not changed.
     pub(crate) ordered_at: Option<MonotonicTime>,
     arrivals: Vec<ArrivalSource>,
 }
 
-/// Random arrivals of one model load, the same whatever the policy.
+/// Random arrivals of one model load. They have a random number generator of their own, so that every policy
+/// receives the same requests.
 struct ArrivalSource {
     random: ChaCha8Rng,
     sessions: SessionTable,
 }
 
-/// Runs a fleet to its end.
+/// Simulates a fleet to the end and returns its metrics. Equal options yield equal metrics.
 #[must_use]
 pub fn simulate(options: FleetOptions) -> FleetMetrics {
     let mut simulation = Simulation::new(options);
@@ -127,7 +128,7 @@
         self.schedule(PLAN_INTERVAL, Event::Plan);
         self.schedule(SAMPLE_INTERVAL, Event::Sample);
         self.schedule(PROBE_INTERVAL, Event::Probe);
-        let end = MonotonicTime::ZERO + self.options.length + RUN_OUT;
+        let end = MonotonicTime::ZERO + self.options.length + COMPLETION_TIME;
         while let Some((at, event)) = self.queue.next(end) {
             self.now = at;
             self.handle(event);
@@ -142,8 +143,10 @@
                     self.advance_host(host);
                 }
             }
-            Event::AttemptTimeout { request, attempt } => self.attempt_timed_out(request, attempt),
-            Event::Deadline { request } => self.deadline(request),
+            Event::AttemptTimeout { request, attempt } => {
+                self.handle_attempt_timeout(request, attempt);
+            }
+            Event::Deadline { request } => self.handle_deadline(request),
             Event::Report => {
                 self.report();
                 self.schedule(REPORT_INTERVAL, Event::Report);
@@ -160,8 +163,8 @@
                 self.probe();
                 self.schedule(PROBE_INTERVAL, Event::Probe);
             }
-            Event::Fault(kind) => self.fault(kind),
-            Event::Retired { host } => self.end_retired(host),
+            Event::Fault(kind) => self.apply_fault(kind),
+            Event::Retired { host } => self.stop_retired(host),
         }
     }
 
@@ -188,7 +191,7 @@
         self.accept(name, prompt);
     }
 
-    /// The backends as the catalogue shows them.
+    /// Returns the registry entries of all backends by identity.
     pub(crate) fn catalogue(&self) -> BTreeMap<String, Backend> {
         self.hosts
             .iter()
@@ -196,7 +199,7 @@
             .collect()
     }
 
-    /// Rebuilds the pool that proxies route by: the catalogue and the last placement.
+    /// Rebuilds the pool that proxies choose from, from the registry entries and the last placement.
     pub(crate) fn rebuild_serving(&mut self) {
         let backends: Vec<Arc<Backend>> = self
             .hosts
@@ -219,12 +222,12 @@
 
     fn finish(mut self) -> FleetMetrics {
         let skipped = self.options.warm_up.as_secs() as usize;
-        let dead: BTreeSet<usize> = self.retired_at.keys().copied().collect();
+        let retired: BTreeSet<usize> = self.retired_at.keys().copied().collect();
         let counted: Vec<&Host> = self
             .hosts
             .iter()
             .enumerate()
-            .filter(|(index, host)| host.alive && !dead.contains(index))
+            .filter(|(index, host)| host.is_up && !retired.contains(index))
             .map(|(_, host)| host)
             .collect();
         let after_warm_up = |samples: &[f64]| samples.len().min(skipped);
@@ -236,7 +239,7 @@
             .iter()
             .map(|host| &host.bandwidths[after_warm_up(&host.bandwidths)..])
             .collect();
-        self.metrics.sum_up(&utilizations, &bandwidths);
+        self.metrics.summarize_samples(&utilizations, &bandwidths);
         self.metrics
     }
 }
--- a/crates/experiments/src/fleet/workload.rs
+++ b/crates/experiments/src/fleet/workload.rs
@@ -1,18 +1,18 @@
-//! Callers: their request rate, their models, and how much their prompts share.
+//! Simulated workload: request rates, models, prompt lengths and shared prefixes.
 
 use millford_backend_model::chain_blocks;
 use millford_core::{Duration, MonotonicTime};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// Tokens of one block of a prompt.
+/// Number of tokens in a block of a prompt.
 pub const BLOCK_TOKENS: u32 = 64;
-/// Most turns of a session.
-const MOST_TURNS: u32 = 8;
-/// Sessions that may go on, per model load.
-const MOST_SESSIONS: usize = 2000;
+/// Largest number of turns of a session.
+const MAX_TURNS: u32 = 8;
+/// Largest number of sessions of a model load that are kept for further turns.
+const MAX_SESSIONS: usize = 2000;
 
-/// Requests for one model.
+/// Load of requests for one model.
 #[derive(Clone, Debug)]
 pub struct ModelLoad {
     /// Name of the model.
@@ -21,40 +21,40 @@
     pub rate: f64,
     /// Median prompt length of a first turn, in tokens.
     pub prompt_median: f64,
-    /// Spread of prompt and answer lengths: standard deviation of their logarithm.
+    /// Standard deviation of the logarithm of prompt and answer lengths.
     pub spread: f64,
     /// Median answer length, in tokens.
     pub output_median: f64,
-    /// Number of shared prefixes, the most used first.
+    /// Number of distinct shared prefixes.
     pub prefixes: usize,
-    /// Skew of their use: exponent of a Zipf distribution.
+    /// Exponent of the Zipf distribution by which prefixes are drawn; 0 uses them evenly.
     pub skew: f64,
-    /// Tokens of a shared prefix, part of the prompt.
+    /// Length of a shared prefix in tokens, which is part of the prompt.
     pub prefix_tokens: u32,
-    /// Share of requests that continue an earlier session.
+    /// Share of requests that continue an earlier session, if there is one; 0 disables sessions.
     pub session_share: f64,
 }
 
-/// A change of all rates.
+/// A change of all request rates.
 #[derive(Clone, Copy, Debug)]
 pub struct RateChange {
-    /// From when.
+    /// Time from which the factor applies.
     pub at: MonotonicTime,
-    /// Factor on the base rates.
+    /// Factor on the base rates, which replaces any earlier one.
     pub factor: f64,
 }
 
-/// All the requests of a fleet.
+/// All requests to a fleet.
 #[derive(Clone, Debug, Default)]
 pub struct Workload {
-    /// Requests by model.
+    /// Load of each model.
     pub loads: Vec<ModelLoad>,
-    /// Changes of the rates, in order of time.
+    /// Changes of the request rates, in order of time.
     pub changes: Vec<RateChange>,
 }
 
 impl Workload {
-    /// The same requests at another rate.
+    /// Returns the same workload with all rates multiplied by a factor.
     #[must_use]
     pub fn scaled(&self, factor: f64) -> Self {
         let mut scaled = self.clone();
@@ -64,7 +64,7 @@
         scaled
     }
 
-    /// Factor on the rates at a time.
+    /// Returns the factor on the rates at a time; 1 before the first change.
     #[must_use]
     pub fn factor_at(&self, at: MonotonicTime) -> f64 {
         let passed = self.changes.iter().take_while(|change| change.at <= at);
@@ -72,20 +72,20 @@
     }
 }
 
-/// A request as it arrives.
+/// Prompt of an arriving request.
 #[derive(Clone, Debug)]
 pub struct Prompt {
-    /// Length in tokens.
+    /// Length of the prompt in tokens.
     pub tokens: u32,
-    /// Chain hashes of its full blocks.
+    /// Chain hashes of the prompt's full blocks.
     pub blocks: Vec<u64>,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub output_tokens: u32,
-    /// What keeps related requests together: the session, or else the shared prefix.
+    /// Affinity key: the session's id, or the shared prefix in a load without sessions.
     pub affinity: u64,
 }
 
-/// Sessions of one model load and their prompts so far.
+/// Sessions of one model load that can be continued.
 #[derive(Clone, Debug, Default)]
 pub struct SessionTable {
     sessions: Vec<Session>,
@@ -94,50 +94,50 @@
 #[derive(Clone, Debug)]
 struct Session {
     id: u64,
-    names: Vec<u64>,
+    block_ids: Vec<u64>,
     turns: u32,
 }
 
-/// Time until the next arrival of a load.
+/// Draws the time until the next arrival of a load with this rate, in requests per second.
 pub fn next_arrival(rate: f64, random: &mut ChaCha8Rng) -> Duration {
     let uniform: f64 = random.random_range(f64::EPSILON..1.0);
     Duration::from_secs_f64(-uniform.ln() / rate.max(1e-9))
 }
 
-/// Draws the next prompt of a load.
+/// Draws the next prompt of a load, which starts or continues a session.
 pub fn draw_prompt(load: &ModelLoad, table: &mut SessionTable, random: &mut ChaCha8Rng) -> Prompt {
     let fresh_tokens = log_normal(load.prompt_median, load.spread, random);
     let output = log_normal(load.output_median, load.spread, random);
     let fresh_blocks = (fresh_tokens / f64::from(BLOCK_TOKENS)).ceil() as u32;
-    let goes_on = !table.sessions.is_empty() && random.random_bool(load.session_share);
-    let mut session = if goes_on {
+    let continues_session = !table.sessions.is_empty() && random.random_bool(load.session_share);
+    let mut session = if continues_session {
         let index = random.random_range(0..table.sessions.len());
         table.sessions.swap_remove(index)
     } else {
         first_turn(load, random)
     };
-    let added = if goes_on {
+    let added = if continues_session {
         fresh_blocks.div_ceil(4)
     } else {
         fresh_blocks.saturating_sub(load.prefix_tokens / BLOCK_TOKENS)
     };
     session
-        .names
+        .block_ids
         .extend((0..added.max(1)).map(|_| random.random::<u64>()));
     session.turns += 1;
     let has_sessions = load.session_share > 0.0;
     let affinity = if has_sessions {
         session.id
     } else {
-        session.names[0]
+        session.block_ids[0]
     };
     let prompt = Prompt {
-        tokens: session.names.len() as u32 * BLOCK_TOKENS,
-        blocks: chain_blocks(&session.names),
+        tokens: session.block_ids.len() as u32 * BLOCK_TOKENS,
+        blocks: chain_blocks(&session.block_ids),
         output_tokens: output.ceil().max(1.0) as u32,
         affinity,
     };
-    if has_sessions && session.turns < MOST_TURNS && table.sessions.len() < MOST_SESSIONS {
+    if has_sessions && session.turns < MAX_TURNS && table.sessions.len() < MAX_SESSIONS {
         table.sessions.push(session);
     }
     prompt
@@ -148,13 +148,13 @@
     let blocks = u64::from(load.prefix_tokens / BLOCK_TOKENS).max(1);
     Session {
         id: random.random(),
-        names: (0..blocks).map(|block| prefix << 16 | block).collect(),
+        block_ids: (0..blocks).map(|block| prefix << 16 | block).collect(),
         turns: 0,
     }
 }
 
 fn log_normal(median: f64, spread: f64, random: &mut ChaCha8Rng) -> f64 {
-    // Box-Muller; bounded at three deviations, so that no single request dominates a run.
+    // Box-Muller transform, limited to three standard deviations so that no single request dominates a run.
     let first: f64 = random.random_range(f64::EPSILON..1.0);
     let second: f64 = random.random_range(0.0..1.0);
     let normal = (-2.0 * first.ln()).sqrt() * (std::f64::consts::TAU * second).cos();
--- a/crates/experiments/src/lib.rs
+++ b/crates/experiments/src/lib.rs
@@ -1,4 +1,5 @@
-//! Experiments under simulated time: routing, placement, transitions, retries, with reports and plots.
+//! Experiments in simulated time on routing, placement, version transitions, retries and quotas, with reports
+//! and plots.
 
 mod command;
 pub mod error;
--- a/crates/experiments/src/load_age/backends.rs
+++ b/crates/experiments/src/load_age/backends.rs
@@ -1,8 +1,8 @@
-//! Backends that read prompts one after the other.
+//! Simulated backends that process prompts in order of arrival, one at a time.
 
 use std::collections::VecDeque;
 
-/// A prompt that is not read yet.
+/// A prompt that its backend has not finished reading.
 #[derive(Clone, Copy, Debug)]
 struct Prompt {
     node: usize,
@@ -10,7 +10,7 @@
     read_at_ms: f64,
 }
 
-/// All backends, and what each node has in flight on each.
+/// All backends, with the work that each node has in flight on each of them.
 #[derive(Clone, Debug)]
 pub struct Backends {
     queues: Vec<VecDeque<Prompt>>,
@@ -19,7 +19,7 @@
 }
 
 impl Backends {
-    /// Idle backends.
+    /// Creates idle backends.
     #[must_use]
     pub fn new(nodes: usize, backends: usize) -> Self {
         Self {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Ends what was read by now.
+    /// Removes the prompts that are read completely by `now_ms`.
     pub fn advance(&mut self, now_ms: f64) {
         for (backend, queue) in self.queues.iter_mut().enumerate() {
             while let Some(prompt) = queue.front().copied()
@@ -42,25 +42,26 @@
         }
     }
 
-    /// Work of all nodes on each backend, in milliseconds: whole prompts until they are read.
+    /// Returns the work of all nodes in flight on each backend, in milliseconds. A prompt counts in full until it is
+    /// read completely.
     #[must_use]
     pub fn in_flight(&self) -> &[f64] {
         &self.in_flight
     }
 
-    /// Work of one node on each backend.
+    /// Returns the work of one node in flight on each backend, in milliseconds.
     #[must_use]
     pub fn of_node(&self, node: usize) -> &[f64] {
         &self.by_node[node]
     }
 
-    /// Sends a prompt to a backend. Answers when it is read.
+    /// Appends a prompt to a backend's queue and returns the time at which it will be read, in milliseconds.
     pub fn send(&mut self, now_ms: f64, node: usize, backend: usize, work_ms: f64) -> f64 {
         let queue = &mut self.queues[backend];
-        let begins = queue
+        let begins_at_ms = queue
             .back()
             .map_or(now_ms, |last| last.read_at_ms.max(now_ms));
-        let read_at_ms = begins + work_ms;
+        let read_at_ms = begins_at_ms + work_ms;
         queue.push_back(Prompt {
             node,
             work_ms,
--- a/crates/experiments/src/load_age/mod.rs
+++ b/crates/experiments/src/load_age/mod.rs
@@ -1,7 +1,7 @@
-//! A fleet of nodes that choose backends by counts of a certain age.
+//! Simulated fleet whose nodes choose backends by load counts of a certain age.
 //!
-//! Much simpler than [`crate::fleet`], so that hundreds of nodes take a second: a backend reads prompts one
-//! after the other, and the time to the first token is the time until a prompt is read.
+//! The model is much simpler than [`crate::fleet`], so that hundreds of nodes can be simulated in about a second: a
+//! backend reads one prompt at a time, and the first token is generated as soon as its prompt is read.
 
 pub mod backends;
 pub mod options;
--- a/crates/experiments/src/load_age/options.rs
+++ b/crates/experiments/src/load_age/options.rs
@@ -1,41 +1,41 @@
-//! What is simulated.
+//! Options of a simulation.
 
 use millford_core::Duration;
 
-/// How a node learns what others have in flight.
+/// Way in which nodes share the work that they have in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sharing {
-    /// Each node reports all its counts to every other node, once in a period.
+    /// Each node reports all its counts to every other node once per period.
     Broadcast {
-        /// The period.
+        /// Interval between two reports of a node.
         period: Duration,
     },
-    /// A node queries the owners of some backends, drawn at random, for their current counts.
+    /// For each request, a node queries the owners of some randomly drawn backends for their current counts.
     Owners {
-        /// Backends that are queried.
+        /// Number of backends whose owners are queried.
         drawn: usize,
-        /// From the query to the dispatch: choices made meanwhile do not see each other.
+        /// Time from the query to the dispatch. Choices made in this time do not see each other.
         round_trip: Duration,
     },
-    /// Every node sees the true counts of all backends at once.
+    /// Every node sees the true counts of all backends without delay.
     Omniscient,
-    /// A backend is drawn at random, whatever is in flight.
+    /// Nothing is shared; a backend is drawn at random regardless of its load.
     Nothing,
 }
 
-/// A fleet and its traffic.
+/// Options of a simulated fleet and its traffic.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadAgeOptions {
-    /// Seed of all that is random.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Backends.
+    /// Number of backends.
     pub backends: usize,
-    /// Share of the backends' time that the prompts take.
+    /// Mean utilization of the backends, between 0 and 1, from which the arrival rate follows.
     pub utilization: f64,
-    /// How counts are shared.
+    /// Way in which nodes share their counts.
     pub sharing: Sharing,
-    /// Simulated time.
+    /// Simulated time during which requests arrive.
     pub length: Duration,
 }
--- a/crates/experiments/src/load_age/simulation.rs
+++ b/crates/experiments/src/load_age/simulation.rs
@@ -1,4 +1,4 @@
-//! The event loop of a simulated fleet.
+//! Event loop of the simulation.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -11,23 +11,23 @@
 use crate::load_age::options::{LoadAgeOptions, Sharing};
 use crate::load_age::outcome::LoadAgeOutcome;
 
-/// Time to read a long prompt of which nothing is cached, in milliseconds.
+/// Time to read a long, uncached prompt, in milliseconds.
 const LONG_PROMPT_MS: f64 = 150.0;
-/// Time to read a short one.
+/// Time to read a short prompt, in milliseconds.
 const SHORT_PROMPT_MS: f64 = 20.0;
-/// Share of the long ones.
+/// Share of the prompts that are long.
 const LONG_SHARE: f64 = 0.375;
-/// Microseconds in a millisecond: events are ordered by whole microseconds.
+/// Microseconds per millisecond; event times are whole microseconds.
 const MICROS: f64 = 1000.0;
 
-/// What happens, in the order of equal times.
+/// Events of the simulation. Events at the same time are handled in the order of the variants and their fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A node reports what it has in flight.
+    /// A node reports the work that it has in flight.
     Report { node: usize },
     /// A request arrives at a node.
-    Arrive { node: usize, long: bool },
-    /// A request leaves for the backend that was chosen.
+    Arrival { node: usize, long: bool },
+    /// A request is sent to the chosen backend.
     Dispatch {
         node: usize,
         long: bool,
@@ -41,13 +41,14 @@
     random: ChaCha8Rng,
     events: BinaryHeap<Reverse<(u64, Event)>>,
     backends: Backends,
-    /// What each node reported last, and the sums over all nodes.
+    /// Work last reported by each node for each backend, in milliseconds.
     reported: Vec<Vec<f64>>,
+    /// Sum of `reported` over all nodes, for each backend.
     reported_sum: Vec<f64>,
     outcome: LoadAgeOutcome,
 }
 
-/// Simulates a fleet. The same options give the same outcome.
+/// Simulates a fleet. Equal options yield equal outcomes.
 #[must_use]
 pub fn simulate(options: &LoadAgeOptions) -> LoadAgeOutcome {
     let mut simulation = Simulation {
@@ -59,10 +60,10 @@
         reported_sum: vec![0.0; options.backends],
         outcome: LoadAgeOutcome::default(),
     };
-    simulation.plan_arrivals();
-    simulation.plan_first_reports();
+    simulation.schedule_arrivals();
+    simulation.schedule_first_reports();
     while let Some(Reverse((at, event))) = simulation.events.pop() {
-        simulation.take(at, event);
+        simulation.handle(at, event);
     }
     simulation.outcome
 }
@@ -76,44 +77,44 @@
 }
 
 impl Simulation {
-    fn plan_arrivals(&mut self) {
+    fn schedule_arrivals(&mut self) {
         let mean_work = LONG_SHARE * LONG_PROMPT_MS + (1.0 - LONG_SHARE) * SHORT_PROMPT_MS;
         let gap_ms = mean_work / (self.options.utilization * self.options.backends as f64);
         let end_ms = self.options.length.as_secs_f64() * 1000.0;
         let mut at_ms = 0.0;
         loop {
-            // Arrivals that know nothing of each other: exponential gaps.
+            // Exponential gaps make the arrivals independent of each other.
             at_ms -= gap_ms * (1.0 - self.random.random::<f64>()).ln();
             if at_ms >= end_ms {
                 return;
             }
             let node = self.random.random_range(0..self.options.nodes);
             let long = self.random.random_bool(LONG_SHARE);
-            self.plan(at_ms, Event::Arrive { node, long });
+            self.schedule(at_ms, Event::Arrival { node, long });
         }
     }
 
-    fn plan_first_reports(&mut self) {
+    fn schedule_first_reports(&mut self) {
         let Sharing::Broadcast { period } = self.options.sharing else {
             return;
         };
         for node in 0..self.options.nodes {
             let phase = self.random.random::<f64>() * period.as_secs_f64() * 1000.0;
-            self.plan(phase, Event::Report { node });
+            self.schedule(phase, Event::Report { node });
         }
     }
 
-    fn plan(&mut self, at_ms: f64, event: Event) {
+    fn schedule(&mut self, at_ms: f64, event: Event) {
         let at = (at_ms * MICROS) as u64;
         self.events.push(Reverse((at, event)));
     }
 
-    fn take(&mut self, at: u64, event: Event) {
+    fn handle(&mut self, at: u64, event: Event) {
         let now_ms = at as f64 / MICROS;
         self.backends.advance(now_ms);
         match event {
             Event::Report { node } => self.report(now_ms, node),
-            Event::Arrive { node, long } => {
+            Event::Arrival { node, long } => {
                 let backend = self.choose(node);
                 let delay_ms = match self.options.sharing {
                     Sharing::Owners { round_trip, .. } => round_trip.as_secs_f64() * 1000.0,
@@ -125,7 +126,7 @@
                     backend,
                     arrived_us: at,
                 };
-                self.plan(now_ms + delay_ms, dispatch);
+                self.schedule(now_ms + delay_ms, dispatch);
             }
             Event::Dispatch {
                 node,
@@ -147,7 +148,7 @@
         };
         let next_ms = now_ms + period.as_secs_f64() * 1000.0;
         if next_ms < self.options.length.as_secs_f64() * 1000.0 {
-            self.plan(next_ms, Event::Report { node });
+            self.schedule(next_ms, Event::Report { node });
         }
     }
 
@@ -155,30 +156,32 @@
         let count = self.options.backends;
         match self.options.sharing {
             Sharing::Nothing => self.random.random_range(0..count),
-            Sharing::Omniscient => self.least(0..count, |this, one| this.backends.in_flight()[one]),
+            Sharing::Omniscient => {
+                self.least_loaded(0..count, |this, one| this.backends.in_flight()[one])
+            }
             Sharing::Owners { drawn, .. } => {
                 let drawn = sample(&mut self.random, count, drawn.min(count));
-                self.least(drawn.into_iter(), |this, one| {
+                self.least_loaded(drawn.into_iter(), |this, one| {
                     this.backends.in_flight()[one]
                 })
             }
-            Sharing::Broadcast { .. } => self.least(0..count, |this, one| {
+            Sharing::Broadcast { .. } => self.least_loaded(0..count, |this, one| {
                 let others = this.reported_sum[one] - this.reported[node][one];
                 others + this.backends.of_node(node)[one]
             }),
         }
     }
 
-    /// The one with the least believed work; equals are drawn.
-    fn least(
+    /// Returns the backend with the least estimated work; ties are broken at random.
+    fn least_loaded(
         &mut self,
         among: impl Iterator<Item = usize>,
-        believed: impl Fn(&Self, usize) -> f64,
+        estimated_work: impl Fn(&Self, usize) -> f64,
     ) -> usize {
         let mut best = (f64::INFINITY, 0.0, 0);
         for backend in among {
             let draw = self.random.random::<f64>();
-            let work = believed(self, backend).max(0.0);
+            let work = estimated_work(self, backend).max(0.0);
             if (work, draw) < (best.0, best.1) {
                 best = (work, draw, backend);
             }
--- a/crates/experiments/src/quota_age/admissions.rs
+++ b/crates/experiments/src/quota_age/admissions.rs
@@ -1,21 +1,21 @@
-//! What a fleet admitted and what that cost.
+//! Requests that a fleet admitted and refused, and the datagrams that the decisions took.
 
 use millford_core::MonotonicTime;
 
 use super::fleet_quota::{REQUEST, WINDOW};
 
-/// Admissions in the order of their times, and counts.
+/// Times of the admitted requests, in order, with counts of refusals and datagrams.
 #[derive(Clone, Debug, Default)]
 pub struct Admissions {
     times: Vec<MonotonicTime>,
-    /// Requests that were refused.
+    /// Number of requests refused.
     pub refused: u64,
-    /// Datagrams that nodes sent each other.
+    /// Number of datagrams that the nodes sent to each other.
     pub datagrams: u64,
 }
 
 impl Admissions {
-    /// Records a decision.
+    /// Records the decision on a request. Calls must be in the order of their times.
     pub fn record(&mut self, now: MonotonicTime, is_admitted: bool) {
         if is_admitted {
             self.times.push(now);
@@ -24,22 +24,22 @@
         }
     }
 
-    /// Tokens that were admitted.
+    /// Returns the number of tokens admitted.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.times.len() as u64 * REQUEST
     }
 
-    /// Share of the requests that were refused.
+    /// Returns the share of the requests that were refused; 0 without requests.
     #[must_use]
     pub fn refused_share(&self) -> f64 {
         let all = self.times.len() as u64 + self.refused;
         self.refused as f64 / all.max(1) as f64
     }
 
-    /// The most tokens that were admitted within any window.
+    /// Returns the largest number of tokens admitted within any window of length [`WINDOW`].
     #[must_use]
-    pub fn most_in_window(&self) -> u64 {
+    pub fn max_tokens_in_window(&self) -> u64 {
         let mut first = 0;
         let mut most = 0;
         for (last, at) in self.times.iter().enumerate() {
--- a/crates/experiments/src/quota_age/fleet_quota.rs
+++ b/crates/experiments/src/quota_age/fleet_quota.rs
@@ -1,4 +1,4 @@
-//! The tenant whose quota the fleets enforce, and the traffic against it.
+//! The tenant whose quota the simulated fleets enforce, and its request rate.
 
 use millford_api::config::{Tenant, TokenQuota};
 use millford_core::Duration;
@@ -14,7 +14,7 @@
 /// Length of a simulation step, in milliseconds.
 pub const STEP_MS: u64 = 5;
 
-/// The tenant's quota.
+/// Returns the tenant's quota.
 #[must_use]
 pub fn quota() -> TokenQuota {
     TokenQuota {
@@ -24,7 +24,7 @@
     }
 }
 
-/// The tenant.
+/// Returns the tenant's configuration.
 #[must_use]
 pub fn tenant() -> Tenant {
     Tenant {
@@ -34,21 +34,21 @@
     }
 }
 
-/// Tokens that may be admitted in one window.
+/// Returns the number of tokens that the quota allows in one window: its rate over the window plus the burst.
 #[must_use]
 pub fn allowed() -> u64 {
     RATE * WINDOW.as_secs() + BURST
 }
 
-/// Requests that are due in each step, at so many times the quota's rate.
+/// Source of requests at a constant rate, which spreads them evenly over the simulation steps.
 #[derive(Clone, Copy, Debug)]
-pub struct Pressure {
+pub struct RequestSource {
     per_step: f64,
     due: f64,
 }
 
-impl Pressure {
-    /// A steady pressure.
+impl RequestSource {
+    /// Creates a source whose rate is `times` the quota's rate.
     #[must_use]
     pub fn of(times: f64) -> Self {
         let per_second = RATE as f64 * times / REQUEST as f64;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Requests of the next step.
+    /// Returns the number of requests that arrive in the next step.
     pub fn due_now(&mut self) -> usize {
         self.due += self.per_step;
         let complete = self.due.floor();
--- a/crates/experiments/src/quota_age/mod.rs
+++ b/crates/experiments/src/quota_age/mod.rs
@@ -1,7 +1,7 @@
-//! Fleets that enforce one tenant's quota together, by usage counts of a certain age.
+//! Simulated fleets that jointly enforce one tenant's quota, based on usage counts of a certain age.
 //!
-//! The buckets, what peers assume of each other and degraded admission are the forwarding
-//! proxy's own; time, datagrams and their loss are simulated.
+//! The token buckets, the estimates of peers' usage and degraded admission are the forwarding proxy's real
+//! code; time, datagrams and their loss are simulated.
 
 pub mod admissions;
 pub mod fleet_quota;
--- a/crates/experiments/src/quota_age/owner_fleet.rs
+++ b/crates/experiments/src/quota_age/owner_fleet.rs
@@ -1,8 +1,8 @@
-//! Proxy nodes in several zones; in each zone the tenant's quota has two owners that grant its tokens.
+//! Fleet of proxy nodes in several zones, in each of which two owners grant the tokens of the tenant's quota.
 //!
-//! [`OwnerFleet`] plays the requesting side of the forwarding proxy's `QuotaClient` a second time, step by step and
-//! without sockets; the owners' side is the real `TenantQuotas`. A change to the client's order of owners, limits or
-//! degraded admission has to be repeated here.
+//! [`OwnerFleet`] reimplements the forwarding proxy's `QuotaClient`, step by step and without sockets; the owners use
+//! the real `TenantQuotas`. A change to the client's order of owners, its limits or its degraded admission must be
+//! repeated here.
 
 use std::collections::BTreeMap;
 
@@ -12,26 +12,26 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::admissions::Admissions;
-use super::fleet_quota::{Pressure, REQUEST, STEP_MS, quota, tenant};
+use super::fleet_quota::{REQUEST, RequestSource, STEP_MS, quota, tenant};
 
-/// Default shortest time between two usage reports of an owner, in steps.
+/// Default interval of the owners' usage reports, in steps. Owners without new usage skip a report.
 pub const REPORT_INTERVAL_STEPS: usize = 4;
-/// As `QuotaClient`: owners that are tried for one request.
+/// Largest number of owners that are tried for one request; equal to the limit in `QuotaClient`.
 const MAX_OWNERS_TRIED: usize = 3;
-/// As `PendingRequests`: unanswered requests in a row after which an owner is suspected.
+/// Consecutive unanswered requests after which an owner is suspected; equal to the limit in `PendingRequests`.
 const UNANSWERED_TO_SUSPECT: u32 = 2;
 /// Time for which a suspected owner is skipped, in steps.
 const SUSPECT_STEPS: usize = 200;
-/// Interval of the owners' full usage reports, in steps.
+/// Interval at which owners report their usage even when it did not change, in steps.
 const FULL_REPORT_STEPS: usize = 200;
 
 /// One of the two owners in a zone.
 #[derive(Debug)]
 pub struct Owner {
     quotas: TenantQuotas,
-    boot: u64,
+    boot_id: u64,
     reported_tokens: u64,
-    /// Whether it answers.
+    /// Whether the owner answers requests and sends reports.
     pub is_up: bool,
 }
 
@@ -39,7 +39,7 @@
     fn new() -> Self {
         Self {
             quotas: TenantQuotas::default(),
-            boot: 1,
+            boot_id: 1,
             reported_tokens: 0,
             is_up: true,
         }
@@ -50,21 +50,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct OwnerId {
     zone: usize,
-    /// 0 for the zone's first owner, 1 for the second.
+    /// 0 for the first owner of the zone, 1 for the second.
     index: usize,
 }
 
-/// A node's estimate of the quota, and which owners did not answer it.
+/// A requesting node: its estimate of the quota's level and its record of unanswered requests.
 #[derive(Clone, Debug)]
 struct Node {
-    known: LevelEstimate,
+    estimate: LevelEstimate,
     uncharged: i64,
-    /// Unanswered requests in a row, and the step until which the owner is skipped.
+    /// By owner: number of consecutive unanswered requests, and the step until which the owner is suspected.
     unanswered_by_owner: BTreeMap<OwnerId, (u32, usize)>,
 }
 
 impl Node {
-    fn suspects(&self, step: usize, owner: OwnerId) -> bool {
+    fn is_suspected(&self, step: usize, owner: OwnerId) -> bool {
         let entry = self.unanswered_by_owner.get(&owner);
         entry.is_some_and(|(_, until)| step < *until)
     }
@@ -78,31 +78,32 @@
     }
 }
 
-/// Nodes that request tokens from the owners of their zone, and owners that report their usage to each other.
+/// Nodes that request tokens from owners, first from those of their own zone, and owners that report their usage
+/// to each other.
 #[derive(Debug)]
 pub struct OwnerFleet {
-    /// Two in each zone.
+    /// The two owners of each zone.
     pub owners: Vec<[Owner; 2]>,
-    /// Nodes of each zone.
+    /// The nodes of each zone.
     nodes: Vec<Vec<Node>>,
     fleet: FleetSize,
     now: MonotonicTime,
     step: usize,
     random: ChaCha8Rng,
-    /// Shortest time between two usage reports of an owner, in steps.
+    /// Interval of the owners' usage reports, in steps.
     pub report_interval_steps: usize,
-    /// Share of the datagrams that are lost, in percent.
+    /// Probability that a datagram is lost, in percent.
     pub loss_percent: u32,
-    /// A zone that is partitioned from all others.
+    /// Zone that is partitioned from all others; `None` without a partition.
     pub partitioned_zone: Option<usize>,
-    /// What was admitted.
+    /// Decisions on all requests so far.
     pub admissions: Admissions,
-    /// Tokens that were admitted in each zone.
+    /// Number of tokens admitted in each zone.
     pub by_zone: BTreeMap<usize, u64>,
 }
 
 impl OwnerFleet {
-    /// A fleet whose bucket is full.
+    /// Creates a fleet whose token bucket is full.
     #[must_use]
     pub fn new(zones: usize, nodes_in_zone: usize, seed: u64) -> Self {
         let now = MonotonicTime::from_millis(1000);
@@ -111,7 +112,7 @@
             in_zone: nodes_in_zone,
         };
         let node = Node {
-            known: LevelEstimate::unknown(&quota(), fleet, now),
+            estimate: LevelEstimate::unknown(&quota(), fleet, now),
             uncharged: 0,
             unanswered_by_owner: BTreeMap::new(),
         };
@@ -130,7 +131,7 @@
         }
     }
 
-    fn is_lost(&mut self) -> bool {
+    fn draw_loss(&mut self) -> bool {
         self.random.random_range(0..100) < self.loss_percent
     }
 
@@ -142,14 +143,14 @@
         }
     }
 
-    /// As `QuotaClient` decides on a request.
+    /// Decides on a request as `QuotaClient` does; the error is the time to wait.
     fn decide(&mut self, zone: usize, node: usize) -> Result<(), Duration> {
         let mut tried = Vec::with_capacity(MAX_OWNERS_TRIED);
         for _ in 0..MAX_OWNERS_TRIED {
             let Some(id) = self.next_owner(zone, node, &tried) else {
                 break;
             };
-            if let Some(wait) = self.nodes[zone][node].known.certain_wait(self.now) {
+            if let Some(wait) = self.nodes[zone][node].estimate.certain_wait(self.now) {
                 return Err(wait);
             }
             if let Some(decision) = self.query_owner(zone, node, id) {
@@ -162,12 +163,13 @@
             None => DegradedReason::OwnersUnreachable,
         };
         let node = &mut self.nodes[zone][node];
-        node.known.admit_degraded(self.now, reason, REQUEST)?;
+        node.estimate.admit_degraded(self.now, reason, REQUEST)?;
         node.uncharged += i64::try_from(REQUEST).expect("small");
         Ok(())
     }
 
-    /// The next owner to try: not tried, not suspected and reachable; those of the node's own zone first.
+    /// Returns the next owner to try that is neither tried nor suspected nor partitioned from the node. Both owners
+    /// of the node's own zone come first, then the first owner of each other zone.
     fn next_owner(&self, zone: usize, node: usize, tried: &[OwnerId]) -> Option<OwnerId> {
         let own = [0, 1].map(|index| OwnerId { zone, index });
         let others = (0..self.owners.len()).filter(|other| *other != zone);
@@ -176,7 +178,7 @@
         let node = &self.nodes[zone][node];
         owners.find(|owner| {
             !tried.contains(owner)
-                && !node.suspects(self.step, *owner)
+                && !node.is_suspected(self.step, *owner)
                 && (owner.zone == zone
                     || self
                         .partitioned_zone
@@ -184,14 +186,15 @@
         })
     }
 
-    /// Requests tokens from an owner; `None` when no reply came in time.
+    /// Requests tokens from an owner and returns its decision; `None` when the request or the reply was lost or the
+    /// owner is down.
     fn query_owner(
         &mut self,
         zone: usize,
         node: usize,
         id: OwnerId,
     ) -> Option<Result<(), Duration>> {
-        let (request_lost, reply_lost) = (self.is_lost(), self.is_lost());
+        let (request_lost, reply_lost) = (self.draw_loss(), self.draw_loss());
         self.admissions.datagrams += 2;
         let owner = &self.owners[id.zone][id.index];
         let node = &mut self.nodes[zone][node];
@@ -207,15 +210,16 @@
         };
         node.unanswered_by_owner.remove(&id);
         node.uncharged = 0;
-        node.known.apply(self.now, &quota(), self.fleet, &grant);
+        node.estimate.apply(self.now, &quota(), self.fleet, &grant);
         Some(grant.decision)
     }
 
-    /// Owners report to each other what they granted; then a step passes.
+    /// Lets the owners send the usage reports that are due, then advances the time by one step.
     fn advance_step(&mut self) {
         let is_full_report = self.step.is_multiple_of(FULL_REPORT_STEPS);
         if is_full_report || self.step.is_multiple_of(self.report_interval_steps) {
-            // Owners do not report at the same moment: one that reports later has received more.
+            // Real owners do not report at the same moment, and later reports include what earlier ones brought. A
+            // random first zone varies that order.
             let first = self.random.random_range(0..self.owners.len());
             for turn in 0..self.owners.len() {
                 let zone = (first + turn) % self.owners.len();
@@ -243,7 +247,7 @@
             return;
         }
         owner.reported_tokens = level.used_tokens;
-        let boot_id = owner.boot;
+        let boot_id = owner.boot_id;
         for other in 0..self.owners.len() {
             for other_index in 0..2 {
                 let is_itself = (other, other_index) == (zone, index);
@@ -254,7 +258,7 @@
                 self.admissions.datagrams += u64::from(!is_itself);
                 if is_itself
                     || is_partitioned
-                    || self.is_lost()
+                    || self.draw_loss()
                     || !self.owners[other][other_index].is_up
                 {
                     continue;
@@ -274,21 +278,21 @@
         }
     }
 
-    /// Replaces an owner by a new process without state, as after a restart or when another node becomes owner.
+    /// Replaces an owner by a new process without state, as after a restart or a change of ownership.
     pub fn replace(&mut self, zone: usize, index: usize) {
         let owner = &mut self.owners[zone][index];
-        let boot = owner.boot + 1;
+        let boot_id = owner.boot_id + 1;
         *owner = Owner {
-            boot,
+            boot_id,
             ..Owner::new()
         };
     }
 
-    /// Sends requests to random nodes of all zones at `times` the quota's rate, for `seconds`.
-    pub fn press(&mut self, seconds: u64, times: f64) {
-        let mut pressure = Pressure::of(times);
+    /// Sends requests to random nodes of all zones at `times` the quota's rate, for `seconds` of simulated time.
+    pub fn send_requests(&mut self, seconds: u64, times: f64) {
+        let mut source = RequestSource::of(times);
         for _ in 0..seconds * 1000 / STEP_MS {
-            for _ in 0..pressure.due_now() {
+            for _ in 0..source.due_now() {
                 let zone = self.random.random_range(0..self.nodes.len());
                 let node = self.random.random_range(0..self.nodes[zone].len());
                 self.request(zone, node);
--- a/crates/experiments/src/quota_age/peer_fleet.rs
+++ b/crates/experiments/src/quota_age/peer_fleet.rs
@@ -1,4 +1,4 @@
-//! Nodes that each keep the complete token bucket and report to each other what they admitted.
+//! Fleet of nodes that each keep a token bucket for the complete quota and report their usage to each other.
 
 use millford_core::{Duration, MonotonicTime};
 use millford_forward::quota::{PeerCount, TenantQuotas};
@@ -6,29 +6,29 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::admissions::Admissions;
-use super::fleet_quota::{Pressure, REQUEST, STEP_MS, quota, tenant};
+use super::fleet_quota::{REQUEST, RequestSource, STEP_MS, quota, tenant};
 
 /// Interval of a node's usage reports, in steps.
 const REPORT_INTERVAL_STEPS: usize = 20;
 
-/// Nodes, each of which reports to `fanout` peers in each interval.
+/// Nodes that each report their usage to the next `fanout` peers in every interval.
 #[derive(Debug)]
 pub struct PeerFleet {
     nodes: Vec<TenantQuotas>,
     names: Vec<String>,
-    /// Peers that receive one report.
+    /// Number of peers that a node reports to in one interval.
     fanout: usize,
-    /// The peer that each node notified last: it goes on with the next one.
+    /// Index of the peer that each node reported to last; the next report goes to the peer after it.
     last_notified: Vec<usize>,
     now: MonotonicTime,
     step: usize,
     random: ChaCha8Rng,
-    /// What was admitted.
+    /// Decisions on all requests so far.
     pub admissions: Admissions,
 }
 
 impl PeerFleet {
-    /// A fleet whose bucket is full, in which each node reports to `fanout` peers every 100 ms.
+    /// Creates a fleet whose token bucket is full, in which each node reports to `fanout` peers every 100 ms.
     #[must_use]
     pub fn new(nodes: usize, fanout: usize, seed: u64) -> Self {
         Self {
@@ -43,11 +43,11 @@
         }
     }
 
-    /// Sends requests to random nodes at `times` the quota's rate, for `seconds`.
-    pub fn press(&mut self, seconds: u64, times: f64) {
-        let mut pressure = Pressure::of(times);
+    /// Sends requests to random nodes at `times` the quota's rate, for `seconds` of simulated time.
+    pub fn send_requests(&mut self, seconds: u64, times: f64) {
+        let mut source = RequestSource::of(times);
         for _ in 0..seconds * 1000 / STEP_MS {
-            for _ in 0..pressure.due_now() {
+            for _ in 0..source.due_now() {
                 let node = self.random.random_range(0..self.nodes.len());
                 let admitted = self.nodes[node].admit(self.now, &tenant(), REQUEST);
                 self.admissions.record(self.now, admitted.is_ok());
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The nodes whose interval is over report to their peers; then a step passes.
+    /// Lets the nodes whose report is due send it, then advances the time by one step.
     fn advance_step(&mut self) {
         for node in 0..self.nodes.len() {
             if (self.step + node).is_multiple_of(REPORT_INTERVAL_STEPS) {
--- a/crates/experiments/src/report/chart.rs
+++ b/crates/experiments/src/report/chart.rs
@@ -1,4 +1,4 @@
-//! Line charts as SVG.
+//! Line charts, written as SVG files.
 
 use std::path::Path;
 
@@ -9,21 +9,21 @@
 
 /// Width and height of a chart, in pixels.
 const SIZE: (u32, u32) = (900, 520);
-/// Height of the vertical axis over the largest value.
+/// Upper end of the vertical axis, as a factor on the largest value.
 const HEADROOM: f64 = 1.05;
 
-/// A line chart.
+/// A line chart with one or more series.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Chart {
-    /// Name of the file, without ending.
+    /// Name of the file, without extension.
     pub name: String,
-    /// What it shows.
+    /// Title above the chart.
     pub title: String,
     /// Name and unit of the horizontal axis.
     pub x_label: String,
     /// Name and unit of the vertical axis.
     pub y_label: String,
-    /// The lines.
+    /// The lines, in the order of the legend.
     pub series: Vec<Series>,
 }
 
@@ -32,7 +32,7 @@
 pub struct Series {
     /// Name in the legend.
     pub name: String,
-    /// Points, from left to right.
+    /// Points, in ascending order of `x`.
     pub points: Vec<Point>,
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl Series {
-    /// A line from pairs of coordinates.
+    /// Creates a line from pairs of coordinates.
     #[must_use]
     pub fn new(name: &str, points: impl IntoIterator<Item = (f64, f64)>) -> Self {
         let points = points.into_iter().map(|(x, y)| Point { x, y });
@@ -61,7 +61,7 @@
     /// Writes the chart as an SVG file.
     ///
     /// # Errors
-    /// Fails when the file cannot be written.
+    /// Fails when the chart cannot be drawn or the file cannot be written.
     pub fn write_svg(&self, path: &Path) -> Result<(), ExperimentError> {
         let area = SVGBackend::new(path, SIZE).into_drawing_area();
         let drawn = self.draw(&area).and_then(|()| area.present());
@@ -109,16 +109,16 @@
 
     fn ranges(&self) -> (std::ops::Range<f64>, std::ops::Range<f64>) {
         let points = || self.series.iter().flat_map(|series| &series.points);
-        let least_x = points().map(|point| point.x).fold(f64::INFINITY, f64::min);
-        let most_x = points()
+        let min_x = points().map(|point| point.x).fold(f64::INFINITY, f64::min);
+        let max_x = points()
             .map(|point| point.x)
             .fold(f64::NEG_INFINITY, f64::max);
-        let most_y = points().map(|point| point.y).fold(0.0, f64::max);
-        let x_range = if least_x < most_x {
-            least_x..most_x
+        let max_y = points().map(|point| point.y).fold(0.0, f64::max);
+        let x_range = if min_x < max_x {
+            min_x..max_x
         } else {
             0.0..1.0
         };
-        (x_range, 0.0..(most_y * HEADROOM).max(f64::MIN_POSITIVE))
+        (x_range, 0.0..(max_y * HEADROOM).max(f64::MIN_POSITIVE))
     }
 }
--- a/crates/experiments/src/report/document.rs
+++ b/crates/experiments/src/report/document.rs
@@ -1,4 +1,4 @@
-//! A complete report.
+//! The report of an experiment.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -9,23 +9,23 @@
 use crate::report::chart::Chart;
 use crate::report::table::Table;
 
-/// The outcome of one experiment.
+/// Results of one experiment.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
-    /// Name of the experiment.
+    /// Name of the experiment, also the base name of the report's files.
     pub experiment: String,
-    /// The command that gives this report again.
+    /// Command that reproduces this report.
     pub command: String,
-    /// What was set up and what the figures mean.
+    /// Notes on the setup and on the meaning of the figures, one a line.
     pub notes: Vec<String>,
-    /// Figures.
+    /// Tables of the figures.
     pub tables: Vec<Table>,
-    /// Plots.
+    /// Charts, each written to a file of its own.
     pub charts: Vec<Chart>,
 }
 
 impl Report {
-    /// A report without figures.
+    /// Creates a report without notes, tables and charts.
     #[must_use]
     pub fn new(experiment: &str, seeds: u64) -> Self {
         Self {
@@ -42,7 +42,7 @@
         self.notes.push(text.into());
     }
 
-    /// The report as text.
+    /// Formats the command, notes and tables as text.
     #[must_use]
     pub fn to_text(&self) -> String {
         let mut text = format!("{}\n", self.command);
@@ -57,10 +57,10 @@
         text
     }
 
-    /// Writes text, JSON and plots into a folder, which is made when it is missing.
+    /// Writes the report as text, JSON and SVG charts into a folder, which is created if it is missing.
     ///
     /// # Errors
-    /// Fails when the folder, a file or a chart cannot be written.
+    /// Fails when the folder cannot be created, or a file or a chart cannot be written.
     pub fn write(&self, folder: &Path) -> Result<(), ExperimentError> {
         fs::create_dir_all(folder).map_err(|source| ExperimentError::Write {
             path: folder.to_path_buf(),
--- a/crates/experiments/src/report/mod.rs
+++ b/crates/experiments/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! Reports: text tables, JSON and SVG plots.
+//! Reports of experiments as text tables, JSON and SVG charts.
 
 pub mod chart;
 pub mod document;
--- a/crates/experiments/src/report/table.rs
+++ b/crates/experiments/src/report/table.rs
@@ -1,22 +1,22 @@
-//! A table of a report.
+//! Tables of a report and the formatting of their cells.
 
 use std::fmt::Write;
 
 use serde::Serialize;
 
-/// A titled table of texts; the first column names the row.
+/// A titled table of formatted cells. The first column names the row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Table {
-    /// What the table shows.
+    /// Title above the table.
     pub title: String,
     /// Names of the columns, with units.
     pub columns: Vec<String>,
-    /// Rows of cells.
+    /// Cells of each row, in the order of the columns.
     pub rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// An empty table.
+    /// Creates a table without rows.
     #[must_use]
     pub fn new(title: &str, columns: &[&str]) -> Self {
         Self {
@@ -31,7 +31,7 @@
         self.rows.push(row);
     }
 
-    /// The table as aligned text.
+    /// Formats the table as text with aligned columns.
     #[must_use]
     pub fn to_text(&self) -> String {
         let widths: Vec<usize> = (0..self.columns.len())
@@ -66,13 +66,13 @@
     text
 }
 
-/// A number with so many decimals.
+/// Formats a number with the given number of decimals.
 #[must_use]
 pub fn number(value: f64, decimals: usize) -> String {
     format!("{value:.decimals$}")
 }
 
-/// A share as percent.
+/// Formats a share between 0 and 1 as a percentage.
 #[must_use]
 pub fn percent(share: f64) -> String {
     format!("{:.2}%", share * 100.0)
--- a/crates/experiments/src/suite/affinity.rs
+++ b/crates/experiments/src/suite/affinity.rs
@@ -1,4 +1,5 @@
-//! Experiment `affinity`: prefix caches under session and prefix affinity, skew, and a lost backend.
+//! Experiment `affinity`: use of prefix caches under session and prefix affinity, with skewed traffic and a backend
+//! failure.
 
 use millford_backend_model::{BackendOptions, ModelProfile};
 use millford_core::{Duration, MonotonicTime};
@@ -19,7 +20,7 @@
     Policy::Millford,
 ];
 const HOSTS: usize = 12;
-/// Prefix cache of a backend, in blocks: a fraction of what all prompts together hold.
+/// Capacity of a backend's prefix cache, in blocks; a fraction of the blocks of all prompts.
 const CACHE_BLOCKS: usize = 1200;
 const LOST_AT: MonotonicTime = MonotonicTime::from_millis(40_000);
 const BACK_AT: MonotonicTime = MonotonicTime::from_millis(60_000);
@@ -30,7 +31,7 @@
     let mut report = Report::new("affinity", seeds);
     report.note("12 backends, one heavy model, prefix cache of 1,200 blocks each; backend 0 is lost from 40 s to 60 s.");
     report.note(
-        "One attempt more is allowed when a backend is lost, from the retry budget, in every row.",
+        "In every row, a request may be retried once from the retry budget when its backend is lost.",
     );
     for (title, load) in [
         (
@@ -100,7 +101,7 @@
     let hosts = (0..HOSTS).map(|_| small_cache_host()).collect();
     FleetOptions {
         retries: RetryRules {
-            most_attempts: 2,
+            max_attempts: 2,
             ejects: true,
             ..RetryRules::none()
         },
@@ -111,7 +112,7 @@
             },
             Fault {
                 at: BACK_AT,
-                kind: FaultKind::Revive { host: 0 },
+                kind: FaultKind::Restart { host: 0 },
             },
         ],
         warm_up: Duration::from_secs(20),
@@ -152,7 +153,7 @@
             percent(summary.pooled.timeout_rate()),
             summary.pooled.truncated.to_string(),
             percent(summary.tail_utilization),
-            percent(summary.pooled.second_send_share()),
+            percent(summary.pooled.retry_share()),
         ]);
     }
     table
--- a/crates/experiments/src/suite/balance.rs
+++ b/crates/experiments/src/suite/balance.rs
@@ -1,4 +1,4 @@
-//! Experiment `balance`: choice of the backend against what it replaces.
+//! Experiment `balance`: the project's choice of backends compared with other load balancing policies.
 
 use crate::fleet::{FleetOptions, HostOptions, ModelLoad, Policy, Workload};
 use crate::report::{Chart, Report, Series, Table, number, percent};
@@ -9,7 +9,7 @@
 };
 use crate::suite::summary::Summary;
 
-/// Policies side by side.
+/// Compared policies, in the order of the tables.
 const POLICIES: [Policy; 7] = [
     Policy::RoundRobin,
     Policy::HostTotal,
@@ -19,16 +19,17 @@
     Policy::Millford,
     Policy::Oracle,
 ];
-/// The baseline that the source's figures are against.
+/// Baseline of the comparison; the published figures of the source are relative to it.
 const BASELINE: Policy = Policy::HostTotal;
-/// Loads of the sweep, as factors on the base rates.
+/// Load factors of the sweep, relative to the base rates.
 const FACTORS: [f64; 6] = [0.5, 0.6, 0.7, 0.8, 0.9, 1.0];
-/// The load at which policies are compared.
+/// Load factor at which the policies are compared in detail.
 const COMPARED_FACTOR: f64 = 0.9;
-/// Base rates, in requests per second.
+/// Base rate of the heavy model, in requests per second.
 const HEAVY_RATE: f64 = 75.0;
+/// Base rate of the light model, in requests per second.
 const LIGHT_RATE: f64 = 200.0;
-/// Requests per second of the heaviest of the six models.
+/// Base rate of the heaviest of the six models, in requests per second.
 const SIX_MODELS_HEAVY_RATE: f64 = 21.0;
 
 /// Runs the experiment.
@@ -47,7 +48,7 @@
     report
 }
 
-/// A site under comparison.
+/// Backends and loads under which the policies are compared.
 struct Site {
     name: &'static str,
     chart: &'static str,
@@ -79,7 +80,7 @@
     }
 }
 
-/// Summaries by policy and load factor.
+/// Summaries of one site by policy and load factor.
 struct Sweep {
     site: &'static str,
     chart: &'static str,
@@ -107,8 +108,8 @@
             .find(|row| (row.factor - factor).abs() < 1e-9)
     }
 
-    /// Completed requests a second at which the p99 of the first token meets the target, between two loads
-    /// by linear interpolation.
+    /// Returns the highest request rate at which the 99th percentile of the time to the first token meets the target,
+    /// interpolated linearly between two load factors; 0 when the lowest load misses it.
     fn throughput_at_target(&self, policy: Policy) -> f64 {
         let rows = self.of(policy);
         let mut best = 0.0;
@@ -229,7 +230,7 @@
         &["figure", "source", "no affinity", "millford"],
     );
     let at = |policy| sweep.at(policy, COMPARED_FACTOR);
-    let (Some(base), Some(plain), Some(ours)) = (
+    let (Some(base), Some(without_affinity), Some(with_affinity)) = (
         at(BASELINE),
         at(Policy::MillfordWithoutAffinity),
         at(Policy::Millford),
@@ -240,8 +241,8 @@
         table.add(vec![
             name.to_owned(),
             source.to_owned(),
-            change(figure(plain), figure(base)),
-            change(figure(ours), figure(base)),
+            change(figure(without_affinity), figure(base)),
+            change(figure(with_affinity), figure(base)),
         ]);
     };
     add("timeout rate", "-67%", &|row| {
@@ -257,7 +258,7 @@
     table
 }
 
-/// Relative change in percent, with its sign.
+/// Formats the relative change in percent with its sign; "n/a" without a positive base.
 fn change(value: f64, base: f64) -> String {
     if base <= 0.0 {
         return "n/a".to_owned();
--- a/crates/experiments/src/suite/bandwidth.rs
+++ b/crates/experiments/src/suite/bandwidth.rs
@@ -16,8 +16,9 @@
 const COMPARED_FACTOR: f64 = 1.0;
 const HEAVY_RATE: f64 = 28.0;
 const WIDE_RATE: f64 = 20.0;
-/// Bandwidth use of a stream of each model as an operator may know it, in GB/s.
+/// Bandwidth of one stream of the wide model as an operator would declare it, in GB/s.
 const WIDE_STREAM_GBPS: f64 = 7.0;
+/// Bandwidth of one stream of the heavy model as an operator would declare it, in GB/s.
 const HEAVY_STREAM_GBPS: f64 = 8.0;
 
 struct Variant {
@@ -89,14 +90,14 @@
         let mut options = PlacerOptions {
             bandwidth_dimension,
             size_by_load,
-            // An experiment is short: surplus replicas go sooner than by default.
+            // The experiment is short, so surplus replicas are removed sooner than by default.
             scale_down_delay: Duration::from_secs(4),
             ..PlacerOptions::default()
         };
         if declared {
-            let known = &mut options.declared_stream_gbps;
-            known.insert("wide".to_owned(), WIDE_STREAM_GBPS);
-            known.insert("heavy".to_owned(), HEAVY_STREAM_GBPS);
+            let declared_gbps = &mut options.declared_stream_gbps;
+            declared_gbps.insert("wide".to_owned(), WIDE_STREAM_GBPS);
+            declared_gbps.insert("heavy".to_owned(), HEAVY_STREAM_GBPS);
         }
         Some(options)
     };
@@ -145,7 +146,7 @@
     }
 }
 
-/// Every backend holds the heavy model, every other one the wide model too.
+/// Returns a backend that declares the heavy model and, for even indexes, also the wide one.
 fn mixed_host(index: usize) -> HostOptions {
     let heavy = ("heavy", ModelProfile::heavy());
     let wide = ("wide", wide_profile());
@@ -156,7 +157,7 @@
     }
 }
 
-/// Little processor time, much memory traffic.
+/// Returns a profile with little processor time and much memory traffic.
 fn wide_profile() -> ModelProfile {
     ModelProfile {
         prefill_core_micros_per_token: 120.0,
@@ -187,12 +188,12 @@
     vec![
         name.to_owned(),
         percent(summary.over_bandwidth_limit),
-        percent(summary.pooled.most_bandwidth),
+        percent(summary.pooled.max_bandwidth_utilization),
         number(summary.pooled.inter_token_ms(0.5), 1),
         number(summary.pooled.inter_token_ms(0.99), 1),
         number(summary.pooled.first_token_ms(0.99), 0),
         percent(summary.pooled.timeout_rate()),
         percent(summary.tail_utilization),
-        summary.pooled.moves.to_string(),
+        summary.pooled.placement_changes.to_string(),
     ]
 }
--- a/crates/experiments/src/suite/load_age.rs
+++ b/crates/experiments/src/suite/load_age.rs
@@ -1,33 +1,33 @@
-//! Experiment `load-age`: what the age of shared counts costs, at three sizes of fleet.
+//! Experiment `load-age`: effect of the age of shared load counts on the choice of backends, at three fleet sizes.
 
 use millford_core::Duration;
 
 use crate::load_age::{LoadAgeOptions, LoadAgeOutcome, Sharing, simulate};
 use crate::report::{Report, Table, number, percent};
 
-/// Nodes and backends of the fleets, in the proportion of the deployments that are known.
+/// Numbers of nodes and backends of each fleet, in the proportions of known deployments.
 pub const FLEETS: [(usize, usize); 3] = [(10, 8), (86, 60), (300, 250)];
 
-/// Share of the backends' time in use.
+/// Mean utilization of the backends.
 pub const UTILIZATION: f64 = 0.7;
 
-/// What each peer added to the period while everything was told to everybody.
-const PERIOD_FOR_EACH_PEER: Duration = Duration::from_millis(8);
-/// The shortest such period.
+/// Increase of the broadcast period per node, as in the broadcast protocol that preceded the queries to owners.
+const PERIOD_PER_NODE: Duration = Duration::from_millis(8);
+/// Shortest broadcast period.
 const SHORTEST_PERIOD: Duration = Duration::from_millis(100);
-/// A question and its answer across zones, both nodes' work included.
+/// Time of a query and its reply across zones, including processing on both nodes.
 const ROUND_TRIP: Duration = Duration::from_millis(3);
 /// Simulated time.
 const LENGTH: Duration = Duration::from_secs(40);
 
-/// The period of everything to everybody at this many nodes.
+/// Returns the broadcast period of a fleet with this many nodes.
 #[must_use]
 pub fn period(nodes: usize) -> Duration {
     let peers = u32::try_from(nodes).unwrap_or(u32::MAX);
-    SHORTEST_PERIOD.max(PERIOD_FOR_EACH_PEER * peers)
+    SHORTEST_PERIOD.max(PERIOD_PER_NODE * peers)
 }
 
-/// One fleet.
+/// Returns the options of a fleet with these numbers of nodes and backends.
 #[must_use]
 pub fn fleet(seed: u64, (nodes, backends): (usize, usize), sharing: Sharing) -> LoadAgeOptions {
     LoadAgeOptions {
@@ -40,7 +40,7 @@
     }
 }
 
-/// The owners' way, with this many backends asked about.
+/// Returns sharing through owners in which `drawn` backends are queried for each request.
 #[must_use]
 pub fn owners(drawn: usize) -> Sharing {
     Sharing::Owners {
@@ -54,13 +54,13 @@
 pub fn run(seeds: u64) -> Report {
     let mut report = Report::new("load-age", seeds);
     report.note("Backends 70% busy read prompts of 150 ms (three in eight) and 20 ms in order.");
-    report.note("Late: first token after 800 ms. Regret: work ahead beyond the idlest backend's.");
+    report.note("Late: first token after 800 ms. Regret: work on the chosen backend beyond that on the least loaded one.");
     for size in FLEETS {
         let (nodes, backends) = size;
         let title = format!("{nodes} nodes, {backends} backends");
         let columns = ["counts", "late", "p50 ms", "p99 ms", "mean regret ms"];
         let mut table = Table::new(&title, &columns);
-        for (name, sharing) in ways(nodes) {
+        for (name, sharing) in sharing_modes(nodes) {
             let outcomes = (1..=seeds).map(|seed| simulate(&fleet(seed, size, sharing)));
             table.add(row(&name, &pooled(outcomes)));
         }
@@ -69,9 +69,9 @@
     report
 }
 
-fn ways(nodes: usize) -> Vec<(String, Sharing)> {
+fn sharing_modes(nodes: usize) -> Vec<(String, Sharing)> {
     let period = period(nodes);
-    let mut ways = vec![
+    let mut sharing_modes = vec![
         ("none, drawn at random".to_owned(), Sharing::Nothing),
         (
             format!("told to everybody, each {} ms", period.as_millis()),
@@ -82,10 +82,11 @@
             Sharing::Broadcast { period: period / 4 },
         ),
     ];
-    let asked = [2, 4, 8].map(|drawn| (format!("owners, {drawn} asked about"), owners(drawn)));
-    ways.extend(asked);
-    ways.push(("true ones of all backends".to_owned(), Sharing::Omniscient));
-    ways
+    let owner_modes =
+        [2, 4, 8].map(|drawn| (format!("owners, {drawn} asked about"), owners(drawn)));
+    sharing_modes.extend(owner_modes);
+    sharing_modes.push(("true ones of all backends".to_owned(), Sharing::Omniscient));
+    sharing_modes
 }
 
 fn pooled(outcomes: impl Iterator<Item = LoadAgeOutcome>) -> LoadAgeOutcome {
--- a/crates/experiments/src/suite/mod.rs
+++ b/crates/experiments/src/suite/mod.rs
@@ -1,4 +1,4 @@
-//! The experiments.
+//! The experiments of the command line, and the code that they share.
 
 pub mod affinity;
 pub mod balance;
--- a/crates/experiments/src/suite/parallel.rs
+++ b/crates/experiments/src/suite/parallel.rs
@@ -1,4 +1,4 @@
-//! Runs of an experiment on a few threads; the order of the results is that of the runs.
+//! Parallel execution of the runs of an experiment.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -6,10 +6,10 @@
 
 use crate::fleet::{FleetMetrics, FleetOptions, simulate};
 
-/// Threads used, fewer than a machine that others share may have.
+/// Number of threads; kept small because the machine may be shared with other work.
 const THREADS: usize = 4;
 
-/// Simulates every fleet.
+/// Simulates every fleet and returns the metrics in the order of the fleets.
 #[must_use]
 pub fn simulate_all(fleets: &[FleetOptions]) -> Vec<FleetMetrics> {
     let next = AtomicUsize::new(0);
--- a/crates/experiments/src/suite/quota_age.rs
+++ b/crates/experiments/src/suite/quota_age.rs
@@ -1,55 +1,59 @@
-//! Experiment `quota-age`: how exactly a quota is enforced, and what that costs, at four sizes of fleet.
+//! Experiment `quota-age`: accuracy of quota enforcement and its cost in datagrams, at four fleet sizes.
 
 use crate::quota_age::fleet_quota::allowed;
 use crate::quota_age::owner_fleet::REPORT_INTERVAL_STEPS;
 use crate::quota_age::{Admissions, OwnerFleet, PeerFleet};
 use crate::report::{Report, Table, number, percent};
 
-/// Nodes and zones of the fleets, in the proportion of the deployments that are known.
+/// Numbers of nodes and zones of each fleet, in the proportions of known deployments.
 pub const FLEETS: [(usize, usize); 4] = [(10, 2), (86, 3), (300, 7), (1000, 7)];
 
-/// Simulated time of each part, in seconds.
+/// Simulated time of each run, in seconds.
 const SECONDS: u64 = 12;
 /// Request rate of a hot tenant, as a multiple of its quota.
 const HOT: f64 = 6.0;
-/// Request rate of a tenant under its quota, as a multiple of it.
+/// Request rate of a tenant that stays under its quota, as a multiple of the quota.
 const UNDER: f64 = 0.9;
-/// Peers that receive a report when reports rotate over the peers.
+/// Number of peers that a node reports to in one interval when reports rotate over the peers.
 const ROTATING_FANOUT: usize = 24;
-/// Largest fleet that is simulated with broadcast reports: their datagrams grow with the square of the nodes.
+/// Largest fleet that is simulated with broadcast reports, whose number grows with the square of the nodes.
 const MAX_BROADCAST_NODES: usize = 300;
 
-/// How nodes learn what others admitted.
+/// Way in which nodes share their usage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UsageSharing {
     /// Every node reports to all others every 100 ms.
     Broadcast,
     /// Every node reports to the next 24 peers every 100 ms.
     RotatingPeers,
-    /// Nodes request tokens from owners in their zone; owners report their usage to each other.
+    /// Nodes request tokens from the owners in their zone; owners report their usage to each other.
     Owners {
-        /// Shortest time between two usage reports of an owner, in steps.
+        /// Interval of the owners' usage reports, in steps.
         report_interval_steps: usize,
     },
 }
 
-/// Sharing through owners, with the product's report interval.
+/// Sharing through owners with the default report interval.
 pub const OWNERS: UsageSharing = UsageSharing::Owners {
     report_interval_steps: REPORT_INTERVAL_STEPS,
 };
 
-/// What came of a hot tenant, and of one under its quota.
+/// Results for a tenant over its quota and for one under it.
 #[derive(Clone, Debug)]
 pub struct QuotaAgeOutcome {
-    /// A hot tenant's admissions.
+    /// Admissions of a tenant that requests six times its quota.
     pub hot: Admissions,
     /// Admissions of a tenant at 90% of its quota.
     pub under: Admissions,
 }
 
-/// Simulates one fleet.
+/// Simulates a fleet with a hot tenant, and again with a tenant under its quota.
 #[must_use]
-pub fn play(seed: u64, (nodes, zones): (usize, usize), sharing: UsageSharing) -> QuotaAgeOutcome {
+pub fn simulate_fleet(
+    seed: u64,
+    (nodes, zones): (usize, usize),
+    sharing: UsageSharing,
+) -> QuotaAgeOutcome {
     QuotaAgeOutcome {
         hot: admissions(seed, nodes, zones, sharing, HOT),
         under: admissions(seed, nodes, zones, sharing, UNDER),
@@ -69,14 +73,14 @@
         } => {
             let mut fleet = OwnerFleet::new(zones, nodes / zones, seed);
             fleet.report_interval_steps = report_interval_steps;
-            fleet.press(SECONDS, times);
+            fleet.send_requests(SECONDS, times);
             return fleet.admissions;
         }
         UsageSharing::Broadcast => nodes,
         UsageSharing::RotatingPeers => ROTATING_FANOUT,
     };
     let mut fleet = PeerFleet::new(nodes, fanout, seed);
-    fleet.press(SECONDS, times);
+    fleet.send_requests(SECONDS, times);
     fleet.admissions
 }
 
@@ -85,16 +89,17 @@
 pub fn run(seeds: u64) -> Report {
     let mut report = Report::new("quota-age", seeds);
     report.note(
-        "One tenant. Hot: six times its rate at all nodes; most tokens in 8 s, of those allowed.",
+        "One tenant. Hot: it requests six times its rate; most tokens admitted in 8 s, as a share of those allowed.",
     );
-    report.note("Under: nine tenths of its rate; requests refused. Datagrams for both tenants, a node and second.");
+    report.note("Under: it requests nine tenths of its rate; share of requests refused. Datagrams: per node and second, hot and under together.");
     for size in FLEETS {
         let title = format!("{} nodes, {} zones", size.0, size.1);
         let columns = ["counts", "hot: most in 8 s", "under: refused", "datagrams"];
         let mut table = Table::new(&title, &columns);
         for (name, sharing) in sharings(size.0) {
-            let outcomes: Vec<QuotaAgeOutcome> =
-                (1..=seeds).map(|seed| play(seed, size, sharing)).collect();
+            let outcomes: Vec<QuotaAgeOutcome> = (1..=seeds)
+                .map(|seed| simulate_fleet(seed, size, sharing))
+                .collect();
             table.add(row(name, size.0, &outcomes));
         }
         report.tables.push(table);
@@ -124,7 +129,7 @@
 fn row(name: &str, nodes: usize, outcomes: &[QuotaAgeOutcome]) -> Vec<String> {
     let shares = outcomes
         .iter()
-        .map(|outcome| outcome.hot.most_in_window() as f64 / allowed() as f64);
+        .map(|outcome| outcome.hot.max_tokens_in_window() as f64 / allowed() as f64);
     let most = shares.fold(0.0, f64::max);
     let refused = outcomes.iter().map(|outcome| outcome.under.refused_share());
     let refused = refused.fold(0.0, f64::max);
--- a/crates/experiments/src/suite/retry_storm.rs
+++ b/crates/experiments/src/suite/retry_storm.rs
@@ -1,4 +1,4 @@
-//! Experiment `retry-storm`: a third of the backends is slow or dead for twenty seconds.
+//! Experiment `retry-storm`: a third of the backends is slow or down for twenty seconds.
 
 use millford_backend_model::ModelProfile;
 use millford_core::{Duration, MonotonicTime};
@@ -10,19 +10,19 @@
 use crate::suite::summary::Summary;
 
 const HOSTS: usize = 12;
-const DEAD: [usize; 2] = [0, 1];
-const SLOW: [usize; 2] = [2, 3];
+const DOWN_HOSTS: [usize; 2] = [0, 1];
+const SLOW_HOSTS: [usize; 2] = [2, 3];
 const SLOW_SPEED: f64 = 0.1;
 const FAULT_FROM_S: u64 = 30;
 const FAULT_TO_S: u64 = 50;
-/// About 60% of what all backends can carry, and nearly all of what the healthy ones can.
+/// Requests per second: about 60% of the capacity of all backends and nearly all of that of the healthy ones.
 const RATE: f64 = 34.0;
-/// Share of good answers that counts as recovered, held for [`RECOVERED_SECONDS`].
+/// Share of requests answered in time that counts as recovered once it holds for [`RECOVERED_SECONDS`].
 const RECOVERED_SHARE: f64 = 0.95;
 const RECOVERED_SECONDS: usize = 3;
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A way to fail over.
+/// A policy combined with rules for retries.
 struct Variant {
     name: &'static str,
     policy: Policy,
@@ -80,9 +80,9 @@
 }
 
 fn variants() -> Vec<Variant> {
-    let plain = |most_attempts, budgeted, ejects| RetryRules {
+    let plain = |max_attempts, budgeted, ejects| RetryRules {
         attempt_timeout: Some(ATTEMPT_TIMEOUT),
-        most_attempts,
+        max_attempts,
         budgeted,
         ejects,
     };
@@ -135,17 +135,17 @@
     let from = MonotonicTime::from_millis(FAULT_FROM_S * 1000);
     let to = MonotonicTime::from_millis(FAULT_TO_S * 1000);
     let mut faults = Vec::new();
-    for host in DEAD {
+    for host in DOWN_HOSTS {
         faults.push(Fault {
             at: from,
             kind: FaultKind::Kill { host },
         });
         faults.push(Fault {
             at: to,
-            kind: FaultKind::Revive { host },
+            kind: FaultKind::Restart { host },
         });
     }
-    for host in SLOW {
+    for host in SLOW_HOSTS {
         faults.push(Fault {
             at: from,
             kind: FaultKind::Slow {
@@ -171,7 +171,7 @@
         goodput(15, FAULT_FROM_S),
         goodput(FAULT_FROM_S, FAULT_TO_S),
         goodput(FAULT_TO_S, 100),
-        percent(summary.pooled.second_send_share()),
+        percent(summary.pooled.retry_share()),
         worst_recovery(runs),
         summary.pooled.truncated.to_string(),
     ]
@@ -198,7 +198,7 @@
     }
 }
 
-/// Seconds from the end of the fault to recovery; nothing if it never recovers.
+/// Returns the seconds from the end of the fault to recovery; `None` if the fleet does not recover during the run.
 fn recovery_seconds(metrics: &FleetMetrics) -> Option<usize> {
     let shares = good_share_by_second(metrics);
     let after = shares.get(FAULT_TO_S as usize..)?;
--- a/crates/experiments/src/suite/site.rs
+++ b/crates/experiments/src/suite/site.rs
@@ -1,4 +1,4 @@
-//! Sites that several experiments share.
+//! Backends, loads and options that several experiments share.
 
 use millford_api::config::Pool;
 use millford_backend_model::{BackendOptions, ModelProfile};
@@ -9,14 +9,14 @@
     FleetMetrics, FleetOptions, HostOptions, ModelLoad, Policy, RetryRules, Workload,
 };
 
-/// Proxies of a site.
+/// Number of proxies.
 pub const PROXIES: usize = 8;
-/// Time to the first token that callers wait for.
+/// Time that callers wait for the first token.
 pub const FIRST_TOKEN_LIMIT: Duration = Duration::from_secs(3);
-/// First-token target of the planned fleet, for 95 in 100, in milliseconds.
+/// Planned target for the 95th percentile of the time to the first token, in milliseconds.
 pub const FIRST_TOKEN_TARGET_MS: f64 = 1300.0;
 
-/// The heavy model with long prompts under a shared prefix.
+/// Returns a load of `rate` requests per second for the heavy model, with long prompts that share prefixes.
 #[must_use]
 pub fn heavy_load(rate: f64) -> ModelLoad {
     ModelLoad {
@@ -32,7 +32,7 @@
     }
 }
 
-/// The light model with short questions.
+/// Returns a load of `rate` requests per second for the light model, with short prompts and answers.
 #[must_use]
 pub fn light_load(rate: f64) -> ModelLoad {
     ModelLoad {
@@ -48,7 +48,7 @@
     }
 }
 
-/// A backend that declares models in one version.
+/// Returns a backend that declares these models, each in one version.
 #[must_use]
 pub fn host(models: &[(&'static str, ModelProfile)]) -> HostOptions {
     HostOptions {
@@ -64,7 +64,7 @@
     }
 }
 
-/// Eight backends with the heavy model, eight with the light one, eight with both.
+/// Returns 24 backends: eight with the heavy model, eight with the light one and eight with both.
 #[must_use]
 pub fn mixed_hosts() -> Vec<HostOptions> {
     let heavy = ("heavy", ModelProfile::heavy());
@@ -73,12 +73,12 @@
     (0..24).map(|index| host(kinds[index % 3])).collect()
 }
 
-/// Names of six models from the heaviest to the lightest.
+/// Names of the six models, from the heaviest to the lightest.
 const SIX_MODELS: [&str; 6] = ["m0", "m1", "m2", "m3", "m4", "m5"];
-/// Cost of each of the six models against the one before it: ten times between first and last.
+/// Cost of each of the six models relative to the one before it. The first costs ten times as much as the last.
 const COST_STEP: f64 = 0.631;
 
-/// Backends that each hold three of six models.
+/// Returns 24 backends that each declare three of the six models.
 #[must_use]
 pub fn six_model_hosts() -> Vec<HostOptions> {
     let profile = |model: usize| {
@@ -102,7 +102,8 @@
         .collect()
 }
 
-/// Requests of the six models, each with the same work in all.
+/// Returns loads for the six models whose rates give each model the same total work. `heaviest_rate` is the rate of
+/// the heaviest, in requests per second.
 #[must_use]
 pub fn six_model_loads(heaviest_rate: f64) -> Vec<ModelLoad> {
     SIX_MODELS
@@ -116,7 +117,7 @@
         .collect()
 }
 
-/// A fleet without placement, retries and faults.
+/// Returns options of a fleet without placement, retries and faults.
 #[must_use]
 pub fn plain_fleet(
     seed: u64,
@@ -144,7 +145,7 @@
     }
 }
 
-/// Share of the requests of each second that got their first token in time.
+/// Returns pairs of a second and the share of the requests arriving in it that got their first token in time.
 #[must_use]
 pub fn good_share_by_second(metrics: &FleetMetrics) -> Vec<(f64, f64)> {
     metrics
--- a/crates/experiments/src/suite/summary.rs
+++ b/crates/experiments/src/suite/summary.rs
@@ -1,29 +1,33 @@
-//! Runs of one setting over several seeds, taken together.
+//! Summary of the runs of one setting with several seeds.
 
 use crate::fleet::FleetMetrics;
 
-/// Mean or pooled figures of several runs.
+/// Pooled and mean figures of several runs.
 #[derive(Clone, Debug)]
 pub struct Summary {
-    /// All runs pooled: counts and histograms are added.
+    /// Counts and histograms added up over all runs, and maxima over all runs. Other fields keep the value of a new
+    /// [`FleetMetrics`].
     pub pooled: FleetMetrics,
     /// Mean over the runs of the mean utilization.
     pub mean_utilization: f64,
     /// Mean over the runs of the tail utilization.
     pub tail_utilization: f64,
-    /// Mean over the runs of the share of samples above 65% bandwidth demand.
+    /// Mean over the runs of the share of samples in which a backend's bandwidth demand exceeds 65%.
     pub over_bandwidth_limit: f64,
-    /// Runs taken together.
+    /// Number of runs.
     pub runs: usize,
 }
 
 impl Summary {
-    /// Takes runs together; there must be at least one.
+    /// Summarizes runs.
+    ///
+    /// # Panics
+    /// Panics when there are no runs.
     #[must_use]
     pub fn of(runs: &[FleetMetrics]) -> Self {
         let count = runs.len().max(1) as f64;
         let mean = |value: fn(&FleetMetrics) -> f64| runs.iter().map(value).sum::<f64>() / count;
-        let mut pooled = FleetMetrics::new(runs[0].counts_from);
+        let mut pooled = FleetMetrics::new(runs[0].warm_up_end);
         for run in runs {
             pool(&mut pooled, run);
         }
@@ -43,16 +47,20 @@
     pooled.timed_out += run.timed_out;
     pooled.failed += run.failed;
     pooled.truncated += run.truncated;
-    pooled.first_sends += run.first_sends;
-    pooled.second_sends += run.second_sends;
+    pooled.first_attempts += run.first_attempts;
+    pooled.retries += run.retries;
     pooled.prompt_tokens += run.prompt_tokens;
     pooled.cached_tokens += run.cached_tokens;
-    pooled.moves += run.moves;
+    pooled.placement_changes += run.placement_changes;
     pooled.forced_steps += run.forced_steps;
     pooled.longest_drain = pooled.longest_drain.max(run.longest_drain);
-    pooled.longest_late_send = pooled.longest_late_send.max(run.longest_late_send);
-    pooled.most_bandwidth = pooled.most_bandwidth.max(run.most_bandwidth);
-    // Both histograms have the same bounds, so that adding cannot fail.
+    pooled.longest_send_after_retirement = pooled
+        .longest_send_after_retirement
+        .max(run.longest_send_after_retirement);
+    pooled.max_bandwidth_utilization = pooled
+        .max_bandwidth_utilization
+        .max(run.max_bandwidth_utilization);
+    // All histograms have the same bounds, so adding cannot fail.
     let _ = pooled.first_token.add(&run.first_token);
     let _ = pooled.inter_token.add(&run.inter_token);
     add_seconds(&mut pooled.good_by_second, &run.good_by_second);
--- a/crates/experiments/src/suite/transition.rs
+++ b/crates/experiments/src/suite/transition.rs
@@ -1,4 +1,4 @@
-//! Experiment `transition`: a new model version at peak load, with retirements by the platform.
+//! Experiment `transition`: rollout of a new model version at peak load, while the platform retires backends.
 
 use millford_api::config::Pool;
 use millford_backend_model::ModelProfile;
@@ -19,13 +19,13 @@
 const RATE: f64 = 41.0;
 const ORDERED_AT: MonotonicTime = MonotonicTime::from_millis(70_000);
 const PEAK_ENDS_AT: MonotonicTime = MonotonicTime::from_millis(200_000);
-/// Rate after the peak, as a factor.
-const CALM_FACTOR: f64 = 0.5;
+/// Factor on the request rate after the peak.
+const OFF_PEAK_FACTOR: f64 = 0.5;
 const RETIREMENTS: [(usize, u64); 2] = [(10, 60_000), (11, 90_000)];
 const DRAIN_MS: u32 = 30_000;
-/// Loading a replica takes fifteen seconds of sixteen cores.
+/// Processor time to load a replica, in core seconds: 15 seconds on 16 cores.
 const LOAD_CORE_SECONDS: f64 = 240.0;
-/// Length of the window whose worst case is reported.
+/// Length of the window over which the worst share of requests answered in time is reported, in seconds.
 const WINDOW_SECONDS: usize = 5;
 const WARM_UP_SECONDS: usize = 15;
 const LENGTH: Duration = Duration::from_secs(330);
@@ -119,7 +119,7 @@
         loads: vec![heavy_load(RATE)],
         changes: vec![RateChange {
             at: PEAK_ENDS_AT,
-            factor: CALM_FACTOR,
+            factor: OFF_PEAK_FACTOR,
         }],
     };
     let hosts = (0..HOSTS).map(|_| two_version_host()).collect();
@@ -152,7 +152,7 @@
             load_core_seconds: LOAD_CORE_SECONDS,
         }),
         retries: RetryRules {
-            most_attempts: 2,
+            max_attempts: 2,
             ejects: true,
             ..RetryRules::none()
         },
@@ -195,11 +195,15 @@
         since_order(|run| run.transition_end),
         summary.pooled.forced_steps.to_string(),
         number(summary.pooled.longest_drain.as_secs_f64(), 1),
-        number(summary.pooled.longest_late_send.as_secs_f64(), 2),
+        number(
+            summary.pooled.longest_send_after_retirement.as_secs_f64(),
+            2,
+        ),
     ]
 }
 
-/// Smallest share of requests answered in time over [`WINDOW_SECONDS`] after the warm-up, all seeds together.
+/// Returns the smallest share of requests answered in time over any [`WINDOW_SECONDS`] after the warm-up, with all
+/// seeds pooled.
 fn worst_window(metrics: &FleetMetrics) -> f64 {
     let counted = LENGTH.as_secs() as usize;
     let seconds: Vec<usize> = (WARM_UP_SECONDS..counted).collect();
--- a/crates/experiments/tests/fleet.rs
+++ b/crates/experiments/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! The simulated fleet: same seed, same figures; nothing is lost or counted twice.
+//! Tests of the simulated fleet: equal seeds reproduce the figures, every request is counted exactly once, and
+//! reports and arguments are handled.
 
 use millford_backend_model::ModelProfile;
 use millford_core::{Duration, MonotonicTime};
@@ -25,7 +26,7 @@
     }
 }
 
-/// Everything that a report may show.
+/// Formats the figures that the reports are based on, to compare runs.
 fn figures(metrics: &FleetMetrics) -> String {
     format!(
         "{} {} {} {} {} {} {} {:.9} {:.9} {:?}",
@@ -33,7 +34,7 @@
         metrics.completed,
         metrics.timed_out,
         metrics.failed,
-        metrics.second_sends,
+        metrics.retries,
         metrics.cached_tokens,
         metrics.first_token_ms(0.99),
         metrics.mean_utilization,
@@ -70,24 +71,24 @@
     for rate in [10.0, 60.0] {
         let metrics = simulate(fleet(1, Policy::Millford, rate));
         let ended = metrics.completed + metrics.timed_out + metrics.failed + metrics.truncated;
-        // A stream that is still open at the end of the run-out may be missing.
+        // Streams that are still open when the simulation ends are not counted as ended.
         assert!(ended <= metrics.arrived);
         assert!(metrics.arrived - ended <= metrics.arrived / 100);
     }
 }
 
 #[test]
-fn an_overloaded_site_times_out_and_a_calm_one_does_not() {
+fn an_overloaded_site_times_out_and_a_lightly_loaded_one_does_not() {
     assert!(simulate(fleet(1, Policy::Millford, 80.0)).timeout_rate() > 0.1);
     assert!(simulate(fleet(1, Policy::Millford, 8.0)).timeout_rate() < 0.001);
 }
 
 #[test]
-fn second_sends_stay_within_the_budget_while_backends_die() {
+fn retries_stay_within_the_budget_while_backends_crash() {
     let mut options = fleet(2, Policy::Millford, 25.0);
     options.retries = RetryRules {
         attempt_timeout: Some(Duration::from_millis(500)),
-        most_attempts: 4,
+        max_attempts: 4,
         budgeted: true,
         ejects: true,
     };
@@ -98,12 +99,8 @@
         })
         .collect();
     let metrics = simulate(options);
-    assert!(metrics.second_sends > 0);
-    assert!(
-        metrics.second_send_share() <= 0.2,
-        "{}",
-        metrics.second_send_share()
-    );
+    assert!(metrics.retries > 0);
+    assert!(metrics.retry_share() <= 0.2, "{}", metrics.retry_share());
 }
 
 #[test]
@@ -119,7 +116,7 @@
     }];
     let drain = Duration::from_millis(u64::from(options.pool.drain_ms));
     let metrics = simulate(options);
-    assert!(metrics.longest_late_send <= Duration::from_secs(3));
+    assert!(metrics.longest_send_after_retirement <= Duration::from_secs(3));
     assert!(metrics.longest_drain <= drain + Duration::from_secs(1));
     assert!(metrics.longest_drain > Duration::ZERO);
 }
@@ -147,7 +144,7 @@
 }
 
 #[test]
-fn wrong_arguments_fail() {
+fn invalid_arguments_fail() {
     let run = |arguments: &[&str]| {
         let arguments: Vec<String> = arguments.iter().map(|word| (*word).to_owned()).collect();
         let code = millford_experiments::run(&arguments);
--- a/crates/experiments/tests/quota_age.rs
+++ b/crates/experiments/tests/quota_age.rs
@@ -1,4 +1,4 @@
-//! A tenant's quota over fleets whose counts are of some age, in simulated time.
+//! Tests of quota enforcement by simulated fleets whose usage counts are of a certain age.
 
 use millford_core::{Duration, MonotonicTime};
 use millford_experiments::quota_age::OwnerFleet;
@@ -6,11 +6,12 @@
     BURST, RATE, REQUEST, STEP_MS, allowed, quota, tenant,
 };
 use millford_experiments::quota_age::owner_fleet::REPORT_INTERVAL_STEPS;
-use millford_experiments::suite::quota_age::{FLEETS, OWNERS, UsageSharing, play};
+use millford_experiments::suite::quota_age::{FLEETS, OWNERS, UsageSharing, simulate_fleet};
 use millford_forward::quota::{PeerCount, TenantQuotas};
 use quickcheck::{QuickCheck, TestResult};
 
-/// Rate and burst that a node keeps beyond the tenant's, and what one window may exceed them by.
+/// Factor by which the tokens admitted in one window may exceed the quota: nodes keep a rate and burst somewhat
+/// above the tenant's.
 const HEADROOM: f64 = 1.15;
 const NODES_IN_ZONE: usize = 20;
 
@@ -18,16 +19,17 @@
     OwnerFleet::new(zones, NODES_IN_ZONE, 11)
 }
 
-fn bound(late: u64) -> u64 {
-    (allowed() as f64 * HEADROOM) as u64 + late
+fn bound(extra: u64) -> u64 {
+    (allowed() as f64 * HEADROOM) as u64 + extra
 }
 
-fn assert_bounded(fleet: &OwnerFleet, late: u64) {
-    let (most, bound) = (fleet.admissions.most_in_window(), bound(late));
+fn assert_bounded(fleet: &OwnerFleet, extra: u64) {
+    let (most, bound) = (fleet.admissions.max_tokens_in_window(), bound(extra));
     assert!(most <= bound, "{most} of {bound}");
 }
 
-/// What owners of this many zones may grant before they receive each other's reports.
+/// Returns the number of tokens that the owners of this many zones may grant before they receive each other's
+/// reports.
 fn unreported(zones: u64) -> u64 {
     let interval_ms = REPORT_INTERVAL_STEPS as u64 * STEP_MS;
     zones * (BURST / 32 + REQUEST) + RATE * interval_ms / 1000
@@ -37,7 +39,7 @@
 fn a_tenant_over_its_quota_gets_its_rate_over_all_zones() {
     for zones in [1, 3, 7] {
         let mut fleet = fleet(zones);
-        fleet.press(40, 6.0);
+        fleet.send_requests(40, 6.0);
         let total = fleet.admissions.total();
         let expected = RATE * 40 + BURST;
         assert!(
@@ -46,7 +48,7 @@
         );
         assert_bounded(&fleet, unreported(zones as u64));
         fleet.by_zone.clear();
-        fleet.press(30, 6.0);
+        fleet.send_requests(30, 6.0);
         let shares: Vec<u64> = fleet.by_zone.values().copied().collect();
         let (least, most) = (shares.iter().min().unwrap(), shares.iter().max().unwrap());
         assert!(*most < least * 3 / 2, "{shares:?}");
@@ -58,7 +60,7 @@
     for loss_percent in [0, 5, 20] {
         let mut fleet = fleet(3);
         fleet.loss_percent = loss_percent;
-        fleet.press(30, 0.8);
+        fleet.send_requests(30, 0.8);
         assert_eq!(fleet.admissions.refused, 0, "{loss_percent}% lost");
     }
 }
@@ -66,35 +68,35 @@
 #[test]
 fn a_partitioned_zone_does_not_double_the_quota() {
     let mut fleet = fleet(3);
-    fleet.press(10, 6.0);
+    fleet.send_requests(10, 6.0);
     fleet.partitioned_zone = Some(1);
-    fleet.press(4, 6.0);
+    fleet.send_requests(4, 6.0);
     fleet.partitioned_zone = None;
-    fleet.press(10, 6.0);
-    // Each side assumes that the other goes on as before; the assumption fades in seconds.
+    fleet.send_requests(10, 6.0);
+    // Each side assumes at first that the other keeps its previous usage; the assumption decays within seconds.
     assert_bounded(&fleet, RATE * 2);
 }
 
 #[test]
 fn a_tenant_is_served_immediately_after_a_long_partition() {
     let mut fleet = fleet(3);
-    fleet.press(5, 0.8);
+    fleet.send_requests(5, 0.8);
     fleet.partitioned_zone = Some(1);
-    fleet.press(30, 0.8);
+    fleet.send_requests(30, 0.8);
     fleet.partitioned_zone = None;
-    fleet.press(10, 0.8);
+    fleet.send_requests(10, 0.8);
     assert_eq!(fleet.admissions.refused, 0);
 }
 
 #[test]
-fn replacing_a_lost_owner_charges_nothing_twice() {
+fn replacing_a_lost_owner_does_not_charge_usage_twice() {
     for times in [0.8, 6.0] {
         let mut fleet = fleet(3);
-        fleet.press(10, times);
+        fleet.send_requests(10, times);
         fleet.owners[1][0].is_up = false;
-        fleet.press(10, times);
+        fleet.send_requests(10, times);
         fleet.replace(1, 0);
-        fleet.press(10, times);
+        fleet.send_requests(10, times);
         assert_bounded(&fleet, unreported(3) + BURST / 2);
         if times < 1.0 {
             assert_eq!(fleet.admissions.refused, 0);
@@ -105,15 +107,15 @@
 #[test]
 fn nodes_without_owners_admit_by_their_last_known_level() {
     let mut fleet = fleet(3);
-    fleet.press(10, 6.0);
+    fleet.send_requests(10, 6.0);
     fleet.owners[1]
         .iter_mut()
         .for_each(|owner| owner.is_up = false);
-    fleet.press(2, 6.0);
+    fleet.send_requests(2, 6.0);
     fleet.replace(1, 0);
     fleet.replace(1, 1);
-    fleet.press(10, 6.0);
-    // Each node alone keeps the rate that all had; the share of one zone may come on top.
+    fleet.send_requests(10, 6.0);
+    // Each node keeps to the rate that all nodes had together, so one zone's share may be admitted in addition.
     assert_bounded(&fleet, RATE * 4);
 }
 
@@ -121,10 +123,10 @@
 fn new_owners_recover_the_level_from_their_peers() {
     let mut fleet = fleet(3);
     for change in 0..8 {
-        fleet.press(3, 6.0);
+        fleet.send_requests(3, 6.0);
         fleet.replace(change % 3, change % 2);
     }
-    fleet.press(3, 6.0);
+    fleet.send_requests(3, 6.0);
     assert_bounded(&fleet, BURST + unreported(3));
 }
 
@@ -154,7 +156,8 @@
 
 #[test]
 fn any_losses_of_datagrams_leave_the_quota_bounded() {
-    /// `loss_percent`: of the datagrams, by second; at most half.
+    /// `loss_percent` is the share of datagrams lost in each second, taken modulo 51; `times` is the request rate in
+    /// each second, in tenths of the quota's rate, taken modulo 70.
     fn holds(seed: u64, loss_percent: Vec<u8>, times: Vec<u8>, zones: u8) -> TestResult {
         if loss_percent.is_empty() || times.is_empty() {
             return TestResult::discard();
@@ -163,9 +166,9 @@
         for second in 0..20 {
             fleet.loss_percent = u32::from(loss_percent[second % loss_percent.len()] % 51);
             let times = f64::from(times[second % times.len()] % 70) / 10.0;
-            fleet.press(1, times);
+            fleet.send_requests(1, times);
         }
-        TestResult::from_bool(fleet.admissions.most_in_window() <= bound(RATE * 3))
+        TestResult::from_bool(fleet.admissions.max_tokens_in_window() <= bound(RATE * 3))
     }
     QuickCheck::new()
         .tests(30)
@@ -174,9 +177,9 @@
 
 #[test]
 fn owners_enforce_the_quota_at_any_size_and_their_datagrams_do_not_grow() {
-    let outcomes = FLEETS.map(|size| play(1, size, OWNERS));
+    let outcomes = FLEETS.map(|size| simulate_fleet(1, size, OWNERS));
     for (outcome, (nodes, zones)) in outcomes.iter().zip(FLEETS) {
-        let most = outcome.hot.most_in_window();
+        let most = outcome.hot.max_tokens_in_window();
         assert!(most <= bound(unreported(zones as u64)), "{most} at {nodes}");
         assert_eq!(outcome.under.refused, 0, "{nodes}");
     }
@@ -186,44 +189,47 @@
 
 #[test]
 fn rotating_reports_let_a_hot_tenant_exceed_its_quota_in_a_large_fleet() {
-    let most = play(1, FLEETS[2], UsageSharing::RotatingPeers)
+    let most = simulate_fleet(1, FLEETS[2], UsageSharing::RotatingPeers)
         .hot
-        .most_in_window();
-    let owners = play(1, FLEETS[2], OWNERS).hot.most_in_window();
+        .max_tokens_in_window();
+    let owners = simulate_fleet(1, FLEETS[2], OWNERS)
+        .hot
+        .max_tokens_in_window();
     assert!(
         most > bound(unreported(7)) && most > owners,
         "{most}, {owners}"
     );
 }
 
-/// As the users judge a quota: what one window may hold.
-const JUDGED: f64 = 1.1;
+/// Largest share of the allowed tokens that may be admitted in one window for the quota to count as kept.
+const MAX_SHARE_IN_WINDOW: f64 = 1.1;
 
-/// A tenant that requests `before` times its rate when half of a large fleet loses power, so that some zones
-/// lose both of their owners until the feed names others, and for `after` times from then on.
-fn half_lost(seed: u64, before: f64, after: f64) -> OwnerFleet {
+/// Simulates a power failure of half of a large fleet. Some zones lose both owners until the feed names new ones
+/// after three seconds. The tenant requests `before` times its rate until the failure and `after` times from
+/// then on.
+fn fleet_after_losing_half(seed: u64, before: f64, after: f64) -> OwnerFleet {
     let mut fleet = OwnerFleet::new(7, 42, seed);
-    fleet.press(4, before);
+    fleet.send_requests(4, before);
     let lost = [(0, 0), (0, 1), (1, 0), (1, 1), (2, 0), (3, 1), (4, 0)];
     for (zone, place) in lost {
         fleet.owners[zone][place].is_up = false;
     }
-    fleet.press(3, after);
+    fleet.send_requests(3, after);
     for (zone, place) in lost {
         fleet.replace(zone, place);
     }
-    fleet.press(6, after);
+    fleet.send_requests(6, after);
     fleet
 }
 
 #[test]
-fn a_fleet_that_loses_half_of_its_owners_holds_the_quota() {
+fn a_fleet_that_loses_half_of_its_owners_keeps_the_quota() {
     for seed in 1..=10 {
         for before in [0.5, 0.9, 1.2, 6.0] {
-            let fleet = half_lost(seed, before, 6.0);
-            let most = fleet.admissions.most_in_window() as f64 / allowed() as f64;
+            let fleet = fleet_after_losing_half(seed, before, 6.0);
+            let most = fleet.admissions.max_tokens_in_window() as f64 / allowed() as f64;
             assert!(
-                most <= JUDGED,
+                most <= MAX_SHARE_IN_WINDOW,
                 "{most:.3} of what is allowed, seed {seed}, {before} before"
             );
         }
@@ -234,7 +240,9 @@
 fn a_tenant_under_its_quota_is_not_refused_when_half_of_the_owners_are_lost() {
     for seed in 1..=10 {
         for times in [0.3, 0.6, 0.8] {
-            let refused = half_lost(seed, times, times).admissions.refused;
+            let refused = fleet_after_losing_half(seed, times, times)
+                .admissions
+                .refused;
             assert_eq!(refused, 0, "seed {seed}, {times} times its rate");
         }
     }
--- a/crates/scale/src/exchange/exchange_figures.rs
+++ b/crates/scale/src/exchange/exchange_figures.rs
@@ -18,7 +18,7 @@
     /// Mean number of bytes that a proxy sends to other zones, including IP and UDP headers.
     #[serde(rename = "bytes_elsewhere")]
     pub bytes_to_other_zones: f64,
-    /// Share of the expected requests that were admitted in degraded mode, without an owner's reply; from 0 to 1.
+    /// Share of the expected requests that were decided in degraded mode, without an owner's reply; from 0 to 1.
     #[serde(rename = "alone_share")]
     pub degraded_share: f64,
 }
--- a/crates/scale/src/exchange/run.rs
+++ b/crates/scale/src/exchange/run.rs
@@ -90,7 +90,7 @@
 pub fn line(figures: &ExchangeFigures) -> String {
     format!(
         "{:4} proxies: {:6.1} datagrams/s sent, {:8.0} bytes/s, {:8.0} to other zones; busiest {:6.1} \
-         datagrams/s both ways; {:.2}% admitted without an owner's reply",
+         datagrams/s both ways; {:.2}% decided without an owner's reply",
         figures.nodes,
         figures.datagrams,
         figures.bytes,
--- a/crates/scale/src/hollow/hollow_node.rs
+++ b/crates/scale/src/hollow/hollow_node.rs
@@ -61,7 +61,7 @@
             report: report.clone(),
         };
         let agent = runtimes.agents.spawn(async move {
-            // The task holds the channel open: the driver would drop its proxy sender if the channel closed.
+            // The channel stays open for as long as the driver runs, so that the driver keeps its proxy sender.
             let _ = sender_updates.send(Some(sender)).await;
             Driver::new(components).run().await;
             drop(sender_updates);
