--- a/crates/experiments/src/fleet/event_queue.rs
+++ b/crates/experiments/src/fleet/event_queue.rs
@@ -22,7 +22,7 @@
 }
 
 impl EventQueue {
-    /// Adds an event at a time.
+    /// Schedules an event for the time `at`.
     pub fn add(&mut self, at: MonotonicTime, event: Event) {
         let number = self.next_number;
         self.next_number += 1;
--- a/crates/experiments/src/fleet/fleet_options.rs
+++ b/crates/experiments/src/fleet/fleet_options.rs
@@ -124,7 +124,7 @@
     pub first_token_limit: Duration,
     /// Faults, in any order.
     pub faults: Vec<Fault>,
-    /// Time from the start during which nothing is counted in the metrics.
+    /// Time from the start whose requests and samples are left out of the metrics.
     pub warm_up: Duration,
     /// Time from the start after which no more requests arrive and no more samples are taken.
     pub length: Duration,
--- a/crates/experiments/src/fleet/host.rs
+++ b/crates/experiments/src/fleet/host.rs
@@ -16,7 +16,7 @@
 pub struct Host {
     /// Identity, also used as the address.
     pub id: String,
-    /// The emulated backend.
+    /// Emulation of the backend's processing.
     pub backend: EmulatedBackend,
     /// The backend's entry in the registry, with its declarations.
     pub catalogue: Backend,
@@ -77,7 +77,7 @@
         self.catalogue.state() == BackendState::BackendActive
     }
 
-    /// Samples the utilization over the last `seconds` and the present bandwidth demand.
+    /// Samples the utilization over the last `seconds` and the current bandwidth demand.
     pub fn sample(&mut self, seconds: f64) {
         let busy = self.backend.busy_core_seconds();
         let cores = self.backend.options().cores;
--- a/crates/experiments/src/fleet/metrics.rs
+++ b/crates/experiments/src/fleet/metrics.rs
@@ -8,7 +8,7 @@
 /// Largest time that the histograms can record, in microseconds: ten minutes.
 const MAX_MICROS: u64 = 600_000_000;
 
-/// Metrics of one run, unless stated otherwise of the requests that arrived after the warm-up.
+/// Metrics of one run. Unless stated otherwise, they cover the requests that arrived after the warm-up.
 #[derive(Clone, Debug)]
 pub struct FleetMetrics {
     /// Number of requests that arrived.
@@ -60,7 +60,7 @@
     pub longest_drain: Duration,
     /// Longest time from the announcement of a backend's retirement to an attempt sent to it.
     pub longest_send_after_retirement: Duration,
-    /// Number of forced transition steps.
+    /// Number of forced transition steps over the whole run.
     pub forced_steps: u64,
     /// End of the warm-up; requests that arrived earlier are not counted.
     pub warm_up_end: MonotonicTime,
--- a/crates/experiments/src/fleet/proxy_node.rs
+++ b/crates/experiments/src/fleet/proxy_node.rs
@@ -40,13 +40,13 @@
     pub model: &'a str,
     /// Prompt length in tokens.
     pub prompt_tokens: u64,
-    /// Affinity key.
+    /// Affinity key of the prompt.
     pub affinity: u64,
     /// Indexes of the hosts on which an attempt of the request failed.
     pub excluded: &'a [usize],
 }
 
-/// A chosen replica.
+/// The replica chosen for an attempt.
 #[derive(Clone, Debug)]
 pub struct ChosenReplica {
     /// Index of the host.
--- a/crates/experiments/src/load_age/simulation.rs
+++ b/crates/experiments/src/load_age/simulation.rs
@@ -157,17 +157,17 @@
         match self.options.sharing {
             Sharing::Nothing => self.random.random_range(0..count),
             Sharing::Omniscient => {
-                self.least_loaded(0..count, |this, one| this.backends.in_flight()[one])
+                self.least_loaded(0..count, |this, backend| this.backends.in_flight()[backend])
             }
             Sharing::Owners { drawn, .. } => {
                 let drawn = sample(&mut self.random, count, drawn.min(count));
-                self.least_loaded(drawn.into_iter(), |this, one| {
-                    this.backends.in_flight()[one]
+                self.least_loaded(drawn.into_iter(), |this, backend| {
+                    this.backends.in_flight()[backend]
                 })
             }
-            Sharing::Broadcast { .. } => self.least_loaded(0..count, |this, one| {
-                let others = this.reported_sum[one] - this.reported[node][one];
-                others + this.backends.of_node(node)[one]
+            Sharing::Broadcast { .. } => self.least_loaded(0..count, |this, backend| {
+                let others = this.reported_sum[backend] - this.reported[node][backend];
+                others + this.backends.of_node(node)[backend]
             }),
         }
     }
--- a/crates/experiments/src/report/document.rs
+++ b/crates/experiments/src/report/document.rs
@@ -20,7 +20,7 @@
     pub notes: Vec<String>,
     /// Tables of the figures.
     pub tables: Vec<Table>,
-    /// Charts, each written to a file of its own.
+    /// Charts, each written to a separate file.
     pub charts: Vec<Chart>,
 }
 
--- a/crates/experiments/src/suite/affinity.rs
+++ b/crates/experiments/src/suite/affinity.rs
@@ -25,13 +25,13 @@
 const LOST_AT: MonotonicTime = MonotonicTime::from_millis(40_000);
 const BACK_AT: MonotonicTime = MonotonicTime::from_millis(60_000);
 
-/// Runs the experiment.
+/// Runs the experiment with the seeds from 1 to `seeds` and returns its report.
 #[must_use]
 pub fn run(seeds: u64) -> Report {
     let mut report = Report::new("affinity", seeds);
     report.note("12 backends, one heavy model, prefix cache of 1,200 blocks each; backend 0 is lost from 40 s to 60 s.");
     report.note(
-        "In every row, a request may be retried once from the retry budget when its backend is lost.",
+        "In every row, the retry budget allows one retry of a request whose backend is lost.",
     );
     for (title, load) in [
         (
--- a/crates/experiments/src/suite/balance.rs
+++ b/crates/experiments/src/suite/balance.rs
@@ -32,7 +32,7 @@
 /// Base rate of the heaviest of the six models, in requests per second.
 const SIX_MODELS_HEAVY_RATE: f64 = 21.0;
 
-/// Runs the experiment.
+/// Runs the experiment with the seeds from 1 to `seeds` and returns its report.
 #[must_use]
 pub fn run(seeds: u64) -> Report {
     let mut report = Report::new("balance", seeds);
--- a/crates/experiments/src/suite/bandwidth.rs
+++ b/crates/experiments/src/suite/bandwidth.rs
@@ -11,7 +11,7 @@
 use crate::suite::summary::Summary;
 
 const HOSTS: usize = 16;
-/// Load factors of the sweep.
+/// Load factors of the sweep, relative to the base rates.
 const FACTORS: [f64; 5] = [0.4, 0.6, 0.8, 1.0, 1.2];
 const COMPARED_FACTOR: f64 = 1.0;
 const HEAVY_RATE: f64 = 28.0;
@@ -26,7 +26,7 @@
     placement: Option<PlacerOptions>,
 }
 
-/// Runs the experiment.
+/// Runs the experiment with the seeds from 1 to `seeds` and returns its report.
 #[must_use]
 pub fn run(seeds: u64) -> Report {
     let mut report = Report::new("bandwidth", seeds);
--- a/crates/experiments/src/suite/load_age.rs
+++ b/crates/experiments/src/suite/load_age.rs
@@ -17,7 +17,7 @@
 const SHORTEST_PERIOD: Duration = Duration::from_millis(100);
 /// Time of a query and its reply across zones, including processing on both nodes.
 const ROUND_TRIP: Duration = Duration::from_millis(3);
-/// Simulated time.
+/// Simulated time during which requests arrive.
 const LENGTH: Duration = Duration::from_secs(40);
 
 /// Returns the broadcast period of a fleet with this many nodes.
@@ -49,12 +49,15 @@
     }
 }
 
-/// Runs the experiment.
+/// Runs the experiment with the seeds from 1 to `seeds` and returns its report.
 #[must_use]
 pub fn run(seeds: u64) -> Report {
     let mut report = Report::new("load-age", seeds);
     report.note("Backends 70% busy read prompts of 150 ms (three in eight) and 20 ms in order.");
-    report.note("Late: first token after 800 ms. Regret: work on the chosen backend beyond that on the least loaded one.");
+    report.note(
+        "Late: first token after 800 ms. Regret: work on the chosen backend beyond that on the \
+         least loaded one.",
+    );
     for size in FLEETS {
         let (nodes, backends) = size;
         let title = format!("{nodes} nodes, {backends} backends");
--- a/crates/experiments/src/suite/quota_age.rs
+++ b/crates/experiments/src/suite/quota_age.rs
@@ -33,7 +33,7 @@
     },
 }
 
-/// Sharing through owners with the default report interval.
+/// Sharing through owners with the report interval of the product.
 pub const OWNERS: UsageSharing = UsageSharing::Owners {
     report_interval_steps: REPORT_INTERVAL_STEPS,
 };
@@ -84,14 +84,18 @@
     fleet.admissions
 }
 
-/// Runs the experiment.
+/// Runs the experiment with the seeds from 1 to `seeds` and returns its report.
 #[must_use]
 pub fn run(seeds: u64) -> Report {
     let mut report = Report::new("quota-age", seeds);
     report.note(
-        "One tenant. Hot: it requests six times its rate; most tokens admitted in 8 s, as a share of those allowed.",
+        "One tenant. Hot: it requests six times its rate; most tokens admitted in 8 s, as a share of \
+         those allowed.",
+    );
+    report.note(
+        "Under: it requests nine tenths of its rate; share of requests refused. Datagrams: per node \
+         and second, hot and under together.",
     );
-    report.note("Under: it requests nine tenths of its rate; share of requests refused. Datagrams: per node and second, hot and under together.");
     for size in FLEETS {
         let title = format!("{} nodes, {} zones", size.0, size.1);
         let columns = ["counts", "hot: most in 8 s", "under: refused", "datagrams"];
--- a/crates/experiments/src/suite/retry_storm.rs
+++ b/crates/experiments/src/suite/retry_storm.rs
@@ -29,7 +29,7 @@
     retries: RetryRules,
 }
 
-/// Runs the experiment.
+/// Runs the experiment with the seeds from 1 to `seeds` and returns its report.
 #[must_use]
 pub fn run(seeds: u64) -> Report {
     let mut report = Report::new("retry-storm", seeds);
--- a/crates/experiments/src/suite/transition.rs
+++ b/crates/experiments/src/suite/transition.rs
@@ -64,7 +64,7 @@
     },
 ];
 
-/// Runs the experiment.
+/// Runs the experiment with the seeds from 1 to `seeds` and returns its report.
 #[must_use]
 pub fn run(seeds: u64) -> Report {
     let mut report = Report::new("transition", seeds);
--- a/crates/experiments/tests/quota_age.rs
+++ b/crates/experiments/tests/quota_age.rs
@@ -156,8 +156,8 @@
 
 #[test]
 fn any_losses_of_datagrams_leave_the_quota_bounded() {
-    /// `loss_percent` is the share of datagrams lost in each second, taken modulo 51; `times` is the request rate in
-    /// each second, in tenths of the quota's rate, taken modulo 70.
+    /// `loss_percent` is the share of datagrams lost in each second, taken modulo 51 and so at most half; `times` is
+    /// the request rate in each second, in tenths of the quota's rate, taken modulo 70.
     fn holds(seed: u64, loss_percent: Vec<u8>, times: Vec<u8>, zones: u8) -> TestResult {
         if loss_percent.is_empty() || times.is_empty() {
             return TestResult::discard();
@@ -201,7 +201,7 @@
     );
 }
 
-/// Largest share of the allowed tokens that may be admitted in one window for the quota to count as kept.
+/// Tokens admitted in one window, as a share of those allowed, up to which users consider the quota enforced.
 const MAX_SHARE_IN_WINDOW: f64 = 1.1;
 
 /// Simulates a power failure of half of a large fleet. Some zones lose both owners until the feed names new ones
--- a/crates/scale/src/exchange/datagram_relay.rs
+++ b/crates/scale/src/exchange/datagram_relay.rs
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 struct Member {
     zone: String,
-    /// Where the proxy itself receives datagrams.
+    /// Address on which the proxy itself receives datagrams.
     address: SocketAddr,
     endpoint: UdpSocket,
     counter: Counter,
@@ -137,8 +137,8 @@
             .sent_bytes
             .fetch_add(bytes, Ordering::Relaxed);
         if sender.zone != receiver.zone {
-            let elsewhere = &sender.counter.sent_bytes_to_other_zones;
-            elsewhere.fetch_add(bytes, Ordering::Relaxed);
+            let to_other_zones = &sender.counter.sent_bytes_to_other_zones;
+            to_other_zones.fetch_add(bytes, Ordering::Relaxed);
         }
         receiver.counter.received.fetch_add(1, Ordering::Relaxed);
         // A datagram that cannot be forwarded is dropped, as on a real network.
--- a/crates/scale/src/hollow/hollow_proxy.rs
+++ b/crates/scale/src/hollow/hollow_proxy.rs
@@ -1,4 +1,4 @@
-//! A traffic generator that speaks the agent's local protocol in place of a proxy.
+//! Traffic generator that uses the agent's local protocol in place of a proxy.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/scale/src/options.rs
+++ b/crates/scale/src/options.rs
@@ -60,7 +60,8 @@
             });
         }
         if matches.opt_present("help") {
-            let brief = "Measures the processor time, memory and network traffic of a fleet.\n\nUsage: millford-lab scale [options]";
+            let brief = "Measures the processor time, memory and network traffic of a fleet.\n\n\
+                         Usage: millford-lab scale [options]";
             return Ok(Parsed::Help(options.usage(brief)));
         }
         Self::from_matches(&matches).map(Parsed::Run)
--- a/crates/scale/src/report/plot.rs
+++ b/crates/scale/src/report/plot.rs
@@ -1,4 +1,4 @@
-//! The report as a plot.
+//! Plot of a report's figures.
 
 use std::path::Path;
 
--- a/crates/scale/src/size_result.rs
+++ b/crates/scale/src/size_result.rs
@@ -5,7 +5,7 @@
 use crate::measure::Quantiles;
 use crate::size::FleetSize;
 
-/// Measurements of one run.
+/// Measurements of one run; the keys of `scale.json`.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct SizeResult {
     /// Fleet size of the run; `None` only in a default value.
