--- a/crates/lab/src/answer_text.rs
+++ b/crates/lab/src/answer_text.rs
@@ -1,9 +1,9 @@
 //! Text of an emulated response: a pure function of the prompt's marker, the run and the sequence
-//! number, so that a caller can tell whose response each chunk is.
+//! number, so that a caller can tell which request each chunk responds to.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Opens the marker that a caller puts into its prompt or lookup path.
+/// Start of the marker in a prompt.
 pub const MARKER_START: &str = "[request:";
 const MARKER_END: char = ']';
 const WORDS: [&str; 32] = [
@@ -12,7 +12,7 @@
     "mil", "vent", "station", "semis", "lac", "sable", "ciel", "aube", "marée", "crue", "soir",
 ];
 
-/// One emulated response.
+/// Generator of the text of one emulated response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnswerText {
     marker: String,
@@ -20,7 +20,7 @@
 }
 
 impl AnswerText {
-    /// The response of `run` to the prompt that carries `marker`.
+    /// Creates the generator of the response of `run` to the prompt that contains `marker`.
     #[must_use]
     pub fn new(marker: &str, run: &str) -> Self {
         Self {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Text of the chunk `sequence`. The first one names the marker and the run.
+    /// Returns the text of the chunk `sequence`. Chunk 0 consists of the marker and the run.
     #[must_use]
     pub fn chunk(&self, sequence: u64) -> String {
         if sequence == 0 {
@@ -41,13 +41,13 @@
         format!("{first} {second} ")
     }
 
-    /// The complete response of `chunks` chunks.
+    /// Returns the text of a complete response of `chunks` chunks.
     #[must_use]
     pub fn full_text(&self, chunks: u64) -> String {
         (0..chunks).map(|sequence| self.chunk(sequence)).collect()
     }
 
-    /// The response that a first chunk announces.
+    /// Parses marker and run from the text of chunk 0; `None` if it is not one.
     #[must_use]
     pub fn announced_by(first_chunk: &str) -> Option<Self> {
         let inner = first_chunk.trim_end().strip_prefix('{')?.split_once('}')?.0;
@@ -55,20 +55,20 @@
         Some(Self::new(marker, run))
     }
 
-    /// Marker of the prompt.
+    /// Returns the marker of the prompt.
     #[must_use]
     pub fn marker(&self) -> &str {
         &self.marker
     }
 
-    /// The run that wrote the response.
+    /// Returns the id of the run.
     #[must_use]
     pub fn run(&self) -> &str {
         &self.run
     }
 }
 
-/// The marker inside `text`, the last one if there are several.
+/// Returns the last marker in `text`, without its delimiters.
 #[must_use]
 pub fn find_marker(text: &str) -> Option<&str> {
     let start = text.rfind(MARKER_START)? + MARKER_START.len();
@@ -76,7 +76,7 @@
     Some(&text[start..start + length])
 }
 
-/// `marker` as it stands in a prompt.
+/// Returns `marker` with its delimiters, as it appears in a prompt.
 #[must_use]
 pub fn marker_text(marker: &str) -> String {
     format!("{MARKER_START}{marker}{MARKER_END}")
--- a/crates/lab/src/arguments.rs
+++ b/crates/lab/src/arguments.rs
@@ -1,4 +1,4 @@
-//! Parsing of a command's arguments.
+//! Parses command-line arguments.
 
 use std::path::PathBuf;
 use std::str::FromStr;
@@ -8,30 +8,30 @@
 
 use crate::fleet::Site;
 
-/// Why a command line cannot be used.
+/// Reason why a command line is invalid.
 #[derive(Debug, Error)]
 pub enum ArgumentError {
-    /// An option is unknown, stands twice or lacks its value.
+    /// An option is unknown, repeated or lacks its value.
     #[error(transparent)]
     Option(#[from] getopts::Fail),
-    /// The command takes no operands.
+    /// The command accepts no operands.
     #[error("unexpected argument \"{0}\"")]
     UnexpectedOperand(String),
-    /// The command takes files and none is named.
-    #[error("name at least one {what}")]
+    /// The command needs files and none is given.
+    #[error("at least one {what} is required")]
     NoFile {
-        /// What the files are, for instance `log file`.
+        /// Kind of the files, for instance `log file`.
         what: &'static str,
     },
     /// The value of an option cannot be parsed.
-    #[error("--{option}: bad value \"{value}\"")]
+    #[error("--{option}: invalid value \"{value}\"")]
     BadValue {
         /// Name of the option.
         option: String,
         /// The value as given.
         value: String,
     },
-    /// The value of an option is none of its choices.
+    /// The value of an option is not one of its choices.
     #[error("--{option}: unknown {option} \"{value}\"")]
     UnknownChoice {
         /// Name of the option.
@@ -44,18 +44,18 @@
     Requirement {
         /// Name of the option.
         option: &'static str,
-        /// What is wrong with it, for instance `is no number`.
+        /// Text that follows the name of the option, for instance `must be between 0 and 1`.
         requirement: &'static str,
     },
-    /// `bench` has no measurement of this name.
+    /// The `bench` command has no measurement of this name.
     #[error("unknown measurement \"{0}\"")]
     UnknownMeasurement(String),
-    /// `bench` needs the name of a measurement.
+    /// The `bench` command was called without the name of a measurement.
     #[error("usage: millford-lab bench overhead [options]")]
     NoMeasurement,
 }
 
-/// Parses the arguments of a command without operands; `None` after the help was printed.
+/// Parses the arguments of a command without operands. Returns `None` after printing the help.
 ///
 /// # Errors
 /// [`ArgumentError::Option`] or [`ArgumentError::UnexpectedOperand`].
@@ -64,7 +64,7 @@
     options: &mut Options,
     arguments: &[String],
 ) -> Result<Option<Matches>, ArgumentError> {
-    options.optflag("h", "help", "print this help and leave");
+    options.optflag("h", "help", "print this help and exit");
     let matches = options.parse(arguments)?;
     if matches.opt_present("help") {
         println!(
@@ -79,17 +79,17 @@
     Ok(Some(matches))
 }
 
-/// Parses the arguments of a command whose operands are files; `None` after the help was printed.
+/// Parses the arguments of a command whose operands are files. Returns `None` after printing the help.
 ///
 /// # Errors
-/// [`ArgumentError::Option`] or [`ArgumentError::NoFile`], which names `what` the files are.
+/// [`ArgumentError::Option`], or [`ArgumentError::NoFile`] with `what` as the kind of the files.
 pub fn parse_files(
     mut options: Options,
     usage: &str,
     what: &'static str,
     arguments: &[String],
 ) -> Result<Option<Matches>, ArgumentError> {
-    options.optflag("h", "help", "show this help");
+    options.optflag("h", "help", "print this help and exit");
     let matches = options.parse(arguments)?;
     if matches.opt_present("help") {
         println!("{}", options.usage(usage));
@@ -101,13 +101,13 @@
     Ok(Some(matches))
 }
 
-/// The files among the operands.
+/// Returns the operands as paths.
 #[must_use]
 pub fn files(matches: &Matches) -> Vec<PathBuf> {
     matches.free.iter().map(PathBuf::from).collect()
 }
 
-/// The value of an option, or `default`.
+/// Returns the value of an option, or `default` if it is absent.
 ///
 /// # Errors
 /// [`ArgumentError::BadValue`] when it cannot be parsed.
@@ -115,7 +115,7 @@
     Ok(optional(matches, name)?.unwrap_or(default))
 }
 
-/// The value of an option that may be absent.
+/// Returns the value of an option, or `None` if it is absent.
 ///
 /// # Errors
 /// [`ArgumentError::BadValue`] when it cannot be parsed.
@@ -132,7 +132,8 @@
     }
 }
 
-/// The value of an option whose bad values are reported by what it must be.
+/// Returns the value of an option, or `default` if it is absent. An invalid value is reported with the
+/// text `requirement`.
 ///
 /// # Errors
 /// [`ArgumentError::Requirement`] when it cannot be parsed.
@@ -149,21 +150,21 @@
     matches.opt_get_default(option, default).map_err(bad_form)
 }
 
-/// Adds `--site`, read by [`site`].
+/// Adds the option `--site`, which [`site`] reads.
 pub fn add_site(options: &mut Options) {
     options.optopt("", "site", "topology", "demo|reykjavik|dakar");
 }
 
-/// Adds `--keep-logs`.
+/// Adds the flag `--keep-logs`.
 pub fn add_keep_logs(options: &mut Options) {
     options.optflag(
         "",
         "keep-logs",
-        "keep the folder of settings, logs and data",
+        "keep the folder of settings, logs and data after the run",
     );
 }
 
-/// The topology that `--site` names, or `default`.
+/// Returns the site named by `--site`, or `default` if the option is absent.
 ///
 /// # Errors
 /// [`ArgumentError::UnknownChoice`] when there is no such site.
--- a/crates/lab/src/bench/concurrent_streams.rs
+++ b/crates/lab/src/bench/concurrent_streams.rs
@@ -1,4 +1,4 @@
-//! Streams that one proxy holds open at once.
+//! Measures how many streams one proxy keeps open at once, and its memory use with them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,21 +17,21 @@
 use crate::caller::CompletionRequest;
 use crate::caller::http_client::send;
 
-/// Longest wait for every stream's first chunk.
-const OPEN_BOUND: Duration = Duration::from_secs(20);
+/// Longest wait for the first chunks of all streams.
+const OPEN_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Streams that one proxy held.
+/// Number of open streams and memory use of one proxy.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct ConcurrentStreams {
-    /// Streams requested.
+    /// Number of streams that were requested.
     #[serde(rename = "asked")]
     pub requested: usize,
-    /// Streams open at once, each past its first chunk.
+    /// Number of streams open at once, each of which had delivered its first chunk.
     #[serde(rename = "held")]
     pub held: usize,
-    /// Memory of the proxy with them, in KiB.
+    /// Resident memory of the proxy with the open streams, in KiB.
     pub resident_kib: u64,
-    /// Memory of the proxy before, in KiB.
+    /// Resident memory of the proxy before the first stream, in KiB.
     pub resident_before_kib: u64,
 }
 
@@ -42,40 +42,40 @@
     changed: Notify,
 }
 
-/// Opens `requested` streams and counts those that are open together.
+/// Opens `requested` streams and counts those that are open at once. `None` if the proxy's process has ended.
 pub async fn measure(
     address: SocketAddr,
     proxy_id: u32,
     requested: usize,
     request: &CompletionRequest,
 ) -> Option<ConcurrentStreams> {
-    let before = ProcessUsage::of(proxy_id)?;
+    let usage_before = ProcessUsage::of(proxy_id)?;
     let count = Arc::new(Count::default());
     let mut tasks = JoinSet::new();
     for number in 0..requested {
         let mut request = request.clone();
         request.marker = format!("{}-{number}", request.marker);
-        tasks.spawn(hold(address, request, Arc::clone(&count)));
+        tasks.spawn(hold_stream(address, request, Arc::clone(&count)));
     }
     let all = async {
         while count.attempted.load(Ordering::Acquire) < requested {
             count.changed.notified().await;
         }
     };
-    let _ = timeout(OPEN_BOUND, all).await;
+    let _ = timeout(OPEN_TIMEOUT, all).await;
     let held = count.open.load(Ordering::Acquire);
-    let with = ProcessUsage::of(proxy_id)?;
+    let usage_with_streams = ProcessUsage::of(proxy_id)?;
     tasks.shutdown().await;
     Some(ConcurrentStreams {
         requested,
         held,
-        resident_kib: with.resident_kib,
-        resident_before_kib: before.resident_kib,
+        resident_kib: usage_with_streams.resident_kib,
+        resident_before_kib: usage_before.resident_kib,
     })
 }
 
-/// Opens one stream and reads it to its end.
-async fn hold(address: SocketAddr, request: CompletionRequest, count: Arc<Count>) {
+/// Opens one stream, counts it and reads it to its end.
+async fn hold_stream(address: SocketAddr, request: CompletionRequest, count: Arc<Count>) {
     let Some(body) = open(address, &request).await else {
         count.attempted.fetch_add(1, Ordering::AcqRel);
         count.changed.notify_one();
--- a/crates/lab/src/bench/latency.rs
+++ b/crates/lab/src/bench/latency.rs
@@ -1,4 +1,4 @@
-//! Time of the same request by the proxy and direct, one after the other.
+//! Measures the latency that a proxy adds: the same request through the proxy and directly to a backend.
 
 use std::net::SocketAddr;
 
@@ -12,31 +12,31 @@
 use crate::caller::{CompletionRequest, LookupRequest};
 use crate::protocol::{ATTEMPT_HEADER, RUN_HEADER, machine_micros};
 
-/// Times of one kind of request, in microseconds.
+/// Latencies of one kind of request, in microseconds.
 #[derive(Clone, Debug)]
 pub struct Times {
-    /// By the proxy.
+    /// Latencies through the proxy.
     pub by_proxy: Histogram<u64>,
-    /// Direct.
+    /// Latencies of direct requests to a backend.
     pub direct: Histogram<u64>,
-    /// Requests that failed on either way.
+    /// Pairs of which at least one request failed.
     pub failures: u64,
 }
 
 /// Summary of [`Times`], in microseconds.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct AddedLatency {
-    /// Pairs measured.
+    /// Number of pairs in which both requests succeeded.
     pub pairs: u64,
-    /// Median by the proxy.
+    /// Median through the proxy.
     pub proxy_p50: u64,
-    /// 99th percentile by the proxy.
+    /// 99th percentile through the proxy.
     pub proxy_p99: u64,
-    /// Median direct.
+    /// Median of direct requests.
     pub direct_p50: u64,
-    /// 99th percentile direct.
+    /// 99th percentile of direct requests.
     pub direct_p99: u64,
-    /// Requests that failed.
+    /// Pairs of which at least one request failed.
     pub failures: u64,
 }
 
@@ -55,7 +55,7 @@
 }
 
 impl Times {
-    /// Records one pair.
+    /// Records the latencies of one pair; `None` stands for a failed request.
     pub fn record(&mut self, by_proxy: Option<u64>, direct: Option<u64>) {
         let (Some(by_proxy), Some(direct)) = (by_proxy, direct) else {
             self.failures += 1;
@@ -65,7 +65,7 @@
         let _ = self.direct.record(direct);
     }
 
-    /// The summary.
+    /// Computes the summary.
     #[must_use]
     pub fn summary(&self) -> AddedLatency {
         AddedLatency {
@@ -80,7 +80,7 @@
 }
 
 impl AddedLatency {
-    /// One line for people.
+    /// Formats the summary as one line that starts with `what`, with times in milliseconds.
     #[must_use]
     pub fn text(&self, what: &str) -> String {
         let added = |proxy: u64, direct: u64| (proxy as f64 - direct as f64) / 1_000.0;
@@ -99,7 +99,7 @@
     }
 }
 
-/// Time of one complete lookup.
+/// Returns the time of one complete lookup, in microseconds; `None` if it failed.
 pub async fn lookup_time(address: SocketAddr, request: &LookupRequest) -> Option<u64> {
     let http_request = Request::builder()
         .uri(request.path_with_marker())
@@ -116,7 +116,7 @@
         .then(|| machine_micros() - started)
 }
 
-/// Time to the first chunk of one stream.
+/// Returns the time to the first chunk of one stream, in microseconds; `None` if it failed.
 pub async fn first_token_time(address: SocketAddr, request: &CompletionRequest) -> Option<u64> {
     let http_request = Request::post("/v1/chat/completions")
         .header(header::HOST, "millford")
@@ -133,7 +133,8 @@
         .then(|| machine_micros() - started)
 }
 
-/// Sends a request and reads its first frame, or all. True on success.
+/// Sends a request and reads the first frame or the complete body. Returns whether the status and the first
+/// frame, if only that is read, are a success.
 async fn exchange(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
--- a/crates/lab/src/bench/mod.rs
+++ b/crates/lab/src/bench/mod.rs
@@ -1,4 +1,4 @@
-//! `millford-lab bench`: measurements on real processes.
+//! `millford-lab bench`: benchmarks of real processes.
 
 pub mod concurrent_streams;
 pub mod latency;
@@ -11,10 +11,10 @@
 use crate::arguments::ArgumentError;
 use crate::fleet::FleetError;
 
-/// Runs the named measurement.
+/// Runs the measurement named by the first argument.
 ///
 /// # Errors
-/// A bad command line, or as the measurement.
+/// The command line is invalid, or the measurement fails.
 pub async fn run(arguments: &[String]) -> Result<ExitCode, FleetError> {
     match arguments.split_first() {
         Some((name, rest)) if name == "overhead" => overhead::run(rest).await,
--- a/crates/lab/src/bench/overhead.rs
+++ b/crates/lab/src/bench/overhead.rs
@@ -1,4 +1,4 @@
-//! `millford-lab bench overhead`: a proxy beside a direct backend, in one run.
+//! `millford-lab bench overhead`: measures the added latency, throughput and memory use of one proxy.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -12,20 +12,20 @@
 use super::throughput::{self, Throughput};
 use crate::arguments::{optional, parse, value};
 use crate::caller::{CompletionRequest, LookupRequest};
-use crate::commands::backend::{INTERRUPTED_STATUS, wait_for_end};
+use crate::commands::backend::{INTERRUPTED_STATUS, wait_for_termination_signal};
 use crate::emulator::options::BackendKind;
 use crate::fleet::binaries::Binaries;
 use crate::fleet::site::SMALL_MODEL;
 use crate::fleet::{Fleet, FleetError, Site};
 
-/// Callers of the throughput measurement.
+/// Number of concurrent callers in the throughput measurement.
 const CALLERS: usize = 64;
-/// Length of the throughput measurement.
+/// Duration of the throughput measurement.
 const LENGTH: Duration = Duration::from_secs(5);
-/// Chunks of a held stream: more than come in the measurement.
+/// Chunks of a stream that is to stay open: more than are generated during the measurement.
 const UNENDING_CHUNKS: u64 = 20_000;
 
-/// Everything that was measured.
+/// Results of all measurements, as written to the report.
 #[derive(Clone, Debug, Serialize)]
 struct OverheadReport {
     lookups: AddedLatency,
@@ -35,15 +35,21 @@
     held: ConcurrentStreams,
 }
 
-/// Runs the measurement.
+/// Runs the command.
 ///
 /// # Errors
-/// A bad command line, a fleet that does not start, or a report that cannot be written.
+/// The command line is invalid, the fleet does not start, a process ends during the measurement, or the report
+/// cannot be written.
 pub async fn run(arguments: &[String]) -> Result<ExitCode, FleetError> {
     let mut options = Options::new();
-    options.optopt("", "lookups", "pairs of lookups", "NUMBER");
-    options.optopt("", "streams", "pairs of streams", "NUMBER");
-    options.optopt("", "held", "streams to hold", "NUMBER");
+    options.optopt("", "lookups", "number of pairs of lookups", "NUMBER");
+    options.optopt("", "streams", "number of pairs of streams", "NUMBER");
+    options.optopt(
+        "",
+        "held",
+        "number of streams to keep open at once",
+        "NUMBER",
+    );
     options.optopt("", "json", "file for the report", "FILE");
     let Some(matches) = parse("bench overhead", &mut options, arguments)? else {
         return Ok(ExitCode::SUCCESS);
@@ -61,12 +67,13 @@
             }
             Ok(ExitCode::SUCCESS)
         }
-        end = wait_for_end() => end.map(|()| ExitCode::from(INTERRUPTED_STATUS)),
+        end = wait_for_termination_signal() => end.map(|()| ExitCode::from(INTERRUPTED_STATUS)),
     }
 }
 
 async fn measure(lookups: u64, streams: u64, held: usize) -> Result<OverheadReport, FleetError> {
-    let mut fleet = Fleet::start(Site::Bench.plan(), Binaries::beside_this_one()?).await?;
+    let mut fleet =
+        Fleet::start(Site::Bench.plan(), Binaries::beside_current_executable()?).await?;
     fleet.configure().await?;
     let report = measure_on(&fleet, lookups, streams, held).await;
     if report.is_err() {
@@ -83,26 +90,26 @@
     held: usize,
 ) -> Result<OverheadReport, FleetError> {
     let lookups = measure_lookups(fleet, lookups).await?;
-    println!("{}", lookups.text("lookup, whole"));
+    println!("{}", lookups.text("lookup, complete"));
     let first_tokens = measure_streams(fleet, streams).await?;
     println!("{}", first_tokens.text("stream, first token"));
     let proxy = fleet.proxy_address(0);
     let proxy_id = fleet.proxy_nodes[0].proxy.id().unwrap_or_default();
-    let gone = || FleetError::Operator("the proxy ended during the measurement".to_owned());
+    let proxy_ended = || FleetError::Operator("the proxy ended during the measurement".to_owned());
     let request = lookup(fleet, 0, "throughput");
     let throughput = throughput::measure(proxy, proxy_id, CALLERS, LENGTH, &request)
         .await
-        .ok_or_else(gone)?;
+        .ok_or_else(proxy_ended)?;
     println!(
-        "lookups through one proxy  {:.0}/s with {CALLERS} callers, {:.0} for a core second, failed {}",
+        "lookups through one proxy  {:.0}/s with {CALLERS} callers, {:.0} per core second, failed {}",
         throughput.per_second, throughput.per_core_second, throughput.failed
     );
     let request = question(fleet, 0, "held", UNENDING_CHUNKS);
     let held = concurrent_streams::measure(proxy, proxy_id, held, &request)
         .await
-        .ok_or_else(gone)?;
+        .ok_or_else(proxy_ended)?;
     println!(
-        "streams held by one proxy  {} of {} asked, resident {} KiB before, {} KiB with them",
+        "streams held by one proxy  {} of {} requested, resident {} KiB before, {} KiB with them",
         held.held, held.requested, held.resident_before_kib, held.resident_kib
     );
     Ok(OverheadReport {
@@ -142,22 +149,24 @@
         .backends
         .iter()
         .find(|backend| backend.spec.kind == kind);
-    let backend = backend.ok_or_else(|| FleetError::Operator("no such backend".to_owned()))?;
+    let backend = backend.ok_or_else(|| {
+        FleetError::Operator("the fleet has no backend of the required kind".to_owned())
+    })?;
     Ok(backend.spec.address)
 }
 
-fn lookup(fleet: &Fleet, number: u64, way: &str) -> LookupRequest {
+fn lookup(fleet: &Fleet, number: u64, marker_prefix: &str) -> LookupRequest {
     LookupRequest {
-        marker: format!("{way}-{number}"),
+        marker: format!("{marker_prefix}-{number}"),
         tenant: "load".to_owned(),
         key: fleet.plan.tenant_keys[0].to_owned(),
         path: format!("{}entry-{number}", fleet.plan.lookup_prefix),
     }
 }
 
-fn question(fleet: &Fleet, number: u64, way: &str, chunks: u64) -> CompletionRequest {
+fn question(fleet: &Fleet, number: u64, marker_prefix: &str, chunks: u64) -> CompletionRequest {
     CompletionRequest {
-        marker: format!("{way}-{number}"),
+        marker: format!("{marker_prefix}-{number}"),
         tenant: "load".to_owned(),
         key: fleet.plan.tenant_keys[0].to_owned(),
         model: SMALL_MODEL.to_owned(),
--- a/crates/lab/src/bench/process_usage.rs
+++ b/crates/lab/src/bench/process_usage.rs
@@ -1,14 +1,14 @@
-//! Processor time and memory of a process, from the kernel.
+//! Reads the processor time and memory use of a process from `/proc`.
 
 use std::time::Duration;
 
-/// Ticks of processor time in a second, the same on every Linux.
+/// Clock ticks per second in `/proc/PID/stat`, the same on every Linux.
 const TICKS_PER_SECOND: u64 = 100;
 
-/// Processor time and memory of a process.
+/// Processor time and memory use of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessUsage {
-    /// Processor time used so far.
+    /// User and system time used so far.
     pub processor: Duration,
     /// Resident memory, in KiB.
     pub resident_kib: u64,
@@ -28,7 +28,7 @@
 }
 
 fn processor_time(stat: &str) -> Option<Duration> {
-    // The program's name, in brackets, may hold spaces: count the fields after it.
+    // The program name, in parentheses, may contain spaces, so fields are counted after it.
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
     let user: u64 = fields.get(11)?.parse().ok()?;
     let system: u64 = fields.get(12)?.parse().ok()?;
--- a/crates/lab/src/bench/throughput.rs
+++ b/crates/lab/src/bench/throughput.rs
@@ -1,4 +1,4 @@
-//! Lookups a second that one proxy carries, and the processor time they take.
+//! Measures the lookup throughput of one proxy and the processor time it takes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,22 +12,23 @@
 use super::process_usage::ProcessUsage;
 use crate::caller::LookupRequest;
 
-/// What one proxy carried.
+/// Lookup throughput of one proxy.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Throughput {
-    /// Callers, each with one lookup open.
+    /// Number of concurrent callers, each with one lookup at a time.
     pub callers: usize,
-    /// Lookups served.
+    /// Number of lookups that succeeded.
     pub served: u64,
-    /// Lookups that failed.
+    /// Number of lookups that failed.
     pub failed: u64,
-    /// Lookups a second.
+    /// Successful lookups per second.
     pub per_second: f64,
-    /// Lookups for each second of the proxy's processor time.
+    /// Successful lookups per second of the proxy's processor time.
     pub per_core_second: f64,
 }
 
-/// Runs `callers` callers for `length` against one proxy.
+/// Sends lookups to one proxy from `callers` concurrent callers for the duration `length`. `None` if the
+/// proxy's process has ended.
 pub async fn measure(
     address: SocketAddr,
     proxy_id: u32,
--- a/crates/lab/src/caller/exchange.rs
+++ b/crates/lab/src/caller/exchange.rs
@@ -1,4 +1,4 @@
-//! Sends one request and records what its caller saw.
+//! Sends one request to a proxy and records the outcome.
 
 use std::net::SocketAddr;
 
@@ -16,10 +16,10 @@
 use crate::emulator::lookup::LOOKUP_MODEL;
 use crate::protocol::{DEADLINE_HEADER, REVISION_HEADER, SESSION_HEADER, machine_micros};
 
-/// Data of the event that ends a stream.
+/// Data of the event that marks the end of a stream.
 const DONE: &str = "[DONE]";
 
-/// Asks a proxy for a completion.
+/// Sends a completion request to a proxy and reads the response to its end.
 pub async fn complete(
     proxy: usize,
     address: SocketAddr,
@@ -38,7 +38,7 @@
     outcome
 }
 
-/// Asks a proxy for a lookup.
+/// Sends a lookup to a proxy and reads the response to its end.
 pub async fn look_up(proxy: usize, address: SocketAddr, request: &LookupRequest) -> RequestOutcome {
     let mut outcome = new_outcome(proxy, &request.marker, &request.tenant, LOOKUP_MODEL);
     let http_request = Request::builder()
@@ -127,12 +127,12 @@
         };
         let bytes = frame.into_data().unwrap_or_default();
         for event in reader.push(&bytes) {
-            take_event(&event, outcome);
+            record_event(&event, outcome);
         }
     }
 }
 
-fn take_event(event: &SseEvent, outcome: &mut RequestOutcome) {
+fn record_event(event: &SseEvent, outcome: &mut RequestOutcome) {
     if event.data == DONE {
         outcome.ending = Ending::Success;
         return;
--- a/crates/lab/src/caller/http_client.rs
+++ b/crates/lab/src/caller/http_client.rs
@@ -1,4 +1,4 @@
-//! One HTTP request on a connection of its own.
+//! HTTP client that opens a new connection for each request.
 
 use std::net::SocketAddr;
 
@@ -11,33 +11,33 @@
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// Why no complete response was received.
+/// Reason why no complete response was received.
 #[derive(Debug, Error)]
 pub enum HttpFailure {
-    /// No connection; nothing was sent.
-    #[error("no connection: {0}")]
+    /// The connection could not be opened; nothing was sent.
+    #[error("cannot connect: {0}")]
     Connect(std::io::Error),
-    /// The connection failed after it stood.
+    /// The connection failed after it had been opened.
     #[error("connection lost: {0}")]
     Connection(#[from] hyper::Error),
-    /// The request could not be built.
-    #[error("bad request: {0}")]
+    /// The request could not be built, for instance because of an invalid path.
+    #[error("cannot build the request: {0}")]
     Request(#[from] http::Error),
 }
 
-/// A complete response.
+/// A response with its complete body.
 #[derive(Clone, Debug)]
 pub struct FullResponse {
     /// Status of the response.
     pub status: StatusCode,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// Sends a request on a new connection and returns the head of the response.
+/// Sends a request on a new connection and returns the response once its head has arrived.
 ///
 /// # Errors
-/// [`HttpFailure`]: no connection, or one that failed before the head of the response.
+/// [`HttpFailure`] when the connection cannot be opened or fails before the response head.
 pub async fn send(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
--- a/crates/lab/src/caller/mod.rs
+++ b/crates/lab/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! Emulated callers: `OpenAI` bodies, streams and lookups, with what each request saw.
+//! Emulated callers, which send completions with `OpenAI` bodies and lookups, and record the outcomes.
 
 pub mod exchange;
 pub mod http_client;
--- a/crates/lab/src/caller/outcome.rs
+++ b/crates/lab/src/caller/outcome.rs
@@ -1,14 +1,14 @@
-//! Outcome of one request as its caller saw it.
+//! Outcome of one request, as observed by the caller.
 
 use millford_core::RunState;
 use serde::{Deserialize, Serialize};
 
-/// One chunk of a stream.
+/// A received chunk of a stream, or the text of a response that is not streamed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReceivedChunk {
-    /// Sequence number from the event's `id`; absent when there was none.
+    /// Sequence number from the `id` of the event; absent if it had none. Always 0 without streaming.
     pub sequence: Option<u64>,
-    /// Text of the chunk.
+    /// Generated text, or the JSON body of a lookup.
     pub text: String,
     /// Machine clock at its arrival, in microseconds.
     pub at_micros: u64,
@@ -18,33 +18,33 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "ending")]
 pub enum Ending {
-    /// A complete response, with its end marker if streamed.
+    /// The response was complete, with its end marker if streamed.
     Success,
-    /// A numbered refusal or failure, before or within the stream.
+    /// The request was refused or failed, before or within the stream.
     Failure {
-        /// Numbered result code, 0 if the body had none.
+        /// Number of the result code; 0 if the response had none.
         code: u32,
-        /// What the response says about the run.
+        /// State of the run according to the response; absent if it has none.
         run: Option<RunState>,
-        /// When to come back, in milliseconds.
+        /// Time after which the caller may retry, in milliseconds; absent if the response has none.
         retry_after_ms: Option<u64>,
     },
     /// The connection could not be opened; nothing was sent.
     NotConnected,
-    /// The connection ended before the end of the response, and visibly so.
+    /// The connection failed before the end of the response, so that the caller can detect the truncation.
     Broken,
-    /// The response ended cleanly without its end marker: a partial body presented as complete.
+    /// The response ended without an error but is incomplete, so that the caller cannot detect the truncation.
     FalseEnd,
 }
 
-/// Outcome of one request as its caller saw it.
+/// Outcome of one request, as observed by the caller.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RequestOutcome {
-    /// Marker of the request.
+    /// Marker that identifies the request in its response and in execution logs.
     pub marker: String,
-    /// Model, or `lookup`.
+    /// Name of the model, or `lookup`.
     pub model: String,
-    /// Tenant whose key was used.
+    /// Name of the tenant whose key was used.
     pub tenant: String,
     /// Whether the request may be sent to backends more than once.
     pub repeatable: bool,
@@ -53,38 +53,38 @@
     /// Number of chunks requested; 0 for lookups.
     #[serde(rename = "pieces_wanted")]
     pub requested_chunks: u64,
-    /// Whether it was streamed.
+    /// Whether streaming was requested.
     pub streamed: bool,
     /// Machine clock at the start, in microseconds.
     pub started_micros: u64,
     /// Machine clock at the end, in microseconds.
     pub ended_micros: u64,
-    /// HTTP status, if any.
+    /// HTTP status; absent without a response.
     pub status: Option<u16>,
-    /// Configuration revision that the proxy named.
+    /// Configuration revision from the response header; absent if the header was missing.
     pub revision: Option<u64>,
-    /// Chunks of a stream, or one for a plain response.
+    /// Chunks of a stream; one if the response was not streamed.
     #[serde(rename = "pieces")]
     pub chunks: Vec<ReceivedChunk>,
-    /// How it ended.
+    /// How the request ended.
     pub ending: Ending,
 }
 
 impl RequestOutcome {
-    /// Microseconds from the start to the first chunk.
+    /// Returns the time from the start to the first chunk, if there was one.
     #[must_use]
     pub fn first_token_micros(&self) -> Option<u64> {
         let first = self.chunks.first()?;
         Some(first.at_micros.saturating_sub(self.started_micros))
     }
 
-    /// Microseconds between neighbouring chunks.
+    /// Returns the times between consecutive chunks.
     pub fn gaps_micros(&self) -> impl Iterator<Item = u64> + '_ {
         let pairs = self.chunks.windows(2);
         pairs.map(|pair| pair[1].at_micros.saturating_sub(pair[0].at_micros))
     }
 
-    /// Whether the caller got a complete response.
+    /// Returns whether the caller received a complete response.
     #[must_use]
     pub fn succeeded(&self) -> bool {
         self.ending == Ending::Success
--- a/crates/lab/src/caller/request.rs
+++ b/crates/lab/src/caller/request.rs
@@ -1,39 +1,39 @@
-//! What a caller asks.
+//! Requests that emulated callers send.
 
 use serde_json::{Value, json};
 
 use crate::answer_text::marker_text;
 use crate::emulator::lookup::MARKER_PARAMETER;
 
-/// One chat completion to ask for.
+/// A chat completion request.
 #[derive(Clone, Debug)]
 pub struct CompletionRequest {
-    /// Unique marker, which the response repeats.
+    /// Unique marker, which is sent in the prompt and repeated in the response.
     pub marker: String,
-    /// Tenant name, for the checks; it is not sent.
+    /// Name of the tenant, for the checks; not sent.
     pub tenant: String,
-    /// Tenant key.
+    /// Key of the tenant, sent as the bearer credential.
     pub key: String,
-    /// Model requested.
+    /// Name of the requested model.
     pub model: String,
-    /// Long text shared by many prompts.
+    /// Text at the start of the prompt that many prompts share.
     pub shared_prefix: String,
-    /// Question at the end.
+    /// Question at the end of the prompt, without the marker.
     pub question: String,
-    /// Whether to stream.
+    /// Whether to request streaming.
     pub stream: bool,
     /// Number of chunks requested.
     pub chunks: u64,
-    /// Conversation, if any.
+    /// Id of the session, if the request belongs to one.
     pub session: Option<String>,
-    /// Idempotency key, if any.
+    /// Idempotency key; absent to send none.
     pub idempotency_key: Option<String>,
-    /// Deadline, in milliseconds, if any.
+    /// Time allowed for the request, in milliseconds; absent to send no deadline.
     pub deadline_ms: Option<u64>,
 }
 
 impl CompletionRequest {
-    /// The body in the shape that `OpenAI` clients send.
+    /// Returns the JSON body in the form of the `OpenAI` interface.
     #[must_use]
     pub fn body(&self) -> Value {
         let question = format!("{} {}", self.question, marker_text(&self.marker));
@@ -49,21 +49,21 @@
     }
 }
 
-/// One lookup to ask for.
+/// A lookup request.
 #[derive(Clone, Debug)]
 pub struct LookupRequest {
-    /// Unique marker, which the response repeats.
+    /// Unique marker, which is sent in the query and repeated in the response.
     pub marker: String,
-    /// Tenant name, for the checks; it is not sent.
+    /// Name of the tenant, for the checks; not sent.
     pub tenant: String,
-    /// Tenant key.
+    /// Key of the tenant, sent as the bearer credential.
     pub key: String,
-    /// Path without the marker.
+    /// Path, without the query.
     pub path: String,
 }
 
 impl LookupRequest {
-    /// Path with the marker.
+    /// Returns the path with the marker as query parameter.
     #[must_use]
     pub fn path_with_marker(&self) -> String {
         format!("{}?{MARKER_PARAMETER}{}", self.path, self.marker)
--- a/crates/lab/src/caller/sse.rs
+++ b/crates/lab/src/caller/sse.rs
@@ -1,24 +1,24 @@
-//! Reader of server-sent events.
+//! Parser of server-sent events.
 
-/// One event.
+/// A server-sent event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SseEvent {
-    /// Value of the `id` field.
+    /// Value of the `id` field, if any.
     pub id: Option<String>,
-    /// Value of the `event` field.
+    /// Value of the `event` field, if any.
     pub event: Option<String>,
-    /// Lines of the `data` fields, joined.
+    /// Values of the `data` fields, concatenated without line breaks.
     pub data: String,
 }
 
-/// Collects bytes and gives out complete events.
+/// Splits a byte stream into events.
 #[derive(Debug, Default)]
 pub struct SseReader {
     buffer: Vec<u8>,
 }
 
 impl SseReader {
-    /// Takes bytes and returns the events that they complete.
+    /// Appends bytes and returns the events that are now complete.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<SseEvent> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
--- a/crates/lab/src/chaos/backend_faults.rs
+++ b/crates/lab/src/chaos/backend_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of backends.
+//! Injects faults into backends.
 
 use std::time::Duration;
 
@@ -16,28 +16,29 @@
 use crate::fleet::FleetError;
 use crate::protocol::machine_micros;
 
-/// Shortest time that a backend fault lasts.
-const SHORTEST: Duration = Duration::from_secs(3);
-/// Longest time that a backend fault lasts.
-const LONGEST: Duration = Duration::from_secs(8);
-/// How long a drain lasts: past its bound, so that late work would show.
+/// Shortest duration of a backend fault.
+const SHORTEST_FAULT: Duration = Duration::from_secs(3);
+/// Longest duration of a backend fault.
+const LONGEST_FAULT: Duration = Duration::from_secs(8);
+/// Duration of a drain: longer than the 3 s after which new work violates the guarantee, so that the
+/// check can detect it.
 const DRAIN_TIME: Duration = Duration::from_secs(6);
-/// Slowdown of a slow backend.
+/// Factor on every duration of a slow backend.
 const SLOW_FACTOR: f64 = 10.0;
-/// How long late responses are held back, in milliseconds.
+/// Delay of late responses, in milliseconds.
 const LATE_MS: u64 = 1_500;
-/// Chunks after which a truncated response ends.
+/// Number of chunks that a truncated response has.
 const TRUNCATE_AFTER_CHUNKS: u64 = 5;
 
 impl Driver {
-    /// Kills, replaces, stops or drains a backend.
+    /// Kills, replaces, stops or drains a random backend and undoes the fault after a while.
     ///
     /// # Errors
-    /// A backend does not start again, or the operators' interface rejects an order.
+    /// A backend does not start again, or no control node accepts the drain.
     pub async fn inject_backend_fault(&mut self, kind: FaultKind) -> Result<Recovery, FleetError> {
         let index = self.draw(self.fleet.backends.len());
         let id = self.fleet.backends[index].spec.id.clone();
-        let time = self.draw_time(SHORTEST, LONGEST);
+        let time = self.draw_time(SHORTEST_FAULT, LONGEST_FAULT);
         match kind {
             FaultKind::BackendKill => {
                 self.fleet.backends[index].process.kill().await;
@@ -56,16 +57,16 @@
         Ok(Recovery::now(&id))
     }
 
-    /// Shows a fault of the emulator for a while.
+    /// Sets the fault switches of a random backend and clears them after a while.
     ///
     /// # Errors
-    /// The backend does not accept its fault switches.
+    /// The backend cannot be reached or rejects its fault switches.
     pub async fn inject_backend_misbehavior(
         &mut self,
         kind: FaultKind,
     ) -> Result<Recovery, FleetError> {
         let index = self.draw(self.fleet.backends.len());
-        let time = self.draw_time(SHORTEST, LONGEST);
+        let time = self.draw_time(SHORTEST_FAULT, LONGEST_FAULT);
         let id = self.fleet.backends[index].spec.id.clone();
         self.fleet.backends[index]
             .set_faults(&switches(kind))
@@ -81,7 +82,7 @@
         let spec = self.fleet.backends[index].spec.clone();
         self.fleet.backends[index].process.kill().await;
         self.fleet.add_backend(spec.kind, spec.zone).await?;
-        // The new one takes the old one's index; the old one's execution log is still read.
+        // The replacement takes the index of the old backend, whose execution log is still read.
         let last = self.fleet.backends.len() - 1;
         self.fleet.backends.swap(index, last);
         self.fleet.retire_last_backend();
@@ -113,7 +114,7 @@
             sleep(Duration::from_millis(250)).await;
         }
         Err(FleetError::Operator(format!(
-            "the drain of {id} in {pool} was never accepted"
+            "no control node accepted a change to the drain of {id} in pool {pool}"
         )))
     }
 
@@ -141,7 +142,7 @@
     }
 }
 
-/// Pools that a backend of this kind serves in the example documents.
+/// Returns the pools that a backend of this kind serves in the example documents.
 fn pools_of(kind: BackendKind) -> &'static [&'static str] {
     match kind {
         BackendKind::Model => &["large", "small", "once"],
@@ -149,12 +150,15 @@
     }
 }
 
-/// The switches that show a fault.
+/// Returns the fault switches for a fault kind; none is set for kinds that need no switch.
 #[must_use]
 pub fn switches(kind: FaultKind) -> FaultSwitches {
     let none = FaultSwitches::default();
     match kind {
-        FaultKind::BackendUnresponsive => FaultSwitches { dark: true, ..none },
+        FaultKind::BackendUnresponsive => FaultSwitches {
+            unresponsive: true,
+            ..none
+        },
         FaultKind::BackendRefuse => FaultSwitches {
             refuse: true,
             ..none
--- a/crates/lab/src/chaos/companion.rs
+++ b/crates/lab/src/chaos/companion.rs
@@ -1,4 +1,4 @@
-//! Backend faults that last while another fault is active.
+//! Injects a backend fault that lasts while another fault is active.
 
 use super::backend_faults::switches;
 use super::driver::Driver;
@@ -6,9 +6,9 @@
 use crate::emulator::faults::FaultSwitches;
 use crate::fleet::FleetError;
 
-/// One in so many faults has a companion.
+/// A fault that may have a companion gets one with a probability of one in this number.
 const COMPANION_ODDS: usize = 3;
-/// Faults that may accompany others.
+/// Fault kinds that a companion is drawn from.
 const COMPANIONS: [FaultKind; 5] = [
     FaultKind::BackendUnresponsive,
     FaultKind::BackendSlow,
@@ -25,7 +25,7 @@
 }
 
 impl Companion {
-    /// Name and target, for people.
+    /// Describes the fault and its target for printed output.
     #[must_use]
     pub fn text(&self) -> String {
         format!("{} of {}", self.kind.name(), self.backend)
@@ -33,7 +33,8 @@
 }
 
 impl Driver {
-    /// Begins a companion of `main`, now and then. Faults of backends themselves have none.
+    /// Starts a companion of the fault `main` with a probability of one in [`COMPANION_ODDS`]. Faults of
+    /// backends never have one.
     ///
     /// # Errors
     /// The backend does not accept its fault switches.
--- a/crates/lab/src/chaos/control_faults.rs
+++ b/crates/lab/src/chaos/control_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of control nodes.
+//! Injects faults into control nodes.
 
 use std::time::Duration;
 
@@ -13,26 +13,26 @@
 use crate::fleet::control_node::ControlNode;
 
 /// Shortest outage of a killed control node.
-const SHORTEST: Duration = Duration::from_secs(1);
-/// Longest outage of a killed control node. Shorter than the time after which it is replaced.
-const LONGEST: Duration = Duration::from_secs(4);
-/// How long a control node is stopped.
-const STOPPED: Duration = Duration::from_secs(22);
+const SHORTEST_OUTAGE: Duration = Duration::from_secs(1);
+/// Longest outage of a killed control node; shorter than the time after which the cluster replaces it.
+const LONGEST_OUTAGE: Duration = Duration::from_secs(4);
+/// Duration for which a control node is stopped; longer than the default of `replace_after_ms`, 5 s.
+const STOP_DURATION: Duration = Duration::from_secs(22);
 
 impl Driver {
-    /// Strikes one or more control nodes.
+    /// Injects a fault into one or more control nodes and undoes it.
     ///
     /// # Errors
-    /// A control node does not start again.
+    /// A control node does not start again, a shard is not repaired in time, or an order fails.
     pub async fn inject_control_fault(&mut self, kind: FaultKind) -> Result<Recovery, FleetError> {
         let index = self.draw(self.fleet.controls.len());
         let name = self.fleet.controls[index].spec.name.clone();
-        let outage = self.draw_time(SHORTEST, LONGEST);
+        let outage = self.draw_time(SHORTEST_OUTAGE, LONGEST_OUTAGE);
         match kind {
             FaultKind::LeaderKill => return self.kill_leader(outage).await,
             FaultKind::ControlStop => {
                 self.fleet.controls[index].process.signal(Signal::STOP);
-                sleep(STOPPED).await;
+                sleep(STOP_DURATION).await;
                 self.fleet.controls[index].process.signal(Signal::CONT);
             }
             FaultKind::ControlWipe => {
@@ -43,7 +43,7 @@
             FaultKind::ControlReplace => self.fleet.replace_control(index).await?,
             FaultKind::ControlSecondLoss => return self.kill_second_after_repair(index).await,
             FaultKind::ControlRolling => return self.restart_control_nodes_in_turn().await,
-            FaultKind::ControlHerd => {
+            FaultKind::ControlKillAll => {
                 self.kill_every_control().await;
                 sleep(outage).await;
                 self.restart_every_control().await?;
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Starts every control node again, together.
+    /// Restarts all control nodes concurrently.
     ///
     /// # Errors
     /// A control node does not start again.
@@ -92,14 +92,14 @@
         Ok(Recovery::now(&name))
     }
 
-    /// Replaces one control node and, right after the repair, kills another.
+    /// Replaces one control node and kills another as soon as the shards are repaired.
     async fn kill_second_after_repair(&mut self, index: usize) -> Result<Recovery, FleetError> {
         self.fleet.replace_control(index).await?;
         wait_for_repair(&self.fleet).await?;
         let second = (index + 1) % self.fleet.controls.len();
         let name = self.fleet.controls[second].spec.name.clone();
         self.fleet.controls[second].process.kill().await;
-        // With the new node and the one left there is a quorum: an order must pass.
+        // The replacement and the remaining node form a quorum, so an order must be accepted.
         self.change(|_| {}).await?;
         self.fleet.controls[second].restart().await?;
         Ok(Recovery::now(&format!("a replacement, then {name}")))
@@ -107,7 +107,7 @@
 
     async fn restart_control_nodes_in_turn(&mut self) -> Result<Recovery, FleetError> {
         for index in 0..self.fleet.controls.len() {
-            self.fleet.controls[index].process.leave().await;
+            self.fleet.controls[index].process.shut_down().await;
             self.fleet.controls[index].restart().await?;
             wait_for_repair(&self.fleet).await?;
         }
--- a/crates/lab/src/chaos/driver.rs
+++ b/crates/lab/src/chaos/driver.rs
@@ -1,4 +1,4 @@
-//! Chooses and injects the faults.
+//! Chooses faults at random, injects them one after the other and records the recovery from each.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -18,19 +18,19 @@
 use crate::workload::CallersOptions;
 use crate::workload::service_probe::ServiceProbe;
 
-/// Time after each fault, in which adoption and revocation are judged.
+/// Pause after each fault without disturbance, so that adoption and revocation can be checked.
 const SETTLING_TIME: Duration = Duration::from_secs(2);
 
 /// One injected fault.
 #[derive(Clone, Debug, Serialize)]
 pub struct InjectedFault {
-    /// Kind of the fault.
+    /// Name of the fault kind.
     pub kind: &'static str,
-    /// The target that it was injected into.
+    /// Process or group that the fault was injected into, with the companion fault if there was one.
     pub target: String,
-    /// Machine clock at its start, in microseconds.
+    /// Machine clock when the fault began, in microseconds.
     pub from_micros: u64,
-    /// Milliseconds from the repair to full service; absent if it never came.
+    /// Milliseconds from the end of the fault until all proxies served again; absent if they did not.
     pub recovery_ms: Option<u64>,
 }
 
@@ -39,32 +39,32 @@
 pub struct Driver {
     /// The fleet under test.
     pub fleet: Fleet,
-    /// The history of the run.
+    /// History of the run, shared with the traffic and the watcher.
     pub log: HistoryLog,
-    /// Choices.
+    /// Random generator, seeded from the command line.
     pub random: ChaCha8Rng,
-    /// Tenants that send requests, for the probes and the revocations.
+    /// Proxies and tenants of the traffic, from which probes and tenant faults take theirs.
     pub callers: CallersOptions,
-    /// The injected faults.
+    /// Faults injected so far, in their order.
     pub injected_faults: Vec<InjectedFault>,
-    /// Number of caller groups so far, each with markers of its own.
-    pub marker_seeds: u64,
+    /// Number of caller groups created so far; added to the seed, it keeps their markers distinct.
+    pub caller_groups: u64,
     probe: ServiceProbe,
-    orders: u64,
+    order_count: u64,
     seed: u64,
 }
 
-/// Target of a fault and the time at which everything that it stopped ran again.
+/// Target of a fault and the time at which the fault ended.
 #[derive(Debug)]
 pub struct Recovery {
-    /// The target.
+    /// Process or group that the fault was injected into.
     pub target: String,
-    /// Machine clock when the last machine was back, in microseconds.
+    /// Machine clock when every process that the fault had stopped ran again, in microseconds.
     pub at_micros: u64,
 }
 
 impl Recovery {
-    /// Everything is back now.
+    /// Returns the recovery of a fault that has just ended.
     #[must_use]
     pub fn now(target: &str) -> Self {
         Self {
@@ -75,7 +75,7 @@
 }
 
 impl Driver {
-    /// A driver of `fleet`.
+    /// Creates a driver of `fleet` whose random choices follow from `seed`.
     #[must_use]
     pub fn new(fleet: Fleet, log: HistoryLog, seed: u64, callers: CallersOptions) -> Self {
         let prober = callers.tenants[0].clone();
@@ -86,16 +86,17 @@
             probe: ServiceProbe::new(prober, seed),
             callers,
             injected_faults: Vec::new(),
-            marker_seeds: 0,
-            orders: 0,
+            caller_groups: 0,
+            order_count: 0,
             seed,
         }
     }
 
-    /// Injects faults until the time is over. Each kind comes once before any comes twice.
+    /// Injects faults until the run's duration is over. Every kind is injected once before any kind is
+    /// repeated, unless the options name a single kind.
     ///
     /// # Errors
-    /// [`FleetError`] of the first fault that could not be injected or undone.
+    /// Fails with the error of the first fault that could not be injected or undone.
     pub async fn run(&mut self, options: &ChaosOptions) -> Result<(), FleetError> {
         let start = Instant::now();
         let length = Duration::from_secs_f64(options.minutes * 60.0);
@@ -161,14 +162,17 @@
         Ok(())
     }
 
-    /// A control plane that does not repair itself counts as an outage that never ended.
+    /// Waits for the repair of all shards. A missing repair is recorded as an outage without recovery.
     async fn record_repair(&self, kind: FaultKind) {
         let healed_micros = machine_micros();
         let repaired = wait_for_repair(&self.fleet).await;
         if repaired.is_ok() {
             return;
         }
-        let what = format!("{}: the voters of a shard were not made whole", kind.name());
+        let what = format!(
+            "{}: a shard did not regain its full set of voters",
+            kind.name()
+        );
         println!("{what}");
         let recovery = RecoverySeen {
             what,
@@ -194,8 +198,8 @@
             | FaultKind::BackendTruncation => self.inject_backend_misbehavior(kind).await,
             FaultKind::AgentKill
             | FaultKind::ProxyKill
-            | FaultKind::FrontHerd
-            | FaultKind::FrontRolling => self.inject_proxy_fault(kind).await,
+            | FaultKind::ProxyNodeKillHalf
+            | FaultKind::ProxyNodeRolling => self.inject_proxy_fault(kind).await,
             FaultKind::OperatorRace => self.race_operators().await,
             FaultKind::OrderResent => self.resend_order().await,
             FaultKind::KeyRevocation => self.revoke_keys().await,
@@ -205,13 +209,13 @@
         }
     }
 
-    /// An id that no other order of the run has.
+    /// Returns an order id that is unique in the run.
     pub fn next_order_id(&mut self) -> String {
-        self.orders += 1;
-        format!("chaos-{}-{}", self.seed, self.orders)
+        self.order_count += 1;
+        format!("chaos-{}-{}", self.seed, self.order_count)
     }
 
-    /// Operator address of the control node whose turn it is.
+    /// Returns the operator address of the control node at `turn`, modulo their number.
     #[must_use]
     pub fn control_address(&self, turn: usize) -> SocketAddr {
         self.fleet.controls[turn % self.fleet.controls.len()]
@@ -219,12 +223,12 @@
             .operator
     }
 
-    /// A number below `limit`.
+    /// Draws a number below `limit`.
     pub fn draw(&mut self, limit: usize) -> usize {
         self.random.random_range(0..limit)
     }
 
-    /// A time between two bounds.
+    /// Draws a duration of at least `from` and less than `until`.
     pub fn draw_time(&mut self, from: Duration, until: Duration) -> Duration {
         self.random.random_range(from..until)
     }
--- a/crates/lab/src/chaos/fault_kind.rs
+++ b/crates/lab/src/chaos/fault_kind.rs
@@ -1,4 +1,4 @@
-//! The faults that the chaos command knows.
+//! Kinds of faults that the chaos command can inject.
 
 use std::str::FromStr;
 
@@ -7,15 +7,15 @@
 
 macro_rules! fault_kinds {
     ($($(#[$doc:meta])* $name:ident = $text:literal;)*) => {
-        /// One kind of fault.
+        /// Kind of fault that the chaos command can inject.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum FaultKind { $($(#[$doc])* $name,)* }
 
         impl FaultKind {
-            /// Every kind.
+            /// Every kind, in the order of declaration.
             pub const ALL: &'static [FaultKind] = &[$(FaultKind::$name),*];
 
-            /// Name on the command line and in reports.
+            /// Returns the name on the command line and in reports.
             #[must_use]
             pub fn name(self) -> &'static str {
                 match self { $(FaultKind::$name => $text,)* }
@@ -25,63 +25,63 @@
 }
 
 fault_kinds! {
-    /// A backend is killed and comes back under its identity.
+    /// A backend is killed and restarted under the same identity.
     BackendKill = "backend-kill";
-    /// A backend is killed and another takes its place at a new address.
+    /// A backend is killed and replaced by one with a new identity and address.
     BackendReplace = "backend-replace";
-    /// A backend becomes unresponsive in the middle of its streams.
+    /// A backend stops responding, also on open streams, but keeps its connections.
     BackendUnresponsive = "backend-dark";
-    /// A backend is stopped for a while.
+    /// A backend process is stopped with SIGSTOP and continued later.
     BackendStop = "backend-stop";
     /// A backend rejects every request.
     BackendRefuse = "backend-refuse";
     /// A backend is ten times slower.
     BackendSlow = "backend-slow";
-    /// A backend holds back its responses.
+    /// A backend delays its responses.
     BackendLate = "backend-late";
-    /// A backend crosses its responses.
+    /// A backend sends responses with the attempt id and text of another request.
     BackendCrossed = "backend-crossed";
     /// A backend sends stray bytes after its responses.
     BackendStray = "backend-stray";
     /// A backend truncates its responses.
     BackendTruncation = "backend-cut";
-    /// An operator drains a backend and readmits it.
+    /// An operator drains a backend and readmits it later.
     OperatorDrain = "operator-drain";
-    /// The platform retires a backend and takes that back.
+    /// The platform's registry lists a backend as draining and later as active again.
     PlatformDrain = "platform-drain";
-    /// A control node is killed and comes back.
+    /// A control node is killed and restarted.
     ControlKill = "control-kill";
-    /// The leader of the configuration is killed and comes back.
+    /// The leader of the configuration shard is killed and restarted.
     LeaderKill = "leader-kill";
-    /// A control node is stopped for more than twenty seconds.
+    /// A control node is stopped with SIGSTOP for more than twenty seconds.
     ControlStop = "control-stop";
-    /// A control node is killed, its disk wiped, and it comes back at its address.
+    /// A control node is killed and restarted at its address with an empty data folder.
     ControlWipe = "control-wipe";
-    /// A control node is replaced by an empty one at a new address.
+    /// A control node is replaced by one with an empty data folder at a new address.
     ControlReplace = "control-replace";
-    /// The same, and another control node is killed right after the repair.
+    /// A control node is replaced, and another is killed as soon as the shards are repaired.
     ControlSecondLoss = "control-second-loss";
     /// The control nodes are shut down and restarted one by one.
     ControlRolling = "control-rolling";
-    /// Every control node is killed and comes back.
-    ControlHerd = "control-herd";
-    /// An agent is killed and comes back.
+    /// All control nodes are killed and restarted together.
+    ControlKillAll = "control-herd";
+    /// An agent is killed and restarted.
     AgentKill = "agent-kill";
-    /// A proxy is killed and comes back.
+    /// A proxy is killed and restarted.
     ProxyKill = "proxy-kill";
-    /// All agents and proxies of one half of the site are killed and come back.
-    FrontHerd = "front-herd";
+    /// The agents and proxies of half of the proxy nodes are killed and restarted.
+    ProxyNodeKillHalf = "front-herd";
     /// The proxy nodes are shut down and restarted one by one.
-    FrontRolling = "front-rolling";
-    /// Two operators build on the same number, at two nodes.
+    ProxyNodeRolling = "front-rolling";
+    /// Two operators send orders on the same base revision to two control nodes at once.
     OperatorRace = "operator-race";
-    /// An order's response is lost; it is sent again to another node.
+    /// The response to an order is lost; the order is sent again to another control node.
     OrderResent = "order-resent";
-    /// A tenant's keys are revoked, and restored later.
+    /// The keys of a tenant are revoked and restored later.
     KeyRevocation = "key-revocation";
-    /// The tenant with the smallest quota sends far more than it.
+    /// The tenant with the smallest quota sends far more than its quota allows.
     HotTenant = "hot-tenant";
-    /// Three hundred changes, then a full restart of the control plane.
+    /// All control nodes are killed and restarted after three hundred configuration changes.
     FullRestart = "full-restart";
 }
 
@@ -98,20 +98,20 @@
 }
 
 impl FaultKind {
-    /// Every kind once, in an order drawn from `random`.
+    /// Returns every kind once, in an order drawn from `random`.
     pub fn shuffled(random: &mut impl Rng) -> Vec<FaultKind> {
         let mut kinds = Self::ALL.to_vec();
         kinds.shuffle(random);
         kinds
     }
 
-    /// Whether the fault is one of backends.
+    /// Returns whether the fault is injected into a backend.
     #[must_use]
     pub fn targets_backend(self) -> bool {
         self.name().starts_with("backend-") || self.name().ends_with("-drain")
     }
 
-    /// Whether the fault may disconnect proxy nodes from the control plane for a while.
+    /// Returns whether the fault may disconnect proxy nodes from the control plane for a while.
     #[must_use]
     pub fn disturbs_control(self) -> bool {
         matches!(
@@ -123,11 +123,11 @@
                 | FaultKind::ControlReplace
                 | FaultKind::ControlSecondLoss
                 | FaultKind::ControlRolling
-                | FaultKind::ControlHerd
+                | FaultKind::ControlKillAll
                 | FaultKind::AgentKill
                 | FaultKind::ProxyKill
-                | FaultKind::FrontHerd
-                | FaultKind::FrontRolling
+                | FaultKind::ProxyNodeKillHalf
+                | FaultKind::ProxyNodeRolling
                 | FaultKind::FullRestart
         )
     }
--- a/crates/lab/src/chaos/history_log.rs
+++ b/crates/lab/src/chaos/history_log.rs
@@ -1,20 +1,20 @@
-//! The history of a run while it grows.
+//! History of a run in progress.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
 use crate::checks::History;
 
-/// The history of a run, shared by the tasks that add to it.
+/// History of a run in progress, shared by the tasks that add to it.
 #[derive(Clone, Debug, Default)]
 pub struct HistoryLog(Arc<Mutex<History>>);
 
 impl HistoryLog {
-    /// Changes the history.
+    /// Calls `change` with exclusive access to the history.
     pub fn add(&self, change: impl FnOnce(&mut History)) {
         change(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
-    /// Takes the history out.
+    /// Returns the history and leaves an empty one.
     #[must_use]
     pub fn take(&self) -> History {
         std::mem::take(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
--- a/crates/lab/src/chaos/mod.rs
+++ b/crates/lab/src/chaos/mod.rs
@@ -1,5 +1,5 @@
-//! `millford-lab chaos`: real processes under every fault of the brief, with the guarantees checked
-//! over the whole history.
+//! `millford-lab chaos`: runs a fleet of real processes under every kind of fault and checks the guarantees
+//! over the complete history.
 
 pub mod backend_faults;
 pub mod companion;
@@ -21,7 +21,7 @@
 
 use crate::arguments::parse;
 use crate::checks::check_all;
-use crate::commands::backend::{INTERRUPTED_STATUS, wait_for_end};
+use crate::commands::backend::{INTERRUPTED_STATUS, wait_for_termination_signal};
 use crate::demo::traffic::{callers_options, quotas};
 use crate::fleet::binaries::Binaries;
 use crate::fleet::{Fleet, FleetError};
@@ -33,10 +33,11 @@
 use traffic_task::TrafficTask;
 use watcher::Watcher;
 
-/// Runs the faults; every process has ended when this returns.
+/// Runs the command. Every process of the fleet has exited when this returns. The exit status is a failure
+/// when a guarantee was violated.
 ///
 /// # Errors
-/// A bad command line, a fleet that cannot be started or driven, or a file that cannot be written.
+/// The command line is invalid, the fleet cannot be started or driven, or a file cannot be written.
 pub async fn run(arguments: &[String]) -> Result<ExitCode, FleetError> {
     let mut options = options::getopts();
     let Some(matches) = parse("chaos", &mut options, arguments)? else {
@@ -44,26 +45,26 @@
     };
     let options = ChaosOptions::read(&matches)?;
     tokio::select! {
-        result = wreak(options) => result,
-        // The fleet inside the other branch is dropped, and its processes with it.
-        end = wait_for_end() => end.map(|()| ExitCode::from(INTERRUPTED_STATUS)),
+        result = inject_faults(options) => result,
+        // Dropping the other branch drops the fleet, which kills its processes.
+        end = wait_for_termination_signal() => end.map(|()| ExitCode::from(INTERRUPTED_STATUS)),
     }
 }
 
-async fn wreak(options: ChaosOptions) -> Result<ExitCode, FleetError> {
+async fn inject_faults(options: ChaosOptions) -> Result<ExitCode, FleetError> {
     let plan = options.site.plan();
-    let mut fleet = Fleet::start(plan, Binaries::beside_this_one()?).await?;
+    let mut fleet = Fleet::start(plan, Binaries::beside_current_executable()?).await?;
     println!("logs: {}", fleet.folder().display());
     if options.keep_logs {
         fleet.keep_folder();
     }
     fleet.configure().await?;
     let log = HistoryLog::default();
-    let mut calling = callers_options(&fleet);
-    calling.seed = options.seed << 8;
-    let traffic = TrafficTask::start(calling.clone());
+    let mut traffic_options = callers_options(&fleet);
+    traffic_options.seed = options.seed << 8;
+    let traffic = TrafficTask::start(traffic_options.clone());
     let watcher = Watcher::start(&fleet, log.clone());
-    let mut driver = Driver::new(fleet, log.clone(), options.seed, calling);
+    let mut driver = Driver::new(fleet, log.clone(), options.seed, traffic_options);
     let result = driver.run(&options).await;
     watcher.stop().await;
     let calls = traffic.stop().await;
--- a/crates/lab/src/chaos/operator_faults.rs
+++ b/crates/lab/src/chaos/operator_faults.rs
@@ -1,4 +1,4 @@
-//! Races and losses of operators' orders.
+//! Injects races between operators, lost responses, key revocations and full restarts.
 
 use std::time::Duration;
 
@@ -9,24 +9,25 @@
 use super::tenant_faults::send_steadily;
 use crate::checks::history::RevocationSeen;
 use crate::fleet::FleetError;
-use crate::fleet::operator::{Order, OrderAnswer};
+use crate::fleet::operator::{Order, OrderResponse};
 use crate::protocol::machine_micros;
 
-/// Changes before a full restart.
+/// Number of configuration changes before a full restart.
 const CHANGES: usize = 300;
-/// How long a key stays revoked: past its bound, so that late use would show.
+/// Duration of a revocation: longer than the 2 s after which a working key violates the guarantee, so
+/// that the check can detect it.
 const REVOKED_TIME: Duration = Duration::from_secs(5);
-/// Time between two requests with the revoked key.
+/// Interval of requests with the revoked key.
 const REVOKED_PERIOD: Duration = Duration::from_millis(100);
-/// Shortest time after which a response is lost.
+/// Shortest time after which the operator disconnects without a response.
 const SOONEST_LOSS: Duration = Duration::from_micros(200);
-/// Longest time after which a response is lost.
+/// Longest time after which the operator disconnects without a response.
 const LATEST_LOSS: Duration = Duration::from_millis(30);
-/// Base of the drain times that the orders set.
+/// Upper bound of the drain times that the orders set, in milliseconds; each variant is below it.
 const DRAIN_MS_BASE: u32 = 3_000;
 
 impl Driver {
-    /// Two operators build on the same number; the winner's order is sent again elsewhere.
+    /// Sends two orders on the same base revision concurrently, then both again to every control node.
     ///
     /// # Errors
     /// The configuration cannot be read, or an order has no outcome after all sends.
@@ -41,19 +42,20 @@
             self.send_order(self.control_address(0), &orders[0]),
             self.send_order(self.control_address(1), &orders[1]),
         );
-        for (order, answer) in orders.iter().zip([first, second]) {
-            // Sent again everywhere: the winner must be acknowledged, the other must not win.
+        for (order, response) in orders.iter().zip([first, second]) {
+            // Every control node must acknowledge the accepted order again and must not accept the other.
             for turn in 0..self.fleet.controls.len() {
                 self.send_order(self.control_address(turn), order).await;
             }
-            if matches!(answer, OrderAnswer::Accepted { .. }) {
+            if matches!(response, OrderResponse::Accepted { .. }) {
                 self.resolve_order(order).await?;
             }
         }
         Ok(Recovery::now("two operators"))
     }
 
-    /// The operator disconnects before the response and sends the order to another node.
+    /// Sends an order, disconnects after a random time that may be before the response, and sends the order
+    /// again to the other control nodes.
     ///
     /// # Errors
     /// The configuration cannot be read, or the order has no outcome after all sends.
@@ -64,23 +66,30 @@
             order_id: self.next_order_id(),
             document: varied(&document, 3),
         };
-        let patience = self.draw_time(SOONEST_LOSS, LATEST_LOSS);
-        let _ = timeout(patience, self.send_order(self.control_address(0), &order)).await;
+        let disconnect_after = self.draw_time(SOONEST_LOSS, LATEST_LOSS);
+        let _ = timeout(
+            disconnect_after,
+            self.send_order(self.control_address(0), &order),
+        )
+        .await;
         self.send_order(self.control_address(1), &order).await;
-        let settled = self.resolve_order(&order).await?;
+        let acknowledged = self.resolve_order(&order).await?;
         for turn in 0..self.fleet.controls.len() {
             self.send_order(self.control_address(turn), &order).await;
         }
-        Ok(Recovery::now(&format!("revision {}", settled.revision)))
+        Ok(Recovery::now(&format!(
+            "revision {}",
+            acknowledged.revision
+        )))
     }
 
-    /// Revokes the keys of the last tenant and restores them.
+    /// Revokes the keys of the last tenant, sends requests with a revoked key, and restores the keys.
     ///
     /// # Errors
     /// The configuration cannot be read or changed.
     pub async fn revoke_keys(&mut self) -> Result<Recovery, FleetError> {
-        let calling = self.last_tenant();
-        let tenant = calling.name.clone();
+        let credentials = self.last_tenant();
+        let tenant = credentials.name.clone();
         let (_, before) = self.read_configuration().await?;
         let named = before.tenants.iter().find(|known| known.name == tenant);
         let hashes = named
@@ -89,7 +98,7 @@
         let revoked = self
             .change(|document| set_keys(document, &tenant, &[]))
             .await?;
-        let mut callers = self.callers_of(&calling);
+        let mut callers = self.callers_of(&credentials);
         send_steadily(&mut callers, REVOKED_PERIOD, REVOKED_TIME).await;
         let calls = callers.finish().await;
         self.log.add(|history| history.calls.extend(calls));
@@ -105,8 +114,8 @@
         Ok(Recovery::now(&tenant))
     }
 
-    /// Many changes, then every control node is killed and started again; an order from before
-    /// the changes must still be acknowledged.
+    /// Applies [`CHANGES`] configuration changes, kills and restarts every control node, and checks that an
+    /// order from before the changes is still acknowledged.
     ///
     /// # Errors
     /// The configuration cannot be read or changed, or a control node does not start again.
@@ -137,7 +146,7 @@
     }
 }
 
-/// The document with other drain times.
+/// Returns the document with a drain time that depends on `variant`.
 fn varied(document: &Document, variant: u32) -> Document {
     let mut document = document.clone();
     for pool in &mut document.pools {
--- a/crates/lab/src/chaos/options.rs
+++ b/crates/lab/src/chaos/options.rs
@@ -1,4 +1,4 @@
-//! Options of the chaos command.
+//! Command-line options of `millford-lab chaos`.
 
 use std::path::PathBuf;
 
@@ -11,31 +11,41 @@
 /// Options of the chaos command.
 #[derive(Clone, Debug)]
 pub struct ChaosOptions {
-    /// Topology.
+    /// Site whose fleet is started.
     pub site: Site,
-    /// Length of the run.
+    /// Duration of the run.
     pub minutes: f64,
-    /// Seed of the choice of faults.
+    /// Seed of the random choice of faults.
     pub seed: u64,
-    /// Only this fault, again and again.
+    /// The only kind of fault to inject; absent for all kinds.
     pub only: Option<FaultKind>,
-    /// File for everything that was seen, request by request.
+    /// File for the complete history: each request, execution and order.
     pub history: Option<PathBuf>,
-    /// File for the report.
+    /// File for the report, as JSON.
     pub json: Option<PathBuf>,
-    /// Keep settings, logs and data on disk.
+    /// Whether to keep the folder of settings, logs and data after the run.
     pub keep_logs: bool,
 }
 
-/// The command's options.
+/// Returns the options that the command accepts.
 #[must_use]
 pub fn getopts() -> Options {
     let mut options = Options::new();
     add_site(&mut options);
-    options.optopt("", "minutes", "length of the run", "NUMBER");
+    options.optopt("", "minutes", "length of the run in minutes", "NUMBER");
     options.optopt("", "seed", "seed of the choice of faults", "NUMBER");
-    options.optopt("", "only", "one fault, again and again", "FAULT");
-    options.optopt("", "history", "file for every call, run and order", "FILE");
+    options.optopt(
+        "",
+        "only",
+        "inject only this kind of fault, repeatedly",
+        "FAULT",
+    );
+    options.optopt(
+        "",
+        "history",
+        "file for every request, execution and order",
+        "FILE",
+    );
     options.optopt("", "json", "file for the report", "FILE");
     add_keep_logs(&mut options);
     options
--- a/crates/lab/src/chaos/orders.rs
+++ b/crates/lab/src/chaos/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of the chaos command: sent until their outcome is known, every response recorded.
+//! Sends orders until their outcome is known and records every response.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,24 +10,24 @@
 use super::driver::Driver;
 use crate::checks::history::{OrderResult, OrderSeen};
 use crate::fleet::FleetError;
-use crate::fleet::operator::{Operator, Order, OrderAnswer};
+use crate::fleet::operator::{Operator, Order, OrderResponse};
 use crate::protocol::machine_micros;
 
-/// How often an order is sent before the run gives up.
+/// Number of sends of an order, or reads of the configuration, after which the run fails.
 const MAX_SENDS: usize = 120;
-/// Pause before an order is sent again.
+/// Pause before the next send.
 const RESEND_DELAY: Duration = Duration::from_millis(250);
 
 impl Driver {
-    /// Sends an order to one node and records the response.
-    pub async fn send_order(&self, server: SocketAddr, order: &Order) -> OrderAnswer {
+    /// Sends an order once, to one control node, and records the response.
+    pub async fn send_order(&self, server: SocketAddr, order: &Order) -> OrderResponse {
         send_and_record(&self.fleet.operator, server, order, &self.log).await
     }
 
-    /// Reads the configuration in force from any node.
+    /// Reads the revision and document in force, trying one control node after the other.
     ///
     /// # Errors
-    /// No control node responds after all sends.
+    /// No control node returned a confirmed read within [`MAX_SENDS`] tries.
     pub async fn read_configuration(&self) -> Result<(u64, Document), FleetError> {
         for turn in 0..MAX_SENDS {
             if let Some(read) = self
@@ -40,11 +40,13 @@
             }
             sleep(RESEND_DELAY).await;
         }
-        Err(FleetError::Operator("no confirmed read".to_owned()))
+        Err(FleetError::Operator(
+            "no control node returned a confirmed read of the configuration".to_owned(),
+        ))
     }
 
-    /// Orders a change on the present revision; sends it again until its fate is known. Returns
-    /// the new revision and the time of the acknowledgement.
+    /// Applies `change` to the configuration in force and resends the order until its outcome is known.
+    /// Returns the new revision and the time of the acknowledgement.
     ///
     /// # Errors
     /// The configuration cannot be read, or the order has no outcome after all sends.
@@ -62,30 +64,30 @@
         self.resolve_order(&order).await
     }
 
-    /// Sends an order to one node after the other until it is accepted.
+    /// Sends an order to one control node after the other until one accepts it.
     ///
     /// # Errors
-    /// The order has no outcome after all sends.
+    /// The order is refused for good, or has no outcome after [`MAX_SENDS`] sends.
     pub async fn resolve_order(&mut self, order: &Order) -> Result<Acknowledgement, FleetError> {
         for turn in 0..MAX_SENDS {
             match self.send_order(self.control_address(turn), order).await {
-                OrderAnswer::Accepted { revision, .. } => {
+                OrderResponse::Accepted { revision, .. } => {
                     return Ok(Acknowledgement {
                         revision,
                         at_micros: machine_micros(),
                     });
                 }
-                OrderAnswer::Refused { code, .. } if is_final(code) => {
+                OrderResponse::Refused { code, .. } if is_final(code) => {
                     let id = &order.order_id;
                     return Err(FleetError::Operator(format!(
-                        "order {id} was refused: {code}"
+                        "order {id} was refused with result code {code}"
                     )));
                 }
                 _ => sleep(RESEND_DELAY).await,
             }
         }
         Err(FleetError::Operator(format!(
-            "order {} has no answer",
+            "order {} has no known outcome after {MAX_SENDS} sends",
             order.order_id
         )))
     }
@@ -94,35 +96,35 @@
 /// An acknowledged order.
 #[derive(Clone, Copy, Debug)]
 pub struct Acknowledgement {
-    /// Its number.
+    /// Revision that the order created.
     pub revision: u64,
-    /// When the response was there, by the machine clock.
+    /// Machine clock when the response had arrived, in microseconds.
     pub at_micros: u64,
 }
 
-/// Sends an order and records the response.
+/// Sends an order once, to one control node, and adds the response to `log`.
 pub async fn send_and_record(
     operator: &Operator,
     server: SocketAddr,
     order: &Order,
     log: &super::history_log::HistoryLog,
-) -> OrderAnswer {
-    let answer = operator.put_config(server, order).await;
+) -> OrderResponse {
+    let response = operator.put_config(server, order).await;
     let seen = OrderSeen {
         order_id: order.order_id.clone(),
         base_revision: order.base_revision,
         answered_micros: machine_micros(),
-        result: match answer {
-            OrderAnswer::Accepted { revision, .. } => OrderResult::Accepted(revision),
-            OrderAnswer::Refused { code, .. } => OrderResult::Refused(code),
-            OrderAnswer::Unknown => OrderResult::Unknown,
+        result: match response {
+            OrderResponse::Accepted { revision, .. } => OrderResult::Accepted(revision),
+            OrderResponse::Refused { code, .. } => OrderResult::Refused(code),
+            OrderResponse::Unknown => OrderResult::Unknown,
         },
     };
     log.add(|history| history.orders.push(seen));
-    answer
+    response
 }
 
-/// Refusals after which sending again cannot help.
+/// Returns whether a refusal with this result code is final, so that the same order cannot succeed later.
 fn is_final(code: u32) -> bool {
     let finals = [
         ResultCode::DocumentInvalid,
--- a/crates/lab/src/chaos/report.rs
+++ b/crates/lab/src/chaos/report.rs
@@ -12,22 +12,22 @@
 /// Report of a chaos run.
 #[derive(Clone, Debug, Serialize)]
 pub struct ChaosReport {
-    /// Topology.
+    /// Name of the site.
     pub site: &'static str,
-    /// Seed of the choice of faults.
+    /// Seed of the random choice of faults.
     pub seed: u64,
-    /// Length requested.
+    /// Requested duration of the run.
     pub minutes: f64,
-    /// The injected faults.
+    /// Injected faults, in their order.
     pub faults: Vec<InjectedFault>,
-    /// What callers saw.
+    /// Summary of the requests.
     pub figures: Figures,
-    /// The guarantees.
+    /// Verdict on each guarantee.
     #[serde(rename = "promises")]
     pub guarantees: Report,
 }
 
-/// Writes everything that was seen to a file, for the search of a violation's cause.
+/// Writes the complete history to a file as JSON, to investigate violations.
 ///
 /// # Errors
 /// [`FleetError::Io`] when the file cannot be written.
@@ -37,7 +37,7 @@
 }
 
 impl ChaosReport {
-    /// Prints the report and writes the file, if one is requested.
+    /// Prints the report and also writes it to the file `json`, if given.
     ///
     /// # Errors
     /// [`FleetError::Io`] when the file cannot be written.
--- a/crates/lab/src/chaos/status_view.rs
+++ b/crates/lab/src/chaos/status_view.rs
@@ -1,4 +1,4 @@
-//! What a status says about the shards' voters.
+//! Checks the repair of the shards by the cluster status.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,14 +9,15 @@
 use crate::fleet::{Fleet, FleetError};
 
 /// Longest wait for the repair of every shard.
-const REPAIR_BOUND: Duration = Duration::from_mins(1);
+const REPAIR_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Waits until every shard has its full number of voters, all of them nodes that respond.
+/// Waits until every control node responds and every shard has a leader and its full number of voters, all
+/// among these nodes.
 ///
 /// # Errors
 /// [`FleetError::Timeout`] when a shard is not repaired in time.
 pub async fn wait_for_repair(fleet: &Fleet) -> Result<(), FleetError> {
-    wait_for("the repair of every shard", REPAIR_BOUND, || {
+    wait_for("the repair of every shard", REPAIR_TIMEOUT, || {
         is_repaired(fleet)
     })
     .await
@@ -34,28 +35,30 @@
     }
     statuses
         .iter()
-        .any(|status| names_live_voters(status, &nodes))
+        .any(|status| shards_are_repaired(status, &nodes))
 }
 
-/// Whether every shard of a status has a leader and only `nodes` as voters, one for each node up
-/// to three.
+/// Returns whether every shard of a status has a leader and voters among `nodes` only: three voters, or as
+/// many as there are nodes if fewer.
 #[must_use]
-pub fn names_live_voters(status: &Value, nodes: &BTreeSet<String>) -> bool {
-    let wanted = nodes.len().min(3);
+pub fn shards_are_repaired(status: &Value, nodes: &BTreeSet<String>) -> bool {
+    let expected_voters = nodes.len().min(3);
     let Some(shards) = status["shards"].as_array() else {
         return false;
     };
-    let whole = |shard: &Value| {
+    let shard_is_repaired = |shard: &Value| {
         let voters: BTreeSet<&str> = shard["voters"]
             .as_array()
             .into_iter()
             .flatten()
             .filter_map(Value::as_str)
             .collect();
-        let led = shard["leader"]
+        let has_leader = shard["leader"]
             .as_str()
             .is_some_and(|leader| nodes.contains(leader));
-        led && voters.len() == wanted && voters.iter().all(|voter| nodes.contains(*voter))
+        has_leader
+            && voters.len() == expected_voters
+            && voters.iter().all(|voter| nodes.contains(*voter))
     };
-    !shards.is_empty() && shards.iter().all(whole)
+    !shards.is_empty() && shards.iter().all(shard_is_repaired)
 }
--- a/crates/lab/src/chaos/tenant_faults.rs
+++ b/crates/lab/src/chaos/tenant_faults.rs
@@ -1,4 +1,4 @@
-//! Tenants that press on their quota.
+//! Generates the traffic of a tenant that exceeds its quota.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 use crate::workload::callers::TenantCredentials;
 use crate::workload::{Callers, CallersOptions};
 
-/// How long a hot tenant presses.
+/// Duration of a hot tenant's traffic.
 const HOT_TIME: Duration = Duration::from_secs(4);
-/// Time between two lookups of a hot tenant: five times the smallest quota.
+/// Interval of a hot tenant's lookups: five times the rate of the smallest quota.
 const HOT_PERIOD: Duration = Duration::from_millis(10);
-/// Lookups that a hot tenant sends at once.
+/// Number of lookups that a hot tenant sends at once.
 const HOT_BURST: usize = 80;
 
 impl Driver {
-    /// The tenant with the smallest quota sends a burst, then several times its rate, to every
-    /// proxy.
+    /// Sends a burst of lookups as the tenant with the smallest quota, then lookups at several times its
+    /// rate, to all proxies in turn.
     pub async fn exceed_quota(&mut self) -> Recovery {
         let tenant = self.last_tenant();
         let mut callers = self.callers_of(&tenant);
@@ -30,30 +30,30 @@
         Recovery::now(&tenant.name)
     }
 
-    /// The tenant whose quota is the smallest.
+    /// Returns the last tenant, which has the smallest quota in the example documents.
     #[must_use]
     pub fn last_tenant(&self) -> TenantCredentials {
         let last = self.callers.tenants.len() - 1;
         self.callers.tenants[last].clone()
     }
 
-    /// Callers of one tenant, with markers that no other callers have.
+    /// Creates callers of one tenant, whose markers differ from those of all other callers.
     pub fn callers_of(&mut self, tenant: &TenantCredentials) -> Callers {
-        self.marker_seeds += 1;
+        self.caller_groups += 1;
         Callers::new(CallersOptions {
             tenants: vec![tenant.clone()],
-            seed: self.callers.seed + self.marker_seeds,
+            seed: self.callers.seed + self.caller_groups,
             ..self.callers.clone()
         })
     }
 }
 
-/// Starts lookups at a steady pace.
+/// Starts a lookup at each interval `period` for the duration `length`.
 pub async fn send_steadily(callers: &mut Callers, period: Duration, length: Duration) {
-    let mut beats = interval(period);
+    let mut ticks = interval(period);
     let count = length.as_micros() / period.as_micros().max(1);
     for _ in 0..count {
-        beats.tick().await;
+        ticks.tick().await;
         callers.start_lookup();
     }
 }
--- a/crates/lab/src/chaos/traffic_task.rs
+++ b/crates/lab/src/chaos/traffic_task.rs
@@ -1,4 +1,4 @@
-//! Steady traffic beside the faults.
+//! Sends steady traffic while faults are injected.
 
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
@@ -8,7 +8,7 @@
 use crate::workload::mix::{LOOKUP_PERIOD, Mix};
 use crate::workload::{Callers, CallersOptions};
 
-/// Steady traffic beside the faults.
+/// Task that sends steady traffic.
 #[derive(Debug)]
 pub struct TrafficTask {
     stop: watch::Sender<bool>,
@@ -16,31 +16,34 @@
 }
 
 impl TrafficTask {
-    /// Starts the traffic.
+    /// Starts the task.
     #[must_use]
     pub fn start(options: CallersOptions) -> Self {
         let (stop, stopped) = watch::channel(false);
         Self {
             stop,
-            task: tokio::spawn(call(options, stopped)),
+            task: tokio::spawn(send_traffic(options, stopped)),
         }
     }
 
-    /// Stops it, waits for the open requests and returns what all callers saw.
+    /// Starts no further requests, waits for the open ones and returns the outcomes of all.
     pub async fn stop(self) -> Vec<RequestOutcome> {
         self.stop.send_replace(true);
         self.task.await.unwrap_or_default()
     }
 }
 
-async fn call(options: CallersOptions, mut stopped: watch::Receiver<bool>) -> Vec<RequestOutcome> {
+async fn send_traffic(
+    options: CallersOptions,
+    mut stopped: watch::Receiver<bool>,
+) -> Vec<RequestOutcome> {
     let mut callers = Callers::new(options);
     let mut mix = Mix::default();
-    let mut beats = interval(LOOKUP_PERIOD);
-    beats.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut ticks = interval(LOOKUP_PERIOD);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            _ = beats.tick() => mix.tick(&mut callers),
+            _ = ticks.tick() => mix.tick(&mut callers),
             _ = stopped.changed() => return callers.finish().await,
         }
     }
--- a/crates/lab/src/chaos/watcher.rs
+++ b/crates/lab/src/chaos/watcher.rs
@@ -1,4 +1,4 @@
-//! Looks at what the control nodes show, all the time.
+//! Reads the configuration periodically and records the revisions.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,20 +13,20 @@
 use crate::fleet::operator::Operator;
 use crate::protocol::machine_micros;
 
-/// Time between two confirmed reads.
+/// Interval of confirmed reads.
 const READ_PERIOD: Duration = Duration::from_millis(250);
 
-/// Reads the configuration from one control node after the other.
+/// Task that reads the configuration from the control nodes in turn.
 #[derive(Debug)]
 pub struct Watcher {
     task: JoinHandle<()>,
 }
 
-/// Operator addresses, which change when a control node is replaced.
+/// Shared list of operator addresses, which changes when a control node is replaced.
 pub type OperatorAddresses = Arc<Mutex<Vec<SocketAddr>>>;
 
 impl Watcher {
-    /// Starts to read.
+    /// Starts the task, which adds each confirmed read to `log`.
     #[must_use]
     pub fn start(fleet: &Fleet, log: HistoryLog) -> Self {
         let operator = fleet.operator.clone();
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Stops.
+    /// Aborts the task and waits until it has ended.
     pub async fn stop(self) {
         self.task.abort();
         let _ = self.task.await;
--- a/crates/lab/src/checks/adoption.rs
+++ b/crates/lab/src/checks/adoption.rs
@@ -1,4 +1,4 @@
-//! An acknowledged configuration governs every node in touch within two seconds.
+//! Checks that every connected node adopts an acknowledged configuration within two seconds.
 
 use super::history::{History, OrderResult};
 use super::verdict::{Verdict, keep_worst, millis_text};
@@ -6,7 +6,7 @@
 /// Longest time to adopt a revision, in microseconds.
 const ADOPTION_BOUND_MICROS: u64 = 2_000_000;
 
-/// Judges every request that names a revision, outside of disturbances.
+/// Checks every request whose response names a revision and that was not sent during a disturbance.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
     let mut verdict = Verdict::new("an acknowledged configuration is adopted within 2 s");
@@ -17,22 +17,22 @@
             .iter()
             .filter(|call| call.started_micros > acknowledged);
         for call in calls.filter(|call| !history.is_disturbed(call.started_micros)) {
-            let Some(applied_revisions) = call.revision else {
+            let Some(applied_revision) = call.revision else {
                 continue;
             };
             verdict.judged += 1;
-            if applied_revisions >= revision {
+            if applied_revision >= revision {
                 continue;
             }
             let age = call.started_micros - acknowledged;
             keep_worst(&mut worst, age);
             if age > ADOPTION_BOUND_MICROS {
                 let text = format!(
-                    "proxy {} showed {applied_revisions} {}",
+                    "proxy {} showed {applied_revision} {}",
                     call.proxy,
                     millis_text(age)
                 );
-                verdict.violate(format!("{text} after {revision} was acknowledged"));
+                verdict.record_violation(format!("{text} after {revision} was acknowledged"));
             }
         }
     }
@@ -40,7 +40,7 @@
     verdict
 }
 
-/// Time and number of each first acknowledgement.
+/// Returns the time and revision of the first acknowledgement of each revision, in order of time.
 fn acknowledgements(history: &History) -> Vec<(u64, u64)> {
     let accepted = history
         .orders
--- a/crates/lab/src/checks/at_most_once.rs
+++ b/crates/lab/src/checks/at_most_once.rs
@@ -1,12 +1,12 @@
-//! A request that may not be repeated never runs twice.
+//! Checks that a request that may not be repeated never runs twice.
 
 use super::history::History;
 use super::verdict::Verdict;
 
-/// Judges every request that may not be repeated.
+/// Checks the number of executions of every request that may not be repeated.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
-    let mut verdict = Verdict::new("at most one run of what may not be repeated");
+    let mut verdict = Verdict::new("at most one run of a request that may not be repeated");
     let executions = history.executions_by_marker();
     let mut most = 0;
     for (marker, calls) in history.requests_by_marker() {
@@ -17,7 +17,7 @@
         let runs = executions.get(marker).map_or(0, Vec::len);
         most = most.max(runs);
         if runs > 1 {
-            verdict.violate(format!("request {marker} ran {runs} times"));
+            verdict.record_violation(format!("request {marker} ran {runs} times"));
         }
     }
     verdict.worst = Some(format!("{most} runs"));
--- a/crates/lab/src/checks/drain.rs
+++ b/crates/lab/src/checks/drain.rs
@@ -1,12 +1,12 @@
-//! A draining backend receives no new work after three seconds.
+//! Checks that a draining backend receives no new work after three seconds.
 
 use super::history::History;
 use super::verdict::{Verdict, keep_worst, millis_text};
 
-/// Longest time that a draining backend gets new work, in microseconds.
+/// Longest time after the drain order in which a backend may still receive new work, in microseconds.
 const DRAIN_BOUND_MICROS: u64 = 3_000_000;
 
-/// Judges every execution on a draining backend.
+/// Checks every execution that started on a backend while it was draining.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
     let mut verdict = Verdict::new("a draining backend gets no new work after 3 s");
@@ -23,8 +23,8 @@
             let age = run.started_micros - drain.ordered_micros;
             keep_worst(&mut worst, age);
             if age > DRAIN_BOUND_MICROS {
-                verdict.violate(format!(
-                    "{} got work {} after",
+                verdict.record_violation(format!(
+                    "{} got work {} after its drain",
                     run.backend,
                     millis_text(age)
                 ));
--- a/crates/lab/src/checks/history.rs
+++ b/crates/lab/src/checks/history.rs
@@ -1,4 +1,4 @@
-//! Complete history of a run, the input of the checkers.
+//! Complete history of a run, the input of the checks.
 
 use std::collections::BTreeMap;
 
@@ -7,135 +7,136 @@
 use crate::caller::RequestOutcome;
 use crate::emulator::execution::Execution;
 
-/// Complete history of a run, the input of the checkers. Times are of the machine clock, in microseconds.
+/// Complete history of a run, the input of the checks. Times are of the machine clock, in microseconds.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct History {
-    /// What each caller saw.
+    /// Outcome of each request.
     #[serde(rename = "calls")]
     pub calls: Vec<RequestOutcome>,
-    /// What each backend ran.
+    /// Executions on all backends.
     pub executions: Vec<Execution>,
-    /// Revisions that nodes showed outside of requests.
+    /// Revisions that nodes reported outside of requests.
     #[serde(rename = "shown")]
     pub applied_revisions: Vec<AppliedRevision>,
-    /// Orders that were sent, with each response.
+    /// Responses to all sends of orders.
     pub orders: Vec<OrderSeen>,
-    /// Revisions read back by confirmed reads.
+    /// Confirmed reads of the configuration.
     pub reads: Vec<ConfirmedReadSeen>,
-    /// Backends that were drained.
+    /// Drains of backends.
     pub drains: Vec<DrainSeen>,
-    /// Keys that were revoked.
+    /// Revocations of tenant keys.
     pub revocations: Vec<RevocationSeen>,
-    /// Outages that were healed.
+    /// Recoveries from outages.
     pub recoveries: Vec<RecoverySeen>,
-    /// Times in which a node was partitioned or stopped by a fault: adoption is not judged there.
+    /// Periods in which a fault had partitioned or stopped a node. Adoption, revocation and missing quota
+    /// decisions are not checked in them.
     pub disturbances: Vec<Disturbance>,
-    /// Quotas of the tenants.
+    /// Quotas by name of the tenant.
     pub quotas: BTreeMap<String, TenantQuota>,
 }
 
-/// A revision that a node showed.
+/// A revision that a node reported.
 #[derive(Clone, Debug, Serialize)]
 pub struct AppliedRevision {
     /// Name of the node.
     pub node: String,
-    /// When it was requested.
+    /// Time of the request.
     #[serde(rename = "asked_micros")]
     pub requested_micros: u64,
-    /// When it had answered.
+    /// Time at which the response had arrived.
     pub answered_micros: u64,
-    /// What it showed.
+    /// Configuration revision in the response.
     pub revision: u64,
 }
 
 /// Response to one send of an order.
 #[derive(Clone, Debug, Serialize)]
 pub struct OrderSeen {
-    /// Id of the order.
+    /// Id of the order; the same for all its sends.
     pub order_id: String,
-    /// Revision that it builds on.
+    /// Revision that the order is based on.
     pub base_revision: u64,
-    /// When it was answered.
+    /// Time at which the response had arrived or the wait for it ended.
     pub answered_micros: u64,
-    /// The response.
+    /// Content of the response.
     pub result: OrderResult,
 }
 
-/// Response to an order.
+/// Result of one send of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderResult {
-    /// Accepted under this number.
+    /// The order was accepted as this revision.
     Accepted(u64),
-    /// Refused with this code.
+    /// The order was refused with this result code.
     Refused(u32),
-    /// No response.
+    /// No response was received.
     Unknown,
 }
 
 /// A confirmed read of the configuration.
 #[derive(Clone, Debug, Serialize)]
 pub struct ConfirmedReadSeen {
-    /// When it was requested.
+    /// Time of the request.
     #[serde(rename = "asked_micros")]
     pub requested_micros: u64,
-    /// Its response.
+    /// Revision in the response.
     pub revision: u64,
 }
 
-/// A backend that was ordered to drain and not readmitted in the run.
+/// A drain of a backend.
 #[derive(Clone, Debug, Serialize)]
 pub struct DrainSeen {
-    /// The backend.
+    /// Id of the backend.
     pub backend: String,
-    /// When the order was acknowledged, or the platform's list showed it.
+    /// Time at which the drain order was acknowledged, or was sent to the platform's registry.
     pub ordered_micros: u64,
-    /// When it was readmitted, if it was.
+    /// Time just before the order to readmit the backend; absent if it was not readmitted.
     pub readmitted_micros: Option<u64>,
 }
 
-/// A key that was revoked.
+/// A revocation of a tenant's keys.
 #[derive(Clone, Debug, Serialize)]
 pub struct RevocationSeen {
-    /// Name of the tenant; its requests after the revocation all used the revoked key.
+    /// Name of the tenant, all of whose requests during the revocation used a revoked key.
     pub tenant: String,
-    /// When the order was acknowledged.
+    /// Time at which the revoking order was acknowledged.
     pub acknowledged_micros: u64,
-    /// When the key was valid again, if it was.
+    /// Time just before the order to restore the keys; absent if they were not restored.
     pub restored_micros: Option<u64>,
 }
 
-/// An outage that was healed.
+/// The recovery from an outage.
 #[derive(Clone, Debug, Serialize)]
 pub struct RecoverySeen {
-    /// What had failed.
+    /// Description of the fault for the report.
     pub what: String,
-    /// When every machine was back.
+    /// Time at which every process ran again.
     pub healed_micros: u64,
-    /// When service was fully available again; absent if it never was.
+    /// Time at which all proxies served again; absent if they did not.
     pub served_micros: Option<u64>,
 }
 
-/// A time in which a node was partitioned or stopped.
+/// A period in which a node was partitioned or stopped.
 #[derive(Clone, Debug, Serialize)]
 pub struct Disturbance {
-    /// Start.
+    /// Start of the fault.
     pub from_micros: u64,
-    /// End, with the time that the repair may take.
+    /// End of the recovery, exclusive.
     pub until_micros: u64,
 }
 
 /// Quota of one tenant.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct TenantQuota {
-    /// Requests per second.
+    /// Sustained rate of requests.
     pub requests_per_second: u32,
-    /// Requests at once after a quiet time.
+    /// Capacity of the token bucket: requests admitted at once after an idle period.
     pub burst: u32,
 }
 
 impl History {
-    /// Executions grouped by the marker of their request.
+    /// Groups the executions by the marker of their request.
     #[must_use]
     pub fn executions_by_marker(&self) -> BTreeMap<&str, Vec<&Execution>> {
         let mut groups: BTreeMap<&str, Vec<&Execution>> = BTreeMap::new();
@@ -145,7 +146,7 @@
         groups
     }
 
-    /// Requests grouped by the marker of their request.
+    /// Groups the outcomes by marker, which several sends of one request share.
     #[must_use]
     pub fn requests_by_marker(&self) -> BTreeMap<&str, Vec<&RequestOutcome>> {
         let mut groups: BTreeMap<&str, Vec<&RequestOutcome>> = BTreeMap::new();
@@ -155,7 +156,7 @@
         groups
     }
 
-    /// Whether a time lies within a disturbance.
+    /// Returns whether the time `micros` lies within a disturbance.
     #[must_use]
     pub fn is_disturbed(&self, micros: u64) -> bool {
         let covers = |disturbance: &Disturbance| {
--- a/crates/lab/src/checks/mod.rs
+++ b/crates/lab/src/checks/mod.rs
@@ -1,4 +1,4 @@
-//! Checks of the users' guarantees over the whole history of a run.
+//! Checks of the guarantees to users over the complete history of a run.
 
 pub mod adoption;
 pub mod answer_identity;
--- a/crates/lab/src/checks/not_run.rs
+++ b/crates/lab/src/checks/not_run.rs
@@ -1,4 +1,4 @@
-//! A refusal that says "not run" is true.
+//! Checks that a request refused as "not run" did not run.
 
 use millford_core::RunState;
 
@@ -6,16 +6,16 @@
 use super::verdict::Verdict;
 use crate::caller::{Ending, RequestOutcome};
 
-/// Judges every rejection that says "not run", and every request that found no connection.
+/// Checks every refusal with the run state "not run" and every request that could not connect.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
-    let mut verdict = Verdict::new("a refusal that says \"not run\" is true");
+    let mut verdict = Verdict::new("a request refused as \"not run\" did not run");
     let executions = history.executions_by_marker();
     for (marker, calls) in history.requests_by_marker() {
-        let claims = calls.iter().filter(|call| says_not_run(call)).count();
+        let claims = calls.iter().filter(|call| claims_not_run(call)).count();
         verdict.judged += claims;
-        // A request sent again after the refusal may run: only runs before it speak against the refusal.
-        let first_other = calls.iter().filter(|call| !says_not_run(call));
+        // A later send of the same request may run, so only executions before it violate the guarantee.
+        let first_other = calls.iter().filter(|call| !claims_not_run(call));
         let may_run_from = first_other
             .map(|call| call.started_micros)
             .min()
@@ -23,7 +23,7 @@
         let runs = executions.get(marker).into_iter().flatten();
         for execution in runs.filter(|run| run.started_micros < may_run_from) {
             let backend = &execution.backend;
-            verdict.violate(format!(
+            verdict.record_violation(format!(
                 "request {marker} was refused as not run, but ran on {backend}"
             ));
         }
@@ -31,7 +31,7 @@
     verdict
 }
 
-fn says_not_run(call: &RequestOutcome) -> bool {
+fn claims_not_run(call: &RequestOutcome) -> bool {
     match &call.ending {
         Ending::NotConnected => true,
         Ending::Failure { run, .. } => *run == Some(RunState::NotRun),
--- a/crates/lab/src/checks/one_winner.rs
+++ b/crates/lab/src/checks/one_winner.rs
@@ -1,12 +1,12 @@
-//! When two operators build on the same number exactly one wins, and an order sent again is
-//! acknowledged again under its number.
+//! Checks that of several orders on one base revision at most one is accepted, and that a resent order is
+//! acknowledged with the same revision.
 
 use std::collections::BTreeMap;
 
 use super::history::{History, OrderResult};
 use super::verdict::Verdict;
 
-/// Judges every response to an order.
+/// Checks every response to an order, in the order of arrival.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
     let mut verdict = Verdict::new("one winner per base, resent orders acknowledged again");
@@ -19,12 +19,12 @@
         let id = order.order_id.as_str();
         match (order.result, accepted.get(id)) {
             (OrderResult::Accepted(revision), Some(earlier)) if revision != *earlier => {
-                verdict.violate(format!(
+                verdict.record_violation(format!(
                     "order {id} accepted as {earlier}, then as {revision}"
                 ));
             }
             (OrderResult::Refused(code), Some(earlier)) if is_final_refusal(code) => {
-                verdict.violate(format!(
+                verdict.record_violation(format!(
                     "order {id} accepted as {earlier}, then refused: {code}"
                 ));
             }
@@ -37,19 +37,22 @@
         let winner = winners.entry(order.base_revision).or_insert((id, revision));
         if winner.0 != id {
             let base = order.base_revision;
-            verdict.violate(format!(
-                "orders {} and {id} both won on base {base}",
+            verdict.record_violation(format!(
+                "orders {} and {id} were both accepted on base revision {base}",
                 winner.0
             ));
         }
         if revision <= order.base_revision {
-            verdict.violate(format!("order {id} got {revision}, not above its base"));
+            verdict.record_violation(format!(
+                "order {id} got revision {revision}, not above its base"
+            ));
         }
     }
     verdict
 }
 
-/// A refusal that is not only "no leader now, come back".
+/// Returns whether the code refuses the order itself, unlike codes for a missing leader or an overload, after
+/// which the order may be sent again.
 fn is_final_refusal(code: u32) -> bool {
     (4001..=4003).contains(&code)
 }
--- a/crates/lab/src/checks/quota_limit.rs
+++ b/crates/lab/src/checks/quota_limit.rs
@@ -1,10 +1,10 @@
-//! A tenant's quota holds over all nodes together.
+//! Checks that a tenant's quota holds over all nodes together.
 
 use super::history::{History, TenantQuota};
 use super::verdict::Verdict;
 use crate::caller::{Ending, RequestOutcome};
 
-/// Judges every window between two admitted requests of a tenant.
+/// Checks every window between two admitted requests of a tenant.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
     let mut verdict = Verdict::new("a tenant's quota holds over all nodes");
@@ -21,7 +21,7 @@
         worst = worst.max(share);
         if share > 1.0 {
             let percent = share * 100.0;
-            verdict.violate(format!(
+            verdict.record_violation(format!(
                 "{tenant} got {percent:.0} % of its quota in some window"
             ));
         }
@@ -30,7 +30,7 @@
     verdict
 }
 
-/// Earliest and latest time at which the quota of an admitted request was taken.
+/// Earliest and latest time at which an admitted request can have consumed quota.
 #[derive(Clone, Copy, Debug)]
 struct Admitted {
     from_micros: u64,
@@ -38,19 +38,20 @@
 }
 
 impl Admitted {
-    /// `None` for a request that need not have taken quota.
+    /// Returns the times of one request, or `None` if it may have ended without consuming quota.
     fn of(call: &RequestOutcome) -> Option<Self> {
-        let got_past =
+        let was_admitted =
             call.succeeded() || matches!(call.ending, Ending::Broken if !call.chunks.is_empty());
         let until_micros = call.chunks.first()?.at_micros;
-        got_past.then_some(Self {
+        was_admitted.then_some(Self {
             from_micros: call.started_micros,
             until_micros,
         })
     }
 }
 
-/// Largest share of what a window allows that was admitted wholly inside it.
+/// Returns the largest ratio, over all windows, of requests certainly admitted within the window to the
+/// number that the quota allows in it.
 fn worst_share(admitted: &[Admitted], quota: TenantQuota) -> f64 {
     let mut by_end = admitted.to_vec();
     by_end.sort_by_key(|call| call.until_micros);
--- a/crates/lab/src/checks/quota_refusals.rs
+++ b/crates/lab/src/checks/quota_refusals.rs
@@ -1,4 +1,4 @@
-//! No tenant under its quota is turned away.
+//! Checks that no request of a tenant under its quota is refused for the quota.
 
 use millford_core::ResultCode;
 
@@ -6,11 +6,11 @@
 use super::verdict::Verdict;
 use crate::caller::{Ending, RequestOutcome};
 
-/// Judges every refusal for the request rate, and every refusal for want of a quota decision
-/// outside of disturbances.
+/// Checks every refusal for an exceeded quota, and every refusal for lack of a quota decision that was not
+/// sent during a disturbance.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
-    let mut verdict = Verdict::new("no tenant under its quota is turned away");
+    let mut verdict = Verdict::new("no tenant under its quota is refused");
     for (tenant, quota) in &history.quotas {
         let calls: Vec<&RequestOutcome> = history
             .calls
@@ -22,13 +22,13 @@
                 continue;
             }
             verdict.judged += 1;
-            // The decision fell between the two times.
-            let early = level_at(&calls, refused.started_micros, *quota);
-            let late = level_at(&calls, refused.ended_micros, *quota);
+            // The decision was made between the two times.
+            let early = fewest_tokens_at(&calls, refused.started_micros, *quota);
+            let late = fewest_tokens_at(&calls, refused.ended_micros, *quota);
             let level = early.min(late);
             if level >= 1.0 {
                 let marker = &refused.marker;
-                verdict.violate(format!(
+                verdict.record_violation(format!(
                     "{tenant}: {marker} refused with {level:.1} tokens left"
                 ));
             }
@@ -49,11 +49,11 @@
     matches!(call.ending, Ending::Failure { code, .. } if code == wanted.number())
 }
 
-/// Fewest tokens that an exact bucket can hold at `at`: every request that began before and was not
-/// refused for the quota took one, as late as it can have.
+/// Returns the fewest tokens that an exact bucket can hold at `at`: every request that began before and was
+/// not refused for the quota consumed one, at the latest possible time.
 ///
-/// A late token leaves the least, since a full bucket earns nothing while it waits.
-fn level_at(calls: &[&RequestOutcome], at: u64, quota: TenantQuota) -> f64 {
+/// Late consumption leaves the fewest tokens, since a full bucket gains none until a token is consumed.
+fn fewest_tokens_at(calls: &[&RequestOutcome], at: u64, quota: TenantQuota) -> f64 {
     let before = calls
         .iter()
         .filter(|call| call.started_micros <= at && !is_quota_refusal(call));
--- a/crates/lab/src/checks/recovery.rs
+++ b/crates/lab/src/checks/recovery.rs
@@ -1,12 +1,12 @@
-//! Service returns within twelve seconds after the machines come back.
+//! Checks that all proxies serve again within twelve seconds after the processes are back.
 
 use super::history::History;
 use super::verdict::{Verdict, keep_worst, millis_text};
 
-/// Longest time to serve again, in microseconds.
+/// Longest time from the end of a fault to full service, in microseconds.
 const RECOVERY_BOUND_MICROS: u64 = 12_000_000;
 
-/// Judges every healed outage.
+/// Checks the time to full service after every outage.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
     let mut verdict = Verdict::new("service returns within 12 s");
@@ -14,13 +14,13 @@
     for recovery in &history.recoveries {
         verdict.judged += 1;
         let Some(served) = recovery.served_micros else {
-            verdict.violate(format!("no service again after: {}", recovery.what));
+            verdict.record_violation(format!("no service again after: {}", recovery.what));
             continue;
         };
         let took = served.saturating_sub(recovery.healed_micros);
         keep_worst(&mut worst, took);
         if took > RECOVERY_BOUND_MICROS {
-            verdict.violate(format!("{} after: {}", millis_text(took), recovery.what));
+            verdict.record_violation(format!("{} after: {}", millis_text(took), recovery.what));
         }
     }
     verdict.worst = worst.map(millis_text);
--- a/crates/lab/src/checks/report.rs
+++ b/crates/lab/src/checks/report.rs
@@ -1,4 +1,4 @@
-//! All verdicts of a run.
+//! Runs all checks and prints their verdicts.
 
 use std::fmt::Write;
 
@@ -12,17 +12,17 @@
     success_backed, survival,
 };
 
-/// Violations of one guarantee that are printed.
+/// Largest number of violations printed for one guarantee.
 const PRINTED_VIOLATIONS: usize = 5;
 
-/// All verdicts of a run.
+/// Verdicts of all checks on one run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// One verdict for each guarantee.
+    /// Verdicts in the order of the checks.
     pub verdicts: Vec<Verdict>,
 }
 
-/// Runs every check.
+/// Runs every check on `history`.
 #[must_use]
 pub fn check_all(history: &History) -> Report {
     let checks = [
@@ -49,18 +49,18 @@
 }
 
 impl Report {
-    /// Whether every guarantee held.
+    /// Returns whether no guarantee was violated.
     #[must_use]
     pub fn holds(&self) -> bool {
         self.verdicts.iter().all(Verdict::holds)
     }
 
-    /// The table for people.
+    /// Formats the verdicts as a table, with the first violations of each guarantee.
     #[must_use]
     pub fn table(&self) -> String {
         let mut text = format!(
             "{:<58} {:>8} {:>16} {:>10}\n",
-            "promise", "judged", "worst", "violations"
+            "guarantee", "judged", "worst", "violations"
         );
         for verdict in &self.verdicts {
             let worst = verdict.worst.as_deref().unwrap_or("-");
--- a/crates/lab/src/checks/revision_order.rs
+++ b/crates/lab/src/checks/revision_order.rs
@@ -1,4 +1,4 @@
-//! No node falls back to an older revision once it has shown a newer one.
+//! Checks that no node reports an older revision after a newer one.
 
 use std::collections::BTreeMap;
 
@@ -8,19 +8,19 @@
 use super::verdict::Verdict;
 use crate::caller::{Ending, RequestOutcome};
 
-/// Judges what every node showed, to callers and operators.
+/// Checks all revisions that each node reported, in responses to requests and otherwise.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
     let mut verdict = Verdict::new("no node falls back to an older revision");
     for (node, mut applied_revisions) in applied_by_node(history) {
         verdict.judged += applied_revisions.len();
-        applied_revisions.sort_by_key(|applied_revisions| applied_revisions.requested_micros);
+        applied_revisions.sort_by_key(|applied_revision| applied_revision.requested_micros);
         let mut answered = applied_revisions.clone();
-        answered.sort_by_key(|applied_revisions| applied_revisions.answered_micros);
+        answered.sort_by_key(|applied_revision| applied_revision.answered_micros);
         let mut earlier = answered.into_iter().peekable();
         let mut newest = 0;
         for later in applied_revisions {
-            // Only responses that were there before the question was put must not be newer.
+            // Only responses that had arrived before this request was sent must not be newer.
             while let Some(before) =
                 earlier.next_if(|before| before.answered_micros < later.requested_micros)
             {
@@ -28,46 +28,47 @@
             }
             if later.revision < newest {
                 let revision = later.revision;
-                verdict.violate(format!("{node} showed {revision} after {newest}"));
+                verdict.record_violation(format!("{node} showed {revision} after {newest}"));
             }
         }
     }
     verdict
 }
 
-/// A node that refuses because it has no confirmed configuration yet shows none.
-fn says_not_ready(call: &RequestOutcome) -> bool {
+/// Returns whether the node refused the request because it has no confirmed configuration yet; the
+/// revision of such a response does not count.
+fn reports_not_ready(call: &RequestOutcome) -> bool {
     let not_ready = ResultCode::NotReady.number();
     matches!(call.ending, Ending::Failure { code, .. } if code == not_ready)
 }
 
 fn applied_by_node(history: &History) -> BTreeMap<String, Vec<AppliedRevision>> {
     let mut nodes: BTreeMap<String, Vec<AppliedRevision>> = BTreeMap::new();
-    for applied_revisions in &history.applied_revisions {
+    for applied_revision in &history.applied_revisions {
         nodes
-            .entry(applied_revisions.node.clone())
+            .entry(applied_revision.node.clone())
             .or_default()
-            .push(applied_revisions.clone());
+            .push(applied_revision.clone());
     }
     for call in &history.calls {
         let Some(revision) = call.revision else {
             continue;
         };
-        if says_not_ready(call) {
+        if reports_not_ready(call) {
             continue;
         }
         let node = format!("proxy {}", call.proxy);
-        let applied_revisions = AppliedRevision {
+        let applied_revision = AppliedRevision {
             node: node.clone(),
             requested_micros: call.started_micros,
-            // The head of the response came with the first chunk at the latest.
+            // The response head arrived with the first chunk at the latest.
             answered_micros: call
                 .chunks
                 .first()
                 .map_or(call.ended_micros, |chunk| chunk.at_micros),
             revision,
         };
-        nodes.entry(node).or_default().push(applied_revisions);
+        nodes.entry(node).or_default().push(applied_revision);
     }
     nodes
 }
--- a/crates/lab/src/checks/revocation.rs
+++ b/crates/lab/src/checks/revocation.rs
@@ -1,12 +1,12 @@
-//! A revoked key stops working within two seconds.
+//! Checks that a revoked key stops working within two seconds.
 
 use super::history::History;
 use super::verdict::{Verdict, keep_worst, millis_text};
 
-/// Longest time that a revoked key may work, in microseconds.
+/// Longest time for which a revoked key may still work, in microseconds.
 const REVOCATION_BOUND_MICROS: u64 = 2_000_000;
 
-/// Judges every request with a revoked key.
+/// Checks every request with a revoked key; a success during a disturbance is no violation.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
     let mut verdict = Verdict::new("a revoked key stops within 2 s");
@@ -27,8 +27,8 @@
             keep_worst(&mut worst, age);
             if age > REVOCATION_BOUND_MICROS {
                 let tenant = &revocation.tenant;
-                verdict.violate(format!(
-                    "a key of {tenant} worked {} after",
+                verdict.record_violation(format!(
+                    "a key of {tenant} worked {} after its revocation",
                     millis_text(age)
                 ));
             }
--- a/crates/lab/src/checks/second_sends.rs
+++ b/crates/lab/src/checks/second_sends.rs
@@ -1,14 +1,14 @@
-//! Sends to a second backend stay within a fifth of traffic.
+//! Checks that retries and hedges to further backends stay within a fifth of the requests.
 
 use super::history::History;
 use super::verdict::Verdict;
 
-/// Largest share of second sends, in percent.
+/// Largest share of second sends among requests, in percent.
 const LARGEST_SHARE_PERCENT: usize = 20;
-/// Requests below which a share says nothing.
+/// Number of requests below which the share is not significant.
 const FEWEST_REQUESTS: usize = 20;
 
-/// Judges the whole fleet together.
+/// Checks the share over all requests of the fleet.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
     let mut verdict = Verdict::new("second sends within a fifth of traffic");
@@ -20,7 +20,7 @@
     verdict.worst = Some(format!("{share:.1} %"));
     let broken = second_sends * 100 > requests * LARGEST_SHARE_PERCENT;
     if requests >= FEWEST_REQUESTS && broken {
-        verdict.violate(format!(
+        verdict.record_violation(format!(
             "{second_sends} second sends for {requests} requests"
         ));
     }
--- a/crates/lab/src/checks/stream_continuity.rs
+++ b/crates/lab/src/checks/stream_continuity.rs
@@ -1,17 +1,17 @@
-//! A stream never skips or repeats a chunk, and never ends cleanly before its end.
+//! Checks that a stream skips or repeats no chunk and that a partial response never ends like a complete one.
 
 use super::history::History;
 use super::verdict::Verdict;
 use crate::caller::{Ending, RequestOutcome};
 
-/// Judges every request that got chunks or an end.
+/// Checks the chunks and the ending of every request.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
-    let mut verdict = Verdict::new("no piece skipped, repeated or missing from a whole answer");
+    let mut verdict = Verdict::new("no chunk skipped, repeated or missing in a full response");
     for call in &history.calls {
         verdict.judged += 1;
         if let Some(fault) = fault(call) {
-            verdict.violate(format!("request {}: {fault}", call.marker));
+            verdict.record_violation(format!("request {}: {fault}", call.marker));
         }
     }
     verdict
@@ -19,7 +19,7 @@
 
 fn fault(call: &RequestOutcome) -> Option<String> {
     if call.ending == Ending::FalseEnd {
-        return Some("a partial answer ended as if it were whole".to_owned());
+        return Some("a partial response ended like a complete one".to_owned());
     }
     if !call.streamed {
         return None;
@@ -27,7 +27,7 @@
     for (chunk, expected) in call.chunks.iter().zip(0_u64..) {
         if chunk.sequence != Some(expected) {
             return Some(format!(
-                "piece {:?} where {expected} was due",
+                "chunk {:?} in place of chunk {expected}",
                 chunk.sequence
             ));
         }
@@ -36,7 +36,7 @@
     let short = call.succeeded() && got != call.requested_chunks;
     short.then(|| {
         format!(
-            "{got} pieces of {} in a whole answer",
+            "{got} of {} chunks in a complete response",
             call.requested_chunks
         )
     })
--- a/crates/lab/src/checks/success_backed.rs
+++ b/crates/lab/src/checks/success_backed.rs
@@ -1,13 +1,13 @@
-//! A caller never receives a success that no backend gave.
+//! Checks that every successful response stems from a completed execution on a backend.
 
 use super::history::History;
 use super::verdict::Verdict;
 use crate::emulator::execution::ExecutionEnd;
 
-/// Judges every success.
+/// Checks that every request that succeeded has a completed execution.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
-    let mut verdict = Verdict::new("every success was given by a backend");
+    let mut verdict = Verdict::new("every success comes from a backend");
     let executions = history.executions_by_marker();
     for call in history.calls.iter().filter(|call| call.succeeded()) {
         verdict.judged += 1;
@@ -17,8 +17,8 @@
             .flatten()
             .any(|execution| execution.end == Some(ExecutionEnd::Completed));
         if !completed {
-            verdict.violate(format!(
-                "request {} succeeded without a completed run",
+            verdict.record_violation(format!(
+                "request {} succeeded without a completed execution",
                 call.marker
             ));
         }
--- a/crates/lab/src/checks/survival.rs
+++ b/crates/lab/src/checks/survival.rs
@@ -1,9 +1,9 @@
-//! Acknowledged configurations survive every fault.
+//! Checks that no acknowledged configuration is lost.
 
 use super::history::{History, OrderResult};
 use super::verdict::Verdict;
 
-/// Judges every confirmed read against the orders acknowledged before it.
+/// Compares every confirmed read with the orders acknowledged before it was requested.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
     let mut verdict = Verdict::new("acknowledged configurations survive, reads are confirmed");
@@ -20,8 +20,8 @@
         let newest = accepted.max().unwrap_or(0);
         if read.revision < newest {
             let revision = read.revision;
-            verdict.violate(format!(
-                "a read gave {revision} after {newest} was acknowledged"
+            verdict.record_violation(format!(
+                "a read returned revision {revision} after {newest} was acknowledged"
             ));
         }
     }
--- a/crates/lab/src/commands/backend.rs
+++ b/crates/lab/src/commands/backend.rs
@@ -1,4 +1,4 @@
-//! `millford-lab backend`: one emulated backend as a process.
+//! `millford-lab backend`: runs one emulated backend.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,25 +8,31 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 use crate::arguments::{ArgumentError, optional, parse, value};
-use crate::emulator::registration::{keep_registered, leave};
+use crate::emulator::registration::{deregister, keep_registered};
 use crate::emulator::{BackendKind, BackendOptions, BackendServer};
 use crate::fleet::{FleetError, SitePlan};
 
-/// Exit status of a command that was ended by a signal.
+/// Exit status of a command that was interrupted by SIGTERM or SIGINT.
 pub const INTERRUPTED_STATUS: u8 = 130;
 
-/// Runs until SIGTERM or SIGINT, then deregisters.
+/// Serves until SIGTERM or SIGINT, then deregisters the backend.
 ///
 /// # Errors
-/// A bad command line, an address that cannot be bound, or a signal handler that cannot be installed.
+/// The command line is invalid, the address cannot be bound, the execution log cannot be opened, or a signal
+/// handler cannot be installed.
 pub async fn run(arguments: &[String]) -> Result<(), FleetError> {
     let mut options = Options::new();
     options.optopt("", "id", "identity in the registry", "TEXT");
-    options.optopt("", "zone", "zone", "TEXT");
+    options.optopt("", "zone", "zone reported to the registry", "TEXT");
     options.optopt("", "kind", "kind of work", "model|lookup");
     options.optopt("", "address", "address to listen on", "IP:PORT");
     options.optopt("", "registry", "address of the registry", "IP:PORT");
-    options.optopt("", "execution-log", "file of executions", "FILE");
+    options.optopt(
+        "",
+        "execution-log",
+        "file that executions are appended to",
+        "FILE",
+    );
     options.optopt("", "cores", "processor cores", "NUMBER");
     options.optopt("", "bandwidth", "memory bandwidth in GB/s", "NUMBER");
     options.optopt(
@@ -46,16 +52,16 @@
     let state = Arc::clone(server.state());
     println!("millford-lab-backend ready http={}", server.address());
     let Some(registry) = registry else {
-        return wait_for_end().await;
+        return wait_for_termination_signal().await;
     };
     let registering = tokio::spawn(keep_registered(
         Arc::clone(&state),
         registry,
         server.address(),
     ));
-    wait_for_end().await?;
+    wait_for_termination_signal().await?;
     registering.abort();
-    leave(&state, registry).await;
+    deregister(&state, registry).await;
     Ok(())
 }
 
@@ -93,7 +99,7 @@
 ///
 /// # Errors
 /// [`FleetError::Io`] when the signal handler cannot be installed.
-pub async fn wait_for_end() -> Result<(), FleetError> {
+pub async fn wait_for_termination_signal() -> Result<(), FleetError> {
     let mut terminate =
         signal(SignalKind::terminate()).map_err(FleetError::io("listening for SIGTERM"))?;
     tokio::select! {
--- a/crates/lab/src/commands/days.rs
+++ b/crates/lab/src/commands/days.rs
@@ -1,4 +1,4 @@
-//! `millford-lab days`: worth and maximum worth of days that were played at the bench.
+//! `millford-lab days`: prints value and maximum value of the days in journal entries of bench runs.
 
 use std::fmt::Write;
 use std::path::PathBuf;
@@ -10,19 +10,20 @@
 
 const USAGE: &str = "Usage: millford-lab days [options] ENTRY...
 
-Prints a table of the days in the entries that bench runs wrote: score, worth, ceiling (1 less the price of the
-machines), the worst windows and kind of request, the largest other prices and broken rules.";
+Prints a table of the days in journal entries of bench runs: score, value, maximum value (1 less the price of
+the machines), the worst windows and kind of request, the largest other prices and the broken rules.";
 
 /// Options of the command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DaysOptions {
-    /// Entries.
+    /// Files of the journal entries.
     pub files: Vec<PathBuf>,
-    /// Only days that are further than this below their ceiling, or broke a rule.
+    /// Smallest difference between the maximum value and the value of a listed day; days with a broken rule are
+    /// listed in any case.
     pub below: f64,
 }
 
-/// Parses the command line; `None` after the help was printed.
+/// Parses the command line. Returns `None` after printing the help.
 ///
 /// # Errors
 /// [`ArgumentError`] with the option or operand that is wrong.
@@ -31,7 +32,7 @@
     options.optopt(
         "",
         "below",
-        "only days this far below their ceiling, or with a broken rule (0)",
+        "only days this far below their maximum value, or with a broken rule (0)",
         "WORTH",
     );
     let matches = parse_files(options, USAGE, "entry", arguments)?;
@@ -40,14 +41,14 @@
     };
     Ok(Some(DaysOptions {
         files: files(&matches),
-        below: required_form(&matches, "below", 0.0, "is no number")?,
+        below: required_form(&matches, "below", 0.0, "must be a number")?,
     }))
 }
 
-/// Reads the entries and makes the table. Entries of runs that did not end have a line that says so.
+/// Reads the entries and formats the table. A run that did not finish has a row with its error.
 ///
 /// # Errors
-/// An entry cannot be read.
+/// A file cannot be read or is not a journal entry.
 pub fn run(options: &DaysOptions) -> Result<String, DaysError> {
     let mut text = format!("{}\n", day_row::HEAD);
     for file in &options.files {
--- a/crates/lab/src/commands/explain.rs
+++ b/crates/lab/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `millford-lab explain`: where worth was lost, from the decision records in logs.
+//! `millford-lab explain`: reports the lost value of requests, from the decision records in logs.
 
 use std::fs::File;
 use std::io::{self, BufReader};
@@ -10,28 +10,28 @@
 use super::loss_chart;
 use crate::arguments::{ArgumentError, files, parse_files, required_form};
 
-/// Share of its worth that a late response earns, unless the command line sets it.
+/// Default share of its value that a late response earns.
 const DEFAULT_LATE_SHARE: f64 = 0.3;
 
 const USAGE: &str = "Usage: millford-lab explain [options] FILE...
 
-Joins the decision records in the logs of forwarding proxies (setting decision_log_per_mille) and says
-how much worth was lost, by route and reason, second, zone, tenant and backend. FILE - is standard input.";
+Joins the decision records in the logs of forwarding proxies (setting decision_log_per_mille) and prints
+the lost value by route and reason, second, zone, tenant and backend. FILE - is standard input.";
 
 /// Options of the command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExplainOptions {
-    /// Logs; `-` is standard input.
+    /// Log files; `-` stands for standard input.
     pub files: Vec<PathBuf>,
-    /// Share of its worth that a late response earns.
+    /// Share of its value that a late response earns, from 0 to 1.
     pub late_share: f64,
-    /// File of the chart.
+    /// File for the chart; absent to draw none.
     pub plot: Option<PathBuf>,
-    /// Requests that arrived before this second of the node's clock are left out.
+    /// First second of the node's clock to include; requests that arrived earlier are ignored.
     pub from_second: u64,
 }
 
-/// Parses the command line; `None` after the help was printed.
+/// Parses the command line. Returns `None` after printing the help.
 ///
 /// # Errors
 /// [`ArgumentError`] with the option or operand that is wrong.
@@ -40,16 +40,26 @@
     options.optopt(
         "",
         "late-share",
-        "worth of a late answer, 0 to 1 (0.3)",
+        "share of its value that a late response earns, 0 to 1 (0.3)",
         "SHARE",
     );
-    options.optopt("", "plot", "draw the losses over time as SVG", "FILE");
-    options.optopt("", "from", "leave out what arrived earlier", "SECOND");
+    options.optopt(
+        "",
+        "plot",
+        "write a chart of the losses over time, as SVG",
+        "FILE",
+    );
+    options.optopt("", "from", "ignore requests that arrived earlier", "SECOND");
     let matches = parse_files(options, USAGE, "log file", arguments)?;
     let Some(matches) = matches else {
         return Ok(None);
     };
-    let late_share = required_form(&matches, "late-share", DEFAULT_LATE_SHARE, "is no number")?;
+    let late_share = required_form(
+        &matches,
+        "late-share",
+        DEFAULT_LATE_SHARE,
+        "must be a number",
+    )?;
     if !(0.0..=1.0).contains(&late_share) {
         return Err(ArgumentError::Requirement {
             option: "late-share",
@@ -60,11 +70,11 @@
         files: files(&matches),
         late_share,
         plot: matches.opt_str("plot").map(PathBuf::from),
-        from_second: required_form(&matches, "from", 0, "is no whole number")?,
+        from_second: required_form(&matches, "from", 0, "must be a whole number")?,
     }))
 }
 
-/// Reads the logs, prints the account and draws the chart.
+/// Reads the logs, prints the losses and writes the chart, if requested.
 ///
 /// # Errors
 /// Fails when a file cannot be read or written, or holds a record that cannot be read.
--- a/crates/lab/src/commands/loss_chart.rs
+++ b/crates/lab/src/commands/loss_chart.rs
@@ -1,12 +1,12 @@
-//! A picture of the lost worth over time.
+//! Draws a chart of the lost value over time.
 
 use millford_decisions::{Account, DecisionsError};
 use plotters::prelude::*;
 
-/// Size of the picture, in pixels.
+/// Width and height of the chart, in pixels.
 const SIZE: (u32, u32) = (900, 420);
 
-/// Draws the share of worth that was lost in each second, as SVG.
+/// Draws the share of the value that was lost, by second of arrival, and returns it as SVG.
 ///
 /// # Errors
 /// Fails when the picture cannot be drawn.
@@ -28,7 +28,7 @@
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .caption(
-            "Share of the worth lost, by second of arrival",
+            "Share of the value lost, by second of arrival",
             ("sans-serif", 18),
         )
         .margin(12)
--- a/crates/lab/src/commands/registry.rs
+++ b/crates/lab/src/commands/registry.rs
@@ -1,28 +1,33 @@
-//! `millford-lab registry`: the service registry stand-in as a process.
+//! `millford-lab registry`: runs the service registry stand-in.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use getopts::Options;
 
-use super::backend::wait_for_end;
+use super::backend::wait_for_termination_signal;
 use crate::arguments::{parse, value};
 use crate::fleet::FleetError;
 use crate::registry::RegistryServer;
 use crate::registry::store::RegistryDelays;
 
-/// Runs until SIGTERM or SIGINT.
+/// Serves until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// A bad command line, an address that cannot be bound, or a signal handler that cannot be installed.
+/// The command line is invalid, the address cannot be bound, or a signal handler cannot be installed.
 pub async fn run(arguments: &[String]) -> Result<(), FleetError> {
     let mut options = Options::new();
     options.optopt("", "address", "address to listen on", "IP:PORT");
-    options.optopt("", "show-after-ms", "delay before a change is listed", "MS");
+    options.optopt(
+        "",
+        "show-after-ms",
+        "delay until a change is visible in the list",
+        "MS",
+    );
     options.optopt(
         "",
         "forget-after-ms",
-        "silence before a backend is dropped",
+        "time without a report after which a backend is removed",
         "MS",
     );
     let Some(matches) = parse("registry", &mut options, arguments)? else {
@@ -41,7 +46,7 @@
         .await
         .map_err(FleetError::io("starting the registry"))?;
     println!("millford-lab-registry ready http={}", server.address());
-    wait_for_end().await
+    wait_for_termination_signal().await
 }
 
 fn millis(duration: Duration) -> u64 {
--- a/crates/lab/src/days/day_row.rs
+++ b/crates/lab/src/days/day_row.rs
@@ -1,20 +1,20 @@
-//! A day as a line of a table.
+//! Row of the table of days.
 
 use std::fmt;
 
 use super::journal_entry::{JournalEntry, PlayedDay};
 
-/// Prices that a line names.
+/// Largest number of prices in a row.
 const PRICES_NAMED: usize = 3;
 
-/// Prices below this are noise.
+/// Smallest price that is listed; smaller ones are not significant.
 const SMALLEST_PRICE: f64 = 0.001;
 
-/// Head of the table, in Markdown.
-pub const HEAD: &str = "| entry | day | score | worth | ceiling | worst windows | worst kind | largest other prices | broken |
+/// Header of the table, in Markdown.
+pub const HEAD: &str = "| entry | day | score | value | maximum | worst windows | worst kind | largest other prices | broken |
 | --- | --- | --- | --- | --- | --- | --- | --- | --- |";
 
-/// One line.
+/// Row of the table for one day of a journal entry.
 #[derive(Clone, Debug)]
 pub struct DayRow<'a> {
     entry: &'a JournalEntry,
@@ -22,22 +22,22 @@
 }
 
 impl<'a> DayRow<'a> {
-    /// The lines of an entry.
+    /// Returns one row for each day of an entry.
     pub fn all_of(entry: &'a JournalEntry) -> impl Iterator<Item = DayRow<'a>> {
         entry.days.iter().map(move |day| DayRow { entry, day })
     }
 
-    /// Whether the day is this far below its maximum, or broke a rule.
+    /// Returns whether the day's value is at least `below` under its maximum, or a rule was broken.
     #[must_use]
     pub fn is_selected(&self, below: f64) -> bool {
-        let missing = self.day.maximum_worth() - self.day.worth;
+        let missing = self.day.maximum_value() - self.day.value;
         missing >= below || !self.broken().is_empty()
     }
 
     fn prices(&self) -> String {
         let prices = self.day.largest_prices(PRICES_NAMED);
-        let worth_naming = prices.iter().filter(|price| price.2 >= SMALLEST_PRICE);
-        let texts: Vec<String> = worth_naming
+        let significant = prices.iter().filter(|price| price.2 >= SMALLEST_PRICE);
+        let texts: Vec<String> = significant
             .map(|price| format!("{} {:.3}", price.0, price.2))
             .collect();
         texts.join(", ")
@@ -63,8 +63,8 @@
             self.entry.id,
             self.day.name,
             self.day.score,
-            self.day.worth,
-            self.day.maximum_worth(),
+            self.day.value,
+            self.day.maximum_value(),
             component("worst windows"),
             component("worst class"),
             self.prices(),
--- a/crates/lab/src/days/error.rs
+++ b/crates/lab/src/days/error.rs
@@ -1,26 +1,26 @@
-//! Errors of the account of days.
+//! Errors of reading journal entries.
 
 use std::path::PathBuf;
 
 use thiserror::Error;
 
-/// Why there is no account.
+/// Reason why a journal entry cannot be used.
 #[derive(Debug, Error)]
 pub enum DaysError {
     /// A file could not be read.
     #[error("{path}: {source}")]
     Input {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A file is no entry.
-    #[error("{path} is no entry of a bench run: {source}")]
+    /// A file is not a journal entry.
+    #[error("{path} is not a journal entry of a bench run: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
 }
--- a/crates/lab/src/days/journal_entry.rs
+++ b/crates/lab/src/days/journal_entry.rs
@@ -1,4 +1,4 @@
-//! The entry that a bench run writes, as far as the account reads it.
+//! Journal entry that a bench run writes. Fields that the table does not use are ignored.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -7,60 +7,60 @@
 
 use super::error::DaysError;
 
-/// Price of the machines that run: what no service can save.
+/// Name of the price of the running machines, which no service can avoid.
 const MACHINES: &str = "machine-seconds";
 
-/// One run.
+/// Journal entry of one bench run.
 #[derive(Clone, Debug, Deserialize)]
 pub struct JournalEntry {
-    /// Number of the run.
+    /// Id of the run.
     pub id: String,
-    /// The verb: `score`, `run`, `hunt` and so on.
+    /// Command of the bench: `score`, `run`, `hunt` and so on.
     pub cmd: String,
-    /// The deployment, where the run came to its end.
+    /// Name of the deployment; absent if the run did not finish.
     #[serde(default)]
     pub site: Option<String>,
-    /// Why the run did not come to its end.
+    /// Reason why the run did not finish; absent if it did.
     #[serde(default)]
     pub error: Option<String>,
-    /// The days that were played.
+    /// Days that were played; empty if the run did not finish.
     #[serde(default)]
     pub days: Vec<PlayedDay>,
 }
 
-/// One day.
+/// Results of one day.
 #[derive(Clone, Debug, Deserialize)]
 pub struct PlayedDay {
-    /// Name, with the seed where it is not the usual one.
+    /// Name of the day, with the seed if it is not the default.
     pub name: String,
-    /// What the day was worth, less prices.
+    /// Value earned by the components, less the prices.
     #[serde(rename = "G")]
-    pub worth: f64,
-    /// Mark between 0 and 1.
+    pub value: f64,
+    /// Score, from 0 to 1.
     pub score: f64,
-    /// Components of the worth: name, weight, share earned.
+    /// Components of the value: name, weight, and share earned.
     #[serde(rename = "parts", default)]
     pub components: Vec<(String, f64, f64)>,
-    /// Prices taken off.
+    /// Prices subtracted from the value.
     #[serde(default)]
     pub prices: Vec<Price>,
-    /// Broken rules and how often.
+    /// Broken rules, with the number of violations.
     #[serde(default)]
     pub rules: BTreeMap<String, serde_json::Value>,
-    /// A fault of the programs.
+    /// A fault of the programs during the day; absent if there was none.
     #[serde(default)]
     pub fault: Option<String>,
 }
 
-/// A price: name, amount, and what it takes off the worth.
+/// A price: name, amount used, and the value subtracted for it.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Price(pub String, pub f64, pub f64);
 
 impl JournalEntry {
-    /// Reads an entry.
+    /// Reads a journal entry from a file.
     ///
     /// # Errors
-    /// The file cannot be read, or is no entry.
+    /// The file cannot be read, or is not a journal entry.
     pub fn read(path: &Path) -> Result<Self, DaysError> {
         let text = std::fs::read(path).map_err(|source| DaysError::Input {
             path: path.to_owned(),
@@ -74,13 +74,13 @@
 }
 
 impl PlayedDay {
-    /// What a perfect service on the same machines would be worth.
+    /// Returns the value that a perfect service on the same machines would reach.
     #[must_use]
-    pub fn maximum_worth(&self) -> f64 {
+    pub fn maximum_value(&self) -> f64 {
         1.0 - self.price_of(MACHINES)
     }
 
-    /// Share that a component earned; a component is identified by a prefix of its name.
+    /// Returns the share earned by the first component whose name starts with `name`.
     #[must_use]
     pub fn component(&self, name: &str) -> Option<f64> {
         let mut components = self.components.iter();
@@ -88,7 +88,7 @@
         Some(component.2)
     }
 
-    /// The largest prices beside that of the machines.
+    /// Returns the `count` largest prices, without that of the machines, in descending order.
     #[must_use]
     pub fn largest_prices(&self, count: usize) -> Vec<&Price> {
         let others = self.prices.iter();
--- a/crates/lab/src/days/mod.rs
+++ b/crates/lab/src/days/mod.rs
@@ -1,8 +1,8 @@
-//! Account of days that were played at the users' bench, from the entries that its runs write.
+//! Summary of the days played by runs of the users' bench, from the journal entries that the runs write.
 //!
-//! A day's worth is what its components earned less prices. Its maximum is what a perfect service would be worth:
-//! one less the price of the machines that must run. The distance between the two, and the components and prices
-//! that make it up, say what to mend next.
+//! The value of a day is what its components earned, less prices. Its maximum is the value that a perfect
+//! service would reach: one less the price of the machines that must run. The difference between the two,
+//! and the components and prices that cause it, show what to improve next.
 
 pub mod day_row;
 pub mod error;
--- a/crates/lab/src/demo/faults.rs
+++ b/crates/lab/src/demo/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the demonstration.
+//! Injects the faults of the demonstration.
 
 use std::time::Duration;
 
@@ -8,21 +8,26 @@
 use crate::fleet::waiting::wait_for;
 use crate::fleet::{Fleet, FleetError};
 
-/// Longest wait for streams to be under way.
-const STREAMS_BOUND: Duration = Duration::from_secs(10);
-/// Streams that a backend must hold to be worth killing.
+/// Longest wait until a backend has enough open streams.
+const STREAMS_TIMEOUT: Duration = Duration::from_secs(10);
+/// Number of open streams that the backend to kill must have.
 const REQUIRED_STREAMS: usize = 2;
 
-/// Waits until some model backend holds streams, kills it and returns its index.
+/// Waits until a model backend has [`REQUIRED_STREAMS`] open streams, kills the one with the most and returns
+/// its index.
 ///
 /// # Errors
-/// [`FleetError::Timeout`] when no streams are open in time.
+/// [`FleetError::Timeout`] when no backend has enough open streams in time.
 pub async fn kill_busy_backend(fleet: &mut Fleet) -> Result<usize, FleetError> {
     let models = fleet.plan.model_backends;
     let view = &*fleet;
-    wait_for("streams under way", STREAMS_BOUND, || async move {
-        open_streams(view, busiest_backend(view, models).await).await >= REQUIRED_STREAMS
-    })
+    wait_for(
+        "a backend with open streams",
+        STREAMS_TIMEOUT,
+        || async move {
+            open_streams(view, busiest_backend(view, models).await).await >= REQUIRED_STREAMS
+        },
+    )
     .await?;
     let busiest = busiest_backend(fleet, models).await;
     fleet.backends[busiest].process.kill().await;
@@ -42,10 +47,10 @@
 
 async fn open_streams(fleet: &Fleet, index: usize) -> usize {
     let address = fleet.backends[index].spec.address;
-    let Ok(answer) = get(address, "/v1/executions", None).await else {
+    let Ok(response) = get(address, "/v1/executions", None).await else {
         return 0;
     };
-    let executions: Vec<Execution> = serde_json::from_slice(&answer.body).unwrap_or_default();
+    let executions: Vec<Execution> = serde_json::from_slice(&response.body).unwrap_or_default();
     executions
         .iter()
         .filter(|execution| execution.end.is_none())
@@ -55,7 +60,7 @@
 /// Kills the control node that leads the configuration shard and returns its index.
 ///
 /// # Errors
-/// [`FleetError::Operator`] when no leader is known.
+/// [`FleetError::Operator`] when the cluster status names no leader.
 pub async fn kill_configuration_leader(fleet: &mut Fleet) -> Result<usize, FleetError> {
     let status = fleet.operator.status(fleet.operator_address()).await;
     let leader = status
@@ -63,14 +68,14 @@
         .and_then(|status| leader_index(fleet, status));
     let Some(leader) = leader else {
         return Err(FleetError::Operator(
-            "the status names no configuration leader".to_owned(),
+            "the cluster status names no leader of the configuration shard".to_owned(),
         ));
     };
     fleet.controls[leader].process.kill().await;
     Ok(leader)
 }
 
-/// Index of the control node that a status names as leader of the configuration shard.
+/// Returns the index of the control node that a cluster status names as leader of the configuration shard.
 #[must_use]
 pub fn leader_index(fleet: &Fleet, status: &serde_json::Value) -> Option<usize> {
     let leader = configuration_leader(status)?;
--- a/crates/lab/src/demo/mod.rs
+++ b/crates/lab/src/demo/mod.rs
@@ -1,4 +1,4 @@
-//! `millford-lab demo`: a complete fleet on loopback, with faults while streams run.
+//! `millford-lab demo`: runs a complete fleet on loopback and injects faults while streams are open.
 
 pub mod faults;
 pub mod options;
@@ -10,28 +10,29 @@
 
 use crate::arguments::parse;
 use crate::checks::check_all;
-use crate::commands::backend::{INTERRUPTED_STATUS, wait_for_end};
+use crate::commands::backend::{INTERRUPTED_STATUS, wait_for_termination_signal};
 use crate::fleet::binaries::Binaries;
 use crate::fleet::{Fleet, FleetError};
 use crate::workload::{Callers, Figures};
 use options::DemoOptions;
 
-/// Runs the demonstration; every process of it has ended when this returns.
+/// Runs the command. Every process of the fleet has exited when this returns. The exit status is a failure
+/// when a guarantee was violated or a request after the faults failed.
 ///
 /// # Errors
-/// A bad command line, or a fleet that cannot be started or driven.
+/// The command line is invalid, or the fleet cannot be started or driven.
 pub async fn run(arguments: &[String]) -> Result<ExitCode, FleetError> {
     let mut options = options::getopts();
     let Some(matches) = parse("demo", &mut options, arguments)? else {
         return Ok(ExitCode::SUCCESS);
     };
     let options = DemoOptions::read(&matches)?;
-    // A fleet that was left up is meant to be ended by a signal.
+    // With --keep a signal is the regular end of the run.
     let status_at_end = if options.keep { 0 } else { INTERRUPTED_STATUS };
     tokio::select! {
         result = demonstrate(options) => result,
-        // The fleet inside the other branch is dropped, and its processes with it.
-        end = wait_for_end() => end.map(|()| ExitCode::from(status_at_end)),
+        // Dropping the other branch drops the fleet, which kills its processes.
+        end = wait_for_termination_signal() => end.map(|()| ExitCode::from(status_at_end)),
     }
 }
 
@@ -39,7 +40,7 @@
     let started = Instant::now();
     let plan = options.site.plan();
     println!("starting {}: {}", plan.name, show::plan_text(&plan));
-    let mut fleet = Fleet::start(plan, Binaries::beside_this_one()?).await?;
+    let mut fleet = Fleet::start(plan, Binaries::beside_current_executable()?).await?;
     println!(
         "all processes are ready after {:.1} s",
         started.elapsed().as_secs_f64()
@@ -69,10 +70,10 @@
 async fn drive(fleet: &mut Fleet, options: &DemoOptions) -> Result<bool, FleetError> {
     let output = fleet.configure().await?;
     println!("millfordctl apply: {}", output.trim());
-    println!("every proxy shows the configuration");
+    println!("every proxy is ready with the configuration");
     if options.keep {
-        show::addresses(fleet);
-        wait_for_end().await?;
+        show::print_addresses(fleet);
+        wait_for_termination_signal().await?;
         return Ok(true);
     }
     let mut callers = Callers::new(traffic::callers_options(fleet));
@@ -80,13 +81,13 @@
     history.calls.extend(callers.finish().await);
     history.executions = fleet.executions()?;
     history.quotas = traffic::quotas(&fleet.plan)?;
-    show::sample(&history);
+    show::print_sample(&history);
     let report = check_all(&history);
     println!("\n{}", Figures::of(&history).text());
     println!("{}", report.table());
     let served = traffic::final_requests_served(&history);
     if !served {
-        println!("the calls after the faults were not all served");
+        println!("not all requests after the faults were served");
     }
     Ok(report.holds() && served)
 }
--- a/crates/lab/src/demo/options.rs
+++ b/crates/lab/src/demo/options.rs
@@ -1,4 +1,4 @@
-//! Options of the demonstration.
+//! Command-line options of `millford-lab demo`.
 
 use getopts::{Matches, Options};
 
@@ -8,20 +8,24 @@
 /// Options of the demonstration.
 #[derive(Clone, Copy, Debug)]
 pub struct DemoOptions {
-    /// Topology.
+    /// Site whose fleet is started.
     pub site: Site,
-    /// Leave the fleet up for people until a signal comes.
+    /// Whether to leave the fleet running, without traffic or faults, until SIGTERM or SIGINT.
     pub keep: bool,
-    /// Keep settings, logs and data on disk.
+    /// Whether to keep the folder of settings, logs and data after the run.
     pub keep_logs: bool,
 }
 
-/// The command's options.
+/// Returns the options that the command accepts.
 #[must_use]
 pub fn getopts() -> Options {
     let mut options = Options::new();
     add_site(&mut options);
-    options.optflag("", "keep", "leave the fleet up and print its addresses");
+    options.optflag(
+        "",
+        "keep",
+        "leave the fleet running and print its addresses",
+    );
     add_keep_logs(&mut options);
     options
 }
--- a/crates/lab/src/demo/show.rs
+++ b/crates/lab/src/demo/show.rs
@@ -1,14 +1,14 @@
-//! What the demonstration prints.
+//! Prints the output of the demonstration.
 
 use crate::caller::{Ending, RequestOutcome};
 use crate::checks::History;
 use crate::fleet::site::LARGE_MODEL;
 use crate::fleet::{Fleet, SitePlan};
 
-/// Characters of a response that are printed.
+/// Largest number of characters of a response that are printed.
 const MAX_PRINTED_CHARACTERS: usize = 100;
 
-/// One line about a topology.
+/// Describes a topology in one line.
 #[must_use]
 pub fn plan_text(plan: &SitePlan) -> String {
     format!(
@@ -17,8 +17,8 @@
     )
 }
 
-/// Every address, and a line for `curl`.
-pub fn addresses(fleet: &Fleet) {
+/// Prints every address, the keys, and a `curl` command line.
+pub fn print_addresses(fleet: &Fleet) {
     println!("registry         http://{}", fleet.registry_address);
     for control in &fleet.controls {
         let spec = &control.spec;
@@ -50,8 +50,9 @@
     )
 }
 
-/// What some callers saw: one whole stream, one that moved, and every failure's code once.
-pub fn sample(history: &History) {
+/// Prints a sample of the outcomes: one complete stream, every stream that another backend resumed, and one
+/// failure of each result code.
+pub fn print_sample(history: &History) {
     let moved = |call: &&RequestOutcome| {
         let runs = history
             .executions
@@ -59,7 +60,7 @@
             .filter(|run| run.marker == call.marker);
         call.succeeded() && runs.clone().any(|run| run.resume_from > 0)
     };
-    println!("\nwhat callers saw:");
+    println!("\nsample of the requests:");
     if let Some(call) = history
         .calls
         .iter()
@@ -68,7 +69,7 @@
         print_request("a stream", call);
     }
     for call in history.calls.iter().filter(moved) {
-        print_request("a stream that moved", call);
+        print_request("a stream that moved to another backend", call);
         print_runs(history, call);
     }
     let mut codes = std::collections::BTreeSet::new();
@@ -89,7 +90,7 @@
         .collect();
     let start: String = text.chars().take(MAX_PRINTED_CHARACTERS).collect();
     println!(
-        "  {what}: request {} at proxy {}, {} pieces: {start}",
+        "  {what}: request {} at proxy {}, {} chunks: {start}",
         call.marker,
         call.proxy,
         call.chunks.len()
@@ -106,7 +107,7 @@
             .end
             .map_or("lost".to_owned(), |end| format!("{end:?}").to_lowercase());
         println!(
-            "      {} from piece {}: {end}",
+            "      {} from chunk {}: {end}",
             run.backend, run.resume_from
         );
     }
--- a/crates/lab/src/demo/traffic.rs
+++ b/crates/lab/src/demo/traffic.rs
@@ -1,4 +1,4 @@
-//! Traffic of the demonstration, and the faults in its course.
+//! Sends the traffic of the demonstration and injects its faults.
 
 use std::collections::BTreeMap;
 
@@ -15,16 +15,16 @@
 use crate::workload::service_probe::ServiceProbe;
 use crate::workload::{Callers, CallersOptions};
 
-/// Long streams that are started at once.
+/// Number of long streams that are started at once.
 const LONG_STREAMS: usize = 16;
-/// Beats of steady traffic after each fault: about four seconds.
+/// Ticks of steady traffic before, between and after the faults: about four seconds.
 const TICKS_AFTER_FAULT: usize = 80;
-/// Requests of the last round, which must all be served.
+/// Number of requests after the faults, all of which must be served.
 const FINAL_REQUESTS: usize = 8;
-/// Prefix that tells the tenants apart: the first part of a key names the site.
+/// Suffix of the example keys, after the names of site and tenant.
 const KEY_SUFFIX: &str = "-key";
 
-/// Tenants that send requests in the demonstration.
+/// Returns options for callers at every proxy with all tenants of the site and a random seed.
 #[must_use]
 pub fn callers_options(fleet: &Fleet) -> CallersOptions {
     CallersOptions {
@@ -39,7 +39,7 @@
     }
 }
 
-/// The tenants of a site: a key is `SITE-TENANT-key`.
+/// Returns the tenants of a site, whose keys have the form `SITE-TENANT-key`.
 #[must_use]
 pub fn tenants(plan: &SitePlan) -> Vec<TenantCredentials> {
     let prefix = format!("{}-", plan.name);
@@ -56,7 +56,7 @@
     .collect()
 }
 
-/// Quotas of the tenants, from the site's document.
+/// Returns the quotas by name of the tenant, from the site's configuration document.
 ///
 /// # Errors
 /// [`FleetError::Document`] when the site's document cannot be parsed.
@@ -79,14 +79,14 @@
     Ok(quotas.collect())
 }
 
-/// Runs the traffic, kills a backend and the configuration leader, and ends with a last round.
-/// Returns what is known of the faults, for the checks.
+/// Runs the traffic, kills a backend and the leader of the configuration shard, and sends the final requests.
+/// Returns a history with the probes, recovery and disturbance of the leader's outage, for the checks.
 ///
 /// # Errors
 /// A fault cannot be injected or undone.
 pub async fn run(fleet: &mut Fleet, callers: &mut Callers) -> Result<History, FleetError> {
     let mut mix = Mix::default();
-    // Second sends are earned by first ones: a fleet that has served nothing may move nothing.
+    // The retry budget grows with served requests: a fleet that has served none may not resume any stream.
     steady(&mut mix, callers).await;
     for _ in 0..LONG_STREAMS {
         callers.start(RequestKind::Long);
@@ -99,17 +99,17 @@
         fleet.backends[backend].spec.id
     );
     steady(&mut mix, callers).await;
-    let leader_loss = lose_leader(fleet, &mut mix, callers).await?;
+    let leader_outage = interrupt_leader(fleet, &mut mix, callers).await?;
     steady(&mut mix, callers).await;
     callers.finish().await;
     send_final_requests(callers).await;
-    Ok(leader_loss)
+    Ok(leader_outage)
 }
 
-/// Kills the configuration leader and restarts it after the steady traffic. Until every proxy
-/// serves without it, requests may find no quota decision within their deadline; how long that takes
-/// is judged like the return of service after an outage.
-async fn lose_leader(
+/// Kills the leader of the configuration shard and restarts it after a period of steady traffic. Until every
+/// proxy serves without it, requests may get no quota decision within their deadline; this time is checked
+/// like the recovery from an outage.
+async fn interrupt_leader(
     fleet: &mut Fleet,
     mix: &mut Mix,
     callers: &mut Callers,
@@ -141,9 +141,9 @@
 }
 
 async fn steady(mix: &mut Mix, callers: &mut Callers) {
-    let mut beats = interval(LOOKUP_PERIOD);
+    let mut ticks = interval(LOOKUP_PERIOD);
     for _ in 0..TICKS_AFTER_FAULT {
-        beats.tick().await;
+        ticks.tick().await;
         mix.tick(callers);
     }
 }
@@ -156,7 +156,7 @@
     callers.finish().await;
 }
 
-/// Whether every request of the last round got a complete response.
+/// Returns whether every final request got a complete response.
 #[must_use]
 pub fn final_requests_served(history: &History) -> bool {
     let mut calls: Vec<&RequestOutcome> = history.calls.iter().collect();
--- a/crates/lab/src/emulator/attempts.rs
+++ b/crates/lab/src/emulator/attempts.rs
@@ -1,25 +1,26 @@
-//! Attempts that a backend has met, so that one can be withdrawn before it arrives.
+//! States of the attempts on a backend. An attempt can be withdrawn even before it arrives.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
 
-/// State of one attempt.
+/// State of one attempt on this backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptState {
-    /// It never ran and never will.
+    /// The attempt has not run and will not run.
     Withdrawn,
-    /// It never will run here, but it is older than this backend: a former one may have run it.
+    /// The attempt will not run on this process, but may be older than it: an earlier process of the backend
+    /// may have run it.
     Unknown,
-    /// Work on it has begun.
+    /// Work on the attempt has begun and not ended.
     Running,
-    /// Its work is over, whatever the result.
+    /// Work on the attempt has ended, successfully or not.
     Finished,
 }
 
-/// All attempts of one backend. None is forgotten.
+/// States of all attempts since the backend started. No entry is ever removed.
 #[derive(Debug)]
 pub struct Attempts {
     since: Instant,
@@ -27,7 +28,7 @@
 }
 
 impl Attempts {
-    /// No attempts; those that arrive from now on are known.
+    /// Creates an empty table that will contain every attempt from now on.
     #[must_use]
     pub fn starting_now() -> Self {
         Self {
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Begins an attempt. False: it was withdrawn or has run, and must not run now.
+    /// Marks an attempt as running. Returns false if it was withdrawn or has run before; it must not run then.
     pub fn begin(&mut self, attempt: &str) -> bool {
         if self.states.contains_key(attempt) {
             return false;
@@ -46,16 +47,16 @@
         true
     }
 
-    /// Marks an attempt as over.
+    /// Marks an attempt as finished.
     pub fn finish(&mut self, attempt: &str) {
         self.states
             .insert(attempt.to_owned(), AttemptState::Finished);
     }
 
-    /// Withdraws an attempt. One that has not begun never will; one that has keeps its state.
+    /// Withdraws an attempt unless it has begun, and returns its state.
     ///
-    /// `age` is an upper bound of the attempt's age. One that may be older than this list, or of
-    /// which no age is known, may have run before the list began.
+    /// `age` is an upper bound of the attempt's age. If it exceeds the age of this table, or is absent, an
+    /// earlier process of the backend may have run the attempt.
     pub fn withdraw(&mut self, attempt: &str, age: Option<Duration>) -> AttemptState {
         let state = *self
             .states
--- a/crates/lab/src/emulator/completion.rs
+++ b/crates/lab/src/emulator/completion.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/chat/completions` of the emulator.
+//! Handles `POST /v1/chat/completions` of the emulator.
 
 use std::sync::Arc;
 
@@ -17,12 +17,12 @@
     ATTEMPT_HEADER, RESUME_AT_HEADER, RESUME_FROM_HEADER, RUN_HEADER, machine_micros,
 };
 
-/// Status of a withdrawn or repeated attempt.
+/// Status of the response to a withdrawn or repeated attempt.
 const ATTEMPT_CLOSED: StatusCode = StatusCode::SERVICE_UNAVAILABLE;
-/// Text of a response that was crossed with another.
+/// Attempt id, marker and run of a crossed response.
 const CROSSED: &str = "crossed-with-another";
 
-/// Runs one completion.
+/// Runs one completion and returns its response, which is a refusal if no work was done.
 pub async fn complete(
     state: Arc<BackendState>,
     headers: HeaderMap,
@@ -55,11 +55,11 @@
         .ok();
     let execution = execution(&state, &headers, &prompt, resume_from.unwrap_or(0));
     let answer = AnswerText::new(&execution.marker, &execution.run);
-    let left = prompt
+    let remaining = prompt
         .chunks()
         .saturating_sub(resume_from.unwrap_or(0))
         .max(1);
-    let output_tokens = u32::try_from(left).unwrap_or(u32::MAX);
+    let output_tokens = u32::try_from(remaining).unwrap_or(u32::MAX);
     let mut work = match state
         .engine
         .start(&prompt.model, &prompt.text(), output_tokens)
--- a/crates/lab/src/emulator/engine.rs
+++ b/crates/lab/src/emulator/engine.rs
@@ -1,4 +1,4 @@
-//! Drives the cost model of one backend by the process's clock.
+//! Runs the cost model of one backend in real time.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,10 +15,10 @@
 
 /// Bytes of prompt text per token.
 const BYTES_PER_TOKEN: usize = 4;
-/// Models whose names end so cost little.
+/// Suffix of the names of models with the light cost profile.
 const LIGHT_SUFFIX: &str = "small";
 
-/// The cost model of one backend and the runs that wait on it.
+/// Cost model of one backend, with the runs that wait for its tokens.
 #[derive(Debug)]
 pub struct Engine {
     inner: Mutex<Inner>,
@@ -32,20 +32,20 @@
     next_run: u64,
 }
 
-/// A run in the engine. Dropping it cancels it.
+/// A run in the cost model. Dropping it cancels the run.
 #[derive(Debug)]
 pub struct EngineRun {
     engine: Arc<Engine>,
     run: u64,
     tokens: watch::Receiver<u32>,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// What the prefix cache held.
+    /// Result of the start, with the number of prompt tokens found in the prefix cache.
     pub started: RunStarted,
 }
 
 impl Engine {
-    /// An engine of the size that the options give, with every declared model loaded.
+    /// Creates an engine with the cores, bandwidth and speed of the options and every declared model loaded.
     #[must_use]
     pub fn new(options: &BackendOptions) -> Arc<Self> {
         let model_options = ModelOptions {
@@ -70,10 +70,10 @@
         engine
     }
 
-    /// Starts a run of `output_tokens` tokens on `prompt`.
+    /// Starts a run that generates `output_tokens` tokens for `prompt`.
     ///
     /// # Errors
-    /// [`RunRefused`] when the backend is full or lacks the model.
+    /// [`RunRefused`] when the backend has no capacity left or has not loaded the model.
     pub fn start(
         self: &Arc<Self>,
         model: &str,
@@ -108,7 +108,7 @@
         })
     }
 
-    /// Sets the speed from now on; 1 is normal.
+    /// Sets the factor on the speed of the cost model; 1 is normal speed.
     pub fn set_speed(&self, speed: f64) {
         let mut inner = self.lock();
         let events = inner.backend.set_speed(monotonic_now(), speed);
@@ -117,13 +117,13 @@
         self.changed.notify_one();
     }
 
-    /// Demand for memory bandwidth over the bandwidth.
+    /// Returns the ratio of the demand for memory bandwidth to the available bandwidth.
     #[must_use]
     pub fn load(&self) -> f64 {
         self.lock().backend.bandwidth_utilization()
     }
 
-    /// Publishes tokens as they are due. Never returns.
+    /// Publishes tokens to the runs when they are due. Never returns.
     pub async fn drive(self: Arc<Self>) {
         loop {
             let pause = self.step();
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Progresses to now; returns the time to the next token, if any run is open.
+    /// Advances the cost model to the current time. Returns the time to the next token, or `None` without runs.
     fn step(&self) -> Option<Duration> {
         let mut inner = self.lock();
         inner.advance();
@@ -180,10 +180,10 @@
 }
 
 impl EngineRun {
-    /// Waits until `tokens` tokens are there.
+    /// Waits until the run has generated `tokens` tokens.
     pub async fn wait_for(&mut self, tokens: u32) {
-        // The sender lives in the engine, which this run holds; the wait cannot fail.
-        let _ = self.tokens.wait_for(|there| *there >= tokens).await;
+        // The wait cannot fail: this run keeps the engine alive, and the engine owns the sender.
+        let _ = self.tokens.wait_for(|generated| *generated >= tokens).await;
     }
 }
 
--- a/crates/lab/src/emulator/execution.rs
+++ b/crates/lab/src/emulator/execution.rs
@@ -1,4 +1,4 @@
-//! One execution of a request on a backend.
+//! Record of one execution of a request on a backend.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,33 +6,33 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExecutionEnd {
-    /// Every chunk was handed to the connection.
+    /// Every chunk was passed to the connection.
     Completed,
-    /// The connection was closed first, or a fault truncated the response.
+    /// The connection was closed before the last chunk, or a fault truncated the response.
     Cancelled,
 }
 
-/// One execution of a request on a backend.
+/// Record of one execution of a request on a backend.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Execution {
-    /// Backend that ran it.
+    /// Id of the backend.
     pub backend: String,
-    /// Attempt that started it.
+    /// Id of the attempt that started the execution.
     pub attempt: String,
-    /// Run that it starts or continues.
+    /// Id of the run that the execution starts or resumes.
     pub run: String,
-    /// Marker found in the prompt or path.
+    /// Marker of the request, from the prompt or the query; empty if there was none.
     pub marker: String,
-    /// Model, or `lookup`.
+    /// Name of the model, or `lookup`.
     pub model: String,
-    /// First sequence number sent; above 0 for a continued run.
+    /// Sequence number of the first chunk sent; above 0 for a resumed run.
     pub resume_from: u64,
     /// Machine clock at the start, in microseconds.
     pub started_micros: u64,
     /// Machine clock at the end, in microseconds; absent while running or after a crash.
     pub ended_micros: Option<u64>,
-    /// How it ended.
+    /// How the execution ended; absent while running or after a crash.
     pub end: Option<ExecutionEnd>,
-    /// Authorization or tenant headers seen; a backend must never see any.
+    /// Whether the request had an authorization header, which must not be forwarded to backends.
     pub saw_credential: bool,
 }
--- a/crates/lab/src/emulator/execution_log.rs
+++ b/crates/lab/src/emulator/execution_log.rs
@@ -1,5 +1,5 @@
-//! Record of every execution on one backend, kept in memory and appended to a file, so that the
-//! checkers still read it after the process was killed.
+//! Log of the executions on one backend, kept in memory and appended to a file that the checks can read
+//! after the process was killed.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, BufRead, BufReader, Write};
@@ -8,11 +8,11 @@
 use super::execution::{Execution, ExecutionEnd};
 use crate::protocol::machine_micros;
 
-/// Place of an execution in its log.
+/// Index of an execution in its log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExecutionIndex(usize);
 
-/// All executions of one backend.
+/// Log of the executions since the backend's process started.
 #[derive(Debug, Default)]
 pub struct ExecutionLog {
     executions: Vec<Execution>,
@@ -20,7 +20,7 @@
 }
 
 impl ExecutionLog {
-    /// A log that is appended to `path` too.
+    /// Creates an empty log that also appends to the file at `path`.
     ///
     /// # Errors
     /// The file cannot be opened.
@@ -32,7 +32,7 @@
         })
     }
 
-    /// Records the start of an execution, before any work on it.
+    /// Records the start of an execution; must be called before any work on it.
     pub fn start(&mut self, execution: Execution) -> ExecutionIndex {
         self.append(&execution);
         self.executions.push(execution);
@@ -50,7 +50,7 @@
         self.append(&ended);
     }
 
-    /// Every execution, in the order of their starts.
+    /// Returns the executions in the order of their starts.
     #[must_use]
     pub fn executions(&self) -> &[Execution] {
         &self.executions
@@ -64,17 +64,18 @@
             return;
         };
         line.push(b'\n');
-        // One write call per line: a kill leaves complete lines, or one torn line at the end.
+        // One write call per line: after a kill at most the last line is incomplete.
         if let Err(error) = file.write_all(&line) {
-            eprintln!("execution log: {error}");
+            eprintln!("cannot append to the execution log: {error}");
         }
     }
 }
 
-/// Reads a log file. A later line for the same attempt replaces the earlier one.
+/// Reads a log file. The line for the end of an execution replaces that for its start; lines that cannot be
+/// parsed are skipped.
 ///
 /// # Errors
-/// The file cannot be read; a missing one is an empty log.
+/// The file cannot be read. A missing file is an empty log.
 pub fn read_execution_log(path: &Path) -> io::Result<Vec<Execution>> {
     let mut executions: Vec<Execution> = Vec::new();
     let file = match File::open(path) {
--- a/crates/lab/src/emulator/faults.rs
+++ b/crates/lab/src/emulator/faults.rs
@@ -1,8 +1,8 @@
-//! Fault switches of one backend.
+//! Switches that make one backend misbehave.
 
 use serde::{Deserialize, Serialize};
 
-/// Faults that a backend shows now. The default shows none.
+/// Active faults of a backend. By default none is active.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[expect(
@@ -10,19 +10,21 @@
     reason = "switches that are set independently of each other"
 )]
 pub struct FaultSwitches {
-    /// Connections are accepted and nothing is sent; open streams send nothing more.
-    pub dark: bool,
-    /// Every request is rejected before any work.
+    /// Accepts connections but sends no responses; open streams pause.
+    #[serde(rename = "dark")]
+    pub unresponsive: bool,
+    /// Refuses every request before any work.
     pub refuse: bool,
-    /// Every duration is multiplied by this.
+    /// Factor on every duration of the cost model; 1 is normal.
     pub slow_factor: f64,
-    /// Response headers are held back this long, in milliseconds.
+    /// Delay of the response head, in milliseconds.
     pub late_ms: u64,
-    /// Responses carry another attempt's id and text.
+    /// Sends another attempt's id and text in responses.
     pub crossed: bool,
-    /// Bytes that belong to nothing follow each response on the connection.
+    /// Sends bytes that belong to no response after each response.
     pub stray_bytes: bool,
-    /// Each response is truncated after this many chunks, without an end.
+    /// Number of chunks after which streams fail without an end marker. If set, a response that is not
+    /// streamed is truncated to half its length.
     #[serde(rename = "cut_after")]
     pub truncate_after: Option<u64>,
 }
@@ -30,7 +32,7 @@
 impl Default for FaultSwitches {
     fn default() -> Self {
         Self {
-            dark: false,
+            unresponsive: false,
             refuse: false,
             slow_factor: 1.0,
             late_ms: 0,
--- a/crates/lab/src/emulator/http.rs
+++ b/crates/lab/src/emulator/http.rs
@@ -1,4 +1,4 @@
-//! Small HTTP helpers of the emulator.
+//! Builds responses and reads headers of the emulator.
 
 use std::convert::Infallible;
 use std::io;
@@ -11,10 +11,10 @@
 
 use crate::protocol::{ATTEMPT_HEADER, NOT_RUN, RUN_STATE_HEADER};
 
-/// Body of every response of the emulator.
+/// Body type of all responses of the emulator.
 pub type EmulatorBody = UnsyncBoxBody<Bytes, io::Error>;
 
-/// A complete body.
+/// Returns a body with all bytes in one frame.
 #[must_use]
 pub fn full(bytes: impl Into<Bytes>) -> EmulatorBody {
     Full::new(bytes.into())
@@ -22,9 +22,9 @@
         .boxed_unsync()
 }
 
-/// A JSON response.
+/// Returns a response with a JSON body.
 #[must_use]
-pub fn json_answer(status: StatusCode, value: &impl Serialize) -> Response<EmulatorBody> {
+pub fn json_response(status: StatusCode, value: &impl Serialize) -> Response<EmulatorBody> {
     let bytes = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(full(bytes));
     *response.status_mut() = status;
@@ -33,24 +33,24 @@
     response
 }
 
-/// A refusal before any work.
+/// Returns a refusal with the run state "not run", which states that no work was done.
 #[must_use]
 pub fn refusal(status: StatusCode, attempt: &str, text: &str) -> Response<EmulatorBody> {
-    let mut response = json_answer(status, &json!({"error": {"message": text}}));
+    let mut response = json_response(status, &json!({"error": {"message": text}}));
     let headers = response.headers_mut();
     headers.insert(RUN_STATE_HEADER, header::HeaderValue::from_static(NOT_RUN));
     set_attempt(headers, attempt);
     response
 }
 
-/// Echoes the attempt.
+/// Sets the header that echoes the attempt id; ids that are no valid header value are left out.
 pub fn set_attempt(headers: &mut HeaderMap, attempt: &str) {
     if let Ok(value) = header::HeaderValue::from_str(attempt) {
         headers.insert(ATTEMPT_HEADER, value);
     }
 }
 
-/// Text of a header, or empty.
+/// Returns the value of a header; empty if it is absent or not text.
 #[must_use]
 pub fn header_text(headers: &HeaderMap, name: &str) -> String {
     let value = headers.get(name).and_then(|value| value.to_str().ok());
--- a/crates/lab/src/emulator/lookup.rs
+++ b/crates/lab/src/emulator/lookup.rs
@@ -1,4 +1,4 @@
-//! `GET` lookups of the emulator.
+//! Handles `GET` lookups of the emulator.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,31 +8,31 @@
 use tokio::time::sleep;
 
 use super::execution::Execution;
-use super::http::{EmulatorBody, header_text, json_answer, refusal, set_attempt};
+use super::http::{EmulatorBody, header_text, json_response, refusal, set_attempt};
 use super::state::BackendState;
 use crate::answer_text::AnswerText;
 use crate::protocol::{ATTEMPT_HEADER, RUN_HEADER, machine_micros};
 
-/// Query parameter that carries the marker of a lookup.
+/// Query parameter with the marker of a lookup, including the equals sign.
 pub const MARKER_PARAMETER: &str = "request=";
 /// Model name of lookups in the execution log.
 pub const LOOKUP_MODEL: &str = "lookup";
-/// Time of one lookup.
+/// Duration of one lookup at normal speed.
 const LOOKUP_TIME: Duration = Duration::from_millis(1);
 
 /// Body of a lookup's response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LookupAnswer {
-    /// Path that was looked up.
+    /// Path of the request, without the query.
     pub path: String,
-    /// Marker of the request.
+    /// Marker of the request; empty if it had none.
     pub marker: String,
-    /// The entry's text, a function of path and marker.
+    /// Text of the entry, determined by path and marker.
     pub entry: String,
 }
 
 impl LookupAnswer {
-    /// The response to `path` with `marker`.
+    /// Returns the response to a lookup of `path` with `marker`.
     #[must_use]
     pub fn new(path: &str, marker: &str) -> Self {
         let entry = AnswerText::new(marker, path).full_text(4);
@@ -44,7 +44,7 @@
     }
 }
 
-/// Runs one lookup.
+/// Runs one lookup and returns its response, which is a refusal if no work was done.
 pub async fn look_up(
     state: Arc<BackendState>,
     headers: HeaderMap,
@@ -67,7 +67,7 @@
     running.complete();
     let crossed = faults.crossed;
     let marker = if crossed { "crossed" } else { &marker };
-    let mut response = json_answer(StatusCode::OK, &LookupAnswer::new(uri.path(), marker));
+    let mut response = json_response(StatusCode::OK, &LookupAnswer::new(uri.path(), marker));
     set_attempt(
         response.headers_mut(),
         if crossed { "crossed" } else { &attempt },
--- a/crates/lab/src/emulator/mod.rs
+++ b/crates/lab/src/emulator/mod.rs
@@ -1,5 +1,5 @@
-//! Emulated backends: an HTTP server that speaks the backend protocol and costs time as a model
-//! server does.
+//! Emulated backends: an HTTP server that implements the backend protocol and responds with the timing of
+//! a model server.
 
 pub mod attempts;
 pub mod completion;
--- a/crates/lab/src/emulator/options.rs
+++ b/crates/lab/src/emulator/options.rs
@@ -1,4 +1,4 @@
-//! What one emulated backend is.
+//! Options of one emulated backend.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,33 +14,33 @@
     Lookup,
 }
 
-/// What one emulated backend is.
+/// Identity, addresses, hardware and models of one emulated backend.
 #[derive(Clone, Debug)]
 pub struct BackendOptions {
-    /// Identity in the registry.
+    /// Identity in the registry and in the execution log.
     pub id: String,
     /// Address to listen on; port 0 picks a free one.
     pub address: SocketAddr,
-    /// Zone that the backend names to the registry.
+    /// Zone that the backend reports to the registry.
     pub zone: String,
-    /// Kind of work.
+    /// Whether it serves completions or lookups.
     pub kind: BackendKind,
-    /// What the backend declares to the registry.
+    /// Models that the backend loads and declares to the registry; with none, it does not check model names.
     pub declarations: Vec<DeclarationRecord>,
-    /// Processor cores.
+    /// Number of processor cores in the cost model.
     pub cores: u32,
-    /// Memory bandwidth, in GB/s.
+    /// Memory bandwidth in the cost model, in GB/s.
     pub bandwidth_gbps: f64,
-    /// Where to register; absent for a backend that stands alone.
+    /// Address of the registry; absent for a backend that does not register.
     pub registry: Option<SocketAddr>,
-    /// File that every execution is appended to.
+    /// File that executions are appended to; absent to keep them in memory only.
     pub execution_log: Option<PathBuf>,
-    /// Divides every duration of the cost model.
+    /// Factor on the speed of the cost model, which divides its durations; 1 is normal.
     pub speed: f64,
 }
 
 impl BackendOptions {
-    /// A backend of `kind` on a free loopback port that stands alone.
+    /// Returns options of a backend on a free loopback port, without registry, execution log or declarations.
     #[must_use]
     pub fn standalone(id: &str, kind: BackendKind) -> Self {
         Self {
--- a/crates/lab/src/emulator/prompt.rs
+++ b/crates/lab/src/emulator/prompt.rs
@@ -1,30 +1,30 @@
-//! The parts of a chat completion body that the emulator acts on.
+//! Body of a chat completion request.
 
 use serde::Deserialize;
 use serde_json::Value;
 
 use crate::answer_text::find_marker;
 
-/// Chunks of a response when the body names no limit.
+/// Number of chunks in a response when the body sets no `max_tokens`.
 pub const DEFAULT_CHUNKS: u64 = 32;
 
-/// The parts of a chat completion body that the emulator acts on.
+/// The fields of a chat completion body that the emulator uses; others are ignored.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Prompt {
-    /// Model requested.
+    /// Name of the requested model.
     pub model: String,
-    /// Conversation so far.
+    /// Messages of the conversation, oldest first.
     pub messages: Vec<Value>,
-    /// Whether chunks are streamed.
+    /// Whether the response is streamed.
     #[serde(default)]
     pub stream: bool,
-    /// Longest response, in tokens; one chunk is one token here.
+    /// Length of the response in tokens; the emulator sends one chunk for each token.
     #[serde(default)]
     pub max_tokens: Option<u64>,
 }
 
 impl Prompt {
-    /// Text of all messages in their order.
+    /// Returns the contents of all messages, each followed by a line break.
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = String::new();
@@ -35,7 +35,7 @@
         text
     }
 
-    /// Marker in the last message, or empty.
+    /// Returns the marker in the last message; empty if there is none.
     #[must_use]
     pub fn marker(&self) -> String {
         let last = self
@@ -47,7 +47,7 @@
             .to_owned()
     }
 
-    /// Chunks that the response will have.
+    /// Returns the number of chunks in the response, at least 1.
     #[must_use]
     pub fn chunks(&self) -> u64 {
         self.max_tokens.unwrap_or(DEFAULT_CHUNKS).max(1)
--- a/crates/lab/src/emulator/registration.rs
+++ b/crates/lab/src/emulator/registration.rs
@@ -1,4 +1,4 @@
-//! Keeps an emulated backend registered.
+//! Registers an emulated backend and reports its load.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,22 +11,22 @@
 use crate::caller::http_client::send_json;
 use crate::registry::record::{BackendRecord, RegistryState};
 
-/// Period of registrations and load reports.
+/// Interval of registrations, which also report the load.
 const REGISTRATION_PERIOD: Duration = Duration::from_millis(500);
 
-/// Registers the backend again and again. Never returns.
+/// Renews the registration of the backend periodically. Never returns.
 pub async fn keep_registered(state: Arc<BackendState>, registry: SocketAddr, address: SocketAddr) {
     let path = format!("/v1/backends/{}", state.options.id);
     loop {
         let record = record(&state, address);
-        // A registry that is away is tried again at the next period.
+        // A failed registration is retried after the interval.
         let _ = send_json(registry, Method::PUT, &path, &record).await;
         tokio::time::sleep(REGISTRATION_PERIOD).await;
     }
 }
 
-/// Takes the backend out of the registry.
-pub async fn leave(state: &BackendState, registry: SocketAddr) {
+/// Removes the backend from the registry; errors are ignored.
+pub async fn deregister(state: &BackendState, registry: SocketAddr) {
     let path = format!("/v1/backends/{}", state.options.id);
     let _ = send_json(registry, Method::DELETE, &path, &()).await;
 }
--- a/crates/lab/src/emulator/response_writer.rs
+++ b/crates/lab/src/emulator/response_writer.rs
@@ -1,4 +1,4 @@
-//! Writes one response of the emulator at the pace of the cost model.
+//! Writes one completion response with the timing of the cost model.
 
 use std::io;
 use std::sync::Arc;
@@ -11,20 +11,20 @@
 use serde_json::{Value, json};
 
 use super::engine::EngineRun;
-use super::http::{EmulatorBody, json_answer};
+use super::http::{EmulatorBody, json_response};
 use super::shared_stream::StraySwitch;
 use super::state::{BackendState, RunningExecution};
 use crate::answer_text::AnswerText;
 
-/// What the writer sends next.
+/// Next part of a streamed response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
     Chunks,
     End,
-    Over,
+    Finished,
 }
 
-/// Writes one response at the pace of the cost model.
+/// Writes one completion response with the timing of the cost model.
 pub(super) struct ResponseWriter {
     pub(super) state: Arc<BackendState>,
     pub(super) running: RunningExecution,
@@ -39,7 +39,7 @@
 }
 
 impl ResponseWriter {
-    /// The response as a stream of chunks.
+    /// Returns the response as a stream of chunks.
     pub(super) fn stream(self) -> Response<EmulatorBody> {
         let frames = stream::unfold(self, |mut writer| async move {
             let frame = writer.next_frame().await?;
@@ -53,12 +53,12 @@
 
     async fn next_frame(&mut self) -> Option<io::Result<Frame<Bytes>>> {
         match self.stage {
-            Stage::Over => {
+            Stage::Finished => {
                 self.arm_stray();
                 None
             }
             Stage::End => {
-                self.stage = Stage::Over;
+                self.stage = Stage::Finished;
                 self.running.complete();
                 Some(Ok(Frame::data(Bytes::from_static(b"data: [DONE]\n\n"))))
             }
@@ -67,11 +67,11 @@
     }
 
     async fn next_chunk(&mut self) -> io::Result<Frame<Bytes>> {
-        self.pace().await;
+        self.wait_for_next_token().await;
         if self.is_truncated() {
-            // As for a plain response: the head and the chunks so far leave first.
+            // As in `truncated_response`: lets the server send the head and the chunks so far first.
             tokio::task::yield_now().await;
-            return Err(io::Error::other("cut by a fault switch"));
+            return Err(io::Error::other("response truncated by a fault switch"));
         }
         let last = self.sequence + 1 >= self.chunks;
         let event = self.chunk_event(last);
@@ -83,12 +83,12 @@
         Ok(Frame::data(Bytes::from(format!("data: {event}\n\n"))))
     }
 
-    /// Waits for the next token; an unresponsive backend waits until the switch is cleared.
-    async fn pace(&mut self) {
+    /// Waits until the next token is due and, on an unresponsive backend, until the switch is cleared.
+    async fn wait_for_next_token(&mut self) {
         let tokens = u32::try_from(self.sent + 1).unwrap_or(u32::MAX);
         self.work.wait_for(tokens).await;
         let mut faults = self.state.faults.subscribe();
-        let _ = faults.wait_for(|faults| !faults.dark).await;
+        let _ = faults.wait_for(|faults| !faults.unresponsive).await;
     }
 
     fn is_truncated(&self) -> bool {
@@ -129,10 +129,10 @@
         })
     }
 
-    /// The complete response in one body.
+    /// Returns the complete response in one JSON body after its last token.
     pub(super) async fn plain(mut self) -> Response<EmulatorBody> {
         for _ in self.sequence..self.chunks {
-            self.pace().await;
+            self.wait_for_next_token().await;
             self.sent += 1;
         }
         let body = json!({
@@ -146,9 +146,9 @@
             }],
             "usage": self.usage(),
         });
-        let cut = self.state.faults.borrow().truncate_after.is_some();
-        let mut response = json_answer(StatusCode::OK, &body);
-        if cut {
+        let truncated = self.state.faults.borrow().truncate_after.is_some();
+        let mut response = json_response(StatusCode::OK, &body);
+        if truncated {
             return truncated_response(&body);
         }
         self.running.complete();
@@ -166,7 +166,7 @@
     HeaderValue::from(body.to_string().len())
 }
 
-/// A body that arms the stray bytes with its only frame.
+/// Returns a body with one frame that also arms the stray bytes.
 fn stray_body(body: &Value, stray: StraySwitch) -> EmulatorBody {
     let bytes = Bytes::from(body.to_string());
     let frames = stream::once(async move {
@@ -176,16 +176,16 @@
     BodyExt::boxed_unsync(StreamBody::new(frames))
 }
 
-/// The first half of a response under the length of the complete body.
+/// Returns a response with the content length of the complete body that fails after half of the bytes.
 fn truncated_response(body: &Value) -> Response<EmulatorBody> {
     let text = body.to_string().into_bytes();
     let half = Bytes::copy_from_slice(&text[..text.len() / 2]);
-    let cut = stream::once(async {
-        // The server sends what it holds while a body is pending, so the half leaves first.
+    let truncated = stream::once(async {
+        // The server flushes its buffer while the body is pending, so the first half is sent before the error.
         tokio::task::yield_now().await;
-        Err(io::Error::other("cut by a fault switch"))
+        Err(io::Error::other("response truncated by a fault switch"))
     });
-    let frames = stream::iter([Ok(Frame::data(half))]).chain(cut);
+    let frames = stream::iter([Ok(Frame::data(half))]).chain(truncated);
     let mut response = Response::new(BodyExt::boxed_unsync(StreamBody::new(frames)));
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_LENGTH, length_of(body));
