--- a/crates/lab/src/emulator/server.rs
+++ b/crates/lab/src/emulator/server.rs
@@ -17,19 +17,19 @@
 
 use super::completion::complete;
 use super::faults::FaultSwitches;
-use super::http::{EmulatorBody, json_answer};
+use super::http::{EmulatorBody, json_response};
 use super::lookup::look_up;
 use super::options::BackendOptions;
 use super::shared_stream::{SharedStream, StraySwitch};
 use super::state::BackendState;
 use crate::protocol::ATTEMPT_AGE_HEADER;
 
-/// Largest body taken, in bytes.
+/// Largest accepted request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
-/// Exit status of a crash on command.
+/// Exit status of the process on `POST /admin/crash`.
 const CRASH_STATUS: i32 = 101;
 
-/// A running emulated backend. Dropping it ends the server and its connections.
+/// A running emulated backend. Dropping it closes the listener and all connections.
 #[derive(Debug)]
 pub struct BackendServer {
     state: Arc<BackendState>,
@@ -38,7 +38,7 @@
 }
 
 impl BackendServer {
-    /// Binds the address and serves.
+    /// Binds the address and starts to accept connections.
     ///
     /// # Errors
     /// The address cannot be bound, or the execution log cannot be opened.
@@ -57,13 +57,13 @@
         })
     }
 
-    /// Address that it listens on.
+    /// Returns the bound address, with the port that was picked if the options said 0.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// State shared by its connections.
+    /// Returns the state shared by all connections.
     #[must_use]
     pub fn state(&self) -> &Arc<BackendState> {
         &self.state
@@ -94,14 +94,14 @@
     let _ = stream.set_nodelay(true);
     let stray = StraySwitch::default();
     let io = TokioIo::new(SharedStream::new(stream, stray.clone()));
-    let service = service_fn(move |request| answer(request, Arc::clone(&state), stray.clone()));
-    // An error here is a caller that went away or a fault that was requested.
+    let service = service_fn(move |request| respond(request, Arc::clone(&state), stray.clone()));
+    // Errors are expected: the client disconnected, or a fault switch failed the response.
     let _ = hyper::server::conn::http1::Builder::new()
         .serve_connection(io, service)
         .await;
 }
 
-async fn answer(
+async fn respond(
     request: Request<Incoming>,
     state: Arc<BackendState>,
     stray: StraySwitch,
@@ -112,16 +112,16 @@
         return Ok(administer(&head.method, &path, body, &state).await);
     }
     if (&head.method, path.as_str()) == (&Method::GET, "/v1/executions") {
-        return Ok(json_answer(StatusCode::OK, &state.executions()));
+        return Ok(json_response(StatusCode::OK, &state.executions()));
     }
-    wait_until_lit(&state).await;
+    wait_while_unresponsive(&state).await;
     Ok(match (&head.method, path.as_str()) {
         (&Method::GET, "/v1/health") => {
-            json_answer(StatusCode::OK, &json!({"load": state.engine.load()}))
+            json_response(StatusCode::OK, &json!({"load": state.engine.load()}))
         }
         (&Method::POST, "/v1/chat/completions") => match read(body).await {
             Some(bytes) => complete(state, head.headers, bytes, stray).await,
-            None => json_answer(
+            None => json_response(
                 StatusCode::BAD_REQUEST,
                 &json!({"error": "body incomplete"}),
             ),
@@ -130,14 +130,14 @@
             withdraw(path, &head.headers, &state)
         }
         (&Method::GET, _) => look_up(state, head.headers, head.uri).await,
-        _ => json_answer(StatusCode::NOT_FOUND, &json!({"error": "no such path"})),
+        _ => json_response(StatusCode::NOT_FOUND, &json!({"error": "no such path"})),
     })
 }
 
-/// A dark backend takes requests and never responds to them.
-async fn wait_until_lit(state: &BackendState) {
+/// Waits while the backend is switched to be unresponsive.
+async fn wait_while_unresponsive(state: &BackendState) {
     let mut faults = state.faults.subscribe();
-    let _ = faults.wait_for(|faults| !faults.dark).await;
+    let _ = faults.wait_for(|faults| !faults.unresponsive).await;
 }
 
 fn withdraw(path: &str, headers: &HeaderMap, state: &BackendState) -> Response<EmulatorBody> {
@@ -145,7 +145,7 @@
     let age = headers.get(ATTEMPT_AGE_HEADER);
     let age = age.and_then(|value| value.to_str().ok()?.parse().ok());
     let attempt_state = state.withdraw(attempt, age.map(Duration::from_millis));
-    json_answer(StatusCode::OK, &json!({"state": attempt_state}))
+    json_response(StatusCode::OK, &json!({"state": attempt_state}))
 }
 
 async fn administer(
@@ -157,7 +157,7 @@
     match (method, path) {
         (&Method::PUT, "/admin/faults") => set_faults(body, state).await,
         (&Method::POST, "/admin/crash") => std::process::exit(CRASH_STATUS),
-        _ => json_answer(StatusCode::NOT_FOUND, &json!({"error": "no such path"})),
+        _ => json_response(StatusCode::NOT_FOUND, &json!({"error": "no such path"})),
     }
 }
 
@@ -166,9 +166,9 @@
     match serde_json::from_slice::<FaultSwitches>(&bytes) {
         Ok(faults) => {
             state.set_faults(faults.clone());
-            json_answer(StatusCode::OK, &faults)
+            json_response(StatusCode::OK, &faults)
         }
-        Err(error) => json_answer(
+        Err(error) => json_response(
             StatusCode::BAD_REQUEST,
             &json!({"error": error.to_string()}),
         ),
--- a/crates/lab/src/emulator/shared_stream.rs
+++ b/crates/lab/src/emulator/shared_stream.rs
@@ -1,4 +1,4 @@
-//! A connection that can be made to send bytes which belong to no response.
+//! TCP connection that can send bytes which belong to no response.
 
 use std::io;
 use std::pin::Pin;
@@ -9,15 +9,15 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// What a faulty connection sends after a response.
+/// Stray bytes: a complete response to no request.
 const STRAY_BYTES: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nstray";
 
-/// Asks a connection to send stray bytes after the bytes that are buffered now.
+/// Shared switch that makes a connection send stray bytes after its buffered bytes.
 #[derive(Clone, Debug, Default)]
 pub struct StraySwitch(Arc<AtomicBool>);
 
 impl StraySwitch {
-    /// Sends the stray bytes at the next flush.
+    /// Makes the connection send the stray bytes once, at its next flush or shutdown.
     pub fn arm(&self) {
         self.0.store(true, Ordering::Release);
     }
@@ -35,13 +35,14 @@
 }
 
 impl SharedStream {
-    /// Wraps a connection.
+    /// Wraps `stream`, which `stray` then controls.
     #[must_use]
     pub fn new(stream: TcpStream, stray: StraySwitch) -> Self {
         Self { stream, stray }
     }
 
-    /// The server flushes only after it wrote its whole buffer, so these bytes follow the response.
+    /// Sends the stray bytes if the switch is armed. The server flushes only after it has written its whole
+    /// buffer, so they follow the response.
     fn send_stray(&self) {
         if self.stray.take() {
             let _ = self.stream.try_write(STRAY_BYTES);
--- a/crates/lab/src/emulator/state.rs
+++ b/crates/lab/src/emulator/state.rs
@@ -1,4 +1,4 @@
-//! Everything that the connections of one backend share.
+//! State shared by all connections of one backend.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -12,12 +12,12 @@
 use super::faults::FaultSwitches;
 use super::options::BackendOptions;
 
-/// Everything that the connections of one backend share.
+/// State shared by all connections of one backend.
 #[derive(Debug)]
 pub struct BackendState {
-    /// What the backend is.
+    /// Options that the backend was started with.
     pub options: BackendOptions,
-    /// Fault switches; open streams watch them.
+    /// Fault switches; open streams subscribe to changes.
     pub faults: watch::Sender<FaultSwitches>,
     /// Cost model of the backend.
     pub engine: Arc<Engine>,
@@ -31,7 +31,7 @@
 }
 
 impl BackendState {
-    /// The state of a fresh backend.
+    /// Creates the state of a backend without attempts or faults.
     ///
     /// # Errors
     /// The execution log cannot be opened.
@@ -53,7 +53,7 @@
         }))
     }
 
-    /// Begins an execution unless its attempt was withdrawn or has run.
+    /// Begins an execution and records it. Returns `None` if its attempt was withdrawn or has run before.
     pub fn begin(self: &Arc<Self>, execution: Execution) -> Option<RunningExecution> {
         let mut inner = self.lock();
         if !inner.attempts.begin(&execution.attempt) {
@@ -70,25 +70,25 @@
         })
     }
 
-    /// Withdraws an attempt.
+    /// Withdraws an attempt and returns its state, as [`Attempts::withdraw`].
     pub fn withdraw(&self, attempt: &str, age: Option<Duration>) -> AttemptState {
         self.lock().attempts.withdraw(attempt, age)
     }
 
-    /// A copy of the execution log.
+    /// Returns a copy of the executions since the process started.
     #[must_use]
     pub fn executions(&self) -> Vec<Execution> {
         self.lock().executions.executions().to_vec()
     }
 
-    /// Sets the fault switches; open streams notice.
+    /// Replaces the fault switches, with effect on open streams too.
     pub fn set_faults(&self, faults: FaultSwitches) {
         let slow_factor = faults.slow_factor.max(f64::MIN_POSITIVE);
         self.engine.set_speed(self.options.speed / slow_factor);
         self.faults.send_replace(faults);
     }
 
-    /// `duration` of the cost model as it passes here, with the speed and the slow fault.
+    /// Converts a duration of the cost model to real time, by the speed and the slow-down fault.
     #[must_use]
     pub fn scaled(&self, duration: Duration) -> Duration {
         let slow_factor = self.faults.borrow().slow_factor;
@@ -100,7 +100,7 @@
     }
 }
 
-/// An execution that has begun. Dropping it records its end.
+/// An execution that has begun. Dropping the value records its end.
 #[derive(Debug)]
 pub struct RunningExecution {
     state: Arc<BackendState>,
@@ -110,7 +110,7 @@
 }
 
 impl RunningExecution {
-    /// Every chunk was handed to the connection.
+    /// Marks the execution as completed. Without this call its end is recorded as cancelled.
     pub fn complete(&mut self) {
         self.end = Some(ExecutionEnd::Completed);
     }
--- a/crates/lab/src/fleet/backend_process.rs
+++ b/crates/lab/src/fleet/backend_process.rs
@@ -1,4 +1,4 @@
-//! One emulated backend as a process.
+//! Starts, restarts and reconfigures the process of one emulated backend.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,30 +14,30 @@
 use crate::emulator::faults::FaultSwitches;
 use crate::emulator::options::BackendKind;
 
-/// Program of the laboratory.
+/// File name of this crate's own program, which also runs the backends and the registry.
 pub const LAB_PROGRAM: &str = "millford-lab";
 
-/// Identity, zone, kind and addresses of one backend.
+/// Identity and settings of one emulated backend.
 #[derive(Clone, Debug)]
 pub struct BackendSpec {
-    /// Identity in the registry.
+    /// Identity in the registry; also the base name of its log files.
     pub id: String,
-    /// Zone.
+    /// Zone that the backend reports to the registry.
     pub zone: String,
-    /// Kind of work.
+    /// Whether it serves completions or lookups.
     pub kind: BackendKind,
-    /// Address that it listens on.
+    /// Address that the backend listens on.
     pub address: SocketAddr,
-    /// Where it registers.
+    /// Address of the service registry.
     pub registry: SocketAddr,
 }
 
-/// One emulated backend as a process.
+/// A running emulated backend.
 #[derive(Debug)]
 pub struct BackendProcess {
-    /// Its name and addresses.
+    /// Identity and settings that it was started with.
     pub spec: BackendSpec,
-    /// Its process.
+    /// Process of the backend; it may have been killed.
     pub process: FleetProcess,
     execution_log: PathBuf,
 }
@@ -98,21 +98,23 @@
     /// Sets the fault switches.
     ///
     /// # Errors
-    /// [`FleetError::Operator`] when the backend cannot be reached or rejects them.
+    /// [`FleetError::Operator`] when the backend cannot be reached or rejects the switches.
     pub async fn set_faults(&self, faults: &FaultSwitches) -> Result<(), FleetError> {
         let path = "/admin/faults";
         let response = send_json(self.spec.address, Method::PUT, path, faults).await;
         match response {
             Ok(response) if response.status.is_success() => Ok(()),
             Ok(response) => Err(FleetError::Operator(format!(
-                "fault switches: {}",
+                "setting fault switches: {}",
                 response.status
             ))),
-            Err(error) => Err(FleetError::Operator(format!("fault switches: {error}"))),
+            Err(error) => Err(FleetError::Operator(format!(
+                "setting fault switches: {error}"
+            ))),
         }
     }
 
-    /// Every execution so far, over all restarts.
+    /// Reads every execution so far, over all restarts, from the execution log.
     ///
     /// # Errors
     /// [`FleetError::Io`] when the execution log cannot be read.
--- a/crates/lab/src/fleet/binaries.rs
+++ b/crates/lab/src/fleet/binaries.rs
@@ -1,33 +1,34 @@
-//! Where the programs are.
+//! Locates the programs of the workspace.
 
 use std::path::PathBuf;
 
 use super::error::FleetError;
 
-/// The folder of this executable, where the other programs of the workspace are built too.
+/// Folder that holds the programs of the workspace.
 #[derive(Clone, Debug)]
 pub struct Binaries {
     folder: PathBuf,
 }
 
 impl Binaries {
-    /// Programs beside the running one.
+    /// Uses the folder of the running executable, where Cargo puts the other programs of the workspace too.
     ///
     /// # Errors
-    /// [`FleetError::Io`] when the path of this program is not known.
-    pub fn beside_this_one() -> Result<Self, FleetError> {
-        let path = std::env::current_exe().map_err(FleetError::io("finding this program"))?;
+    /// [`FleetError::Io`] when the path of the running executable cannot be determined.
+    pub fn beside_current_executable() -> Result<Self, FleetError> {
+        let path =
+            std::env::current_exe().map_err(FleetError::io("locating the running executable"))?;
         let folder = path.parent().map(PathBuf::from).unwrap_or_default();
         Ok(Self { folder })
     }
 
-    /// Programs in `folder`.
+    /// Uses the programs in `folder`.
     #[must_use]
     pub fn in_folder(folder: PathBuf) -> Self {
         Self { folder }
     }
 
-    /// Path of one program, which must exist.
+    /// Returns the path of one program after checking that the file exists.
     ///
     /// # Errors
     /// [`FleetError::ProgramMissing`] when it was not built.
--- a/crates/lab/src/fleet/control_node.rs
+++ b/crates/lab/src/fleet/control_node.rs
@@ -1,4 +1,4 @@
-//! One control node as a process, with its data folder.
+//! Starts, restarts and wipes one control node.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -8,19 +8,19 @@
 use super::fleet_process::{FleetProcess, ProcessSpec};
 use super::settings_file::SettingsFile;
 
-/// Program of a control node.
+/// File name of the control node's program.
 pub const CONTROL_PROGRAM: &str = "millford-control";
 
 /// Settings that all control nodes of a fleet share.
 #[derive(Clone, Debug)]
 pub struct ControlClusterSettings {
-    /// Seed addresses.
+    /// Internal addresses of the control nodes, used to find the cluster.
     pub seeds: Vec<SocketAddr>,
     /// Address of the service registry.
     pub registry: SocketAddr,
-    /// SHA-256 of the operator credential.
+    /// SHA-256 of the operator key, in lower-case hexadecimal.
     pub operator_key_hash: String,
-    /// Nodes that form the cluster.
+    /// Number of control nodes that form the cluster.
     pub cluster_size: u32,
 }
 
@@ -29,7 +29,7 @@
 pub struct ControlNodeSpec {
     /// Name, unique in the fleet.
     pub name: String,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: String,
     /// Address for agents and other control nodes.
     pub internal: SocketAddr,
@@ -37,14 +37,14 @@
     pub operator: SocketAddr,
 }
 
-/// One control node.
+/// A control node with its process and data folder.
 #[derive(Debug)]
 pub struct ControlNode {
-    /// Its name and addresses.
+    /// Name, zone and addresses that it was started with.
     pub spec: ControlNodeSpec,
-    /// Its data folder.
+    /// Folder with the node's log and snapshots; kept over restarts.
     pub data_folder: PathBuf,
-    /// Its process.
+    /// Process of the node; it may have been killed.
     pub process: FleetProcess,
 }
 
@@ -69,7 +69,7 @@
         })
     }
 
-    /// Restarts the process on its present data folder.
+    /// Kills the process, if it runs, and starts it again with the same settings and data folder.
     ///
     /// # Errors
     /// The process cannot be started or ends before it is ready.
@@ -85,7 +85,7 @@
         self.process.kill().await;
         match std::fs::remove_dir_all(&self.data_folder) {
             Err(error) if error.kind() != std::io::ErrorKind::NotFound => Err(FleetError::Io {
-                what: "wiping a data folder".to_owned(),
+                what: "removing a data folder".to_owned(),
                 source: error,
             }),
             _ => Ok(()),
@@ -100,7 +100,7 @@
     spec: &ControlNodeSpec,
     data_folder: &Path,
 ) -> Result<ProcessSpec, FleetError> {
-    std::fs::create_dir_all(data_folder).map_err(FleetError::io("making a data folder"))?;
+    std::fs::create_dir_all(data_folder).map_err(FleetError::io("creating a data folder"))?;
     let settings = SettingsFile::default()
         .text("zone", &spec.zone)
         .text("internal_address", &spec.internal)
--- a/crates/lab/src/fleet/error.rs
+++ b/crates/lab/src/fleet/error.rs
@@ -8,55 +8,55 @@
 
 use crate::arguments::ArgumentError;
 
-/// Why a fleet could not be brought up or driven.
+/// An error that stops a command which starts or drives a fleet.
 #[derive(Debug, Error, Diagnostic)]
 pub enum FleetError {
     /// A program of the workspace was not built.
-    #[error("{} is missing", .0.display())]
-    #[diagnostic(help("build the whole workspace: cargo build --locked"))]
+    #[error("program {} not found", .0.display())]
+    #[diagnostic(help("build the workspace: cargo build --locked"))]
     ProgramMissing(PathBuf),
-    /// A process could not be started, or its files not written.
+    /// An input or output operation failed, for instance starting a process or writing its files.
     #[error("{what}: {source}")]
     Io {
-        /// What was tried.
+        /// The operation that failed, for instance `writing a settings file`.
         what: String,
-        /// Cause.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A process ended before its ready line.
-    #[error("{name} ended before it was ready; its log is {}", log.display())]
+    /// A process exited before it printed its ready line.
+    #[error("{name} exited before it was ready; see its log {}", log.display())]
     EndedEarly {
         /// Name of the process.
         name: String,
-        /// Its log.
+        /// File with the output of the process.
         log: PathBuf,
     },
     /// An awaited condition did not hold within its timeout.
-    #[error("{what} did not happen within {bound:?}")]
+    #[error("timed out after {limit:?} waiting for {what}")]
     Timeout {
-        /// Awaited event.
+        /// The awaited condition, for instance `the readiness of a proxy`.
         what: String,
         /// Longest wait.
-        bound: Duration,
+        limit: Duration,
     },
-    /// The operator's tool or interface rejected a request.
-    #[error("the operator interface refused: {0}")]
+    /// A request to the operator interface or to a process of the fleet failed; the text says which.
+    #[error("request failed: {0}")]
     Operator(String),
-    /// The site's document cannot be parsed.
-    #[error("the document of {site}: {source}")]
+    /// The configuration document of a site cannot be parsed.
+    #[error("cannot parse the configuration document of site {site}: {source}")]
     Document {
         /// Name of the site.
         site: &'static str,
-        /// Cause.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
-    /// The command line cannot be used.
+    /// The command line is invalid.
     #[error(transparent)]
     Argument(#[from] ArgumentError),
 }
 
 impl FleetError {
-    /// Wraps an input or output error with what was tried.
+    /// Returns a function that wraps an input or output error with the operation `what` that failed.
     pub fn io(what: &str) -> impl FnOnce(std::io::Error) -> FleetError {
         let what = what.to_owned();
         move |source| FleetError::Io { what, source }
--- a/crates/lab/src/fleet/fleet_process.rs
+++ b/crates/lab/src/fleet/fleet_process.rs
@@ -1,4 +1,4 @@
-//! One process of the fleet: started, awaited, signalled and ended by its own id.
+//! Starts, signals and ends one process of the fleet. Signals go to its process id only, never to a group.
 
 use std::path::PathBuf;
 use std::process::Stdio;
@@ -14,24 +14,24 @@
 use super::ready_line::ReadyLine;
 
 /// Longest wait for a ready line.
-pub const READY_BOUND: Duration = Duration::from_secs(20);
-/// Longest wait for a process to leave after SIGTERM.
-const LEAVE_BOUND: Duration = Duration::from_secs(10);
+pub const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Longest wait for a process to exit after SIGTERM; then it is killed.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How to start one process.
+/// Program, arguments and log file of one process.
 #[derive(Clone, Debug)]
 pub struct ProcessSpec {
-    /// Name in messages and of the log file.
+    /// Name used in error messages.
     pub name: String,
-    /// Program file.
+    /// Path of the executable.
     pub program: PathBuf,
-    /// Arguments.
+    /// Command-line arguments, without the program name.
     pub arguments: Vec<String>,
-    /// File that takes its output.
+    /// File that standard output and standard error are appended to.
     pub log: PathBuf,
 }
 
-/// One process of the fleet. It is killed when dropped.
+/// One process of the fleet. Dropping the value kills the process.
 #[derive(Debug)]
 pub struct FleetProcess {
     spec: ProcessSpec,
@@ -43,14 +43,15 @@
     /// Starts the process and waits for its ready line.
     ///
     /// # Errors
-    /// [`FleetError::Io`] when it cannot be started, [`FleetError::EndedEarly`] when it ends before it is ready.
+    /// [`FleetError::Io`] when it cannot be started, [`FleetError::EndedEarly`] when it exits before it is ready,
+    /// [`FleetError::Timeout`] when it prints no ready line within [`READY_TIMEOUT`].
     pub async fn start(spec: ProcessSpec) -> Result<Self, FleetError> {
         let mut process = Self::spawn(spec)?;
         process.wait_ready().await?;
         Ok(process.process)
     }
 
-    /// Starts the process without waiting.
+    /// Starts the process without waiting for its ready line.
     ///
     /// # Errors
     /// [`FleetError::Io`] when its log cannot be opened or it cannot be started.
@@ -91,25 +92,25 @@
         Ok(())
     }
 
-    /// How it was started.
+    /// Returns the program, arguments and log file that the process was started with.
     #[must_use]
     pub fn spec(&self) -> &ProcessSpec {
         &self.spec
     }
 
-    /// What its ready line said.
+    /// Returns the addresses from the ready line.
     #[must_use]
     pub fn ready(&self) -> &ReadyLine {
         &self.ready
     }
 
-    /// Process id while it runs.
+    /// Returns the process id; `None` after the process has exited or was killed.
     #[must_use]
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref().and_then(Child::id)
     }
 
-    /// Whether it has not ended.
+    /// Returns whether the process has not exited.
     pub fn is_running(&mut self) -> bool {
         match &mut self.child {
             Some(child) => matches!(child.try_wait(), Ok(None)),
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Sends a signal, to this process only. False if it has ended.
+    /// Sends a signal to this process only. Returns false if the process has exited.
     pub fn signal(&self, signal: Signal) -> bool {
         let id = self.id().and_then(|id| i32::try_from(id).ok());
         let Some(pid) = id.and_then(Pid::from_raw) else {
@@ -126,7 +127,7 @@
         kill_process(pid, signal).is_ok()
     }
 
-    /// Kills it at once and waits for its end.
+    /// Sends SIGKILL and waits until the process has exited.
     pub async fn kill(&mut self) {
         let Some(mut child) = self.child.take() else {
             return;
@@ -135,19 +136,19 @@
         let _ = child.wait().await;
     }
 
-    /// Asks it to leave and waits; kills it when it does not. Returns its exit status if it left
-    /// by itself.
-    pub async fn leave(&mut self) -> Option<i32> {
+    /// Sends SIGTERM, after SIGCONT in case the process is stopped, and kills the process if it does not
+    /// exit within [`EXIT_TIMEOUT`]. Returns the exit status if the process exited by itself.
+    pub async fn shut_down(&mut self) -> Option<i32> {
         self.signal(Signal::CONT);
         self.signal(Signal::TERM);
         let child = self.child.as_mut()?;
-        let status = timeout(LEAVE_BOUND, child.wait()).await;
+        let status = timeout(EXIT_TIMEOUT, child.wait()).await;
         self.kill().await;
         status.ok()?.ok()?.code()
     }
 }
 
-/// A process whose ready line is awaited.
+/// A process that has been started and has not yet printed its ready line.
 #[derive(Debug)]
 pub struct StartingProcess {
     process: FleetProcess,
@@ -157,7 +158,7 @@
 impl StartingProcess {
     async fn wait_ready(&mut self) -> Result<(), FleetError> {
         let name = &self.process.spec.name;
-        match timeout(READY_BOUND, &mut self.ready).await {
+        match timeout(READY_TIMEOUT, &mut self.ready).await {
             Ok(Ok(ready)) => {
                 self.process.ready = ready;
                 Ok(())
@@ -168,7 +169,7 @@
             }),
             Err(_) => Err(FleetError::Timeout {
                 what: format!("the ready line of {name}"),
-                bound: READY_BOUND,
+                limit: READY_TIMEOUT,
             }),
         }
     }
@@ -176,7 +177,8 @@
     /// Waits for the ready line.
     ///
     /// # Errors
-    /// [`FleetError::EndedEarly`] when it ends before it is ready.
+    /// [`FleetError::EndedEarly`] when the process exits before it is ready, [`FleetError::Timeout`] when it
+    /// prints no ready line within [`READY_TIMEOUT`].
     pub async fn ready(mut self) -> Result<FleetProcess, FleetError> {
         self.wait_ready().await?;
         Ok(self.process)
--- a/crates/lab/src/fleet/local_fleet.rs
+++ b/crates/lab/src/fleet/local_fleet.rs
@@ -1,4 +1,4 @@
-//! A complete fleet on loopback.
+//! Starts, configures and stops a complete fleet of processes on loopback.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -22,49 +22,51 @@
 use crate::emulator::execution::Execution;
 use crate::emulator::options::BackendKind;
 
-/// Longest wait for the fleet to serve after the configuration was accepted.
-const SERVE_BOUND: Duration = Duration::from_secs(20);
+/// Longest wait for each node to report readiness.
+const READINESS_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A complete fleet on loopback. Dropping it kills every process of it.
+/// A complete fleet on loopback. Dropping the value kills every process and removes the folder, unless
+/// [`Fleet::keep_folder`] was called.
 #[derive(Debug)]
 pub struct Fleet {
-    /// What it consists of.
+    /// Topology and configuration document of the site.
     pub plan: SitePlan,
-    /// Registry process.
+    /// Process of the service registry stand-in.
     pub registry: FleetProcess,
-    /// Registry address.
+    /// Address of the registry's HTTP server.
     pub registry_address: SocketAddr,
-    /// Control nodes.
+    /// Control nodes, each with its current spec; replaced ones are overwritten in place.
     pub controls: Vec<ControlNode>,
-    /// Front machines.
+    /// Pairs of agent and proxy.
     pub proxy_nodes: Vec<ProxyNode>,
     /// Backends, model backends first.
     pub backends: Vec<BackendProcess>,
-    /// Backends that were replaced; their execution logs still count.
+    /// Backends that were replaced; [`Fleet::executions`] still reads their execution logs.
     pub retired_backends: Vec<BackendProcess>,
-    /// Operator addresses of the control nodes, for tasks that run beside the fleet.
+    /// Operator addresses of the control nodes, updated on replacement and shared with concurrent tasks.
     pub operator_addresses: Arc<Mutex<Vec<SocketAddr>>>,
-    /// Operator's side.
+    /// Client of the operator interface.
     pub operator: Operator,
-    /// Settings that all control nodes share.
+    /// Settings that all control nodes and agents share.
     pub common: ControlClusterSettings,
-    /// The programs.
+    /// Folder of the programs.
     pub binaries: Binaries,
     folder: TempDir,
-    control_names: usize,
-    backend_names: usize,
+    last_control_number: usize,
+    last_backend_number: usize,
 }
 
 impl Fleet {
-    /// Starts every process; each is ready when this returns, none is configured.
+    /// Starts every process and waits until each has printed its ready line. No configuration is applied yet.
     ///
     /// # Errors
-    /// A program is missing, no address is free, or a process does not start; the folder with the logs stays then.
+    /// A program is missing, no address is free, or a process does not start. If a backend, control node or
+    /// proxy node does not start, the folder with the logs is kept.
     pub async fn start(plan: SitePlan, binaries: Binaries) -> Result<Self, FleetError> {
         let folder = tempfile::Builder::new()
             .prefix("millford-lab-")
             .tempdir()
-            .map_err(FleetError::io("making a folder"))?;
+            .map_err(FleetError::io("creating the fleet's folder"))?;
         let addresses = free_addresses(1 + plan.controls * 2)?;
         let registry_address = addresses[0];
         let operator_key = format!("operator-{:016x}", rand::random::<u64>());
@@ -93,13 +95,13 @@
             common,
             binaries,
             folder,
-            control_names: 0,
-            backend_names: 0,
+            last_control_number: 0,
+            last_backend_number: 0,
         };
         match fleet.start_machines(specs).await {
             Ok(()) => Ok(fleet),
             Err(error) => {
-                // The error names a log in it.
+                // The error message refers to a log file in the folder.
                 fleet.keep_folder();
                 Err(error)
             }
@@ -112,19 +114,19 @@
         self.start_proxy_nodes().await
     }
 
-    /// Folder of settings, logs and data.
+    /// Returns the folder of settings files, logs and data.
     #[must_use]
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    /// Operator address of a control node that runs, the first one.
+    /// Returns the operator address of the first control node.
     #[must_use]
     pub fn operator_address(&self) -> SocketAddr {
         self.controls[0].spec.operator
     }
 
-    /// Address for callers of a proxy.
+    /// Returns the caller address of the proxy at `index`, modulo the number of proxies.
     #[must_use]
     pub fn proxy_address(&self, index: usize) -> SocketAddr {
         self.proxy_nodes[index % self.proxy_nodes.len()]
@@ -132,18 +134,19 @@
             .callers
     }
 
-    /// Applies the site's document with the operator's tool and waits until every proxy serves.
+    /// Applies the site's configuration document with `millfordctl` and waits until every proxy is ready.
+    /// Returns the output of the tool.
     ///
     /// # Errors
     /// The document cannot be written or is rejected, or a node is not ready in time.
     pub async fn configure(&self) -> Result<String, FleetError> {
         let path = self.folder().join("document.json");
         std::fs::write(&path, self.plan.document)
-            .map_err(FleetError::io("writing the document"))?;
+            .map_err(FleetError::io("writing the configuration document"))?;
         let mut servers = Vec::new();
         for control in &self.controls {
             let address = control.spec.operator;
-            wait_for("a control node's readiness", SERVE_BOUND, || {
+            wait_for("the readiness of a control node", READINESS_TIMEOUT, || {
                 is_ready(address)
             })
             .await?;
@@ -154,14 +157,17 @@
         Ok(output)
     }
 
-    /// Waits until every proxy responds to `/readyz` with success.
+    /// Waits until `/readyz` of every proxy returns a success status.
     ///
     /// # Errors
     /// [`FleetError::Timeout`] when a proxy is not ready in time.
     pub async fn wait_until_proxies_ready(&self) -> Result<(), FleetError> {
         for proxy_node in &self.proxy_nodes {
             let address = proxy_node.spec.callers;
-            wait_for("a proxy's readiness", SERVE_BOUND, || is_ready(address)).await?;
+            wait_for("the readiness of a proxy", READINESS_TIMEOUT, || {
+                is_ready(address)
+            })
+            .await?;
         }
         Ok(())
     }
@@ -171,19 +177,19 @@
     /// # Errors
     /// No address is free, or the backend does not start.
     pub async fn add_backend(&mut self, kind: BackendKind, zone: String) -> Result<(), FleetError> {
-        self.backend_names += 1;
+        self.last_backend_number += 1;
         let spec = self.backend_spec(kind, zone, free_addresses(1)?[0]);
         let backend = BackendProcess::start(&self.binaries, self.folder.path(), spec).await?;
         self.backends.push(backend);
         Ok(())
     }
 
-    /// Takes the last backend, which is dead, out of the list.
+    /// Moves the last backend, whose process has been killed, to [`Fleet::retired_backends`].
     pub fn retire_last_backend(&mut self) {
         self.retired_backends.extend(self.backends.pop());
     }
 
-    /// Every execution so far, over all backends and restarts.
+    /// Reads every execution so far, over all backends and restarts.
     ///
     /// # Errors
     /// [`FleetError::Io`] when an execution log cannot be read.
@@ -195,16 +201,16 @@
         Ok(executions)
     }
 
-    /// Kills a control node and starts an empty one at a new address in its place.
+    /// Kills a control node and starts one with an empty data folder at new addresses in its place.
     ///
     /// # Errors
     /// No address is free, or the control node does not start.
     pub async fn replace_control(&mut self, index: usize) -> Result<(), FleetError> {
         self.controls[index].process.kill().await;
         let addresses = free_addresses(2)?;
-        self.control_names += 1;
+        self.last_control_number += 1;
         let spec = ControlNodeSpec {
-            name: format!("control-{}", self.control_names),
+            name: format!("control-{}", self.last_control_number),
             zone: self.controls[index].spec.zone.clone(),
             internal: addresses[0],
             operator: addresses[1],
@@ -228,7 +234,7 @@
             .unwrap_or_else(PoisonError::into_inner) = addresses;
     }
 
-    /// Kills every process. The folder goes with the value.
+    /// Kills every process. The folder is removed only when the value is dropped.
     pub async fn stop(&mut self) {
         for proxy_node in &mut self.proxy_nodes {
             proxy_node.proxy.kill().await;
@@ -243,7 +249,7 @@
         self.registry.kill().await;
     }
 
-    /// Keeps the folder on disk and returns its path.
+    /// Prevents the removal of the folder and returns its path.
     pub fn keep_folder(&mut self) -> PathBuf {
         self.folder.disable_cleanup(true);
         self.folder.path().to_owned()
@@ -254,7 +260,7 @@
             BackendKind::Model => "model",
             BackendKind::Lookup => "lookup",
         };
-        let id = format!("{name}-{}", self.backend_names);
+        let id = format!("{name}-{}", self.last_backend_number);
         BackendSpec {
             id,
             zone,
@@ -277,13 +283,13 @@
     }
 
     async fn start_controls(&mut self, specs: Vec<ControlNodeSpec>) -> Result<(), FleetError> {
-        // Together: a node may become ready only after it has met the others.
+        // Start all concurrently: a node may become ready only after it has connected to the others.
         let folder = self.folder.path();
         let starts = specs
             .into_iter()
             .map(|spec| ControlNode::start(&self.binaries, folder, &self.common, spec));
         self.controls = futures::future::try_join_all(starts).await?;
-        self.control_names = self.controls.len();
+        self.last_control_number = self.controls.len();
         self.publish_operator_addresses();
         Ok(())
     }
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A complete fleet of real processes on loopback.
+//! Runs a complete fleet of real processes on loopback.
 
 pub mod backend_process;
 pub mod binaries;
--- a/crates/lab/src/fleet/node_specs.rs
+++ b/crates/lab/src/fleet/node_specs.rs
@@ -1,4 +1,4 @@
-//! Names, zones and addresses of the machines of a site.
+//! Assigns names, zones and addresses to the control and proxy nodes of a site.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use super::proxy_node::ProxyNodeSpec;
 use super::site::SitePlan;
 
-/// Places of the control nodes, from two addresses each.
+/// Returns one spec for each pair of `addresses`: the first is internal, the second for operators.
 #[must_use]
 pub fn control_node_specs(plan: &SitePlan, addresses: &[SocketAddr]) -> Vec<ControlNodeSpec> {
     let pairs = addresses.chunks_exact(2).enumerate();
@@ -20,7 +20,8 @@
         .collect()
 }
 
-/// Name, zone and addresses of one proxy node, from three addresses.
+/// Returns the spec of the proxy node at `index` from three `addresses`: for its proxy, for the agent's
+/// HTTP server, and for callers.
 #[must_use]
 pub fn proxy_node_spec(plan: &SitePlan, index: usize, addresses: &[SocketAddr]) -> ProxyNodeSpec {
     ProxyNodeSpec {
--- a/crates/lab/src/fleet/operator.rs
+++ b/crates/lab/src/fleet/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's side: `millfordctl` and the operator interface.
+//! Operator client of a fleet: runs `millfordctl` and calls the operator interface.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,59 +15,60 @@
 use super::error::FleetError;
 use crate::caller::http_client::{FullResponse, get, send};
 
-/// Program of the operator's tool.
+/// File name of the operator's command-line tool.
 pub const CTL_PROGRAM: &str = "millfordctl";
-/// Longest wait for the tool, which itself goes on trying for thirty seconds.
-const TOOL_BOUND: Duration = Duration::from_secs(35);
-/// Longest wait for one response.
-const ANSWER_BOUND: Duration = Duration::from_secs(5);
+/// Longest wait for the tool, which itself retries for thirty seconds.
+const TOOL_TIMEOUT: Duration = Duration::from_secs(35);
+/// Longest wait for one response of the operator interface.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The operator's side of one fleet.
+/// Operator client of one fleet.
 #[derive(Clone, Debug)]
 pub struct Operator {
-    /// The credential.
+    /// Operator key, sent as the bearer credential.
     pub key: String,
-    /// The tool.
+    /// Path of `millfordctl`.
     pub ctl: PathBuf,
 }
 
-/// Response to an order.
+/// Outcome of one send of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OrderAnswer {
-    /// Accepted under this number.
+pub enum OrderResponse {
+    /// The order was accepted.
     Accepted {
-        /// Number of the new revision.
+        /// Revision that the order created.
         revision: u64,
-        /// Whether the order had been accepted before.
+        /// Whether an earlier send of the same order had created the revision.
         repeated: bool,
     },
-    /// Refused with this code.
+    /// The order was refused.
     Refused {
-        /// Numbered result code.
+        /// Number of the result code.
         code: u32,
-        /// Present revision, on a conflict.
+        /// Revision in force, if the response includes it, as on a revision conflict.
         revision: Option<u64>,
     },
-    /// No response: the order's fate is unknown.
+    /// No usable response arrived in time; the order may or may not have been accepted.
     Unknown,
 }
 
-/// One order.
+/// A request to replace the configuration.
 #[derive(Clone, Debug)]
 pub struct Order {
-    /// Revision that it builds on.
+    /// Revision that the document is based on; the order is refused if another is in force.
     pub base_revision: u64,
-    /// Its id.
+    /// Id that makes repeated sends of the order idempotent.
     pub order_id: String,
-    /// The whole configuration.
+    /// The complete new configuration.
     pub document: Document,
 }
 
 impl Operator {
-    /// Applies a document by the operator's tool. Returns the output of the tool.
+    /// Applies a configuration document with `millfordctl` and returns the tool's output.
     ///
     /// # Errors
-    /// [`FleetError::Operator`] when the tool rejects the document, [`FleetError::Io`] when it cannot run.
+    /// [`FleetError::Operator`] when the tool fails, [`FleetError::Io`] when it cannot be started,
+    /// [`FleetError::Timeout`] when it does not end in time.
     pub async fn apply_by_tool(
         &self,
         servers: &[SocketAddr],
@@ -82,13 +83,13 @@
             .arg(document)
             .env("MILLFORD_OPERATOR_KEY", &self.key)
             .kill_on_drop(true);
-        let output = timeout(TOOL_BOUND, command.output())
+        let output = timeout(TOOL_TIMEOUT, command.output())
             .await
             .map_err(|_| FleetError::Timeout {
                 what: "millfordctl apply".to_owned(),
-                bound: TOOL_BOUND,
+                limit: TOOL_TIMEOUT,
             })?
-            .map_err(FleetError::io("millfordctl"))?;
+            .map_err(FleetError::io("running millfordctl"))?;
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
         if output.status.success() {
             return Ok(text);
@@ -100,46 +101,52 @@
         )))
     }
 
-    /// Sends an order to one node.
-    pub async fn put_config(&self, server: SocketAddr, order: &Order) -> OrderAnswer {
+    /// Sends an order once, to one control node.
+    pub async fn put_config(&self, server: SocketAddr, order: &Order) -> OrderResponse {
         let body = json!({
             "base_revision": order.base_revision,
             "order_id": order.order_id,
             "document": order.document,
         });
-        match timeout(ANSWER_BOUND, self.send(server, "PUT", "/v1/config", &body)).await {
-            Ok(Some(answer)) => read_order_answer(&answer),
-            _ => OrderAnswer::Unknown,
+        match timeout(
+            RESPONSE_TIMEOUT,
+            self.send(server, "PUT", "/v1/config", &body),
+        )
+        .await
+        {
+            Ok(Some(response)) => parse_order_response(&response),
+            _ => OrderResponse::Unknown,
         }
     }
 
-    /// Confirmed read of the configuration: its number and document.
+    /// Makes a confirmed read of the configuration and returns its revision and document. `None` without a
+    /// valid response in time.
     pub async fn get_config(&self, server: SocketAddr) -> Option<(u64, Document)> {
         let value = self.get_json(server, "/v1/config").await?;
         let document = serde_json::from_value(value["document"].clone()).ok()?;
         Some((value["revision"].as_u64()?, document))
     }
 
-    /// Status of the cluster.
+    /// Reads the cluster status from one control node. `None` without a valid response in time.
     pub async fn status(&self, server: SocketAddr) -> Option<Value> {
         self.get_json(server, "/v1/status").await
     }
 
-    /// Drains or readmits a backend. True when the order was accepted.
+    /// Drains a backend of a pool, or readmits it if `drain` is false. Returns whether the request succeeded.
     pub async fn drain(&self, server: SocketAddr, pool: &str, id: &str, drain: bool) -> bool {
         let path = format!("/v1/services/{pool}/backends/{id}/drain");
         let body = json!({"drain": drain});
-        let answer = timeout(ANSWER_BOUND, self.send(server, "POST", &path, &body)).await;
-        matches!(answer, Ok(Some(answer)) if answer.status.is_success())
+        let response = timeout(RESPONSE_TIMEOUT, self.send(server, "POST", &path, &body)).await;
+        matches!(response, Ok(Some(response)) if response.status.is_success())
     }
 
     async fn get_json(&self, server: SocketAddr, path: &str) -> Option<Value> {
-        let answer = timeout(ANSWER_BOUND, get(server, path, Some(&self.key))).await;
-        let answer = answer.ok()?.ok()?;
-        if !answer.status.is_success() {
+        let response = timeout(RESPONSE_TIMEOUT, get(server, path, Some(&self.key))).await;
+        let response = response.ok()?.ok()?;
+        if !response.status.is_success() {
             return None;
         }
-        serde_json::from_slice(&answer.body).ok()
+        serde_json::from_slice(&response.body).ok()
     }
 
     async fn send(
@@ -164,27 +171,27 @@
     }
 }
 
-fn read_order_answer(answer: &FullResponse) -> OrderAnswer {
-    let value: Value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
-    if answer.status.is_success()
+fn parse_order_response(response: &FullResponse) -> OrderResponse {
+    let value: Value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
+    if response.status.is_success()
         && let Some(revision) = value["revision"].as_u64()
     {
         let repeated = value["repeated"].as_bool().unwrap_or(false);
-        return OrderAnswer::Accepted { revision, repeated };
+        return OrderResponse::Accepted { revision, repeated };
     }
     let Some(code) = value["error"]["code"].as_u64() else {
-        return OrderAnswer::Unknown;
+        return OrderResponse::Unknown;
     };
     let revision = value["revision"]
         .as_u64()
         .or(value["error"]["revision"].as_u64());
-    OrderAnswer::Refused {
+    OrderResponse::Refused {
         code: u32::try_from(code).unwrap_or(0),
         revision,
     }
 }
 
-/// The control node that leads the configuration shard, as a status says: its id in the status.
+/// Returns the node id of the configuration shard's leader from a cluster status. `None` without a leader.
 #[must_use]
 pub fn configuration_leader(status: &Value) -> Option<String> {
     let shards = status["shards"].as_array()?;
--- a/crates/lab/src/fleet/proxy_node.rs
+++ b/crates/lab/src/fleet/proxy_node.rs
@@ -1,4 +1,4 @@
-//! One proxy node: an agent and its proxy.
+//! Starts and restarts the agent and the proxy of one proxy node.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -9,9 +9,9 @@
 use super::fleet_process::{FleetProcess, ProcessSpec};
 use super::settings_file::SettingsFile;
 
-/// Program of an agent.
+/// File name of the agent's program.
 pub const AGENT_PROGRAM: &str = "millford-agent";
-/// Program of a proxy.
+/// File name of the proxy's program.
 pub const PROXY_PROGRAM: &str = "millford-proxy";
 
 /// Name, zone and addresses of one proxy node.
@@ -19,24 +19,24 @@
 pub struct ProxyNodeSpec {
     /// Name, unique in the fleet.
     pub name: String,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Loopback address of the agent for its proxy.
+    /// Address on which the agent accepts connections of its proxy.
     pub local: SocketAddr,
-    /// HTTP address of the agent.
+    /// Address of the agent's HTTP server.
     pub agent_http: SocketAddr,
-    /// Address for callers.
+    /// Address on which the proxy accepts requests of callers.
     pub callers: SocketAddr,
 }
 
-/// One proxy node.
+/// An agent and its proxy.
 #[derive(Debug)]
 pub struct ProxyNode {
-    /// Its name and addresses.
+    /// Name, zone and addresses that both were started with.
     pub spec: ProxyNodeSpec,
-    /// Its agent.
+    /// Process of the agent; it may have been killed.
     pub agent: FleetProcess,
-    /// Its proxy.
+    /// Process of the proxy; it may have been killed.
     pub proxy: FleetProcess,
 }
 
@@ -56,7 +56,7 @@
         Ok(Self { spec, agent, proxy })
     }
 
-    /// Restarts the agent.
+    /// Kills the agent, if it runs, and starts it again with the same settings.
     ///
     /// # Errors
     /// The process cannot be started or ends before it is ready.
@@ -64,7 +64,7 @@
         self.agent.restart().await
     }
 
-    /// Restarts the proxy.
+    /// Kills the proxy, if it runs, and starts it again with the same settings.
     ///
     /// # Errors
     /// The process cannot be started or ends before it is ready.
--- a/crates/lab/src/fleet/ready_line.rs
+++ b/crates/lab/src/fleet/ready_line.rs
@@ -1,4 +1,4 @@
-//! The line by which a daemon says that it is ready.
+//! Parses the line that a daemon prints when it is ready.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 }
 
 impl ReadyLine {
-    /// Parses a line; `None` if it is no ready line.
+    /// Parses a line; `None` if it is not a ready line. Fields whose value is not an address are left out.
     #[must_use]
     pub fn parse(line: &str) -> Option<Self> {
         let mut words = line.split_whitespace();
@@ -26,7 +26,7 @@
         })
     }
 
-    /// The address under `key`.
+    /// Returns the address of the field `key`, if the line had it.
     #[must_use]
     pub fn address(&self, key: &str) -> Option<SocketAddr> {
         self.addresses.get(key).copied()
--- a/crates/lab/src/fleet/settings_file.rs
+++ b/crates/lab/src/fleet/settings_file.rs
@@ -1,4 +1,4 @@
-//! Settings files of the daemons.
+//! Builds and writes settings files of the daemons.
 
 use std::path::{Path, PathBuf};
 
@@ -6,14 +6,14 @@
 
 use super::error::FleetError;
 
-/// Settings of one daemon under construction.
+/// Builder of one daemon's settings.
 #[derive(Clone, Debug, Default)]
 pub struct SettingsFile {
     table: Table,
 }
 
 impl SettingsFile {
-    /// Sets a text.
+    /// Sets `key` to the text of `value`.
     #[must_use]
     pub fn text(mut self, key: &str, value: &(impl ToString + ?Sized)) -> Self {
         self.table
@@ -21,7 +21,7 @@
         self
     }
 
-    /// Sets a whole number.
+    /// Sets `key` to a whole number.
     #[must_use]
     pub fn number(mut self, key: &str, value: u32) -> Self {
         self.table
@@ -29,7 +29,7 @@
         self
     }
 
-    /// Sets a list of texts.
+    /// Sets `key` to a list of the texts of `values`.
     #[must_use]
     pub fn list<T: ToString>(mut self, key: &str, values: &[T]) -> Self {
         let values = values.iter().map(|value| Value::String(value.to_string()));
--- a/crates/lab/src/fleet/site.rs
+++ b/crates/lab/src/fleet/site.rs
@@ -1,14 +1,14 @@
-//! Topologies of the sites.
+//! Topologies and configuration documents of the example sites.
 
 use millford_api::config::Document;
 
 use crate::registry::record::DeclarationRecord;
 
-/// Model of long caption and bulletin requests.
+/// Model of long requests, for captions and bulletins.
 pub const LARGE_MODEL: &str = "saga-large";
 /// Model of short questions.
 pub const SMALL_MODEL: &str = "saga-small";
-/// Model of requests that may not be repeated.
+/// Model of requests that are not idempotent.
 pub const ONCE_MODEL: &str = "saga-once";
 /// Model name that lookup backends declare.
 pub const LOOKUP_DECLARATION: &str = "lookup";
@@ -18,10 +18,10 @@
 const REYKJAVIK_DOCUMENT: &str = include_str!("../../../../config/reykjavik.json");
 const DAKAR_DOCUMENT: &str = include_str!("../../../../config/dakar.json");
 
-/// A topology by name.
+/// One of the example sites.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Site {
-    /// Small fleet for a first look.
+    /// Small fleet of the demonstration.
     Demo,
     /// Eight proxy nodes, three control nodes.
     Reykjavik,
@@ -31,26 +31,26 @@
     Bench,
 }
 
-/// What a site consists of.
+/// Topology and configuration document of a site.
 #[derive(Clone, Debug)]
 pub struct SitePlan {
-    /// Name for people.
+    /// Name on the command line and in reports.
     pub name: &'static str,
-    /// Zones of proxy nodes and backends.
+    /// Number of zones, which nodes and backends are assigned to in turn.
     pub zones: usize,
-    /// Control nodes.
+    /// Number of control nodes.
     pub controls: usize,
-    /// Pairs of agent and proxy.
+    /// Number of proxy nodes, each an agent with its proxy.
     pub proxy_nodes: usize,
-    /// Model backends.
+    /// Number of model backends.
     pub model_backends: usize,
-    /// Lookup backends.
+    /// Number of lookup backends.
     pub lookup_backends: usize,
-    /// The operators' document.
+    /// Configuration document, as JSON.
     pub document: &'static str,
-    /// Tenant keys that the document knows.
+    /// One key of each tenant in the document; the last tenant has the smallest quota.
     pub tenant_keys: &'static [&'static str],
-    /// Path prefix of lookups.
+    /// Path prefix of lookups, which the document routes to the lookup backends.
     pub lookup_prefix: &'static str,
 }
 
@@ -72,7 +72,7 @@
 ];
 
 impl Site {
-    /// The site of this name.
+    /// Returns the site called `name`. The bench site has no name on the command line.
     #[must_use]
     pub fn from_name(name: &str) -> Option<Self> {
         match name {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// What the site consists of.
+    /// Returns the topology and configuration document of the site.
     #[must_use]
     pub fn plan(self) -> SitePlan {
         let demo = SitePlan {
@@ -131,21 +131,21 @@
 }
 
 impl SitePlan {
-    /// Zone of the machine with this index.
+    /// Returns the zone of the node or backend at `index`.
     #[must_use]
     pub fn zone(&self, index: usize) -> String {
         format!("zone-{}", index % self.zones + 1)
     }
 
-    /// The operators' document, parsed.
+    /// Parses the configuration document.
     ///
     /// # Errors
-    /// The document is no valid JSON of this form.
+    /// The document is not valid JSON, or not of the expected form.
     pub fn parsed_document(&self) -> Result<Document, serde_json::Error> {
         serde_json::from_str(self.document)
     }
 
-    /// Declarations of every model backend.
+    /// Returns the models that every model backend declares.
     #[must_use]
     pub fn model_declarations() -> Vec<DeclarationRecord> {
         [LARGE_MODEL, SMALL_MODEL, ONCE_MODEL]
@@ -153,7 +153,7 @@
             .to_vec()
     }
 
-    /// Declarations of every lookup backend.
+    /// Returns the one declaration of every lookup backend.
     #[must_use]
     pub fn lookup_declarations() -> Vec<DeclarationRecord> {
         vec![declaration(LOOKUP_DECLARATION)]
--- a/crates/lab/src/fleet/waiting.rs
+++ b/crates/lab/src/fleet/waiting.rs
@@ -1,4 +1,4 @@
-//! Waiting for something that sends no event, always within a bound.
+//! Polls for conditions that raise no event, always with a timeout.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,14 +8,14 @@
 use super::error::FleetError;
 use crate::caller::http_client::get;
 
-/// Poll interval.
+/// Pause between two evaluations of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Looks again and again until `condition` holds.
+/// Evaluates `condition` until it holds. `what` describes it in the error message.
 ///
 /// # Errors
-/// [`FleetError::Timeout`] when it does not hold within `bound`.
-pub async fn wait_for<F, C>(what: &str, bound: Duration, condition: C) -> Result<(), FleetError>
+/// [`FleetError::Timeout`] when it does not hold within `limit`.
+pub async fn wait_for<F, C>(what: &str, limit: Duration, condition: C) -> Result<(), FleetError>
 where
     C: Fn() -> F,
     F: Future<Output = bool>,
@@ -25,13 +25,13 @@
             sleep(POLL_INTERVAL).await;
         }
     };
-    timeout(bound, look).await.map_err(|_| FleetError::Timeout {
+    timeout(limit, look).await.map_err(|_| FleetError::Timeout {
         what: what.to_owned(),
-        bound,
+        limit,
     })
 }
 
-/// Whether `/readyz` responses with success.
+/// Returns whether `/readyz` at `address` returns a success status.
 pub async fn is_ready(address: SocketAddr) -> bool {
-    matches!(get(address, "/readyz", None).await, Ok(answer) if answer.status.is_success())
+    matches!(get(address, "/readyz", None).await, Ok(response) if response.status.is_success())
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,4 +1,5 @@
-//! Developers' laboratory: stand-ins, demonstration fleet, chaos, experiments, scale runs, reports.
+//! Developers' laboratory: emulated backends and registry, a fleet of real processes on loopback, fault
+//! injection with checks, benchmarks and reports.
 
 pub mod answer_text;
 pub mod arguments;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -11,14 +11,14 @@
 
   backend      one emulated backend
   registry     the service registry stand-in
-  demo         the whole fleet on loopback, with faults while streams run
-  chaos        a whole site under every fault, the promises checked
+  demo         a complete fleet on loopback, with faults while streams run
+  chaos        a complete site under every fault, with the guarantees checked
   bench        measurements: bench overhead
-  scenarios    the whole fleet under simulated time, over many seeds
-  experiment   routing and placement against what they replace
-  days         worth and ceiling of days played at the bench, from its entries
-  explain      where worth was lost, from the decision records in logs
-  scale        what a fleet of a given size costs, by hollow nodes
+  scenarios    a complete fleet under simulated time, over many seeds
+  experiment   routing and placement compared with what they replace
+  days         value and maximum value of the days in journal entries of bench runs
+  explain      value lost, by cause, from the decision records in logs
+  scale        cost of a fleet of a given size, measured with hollow nodes
 
 Each command has --help.";
 /// Exit status of an invalid command line.
@@ -56,14 +56,14 @@
     }
 }
 
-/// Runs a command that needs no runtime or brings its own; `None` for the others.
+/// Runs a command that needs no Tokio runtime or creates its own; `None` for the other commands.
 fn run_without_runtime(command: &str, rest: &[String]) -> Option<ExitCode> {
     match command {
         "scenarios" => Some(millford_simulation::run(rest)),
         "experiment" => Some(millford_experiments::run(rest)),
         "days" => Some(days(rest)),
         "explain" => Some(explain(rest)),
-        // The scale rig creates runtimes of its own, whose threads it accounts for separately.
+        // The scale command creates its own runtimes and accounts for their threads separately.
         "scale" => Some(millford_scale::run(rest)),
         _ => None,
     }
@@ -79,7 +79,7 @@
     run_synchronously("explain", options, commands::explain::run)
 }
 
-/// Runs a command with its parsed options and reports what went wrong.
+/// Runs a command with its parsed options, prints its error if it fails, and returns the exit status.
 fn run_synchronously<O, E: std::fmt::Display>(
     command: &str,
     options: Result<Option<O>, ArgumentError>,
--- a/crates/lab/src/protocol.rs
+++ b/crates/lab/src/protocol.rs
@@ -1,30 +1,30 @@
 //! Header names of the backend protocol and of the caller interface, and the clock shared by all
 //! processes of one machine.
 
-/// Names the attempt; the backend echoes it.
+/// Id of the attempt, which the backend echoes in its response.
 pub const ATTEMPT_HEADER: &str = "x-millford-attempt";
-/// With a withdrawal: an upper bound of the attempt's age, in milliseconds.
+/// Upper bound of the attempt's age in a withdrawal, in milliseconds.
 pub const ATTEMPT_AGE_HEADER: &str = "x-millford-attempt-age-ms";
-/// Names the run that an attempt starts or continues.
+/// Id of the run that an attempt starts or resumes.
 pub const RUN_HEADER: &str = "x-millford-run";
-/// First sequence number that a continued run should send.
+/// Sequence number of the first chunk that a resumed run should send.
 pub const RESUME_FROM_HEADER: &str = "x-millford-resume-from";
-/// The backend's confirmation of [`RESUME_FROM_HEADER`].
+/// Sequence number at which the backend resumes; confirms [`RESUME_FROM_HEADER`].
 pub const RESUME_AT_HEADER: &str = "x-millford-resume-at";
-/// On a refusal: `not_run` when the backend did no work.
+/// State of the run in a refusal: [`NOT_RUN`] when the backend did no work.
 pub const RUN_STATE_HEADER: &str = "x-millford-run-state";
-/// Configuration revision that the responding proxy shows.
+/// Configuration revision that the responding proxy applies.
 pub const REVISION_HEADER: &str = "x-millford-revision";
-/// Conversation of a caller.
+/// Id of the session that a request belongs to.
 pub const SESSION_HEADER: &str = "x-millford-session";
-/// Time that the caller gives the request, in milliseconds.
+/// Time that the caller allows for the request, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-millford-deadline-ms";
-/// Value of [`RUN_STATE_HEADER`] for work that never began.
+/// Value of [`RUN_STATE_HEADER`] for a request on which no work began.
 pub const NOT_RUN: &str = "not_run";
 
-/// Monotonic microseconds, comparable between the processes of one machine.
+/// Returns the kernel's monotonic clock in microseconds, comparable between the processes of one machine.
 ///
-/// Only the laboratory uses it, to put the logs of its own processes in one order.
+/// Only the laboratory uses it, to order the records of its own processes.
 #[must_use]
 pub fn machine_micros() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
--- a/crates/lab/src/registry/record.rs
+++ b/crates/lab/src/registry/record.rs
@@ -1,54 +1,54 @@
-//! One backend as the registry lists it.
+//! Records of the registry's HTTP interface.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// What the platform intends with a backend.
+/// State of a backend, as set by the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RegistryState {
-    /// In service.
+    /// The backend is in service.
     Active,
-    /// Being retired: no new work.
+    /// The backend is being retired and must receive no new work.
     Draining,
 }
 
 /// One model that a backend serves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeclarationRecord {
-    /// Model name.
+    /// Name of the model.
     pub model: String,
-    /// Snapshot of the model.
+    /// Version of the model.
     pub version: String,
-    /// Stage, for instance `serve`.
+    /// Deployment stage, for instance `serve`.
     pub stage: String,
-    /// Adapters that are loaded.
+    /// Names of the loaded adapters.
     #[serde(default)]
     pub adapters: Vec<String>,
 }
 
-/// One backend as the registry lists it.
+/// A backend in a registration and in the registry's list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BackendRecord {
-    /// Identity; a replacement has a new one.
+    /// Unique id; a replacement of the backend has a new one.
     pub id: String,
     /// IP address and port.
     pub address: String,
     /// Zone of the machine.
     pub zone: String,
-    /// Processor cores.
+    /// Number of processor cores.
     pub cores: u32,
     /// Memory bandwidth, in GB/s.
     pub bandwidth_gbps: f64,
-    /// What the platform intends with it.
+    /// State set by the platform; backends register as active.
     pub state: RegistryState,
-    /// Models served.
+    /// Models that the backend serves.
     pub declarations: Vec<DeclarationRecord>,
-    /// Reported load per model; old by `load_age_ms`.
+    /// Load by model, as the backend reported it `load_age_ms` ago; 1 is its full memory bandwidth.
     #[serde(default)]
     pub load: BTreeMap<String, f64>,
-    /// Age of the load report, in milliseconds.
+    /// Age of the load report, in milliseconds; set by the registry.
     #[serde(default)]
     pub load_age_ms: u64,
 }
@@ -56,6 +56,6 @@
 /// Response of `GET /v1/backends`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BackendListing {
-    /// Every backend that the registry knows.
+    /// Every backend that is visible in the list.
     pub backends: Vec<BackendRecord>,
 }
--- a/crates/lab/src/registry/server.rs
+++ b/crates/lab/src/registry/server.rs
@@ -23,7 +23,7 @@
     draining: bool,
 }
 
-/// A running registry. Dropping it ends the server.
+/// A running registry stand-in. Dropping it stops the server.
 #[derive(Debug)]
 pub struct RegistryServer {
     address: SocketAddr,
@@ -31,7 +31,7 @@
 }
 
 impl RegistryServer {
-    /// Binds the address and serves.
+    /// Binds the address and starts to serve.
     ///
     /// # Errors
     /// The address cannot be bound.
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Address that it listens on.
+    /// Returns the bound address, with the port that was picked if port 0 was requested.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
@@ -73,10 +73,10 @@
         .and(warp::body::json())
         .and(with_store.clone())
         .map(|id: String, record: BackendRecord, store: SharedStore| register(&id, record, &store));
-    let leave = warp::delete()
+    let deregister = warp::delete()
         .and(warp::path!("v1" / "backends" / String))
         .and(with_store.clone())
-        .map(|id: String, store: SharedStore| leave(&id, &store));
+        .map(|id: String, store: SharedStore| deregister(&id, &store));
     let drain = warp::put()
         .and(warp::path!("admin" / "backends" / String / "draining"))
         .and(warp::body::json())
@@ -86,7 +86,7 @@
         });
     list.or(register)
         .unify()
-        .or(leave)
+        .or(deregister)
         .unify()
         .or(drain)
         .unify()
@@ -106,8 +106,8 @@
     done(true)
 }
 
-fn leave(id: &str, store: &SharedStore) -> WithStatus<Json> {
-    done(lock(store).leave(monotonic_now(), id))
+fn deregister(id: &str, store: &SharedStore) -> WithStatus<Json> {
+    done(lock(store).deregister(monotonic_now(), id))
 }
 
 fn set_draining(id: &str, order: DrainingOrder, store: &SharedStore) -> WithStatus<Json> {
--- a/crates/lab/src/registry/store.rs
+++ b/crates/lab/src/registry/store.rs
@@ -1,5 +1,5 @@
-//! The registry's list, which lags behind reality: a change becomes visible only after a delay, and a backend
-//! that stopped reporting stays listed until it expires.
+//! The registry's list of backends, which is stale by design: a change becomes visible only after a delay,
+//! and a backend that stopped reporting stays listed until it expires.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,12 +8,12 @@
 
 use super::record::{BackendListing, BackendRecord, RegistryState};
 
-/// How far the list lags behind reality.
+/// Delays that make the list stale.
 #[derive(Clone, Copy, Debug)]
 pub struct RegistryDelays {
-    /// Delay until a change is visible.
+    /// Delay until a registration, deregistration or start of draining is visible in the list.
     pub visible_after: Duration,
-    /// Inactivity after which a backend is removed.
+    /// Time without a report after which a backend is removed from the list.
     pub expire_after: Duration,
 }
 
@@ -33,10 +33,10 @@
     last_report_at: MonotonicTime,
     load_at: MonotonicTime,
     draining_since: Option<MonotonicTime>,
-    left_at: Option<MonotonicTime>,
+    deregistered_at: Option<MonotonicTime>,
 }
 
-/// The registry's list.
+/// The registry's list of backends.
 #[derive(Debug)]
 pub struct RegistryStore {
     entries: BTreeMap<String, Entry>,
@@ -44,7 +44,7 @@
 }
 
 impl RegistryStore {
-    /// An empty list.
+    /// Creates an empty list.
     #[must_use]
     pub fn new(delays: RegistryDelays) -> Self {
         Self {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A backend registers, or reports again.
+    /// Records a registration or a later report of a backend.
     pub fn register(&mut self, now: MonotonicTime, record: BackendRecord) {
         let entry = self
             .entries
@@ -64,23 +64,23 @@
                 last_report_at: now,
                 load_at: now,
                 draining_since: None,
-                left_at: None,
+                deregistered_at: None,
             });
         entry.last_report_at = now;
-        entry.left_at = None;
+        entry.deregistered_at = None;
         entry.record = record;
         entry.load_at = now;
     }
 
-    /// A backend deregisters.
-    pub fn leave(&mut self, now: MonotonicTime, id: &str) -> bool {
+    /// Records the deregistration of a backend. Returns whether the backend was registered.
+    pub fn deregister(&mut self, now: MonotonicTime, id: &str) -> bool {
         self.entries
             .get_mut(id)
-            .map(|entry| entry.left_at = Some(now))
+            .map(|entry| entry.deregistered_at = Some(now))
             .is_some()
     }
 
-    /// The platform starts or stops retiring a backend.
+    /// Starts or stops draining a backend. Returns whether the backend was registered.
     pub fn set_draining(&mut self, now: MonotonicTime, id: &str, draining: bool) -> bool {
         let since = draining.then_some(now);
         self.entries
@@ -89,7 +89,7 @@
             .is_some()
     }
 
-    /// The list as readers see it now.
+    /// Removes expired backends and returns the list as it is visible at `now`.
     pub fn list(&mut self, now: MonotonicTime) -> BackendListing {
         let delays = self.delays;
         self.entries
@@ -111,10 +111,10 @@
 }
 
 fn is_expired(entry: &Entry, delays: RegistryDelays, now: MonotonicTime) -> bool {
-    let left = entry
-        .left_at
-        .is_some_and(|left_at| is_due(left_at, delays, now));
-    left || now.since(entry.last_report_at) >= delays.expire_after
+    let deregistered = entry
+        .deregistered_at
+        .is_some_and(|deregistered_at| is_due(deregistered_at, delays, now));
+    deregistered || now.since(entry.last_report_at) >= delays.expire_after
 }
 
 fn visible_record(entry: &Entry, delays: RegistryDelays, now: MonotonicTime) -> BackendRecord {
--- a/crates/lab/src/workload/callers.rs
+++ b/crates/lab/src/workload/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that run beside each other.
+//! Sends many requests concurrently and collects their outcomes.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -10,34 +10,34 @@
 use crate::caller::{CompletionRequest, LookupRequest, RequestOutcome, complete, look_up};
 use crate::fleet::site::{LARGE_MODEL, ONCE_MODEL, SMALL_MODEL};
 
-/// A tenant that requests.
+/// Name and key of a tenant.
 #[derive(Clone, Debug)]
 pub struct TenantCredentials {
-    /// Name in the configuration.
+    /// Name of the tenant in the configuration.
     pub name: String,
-    /// Key.
+    /// Key of the tenant, sent as the bearer credential.
     pub key: String,
 }
 
-/// Who calls whom.
+/// Proxies and tenants of a group of callers.
 #[derive(Clone, Debug)]
 pub struct CallersOptions {
-    /// Addresses of the proxies.
+    /// Caller addresses of the proxies, used in turn.
     pub proxies: Vec<SocketAddr>,
-    /// Tenants; the first ones call more often.
+    /// Tenants; each sends half as many requests as the one before it.
     pub tenants: Vec<TenantCredentials>,
     /// Path prefix of lookups.
     pub lookup_prefix: String,
-    /// Distinguishes the markers of several runs.
+    /// Prefix of the markers, which distinguishes those of several groups and runs.
     pub seed: u64,
 }
 
-/// Kinds of model requests.
+/// Kind of a model request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// A long stream that may continue elsewhere.
+    /// A long stream that another backend may resume.
     Long,
-    /// A short question that may start again elsewhere.
+    /// A short question that another backend may restart.
     Question,
     /// A request that may not be repeated.
     Once,
@@ -61,30 +61,30 @@
     }
 }
 
-/// Callers that run beside each other. Dropping it ends them.
+/// Requests in flight and the outcomes of those that have ended. Dropping it aborts the open requests.
 #[derive(Debug)]
 pub struct Callers {
     options: CallersOptions,
-    numbers: AtomicU64,
-    turns: AtomicUsize,
+    next_number: AtomicU64,
+    next_turn: AtomicUsize,
     outcomes: Arc<Mutex<Vec<RequestOutcome>>>,
     tasks: JoinSet<()>,
 }
 
 impl Callers {
-    /// Callers that are still quiet.
+    /// Creates callers that have sent no requests.
     #[must_use]
     pub fn new(options: CallersOptions) -> Self {
         Self {
             options,
-            numbers: AtomicU64::new(0),
-            turns: AtomicUsize::new(0),
+            next_number: AtomicU64::new(0),
+            next_turn: AtomicUsize::new(0),
             outcomes: Arc::default(),
             tasks: JoinSet::new(),
         }
     }
 
-    /// Starts one completion at the next proxy; returns its marker.
+    /// Starts a streamed completion at the next proxy and returns its marker.
     pub fn start(&mut self, kind: RequestKind) -> String {
         let request = self.completion(kind);
         let marker = request.marker.clone();
@@ -98,14 +98,15 @@
         marker
     }
 
-    /// Starts one request that may not be repeated under an idempotency key, sent again to the
-    /// following proxies until one response says what became of it or `sendings` are used up.
-    pub fn start_keyed(&mut self, sendings: usize) -> String {
+    /// Starts a request that may not be repeated, with an idempotency key, and returns its marker. The
+    /// request is resent to the following proxies until one response is a success or it was sent
+    /// `max_sends` times.
+    pub fn start_keyed(&mut self, max_sends: usize) -> String {
         let mut request = self.completion(RequestKind::Once);
         request.stream = false;
         request.idempotency_key = Some(request.marker.clone());
         let marker = request.marker.clone();
-        let targets: Vec<_> = (0..sendings).map(|_| self.next_proxy()).collect();
+        let targets: Vec<_> = (0..max_sends).map(|_| self.next_proxy()).collect();
         let outcomes = Arc::clone(&self.outcomes);
         self.tasks.spawn(async move {
             for (proxy, address) in targets {
@@ -120,9 +121,9 @@
         marker
     }
 
-    /// Starts one lookup at the next proxy.
+    /// Starts a lookup at the next proxy.
     pub fn start_lookup(&mut self) {
-        let number = self.numbers.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let tenant = self.tenant(number);
         let request = LookupRequest {
             marker: self.marker(number),
@@ -138,18 +139,18 @@
         });
     }
 
-    /// Requests that have not ended.
+    /// Returns the number of requests that have not ended.
     pub fn open_requests(&mut self) -> usize {
         while self.tasks.try_join_next().is_some() {}
         self.tasks.len()
     }
 
-    /// Changes the proxies that are called from now on.
+    /// Replaces the proxies that later requests are sent to.
     pub fn set_proxies(&mut self, proxies: Vec<SocketAddr>) {
         self.options.proxies = proxies;
     }
 
-    /// Copies of the outcomes so far.
+    /// Returns copies of the outcomes so far.
     #[must_use]
     pub fn outcomes(&self) -> Vec<RequestOutcome> {
         self.outcomes
@@ -158,14 +159,14 @@
             .clone()
     }
 
-    /// Waits for every open request and returns what all saw.
+    /// Waits until every open request has ended and returns all outcomes.
     pub async fn finish(&mut self) -> Vec<RequestOutcome> {
         while self.tasks.join_next().await.is_some() {}
         self.outcomes()
     }
 
     fn completion(&self, kind: RequestKind) -> CompletionRequest {
-        let number = self.numbers.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let tenant = self.tenant(number);
         let index = usize::try_from(number).unwrap_or(0);
         let long = kind != RequestKind::Question;
@@ -192,7 +193,8 @@
         format!("{:x}-{number}", self.options.seed)
     }
 
-    /// Half of the requests come from the first tenant, half of the rest from the second, and so on.
+    /// Returns the tenant of a request: half of the requests belong to the first tenant, half of the rest to
+    /// the second, and so on.
     fn tenant(&self, number: u64) -> TenantCredentials {
         let last = self.options.tenants.len() - 1;
         let index = usize::try_from((number + 1).trailing_zeros()).unwrap_or(0);
@@ -200,7 +202,7 @@
     }
 
     fn next_proxy(&self) -> (usize, SocketAddr) {
-        let turn = self.turns.fetch_add(1, Ordering::Relaxed);
+        let turn = self.next_turn.fetch_add(1, Ordering::Relaxed);
         let index = turn % self.options.proxies.len();
         (index, self.options.proxies[index])
     }
--- a/crates/lab/src/workload/figures.rs
+++ b/crates/lab/src/workload/figures.rs
@@ -1,4 +1,4 @@
-//! Summary of what the callers saw.
+//! Summary of the requests of a run.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -11,12 +11,12 @@
 use crate::checks::History;
 use crate::emulator::lookup::LOOKUP_MODEL;
 
-/// Summary of what the callers saw. Times are in milliseconds.
+/// Summary of the requests of a run. Times are in milliseconds.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
-    /// Requests made.
+    /// Number of requests.
     pub requests: usize,
-    /// Requests that got a complete response.
+    /// Requests with a complete response.
     pub successes: usize,
     /// Time to the first token of streams, median.
     pub first_token_p50: f64,
@@ -26,26 +26,26 @@
     pub between_tokens_p50: f64,
     /// Time between tokens of streams, 95th percentile.
     pub between_tokens_p95: f64,
-    /// Lookup time, median.
+    /// Time of a complete lookup, median.
     pub lookup_p50: f64,
-    /// Lookup time, 95th percentile.
+    /// Time of a complete lookup, 95th percentile.
     pub lookup_p95: f64,
-    /// Streams that a second backend resumed and completed.
+    /// Streams that another backend resumed and that completed.
     pub moved_streams: usize,
-    /// Requests that a second backend got.
+    /// Executions beyond the first of each request, by retries, hedges or resumption.
     pub second_sends: usize,
-    /// Failures by numbered code.
+    /// Refusals and failures by the number of the result code.
     pub failures_by_code: BTreeMap<u32, usize>,
-    /// Requests that found no connection.
+    /// Requests whose connection to the proxy could not be opened.
     pub not_connected: usize,
-    /// Requests whose connection broke visibly.
+    /// Requests whose response was truncated.
     pub broken: usize,
-    /// Requests that may not be repeated and ran more than once.
+    /// Requests that ran more than once although they may not be repeated.
     pub duplicates: usize,
 }
 
 impl Figures {
-    /// Works out the summary.
+    /// Computes the summary of a history.
     #[must_use]
     pub fn of(history: &History) -> Self {
         let mut figures = Figures {
@@ -98,14 +98,14 @@
         }
     }
 
-    /// The summary for people.
+    /// Formats the summary, one line for each figure.
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = String::new();
         // Writing to a string cannot fail.
         let _ = writeln!(
             text,
-            "requests            {} ({} whole answers)",
+            "requests            {} ({} complete responses)",
             self.requests, self.successes
         );
         let _ = writeln!(
@@ -137,12 +137,12 @@
 }
 
 fn new_histogram() -> Histogram<u64> {
-    // Three significant digits; grows with the values.
+    // Three significant digits; resizes automatically.
     Histogram::new(3).unwrap_or_else(|_| unreachable!("three digits are allowed"))
 }
 
 fn record(histogram: &mut Histogram<u64>, micros: u64) {
-    // The histogram grows with its values, so that this cannot fail.
+    // Cannot fail, since the histogram resizes automatically.
     let _ = histogram.record(micros);
 }
 
--- a/crates/lab/src/workload/mix.rs
+++ b/crates/lab/src/workload/mix.rs
@@ -1,26 +1,27 @@
-//! Steady traffic of a site: long streams, questions, requests that may not be repeated, lookups.
+//! Steady traffic of long streams, questions, requests that may not be repeated, and lookups.
 
 use std::time::Duration;
 
 use super::callers::{Callers, RequestKind};
 
-/// Time between two lookups: about twenty a second.
+/// Interval of lookups: twenty per second.
 pub const LOOKUP_PERIOD: Duration = Duration::from_millis(50);
-/// Lookups between two model requests.
+/// Number of lookups per model request.
 const LOOKUPS_PER_MODEL_REQUEST: u64 = 6;
-/// Model requests that are open at once, at most; a caller beyond waits.
+/// Largest number of open requests at which a model request is still started; above it, the request is
+/// skipped.
 const MAX_OPEN_REQUESTS: usize = 160;
-/// How often a request under an idempotency key is sent, at most.
+/// Largest number of sends of a request with an idempotency key.
 const MAX_KEYED_SENDS: usize = 3;
 
-/// Steady traffic; each tick starts what is due.
+/// Steady traffic; each tick starts the requests that are due.
 #[derive(Debug, Default)]
 pub struct Mix {
     tick: u64,
 }
 
 impl Mix {
-    /// Starts the requests of one tick, every [`LOOKUP_PERIOD`].
+    /// Starts the requests of one tick. The caller calls it every [`LOOKUP_PERIOD`].
     pub fn tick(&mut self, callers: &mut Callers) {
         self.tick += 1;
         callers.start_lookup();
--- a/crates/lab/src/workload/mod.rs
+++ b/crates/lab/src/workload/mod.rs
@@ -1,4 +1,4 @@
-//! Traffic of a site: callers that run beside each other and leave what they saw.
+//! Traffic of a site: concurrent requests, probes, and a summary of their outcomes.
 
 pub mod callers;
 pub mod figures;
--- a/crates/lab/src/workload/service_probe.rs
+++ b/crates/lab/src/workload/service_probe.rs
@@ -1,4 +1,4 @@
-//! Probes of a fleet: whether every proxy serves, and a confirmed read succeeds.
+//! Probes whether every proxy serves and every control node confirms reads.
 
 use std::time::Duration;
 
@@ -11,25 +11,25 @@
 use crate::fleet::site::SMALL_MODEL;
 use crate::protocol::machine_micros;
 
-/// Longest wait for service.
-const SERVICE_BOUND: Duration = Duration::from_secs(40);
-/// Longest wait for one probe.
-const PROBE_BOUND: Duration = Duration::from_secs(3);
+/// Longest wait until a round of probes succeeds.
+const SERVICE_TIMEOUT: Duration = Duration::from_secs(40);
+/// Longest wait for one request of a probe.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Pause between rounds of probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Probes every proxy until all serve; the probes' outcomes are kept.
+/// Probes every proxy until all serve and keeps the outcomes for the checks.
 #[derive(Debug)]
 pub struct ServiceProbe {
     tenant: TenantCredentials,
     number: u64,
     seed: u64,
-    /// What the probes saw.
+    /// Outcomes of all probes that got an outcome in time.
     pub outcomes: Vec<RequestOutcome>,
 }
 
 impl ServiceProbe {
-    /// A probe that requests as `tenant`.
+    /// Creates a probe that sends requests as `tenant`. The markers contain `seed`.
     #[must_use]
     pub fn new(tenant: TenantCredentials, seed: u64) -> Self {
         Self {
@@ -40,12 +40,13 @@
         }
     }
 
-    /// Time at which service was fully available, or `None` if it was not in the longest wait.
+    /// Waits for a round of probes in which all succeed. Returns the machine clock then, in microseconds, or
+    /// `None` if there was none within [`SERVICE_TIMEOUT`].
     pub async fn wait(&mut self, fleet: &Fleet) -> Option<u64> {
         self.wait_without(fleet, None).await
     }
 
-    /// As [`Self::wait`], while the control node `down` is known not to run.
+    /// As [`Self::wait`], without reads from the control node at index `down`, which is not running.
     pub async fn wait_without(&mut self, fleet: &Fleet, down: Option<usize>) -> Option<u64> {
         let rounds = async {
             loop {
@@ -55,24 +56,24 @@
                 sleep(PROBE_INTERVAL).await;
             }
         };
-        timeout(SERVICE_BOUND, rounds).await.ok()
+        timeout(SERVICE_TIMEOUT, rounds).await.ok()
     }
 
     async fn round(&mut self, fleet: &Fleet, down: Option<usize>) -> bool {
         let calls: Vec<_> = (0..fleet.proxy_nodes.len())
             .map(|proxy| self.probe(fleet, proxy))
             .collect();
-        let answers = join_all(calls).await;
-        let served = answers
+        let probes = join_all(calls).await;
+        let served = probes
             .iter()
             .all(|outcomes| outcomes.iter().all(RequestOutcome::succeeded));
-        let complete = answers.iter().all(|outcomes| outcomes.len() == 2);
-        self.outcomes.extend(answers.into_iter().flatten());
+        let complete = probes.iter().all(|outcomes| outcomes.len() == 2);
+        self.outcomes.extend(probes.into_iter().flatten());
         served && complete && confirms_read(fleet, down).await
     }
 
-    /// One question and one lookup. A request that is given up leaves no outcome, since its caller
-    /// saw no response.
+    /// Sends a question and a lookup to one proxy. A request that times out has no outcome, since its caller
+    /// received no response.
     fn probe(
         &mut self,
         fleet: &Fleet,
@@ -87,9 +88,13 @@
             path: format!("{}probe", fleet.plan.lookup_prefix),
         };
         async move {
-            let answered = timeout(PROBE_BOUND, complete(proxy, address, &question, true)).await;
-            let found = timeout(PROBE_BOUND, look_up(proxy, address, &lookup)).await;
-            [answered.ok(), found.ok()].into_iter().flatten().collect()
+            let completion_outcome =
+                timeout(PROBE_TIMEOUT, complete(proxy, address, &question, true)).await;
+            let lookup_outcome = timeout(PROBE_TIMEOUT, look_up(proxy, address, &lookup)).await;
+            [completion_outcome.ok(), lookup_outcome.ok()]
+                .into_iter()
+                .flatten()
+                .collect()
         }
     }
 
--- a/crates/lab/tests/checkers/histories.rs
+++ b/crates/lab/tests/checkers/histories.rs
@@ -1,4 +1,4 @@
-//! Histories of a run that the checkers judge.
+//! Builds histories for the tests of the checks.
 
 use millford_core::{ResultCode, RunState};
 use millford_lab::answer_text::AnswerText;
@@ -76,7 +76,8 @@
     };
 }
 
-/// Thirty served requests over three seconds, a configuration, a drain, an outage.
+/// Returns a valid history: thirty served requests over three seconds, two configuration revisions, a drain and
+/// a recovery from an outage.
 pub(crate) fn clean() -> History {
     let mut history = History::default();
     for number in 0..30 {
@@ -100,7 +101,7 @@
         requested_micros: 500,
         revision: 2,
     });
-    history.applied_revisions.push(applied_revisions(2, 600));
+    history.applied_revisions.push(applied_revision(2, 600));
     history.drains.push(DrainSeen {
         backend: "model-2".to_owned(),
         ordered_micros: SECOND,
@@ -119,7 +120,7 @@
     history
 }
 
-pub(crate) fn applied_revisions(revision: u64, at: u64) -> AppliedRevision {
+pub(crate) fn applied_revision(revision: u64, at: u64) -> AppliedRevision {
     let node = "agent".to_owned();
     AppliedRevision {
         node,
@@ -129,8 +130,8 @@
     }
 }
 
-/// Asserts that exactly the named guarantee is seen as broken.
-pub(crate) fn assert_caught(history: &History, guarantee: &str) {
+/// Asserts that exactly one guarantee is violated and that its text contains `guarantee`.
+pub(crate) fn assert_detected(history: &History, guarantee: &str) {
     let report = check_all(history);
     let broken: Vec<_> = report
         .verdicts
--- a/crates/lab/tests/checkers/main.rs
+++ b/crates/lab/tests/checkers/main.rs
@@ -1,4 +1,4 @@
-//! Each check of the guarantees passes a clean history and catches a planted defect.
+//! Each check of a guarantee accepts a valid history and detects a violation added to it.
 
 mod histories;
 
@@ -11,26 +11,26 @@
 };
 use millford_lab::emulator::execution::ExecutionEnd;
 
-use histories::{SECOND, applied_revisions, assert_caught, call, clean, execution, order, refuse};
+use histories::{SECOND, applied_revision, assert_detected, call, clean, execution, order, refuse};
 
 #[test]
 fn a_valid_history_passes_and_all_guarantees_but_three_are_exercised() {
     let report = check_all(&clean());
     assert!(report.holds(), "{}", report.table());
-    let untried: Vec<_> = report
+    let not_exercised: Vec<_> = report
         .verdicts
         .iter()
         .filter(|verdict| verdict.judged == 0)
         .map(|v| v.guarantee)
         .collect();
-    assert_eq!(untried.len(), 3, "{untried:?}");
+    assert_eq!(not_exercised.len(), 3, "{not_exercised:?}");
 }
 
 #[test]
 fn a_second_execution_of_a_non_idempotent_request_is_detected() {
     let mut history = clean();
     history.executions.push(execution("m3", 2 * SECOND));
-    assert_caught(&history, "at most one run");
+    assert_detected(&history, "at most one run");
 }
 
 #[test]
@@ -41,7 +41,7 @@
         ResultCode::NoBackend,
         RunState::NotRun,
     );
-    assert_caught(&history, "not run");
+    assert_detected(&history, "not run");
 }
 
 #[test]
@@ -49,7 +49,7 @@
     let mut history = clean();
     history.calls[5].chunks.clear();
     history.calls[5].ending = Ending::NotConnected;
-    assert_caught(&history, "not run");
+    assert_detected(&history, "not run");
 }
 
 #[test]
@@ -65,14 +65,14 @@
 fn a_response_to_another_request_is_detected() {
     let mut history = clean();
     history.calls[5].chunks = call("m6", history.calls[5].started_micros).chunks;
-    assert_caught(&history, "another request's answer");
+    assert_detected(&history, "to another request");
 }
 
 #[test]
 fn a_chunk_of_another_run_is_detected() {
     let mut history = clean();
     history.calls[5].chunks[2].text = AnswerText::new("m5", "other run").chunk(2);
-    assert_caught(&history, "another request's answer");
+    assert_detected(&history, "to another request");
 }
 
 #[test]
@@ -84,21 +84,21 @@
     lookup.chunks.truncate(1);
     let answer = millford_lab::emulator::lookup::LookupAnswer::new("/catalogue/1", "m6");
     lookup.chunks[0].text = serde_json::to_string(&answer).expect("JSON");
-    assert_caught(&history, "another request's answer");
+    assert_detected(&history, "to another request");
 }
 
 #[test]
 fn a_skipped_chunk_is_detected() {
     let mut history = clean();
     history.calls[5].chunks[3].sequence = Some(4);
-    assert_caught(&history, "no piece skipped");
+    assert_detected(&history, "no chunk skipped");
 }
 
 #[test]
 fn a_repeated_chunk_is_detected() {
     let mut history = clean();
     history.calls[5].chunks[3].sequence = Some(2);
-    assert_caught(&history, "no piece skipped");
+    assert_detected(&history, "no chunk skipped");
 }
 
 #[test]
@@ -106,23 +106,23 @@
     let mut history = clean();
     history.calls[5].chunks.truncate(2);
     history.calls[5].ending = Ending::FalseEnd;
-    assert_caught(&history, "no piece skipped");
+    assert_detected(&history, "no chunk skipped");
     history.calls[5].ending = Ending::Success;
-    assert_caught(&history, "no piece skipped");
+    assert_detected(&history, "no chunk skipped");
 }
 
 #[test]
 fn a_success_without_a_backend_execution_is_detected() {
     let mut history = clean();
     history.executions[5].end = Some(ExecutionEnd::Cancelled);
-    assert_caught(&history, "every success");
+    assert_detected(&history, "every success");
 }
 
 #[test]
 fn a_tenant_key_forwarded_to_a_backend_is_detected() {
     let mut history = clean();
     history.executions[5].saw_credential = true;
-    assert_caught(&history, "tenant key");
+    assert_detected(&history, "tenant key");
 }
 
 #[test]
@@ -133,21 +133,21 @@
             .executions
             .push(execution(&format!("m{number}"), 9 * SECOND));
     }
-    assert_caught(&history, "second sends");
+    assert_detected(&history, "second sends");
 }
 
 #[test]
 fn a_revision_regression_is_detected() {
     let mut history = clean();
-    history.applied_revisions.push(applied_revisions(1, 700));
-    assert_caught(&history, "falls back");
+    history.applied_revisions.push(applied_revision(1, 700));
+    assert_detected(&history, "falls back");
 }
 
 #[test]
 fn a_revision_regression_seen_by_a_caller_is_detected_unless_the_node_was_not_ready() {
     let mut history = clean();
     history.calls[5].revision = Some(0);
-    assert_caught(&history, "falls back");
+    assert_detected(&history, "falls back");
     refuse(
         &mut history.calls[5],
         ResultCode::NotReady,
@@ -160,7 +160,7 @@
 #[test]
 fn overlapping_responses_are_no_revision_regression() {
     let mut history = clean();
-    history.applied_revisions.push(applied_revisions(1, 605));
+    history.applied_revisions.push(applied_revision(1, 605));
     assert!(check_all(&history).holds());
 }
 
@@ -170,7 +170,7 @@
     history
         .orders
         .push(order("other", 1, 500, OrderResult::Accepted(2)));
-    assert_caught(&history, "one winner");
+    assert_detected(&history, "one winner");
 }
 
 #[test]
@@ -178,7 +178,7 @@
     let mut history = clean();
     let conflict = OrderResult::Refused(ResultCode::RevisionConflict.number());
     history.orders.push(order("second", 1, 500, conflict));
-    assert_caught(&history, "one winner");
+    assert_detected(&history, "one winner");
 }
 
 #[test]
@@ -188,7 +188,7 @@
         requested_micros: 900,
         revision: 1,
     });
-    assert_caught(&history, "survive");
+    assert_detected(&history, "survive");
 }
 
 #[test]
@@ -199,7 +199,7 @@
         acknowledged_micros: SECOND / 2,
         restored_micros: None,
     });
-    assert_caught(&history, "revoked key");
+    assert_detected(&history, "revoked key");
 }
 
 #[test]
@@ -212,7 +212,7 @@
     last.for_each(|call| call.proxy = 7);
     let late = history.calls.iter_mut().filter(|call| call.proxy == 7);
     late.for_each(|call| call.revision = Some(1));
-    assert_caught(&history, "adopted within");
+    assert_detected(&history, "adopted within");
     let disturbance = Disturbance {
         from_micros: 0,
         until_micros: 5 * SECOND,
@@ -226,7 +226,7 @@
     let mut history = clean();
     history.drains[0].backend = "model-1".to_owned();
     history.drains[0].ordered_micros = 0;
-    assert_caught(&history, "draining");
+    assert_detected(&history, "draining");
 }
 
 #[test]
@@ -237,7 +237,7 @@
         burst: 10,
     };
     history.quotas.insert("library".to_owned(), quota);
-    assert_caught(&history, "quota holds");
+    assert_detected(&history, "quota holds");
 }
 
 #[test]
@@ -246,7 +246,7 @@
     let mut refused = call("extra", 2 * SECOND);
     refuse(&mut refused, ResultCode::QuotaExceeded, RunState::NotRun);
     history.calls.push(refused);
-    assert_caught(&history, "under its quota");
+    assert_detected(&history, "under its quota");
 }
 
 #[test]
@@ -255,7 +255,7 @@
     let mut refused = call("extra", 2 * SECOND);
     refuse(&mut refused, ResultCode::QuotaUnavailable, RunState::NotRun);
     history.calls.push(refused);
-    assert_caught(&history, "under its quota");
+    assert_detected(&history, "under its quota");
     let disturbance = Disturbance {
         from_micros: SECOND,
         until_micros: 3 * SECOND,
@@ -275,18 +275,18 @@
     refuse(&mut refused, ResultCode::QuotaExceeded, RunState::NotRun);
     history.calls.push(refused);
     let report = check_all(&history);
-    let turned_away = report
+    let refusals = report
         .verdicts
         .iter()
         .find(|verdict| verdict.guarantee.contains("under its quota"));
-    assert!(turned_away.expect("a verdict").holds());
+    assert!(refusals.expect("a verdict").holds());
 }
 
 #[test]
 fn a_slow_or_missing_recovery_is_detected() {
     let mut history = clean();
     history.recoveries[0].served_micros = Some(14 * SECOND);
-    assert_caught(&history, "returns within");
+    assert_detected(&history, "returns within");
     history.recoveries[0].served_micros = None;
-    assert_caught(&history, "returns within");
+    assert_detected(&history, "returns within");
 }
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -1,4 +1,4 @@
-//! The account of days that were played at the bench.
+//! Table of the days in journal entries of bench runs.
 
 use std::path::PathBuf;
 
@@ -80,7 +80,7 @@
     };
     assert!(parse(&words(&[])).is_err());
     assert!(parse(&words(&["--below", "much", "a.json"])).is_err());
-    let options = parse(&words(&["--below", "0.1", "a.json"])).expect("right");
+    let options = parse(&words(&["--below", "0.1", "a.json"])).expect("a valid command line");
     let options = options.expect("no help");
     assert_eq!(options.files, [PathBuf::from("a.json")]);
 }
--- a/crates/lab/tests/emulator_protocol.rs
+++ b/crates/lab/tests/emulator_protocol.rs
@@ -1,4 +1,4 @@
-//! The emulated backend keeps the backend protocol, and shows its faults on command.
+//! The emulated backend implements the backend protocol and misbehaves as its fault switches say.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,8 +20,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::timeout;
 
-const BOUND: Duration = Duration::from_secs(10);
-/// Older than any backend of a test.
+const TIMEOUT: Duration = Duration::from_secs(10);
+/// An age above that of any backend in a test.
 const HOUR_MILLIS: u64 = 3_600_000;
 
 async fn backend() -> BackendServer {
@@ -52,10 +52,10 @@
     let request = request(attempt)
         .body(Full::new(Bytes::from(body.to_string())))
         .expect("a valid request");
-    timeout(BOUND, send(address, request))
+    timeout(TIMEOUT, send(address, request))
         .await
         .expect("in time")
-        .expect("an answer")
+        .expect("a response")
 }
 
 async fn events(response: Response<Incoming>) -> Vec<String> {
@@ -63,7 +63,7 @@
         .into_body()
         .collect()
         .await
-        .expect("a whole body")
+        .expect("a complete body")
         .to_bytes();
     let mut reader = SseReader::default();
     reader
@@ -74,10 +74,10 @@
 }
 
 async fn executions(address: SocketAddr) -> Vec<Execution> {
-    let answer = get(address, "/v1/executions", None)
+    let response = get(address, "/v1/executions", None)
         .await
-        .expect("an answer");
-    serde_json::from_slice(&answer.body).expect("a list")
+        .expect("a response");
+    serde_json::from_slice(&response.body).expect("a list")
 }
 
 async fn withdraw(address: SocketAddr, attempt: &str, age_millis: Option<u64>) -> String {
@@ -86,17 +86,21 @@
         builder = builder.header("x-millford-attempt-age-ms", millis);
     }
     let request = builder.body(Full::default()).expect("a valid request");
-    let answer = timeout(BOUND, send(address, request)).await;
-    let answer = answer.expect("in time").expect("an answer");
-    let bytes = answer.into_body().collect().await.expect("a whole body");
+    let response = timeout(TIMEOUT, send(address, request)).await;
+    let response = response.expect("in time").expect("a response");
+    let bytes = response
+        .into_body()
+        .collect()
+        .await
+        .expect("a complete body");
     String::from_utf8(bytes.to_bytes().to_vec()).expect("text")
 }
 
 async fn set_faults(address: SocketAddr, faults: &FaultSwitches) {
-    let answer = send_json(address, Method::PUT, "/admin/faults", faults)
+    let response = send_json(address, Method::PUT, "/admin/faults", faults)
         .await
-        .expect("an answer");
-    assert_eq!(answer.status, StatusCode::OK);
+        .expect("a response");
+    assert_eq!(response.status, StatusCode::OK);
 }
 
 #[tokio::test]
@@ -134,7 +138,7 @@
         .header("x-millford-resume-from", "4")
         .body(Full::new(Bytes::from(body.to_string())))
         .expect("a valid request");
-    let response = send(server.address(), request).await.expect("an answer");
+    let response = send(server.address(), request).await.expect("a response");
     assert_eq!(response.headers()["x-millford-resume-at"], "4");
     let events = events(response).await;
     let first: Value = serde_json::from_str(&events[0]).expect("JSON");
@@ -156,7 +160,7 @@
     assert!(executions(address).await.is_empty());
     let done = post(address, "a-2", &body("m2", 2, false)).await;
     assert_eq!(done.status(), StatusCode::OK);
-    done.into_body().collect().await.expect("a whole body");
+    done.into_body().collect().await.expect("a complete body");
     let again = post(address, "a-2", &body("m2", 2, false)).await;
     assert_eq!(again.status(), StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(again.headers()["x-millford-run-state"], "not_run");
@@ -169,14 +173,14 @@
 async fn a_backend_started_after_the_attempt_does_not_confirm_that_it_did_not_run() {
     let server = backend().await;
     let address = server.address();
-    // Its former incarnation may have run these.
+    // An earlier process of the backend may have run these attempts.
     for age in [Some(HOUR_MILLIS), None] {
         for _ in 0..2 {
             let state = withdraw(address, "a-1", age).await;
             assert_eq!(state, r#"{"state":"unknown"}"#, "{age:?}");
         }
     }
-    // It keeps what it can keep: the attempt does not run here any more.
+    // The withdrawal still takes effect on this process: the attempt is refused.
     let refused = post(address, "a-1", &body("m1", 2, false)).await;
     assert_eq!(refused.headers()["x-millford-run-state"], "not_run");
     assert!(executions(address).await.is_empty());
@@ -249,7 +253,7 @@
     }
 }
 
-/// Sends one request over a plain connection and reads up to the stray bytes.
+/// Sends one request over a raw TCP connection and reads to the end of the stray bytes.
 async fn raw_exchange(address: SocketAddr, body: &Value) -> Vec<u8> {
     let mut connection = tokio::net::TcpStream::connect(address)
         .await
@@ -275,7 +279,7 @@
             assert!(count > 0, "ended: {}", String::from_utf8_lossy(&bytes));
         }
     };
-    timeout(BOUND, read).await.expect("stray bytes in time");
+    timeout(TIMEOUT, read).await.expect("stray bytes in time");
     bytes
 }
 
@@ -289,25 +293,25 @@
         .frame()
         .await
         .expect("a frame")
-        .expect("whole");
+        .expect("an intact frame");
     set_faults(
         address,
         &FaultSwitches {
-            dark: true,
+            unresponsive: true,
             ..FaultSwitches::default()
         },
     )
     .await;
     let health = tokio::spawn(async move { get(address, "/v1/health", None).await });
-    // The administration still responses, so the request above was met by an unresponsive backend.
+    // Paths outside of the fault switch still respond, so the pending request above is due to the switch.
     assert_eq!(executions(address).await.len(), 1);
     assert!(!health.is_finished());
     set_faults(address, &FaultSwitches::default()).await;
-    let health = timeout(BOUND, health)
+    let health = timeout(TIMEOUT, health)
         .await
         .expect("in time")
         .expect("joined");
-    assert_eq!(health.expect("an answer").status, StatusCode::OK);
+    assert_eq!(health.expect("a response").status, StatusCode::OK);
 }
 
 #[tokio::test]
@@ -317,12 +321,12 @@
     let mut body = body("m1", 1, false);
     body["messages"][0]["content"] = json!(long.clone());
     let cached = async |attempt: &str| {
-        let answer = post(server.address(), attempt, &body).await;
-        let bytes = answer
+        let response = post(server.address(), attempt, &body).await;
+        let bytes = response
             .into_body()
             .collect()
             .await
-            .expect("a whole body")
+            .expect("a complete body")
             .to_bytes();
         let value: Value = serde_json::from_slice(&bytes).expect("JSON");
         value["usage"]["cached_tokens"].as_u64().expect("a number")
@@ -337,14 +341,14 @@
         .frame()
         .await
         .expect("a frame")
-        .expect("whole");
+        .expect("an intact frame");
     drop(response);
     let freed = async {
         while executions(server.address()).await[2].end.is_none() {
             tokio::task::yield_now().await;
         }
     };
-    timeout(BOUND, freed)
+    timeout(TIMEOUT, freed)
         .await
         .expect("the run ends with its connection");
 }
@@ -356,10 +360,10 @@
     let mut options = BackendOptions::standalone("backend", BackendKind::Lookup);
     options.execution_log = Some(path.clone());
     let server = BackendServer::start(options).await.expect("a free port");
-    let answer = get(server.address(), "/catalogue/7?request=m9", None)
+    let response = get(server.address(), "/catalogue/7?request=m9", None)
         .await
-        .expect("an answer");
-    assert_eq!(answer.status, StatusCode::OK);
+        .expect("a response");
+    assert_eq!(response.status, StatusCode::OK);
     let runs = read_execution_log(&path).expect("readable");
     assert_eq!(runs, executions(server.address()).await);
     assert_eq!((runs[0].marker.as_str(), runs.len()), ("m9", 1));
--- a/crates/lab/tests/loss_chart.rs
+++ b/crates/lab/tests/loss_chart.rs
@@ -1,4 +1,4 @@
-//! The picture of the lost worth over time.
+//! Chart of the lost value over time.
 
 use millford_decisions::{Account, DecisionRecord, Ending};
 use millford_lab::commands::loss_chart::draw_losses;
--- a/crates/lab/tests/ports.rs
+++ b/crates/lab/tests/ports.rs
@@ -1,4 +1,4 @@
-//! Ports of a fleet on loopback.
+//! Selection of free loopback ports for a fleet.
 
 use std::collections::BTreeSet;
 use std::net::TcpListener;
@@ -37,5 +37,5 @@
     let block_start = own.port() - (own.port() - CHOSEN_PORTS.start) % BLOCK_PORTS;
     let file = folder.join(format!("block-{block_start}"));
     let held = std::fs::File::create(file).expect("the block's file");
-    assert!(held.try_lock().is_err(), "the block of {own} is held");
+    assert!(held.try_lock().is_err(), "the block of {own} is not locked");
 }
--- a/crates/lab/tests/registry_store.rs
+++ b/crates/lab/tests/registry_store.rs
@@ -1,4 +1,4 @@
-//! The registry stand-in trails reality as it says.
+//! The registry stand-in delays changes and removals by the configured times.
 
 use std::collections::BTreeMap;
 
@@ -55,9 +55,9 @@
     let mut store = store();
     store.register(at(0), record("a"));
     store.register(at(0), record("b"));
-    assert!(store.leave(at(1_000), "a"));
+    assert!(store.deregister(at(1_000), "a"));
     assert!(store.set_draining(at(1_000), "b", true));
-    assert!(!store.leave(at(1_000), "unknown"));
+    assert!(!store.deregister(at(1_000), "unknown"));
     let early = store.list(at(1_299)).backends;
     assert!(
         early
--- a/crates/lab/tests/smoke.rs
+++ b/crates/lab/tests/smoke.rs
@@ -1,9 +1,9 @@
-//! The demonstration with real processes, from a built workspace.
+//! Runs the demonstration with real processes.
 
 use std::path::Path;
 use std::process::Command;
 
-/// Builds the programs that stand beside the laboratory's own.
+/// Builds the other programs of the workspace into the folder of the laboratory's program.
 fn build_workspace(laboratory: &Path) {
     let profile_folder = laboratory.parent().expect("a profile folder");
     let target_folder = profile_folder.parent().expect("a target folder");
@@ -32,6 +32,6 @@
     let recovery = text
         .lines()
         .find(|line| line.starts_with("service returns within 12 s"))
-        .expect("a line for the return of service");
+        .expect("a row for the recovery guarantee");
     assert!(!recovery.contains("not tried"), "{text}");
 }
