--- a/crates/lab/src/bench/overhead.rs
+++ b/crates/lab/src/bench/overhead.rs
@@ -95,7 +95,7 @@
     println!("{}", first_tokens.text("stream, first token"));
     let proxy = fleet.proxy_address(0);
     let proxy_id = fleet.proxy_nodes[0].proxy.id().unwrap_or_default();
-    let proxy_ended = || FleetError::Operator("the proxy ended during the measurement".to_owned());
+    let proxy_ended = || FleetError::Operator("the proxy exited during the measurement".to_owned());
     let request = lookup(fleet, 0, "throughput");
     let throughput = throughput::measure(proxy, proxy_id, CALLERS, LENGTH, &request)
         .await
--- a/crates/lab/src/chaos/companion.rs
+++ b/crates/lab/src/chaos/companion.rs
@@ -33,7 +33,7 @@
 }
 
 impl Driver {
-    /// Starts a companion of the fault `main` with a probability of one in [`COMPANION_ODDS`]. Faults of
+    /// Starts a companion of the fault `main` with a probability of one in `COMPANION_ODDS`. Faults of
     /// backends never have one.
     ///
     /// # Errors
--- a/crates/lab/src/chaos/driver.rs
+++ b/crates/lab/src/chaos/driver.rs
@@ -18,7 +18,7 @@
 use crate::workload::CallersOptions;
 use crate::workload::service_probe::ServiceProbe;
 
-/// Pause after each fault without disturbance, so that adoption and revocation can be checked.
+/// Undisturbed pause after each fault, in which adoption and revocation can be checked.
 const SETTLING_TIME: Duration = Duration::from_secs(2);
 
 /// One injected fault.
@@ -30,7 +30,8 @@
     pub target: String,
     /// Machine clock when the fault began, in microseconds.
     pub from_micros: u64,
-    /// Milliseconds from the end of the fault until all proxies served again; absent if they did not.
+    /// Milliseconds from the end of the fault until every proxy served and every control node confirmed a
+    /// read; absent if that did not happen in time.
     pub recovery_ms: Option<u64>,
 }
 
@@ -39,7 +40,7 @@
 pub struct Driver {
     /// The fleet under test.
     pub fleet: Fleet,
-    /// History of the run, shared with the traffic and the watcher.
+    /// History of the run, shared with the watcher.
     pub log: HistoryLog,
     /// Random generator, seeded from the command line.
     pub random: ChaCha8Rng,
--- a/crates/lab/src/chaos/operator_faults.rs
+++ b/crates/lab/src/chaos/operator_faults.rs
@@ -23,7 +23,7 @@
 const SOONEST_LOSS: Duration = Duration::from_micros(200);
 /// Longest time after which the operator disconnects without a response.
 const LATEST_LOSS: Duration = Duration::from_millis(30);
-/// Upper bound of the drain times that the orders set, in milliseconds; each variant is below it.
+/// Drain time in milliseconds from which the number of a variant is subtracted.
 const DRAIN_MS_BASE: u32 = 3_000;
 
 impl Driver {
@@ -36,7 +36,7 @@
         let orders = [1, 2].map(|variant| Order {
             base_revision,
             order_id: self.next_order_id(),
-            document: varied(&document, variant),
+            document: with_drain_times(&document, variant),
         });
         let (first, second) = tokio::join!(
             self.send_order(self.control_address(0), &orders[0]),
@@ -64,7 +64,7 @@
         let order = Order {
             base_revision,
             order_id: self.next_order_id(),
-            document: varied(&document, 3),
+            document: with_drain_times(&document, 3),
         };
         let disconnect_after = self.draw_time(SOONEST_LOSS, LATEST_LOSS);
         let _ = timeout(
@@ -114,7 +114,7 @@
         Ok(Recovery::now(&tenant))
     }
 
-    /// Applies [`CHANGES`] configuration changes, kills and restarts every control node, and checks that an
+    /// Applies `CHANGES` configuration changes, kills and restarts every control node, and checks that an
     /// order from before the changes is still acknowledged.
     ///
     /// # Errors
@@ -124,12 +124,12 @@
         let first = Order {
             base_revision,
             order_id: self.next_order_id(),
-            document: varied(&document, 4),
+            document: with_drain_times(&document, 4),
         };
         let mut base_revision = self.resolve_order(&first).await?.revision;
         for number in 0..CHANGES {
             let variant = u32::try_from(number % 50).unwrap_or(0) + 5;
-            let document = varied(&document, variant);
+            let document = with_drain_times(&document, variant);
             let order = Order {
                 base_revision,
                 order_id: self.next_order_id(),
@@ -147,7 +147,7 @@
 }
 
 /// Returns the document with a drain time that depends on `variant`.
-fn varied(document: &Document, variant: u32) -> Document {
+fn with_drain_times(document: &Document, variant: u32) -> Document {
     let mut document = document.clone();
     for pool in &mut document.pools {
         pool.drain_ms = DRAIN_MS_BASE - variant;
--- a/crates/lab/src/chaos/orders.rs
+++ b/crates/lab/src/chaos/orders.rs
@@ -27,7 +27,7 @@
     /// Reads the revision and document in force, trying one control node after the other.
     ///
     /// # Errors
-    /// No control node returned a confirmed read within [`MAX_SENDS`] tries.
+    /// No control node returned a confirmed read within `MAX_SENDS` tries.
     pub async fn read_configuration(&self) -> Result<(u64, Document), FleetError> {
         for turn in 0..MAX_SENDS {
             if let Some(read) = self
@@ -67,7 +67,7 @@
     /// Sends an order to one control node after the other until one accepts it.
     ///
     /// # Errors
-    /// The order is refused for good, or has no outcome after [`MAX_SENDS`] sends.
+    /// The order is refused for good, or has no outcome after `MAX_SENDS` sends.
     pub async fn resolve_order(&mut self, order: &Order) -> Result<Acknowledgement, FleetError> {
         for turn in 0..MAX_SENDS {
             match self.send_order(self.control_address(turn), order).await {
--- a/crates/lab/src/checks/adoption.rs
+++ b/crates/lab/src/checks/adoption.rs
@@ -28,11 +28,12 @@
             keep_worst(&mut worst, age);
             if age > ADOPTION_BOUND_MICROS {
                 let text = format!(
-                    "proxy {} showed {applied_revision} {}",
+                    "proxy {} reported revision {applied_revision} {}",
                     call.proxy,
                     millis_text(age)
                 );
-                verdict.record_violation(format!("{text} after {revision} was acknowledged"));
+                verdict
+                    .record_violation(format!("{text} after revision {revision} was acknowledged"));
             }
         }
     }
--- a/crates/lab/src/checks/answer_identity.rs
+++ b/crates/lab/src/checks/answer_identity.rs
@@ -12,16 +12,16 @@
     let mut verdict = Verdict::new("no caller gets the response to another request");
     for call in history.calls.iter().filter(|call| !call.chunks.is_empty()) {
         verdict.judged += 1;
-        if let Some(fault) = fault(call) {
-            verdict.record_violation(format!("request {}: {fault}", call.marker));
+        if let Some(violation) = violation(call) {
+            verdict.record_violation(format!("request {}: {violation}", call.marker));
         }
     }
     verdict
 }
 
-fn fault(call: &RequestOutcome) -> Option<String> {
+fn violation(call: &RequestOutcome) -> Option<String> {
     if call.model == LOOKUP_MODEL {
-        return lookup_fault(call);
+        return lookup_violation(call);
     }
     let first = &call.chunks[0];
     let Some(answer) = AnswerText::announced_by(&first.text) else {
@@ -42,7 +42,7 @@
         .map(|(_, sequence)| format!("chunk {sequence} differs from its run's text"))
 }
 
-fn lookup_fault(call: &RequestOutcome) -> Option<String> {
+fn lookup_violation(call: &RequestOutcome) -> Option<String> {
     let Ok(answer) = serde_json::from_str::<LookupAnswer>(&call.chunks[0].text) else {
         return Some("the lookup response is malformed".to_owned());
     };
--- a/crates/lab/src/checks/history.rs
+++ b/crates/lab/src/checks/history.rs
@@ -113,7 +113,7 @@
     pub what: String,
     /// Time at which every process ran again.
     pub healed_micros: u64,
-    /// Time at which all proxies served again; absent if they did not.
+    /// Time at which every proxy served and reads were confirmed again; absent if that did not happen in time.
     pub served_micros: Option<u64>,
 }
 
--- a/crates/lab/src/checks/one_winner.rs
+++ b/crates/lab/src/checks/one_winner.rs
@@ -20,12 +20,12 @@
         match (order.result, accepted.get(id)) {
             (OrderResult::Accepted(revision), Some(earlier)) if revision != *earlier => {
                 verdict.record_violation(format!(
-                    "order {id} accepted as {earlier}, then as {revision}"
+                    "order {id} was accepted as revision {earlier}, then as {revision}"
                 ));
             }
             (OrderResult::Refused(code), Some(earlier)) if is_final_refusal(code) => {
                 verdict.record_violation(format!(
-                    "order {id} accepted as {earlier}, then refused: {code}"
+                    "order {id} was accepted as revision {earlier}, then refused with result code {code}"
                 ));
             }
             _ => {}
--- a/crates/lab/src/checks/quota_refusals.rs
+++ b/crates/lab/src/checks/quota_refusals.rs
@@ -6,8 +6,8 @@
 use super::verdict::Verdict;
 use crate::caller::{Ending, RequestOutcome};
 
-/// Checks every refusal for an exceeded quota, and every refusal for lack of a quota decision that was not
-/// sent during a disturbance.
+/// Checks every refusal for an exceeded quota and, outside of disturbances, every refusal for lack of a quota
+/// decision.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
     let mut verdict = Verdict::new("no tenant under its quota is refused");
@@ -57,18 +57,20 @@
     let before = calls
         .iter()
         .filter(|call| call.started_micros <= at && !is_quota_refusal(call));
-    let mut taken: Vec<u64> = before.map(|call| latest_taken(call).min(at)).collect();
-    taken.sort_unstable();
+    let mut consumed: Vec<u64> = before
+        .map(|call| latest_consumption(call).min(at))
+        .collect();
+    consumed.sort_unstable();
     let mut level = f64::from(quota.burst);
-    let mut last = taken.first().copied().unwrap_or(at);
-    for time in taken {
+    let mut last = consumed.first().copied().unwrap_or(at);
+    for time in consumed {
         level = refill(level, last, time, quota) - 1.0;
         last = time;
     }
     refill(level, last, at, quota)
 }
 
-fn latest_taken(call: &RequestOutcome) -> u64 {
+fn latest_consumption(call: &RequestOutcome) -> u64 {
     call.chunks
         .first()
         .map_or(call.ended_micros, |chunk| chunk.at_micros)
--- a/crates/lab/src/checks/recovery.rs
+++ b/crates/lab/src/checks/recovery.rs
@@ -14,7 +14,7 @@
     for recovery in &history.recoveries {
         verdict.judged += 1;
         let Some(served) = recovery.served_micros else {
-            verdict.record_violation(format!("no service again after: {}", recovery.what));
+            verdict.record_violation(format!("service did not recover after: {}", recovery.what));
             continue;
         };
         let took = served.saturating_sub(recovery.healed_micros);
--- a/crates/lab/src/checks/revision_order.rs
+++ b/crates/lab/src/checks/revision_order.rs
@@ -8,7 +8,7 @@
 use super::verdict::Verdict;
 use crate::caller::{Ending, RequestOutcome};
 
-/// Checks all revisions that each node reported, in responses to requests and otherwise.
+/// Checks the revisions that each node reported, both in responses to callers and outside of requests.
 #[must_use]
 pub fn check(history: &History) -> Verdict {
     let mut verdict = Verdict::new("no node falls back to an older revision");
@@ -28,7 +28,9 @@
             }
             if later.revision < newest {
                 let revision = later.revision;
-                verdict.record_violation(format!("{node} showed {revision} after {newest}"));
+                verdict.record_violation(format!(
+                    "{node} reported revision {revision} after {newest}"
+                ));
             }
         }
     }
--- a/crates/lab/src/checks/stream_continuity.rs
+++ b/crates/lab/src/checks/stream_continuity.rs
@@ -10,14 +10,14 @@
     let mut verdict = Verdict::new("no chunk skipped, repeated or missing in a full response");
     for call in &history.calls {
         verdict.judged += 1;
-        if let Some(fault) = fault(call) {
-            verdict.record_violation(format!("request {}: {fault}", call.marker));
+        if let Some(violation) = violation(call) {
+            verdict.record_violation(format!("request {}: {violation}", call.marker));
         }
     }
     verdict
 }
 
-fn fault(call: &RequestOutcome) -> Option<String> {
+fn violation(call: &RequestOutcome) -> Option<String> {
     if call.ending == Ending::FalseEnd {
         return Some("a partial response ended like a complete one".to_owned());
     }
@@ -32,11 +32,11 @@
             ));
         }
     }
-    let got = call.chunks.len() as u64;
-    let short = call.succeeded() && got != call.requested_chunks;
-    short.then(|| {
+    let received = call.chunks.len() as u64;
+    let is_short = call.succeeded() && received != call.requested_chunks;
+    is_short.then(|| {
         format!(
-            "{got} of {} chunks in a complete response",
+            "{received} of {} chunks in a complete response",
             call.requested_chunks
         )
     })
--- a/crates/lab/src/checks/survival.rs
+++ b/crates/lab/src/checks/survival.rs
@@ -21,7 +21,7 @@
         if read.revision < newest {
             let revision = read.revision;
             verdict.record_violation(format!(
-                "a read returned revision {revision} after {newest} was acknowledged"
+                "a read returned revision {revision} after revision {newest} was acknowledged"
             ));
         }
     }
--- a/crates/lab/src/demo/faults.rs
+++ b/crates/lab/src/demo/faults.rs
@@ -13,7 +13,7 @@
 /// Number of open streams that the backend to kill must have.
 const REQUIRED_STREAMS: usize = 2;
 
-/// Waits until a model backend has [`REQUIRED_STREAMS`] open streams, kills the one with the most and returns
+/// Waits until a model backend has `REQUIRED_STREAMS` open streams, kills the one with the most and returns
 /// its index.
 ///
 /// # Errors
--- a/crates/lab/src/demo/show.rs
+++ b/crates/lab/src/demo/show.rs
@@ -103,9 +103,9 @@
         .iter()
         .filter(|run| run.marker == call.marker)
     {
-        let end = run
-            .end
-            .map_or("lost".to_owned(), |end| format!("{end:?}").to_lowercase());
+        let end = run.end.map_or("no end recorded".to_owned(), |end| {
+            format!("{end:?}").to_lowercase()
+        });
         println!(
             "      {} from chunk {}: {end}",
             run.backend, run.resume_from
--- a/crates/lab/src/demo/traffic.rs
+++ b/crates/lab/src/demo/traffic.rs
@@ -18,7 +18,7 @@
 /// Number of long streams that are started at once.
 const LONG_STREAMS: usize = 16;
 /// Ticks of steady traffic before, between and after the faults: about four seconds.
-const TICKS_AFTER_FAULT: usize = 80;
+const STEADY_TRAFFIC_TICKS: usize = 80;
 /// Number of requests after the faults, all of which must be served.
 const FINAL_REQUESTS: usize = 8;
 /// Suffix of the example keys, after the names of site and tenant.
@@ -70,11 +70,11 @@
     let tenants = document.tenants.into_iter();
     let quotas = tenants.filter_map(|tenant| {
         let quota = tenant.quota?;
-        let held = TenantQuota {
+        let tenant_quota = TenantQuota {
             requests_per_second: quota.requests_per_second,
             burst: quota.burst,
         };
-        Some((tenant.name, held))
+        Some((tenant.name, tenant_quota))
     });
     Ok(quotas.collect())
 }
@@ -87,7 +87,7 @@
 pub async fn run(fleet: &mut Fleet, callers: &mut Callers) -> Result<History, FleetError> {
     let mut mix = Mix::default();
     // The retry budget grows with served requests: a fleet that has served none may not resume any stream.
-    steady(&mut mix, callers).await;
+    send_steady_traffic(&mut mix, callers).await;
     for _ in 0..LONG_STREAMS {
         callers.start(RequestKind::Long);
     }
@@ -98,9 +98,9 @@
         "killed backend {} while streams ran",
         fleet.backends[backend].spec.id
     );
-    steady(&mut mix, callers).await;
+    send_steady_traffic(&mut mix, callers).await;
     let leader_outage = interrupt_leader(fleet, &mut mix, callers).await?;
-    steady(&mut mix, callers).await;
+    send_steady_traffic(&mut mix, callers).await;
     callers.finish().await;
     send_final_requests(callers).await;
     Ok(leader_outage)
@@ -120,7 +120,7 @@
     let name = fleet.controls[leader].spec.name.clone();
     println!("killed {name}, the leader of the configuration, while streams ran");
     let served = probe.wait_without(fleet, Some(leader));
-    let ((), served_micros) = tokio::join!(steady(mix, callers), served);
+    let ((), served_micros) = tokio::join!(send_steady_traffic(mix, callers), served);
     fleet.controls[leader].restart().await?;
     println!("{name} is back");
     let recovery = RecoverySeen {
@@ -140,9 +140,9 @@
     })
 }
 
-async fn steady(mix: &mut Mix, callers: &mut Callers) {
+async fn send_steady_traffic(mix: &mut Mix, callers: &mut Callers) {
     let mut ticks = interval(LOOKUP_PERIOD);
-    for _ in 0..TICKS_AFTER_FAULT {
+    for _ in 0..STEADY_TRAFFIC_TICKS {
         ticks.tick().await;
         mix.tick(callers);
     }
--- a/crates/lab/src/emulator/server.rs
+++ b/crates/lab/src/emulator/server.rs
@@ -109,7 +109,7 @@
     let (head, body) = request.into_parts();
     let path = head.uri.path().to_owned();
     if path.starts_with("/admin/") {
-        return Ok(administer(&head.method, &path, body, &state).await);
+        return Ok(handle_admin(&head.method, &path, body, &state).await);
     }
     if (&head.method, path.as_str()) == (&Method::GET, "/v1/executions") {
         return Ok(json_response(StatusCode::OK, &state.executions()));
@@ -119,7 +119,7 @@
         (&Method::GET, "/v1/health") => {
             json_response(StatusCode::OK, &json!({"load": state.engine.load()}))
         }
-        (&Method::POST, "/v1/chat/completions") => match read(body).await {
+        (&Method::POST, "/v1/chat/completions") => match read_body(body).await {
             Some(bytes) => complete(state, head.headers, bytes, stray).await,
             None => json_response(
                 StatusCode::BAD_REQUEST,
@@ -148,7 +148,7 @@
     json_response(StatusCode::OK, &json!({"state": attempt_state}))
 }
 
-async fn administer(
+async fn handle_admin(
     method: &Method,
     path: &str,
     body: Incoming,
@@ -162,7 +162,7 @@
 }
 
 async fn set_faults(body: Incoming, state: &BackendState) -> Response<EmulatorBody> {
-    let bytes = read(body).await.unwrap_or_default();
+    let bytes = read_body(body).await.unwrap_or_default();
     match serde_json::from_slice::<FaultSwitches>(&bytes) {
         Ok(faults) => {
             state.set_faults(faults.clone());
@@ -175,7 +175,7 @@
     }
 }
 
-async fn read(body: Incoming) -> Option<Bytes> {
+async fn read_body(body: Incoming) -> Option<Bytes> {
     let collected = Limited::new(body, MAX_BODY_BYTES).collect().await.ok()?;
     Some(collected.to_bytes())
 }
--- a/crates/lab/src/fleet/fleet_process.rs
+++ b/crates/lab/src/fleet/fleet_process.rs
@@ -104,7 +104,7 @@
         &self.ready
     }
 
-    /// Returns the process id; `None` after the process has exited or was killed.
+    /// Returns the process id; `None` once the exit of the process has been observed.
     #[must_use]
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref().and_then(Child::id)
@@ -137,7 +137,7 @@
     }
 
     /// Sends SIGTERM, after SIGCONT in case the process is stopped, and kills the process if it does not
-    /// exit within [`EXIT_TIMEOUT`]. Returns the exit status if the process exited by itself.
+    /// exit within `EXIT_TIMEOUT`. Returns the exit status if the process exited by itself.
     pub async fn shut_down(&mut self) -> Option<i32> {
         self.signal(Signal::CONT);
         self.signal(Signal::TERM);
--- a/crates/lab/src/fleet/waiting.rs
+++ b/crates/lab/src/fleet/waiting.rs
@@ -20,12 +20,12 @@
     C: Fn() -> F,
     F: Future<Output = bool>,
 {
-    let look = async {
+    let poll = async {
         while !condition().await {
             sleep(POLL_INTERVAL).await;
         }
     };
-    timeout(limit, look).await.map_err(|_| FleetError::Timeout {
+    timeout(limit, poll).await.map_err(|_| FleetError::Timeout {
         what: what.to_owned(),
         limit,
     })
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -88,8 +88,8 @@
     let options = match options {
         Ok(Some(options)) => options,
         Ok(None) => return ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("millford-lab {command}: {fault}");
+        Err(error) => {
+            eprintln!("millford-lab {command}: {error}");
             return ExitCode::from(USAGE_STATUS);
         }
     };
--- a/crates/lab/src/registry/server.rs
+++ b/crates/lab/src/registry/server.rs
@@ -103,18 +103,18 @@
         return with_status(json_reply(&text), StatusCode::BAD_REQUEST);
     }
     lock(store).register(monotonic_now(), record);
-    done(true)
+    known_reply(true)
 }
 
 fn deregister(id: &str, store: &SharedStore) -> WithStatus<Json> {
-    done(lock(store).deregister(monotonic_now(), id))
+    known_reply(lock(store).deregister(monotonic_now(), id))
 }
 
 fn set_draining(id: &str, order: DrainingOrder, store: &SharedStore) -> WithStatus<Json> {
-    done(lock(store).set_draining(monotonic_now(), id, order.draining))
+    known_reply(lock(store).set_draining(monotonic_now(), id, order.draining))
 }
 
-fn done(known: bool) -> WithStatus<Json> {
+fn known_reply(known: bool) -> WithStatus<Json> {
     let status = if known {
         StatusCode::OK
     } else {
--- a/crates/lab/src/workload/figures.rs
+++ b/crates/lab/src/workload/figures.rs
@@ -126,7 +126,7 @@
         let _ = writeln!(text, "moved streams       {}", self.moved_streams);
         let _ = writeln!(text, "second sends        {}", self.second_sends);
         let _ = writeln!(text, "no connection       {}", self.not_connected);
-        let _ = writeln!(text, "broken visibly      {}", self.broken);
+        let _ = writeln!(text, "truncated           {}", self.broken);
         for (code, count) in &self.failures_by_code {
             let name = ResultCode::from_number(*code).map_or("?", ResultCode::name);
             let _ = writeln!(text, "refused {code} {name:<24} {count}");
--- a/crates/lab/src/workload/mix.rs
+++ b/crates/lab/src/workload/mix.rs
@@ -1,4 +1,4 @@
-//! Steady traffic of long streams, questions, requests that may not be repeated, and lookups.
+//! Steady mix of long streams, questions, requests that may not be repeated, and lookups.
 
 use std::time::Duration;
 
@@ -8,8 +8,7 @@
 pub const LOOKUP_PERIOD: Duration = Duration::from_millis(50);
 /// Number of lookups per model request.
 const LOOKUPS_PER_MODEL_REQUEST: u64 = 6;
-/// Largest number of open requests at which a model request is still started; above it, the request is
-/// skipped.
+/// Number of open requests, lookups included, from which model requests are skipped instead of started.
 const MAX_OPEN_REQUESTS: usize = 160;
 /// Largest number of sends of a request with an idempotency key.
 const MAX_KEYED_SENDS: usize = 3;
--- a/crates/lab/src/workload/service_probe.rs
+++ b/crates/lab/src/workload/service_probe.rs
@@ -41,7 +41,7 @@
     }
 
     /// Waits for a round of probes in which all succeed. Returns the machine clock then, in microseconds, or
-    /// `None` if there was none within [`SERVICE_TIMEOUT`].
+    /// `None` if there was none within `SERVICE_TIMEOUT`.
     pub async fn wait(&mut self, fleet: &Fleet) -> Option<u64> {
         self.wait_without(fleet, None).await
     }
--- a/crates/lab/tests/checkers/main.rs
+++ b/crates/lab/tests/checkers/main.rs
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn a_rejection_over_the_quota_is_justified() {
+fn a_rejection_over_the_quota_is_no_violation() {
     let mut history = clean();
     for number in 0..40 {
         let marker = format!("burst{number}");
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_file_that_is_no_journal_entry_is_named() {
+fn an_unusable_file_is_named_in_the_error() {
     let folder = tempfile::tempdir().expect("folder");
     let files = vec![entry(&folder, "c.json", "[]")];
     let error = run(&DaysOptions { files, below: 0.0 }).expect_err("no entry");
--- a/crates/lab/tests/emulator_protocol.rs
+++ b/crates/lab/tests/emulator_protocol.rs
@@ -303,7 +303,7 @@
     )
     .await;
     let health = tokio::spawn(async move { get(address, "/v1/health", None).await });
-    // Paths outside of the fault switch still respond, so the pending request above is due to the switch.
+    // `/v1/executions` ignores the switch, so its response shows that only the health request is pending.
     assert_eq!(executions(address).await.len(), 1);
     assert!(!health.is_finished());
     set_faults(address, &FaultSwitches::default()).await;
