--- a/crates/lab/src/chaos/backend_faults.rs
+++ b/crates/lab/src/chaos/backend_faults.rs
@@ -34,7 +34,7 @@
     /// Kills, replaces, stops or drains a random backend and undoes the fault after a while.
     ///
     /// # Errors
-    /// A backend does not start again, or no control node accepts the drain.
+    /// A backend does not start again, or no control node accepts the start or end of the drain.
     pub async fn inject_backend_fault(&mut self, kind: FaultKind) -> Result<Recovery, FleetError> {
         let index = self.draw(self.fleet.backends.len());
         let id = self.fleet.backends[index].spec.id.clone();
--- a/crates/lab/src/chaos/companion.rs
+++ b/crates/lab/src/chaos/companion.rs
@@ -6,7 +6,7 @@
 use crate::emulator::faults::FaultSwitches;
 use crate::fleet::FleetError;
 
-/// A fault that may have a companion gets one with a probability of one in this number.
+/// Inverse of the probability with which a fault that may have a companion gets one.
 const COMPANION_ODDS: usize = 3;
 /// Fault kinds that a companion is drawn from.
 const COMPANIONS: [FaultKind; 5] = [
--- a/crates/lab/src/chaos/driver.rs
+++ b/crates/lab/src/chaos/driver.rs
@@ -21,7 +21,7 @@
 /// Undisturbed pause after each fault, in which adoption and revocation can be checked.
 const SETTLING_TIME: Duration = Duration::from_secs(2);
 
-/// One injected fault.
+/// Record of one injected fault, for the report.
 #[derive(Clone, Debug, Serialize)]
 pub struct InjectedFault {
     /// Name of the fault kind.
--- a/crates/lab/src/demo/traffic.rs
+++ b/crates/lab/src/demo/traffic.rs
@@ -122,7 +122,7 @@
     let served = probe.wait_without(fleet, Some(leader));
     let ((), served_micros) = tokio::join!(send_steady_traffic(mix, callers), served);
     fleet.controls[leader].restart().await?;
-    println!("{name} is back");
+    println!("restarted {name}");
     let recovery = RecoverySeen {
         what: format!("the loss of {name}"),
         healed_micros: from_micros,
--- a/crates/lab/src/workload/service_probe.rs
+++ b/crates/lab/src/workload/service_probe.rs
@@ -24,7 +24,7 @@
     tenant: TenantCredentials,
     number: u64,
     seed: u64,
-    /// Outcomes of all probes that got an outcome in time.
+    /// Outcomes of all requests that ended in time.
     pub outcomes: Vec<RequestOutcome>,
 }
 
