--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -1,4 +1,4 @@
-//! The account of days that were played at the bench.
+//! Table of the days in journal entries of bench runs.
 
 use std::path::PathBuf;
 
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_file_that_is_no_journal_entry_is_named() {
+fn an_unusable_file_is_named_in_the_error() {
     let folder = tempfile::tempdir().expect("folder");
     let files = vec![entry(&folder, "c.json", "[]")];
     let error = run(&DaysOptions { files, below: 0.0 }).expect_err("no entry");
@@ -80,7 +80,7 @@
     };
     assert!(parse(&words(&[])).is_err());
     assert!(parse(&words(&["--below", "much", "a.json"])).is_err());
-    let options = parse(&words(&["--below", "0.1", "a.json"])).expect("right");
+    let options = parse(&words(&["--below", "0.1", "a.json"])).expect("a valid command line");
     let options = options.expect("no help");
     assert_eq!(options.files, [PathBuf::from("a.json")]);
 }
