--- a/crates/forward/src/backend/health_watch.rs
+++ b/crates/forward/src/backend/health_watch.rs
@@ -99,12 +99,12 @@
         Ok(pooled) => {
             pooled.release(None);
             if node.state.health.probe_succeeded(&id, monotonic_now()) {
-                LOG.info(format!("Backend {id} is readmitted."));
+                LOG.info(format!("Backend {id} is in use again."));
             }
         }
         Err(error) if purpose == ProbePurpose::Ejection => {
             let reason = ejection_reason(error);
-            LOG.warn(format!("Backend {id} is ejected: {}.", reason.name()));
+            LOG.warn(format!("Ejected backend {id}: {}.", reason.name()));
             node.eject(&id, reason);
         }
         Err(_) => {
--- a/crates/forward/src/daemon/callers.rs
+++ b/crates/forward/src/daemon/callers.rs
@@ -86,7 +86,7 @@
                 tokio::spawn(connection);
             }
             Err(error) => {
-                LOG.warn(format!("A connection could not be accepted: {error}"));
+                LOG.warn(format!("Failed to accept a connection: {error}."));
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
--- a/crates/forward/src/daemon/run.rs
+++ b/crates/forward/src/daemon/run.rs
@@ -69,7 +69,7 @@
         .map_err(|error| cannot_bind(&settings.exchange_address, &error))?;
     let mut terminate = signal(SignalKind::terminate())
         .into_diagnostic()
-        .wrap_err("cannot wait for signals")?;
+        .wrap_err("failed to install the signal handler")?;
     let mut interrupt = signal(SignalKind::interrupt()).into_diagnostic()?;
     let mut hang_up = signal(SignalKind::hangup()).into_diagnostic()?;
     let connections = CallerConnections::default();
@@ -89,7 +89,7 @@
         tokio::select! {
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
-            _ = hang_up.recv() => LOG.info("The settings file is read at the next start."),
+            _ = hang_up.recv() => LOG.info("Ignoring SIGHUP: settings are read at the next start."),
         }
     }
     let longest = Duration::from_millis(settings.drain_timeout_ms);
--- a/crates/forward/src/exchange/exchange_task.rs
+++ b/crates/forward/src/exchange/exchange_task.rs
@@ -63,7 +63,7 @@
                     exchange.receive(&node, from, &buffer[..length]);
                     exchange.receive_waiting(&node, &socket, &mut buffer);
                 }
-                Err(error) => LOG.debug(format_args!("A peer datagram could not be received: {error}.")),
+                Err(error) => LOG.debug(format_args!("Failed to receive a peer datagram: {error}.")),
             },
         }
     }
@@ -222,7 +222,7 @@
         bytes: &[u8],
     ) {
         let Ok(message) = PeerMessage::decode(bytes) else {
-            LOG.debug("A received datagram is not a valid peer message.");
+            LOG.debug("Ignoring a datagram that is not a valid peer message.");
             return;
         };
         let now = monotonic_now();
--- a/crates/forward/src/graceful_shutdown.rs
+++ b/crates/forward/src/graceful_shutdown.rs
@@ -25,7 +25,8 @@
     }
 
     /// Whether a request with this `deadline` is still accepted. After the initial period, a request is accepted
-    /// only if its deadline is not later than the latest end of the process, which could truncate its response.
+    /// only if its deadline is not later than the latest end of the process, so that the shutdown cannot truncate its
+    /// response.
     #[must_use]
     pub fn accepts(&self, now: MonotonicTime, deadline: MonotonicTime) -> bool {
         now < self.accepts_all_until || deadline <= self.end
--- a/crates/forward/src/load/owned_loads.rs
+++ b/crates/forward/src/load/owned_loads.rs
@@ -8,7 +8,7 @@
 /// Interval at which nodes publish unchanged load again, so that lost updates are repaired.
 pub const REPUBLISH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Age at which a node's published load expires: three repetitions were missed.
+/// Age at which a node's published load expires; by then three republications were missed.
 pub const WORK_EXPIRY: Duration = Duration::from_secs(3);
 
 /// The load on one backend that one node last published.
--- a/crates/forward/src/main.rs
+++ b/crates/forward/src/main.rs
@@ -12,7 +12,7 @@
 fn main() -> miette::Result<()> {
     let settings: ForwardSettings = COMMAND.parse_or_exit();
     if let Err(error) = logging::init(settings.log_options()) {
-        eprintln!("millford-forward: the log cannot be set up: {error}");
+        eprintln!("millford-forward: failed to initialize logging: {error}");
     }
     run(&settings, MillfordProtocol)
 }
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -55,7 +55,7 @@
         state.load_table.follow_peers();
         let (ejections, _) = watch::channel(0);
         let quota_client = QuotaClient::default();
-        // This fails only if the same state was registered before by another node in the process.
+        // This fails only if another node in the process has registered its metric with the same state.
         let _ = state
             .metrics
             .registry
--- a/crates/forward/src/prefix_index.rs
+++ b/crates/forward/src/prefix_index.rs
@@ -15,8 +15,8 @@
 
 use crate::owners::{ByOwner, InFlightRequests, OwnerReply, OwnerRing, OwnerRoute, PeerLink};
 
-/// Most backends that an owner returns for a block: those that used it most recently. A choice has no use for
-/// more.
+/// Most backends that an owner returns for a block: those that used it most recently. More
+/// would not improve a choice.
 pub const MAX_BACKENDS_PER_BLOCK: usize = 8;
 
 /// Ids of the backends that are known to have a block cached, by block id.
--- a/crates/forward/src/quota/cluster_bucket.rs
+++ b/crates/forward/src/quota/cluster_bucket.rs
@@ -75,7 +75,7 @@
         Err(self.parameters.wait(self.level))
     }
 
-    /// Credits the tokens of a request that was never sent to a backend back to the bucket.
+    /// Credits the tokens of a request that did not run back to the bucket.
     pub fn refund(&mut self, now: MonotonicTime, tokens: u64) {
         self.refill(now);
         self.level = (self.level + tokens as f64).min(self.parameters.burst);
--- a/crates/forward/src/quota/tenant_quotas.rs
+++ b/crates/forward/src/quota/tenant_quotas.rs
@@ -92,8 +92,8 @@
         self.urgent.notified().await;
     }
 
-    /// Credits the tokens of a request that was never sent to a backend back to this node's bucket. Peers apply the
-    /// cumulative count, which is not reduced, and keep the tokens charged.
+    /// Credits the tokens of a request that did not run back to this node's bucket. Peers apply the cumulative
+    /// count, which is not reduced, and keep the tokens charged.
     pub fn refund(&self, now: MonotonicTime, tenant: &Tenant, tokens: u64) {
         let mut shard = self.shard_of(&tenant.name);
         if let Some(state) = shard.get_mut(&tenant.name) {
@@ -133,8 +133,8 @@
         levels
     }
 
-    /// Returns whether the node is warming up. The time is measured from the first call, not from the start of
-    /// the process.
+    /// Returns whether the node is warming up. The time is measured from the first report of a peer, not from the
+    /// start of the process.
     fn age(&self, now: MonotonicTime) -> NodeAge {
         let started = *lock(&self.started).get_or_insert(now);
         if now.since(started) < WARM_UP_TIME {
--- a/crates/forward/src/quota/tenant_state.rs
+++ b/crates/forward/src/quota/tenant_state.rs
@@ -17,7 +17,8 @@
 /// Share of the burst that an owner may grant before the other owners are notified at once.
 const MAX_UNREPORTED_SHARE: f64 = 1.0 / 32.0;
 
-/// Time after its start during which a node adopts lower levels that its peers report.
+/// Time for which a node adopts lower levels that its peers report: after it started to count, and after a gap in
+/// the reports of other owners. A peer's count that covers less than this time is recent.
 pub(super) const WARM_UP_TIME: Duration = Duration::from_secs(2);
 
 /// The count of one tenant that a peer reported.
@@ -160,7 +161,7 @@
         self.unreported = 0;
     }
 
-    /// Credits the tokens of a request that was never sent to a backend back to the bucket.
+    /// Credits the tokens of a request that did not run back to the bucket.
     pub(super) fn refund(&mut self, now: MonotonicTime, tokens: u64) {
         let tokens = tokens.min(self.used);
         self.bucket.refund(now, tokens);
--- a/crates/forward/src/request/event_splitter.rs
+++ b/crates/forward/src/request/event_splitter.rs
@@ -50,7 +50,7 @@
         self.searched = 0;
     }
 
-    /// Returns the offset after the first event, which ends with a blank line.
+    /// Returns the offset after the first event, which ends with a blank line; `None` if no event is complete.
     fn event_end(&mut self) -> Option<usize> {
         let from = self.searched.saturating_sub(LONGEST_BLANK_LINE);
         let buffer = &self.buffer;
@@ -62,7 +62,8 @@
     }
 }
 
-/// Most bytes before the end of the searched part that may belong to a blank line which is not complete yet.
+/// Number of bytes before the end of the searched part that are searched again, because they may be the beginning
+/// of a blank line that was incomplete.
 const LONGEST_BLANK_LINE: usize = 4;
 
 /// Returns the offset after the blank line if `rest`, which begins at offset `at`, begins with a line end and a
--- a/crates/forward/src/request/first_response.rs
+++ b/crates/forward/src/request/first_response.rs
@@ -18,7 +18,7 @@
 /// Most backends that are tried for one request, including those that it could not be sent to.
 const MAX_BACKENDS_TRIED: usize = 6;
 
-/// Refusals by backends after which a request is not retried any more.
+/// Number of refusals by backends after which a request is no longer retried.
 const MAX_REFUSALS: u32 = 3;
 
 /// The attempts made so far at one request.
@@ -30,7 +30,7 @@
     pub sends: u32,
     /// Attempts that ran on a backend or may have run.
     pub runs: u32,
-    /// Attempts that a backend declared not to have run.
+    /// Attempts that did not run, as the backend declared.
     pub refusals: u32,
     /// Collects the data of the decision record.
     pub trace: Trace,
--- a/crates/forward/src/request/serve.rs
+++ b/crates/forward/src/request/serve.rs
@@ -51,7 +51,7 @@
     response
 }
 
-/// Runs the steps of a request: plan it, charge its quota, get the first response, and relay that.
+/// Runs the steps of a request: plans it, charges its tenant's quota, obtains the first response and relays it.
 async fn forward<P: ForwardProtocol>(
     node: &Arc<ForwardNode<P>>,
     request: Request<Incoming>,
@@ -186,7 +186,7 @@
     host.unwrap_or_default()
 }
 
-/// Draws one of the route's pools at random, by weight. Empty if the route has none.
+/// Draws one of the route's pools at random, by weight. Returns an empty name if the route has no pool.
 fn draw_pool(route: &ForwardRoute) -> String {
     let total: u32 = route.pools.iter().map(|share| share.weight).sum();
     let mut left = rand::rng().random_range(0..total.max(1));
--- a/crates/forward/tests/decisions.rs
+++ b/crates/forward/tests/decisions.rs
@@ -15,7 +15,7 @@
 
 #[tokio::test]
 async fn a_complete_response_in_time_is_recorded_once() {
-    let backend = StubBackend::start(vec![Step::Answer(signed("done"))]).await;
+    let backend = StubBackend::start(vec![Step::Respond(signed("done"))]).await;
     let node = TestNode::start(&Setup::with(|route| route.target_ms = 1500), &[&backend]).await;
     call(node.callers, &request("/jobs/", "", "")).await;
     call(node.callers, &request("/jobs/", "", "")).await;
@@ -24,7 +24,7 @@
 
 #[tokio::test]
 async fn refusals_failures_and_truncated_responses_have_distinct_verdicts() {
-    let full = StubBackend::start(vec![Step::Answer(not_run(503))]).await;
+    let full = StubBackend::start(vec![Step::Respond(not_run(503))]).await;
     let node = TestNode::start(&Setup::with(|_| {}), &[&full]).await;
     assert_eq!(
         call(node.callers, &request("/jobs/", "", "")).await.status,
@@ -40,7 +40,7 @@
     );
     node.until(|| count(&node, "failed") == 1).await;
 
-    let broken = StubBackend::start(vec![Step::AnswerThenReset(stream_start(1..3))]).await;
+    let broken = StubBackend::start(vec![Step::RespondThenReset(stream_start(1..3))]).await;
     let node = TestNode::start(&Setup::with(|route| route.stream = true), &[&broken]).await;
     assert!(
         !call(node.callers, &request("/jobs/", "", ""))
@@ -52,7 +52,7 @@
 
 #[tokio::test]
 async fn a_request_over_quota_is_recorded() {
-    let backend = StubBackend::start(vec![Step::Answer(signed("done"))]).await;
+    let backend = StubBackend::start(vec![Step::Respond(signed("done"))]).await;
     let mut setup = Setup::with(|_| {});
     setup.quota = Some(TokenQuota {
         tokens_per_second: 1,
@@ -72,13 +72,13 @@
 async fn a_resumed_stream_is_recorded_as_one_request() {
     let text = format!("{}{LAST_CHUNK}", stream_start(4..6));
     let backend = StubBackend::start(vec![
-        Step::AnswerThenReset(stream_start(1..4)),
-        Step::Answer(text.clone()),
+        Step::RespondThenReset(stream_start(1..4)),
+        Step::Respond(text.clone()),
     ])
     .await;
     let other = StubBackend::start(vec![
-        Step::AnswerThenReset(stream_start(1..4)),
-        Step::Answer(text),
+        Step::RespondThenReset(stream_start(1..4)),
+        Step::Respond(text),
     ])
     .await;
     let setup = Setup::with(|route| {
--- a/crates/forward/tests/forwarding.rs
+++ b/crates/forward/tests/forwarding.rs
@@ -17,7 +17,7 @@
 
 #[tokio::test]
 async fn method_path_and_body_are_forwarded_unchanged_without_the_key() {
-    let backend = StubBackend::start(vec![Step::Answer(signed("done"))]).await;
+    let backend = StubBackend::start(vec![Step::Respond(signed("done"))]).await;
     let node = TestNode::start(&Setup::with(|_| {}), &[&backend]).await;
     let headers = "x-millford-tenant: forged\r\nx-other: kept\r\nConnection: x-hop\r\nx-hop: 1\r\n";
     let reply = call(node.callers, &request("/jobs/a?b=c", headers, "body")).await;
@@ -42,7 +42,7 @@
 
 #[tokio::test]
 async fn the_remaining_deadline_is_forwarded() {
-    let backend = StubBackend::start(vec![Step::Answer(signed(""))]).await;
+    let backend = StubBackend::start(vec![Step::Respond(signed(""))]).await;
     let node = TestNode::start(&Setup::with(|_| {}), &[&backend]).await;
     call(
         node.callers,
@@ -79,8 +79,8 @@
 
 #[tokio::test]
 async fn a_request_that_did_not_run_is_retried_on_another_backend() {
-    let full = StubBackend::start(vec![Step::Answer(not_run(503))]).await;
-    let free = StubBackend::start(vec![Step::Answer(signed("done"))]).await;
+    let full = StubBackend::start(vec![Step::Respond(not_run(503))]).await;
+    let free = StubBackend::start(vec![Step::Respond(signed("done"))]).await;
     let node = TestNode::start(&Setup::with(|_| {}), &[&full, &free]).await;
     for _ in 0..8 {
         let reply = call(node.callers, &request("/jobs/", "", "")).await;
@@ -91,7 +91,7 @@
 
 #[tokio::test]
 async fn when_all_backends_are_full_status_and_retry_after_are_forwarded() {
-    let full = StubBackend::start(vec![Step::Answer(not_run(503))]).await;
+    let full = StubBackend::start(vec![Step::Respond(not_run(503))]).await;
     let node = TestNode::start(&Setup::with(|_| {}), &[&full]).await;
     let reply = call(node.callers, &request("/jobs/", "", "")).await;
     assert_eq!(reply.status, 503);
@@ -103,16 +103,16 @@
 async fn a_non_repeatable_request_is_sent_once_and_its_unknown_outcome_is_a_502() {
     for step in [
         Step::Close,
-        Step::AnswerThenReset("HTTP/1.1 200 OK\r\n".to_owned()),
-        Step::Answer("HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n".to_owned()),
-        Step::Answer("HTTP/1.1 429 Busy\r\ncontent-length: 0\r\n\r\n".to_owned()),
+        Step::RespondThenReset("HTTP/1.1 200 OK\r\n".to_owned()),
+        Step::Respond("HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n".to_owned()),
+        Step::Respond("HTTP/1.1 429 Busy\r\ncontent-length: 0\r\n\r\n".to_owned()),
         // The response to another request, and responses that are unsigned or encoded.
-        Step::Answer(signed("other").replace("REQUEST-ID", "id-of-another")),
-        Step::Answer(signed("bare").replace("x-millford-signature: s\r\n", "")),
-        Step::Answer(
+        Step::Respond(signed("other").replace("REQUEST-ID", "id-of-another")),
+        Step::Respond(signed("bare").replace("x-millford-signature: s\r\n", "")),
+        Step::Respond(
             signed("packed").replace("content-length", "content-encoding: gzip\r\ncontent-length"),
         ),
-        Step::Answer("these are no answers\r\n\r\n".to_owned()),
+        Step::Respond("these are no answers\r\n\r\n".to_owned()),
     ] {
         let first = StubBackend::start(vec![step.clone()]).await;
         let second = StubBackend::start(vec![step.clone()]).await;
@@ -131,7 +131,7 @@
 #[tokio::test]
 async fn a_repeatable_request_is_retried_within_its_max_attempts() {
     let lost = StubBackend::start(vec![Step::Close]).await;
-    let good = StubBackend::start(vec![Step::Answer(signed("done"))]).await;
+    let good = StubBackend::start(vec![Step::Respond(signed("done"))]).await;
     let setup = Setup::with(|route| {
         route.repeatable = true;
         route.max_attempts = 2;
@@ -151,8 +151,8 @@
 
 #[tokio::test]
 async fn an_error_status_of_the_backend_is_forwarded_unchanged() {
-    let answer = signed("broken").replace("200 OK", "500 Failed");
-    let backend = StubBackend::start(vec![Step::Answer(answer)]).await;
+    let response = signed("broken").replace("200 OK", "500 Failed");
+    let backend = StubBackend::start(vec![Step::Respond(response)]).await;
     let node = TestNode::start(&Setup::with(|_| {}), &[&backend]).await;
     let reply = call(node.callers, &request("/jobs/", "", "")).await;
     assert_eq!((reply.status, reply.body.as_str()), (500, "broken"));
@@ -162,7 +162,7 @@
 #[tokio::test]
 async fn a_truncated_response_is_incomplete_by_its_framing() {
     let truncated = signed("0123456789").replace("content-length: 10", "content-length: 20");
-    let backend = StubBackend::start(vec![Step::AnswerThenReset(truncated)]).await;
+    let backend = StubBackend::start(vec![Step::RespondThenReset(truncated)]).await;
     let node = TestNode::start(&Setup::with(|_| {}), &[&backend]).await;
     let reply = call(node.callers, &request("/jobs/", "", "")).await;
     assert!(!reply.complete, "{reply:?}");
@@ -181,7 +181,7 @@
 
 #[tokio::test]
 async fn invalid_requests_are_refused_with_their_result_code() {
-    let backend = StubBackend::start(vec![Step::Answer(signed("done"))]).await;
+    let backend = StubBackend::start(vec![Step::Respond(signed("done"))]).await;
     let mut setup = Setup::with(|_| {});
     setup.limits = Some(HttpLimits {
         max_header_bytes: 1000,
@@ -224,7 +224,7 @@
 
 #[tokio::test]
 async fn a_node_without_a_configuration_responds_503() {
-    let backend = StubBackend::start(vec![Step::Answer(signed(""))]).await;
+    let backend = StubBackend::start(vec![Step::Respond(signed(""))]).await;
     let setup = Setup::with(|_| {});
     let node = TestNode::start(&setup, &[&backend]).await;
     let settings = ForwardSettings::default();
@@ -240,7 +240,7 @@
 
 #[tokio::test]
 async fn a_tenant_over_its_quota_gets_429_with_retry_after() {
-    let backend = StubBackend::start(vec![Step::Answer(signed("done"))]).await;
+    let backend = StubBackend::start(vec![Step::Respond(signed("done"))]).await;
     let mut setup = Setup::with(|_| {});
     setup.quota = Some(TokenQuota {
         tokens_per_second: 10,
@@ -265,7 +265,7 @@
 
 #[tokio::test]
 async fn connections_to_backends_are_reused() {
-    let backend = StubBackend::start(vec![Step::Answer(signed("done"))]).await;
+    let backend = StubBackend::start(vec![Step::Respond(signed("done"))]).await;
     let node = TestNode::start(&Setup::with(|_| {}), &[&backend]).await;
     for _ in 0..5 {
         assert_eq!(
--- a/crates/forward/tests/graceful_shutdown.rs
+++ b/crates/forward/tests/graceful_shutdown.rs
@@ -20,7 +20,7 @@
     );
     assert!(
         !graceful_shutdown.accepts(at(5500), at(17_500)),
-        "the end of the process could truncate the response"
+        "the shutdown could truncate the response"
     );
     assert!(!graceful_shutdown.accepts(at(5500), at(8501)));
     assert!(
@@ -31,7 +31,7 @@
 
 #[tokio::test]
 async fn a_request_that_shutdown_would_truncate_is_refused_without_running() {
-    let backend = StubBackend::start(vec![Step::Answer(signed("done"))]).await;
+    let backend = StubBackend::start(vec![Step::Respond(signed("done"))]).await;
     let node = TestNode::start(&Setup::with(|_| {}), &[&backend]).await;
     node.node.drain(monotonic_now(), Duration::ZERO);
     let reply = call(node.callers, &request("/jobs/", "", "")).await;
@@ -43,7 +43,7 @@
 
 #[tokio::test]
 async fn a_node_that_just_began_draining_still_serves() {
-    let backend = StubBackend::start(vec![Step::Answer(signed("done"))]).await;
+    let backend = StubBackend::start(vec![Step::Respond(signed("done"))]).await;
     let node = TestNode::start(&Setup::with(|_| {}), &[&backend]).await;
     node.node.drain(monotonic_now(), Duration::from_mins(1));
     let reply = call(node.callers, &request("/jobs/", "", "")).await;
--- a/crates/forward/tests/mechanisms.rs
+++ b/crates/forward/tests/mechanisms.rs
@@ -43,8 +43,8 @@
 
 #[tokio::test]
 async fn without_retries_the_first_refusal_is_final() {
-    let full = StubBackend::start(vec![Step::Answer(not_run(503))]).await;
-    let other = StubBackend::start(vec![Step::Answer(not_run(503))]).await;
+    let full = StubBackend::start(vec![Step::Respond(not_run(503))]).await;
+    let other = StubBackend::start(vec![Step::Respond(not_run(503))]).await;
     let setup = Setup::with(|_| {});
     let node = TestNode::start_without("retries", &setup, &[&full, &other]).await;
     let reply = call(node.callers, &request("/jobs/", "", "")).await;
@@ -54,7 +54,7 @@
 
 #[tokio::test]
 async fn without_resumption_a_broken_stream_ends_truncated() {
-    let broken = vec![Step::AnswerThenReset(stream_start(1..3))];
+    let broken = vec![Step::RespondThenReset(stream_start(1..3))];
     let first = StubBackend::start(broken.clone()).await;
     let second = StubBackend::start(broken).await;
     let setup = Setup::with(|route| {
@@ -73,7 +73,7 @@
 
 #[tokio::test]
 async fn without_connection_reuse_each_request_opens_a_connection() {
-    let backend = StubBackend::start(vec![Step::Answer(signed("done"))]).await;
+    let backend = StubBackend::start(vec![Step::Respond(signed("done"))]).await;
     let setup = Setup::with(|_| {});
     let node = TestNode::start_without("connection_reuse", &setup, &[&backend]).await;
     for _ in 0..3 {
@@ -85,7 +85,7 @@
 #[tokio::test]
 async fn streams_are_served_with_every_mechanism_disabled() {
     let text = format!("{}{LAST_CHUNK}", stream_start(1..6));
-    let backend = StubBackend::start(vec![Step::Answer(text)]).await;
+    let backend = StubBackend::start(vec![Step::Respond(text)]).await;
     let names: Vec<&str> = Mechanism::ALL.iter().map(|one| one.name()).collect();
     let setup = Setup::with(|route| route.stream = true);
     let node = TestNode::start_without(&names.join(","), &setup, &[&backend]).await;
--- a/crates/forward/tests/owners.rs
+++ b/crates/forward/tests/owners.rs
@@ -17,8 +17,8 @@
 /// Ids of backends whose load is counted. Tests that use them send no requests.
 const BACKENDS: [&str; 3] = ["backend-0", "backend-1", "backend-2"];
 
-/// Queries after which a test fails. Many may be necessary: a busy machine may lose datagrams, and each query to an
-/// unresponsive owner only ends with its timeout.
+/// Number of queries after which a test fails. Many may be necessary: a busy machine may lose datagrams, and each
+/// query to an unresponsive owner ends only with its timeout.
 const MAX_QUERIES: u32 = 2000;
 
 fn start_work(node: &TestNode, backend: &str, tokens: u64) -> InFlightGuard {
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test]
-async fn every_node_sees_the_load_of_all_nodes() {
+async fn every_node_obtains_the_load_of_all_nodes() {
     let backend = StubBackend::start(vec![Step::Hang]).await;
     let nodes = TestNode::start_fleet(6, &Setup::with(|_| {}), &[&backend]).await;
     let mut guards = Vec::new();
@@ -168,8 +168,8 @@
 #[tokio::test]
 async fn a_busy_backend_is_avoided_by_all_nodes() {
     let backends = [
-        StubBackend::start(vec![Step::Answer(signed("done"))]).await,
-        StubBackend::start(vec![Step::Answer(signed("done"))]).await,
+        StubBackend::start(vec![Step::Respond(signed("done"))]).await,
+        StubBackend::start(vec![Step::Respond(signed("done"))]).await,
     ];
     let backends: Vec<&StubBackend> = backends.iter().collect();
     let nodes = TestNode::start_fleet(4, &Setup::with(|_| {}), &backends).await;
@@ -187,7 +187,7 @@
 
 #[tokio::test]
 async fn requests_are_served_while_no_peer_responds() {
-    let backend = StubBackend::start(vec![Step::Answer(signed("done"))]).await;
+    let backend = StubBackend::start(vec![Step::Respond(signed("done"))]).await;
     let nodes = TestNode::start_fleet(4, &Setup::with(|_| {}), &[&backend]).await;
     for peer in &nodes[1..] {
         peer.stop_exchange();
--- a/crates/forward/tests/quota.rs
+++ b/crates/forward/tests/quota.rs
@@ -168,7 +168,7 @@
 
 /// Returns the number of admissions of each node while the tenant sends six times its quota's rate, each request to
 /// a random node.
-fn admissions_under_pressure(fleet: &mut Fleet, steps: usize) -> Vec<usize> {
+fn admissions_over_quota(fleet: &mut Fleet, steps: usize) -> Vec<usize> {
     let mut random = StdRng::seed_from_u64(7);
     let count = fleet.nodes.len();
     let mut admissions = vec![0; count];
@@ -192,8 +192,8 @@
     }
     fleet.exchange(|_, _| false);
     fleet.nodes[2].refund(fleet.now, &tenant(), 400);
-    admissions_under_pressure(&mut fleet, 1000);
-    let admissions = admissions_under_pressure(&mut fleet, 4000);
+    admissions_over_quota(&mut fleet, 1000);
+    let admissions = admissions_over_quota(&mut fleet, 4000);
     let (least, most) = (admissions.iter().min(), admissions.iter().max());
     let (least, most) = (least.unwrap(), most.unwrap());
     assert!(*most < least * 3 / 2, "{admissions:?}");
--- a/crates/forward/tests/streams.rs
+++ b/crates/forward/tests/streams.rs
@@ -21,7 +21,7 @@
 #[tokio::test]
 async fn a_complete_stream_is_forwarded() {
     let text = format!("{}{LAST_CHUNK}", stream_start(1..6));
-    let backend = StubBackend::start(vec![Step::Answer(text)]).await;
+    let backend = StubBackend::start(vec![Step::Respond(text)]).await;
     for setup in [resumable(), Setup::with(|route| route.stream = true)] {
         let node = TestNode::start(&setup, &[&backend]).await;
         let reply = call(node.callers, &request("/jobs/", "", "")).await;
@@ -38,11 +38,12 @@
     let broken = format!("{}{half}", stream_start(1..4));
     let rest = format!("{}{LAST_CHUNK}", stream_start(4..8));
     let first = StubBackend::start(vec![
-        Step::AnswerThenReset(broken.clone()),
-        Step::Answer(rest.clone()),
+        Step::RespondThenReset(broken.clone()),
+        Step::Respond(rest.clone()),
     ])
     .await;
-    let second = StubBackend::start(vec![Step::AnswerThenReset(broken), Step::Answer(rest)]).await;
+    let second =
+        StubBackend::start(vec![Step::RespondThenReset(broken), Step::Respond(rest)]).await;
     let node = TestNode::start(&resumable(), &[&first, &second]).await;
     let mut complete = 0;
     for _ in 0..4 {
@@ -73,11 +74,11 @@
         let rest = format!("{}{LAST_CHUNK}", stream_start(continued));
         let backends = [
             StubBackend::start(vec![
-                Step::AnswerThenReset(broken.clone()),
-                Step::Answer(rest.clone()),
+                Step::RespondThenReset(broken.clone()),
+                Step::Respond(rest.clone()),
             ])
             .await,
-            StubBackend::start(vec![Step::Answer(rest)]).await,
+            StubBackend::start(vec![Step::Respond(rest)]).await,
         ];
         // Repeats the request until the first backend, whose first response is truncated, is chosen before the other.
         let node = TestNode::start(&resumable(), &[&backends[0], &backends[1]]).await;
@@ -94,8 +95,8 @@
 #[tokio::test]
 async fn a_stream_that_is_not_resumable_ends_truncated() {
     let broken = stream_start(1..4);
-    let first = StubBackend::start(vec![Step::AnswerThenReset(broken.clone())]).await;
-    let second = StubBackend::start(vec![Step::AnswerThenReset(broken)]).await;
+    let first = StubBackend::start(vec![Step::RespondThenReset(broken.clone())]).await;
+    let second = StubBackend::start(vec![Step::RespondThenReset(broken)]).await;
     let setup = Setup::with(|route| route.stream = true);
     let node = TestNode::start(&setup, &[&first, &second]).await;
     let reply = call(node.callers, &request("/jobs/", "", "")).await;
@@ -106,7 +107,7 @@
 #[tokio::test]
 async fn a_caller_may_resume_a_stream_itself() {
     let rest = format!("{}{LAST_CHUNK}", stream_start(4..6));
-    let backend = StubBackend::start(vec![Step::Answer(rest)]).await;
+    let backend = StubBackend::start(vec![Step::Respond(rest)]).await;
     let node = TestNode::start(&resumable(), &[&backend]).await;
     let reply = call(node.callers, &request("/jobs/", "Last-Event-Id: 3\r\n", "")).await;
     assert_eq!(reply.body, events(4..6));
@@ -120,7 +121,7 @@
 async fn a_stream_ends_at_the_deadline_of_its_route() {
     // The backend sends three events and never ends the stream.
     let text = stream_start(1..4);
-    let backend = StubBackend::start(vec![Step::Answer(text), Step::Hang]).await;
+    let backend = StubBackend::start(vec![Step::Respond(text), Step::Hang]).await;
     let setup = Setup::with(|route| {
         route.stream = true;
         route.timeout_ms = 300;
--- a/crates/forward/tests/support/backend.rs
+++ b/crates/forward/tests/support/backend.rs
@@ -27,9 +27,9 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Step {
     /// Sends these bytes, with `REQUEST-ID` replaced by the request's id, and keeps the connection open.
-    Answer(String),
-    /// Sends these bytes as [`Step::Answer`] does, and resets the connection.
-    AnswerThenReset(String),
+    Respond(String),
+    /// Sends these bytes as [`Step::Respond`] does, and resets the connection.
+    RespondThenReset(String),
     /// Closes the connection without a response.
     Close,
     /// Never responds.
@@ -94,13 +94,13 @@
             let id = received.header("x-millford-request-id").unwrap_or_default();
             self.received.lock().unwrap().push(received);
             match self.next_step() {
-                Step::Answer(text) => {
+                Step::Respond(text) => {
                     let text = text.replace("REQUEST-ID", &id);
                     if stream.write_all(text.as_bytes()).await.is_err() {
                         return;
                     }
                 }
-                Step::AnswerThenReset(text) => {
+                Step::RespondThenReset(text) => {
                     let text = text.replace("REQUEST-ID", &id);
                     let _ = stream.write_all(text.as_bytes()).await;
                     let _ = stream.set_zero_linger();
--- a/crates/forward/tests/support/node.rs
+++ b/crates/forward/tests/support/node.rs
@@ -19,7 +19,7 @@
 
 use super::backend::StubBackend;
 
-/// Key of the tenant in whose name tests send requests.
+/// Key of the tenant whose requests the tests send.
 pub(crate) const KEY: &str = "key-of-the-tenant";
 /// Host of all routes.
 pub(crate) const HOST: &str = "api.example";
@@ -193,7 +193,7 @@
     }
 }
 
-/// Polls of a condition after which a test fails.
+/// Number of polls of a condition after which a test fails.
 const MAX_POLLS: u32 = 100_000;
 
 impl TestNode {
