--- a/crates/routing/src/backend_health.rs
+++ b/crates/routing/src/backend_health.rs
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Removes the records of backends for which `known` is false: those that the feed no longer lists.
+    /// Removes the records of backends for which `known` returns false, because the feed no longer lists them.
     pub fn keep_only(&self, known: impl Fn(&str) -> bool) {
         self.lock().retain(|id, _| known(id));
     }
--- a/crates/routing/src/fair_queue.rs
+++ b/crates/routing/src/fair_queue.rs
@@ -78,8 +78,8 @@
         state.remove_if_idle(tenant);
     }
 
-    /// Returns whether the tenant has more than an equal share of the work in flight. This is never so
-    /// while no other tenant has work or waits.
+    /// Returns whether the tenant has more than an equal share of the work in flight. Always false while no
+    /// other tenant has requests in flight or waiting.
     #[must_use]
     pub fn is_over_share(&self, tenant: &str) -> bool {
         let state = self.lock();
--- a/crates/routing/src/load_table.rs
+++ b/crates/routing/src/load_table.rs
@@ -28,6 +28,7 @@
     follows_peers: AtomicBool,
     /// Backends on which this node's own work changed since the last [`Self::take_changed`].
     changed: Mutex<BTreeSet<String>>,
+    /// Signals that `changed` has a new entry.
     change: Notify,
 }
 
@@ -148,7 +149,7 @@
         std::mem::take(&mut *lock(&self.changed))
     }
 
-    /// Waits until this node's own work changes.
+    /// Waits until this node's own work changes. Changes before [`Self::follow_peers`] are not signalled.
     pub async fn until_changed(&self) {
         self.change.notified().await;
     }
--- a/crates/routing/src/prefix_index.rs
+++ b/crates/routing/src/prefix_index.rs
@@ -78,7 +78,7 @@
 }
 
 impl PrefixIndex {
-    /// Records that this node sends a prompt with these blocks to a backend. Only the first `shareable`
+    /// Records that this node is sending a prompt with these blocks to a backend. Only the first `shareable`
     /// blocks can occur in other prompts; the rest are not announced.
     pub fn record_dispatch(
         &self,
--- a/crates/routing/src/serving_pool.rs
+++ b/crates/routing/src/serving_pool.rs
@@ -120,7 +120,7 @@
         if requested.version.is_empty() {
             self.keep_one_version(&mut found);
         }
-        keep_one_per_backend(&mut found);
+        keep_one_per_backend_and_version(&mut found);
         found
     }
 
@@ -170,7 +170,7 @@
     replica.collect()
 }
 
-/// Applies the placement's weights and excludes replicas that it does not list. A model whose placed
+/// Applies the placement's weights and excludes the replicas that it does not list as active. A model whose placed
 /// replicas are all lost is served by every backend that declares it.
 fn apply_placement(replicas: &mut [ServingReplica], placement: &PoolPlacement) {
     let mut placed_models: BTreeMap<String, bool> = BTreeMap::new();
@@ -211,7 +211,7 @@
         && (adapter.is_empty() || replica.adapters.contains(adapter))
 }
 
-fn keep_one_per_backend(found: &mut Vec<&ServingReplica>) {
+fn keep_one_per_backend_and_version(found: &mut Vec<&ServingReplica>) {
     let mut seen: Vec<(String, String)> = Vec::new();
     found.retain(|replica| {
         let key = (replica.backend.id.clone(), replica.version.clone());
