--- a/crates/control-state/src/document/canonical.rs
+++ b/crates/control-state/src/document/canonical.rs
@@ -4,6 +4,7 @@
 use sha2::{Digest, Sha256};
 
 /// Returns the document with sorted lists, and with empty values for absent matches and selectors.
+/// The weighted pools of a forwarding route keep their order.
 ///
 /// The order of routes, pools, tenants and keys has no meaning, because the most specific route
 /// takes a request.
--- a/crates/control-state/src/document/check/forward_route.rs
+++ b/crates/control-state/src/document/check/forward_route.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// Checks the limits of clients' HTTP connections.
+/// Checks the limits of callers' HTTP connections.
 pub(super) fn check_http_limits(limits: Option<&HttpLimits>, faults: &mut FaultList) {
     let Some(limits) = limits else {
         return;
--- a/crates/control-state/src/document/items.rs
+++ b/crates/control-state/src/document/items.rs
@@ -8,8 +8,8 @@
 use super::canonical::normalized;
 use crate::keys;
 
-/// Returns the items of a document by key: one for each route, pool and tenant, and one for the
-/// HTTP limits if they are set.
+/// Returns the items of a document by key: one for each route, forwarding route, pool and tenant,
+/// and one for the HTTP limits if they are set.
 #[must_use]
 pub fn items(document: &Document) -> BTreeMap<String, Kind> {
     let document = normalized(document);
--- a/crates/control-state/src/document/limits.rs
+++ b/crates/control-state/src/document/limits.rs
@@ -16,7 +16,7 @@
 pub const MAX_KEYS_PER_TENANT: usize = 16;
 /// Most adapters of one selector.
 pub const MAX_ADAPTERS: usize = 64;
-/// Longest name of a route, pool or tenant, in characters, which are all ASCII.
+/// Longest name of a route, forwarding route, pool or tenant, in characters, which are all ASCII.
 pub const MAX_NAME_LENGTH: usize = 64;
 /// Longest model, version, stage or adapter, in bytes.
 pub const MAX_LABEL_LENGTH: usize = 128;
--- a/crates/control-state/src/keys.rs
+++ b/crates/control-state/src/keys.rs
@@ -2,7 +2,7 @@
 
 /// Key of the revision and digest of the current configuration.
 pub const CONFIG_HEAD: &str = "config/head";
-/// Key of the HTTP limits that apply to clients' connections.
+/// Key of the HTTP limits that apply to callers' connections.
 pub const HTTP_LIMITS: &str = "config/limits";
 /// Prefix of all configuration keys.
 pub const CONFIG_PREFIX: &str = "config/";
--- a/crates/control-state/src/machine/claim_table.rs
+++ b/crates/control-state/src/machine/claim_table.rs
@@ -55,9 +55,9 @@
 
     /// Records the outcome of a granted attempt. Later resolutions change nothing.
     ///
-    /// An attempt that gives up before its claim was answered resolves it as not run. If the claim
-    /// has not arrived yet, a tombstone is stored, so that the claim is not granted to an attempt
-    /// that has ended.
+    /// An attempt that is abandoned before its claim was answered resolves the claim as not run. If
+    /// the claim has not arrived yet, a tombstone is stored, so that the claim is not granted to an
+    /// attempt that has ended.
     pub(crate) fn resolve(&mut self, resolve: &ResolveClaim, now_ms: u64) -> Applied {
         let key = key_hash(&resolve.tenant, &resolve.request_id);
         match self.claims.get_mut(&key) {
--- a/crates/control-state/src/machine/stored_claim.rs
+++ b/crates/control-state/src/machine/stored_claim.rs
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Creates the tombstone of an attempt that gave up before its claim arrived.
+    /// Creates the tombstone of an attempt that was abandoned before its claim arrived.
     pub(super) fn abandoned(resolve: &ResolveClaim, now_ms: u64) -> Self {
         Self {
             attempt: attempt_hash(&resolve.attempt_id),
--- a/crates/control-state/src/quota/bucket.rs
+++ b/crates/control-state/src/quota/bucket.rs
@@ -14,7 +14,7 @@
 /// time and stayed within the rate are not refused.
 const MAX_LEADERLESS_TIME: Duration = Duration::from_secs(5);
 
-/// Retry delay that a node is told under a quota whose rate is 0, which never yields a token.
+/// Retry delay in replies under a quota whose rate is 0, which never yields a token.
 const ZERO_RATE_RETRY_DELAY: Duration = Duration::from_mins(1);
 
 /// Most surplus tokens that may be outstanding at the nodes at any time under a quota with this
@@ -196,7 +196,7 @@
 
     /// Limits the optimistic count to the burst and the waiting requests: an exact bucket never
     /// contains more than a burst on top of what the waiting requests will take. Without the limit,
-    /// requests that the nodes gave up would stay in the count.
+    /// requests that the nodes abandoned would stay in the count.
     fn limit_optimistic(&mut self) {
         self.optimistic = self.optimistic.min(self.burst + self.waiting);
     }
--- a/crates/control-state/src/quota/leases.rs
+++ b/crates/control-state/src/quota/leases.rs
@@ -161,7 +161,7 @@
 }
 
 impl Leadership {
-    /// Returns the reply to a request that is fenced, was answered before or was given up by its
+    /// Returns the reply to a request that is fenced, was answered before or was abandoned by its
     /// node. Returns `None` for a request that has to be processed.
     fn reply_without_grants(
         &mut self,
--- a/crates/control-state/src/quota/member_lease.rs
+++ b/crates/control-state/src/quota/member_lease.rs
@@ -8,8 +8,8 @@
 use super::options::OUTAGE_RETURN_WINDOW;
 use super::recall::is_recall_due;
 
-/// Inactivity that is assumed before the first request of an agent process: the leader cannot tell
-/// how long requests waited at the node before that.
+/// Inactivity that is assumed before the first request of an agent process: the leader cannot
+/// determine how long requests waited at the node before that.
 const ASSUMED_FIRST_INACTIVITY: Duration = Duration::from_hours(1);
 
 /// Number of requests after a recall of which the last was certainly sent after the node had
@@ -187,7 +187,7 @@
     }
 
     /// Deducts up to `tokens` from the grants, surplus ones first. A returned number above what was
-    /// granted is cut to that.
+    /// granted is limited to that.
     pub(super) fn take_returned(&mut self, now: MonotonicTime, tokens: u64) -> Vec<ReturnedTokens> {
         let mut remaining = tokens;
         let mut returned = Vec::new();
--- a/crates/control-state/src/quota/reply_cache.rs
+++ b/crates/control-state/src/quota/reply_cache.rs
@@ -4,9 +4,9 @@
 //! would be counted twice.
 //!
 //! # Why an outdated request is not processed
-//! Request ids rise with each request of a session, and a node gives a request up after one lease.
+//! Request ids rise with each request of a session, and a node abandons a request after one lease.
 //! If a request's id is not above one that was answered longer ago than a lease, a relay delayed
-//! the request and its node has given it up. The node has sent another one since, so processing it
+//! the request and its node has abandoned it. The node has sent another one since, so processing it
 //! would count the same waiting requests twice. If it was answered before, the tokens that it
 //! returns would also be counted twice.
 
@@ -30,7 +30,7 @@
     epoch: u64,
     last_contact: MonotonicTime,
     replies: BTreeMap<u64, CachedReply>,
-    /// Highest request id whose reply was dropped for its age: the node gave up all requests up to
+    /// Highest request id whose reply was dropped for its age: the node abandoned all requests up to
     /// it.
     outdated_up_to: u64,
 }
@@ -104,7 +104,7 @@
         Some(&cached.reply)
     }
 
-    /// Whether the node has certainly given the request up.
+    /// Whether the node has certainly abandoned the request.
     pub(super) fn is_outdated(&self, member: &str, request_id: u64) -> bool {
         let known = self.members.get(member);
         known.is_some_and(|known| request_id <= known.outdated_up_to)
@@ -126,8 +126,8 @@
     }
 
     /// Drops replies older than `retention`, and members that sent nothing for
-    /// `inactivity_timeout`. `retention` must not be shorter than the time after which a node gives
-    /// a request up.
+    /// `inactivity_timeout`. `retention` must not be shorter than the time after which a node
+    /// abandons a request.
     pub(super) fn sweep(
         &mut self,
         now: MonotonicTime,
--- a/crates/control-state/src/quota/slot_leases.rs
+++ b/crates/control-state/src/quota/slot_leases.rs
@@ -4,7 +4,7 @@
 //! Each node is charged with the larger of the slots that it may hold and the slots that it uses.
 //! The charge lasts until the node's next request, or until the node has been unresponsive for
 //! [`QuotaOptions::inactive_slot_timeout`]. A node's request states how many slots it keeps; it
-//! gives the others up when it sends the request, before the leader can grant them again. A new
+//! releases the others when it sends the request, before the leader can grant them again. A new
 //! leader grants nothing beyond what is in use until every lease of its predecessor has ended. Each
 //! connected node renews its lease within that time and so reports what it uses.
 
@@ -189,7 +189,7 @@
     fn record_grant(&mut self, now: MonotonicTime, request: SlotRequest<'_>, granted: u64) {
         let former = self.leases.get(request.member);
         let renewed = former.filter(|lease| lease.epoch == request.epoch);
-        // Safety: when the node sent the request, it gave up only the slots that it did not
+        // Safety: when the node sent the request, it released only the slots that it did not
         // request. It stops using the others only if the reply with a smaller grant arrives.
         let kept = renewed.map_or(0, |lease| lease.may_hold.min(request.requested));
         let lease = SlotLease {
--- a/crates/control-state/tests/control_state/claims.rs
+++ b/crates/control-state/tests/control_state/claims.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_claim_that_arrives_after_its_attempt_gave_up_is_not_granted() {
+fn a_claim_that_arrives_after_its_attempt_was_abandoned_is_not_granted() {
     let mut machine = Machine::new(ShardId(1));
     machine.resolve("a", RunOutcome::RunNotRun);
     assert!(!machine.claim("a").granted);
--- a/crates/control-state/tests/control_state/quota_clients.rs
+++ b/crates/control-state/tests/control_state/quota_clients.rs
@@ -143,8 +143,8 @@
 }
 
 /// Guards against streams above the limit after a change of leader. A stream takes a slot of the
-/// former leader's lease while the node's first request to the new leader is in flight. The reply
-/// tells the node to retry when slots may be granted; the node must report the stream before that.
+/// former leader's lease while the node's first request to the new leader is in flight. The retry
+/// delay in the reply ends when slots may be granted; the node must report the stream before that.
 #[test]
 fn a_slot_used_while_the_request_to_a_new_leader_is_in_flight_is_reported() {
     let case = TestCase {
--- a/crates/control-state/tests/control_state/quota_outage.rs
+++ b/crates/control-state/tests/control_state/quota_outage.rs
@@ -127,8 +127,8 @@
     assert_eq!(last.refused_tokens, 0, "the tenant stayed within its quota");
 }
 
-/// Guards against processing requests that a stalled relay forwards seconds after their node gave
-/// them up.
+/// Guards against processing requests that a stalled relay forwards seconds after their node
+/// abandoned them.
 #[test]
 fn an_abandoned_request_is_not_counted_again() {
     let mut leases = leader(MonotonicTime::ZERO);
--- a/crates/control-state/tests/control_state/quota_slots.rs
+++ b/crates/control-state/tests/control_state/quota_slots.rs
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn a_tenant_without_configuration_is_told_to_retry() {
+fn a_tenant_without_configuration_gets_a_retry_delay() {
     let mut leader = Leader::new(4);
     let tenant_request = TenantQuotaRequest {
         tenant: "new".to_owned(),
@@ -359,7 +359,7 @@
 }
 
 #[test]
-fn an_outdated_request_after_all_slots_were_given_up_reserves_nothing() {
+fn an_outdated_request_after_all_slots_were_released_reserves_nothing() {
     let mut leader = Leader::new(4);
     assert_eq!(leader.slots("a", 2, 0).slots, 2);
     leader.next_request += 1;
