--- a/crates/placement/src/cost/cost_model.rs
+++ b/crates/placement/src/cost/cost_model.rs
@@ -14,7 +14,7 @@
 }
 
 impl CostModel {
-    /// Updates the costs of `model` with an answered request, on a backend with `cores` cores that
+    /// Updates the costs of `model` with a completed request, on a backend with `cores` cores that
     /// served `streams` streams of the model.
     pub fn observe(&mut self, model: &str, sample: &CostSample, cores: f64, streams: u32) {
         let cost = self.models.entry(model.to_owned()).or_default();
--- a/crates/placement/src/cost/model_cost.rs
+++ b/crates/placement/src/cost/model_cost.rs
@@ -15,14 +15,14 @@
 /// Scale of the decode fit: a typical number of streams on a replica.
 const STREAM_SCALE: f64 = 10.0;
 /// Weight of a new sample in the moving means.
-const MEAN_SHARE: f64 = 0.02;
-/// Assumed mean lengths of prompts and answers before the first sample, in tokens.
+const MEAN_WEIGHT: f64 = 0.02;
+/// Assumed mean lengths of prompts and responses before the first sample, in tokens.
 const PRIOR_MEAN_TOKENS: f64 = 200.0;
 
 /// Upper limit of the decode capacity in streams, for a fitted slope of nearly zero.
 const MAX_STREAM_CAPACITY: f64 = 256.0;
 
-/// Costs of one model, learned from answered requests.
+/// Costs of one model, learned from completed requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ModelCost {
     /// Fit of the time to the first token, in milliseconds, over uncached prompt tokens per core.
@@ -45,7 +45,7 @@
 }
 
 impl ModelCost {
-    /// Updates the costs with an answered request, on a backend with `cores` cores that served
+    /// Updates the costs with a completed request, on a backend with `cores` cores that served
     /// `streams` streams.
     pub fn observe(&mut self, sample: &CostSample, cores: f64, streams: u32) {
         let prompt_tokens = f64::from(sample.prompt_tokens);
@@ -53,7 +53,7 @@
             prompt_tokens / cores.max(1.0),
             f64::from(sample.first_token_ms),
         );
-        self.mean_prompt_tokens += MEAN_SHARE * (prompt_tokens - self.mean_prompt_tokens);
+        self.mean_prompt_tokens += MEAN_WEIGHT * (prompt_tokens - self.mean_prompt_tokens);
         if sample.output_tokens < 2 {
             return;
         }
@@ -62,7 +62,7 @@
         self.decode
             .observe(f64::from(streams.max(1)), inter_token_ms);
         let output_tokens = f64::from(sample.output_tokens);
-        self.mean_output_tokens += MEAN_SHARE * (output_tokens - self.mean_output_tokens);
+        self.mean_output_tokens += MEAN_WEIGHT * (output_tokens - self.mean_output_tokens);
     }
 
     /// Returns the processor time of the prefill of `prompt_tokens`, in core milliseconds.
@@ -104,7 +104,7 @@
         self.mean_prompt_tokens.max(1.0)
     }
 
-    /// Returns the mean length of answers in tokens, at least 1.
+    /// Returns the mean length of responses, in tokens, at least 1.
     #[must_use]
     pub fn mean_output_tokens(&self) -> f64 {
         self.mean_output_tokens.max(1.0)
--- a/crates/placement/src/load/load_snapshot.rs
+++ b/crates/placement/src/load/load_snapshot.rs
@@ -11,8 +11,8 @@
 /// Last reported counts of each member. A count expires when it is not refreshed.
 ///
 /// Members report changed counts, and repeat unchanged ones at longer intervals. A count reported
-/// as zero stays as zero until it expires, so that the nodes that receive the snapshot see that the
-/// work has ended.
+/// as zero stays as zero until it expires, so that the snapshot that the nodes receive includes the
+/// end of the work.
 #[derive(Clone, Debug)]
 pub struct LoadSnapshot {
     stale_after: Duration,
--- a/crates/placement/src/load/smoothed_load.rs
+++ b/crates/placement/src/load/smoothed_load.rs
@@ -7,7 +7,7 @@
 use crate::load::replica_work::ReplicaWork;
 use crate::replica_key::ReplicaKey;
 
-/// Means at or below this value count as 0: the replica or backend is removed.
+/// Means at or below this value count as 0, and the entry of the replica or backend is removed.
 const NEGLIGIBLE: f64 = 0.005;
 
 /// Exponential means of one replica's work.
@@ -48,8 +48,8 @@
     pub fn observe(&mut self, now: MonotonicTime, work: &BTreeMap<ReplicaKey, ReplicaWork>) {
         let passed = self.last_tick.map(|last| now.since(last));
         self.last_tick = Some(now);
-        let stream_share = share(passed, self.stream_constant);
-        let busy_share = share(passed, self.busy_constant);
+        let stream_weight = sample_weight(passed, self.stream_constant);
+        let busy_weight = sample_weight(passed, self.busy_constant);
         for key in work.keys() {
             self.replicas.entry(key.clone()).or_default();
             self.backends.entry(key.backend.clone()).or_default();
@@ -57,11 +57,11 @@
         for (key, mean) in &mut self.replicas {
             let present = work.get(key).copied().unwrap_or_default();
             let streams = f64::from(present.decode_streams) + f64::from(present.held_requests);
-            update_mean(&mut mean.streams, streams, stream_share);
+            update_mean(&mut mean.streams, streams, stream_weight);
             update_mean(
                 &mut mean.prefill_busy,
                 indicator(present.prefill_tokens > 0),
-                busy_share,
+                busy_weight,
             );
         }
         let prefilling: BTreeSet<&str> = work
@@ -73,7 +73,7 @@
             update_mean(
                 busy,
                 indicator(prefilling.contains(backend.as_str())),
-                busy_share,
+                busy_weight,
             );
         }
         self.replicas
@@ -115,13 +115,13 @@
 }
 
 /// Returns the weight of a new value in an exponential mean; 1 for the first value.
-fn share(passed: Option<Duration>, constant: Duration) -> f64 {
+fn sample_weight(passed: Option<Duration>, constant: Duration) -> f64 {
     let constant = constant.as_secs_f64().max(f64::MIN_POSITIVE);
     passed.map_or(1.0, |passed| 1.0 - (-passed.as_secs_f64() / constant).exp())
 }
 
-fn update_mean(mean: &mut f64, value: f64, share: f64) {
-    *mean += share * (value - *mean);
+fn update_mean(mean: &mut f64, value: f64, weight: f64) {
+    *mean += weight * (value - *mean);
 }
 
 fn indicator(holds: bool) -> f64 {
--- a/crates/placement/src/plan/retire.rs
+++ b/crates/placement/src/plan/retire.rs
@@ -9,7 +9,7 @@
 use crate::plan::pool_view::PoolView;
 use crate::replica_key::ReplicaKey;
 
-/// Times at which this placer first saw each draining replica.
+/// Times at which this placer first found each replica draining.
 ///
 /// After a change of leader, the new placer counts from its first tick. Replicas that are draining
 /// at that time get the whole drain time again.
--- a/crates/placement/src/plan/weights.rs
+++ b/crates/placement/src/plan/weights.rs
@@ -26,8 +26,8 @@
 /// Factor by which one step raises a lowered weight.
 const RECOVERY_FACTOR: f64 = 1.15;
 
-/// Times since which each backend has been above its bandwidth limit or well below it, or at which
-/// its weights were last changed for that.
+/// For each backend, the time since which it has been above its bandwidth limit, or well below it.
+/// The time restarts with each adjustment of the backend's weights.
 #[derive(Clone, Debug, Default)]
 pub struct BandwidthTimers {
     above: BTreeMap<String, MonotonicTime>,
