--- a/crates/data-plane/src/agent_link/in_flight.rs
+++ b/crates/data-plane/src/agent_link/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests to the agent that are not answered yet. They are sent again on a new connection.
+//! Requests to the agent that await their replies. They are sent again on a new connection.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,18 +15,18 @@
 struct InFlightRequest<T> {
     frame: LocalFrame,
     times: SendTimes,
-    /// Channel to the requester; `None` if the answer is not awaited.
-    answer: Option<oneshot::Sender<T>>,
-    /// Whether the requester stopped waiting. The answer may still arrive.
+    /// Channel to the requester; `None` if no requester waits for the reply.
+    reply: Option<oneshot::Sender<T>>,
+    /// Whether the requester stopped waiting. The reply may still arrive.
     abandoned: bool,
 }
 
 impl<T> InFlightRequest<T> {
-    fn new(frame: LocalFrame, answer: Option<oneshot::Sender<T>>) -> Self {
+    fn new(frame: LocalFrame, reply: Option<oneshot::Sender<T>>) -> Self {
         Self {
             frame,
             times: SendTimes::at(monotonic_now()),
-            answer,
+            reply,
             abandoned: false,
         }
     }
@@ -39,7 +39,7 @@
     }
 }
 
-/// Requests of one kind by request id, which the answers repeat.
+/// Requests of one kind by request id, which the replies repeat.
 #[derive(Debug)]
 pub(super) struct InFlightRequests<T> {
     requests: Arc<Mutex<BTreeMap<u64, InFlightRequest<T>>>>,
@@ -62,38 +62,38 @@
     }
 }
 
-/// Result of passing an answer to its requester.
+/// Result of passing a reply to its requester.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Delivery {
-    /// The answer was passed on, or it is not awaited.
+    /// The reply was passed on, or no requester was registered for it.
     Done,
-    /// The requester has stopped waiting, so the answer was dropped.
+    /// The requester has stopped waiting, so the reply was dropped.
     Abandoned,
 }
 
 /// The requester's side of a request. Dropping it marks the request as abandoned.
-pub(super) struct AnswerWaiter<T> {
+pub(super) struct ReplyWaiter<T> {
     in_flight: InFlightRequests<T>,
     id: u64,
-    answer: oneshot::Receiver<T>,
+    reply: oneshot::Receiver<T>,
 }
 
-impl<T> AnswerWaiter<T> {
-    /// Waits for the answer. Returns `None` if there is none within the timeout.
+impl<T> ReplyWaiter<T> {
+    /// Waits for the reply. Returns `None` if there is none within the timeout.
     ///
-    /// An answer that arrives while the timeout expires is still returned.
-    pub(super) async fn answer(mut self, timeout: Duration) -> Option<T> {
-        let answer = tokio::time::timeout(timeout, &mut self.answer).await;
-        answer.map_or_else(|_| self.stop(), Result::ok)
+    /// A reply that arrives while the timeout expires is still returned.
+    pub(super) async fn reply(mut self, timeout: Duration) -> Option<T> {
+        let reply = tokio::time::timeout(timeout, &mut self.reply).await;
+        reply.map_or_else(|_| self.stop(), Result::ok)
     }
 
     fn stop(&mut self) -> Option<T> {
-        self.answer.close();
-        self.answer.try_recv().ok()
+        self.reply.close();
+        self.reply.try_recv().ok()
     }
 }
 
-impl<T> Drop for AnswerWaiter<T> {
+impl<T> Drop for ReplyWaiter<T> {
     fn drop(&mut self) {
         if let Some(request) = self.in_flight.lock().get_mut(&self.id) {
             request.abandoned = true;
@@ -102,32 +102,32 @@
 }
 
 impl<T> InFlightRequests<T> {
-    /// Keeps a request until it is answered, or until the next new connection after its requester
+    /// Keeps a request until its reply arrives, or until the next new connection after its requester
     /// stopped waiting.
-    pub(super) fn register(&self, id: u64, frame: LocalFrame) -> AnswerWaiter<T> {
+    pub(super) fn register(&self, id: u64, frame: LocalFrame) -> ReplyWaiter<T> {
         let (sender, receiver) = oneshot::channel();
         let request = InFlightRequest::new(frame, Some(sender));
         self.lock().insert(id, request);
-        AnswerWaiter {
+        ReplyWaiter {
             in_flight: self.clone(),
             id,
-            answer: receiver,
+            reply: receiver,
         }
     }
 
-    /// Keeps a request until it is answered. The answer is not awaited.
+    /// Keeps a request until its reply arrives. No requester waits for the reply.
     pub(super) fn register_unawaited(&self, id: u64, frame: LocalFrame) {
         let request = InFlightRequest::new(frame, None);
         self.lock().insert(id, request);
     }
 
-    /// Removes the request and passes the answer to its requester.
-    pub(super) fn complete(&self, id: u64, answer: T) -> Delivery {
+    /// Removes the request and passes the reply to its requester.
+    pub(super) fn complete(&self, id: u64, reply: T) -> Delivery {
         let request = self.lock().remove(&id);
-        let Some(requester) = request.and_then(|request| request.answer) else {
+        let Some(requester) = request.and_then(|request| request.reply) else {
             return Delivery::Done;
         };
-        match requester.send(answer) {
+        match requester.send(reply) {
             Ok(()) => Delivery::Done,
             Err(_) => Delivery::Abandoned,
         }
@@ -139,7 +139,7 @@
     }
 
     /// Returns the frames to send again on a new connection, in the order of request ids. Abandoned
-    /// requests are removed, since their answers cannot arrive on a new connection.
+    /// requests are removed, since their replies cannot arrive on a new connection.
     pub(super) fn resend_all(&self, now: MonotonicTime) -> Vec<LocalFrame> {
         let mut requests = self.lock();
         requests.retain(|_, request| !request.abandoned);
--- a/crates/data-plane/src/agent_link/link.rs
+++ b/crates/data-plane/src/agent_link/link.rs
@@ -15,7 +15,7 @@
 use crate::agent_link::in_flight::{Delivery, InFlightRequests};
 use crate::agent_message::{AdmissionReply, AdmissionRequest, ClaimAnswer, QuotaRelease};
 
-/// Handle of the request path: sends frames to the agent and waits for its answers.
+/// Handle of the request path: sends frames to the agent and waits for its replies.
 #[derive(Clone, Debug)]
 pub struct AgentLink {
     frames: mpsc::UnboundedSender<LocalFrame>,
@@ -53,8 +53,8 @@
         });
         let waiter = self.quotas.register(request_id, frame(body.clone()));
         self.send(body);
-        let answer = waiter.answer(request.timeout).await;
-        answer.unwrap_or(AdmissionReply::Refused {
+        let reply = waiter.reply(request.timeout).await;
+        reply.unwrap_or(AdmissionReply::Refused {
             code: ResultCode::QuotaUnavailable,
             retry_after_ms: 0,
         })
@@ -81,8 +81,8 @@
         });
         let waiter = self.claims.register(request_id, frame(body.clone()));
         self.send(body);
-        let answer = waiter.answer(timeout).await;
-        answer.unwrap_or(ClaimAnswer::Unavailable)
+        let reply = waiter.reply(timeout).await;
+        reply.unwrap_or(ClaimAnswer::Unavailable)
     }
 
     /// Reports the outcome of a claim. It is sent again on every new connection until it is acknowledged.
@@ -103,7 +103,7 @@
         self.claim_resolutions.is_empty()
     }
 
-    /// Queues a frame that needs no answer. It is dropped if it is not sent before the connection to the
+    /// Queues a frame that needs no reply. It is dropped if it is not sent before the connection to the
     /// agent fails.
     pub fn send(&self, body: local_frame::Body) {
         // The receiver is not dropped before the process exits.
--- a/crates/data-plane/src/agent_link/task.rs
+++ b/crates/data-plane/src/agent_link/task.rs
@@ -101,7 +101,7 @@
     }
 
     /// Sends the hello, the applied revision and the granted stream slots, and then again the requests
-    /// that are not answered.
+    /// that await their replies.
     async fn handshake(
         &mut self,
         writer: &mut FramedWriter<LocalFrame>,
--- a/crates/data-plane/src/proxy_state.rs
+++ b/crates/data-plane/src/proxy_state.rs
@@ -87,13 +87,13 @@
         self.ready.store(true, Ordering::SeqCst);
     }
 
-    /// Returns whether the proxy is draining and refuses new requests.
+    /// Returns whether the proxy is draining.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::SeqCst)
     }
 
-    /// Starts draining: new requests are refused from now on.
+    /// Starts draining. The data plane decides which new requests are still accepted.
     pub fn set_draining(&self) {
         self.draining.store(true, Ordering::SeqCst);
     }
