--- a/crates/decisions/src/attempt_record.rs
+++ b/crates/decisions/src/attempt_record.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Result of an attempt, as seen by the proxy.
+/// Result of an attempt, as observed by the proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptOutcome {
--- a/crates/decisions/src/decision_record.rs
+++ b/crates/decisions/src/decision_record.rs
@@ -4,7 +4,7 @@
 
 use crate::attempt_record::AttemptRecord;
 
-/// Result of a request, as seen by the proxy.
+/// Result of a request, as observed by the proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ending {
--- a/crates/decisions/src/verdict.rs
+++ b/crates/decisions/src/verdict.rs
@@ -29,7 +29,8 @@
     BackendFailure,
     /// The deadline passed before the response began.
     TimedOut,
-    /// The response was aborted, because the deadline passed or the backend was lost.
+    /// The response was aborted after it had begun, because the deadline passed, the backend was lost or a resumed
+    /// stream skipped an event.
     BrokenOff,
     /// The caller disconnected before the first bytes.
     CallerLeftWaiting,
