--- a/crates/membership/src/formation.rs
+++ b/crates/membership/src/formation.rs
@@ -47,7 +47,7 @@
 /// Collects the seeds' responses while this node has no cluster state.
 ///
 /// Safety: a cluster is formed only if every seed responds and none has cluster state. A node whose disk
-/// was wiped therefore never forms a second cluster while other seeds have state. Since all seeds see the
+/// was wiped therefore never forms a second cluster while other seeds have state. Since all seeds receive the
 /// same identities, only the node with the smallest one forms the cluster.
 #[derive(Debug)]
 pub struct Formation {
@@ -115,7 +115,7 @@
             let member = self.member_at(now, seed)?;
             members.insert(NodeId(member.node_id), member);
         }
-        // Two seeds with the same identity are one node counted twice, or a copied disk.
+        // Two seeds with the same identity are one node that is listed twice, or two nodes with a copied disk.
         let distinct = members.len() == self.seeds.len();
         let own_included = members.contains_key(&NodeId(self.own.node_id));
         (distinct && own_included).then_some(members)
