--- a/crates/feed/src/term_history.rs
+++ b/crates/feed/src/term_history.rs
@@ -7,7 +7,7 @@
 /// Terms of the applied entries: for each run of entries with the same term, the first offset and the
 /// term. Runs before a floor are dropped.
 ///
-/// It shows whether a subscriber's position is part of this replica's history. This is always the case
+/// It determines whether a subscriber's position is part of this replica's history. This is always the case
 /// unless a forced recovery dropped entries that the subscriber has applied.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TermHistory {
--- a/crates/feed/tests/view_properties.rs
+++ b/crates/feed/tests/view_properties.rs
@@ -1,5 +1,5 @@
 //! With any reordering, loss or duplication of messages, a view never reverts to an older state and
-//! finally reaches the publisher's state.
+//! eventually reaches the publisher's state.
 
 use std::collections::BTreeMap;
 
@@ -168,7 +168,7 @@
         Ok(())
     }
 
-    /// Ends the run without faults: twice subscribes again and delivers all messages in order.
+    /// Ends the run without faults: subscribes again and delivers all messages in order, twice.
     fn drain(&mut self) -> Result<(), String> {
         for _ in 0..2 {
             self.resubscribe();
