--- a/crates/control-state/src/document/parse.rs
+++ b/crates/control-state/src/document/parse.rs
@@ -37,8 +37,8 @@
 /// Reads a document without checking its rules; see [`super::check()`].
 ///
 /// # Errors
-/// Returns the first fault of each route, forwarding route, pool and tenant, and of the HTTP limits,
-/// that cannot be read.
+/// Returns the first fault of each route, forwarding route, pool and tenant, and of the HTTP
+/// limits, that cannot be read.
 pub fn parse(json: &[u8]) -> Result<Document, Vec<Fault>> {
     let document = read(json, "").map_err(|first| {
         let all = match serde_json::from_slice::<Value>(json) {
--- a/crates/control-state/src/quota/reply_cache.rs
+++ b/crates/control-state/src/quota/reply_cache.rs
@@ -30,8 +30,8 @@
     epoch: u64,
     last_contact: MonotonicTime,
     replies: BTreeMap<u64, CachedReply>,
-    /// Highest request id whose reply was dropped for its age: the node abandoned all requests up to
-    /// it.
+    /// Highest request id whose reply was dropped for its age: the node abandoned all requests up
+    /// to it.
     outdated_up_to: u64,
 }
 
