--- a/crates/control/src/daemon/shared.rs
+++ b/crates/control/src/daemon/shared.rs
@@ -100,7 +100,8 @@
         self.led_shards.load(Ordering::Relaxed)
     }
 
-    /// Number of data shards that this node leads. Only these own services.
+    /// Number of data shards that this node leads. The configuration shard, which owns no services,
+    /// is not counted.
     #[must_use]
     pub fn led_data_shards(&self) -> usize {
         self.led_data_shards.load(Ordering::Relaxed)
--- a/crates/control/src/gateway/agents.rs
+++ b/crates/control/src/gateway/agents.rs
@@ -19,7 +19,7 @@
     closed: bool,
 }
 
-/// The list of control nodes last sent on a link, by its digest, and when it was sent.
+/// Digest of the list of control nodes last sent on a link, and the time at which it was sent.
 #[derive(Debug, Default)]
 pub(super) struct SentMemberList {
     digest: u64,
@@ -34,7 +34,8 @@
 }
 
 impl AgentTable {
-    /// Records a heartbeat. Returns whether the session is open, as far as this node has learned.
+    /// Records a heartbeat. Returns whether the session is open: neither replaced by a newer one nor
+    /// reported as closed by the leader.
     pub(super) fn heartbeat(&mut self, link: Option<LinkId>, heartbeat: &Heartbeat) -> bool {
         if heartbeat.epoch == 0 {
             return false;
--- a/crates/control/src/gateway/early_heartbeats.rs
+++ b/crates/control/src/gateway/early_heartbeats.rs
@@ -11,8 +11,8 @@
 /// Heartbeats whose replies wait for this node's first quorum.
 ///
 /// When all nodes start at once, each is without a quorum for the length of an election. An agent
-/// that receives such a reply tries the other nodes, which have no quorum either, and then backs
-/// off, often for longer than the election takes. A starting node therefore defers its replies for
+/// whose heartbeat is answered without a quorum tries the other nodes, which have none either, and
+/// then backs off, often for longer than the election takes. A starting node therefore defers its replies for
 /// up to [`EARLY_HEARTBEAT_TIMEOUT`]. After that, or after its first quorum, it replies at once
 /// until it stops.
 #[derive(Debug)]
--- a/crates/control/src/gateway/leadership_balancer.rs
+++ b/crates/control/src/gateway/leadership_balancer.rs
@@ -35,7 +35,7 @@
 }
 
 impl LeadershipBalancer {
-    /// Creates a balancer that has not seen any leader.
+    /// Creates a balancer without any recorded leader.
     pub(super) fn new(now: MonotonicTime) -> Self {
         Self {
             leaders: BTreeMap::new(),
--- a/crates/control/src/gateway/own_session.rs
+++ b/crates/control/src/gateway/own_session.rs
@@ -17,7 +17,7 @@
     },
 }
 
-/// Owns the epoch of the session; 0 before it was first opened.
+/// Owns the epoch of the session, which is 0 before the session was first opened.
 #[derive(Debug)]
 pub(super) struct OwnSession {
     boot_id: u64,
--- a/crates/control/src/operator/status.rs
+++ b/crates/control/src/operator/status.rs
@@ -7,7 +7,7 @@
 
 use crate::shard::ShardReplicaStatus;
 
-/// A control node, and whether the answering node is connected to it.
+/// A control node, and whether this node is connected to it.
 #[must_use]
 pub fn member_body(member: &ControlMember, connected: bool) -> MemberBody {
     MemberBody {
--- a/crates/control/src/shard/core.rs
+++ b/crates/control/src/shard/core.rs
@@ -447,7 +447,7 @@
         }
     }
 
-    /// Proposes a command that no request asked for.
+    /// Proposes a command that the leader issues itself, without a request.
     fn propose_own(&mut self, kind: command::Kind, purpose: Purpose) {
         // The proposal fails only if this replica no longer leads. The new leader then makes its
         // own proposals.
--- a/crates/control/src/shard/load_snapshot_publisher.rs
+++ b/crates/control/src/shard/load_snapshot_publisher.rs
@@ -55,8 +55,8 @@
         self.is_small_site = backends <= SMALL_SITE_MAX && nodes <= SMALL_SITE_MAX;
     }
 
-    /// Records that snapshots of this size were sent and schedules the next ones. Large snapshots are
-    /// sent less often, so that their share of a node's control traffic stays bounded; between
+    /// Records that snapshots of this total size, in bytes, were sent, and schedules the next ones.
+    /// Large snapshots are sent less often, so that their share of a node's control traffic stays bounded; between
     /// snapshots the nodes rely on their own in-flight counts.
     pub fn record_sent(&mut self, now: MonotonicTime, bytes: usize) {
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
--- a/crates/control/src/shard/maintenance.rs
+++ b/crates/control/src/shard/maintenance.rs
@@ -34,8 +34,8 @@
     }
 
     /// The time since the last tick during which the core did not run because its thread waited for
-    /// a processor or the disk. Gaps up to `MAX_TICK_GAP` (100 ms) don't count, so that a core whose
-    /// ticks are always a little late still campaigns.
+    /// a processor or the disk; none if it was not stalled. The first `MAX_TICK_GAP` (100 ms) of a
+    /// gap doesn't count, so that a core whose ticks are always a little late still campaigns.
     pub fn stalled_time(&mut self, now: MonotonicTime) -> Option<Duration> {
         let previous = std::mem::replace(&mut self.last_tick, now);
         let gap = now.since(previous);
--- a/crates/control/src/shard/reads.rs
+++ b/crates/control/src/shard/reads.rs
@@ -5,7 +5,7 @@
 use super::input::CorrelationId;
 use crate::link::LinkId;
 
-/// What a read is for, once it is confirmed and applied.
+/// The purpose of a read, carried out once the read is confirmed and its index applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum ReadPurpose {
     /// Reply with public items.
@@ -37,7 +37,7 @@
 /// A read that is not served yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct PendingRead {
-    /// What the read is for.
+    /// The purpose of the read.
     pub(super) purpose: ReadPurpose,
     /// The confirmed index to be applied first; absent until the read is confirmed.
     pub(super) index: Option<u64>,
--- a/crates/control/src/shard/shard_replica.rs
+++ b/crates/control/src/shard/shard_replica.rs
@@ -119,7 +119,8 @@
         self.replica.tick(now);
     }
 
-    /// Makes the replica's changes durable and returns what they lead to.
+    /// Makes the replica's changes durable and returns the messages, committed entries and other
+    /// results that depend on them.
     ///
     /// # Errors
     /// The storage failed; the replica must be stopped.
