--- a/crates/replication/src/leader_state.rs
+++ b/crates/replication/src/leader_state.rs
@@ -13,7 +13,7 @@
 pub(crate) struct LeaderTransfer {
     /// The voter that should become leader.
     pub(crate) target: NodeId,
-    /// When the transfer is abandoned and proposals are accepted again.
+    /// Time at which the transfer is abandoned and proposals are accepted again.
     pub(crate) deadline: MonotonicTime,
     /// Whether the request to campaign was sent to the target.
     pub(crate) timeout_now_sent: bool,
@@ -25,7 +25,7 @@
     pub(crate) peers: BTreeMap<NodeId, Progress>,
     /// Index of the first entry of the leader's own term.
     pub(crate) term_start_index: u64,
-    /// When the next heartbeat is due.
+    /// Time at which the next heartbeat is due.
     pub(crate) next_heartbeat: MonotonicTime,
     /// Whether the next flush sends a message to every peer.
     pub(crate) broadcast_due: bool,
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -5,7 +5,7 @@
 use millford_core::MonotonicTime;
 use millford_storage::Snapshot;
 
-/// How entries are sent to a peer.
+/// Mode in which entries are sent to a peer.
 #[derive(Debug)]
 pub(crate) enum ProgressState {
     /// The match index is unknown: one message at a time.
@@ -24,7 +24,7 @@
     pub(crate) snapshot: Snapshot,
     /// Offset of the chunk to send or in flight, in bytes.
     pub(crate) offset: u64,
-    /// When the chunk was last sent; `None` if it has not been sent yet.
+    /// Time at which the chunk was last sent; `None` if it has not been sent yet.
     pub(crate) sent_at: Option<MonotonicTime>,
 }
 
@@ -41,7 +41,7 @@
     sent_commit_index: u64,
     /// Highest read sequence that the peer has answered.
     read_sequence: u64,
-    /// When the last message of the current term was received from the peer.
+    /// Time at which the last message of the current term was received from the peer.
     last_contact: MonotonicTime,
 }
 
@@ -91,8 +91,8 @@
         self.read_sequence
     }
 
-    /// When the last message of the current term was received from the peer. Before the first one,
-    /// when the leader began to track the peer.
+    /// Time at which the last message of the current term was received from the peer. Before the
+    /// first one, the time at which the leader began to track the peer.
     pub(crate) fn last_contact(&self) -> MonotonicTime {
         self.last_contact
     }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -31,7 +31,7 @@
     pub(crate) role: RoleState,
     /// The leader of the current term; [`NodeId::NONE`] while it is unknown.
     pub(crate) leader: NodeId,
-    /// When the last message of a leader was received; `None` before the first.
+    /// Time at which the last message of a leader was received; `None` before the first.
     pub(crate) leader_contact: Option<MonotonicTime>,
     pub(crate) election_timer: ElectionTimer,
     pub(crate) configurations: ConfigurationHistory,
--- a/crates/replication/src/status.rs
+++ b/crates/replication/src/status.rs
@@ -17,8 +17,8 @@
     pub term: u64,
     /// The leader of the current term; [`NodeId::NONE`] if unknown.
     pub leader: NodeId,
-    /// Last contact with a leader; `None` before the first. On the leader: last contact with a
-    /// quorum.
+    /// Time of the last contact with a leader; `None` before the first. On the leader: time of the
+    /// last contact with a quorum.
     pub leader_contact: Option<MonotonicTime>,
     /// Last index that this replica has found to be committed.
     pub commit_index: u64,
@@ -55,10 +55,11 @@
     pub is_voter: bool,
     /// Highest index up to which its durable log is known to match; 0 while unknown.
     pub match_index: u64,
-    /// Last contact in the current term. Before the first, when the leader began to track it.
+    /// Time of the last contact in the current term. Before the first, the time at which the leader
+    /// began to track it.
     pub last_contact: MonotonicTime,
-    /// Whether it was in contact recently and lacks few enough entries to be promoted if it is a
-    /// learner.
+    /// Whether it was in contact recently and lacks at most [`crate::Limits::promotion_lag`]
+    /// committed entries, as the promotion of a learner requires.
     pub caught_up: bool,
     /// Whether a snapshot is being sent to it.
     pub receives_snapshot: bool,
--- a/crates/replication/src/vote_receiving.rs
+++ b/crates/replication/src/vote_receiving.rs
@@ -82,7 +82,8 @@
         self.send(from, Body::VoteReply(reply));
     }
 
-    /// Rejects the request if that tells the sender that it was removed; else sends nothing.
+    /// Sends a rejection if the sender was removed from the group, so that it stops campaigning;
+    /// else sends nothing.
     fn notify_if_removed(&mut self, from: NodeId, request: &VoteRequest) {
         if self.is_known_removed(from, request) {
             self.reject_vote(from, request);
