--- a/crates/agent/src/agent_core/proxy.rs
+++ b/crates/agent/src/agent_core/proxy.rs
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Takes over the numbers of open streams that the proxy reports, for tenants whose streams
-    /// need slots.
+    /// Replaces the numbers of open streams with those that the proxy reports, for tenants whose
+    /// streams need slots.
     fn open_streams(&mut self, now: MonotonicTime, streams: ProxyStreams) {
         let tenants = streams.tenants.into_iter();
         let limited =
--- a/crates/agent/src/daemon/saved_members.rs
+++ b/crates/agent/src/daemon/saved_members.rs
@@ -18,7 +18,7 @@
 }
 
 impl SavedMembers {
-    /// Uses the file in `folder`, which is created if it is missing.
+    /// Creates `folder` if it is missing, and refers to the file in it, which need not exist.
     ///
     /// # Errors
     /// The folder could not be created.
--- a/crates/agent/src/feeds.rs
+++ b/crates/agent/src/feeds.rs
@@ -17,11 +17,11 @@
     confirmed: bool,
     /// Whether the state has been confirmed on the current connection to a control node.
     confirmed_on_link: bool,
-    /// When to send the next subscription; `None` while the subscription is confirmed.
+    /// Time at which to send the next subscription; `None` while the subscription is confirmed.
     subscribe_at: Option<MonotonicTime>,
     /// Time of the last confirmation, or of the start of the connection if that is later.
     last_confirmed: MonotonicTime,
-    /// When this shard last caused a failover.
+    /// Time at which this shard last caused a failover; `None` if it has not caused one.
     failed_over_at: Option<MonotonicTime>,
 }
 
@@ -30,7 +30,7 @@
 pub struct FeedEvent {
     /// Shard that the message belongs to.
     pub shard: ShardId,
-    /// How the message changed the local copy of the shard's state.
+    /// Effect of the message on the local copy of the shard's state.
     pub outcome: FeedOutcome,
     /// Whether this is the first confirmation of the shard's state since the agent started.
     pub first_confirmation: bool,
--- a/crates/agent/src/heartbeat.rs
+++ b/crates/agent/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Schedule of the heartbeats, and which replies report on the open session.
+//! Schedule of the heartbeats, and selection of the replies that report on the open session.
 
 use millford_core::MonotonicTime;
 
--- a/crates/agent/src/link/control_link.rs
+++ b/crates/agent/src/link/control_link.rs
@@ -60,7 +60,7 @@
     inactivity_timeout: Duration,
     /// Whether a node in the current pass accepted the connection and then became unresponsive.
     timed_out_in_pass: bool,
-    /// Since when the control node has reported quorum contact; `None` while it does not.
+    /// Time since which the control node has reported quorum contact; `None` while it does not.
     quorum_contact_since: Option<MonotonicTime>,
     /// End of the startup period, in which timeouts and backoffs are short; `None` after the first
     /// quorum contact.
--- a/crates/agent/src/quota/client.rs
+++ b/crates/agent/src/quota/client.rs
@@ -22,7 +22,7 @@
     /// Tenants whose lease has to be checked at each tick.
     active: BTreeSet<String>,
     in_flight: InFlightRequests,
-    /// When the last new request was sent to each shard.
+    /// Time at which the last new request was sent to each shard.
     last_sent: BTreeMap<ShardId, MonotonicTime>,
     counts: QuotaCounts,
 }
@@ -106,9 +106,9 @@
             .for_each(TenantLease::cancel_waiting);
     }
 
-    /// Handles a leader's recall of a tenant's idle tokens. Recalls are sent to every node. A node
-    /// that has sent no request for the tenant within the last lease has nothing to return and does
-    /// not answer.
+    /// Handles a leader's recall of a tenant's idle tokens. It may arrive at a node that no longer
+    /// has a lease of the tenant, for example because it names no agent and was sent to all nodes;
+    /// such a node has nothing to return and does not answer.
     pub fn recall(&mut self, recall: &QuotaRecall) {
         if let Some(lease) = self.leases.get_mut(&recall.tenant) {
             lease.recall();
@@ -211,8 +211,9 @@
     }
 
     /// Returns the earliest time at which the deadline of a waiting request passes or a new request
-    /// to a leader is due; `None` if there is neither. Resends and timeouts of requests in flight
-    /// are not included, as the regular ticks are sufficient for them.
+    /// to a leader is due; `None` if there is neither. The batch interval counts here from the last
+    /// new request to any shard. Resends and timeouts of requests in flight are not included, as
+    /// the regular ticks are sufficient for them.
     #[must_use]
     pub fn next_wakeup(&self, now: MonotonicTime) -> Option<MonotonicTime> {
         let leases = self.active.iter().filter_map(|name| self.leases.get(name));
--- a/crates/agent/src/quota/in_flight_requests.rs
+++ b/crates/agent/src/quota/in_flight_requests.rs
@@ -12,7 +12,7 @@
 pub struct InFlightRequest {
     /// The request as it was first sent.
     pub request: QuotaRequest,
-    /// When the request was first sent, which is the start of the leases it is granted.
+    /// Time at which the request was first sent, which is the start of the leases it is granted.
     pub sent_at: MonotonicTime,
     resend_at: MonotonicTime,
 }
@@ -36,7 +36,7 @@
 
 /// Unanswered requests by id.
 ///
-/// A request is only sent again with the same id, to which the leader replies with the same grant.
+/// A request is always sent again with the same id, to which the leader replies with the same grant.
 /// Tokens that it returns are no longer held by this node and must not be counted twice.
 #[derive(Clone, Debug, Default)]
 pub struct InFlightRequests {
@@ -82,9 +82,9 @@
         }
     }
 
-    /// Returns the requests to send again now, with current waiting times, so that a leader that
-    /// has not received them before credits the tenant with the tokens that the rate has provided
-    /// in the meantime, and refuses no request for lack of them.
+    /// Returns the requests to send again now, with current waiting times. By these, a leader that
+    /// has not received a request before credits the tenant with the tokens that the rate has
+    /// provided in the meantime; otherwise it could refuse requests for lack of those tokens.
     pub fn due_requests(&mut self, now: MonotonicTime) -> Vec<QuotaRequest> {
         let due = self.requests.values_mut();
         due.filter(|entry| entry.resend_at <= now)
--- a/crates/agent/src/quota/stream_limit.rs
+++ b/crates/agent/src/quota/stream_limit.rs
@@ -1,4 +1,4 @@
-//! Whether a tenant's streams need stream slots.
+//! Limitation of a tenant's concurrent streams.
 
 use millford_api::config::Quota;
 
--- a/crates/agent/src/quota/waiter.rs
+++ b/crates/agent/src/quota/waiter.rs
@@ -9,11 +9,11 @@
     pub request_id: u64,
     /// Whether the request needs a stream slot in addition to a token.
     pub needs_slot: bool,
-    /// When the request arrived at this agent.
+    /// Time at which the request arrived at this agent.
     pub arrived: MonotonicTime,
-    /// How long the request had waited before that at a previous agent process.
+    /// Waiting time at a previous agent process, before the request arrived here.
     pub waited_before: Duration,
-    /// When the request is refused if no decision has been made.
+    /// Time at which the request is refused if no decision has been made.
     pub deadline: MonotonicTime,
 }
 
--- a/crates/agent/src/registry/confirmation.rs
+++ b/crates/agent/src/registry/confirmation.rs
@@ -1,9 +1,9 @@
-//! Tracks how long every shard has been confirmed, or some shard unconfirmed.
+//! Time for which every shard has been confirmed, or at least one has been unconfirmed.
 
 use millford_core::{Duration, MonotonicTime};
 
 /// Whether the agent is connected with quorum contact and every shard is confirmed on its
-/// connection, and since when.
+/// connection, with the time of the last change.
 #[derive(Clone, Copy, Debug)]
 pub struct Confirmation {
     is_complete: bool,
