--- a/crates/control/src/gateway/agents.rs
+++ b/crates/control/src/gateway/agents.rs
@@ -34,8 +34,8 @@
 }
 
 impl AgentTable {
-    /// Records a heartbeat. Returns whether the session is open: neither replaced by a newer one nor
-    /// reported as closed by the leader.
+    /// Records a heartbeat. Returns whether the session is open: neither replaced by a newer one
+    /// nor reported as closed by the leader.
     pub(super) fn heartbeat(&mut self, link: Option<LinkId>, heartbeat: &Heartbeat) -> bool {
         if heartbeat.epoch == 0 {
             return false;
--- a/crates/control/src/gateway/core/formation.rs
+++ b/crates/control/src/gateway/core/formation.rs
@@ -193,8 +193,8 @@
     }
 
     /// Starts decommissioning this identity after the cluster removed it. Its replicas keep running
-    /// until no group needs them: stopping earlier could cost a shard whose repair is not finished
-    /// its quorum.
+    /// until no group needs them: if they stopped earlier, a shard whose repair is not finished
+    /// could lose its quorum.
     pub(super) fn begin_decommission(&mut self, now: MonotonicTime) {
         if self.decommission.is_some() {
             return;
--- a/crates/control/src/gateway/core/shard_outputs.rs
+++ b/crates/control/src/gateway/core/shard_outputs.rs
@@ -76,8 +76,8 @@
     }
 
     /// Sends a recall to the named agent, which may hold quota: directly if it is linked here, else
-    /// through the other control nodes. A recall without a name is sent to all agents. Sending every
-    /// recall to all nodes would cost holders times nodes messages for each refusal.
+    /// through the other control nodes. A recall without a name is sent to all agents. Sending
+    /// every recall to all nodes would cost holders times nodes messages for each refusal.
     fn recall(&mut self, recall: QuotaRecall) {
         if !self.recall_own_agent(&recall) {
             self.send_to_every_node(&frame::Body::QuotaRecall(recall));
--- a/crates/control/src/gateway/decommission.rs
+++ b/crates/control/src/gateway/decommission.rs
@@ -41,9 +41,9 @@
 
 /// Whether every group has its quorum without this node.
 ///
-/// A replica that was partitioned while its group removed it does not receive its removal and still
-/// counts itself as a voter. Such a replica may be dropped while all other voters are connected: its
-/// group then adds this node's next identity instead, which it cannot do while this identity
+/// A replica that was partitioned while its group removed it does not receive that change and still
+/// counts itself as a voter. Such a replica may be dropped while all other voters are connected:
+/// its group then adds this node's next identity instead, which it cannot do while this identity
 /// remains.
 fn is_dispensable(own: NodeId, replicas: &ReplicaTable, links: &LinkTable) -> bool {
     let mut statuses = replicas.iter();
--- a/crates/control/src/gateway/early_heartbeats.rs
+++ b/crates/control/src/gateway/early_heartbeats.rs
@@ -12,9 +12,9 @@
 ///
 /// When all nodes start at once, each is without a quorum for the length of an election. An agent
 /// whose heartbeat is answered without a quorum tries the other nodes, which have none either, and
-/// then backs off, often for longer than the election takes. A starting node therefore defers its replies for
-/// up to [`EARLY_HEARTBEAT_TIMEOUT`]. After that, or after its first quorum, it replies at once
-/// until it stops.
+/// then backs off, often for longer than the election takes. A starting node therefore defers its
+/// replies for up to [`EARLY_HEARTBEAT_TIMEOUT`]. After that, or after its first quorum, it replies
+/// at once until it stops.
 #[derive(Debug)]
 pub(super) struct EarlyHeartbeats {
     deadline: MonotonicTime,
--- a/crates/control/src/gateway/operator_answers.rs
+++ b/crates/control/src/gateway/operator_answers.rs
@@ -37,8 +37,8 @@
     ResultCode::from_number(reply.code).unwrap_or(ResultCode::ProtocolViolation)
 }
 
-/// Maps the result code of a failed order to `OrderUncertain` if the order may nevertheless have been
-/// accepted.
+/// Maps the result code of a failed order to `OrderUncertain` if the order may nevertheless have
+/// been accepted.
 fn uncertain(code: ResultCode) -> ResultCode {
     match code {
         ResultCode::ControlTimeout | ResultCode::NotLeader => ResultCode::OrderUncertain,
--- a/crates/control/src/shard/load_snapshot_publisher.rs
+++ b/crates/control/src/shard/load_snapshot_publisher.rs
@@ -56,8 +56,8 @@
     }
 
     /// Records that snapshots of this total size, in bytes, were sent, and schedules the next ones.
-    /// Large snapshots are sent less often, so that their share of a node's control traffic stays bounded; between
-    /// snapshots the nodes rely on their own in-flight counts.
+    /// Large snapshots are sent less often, so that their share of a node's control traffic stays
+    /// bounded; between snapshots the nodes rely on their own in-flight counts.
     pub fn record_sent(&mut self, now: MonotonicTime, bytes: usize) {
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
         let (rate, period) = if self.is_small_site {
--- a/crates/control/src/shard/repair.rs
+++ b/crates/control/src/shard/repair.rs
@@ -12,7 +12,8 @@
     pub node: NodeId,
     /// Time of its last message to the leader; the leader's election if there was none since.
     pub last_contact: MonotonicTime,
-    /// Whether it holds every committed entry.
+    /// Whether it was in contact recently and lacks few enough committed entries to be promoted;
+    /// see [`millford_replication::PeerStatus::caught_up`]. Always true for the leader itself.
     pub caught_up: bool,
 }
 
@@ -69,8 +70,8 @@
 /// Decides membership changes, one at a time.
 ///
 /// The standby first catches up as a learner, then the lost voter is removed, then the learner is
-/// promoted. So a replica votes only once it holds every committed entry, and a quorum never
-/// includes one that does not.
+/// promoted. So a replica gets a vote only when it lacks at most a few committed entries, and the
+/// new quorum does not have to wait for its catch-up.
 #[derive(Clone, Copy, Debug)]
 pub struct RepairPolicy {
     /// Time without contact after which a replica counts as lost.
--- a/crates/control/src/shard/replica_status.rs
+++ b/crates/control/src/shard/replica_status.rs
@@ -20,7 +20,8 @@
     pub leader: NodeId,
     /// The replica's current term.
     pub term: u64,
-    /// Whether the replica is in contact with the shard's quorum, directly or through its leader.
+    /// Whether the replica is a voter of the group, is in contact with the shard's quorum, directly
+    /// or through its leader, and can store entries.
     pub has_quorum: bool,
     /// Whether the replica was removed from the group.
     pub removed: bool,
