--- a/crates/replication/src/leadership.rs
+++ b/crates/replication/src/leadership.rs
@@ -93,8 +93,8 @@
         })
     }
 
-    /// On a leader: the oldest last contact within the most recently contacted quorum, counting this
-    /// replica as in contact now. `None` on other replicas.
+    /// On a leader: the earliest of the last contacts within the most recently contacted quorum,
+    /// counting this replica as in contact now. `None` on other replicas.
     pub(crate) fn last_quorum_contact(&self) -> Option<MonotonicTime> {
         let RoleState::Leader(state) = &self.role else {
             return None;
