--- a/crates/agent/src/quota/in_flight_requests.rs
+++ b/crates/agent/src/quota/in_flight_requests.rs
@@ -36,8 +36,8 @@
 
 /// Unanswered requests by id.
 ///
-/// A request is always sent again with the same id, to which the leader replies with the same grant.
-/// Tokens that it returns are no longer held by this node and must not be counted twice.
+/// A request is always sent again with the same id, to which the leader replies with the same
+/// grant. Tokens that it returns are no longer held by this node and must not be counted twice.
 #[derive(Clone, Debug, Default)]
 pub struct InFlightRequests {
     requests: BTreeMap<u64, InFlightRequest>,
