--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -243,8 +243,8 @@
     }
 }
 
-/// Removes the bytes of a batch for which there was not enough space. Returns the original error,
-/// or the error of the removal, which is final.
+/// Removes the bytes of a batch for which there was not enough space; does nothing after any other
+/// error. Returns the original error, or the error of the removal, which is final.
 fn undo_append(disk: &mut dyn Disk, segment: &Segment, error: StorageError) -> StorageError {
     if !error.is_full() {
         return error;
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -107,8 +107,8 @@
     target[HEADER_CHECKSUM_OFFSET..HEADER_BYTES].copy_from_slice(&header_checksum.to_le_bytes());
 }
 
-/// Converts a size or offset to a header field. Panics from 4 GiB on, which segments and entries
-/// are far below, so that a larger value is never written truncated.
+/// Converts a size or offset to a header field. Panics from 4 GiB on, so that a larger value is
+/// never written truncated; segments and entries are far smaller.
 fn field_value(value: usize) -> u32 {
     u32::try_from(value).expect("log segments are smaller than 4 GiB")
 }
