--- a/crates/registry/src/view.rs
+++ b/crates/registry/src/view.rs
@@ -47,7 +47,7 @@
     /// Version of the model.
     #[serde(default)]
     pub version: String,
-    /// Pipeline stage, by the platform's name for it.
+    /// Name of the pipeline stage, as the platform defines it.
     #[serde(default)]
     pub stage: String,
     /// Names of the loaded adapters.
