--- a/crates/transport/src/codec.rs
+++ b/crates/transport/src/codec.rs
@@ -12,7 +12,7 @@
 /// Error that ends a connection.
 #[derive(Debug, thiserror::Error)]
 pub enum TransportError {
-    /// The socket failed.
+    /// The socket failed, or a frame is larger than [`MAX_FRAME_BYTES`].
     #[error("connection failed: {0}")]
     Io(#[from] std::io::Error),
     /// The bytes are not a message of the expected type.
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -30,8 +30,8 @@
     accept(stream)
 }
 
-/// Wraps an accepted socket in framed halves. Disables Nagle's algorithm, because messages are small
-/// and latency matters.
+/// Wraps a connected socket in framed halves. Disables Nagle's algorithm, because messages are
+/// small and latency matters.
 ///
 /// # Errors
 /// [`TransportError::Io`] when the socket is already closed.
