--- a/crates/control/src/daemon/connections.rs
+++ b/crates/control/src/daemon/connections.rs
@@ -25,7 +25,7 @@
 /// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A link is closed when a write does not finish within this time.
+/// Timeout for writing a batch of frames, after which the link is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Opens links on behalf of the gateway.
--- a/crates/control/src/daemon/shard_thread.rs
+++ b/crates/control/src/daemon/shard_thread.rs
@@ -49,7 +49,8 @@
         })
     }
 
-    /// Queues an input. It is dropped if the thread has ended, which it has reported to the gateway.
+    /// Queues an input. It is dropped if the thread has ended, which it has reported to the
+    /// gateway.
     pub fn send(&self, input: ShardInput) {
         let _ = self.queue.send(ThreadMessage::Input(Box::new(input)));
     }
--- a/crates/control/src/gateway/core/formation.rs
+++ b/crates/control/src/gateway/core/formation.rs
@@ -154,7 +154,8 @@
             .record_event(NodeEvent::JoinedAsStandby(reply.cluster_id));
     }
 
-    /// Starts a replica that the shard's leader places on this node. Returns whether it was started.
+    /// Starts a replica that the shard's leader places on this node. Returns whether it was
+    /// started.
     pub(super) fn adopt_shard(&mut self, shard: ShardId) -> bool {
         if !self.store.is_formed() || self.decommission.is_some() {
             return false;
--- a/crates/control/src/gateway/core/membership.rs
+++ b/crates/control/src/gateway/core/membership.rs
@@ -42,8 +42,8 @@
             .submit(now, Origin::MemberList, request, REGISTRATION_PERIOD);
     }
 
-    /// Whether this node's copy of the list is current. With an outdated copy, the node may have been
-    /// removed from the list without having learned of it, and must not register again.
+    /// Whether this node's copy of the list is current. With an outdated copy, the node may have
+    /// been removed from the list without having learned of it, and must not register again.
     fn has_current_member_list(&self) -> bool {
         match self.replicas.get(ShardId::CONFIGURATION) {
             Some(replica) => replica.has_quorum,
--- a/crates/control/src/gateway/core/mod.rs
+++ b/crates/control/src/gateway/core/mod.rs
@@ -259,8 +259,8 @@
         }
     }
 
-    /// Returns whether the node's file was stored. If not, the process exits, because the node could
-    /// not keep the guarantees that depend on the file.
+    /// Returns whether the node's file was stored. If not, the process exits, because the node
+    /// could not keep the guarantees that depend on the file.
     fn require_saved(&mut self, saved: &Result<(), StorageError>) -> bool {
         if let Err(error) = saved {
             let code = storage_code(error);
--- a/crates/control/src/gateway/core/requests.rs
+++ b/crates/control/src/gateway/core/requests.rs
@@ -191,8 +191,8 @@
         }
     }
 
-    /// Chooses the node for an attempt: the leader named by the last reply, else the leader known to
-    /// this node's replica, else the connected nodes in turn.
+    /// Chooses the node for an attempt: the leader named by the last reply, else the leader known
+    /// to this node's replica, else the connected nodes in turn.
     fn target_of(&self, shard: ShardId, attempt: &Attempt) -> Option<NodeId> {
         let own = self.store.identity();
         let named = [attempt.hint, self.replicas.leader_of(shard)];
--- a/crates/control/src/gateway/core/shard_outputs.rs
+++ b/crates/control/src/gateway/core/shard_outputs.rs
@@ -99,7 +99,8 @@
         true
     }
 
-    /// Sends a frame to the agents of this node and, through the other control nodes, to all others.
+    /// Sends a frame to the agents of this node and, through the other control nodes, to all
+    /// others.
     fn send_to_all_agents(&mut self, body: &frame::Body) {
         self.send_to_own_agents(body);
         self.send_to_every_node(body);
--- a/crates/control/src/gateway/pending_requests.rs
+++ b/crates/control/src/gateway/pending_requests.rs
@@ -166,8 +166,8 @@
         })
     }
 
-    /// Takes the attempts that are due now. Each request is due again after [`RESEND_TIMEOUT`] unless it
-    /// is answered before.
+    /// Takes the attempts that are due now. Each request is due again after [`RESEND_TIMEOUT`]
+    /// unless it is answered before.
     pub fn take_due(&mut self, now: MonotonicTime) -> Vec<Attempt> {
         if now < self.next_due {
             return Vec::new();
--- a/crates/control/src/gateway/replica_table.rs
+++ b/crates/control/src/gateway/replica_table.rs
@@ -73,8 +73,8 @@
         self.statuses.insert(shard, unknown);
     }
 
-    /// Records a status reported by a core. Returns the previous one, or none if the core was stopped
-    /// in the meantime.
+    /// Records a status reported by a core. Returns the previous one, or none if the core was
+    /// stopped in the meantime.
     pub(super) fn update(
         &mut self,
         now: MonotonicTime,
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -90,8 +90,8 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Handles several inputs with a single flush of each shard, as the shards' threads of the daemon
-    /// do with inputs that waited while the disk was busy.
+    /// Handles several inputs with a single flush of each shard, as the shards' threads of the
+    /// daemon do with inputs that waited while the disk was busy.
     pub fn handle_batch(&mut self, now: MonotonicTime, inputs: Vec<NodeInput>) -> Vec<NodeOutput> {
         self.batch = Some(BTreeSet::new());
         for input in inputs {
--- a/crates/control/src/node_event.rs
+++ b/crates/control/src/node_event.rs
@@ -15,8 +15,8 @@
     ClusterFormed(u64),
     /// This node joined the formed cluster with this identity, without replicas.
     JoinedAsStandby(u64),
-    /// This node erased its shards and continues under this new identity, because the cluster removed
-    /// the old one or a shard's storage is corrupt.
+    /// This node erased its shards and continues under this new identity, because the cluster
+    /// removed the old one or a shard's storage is corrupt.
     StartedOver(NodeId),
     /// This node's replica became the leader of a shard.
     Leader {
--- a/crates/control/src/shard/applied_state.rs
+++ b/crates/control/src/shard/applied_state.rs
@@ -67,8 +67,8 @@
     /// does not contain.
     ///
     /// # Errors
-    /// The snapshot cannot be decoded. Its bytes passed their checksum, so a newer release wrote it.
-    /// The state stays as it was.
+    /// The snapshot cannot be decoded. Its bytes passed their checksum, so a newer release wrote
+    /// it. The state stays as it was.
     pub(super) fn restore(
         &mut self,
         snapshot: &RestoredSnapshot,
@@ -91,7 +91,8 @@
         self.snapshot_index = 0;
     }
 
-    /// Applies a committed entry. Returns the command and its outcome, if the entry holds a command.
+    /// Applies a committed entry. Returns the command and its outcome, if the entry holds a
+    /// command.
     pub(super) fn apply(&mut self, entry: &LogEntry) -> Option<AppliedCommand> {
         let Some(Payload::Command(bytes)) = &entry.payload else {
             self.machine.skip(entry.index, entry.term);
--- a/crates/control/src/shard/catalogue_reconciler.rs
+++ b/crates/control/src/shard/catalogue_reconciler.rs
@@ -58,7 +58,7 @@
         self.due = true;
     }
 
-    /// Follows changes of the configuration's pools.
+    /// Applies changes of the configuration's pools.
     pub(super) fn apply_configuration(&mut self, items: &[StateItem]) {
         for item in items {
             let Some(name) = item.key.strip_prefix(POOL_PREFIX) else {
@@ -86,8 +86,8 @@
             .collect()
     }
 
-    /// Compares if a comparison is due, and returns the updates to propose. A service with an update
-    /// still in flight is compared again at the next tick.
+    /// Compares if a comparison is due, and returns the updates to propose. A service with an
+    /// update still in flight is compared again at the next tick.
     pub(super) fn take_updates(
         &mut self,
         machine: &ShardMachine,
--- a/crates/control/src/shard/core.rs
+++ b/crates/control/src/shard/core.rs
@@ -64,8 +64,8 @@
     /// Opens the shard's storage and its replica.
     ///
     /// # Errors
-    /// The storage cannot be opened. After [`StorageError::Corrupt`] the node must start over under a
-    /// new identity.
+    /// The storage cannot be opened. After [`StorageError::Corrupt`] the node must start over under
+    /// a new identity.
     pub fn open(options: ShardCoreOptions, now: MonotonicTime) -> Result<Self, StorageError> {
         let shard = options.shard;
         let layout = options.layout;
--- a/crates/control/src/shard/feed_service.rs
+++ b/crates/control/src/shard/feed_service.rs
@@ -69,8 +69,8 @@
         to_outputs(self.publisher.progress())
     }
 
-    /// Ends every feed as stale, because this replica may fall behind; the agents connect to another
-    /// node.
+    /// Ends every feed as stale, because this replica may fall behind; the agents connect to
+    /// another node.
     pub(super) fn end_as_stale(&mut self) -> Vec<ShardOutput> {
         to_outputs(self.publisher.notify_stale())
     }
--- a/crates/control/src/shard/load_snapshot_publisher.rs
+++ b/crates/control/src/shard/load_snapshot_publisher.rs
@@ -69,8 +69,8 @@
         self.next_at = now + paced.max(period);
     }
 
-    /// The loads that changed since the last snapshot, or all of them when a full snapshot is due. A
-    /// replica that is no longer reported is listed once more, as idle.
+    /// The loads that changed since the last snapshot, or all of them when a full snapshot is due.
+    /// A replica that is no longer reported is listed once more, as idle.
     pub fn difference(
         &mut self,
         now: MonotonicTime,
--- a/crates/control/src/shard/placement_controller.rs
+++ b/crates/control/src/shard/placement_controller.rs
@@ -112,8 +112,8 @@
 
     /// Plans the pools when planning is due. Pools with a placement still in flight are left out.
     ///
-    /// The epoch of a placement is the leader's term. The term of a former leader is smaller, so its
-    /// placement is refused by every replica and ignored by every node.
+    /// The epoch of a placement is the leader's term. The term of a former leader is smaller, so
+    /// its placement is refused by every replica and ignored by every node.
     pub(super) fn take_plans(
         &mut self,
         now: MonotonicTime,
--- a/crates/control/src/shard/proposals.rs
+++ b/crates/control/src/shard/proposals.rs
@@ -47,8 +47,8 @@
         (pending.term == term).then_some(pending.purpose)
     }
 
-    /// Removes all proposals after leadership was lost. Whether they will be committed is unknown to
-    /// this replica.
+    /// Removes all proposals after leadership was lost. Whether they will be committed is unknown
+    /// to this replica.
     pub(super) fn take_all(&mut self) -> Vec<Purpose> {
         let pending = std::mem::take(&mut self.pending);
         pending.into_values().map(|entry| entry.purpose).collect()
--- a/crates/control/src/shard/quota_service.rs
+++ b/crates/control/src/shard/quota_service.rs
@@ -36,7 +36,7 @@
         self.leases.resign();
     }
 
-    /// Follows changes of the tenants' quotas. The resulting recalls are sent with the next request
+    /// Applies changes of the tenants' quotas. The resulting recalls are sent with the next request
     /// or tick.
     pub(super) fn apply_configuration(&mut self, now: MonotonicTime, items: &[StateItem]) {
         for item in items {
--- a/crates/control/src/shard/shard_replica.rs
+++ b/crates/control/src/shard/shard_replica.rs
@@ -60,7 +60,8 @@
     /// Whether no other replica can have been elected leader yet.
     ///
     /// A successor may grant full quota leases as soon as it is elected. This leader must have
-    /// stopped granting by then, even if its thread ran late or it still waits for its first replies.
+    /// stopped granting by then, even if its thread ran late or it still waits for its first
+    /// replies.
     pub(super) fn excludes_successor(&self, now: MonotonicTime) -> bool {
         let contact = self.replica.status().leader_contact;
         contact.is_some_and(|contact| now.since(contact) < QUORUM_TIMEOUT)
@@ -110,8 +111,8 @@
         self.replica.step(now, message);
     }
 
-    /// Advances time. A stall, during which this process did not run, extends the election deadline,
-    /// because the leader may have sent messages meanwhile.
+    /// Advances time. A stall, during which this process did not run, extends the election
+    /// deadline, because the leader may have sent messages meanwhile.
     pub(super) fn tick(&mut self, now: MonotonicTime, stalled: Option<Duration>) {
         if let Some(stalled) = stalled {
             self.replica.defer_election_deadline(now, stalled);
--- a/crates/control/tests/committed_folders.rs
+++ b/crates/control/tests/committed_folders.rs
@@ -50,8 +50,8 @@
 /// Tenant, request id and attempt id of the run whose claim the folders contain.
 const RUN: (&str, &str, &str) = ("a", "request-1", "attempt-1");
 
-/// Writes the folders: three nodes form a cluster, accept two configurations, read a registry, drain
-/// a backend, open a session, settle a claim, and are stopped.
+/// Writes the folders: three nodes form a cluster, accept two configurations, read a registry,
+/// drain a backend, open a session, resolve a claim, and are stopped.
 fn write_folders() -> Cluster {
     let mut cluster = cluster_with_leaders(3, 24);
     accept(&mut cluster, "node-1", 0, "one", document(&["a"]));
--- a/crates/control/tests/daemon.rs
+++ b/crates/control/tests/daemon.rs
@@ -111,8 +111,8 @@
     assert!(node.is_ready(), "the node still serves");
 }
 
-/// Checks the HTTP status and the result code of requests that are refused; `own` is the identity of
-/// the node.
+/// Checks the HTTP status and the result code of requests that are refused; `own` is the identity
+/// of the node.
 fn check_invalid_requests(node: &Daemon, own: &str) {
     let survivors =
         format!(r#"{{"survivors":["{own}"],"confirm":"I accept that orders may be lost"}}"#);
--- a/crates/control/tests/support/cluster.rs
+++ b/crates/control/tests/support/cluster.rs
@@ -138,8 +138,8 @@
         machine.node = Some(node.expect("the node opens"));
     }
 
-    /// The first machines are each other's seeds. The seeds of a later one are the machines that run
-    /// when it is set up.
+    /// The first machines are each other's seeds. The seeds of a later one are the machines that
+    /// run when it is set up.
     fn seeds_for_a_new_machine(&self) -> Vec<String> {
         if self.machines.len() < self.seeds.len() {
             return self.seeds.clone();
@@ -207,8 +207,8 @@
         nodes.max().map(|(_, address)| address)
     }
 
-    /// Identities of the shard's voters, from its leader; empty without a leader or while a change is
-    /// not committed.
+    /// Identities of the shard's voters, from its leader; empty without a leader or while a change
+    /// is not committed.
     pub(crate) fn voters(&self, shard: ShardId) -> Vec<NodeId> {
         let Some(leader) = self.leader(shard) else {
             return Vec::new();
