--- a/crates/replication/src/election_backoff.rs
+++ b/crates/replication/src/election_backoff.rs
@@ -5,7 +5,7 @@
 /// Highest number of doublings of the election timeout: 2 to 4 s with the default timing.
 const MAX_DOUBLINGS: u32 = 2;
 
-/// Divides the election timeout of a replica that has not followed a leader since it was opened.
+/// Divisor of the election timeout of a replica that has not followed a leader since it was opened.
 ///
 /// When the whole group restarts after a power failure there is no leader, and the group is
 /// unavailable for as long as its replicas wait. A replica that restarts alone does not disrupt the
