--- a/crates/agent/src/agent_core/control.rs
+++ b/crates/agent/src/agent_core/control.rs
@@ -116,8 +116,8 @@
     }
 
     /// Returns whether the received configuration is older than the revision that the proxy has
-    /// applied. This happens after a restart of the agent, which loses its own state while the
-    /// proxy keeps its.
+    /// applied. This happens after a restart of the agent, which loses the agent's state but not
+    /// the proxy's.
     fn is_behind_proxy(&self) -> bool {
         self.revision() < self.proxy.applied_revision()
     }
