--- a/crates/registry/src/service_registry.rs
+++ b/crates/registry/src/service_registry.rs
@@ -17,6 +17,7 @@
 /// A registry that lists the backends. The list is eventually consistent: it lags behind the actual
 /// state of the backends.
 pub trait ServiceRegistry: Send + Sync {
-    /// Reads the complete list once. A list that is incomplete in any way is an error, never a view.
+    /// Reads the complete list once. A list that is incomplete in any way is an error, never a
+    /// view.
     fn read(&self) -> ReadFuture<'_>;
 }
--- a/crates/registry/src/view.rs
+++ b/crates/registry/src/view.rs
@@ -60,14 +60,15 @@
 pub struct RegistryView {
     /// The backends in the registry's order.
     pub backends: Vec<RegistryEntry>,
-    /// Number of requests that the read took; more than one if the registry returns its list in pages.
+    /// Number of requests that the read took; more than one if the registry returns its list in
+    /// pages.
     #[serde(skip)]
     pub requests: u32,
 }
 
 impl RegistryEntry {
-    /// The reported state. An unknown state counts as active, so that it does not stop the use of the
-    /// backend.
+    /// The reported state. An unknown state counts as active, so that it does not stop the use of
+    /// the backend.
     #[must_use]
     pub fn backend_state(&self) -> BackendState {
         match self.state.as_str() {
