--- a/crates/control/tests/committed_folders.rs
+++ b/crates/control/tests/committed_folders.rs
@@ -76,7 +76,7 @@
     let mut agent = TestAgent::connect(&mut cluster, "agent-1", "node-1", ShardId::CONFIGURATION);
     agent.open_session(&mut cluster, 7);
     assert_eq!(claim(&mut cluster, &mut agent, RUN.2), (true, 0));
-    let settle = ResolveClaim {
+    let resolve = ResolveClaim {
         tenant: RUN.0.to_owned(),
         request_id: RUN.1.to_owned(),
         attempt_id: RUN.2.to_owned(),
@@ -85,7 +85,7 @@
     agent.propose(
         &mut cluster,
         claims_shard(),
-        command::Kind::ResolveClaim(settle),
+        command::Kind::ResolveClaim(resolve),
     );
     assert_eq!(agent.reply(&mut cluster).code, ResultCode::Ok.number());
     cluster.run(Duration::from_secs(1));
