--- a/crates/proxy/src/request/admit.rs
+++ b/crates/proxy/src/request/admit.rs
@@ -93,7 +93,7 @@
     Err(overloaded(environment, plan))
 }
 
-/// Whether some backend is estimated to produce the first token in time.
+/// Returns whether some backend is estimated to produce the first token in time.
 fn has_capacity<E: RequestEnvironment>(environment: &E, plan: &RequestPlan) -> bool {
     let state = environment.state();
     let limit = first_token_limit(environment, plan.deadline);
--- a/crates/proxy/src/request/choose_backend.rs
+++ b/crates/proxy/src/request/choose_backend.rs
@@ -96,8 +96,8 @@
     }
 }
 
-/// Mean number of cores of the replicas' backends. Loads are counted per core, so the time that a
-/// request saves by affinity is divided by the cores too.
+/// Returns the mean number of cores of the replicas' backends. Loads are counted per core, so the
+/// time that a request saves by affinity is divided by the cores too.
 fn mean_cores_per_backend(replicas: &[&ServingReplica]) -> f64 {
     let cores = replicas.iter().map(|replica| replica.backend.cores.max(1));
     f64::from(cores.sum::<u32>()) / replicas.len().max(1) as f64
--- a/crates/proxy/src/request/claim_guard.rs
+++ b/crates/proxy/src/request/claim_guard.rs
@@ -100,7 +100,7 @@
     }
 }
 
-/// Digest of everything that determines the answer: the body, the stage and the adapter.
+/// Computes the digest of everything that determines the answer: body, stage and adapter.
 fn request_digest(chat: &ChatRequest, request: &CallerRequest) -> Vec<u8> {
     let mut hasher = Sha256::new();
     for part in [&chat.requested.stage, &chat.requested.adapter] {
@@ -111,7 +111,7 @@
     hasher.finalize().to_vec()
 }
 
-/// Refusal for a key that an earlier request claimed, depending on the outcome of that request.
+/// Returns the refusal for a key that an earlier request claimed, by the outcome of that request.
 fn claim_taken_refusal(outcome: RunOutcome) -> Refusal {
     match outcome {
         RunOutcome::RunCompleted => Refusal::may_have_run(ResultCode::AlreadyCompleted),
--- a/crates/proxy/src/request/failure.rs
+++ b/crates/proxy/src/request/failure.rs
@@ -15,7 +15,7 @@
     Failed,
 }
 
-/// How an attempt failed.
+/// Failure of an attempt, with the facts that decide whether the request may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptFailure {
     /// Result code for the caller.
@@ -24,12 +24,12 @@
     pub outcome: AttemptOutcome,
     /// Whether another backend may be tried.
     pub retryable: bool,
-    /// Time after which the backend asks for a retry, in milliseconds, if it sent one.
+    /// Time after which the backend asks for a retry, in milliseconds; absent if it sent none.
     pub retry_after_ms: Option<u32>,
 }
 
 impl AttemptFailure {
-    /// A failure that leaves it unknown whether the request ran.
+    /// Creates a retryable failure that leaves it unknown whether the request ran.
     #[must_use]
     pub fn unknown(code: ResultCode) -> Self {
         Self {
@@ -40,7 +40,8 @@
         }
     }
 
-    /// No connection was opened, so no byte was sent.
+    /// Creates the failure of an attempt for which no connection was opened, so that no byte was
+    /// sent.
     #[must_use]
     pub fn not_sent() -> Self {
         Self {
@@ -49,7 +50,9 @@
         }
     }
 
-    /// The backend refused the request before any work on it.
+    /// Creates the failure of an attempt that the backend refused before any work on it.
+    ///
+    /// `retry_after_ms` is the delay that the backend asks for; absent if it sent none.
     #[must_use]
     pub fn refused(retry_after_ms: Option<u32>) -> Self {
         Self {
@@ -59,7 +62,7 @@
         }
     }
 
-    /// The backend reported an error on its side.
+    /// Creates the failure of an attempt for which the backend reported an error on its side.
     #[must_use]
     pub fn backend_fault() -> Self {
         Self {
@@ -68,7 +71,8 @@
         }
     }
 
-    /// The backend rejected the request as invalid; another backend would do the same.
+    /// Creates the failure of a request that the backend rejected as invalid. It is not retryable,
+    /// since another backend would reject it too.
     #[must_use]
     pub fn request_fault() -> Self {
         Self {
--- a/crates/proxy/src/request/lookup.rs
+++ b/crates/proxy/src/request/lookup.rs
@@ -72,9 +72,9 @@
         Err(unserved) => {
             // Unlike a completion, a lookup whose caller disconnected always spends its request
             // token.
-            let is_refused_unrun =
+            let was_refused_before_run =
                 matches!(&unserved, Unserved::Refused(refusal) if refusal.run == RunState::NotRun);
-            if !is_refused_unrun {
+            if !was_refused_before_run {
                 quota.spend();
             }
             return Err(unserved);
--- a/crates/proxy/src/request/message.rs
+++ b/crates/proxy/src/request/message.rs
@@ -162,6 +162,7 @@
     Running,
     /// The request ran to its end.
     Finished,
-    /// The backend did not answer in time, or it does not know, for example after a restart.
+    /// The backend sent no valid answer in time, or it cannot tell, since it may have restarted
+    /// after it received the attempt.
     Unknown,
 }
--- a/crates/proxy/src/request/plan.rs
+++ b/crates/proxy/src/request/plan.rs
@@ -36,7 +36,7 @@
 }
 
 impl RequestPlan {
-    /// Whether the request may be sent to a second backend.
+    /// Returns whether the request may be sent to a second backend.
     #[must_use]
     pub fn is_repeatable(&self) -> bool {
         self.route.repeatable
--- a/crates/proxy/src/request/quota_guard.rs
+++ b/crates/proxy/src/request/quota_guard.rs
@@ -14,7 +14,7 @@
     environment: &'a E,
     tenant: String,
     stream: bool,
-    used: bool,
+    spent: bool,
 }
 
 impl<'a, E: RequestEnvironment> QuotaGuard<'a, E> {
@@ -38,7 +38,7 @@
                 environment,
                 tenant: plan.tenant.clone(),
                 stream: plan.stream,
-                used: false,
+                spent: false,
             }),
             AdmissionReply::Refused {
                 code,
@@ -47,21 +47,21 @@
         }
     }
 
-    /// Marks the request token as spent, since the request was sent.
+    /// Marks the request token as spent, so that dropping the guard does not return it.
     pub fn spend(&mut self) {
-        self.used = true;
+        self.spent = true;
     }
 }
 
 impl<E: RequestEnvironment> Drop for QuotaGuard<'_, E> {
     fn drop(&mut self) {
-        if self.used && !self.stream {
+        if self.spent && !self.stream {
             return;
         }
         self.environment.release_quota(QuotaRelease {
             tenant: self.tenant.clone(),
             stream: self.stream,
-            unused: !self.used,
+            unused: !self.spent,
         });
     }
 }
--- a/crates/proxy/src/request/record.rs
+++ b/crates/proxy/src/request/record.rs
@@ -1,4 +1,5 @@
-//! The record of a request for metrics and logs. It never holds the key, the prompt or the answer.
+//! The record of a request for metrics and logs. It never holds the caller's key, the
+//! prompt or the answer.
 
 use millford_core::ResultCode;
 
--- a/crates/proxy/src/request/refusal.rs
+++ b/crates/proxy/src/request/refusal.rs
@@ -24,7 +24,7 @@
 }
 
 impl Refusal {
-    /// A refusal of a request that did not run.
+    /// Creates the refusal of a request that did not run, with the code's default retry delay.
     #[must_use]
     pub fn not_run(code: ResultCode) -> Self {
         Self {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// A refusal of a request that may have run.
+    /// Creates the refusal of a request that may have run, with the code's default retry delay.
     #[must_use]
     pub fn may_have_run(code: ResultCode) -> Self {
         Self {
--- a/crates/proxy/src/request/stream_watch.rs
+++ b/crates/proxy/src/request/stream_watch.rs
@@ -13,7 +13,8 @@
 
 /// The time between two checks counts as inactivity for at most this many check intervals.
 ///
-/// While the whole process was suspended, a lack of chunks is no sign of a fault in the backend.
+/// The limit keeps a suspension of the whole process, during which a lack of chunks is no sign of a
+/// fault, from counting in full as inactivity of the backend.
 const MAX_COUNTED_INTERVALS: u32 = 2;
 
 /// Inactivity of this many timeouts interrupts a stream even if no other backend responds.
--- a/crates/proxy/tests/bad_inputs/cases.rs
+++ b/crates/proxy/tests/bad_inputs/cases.rs
@@ -26,7 +26,7 @@
     format!("authorization: Bearer {KEY}\r\ncontent-type: application/json\r\n{extra}")
 }
 
-/// A case that differs from a valid request only in its body.
+/// Builds a case that differs from a valid request only in its body.
 fn body_case(name: &'static str, body: &str, status: u16, code: ResultCode) -> Case {
     case(name, post(&headers(""), body), status, code)
 }
--- a/crates/proxy/tests/capacity.rs
+++ b/crates/proxy/tests/capacity.rs
@@ -89,7 +89,7 @@
                 0 => Script::LoseBeforeHead,
                 1 => status(503, true),
                 2 => Script::NeverAnswer,
-                3 => stream(chunks(0..2), Step::Disconnected(millford_proxy::request::message::AnswerError::Disconnected)),
+                3 => stream(chunks(0..2), Step::Fail(millford_proxy::request::message::AnswerError::Disconnected)),
                 4 => Script::RefuseConnection,
                 _ => complete_stream(0, 3),
             });
--- a/crates/proxy/tests/stream_continuity.rs
+++ b/crates/proxy/tests/stream_continuity.rs
@@ -55,11 +55,11 @@
         (raw("data: not json\n\n"), ResultCode::StreamOutOfOrder),
         (raw("event: error\ndata: {}\n\n"), ResultCode::BackendError),
         (
-            Step::Disconnected(AnswerError::Disconnected),
+            Step::Fail(AnswerError::Disconnected),
             ResultCode::BackendLost,
         ),
         (
-            Step::Disconnected(AnswerError::Malformed),
+            Step::Fail(AnswerError::Malformed),
             ResultCode::AnswerTruncated,
         ),
     ];
@@ -97,7 +97,7 @@
 fn a_repeatable_request_is_retried_before_its_first_chunk() {
     for script in [
         Script::LoseBeforeHead,
-        stream(Vec::new(), Step::Disconnected(AnswerError::Disconnected)),
+        stream(Vec::new(), Step::Fail(AnswerError::Disconnected)),
     ] {
         let environment = without_resume().with_backends(&["b1", "b2"]).environment();
         environment.fill_retry_budget(1);
@@ -224,7 +224,8 @@
     assert!(sink.response().is_done());
 }
 
-/// An answer that continues the run at the requested sequence number, with the end marker alone.
+/// Scripts an answer that continues the run at the requested sequence number, with the end marker
+/// alone.
 fn resumed() -> AnswerScript {
     // The stream in the test has ten chunks per second and moves 900 ms after the start of the
     // drain.
@@ -243,7 +244,7 @@
 }
 
 fn serve_lost_then(environment: &ScriptedEnvironment, then: Script) -> CallerResponse {
-    let lost = stream(chunks(0..3), Step::Disconnected(AnswerError::Disconnected));
+    let lost = stream(chunks(0..3), Step::Fail(AnswerError::Disconnected));
     serve_first_then(environment, lost, then)
 }
 
--- a/crates/proxy/tests/support/environment.rs
+++ b/crates/proxy/tests/support/environment.rs
@@ -250,7 +250,7 @@
                     continue;
                 }
                 Step::Inactivity => pending().await,
-                Step::Disconnected(error) => return Err(error),
+                Step::Fail(error) => return Err(error),
                 Step::Chunk(sequence) => chunk(&self.run, sequence),
                 Step::ChunkOfRun(run, sequence) => chunk(&run, sequence),
                 Step::Raw(bytes) => bytes,
--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -46,7 +46,7 @@
 }
 
 impl Fixture {
-    /// A configuration whose model route is not repeatable and never resumes a stream.
+    /// Creates a configuration whose model route is not repeatable and never resumes a stream.
     pub(crate) fn not_repeatable() -> Self {
         Self {
             repeatable: false,
@@ -198,7 +198,7 @@
     }
 }
 
-/// A completion request of [`TENANT`].
+/// Builds a completion request of [`TENANT`].
 pub(crate) fn request(stream: bool) -> CallerRequest {
     let messages = r#"[{"role":"user","content":"Caption panel one."}]"#;
     let body = format!(r#"{{"model":"saga","stream":{stream},"messages":{messages}}}"#);
@@ -214,7 +214,7 @@
     }
 }
 
-/// A completion request of [`TENANT`] with an idempotency key.
+/// Builds a completion request of [`TENANT`] with an idempotency key.
 pub(crate) fn keyed_request(stream: bool) -> CallerRequest {
     let mut request = request(stream);
     request.headers.idempotency_key = Some("order-17".to_owned());
--- a/crates/proxy/tests/support/raw_backend.rs
+++ b/crates/proxy/tests/support/raw_backend.rs
@@ -6,7 +6,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Returns the bytes to answer a request with; none means that the request is never answered.
+/// Returns the bytes to answer a request with; empty if the request is never answered.
 pub(crate) type Answer = Arc<dyn Fn(&RawRequest) -> Vec<u8> + Send + Sync>;
 
 /// A request as the backend received it.
@@ -89,14 +89,14 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// A completion request with this body and `connection: close`.
+/// Builds a completion request with this body and `connection: close`.
 pub(crate) fn post(headers: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     let head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\n";
     format!("{head}{headers}content-length: {length}\r\n\r\n{body}").into_bytes()
 }
 
-/// A GET request with `connection: close`.
+/// Builds a GET request with `connection: close`.
 pub(crate) fn get(path: &str, headers: &str) -> Vec<u8> {
     format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n{headers}\r\n").into_bytes()
 }
--- a/crates/proxy/tests/support/script.rs
+++ b/crates/proxy/tests/support/script.rs
@@ -17,8 +17,8 @@
     Raw(Bytes),
     /// Sends the end marker.
     Done,
-    /// Fails with this error.
-    Disconnected(AnswerError),
+    /// Ends the body with this error.
+    Fail(AnswerError),
     /// Sends nothing more and keeps the connection open.
     Inactivity,
 }
@@ -83,25 +83,25 @@
     }
 }
 
-/// Steps that send these chunks 10 ms apart, without an end marker.
+/// Returns steps that send these chunks 10 ms apart, without an end marker.
 pub(crate) fn chunks(sequences: std::ops::Range<u64>) -> Vec<Step> {
     let steps = sequences
         .flat_map(|sequence| [Step::Wait(Duration::from_millis(10)), Step::Chunk(sequence)]);
     steps.collect()
 }
 
-/// A complete stream of `count` chunks from number `first` on.
+/// Scripts a complete stream of `count` chunks from number `first` on.
 pub(crate) fn complete_stream(first: u64, count: u64) -> Script {
     stream(chunks(first..first + count), Step::Done)
 }
 
-/// A stream with these steps and this last step.
+/// Scripts a stream with these steps and this last step.
 pub(crate) fn stream(mut steps: Vec<Step>, end: Step) -> Script {
     steps.push(end);
     Script::Answer(AnswerScript::new(steps))
 }
 
-/// A complete plain answer.
+/// Scripts a complete plain answer with status 200.
 pub(crate) fn plain(body: &str) -> Script {
     let steps = vec![Step::Raw(Bytes::copy_from_slice(body.as_bytes()))];
     Script::Answer(AnswerScript {
@@ -110,7 +110,7 @@
     })
 }
 
-/// An answer with this status and no body.
+/// Scripts an answer with this status and no body.
 pub(crate) fn status(status: u16, not_run: bool) -> Script {
     Script::Answer(AnswerScript {
         status,
--- a/crates/proxy/tests/support/stub_agent.rs
+++ b/crates/proxy/tests/support/stub_agent.rs
@@ -31,7 +31,7 @@
     (address, received)
 }
 
-/// A frame on which the stub closes the connection, as if the agent had crashed.
+/// Returns a frame on which the stub closes the connection, as if the agent had crashed.
 pub(crate) fn disconnect_frame() -> local_frame::Body {
     local_frame::Body::Applied(ProxyApplied { revision: u64::MAX })
 }
