--- a/crates/simulation/src/checkers/guarantee.rs
+++ b/crates/simulation/src/checkers/guarantee.rs
@@ -29,7 +29,7 @@
     SecondSends,
     /// A draining or unavailable backend gets no new request after three seconds.
     Drain,
-    /// Acknowledged revisions are durable.
+    /// Acknowledged revisions are durable, and no read returns an older one.
     Durability,
     /// Every proxy node serves again within twelve seconds of the last fault.
     Recovery,
--- a/crates/simulation/src/checkers/totals.rs
+++ b/crates/simulation/src/checkers/totals.rs
@@ -21,7 +21,7 @@
 }
 
 impl Checker for TotalsChecker {
-    fn observe(&mut self, _at: MonotonicTime, record: &Record, _verdict: &mut CheckResults) {
+    fn observe(&mut self, _at: MonotonicTime, record: &Record, _results: &mut CheckResults) {
         match record {
             Record::RequestSent(_) => self.requests += 1,
             Record::RequestEnded {
--- a/crates/simulation/src/history/client_request.rs
+++ b/crates/simulation/src/history/client_request.rs
@@ -18,7 +18,7 @@
 /// How the route handles a stream whose backend is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResumeRule {
-    /// The stream ends.
+    /// The stream ends; no backend continues it.
     Never,
     /// The stream may start over as long as no chunk has been sent to the caller.
     FromStart,
@@ -29,7 +29,7 @@
 /// A request that a caller sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestSent {
-    /// Number of this send.
+    /// Number of this send; a resend has another.
     pub client_request: RequestNumber,
     /// Content of the request; a resend has the same.
     pub content: ContentNumber,
@@ -67,7 +67,7 @@
     Complete,
     /// The proxy returned an error, or an error event within a stream.
     Refused {
-        /// Numbered result code.
+        /// Result code in the error.
         code: ResultCode,
         /// Whether the answer says that the request did not run.
         run: RunState,
--- a/crates/simulation/src/history/record.rs
+++ b/crates/simulation/src/history/record.rs
@@ -29,31 +29,31 @@
     /// A proxy received a client request. Requests to a frozen proxy are queued and arrive when it
     /// continues.
     RequestArrived {
-        /// The client request.
+        /// Number of the request that arrived.
         client_request: RequestNumber,
     },
     /// A proxy admitted a client request under its tenant's quota.
     Admitted {
-        /// The client request.
+        /// Number of the request that was admitted.
         client_request: RequestNumber,
     },
     /// The quota token of an admitted client request was returned, since no attempt was sent.
     AdmissionReturned {
-        /// The client request.
+        /// Number of the request whose token was returned.
         client_request: RequestNumber,
     },
     /// A chunk of an answer reached the caller.
     ChunkReceived {
         /// The client request on whose connection it arrived.
         client_request: RequestNumber,
-        /// The chunk.
+        /// Content, run and position of the chunk.
         chunk: Chunk,
     },
     /// A client request ended for its caller.
     RequestEnded {
-        /// The client request.
+        /// Number of the request that ended.
         client_request: RequestNumber,
-        /// Kind of end.
+        /// Kind of end, as observed by the caller.
         end: RequestEnd,
         /// Configuration revision in the answer; absent without an answer.
         revision: Option<u64>,
@@ -62,7 +62,7 @@
     Dispatched {
         /// The client request that is served.
         client_request: RequestNumber,
-        /// The attempt.
+        /// Number of the attempt: a hash of its id.
         attempt: AttemptNumber,
         /// Proxy node that sent it.
         proxy_node: ProxyNodeNumber,
@@ -73,20 +73,20 @@
     },
     /// A request reached a backend.
     BackendReceived {
-        /// The backend.
+        /// Backend that received the request.
         backend: BackendNumber,
-        /// The attempt.
+        /// Number of the attempt that sent the request.
         attempt: AttemptNumber,
         /// Whether the request contains a tenant key.
         key_seen: bool,
     },
     /// A backend started to run an attempt.
     BackendStarted {
-        /// The backend.
+        /// Backend that runs the attempt.
         backend: BackendNumber,
-        /// The attempt.
+        /// Attempt that is run.
         attempt: AttemptNumber,
-        /// Content of the request.
+        /// Content of the request that is run.
         content: ContentNumber,
         /// Number of the run, a hash of its id.
         run: u64,
@@ -95,37 +95,37 @@
     },
     /// A backend completed an attempt.
     BackendFinished {
-        /// The attempt.
+        /// Attempt that was completed.
         attempt: AttemptNumber,
-        /// Content of the request.
+        /// Content of the request that was run.
         content: ContentNumber,
         /// Number of chunks of the complete run.
         chunks: u64,
     },
     /// The registry lists the backend as draining, or the backend crashed or stopped responding.
     BackendUnavailable {
-        /// The backend.
+        /// Backend that should no longer get new requests.
         backend: BackendNumber,
     },
     /// The backend accepts work again.
     BackendAvailable {
-        /// The backend.
+        /// Backend that may get new requests again.
         backend: BackendNumber,
     },
     /// An operator sent an order.
     OrderSent {
-        /// The order.
+        /// Number of the order; a resend has the same.
         order: OrderNumber,
         /// Base revision of the order.
         base: u64,
     },
     /// An operator received the answer to an order, or timed out.
     OrderAnswered {
-        /// The order.
+        /// Number of the order; a resend has the same.
         order: OrderNumber,
         /// Base revision of the order.
         base: u64,
-        /// The answer.
+        /// Answer of the control node; undecided after a timeout.
         answer: OrderAnswer,
     },
     /// An accepted order removed a tenant key.
@@ -139,7 +139,7 @@
     RevisionApplied {
         /// Proxy node of the proxy.
         proxy_node: ProxyNodeNumber,
-        /// The revision.
+        /// Revision that the proxy routes by from now on.
         revision: u64,
     },
     /// A proxy started. Until it is ready it applies no revision and serves no request.
@@ -149,7 +149,7 @@
     },
     /// A process of a proxy node runs again after a freeze or a restart.
     ProxyNodeResumed {
-        /// The proxy node.
+        /// Proxy node whose agent or proxy runs again.
         proxy_node: ProxyNodeNumber,
     },
     /// A control node answered a linearizable read of the configuration.
@@ -163,14 +163,14 @@
     },
     /// An operator received the acceptance of a revision for the first time.
     RevisionWritten {
-        /// The revision.
+        /// Revision that was accepted.
         revision: u64,
-        /// Digest of its document.
+        /// Digest of the document that the order set.
         digest: u64,
     },
     /// The agent of a proxy node connected to the control plane, or lost its connection.
     AgentConnectivity {
-        /// The proxy node.
+        /// Proxy node that the agent runs on.
         proxy_node: ProxyNodeNumber,
         /// Whether the agent is connected now.
         connected: bool,
--- a/crates/simulation/src/network/links.rs
+++ b/crates/simulation/src/network/links.rs
@@ -8,7 +8,7 @@
 use crate::network::packet::Packet;
 use crate::network::process_id::ProcessId;
 
-/// Connections by number.
+/// Connections that were started and not yet removed, by number.
 #[derive(Default)]
 pub struct Links {
     links: BTreeMap<LinkNumber, Link>,
--- a/crates/simulation/src/network/packet.rs
+++ b/crates/simulation/src/network/packet.rs
@@ -24,7 +24,7 @@
 /// Message of the backend protocol, in place of HTTP.
 #[derive(Clone, Debug)]
 pub enum HttpPacket {
-    /// A complete request.
+    /// Headers and complete body of a request.
     Request(Box<BackendRequest>),
     /// Status and headers of an answer.
     Head(Box<AnswerHead>),
@@ -34,14 +34,14 @@
     Finish,
     /// Request to withdraw an attempt.
     Withdraw {
-        /// Id of the attempt.
+        /// Id of the attempt to withdraw.
         attempt: String,
         /// Upper bound of the attempt's age.
         age: Duration,
     },
     /// Answer to a withdrawal.
     WithdrawAnswer(WithdrawAnswer),
-    /// Health probe.
+    /// Health probe, which a backend answers with [`HttpPacket::ProbeAnswer`].
     Probe,
     /// Positive answer to a health probe.
     ProbeAnswer,
--- a/crates/simulation/src/runner/arguments.rs
+++ b/crates/simulation/src/runner/arguments.rs
@@ -30,19 +30,19 @@
     /// An argument is not a known option.
     #[error("unknown argument {argument:?}")]
     Unknown {
-        /// The argument.
+        /// Argument as given on the command line.
         argument: String,
     },
     /// The last option has no value.
     #[error("option {option} requires a value")]
     MissingValue {
-        /// The option.
+        /// Name of the option, with its dashes.
         option: String,
     },
     /// The value of an option is not an integer, or is out of range.
     #[error("option {option}: {value:?} is not an integer in the allowed range")]
     InvalidNumber {
-        /// The option.
+        /// Name of the option, with its dashes.
         option: String,
         /// Value on the command line.
         value: String,
--- a/crates/simulation/src/runner/run_report.rs
+++ b/crates/simulation/src/runner/run_report.rs
@@ -4,7 +4,7 @@
 use crate::scenario::{Bound, Expectation, Scenario};
 use crate::world::{RunOptions, Simulation};
 
-/// Results of a run.
+/// Results of one run of a scenario.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunReport {
     /// Seed of the run.
--- a/crates/simulation/src/scenario/draw.rs
+++ b/crates/simulation/src/scenario/draw.rs
@@ -13,7 +13,7 @@
     Network,
     /// Disks that are slow, stall, are full or fail to sync.
     Disks,
-    /// Clocks that drift.
+    /// Monotonic clocks that drift.
     Clocks,
     /// Backends that crash, freeze, are retired or answer wrongly, and a registry that stops changing.
     Backends,
--- a/crates/simulation/src/scenario/expectation.rs
+++ b/crates/simulation/src/scenario/expectation.rs
@@ -15,7 +15,7 @@
     SecondSends,
     /// Share of client requests that got a complete answer, in percent.
     Served,
-    /// Number of accepted orders.
+    /// Number of accepted orders, resends not counted.
     Orders,
 }
 
--- a/crates/simulation/src/scenario/fault.rs
+++ b/crates/simulation/src/scenario/fault.rs
@@ -145,7 +145,7 @@
     },
     /// Makes operators send orders in sequence, each as soon as the one before is accepted.
     Orders {
-        /// Number of orders.
+        /// Number of orders to send.
         count: u32,
     },
 }
--- a/crates/simulation/src/world/active_faults.rs
+++ b/crates/simulation/src/world/active_faults.rs
@@ -10,7 +10,7 @@
 /// An action that reverts a part of a fault when it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Undo {
-    /// Starts a process.
+    /// Starts a process that the fault ended, or a control node that replaces a lost one.
     Start(ProcessId),
     /// Marks a machine as up.
     MachineUp(MachineId),
@@ -18,9 +18,9 @@
     Thaw(ProcessId),
     /// Ends a partition in one direction.
     Heal {
-        /// Sending machine.
+        /// Machine whose packets were dropped.
         from: MachineId,
-        /// Receiving machine.
+        /// Machine that the packets were sent to.
         to: MachineId,
     },
     /// Makes the disk of a control node healthy.
--- a/crates/simulation/src/world/agent_process.rs
+++ b/crates/simulation/src/world/agent_process.rs
@@ -8,7 +8,7 @@
 
 /// An agent and its connections.
 pub struct AgentProcess {
-    /// Process of the agent.
+    /// Incarnation, clock and queued inputs.
     pub process: ProcessState,
     /// The agent's logic; absent while the process does not run.
     pub core: Option<AgentCore>,
--- a/crates/simulation/src/world/backend/answering.rs
+++ b/crates/simulation/src/world/backend/answering.rs
@@ -30,7 +30,7 @@
     pub attempt: String,
     /// Number of the attempt in the history.
     pub number: AttemptNumber,
-    /// Content of the request.
+    /// Content of the request, from which the number of chunks is derived.
     pub content: ContentNumber,
     /// Run id from the request.
     pub run: String,
--- a/crates/simulation/src/world/backend/backend_process.rs
+++ b/crates/simulation/src/world/backend/backend_process.rs
@@ -10,7 +10,7 @@
 use crate::world::backend::answering::Answering;
 use crate::world::process::ProcessState;
 
-/// Kind of backend.
+/// Kind of requests that a backend serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendKind {
     /// Serves model requests.
@@ -19,11 +19,11 @@
     Lookup,
 }
 
-/// A simulated backend.
+/// A simulated backend, with its requests in progress and the attempts that it has received.
 pub struct BackendProcess {
-    /// Process of the backend.
+    /// Incarnation, clock and queued inputs.
     pub process: ProcessState,
-    /// Kind of backend.
+    /// Whether the backend serves model requests or lookups.
     pub kind: BackendKind,
     /// Whether the platform retired the backend for good.
     pub retired: bool,
--- a/crates/simulation/src/world/callers.rs
+++ b/crates/simulation/src/world/callers.rs
@@ -30,7 +30,7 @@
 pub struct OpenRequest {
     /// The request as recorded in the history.
     pub sent: RequestSent,
-    /// Kind of the request.
+    /// Kind of the request, which determines its route.
     pub kind: RequestKind,
     /// Number of sends of the content, this one included.
     pub sends: u32,
@@ -44,11 +44,11 @@
 /// A request to send, for the first time or again.
 #[derive(Clone, Copy, Debug)]
 pub struct Submission {
-    /// Content of the request.
+    /// Content of the request; every resend has the same.
     pub content: ContentNumber,
     /// Tenant of the caller, from 0.
     pub tenant: u16,
-    /// Kind of the request.
+    /// Kind of the request, which determines its route.
     pub kind: RequestKind,
     /// Number of sends of the content, this one included.
     pub sends: u32,
@@ -68,7 +68,7 @@
     workload: Workload,
     topology: Topology,
     defect: Option<InjectedDefect>,
-    /// Tenants by number.
+    /// Keys that each tenant's callers use, by tenant number from 0.
     tenants: Vec<CallerTenant>,
     /// Client requests that are in progress or will be sent again.
     open_requests: BTreeMap<RequestNumber, OpenRequest>,
--- a/crates/simulation/src/world/control_process.rs
+++ b/crates/simulation/src/world/control_process.rs
@@ -11,7 +11,7 @@
 
 /// A control node with the disk of its machine.
 pub struct ControlProcess {
-    /// Process of the control node.
+    /// Incarnation, clock and queued inputs.
     pub process: ProcessState,
     /// Disk of the machine; it outlives the process.
     pub disk_image: Arc<Mutex<DiskImage>>,
--- a/crates/simulation/src/world/event.rs
+++ b/crates/simulation/src/world/event.rs
@@ -9,58 +9,58 @@
 pub enum Event {
     /// A process receives an input.
     Input {
-        /// The receiving process.
+        /// Process that receives the input.
         process: ProcessId,
         /// Incarnation that the input is for; another one ignores it.
         incarnation: u64,
-        /// The input.
+        /// Input to handle; it is queued while the process is frozen or busy.
         input: ProcessInput,
     },
     /// A process may be able to handle its queued inputs again.
     Ready {
-        /// The process.
+        /// Process whose queued inputs are handled.
         process: ProcessId,
         /// Incarnation that was busy or frozen.
         incarnation: u64,
     },
     /// A connection request reaches the acceptor.
     Connect {
-        /// The connection.
+        /// Connection that is being opened.
         link: LinkNumber,
         /// Number of earlier connection requests without an answer.
         attempts: u32,
     },
     /// The next packet of a connection arrives.
     Arrive {
-        /// The connection.
+        /// Connection that the packet was sent on.
         link: LinkNumber,
-        /// Direction of the packet.
+        /// Direction in which the packet was sent.
         direction: Direction,
     },
     /// A process sends a packet that waited for a sync of its disk.
     SendLater {
-        /// The sending process.
+        /// Process that sends the packet.
         process: ProcessId,
         /// Incarnation that produced the packet; another one does not send it.
         incarnation: u64,
-        /// The connection.
+        /// Connection to send the packet on.
         link: LinkNumber,
-        /// The packet.
+        /// Packet that waited for the sync.
         packet: Box<Packet>,
     },
     /// A process starts.
     Start {
-        /// The process.
+        /// Process to start; nothing happens if it already runs.
         process: ProcessId,
     },
     /// A planned fault begins.
     FaultBegins {
-        /// Number of the planned fault.
+        /// Number of the planned fault, from 0.
         fault: usize,
     },
     /// An active fault ends.
     FaultEnds {
-        /// Number of the active fault.
+        /// Number of the active fault, from 1.
         fault: u32,
     },
     /// A caller sends a new request.
@@ -91,7 +91,7 @@
     Registry(RegistryEvent),
     /// A process reads the registry.
     ReadRegistry {
-        /// The process.
+        /// Control node or agent that reads.
         process: ProcessId,
         /// Incarnation that reads; another one does not.
         incarnation: u64,
@@ -105,7 +105,7 @@
     Chunk(Chunk),
     /// The end of the answer.
     End {
-        /// Kind of end.
+        /// Kind of end, as observed by the caller.
         end: RequestEnd,
         /// Configuration revision in the head of the answer; absent without a head.
         revision: Option<u64>,
@@ -132,12 +132,12 @@
     NextRead,
     /// The reply to a request arrives.
     Reply {
-        /// Number of the request.
+        /// Number of the operator's request, unique in a run.
         request: u64,
     },
     /// The reply to a request is overdue, or the request is to be sent to another node.
     Timeout {
-        /// Number of the request.
+        /// Number of the operator's request, unique in a run.
         request: u64,
     },
     /// Every accepted order is to be sent again.
@@ -149,17 +149,17 @@
 pub enum RegistryEvent {
     /// A backend registers.
     Register {
-        /// Number of the backend.
+        /// Number of the backend, from 1.
         backend: u16,
     },
     /// The registry removes a backend, unless it runs again.
     Remove {
-        /// Number of the backend.
+        /// Number of the backend, from 1.
         backend: u16,
     },
     /// A retired backend shuts down.
     ShutDown {
-        /// Number of the backend.
+        /// Number of the backend, from 1.
         backend: u16,
     },
 }
--- a/crates/simulation/src/world/fault_driver.rs
+++ b/crates/simulation/src/world/fault_driver.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Records the begin of a fault that affects these machines, and schedules its end.
+    /// Records the start of a fault that affects these machines, and schedules its end.
     pub(super) fn begin_fault(
         &mut self,
         undo: Vec<Undo>,
--- a/crates/simulation/src/world/operators.rs
+++ b/crates/simulation/src/world/operators.rs
@@ -25,11 +25,11 @@
 /// An order of an operator.
 #[derive(Clone, Debug)]
 pub struct Order {
-    /// Number of the order.
+    /// Number of the order, from 1; a resend has the same.
     pub number: OrderNumber,
-    /// Base revision of the order.
+    /// Revision that the order is based on.
     pub base: u64,
-    /// Content of the new configuration.
+    /// Variable parts of the new configuration document.
     pub draft: Draft,
     /// Keys that the order revokes.
     pub revoked: Vec<RevokedKey>,
@@ -53,7 +53,7 @@
 struct LatestRevision {
     /// Number of the revision; 0 before the first.
     revision: u64,
-    /// Content of the configuration.
+    /// Variable parts of its configuration document.
     draft: Draft,
 }
 
--- a/crates/simulation/src/world/process.rs
+++ b/crates/simulation/src/world/process.rs
@@ -22,7 +22,7 @@
     pub incarnation: u64,
     /// Whether the process runs, frozen or not.
     pub running: bool,
-    /// Number of active freezes.
+    /// Number of active freezes; the process handles inputs only while it is 0.
     pub frozen: u32,
     /// Simulated time until which the process waits for its disk.
     pub busy_until: MonotonicTime,
--- a/crates/simulation/src/world/process_input.rs
+++ b/crates/simulation/src/world/process_input.rs
@@ -11,24 +11,24 @@
 pub enum ProcessInput {
     /// A connection is open.
     LinkOpened {
-        /// The connection.
+        /// Connection on which both sides may send now.
         link: LinkNumber,
         /// Whether the process accepted the connection; else it opened it.
         accepted: bool,
     },
     /// A connection ended or could not be opened.
     LinkClosed {
-        /// The connection.
+        /// Connection that ended or could not be opened.
         link: LinkNumber,
     },
     /// A packet arrived.
     Packet {
-        /// The connection.
+        /// Connection on which the packet arrived.
         link: LinkNumber,
-        /// The packet.
+        /// Packet that arrived.
         packet: Packet,
     },
-    /// Periodic tick.
+    /// The periodic tick of the process is due.
     Tick,
     /// A timer of a proxy's tasks may be due.
     Timer,
@@ -38,7 +38,7 @@
     Operator {
         /// Number of the request; the reply has the same.
         request: u64,
-        /// The request.
+        /// Order or read for the control node.
         body: Box<OperatorRequest>,
     },
     /// A client request arrived.
@@ -47,7 +47,7 @@
     CallerDisconnected(RequestNumber),
     /// The connect timeout of a connection to a backend expired.
     ConnectTimeout {
-        /// The connection.
+        /// Connection to close if it is not open yet.
         link: LinkNumber,
     },
     /// The timeout of a health probe expired.
@@ -59,7 +59,7 @@
     Reconnect,
     /// The backend must send the next part of an answer.
     Work {
-        /// The connection.
+        /// Connection on which the answer is sent.
         link: LinkNumber,
     },
 }
--- a/crates/simulation/src/world/proxy/answer.rs
+++ b/crates/simulation/src/world/proxy/answer.rs
@@ -20,7 +20,7 @@
 
 /// Closes the connection of an exchange when dropped.
 pub struct ExchangeGuard {
-    /// Port of the proxy.
+    /// Port of the proxy, to which the closing is passed.
     pub port: SharedPort,
     /// The exchange to close.
     pub exchange: ExchangeNumber,
--- a/crates/simulation/src/world/proxy/backend_links.rs
+++ b/crates/simulation/src/world/proxy/backend_links.rs
@@ -16,7 +16,7 @@
     Dispatch {
         /// The exchange that waits for the answer.
         exchange: ExchangeNumber,
-        /// The client request.
+        /// The client request that is served.
         client_request: RequestNumber,
         /// The request to send once the connection is open.
         request: Box<BackendRequest>,
@@ -25,14 +25,14 @@
     Withdraw {
         /// The exchange that waits for the answer.
         exchange: ExchangeNumber,
-        /// Id of the attempt.
+        /// Id of the attempt to withdraw.
         attempt: String,
         /// Upper bound of the attempt's age.
         age: Duration,
     },
     /// Probes the health of a backend.
     Probe {
-        /// Id of the backend.
+        /// Id of the backend that is probed.
         backend: String,
     },
 }
--- a/crates/simulation/src/world/proxy/environment.rs
+++ b/crates/simulation/src/world/proxy/environment.rs
@@ -25,7 +25,7 @@
 pub struct SimulatedEnvironment {
     /// Port of the proxy, which queues the actions.
     pub port: SharedPort,
-    /// State of the proxy.
+    /// State shared by all client requests of the proxy.
     pub state: Arc<ProxyState>,
     /// Client for requests to the agent.
     pub agent: Arc<AgentClient>,
--- a/crates/simulation/src/world/proxy/port.rs
+++ b/crates/simulation/src/world/proxy/port.rs
@@ -81,7 +81,7 @@
         self.last_number
     }
 
-    /// Returns a random number.
+    /// Returns a number from the proxy's own random number generator.
     pub fn random(&mut self) -> u64 {
         self.random.random()
     }
--- a/crates/simulation/src/world/proxy/proxy_process.rs
+++ b/crates/simulation/src/world/proxy/proxy_process.rs
@@ -58,13 +58,13 @@
 
 /// A proxy and its connections.
 pub struct ProxyProcess {
-    /// Process of the proxy.
+    /// Incarnation, clock and queued inputs.
     pub process: ProcessState,
     /// The running part; absent while the process does not run.
     pub running: Option<RunningProxy>,
-    /// Connection to the agent.
+    /// Connection to the agent on the same node.
     pub agent: AgentLink,
-    /// Connections to backends.
+    /// Connections to backends, with the purpose of each.
     pub backends: BackendLinks,
     /// Client requests of which any incarnation sent an attempt.
     dispatched: BTreeSet<RequestNumber>,
--- a/crates/simulation/src/world/proxy/sink.rs
+++ b/crates/simulation/src/world/proxy/sink.rs
@@ -18,9 +18,9 @@
 
 impl CallerPresence for PipePresence {
     fn disconnected(&self) -> impl Future<Output = ()> + Send {
-        let left = self.0.clone();
+        let disconnected = self.0.clone();
         async move {
-            let _ = left.await;
+            let _ = disconnected.await;
         }
     }
 }
--- a/crates/simulation/src/world/received_answer.rs
+++ b/crates/simulation/src/world/received_answer.rs
@@ -1,4 +1,4 @@
-//! Answer, as its caller receives it.
+//! An answer as its caller receives it.
 
 use millford_core::{ResultCode, RunState};
 use millford_proxy::request::caller::CallerHead;
@@ -28,14 +28,14 @@
 pub struct AnswerEnd {
     /// Chunks of a complete answer that is not a stream; else empty.
     pub chunks: Vec<Chunk>,
-    /// Kind of end.
+    /// Kind of end, as observed by the caller.
     pub end: RequestEnd,
     /// Configuration revision in the head; absent without a head.
     pub revision: Option<u64>,
 }
 
 impl ReceivedAnswer {
-    /// Stores the head.
+    /// Stores the status and the revision of the head.
     pub fn receive_head(&mut self, head: &CallerHead) {
         self.status = head.status;
         self.revision = Some(head.revision);
--- a/crates/simulation/src/world/service_registry.rs
+++ b/crates/simulation/src/world/service_registry.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Removes a backend.
+    /// Removes a backend from the list. As with every change, processes see it once the list is published.
     pub fn remove(&mut self, number: u16) {
         self.entries.remove(&number);
     }
--- a/crates/simulation/src/world/simulation.rs
+++ b/crates/simulation/src/world/simulation.rs
@@ -42,31 +42,31 @@
     pub(super) scenario: Scenario,
     /// Number of machines and tenants.
     pub(super) topology: Topology,
-    /// Options of the run.
+    /// Seed, output and injected defect of the run.
     pub(super) options: RunOptions,
-    /// Future events.
+    /// Scheduled events, ordered by simulated time.
     pub(super) queue: EventQueue<Event>,
     /// Random number generator, the only source of randomness.
     pub(super) random: ChaCha8Rng,
     /// Recorder of the history, with the checkers.
     pub(super) recorder: Recorder,
-    /// Connections.
+    /// Simulated TCP connections between processes.
     pub(super) links: Links,
-    /// Partitions between machines.
+    /// Active network partitions between machines.
     pub(super) partitions: PartitionTable,
-    /// Control nodes.
+    /// Control nodes by number, from 1; lost ones included.
     pub(super) controls: BTreeMap<u16, ControlProcess>,
-    /// Agents of the proxy nodes.
+    /// Agents, by the number of their proxy node, from 1.
     pub(super) agents: BTreeMap<u16, AgentProcess>,
-    /// Proxies of the proxy nodes.
+    /// Proxies, by the number of their proxy node, from 1.
     pub(super) proxies: BTreeMap<u16, ProxyProcess>,
-    /// Backends, retired ones included.
+    /// Backends by number, from 1; retired ones included.
     pub(super) backends: BTreeMap<u16, BackendProcess>,
-    /// The service registry.
+    /// Service registry of the platform, which lists the backends.
     pub(super) registry: ServiceRegistry,
-    /// Callers.
+    /// Callers with their keys and client requests.
     pub(super) callers: Callers,
-    /// Operators.
+    /// Operators with their orders and pending requests.
     pub(super) operators: Operators,
     /// Planned and active faults.
     pub(super) faults: ActiveFaults,
@@ -370,7 +370,7 @@
         }
     }
 
-    /// Ends a process abruptly.
+    /// Ends a process abruptly. `loss` determines whether its peers get the end of their connections.
     pub(super) fn kill_process(&mut self, process: ProcessId, loss: ProcessLoss) {
         let Some(state) = self.process_mut(process) else {
             return;
--- a/crates/simulation/src/world/targets.rs
+++ b/crates/simulation/src/world/targets.rs
@@ -72,7 +72,8 @@
         leaders.next().map(|(number, _)| *number)
     }
 
-    /// Returns whether every replica has at least three voters, all of them running nodes.
+    /// Returns whether every control node that is not lost runs and has replicas, and each of its replicas has
+    /// at least three voters, all of them such nodes.
     ///
     /// Only then may a fault destroy a disk, since the guarantee covers the loss of any one disk.
     #[must_use]
