--- a/crates/backend-model/src/prompt.rs
+++ b/crates/backend-model/src/prompt.rs
@@ -5,7 +5,7 @@
 /// Initial value of every chain, also the second multiplier of the mixing step.
 const CHAIN_START: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Returns the chain hash after `value`.
+/// Extends a chain hash by `value`.
 fn mix(chain: u64, value: u64) -> u64 {
     let mut mixed = (chain ^ value).wrapping_mul(MIX_MULTIPLIER);
     mixed ^= mixed >> 29;
@@ -13,14 +13,14 @@
     mixed ^ (mixed >> 32)
 }
 
-/// Returns the chain hashes of blocks that numbers stand for, as in generated workloads.
+/// Returns the chain hashes of blocks that are identified by numbers, as in generated workloads.
 #[must_use]
-pub fn chain_blocks(names: &[u64]) -> Vec<u64> {
+pub fn chain_blocks(block_ids: &[u64]) -> Vec<u64> {
     let mut chain = CHAIN_START;
-    names
+    block_ids
         .iter()
-        .map(|name| {
-            chain = mix(chain, *name);
+        .map(|block_id| {
+            chain = mix(chain, *block_id);
             chain
         })
         .collect()
@@ -30,7 +30,7 @@
 /// block is left out.
 #[must_use]
 pub fn text_blocks(text: &str, block_bytes: usize) -> Vec<u64> {
-    let names: Vec<u64> = text
+    let block_hashes: Vec<u64> = text
         .as_bytes()
         .chunks_exact(block_bytes.max(1))
         .map(|block| {
@@ -39,5 +39,5 @@
                 .fold(CHAIN_START, |hash, byte| mix(hash, u64::from(*byte)))
         })
         .collect();
-    chain_blocks(&names)
+    chain_blocks(&block_hashes)
 }
