--- a/crates/api/src/operator/error_body.rs
+++ b/crates/api/src/operator/error_body.rs
@@ -6,7 +6,7 @@
 /// Body of an error response: `{"error": {...}}`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// The error.
+    /// Code, description and details of the error.
     pub error: ErrorDetail,
     /// Configuration revision in force; set with [`ResultCode::RevisionConflict`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -25,10 +25,10 @@
     /// Whether a backend may have run the request; set only in responses to callers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub run: Option<RunState>,
-    /// Time after which a retry may succeed, in milliseconds.
+    /// Time after which a retry may succeed, in milliseconds; absent if no retry is suggested.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// All faults of a document or order.
+    /// All faults of a document or order; empty for other errors.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub faults: Vec<FaultBody>,
 }
--- a/crates/api/tests/openapi.rs
+++ b/crates/api/tests/openapi.rs
@@ -219,7 +219,7 @@
     }
 }
 
-/// All operations of an OpenAPI file.
+/// Returns all operations of an OpenAPI file.
 fn operations(openapi: &Value) -> Vec<&Value> {
     let paths = openapi["paths"].as_object().expect("paths");
     let methods = paths
@@ -228,7 +228,7 @@
     methods.collect()
 }
 
-/// All four-digit numbers in a text: the result codes that it lists.
+/// Returns all four-digit numbers in a text: the result codes that it lists.
 fn codes_in(text: &str) -> Vec<u32> {
     text.split(|character: char| !character.is_ascii_digit())
         .filter(|word| word.len() == 4)
