--- a/crates/ctl/src/command/get.rs
+++ b/crates/ctl/src/command/get.rs
@@ -15,7 +15,7 @@
 }
 
 impl Report for ConfigReply {
-    /// Only the document, so that it can be edited and applied. The revision is in the JSON output and
+    /// Formats the document alone, so that it can be edited and applied. The revision is in the JSON output and
     /// in the output of `status`.
     fn text(&self) -> String {
         let text = serde_json::to_string_pretty(&self.document).unwrap_or_default();
--- a/crates/ctl/src/failure.rs
+++ b/crates/ctl/src/failure.rs
@@ -16,12 +16,12 @@
     pub code: ResultCode,
     /// Human-readable description, one sentence.
     pub message: String,
-    /// Advice on what the operator can do.
+    /// Advice on what the operator can do; absent if there is none.
     #[help]
     pub help: Option<String>,
     /// Configuration revision in force; set with [`ResultCode::RevisionConflict`].
     pub revision: Option<u64>,
-    /// Faults of a document or order.
+    /// Faults of a document or order; empty for other failures.
     #[related]
     pub faults: Vec<FaultReport>,
 }
--- a/crates/ctl/src/invocation.rs
+++ b/crates/ctl/src/invocation.rs
@@ -11,7 +11,7 @@
     pub addresses: Vec<String>,
     /// File with the operator key. Absent: the key is in the environment.
     pub key_file: Option<PathBuf>,
-    /// Output format.
+    /// Format in which results and failures are printed.
     pub output: OutputFormat,
     /// Time after which a request is no longer retried.
     pub timeout: Duration,
